--- a/crates/capacity/src/catalog.rs
+++ b/crates/capacity/src/catalog.rs
@@ -135,8 +135,13 @@
 }
 
 impl Sweep {
-    pub const ALL: [Sweep; 5] =
-        [Sweep::Destinations, Sweep::Backlog, Sweep::Members, Sweep::Events, Sweep::Changes];
+    pub const ALL: [Sweep; 5] = [
+        Sweep::Destinations,
+        Sweep::Backlog,
+        Sweep::Members,
+        Sweep::Events,
+        Sweep::Changes,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
@@ -213,13 +218,35 @@
     ceiling: f64::INFINITY,
     bound: EXACT,
 };
-const TIMED: Quantity = Quantity { kind: Kind::Time, unit: Unit::Seconds, bound: TIME, ..BASE };
-const BACKLOG: Quantity = Quantity { sweep: Sweep::Backlog, axis: Axis::Backlog, ..BASE };
-const BACKLOG_TIMED: Quantity = Quantity { sweep: Sweep::Backlog, axis: Axis::Backlog, ..TIMED };
-const MEMBERS: Quantity =
-    Quantity { sweep: Sweep::Members, axis: Axis::Members, role: Role::Member, bound: 0.2, ..BASE };
-const MEMBERS_TIMED: Quantity =
-    Quantity { sweep: Sweep::Members, axis: Axis::Members, role: Role::Member, ..TIMED };
+const TIMED: Quantity = Quantity {
+    kind: Kind::Time,
+    unit: Unit::Seconds,
+    bound: TIME,
+    ..BASE
+};
+const BACKLOG: Quantity = Quantity {
+    sweep: Sweep::Backlog,
+    axis: Axis::Backlog,
+    ..BASE
+};
+const BACKLOG_TIMED: Quantity = Quantity {
+    sweep: Sweep::Backlog,
+    axis: Axis::Backlog,
+    ..TIMED
+};
+const MEMBERS: Quantity = Quantity {
+    sweep: Sweep::Members,
+    axis: Axis::Members,
+    role: Role::Member,
+    bound: 0.2,
+    ..BASE
+};
+const MEMBERS_TIMED: Quantity = Quantity {
+    sweep: Sweep::Members,
+    axis: Axis::Members,
+    role: Role::Member,
+    ..TIMED
+};
 
 /// Every quantity, in the order of the page.
 pub const QUANTITIES: &[Quantity] = &[
@@ -286,7 +313,12 @@
         bound: MEMORY,
         ..BACKLOG
     },
-    Quantity { id: "backlog.disk", role: Role::Journal, what: "the journal's folder", ..BACKLOG },
+    Quantity {
+        id: "backlog.disk",
+        role: Role::Journal,
+        what: "the journal's folder",
+        ..BACKLOG
+    },
     Quantity {
         id: "backlog.ready",
         breaks: Breaks::Rule,
@@ -451,7 +483,11 @@
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
-    Quantity { id: "members.halves.agreed", what: "end of the cut to one view everywhere", ..MEMBERS_TIMED },
+    Quantity {
+        id: "members.halves.agreed",
+        what: "end of the cut to one view everywhere",
+        ..MEMBERS_TIMED
+    },
     Quantity {
         id: "members.halves.missing",
         breaks: Breaks::Rule,
--- a/crates/capacity/src/compare.rs
+++ b/crates/capacity/src/compare.rs
@@ -11,11 +11,24 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// Worse by more than the stated bound.
-    Missed { id: &'static str, stated: f64, fresh: f64, bound: f64 },
+    Missed {
+        id: &'static str,
+        stated: f64,
+        fresh: f64,
+        bound: f64,
+    },
     /// The page says that the budget holds, and it does not.
-    BudgetLost { id: &'static str, budget: f64, fresh: f64 },
+    BudgetLost {
+        id: &'static str,
+        budget: f64,
+        fresh: f64,
+    },
     /// Better by more than the bound: the page should be brought up to date.
-    Better { id: &'static str, stated: f64, fresh: f64 },
+    Better {
+        id: &'static str,
+        stated: f64,
+        fresh: f64,
+    },
     /// Measured and not on the page.
     Unstated { id: &'static str },
 }
@@ -30,15 +43,34 @@
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Verdict::Missed { id, stated, fresh, bound } => {
-                let (stated, fresh, percent) = (number(*stated), number(*fresh), number(bound * 100.0));
-                write!(f, "MISSED: {id}: {fresh}, stated {stated}, which is worse by more than {percent}%")
+            Verdict::Missed {
+                id,
+                stated,
+                fresh,
+                bound,
+            } => {
+                let (stated, fresh, percent) =
+                    (number(*stated), number(*fresh), number(bound * 100.0));
+                write!(
+                    f,
+                    "MISSED: {id}: {fresh}, stated {stated}, which is worse by more than {percent}%"
+                )
             }
             Verdict::BudgetLost { id, budget, fresh } => {
-                write!(f, "BUDGET LOST: {id}: {} of a budget of {}", number(*fresh), number(*budget))
+                write!(
+                    f,
+                    "BUDGET LOST: {id}: {} of a budget of {}",
+                    number(*fresh),
+                    number(*budget)
+                )
             }
             Verdict::Better { id, stated, fresh } => {
-                write!(f, "better than stated: {id}: {}, stated {}", number(*fresh), number(*stated))
+                write!(
+                    f,
+                    "better than stated: {id}: {}, stated {}",
+                    number(*fresh),
+                    number(*stated)
+                )
             }
             Verdict::Unstated { id } => write!(f, "not on the page: {id}"),
         }
@@ -47,7 +79,9 @@
 
 /// Holds fresh figures against the page. A quick run judges counts and bytes alone.
 pub fn compare(run: Run, figures: &[Figure], stated: &[Stated]) -> Vec<Verdict> {
-    let judged = figures.iter().filter(|f| run == Run::Full || f.quantity.kind == Kind::CountOrBytes);
+    let judged = figures
+        .iter()
+        .filter(|f| run == Run::Full || f.quantity.kind == Kind::CountOrBytes);
     judged.flat_map(|figure| verdicts(figure, stated)).collect()
 }
 
@@ -64,11 +98,21 @@
         Direction::Benefit => stated.planned - fresh,
     };
     if excess > margin {
-        all.push(Verdict::Missed { id, stated: stated.planned, fresh, bound: stated.bound });
+        all.push(Verdict::Missed {
+            id,
+            stated: stated.planned,
+            fresh,
+            bound: stated.bound,
+        });
     } else if excess < -margin {
-        all.push(Verdict::Better { id, stated: stated.planned, fresh });
+        all.push(Verdict::Better {
+            id,
+            stated: stated.planned,
+            fresh,
+        });
     }
-    if let (Some(true), Some(false), Some(budget)) = (stated.holds, figure.holds(), figure.budget()) {
+    if let (Some(true), Some(false), Some(budget)) = (stated.holds, figure.holds(), figure.budget())
+    {
         all.push(Verdict::BudgetLost { id, budget, fresh });
     }
     all
--- a/crates/capacity/src/derived.rs
+++ b/crates/capacity/src/derived.rs
@@ -20,7 +20,9 @@
 
 impl Derived {
     fn line(&self) -> String {
-        let budget = self.budget.map_or("-".into(), |b| format!("{} {}", number(b), self.unit));
+        let budget = self
+            .budget
+            .map_or("-".into(), |b| format!("{} {}", number(b), self.unit));
         let left = self.budget.map_or("-".into(), |b| number(b / self.value));
         format!(
             "| {} | {} | {} {} | {budget} | {left} |",
@@ -34,12 +36,22 @@
 
 /// What can be worked out from the figures of a run, as Markdown with its head.
 pub fn of_run(figures: &[Figure]) -> Vec<String> {
-    rows(&|id| figures.iter().find(|f| f.quantity.id == id).map(Figure::planned))
+    rows(&|id| {
+        figures
+            .iter()
+            .find(|f| f.quantity.id == id)
+            .map(Figure::planned)
+    })
 }
 
 /// What can be worked out from the figures that a page states.
 pub fn of_page(stated: &[Stated]) -> Vec<String> {
-    rows(&|id| stated.iter().find(|s| s.quantity.id == id).map(|s| s.planned))
+    rows(&|id| {
+        stated
+            .iter()
+            .find(|s| s.quantity.id == id)
+            .map(|s| s.planned)
+    })
 }
 
 fn rows(value: &dyn Fn(&str) -> Option<f64>) -> Vec<String> {
@@ -70,7 +82,10 @@
         bytes("control bytes of a sender, one in ten crashed", "crashes"),
         bytes("control bytes of a sender, a zone of six gone", "zone"),
         bytes("control bytes of a sender, one in thirty gone", "rack"),
-        bytes("control bytes of a sender, one in sixteen restarted", "restarts"),
+        bytes(
+            "control bytes of a sender, one in sixteen restarted",
+            "restarts",
+        ),
         bytes("control bytes of a sender, halves cut", "halves"),
         processor(value, changes),
         memory(value),
--- a/crates/capacity/src/figure.rs
+++ b/crates/capacity/src/figure.rs
@@ -30,12 +30,27 @@
     /// A figure whose value at the planned size is read off a fit.
     pub fn fitted(quantity: &'static Quantity, samples: Samples) -> Result<Figure, FitError> {
         let finding = Finding::Fitted(fit(&samples)?);
-        Ok(Figure { quantity, samples, finding, remark: None })
+        Ok(Figure {
+            quantity,
+            samples,
+            finding,
+            remark: None,
+        })
     }
 
     /// A size up to which something works.
-    pub fn limit(quantity: &'static Quantity, samples: Samples, holds: f64, fails: Option<f64>) -> Figure {
-        Figure { quantity, samples, finding: Finding::Limit { holds, fails }, remark: None }
+    pub fn limit(
+        quantity: &'static Quantity,
+        samples: Samples,
+        holds: f64,
+        fails: Option<f64>,
+    ) -> Figure {
+        Figure {
+            quantity,
+            samples,
+            finding: Finding::Limit { holds, fails },
+            remark: None,
+        }
     }
 
     /// The value at the planned size; of a limit, the largest size that works. A sample at the planned size itself goes
@@ -45,15 +60,24 @@
         match self.finding {
             Finding::Limit { holds, .. } => holds,
             Finding::Fitted(fit) => {
-                let there = self.samples.as_slice().iter().find(|s| (s.size - planned).abs() < 0.5);
-                there.map_or(fit.shape.at(planned).min(self.quantity.ceiling), |s| s.value)
+                let there = self
+                    .samples
+                    .as_slice()
+                    .iter()
+                    .find(|s| (s.size - planned).abs() < 0.5);
+                there.map_or(fit.shape.at(planned).min(self.quantity.ceiling), |s| {
+                    s.value
+                })
             }
         }
     }
 
     /// Whether the value at the planned size was measured there.
     pub fn is_measured(&self) -> bool {
-        self.samples.as_slice().iter().any(|s| (s.size - self.quantity.axis.planned()).abs() < 0.5)
+        self.samples
+            .as_slice()
+            .iter()
+            .any(|s| (s.size - self.quantity.axis.planned()).abs() < 0.5)
     }
 
     /// What bounds it: the budget, or for a limit the planned size.
@@ -122,7 +146,11 @@
 fn halved(mut below: f64, mut above: f64, over: impl Fn(f64) -> bool) -> f64 {
     for _ in 0..64 {
         let middle = (below + above) / 2.0;
-        if over(middle) { above = middle } else { below = middle }
+        if over(middle) {
+            above = middle
+        } else {
+            below = middle
+        }
     }
     above
 }
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -37,7 +37,12 @@
     /// `base + slope * size + square * size^2`
     Quadratic { base: f64, slope: f64, square: f64 },
     /// `base + slope * size`, and `step` more from `from` on.
-    Step { base: f64, slope: f64, step: f64, from: f64 },
+    Step {
+        base: f64,
+        slope: f64,
+        step: f64,
+        from: f64,
+    },
 }
 
 /// A shape and how far the samples lie from it.
@@ -54,10 +59,17 @@
     pub fn at(&self, size: f64) -> f64 {
         match *self {
             Shape::Straight { base, slope } => base + slope * size,
-            Shape::Quadratic { base, slope, square } => base + slope * size + square * size * size,
-            Shape::Step { base, slope, step, from } => {
-                base + slope * size + if size >= from { step } else { 0.0 }
-            }
+            Shape::Quadratic {
+                base,
+                slope,
+                square,
+            } => base + slope * size + square * size * size,
+            Shape::Step {
+                base,
+                slope,
+                step,
+                from,
+            } => base + slope * size + if size >= from { step } else { 0.0 },
         }
     }
 
@@ -77,7 +89,10 @@
 pub fn fit(samples: &Samples) -> Result<Fit, FitError> {
     let given = samples.as_slice().len();
     if given < STRAIGHT_LEAST {
-        return Err(SampleError::TooFew { given, least: STRAIGHT_LEAST });
+        return Err(SampleError::TooFew {
+            given,
+            least: STRAIGHT_LEAST,
+        });
     }
     let weighted = Weighted::new(samples);
     let straight = weighted.straight();
@@ -85,8 +100,13 @@
         return Ok(straight);
     }
     let bent = [weighted.quadratic(), weighted.step()];
-    let best = bent.into_iter().flatten().min_by(|a, b| a.residual.total_cmp(&b.residual));
-    Ok(best.filter(|b| b.residual <= straight.residual * BETTER).unwrap_or(straight))
+    let best = bent
+        .into_iter()
+        .flatten()
+        .min_by(|a, b| a.residual.total_cmp(&b.residual));
+    Ok(best
+        .filter(|b| b.residual <= straight.residual * BETTER)
+        .unwrap_or(straight))
 }
 
 /// Samples with the weight of each.
@@ -101,15 +121,29 @@
     fn new(samples: &'a Samples) -> Weighted<'a> {
         let (largest_value, largest_size) = (samples.largest_value(), samples.largest_size());
         let floor = largest_value * WEIGHT_FLOOR;
-        let weight = |s: &Sample| if floor > 0.0 { 1.0 / s.value.abs().max(floor) } else { 1.0 };
+        let weight = |s: &Sample| {
+            if floor > 0.0 {
+                1.0 / s.value.abs().max(floor)
+            } else {
+                1.0
+            }
+        };
         let samples = samples.as_slice();
-        Weighted { samples, weights: samples.iter().map(weight).collect(), largest_value, largest_size }
+        Weighted {
+            samples,
+            weights: samples.iter().map(weight).collect(),
+            largest_value,
+            largest_size,
+        }
     }
 
     fn straight(&self) -> Fit {
         let solved = self.solve(|s| [1.0, s.size / self.largest_size]);
         let [base, slope] = solved.unwrap_or([self.mean(), 0.0]);
-        self.judged(Shape::Straight { base, slope: slope / self.largest_size })
+        self.judged(Shape::Straight {
+            base,
+            slope: slope / self.largest_size,
+        })
     }
 
     fn quadratic(&self) -> Option<Fit> {
@@ -121,8 +155,15 @@
         if square < self.largest_value * SHARE_LEAST {
             return None;
         }
-        let (slope, square) = (slope / self.largest_size, square / self.largest_size.powi(2));
-        Some(self.judged(Shape::Quadratic { base, slope, square }))
+        let (slope, square) = (
+            slope / self.largest_size,
+            square / self.largest_size.powi(2),
+        );
+        Some(self.judged(Shape::Quadratic {
+            base,
+            slope,
+            square,
+        }))
     }
 
     fn step(&self) -> Option<Fit> {
@@ -141,7 +182,12 @@
         if step.abs() < self.largest_value * SHARE_LEAST {
             return None;
         }
-        Some(self.judged(Shape::Step { base, slope: slope / self.largest_size, step, from }))
+        Some(self.judged(Shape::Step {
+            base,
+            slope: slope / self.largest_size,
+            step,
+            from,
+        }))
     }
 
     fn mean(&self) -> f64 {
@@ -149,9 +195,13 @@
     }
 
     fn judged(&self, shape: Shape) -> Fit {
-        let distance = |(s, weight): (&Sample, &f64)| ((shape.at(s.size) - s.value) * weight).powi(2);
+        let distance =
+            |(s, weight): (&Sample, &f64)| ((shape.at(s.size) - s.value) * weight).powi(2);
         let squares: f64 = self.samples.iter().zip(&self.weights).map(distance).sum();
-        Fit { shape, residual: (squares / self.samples.len() as f64).sqrt() }
+        Fit {
+            shape,
+            residual: (squares / self.samples.len() as f64).sqrt(),
+        }
     }
 
     /// The weighted least-squares coefficients of these terms; `None` where the samples do not determine them.
@@ -173,8 +223,8 @@
 /// Gaussian elimination with partial pivoting.
 fn eliminate<const N: usize>(mut matrix: [[f64; N]; N], mut right: [f64; N]) -> Option<[f64; N]> {
     for column in 0..N {
-        let pivot =
-            (column..N).max_by(|&a, &b| matrix[a][column].abs().total_cmp(&matrix[b][column].abs()))?;
+        let pivot = (column..N)
+            .max_by(|&a, &b| matrix[a][column].abs().total_cmp(&matrix[b][column].abs()))?;
         if matrix[pivot][column] == 0.0 {
             return None;
         }
@@ -183,7 +233,10 @@
         for row in column + 1..N {
             let factor = matrix[row][column] / matrix[column][column];
             let pivot_row = matrix[column];
-            matrix[row].iter_mut().zip(pivot_row).for_each(|(cell, above)| *cell -= factor * above);
+            matrix[row]
+                .iter_mut()
+                .zip(pivot_row)
+                .for_each(|(cell, above)| *cell -= factor * above);
             right[row] -= factor * right[column];
         }
     }
@@ -192,5 +245,8 @@
         let known: f64 = (row + 1..N).map(|k| matrix[row][k] * solution[k]).sum();
         solution[row] = (right[row] - known) / matrix[row][row];
     }
-    solution.iter().all(|v: &f64| v.is_finite()).then_some(solution)
+    solution
+        .iter()
+        .all(|v: &f64| v.is_finite())
+        .then_some(solution)
 }
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -19,8 +19,14 @@
     /// The lines around its table.
     pub fn marks(self) -> (&'static str, &'static str) {
         match self {
-            Run::Full => ("<!-- figures of the full run -->", "<!-- end of the full run -->"),
-            Run::Quick => ("<!-- figures of the quick run -->", "<!-- end of the quick run -->"),
+            Run::Full => (
+                "<!-- figures of the full run -->",
+                "<!-- end of the full run -->",
+            ),
+            Run::Quick => (
+                "<!-- figures of the quick run -->",
+                "<!-- end of the quick run -->",
+            ),
         }
     }
 }
@@ -52,7 +58,11 @@
     #[error("line {line}: '{id}' is stated twice")]
     Twice { line: usize, id: String },
     #[error("line {line}: {column}: '{text}' can't be read")]
-    Unreadable { line: usize, column: &'static str, text: String },
+    Unreadable {
+        line: usize,
+        column: &'static str,
+        text: String,
+    },
 }
 
 /// Columns that are read back.
@@ -68,7 +78,10 @@
     fn of(line: usize, head: &str) -> Result<Columns, PageError> {
         let cells = cells(head);
         let place = |column: &'static str| {
-            cells.iter().position(|c| *c == column).ok_or(PageError::NoColumn { line, column })
+            cells
+                .iter()
+                .position(|c| *c == column)
+                .ok_or(PageError::NoColumn { line, column })
         };
         Ok(Columns {
             id: place("id")?,
@@ -84,17 +97,30 @@
 pub fn stated(page: &str, run: Run) -> Result<Vec<Stated>, PageError> {
     let (begin, end) = run.marks();
     let lines: Vec<&str> = page.lines().collect();
-    let first = lines.iter().position(|l| l.trim() == begin).ok_or(PageError::NoMark(begin))?;
-    let length = lines[first..].iter().position(|l| l.trim() == end).ok_or(PageError::NoMark(end))?;
+    let first = lines
+        .iter()
+        .position(|l| l.trim() == begin)
+        .ok_or(PageError::NoMark(begin))?;
+    let length = lines[first..]
+        .iter()
+        .position(|l| l.trim() == end)
+        .ok_or(PageError::NoMark(end))?;
     let inside = lines[first..first + length].iter().enumerate();
-    let mut rows = inside.filter(|(_, l)| l.trim_start().starts_with('|')).map(|(n, l)| (first + n + 1, *l));
-    let Some((line, head)) = rows.next() else { return Ok(Vec::new()) };
+    let mut rows = inside
+        .filter(|(_, l)| l.trim_start().starts_with('|'))
+        .map(|(n, l)| (first + n + 1, *l));
+    let Some((line, head)) = rows.next() else {
+        return Ok(Vec::new());
+    };
     let columns = Columns::of(line, head)?;
     let mut found: Vec<Stated> = Vec::new();
     for (line, row) in rows.filter(|(_, row)| !row.contains("| --- |")) {
         let figure = read(line, row, &columns)?;
         if found.iter().any(|f| f.quantity.id == figure.quantity.id) {
-            return Err(PageError::Twice { line, id: figure.quantity.id.into() });
+            return Err(PageError::Twice {
+                line,
+                id: figure.quantity.id.into(),
+            });
         }
         found.push(figure);
     }
@@ -104,9 +130,16 @@
 fn read(line: usize, row: &str, columns: &Columns) -> Result<Stated, PageError> {
     let cells = cells(row);
     let cell = |place: usize| cells.get(place).copied().unwrap_or_default();
-    let unreadable = |column, text: &str| PageError::Unreadable { line, column, text: text.into() };
+    let unreadable = |column, text: &str| PageError::Unreadable {
+        line,
+        column,
+        text: text.into(),
+    };
     let id = cell(columns.id).trim_matches('`');
-    let quantity = quantity(id).ok_or_else(|| PageError::Unknown { line, id: id.into() })?;
+    let quantity = quantity(id).ok_or_else(|| PageError::Unknown {
+        line,
+        id: id.into(),
+    })?;
     let planned = cell(columns.planned);
     let holds = match cell(columns.holds) {
         "yes" => Some(true),
@@ -121,11 +154,22 @@
     let bound = cell(columns.bound);
     let bound = percent(bound).ok_or_else(|| unreadable("bound", bound))?;
     let value = leading(planned).ok_or_else(|| unreadable("at the planned size", planned))?;
-    Ok(Stated { quantity, planned: value, holds, fails_at, bound, row: row.into() })
+    Ok(Stated {
+        quantity,
+        planned: value,
+        holds,
+        fails_at,
+        bound,
+        row: row.into(),
+    })
 }
 
 fn cells(row: &str) -> Vec<&str> {
-    row.trim().trim_matches('|').split('|').map(str::trim).collect()
+    row.trim()
+        .trim_matches('|')
+        .split('|')
+        .map(str::trim)
+        .collect()
 }
 
 /// The part that a cell begins with, given in hundredths.
@@ -137,26 +181,46 @@
 /// The number that a cell begins with.
 fn leading(cell: &str) -> Option<f64> {
     let word = cell.split_whitespace().next()?;
-    word.replace(',', "").parse::<f64>().ok().filter(|v| v.is_finite())
+    word.replace(',', "")
+        .parse::<f64>()
+        .ok()
+        .filter(|v| v.is_finite())
 }
 
 /// The lines around what is worked out from the full run's figures.
-const WORKED_OUT: (&str, &str) =
-    ("<!-- worked out from the full run -->", "<!-- end of what is worked out -->");
+const WORKED_OUT: (&str, &str) = (
+    "<!-- worked out from the full run -->",
+    "<!-- end of what is worked out -->",
+);
 
 /// The lines around what fails first by the full run's figures.
-const FAILS_FIRST: (&str, &str) = ("<!-- what fails first -->", "<!-- end of what fails first -->");
+const FAILS_FIRST: (&str, &str) = (
+    "<!-- what fails first -->",
+    "<!-- end of what fails first -->",
+);
 
 /// The page with these figures in place of those with the same ids; all other rows stay. What the page works out from
 /// the full run's figures is worked out anew.
 pub fn updated(page: &str, run: Run, figures: &[Figure]) -> Result<String, PageError> {
     let before = stated(page, run)?;
     let row = |quantity: &Quantity| {
-        let fresh = figures.iter().find(|f| f.quantity.id == quantity.id).map(table::row);
-        fresh.or_else(|| before.iter().find(|s| s.quantity.id == quantity.id).map(|s| s.row.clone()))
+        let fresh = figures
+            .iter()
+            .find(|f| f.quantity.id == quantity.id)
+            .map(table::row);
+        fresh.or_else(|| {
+            before
+                .iter()
+                .find(|s| s.quantity.id == quantity.id)
+                .map(|s| s.row.clone())
+        })
     };
     let rows: Vec<String> = QUANTITIES.iter().filter_map(row).collect();
-    let page = replaced(page, run.marks(), &format!("{}\n{}", table::head(), rows.join("\n")))?;
+    let page = replaced(
+        page,
+        run.marks(),
+        &format!("{}\n{}", table::head(), rows.join("\n")),
+    )?;
     if run == Run::Quick {
         return Ok(page);
     }
@@ -171,11 +235,19 @@
     marks: (&'static str, &'static str),
     lines: &[String],
 ) -> Result<String, PageError> {
-    if page.contains(marks.0) { replaced(&page, marks, &lines.join("\n")) } else { Ok(page) }
+    if page.contains(marks.0) {
+        replaced(&page, marks, &lines.join("\n"))
+    } else {
+        Ok(page)
+    }
 }
 
 /// The page with this text between two lines.
-fn replaced(page: &str, marks: (&'static str, &'static str), text: &str) -> Result<String, PageError> {
+fn replaced(
+    page: &str,
+    marks: (&'static str, &'static str),
+    text: &str,
+) -> Result<String, PageError> {
     let (begin, end) = marks;
     let (ahead, rest) = page.split_once(begin).ok_or(PageError::NoMark(begin))?;
     let (_, after) = rest.split_once(end).ok_or(PageError::NoMark(end))?;
--- a/crates/capacity/src/sample.rs
+++ b/crates/capacity/src/sample.rs
@@ -17,7 +17,11 @@
     #[error("sample {place}: size {size} is above {most}, which no sweep reaches")]
     Absurd { place: usize, size: f64, most: f64 },
     #[error("sample {place}: size {size} is not above the one before it, {before}")]
-    NotAscending { place: usize, size: f64, before: f64 },
+    NotAscending {
+        place: usize,
+        size: f64,
+        before: f64,
+    },
     #[error("sample {place}: the value {value} at size {size} is not a finite number")]
     NotFinite { place: usize, size: f64, value: f64 },
     #[error("{given} samples; a fit needs at least {least}")]
@@ -42,10 +46,18 @@
                 return Err(SampleError::NotPositive { place, size });
             }
             if size > SIZE_MOST {
-                return Err(SampleError::Absurd { place, size, most: SIZE_MOST });
+                return Err(SampleError::Absurd {
+                    place,
+                    size,
+                    most: SIZE_MOST,
+                });
             }
             if size <= before {
-                return Err(SampleError::NotAscending { place, size, before });
+                return Err(SampleError::NotAscending {
+                    place,
+                    size,
+                    before,
+                });
             }
             if !value.is_finite() {
                 return Err(SampleError::NotFinite { place, size, value });
--- a/crates/capacity/src/sizes.rs
+++ b/crates/capacity/src/sizes.rs
@@ -26,11 +26,24 @@
     #[error("line {line}: {sweep}: the size 0 measures nothing")]
     Zero { line: usize, sweep: &'static str },
     #[error("line {line}: {sweep}: the size {size} is absurd; at most {most}")]
-    Absurd { line: usize, sweep: &'static str, size: u64, most: u64 },
+    Absurd {
+        line: usize,
+        sweep: &'static str,
+        size: u64,
+        most: u64,
+    },
     #[error("line {line}: {sweep}: {size} is not above the size before it")]
-    NotAscending { line: usize, sweep: &'static str, size: u64 },
+    NotAscending {
+        line: usize,
+        sweep: &'static str,
+        size: u64,
+    },
     #[error("line {line}: {sweep}: {given} sizes; a fit needs at least {STRAIGHT_LEAST}")]
-    TooFew { line: usize, sweep: &'static str, given: usize },
+    TooFew {
+        line: usize,
+        sweep: &'static str,
+        given: usize,
+    },
     #[error("{sweep}: no sizes")]
     Missing { sweep: &'static str },
 }
@@ -87,14 +100,21 @@
         };
         let file: File = toml::from_str(text).map_err(syntax)?;
         let sizes = Sizes {
-            destinations: checked(text, Sweep::Destinations, file.destinations, self.destinations)?,
+            destinations: checked(
+                text,
+                Sweep::Destinations,
+                file.destinations,
+                self.destinations,
+            )?,
             backlog: checked(text, Sweep::Backlog, file.backlog, self.backlog)?,
             members: checked(text, Sweep::Members, file.members, self.members)?,
             events: checked(text, Sweep::Events, file.events, self.events)?,
             changes: checked(text, Sweep::Changes, file.changes, self.changes)?,
         };
         match played.iter().find(|s| sizes.of(**s).is_empty()) {
-            Some(sweep) => Err(SizesError::Missing { sweep: sweep.name() }),
+            Some(sweep) => Err(SizesError::Missing {
+                sweep: sweep.name(),
+            }),
             None => Ok(sizes),
         }
     }
@@ -127,7 +147,12 @@
             return Err(SizesError::Zero { line, sweep });
         }
         if size > most {
-            return Err(SizesError::Absurd { line, sweep, size, most });
+            return Err(SizesError::Absurd {
+                line,
+                sweep,
+                size,
+                most,
+            });
         }
         if sizes.last().is_some_and(|before| *before >= size) {
             return Err(SizesError::NotAscending { line, sweep, size });
@@ -136,11 +161,16 @@
     }
     match sizes.len() {
         0 => Err(SizesError::Missing { sweep }),
-        given if given < STRAIGHT_LEAST => Err(SizesError::TooFew { line: all, sweep, given }),
+        given if given < STRAIGHT_LEAST => Err(SizesError::TooFew {
+            line: all,
+            sweep,
+            given,
+        }),
         _ => Ok(sizes),
     }
 }
 
 fn line_of(text: &str, span: Range<usize>) -> usize {
-    text.get(..span.start).map_or(1, |before| before.matches('\n').count() + 1)
+    text.get(..span.start)
+        .map_or(1, |before| before.matches('\n').count() + 1)
 }
--- a/crates/capacity/src/table.rs
+++ b/crates/capacity/src/table.rs
@@ -84,14 +84,22 @@
 /// One figure as a row of Markdown.
 pub fn row(figure: &Figure) -> String {
     let quantity = figure.quantity;
-    let with_unit = |value: f64| format!("{} {}", number(value), quantity.unit.name()).trim().to_owned();
+    let with_unit = |value: f64| {
+        format!("{} {}", number(value), quantity.unit.name())
+            .trim()
+            .to_owned()
+    };
     let samples: Vec<String> = figure.samples.as_slice().iter().map(sample).collect();
     let mut measured = samples.join("; ");
     if let Some(why) = &figure.remark {
         measured.push_str(&format!(" ({why})"));
     }
     let (fit, residual) = finding(figure);
-    let from = if figure.is_measured() { "measured" } else { "by the fit" };
+    let from = if figure.is_measured() {
+        "measured"
+    } else {
+        "by the fit"
+    };
     let planned = match figure.finding {
         Finding::Limit { .. } => with_unit(figure.planned()),
         Finding::Fitted(_) => format!("{} {from}", with_unit(figure.planned())),
@@ -107,7 +115,9 @@
         figure.budget().map_or("-".into(), with_unit),
         figure.factor_left().map_or("-".into(), factor),
         holds(figure.holds()).to_owned(),
-        figure.fails_at().map_or("-".into(), |part| format!("{}% of the plan", number(part * 100.0))),
+        figure.fails_at().map_or("-".into(), |part| {
+            format!("{}% of the plan", number(part * 100.0))
+        }),
         format!("{}%", number(quantity.bound * 100.0)),
     ];
     format!("| {} |", cells.join(" | "))
@@ -127,12 +137,18 @@
 }
 
 fn factor(factor: f64) -> String {
-    if factor.is_finite() { number(factor) } else { "all".into() }
+    if factor.is_finite() {
+        number(factor)
+    } else {
+        "all".into()
+    }
 }
 
 fn finding(figure: &Figure) -> (String, String) {
     match figure.finding {
-        Finding::Limit { fails: Some(fails), .. } => (format!("fails at {}", number(fails)), "-".into()),
+        Finding::Limit {
+            fails: Some(fails), ..
+        } => (format!("fails at {}", number(fails)), "-".into()),
         Finding::Limit { fails: None, .. } => ("no failure seen".into(), "-".into()),
         Finding::Fitted(fit) => (shape(&fit), format!("{:.1}%", fit.residual * 100.0)),
     }
@@ -141,13 +157,31 @@
 fn shape(fit: &Fit) -> String {
     match fit.shape {
         Shape::Straight { base, slope } => {
-            let doubt = if fit.is_rough() { "**not clearly straight**: " } else { "" };
+            let doubt = if fit.is_rough() {
+                "**not clearly straight**: "
+            } else {
+                ""
+            };
             format!("{doubt}{} + {} n", number(base), number(slope))
         }
-        Shape::Quadratic { base, slope, square } => {
-            format!("**not straight**: {} + {} n + {} n²", number(base), number(slope), number(square))
+        Shape::Quadratic {
+            base,
+            slope,
+            square,
+        } => {
+            format!(
+                "**not straight**: {} + {} n + {} n²",
+                number(base),
+                number(slope),
+                number(square)
+            )
         }
-        Shape::Step { base, slope, step, from } => {
+        Shape::Step {
+            base,
+            slope,
+            step,
+            from,
+        } => {
             let (base, slope) = (number(base), number(slope));
             format!(
                 "**not straight**: {base} + {slope} n, a step of {} from {} on",
@@ -188,5 +222,9 @@
         }
         grouped.push(digit);
     }
-    if part.is_empty() { format!("{sign}{grouped}") } else { format!("{sign}{grouped}.{part}") }
+    if part.is_empty() {
+        format!("{sign}{grouped}")
+    } else {
+        format!("{sign}{grouped}.{part}")
+    }
 }
--- a/crates/core/src/breakage.rs
+++ b/crates/core/src/breakage.rs
@@ -56,7 +56,10 @@
     ];
 
     pub fn named(name: &str) -> Option<Breakage> {
-        Breakage::ALL.iter().find(|(n, _)| *n == name).map(|(_, b)| *b)
+        Breakage::ALL
+            .iter()
+            .find(|(n, _)| *n == name)
+            .map(|(_, b)| *b)
     }
 }
 
@@ -88,5 +91,7 @@
 /// True for one call in so many, for breakages that show now and then.
 pub fn one_in(calls: u64) -> bool {
     static CALLS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
-    CALLS.fetch_add(1, std::sync::atomic::Ordering::Relaxed).is_multiple_of(calls)
+    CALLS
+        .fetch_add(1, std::sync::atomic::Ordering::Relaxed)
+        .is_multiple_of(calls)
 }
--- a/crates/core/src/detach.rs
+++ b/crates/core/src/detach.rs
@@ -73,7 +73,9 @@
         if listed && was_out == back && known {
             if !back {
                 self.detached.returning.remove(&id);
-                effects.push(Effect::HoldBack { endpoints: vec![id.clone()] });
+                effects.push(Effect::HoldBack {
+                    endpoints: vec![id.clone()],
+                });
             } else {
                 self.detached.returning.insert(id.clone(), now);
                 self.sender.bar_endpoint(&id);
@@ -85,7 +87,11 @@
         let detached = &self.detached;
         let now = Detachments {
             out: detached.out.keys().map(|id| id.0.clone()).collect(),
-            back: detached.returning.iter().map(|(id, since)| (id.0.clone(), since.0)).collect(),
+            back: detached
+                .returning
+                .iter()
+                .map(|(id, since)| (id.0.clone(), since.0))
+                .collect(),
         };
         effects.push(Effect::Detached { by, known, now });
         effects
@@ -94,7 +100,13 @@
     /// What an earlier life of this sender had detached.
     pub fn detached_before(&mut self, before: Detachments) {
         let (now, cold) = (self.now, self.cold());
-        for id in before.out.into_iter().filter(|id| id.len() <= ID_MOST).take(MOST).map(EndpointId) {
+        for id in before
+            .out
+            .into_iter()
+            .filter(|id| id.len() <= ID_MOST)
+            .take(MOST)
+            .map(EndpointId)
+        {
             self.detached.out.insert(id.clone(), now);
             self.tell_listed(&id);
         }
@@ -108,9 +120,14 @@
     }
 
     fn tell_listed(&mut self, id: &EndpointId) {
-        let Some(entry) = self.list.entry(id) else { return };
+        let Some(entry) = self.list.entry(id) else {
+            return;
+        };
         let entry = self.detached.over(self.now, entry);
-        self.events.push(Event::List { whole: false, entries: vec![entry] });
+        self.events.push(Event::List {
+            whole: false,
+            entries: vec![entry],
+        });
     }
 
     /// Before the decisions of a turn: lets in what may go to endpoints on their way back.
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -85,11 +85,24 @@
         body: Arc<[u8]>,
     },
     /// Written before the attempt goes out.
-    Sent { id: String, attempt: u32, endpoint: String, at: u64 },
+    Sent {
+        id: String,
+        attempt: u32,
+        endpoint: String,
+        at: u64,
+    },
     /// The attempt is back; it may have run unless `never_ran`.
-    Back { id: String, attempt: u32, never_ran: bool },
+    Back {
+        id: String,
+        attempt: u32,
+        never_ran: bool,
+    },
     /// Ended; the platform is still to be told, and until then nothing else goes within `order_key`.
-    Closing { id: String, closing: Closing, order_key: Option<String> },
+    Closing {
+        id: String,
+        closing: Closing,
+        order_key: Option<String>,
+    },
     /// Nothing more is owed; the id is remembered until then.
     Over { id: String, until: u64 },
 }
@@ -108,6 +121,9 @@
 
     /// Tells how something ended that has happened already: it can't be refused, only written later.
     pub fn is_end(&self) -> bool {
-        matches!(self, Record::Back { .. } | Record::Closing { .. } | Record::Over { .. })
+        matches!(
+            self,
+            Record::Back { .. } | Record::Closing { .. } | Record::Over { .. }
+        )
     }
 }
--- a/crates/core/src/ended.rs
+++ b/crates/core/src/ended.rs
@@ -24,8 +24,12 @@
         if self.ids.insert(id.to_owned()) {
             self.order.push_back((until, id.to_owned()));
         }
-        while self.order.len() > ENDED_MOST || self.order.front().is_some_and(|(until, _)| *until <= now) {
-            let Some((_, id)) = self.order.pop_front() else { return };
+        while self.order.len() > ENDED_MOST
+            || self.order.front().is_some_and(|(until, _)| *until <= now)
+        {
+            let Some((_, id)) = self.order.pop_front() else {
+                return;
+            };
             self.ids.remove(&id);
         }
     }
--- a/crates/core/src/ends.rs
+++ b/crates/core/src/ends.rs
@@ -42,28 +42,45 @@
                 continue;
             };
             let out = held.out.take_if(|(number, _)| *number == end.attempt);
-            must_hold!(self.unknown_notice, out.is_some(), "an end for {} that was not out", end.id);
+            must_hold!(
+                self.unknown_notice,
+                out.is_some(),
+                "an end for {} that was not out",
+                end.id
+            );
             let destination = DestId(held.notice.partner);
             if let (Some(zones), Some((_, endpoint))) = (&mut self.zones, &out) {
                 note_zone(zones, &self.list, self.now, endpoint, end.status);
             }
             let never_ran = end.status.never_ran();
-            held.maybe_ran.take_if(|(.., number)| never_ran && *number == end.attempt);
+            held.maybe_ran
+                .take_if(|(.., number)| never_ran && *number == end.attempt);
             held.gone |= end.status == Status::Gone;
             let over = end.over || end.status == Status::Served;
             let (id, attempt) = (end.id.clone(), end.attempt);
             if over {
                 let held = self.held.remove(&id);
                 if let Some(held) = held.filter(|h| !h.taken_on) {
-                    let answer =
-                        if end.status == Status::Served { Answer::Delivered } else { Answer::Failed };
-                    self.deferred.push(Effect::Answer { to: held.notice.from, id, answer });
+                    let answer = if end.status == Status::Served {
+                        Answer::Delivered
+                    } else {
+                        Answer::Failed
+                    };
+                    self.deferred.push(Effect::Answer {
+                        to: held.notice.from,
+                        id,
+                        answer,
+                    });
                 } else {
                     let until = self.remember(&id).0;
                     self.records.push(Record::Over { id, until });
                 }
             } else if held.taken_on {
-                self.records.push(Record::Back { id, attempt, never_ran });
+                self.records.push(Record::Back {
+                    id,
+                    attempt,
+                    never_ran,
+                });
             }
             self.events.push(outcome(end, over));
             // A call still on its way to its connection would arrive inside the wait.
@@ -90,18 +107,34 @@
     }
 
     pub(crate) fn on_final(&mut self, id: String, after: Option<Duration>, harmless: bool) {
-        let Some(held) = self.held.remove(&id) else { return };
+        let Some(held) = self.held.remove(&id) else {
+            return;
+        };
         self.fresh.remove(&(held.sequence, id.clone()));
         if let Some(recovery) = &mut self.recovery {
             recovery.owed.moved(held.notice.partner, &id);
         }
         if held.taken_on {
             let after_ms = after.map_or(0, |a| a.as_millis() as u64);
-            let closing = if harmless { Closing::Returned { after_ms } } else { Closing::Failed };
+            let closing = if harmless {
+                Closing::Returned { after_ms }
+            } else {
+                Closing::Failed
+            };
             let order_key = held.notice.order_key;
-            self.closing.insert(id.clone(), PendingReport { closing, order_key: order_key.clone() });
+            self.closing.insert(
+                id.clone(),
+                PendingReport {
+                    closing,
+                    order_key: order_key.clone(),
+                },
+            );
             self.remember(&id);
-            self.records.push(Record::Closing { id: id.clone(), closing, order_key });
+            self.records.push(Record::Closing {
+                id: id.clone(),
+                closing,
+                order_key,
+            });
             self.deferred.push(Effect::Report { id, closing });
             return;
         }
@@ -116,7 +149,11 @@
             self.end_order(held.notice.order_key.as_deref());
             self.deferred.push(Effect::WakeAt(self.now));
         }
-        self.deferred.push(Effect::Answer { to: held.notice.from, id, answer });
+        self.deferred.push(Effect::Answer {
+            to: held.notice.from,
+            id,
+            answer,
+        });
     }
 }
 
--- a/crates/core/src/held.rs
+++ b/crates/core/src/held.rs
@@ -79,17 +79,28 @@
 
     /// A notice that is held as the decisions take it, with its ages as of now.
     pub(crate) fn accepted(&self, id: &str) -> Option<Taken> {
-        let Held { notice, deadline, maybe_ran, .. } = self.held.get(id)?;
+        let Held {
+            notice,
+            deadline,
+            maybe_ran,
+            ..
+        } = self.held.get(id)?;
         let past = Past {
             attempts: notice.spent,
             earlier_life: notice.from == Origin::EarlierLife,
-            maybe_ran: maybe_ran.as_ref().map(|(at, endpoint, _)| (self.now - *at, endpoint.clone())),
+            maybe_ran: maybe_ran
+                .as_ref()
+                .map(|(at, endpoint, _)| (self.now - *at, endpoint.clone())),
         };
         Some(Taken {
             id: MsgId(notice.id.clone()),
             class: notice.class,
             tenant: notice.station,
-            key: notice.order_key.clone().filter(|_| !breakage::is(Breakage::IgnoresOrder)).map(Key),
+            key: notice
+                .order_key
+                .clone()
+                .filter(|_| !breakage::is(Breakage::IgnoresOrder))
+                .map(Key),
             time_left: *deadline - self.now,
             dest: DestId(notice.partner),
             past,
@@ -111,7 +122,12 @@
     }
 
     /// Holds a notice, behind all others of its key, and tells its place among all that were ever held.
-    pub(crate) fn hold(&mut self, notice: Notice, deadline: Time, maybe_ran: Option<FirstRun>) -> u64 {
+    pub(crate) fn hold(
+        &mut self,
+        notice: Notice,
+        deadline: Time,
+        maybe_ran: Option<FirstRun>,
+    ) -> u64 {
         let (attempts, taken_on) = (notice.spent, notice.from == Origin::EarlierLife);
         let id = notice.id.clone();
         if let Some(key) = &notice.order_key {
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -49,11 +49,18 @@
 impl EndpointList {
     /// Takes in a whole list, or changes to it. Of several entries for one endpoint the last one counts.
     pub fn update(&mut self, now: Time, whole: bool, list: Vec<Listing>) -> ListUpdate {
-        let mut update = ListUpdate { closed: Vec::new(), visited: list.len() };
-        let not_ready = list.iter().filter(|l| l.entry.condition != Condition::Ready);
+        let mut update = ListUpdate {
+            closed: Vec::new(),
+            visited: list.len(),
+        };
+        let not_ready = list
+            .iter()
+            .filter(|l| l.entry.condition != Condition::Ready);
         let not_ready: Vec<EndpointId> = not_ready.map(|l| l.entry.endpoint.clone()).collect();
-        let named: BTreeMap<EndpointId, Listing> =
-            list.into_iter().map(|l| (l.entry.endpoint.clone(), l)).collect();
+        let named: BTreeMap<EndpointId, Listing> = list
+            .into_iter()
+            .map(|l| (l.entry.endpoint.clone(), l))
+            .collect();
         if whole {
             update.visited += self.endpoints.len();
             update.closed = self.not_named(&named);
@@ -81,7 +88,9 @@
     pub fn of_destination(&self, destination: DestId) -> impl Iterator<Item = &EndpointId> {
         let first = (destination, EndpointId(String::new()));
         let endpoints = self.by_destination.range(first..);
-        endpoints.take_while(move |(of, _)| *of == destination).map(|(_, id)| id)
+        endpoints
+            .take_while(move |(of, _)| *of == destination)
+            .map(|(_, id)| id)
     }
 
     /// How many endpoints are listed in each zone that has any.
@@ -141,8 +150,22 @@
     }
 
     fn insert(&mut self, now: Time, id: EndpointId, entry: Entry, address: String) {
-        let Entry { dest: destination, condition, zone, kind, rate, .. } = entry;
-        let listed = Listed { destination, condition, zone, kind, rate, address };
+        let Entry {
+            dest: destination,
+            condition,
+            zone,
+            kind,
+            rate,
+            ..
+        } = entry;
+        let listed = Listed {
+            destination,
+            condition,
+            zone,
+            kind,
+            rate,
+            address,
+        };
         match self.endpoints.get_mut(&id) {
             Some(known) if known.destination == destination && known.zone == zone => {
                 *known = listed;
@@ -160,7 +183,9 @@
     }
 
     fn remove(&mut self, now: Time, id: &EndpointId) {
-        let Some(listed) = self.endpoints.remove(id) else { return };
+        let Some(listed) = self.endpoints.remove(id) else {
+            return;
+        };
         if let Some(count) = self.zones.get_mut(&listed.zone) {
             *count -= 1;
             if *count == 0 {
--- a/crates/core/src/listed.rs
+++ b/crates/core/src/listed.rs
@@ -19,7 +19,10 @@
             list.iter_mut().for_each(|l| l.entry.rate = 0.0);
         }
         let now = self.now;
-        let entries = list.iter().map(|l| self.detached.over(now, l.entry.clone())).collect();
+        let entries = list
+            .iter()
+            .map(|l| self.detached.over(now, l.entry.clone()))
+            .collect();
         let update = self.list.update(now, whole, list);
         log::debug!(visited = update.visited; "list: {} entries visited", update.visited);
         self.detached.forget(now, |id| self.list.contains(id));
@@ -29,8 +32,15 @@
             recovery.listed();
         }
         // Idle connections there would only hold descriptors, and must not serve who comes to that address next.
-        let mut effects: Vec<Effect> = update.closed.iter().cloned().map(Effect::CloseIdle).collect();
-        effects.push(Effect::HoldBack { endpoints: update.closed });
+        let mut effects: Vec<Effect> = update
+            .closed
+            .iter()
+            .cloned()
+            .map(Effect::CloseIdle)
+            .collect();
+        effects.push(Effect::HoldBack {
+            endpoints: update.closed,
+        });
         effects
     }
 }
--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -21,8 +21,12 @@
 
     /// Takes out a message and those of its key before it, in their order; nothing if it is out already.
     pub(crate) fn take_through(&mut self, key: &str, id: &str) -> Vec<String> {
-        let Some(line) = self.lines.get_mut(key) else { return Vec::new() };
-        let Some(place) = line.iter().position(|waiting| waiting == id) else { return Vec::new() };
+        let Some(line) = self.lines.get_mut(key) else {
+            return Vec::new();
+        };
+        let Some(place) = line.iter().position(|waiting| waiting == id) else {
+            return Vec::new();
+        };
         let taken = line.drain(..=place).collect();
         if line.is_empty() {
             self.lines.remove(key);
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -36,7 +36,17 @@
         let mut places: HashMap<String, usize> = HashMap::new();
         for (place, record) in records.into_iter().enumerate() {
             match record {
-                Record::Taken { id, class, station, partner, key, order_key, deadline, body, .. } => {
+                Record::Taken {
+                    id,
+                    class,
+                    station,
+                    partner,
+                    key,
+                    order_key,
+                    deadline,
+                    body,
+                    ..
+                } => {
                     let deadline = Time(deadline);
                     let left = deadline - self.now;
                     let (spent, envelope, from) = (0, None, Origin::EarlierLife);
@@ -58,23 +68,37 @@
                     }
                     open.insert(place, (notice, deadline, None));
                 }
-                Record::Sent { id, attempt, endpoint, at } => {
+                Record::Sent {
+                    id,
+                    attempt,
+                    endpoint,
+                    at,
+                } => {
                     let notice = places.get(&id).and_then(|place| open.get_mut(place));
                     if let Some((notice, _, maybe_ran)) = notice {
                         notice.spent = notice.spent.max(attempt + 1);
                         maybe_ran.get_or_insert((Time(at), EndpointId(endpoint), attempt));
                     }
                 }
-                Record::Back { id, attempt, never_ran } => {
+                Record::Back {
+                    id,
+                    attempt,
+                    never_ran,
+                } => {
                     let notice = places.get(&id).and_then(|place| open.get_mut(place));
                     if let Some((.., maybe_ran)) = notice {
                         maybe_ran.take_if(|(.., number)| never_ran && *number == attempt);
                     }
                 }
-                Record::Closing { id, closing, order_key } => {
+                Record::Closing {
+                    id,
+                    closing,
+                    order_key,
+                } => {
                     places.remove(&id).map(|place| open.remove(&place));
                     self.remember(&id);
-                    self.closing.insert(id, PendingReport { closing, order_key });
+                    self.closing
+                        .insert(id, PendingReport { closing, order_key });
                 }
                 Record::Over { id, until } => {
                     places.remove(&id).map(|place| open.remove(&place));
@@ -89,7 +113,11 @@
         let mut ids = Vec::with_capacity(open.len());
         for (notice, deadline, maybe_ran) in open.into_values() {
             let by = self.last_chance(notice.class, deadline, maybe_ran.as_ref());
-            ids.push(Waiting { id: notice.id.clone(), partner: notice.partner, by });
+            ids.push(Waiting {
+                id: notice.id.clone(),
+                partner: notice.partner,
+                by,
+            });
             self.hold(notice, deadline, maybe_ran);
         }
         self.order_by_key(&mut ids);
@@ -104,14 +132,21 @@
         self.hand_over_backlog();
         let report = |(id, report): (&String, &PendingReport)| {
             let closing = report.closing;
-            Effect::Report { id: id.clone(), closing }
+            Effect::Report {
+                id: id.clone(),
+                closing,
+            }
         };
         self.closing.iter().map(report).collect()
     }
 
     /// Reports of an earlier process that are still unanswered hold back what keeps its order with their notices.
     fn hold_back_order(&mut self) {
-        for key in self.closing.values().filter_map(|report| report.order_key.as_ref()) {
+        for key in self
+            .closing
+            .values()
+            .filter_map(|report| report.order_key.as_ref())
+        {
             self.sender.await_report(&Key(key.clone()));
         }
     }
@@ -129,9 +164,20 @@
     }
 
     /// Until when a notice may go out: to its deadline, or for a keyed one that may have run to the end of its window.
-    pub(crate) fn last_chance(&self, class: usize, deadline: Time, first_run: Option<&FirstRun>) -> Time {
-        let class = self.set.classes.get(class).filter(|c| c.effect == api::Effect::Keyed);
-        let window_end = class.zip(first_run).map(|(class, (at, ..))| *at + class.window);
+    pub(crate) fn last_chance(
+        &self,
+        class: usize,
+        deadline: Time,
+        first_run: Option<&FirstRun>,
+    ) -> Time {
+        let class = self
+            .set
+            .classes
+            .get(class)
+            .filter(|c| c.effect == api::Effect::Keyed);
+        let window_end = class
+            .zip(first_run)
+            .map(|(class, (at, ..))| *at + class.window);
         window_end.map_or(deadline, |end| end.min(deadline))
     }
 
@@ -146,7 +192,9 @@
     }
 
     pub(crate) fn on_remembered(&mut self, bytes: &[u8]) {
-        let Some(recovery) = &mut self.recovery else { return };
+        let Some(recovery) = &mut self.recovery else {
+            return;
+        };
         match recovery::unpack(bytes) {
             Ok(learnt) => {
                 log::info!(pieces = learnt.len(); "recovery: {} partners remembered", learnt.len());
@@ -176,7 +224,9 @@
                 self.on_fleet(membership::Input::SendLearned { to: *by, pieces })
             }
             membership::Effect::LearnedReceived { by, piece } => {
-                let Some(recovery) = &mut self.recovery else { return Vec::new() };
+                let Some(recovery) = &mut self.recovery else {
+                    return Vec::new();
+                };
                 match recovery::decode(piece) {
                     Ok(learnt) => {
                         log::info!(event = "told", by:%, pieces = learnt.len();
@@ -193,7 +243,11 @@
 
     /// Takes up what is next of what is owed, where that goes by steps.
     pub(crate) fn take_up(&mut self) {
-        let ids = self.recovery.as_mut().map(|r| r.owed.release(self.now)).unwrap_or_default();
+        let ids = self
+            .recovery
+            .as_mut()
+            .map(|r| r.owed.release(self.now))
+            .unwrap_or_default();
         for id in ids {
             self.await_room(id);
         }
@@ -202,11 +256,19 @@
     /// Hands to the decisions what they have room for of what is taken up. Tells when to come again, where anything waits.
     pub(crate) fn hand_over_backlog(&mut self) -> Option<Time> {
         let margin = self.set.tick * LAST_CHANCE_TICKS;
-        let handed_over = self.events.iter().filter(|event| matches!(event, Event::Accept(_))).count();
+        let handed_over = self
+            .events
+            .iter()
+            .filter(|event| matches!(event, Event::Accept(_)))
+            .count();
         let room = self.sender.room().saturating_sub(handed_over);
         let released = self.backlog.release(self.now, room, margin);
         released.iter().for_each(|id| self.hand_over(id));
-        if released.is_empty() { self.backlog.due(margin) } else { Some(self.now) }
+        if released.is_empty() {
+            self.backlog.due(margin)
+        } else {
+            Some(self.now)
+        }
     }
 
     /// Has the decisions recall what they may, once they know the partners that it is about: lists go before all else.
@@ -219,11 +281,15 @@
         if !self.adopted.is_empty() {
             let (lists, rest) = split_lists(events);
             let actions = self.sender.handle(self.now, lists);
-            self.adopted = self.sender.carry_on(self.now, std::mem::take(&mut self.adopted));
+            self.adopted = self
+                .sender
+                .carry_on(self.now, std::mem::take(&mut self.adopted));
             return (actions, rest);
         }
         let due = self.recovery.as_mut().and_then(|r| r.recall(self.now));
-        let Some(learnt) = due else { return (Vec::new(), events) };
+        let Some(learnt) = due else {
+            return (Vec::new(), events);
+        };
         let (lists, rest) = split_lists(events);
         let actions = self.sender.handle(self.now, lists);
         let last = self.sender.recall(self.now, &learnt);
@@ -236,8 +302,12 @@
     /// At a turn's end: asks members, goes on with what is owed, writes down what is learnt, and looks whether all is done.
     pub(crate) fn come_back(&mut self) -> Vec<Effect> {
         let now = self.now;
-        let others = self.members().is_some_and(|m| m.views().any(|v| v.state == membership::State::Alive));
-        let Some(recovery) = &mut self.recovery else { return Vec::new() };
+        let others = self
+            .members()
+            .is_some_and(|m| m.views().any(|v| v.state == membership::State::Alive));
+        let Some(recovery) = &mut self.recovery else {
+            return Vec::new();
+        };
         let mut effects = Vec::new();
         if recovery.asks(now, others) {
             effects.extend(self.on_fleet(membership::Input::RequestLearned));
@@ -247,7 +317,9 @@
         self.hand_over_backlog();
         let handed = self.events.len() > before;
         let learnt = self.sender.learnt();
-        let Some(recovery) = &mut self.recovery else { return effects };
+        let Some(recovery) = &mut self.recovery else {
+            return effects;
+        };
         if recovery.remembers(now, &learnt) {
             effects.push(Effect::Remember(recovery::pack(&learnt)));
         }
@@ -260,5 +332,7 @@
 
 /// Lists, which go before all else, and the rest.
 fn split_lists(events: Vec<Event>) -> (Vec<Event>, Vec<Event>) {
-    events.into_iter().partition(|e| matches!(e, Event::List { .. } | Event::Senders(_)))
+    events
+        .into_iter()
+        .partition(|e| matches!(e, Event::List { .. } | Event::Senders(_)))
 }
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -72,7 +72,9 @@
 impl Core {
     pub fn new(mut set: Settings, seed: u64, now: Time) -> Result<Core, SettingsError> {
         if breakage::is(Breakage::RepeatsUnsafe) {
-            set.classes.iter_mut().for_each(|c| c.effect = tansycroft::api::Effect::Safe);
+            set.classes
+                .iter_mut()
+                .for_each(|c| c.effect = tansycroft::api::Effect::Safe);
         }
         if breakage::is(Breakage::SeventhAttempt) {
             set.attempts_cap = 9;
@@ -172,7 +174,10 @@
             Input::Stopping => {
                 if breakage::is(Breakage::LeaksAtStop) {
                     let now = self.now.0;
-                    let over = |id: &String| Record::Over { id: id.clone(), until: now };
+                    let over = |id: &String| Record::Over {
+                        id: id.clone(),
+                        until: now,
+                    };
                     return vec![Effect::Keep(self.held.keys().map(over).collect())];
                 }
                 self.stopping = true;
@@ -182,11 +187,14 @@
     }
 
     pub(crate) fn on_fleet(&mut self, input: membership::Input) -> Vec<Effect> {
-        let Some(members) = &mut self.members else { return Vec::new() };
+        let Some(members) = &mut self.members else {
+            return Vec::new();
+        };
         let mut effects = Vec::new();
         for effect in members.step(self.now, input) {
             match effect {
-                membership::Effect::LearnedRequested { .. } | membership::Effect::LearnedReceived { .. } => {
+                membership::Effect::LearnedRequested { .. }
+                | membership::Effect::LearnedReceived { .. } => {
                     effects.extend(self.on_word(&effect));
                 }
                 membership::Effect::ShareDivisor(senders) => {
@@ -233,15 +241,29 @@
         if let Some(held) = self.held.get(&notice.id) {
             if held.taken_on {
                 let (to, id) = (notice.from, notice.id);
-                return vec![Effect::Answer { to, id, answer: Answer::TakenOn }];
+                return vec![Effect::Answer {
+                    to,
+                    id,
+                    answer: Answer::TakenOn,
+                }];
             }
-            let refused = Answer::Refused { after: Some(Duration::from_millis(100)) };
-            return vec![Effect::Answer { to: notice.from, id: notice.id, answer: refused }];
+            let refused = Answer::Refused {
+                after: Some(Duration::from_millis(100)),
+            };
+            return vec![Effect::Answer {
+                to: notice.from,
+                id: notice.id,
+                answer: refused,
+            }];
         }
         // So is one that has ended, for as long as a notice lasts: nothing goes out twice under one id, nor to
         // where somebody else under that id would have it go.
         if self.ended.contains(&notice.id) && matches!(notice.from, Origin::Client(_)) {
-            return vec![Effect::Answer { to: notice.from, id: notice.id, answer: Answer::TakenOn }];
+            return vec![Effect::Answer {
+                to: notice.from,
+                id: notice.id,
+                answer: Answer::TakenOn,
+            }];
         }
         let deadline = self.now + notice.left;
         let id = notice.id.clone();
@@ -258,6 +280,11 @@
 
     /// How long a notice lasts at most.
     pub(crate) fn longest(&self) -> Duration {
-        self.set.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
+        self.set
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or_default()
     }
 }
--- a/crates/core/src/turn.rs
+++ b/crates/core/src/turn.rs
@@ -26,9 +26,22 @@
 
 impl OutgoingCall {
     fn into_effects(self) -> Vec<Effect> {
-        let OutgoingCall { endpoint, address, attempts, .. } = self;
-        let call = Effect::Call { endpoint, address, attempts };
-        if breakage::is(Breakage::TwoCopies) { vec![call.clone(), call] } else { vec![call] }
+        let OutgoingCall {
+            endpoint,
+            address,
+            attempts,
+            ..
+        } = self;
+        let call = Effect::Call {
+            endpoint,
+            address,
+            attempts,
+        };
+        if breakage::is(Breakage::TwoCopies) {
+            vec![call.clone(), call]
+        } else {
+            vec![call]
+        }
     }
 }
 
@@ -43,14 +56,28 @@
     /// Puts an attempt into its call, if that has room, or into a new one.
     fn add(&mut self, number: u64, endpoint: EndpointId, address: &str, attempt: Attempt) {
         // A call's body is bounded like any other: large notices must not share one.
-        let size = |a: &Attempt| a.body.len() * 4 / 3 + a.key.as_ref().map_or(0, String::len) + ITEM;
+        let size =
+            |a: &Attempt| a.body.len() * 4 / 3 + a.key.as_ref().map_or(0, String::len) + ITEM;
         let fits = |c: &[Attempt]| c.iter().map(size).sum::<usize>() + size(&attempt) <= CALL_MOST;
-        let Some(call) = self.calls.iter_mut().find(|c| c.number == number && fits(&c.attempts)) else {
+        let Some(call) = self
+            .calls
+            .iter_mut()
+            .find(|c| c.number == number && fits(&c.attempts))
+        else {
             let (address, attempts) = (address.to_owned(), vec![attempt]);
-            return self.calls.push(OutgoingCall { number, endpoint, address, attempts });
+            return self.calls.push(OutgoingCall {
+                number,
+                endpoint,
+                address,
+                attempts,
+            });
         };
         // One wait for all: what runs out alone would leave open what the answer says of the rest.
-        let until = call.attempts.iter().map(|a| a.until).fold(attempt.until, Time::min);
+        let until = call
+            .attempts
+            .iter()
+            .map(|a| a.until)
+            .fold(attempt.until, Time::min);
         call.attempts.push(attempt);
         call.attempts.iter_mut().for_each(|a| a.until = until);
     }
@@ -79,7 +106,12 @@
         let mut effects = self.take_on_fresh();
         self.record_attempts(outgoing.records);
         effects.append(&mut self.deferred);
-        effects.extend(outgoing.calls.into_iter().flat_map(OutgoingCall::into_effects));
+        effects.extend(
+            outgoing
+                .calls
+                .into_iter()
+                .flat_map(OutgoingCall::into_effects),
+        );
         effects.extend(zoned);
         effects.extend(self.hand_over_backlog().map(Effect::WakeAt));
         effects.extend(self.come_back());
@@ -104,9 +136,24 @@
         for action in actions {
             match action {
                 Action::Send { .. } if self.stopping => {}
-                Action::Send { id, endpoint, timeout, call, write_within } => {
+                Action::Send {
+                    id,
+                    endpoint,
+                    timeout,
+                    call,
+                    write_within,
+                } => {
                     let (until, write_by) = (now + timeout, write_within.map(|left| now + left));
-                    self.on_send(Send { id: id.0, endpoint, call, until, write_by }, &mut outgoing);
+                    self.on_send(
+                        Send {
+                            id: id.0,
+                            endpoint,
+                            call,
+                            until,
+                            write_by,
+                        },
+                        &mut outgoing,
+                    );
                 }
                 Action::Refuse { id, after } => self.on_final(id.0, after, true),
                 Action::Fail(id) => self.on_final(id.0, None, false),
@@ -114,7 +161,8 @@
                 Action::Close(endpoint) => self.deferred.push(Effect::CloseIdle(endpoint)),
                 Action::Probe(endpoint) => {
                     let address = self.list.address(&endpoint).map(str::to_owned);
-                    self.deferred.extend(address.map(|address| Effect::Check { endpoint, address }));
+                    self.deferred
+                        .extend(address.map(|address| Effect::Check { endpoint, address }));
                 }
                 // The directory is watched all the time.
                 Action::Subscribe => {}
@@ -124,20 +172,39 @@
     }
 
     fn on_send(&mut self, send: Send, outgoing: &mut Outgoing) {
-        let Send { id, endpoint, call, until, write_by } = send;
+        let Send {
+            id,
+            endpoint,
+            call,
+            until,
+            write_by,
+        } = send;
         let Some(held) = self.held.get_mut(&id) else {
-            must_hold!(self.unknown_notice, false, "a send for {id}, which is not held");
+            must_hold!(
+                self.unknown_notice,
+                false,
+                "a send for {id}, which is not held"
+            );
             return;
         };
-        must_hold!(self.second_copy, held.out.is_none(), "a second copy of {id}");
+        must_hold!(
+            self.second_copy,
+            held.out.is_none(),
+            "a second copy of {id}"
+        );
         let Some(address) = self.list.address(&endpoint) else {
-            must_hold!(self.unlisted_endpoint, false, "a send to {endpoint}, which was never listed");
+            must_hold!(
+                self.unlisted_endpoint,
+                false,
+                "a send to {endpoint}, which was never listed"
+            );
             return;
         };
         let (number, of) = (held.attempts, held.notice.partner);
         held.attempts += 1;
         held.out = Some((number, endpoint.clone()));
-        held.maybe_ran.get_or_insert_with(|| (self.now, endpoint.clone(), number));
+        held.maybe_ran
+            .get_or_insert_with(|| (self.now, endpoint.clone(), number));
         let attempt = Attempt {
             id: id.clone(),
             number,
@@ -151,7 +218,12 @@
             recovery.owed.moved(of, &id);
         }
         let (attempt_endpoint, at) = (endpoint.0.clone(), self.now.0);
-        outgoing.records.push(Record::Sent { id, attempt: number, endpoint: attempt_endpoint, at });
+        outgoing.records.push(Record::Sent {
+            id,
+            attempt: number,
+            endpoint: attempt_endpoint,
+            at,
+        });
         outgoing.add(call, endpoint, address, attempt);
     }
 
@@ -164,7 +236,11 @@
             {
                 held.taken_on = true;
                 self.records.push(held.taken(self.now));
-                answers.push(Effect::Answer { to: held.notice.from, id, answer: Answer::TakenOn });
+                answers.push(Effect::Answer {
+                    to: held.notice.from,
+                    id,
+                    answer: Answer::TakenOn,
+                });
             }
         }
         answers
@@ -201,11 +277,19 @@
         let mut out = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Answer { to, id, answer: Answer::TakenOn } => {
+                Effect::Answer {
+                    to,
+                    id,
+                    answer: Answer::TakenOn,
+                } => {
                     self.held.remove(&id);
                     self.events.push(Event::Lapsed(MsgId(id.clone())));
                     let after = Some(self.set.max_retry_after);
-                    out.push(Effect::Answer { to, id, answer: Answer::Refused { after } });
+                    out.push(Effect::Answer {
+                        to,
+                        id,
+                        answer: Answer::Refused { after },
+                    });
                 }
                 Effect::Call { attempts, .. } => {
                     let ended = |a: Attempt| AttemptEnd {
--- a/crates/core/src/zones.rs
+++ b/crates/core/src/zones.rs
@@ -55,11 +55,18 @@
     /// Before the decisions of a turn: reads what members say, says what there is to say, and sets the gates.
     pub(crate) fn look_at_zones(&mut self) -> Vec<Effect> {
         let now = self.now;
-        let Some((me, said)) = self.members().map(|m| (m.me().at, m.payloads())) else { return Vec::new() };
-        let Some(zones) = &mut self.zones else { return Vec::new() };
+        let Some((me, said)) = self.members().map(|m| (m.me().at, m.payloads())) else {
+            return Vec::new();
+        };
+        let Some(zones) = &mut self.zones else {
+            return Vec::new();
+        };
         let read = |(at, bytes): (SocketAddr, Vec<u8>)| {
             // What a member of another version says of zones is nothing to go by.
-            (at, postcard::from_bytes::<Vec<Word>>(&bytes).unwrap_or_default())
+            (
+                at,
+                postcard::from_bytes::<Vec<Word>>(&bytes).unwrap_or_default(),
+            )
         };
         let others: Vec<(SocketAddr, Vec<Word>)> = said.into_iter().map(read).collect();
         let changes = zones.look(now, me, &others);
@@ -84,8 +91,11 @@
                 }
             }
         }
-        let says =
-            if words.is_empty() { Vec::new() } else { postcard::to_stdvec(&words).unwrap_or_default() };
+        let says = if words.is_empty() {
+            Vec::new()
+        } else {
+            postcard::to_stdvec(&words).unwrap_or_default()
+        };
         let mut effects = self.on_fleet(membership::Input::SetPayload(says));
         effects.extend(changes.into_iter().map(Effect::Zone));
         effects.extend(due.map(Effect::WakeAt));
--- a/crates/cranehill/src/cli.rs
+++ b/crates/cranehill/src/cli.rs
@@ -190,9 +190,11 @@
     let args = Args::parse();
     logging::start(args.log_format);
     let result = match args.command {
-        Command::Serve { webpush, journal_key, fleet } => {
-            serve(webpush.as_deref(), journal_key.as_deref(), fleet.as_deref())
-        }
+        Command::Serve {
+            webpush,
+            journal_key,
+            fleet,
+        } => serve(webpush.as_deref(), journal_key.as_deref(), fleet.as_deref()),
         Command::Version => {
             println!("cranehill {}", env!("CARGO_PKG_VERSION"));
             Ok(())
@@ -211,8 +213,17 @@
             breakages,
         } => {
             let jobs = jobs.into();
-            let order =
-                rehearse::Order { files, seed, repeat, jobs, senders, against, directory, write_config, out };
+            let order = rehearse::Order {
+                files,
+                seed,
+                repeat,
+                jobs,
+                senders,
+                against,
+                directory,
+                write_config,
+                out,
+            };
             let played = match &breakages {
                 Some(program) => rehearse::breakages(program, &order),
                 None => rehearse::all(&order),
@@ -223,11 +234,27 @@
                 Err(why) => Err(why),
             }
         }
-        Command::Rig { scenario, nodes, seed, out, json, alone, members } => {
+        Command::Rig {
+            scenario,
+            nodes,
+            seed,
+            out,
+            json,
+            alone,
+            members,
+        } => {
             let played = if members.members_only {
                 hollow::run(&members, seed, json)
             } else {
-                rig::run(&rig::Order { scenario, nodes, hollow: members.hollow, seed, out, json, alone })
+                rig::run(&rig::Order {
+                    scenario,
+                    nodes,
+                    hollow: members.hollow,
+                    seed,
+                    out,
+                    json,
+                    alone,
+                })
             };
             match played {
                 Ok(true) => Ok(()),
@@ -235,7 +262,14 @@
                 Err(why) => Err(why),
             }
         }
-        Command::Measure { push, endpoints, senders, seconds, rate, seed } => {
+        Command::Measure {
+            push,
+            endpoints,
+            senders,
+            seconds,
+            rate,
+            seed,
+        } => {
             let setup = measure::Setup {
                 endpoints: endpoints.into(),
                 senders: senders.into(),
@@ -249,22 +283,46 @@
                 Err(why) => Err(why),
             }
         }
-        Command::Capacity { quick, json, out, sweep, sizes, page, update, seed } => {
-            let order = capacity::Order { quick, json, out, sweeps: sweep, sizes, page, update, seed };
+        Command::Capacity {
+            quick,
+            json,
+            out,
+            sweep,
+            sizes,
+            page,
+            update,
+            seed,
+        } => {
+            let order = capacity::Order {
+                quick,
+                json,
+                out,
+                sweeps: sweep,
+                sizes,
+                page,
+                update,
+                seed,
+            };
             match capacity::run(&order) {
                 Ok(true) => Ok(()),
                 Ok(false) => return ExitCode::FAILURE,
                 Err(why) => Err(why),
             }
         }
-        Command::Kills { kills, seed, flip_every, disk_mb } => {
-            match play_kills(kills, seed, flip_every, disk_mb) {
-                Ok(true) => Ok(()),
-                Ok(false) => return ExitCode::FAILURE,
-                Err(why) => Err(why),
-            }
-        }
-        Command::Journal { action, journal_key: key } => {
+        Command::Kills {
+            kills,
+            seed,
+            flip_every,
+            disk_mb,
+        } => match play_kills(kills, seed, flip_every, disk_mb) {
+            Ok(true) => Ok(()),
+            Ok(false) => return ExitCode::FAILURE,
+            Err(why) => Err(why),
+        },
+        Command::Journal {
+            action,
+            journal_key: key,
+        } => {
             let key = key.as_deref().map(read_key).transpose();
             match key.and_then(|key| journal::run(&action, key)) {
                 Ok(true) => Ok(()),
@@ -291,7 +349,11 @@
     webpush::parse_file(&read(path)?).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn setup(config: Option<Config>, push: Option<webpush::File>, key: Option<Key>) -> Result<Setup, String> {
+fn setup(
+    config: Option<Config>,
+    push: Option<webpush::File>,
+    key: Option<Key>,
+) -> Result<Setup, String> {
     let Some(config) = config else {
         let push = push.ok_or("NODE_CONFIG is not set and no --webpush is given")?;
         if push.listen.is_none() {
@@ -317,7 +379,11 @@
     Ok(Setup {
         site: config.site,
         seed: config.seed,
-        state: Some(State { dir: config.state, disk: (config.limits.disk_mb * 1e6) as u64, key }),
+        state: Some(State {
+            dir: config.state,
+            disk: (config.limits.disk_mb * 1e6) as u64,
+            key,
+        }),
         listen: Some(config.listen),
         discovery: Some(config.discovery),
         known_version: config.known_version,
@@ -332,25 +398,31 @@
 }
 
 fn load_config() -> Result<Option<Config>, String> {
-    variable("NODE_CONFIG").map(|_| config::load(variable)).transpose()
+    variable("NODE_CONFIG")
+        .map(|_| config::load(variable))
+        .transpose()
 }
 
 /// Reads the fleet's file and its key for this sender.
 fn fleet_file(path: &Path, config: Option<&Config>) -> Result<Fleet, String> {
     let named = |e: String| format!("{}: {e}", path.display());
-    let config = config
-        .ok_or_else(|| named("a fleet is of senders with a configuration; NODE_CONFIG is not set".into()))?;
+    let config = config.ok_or_else(|| {
+        named("a fleet is of senders with a configuration; NODE_CONFIG is not set".into())
+    })?;
     let file = fleet::parse(&read(path)?).map_err(named)?;
     let key = read_key(&path.parent().unwrap_or(Path::new("")).join(&file.key))?;
-    file.fleet(key, &config.name, &config.site.settings).map_err(named)
+    file.fleet(key, &config.name, &config.site.settings)
+        .map_err(named)
 }
 
 fn serve(webpush: Option<&Path>, key: Option<&Path>, fleet: Option<&Path>) -> Result<(), String> {
     if let Some(name) = variable("CRANEHILL_BREAK") {
-        let breakage =
-            Breakage::named(&name).ok_or_else(|| format!("CRANEHILL_BREAK: no breakage '{name}'"))?;
+        let breakage = Breakage::named(&name)
+            .ok_or_else(|| format!("CRANEHILL_BREAK: no breakage '{name}'"))?;
         if !breakage::choose(breakage) {
-            return Err("CRANEHILL_BREAK: this build has no breakages (feature `breakages`)".into());
+            return Err(
+                "CRANEHILL_BREAK: this build has no breakages (feature `breakages`)".into(),
+            );
         }
         log::warn!(breakage = name.as_str(); "this sender breaks a rule on purpose: {name}");
     }
@@ -360,14 +432,27 @@
     let mut signals = signal_hook_mio::v1_0::Signals::new([SIGTERM, SIGINT, SIGHUP])
         .map_err(|e| format!("signals: {e}"))?;
     let config = load_config()?;
-    let fleet = fleet.map(|path| fleet_file(path, config.as_ref())).transpose()?;
-    let mut reactor = Reactor::new(Setup { fleet, ..setup(config, push, key)? })?;
+    let fleet = fleet
+        .map(|path| fleet_file(path, config.as_ref()))
+        .transpose()?;
+    let mut reactor = Reactor::new(Setup {
+        fleet,
+        ..setup(config, push, key)?
+    })?;
     reactor
         .registry()
         .register(&mut signals, reactor::SIGNALS, mio::Interest::READABLE)
         .map_err(|e| format!("signals: {e}"))?;
-    let order = |signal| if signal == SIGHUP { Order::Reload } else { Order::Stop };
-    reactor.run(|| signals.pending().map(order).collect()).map_err(|e| format!("poll: {e}"))
+    let order = |signal| {
+        if signal == SIGHUP {
+            Order::Reload
+        } else {
+            Order::Stop
+        }
+    };
+    reactor
+        .run(|| signals.pending().map(order).collect())
+        .map_err(|e| format!("poll: {e}"))
 }
 
 fn read(path: &Path) -> Result<String, String> {
@@ -378,9 +463,14 @@
     let text = read(path)?;
     let digits: Vec<u32> = text.trim().chars().map_while(|c| c.to_digit(16)).collect();
     if digits.len() != 64 || text.trim().len() != 64 {
-        return Err(format!("{}: line 1: not a key of 64 hexadecimal digits", path.display()));
+        return Err(format!(
+            "{}: line 1: not a key of 64 hexadecimal digits",
+            path.display()
+        ));
     }
-    Ok(std::array::from_fn(|i| (digits[i * 2] << 4 | digits[i * 2 + 1]) as u8))
+    Ok(std::array::from_fn(|i| {
+        (digits[i * 2] << 4 | digits[i * 2 + 1]) as u8
+    }))
 }
 
 fn import_nginx(path: &Path) -> Result<(), String> {
@@ -389,14 +479,23 @@
     for (line, what) in &imported.left_out {
         eprintln!("{}: line {line}: not carried over: {what}", path.display());
     }
-    print!("{}", toml::to_string(&imported.file).map_err(|e| named(e.to_string()))?);
+    print!(
+        "{}",
+        toml::to_string(&imported.file).map_err(|e| named(e.to_string()))?
+    );
     Ok(())
 }
 
 fn play_kills(kills: u32, seed: u64, flip_every: u32, disk_mb: f64) -> Result<bool, String> {
     let program = std::env::current_exe().map_err(|e| format!("this program's own file: {e}"))?;
     let bar = indicatif::ProgressBar::new(u64::from(kills));
-    let plan = Plan { program, kills, seed, flip_every, disk_mb };
+    let plan = Plan {
+        program,
+        kills,
+        seed,
+        flip_every,
+        disk_mb,
+    };
     let outcome = kills::play(&plan, |done| bar.set_position(u64::from(done)))?;
     bar.finish_and_clear();
     println!("seed {seed}, {disk_mb} MB");
@@ -419,7 +518,11 @@
     }
     let push = webpush.map(webpush_file).transpose()?;
     if let Some(push) = &push {
-        println!("Web Push: {} upstreams, {} locations", push.upstream.len(), push.location.len());
+        println!(
+            "Web Push: {} upstreams, {} locations",
+            push.upstream.len(),
+            push.location.len()
+        );
     }
     if let Some(path) = fleet {
         let fleet = fleet_file(path, config.as_ref())?;
--- a/crates/cranehill/src/hollow.rs
+++ b/crates/cranehill/src/hollow.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use clap::ValueEnum;
-use cranehill_rig::hollow::{Conditions, Disturbance, HollowFigures, HollowPlan, Spread, Transport, play};
+use cranehill_rig::hollow::{
+    Conditions, Disturbance, HollowFigures, HollowPlan, Spread, Transport, play,
+};
 use serde_json::{Value, json};
 
 /// A cut ends so long before the play does, at least: the views have this part of it to agree again.
@@ -24,13 +26,23 @@
     #[arg(long, value_enum, default_value_t = Kind::None, requires = "members_only")]
     pub disturbance: Kind,
     /// With --members-only: seconds that are measured, after all have agreed.
-    #[arg(long, value_name = "SECONDS", default_value_t = 60, requires = "members_only")]
+    #[arg(
+        long,
+        value_name = "SECONDS",
+        default_value_t = 60,
+        requires = "members_only"
+    )]
     pub lasts: u64,
     /// With --disturbance halves: seconds until the cut heals, in place of half of the play.
     #[arg(long, value_name = "SECONDS", requires = "members_only")]
     pub cut_lasts: Option<u64>,
     /// With --members-only: the part of all packets that is lost.
-    #[arg(long, value_name = "PART", default_value_t = 0.0, requires = "members_only")]
+    #[arg(
+        long,
+        value_name = "PART",
+        default_value_t = 0.0,
+        requires = "members_only"
+    )]
     pub loss: f64,
     /// With --members-only: on a simulated network and clock, in place of UDP on loopback.
     #[arg(long, requires = "members_only")]
@@ -56,7 +68,9 @@
 impl HollowArgs {
     fn plan(&self, seed: u64) -> HollowPlan {
         let duration = Duration::from_secs(self.lasts);
-        let cut = self.cut_lasts.map_or(duration / CUT_PART, Duration::from_secs);
+        let cut = self
+            .cut_lasts
+            .map_or(duration / CUT_PART, Duration::from_secs);
         let disturbance = match self.disturbance {
             Kind::None => Disturbance::None,
             Kind::Crashes => Disturbance::Crashes { one_in: 10 },
@@ -65,8 +79,15 @@
             Kind::Halves => Disturbance::Halves { lasts: cut },
             Kind::Restarts => Disturbance::Restarts { count: 30 },
         };
-        let transport = if self.virtual_time { Transport::Virtual } else { Transport::Udp };
-        let conditions = Conditions { loss: self.loss, ..Conditions::default() };
+        let transport = if self.virtual_time {
+            Transport::Virtual
+        } else {
+            Transport::Udp
+        };
+        let conditions = Conditions {
+            loss: self.loss,
+            ..Conditions::default()
+        };
         HollowPlan {
             members: self.hollow,
             duration,
@@ -87,7 +108,9 @@
     if as_json {
         println!("{}", summary(&plan, &figures, &failed));
     } else {
-        table(&plan, &figures, &failed).iter().for_each(|line| println!("{line}"));
+        table(&plan, &figures, &failed)
+            .iter()
+            .for_each(|line| println!("{line}"));
     }
     Ok(failed.is_empty())
 }
@@ -122,10 +145,14 @@
 
 fn table(plan: &HollowPlan, figures: &HollowFigures, failed: &[String]) -> Vec<String> {
     let f = figures;
-    let seconds = |d: Option<Duration>| d.map_or("never".into(), |d| format!("{:.2} s", d.as_secs_f64()));
+    let seconds =
+        |d: Option<Duration>| d.map_or("never".into(), |d| format!("{:.2} s", d.as_secs_f64()));
     let spread = |s: &Spread| format!("{:.0} (p99 {:.0}, most {:.0})", s.mean, s.p99, s.most);
     let detection = f.detection.as_ref().map_or("none".into(), |d| {
-        format!("{:.2} s on average, p99 {:.2} s, {:.2} s at most", d.mean, d.p99, d.most)
+        format!(
+            "{:.2} s on average, p99 {:.2} s, {:.2} s at most",
+            d.mean, d.p99, d.most
+        )
     });
     let mut lines = vec![
         format!(
@@ -136,9 +163,18 @@
             plan.duration.as_secs(),
             plan.seed
         ),
-        format!("  views agreed after the start: {}", seconds(f.agreed_at_start)),
-        format!("  views agreed after the disturbance: {}", seconds(f.agreed_after)),
-        format!("  crash to down in a view: {detection}; {} never", f.undetected),
+        format!(
+            "  views agreed after the start: {}",
+            seconds(f.agreed_at_start)
+        ),
+        format!(
+            "  views agreed after the disturbance: {}",
+            seconds(f.agreed_after)
+        ),
+        format!(
+            "  crash to down in a view: {detection}; {} never",
+            f.undetected
+        ),
         format!(
             "  a member a second: {} bytes sent, {} received, {} packets sent, {:.2} ms of CPU; {} kB of memory",
             spread(&f.bytes_sent_per_second),
--- a/crates/cranehill/src/journal.rs
+++ b/crates/cranehill/src/journal.rs
@@ -81,7 +81,9 @@
                     let file = File::create(path).map_err(|e| named(&e))?;
                     let mut file = BufWriter::new(file);
                     match form {
-                        Form::Jsonl => export::json_lines(&found, &mut file).map_err(|e| named(&e))?,
+                        Form::Jsonl => {
+                            export::json_lines(&found, &mut file).map_err(|e| named(&e))?
+                        }
                         Form::Parquet => {
                             let bar = bar(found.len() as u64, found.len() as u64 > 100_000, "rows");
                             export::parquet(&found, &mut file, |done| bar.set_position(done))
@@ -116,7 +118,8 @@
         return ProgressBar::hidden();
     }
     let bar = ProgressBar::new(total);
-    let template = format!("{{elapsed_precise}} {{wide_bar}} {{human_pos}}/{{human_len}} {unit} {{eta}}");
+    let template =
+        format!("{{elapsed_precise}} {{wide_bar}} {{human_pos}}/{{human_len}} {unit} {{eta}}");
     if let Ok(style) = ProgressStyle::with_template(&template) {
         bar.set_style(style);
     }
@@ -125,10 +128,18 @@
 
 fn print(lines: &[String]) -> Result<(), String> {
     let mut out = BufWriter::new(std::io::stdout().lock());
-    lines.iter().try_for_each(|l| writeln!(out, "{l}")).and_then(|()| out.flush()).or_else(quietly)
+    lines
+        .iter()
+        .try_for_each(|l| writeln!(out, "{l}"))
+        .and_then(|()| out.flush())
+        .or_else(quietly)
 }
 
 /// Whoever reads our output may stop early, as `head` does.
 fn quietly(e: std::io::Error) -> Result<(), String> {
-    if e.kind() == std::io::ErrorKind::BrokenPipe { Ok(()) } else { Err(e.to_string()) }
+    if e.kind() == std::io::ErrorKind::BrokenPipe {
+        Ok(())
+    } else {
+        Err(e.to_string())
+    }
 }
--- a/crates/cranehill/src/kills.rs
+++ b/crates/cranehill/src/kills.rs
@@ -74,7 +74,11 @@
     }
 
     pub fn lines(&self) -> Vec<String> {
-        let taken: Vec<String> = CLASSES.iter().zip(self.taken).map(|(c, n)| format!("{n} {c}")).collect();
+        let taken: Vec<String> = CLASSES
+            .iter()
+            .zip(self.taken)
+            .map(|(c, n)| format!("{n} {c}"))
+            .collect();
         let mut lines = vec![
             format!(
                 "{} kills, {} flipped bytes, {} log lines of damage",
@@ -90,7 +94,11 @@
             ("sent more than six times", &self.too_often),
         ] {
             let some: Vec<&str> = ids.iter().take(5).map(String::as_str).collect();
-            lines.push(format!("{what}: {} {}", ids.len(), some.join(" ")).trim_end().to_owned());
+            lines.push(
+                format!("{what}: {} {}", ids.len(), some.join(" "))
+                    .trim_end()
+                    .to_owned(),
+            );
         }
         lines
     }
@@ -171,7 +179,11 @@
             thread::sleep(Duration::from_millis(u64::from(draw - 89) * 3));
         }
         let batch = request.path.ends_with("/batch");
-        let ids = if batch { batch_ids(request) } else { header(request, "X-Txn").into_iter().collect() };
+        let ids = if batch {
+            batch_ids(request)
+        } else {
+            header(request, "X-Txn").into_iter().collect()
+        };
         let fate = match draw {
             60..70 | 85..90 => Fate::Failed,
             70..85 => Fate::Busy,
@@ -180,7 +192,11 @@
         let mut states = Vec::new();
         for (n, id) in ids.iter().enumerate() {
             // A batch that is answered notice by notice has mixed ends.
-            let fate = if batch && fate == Fate::Done && n % 3 == 2 { Fate::Busy } else { fate };
+            let fate = if batch && fate == Fate::Done && n % 3 == 2 {
+                Fate::Busy
+            } else {
+                fate
+            };
             attempt(&mut lock(&book), id, fate);
             let state = if fate == Fate::Done { "done" } else { "busy" };
             states.push(format!(r#"{{"id":"{id}","state":"{state}"}}"#));
@@ -190,9 +206,12 @@
             70..80 => Reply::status(503),
             80..85 => Reply::wait(429, "0.02"),
             85..90 => Reply::Close,
-            _ if batch => {
-                Reply::Bytes(http::write_response(200, "OK", &[], &format!("[{}]", states.join(","))))
-            }
+            _ if batch => Reply::Bytes(http::write_response(
+                200,
+                "OK",
+                &[],
+                &format!("[{}]", states.join(",")),
+            )),
             _ => Reply::status(200),
         }
     })
@@ -207,7 +226,10 @@
 }
 
 fn header(request: &Request, name: &str) -> Option<String> {
-    let found = request.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name));
+    let found = request
+        .headers
+        .iter()
+        .find(|(n, _)| n.eq_ignore_ascii_case(name));
     found.map(|(_, value)| String::from_utf8_lossy(value).into_owned())
 }
 
@@ -215,7 +237,9 @@
 fn ids_in(body: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(body).into_owned();
     let parts = text.split(r#""id":""#).skip(1);
-    parts.filter_map(|p| Some(p.split_once('"')?.0.to_owned())).collect()
+    parts
+        .filter_map(|p| Some(p.split_once('"')?.0.to_owned()))
+        .collect()
 }
 
 fn batch_ids(request: &Request) -> Vec<String> {
@@ -233,8 +257,17 @@
         }
         for line in String::from_utf8_lossy(&request.body).lines() {
             for id in ids_in(line.as_bytes()) {
-                let state = if line.contains(r#""returned""#) { "returned" } else { "failed" };
-                lock(&book).notices.entry(id).or_default().reports.insert(state.to_owned());
+                let state = if line.contains(r#""returned""#) {
+                    "returned"
+                } else {
+                    "failed"
+                };
+                lock(&book)
+                    .notices
+                    .entry(id)
+                    .or_default()
+                    .reports
+                    .insert(state.to_owned());
             }
         }
         Reply::status(204)
@@ -268,11 +301,18 @@
             damage += u32::from(line.contains("damage"));
             if let Some((_, address)) = line.split_once("listening for clients at ") {
                 let address = address.split_whitespace().next().unwrap_or_default();
-                let clients = address.parse().map_err(|_| format!("not an address: {address}"))?;
+                let clients = address
+                    .parse()
+                    .map_err(|_| format!("not an address: {address}"))?;
                 // The pipe must not fill.
-                let log =
-                    thread::spawn(move || damage + lines.filter(|l| l.contains("damage")).count() as u32);
-                return Ok(Life { child, clients, log });
+                let log = thread::spawn(move || {
+                    damage + lines.filter(|l| l.contains("damage")).count() as u32
+                });
+                return Ok(Life {
+                    child,
+                    clients,
+                    log,
+                });
             }
             last = line;
         }
@@ -288,10 +328,22 @@
 }
 
 /// Hands notices in until told to stop or the sender is gone.
-fn client(to: SocketAddr, book: &Mutex<Book>, stop: &AtomicBool, seed: u64, partners: usize, name: &str) {
+fn client(
+    to: SocketAddr,
+    book: &Mutex<Book>,
+    stop: &AtomicBool,
+    seed: u64,
+    partners: usize,
+    name: &str,
+) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let Ok(mut stream) = TcpStream::connect(to) else { return };
-    if stream.set_read_timeout(Some(Duration::from_secs(2))).is_err() {
+    let Ok(mut stream) = TcpStream::connect(to) else {
+        return;
+    };
+    if stream
+        .set_read_timeout(Some(Duration::from_secs(2)))
+        .is_err()
+    {
         return;
     }
     for n in 0u32.. {
@@ -300,13 +352,27 @@
         }
         let class = rng.random_range(0..3usize);
         let id = format!("{name}{n:06x}{class:02x}");
-        let key = if class == 1 { format!(",k={id}") } else { String::new() };
+        let key = if class == 1 {
+            format!(",k={id}")
+        } else {
+            String::new()
+        };
         let partner = rng.random_range(0..partners);
-        let names =
-            format!("c={},t=onda-central,d={},dest={partner}{key}", CLASSES[class], LASTS.as_millis());
+        let names = format!(
+            "c={},t=onda-central,d={},dest={partner}{key}",
+            CLASSES[class],
+            LASTS.as_millis()
+        );
         let body = vec![b'a' + (n % 26) as u8; rng.random_range(0..400)];
-        let mut request = format!("*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n${}\r\n{id}\r\n", id.len());
-        request.push_str(&format!("${}\r\n{names}\r\n${}\r\n", names.len(), body.len()));
+        let mut request = format!(
+            "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n${}\r\n{id}\r\n",
+            id.len()
+        );
+        request.push_str(&format!(
+            "${}\r\n{names}\r\n${}\r\n",
+            names.len(),
+            body.len()
+        ));
         let bytes = [request.as_bytes(), &body, b"\r\n"].concat();
         // Known before it is sent: a partner may see it before the answer is here.
         lock(book).notices.entry(id.clone()).or_default().class = class;
@@ -341,7 +407,10 @@
 
 /// Flips one byte of a segment; tells whether there was one.
 fn flip(state: &Path, rng: &mut ChaCha8Rng) -> std::io::Result<bool> {
-    let files: Vec<_> = segments(state)?.into_iter().filter(|(_, size)| *size > HEADER).collect();
+    let files: Vec<_> = segments(state)?
+        .into_iter()
+        .filter(|(_, size)| *size > HEADER)
+        .collect();
     if files.is_empty() {
         return Ok(false);
     }
@@ -395,8 +464,11 @@
     // The last life works off all that is owed.
     let life = Life::begin(&plan.program, folder.path())?;
     let end = Instant::now() + LASTS + GRACE;
-    let owed =
-        |book: &Book| book.notices.values().any(|s| s.promised && !s.delivered && s.reports.is_empty());
+    let owed = |book: &Book| {
+        book.notices
+            .values()
+            .any(|s| s.promised && !s.delivered && s.reports.is_empty())
+    };
     while Instant::now() < end && owed(&lock(&book)) {
         thread::sleep(Duration::from_millis(20));
     }
--- a/crates/cranehill/src/nginx.rs
+++ b/crates/cranehill/src/nginx.rs
@@ -65,7 +65,9 @@
                         // A variable in braces belongs to its word.
                         Some('$') if chars.peek() == Some(&'{') => {
                             word.push('$');
-                            word.extend(std::iter::from_fn(|| chars.next_if(|&c| c != '}' && c != '\n')));
+                            word.extend(std::iter::from_fn(|| {
+                                chars.next_if(|&c| c != '}' && c != '\n')
+                            }));
                             word.extend(chars.next_if_eq(&'}'));
                         }
                         Some('\\') => word.extend(chars.next_if(|&c| c != '\n')),
@@ -90,8 +92,12 @@
         let (line, first) = match (tokens.next(), opened) {
             (Some((line, Token::Word(word))), _) => (line, word),
             (Some((_, Token::Close)), Some(_)) | (None, None) => return Ok(found),
-            (Some((line, Token::Close)), None) => return Err(format!("line {line}: '}}' closes nothing")),
-            (Some((line, Token::Open)), _) => return Err(format!("line {line}: '{{' without a directive")),
+            (Some((line, Token::Close)), None) => {
+                return Err(format!("line {line}: '}}' closes nothing"));
+            }
+            (Some((line, Token::Open)), _) => {
+                return Err(format!("line {line}: '{{' without a directive"));
+            }
             (Some((_, Token::End)), _) => continue,
             (None, Some(line)) => return Err(format!("line {line}: the block does not end")),
         };
@@ -103,7 +109,9 @@
                 Some((line, Token::Open)) if depth >= DEEPEST => {
                     return Err(format!("line {line}: blocks stand too deep in one another"));
                 }
-                Some((line, Token::Open)) => break Some(directives(tokens, Some(line), depth + 1)?),
+                Some((line, Token::Open)) => {
+                    break Some(directives(tokens, Some(line), depth + 1)?);
+                }
                 Some((_, Token::Close)) | None => {
                     return Err(format!("line {line}: '{}' has no ';'", words.join(" ")));
                 }
@@ -116,22 +124,41 @@
 /// Imports a configuration's text; an error names its line.
 pub fn import(text: &str) -> Result<Imported, String> {
     let all = directives(&mut tokens(text)?.into_iter().peekable(), None, 0)?;
-    let mut imported = Imported { file: File::default(), left_out: Vec::new() };
+    let mut imported = Imported {
+        file: File::default(),
+        left_out: Vec::new(),
+    };
     let mut seen: Vec<(usize, Location)> = Vec::new();
     walk(&all, &mut imported, &mut seen)?;
     for (line, location) in seen {
         let file = &mut imported.file;
         if file.location.iter().any(|l| l.path == location.path) {
-            imported.left_out.push((line, format!("a second location for {}", location.path)));
+            imported
+                .left_out
+                .push((line, format!("a second location for {}", location.path)));
         } else if file.upstream.iter().any(|u| u.name == location.upstream) {
             file.location.push(location);
-        } else if location.upstream.parse::<SocketAddr>().is_ok_and(|a| a.ip().is_loopback()) {
+        } else if location
+            .upstream
+            .parse::<SocketAddr>()
+            .is_ok_and(|a| a.ip().is_loopback())
+        {
             // proxy_pass straight to an address is an upstream of one server.
-            let server = vec![Server { address: location.upstream.clone(), draining: false }];
-            file.upstream.push(Upstream { name: location.upstream.clone(), rate: None, server });
+            let server = vec![Server {
+                address: location.upstream.clone(),
+                draining: false,
+            }];
+            file.upstream.push(Upstream {
+                name: location.upstream.clone(),
+                rate: None,
+                server,
+            });
             file.location.push(location);
         } else {
-            let what = format!("location {}: no upstream '{}' here", location.path, location.upstream);
+            let what = format!(
+                "location {}: no upstream '{}' here",
+                location.path, location.upstream
+            );
             imported.left_out.push((line, what));
         }
     }
@@ -151,7 +178,10 @@
             (["http" | "server"], Some(inside)) => walk(inside, imported, locations)?,
             (["upstream", name], Some(inside)) => upstream(name, directive.line, inside, imported)?,
             (["upstream", ..], _) => {
-                return Err(format!("line {}: upstream needs a name and a block", directive.line));
+                return Err(format!(
+                    "line {}: upstream needs a name and a block",
+                    directive.line
+                ));
             }
             (["location", rest @ ..], Some(inside)) => {
                 location(rest, directive.line, inside, imported, locations)?
@@ -165,7 +195,12 @@
     Ok(())
 }
 
-fn upstream(name: &str, line: usize, inside: &[Directive], imported: &mut Imported) -> Result<(), String> {
+fn upstream(
+    name: &str,
+    line: usize,
+    inside: &[Directive],
+    imported: &mut Imported,
+) -> Result<(), String> {
     if imported.file.upstream.iter().any(|u| u.name == name) {
         return Err(format!("line {line}: upstream '{name}' is named twice"));
     }
@@ -179,10 +214,17 @@
         };
         // nginx takes port 80 where none is given, and 'localhost' for this machine.
         let text = address.replace("localhost", "127.0.0.1");
-        let text = if text.contains(':') { text } else { format!("{text}:80") };
+        let text = if text.contains(':') {
+            text
+        } else {
+            format!("{text}:80")
+        };
         match text.parse::<SocketAddr>() {
             Ok(at) if at.ip().is_loopback() => {
-                let mut server = Server { address: at.to_string(), draining: false };
+                let mut server = Server {
+                    address: at.to_string(),
+                    draining: false,
+                };
                 for option in options {
                     match *option {
                         "down" => server.draining = true,
@@ -195,9 +237,16 @@
         }
     }
     if servers.is_empty() {
-        imported.left_out.push((line, format!("upstream {name}: no server that can be reached")));
+        imported.left_out.push((
+            line,
+            format!("upstream {name}: no server that can be reached"),
+        ));
     } else {
-        imported.file.upstream.push(Upstream { name: name.to_owned(), rate: None, server: servers });
+        imported.file.upstream.push(Upstream {
+            name: name.to_owned(),
+            rate: None,
+            server: servers,
+        });
     }
     Ok(())
 }
@@ -214,28 +263,44 @@
         [] => return Err(format!("line {line}: location needs a path")),
         // Exact, named and regular-expression locations have no counterpart: a prefix would take more.
         _ => {
-            imported.left_out.push((line, format!("location {}", words.join(" "))));
+            imported
+                .left_out
+                .push((line, format!("location {}", words.join(" "))));
             return Ok(());
         }
     };
     let mut passes = None;
     for directive in inside {
-        match directive.words.iter().map(String::as_str).collect::<Vec<_>>().as_slice() {
+        match directive
+            .words
+            .iter()
+            .map(String::as_str)
+            .collect::<Vec<_>>()
+            .as_slice()
+        {
             ["proxy_pass", target] => passes = Some((directive.line, (*target).to_owned())),
             ["proxy_pass", ..] => {
-                return Err(format!("line {}: proxy_pass needs one address", directive.line));
-            }
-            other => {
-                imported.left_out.push((directive.line, format!("location {path}: {}", other.join(" "))))
+                return Err(format!(
+                    "line {}: proxy_pass needs one address",
+                    directive.line
+                ));
             }
+            other => imported.left_out.push((
+                directive.line,
+                format!("location {path}: {}", other.join(" ")),
+            )),
         }
     }
     let Some((line, target)) = passes else {
-        imported.left_out.push((line, format!("location {path}: no proxy_pass")));
+        imported
+            .left_out
+            .push((line, format!("location {path}: no proxy_pass")));
         return Ok(());
     };
     let Some(rest) = target.strip_prefix("http://").filter(|t| !t.contains('$')) else {
-        imported.left_out.push((line, format!("location {path}: proxy_pass {target}")));
+        imported
+            .left_out
+            .push((line, format!("location {path}: proxy_pass {target}")));
         return Ok(());
     };
     // As in nginx: with a path in proxy_pass it takes the place of the location's, else the path stays.
@@ -244,6 +309,13 @@
         None => (rest, None),
     };
     let name = name.replace("localhost:", "127.0.0.1:");
-    locations.push((line, Location { path: path.to_owned(), upstream: name, to }));
+    locations.push((
+        line,
+        Location {
+            path: path.to_owned(),
+            upstream: name,
+            to,
+        },
+    ));
     Ok(())
 }
