--- a/crates/daemon/src/beside.rs
+++ b/crates/daemon/src/beside.rs
@@ -13,14 +13,23 @@
 }
 
 /// What this sender knew of partners.
-pub const LEARNT: Beside =
-    Beside { name: "learnt", new: "learnt.new", most: cranehill_recovery::LEARNT_MOST as u64 };
+pub const LEARNT: Beside = Beside {
+    name: "learnt",
+    new: "learnt.new",
+    most: cranehill_recovery::LEARNT_MOST as u64,
+};
 /// Endpoints that operators have detached, as JSON.
-pub const DETACHED: Beside = Beside { name: "detached", new: "detached.new", most: 12 * 1024 };
+pub const DETACHED: Beside = Beside {
+    name: "detached",
+    new: "detached.new",
+    most: 12 * 1024,
+};
 
 /// Whether a file of that name is one of them.
 pub fn is_ours(file: &str) -> bool {
-    [LEARNT, DETACHED].iter().any(|b| file == b.name || file == b.new)
+    [LEARNT, DETACHED]
+        .iter()
+        .any(|b| file == b.name || file == b.new)
 }
 
 impl Beside {
--- a/crates/daemon/src/by_endpoint.rs
+++ b/crates/daemon/src/by_endpoint.rs
@@ -16,14 +16,21 @@
     /// A connection was opened.
     pub fn add(&mut self, role: &Role, connection: usize) {
         if let Role::Partner { endpoint, .. } = role {
-            self.connections.entry(endpoint.clone()).or_default().insert(connection);
+            self.connections
+                .entry(endpoint.clone())
+                .or_default()
+                .insert(connection);
         }
     }
 
     /// A connection is closed.
     pub fn remove(&mut self, role: &Role, connection: usize) {
-        let Role::Partner { endpoint, .. } = role else { return };
-        let Some(connections) = self.connections.get_mut(endpoint) else { return };
+        let Role::Partner { endpoint, .. } = role else {
+            return;
+        };
+        let Some(connections) = self.connections.get_mut(endpoint) else {
+            return;
+        };
         connections.remove(&connection);
         if connections.is_empty() {
             self.connections.remove(endpoint);
@@ -32,6 +39,10 @@
 
     /// The connections to an endpoint, the oldest first.
     pub fn of(&self, endpoint: &EndpointId) -> impl Iterator<Item = usize> {
-        self.connections.get(endpoint).into_iter().flatten().copied()
+        self.connections
+            .get(endpoint)
+            .into_iter()
+            .flatten()
+            .copied()
     }
 }
--- a/crates/daemon/src/clients.rs
+++ b/crates/daemon/src/clients.rs
@@ -37,7 +37,9 @@
 fn line(bytes: &[u8], at: usize) -> Result<Option<(&[u8], usize)>, Broken> {
     let rest = &bytes[at..];
     match rest.iter().position(|&b| b == b'\n') {
-        Some(end) if end > 0 && rest[end - 1] == b'\r' => Ok(Some((&rest[..end - 1], at + end + 1))),
+        Some(end) if end > 0 && rest[end - 1] == b'\r' => {
+            Ok(Some((&rest[..end - 1], at + end + 1)))
+        }
         Some(_) => Err(Broken("a line must end in CR LF")),
         None if rest.len() > 32 => Err(Broken("a length line is too long")),
         None => Ok(None),
@@ -50,24 +52,35 @@
         _ => return Err(Broken("expected an array of bulk strings")),
     };
     let plain = !digits.is_empty() && digits.len() <= 8 && digits.iter().all(u8::is_ascii_digit);
-    let number = std::str::from_utf8(digits).ok().filter(|_| plain).and_then(|d| d.parse().ok());
-    number.filter(|&n| n <= most).ok_or(Broken("a length is not a number in range"))
+    let number = std::str::from_utf8(digits)
+        .ok()
+        .filter(|_| plain)
+        .and_then(|d| d.parse().ok());
+    number
+        .filter(|&n| n <= most)
+        .ok_or(Broken("a length is not a number in range"))
 }
 
 /// The first whole request in `bytes` and how many bytes it takes; `None` if more must come.
 pub fn parse(bytes: &[u8]) -> Result<Option<(Request, usize)>, Broken> {
-    let Some((head, mut at)) = line(bytes, 0)? else { return Ok(None) };
+    let Some((head, mut at)) = line(bytes, 0)? else {
+        return Ok(None);
+    };
     let words = count(head, b'*', WORDS_MOST)?;
     let mut parts: Vec<&[u8]> = Vec::with_capacity(words);
     let mut total = 0;
     for _ in 0..words {
-        let Some((head, next)) = line(bytes, at)? else { return Ok(None) };
+        let Some((head, next)) = line(bytes, at)? else {
+            return Ok(None);
+        };
         let len = count(head, b'$', WORD_MOST)?;
         total += len;
         if total > WORD_MOST + 2048 {
             return Err(Broken("the request is too large"));
         }
-        let Some(word) = bytes.get(next..next + len + 2) else { return Ok(None) };
+        let Some(word) = bytes.get(next..next + len + 2) else {
+            return Ok(None);
+        };
         if &word[len..] != b"\r\n" {
             return Err(Broken("a bulk string must end in CR LF"));
         }
@@ -78,7 +91,9 @@
 }
 
 fn command(parts: &[&[u8]]) -> Request {
-    let Some(name) = parts.first() else { return Request::Unknown("empty command") };
+    let Some(name) = parts.first() else {
+        return Request::Unknown("empty command");
+    };
     let text = |part: &[u8]| std::str::from_utf8(part).ok().map(str::to_owned);
     if name.eq_ignore_ascii_case(b"PING") {
         Request::Ping
@@ -88,10 +103,16 @@
         let [_, key, id, names, body] = parts else {
             return Request::Unknown("MSG.PUT takes four arguments");
         };
-        let named =
-            |id: &String| !id.is_empty() && id.len() <= 64 && id.bytes().all(|b| b.is_ascii_graphic());
+        let named = |id: &String| {
+            !id.is_empty() && id.len() <= 64 && id.bytes().all(|b| b.is_ascii_graphic())
+        };
         match (text(id).filter(named), text(names)) {
-            (Some(id), Some(names)) => Request::Put { key: key.to_vec(), id, names, body: body.to_vec() },
+            (Some(id), Some(names)) => Request::Put {
+                key: key.to_vec(),
+                id,
+                names,
+                body: body.to_vec(),
+            },
             _ => Request::Unknown("id or names not readable"),
         }
     } else {
@@ -124,7 +145,13 @@
             "c" => class = Some(site.class(value).ok_or("class not known")?),
             "t" => station = Some(site.station(value).ok_or("station not known")?),
             "d" => left = Some(value.parse::<u64>().map_err(|_| "time left not a number")?),
-            "dest" => partner = Some(value.parse::<u64>().map_err(|_| "destination not a number")?),
+            "dest" => {
+                partner = Some(
+                    value
+                        .parse::<u64>()
+                        .map_err(|_| "destination not a number")?,
+                )
+            }
             "k" => {
                 let plain = value.len() <= 128 && value.bytes().all(|b| b.is_ascii_graphic());
                 key = Some(value.to_owned()).filter(|_| plain);
@@ -136,7 +163,11 @@
     }
     let class = class.ok_or("class missing")?;
     let spec = &site.settings.classes[class];
-    let order_key = if spec.in_order { order_key(first_argument)? } else { None };
+    let order_key = if spec.in_order {
+        order_key(first_argument)?
+    } else {
+        None
+    };
     let longest = spec.deadline;
     Ok(Notice {
         id,
@@ -157,7 +188,9 @@
 pub fn answer(answer: Answer) -> Vec<u8> {
     match answer {
         Answer::TakenOn | Answer::Delivered => b"+OK\r\n".to_vec(),
-        Answer::Refused { after: Some(after) } => format!("-BUSY {}\r\n", after.as_millis()).into_bytes(),
+        Answer::Refused { after: Some(after) } => {
+            format!("-BUSY {}\r\n", after.as_millis()).into_bytes()
+        }
         Answer::Refused { after: None } => b"-BUSY\r\n".to_vec(),
         Answer::Failed | Answer::Gone | Answer::GivenUp => b"-ERR failed\r\n".to_vec(),
     }
--- a/crates/daemon/src/closing.rs
+++ b/crates/daemon/src/closing.rs
@@ -30,11 +30,16 @@
         if !self.out.is_empty() || self.waiting.is_empty() {
             return None;
         }
-        self.out = self.waiting.drain(..self.waiting.len().min(LINES_MOST)).collect();
+        self.out = self
+            .waiting
+            .drain(..self.waiting.len().min(LINES_MOST))
+            .collect();
         let mut body = String::new();
         for (id, closing) in &self.out {
             let line = match closing {
-                Closing::Returned { after_ms: 0 } => serde_json::json!({"id": id, "state": "returned"}),
+                Closing::Returned { after_ms: 0 } => {
+                    serde_json::json!({"id": id, "state": "returned"})
+                }
                 Closing::Returned { after_ms } => {
                     serde_json::json!({"id": id, "state": "returned", "after_ms": after_ms})
                 }
@@ -42,7 +47,13 @@
             };
             body.push_str(&format!("{line}\n"));
         }
-        Some(http::write_request("POST", "/v1/notices", host, &[], body.as_bytes()))
+        Some(http::write_request(
+            "POST",
+            "/v1/notices",
+            host,
+            &[],
+            body.as_bytes(),
+        ))
     }
 
     /// The call's answer: the ids that the platform now has.
@@ -50,7 +61,10 @@
         if status == 204 || status == 200 {
             return self.out.drain(..).map(|(id, _)| id).collect();
         }
-        log::error!("closing: the platform answered {status} to {} reports; sent again", self.out.len());
+        log::error!(
+            "closing: the platform answered {status} to {} reports; sent again",
+            self.out.len()
+        );
         self.lost();
         Vec::new()
     }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -24,11 +24,19 @@
     pub fn new(settings: Settings, names: Names) -> Site {
         let places = |n: &[String]| n.iter().enumerate().map(|(i, n)| (n.clone(), i)).collect();
         let (classes, stations) = (places(&names.classes), places(&names.tenants));
-        Site { settings, names, classes, stations }
+        Site {
+            settings,
+            names,
+            classes,
+            stations,
+        }
     }
 
     pub fn class(&self, name: &str) -> Option<usize> {
-        self.classes.get(name).copied().filter(|&c| c < self.settings.classes.len())
+        self.classes
+            .get(name)
+            .copied()
+            .filter(|&c| c < self.settings.classes.len())
     }
 
     pub fn station(&self, name: &str) -> Option<usize> {
@@ -46,7 +54,11 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { sockets: 1024, memory_mb: 192.0, disk_mb: 3.0 }
+        Limits {
+            sockets: 1024,
+            memory_mb: 192.0,
+            disk_mb: 3.0,
+        }
     }
 }
 
@@ -83,7 +95,8 @@
 
 fn address(what: &str, text: Option<String>) -> Result<SocketAddr, String> {
     let text = text.ok_or_else(|| format!("{what}: not given"))?;
-    text.parse().map_err(|_| format!("{what}: '{text}' is not an address and port"))
+    text.parse()
+        .map_err(|_| format!("{what}: '{text}' is not an address and port"))
 }
 
 /// Reads the platform's variables (`var`) and the file that one of them names.
@@ -113,10 +126,16 @@
         None => (0, Vec::new()),
     };
     let listen = address("listen", var("NODE_LISTEN").or(file.listen))?;
-    let operator = var("NODE_OPERATOR").or(file.operator).filter(|o| !o.is_empty());
-    let operator = operator.map(|text| address("operator", Some(text))).transpose()?;
+    let operator = var("NODE_OPERATOR")
+        .or(file.operator)
+        .filter(|o| !o.is_empty());
+    let operator = operator
+        .map(|text| address("operator", Some(text)))
+        .transpose()?;
     if operator.is_some_and(|o| o == listen && o.port() != 0) {
-        return Err(format!("operator: {listen} is where clients connect (listen)"));
+        return Err(format!(
+            "operator: {listen} is where clients connect (listen)"
+        ));
     }
     Ok(Config {
         name: var("NODE_NAME").unwrap_or(file.name),
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -72,7 +72,10 @@
 
 impl List {
     pub fn into_listings(self, site: &Site) -> Result<Vec<Listing>, String> {
-        self.servers.into_iter().map(|row| row.into_listing(site)).collect()
+        self.servers
+            .into_iter()
+            .map(|row| row.into_listing(site))
+            .collect()
     }
 }
 
@@ -93,7 +96,11 @@
                 zone: place(&site.names.zones, &self.zone).unwrap_or(0) as u32,
                 // A kind that the settings don't name is taken as one that batches nothing.
                 kind: place(&site.names.kinds, &self.kind).unwrap_or(usize::MAX),
-                rate: self.weight.as_f64().filter(|w| w.is_finite() && *w > 0.0).unwrap_or(0.0),
+                rate: self
+                    .weight
+                    .as_f64()
+                    .filter(|w| w.is_finite() && *w > 0.0)
+                    .unwrap_or(0.0),
             },
             address: self.addr,
         })
@@ -129,6 +136,12 @@
     }
     match unread.first() {
         Some(why) if list.is_empty() => Err(why.clone()),
-        _ => Ok(Told { version: loose.version, whole: loose.full, list, unread, excess }),
+        _ => Ok(Told {
+            version: loose.version,
+            whole: loose.full,
+            list,
+            unread,
+            excess,
+        }),
     }
 }
--- a/crates/daemon/src/file.rs
+++ b/crates/daemon/src/file.rs
@@ -7,7 +7,9 @@
 /// Reads a file's text.
 pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, String> {
     toml::from_str(text).map_err(|e| {
-        let line = e.span().map_or(1, |s| text[..s.start.min(text.len())].matches('\n').count() + 1);
+        let line = e.span().map_or(1, |s| {
+            text[..s.start.min(text.len())].matches('\n').count() + 1
+        });
         format!("line {line}: {}", e.message().replace('\n', " "))
     })
 }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -53,7 +53,8 @@
 impl Zones {
     /// `warm` is the rule's time until a partner that is back is warm.
     fn settings(&self, warm: Duration) -> Result<zones::Settings, String> {
-        let span = |given: Option<Span>, usual: u64| given.map_or(Duration::from_millis(usual), |s| s.0);
+        let span =
+            |given: Option<Span>, usual: u64| given.map_or(Duration::from_millis(usual), |s| s.0);
         // The reasons are in docs/zones.md.
         let settings = zones::Settings {
             window: span(self.window, 2000),
@@ -64,7 +65,10 @@
             calm: span(self.calm, 30_000),
         };
         if !(0.1..=100.0).contains(&settings.probes) {
-            return Err(format!("zones: probes: {} a second is not from 0.1 to 100", settings.probes));
+            return Err(format!(
+                "zones: probes: {} a second is not from 0.1 to 100",
+                settings.probes
+            ));
         }
         if settings.window.is_zero() || settings.out[0] > settings.out[1] {
             return Err("zones: window must be above zero, and out no longer than out_most".into());
@@ -87,7 +91,8 @@
 
 impl Recovery {
     fn settings(&self, late: Duration) -> Result<recovery::Settings, String> {
-        let span = |given: Option<Span>, usual: u64| given.map_or(Duration::from_millis(usual), |s| s.0);
+        let span =
+            |given: Option<Span>, usual: u64| given.map_or(Duration::from_millis(usual), |s| s.0);
         // The reasons are in docs/recovery.md.
         let bounds = recovery::Bounds {
             window: span(self.window, 10_000),
@@ -137,10 +142,14 @@
     /// Checks it; `name` and `settings` are those of the sender's configuration.
     pub fn fleet(&self, key: Key, name: &str, settings: &api::Settings) -> Result<Fleet, String> {
         let (senders, warm) = (settings.instances, settings.rules.cold);
-        let span = |given: Option<Span>, usual: u64| given.map_or(Duration::from_millis(usual), |s| s.0);
+        let span =
+            |given: Option<Span>, usual: u64| given.map_or(Duration::from_millis(usual), |s| s.0);
         let (period, round_trip) = (span(self.period, 1000), span(self.round_trip, 300));
         if period < PERIODS[0] || period > PERIODS[1] {
-            return Err(format!("period: {period:?} is not from {:?} to {:?}", PERIODS[0], PERIODS[1]));
+            return Err(format!(
+                "period: {period:?} is not from {:?} to {:?}",
+                PERIODS[0], PERIODS[1]
+            ));
         }
         if round_trip.is_zero() || round_trip * 2 > period {
             return Err(format!(
@@ -150,7 +159,9 @@
         }
         let suspicion = self.suspicion.map(|s| s.0);
         if suspicion.is_some_and(|s| s < period) {
-            return Err("suspicion: it must be a period at least: there must be time to refute it".into());
+            return Err(
+                "suspicion: it must be a period at least: there must be time to refute it".into(),
+            );
         }
         let late = span(self.late, 5000);
         if late < period {
@@ -158,13 +169,17 @@
         }
         let at = self.advertise.unwrap_or(self.listen);
         if at.port() == 0 || at.ip().is_unspecified() {
-            return Err(format!("advertise: nobody can reach {at}; name the address that the others use"));
+            return Err(format!(
+                "advertise: nobody can reach {at}; name the address that the others use"
+            ));
         }
         let hold = match &self.hold {
             None => Some(Duration::from_secs(30)),
             Some(Hold::For(span)) => Some(span.0),
             Some(Hold::Word(word)) if word == "never" => None,
-            Some(Hold::Word(word)) => return Err(format!("hold: '{word}' is neither a span nor \"never\"")),
+            Some(Hold::Word(word)) => {
+                return Err(format!("hold: '{word}' is neither a span nor \"never\""));
+            }
         };
         let (name, seeds) = (name.to_owned(), self.seeds.clone());
         let settings = Settings {
@@ -180,10 +195,23 @@
             configured_members: senders,
         };
         if hold.is_some_and(|hold| hold < settings.suspicion()) {
-            return Err(format!("hold: it must be a suspicion ({:?}) at least", settings.suspicion()));
+            return Err(format!(
+                "hold: it must be a suspicion ({:?}) at least",
+                settings.suspicion()
+            ));
         }
-        let recovery = self.recovery.as_ref().map(|r| r.settings(late)).transpose()?;
+        let recovery = self
+            .recovery
+            .as_ref()
+            .map(|r| r.settings(late))
+            .transpose()?;
         let zones = self.zones.as_ref().map(|z| z.settings(warm)).transpose()?;
-        Ok(Fleet { listen: self.listen, status: self.status, settings, recovery, zones })
+        Ok(Fleet {
+            listen: self.listen,
+            status: self.status,
+            settings,
+            recovery,
+            zones,
+        })
     }
 }
--- a/crates/daemon/src/handover.rs
+++ b/crates/daemon/src/handover.rs
@@ -14,8 +14,8 @@
 
 use rustix::fs::{FlockOperation, flock};
 use rustix::net::{
-    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
-    SendFlags, recvmsg, sendmsg,
+    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
 };
 use serde::{Deserialize, Serialize};
 
@@ -69,7 +69,11 @@
 
 fn lock(dir: &Path) -> io::Result<Option<Lock>> {
     std::fs::create_dir_all(dir)?;
-    let file = OpenOptions::new().create(true).truncate(false).write(true).open(dir.join(LOCK))?;
+    let file = OpenOptions::new()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(dir.join(LOCK))?;
     match flock(&file, FlockOperation::NonBlockingLockExclusive) {
         Ok(()) => Ok(Some(Lock(file))),
         Err(rustix::io::Errno::WOULDBLOCK) => Ok(None),
@@ -83,7 +87,10 @@
     if let Some(lock) = lock(dir).map_err(named)? {
         return Ok((lock, Taken::default()));
     }
-    log::info!("hand-over: another process works in {}; it is asked to pass on", dir.display());
+    log::info!(
+        "hand-over: another process works in {}; it is asked to pass on",
+        dir.display()
+    );
     let until = Instant::now() + PATIENCE;
     let mut taken = None;
     loop {
@@ -97,7 +104,10 @@
             }
         }
         if Instant::now() >= until {
-            return Err(format!("{}: another process works there, and did not pass it on", dir.display()));
+            return Err(format!(
+                "{}: another process works there, and did not pass it on",
+                dir.display()
+            ));
         }
         std::thread::sleep(Duration::from_millis(if taken.is_some() { 2 } else { 50 }));
     }
@@ -114,7 +124,11 @@
             (Message::Listener { push: false }, Some(fd)) => taken.clients = Some(fd.into()),
             (Message::Listener { push: true }, Some(fd)) => taken.pushes = Some(fd.into()),
             (Message::Client { input, asked }, Some(fd)) => {
-                taken.connections.push(Client { stream: fd.into(), input, asked });
+                taken.connections.push(Client {
+                    stream: fd.into(),
+                    input,
+                    asked,
+                });
             }
             (Message::Learnt(bytes), None) => taken.learnt = Some(bytes),
             (Message::End, None) => {
@@ -122,7 +136,9 @@
                 return Ok(taken);
             }
             (message, _) => {
-                return Err(io::Error::other(format!("{message:?} with a descriptor amiss")));
+                return Err(io::Error::other(format!(
+                    "{message:?} with a descriptor amiss"
+                )));
             }
         }
     }
@@ -132,8 +148,13 @@
     let mut head = [0u8; 4];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
-    let got =
-        recvmsg(&*stream, &mut [IoSliceMut::new(&mut head)], &mut control, RecvFlags::CMSG_CLOEXEC)?.bytes;
+    let got = recvmsg(
+        &*stream,
+        &mut [IoSliceMut::new(&mut head)],
+        &mut control,
+        RecvFlags::CMSG_CLOEXEC,
+    )?
+    .bytes;
     let mut fds = control.drain().filter_map(|m| match m {
         RecvAncillaryMessage::ScmRights(fds) => Some(fds),
         _ => None,
@@ -149,7 +170,9 @@
     }
     let mut bytes = vec![0; len];
     stream.read_exact(&mut bytes)?;
-    postcard::from_bytes(&bytes).map(|message| (message, fd)).map_err(io::Error::other)
+    postcard::from_bytes(&bytes)
+        .map(|message| (message, fd))
+        .map_err(io::Error::other)
 }
 
 /// The old process's end.
@@ -169,7 +192,10 @@
         }
         let listener = UnixListener::bind(&path)?;
         listener.set_nonblocking(true)?;
-        Ok(Giver { listener, asking: None })
+        Ok(Giver {
+            listener,
+            asking: None,
+        })
     }
 
     pub fn listener(&self) -> &UnixListener {
@@ -184,7 +210,8 @@
             }
         }
         // Nothing more comes from there: what can be read is its end.
-        self.asking.take_if(|s| !matches!(s.read(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock));
+        self.asking
+            .take_if(|s| !matches!(s.read(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock));
         self.asking.is_some()
     }
 
@@ -196,7 +223,12 @@
         self.send(&Message::Listener { push }, Some(listener))
     }
 
-    pub fn pass_client(&mut self, stream: BorrowedFd<'_>, input: Vec<u8>, asked: bool) -> io::Result<()> {
+    pub fn pass_client(
+        &mut self,
+        stream: BorrowedFd<'_>,
+        input: Vec<u8>,
+        asked: bool,
+    ) -> io::Result<()> {
         self.send(&Message::Client { input, asked }, Some(stream))
     }
 
@@ -206,7 +238,11 @@
         let stream = self.asking.as_mut().ok_or(ErrorKind::NotConnected)?;
         let mut answer = [0; HELLO.len()];
         stream.read_exact(&mut answer)?;
-        if answer == *HELLO { Ok(()) } else { Err(ErrorKind::InvalidData.into()) }
+        if answer == *HELLO {
+            Ok(())
+        } else {
+            Err(ErrorKind::InvalidData.into())
+        }
     }
 
     /// It did not come to pass; somebody may ask again.
@@ -228,7 +264,12 @@
         if !fds.is_empty() {
             control.push(SendAncillaryMessage::ScmRights(&fds));
         }
-        let sent = sendmsg(&*stream, &[IoSlice::new(&bytes)], &mut control, SendFlags::NOSIGNAL)?;
+        let sent = sendmsg(
+            &*stream,
+            &[IoSlice::new(&bytes)],
+            &mut control,
+            SendFlags::NOSIGNAL,
+        )?;
         stream.write_all(&bytes[sent..])
     }
 }
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -42,11 +42,15 @@
 }
 
 fn own(headers: &[httparse::Header<'_>]) -> Headers {
-    headers.iter().map(|h| (h.name.to_owned(), h.value.to_vec())).collect()
+    headers
+        .iter()
+        .map(|h| (h.name.to_owned(), h.value.to_vec()))
+        .collect()
 }
 
 fn has_token(headers: &Headers, name: &str, token: &str) -> bool {
-    header(headers, name).is_some_and(|v| v.split(',').any(|t| t.trim().eq_ignore_ascii_case(token)))
+    header(headers, name)
+        .is_some_and(|v| v.split(',').any(|t| t.trim().eq_ignore_ascii_case(token)))
 }
 
 enum Length {
@@ -64,8 +68,13 @@
         };
     }
     let mut stated: Option<usize> = None;
-    for (_, value) in headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("content-length")) {
-        let text = std::str::from_utf8(value).map_err(|_| Malformed("content length not a number"))?.trim();
+    for (_, value) in headers
+        .iter()
+        .filter(|(n, _)| n.eq_ignore_ascii_case("content-length"))
+    {
+        let text = std::str::from_utf8(value)
+            .map_err(|_| Malformed("content length not a number"))?
+            .trim();
         if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
             return Err(Malformed("content length not a number"));
         }
@@ -89,7 +98,11 @@
         let rest = &bytes[at..];
         let parsed = httparse::parse_chunk_size(rest).map_err(|_| Malformed("chunk size"))?;
         let httparse::Status::Complete((skip, size)) = parsed else {
-            return if rest.len() > 256 { Err(Malformed("chunk size")) } else { Ok(None) };
+            return if rest.len() > 256 {
+                Err(Malformed("chunk size"))
+            } else {
+                Ok(None)
+            };
         };
         let size = usize::try_from(size).unwrap_or(usize::MAX);
         if size > body_most || body.len() + size > body_most {
@@ -105,9 +118,14 @@
             if trailers.len() > HEAD_MOST {
                 return Err(Malformed("trailers too large"));
             }
-            return Ok(trailers.windows(4).position(|w| w == b"\r\n\r\n").map(|p| (body, at + p + 4)));
+            return Ok(trailers
+                .windows(4)
+                .position(|w| w == b"\r\n\r\n")
+                .map(|p| (body, at + p + 4)));
         }
-        let Some(chunk) = bytes.get(at..at + size + 2) else { return Ok(None) };
+        let Some(chunk) = bytes.get(at..at + size + 2) else {
+            return Ok(None);
+        };
         if !chunk.ends_with(b"\r\n") {
             return Err(Malformed("chunk end"));
         }
@@ -116,7 +134,11 @@
     }
 }
 
-fn body(bytes: &[u8], length: Length, body_most: usize) -> Result<Option<(Vec<u8>, usize)>, Malformed> {
+fn body(
+    bytes: &[u8],
+    length: Length,
+    body_most: usize,
+) -> Result<Option<(Vec<u8>, usize)>, Malformed> {
     match length {
         Length::Known(len) => Ok(bytes.get(..len).map(|b| (b.to_vec(), len))),
         Length::Chunked => chunked(bytes, body_most),
@@ -130,16 +152,32 @@
     let mut parsed = httparse::Request::new(&mut slots);
     let head = match parsed.parse(bytes).map_err(|_| Malformed("request head"))? {
         httparse::Status::Complete(head) => head,
-        httparse::Status::Partial if bytes.len() > HEAD_MOST => return Err(Malformed("head too large")),
+        httparse::Status::Partial if bytes.len() > HEAD_MOST => {
+            return Err(Malformed("head too large"));
+        }
         httparse::Status::Partial => return Ok(None),
     };
     let headers = own(parsed.headers);
     let old = parsed.version == Some(0);
     let close = has_token(&headers, "connection", "close") || old;
-    let (method, path) = (parsed.method.unwrap_or("").to_owned(), parsed.path.unwrap_or("").to_owned());
+    let (method, path) = (
+        parsed.method.unwrap_or("").to_owned(),
+        parsed.path.unwrap_or("").to_owned(),
+    );
     let length = length(&headers, BODY_MOST)?;
-    let Some((body, len)) = body(&bytes[head..], length, BODY_MOST)? else { return Ok(None) };
-    Ok(Some((Request { method, path, headers, body, close }, head + len)))
+    let Some((body, len)) = body(&bytes[head..], length, BODY_MOST)? else {
+        return Ok(None);
+    };
+    Ok(Some((
+        Request {
+            method,
+            path,
+            headers,
+            body,
+            close,
+        },
+        head + len,
+    )))
 }
 
 /// The first whole response, as [`request`]; `ended` says that the peer has closed.
@@ -164,7 +202,11 @@
     Err(Malformed("too many interim answers"))
 }
 
-fn one_response(bytes: &[u8], ended: bool, body_most: usize) -> Result<Option<(Response, usize)>, Malformed> {
+fn one_response(
+    bytes: &[u8],
+    ended: bool,
+    body_most: usize,
+) -> Result<Option<(Response, usize)>, Malformed> {
     let mut slots = [httparse::EMPTY_HEADER; HEADERS_MOST];
     let mut parsed = httparse::Response::new(&mut slots);
     let readable: Vec<u8>;
@@ -178,18 +220,32 @@
     }
     let head = match found.map_err(|_| Malformed("response head"))? {
         httparse::Status::Complete(head) => head,
-        httparse::Status::Partial if bytes.len() > HEAD_MOST => return Err(Malformed("head too large")),
+        httparse::Status::Partial if bytes.len() > HEAD_MOST => {
+            return Err(Malformed("head too large"));
+        }
         httparse::Status::Partial => return Ok(None),
     };
     let status = parsed.code.unwrap_or(0);
     let headers = own(parsed.headers);
     let old = parsed.version == Some(0);
     if (100..200).contains(&status) {
-        return Ok(Some((Response { status, headers, body: Vec::new(), close: false }, head)));
+        return Ok(Some((
+            Response {
+                status,
+                headers,
+                body: Vec::new(),
+                close: false,
+            },
+            head,
+        )));
     }
     let mut close = has_token(&headers, "connection", "close") || old;
     let none = status == 204 || status == 304;
-    let len = if none { Length::Known(0) } else { length(&headers, body_most)? };
+    let len = if none {
+        Length::Known(0)
+    } else {
+        length(&headers, body_most)?
+    };
     let unstated = matches!(len, Length::Unstated);
     let whole = if unstated {
         close = true;
@@ -200,7 +256,17 @@
     } else {
         body(&bytes[head..], len, body_most)?
     };
-    Ok(whole.map(|(body, len)| (Response { status, headers, body, close }, head + len)))
+    Ok(whole.map(|(body, len)| {
+        (
+            Response {
+                status,
+                headers,
+                body,
+                close,
+            },
+            head + len,
+        )
+    }))
 }
 
 /// The same bytes with the values of [`INFORMS`] made readable, which means nothing to who reads them.
@@ -227,7 +293,9 @@
     for _ in 0..=INTERIM_MOST {
         let line = &bytes[..bytes.iter().position(|&b| b == b'\n')?];
         let rest = line.strip_prefix(b"HTTP/1.")?;
-        let [b'0' | b'1', b' ', code @ ..] = rest else { return None };
+        let [b'0' | b'1', b' ', code @ ..] = rest else {
+            return None;
+        };
         let (code, after) = code.split_at_checked(3)?;
         let status: u16 = std::str::from_utf8(code).ok()?.parse().ok()?;
         if !matches!(after.first(), None | Some(b' ' | b'\r')) {
@@ -262,7 +330,12 @@
     bytes
 }
 
-pub fn write_response(status: u16, reason: &str, headers: &[(&str, String)], body: &str) -> Vec<u8> {
+pub fn write_response(
+    status: u16,
+    reason: &str,
+    headers: &[(&str, String)],
+    body: &str,
+) -> Vec<u8> {
     let mut text = format!("HTTP/1.1 {status} {reason}\r\n");
     for (name, value) in headers {
         text.push_str(&format!("{name}: {value}\r\n"));
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -187,8 +187,13 @@
 
 impl Clock {
     pub fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            unix,
+        }
     }
 
     /// Goes on from `least` since 1970 if it is behind that.
