--- a/crates/daemon/src/partners.rs
+++ b/crates/daemon/src/partners.rs
@@ -22,7 +22,10 @@
 
 impl Verdict {
     pub const fn of(status: Status) -> Verdict {
-        Verdict { status, over: false }
+        Verdict {
+            status,
+            over: false,
+        }
     }
 }
 
@@ -50,7 +53,11 @@
 
 /// The bytes of a call with these notices.
 pub fn call(host: &str, attempts: &[Attempt], now: Time) -> Vec<u8> {
-    let longest = attempts.iter().map(|a| a.until - now).max().unwrap_or_default();
+    let longest = attempts
+        .iter()
+        .map(|a| a.until - now)
+        .max()
+        .unwrap_or_default();
     let remaining = ("X-Remaining", format!("{}m", longest.as_millis().max(1)));
     if let [one] = attempts {
         let mut headers = vec![("X-Txn", one.id.clone())];
@@ -58,7 +65,11 @@
         headers.push(remaining);
         return http::write_request("POST", "/hook", host, &headers, &one.body);
     }
-    let item = |a: &Attempt| Item { id: a.id.clone(), key: a.key.clone(), body: STANDARD.encode(&a.body) };
+    let item = |a: &Attempt| Item {
+        id: a.id.clone(),
+        key: a.key.clone(),
+        body: STANDARD.encode(&a.body),
+    };
     let items: Vec<Item> = attempts.iter().map(item).collect();
     let body = serde_json::to_vec(&items).unwrap_or_default();
     let headers = [("Content-Type", "application/json".to_owned()), remaining];
@@ -87,35 +98,66 @@
     let not_sent = header(&response.headers, "x-no-slot").is_some_and(|v| v == "1");
     let all = match response.status {
         200 if ids.len() > 1 => return states(response, ids, wait),
-        200 => Verdict { status: Status::Served, over: true },
+        200 => Verdict {
+            status: Status::Served,
+            over: true,
+        },
         429 => Verdict::of(Status::Refused),
         503 if not_sent => Verdict::of(Status::NotSent),
         503 => Verdict::of(Status::Refused),
         504 => Verdict::of(Status::NotSent),
-        410 => Verdict { status: Status::NotSent, over: true },
+        410 => Verdict {
+            status: Status::NotSent,
+            over: true,
+        },
         // The partner could not read it, and will not read it better the next time.
         400 | 413 => Verdict::of(Status::Rejected),
         // 500, and what the page does not name: it may have run.
         _ => Verdict::of(Status::Error),
     };
-    Told { verdicts: vec![all; ids.len()], wait, report: report(response) }
+    Told {
+        verdicts: vec![all; ids.len()],
+        wait,
+        report: report(response),
+    }
 }
 
 fn states(response: &Response, ids: &[&str], wait: Option<Duration>) -> Told {
     let states: Vec<State> = match serde_json::from_slice(&response.body) {
         Ok(states) => states,
         Err(e) => {
-            log::info!("partners: the answer to a call of {} is not readable: {e}", ids.len());
-            return Told { verdicts: vec![Verdict::of(Status::Spoilt); ids.len()], wait, report: None };
+            log::info!(
+                "partners: the answer to a call of {} is not readable: {e}",
+                ids.len()
+            );
+            return Told {
+                verdicts: vec![Verdict::of(Status::Spoilt); ids.len()],
+                wait,
+                report: None,
+            };
         }
     };
-    let verdict = |id: &&str| match states.iter().find(|s| s.id == **id).map(|s| s.state.as_str()) {
-        Some("done") => Verdict { status: Status::Served, over: true },
+    let verdict = |id: &&str| match states
+        .iter()
+        .find(|s| s.id == **id)
+        .map(|s| s.state.as_str())
+    {
+        Some("done") => Verdict {
+            status: Status::Served,
+            over: true,
+        },
         Some("busy") => Verdict::of(Status::Refused),
-        Some("void") => Verdict { status: Status::NotSent, over: true },
+        Some("void") => Verdict {
+            status: Status::NotSent,
+            over: true,
+        },
         Some("used_up") => Verdict::of(Status::NotSent),
         // `failed`, or not told: it may have run.
         _ => Verdict::of(Status::Error),
     };
-    Told { verdicts: ids.iter().map(verdict).collect(), wait, report: report(response) }
+    Told {
+        verdicts: ids.iter().map(verdict).collect(),
+        wait,
+        report: report(response),
+    }
 }
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -189,7 +189,9 @@
 /// who ask nothing.
 fn places(sockets: usize, slots: usize) -> (usize, usize) {
     let free = sockets.saturating_sub(KEPT_SOCKETS);
-    let clients = free.saturating_sub(slots + IDLE_SOCKETS).clamp(sockets * 9 / 20, sockets * 2 / 3);
+    let clients = free
+        .saturating_sub(slots + IDLE_SOCKETS)
+        .clamp(sockets * 9 / 20, sockets * 2 / 3);
     (clients, free.saturating_sub(clients).max(8))
 }
 
@@ -198,7 +200,10 @@
 }
 
 fn shown(listener: &Option<TcpListener>) -> String {
-    listener.as_ref().and_then(|l| l.local_addr().ok()).map_or("nowhere".into(), |a| a.to_string())
+    listener
+        .as_ref()
+        .and_then(|l| l.local_addr().ok())
+        .map_or("nowhere".into(), |a| a.to_string())
 }
 
 fn millis(time: Time) -> u64 {
@@ -208,10 +213,22 @@
 impl Reactor {
     /// Takes up what the journal holds, then listens.
     pub fn new(setup: Setup) -> Result<Reactor, String> {
-        let Setup { mut site, seed, state, listen, discovery, known_version, known, push, .. } = setup;
+        let Setup {
+            mut site,
+            seed,
+            state,
+            listen,
+            discovery,
+            known_version,
+            known,
+            push,
+            ..
+        } = setup;
         let operators = setup.operator.map_or(0, |_| operator::MOST + 1);
-        let (clients_most, partners_most) =
-            places(setup.sockets.saturating_sub(operators), site.settings.slots as usize);
+        let (clients_most, partners_most) = places(
+            setup.sockets.saturating_sub(operators),
+            site.settings.slots as usize,
+        );
         let poll = Poll::new().map_err(|e| format!("poll: {e}"))?;
         let mut clock = Clock::new();
         let (mut journal, mut recovered, mut state_dir) = (None, Recovered::default(), None);
@@ -259,9 +276,18 @@
         }
         journal::tell_recovered(&recovered);
         let found = recovered.records.len();
-        let effects = core.step(now, Input::Recovered(std::mem::take(&mut recovered.records)));
+        let effects = core.step(
+            now,
+            Input::Recovered(std::mem::take(&mut recovered.records)),
+        );
         let set = &site.settings;
-        let watch = Watch::new(known_version, set.instances, set.rules.must_ask_in, seed, now);
+        let watch = Watch::new(
+            known_version,
+            set.instances,
+            set.rules.must_ask_in,
+            seed,
+            now,
+        );
         let mut reactor = Reactor {
             poll,
             clock,
@@ -337,14 +363,21 @@
             });
             log::info!("listening for Web Push at {}", shown(&reactor.pushes));
         }
-        if let Some(dir) = reactor.state_dir.as_deref().filter(|_| setup.operator.is_some()) {
+        if let Some(dir) = reactor
+            .state_dir
+            .as_deref()
+            .filter(|_| setup.operator.is_some())
+        {
             reactor.handover = handover::End::open(dir, reactor.poll.registry());
         }
         if let Some(learnt) = taken.learnt.take() {
             reactor.step(Input::Adopted(learnt));
         }
         let connections = taken.connections.len();
-        taken.connections.into_iter().for_each(|client| reactor.adopt(client));
+        taken
+            .connections
+            .into_iter()
+            .for_each(|client| reactor.adopt(client));
         if connections > 0 {
             log::info!(event = "taken-over", clients = connections; "hand-over: {connections} client connections taken over");
         }
@@ -352,7 +385,8 @@
     }
 
     fn listen(&self, address: SocketAddr, token: Token) -> Result<TcpListener, String> {
-        let mut listener = TcpListener::bind(address).map_err(|e| sockets_error("listen", address, e))?;
+        let mut listener =
+            TcpListener::bind(address).map_err(|e| sockets_error("listen", address, e))?;
         let registry = self.poll.registry();
         registry
             .register(&mut listener, token, Interest::READABLE)
@@ -378,7 +412,10 @@
     /// A handle that ends [`Reactor::run`] from another thread, at once and without the steps of a SIGTERM.
     pub fn halter(&self) -> io::Result<Halter> {
         let waker = mio::Waker::new(self.poll.registry(), HALT)?;
-        Ok(Halter { halted: self.halted.clone(), waker: Arc::new(waker) })
+        Ok(Halter {
+            halted: self.halted.clone(),
+            waker: Arc::new(waker),
+        })
     }
 
     /// Begins the end: as on SIGTERM.
@@ -407,7 +444,9 @@
             if self.turn(&mut events)? {
                 let (held, reports) = self.core.owed();
                 let breaches = self.core.breaches;
-                log::info!("stopped: {held} notices and {reports} reports left to the journal; {breaches:?}");
+                log::info!(
+                    "stopped: {held} notices and {reports} reports left to the journal; {breaches:?}"
+                );
                 return Ok(());
             }
         }
@@ -417,7 +456,10 @@
     fn turn(&mut self, events: &mut Events) -> io::Result<bool> {
         let now = self.clock.now();
         let wait = self.next_due(now).map(|t| t - now);
-        match self.poll.poll(events, wait.map(|w| w + Duration::from_micros(50))) {
+        match self
+            .poll
+            .poll(events, wait.map(|w| w + Duration::from_micros(50)))
+        {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             other => other?,
         }
@@ -459,7 +501,11 @@
     fn add_link(&mut self, mut stream: TcpStream, role: Role, up: bool) -> io::Result<usize> {
         let link = self.next_link;
         self.next_link += 1;
-        self.poll.registry().register(&mut stream, Token(link), Interest::READABLE | Interest::WRITABLE)?;
+        self.poll.registry().register(
+            &mut stream,
+            Token(link),
+            Interest::READABLE | Interest::WRITABLE,
+        )?;
         let now = self.clock.now();
         let _ = stream.set_nodelay(true);
         self.by_endpoint.add(&role, link);
@@ -502,12 +548,16 @@
 
     /// Moves bytes on a connection and deals with what has come.
     fn pump(&mut self, id: usize) {
-        let Some(link) = self.links.get(&id) else { return };
+        let Some(link) = self.links.get(&id) else {
+            return;
+        };
         if calls::write_by(link).is_some_and(|t| t <= self.clock.now()) {
             log::debug!("connection {id}: a call is not sent, it may not be repeated any more");
             self.withhold(id);
         }
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         match link.check_up() {
             Ok(true) => {}
             Ok(false) => return,
@@ -542,14 +592,27 @@
 
     /// The connection never came up.
     fn broken(&mut self, id: usize, why: &str) {
-        let Some(link) = self.drop_link(id) else { return };
+        let Some(link) = self.drop_link(id) else {
+            return;
+        };
         match link.role {
-            Role::Partner { endpoint, call: Some(out), .. } => {
+            Role::Partner {
+                endpoint,
+                call: Some(out),
+                ..
+            } => {
                 log::debug!("partner {endpoint}: no connection, {why}");
                 self.end_call(out, &Told::all(Verdict::of(Status::NoConnection)));
             }
-            Role::Partner { endpoint, check: Some(_), .. } => {
-                self.step(Input::Checked { endpoint, status: Status::NoConnection });
+            Role::Partner {
+                endpoint,
+                check: Some(_),
+                ..
+            } => {
+                self.step(Input::Checked {
+                    endpoint,
+                    status: Status::NoConnection,
+                });
             }
             Role::Directory { .. } => self.watch_failed(why, Failure::Unreached),
             Role::Closing => self.report_later(),
@@ -564,6 +627,10 @@
 
 impl Told {
     fn all(verdict: Verdict) -> Told {
-        Told { verdicts: vec![verdict], wait: None, report: None }
+        Told {
+            verdicts: vec![verdict],
+            wait: None,
+            report: None,
+        }
     }
 }
--- a/crates/daemon/src/reactor/calls.rs
+++ b/crates/daemon/src/reactor/calls.rs
@@ -18,9 +18,9 @@
 /// would leave the window of its class. Guards against connections that come up late: the decision was in time.
 pub(super) fn write_by(link: &Link) -> Option<Time> {
     match &link.role {
-        Role::Partner { call: Some(out), .. } if !link.written_out() => {
-            out.attempts.iter().filter_map(|a| a.write_by).min()
-        }
+        Role::Partner {
+            call: Some(out), ..
+        } if !link.written_out() => out.attempts.iter().filter_map(|a| a.write_by).min(),
         _ => None,
     }
 }
@@ -40,16 +40,24 @@
     /// Ends calls that are not written yet: they would arrive inside a told wait, or at an endpoint that drains or is
     /// gone.
     pub(super) fn hold_back(&mut self, endpoints: &[EndpointId]) {
-        let waits = |l: &Link| matches!(l.role, Role::Partner { call: Some(_), .. }) && !l.written_out();
+        let waits =
+            |l: &Link| matches!(l.role, Role::Partner { call: Some(_), .. }) && !l.written_out();
         // In the order of the connections, each once, however the endpoints are named.
-        let ids: BTreeSet<usize> = endpoints.iter().flat_map(|e| self.connections(e, waits)).collect();
+        let ids: BTreeSet<usize> = endpoints
+            .iter()
+            .flat_map(|e| self.connections(e, waits))
+            .collect();
         ids.into_iter().for_each(|id| self.withhold(id));
     }
 
     /// Ends a call that is not written whole, so that it never runs. Its connection is kept, unless part of it is on it.
     pub(super) fn withhold(&mut self, id: usize) {
-        let Some(link) = self.links.get_mut(&id) else { return };
-        let Role::Partner { call, .. } = &mut link.role else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
+        let Role::Partner { call, .. } = &mut link.role else {
+            return;
+        };
         let Some(out) = call.take() else { return };
         if link.written > 0 {
             self.drop_link(id);
@@ -60,7 +68,16 @@
     }
 
     pub(super) fn close_idle(&mut self, endpoint: &EndpointId) {
-        let idle = |l: &Link| matches!(l.role, Role::Partner { call: None, check: None, .. });
+        let idle = |l: &Link| {
+            matches!(
+                l.role,
+                Role::Partner {
+                    call: None,
+                    check: None,
+                    ..
+                }
+            )
+        };
         let ids: Vec<usize> = self.connections(endpoint, idle).collect();
         ids.into_iter().for_each(|id| drop(self.drop_link(id)));
     }
@@ -71,7 +88,9 @@
         endpoint: &EndpointId,
         holds: impl Fn(&Link) -> bool,
     ) -> impl Iterator<Item = usize> {
-        self.by_endpoint.of(endpoint).filter(move |id| self.links.get(id).is_some_and(&holds))
+        self.by_endpoint
+            .of(endpoint)
+            .filter(move |id| self.links.get(id).is_some_and(&holds))
     }
 
     /// A connection to this endpoint that is free and can be trusted.
@@ -79,13 +98,21 @@
         let (now, limit) = (self.clock.now(), self.idle_limit().min(self.trusted_idle));
         loop {
             let fits = |l: &Link| match &l.role {
-                Role::Partner { address: a, call: None, check: None, .. } => a == address && l.up,
+                Role::Partner {
+                    address: a,
+                    call: None,
+                    check: None,
+                    ..
+                } => a == address && l.up,
                 _ => false,
             };
-            let free = self.connections(endpoint, fits).filter_map(|id| Some((id, self.links.get(&id)?)));
+            let free = self
+                .connections(endpoint, fits)
+                .filter_map(|id| Some((id, self.links.get(&id)?)));
             let (id, link) = free.max_by_key(|(_, link)| link.used)?;
             // One that the other side has closed, or may be about to close, would lose what is written to it.
-            let alive = matches!(link.stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
+            let alive =
+                matches!(link.stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
             if alive && !link.ended && now - link.used < limit {
                 return Some(id);
             }
@@ -98,10 +125,26 @@
         // Descriptors are few: an idle connection makes room for one that is needed.
         if matches!(role, Role::Partner { .. }) {
             let partners = |l: &&Link| matches!(l.role, Role::Partner { .. });
-            let idle = |l: &Link| matches!(l.role, Role::Partner { call: None, check: None, .. });
+            let idle = |l: &Link| {
+                matches!(
+                    l.role,
+                    Role::Partner {
+                        call: None,
+                        check: None,
+                        ..
+                    }
+                )
+            };
             if self.links.values().filter(partners).count() >= self.partners_most {
-                let longest = self.links.iter().filter(|(_, l)| idle(l)).min_by_key(|(_, l)| l.used);
-                longest.map(|(&id, _)| id).into_iter().for_each(|id| drop(self.drop_link(id)));
+                let longest = self
+                    .links
+                    .iter()
+                    .filter(|(_, l)| idle(l))
+                    .min_by_key(|(_, l)| l.used);
+                longest
+                    .map(|(&id, _)| id)
+                    .into_iter()
+                    .for_each(|id| drop(self.drop_link(id)));
             }
         }
         self.add_link(TcpStream::connect(address)?, role, false)
@@ -110,11 +153,18 @@
     pub(super) fn call(&mut self, endpoint: EndpointId, address: String, attempts: Vec<Attempt>) {
         let now = self.clock.now();
         let bytes = match (&mut self.push, attempts.first()) {
-            (Some(push), Some(first)) if first.envelope.is_some() => push.call(&address, first, now),
+            (Some(push), Some(first)) if first.envelope.is_some() => {
+                push.call(&address, first, now)
+            }
             _ => partners::call(&address, &attempts, now),
         };
         let ids = attempts.iter().map(|a| a.id.clone()).collect();
-        let out = Out { attempts, ids, started: now, delivered: false };
+        let out = Out {
+            attempts,
+            ids,
+            started: now,
+            delivered: false,
+        };
         let id = match self.free_link(&endpoint, &address) {
             Some(id) => id,
             None => {
@@ -134,7 +184,11 @@
             }
         };
         if let Some(link) = self.links.get_mut(&id) {
-            log::trace!("notices {:?}: call to {endpoint} on connection {id}, up: {}", out.ids, link.up);
+            log::trace!(
+                "notices {:?}: call to {endpoint} on connection {id}, up: {}",
+                out.ids,
+                link.up
+            );
             if let Role::Partner { call, .. } = &mut link.role {
                 *call = Some(out);
             }
@@ -160,7 +214,10 @@
                     link.output = http::write_request("GET", "/health", &address, &[], b"");
                 }
             }
-            Err(_) => self.step(Input::Checked { endpoint, status: Status::NoConnection }),
+            Err(_) => self.step(Input::Checked {
+                endpoint,
+                status: Status::NoConnection,
+            }),
         }
     }
 
@@ -176,7 +233,11 @@
                 .or(told.verdicts.first())
                 .copied()
                 .unwrap_or(Verdict::of(Status::Error));
-            log::trace!("notice {}: attempt {} ended: {status:?}, over: {over}", attempt.id, attempt.number);
+            log::trace!(
+                "notice {}: attempt {} ended: {status:?}, over: {over}",
+                attempt.id,
+                attempt.number
+            );
             ends.push(AttemptEnd {
                 id: attempt.id,
                 attempt: attempt.number,
@@ -192,11 +253,21 @@
 
     pub(super) fn on_partner(&mut self, id: usize, write_broke: bool) {
         let unix_now = Duration::from_nanos(self.clock.now().0);
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         let ended = link.ended || write_broke;
         let written = link.written_out();
         let stalled = stall(link).is_some_and(|t| t <= self.clock.now());
-        let Role::Partner { endpoint, call, check, .. } = &mut link.role else { return };
+        let Role::Partner {
+            endpoint,
+            call,
+            check,
+            ..
+        } = &mut link.role
+        else {
+            return;
+        };
         let Some(out) = call else {
             if check.is_some() {
                 let status = match http::response(&link.input, ended) {
@@ -233,8 +304,19 @@
                 if let Some(wait) = told.wait {
                     log::debug!("partner {endpoint}: told to wait {} ms", wait.as_millis());
                 }
-                if let [Verdict { status: Status::Rejected, .. }, ..] = told.verdicts[..] {
-                    log::error!("partner {endpoint}: answered {} to {}", response.status, out.ids[0]);
+                if let [
+                    Verdict {
+                        status: Status::Rejected,
+                        ..
+                    },
+                    ..,
+                ] = told.verdicts[..]
+                {
+                    log::error!(
+                        "partner {endpoint}: answered {} to {}",
+                        response.status,
+                        out.ids[0]
+                    );
                 }
                 let trailing = link.input.len() > used && !breakage::is(Breakage::ReusesSpoilt);
                 if response.close || ended || !written || trailing {
@@ -255,8 +337,11 @@
                 out.delivered = out.delivers(&link.input);
             }
             result => {
-                let cut =
-                    if result.is_err() || stalled || !ended { Cut::Spoilt } else { Cut::Ended { written } };
+                let cut = if result.is_err() || stalled || !ended {
+                    Cut::Spoilt
+                } else {
+                    Cut::Ended { written }
+                };
                 self.break_off(id, cut);
             }
         }
@@ -265,8 +350,12 @@
     /// Ends a call whose answer has not come whole, and its connection: an answer that is still on its way must not be
     /// read for the next call's.
     pub(super) fn break_off(&mut self, id: usize, cut: Cut) {
-        let Some(mut link) = self.drop_link(id) else { return };
-        let Role::Partner { endpoint, call, .. } = &mut link.role else { return };
+        let Some(mut link) = self.drop_link(id) else {
+            return;
+        };
+        let Role::Partner { endpoint, call, .. } = &mut link.role else {
+            return;
+        };
         let Some(out) = call.take() else { return };
         let (kept, begun) = (link.answered > 0, !link.input.is_empty());
         let delivered = match cut {
@@ -296,6 +385,15 @@
         let unix_now = Duration::from_nanos(self.clock.now().0);
         let late = http::response(&link.input, false).ok().flatten();
         let wait = late.and_then(|(response, _)| http::told_wait(&response.headers, unix_now));
-        self.end_call(out, &Told { wait, ..Told::all(Verdict { status, over: delivered }) });
+        self.end_call(
+            out,
+            &Told {
+                wait,
+                ..Told::all(Verdict {
+                    status,
+                    over: delivered,
+                })
+            },
+        );
     }
 }
--- a/crates/daemon/src/reactor/door.rs
+++ b/crates/daemon/src/reactor/door.rs
@@ -35,7 +35,10 @@
 }
 
 pub(super) fn of_client(link: &Link) -> bool {
-    matches!(link.role, Role::Client { .. } | Role::Pusher { .. } | Role::Ending { .. })
+    matches!(
+        link.role,
+        Role::Client { .. } | Role::Pusher { .. } | Role::Ending { .. }
+    )
 }
 
 /// Whether nothing is open on a client's connection, so that it may end at any time.
@@ -81,12 +84,21 @@
 impl Reactor {
     pub(super) fn accept(&mut self, token: Token) {
         for _ in 0..ACCEPTS_A_TURN {
-            let listener = if token == CLIENTS { &self.clients } else { &self.pushes };
+            let listener = if token == CLIENTS {
+                &self.clients
+            } else {
+                &self.pushes
+            };
             let Some(listener) = listener else { return };
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) =>
+                {
                     continue;
                 }
                 Err(e) => {
@@ -101,7 +113,10 @@
             }
             let role = match token {
                 CLIENTS => Role::Client { busy: false },
-                _ => Role::Pusher { busy: None, close: false },
+                _ => Role::Pusher {
+                    busy: None,
+                    close: false,
+                },
             };
             match self.add_link(stream, role, true) {
                 Ok(link) => self.pump(link),
@@ -122,12 +137,20 @@
         let now = self.clock.now();
         // One line a second: a flood must not become a flood of lines.
         if now >= self.tell_away {
-            log::warn!("accept: all {} places taken; {} closed", self.clients_most, self.turned_away);
+            log::warn!(
+                "accept: all {} places taken; {} closed",
+                self.clients_most,
+                self.turned_away
+            );
             self.tell_away = now + Duration::from_secs(1);
             self.turned_away = 0;
         }
         for _ in 0..CHOICES {
-            let idlest = self.links.iter().filter(|(_, l)| free(l)).min_by_key(|(_, l)| spared(l, now));
+            let idlest = self
+                .links
+                .iter()
+                .filter(|(_, l)| free(l))
+                .min_by_key(|(_, l)| spared(l, now));
             let Some((&id, _)) = idlest else { return false };
             // A request that has come and was not read yet must not be lost with its connection.
             self.pump(id);
@@ -141,7 +164,11 @@
 
     /// A client has had its time. One that began a request is told why it ends.
     pub(super) fn out_of_patience(&mut self, id: usize) {
-        if let Some(link) = self.links.get(&id).filter(|l| l.written_out() && !l.input.is_empty()) {
+        if let Some(link) = self
+            .links
+            .get(&id)
+            .filter(|l| l.written_out() && !l.input.is_empty())
+        {
             let bytes = match link.role {
                 Role::Client { .. } => clients::error("the request did not come whole in time"),
                 _ => webpush::error(408, "the request did not come whole in time"),
@@ -155,7 +182,9 @@
     /// over bytes that were not read resets the connection, and takes answers along that are still on their way.
     pub(super) fn end_client(&mut self, id: usize) {
         let until = self.clock.now() + LINGER;
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         // Who has left, or does not read its answers, is not waited for.
         if link.ended || !link.written_out() || link.stream.shutdown(Shutdown::Write).is_err() {
             self.drop_link(id);
@@ -166,7 +195,9 @@
     }
 
     pub(super) fn on_ending(&mut self, id: usize) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         if link.ended {
             self.drop_link(id);
             return;
@@ -187,7 +218,9 @@
             self.drop_link(id);
             return;
         }
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         match &mut link.role {
             Role::Client { busy } => *busy = false,
             Role::Pusher { busy, close } => {
@@ -208,7 +241,9 @@
     /// Queues bytes and writes what goes at once.
     pub(super) fn say(&mut self, id: usize, bytes: &[u8]) {
         let now = self.clock.now();
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         if link.written_out() {
             link.output.clear();
             link.written = 0;
@@ -225,9 +260,13 @@
 
     pub(super) fn on_client(&mut self, id: usize) {
         for _ in 0..REQUESTS_A_TURN {
-            let Some(link) = self.links.get_mut(&id) else { return };
+            let Some(link) = self.links.get_mut(&id) else {
+                return;
+            };
             let written = link.written_out();
-            let Role::Client { busy } = &mut link.role else { return };
+            let Role::Client { busy } = &mut link.role else {
+                return;
+            };
             if *busy || !written {
                 return;
             }
@@ -271,13 +310,23 @@
                     None
                 }
                 clients::Request::Unknown(why) => Some(why),
-                clients::Request::Put { key, id: name, names, body } => {
+                clients::Request::Put {
+                    key,
+                    id: name,
+                    names,
+                    body,
+                } => {
                     // What the journal can't hold must not be taken on.
                     let now = self.clock.now();
-                    let room = self.journal.as_mut().map_or(Ok(()), |j| j.admit(body.len()));
+                    let room = self
+                        .journal
+                        .as_mut()
+                        .map_or(Ok(()), |j| j.admit(body.len()));
                     match clients::notice(&self.site, id, &key, name, &names, body) {
                         // Taken on, it could only be given up: nobody knows where it should go.
-                        Ok(notice) if !self.core.knows(notice.partner) => Some("destination not known"),
+                        Ok(notice) if !self.core.knows(notice.partner) => {
+                            Some("destination not known")
+                        }
                         Ok(notice) if room.is_ok() => {
                             log::trace!(
                                 "notice {}: handed in on connection {link_id}, {:?} left",
@@ -297,7 +346,8 @@
                                     (self.turned_back, self.journal.as_mut().map(|j| j.stats()));
                                 let room = stats.map_or(0, |s| s.room);
                                 log::warn!(refused, room; "journal: full, {room} bytes free; {refused} notices refused");
-                                (self.turned_back, self.tell_back) = (0, now + Duration::from_secs(1));
+                                (self.turned_back, self.tell_back) =
+                                    (0, now + Duration::from_secs(1));
                             }
                             self.say(id, &clients::answer(core::Answer::Refused { after }));
                             None
@@ -326,8 +376,13 @@
     /// Guards memory against many clients that each leave a large request unfinished.
     fn check_unread(&mut self, id: usize) {
         let much = self.links.get(&id).is_some_and(|l| l.input.len() > MUCH);
-        let unread =
-            || self.links.values().filter(|l| of_client(l)).map(|l| l.input.capacity()).sum::<usize>();
+        let unread = || {
+            self.links
+                .values()
+                .filter(|l| of_client(l))
+                .map(|l| l.input.capacity())
+                .sum::<usize>()
+        };
         if much && unread() > self.unread_most {
             log::info!("client: too much unfinished; one that sends more is closed");
             self.out_of_patience(id);
@@ -337,7 +392,9 @@
     pub(super) fn on_pusher(&mut self, id: usize) {
         while let Some(link) = self.links.get_mut(&id) {
             let written = link.written_out();
-            let Role::Pusher { busy, close } = &mut link.role else { return };
+            let Role::Pusher { busy, close } = &mut link.role else {
+                return;
+            };
             if let Some(notice) = busy {
                 // Whoever waited has left: nobody would hear of the notice's end.
                 if link.ended {
@@ -359,7 +416,9 @@
                     link.asked = true;
                     request
                 }
-                Ok(None) if link.ended || link.input.len() >= ANSWER_MOST => return self.end_client(id),
+                Ok(None) if link.ended || link.input.len() >= ANSWER_MOST => {
+                    return self.end_client(id);
+                }
                 Ok(None) => {
                     // RFC 9110: a client that waits for leave to send its body gets it.
                     let head = String::from_utf8_lossy(&link.input).to_ascii_lowercase();
--- a/crates/daemon/src/reactor/due.rs
+++ b/crates/daemon/src/reactor/due.rs
@@ -15,12 +15,22 @@
         if !self.resume.is_empty() || self.fleet.as_ref().is_some_and(|f| f.more) {
             consider(now);
         }
-        self.fleet.iter().filter_map(|f| f.due).for_each(&mut consider);
+        self.fleet
+            .iter()
+            .filter_map(|f| f.due)
+            .for_each(&mut consider);
         if self.wants_compaction(now) {
             consider(self.upkeep_at);
         }
-        self.wakes.first().copied().into_iter().for_each(&mut consider);
-        self.watch_due().into_iter().chain(self.accept_again).for_each(&mut consider);
+        self.wakes
+            .first()
+            .copied()
+            .into_iter()
+            .for_each(&mut consider);
+        self.watch_due()
+            .into_iter()
+            .chain(self.accept_again)
+            .for_each(&mut consider);
         self.reload.iter().for_each(|&(at, _)| consider(at));
         if self.reports.ready() {
             consider(self.report_at);
@@ -82,12 +92,21 @@
     fn link_due(&self, link: &Link) -> Option<Time> {
         let set = &self.site.settings;
         match &link.role {
-            Role::Partner { call: Some(call), .. } => {
+            Role::Partner {
+                call: Some(call), ..
+            } => {
                 let first = call.until();
                 let connect = (!link.up).then(|| call.started + set.connect_timeout);
-                first.into_iter().chain(connect).chain(calls::stall(link)).chain(calls::write_by(link)).min()
+                first
+                    .into_iter()
+                    .chain(connect)
+                    .chain(calls::stall(link))
+                    .chain(calls::write_by(link))
+                    .min()
             }
-            Role::Partner { check: Some(at), .. } => Some(*at + set.connect_timeout),
+            Role::Partner {
+                check: Some(at), ..
+            } => Some(*at + set.connect_timeout),
             Role::Partner { .. } => Some(link.used + self.idle_limit()),
             Role::Directory { .. } if !link.up => {
                 Some(self.watch.overdue().min(link.used + set.connect_timeout))
@@ -106,12 +125,19 @@
     fn on_due(&mut self, id: usize, now: Time) {
         // The answer may have come while we were busy.
         self.pump(id);
-        let still = self.links.get(&id).is_some_and(|l| self.link_due(l).is_some_and(|t| t <= now));
-        let Some(link) = self.links.get_mut(&id).filter(|_| still) else { return };
+        let still = self
+            .links
+            .get(&id)
+            .is_some_and(|l| self.link_due(l).is_some_and(|t| t <= now));
+        let Some(link) = self.links.get_mut(&id).filter(|_| still) else {
+            return;
+        };
         let sent = link.up && link.written_out();
         match &link.role {
             // A further attempt must not have this one beside it: the call is broken off, with all that it carries.
-            Role::Partner { call: Some(_), .. } if sent => self.break_off(id, calls::Cut::OutOfTime),
+            Role::Partner { call: Some(_), .. } if sent => {
+                self.break_off(id, calls::Cut::OutOfTime)
+            }
             Role::Partner { call: Some(_), .. } | Role::Partner { check: Some(_), .. } => {
                 self.broken(id, "no answer in time");
             }
--- a/crates/daemon/src/reactor/effects.rs
+++ b/crates/daemon/src/reactor/effects.rs
@@ -34,15 +34,30 @@
                     let effects = self.core.step(self.clock.now(), Input::Kept(kept));
                     self.carry_out(effects);
                 }
-                Effect::Answer { to: Origin::Client(link), id, answer } => {
+                Effect::Answer {
+                    to: Origin::Client(link),
+                    id,
+                    answer,
+                } => {
                     log::trace!("notice {id}: client {link} is told {answer:?}");
                     self.answer(link, clients::answer(answer));
                 }
-                Effect::Answer { to: Origin::Waiting(link), id, answer } => {
+                Effect::Answer {
+                    to: Origin::Waiting(link),
+                    id,
+                    answer,
+                } => {
                     self.answer(link, webpush::answer(answer, &id));
                 }
-                Effect::Answer { to: Origin::EarlierLife, .. } => {}
-                Effect::Call { endpoint, address, attempts } => self.call(endpoint, address, attempts),
+                Effect::Answer {
+                    to: Origin::EarlierLife,
+                    ..
+                } => {}
+                Effect::Call {
+                    endpoint,
+                    address,
+                    attempts,
+                } => self.call(endpoint, address, attempts),
                 Effect::Report { .. } if breakage::is(Breakage::DropsReports) => {}
                 Effect::Report { id, closing } => {
                     log::trace!("notice {id}: to be reported as {closing:?}");
--- a/crates/daemon/src/reactor/fleet.rs
+++ b/crates/daemon/src/reactor/fleet.rs
@@ -31,15 +31,26 @@
     pub(super) fn open(fleet: &Fleet, registry: &mio::Registry, now: Time) -> Result<End, String> {
         let named = |e| sockets_error("fleet: listen", fleet.listen, e);
         let mut socket = UdpSocket::bind(fleet.listen).map_err(named)?;
-        registry.register(&mut socket, FLEET, Interest::READABLE).map_err(named)?;
+        registry
+            .register(&mut socket, FLEET, Interest::READABLE)
+            .map_err(named)?;
         let mut status = None;
         if let Some(address) = fleet.status {
             let named = |e| sockets_error("fleet: status", address, e);
             let mut listener = TcpListener::bind(address).map_err(named)?;
-            registry.register(&mut listener, STATUS, Interest::READABLE).map_err(named)?;
+            registry
+                .register(&mut listener, STATUS, Interest::READABLE)
+                .map_err(named)?;
             status = Some(listener);
         }
-        Ok(End { socket, status, due: Some(now), more: false, dropped: 0, tell_dropped: now })
+        Ok(End {
+            socket,
+            status,
+            due: Some(now),
+            more: false,
+            dropped: 0,
+            tell_dropped: now,
+        })
     }
 
     pub(super) fn status(&self) -> Option<&TcpListener> {
@@ -66,7 +77,12 @@
 }
 
 fn member(view: &View, now: Time) -> Value {
-    let View { member, incarnation, state, since } = view;
+    let View {
+        member,
+        incarnation,
+        state,
+        since,
+    } = view;
     json!({"name": member.name, "at": member.at.to_string(), "life": member.generation, "incarnation": incarnation,
         "state": state.label(), "age_ms": (now - *since).as_millis() as u64})
 }
@@ -78,7 +94,12 @@
 /// What changes for a zone; a probe is no news.
 pub(super) fn tell_zone(change: &Change, names: &[String]) {
     match change {
-        Change::Leave { zone, fails, serves, out } => {
+        Change::Leave {
+            zone,
+            fails,
+            serves,
+            out,
+        } => {
             let zone = zone_name(names, *zone);
             log::warn!(event = "zone", zone, state = "left", fails, serves, out_ms = out.as_millis() as u64;
                 "zones: {zone} is left: it fails {fails} members and serves {serves}; for {out:?} at least");
@@ -209,14 +230,19 @@
         };
         let (now, me) = (self.clock.now(), members.me());
         let views: Vec<Value> = members.views().map(|v| member(v, now)).collect();
-        let refused: BTreeMap<&str, u64> =
-            members.dropped().map(|(why, times)| (why.label(), times)).collect();
+        let refused: BTreeMap<&str, u64> = members
+            .dropped()
+            .map(|(why, times)| (why.label(), times))
+            .collect();
         let (held, reports) = self.core.owed();
         let body = json!({"name": me.name, "at": me.at.to_string(), "life": me.generation, "senders": members.share_divisor(),
             "members": views, "refused": refused, "held": held, "reports": reports,
             "zones": self.core.zone_states().map(|states| zones_shown(&states, &self.site.names.zones, now)),
             "recovery": self.core.stage().map(|stage| stage_shown(stage, now))});
-        let headers = [("Content-Type", "application/json".to_owned()), ("Connection", "close".to_owned())];
+        let headers = [
+            ("Content-Type", "application/json".to_owned()),
+            ("Connection", "close".to_owned()),
+        ];
         http::write_response(200, "OK", &headers, &format!("{body}\n"))
     }
 }
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -18,11 +18,21 @@
     /// Where the system or the folder has no such socket, a new version waits until this process has ended.
     pub(super) fn open(dir: &std::path::Path, registry: &mio::Registry) -> Option<End> {
         let opened = Giver::open(dir).and_then(|giver| {
-            registry.register(&mut SourceFd(&giver.listener().as_raw_fd()), HANDOVER, Interest::READABLE)?;
-            Ok(End { giver, called: false, quiet: None })
+            registry.register(
+                &mut SourceFd(&giver.listener().as_raw_fd()),
+                HANDOVER,
+                Interest::READABLE,
+            )?;
+            Ok(End {
+                giver,
+                called: false,
+                quiet: None,
+            })
         });
         opened
-            .inspect_err(|e| log::warn!("hand-over: no socket in the folder: {e}; none will be possible"))
+            .inspect_err(|e| {
+                log::warn!("hand-over: no socket in the folder: {e}; none will be possible")
+            })
             .ok()
     }
 }
@@ -37,7 +47,11 @@
     /// Holds back attempts while somebody asks for all; true once everything has been passed on and this process is over.
     pub(super) fn pass_on(&mut self) -> bool {
         let now = self.clock.now();
-        let Some(end) = self.handover.as_mut().filter(|e| e.called || e.quiet.is_some()) else {
+        let Some(end) = self
+            .handover
+            .as_mut()
+            .filter(|e| e.called || e.quiet.is_some())
+        else {
             return false;
         };
         end.called = false;
@@ -79,25 +93,46 @@
     fn pass_all(&mut self) -> io::Result<()> {
         // What is still out is broken off, as at an end by signal: it may have run, and the journal says so.
         let out = |l: &Link| matches!(l.role, Role::Partner { call: Some(_), .. });
-        let late: Vec<usize> = self.links.iter().filter(|(_, l)| out(l)).map(|(&id, _)| id).collect();
+        let late: Vec<usize> = self
+            .links
+            .iter()
+            .filter(|(_, l)| out(l))
+            .map(|(&id, _)| id)
+            .collect();
         for id in late {
-            let Some(Link { role: Role::Partner { call: Some(out), .. }, up, .. }) = self.drop_link(id)
+            let Some(Link {
+                role: Role::Partner {
+                    call: Some(out), ..
+                },
+                up,
+                ..
+            }) = self.drop_link(id)
             else {
                 continue;
             };
-            let status = if up { Status::TimedOut } else { Status::NoConnection };
+            let status = if up {
+                Status::TimedOut
+            } else {
+                Status::NoConnection
+            };
             self.end_call(out, &Told::all(Verdict::of(status)));
         }
         // All that clients have sent is read, kept and answered first.
-        let clients: Vec<usize> =
-            self.links.iter().filter(|(_, l)| door::of_client(l)).map(|(&id, _)| id).collect();
+        let clients: Vec<usize> = self
+            .links
+            .iter()
+            .filter(|(_, l)| door::of_client(l))
+            .map(|(&id, _)| id)
+            .collect();
         for &id in &clients {
             self.pump(id);
         }
         let effects = self.core.step(self.clock.now(), Input::TurnOver);
         self.carry_out(effects);
         let learnt = self.core.learnt();
-        let Some(End { giver, .. }) = &mut self.handover else { return Ok(()) };
+        let Some(End { giver, .. }) = &mut self.handover else {
+            return Ok(());
+        };
         giver.learnt(learnt)?;
         for (listener, push) in [(&self.clients, false), (&self.pushes, true)] {
             if let Some(listener) = listener {
@@ -106,7 +141,9 @@
         }
         let mut passed = 0;
         for id in clients {
-            let Some(link) = self.links.get(&id) else { continue };
+            let Some(link) = self.links.get(&id) else {
+                continue;
+            };
             // Who is in the middle of an answer, or waits for a push's end, can't be moved.
             if !matches!(link.role, Role::Client { busy: false })
                 || !link.written_out()
@@ -132,9 +169,16 @@
 
     /// A client that an old process has passed on.
     pub(super) fn adopt(&mut self, client: Client) {
-        let Client { stream, input, asked } = client;
-        let ready = stream.set_nonblocking(true).map(|()| TcpStream::from_std(stream));
-        let added = ready.and_then(|stream| self.add_link(stream, Role::Client { busy: false }, true));
+        let Client {
+            stream,
+            input,
+            asked,
+        } = client;
+        let ready = stream
+            .set_nonblocking(true)
+            .map(|()| TcpStream::from_std(stream));
+        let added =
+            ready.and_then(|stream| self.add_link(stream, Role::Client { busy: false }, true));
         match added {
             Ok(id) => {
                 if let Some(link) = self.links.get_mut(&id) {
@@ -154,7 +198,10 @@
         let named = |e: io::Error| format!("hand-over: the listener: {e}");
         listener.set_nonblocking(true).map_err(named)?;
         let mut listener = TcpListener::from_std(listener);
-        self.poll.registry().register(&mut listener, token, Interest::READABLE).map_err(named)?;
+        self.poll
+            .registry()
+            .register(&mut listener, token, Interest::READABLE)
+            .map_err(named)?;
         Ok(listener)
     }
 }
--- a/crates/daemon/src/reactor/journal.rs
+++ b/crates/daemon/src/reactor/journal.rs
@@ -7,13 +7,17 @@
 
 impl Reactor {
     pub(super) fn wants_compaction(&self, now: Time) -> bool {
-        self.journal.as_ref().is_some_and(|j| j.wants_compaction(millis(now)))
+        self.journal
+            .as_ref()
+            .is_some_and(|j| j.wants_compaction(millis(now)))
     }
 
     /// One bounded step of the journal's upkeep.
     pub(super) fn compact(&mut self) {
         let now = self.clock.now();
-        let Some(journal) = &mut self.journal else { return };
+        let Some(journal) = &mut self.journal else {
+            return;
+        };
         self.upkeep_at = now + self.site.settings.tick;
         let step = journal.compact(millis(now));
         if step.stuck && now >= self.tell_stuck {
@@ -33,8 +37,14 @@
     let shown = state.dir.display().to_string();
     let folder = Folder::new(&state.dir, state.disk).map_err(|e| format!("{shown}: {e}"))?;
     let mut fresh_key = Key::default();
-    getrandom::fill(&mut fresh_key).map_err(|e| format!("no random bytes for the journal's key: {e}"))?;
-    let options = Options { disk: state.disk, key: state.key, fresh_key, segment: None };
+    getrandom::fill(&mut fresh_key)
+        .map_err(|e| format!("no random bytes for the journal's key: {e}"))?;
+    let options = Options {
+        disk: state.disk,
+        key: state.key,
+        fresh_key,
+        segment: None,
+    };
     Journal::open(folder, &options, now).map_err(|e| format!("{shown}: {e}"))
 }
 
@@ -61,8 +71,10 @@
         log::error!(notices = recovered.doubted;
             "journal: {} open notices count as possibly run because of damage", recovered.doubted);
     }
-    for file in
-        recovered.foreign.iter().filter(|f| !beside::is_ours(f) && !passing::NAMES.contains(&f.as_str()))
+    for file in recovered
+        .foreign
+        .iter()
+        .filter(|f| !beside::is_ours(f) && !passing::NAMES.contains(&f.as_str()))
     {
         log::warn!(file = file.as_str(); "journal: {file} is not of this folder; left alone, it takes room");
     }
--- a/crates/daemon/src/reactor/operator.rs
+++ b/crates/daemon/src/reactor/operator.rs
@@ -29,8 +29,13 @@
 
 /// Tells the core what an earlier life had detached.
 pub(super) fn detached_before(dir: &std::path::Path, core: &mut Core) {
-    let read = beside::DETACHED.read(dir).map(|bytes| bytes.map(|b| serde_json::from_slice(&b)));
-    match read.map_err(|e| e.to_string()).and_then(|r| r.transpose().map_err(|e| e.to_string())) {
+    let read = beside::DETACHED
+        .read(dir)
+        .map(|bytes| bytes.map(|b| serde_json::from_slice(&b)));
+    match read
+        .map_err(|e| e.to_string())
+        .and_then(|r| r.transpose().map_err(|e| e.to_string()))
+    {
         Ok(None) => {}
         Ok(Some(before)) => {
             let before: core::Detachments = before;
@@ -41,7 +46,9 @@
             core.detached_before(before);
         }
         Err(e) => {
-            log::error!("operator: what was detached can't be read, so all that is listed is used: {e}")
+            log::error!(
+                "operator: what was detached can't be read, so all that is listed is used: {e}"
+            )
         }
     }
 }
@@ -60,21 +67,34 @@
     let path = request.path.split('?').next().unwrap_or_default();
     let id = |text: &str| match percent_decode_str(text).decode_utf8() {
         Ok(id) if !id.is_empty() => Ok(id.into_owned()),
-        _ => Err(status(400, "Bad Request", &[], "the endpoint's id can't be read\n")),
+        _ => Err(status(
+            400,
+            "Bad Request",
+            &[],
+            "the endpoint's id can't be read\n",
+        )),
     };
     let (method, call) = match path {
         "/_ready" => ("GET", Ok(Call::Ready)),
         "/_status" => ("GET", Ok(Call::Status)),
         "/_lameduck/on" => ("PUT", Ok(Call::LameDuck(true))),
         "/_lameduck/off" => ("PUT", Ok(Call::LameDuck(false))),
-        _ => match (path.strip_prefix("/_endpoints/detach/"), path.strip_prefix("/_endpoints/attach/")) {
+        _ => match (
+            path.strip_prefix("/_endpoints/detach/"),
+            path.strip_prefix("/_endpoints/attach/"),
+        ) {
             (Some(name), _) => ("PUT", id(name).map(Call::Detach)),
             (_, Some(name)) => ("PUT", id(name).map(Call::Attach)),
             _ => return Err(status(404, "Not Found", &[], "no such call\n")),
         },
     };
     if request.method != method {
-        return Err(status(405, "Method Not Allowed", &[("Allow", method.to_owned())], ""));
+        return Err(status(
+            405,
+            "Method Not Allowed",
+            &[("Allow", method.to_owned())],
+            "",
+        ));
     }
     call
 }
@@ -84,7 +104,10 @@
     pub(super) fn is_operators(&self, token: Token) -> bool {
         match token {
             OPERATOR | STATUS => true,
-            Token(link) => self.links.get(&link).is_some_and(|l| matches!(l.role, Role::Operator { .. })),
+            Token(link) => self
+                .links
+                .get(&link)
+                .is_some_and(|l| matches!(l.role, Role::Operator { .. })),
         }
     }
 
@@ -97,7 +120,12 @@
             let Some(listener) = listener else { return };
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) =>
+                {
                     continue;
                 }
                 Err(e) => {
@@ -109,11 +137,22 @@
             };
             // Who holds a place and asks nothing makes room for who comes.
             let ours = |l: &Link| matches!(l.role, Role::Operator { .. });
-            let held: Vec<usize> = self.links.iter().filter(|(_, l)| ours(l)).map(|(&id, _)| id).collect();
+            let held: Vec<usize> = self
+                .links
+                .iter()
+                .filter(|(_, l)| ours(l))
+                .map(|(&id, _)| id)
+                .collect();
             if held.len() >= MOST {
                 self.drop_link(held[0]);
             }
-            match self.add_link(stream, Role::Operator { all: token == OPERATOR }, true) {
+            match self.add_link(
+                stream,
+                Role::Operator {
+                    all: token == OPERATOR,
+                },
+                true,
+            ) {
                 Ok(link) => self.pump(link),
                 Err(e) => log::error!("operator: {e}"),
             }
@@ -121,8 +160,12 @@
     }
 
     pub(super) fn on_operator(&mut self, id: usize) {
-        let Some(link) = self.links.get_mut(&id) else { return };
-        let Role::Operator { all } = link.role else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
+        let Role::Operator { all } = link.role else {
+            return;
+        };
         if !link.close_after {
             let call = match http::request(&link.input) {
                 Ok(None) if !link.ended => return,
@@ -136,21 +179,39 @@
                     let answer = self.status();
                     self.say(id, &answer);
                 }
-                Ok(_) if !all => self.say(id, &status(404, "Not Found", &[], "only /_status is here\n")),
-                Ok(Call::Ready) if self.stopping.is_none() && self.lame.is_none() => self.say(id, &yes()),
-                Ok(Call::Ready) => {
-                    self.say(id, &status(503, "Service Unavailable", &[], "not for clients\n"))
+                Ok(_) if !all => self.say(
+                    id,
+                    &status(404, "Not Found", &[], "only /_status is here\n"),
+                ),
+                Ok(Call::Ready) if self.stopping.is_none() && self.lame.is_none() => {
+                    self.say(id, &yes())
                 }
+                Ok(Call::Ready) => self.say(
+                    id,
+                    &status(503, "Service Unavailable", &[], "not for clients\n"),
+                ),
                 Ok(Call::LameDuck(on)) => {
                     self.lame_duck(on);
                     self.say(id, &yes());
                 }
-                Ok(Call::Detach(endpoint)) => self.step(Input::Detach { by: id, endpoint, back: false }),
-                Ok(Call::Attach(endpoint)) => self.step(Input::Detach { by: id, endpoint, back: true }),
+                Ok(Call::Detach(endpoint)) => self.step(Input::Detach {
+                    by: id,
+                    endpoint,
+                    back: false,
+                }),
+                Ok(Call::Attach(endpoint)) => self.step(Input::Detach {
+                    by: id,
+                    endpoint,
+                    back: true,
+                }),
                 Err(answer) => self.say(id, &answer),
             }
         }
-        if self.links.get(&id).is_some_and(|l| l.close_after && l.written_out() || l.ended) {
+        if self
+            .links
+            .get(&id)
+            .is_some_and(|l| l.close_after && l.written_out() || l.ended)
+        {
             self.drop_link(id);
         }
     }
@@ -169,8 +230,15 @@
             }
             (Ok(()), false) => status(404, "Not Found", &[], "nobody holds such an endpoint\n"),
             (Err(e), _) => {
-                log::error!("operator: what is detached can't be written, and would be forgotten: {e}");
-                status(500, "Internal Server Error", &[], "done, but a restart would forget it\n")
+                log::error!(
+                    "operator: what is detached can't be written, and would be forgotten: {e}"
+                );
+                status(
+                    500,
+                    "Internal Server Error",
+                    &[],
+                    "done, but a restart would forget it\n",
+                )
             }
         };
         self.say(by, &answer);
@@ -197,23 +265,34 @@
         if now < from {
             return Some(from);
         }
-        self.links.values().any(door::of_client).then_some(now + LOOK)
+        self.links
+            .values()
+            .any(door::of_client)
+            .then_some(now + LOOK)
     }
 
     /// Ends clients' connections between requests: what has been read is answered first.
     pub(super) fn empty(&mut self) {
         let now = self.clock.now();
-        let Some(since) = self.lame.filter(|since| now >= *since + FRONT) else { return };
+        let Some(since) = self.lame.filter(|since| now >= *since + FRONT) else {
+            return;
+        };
         let fresh = |l: &Link| !l.asked && now - l.since < FRESH && l.since >= since;
-        let ids: Vec<usize> =
-            self.links.iter().filter(|(_, l)| door::free(l) && !fresh(l)).map(|(&id, _)| id).collect();
+        let ids: Vec<usize> = self
+            .links
+            .iter()
+            .filter(|(_, l)| door::free(l) && !fresh(l))
+            .map(|(&id, _)| id)
+            .collect();
         ids.into_iter().for_each(|id| self.end_between(id));
     }
 
     /// Ends a client's connection unless something is open on it.
     pub(super) fn end_between(&mut self, id: usize) {
         self.pump(id);
-        let over = |l: &Link| door::free(l) && l.input.is_empty() && !matches!(l.role, Role::Ending { .. });
+        let over = |l: &Link| {
+            door::free(l) && l.input.is_empty() && !matches!(l.role, Role::Ending { .. })
+        };
         if self.links.get(&id).is_some_and(over) {
             self.end_client(id);
         }
--- a/crates/daemon/src/reactor/platform.rs
+++ b/crates/daemon/src/reactor/platform.rs
@@ -23,7 +23,9 @@
     }
 
     pub(super) fn on_platform(&mut self, id: usize, write_broke: bool) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         let ended = link.ended || write_broke;
         let watching = matches!(link.role, Role::Directory { .. });
         let body_most = match link.role {
@@ -61,7 +63,9 @@
             Ok(None) if !ended => {}
             Ok(None) => self.broken(id, "the connection ended without an answer"),
             Err(http::TOO_LARGE) if watching => {
-                let why = format!("the list has more than the {body_most} bytes that are read of one answer");
+                let why = format!(
+                    "the list has more than the {body_most} bytes that are read of one answer"
+                );
                 self.broken(id, &why);
             }
             Err(http::Malformed(why)) => self.broken(id, why),
@@ -70,7 +74,13 @@
 
     pub(super) fn on_list(&mut self, response: &http::Response) {
         match directory::read(response, &self.site) {
-            Ok(directory::Told { version, whole, mut list, unread, excess }) => {
+            Ok(directory::Told {
+                version,
+                whole,
+                mut list,
+                unread,
+                excess,
+            }) => {
                 if let Some(why) = unread.first() {
                     log::error!(entries = unread.len(); "directory: {} entries left out, {why}", unread.len());
                 }
@@ -102,12 +112,19 @@
     }
 
     pub(super) fn watch(&mut self, link: Option<usize>) {
-        let Some(address) = self.discovery else { return };
+        let Some(address) = self.discovery else {
+            return;
+        };
         let host = address.to_string();
         let bytes = self.watch.ask(self.clock.now(), &host);
         let id = match link {
             Some(id) => id,
-            None => match self.connect(Role::Directory { body_most: self.list_body_most }, &host) {
+            None => match self.connect(
+                Role::Directory {
+                    body_most: self.list_body_most,
+                },
+                &host,
+            ) {
                 Ok(id) => id,
                 Err(e) => return self.watch_failed(&e.to_string(), Failure::Unreached),
             },
@@ -127,14 +144,19 @@
     }
 
     pub(super) fn send_reports(&mut self) {
-        let Some(address) = self.discovery else { return };
+        let Some(address) = self.discovery else {
+            return;
+        };
         let now = self.clock.now();
         if !self.reports.ready() || now < self.report_at {
             return;
         }
         let host = address.to_string();
-        let open =
-            self.links.iter().find(|(_, l)| matches!(l.role, Role::Closing) && !l.ended).map(|(&id, _)| id);
+        let open = self
+            .links
+            .iter()
+            .find(|(_, l)| matches!(l.role, Role::Closing) && !l.ended)
+            .map(|(&id, _)| id);
         let id = match open {
             Some(id) => id,
             None => match self.connect(Role::Closing, &host) {
@@ -161,8 +183,12 @@
     /// Reads the configuration again. A file that is being replaced may be found half written, so it is read
     /// anew for a while before the old one is kept.
     pub(super) fn read_again(&mut self) {
-        let Some((_, until)) = self.reload.take() else { return };
-        let Some(reread) = &mut self.reread else { return };
+        let Some((_, until)) = self.reload.take() else {
+            return;
+        };
+        let Some(reread) = &mut self.reread else {
+            return;
+        };
         let now = self.clock.now();
         match reread() {
             Ok(address) => self.move_platform(address),
@@ -185,7 +211,12 @@
         log::info!("reload: the directory is at {address} now");
         let now = self.clock.now();
         let platform = |l: &Link| matches!(l.role, Role::Directory { .. } | Role::Closing);
-        let old: Vec<usize> = self.links.iter().filter(|(_, l)| platform(l)).map(|(&id, _)| id).collect();
+        let old: Vec<usize> = self
+            .links
+            .iter()
+            .filter(|(_, l)| platform(l))
+            .map(|(&id, _)| id)
+            .collect();
         old.into_iter().for_each(|id| drop(self.drop_link(id)));
         self.reports.lost();
         self.report_at = now;
--- a/crates/daemon/src/reactor/shutdown.rs
+++ b/crates/daemon/src/reactor/shutdown.rs
@@ -12,7 +12,9 @@
 impl Reactor {
     /// The steps from SIGTERM to the end of the process; true at the end.
     pub(super) fn wind_down(&mut self) -> bool {
-        let Some(since) = self.stopping else { return false };
+        let Some(since) = self.stopping else {
+            return false;
+        };
         let passed = self.clock.now() - since;
         if passed < STOP_ACCEPTING {
             return false;
@@ -46,7 +48,12 @@
     /// Who still waits here for a notice's end is told to come back; nothing of it was promised.
     pub(super) fn end_waiting(&mut self) {
         let waiting = |l: &Link| matches!(&l.role, Role::Pusher { busy: Some(_), .. });
-        let ids: Vec<usize> = self.links.iter().filter(|(_, l)| waiting(l)).map(|(&id, _)| id).collect();
+        let ids: Vec<usize> = self
+            .links
+            .iter()
+            .filter(|(_, l)| waiting(l))
+            .map(|(&id, _)| id)
+            .collect();
         for id in ids {
             let after = Some(Duration::from_secs(5));
             self.say(id, &webpush::answer(core::Answer::Refused { after }, ""));
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -63,7 +63,16 @@
     /// settings let a sender be without asking; zero where they don't say.
     pub fn new(version: u64, senders: u32, longest: Duration, seed: u64, now: Time) -> Watch {
         let rng = fastrand::Rng::with_seed(seed);
-        Watch { version, whole: false, due: Some(now), asked: now, senders, longest, failed: 0, rng }
+        Watch {
+            version,
+            whole: false,
+            due: Some(now),
+            asked: now,
+            senders,
+            longest,
+            failed: 0,
+            rng,
+        }
     }
 
     /// When the next question is to be put, unless one is out.
@@ -74,12 +83,21 @@
     /// Puts the next question; the caller sends it.
     pub fn ask(&mut self, now: Time, host: &str) -> Vec<u8> {
         (self.due, self.asked) = (None, now);
-        if self.whole { directory::whole(host) } else { directory::watch(host, self.version, HOLD) }
+        if self.whole {
+            directory::whole(host)
+        } else {
+            directory::watch(host, self.version, HOLD)
+        }
     }
 
     /// When the question that is out has fallen silent: it is given up then, and put anew.
     pub fn overdue(&self) -> Time {
-        self.asked + if self.whole { LATE_WHOLE } else { HOLD + LATE_HELD }
+        self.asked
+            + if self.whole {
+                LATE_WHOLE
+            } else {
+                HOLD + LATE_HELD
+            }
     }
 
     /// A list of this version came: the next question goes at once, since within 200 ms it continues this one. Not so
@@ -105,12 +123,18 @@
             Failure::Unreached => (AGAIN, None),
             Failure::Refused { told } => ((COST * self.senders.min(SENDERS_MOST)).max(AGAIN), told),
         };
-        let most = BETWEEN_TRIES_MOST.saturating_sub(now - self.asked).max(PAUSE_LEFT);
+        let most = BETWEEN_TRIES_MOST
+            .saturating_sub(now - self.asked)
+            .max(PAUSE_LEFT);
         let told = told.unwrap_or_default().min(most / 2);
         let mean = first * (1 << self.failed.min(8)).min(PAUSE_MOST);
         let mean = mean.min((most - told).div_f64(JITTER_MOST));
         self.failed += 1;
-        let longest = if self.longest.is_zero() { Duration::MAX } else { self.longest.max(AGAIN) };
+        let longest = if self.longest.is_zero() {
+            Duration::MAX
+        } else {
+            self.longest.max(AGAIN)
+        };
         let jitter = 0.5 + (JITTER_MOST - 0.5) * self.rng.f64();
         let pause = mean.mul_f64(jitter).min(longest) + told;
         self.due = Some(now + pause);
--- a/crates/daemon/src/webpush.rs
+++ b/crates/daemon/src/webpush.rs
@@ -13,7 +13,8 @@
 use serde::{Deserialize, Serialize};
 use tansycroft::Time;
 use tansycroft::api::{
-    Class, Condition, Decay, DedupScope, DestId, Effect, EndpointId, Entry, Kind, Rules, Settings, Status,
+    Class, Condition, Decay, DedupScope, DestId, Effect, EndpointId, Entry, Kind, Rules, Settings,
+    Status,
 };
 use tansycroft::profile::Names;
 
@@ -30,8 +31,14 @@
 /// A signed token's life; the most that RFC 8292 allows is a day.
 const TOKEN_LIFE: u64 = 12 * 3600;
 /// Headers that describe the message and travel with it.
-const CARRIED: [&str; 6] =
-    ["Content-Encoding", "Content-Type", "Encryption", "Crypto-Key", "Urgency", "Topic"];
+const CARRIED: [&str; 6] = [
+    "Content-Encoding",
+    "Content-Type",
+    "Encryption",
+    "Crypto-Key",
+    "Urgency",
+    "Topic",
+];
 
 /// The file under `deploy/` that says where this front listens and whom it reaches.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
@@ -104,18 +111,29 @@
                 return Err(format!("upstream '{}' has no server", upstream.name));
             }
             if upstream.rate.is_some_and(|r| !r.is_finite() || r <= 0.0) {
-                return Err(format!("upstream '{}': rate must be above zero", upstream.name));
+                return Err(format!(
+                    "upstream '{}': rate must be above zero",
+                    upstream.name
+                ));
             }
             for server in &upstream.server {
                 loopback(&format!("upstream '{}'", upstream.name), &server.address)?;
             }
         }
         for location in &self.location {
-            if !location.path.starts_with('/') || location.to.as_ref().is_some_and(|t| !t.starts_with('/')) {
-                return Err(format!("location '{}': a path must begin with '/'", location.path));
+            if !location.path.starts_with('/')
+                || location.to.as_ref().is_some_and(|t| !t.starts_with('/'))
+            {
+                return Err(format!(
+                    "location '{}': a path must begin with '/'",
+                    location.path
+                ));
             }
             if !self.upstream.iter().any(|u| u.name == location.upstream) {
-                return Err(format!("location '{}': no upstream '{}'", location.path, location.upstream));
+                return Err(format!(
+                    "location '{}': no upstream '{}'",
+                    location.path, location.upstream
+                ));
             }
         }
         if let Some(vapid) = &self.vapid {
@@ -131,9 +149,14 @@
 
 /// Only plain connections on this machine: there is no TLS here, so nothing else would be safe.
 fn loopback(what: &str, text: &str) -> Result<(), String> {
-    let address: SocketAddr =
-        text.parse().map_err(|_| format!("{what}: '{text}' is not an address and port"))?;
-    if address.ip().is_loopback() { Ok(()) } else { Err(format!("{what}: '{text}' is not on this machine")) }
+    let address: SocketAddr = text
+        .parse()
+        .map_err(|_| format!("{what}: '{text}' is not an address and port"))?;
+    if address.ip().is_loopback() {
+        Ok(())
+    } else {
+        Err(format!("{what}: '{text}' is not on this machine"))
+    }
 }
 
 /// Our key, and the tokens signed with it.
@@ -147,13 +170,21 @@
 
 impl Vapid {
     pub fn new(file: &VapidFile) -> Result<Vapid, String> {
-        let bytes = URL_SAFE_NO_PAD.decode(&file.key).map_err(|_| "vapid: key is not base64url")?;
-        let key = SigningKey::from_slice(&bytes).map_err(|_| "vapid: key is not a P-256 private key")?;
+        let bytes = URL_SAFE_NO_PAD
+            .decode(&file.key)
+            .map_err(|_| "vapid: key is not base64url")?;
+        let key =
+            SigningKey::from_slice(&bytes).map_err(|_| "vapid: key is not a P-256 private key")?;
         let public = URL_SAFE_NO_PAD.encode(key.verifying_key().to_sec1_point(false).as_bytes());
         if !file.subject.starts_with("mailto:") && !file.subject.starts_with("https:") {
             return Err("vapid: subject must be a mailto: or https: address".into());
         }
-        Ok(Vapid { key, public, subject: file.subject.clone(), tokens: HashMap::new() })
+        Ok(Vapid {
+            key,
+            public,
+            subject: file.subject.clone(),
+            tokens: HashMap::new(),
+        })
     }
 
     /// The `Authorization` for a push service, signed anew at half its life.
@@ -163,13 +194,18 @@
             Some((token, _)) => token.clone(),
             None => {
                 let expires = unix_now + TOKEN_LIFE;
-                let claims = serde_json::json!({"aud": origin, "exp": expires, "sub": self.subject});
+                let claims =
+                    serde_json::json!({"aud": origin, "exp": expires, "sub": self.subject});
                 let part = |v: &str| URL_SAFE_NO_PAD.encode(v);
-                let signed =
-                    format!("{}.{}", part(r#"{"typ":"JWT","alg":"ES256"}"#), part(&claims.to_string()));
+                let signed = format!(
+                    "{}.{}",
+                    part(r#"{"typ":"JWT","alg":"ES256"}"#),
+                    part(&claims.to_string())
+                );
                 let signature: Signature = self.key.sign(signed.as_bytes());
                 let token = format!("{signed}.{}", URL_SAFE_NO_PAD.encode(signature.to_bytes()));
-                self.tokens.insert(origin.to_owned(), (token.clone(), expires));
+                self.tokens
+                    .insert(origin.to_owned(), (token.clone(), expires));
                 token
             }
         };
@@ -193,14 +229,35 @@
     pub fn new(file: File, site: &mut Site) -> Result<Push, String> {
         let class = site.settings.classes.len();
         let kind = site.settings.kinds.len();
-        let usual = site.settings.classes.first().cloned().unwrap_or_else(default_class);
-        let once = Class { effect: Effect::Unsafe, in_order: false, ..usual };
+        let usual = site
+            .settings
+            .classes
+            .first()
+            .cloned()
+            .unwrap_or_else(default_class);
+        let once = Class {
+            effect: Effect::Unsafe,
+            in_order: false,
+            ..usual
+        };
         // A message with a topic replaces the one before it, so a repeat does no harm.
-        let topic = Class { effect: Effect::Safe, ..once.clone() };
+        let topic = Class {
+            effect: Effect::Safe,
+            ..once.clone()
+        };
         site.settings.classes.extend([once, topic]);
-        site.settings.kinds.push(Kind { per_call: 1, apart: false });
+        site.settings.kinds.push(Kind {
+            per_call: 1,
+            apart: false,
+        });
         let vapid = file.vapid.as_ref().map(Vapid::new).transpose()?;
-        Ok(Push { file, vapid, class, kind, next: 0 })
+        Ok(Push {
+            file,
+            vapid,
+            class,
+            kind,
+            next: 0,
+        })
     }
 
     /// The push services, as a part of the list of endpoints.
@@ -208,7 +265,11 @@
         let mut listings = Vec::new();
         for (place, upstream) in (FIRST..).zip(&self.file.upstream) {
             for server in &upstream.server {
-                let condition = if server.draining { Condition::Draining } else { Condition::Ready };
+                let condition = if server.draining {
+                    Condition::Draining
+                } else {
+                    Condition::Ready
+                };
                 listings.push(Listing {
                     entry: Entry {
                         endpoint: EndpointId(format!("push/{}/{}", upstream.name, server.address)),
@@ -234,7 +295,12 @@
         now: Time,
     ) -> Result<Notice, (u16, &'static str)> {
         let fits = |l: &&Location| request.path.starts_with(&l.path);
-        let location = self.file.location.iter().filter(fits).max_by_key(|l| l.path.len());
+        let location = self
+            .file
+            .location
+            .iter()
+            .filter(fits)
+            .max_by_key(|l| l.path.len());
         let location = location.ok_or((404, "no such push resource"))?;
         if request.method != "POST" {
             return Err((405, "only POST is taken here"));
@@ -244,7 +310,10 @@
             return Err((400, "TTL must be a number of seconds"));
         }
         // More digits than fit only mean a very long time.
-        let ttl: u64 = ttl.parse().unwrap_or(u64::from(u32::MAX)).min(u64::from(u32::MAX));
+        let ttl: u64 = ttl
+            .parse()
+            .unwrap_or(u64::from(u32::MAX))
+            .min(u64::from(u32::MAX));
         if let Some(urgency) = header(&request.headers, "urgency")
             && !["very-low", "low", "normal", "high"].contains(&urgency)
         {
@@ -252,22 +321,38 @@
         }
         let topic = header(&request.headers, "topic");
         if let Some(topic) = topic {
-            let plain = topic.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_');
+            let plain = topic
+                .bytes()
+                .all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_');
             if topic.is_empty() || topic.len() > 32 || !plain {
                 return Err((400, "Topic must be at most 32 characters of base64url"));
             }
         }
         let class = self.class + usize::from(topic.is_some());
         let deadline = site.settings.classes[class].deadline;
-        let left = if ttl == 0 { AT_ONCE } else { Duration::from_secs(ttl) }.min(deadline);
+        let left = if ttl == 0 {
+            AT_ONCE
+        } else {
+            Duration::from_secs(ttl)
+        }
+        .min(deadline);
         let rest = &request.path[location.path.len()..];
-        let carried = |name: &&str| Some(((*name).to_owned(), header(&request.headers, name)?.to_owned()));
+        let carried = |name: &&str| {
+            Some((
+                (*name).to_owned(),
+                header(&request.headers, name)?.to_owned(),
+            ))
+        };
         let envelope = Envelope {
             path: format!("{}{rest}", location.to.as_ref().unwrap_or(&location.path)),
             headers: CARRIED.iter().filter_map(carried).collect(),
             expires: now + Duration::from_secs(ttl),
         };
-        let place = self.file.upstream.iter().position(|u| u.name == location.upstream);
+        let place = self
+            .file
+            .upstream
+            .iter()
+            .position(|u| u.name == location.upstream);
         self.next += 1;
         Ok(Notice {
             id: format!("push-{}", self.next),
@@ -279,7 +364,11 @@
             order_key: None,
             body: Arc::from(request.body),
             left,
-            spent: if ttl == 0 { site.settings.attempts_cap - 1 } else { 0 },
+            spent: if ttl == 0 {
+                site.settings.attempts_cap - 1
+            } else {
+                0
+            },
             envelope: Some(Arc::new(envelope)),
             from: Origin::Waiting(from),
         })
@@ -287,12 +376,22 @@
 
     /// The bytes of a post to a push service.
     pub fn call(&mut self, host: &str, attempt: &Attempt, now: Time) -> Vec<u8> {
-        let Some(envelope) = &attempt.envelope else { return Vec::new() };
+        let Some(envelope) = &attempt.envelope else {
+            return Vec::new();
+        };
         let mut headers = vec![("TTL", (envelope.expires - now).as_secs().to_string())];
-        headers.extend(envelope.headers.iter().map(|(n, v)| (n.as_str(), v.clone())));
+        headers.extend(
+            envelope
+                .headers
+                .iter()
+                .map(|(n, v)| (n.as_str(), v.clone())),
+        );
         if let Some(vapid) = &mut self.vapid {
             let seconds = now.0 / 1_000_000_000;
-            headers.push(("Authorization", vapid.authorization(&format!("http://{host}"), seconds)));
+            headers.push((
+                "Authorization",
+                vapid.authorization(&format!("http://{host}"), seconds),
+            ));
         }
         http::write_request("POST", &envelope.path, host, &headers, &attempt.body)
     }
@@ -301,7 +400,10 @@
 /// What a push service's answer says.
 pub fn read(response: &Response, unix_now: Duration) -> Told {
     let verdict = match response.status {
-        200..300 => Verdict { status: Status::Served, over: true },
+        200..300 => Verdict {
+            status: Status::Served,
+            over: true,
+        },
         429 | 503 => Verdict::of(Status::Refused),
         404 | 410 => Verdict::of(Status::Gone),
         500..600 => Verdict::of(Status::Error),
@@ -310,26 +412,43 @@
     };
     let waits = verdict.status == Status::Refused;
     let wait = http::told_wait(&response.headers, unix_now).filter(|_| waits);
-    Told { verdicts: vec![verdict], wait, report: None }
+    Told {
+        verdicts: vec![verdict],
+        wait,
+        report: None,
+    }
 }
 
 /// The one answer to a post.
 pub fn answer(answer: Answer, id: &str) -> Vec<u8> {
     match answer {
-        Answer::Delivered | Answer::TakenOn => {
-            http::write_response(201, "Created", &[("Location", format!("/message/{id}"))], "")
-        }
+        Answer::Delivered | Answer::TakenOn => http::write_response(
+            201,
+            "Created",
+            &[("Location", format!("/message/{id}"))],
+            "",
+        ),
         Answer::Refused { after } => {
             // Whole seconds, and never sooner than meant.
             let seconds = after.unwrap_or_default().as_millis().div_ceil(1000).max(1);
             let headers = [("Retry-After", seconds.to_string())];
-            http::write_response(503, "Service Unavailable", &headers, "refused; come again later\n")
+            http::write_response(
+                503,
+                "Service Unavailable",
+                &headers,
+                "refused; come again later\n",
+            )
         }
         Answer::Gone => http::write_response(410, "Gone", &[], "the subscription is gone\n"),
-        Answer::GivenUp => http::write_response(504, "Gateway Timeout", &[], "given up: out of time\n"),
-        Answer::Failed => {
-            http::write_response(504, "Gateway Timeout", &[], "given up: the push service did not take it\n")
+        Answer::GivenUp => {
+            http::write_response(504, "Gateway Timeout", &[], "given up: out of time\n")
         }
+        Answer::Failed => http::write_response(
+            504,
+            "Gateway Timeout",
+            &[],
+            "given up: the push service did not take it\n",
+        ),
     }
 }
 
--- a/crates/journal-tools/src/export.rs
+++ b/crates/journal-tools/src/export.rs
@@ -3,7 +3,9 @@
 use std::io::Write;
 use std::sync::Arc;
 
-use arrow_array::{ArrayRef, BinaryArray, BooleanArray, RecordBatch, StringArray, UInt32Array, UInt64Array};
+use arrow_array::{
+    ArrayRef, BinaryArray, BooleanArray, RecordBatch, StringArray, UInt32Array, UInt64Array,
+};
 use parquet::arrow::ArrowWriter;
 use parquet::basic::Compression;
 use parquet::errors::ParquetError;
@@ -30,7 +32,9 @@
     mut progress: impl FnMut(u64),
 ) -> Result<(), ParquetError> {
     let schema = batch(&[])?.schema();
-    let set = WriterProperties::builder().set_compression(Compression::SNAPPY).build();
+    let set = WriterProperties::builder()
+        .set_compression(Compression::SNAPPY)
+        .build();
     let mut writer = ArrowWriter::try_new(to, schema, Some(set))?;
     for (n, chunk) in rows.chunks(GROUP).enumerate() {
         writer.write(&batch(chunk)?)?;
@@ -41,11 +45,15 @@
 }
 
 fn batch(rows: &[Row]) -> Result<RecordBatch, ParquetError> {
-    let narrow =
-        |f: fn(&Row) -> Option<u32>| Arc::new(rows.iter().map(f).collect::<UInt32Array>()) as ArrayRef;
-    let wide = |f: fn(&Row) -> Option<u64>| Arc::new(rows.iter().map(f).collect::<UInt64Array>()) as ArrayRef;
-    let text =
-        |f: fn(&Row) -> Option<&str>| Arc::new(rows.iter().map(f).collect::<StringArray>()) as ArrayRef;
+    let narrow = |f: fn(&Row) -> Option<u32>| {
+        Arc::new(rows.iter().map(f).collect::<UInt32Array>()) as ArrayRef
+    };
+    let wide = |f: fn(&Row) -> Option<u64>| {
+        Arc::new(rows.iter().map(f).collect::<UInt64Array>()) as ArrayRef
+    };
+    let text = |f: fn(&Row) -> Option<&str>| {
+        Arc::new(rows.iter().map(f).collect::<StringArray>()) as ArrayRef
+    };
     let columns = [
         ("segment", narrow(|r| Some(r.segment))),
         ("offset", wide(|r| Some(r.offset))),
@@ -55,7 +63,10 @@
         ("id", text(|r| r.id.as_deref())),
         ("born", wide(|r| r.born)),
         ("attempt", narrow(|r| r.attempt)),
-        ("never_ran", Arc::new(rows.iter().map(|r| r.never_ran).collect::<BooleanArray>())),
+        (
+            "never_ran",
+            Arc::new(rows.iter().map(|r| r.never_ran).collect::<BooleanArray>()),
+        ),
         ("endpoint", text(|r| r.endpoint.as_deref())),
         ("at", wide(|r| r.at)),
         ("class", narrow(|r| r.class)),
@@ -67,7 +78,14 @@
         ("until", wide(|r| r.until)),
         ("before", wide(|r| r.before)),
         ("body_bytes", narrow(|r| r.body_bytes)),
-        ("body", Arc::new(rows.iter().map(|r| r.body.as_deref()).collect::<BinaryArray>())),
+        (
+            "body",
+            Arc::new(
+                rows.iter()
+                    .map(|r| r.body.as_deref())
+                    .collect::<BinaryArray>(),
+            ),
+        ),
         // Newer columns go to the end: readers may go by place.
         ("order_key", text(|r| r.order_key.as_deref())),
     ];
--- a/crates/journal-tools/src/lib.rs
+++ b/crates/journal-tools/src/lib.rs
@@ -46,8 +46,11 @@
                 Why::Missing => "the file is missing",
                 Why::Unlisted => "the manifest can't be read: nobody knows what is missing",
             };
-            let most =
-                if d.taken > 1_000_000 { "any number of".into() } else { format!("up to {}", d.taken) };
+            let most = if d.taken > 1_000_000 {
+                "any number of".into()
+            } else {
+                format!("up to {}", d.taken)
+            };
             lines.push(format!(
                 "{} at {}, {} bytes: {why}; {most} notices taken on there",
                 d.file, d.offset, d.len
@@ -78,7 +81,8 @@
 /// Reads every byte and says what is wrong.
 pub fn verify(snapshot: &Snapshot) -> Result<Verdict, ToolError> {
     let mut files = snapshot.files.after_death();
-    let found = read(&mut files, snapshot.key, &Key::default()).map_err(ToolError::open(&snapshot.path))?;
+    let found =
+        read(&mut files, snapshot.key, &Key::default()).map_err(ToolError::open(&snapshot.path))?;
     let (open, closing, remembered) = found.index.counts();
     Ok(Verdict {
         damage: found.recovered.damage,
@@ -90,7 +94,12 @@
         closing,
         remembered,
         segments: found.scan.segments.len(),
-        frames: found.scan.segments.values().map(|s| u64::from(s.frames)).sum(),
+        frames: found
+            .scan
+            .segments
+            .values()
+            .map(|s| u64::from(s.frames))
+            .sum(),
     })
 }
 
@@ -139,8 +148,14 @@
         for (kind, (frames, bytes)) in &self.kinds {
             lines.push(format!("{kind}: {frames} frames, {bytes} bytes"));
         }
-        lines.push(format!("bodies: {} bytes, {} as stored", self.bodies.0, self.bodies.1));
-        lines.push(format!("{} open, {} closing, {} remembered", self.open, self.closing, self.remembered));
+        lines.push(format!(
+            "bodies: {} bytes, {} as stored",
+            self.bodies.0, self.bodies.1
+        ));
+        lines.push(format!(
+            "{} open, {} closing, {} remembered",
+            self.open, self.closing, self.remembered
+        ));
         lines
     }
 }
@@ -148,7 +163,8 @@
 /// Counts what there is.
 pub fn stats(snapshot: &Snapshot) -> Result<Stats, ToolError> {
     let mut files = snapshot.files.after_death();
-    let found = read(&mut files, snapshot.key, &Key::default()).map_err(ToolError::open(&snapshot.path))?;
+    let found =
+        read(&mut files, snapshot.key, &Key::default()).map_err(ToolError::open(&snapshot.path))?;
     let mut stats = Stats::default();
     (stats.open, stats.closing, stats.remembered) = found.index.counts();
     stats.segments = found
@@ -179,11 +195,19 @@
 }
 
 /// All readable facts in the order of the segments; `progress` hears of bytes read, of how many.
-pub fn rows(snapshot: &Snapshot, mut progress: impl FnMut(u64, u64)) -> Result<Vec<Row>, ToolError> {
+pub fn rows(
+    snapshot: &Snapshot,
+    mut progress: impl FnMut(u64, u64),
+) -> Result<Vec<Row>, ToolError> {
     let mut rows = Vec::new();
     let mut files = snapshot.files.after_death();
-    scan(&mut files, snapshot.key, |at, fact| rows.push(Row::new(at, &fact)), &mut progress)
-        .map_err(ToolError::open(&snapshot.path))?;
+    scan(
+        &mut files,
+        snapshot.key,
+        |at, fact| rows.push(Row::new(at, &fact)),
+        &mut progress,
+    )
+    .map_err(ToolError::open(&snapshot.path))?;
     Ok(rows)
 }
 
@@ -192,7 +216,12 @@
     mut on: impl FnMut(cranehill_journal::At, &cranehill_journal::Fact<'_>),
 ) -> Result<(), ToolError> {
     let mut files = snapshot.files.after_death();
-    scan(&mut files, snapshot.key, |at, fact| on(at, &fact), |_, _| {})
-        .map_err(ToolError::open(&snapshot.path))?;
+    scan(
+        &mut files,
+        snapshot.key,
+        |at, fact| on(at, &fact),
+        |_, _| {},
+    )
+    .map_err(ToolError::open(&snapshot.path))?;
     Ok(())
 }
--- a/crates/journal-tools/src/row.rs
+++ b/crates/journal-tools/src/row.rs
@@ -62,15 +62,36 @@
 impl Row {
     pub fn new(at: At, fact: &Fact<'_>) -> Row {
         let text = |packed: &[u8]| Id::from_packed(packed).map(|id| id.text());
-        let place =
-            Row { segment: at.sequence, offset: at.offset, bytes: at.len, lsn: at.lsn, ..Row::default() };
+        let place = Row {
+            segment: at.sequence,
+            offset: at.offset,
+            bytes: at.len,
+            lsn: at.lsn,
+            ..Row::default()
+        };
         let subject = fact.subject();
-        let row = Row { id: subject.and_then(|s| text(s.0)), born: subject.map(|s| s.1), ..place };
-        let row = Row { order_key: fact.order_key().and_then(|key| text(key)), ..row };
+        let row = Row {
+            id: subject.and_then(|s| text(s.0)),
+            born: subject.map(|s| s.1),
+            ..place
+        };
+        let row = Row {
+            order_key: fact.order_key().and_then(|key| text(key)),
+            ..row
+        };
         match *fact {
             Fact::Taken(taken) | Fact::TakenInOrder { taken, .. } => {
-                let TakenNotice { class, station, partner, key, deadline, lasts, packed_from, body, .. } =
-                    taken;
+                let TakenNotice {
+                    class,
+                    station,
+                    partner,
+                    key,
+                    deadline,
+                    lasts,
+                    packed_from,
+                    body,
+                    ..
+                } = taken;
                 let body = unpack(packed_from, body).map(|b| b.into_owned());
                 Row {
                     kind: "taken",
@@ -85,21 +106,41 @@
                     ..row
                 }
             }
-            Fact::Sent { attempt, endpoint, at, .. } => Row {
+            Fact::Sent {
+                attempt,
+                endpoint,
+                at,
+                ..
+            } => Row {
                 kind: "sent",
                 attempt: Some(attempt),
                 endpoint: Some(endpoint.to_owned()),
                 at: Some(at),
                 ..row
             },
-            Fact::Back { attempt, never_ran, .. } => {
-                Row { kind: "back", attempt: Some(attempt), never_ran: Some(never_ran), ..row }
-            }
-            Fact::Closing { after, .. } | Fact::ClosingInOrder { after, .. } => {
-                Row { kind: "closing", after_ms: after, ..row }
-            }
-            Fact::Over { until, .. } => Row { kind: "over", until: Some(until), ..row },
-            Fact::Doubt { before, attempts, until } => Row {
+            Fact::Back {
+                attempt, never_ran, ..
+            } => Row {
+                kind: "back",
+                attempt: Some(attempt),
+                never_ran: Some(never_ran),
+                ..row
+            },
+            Fact::Closing { after, .. } | Fact::ClosingInOrder { after, .. } => Row {
+                kind: "closing",
+                after_ms: after,
+                ..row
+            },
+            Fact::Over { until, .. } => Row {
+                kind: "over",
+                until: Some(until),
+                ..row
+            },
+            Fact::Doubt {
+                before,
+                attempts,
+                until,
+            } => Row {
                 kind: "doubt",
                 before: Some(before),
                 attempt: Some(attempts),
@@ -111,7 +152,10 @@
 
     /// One line for a person; bodies by their size only.
     pub fn line(&self) -> String {
-        let mut line = format!("{:08x}+{} lsn {} {}", self.segment, self.offset, self.lsn, self.kind);
+        let mut line = format!(
+            "{:08x}+{} lsn {} {}",
+            self.segment, self.offset, self.lsn, self.kind
+        );
         let mut add = |name: &str, value: Option<String>| {
             if let Some(value) = value {
                 line.push_str(&format!(" {name}={value}"));
--- a/crates/journal-tools/src/snapshot.rs
+++ b/crates/journal-tools/src/snapshot.rs
@@ -13,10 +13,15 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ToolError {
     #[error("{path}: {source}")]
-    Io { path: PathBuf, source: std::io::Error },
+    Io {
+        path: PathBuf,
+        source: std::io::Error,
+    },
     #[error("{path}: {source}")]
     Open { path: PathBuf, source: OpenError },
-    #[error("{path}: it changed {TRIES} times while it was read: try again when there is less traffic")]
+    #[error(
+        "{path}: it changed {TRIES} times while it was read: try again when there is less traffic"
+    )]
     Busy { path: PathBuf },
     #[error("{path}: no file of a journal is there")]
     NoJournal { path: PathBuf },
@@ -26,11 +31,17 @@
 
 impl ToolError {
     pub(crate) fn io(path: &Path) -> impl FnOnce(std::io::Error) -> ToolError {
-        move |source| ToolError::Io { path: path.to_owned(), source }
+        move |source| ToolError::Io {
+            path: path.to_owned(),
+            source,
+        }
     }
 
     pub(crate) fn open(path: &Path) -> impl FnOnce(OpenError) -> ToolError {
-        move |source| ToolError::Open { path: path.to_owned(), source }
+        move |source| ToolError::Open {
+            path: path.to_owned(),
+            source,
+        }
     }
 }
 
@@ -50,22 +61,38 @@
             let mut folder = Folder::existing(path, u64::MAX).map_err(ToolError::io(path))?;
             let before = folder.read(MANIFEST, 0, usize::MAX).ok();
             let listed = folder.list().map_err(ToolError::io(path))?;
-            if !listed.keys().any(|n| n == MANIFEST || n == "ledger" || n.ends_with(".seg")) {
-                return Err(ToolError::NoJournal { path: path.to_owned() });
+            if !listed
+                .keys()
+                .any(|n| n == MANIFEST || n == "ledger" || n.ends_with(".seg"))
+            {
+                return Err(ToolError::NoJournal {
+                    path: path.to_owned(),
+                });
             }
-            let Some(files) = read_all(&mut folder, &listed) else { continue };
+            let Some(files) = read_all(&mut folder, &listed) else {
+                continue;
+            };
             if folder.read(MANIFEST, 0, usize::MAX).ok() == before {
                 let mut memory = Memory::new(u64::MAX);
                 memory.files = files;
-                return Ok(Snapshot { path: path.to_owned(), files: memory, key });
+                return Ok(Snapshot {
+                    path: path.to_owned(),
+                    files: memory,
+                    key,
+                });
             }
         }
-        Err(ToolError::Busy { path: path.to_owned() })
+        Err(ToolError::Busy {
+            path: path.to_owned(),
+        })
     }
 }
 
 /// `None` if one of them went in between.
-fn read_all(folder: &mut Folder, listed: &BTreeMap<String, u64>) -> Option<BTreeMap<String, Vec<u8>>> {
+fn read_all(
+    folder: &mut Folder,
+    listed: &BTreeMap<String, u64>,
+) -> Option<BTreeMap<String, Vec<u8>>> {
     let read = |name: &String| Some((name.clone(), folder.read(name, 0, usize::MAX).ok()?));
     listed.keys().map(read).collect()
 }
--- a/crates/journal/src/compact.rs
+++ b/crates/journal/src/compact.rs
@@ -62,20 +62,32 @@
         self.index.expire(now, EXPIRED_MOST);
         self.remove_doomed(&mut step);
         if self.moving.is_none() {
-            self.moving =
-                self.victim().map(|sequence| Moving { sequence, offset: HEADER as u64, slots: Vec::new() });
+            self.moving = self.victim().map(|sequence| Moving {
+                sequence,
+                offset: HEADER as u64,
+                slots: Vec::new(),
+            });
         }
-        let Some(moving) = self.moving.take() else { return step };
+        let Some(moving) = self.moving.take() else {
+            return step;
+        };
         // Above two thirds the need is greater than the wish for short turns.
-        let slice = if self.storage.room() < self.disk / 3 { SLICE * 2 } else { SLICE };
+        let slice = if self.storage.room() < self.disk / 3 {
+            SLICE * 2
+        } else {
+            SLICE
+        };
         self.moving = self.carry(now, moving, slice, &mut step);
         step
     }
 
     /// The segment that is worth carrying over most.
     fn victim(&self) -> Option<u32> {
-        let candidates =
-            || self.sealed.iter().filter(|(s, _)| !self.doomed.iter().any(|d| d.sequence == **s));
+        let candidates = || {
+            self.sealed
+                .iter()
+                .filter(|(s, _)| !self.doomed.iter().any(|d| d.sequence == **s))
+        };
         let lively = |sequence: u32, len: u64| (self.index.live(sequence) * 1000) / len.max(1);
         if let Some((&sequence, _)) = candidates().find(|(s, _)| self.index.live(**s) == 0) {
             return Some(sequence);
@@ -110,7 +122,13 @@
         }
     }
 
-    fn carry(&mut self, now: u64, mut moving: Moving, slice: usize, step: &mut Step) -> Option<Moving> {
+    fn carry(
+        &mut self,
+        now: u64,
+        mut moving: Moving,
+        slice: usize,
+        step: &mut Step,
+    ) -> Option<Moving> {
         let (name, salt, len) = {
             let info = self.sealed.get(&moving.sequence)?;
             (info.name.clone(), info.salt, info.len)
@@ -126,7 +144,10 @@
         };
         // A frame larger than a slice, or damage: all that is left is looked at.
         if bytes.len() < left && !matches!(frame::read(salt, &bytes, 0), Found::Frame(_)) {
-            bytes = self.storage.read(&name, moving.offset, left).unwrap_or(bytes);
+            bytes = self
+                .storage
+                .read(&name, moving.offset, left)
+                .unwrap_or(bytes);
         }
         step.read += bytes.len() as u64;
         if left > 0 && bytes.is_empty() {
@@ -145,7 +166,9 @@
                             matches!(fact, Fact::Doubt { before, .. } if d.before == before
                                 && d.place.is_some_and(|p| p.sequence == moving.sequence))
                         });
-                        let slot = fact.subject().and_then(|(id, _)| self.index.slot(&Id::from_packed(id)?));
+                        let slot = fact
+                            .subject()
+                            .and_then(|(id, _)| self.index.slot(&Id::from_packed(id)?));
                         if let (Some(slot), Some((_, born))) = (slot, fact.subject()) {
                             if !matches!(fact, Fact::Over { .. }) {
                                 slots.push(slot);
@@ -162,7 +185,9 @@
                     at = end;
                 }
                 Found::Cut if bytes.len() < left => break,
-                Found::Cut | Found::Bad => at = frame::next_good(salt, &bytes, at).unwrap_or(bytes.len()),
+                Found::Cut | Found::Bad => {
+                    at = frame::next_good(salt, &bytes, at).unwrap_or(bytes.len())
+                }
             }
         }
         if !live.is_empty() {
@@ -181,7 +206,11 @@
         }
         moving.slots.append(&mut slots);
         moving.offset += at as u64;
-        if moving.offset >= len { self.finish(now, moving, step) } else { Some(moving) }
+        if moving.offset >= len {
+            self.finish(now, moving, step)
+        } else {
+            Some(moving)
+        }
     }
 
     fn write_again(
@@ -197,10 +226,15 @@
         let first = self.next_lsn;
         let mut lsn = first;
         for (range, slot) in live {
-            let Some((_, mut fact)) = bytes.get(range.clone()).and_then(fact::read) else { continue };
+            let Some((_, mut fact)) = bytes.get(range.clone()).and_then(fact::read) else {
+                continue;
+            };
             if let Fact::Doubt { until, .. } = &mut fact {
                 // A later life may have taken up again what it concerns, and knows better.
-                *until = self.doubts.get(*slot as usize).map_or(*until, |d| d.until.max(*until));
+                *until = self
+                    .doubts
+                    .get(*slot as usize)
+                    .map_or(*until, |d| d.until.max(*until));
                 if until.saturating_add(DOUBT_GRACE) < now {
                     // All that it concerned has ended.
                     moved.push((fact, *slot, 0));
@@ -213,14 +247,20 @@
             taken += u32::from(fact.taken().is_some());
             moved.push((fact, *slot, (out.len() - at) as u32));
         }
-        let sequence = if out.is_empty() { 0 } else { self.put(&out, (lsn - first) as u32, taken)? };
+        let sequence = if out.is_empty() {
+            0
+        } else {
+            self.put(&out, (lsn - first) as u32, taken)?
+        };
         self.next_lsn = lsn;
         let mut past = Vec::new();
         for (fact, slot, len) in moved {
             let place = Place { sequence, len };
             match fact {
                 Fact::Doubt { before, .. } => {
-                    let Some(doubt) = self.doubts.get_mut(slot as usize) else { continue };
+                    let Some(doubt) = self.doubts.get_mut(slot as usize) else {
+                        continue;
+                    };
                     if let Some(old) = doubt.place {
                         self.index.drop_live(old);
                     }
@@ -241,12 +281,19 @@
 
     /// All that was live has been carried over: the switch, and then the file goes.
     fn finish(&mut self, _now: u64, moving: Moving, step: &mut Step) -> Option<Moving> {
-        if self.write_manifest(None, None, Some(moving.sequence)).is_err() {
+        if self
+            .write_manifest(None, None, Some(moving.sequence))
+            .is_err()
+        {
             step.stuck = true;
             return Some(moving);
         }
         if let Some(info) = self.sealed.remove(&moving.sequence) {
-            self.doomed.push(Doomed { sequence: moving.sequence, name: info.name, slots: moving.slots });
+            self.doomed.push(Doomed {
+                sequence: moving.sequence,
+                name: info.name,
+                slots: moving.slots,
+            });
         }
         self.remove_doomed(step);
         None
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -9,7 +9,11 @@
         "journal: {file} is of format {version}, this program knows up to {known}: start the newer release again, \
          or empty the folder once its notices are with others"
     )]
-    Newer { file: String, version: u16, known: u16 },
+    Newer {
+        file: String,
+        version: u16,
+        known: u16,
+    },
     #[error(
         "journal: no file in the folder is signed under the key given: give the key with which it was written, \
          or an empty folder"
@@ -30,6 +34,9 @@
 
 impl OpenError {
     pub(crate) fn io(file: &str) -> impl FnOnce(io::Error) -> OpenError {
-        move |source| OpenError::Io { file: file.to_owned(), source }
+        move |source| OpenError::Io {
+            file: file.to_owned(),
+            source,
+        }
     }
 }
--- a/crates/journal/src/id.rs
+++ b/crates/journal/src/id.rs
@@ -44,8 +44,13 @@
                 return Id(Packed::Short(short));
             }
         }
-        if !bytes.is_empty() && bytes.len().is_multiple_of(2) && bytes.iter().all(|&b| digit(b) < 16) {
-            let pairs = bytes.chunks_exact(2).map(|p| digit(p[0]) << 4 | digit(p[1]));
+        if !bytes.is_empty()
+            && bytes.len().is_multiple_of(2)
+            && bytes.iter().all(|&b| digit(b) < 16)
+        {
+            let pairs = bytes
+                .chunks_exact(2)
+                .map(|p| digit(p[0]) << 4 | digit(p[1]));
             return Id::of(&std::iter::once(HEX).chain(pairs).collect::<Vec<u8>>());
         }
         Id::of(&[&[TEXT], bytes].concat())
@@ -134,11 +139,22 @@
     /// Two texts with one packed form would be one notice.
     #[test]
     fn every_text_comes_back_and_only_hexadecimal_is_shortened() {
-        for (text, size) in
-            [("", 1), ("00", 2), ("9b1f03aa5c7e2d41", 9), ("9B1F", 5), ("9b1", 4), ("ñandú", 8), ("m1", 3)]
-                .into_iter()
-                .chain([(LONG_HEX, 17), (&LONG_HEX[..28], 15), (&LONG_HEX[..30], 16), (&LONG_HEX[..31], 32)])
-        {
+        for (text, size) in [
+            ("", 1),
+            ("00", 2),
+            ("9b1f03aa5c7e2d41", 9),
+            ("9B1F", 5),
+            ("9b1", 4),
+            ("ñandú", 8),
+            ("m1", 3),
+        ]
+        .into_iter()
+        .chain([
+            (LONG_HEX, 17),
+            (&LONG_HEX[..28], 15),
+            (&LONG_HEX[..30], 16),
+            (&LONG_HEX[..31], 32),
+        ]) {
             let id = Id::new(text);
             assert_eq!((id.text().as_str(), id.packed().len()), (text, size));
             assert_eq!(Id::from_packed(id.packed()), Some(id));
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -102,13 +102,23 @@
 
 impl Head {
     fn listed(&self) -> Listed {
-        Listed { sequence: self.sequence, base: self.base, before: self.before, seal: None }
+        Listed {
+            sequence: self.sequence,
+            base: self.base,
+            before: self.before,
+            seal: None,
+        }
     }
 
     fn seal(&self) -> Seal {
         let mut hasher = self.hasher.clone();
         hasher.update(&self.unhashed);
-        Seal { len: self.len as u32, frames: self.frames, taken: self.taken, chain: cut(&hasher) }
+        Seal {
+            len: self.len as u32,
+            frames: self.frames,
+            taken: self.taken,
+            chain: cut(&hasher),
+        }
     }
 }
 
@@ -199,11 +209,17 @@
         if ends && self.write(now, records, Record::is_end).is_ok() {
             all.truncate(owed);
             self.pending = all;
-            return Err(Unkept { kept: Kept::Ends, source });
+            return Err(Unkept {
+                kept: Kept::Ends,
+                source,
+            });
         }
         all.truncate(owed);
         self.pending = all;
-        Err(Unkept { kept: if ends { Kept::Nothing } else { Kept::Ends }, source })
+        Err(Unkept {
+            kept: if ends { Kept::Nothing } else { Kept::Ends },
+            source,
+        })
     }
 
     /// Whether there is room for a further notice of so many bytes, or when to come back. What is let in counts
@@ -215,13 +231,26 @@
             self.promised += more;
             return Ok(());
         }
-        let dead: u64 = self.sealed.iter().map(|(&s, i)| i.len.saturating_sub(self.index.live(s))).sum();
-        Err(if dead > self.segment_size { BACK_SOON } else { BACK_LATER })
+        let dead: u64 = self
+            .sealed
+            .iter()
+            .map(|(&s, i)| i.len.saturating_sub(self.index.live(s)))
+            .sum();
+        Err(if dead > self.segment_size {
+            BACK_SOON
+        } else {
+            BACK_LATER
+        })
     }
 
     pub fn stats(&mut self) -> Stats {
         let head = self.head.iter().map(|h| (h.sequence, h.len));
-        let all: Vec<(u32, u64)> = self.sealed.iter().map(|(&s, i)| (s, i.len)).chain(head).collect();
+        let all: Vec<(u32, u64)> = self
+            .sealed
+            .iter()
+            .map(|(&s, i)| (s, i.len))
+            .chain(head)
+            .collect();
         let (open, closing, remembered) = self.index.counts();
         Stats {
             segments: all.len(),
@@ -257,7 +286,12 @@
     }
 
     /// Appends those records that `which` wants, all or none.
-    fn write(&mut self, now: u64, records: &[Record], which: impl Fn(&Record) -> bool) -> io::Result<()> {
+    fn write(
+        &mut self,
+        now: u64,
+        records: &[Record],
+        which: impl Fn(&Record) -> bool,
+    ) -> io::Result<()> {
         let mut buffer = std::mem::take(&mut self.buffer);
         buffer.clear();
         let result = self.write_into(now, records, which, &mut buffer);
@@ -274,12 +308,20 @@
     ) -> io::Result<()> {
         // An upper bound will do to decide whether a new segment is due; frames are salted by their segment.
         let fresh = |r: &Record| matches!(r, Record::Taken { .. }) && which(r);
-        let expected: u64 = records.iter().filter(|r| which(r)).map(|r| 96 + size_of_record(r)).sum();
+        let expected: u64 = records
+            .iter()
+            .filter(|r| which(r))
+            .map(|r| 96 + size_of_record(r))
+            .sum();
         if expected == 0 && self.doubts.iter().all(|d| d.place.is_some()) {
             return Ok(());
         }
         // What has ended is tried whatever the room: it may fit in what is left of the head's last block.
-        let wanted = if records.iter().any(fresh) { expected + self.carry_reserve() } else { 0 };
+        let wanted = if records.iter().any(fresh) {
+            expected + self.carry_reserve()
+        } else {
+            0
+        };
         if self.storage.room() < wanted {
             return Err(io::Error::new(
                 io::ErrorKind::StorageFull,
@@ -294,8 +336,23 @@
         let mut doubts_written = Vec::new();
         for (n, doubt) in doubts.iter().enumerate().filter(|(_, d)| d.place.is_none()) {
             let at = buffer.len();
-            let Doubt { before, attempts, until, .. } = *doubt;
-            frame::write(salt, buffer, |b| fact::write(lsn, &Fact::Doubt { before, attempts, until }, b));
+            let Doubt {
+                before,
+                attempts,
+                until,
+                ..
+            } = *doubt;
+            frame::write(salt, buffer, |b| {
+                fact::write(
+                    lsn,
+                    &Fact::Doubt {
+                        before,
+                        attempts,
+                        until,
+                    },
+                    b,
+                )
+            });
             lsn += 1;
             doubts_written.push((n, (buffer.len() - at) as u32));
         }
@@ -303,11 +360,17 @@
         let mut taken = 0;
         for record in records.iter().filter(|r| which(r)) {
             let id = Id::new(record.id());
-            let Some((born, slot, first)) = self.born(&id, record, lsn, &written) else { continue };
+            let Some((born, slot, first)) = self.born(&id, record, lsn, &written) else {
+                continue;
+            };
             let at = buffer.len();
             frame::write(salt, buffer, |b| write_record(lsn, born, &id, record, b));
             taken += u32::from(matches!(record, Record::Taken { .. }));
-            let until = if let Record::Over { until, .. } = record { until / NANOS } else { 0 };
+            let until = if let Record::Over { until, .. } = record {
+                until / NANOS
+            } else {
+                0
+            };
             let first = first.unwrap_or(written.len());
             written.push(Written {
                 id,
@@ -336,12 +399,17 @@
         for n in 0..written.len() {
             let slot = written[n].slot.or(written[written[n].first].slot);
             let w = &written[n];
-            let place = Place { sequence, len: w.len };
+            let place = Place {
+                sequence,
+                len: w.len,
+            };
             match slot {
                 Some(slot) => {
                     self.index.join_at(slot, w.born, w.tag, w.until, place);
                 }
-                None => written[n].slot = Some(self.index.join(&w.id, w.born, w.tag, w.until, place).0),
+                None => {
+                    written[n].slot = Some(self.index.join(&w.id, w.born, w.tag, w.until, place).0)
+                }
             }
         }
         if !self.missing.is_empty() && self.doubts.iter().all(|d| d.place.is_some()) {
@@ -365,9 +433,11 @@
         let known = slot.and_then(|slot| self.index.entry(slot));
         let (born, over, closing) = match (here, known) {
             (Some(w), _) => (w.born, w.tag == Tag::Over, w.tag == Tag::Closing),
-            (None, Some(e)) => {
-                (e.born, matches!(e.state, State::Over { .. }), matches!(e.state, State::Closing(_)))
-            }
+            (None, Some(e)) => (
+                e.born,
+                matches!(e.state, State::Over { .. }),
+                matches!(e.state, State::Closing(_)),
+            ),
             (None, None) => (0, true, true),
         };
         let born = match record {
@@ -384,7 +454,9 @@
 
     /// Appends whole frames to the head; tells which segment that is. After an error none of them is there.
     pub(crate) fn put(&mut self, bytes: &[u8], frames: u32, taken: u32) -> io::Result<u32> {
-        let Some(head) = &mut self.head else { return Err(io::ErrorKind::NotFound.into()) };
+        let Some(head) = &mut self.head else {
+            return Err(io::ErrorKind::NotFound.into());
+        };
         if let Err(e) = self.storage.append(&head.name, bytes) {
             head.torn = self.storage.truncate(&head.name, head.len).is_err();
             return Err(e);
@@ -409,7 +481,10 @@
         if !self.head.as_ref().is_some_and(fits) {
             self.roll(now)?;
         }
-        self.head.as_ref().map(|h| h.salt).ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.head
+            .as_ref()
+            .map(|h| h.salt)
+            .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     /// Seals the head and begins another. After an error the old one goes on.
@@ -430,18 +505,38 @@
         let last = self.sealed.values().next_back();
         let before = match &self.head {
             Some(head) => head.seal().chain,
-            None => last.and_then(|s| s.listed.seal).map_or(Mac::default(), |s| s.chain),
+            None => last
+                .and_then(|s| s.listed.seal)
+                .map_or(Mac::default(), |s| s.chain),
         };
         let base = self.next_lsn - 1;
-        let header = Header { sequence, epoch: self.epoch + 1, base, created: now, before };
+        let header = Header {
+            sequence,
+            epoch: self.epoch + 1,
+            base,
+            created: now,
+            before,
+        };
         let (name, salt) = (segment::name(sequence), Salt::new(&self.key, sequence));
         let mut bytes = header.write(&self.key);
         let mut lsn = self.next_lsn;
         let frames = first(salt, &mut lsn);
         bytes.extend_from_slice(&frames);
         let result = self.storage.append(&name, &bytes).and_then(|()| {
-            let old = self.head.as_ref().map(|h| Listed { seal: Some(h.seal()), ..h.listed() });
-            self.write_manifest(old, Some(Listed { sequence, base, before, seal: None }), None)
+            let old = self.head.as_ref().map(|h| Listed {
+                seal: Some(h.seal()),
+                ..h.listed()
+            });
+            self.write_manifest(
+                old,
+                Some(Listed {
+                    sequence,
+                    base,
+                    before,
+                    seal: None,
+                }),
+                None,
+            )
         });
         if let Err(e) = result {
             // If it can't be removed either, it is an unlisted file without frames: the next start removes it.
@@ -466,8 +561,17 @@
         };
         self.next_lsn = lsn;
         if let Some(old) = self.head.replace(head) {
-            let listed = Listed { seal: Some(old.seal()), ..old.listed() };
-            let sealed = Sealed { name: old.name, salt: old.salt, listed, len: old.len, damaged: false };
+            let listed = Listed {
+                seal: Some(old.seal()),
+                ..old.listed()
+            };
+            let sealed = Sealed {
+                name: old.name,
+                salt: old.salt,
+                listed,
+                len: old.len,
+                damaged: false,
+            };
             self.sealed.insert(listed.sequence, sealed);
         }
         Ok(())
@@ -482,10 +586,19 @@
     ) -> io::Result<()> {
         let head = match (old, new) {
             (None, None) => self.head.as_ref().map(Head::listed),
-            (old, new) => old.into_iter().chain(new).next_back().filter(|_| new.is_some()),
+            (old, new) => old
+                .into_iter()
+                .chain(new)
+                .next_back()
+                .filter(|_| new.is_some()),
         };
         let mut segments: Vec<Listed> = self.missing.clone();
-        segments.extend(self.sealed.values().map(|s| s.listed).filter(|l| Some(l.sequence) != gone));
+        segments.extend(
+            self.sealed
+                .values()
+                .map(|s| s.listed)
+                .filter(|l| Some(l.sequence) != gone),
+        );
         segments.extend(old);
         segments.extend(head);
         segments.sort_by_key(|l| l.sequence);
@@ -515,8 +628,15 @@
 
 fn size_of_record(record: &Record) -> u64 {
     let more = match record {
-        Record::Taken { key, order_key, body, .. } => {
-            key.as_ref().map_or(0, String::len) + order_key.as_ref().map_or(0, String::len) + body.len()
+        Record::Taken {
+            key,
+            order_key,
+            body,
+            ..
+        } => {
+            key.as_ref().map_or(0, String::len)
+                + order_key.as_ref().map_or(0, String::len)
+                + body.len()
         }
         Record::Closing { order_key, .. } => order_key.as_ref().map_or(0, String::len),
         Record::Sent { endpoint, .. } => endpoint.len(),
@@ -528,8 +648,21 @@
 fn write_record(lsn: u64, born: u64, id: &Id, record: &Record, into: &mut Vec<u8>) {
     let id = Bytes::new(id.packed());
     let fact = match record {
-        Record::Taken { class, station, partner, key, order_key, deadline, at, body, .. } => {
-            let (key, order_key) = (key.as_deref().map(Id::new), order_key.as_deref().map(Id::new));
+        Record::Taken {
+            class,
+            station,
+            partner,
+            key,
+            order_key,
+            deadline,
+            at,
+            body,
+            ..
+        } => {
+            let (key, order_key) = (
+                key.as_deref().map(Id::new),
+                order_key.as_deref().map(Id::new),
+            );
             let (packed_from, body) = pack(body);
             let taken = TakenNotice {
                 id,
@@ -544,18 +677,37 @@
                 body: Bytes::new(&body),
             };
             let fact = match &order_key {
-                Some(key) => Fact::TakenInOrder { taken, order_key: Bytes::new(key.packed()) },
+                Some(key) => Fact::TakenInOrder {
+                    taken,
+                    order_key: Bytes::new(key.packed()),
+                },
                 None => Fact::Taken(taken),
             };
             return fact::write(lsn, &fact, into);
         }
-        Record::Sent { attempt, endpoint, at, .. } => {
-            Fact::Sent { id, born, attempt: *attempt, endpoint, at: at / NANOS }
-        }
-        Record::Back { attempt, never_ran, .. } => {
-            Fact::Back { id, born, attempt: *attempt, never_ran: *never_ran }
-        }
-        Record::Closing { closing, order_key, .. } => {
+        Record::Sent {
+            attempt,
+            endpoint,
+            at,
+            ..
+        } => Fact::Sent {
+            id,
+            born,
+            attempt: *attempt,
+            endpoint,
+            at: at / NANOS,
+        },
+        Record::Back {
+            attempt, never_ran, ..
+        } => Fact::Back {
+            id,
+            born,
+            attempt: *attempt,
+            never_ran: *never_ran,
+        },
+        Record::Closing {
+            closing, order_key, ..
+        } => {
             let after = match closing {
                 Closing::Returned { after_ms } => Some(*after_ms),
                 Closing::Failed => None,
@@ -564,9 +716,22 @@
                 return fact::write(lsn, &Fact::Closing { id, born, after }, into);
             };
             let order_key = Bytes::new(key.packed());
-            return fact::write(lsn, &Fact::ClosingInOrder { id, born, after, order_key }, into);
+            return fact::write(
+                lsn,
+                &Fact::ClosingInOrder {
+                    id,
+                    born,
+                    after,
+                    order_key,
+                },
+                into,
+            );
         }
-        Record::Over { until, .. } => Fact::Over { id, born, until: until / NANOS },
+        Record::Over { until, .. } => Fact::Over {
+            id,
+            born,
+            until: until / NANOS,
+        },
     };
     fact::write(lsn, &fact, into);
 }
--- a/crates/journal/src/key.rs
+++ b/crates/journal/src/key.rs
@@ -55,7 +55,10 @@
 impl Salt {
     pub fn new(key: &Key, sequence: u32) -> Salt {
         let mac = mac(key, &[b"frame", &sequence.to_le_bytes()]);
-        Salt { sum: u32::from_le_bytes([mac[0], mac[1], mac[2], mac[3]]), check: mac[4] }
+        Salt {
+            sum: u32::from_le_bytes([mac[0], mac[1], mac[2], mac[3]]),
+            check: mac[4],
+        }
     }
 }
 
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -28,11 +28,32 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Line {
-    Taken { id: String, class: usize, station: usize, partner: u64, key: Option<String>, deadline: u64 },
-    Sent { id: String, attempt: u32, endpoint: String, at: u64 },
-    Back { id: String, attempt: u32, never_ran: bool },
-    Closing { id: String, closing: End },
-    Over { id: String },
+    Taken {
+        id: String,
+        class: usize,
+        station: usize,
+        partner: u64,
+        key: Option<String>,
+        deadline: u64,
+    },
+    Sent {
+        id: String,
+        attempt: u32,
+        endpoint: String,
+        at: u64,
+    },
+    Back {
+        id: String,
+        attempt: u32,
+        never_ran: bool,
+    },
+    Closing {
+        id: String,
+        closing: End,
+    },
+    Over {
+        id: String,
+    },
 }
 
 #[derive(Deserialize)]
@@ -43,16 +64,26 @@
 }
 
 /// Reads the old file, if there is one. Its unfinished successor was never the ledger.
-pub fn read<S: Storage>(storage: &mut S, files: &BTreeMap<String, u64>) -> Result<Option<Old>, OpenError> {
-    let Some(&size) = files.get(NAMES[0]) else { return Ok(None) };
-    let bytes = storage.read(NAMES[0], 0, size as usize).map_err(OpenError::io(NAMES[0]))?;
+pub fn read<S: Storage>(
+    storage: &mut S,
+    files: &BTreeMap<String, u64>,
+) -> Result<Option<Old>, OpenError> {
+    let Some(&size) = files.get(NAMES[0]) else {
+        return Ok(None);
+    };
+    let bytes = storage
+        .read(NAMES[0], 0, size as usize)
+        .map_err(OpenError::io(NAMES[0]))?;
     Ok(Some(decode(&bytes)))
 }
 
 /// All readable records. A notice open before a damaged stretch may have been tried in it: it counts as possibly run
 /// with all attempts used, since the old frames have no numbers to tell which it can concern.
 pub fn decode(bytes: &[u8]) -> Old {
-    let mut old = Old { records: Vec::new(), damage: Vec::new() };
+    let mut old = Old {
+        records: Vec::new(),
+        damage: Vec::new(),
+    };
     let mut at = 0;
     while at < bytes.len() {
         if let Some((record, next)) = decode_one(bytes, at) {
@@ -84,9 +115,20 @@
 fn doubt(records: &mut Vec<Record>) {
     let taken: Vec<(String, u64)> = records
         .iter()
-        .filter_map(|r| if let Record::Taken { id, at, .. } = r { Some((id.clone(), *at)) } else { None })
+        .filter_map(|r| {
+            if let Record::Taken { id, at, .. } = r {
+                Some((id.clone(), *at))
+            } else {
+                None
+            }
+        })
         .collect();
-    let sent = |(id, at)| Record::Sent { id, attempt: 63, endpoint: String::new(), at };
+    let sent = |(id, at)| Record::Sent {
+        id,
+        attempt: 63,
+        endpoint: String::new(),
+        at,
+    };
     records.extend(taken.into_iter().map(sent));
 }
 
@@ -102,7 +144,14 @@
     }
     let split = payload.iter().position(|&b| b == b'\n')?;
     let record = match serde_json::from_slice(&payload[..split]).ok()? {
-        Line::Taken { id, class, station, partner, key, deadline } => Record::Taken {
+        Line::Taken {
+            id,
+            class,
+            station,
+            partner,
+            key,
+            deadline,
+        } => Record::Taken {
             id,
             class,
             station,
@@ -114,8 +163,26 @@
             at: deadline.saturating_sub(REMEMBERED),
             body: Arc::from(&payload[split + 1..]),
         },
-        Line::Sent { id, attempt, endpoint, at } => Record::Sent { id, attempt, endpoint, at },
-        Line::Back { id, attempt, never_ran } => Record::Back { id, attempt, never_ran },
+        Line::Sent {
+            id,
+            attempt,
+            endpoint,
+            at,
+        } => Record::Sent {
+            id,
+            attempt,
+            endpoint,
+            at,
+        },
+        Line::Back {
+            id,
+            attempt,
+            never_ran,
+        } => Record::Back {
+            id,
+            attempt,
+            never_ran,
+        },
         Line::Closing { id, closing } => Record::Closing {
             id,
             closing: match closing {
@@ -124,7 +191,10 @@
             },
             order_key: None,
         },
-        Line::Over { id } => Record::Over { id, until: REMEMBERED },
+        Line::Over { id } => Record::Over {
+            id,
+            until: REMEMBERED,
+        },
     };
     Some((record, at + FRAME + len))
 }
--- a/crates/journal/src/memory.rs
+++ b/crates/journal/src/memory.rs
@@ -44,12 +44,19 @@
 
 impl Memory {
     pub fn new(disk: u64) -> Memory {
-        Memory { disk, ..Memory::default() }
+        Memory {
+            disk,
+            ..Memory::default()
+        }
     }
 
     /// What a next life finds: the files, without the faults.
     pub fn after_death(&self) -> Memory {
-        Memory { files: self.files.clone(), disk: self.disk, ..Memory::default() }
+        Memory {
+            files: self.files.clone(),
+            disk: self.disk,
+            ..Memory::default()
+        }
     }
 
     pub fn is_dead(&self) -> bool {
@@ -93,13 +100,23 @@
         if self.no_appends {
             return Err(refused("append"));
         }
-        let most = if last { self.crash.map_or(0, |c| c.bytes) } else { usize::MAX };
+        let most = if last {
+            self.crash.map_or(0, |c| c.bytes)
+        } else {
+            usize::MAX
+        };
         let before = self.files.get(name).map_or(0, Vec::len) as u64;
-        let free = self.disk.saturating_sub(self.used() - taken_by(before) + before);
+        let free = self
+            .disk
+            .saturating_sub(self.used() - taken_by(before) + before);
         // A file may fill its last block even if no further block is free.
-        let free = free / crate::storage::BLOCK * crate::storage::BLOCK + (taken_by(before) - before);
+        let free =
+            free / crate::storage::BLOCK * crate::storage::BLOCK + (taken_by(before) - before);
         let fits = bytes.len().min(most).min(free as usize);
-        self.files.entry(name.to_owned()).or_default().extend_from_slice(&bytes[..fits]);
+        self.files
+            .entry(name.to_owned())
+            .or_default()
+            .extend_from_slice(&bytes[..fits]);
         self.written += fits as u64;
         if last {
             return Err(killed());
@@ -124,7 +141,10 @@
         if self.no_truncates {
             return Err(refused("truncate"));
         }
-        self.files.get_mut(name).ok_or_else(|| missing(name))?.resize(size as usize, 0);
+        self.files
+            .get_mut(name)
+            .ok_or_else(|| missing(name))?
+            .resize(size as usize, 0);
         if last { Err(killed()) } else { Ok(()) }
     }
 
@@ -151,7 +171,11 @@
         if self.dead {
             return Err(killed());
         }
-        Ok(self.files.iter().map(|(name, file)| (name.clone(), file.len() as u64)).collect())
+        Ok(self
+            .files
+            .iter()
+            .map(|(name, file)| (name.clone(), file.len() as u64))
+            .collect())
     }
 
     fn room(&mut self) -> u64 {
--- a/crates/journal/src/open.rs
+++ b/crates/journal/src/open.rs
@@ -21,9 +21,17 @@
 
 impl<S: Storage> Journal<S> {
     /// Opens the folder, with what is owed by it. `now` in ms since 1970.
-    pub fn open(mut storage: S, options: &Options, now: u64) -> Result<(Journal<S>, Recovered), OpenError> {
-        let Reading { scan, index, mut doubts, mut recovered } =
-            read(&mut storage, options.key, &options.fresh_key)?;
+    pub fn open(
+        mut storage: S,
+        options: &Options,
+        now: u64,
+    ) -> Result<(Journal<S>, Recovered), OpenError> {
+        let Reading {
+            scan,
+            index,
+            mut doubts,
+            mut recovered,
+        } = read(&mut storage, options.key, &options.fresh_key)?;
         let legacy = legacy::read(&mut storage, &scan.files)?;
         // Everything has been read: from here on files change.
         let own = scan.ring.0.first().copied();
@@ -31,9 +39,13 @@
         if own.is_none() {
             // A copy that a kill cut short was of no use yet.
             storage.remove(KEY).map_err(OpenError::io(KEY))?;
-            storage.append(KEY, &write_key(&key)).map_err(OpenError::io(KEY))?;
+            storage
+                .append(KEY, &write_key(&key))
+                .map_err(OpenError::io(KEY))?;
         }
-        storage.remove(manifest::NEXT).map_err(OpenError::io(manifest::NEXT))?;
+        storage
+            .remove(manifest::NEXT)
+            .map_err(OpenError::io(manifest::NEXT))?;
         for name in &scan.strays {
             storage.remove(name).map_err(OpenError::io(name))?;
         }
@@ -41,8 +53,12 @@
         journal.epoch = scan.manifest.as_ref().map_or(0, |m| m.epoch);
         for found in scan.segments.values() {
             journal.epoch = journal.epoch.max(found.header.map_or(0, |h| h.epoch));
-            let as_found =
-                Seal { len: found.len as u32, frames: found.frames, taken: found.taken, chain: found.chain };
+            let as_found = Seal {
+                len: found.len as u32,
+                frames: found.frames,
+                taken: found.taken,
+                chain: found.chain,
+            };
             let listed = Listed {
                 sequence: found.sequence,
                 base: found.base,
@@ -66,8 +82,13 @@
         journal.next_sequence = scan.next_sequence;
         journal.next_lsn = scan.next_lsn;
         // A doubt concerns notices that are open now: where there are none, nothing is in doubt.
-        let deadline =
-            |r: &Record| if let Record::Taken { deadline, .. } = r { Some(deadline / NANOS) } else { None };
+        let deadline = |r: &Record| {
+            if let Record::Taken { deadline, .. } = r {
+                Some(deadline / NANOS)
+            } else {
+                None
+            }
+        };
         let latest = recovered.records.iter().filter_map(deadline).max();
         if latest.is_none() {
             doubts.retain(|d| d.place.is_some());
@@ -87,14 +108,17 @@
         journal.first_head(now, scan.damage.iter().any(|d| d.why == Why::Unlisted));
         let missed = !journal.missing.is_empty();
         journal.write_pending(now);
-        if missed && journal.missing.is_empty() && journal.write_manifest(None, None, None).is_err() {
+        if missed && journal.missing.is_empty() && journal.write_manifest(None, None, None).is_err()
+        {
             log::warn!("journal: a missing segment stays listed, and will be told of again");
         }
         if let Some(old) = legacy {
             journal.carry_over(now, old, &mut recovered)?;
         }
         // An end whose time is out is there only because older facts still are.
-        recovered.records.retain(|r| !matches!(r, Record::Over { until, .. } if until / NANOS <= now));
+        recovered
+            .records
+            .retain(|r| !matches!(r, Record::Over { until, .. } if until / NANOS <= now));
         recovered.counts = journal.index.counts();
         Ok((journal, recovered))
     }
@@ -102,13 +126,22 @@
     /// The first segment of this life. If there is no room the journal starts without one, and tries at each turn.
     fn first_head(&mut self, now: u64, unlisted: bool) {
         // A doubt that hangs on the lack of a manifest must be on disk before there is one again.
-        let doubts: Vec<_> = self.doubts.iter().filter(|d| unlisted && d.place.is_none()).copied().collect();
+        let doubts: Vec<_> = self
+            .doubts
+            .iter()
+            .filter(|d| unlisted && d.place.is_none())
+            .copied()
+            .collect();
         let mut lens = Vec::new();
         let rolled = self.roll_with(now, |salt, lsn| {
             let mut bytes = Vec::new();
             for d in &doubts {
                 let at = bytes.len();
-                let fact = Fact::Doubt { before: d.before, attempts: d.attempts, until: d.until };
+                let fact = Fact::Doubt {
+                    before: d.before,
+                    attempts: d.attempts,
+                    until: d.until,
+                };
                 frame::write(salt, &mut bytes, |b| fact::write(*lsn, &fact, b));
                 lens.push((bytes.len() - at) as u32);
                 *lsn += 1;
@@ -120,13 +153,16 @@
                 let sequence = self.head.as_ref().map_or(0, |h| h.sequence);
                 for (written, len) in doubts.iter().zip(lens) {
                     let place = Place { sequence, len };
-                    if let Some(doubt) = self.doubts.iter_mut().find(|d| d.before == written.before) {
+                    if let Some(doubt) = self.doubts.iter_mut().find(|d| d.before == written.before)
+                    {
                         doubt.place = Some(place);
                         self.index.add_live(place);
                     }
                 }
             }
-            Err(e) => log::error!("journal: no new segment can be begun, all is refused until it can: {e}"),
+            Err(e) => log::error!(
+                "journal: no new segment can be begun, all is refused until it can: {e}"
+            ),
         }
     }
 
@@ -147,7 +183,10 @@
         // last.
         let until = now.saturating_mul(NANOS).saturating_add(legacy::REMEMBERED);
         for record in &mut old.records {
-            if let Record::Over { until: remembered, .. } = record {
+            if let Record::Over {
+                until: remembered, ..
+            } = record
+            {
                 *remembered = until;
             }
         }
@@ -161,7 +200,9 @@
             self.storage.remove(name).map_err(OpenError::io(name))?;
         }
         // What it comes to is read as from any other folder.
-        let Reading { recovered: again, .. } = read(&mut self.storage, Some(self.key), &self.key)?;
+        let Reading {
+            recovered: again, ..
+        } = read(&mut self.storage, Some(self.key), &self.key)?;
         let before = std::mem::replace(recovered, again);
         recovered.damage = before.damage;
         recovered.damage.extend(old.damage);
