--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -86,18 +86,28 @@
             Record::Back { attempt, .. } => 2 + 2 * u64::from(*attempt),
         };
         self.records.push(record);
-        self.about.push(About { slot, born, which, at });
+        self.about.push(About {
+            slot,
+            born,
+            which,
+            at,
+        });
     }
 
     /// Drops what no longer counts, so that ended notices do not fill the memory.
     fn sweep(&mut self, index: &Index) {
         self.dead = 0;
         let counts = |record: &Record, about: &About| {
-            let state = index.entry(about.slot).filter(|e| e.born == about.born).map(|e| &e.state);
+            let state = index
+                .entry(about.slot)
+                .filter(|e| e.born == about.born)
+                .map(|e| &e.state);
             matches!(
                 (state, record),
-                (Some(State::Open(_)), Record::Taken { .. } | Record::Sent { .. } | Record::Back { .. })
-                    | (Some(State::Closing(_)), Record::Closing { .. })
+                (
+                    Some(State::Open(_)),
+                    Record::Taken { .. } | Record::Sent { .. } | Record::Back { .. }
+                ) | (Some(State::Closing(_)), Record::Closing { .. })
                     | (Some(State::Over { .. }), Record::Over { .. })
             )
         };
@@ -129,8 +139,10 @@
         let keys: Vec<_> = keys().collect();
         let mut order: Vec<usize> = (0..keys.len()).collect();
         order.sort_by_key(|&n| keys[n]);
-        let mut records: Vec<Option<Record>> =
-            std::mem::take(&mut self.records).into_iter().map(Some).collect();
+        let mut records: Vec<Option<Record>> = std::mem::take(&mut self.records)
+            .into_iter()
+            .map(Some)
+            .collect();
         self.records = order.iter().filter_map(|&n| records[n].take()).collect();
         self.about = order.iter().map(|&n| self.about[n]).collect();
     }
@@ -145,7 +157,11 @@
 }
 
 /// Reads the folder and puts together what is owed.
-pub fn read<S: Storage>(storage: &mut S, given: Option<Key>, fresh: &Key) -> Result<Reading, OpenError> {
+pub fn read<S: Storage>(
+    storage: &mut S,
+    given: Option<Key>,
+    fresh: &Key,
+) -> Result<Reading, OpenError> {
     let mut index = Index::new(given.as_ref().unwrap_or(fresh));
     let mut told = Told::default();
     // The old manifest tells how much to expect; what it can't tell is found as it comes.
@@ -156,20 +172,41 @@
     let mut written: Vec<Doubt> = Vec::new();
     let mut unreadable: Vec<(u64, At)> = Vec::new();
     let on_fact = |at: At, fact: Fact<'_>| {
-        let place = Place { sequence: at.sequence, len: at.len };
-        if let Fact::Doubt { before, attempts, until } = fact {
+        let place = Place {
+            sequence: at.sequence,
+            len: at.len,
+        };
+        if let Fact::Doubt {
+            before,
+            attempts,
+            until,
+        } = fact
+        {
             match written.iter_mut().find(|d| d.before == before) {
                 Some(known) => known.attempts = known.attempts.max(attempts),
                 None => {
                     index.add_live(place);
-                    written.push(Doubt { before, attempts, until, place: Some(place) });
+                    written.push(Doubt {
+                        before,
+                        attempts,
+                        until,
+                        place: Some(place),
+                    });
                 }
             }
             return;
         }
-        let Some((packed, born)) = fact.subject() else { return };
-        let Some(id) = Id::from_packed(packed) else { return };
-        let until = if let Fact::Over { until, .. } = fact { until } else { 0 };
+        let Some((packed, born)) = fact.subject() else {
+            return;
+        };
+        let Some(id) = Id::from_packed(packed) else {
+            return;
+        };
+        let until = if let Fact::Over { until, .. } = fact {
+            until
+        } else {
+            0
+        };
         let (slot, joined) = index.join(&id, born, fact.tag(), until, place);
         if joined == Joined::Dead {
             return;
@@ -178,7 +215,11 @@
             Some(record) => {
                 // What it ends is dead from now on: a few records a notice, mostly.
                 let ends = matches!(record, Record::Closing { .. } | Record::Over { .. });
-                told.dead += if ends || joined == Joined::NewLife { 3 } else { 0 };
+                told.dead += if ends || joined == Joined::NewLife {
+                    3
+                } else {
+                    0
+                };
                 told.push(record, slot, born, at);
                 if told.dead > SWEEP_LEAST && told.dead > told.records.len() {
                     told.sweep(&index);
@@ -190,7 +231,10 @@
     let mut scan = scan(storage, given, on_fact, |_, _| {})?;
     for (born, at) in unreadable {
         scan.damage.push(Stretch {
-            file: scan.segments.get(&at.sequence).map_or_else(String::new, |s| s.name.clone()),
+            file: scan
+                .segments
+                .get(&at.sequence)
+                .map_or_else(String::new, |s| s.name.clone()),
             offset: at.offset,
             len: u64::from(at.len),
             before: born + 1,
@@ -203,7 +247,12 @@
     told.sweep(&index);
     told.sort();
     let recovered = put_together(&scan, &index, told, &doubts);
-    Ok(Reading { scan, index, doubts, recovered })
+    Ok(Reading {
+        scan,
+        index,
+        doubts,
+        recovered,
+    })
 }
 
 /// What earlier lives wrote down, and what is found now. Damage that is still there when it is found again yields the
@@ -241,12 +290,23 @@
 /// Notices taken on that finished segments hold, by the manifest.
 fn expected<S: Storage>(storage: &mut S, given: Option<Key>) -> usize {
     let Ok(files) = storage.list() else { return 0 };
-    let Ok(ring) = ring(storage, given, &files) else { return 0 };
-    let Ok(bytes) = storage.read(manifest::NAME, 0, 2 * 1024 * 1024) else { return 0 };
-    let manifest::Reading::Good(manifest) = Manifest::read(&bytes, &ring.0) else { return 0 };
+    let Ok(ring) = ring(storage, given, &files) else {
+        return 0;
+    };
+    let Ok(bytes) = storage.read(manifest::NAME, 0, 2 * 1024 * 1024) else {
+        return 0;
+    };
+    let manifest::Reading::Good(manifest) = Manifest::read(&bytes, &ring.0) else {
+        return 0;
+    };
     // Each takes some tens of bytes on disk: more than that it can't be, whatever the manifest says.
     let most: u64 = files.values().sum::<u64>() / SENT_LEAST as u64;
-    let taken: u64 = manifest.segments.iter().filter_map(|l| l.seal).map(|s| u64::from(s.taken)).sum();
+    let taken: u64 = manifest
+        .segments
+        .iter()
+        .filter_map(|l| l.seal)
+        .map(|s| u64::from(s.taken))
+        .sum();
     taken.min(most) as usize
 }
 
@@ -257,7 +317,17 @@
     let order_key = fact.order_key().and_then(text);
     Some(match fact {
         Fact::Taken(taken) | Fact::TakenInOrder { taken, .. } => {
-            let TakenNotice { class, station, partner, key, deadline, lasts, packed_from, body, .. } = taken;
+            let TakenNotice {
+                class,
+                station,
+                partner,
+                key,
+                deadline,
+                lasts,
+                packed_from,
+                body,
+                ..
+            } = taken;
             Record::Taken {
                 id,
                 class: class as usize,
@@ -266,19 +336,42 @@
                 key: key.and_then(text),
                 order_key,
                 deadline: deadline.saturating_mul(NANOS),
-                at: deadline.saturating_sub(u64::from(lasts)).saturating_mul(NANOS),
+                at: deadline
+                    .saturating_sub(u64::from(lasts))
+                    .saturating_mul(NANOS),
                 body: Arc::from(unpack(packed_from, body)?.as_ref()),
             }
         }
-        Fact::Sent { attempt, endpoint, at, .. } => {
-            Record::Sent { id, attempt, endpoint: endpoint.to_owned(), at: at.saturating_mul(NANOS) }
-        }
-        Fact::Back { attempt, never_ran, .. } => Record::Back { id, attempt, never_ran },
+        Fact::Sent {
+            attempt,
+            endpoint,
+            at,
+            ..
+        } => Record::Sent {
+            id,
+            attempt,
+            endpoint: endpoint.to_owned(),
+            at: at.saturating_mul(NANOS),
+        },
+        Fact::Back {
+            attempt, never_ran, ..
+        } => Record::Back {
+            id,
+            attempt,
+            never_ran,
+        },
         Fact::Closing { after, .. } | Fact::ClosingInOrder { after, .. } => {
             let closing = after.map_or(Closing::Failed, |after_ms| Closing::Returned { after_ms });
-            Record::Closing { id, closing, order_key }
+            Record::Closing {
+                id,
+                closing,
+                order_key,
+            }
         }
-        Fact::Over { until, .. } => Record::Over { id, until: until.saturating_mul(NANOS) },
+        Fact::Over { until, .. } => Record::Over {
+            id,
+            until: until.saturating_mul(NANOS),
+        },
         Fact::Doubt { .. } => return None,
     })
 }
@@ -294,18 +387,25 @@
     };
     // A notice of which all is known needs nothing but its records as they stand.
     let whole = doubts.is_empty()
-        && told.records.windows(2).all(|pair| match (&pair[0], &pair[1]) {
-            (Record::Over { .. } | Record::Closing { .. }, Record::Sent { .. } | Record::Back { .. }) => {
-                false
-            }
-            (one, Record::Sent { .. }) => one.id() == pair[1].id(),
-            (Record::Sent { attempt, .. }, Record::Back { attempt: back, .. }) => {
-                attempt == back && pair[0].id() == pair[1].id()
-            }
-            (_, Record::Back { .. }) => false,
-            _ => true,
-        })
-        && !matches!(told.records.first(), Some(Record::Sent { .. } | Record::Back { .. }));
+        && told
+            .records
+            .windows(2)
+            .all(|pair| match (&pair[0], &pair[1]) {
+                (
+                    Record::Over { .. } | Record::Closing { .. },
+                    Record::Sent { .. } | Record::Back { .. },
+                ) => false,
+                (one, Record::Sent { .. }) => one.id() == pair[1].id(),
+                (Record::Sent { attempt, .. }, Record::Back { attempt: back, .. }) => {
+                    attempt == back && pair[0].id() == pair[1].id()
+                }
+                (_, Record::Back { .. }) => false,
+                _ => true,
+            })
+        && !matches!(
+            told.records.first(),
+            Some(Record::Sent { .. } | Record::Back { .. })
+        );
     if whole {
         out.records = told.records;
         return out;
@@ -330,17 +430,33 @@
 fn one(scan: &Scan, notice: &mut Vec<Record>, about: About, doubts: &[Doubt], out: &mut Recovered) {
     let Some(Record::Taken { id, at, .. }) = notice.first() else {
         // Its own record is gone: it can only be concluded.
-        let file = scan.segments.get(&about.at.sequence).map_or_else(String::new, |s| s.name.clone());
+        let file = scan
+            .segments
+            .get(&about.at.sequence)
+            .map_or_else(String::new, |s| s.name.clone());
         for record in notice.drain(..).take(1) {
             let id = record.id().to_owned();
             let (closing, order_key) = (Closing::Failed, None);
-            out.records.push(Record::Closing { id: id.clone(), closing, order_key });
-            out.lost.push(Lost { id, file: file.clone(), offset: about.at.offset });
+            out.records.push(Record::Closing {
+                id: id.clone(),
+                closing,
+                order_key,
+            });
+            out.lost.push(Lost {
+                id,
+                file: file.clone(),
+                offset: about.at.offset,
+            });
         }
         return;
     };
     let (id, at) = (id.clone(), *at);
-    let sent = |attempt: u32| Record::Sent { id: id.clone(), attempt, endpoint: String::new(), at };
+    let sent = |attempt: u32| Record::Sent {
+        id: id.clone(),
+        attempt,
+        endpoint: String::new(),
+        at,
+    };
     let numbers: Vec<u32> = notice
         .iter()
         .filter_map(|r| match r {
@@ -351,24 +467,34 @@
     let used = numbers.iter().max().map_or(0, |n| n.saturating_add(1));
     let mut rest = notice.drain(..);
     out.records.extend(rest.next());
-    let doubted: u32 =
-        doubts.iter().filter(|d| d.before > about.born).map(|d| d.attempts.min(ATTEMPTS_MOST)).sum();
+    let doubted: u32 = doubts
+        .iter()
+        .filter(|d| d.before > about.born)
+        .map(|d| d.attempts.min(ATTEMPTS_MOST))
+        .sum();
     if doubted > 0 {
         out.doubted += 1;
         // Numbers that are missing below the last known one may be those that are in doubt.
-        let missing: Vec<u32> = (0..used.min(ATTEMPTS_MOST)).filter(|n| !numbers.contains(n)).collect();
-        let extra = doubted.min(ATTEMPTS_MOST).saturating_sub(missing.len() as u32);
+        let missing: Vec<u32> = (0..used.min(ATTEMPTS_MOST))
+            .filter(|n| !numbers.contains(n))
+            .collect();
+        let extra = doubted
+            .min(ATTEMPTS_MOST)
+            .saturating_sub(missing.len() as u32);
         let beyond = (extra > 0).then(|| used.saturating_add(extra) - 1);
         // First, so that it counts as run from the earliest moment on at which it can have been; and under numbers
         // that no known end can speak for.
-        out.records.extend(missing.first().copied().into_iter().chain(beyond).map(sent));
+        out.records
+            .extend(missing.first().copied().into_iter().chain(beyond).map(sent));
     }
     let mut last = None;
     for record in rest {
         match &record {
             Record::Sent { attempt, .. } => last = Some(*attempt),
             // An end without its attempt: the attempt's record is gone, and it did go out.
-            Record::Back { attempt, .. } if last != Some(*attempt) => out.records.push(sent(*attempt)),
+            Record::Back { attempt, .. } if last != Some(*attempt) => {
+                out.records.push(sent(*attempt))
+            }
             _ => {}
         }
         out.records.push(record);
--- a/crates/journal/src/scan.rs
+++ b/crates/journal/src/scan.rs
@@ -117,7 +117,9 @@
         match read_key(&bytes) {
             Some(key) => ring.push(key),
             // A kill while it was first written: nothing has been signed under it.
-            None if files.keys().all(|f| segment::sequence(f).is_none() && f != manifest::NAME) => {}
+            None if files
+                .keys()
+                .all(|f| segment::sequence(f).is_none() && f != manifest::NAME) => {}
             None if given.is_some() => {}
             None => return Err(OpenError::KeyLost),
         }
@@ -134,7 +136,13 @@
 ) -> Result<Scan, OpenError> {
     let files = storage.list().map_err(OpenError::io("the folder"))?;
     let ring = ring(storage, given, &files)?;
-    let mut scan = Scan { ring, next_sequence: 1, next_lsn: 1, files, ..Scan::default() };
+    let mut scan = Scan {
+        ring,
+        next_sequence: 1,
+        next_lsn: 1,
+        files,
+        ..Scan::default()
+    };
     scan.read_manifest(storage)?;
     let headers = scan.read_headers(storage)?;
     scan.choose(headers)?;
@@ -144,7 +152,9 @@
     let sequences: Vec<u32> = scan.segments.keys().copied().collect();
     for sequence in sequences {
         progress(done, total);
-        let Some(size) = scan.segments.get(&sequence).map(|s| s.size) else { continue };
+        let Some(size) = scan.segments.get(&sequence).map(|s| s.size) else {
+            continue;
+        };
         scan.read_segment(storage, sequence, &mut on_fact)?;
         done += size;
     }
@@ -154,7 +164,9 @@
     }
     // Nothing born from here on can be concerned.
     let next = scan.next_lsn;
-    scan.damage.iter_mut().for_each(|d| d.before = d.before.min(next));
+    scan.damage
+        .iter_mut()
+        .for_each(|d| d.before = d.before.min(next));
     Ok(scan)
 }
 
@@ -163,8 +175,9 @@
         if !self.files.contains_key(manifest::NAME) {
             return Ok(());
         }
-        let bytes =
-            storage.read(manifest::NAME, 0, 2 * 1024 * 1024).map_err(OpenError::io(manifest::NAME))?;
+        let bytes = storage
+            .read(manifest::NAME, 0, 2 * 1024 * 1024)
+            .map_err(OpenError::io(manifest::NAME))?;
         match Manifest::read(&bytes, &self.ring.0) {
             Reading::Good(manifest) => self.manifest = Some(manifest),
             Reading::Newer(version) => return Err(newer(manifest::NAME, version)),
@@ -173,7 +186,10 @@
         Ok(())
     }
 
-    fn read_headers<S: Storage>(&self, storage: &mut S) -> Result<BTreeMap<String, Opening>, OpenError> {
+    fn read_headers<S: Storage>(
+        &self,
+        storage: &mut S,
+    ) -> Result<BTreeMap<String, Opening>, OpenError> {
         let mut headers = BTreeMap::new();
         for name in self.files.keys().filter(|n| segment::sequence(n).is_some()) {
             let bytes = storage.read(name, 0, HEADER).map_err(OpenError::io(name))?;
@@ -187,7 +203,9 @@
         if self.manifest.is_none() && !headers.is_empty() && !headers.values().any(ours) {
             // One headerless file is what a kill leaves of the very first start.
             let begun = headers.values().all(|o| *o == Opening::Bad) && !self.manifest_bad;
-            let short = headers.keys().all(|n| self.files.get(n).is_some_and(|&s| s < HEADER as u64));
+            let short = headers
+                .keys()
+                .all(|n| self.files.get(n).is_some_and(|&s| s < HEADER as u64));
             if !(begun && short) {
                 return Err(OpenError::WrongKey);
             }
@@ -199,8 +217,11 @@
     fn choose(&mut self, headers: BTreeMap<String, Opening>) -> Result<(), OpenError> {
         // A manifest older than a segment with something in it was put back, or is not of this folder's last life.
         let epoch = self.manifest.as_ref().map(|m| m.epoch);
-        let listed: BTreeSet<u32> =
-            self.manifest.iter().flat_map(|m| m.segments.iter().map(|s| s.sequence)).collect();
+        let listed: BTreeSet<u32> = self
+            .manifest
+            .iter()
+            .flat_map(|m| m.segments.iter().map(|s| s.sequence))
+            .collect();
         let has_frames = |name: &String| self.files.get(name).is_some_and(|&s| s > HEADER as u64);
         let stale = headers.iter().any(|(name, opening)| {
             matches!(opening, Opening::Good(h, _)
@@ -215,7 +236,9 @@
         let mut by_name: Vec<(&String, u32, Signed)> = Vec::new();
         for (name, opening) in &headers {
             match *opening {
-                Opening::Good(header, key) => by_name.push((name, header.sequence, Some((header, key)))),
+                Opening::Good(header, key) => {
+                    by_name.push((name, header.sequence, Some((header, key))))
+                }
                 _ => {
                     let sequence = segment::sequence(name).unwrap_or_default();
                     if listed.contains(&sequence) && self.manifest.is_some() {
@@ -233,19 +256,29 @@
         }
         for (name, sequence, header) in by_name {
             let size = self.files.get(name).copied().unwrap_or(0);
-            let listing = self.manifest.iter().flat_map(|m| &m.segments).find(|s| s.sequence == sequence);
+            let listing = self
+                .manifest
+                .iter()
+                .flat_map(|m| &m.segments)
+                .find(|s| s.sequence == sequence);
             if self.manifest.is_some() && listing.is_none() {
                 self.strays.push(name.clone());
                 continue;
             }
-            let base = header.map(|h| h.0.base).or(listing.map(|l| l.base)).unwrap_or(0);
+            let base = header
+                .map(|h| h.0.base)
+                .or(listing.map(|l| l.base))
+                .unwrap_or(0);
             let found = Segment {
                 sequence,
                 name: name.clone(),
                 header: header.map(|h| h.0),
                 key: header.map_or(0, |h| h.1),
                 base,
-                before: header.map(|h| h.0.before).or(listing.map(|l| l.before)).unwrap_or_default(),
+                before: header
+                    .map(|h| h.0.before)
+                    .or(listing.map(|l| l.before))
+                    .unwrap_or_default(),
                 len: HEADER as u64,
                 size,
                 frames: 0,
@@ -272,8 +305,15 @@
             }
         }
         let manifest = self.manifest.as_ref();
-        let highest = self.files.keys().filter_map(|n| segment::sequence(n)).chain(listed).max();
-        self.next_sequence = highest.map_or(1, |h| h + 1).max(manifest.map_or(1, |m| m.next_sequence));
+        let highest = self
+            .files
+            .keys()
+            .filter_map(|n| segment::sequence(n))
+            .chain(listed)
+            .max();
+        self.next_sequence = highest
+            .map_or(1, |h| h + 1)
+            .max(manifest.map_or(1, |m| m.next_sequence));
         self.next_lsn = manifest.map_or(1, |m| m.next_lsn.max(1));
         for segment in self.segments.values() {
             self.next_lsn = self.next_lsn.max(segment.base + 1);
@@ -284,15 +324,27 @@
 
     /// The lowest log number that a notice born after `sequence` was finished can have.
     fn base_after(&self, sequence: u32) -> u64 {
-        let listed = self.manifest.iter().flat_map(|m| m.segments.iter().map(|s| (s.sequence, s.base)));
+        let listed = self
+            .manifest
+            .iter()
+            .flat_map(|m| m.segments.iter().map(|s| (s.sequence, s.base)));
         let found = self.segments.values().map(|s| (s.sequence, s.base));
-        let next = listed.chain(found).filter(|&(s, base)| s > sequence && base > 0).min();
+        let next = listed
+            .chain(found)
+            .filter(|&(s, base)| s > sequence && base > 0)
+            .min();
         next.map_or(u64::MAX, |(_, base)| base + 1)
     }
 
     fn missing(&mut self) {
-        let Some(manifest) = self.manifest.clone() else { return };
-        for listed in manifest.segments.iter().filter(|l| !self.segments.contains_key(&l.sequence)) {
+        let Some(manifest) = self.manifest.clone() else {
+            return;
+        };
+        for listed in manifest
+            .segments
+            .iter()
+            .filter(|l| !self.segments.contains_key(&l.sequence))
+        {
             let held = listed.seal.map_or(u64::MAX / 2, |s| u64::from(s.len));
             // The head of a first start that was killed before anything was written.
             if listed.seal.is_some_and(|s| s.frames == 0) {
@@ -318,16 +370,26 @@
     ) -> Result<(), OpenError> {
         let is_head = !self.segments.range(sequence + 1..).any(|_| true);
         let before = self.base_after(sequence);
-        let Some(found) = self.segments.get_mut(&sequence) else { return Ok(()) };
+        let Some(found) = self.segments.get_mut(&sequence) else {
+            return Ok(());
+        };
         let name = found.name.clone();
         let sealed = found.seal.map(|s| u64::from(s.len));
         let bytes = storage
-            .read(&name, 0, sealed.unwrap_or(found.size).min(found.size) as usize)
+            .read(
+                &name,
+                0,
+                sealed.unwrap_or(found.size).min(found.size) as usize,
+            )
             .map_err(OpenError::io(&name))?;
         if found.header.is_none() {
             // Its signature can't tell under which key it is: its first frame can.
-            let reads =
-                |key: &Key| matches!(frame::read(Salt::new(key, sequence), &bytes, HEADER), Found::Frame(_));
+            let reads = |key: &Key| {
+                matches!(
+                    frame::read(Salt::new(key, sequence), &bytes, HEADER),
+                    Found::Frame(_)
+                )
+            };
             found.key = self.ring.0.iter().position(reads).unwrap_or(0);
         }
         let key = self.ring.0.get(found.key).copied().unwrap_or_default();
@@ -351,7 +413,12 @@
                     let len = frame::HEAD + payload.len();
                     match fact::read(payload) {
                         Some((lsn, fact)) => {
-                            let place = At { sequence, offset: at as u64, len: len as u32, lsn };
+                            let place = At {
+                                sequence,
+                                offset: at as u64,
+                                len: len as u32,
+                                lsn,
+                            };
                             found.frames += 1;
                             found.taken += u32::from(fact.taken().is_some());
                             found.first = if found.first == 0 { lsn } else { found.first };
@@ -377,8 +444,11 @@
                     });
                     // A good head says that it was one frame.
                     let one = next.is_some_and(|n| frame::spans(salt, &bytes, at) == Some(n));
-                    let (attempts, taken) =
-                        if one { (1, 1) } else { (attempts_in(len as u64), attempts_in(len as u64)) };
+                    let (attempts, taken) = if one {
+                        (1, 1)
+                    } else {
+                        (attempts_in(len as u64), attempts_in(len as u64))
+                    };
                     damage.push(stretch(len, upper.unwrap_or(before), attempts, taken));
                     at += len;
                 }
@@ -399,7 +469,13 @@
                 });
             }
         }
-        let chain = mac(&key, &[&found.before, &bytes[HEADER.min(bytes.len())..found.len as usize]]);
+        let chain = mac(
+            &key,
+            &[
+                &found.before,
+                &bytes[HEADER.min(bytes.len())..found.len as usize],
+            ],
+        );
         found.chain = chain;
         // All frames good, and yet not what was sealed: an older copy, or one with a header of another file.
         if found.seal.is_some_and(|s| s.chain != chain) && damage.is_empty() {
@@ -409,7 +485,9 @@
                 len: found.size,
                 before,
                 attempts: attempts_in(found.size),
-                taken: found.seal.map_or(0, |s| s.taken.saturating_sub(found.taken)),
+                taken: found
+                    .seal
+                    .map_or(0, |s| s.taken.saturating_sub(found.taken)),
                 why: Why::Altered,
             });
         }
@@ -450,7 +528,11 @@
 }
 
 fn newer(file: &str, version: u16) -> OpenError {
-    OpenError::Newer { file: file.to_owned(), version, known: VERSION }
+    OpenError::Newer {
+        file: file.to_owned(),
+        version,
+        known: VERSION,
+    }
 }
 
 /// The Unix time in ms that a fact proves to have been reached.
--- a/crates/journal/src/storage.rs
+++ b/crates/journal/src/storage.rs
@@ -50,7 +50,13 @@
 
     /// As [`Folder::new`], of a folder that must be there.
     pub fn existing(dir: &Path, disk: u64) -> io::Result<Folder> {
-        let mut folder = Folder { dir: dir.to_owned(), disk, sizes: BTreeMap::new(), used: 0, open: None };
+        let mut folder = Folder {
+            dir: dir.to_owned(),
+            disk,
+            sizes: BTreeMap::new(),
+            used: 0,
+            open: None,
+        };
         folder.sizes = folder.list()?;
         folder.used = folder.sizes.values().map(|&s| taken_by(s)).sum();
         Ok(folder)
@@ -86,13 +92,21 @@
         let before = self.sizes.get(name).copied().unwrap_or(0);
         let more = taken_by(before + bytes.len() as u64) - taken_by(before);
         if more > self.room() {
-            return Err(io::Error::new(ErrorKind::StorageFull, "the folder's share of the disk is used"));
+            return Err(io::Error::new(
+                ErrorKind::StorageFull,
+                "the folder's share of the disk is used",
+            ));
         }
         if self.open.as_ref().is_none_or(|(open, _)| open != name) {
-            let file = OpenOptions::new().create(true).append(true).open(self.dir.join(name))?;
+            let file = OpenOptions::new()
+                .create(true)
+                .append(true)
+                .open(self.dir.join(name))?;
             self.open = Some((name.to_owned(), file));
         }
-        let Some((_, file)) = &mut self.open else { return Err(ErrorKind::NotFound.into()) };
+        let Some((_, file)) = &mut self.open else {
+            return Err(ErrorKind::NotFound.into());
+        };
         match file.write_all(bytes) {
             Ok(()) => {
                 self.note(name, Some(before + bytes.len() as u64));
@@ -115,7 +129,10 @@
 
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()> {
         self.close(name);
-        OpenOptions::new().write(true).open(self.dir.join(name))?.set_len(size)?;
+        OpenOptions::new()
+            .write(true)
+            .open(self.dir.join(name))?
+            .set_len(size)?;
         self.note(name, Some(size));
         Ok(())
     }
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -83,12 +83,23 @@
 
     /// The sums as they travel, cut to four bytes each.
     pub fn to_wire(&self) -> Vec<[u8; 4]> {
-        self.sums.iter().map(|sum| std::array::from_fn(|i| sum.to_le_bytes()[i])).collect()
+        self.sums
+            .iter()
+            .map(|sum| std::array::from_fn(|i| sum.to_le_bytes()[i]))
+            .collect()
     }
 
     /// Bit k: bucket k differs. `None` if it isn't a digest of ours.
     pub fn differing(&self, wire: &[[u8; 4]]) -> Option<u64> {
-        let differs = |(i, (ours, theirs)): (usize, (&[u8; 4], &[u8; 4]))| u64::from(ours != theirs) << i;
-        (wire.len() == BUCKETS).then(|| self.to_wire().iter().zip(wire).enumerate().map(differs).sum())
+        let differs =
+            |(i, (ours, theirs)): (usize, (&[u8; 4], &[u8; 4]))| u64::from(ours != theirs) << i;
+        (wire.len() == BUCKETS).then(|| {
+            self.to_wire()
+                .iter()
+                .zip(wire)
+                .enumerate()
+                .map(differs)
+                .sum()
+        })
     }
 }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -22,7 +22,10 @@
     /// Ask a few members for what they have learnt of partners.
     RequestLearned,
     /// Tell a member what was learnt, in pieces of [`crate::MAX_LEARNED_PIECE`] bytes at most.
-    SendLearned { to: SocketAddr, pieces: Vec<Vec<u8>> },
+    SendLearned {
+        to: SocketAddr,
+        pieces: Vec<Vec<u8>>,
+    },
 }
 
 /// What [`crate::Members`] asks for and tells.
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -19,7 +19,11 @@
 impl Identity {
     /// Whoever listens there: enough to ask to be let in.
     pub fn unknown(at: SocketAddr) -> Identity {
-        Identity { at, generation: 0, name: String::new() }
+        Identity {
+            at,
+            generation: 0,
+            name: String::new(),
+        }
     }
 }
 
@@ -27,7 +31,10 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Identity> {
-        Some(Identity { generation: self.generation + 1, ..self.clone() })
+        Some(Identity {
+            generation: self.generation + 1,
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> SocketAddr {
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -104,7 +104,10 @@
 
 impl fmt::Debug for Members {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Members").field("me", self.me()).field("views", &self.views).finish_non_exhaustive()
+        f.debug_struct("Members")
+            .field("me", self.me())
+            .field("views", &self.views)
+            .finish_non_exhaustive()
     }
 }
 
@@ -119,7 +122,11 @@
 impl Members {
     /// Takes part from the next [`Input::Due`] on, which is to come at once.
     pub fn new(set: Settings, seed: u64, now: Time) -> Members {
-        let me = Identity { at: set.at, generation: millis(now), name: set.name.clone() };
+        let me = Identity {
+            at: set.at,
+            generation: millis(now),
+            name: set.name.clone(),
+        };
         let votes = Arc::default();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let own = ChaCha8Rng::seed_from_u64(rng.random());
@@ -180,9 +187,19 @@
     /// What each member that is there says to all, by its latest vote.
     pub fn payloads(&self) -> Vec<(SocketAddr, Vec<u8>)> {
         let votes = lock(&self.votes);
-        let active = self.views.named().filter(|(_, view)| view.state.is_active());
-        let payload = |name| votes.get(name).map(|vote| vote.payload.clone()).unwrap_or_default();
-        active.map(|(name, view)| (view.member.at, payload(name))).collect()
+        let active = self
+            .views
+            .named()
+            .filter(|(_, view)| view.state.is_active());
+        let payload = |name| {
+            votes
+                .get(name)
+                .map(|vote| vote.payload.clone())
+                .unwrap_or_default()
+        };
+        active
+            .map(|(name, view)| (view.member.at, payload(name)))
+            .collect()
     }
 
     /// While it stays the same, so does [`Members::payloads`].
@@ -227,7 +244,8 @@
             }
             Input::Leave => self.leave(),
             Input::RequestLearned => self.request_learned(),
-            Input::SetPayload(payload) if payload.len() > MAX_PAYLOAD || payload == self.payload => {}
+            Input::SetPayload(payload)
+                if payload.len() > MAX_PAYLOAD || payload == self.payload => {}
             Input::SetPayload(payload) => {
                 self.payload = payload;
                 self.cast_vote(false);
@@ -272,7 +290,12 @@
     }
 
     /// What says itself who it is from and for.
-    fn receive_addressed(&mut self, kind: Kind, number: u64, message: &[u8]) -> Result<(), DropReason> {
+    fn receive_addressed(
+        &mut self,
+        kind: Kind,
+        number: u64,
+        message: &[u8],
+    ) -> Result<(), DropReason> {
         let ((from, to), body) = postcard::take_from_bytes::<(Identity, SocketAddr)>(message)
             .map_err(|_| DropReason::Unreadable)?;
         self.replays.accept(from.at, from.generation, number)?;
@@ -283,7 +306,10 @@
         match kind {
             Kind::Exchange => return self.receive_exchange(from, body),
             Kind::LearnedReply => {
-                self.effects.push(Effect::LearnedReceived { by: from.at, piece: body.to_vec() });
+                self.effects.push(Effect::LearnedReceived {
+                    by: from.at,
+                    piece: body.to_vec(),
+                });
             }
             _ => self.effects.push(Effect::LearnedRequested { by: from.at }),
         }
@@ -292,7 +318,12 @@
 
     fn request_learned(&mut self) {
         let alive = |v: &&View| v.state == crate::State::Alive;
-        let mut alive: Vec<SocketAddr> = self.views.iter().filter(alive).map(|v| v.member.at).collect();
+        let mut alive: Vec<SocketAddr> = self
+            .views
+            .iter()
+            .filter(alive)
+            .map(|v| v.member.at)
+            .collect();
         for _ in 0..FANOUT.get().min(alive.len()) {
             let one = alive.swap_remove(self.rng.random_range(0..alive.len()));
             self.send(Kind::LearnedRequest, one, &[]);
@@ -301,26 +332,39 @@
 
     /// Sends what says itself who it is from and for.
     fn send(&mut self, kind: Kind, to: SocketAddr, body: &[u8]) {
-        let Ok(mut message) = postcard::to_stdvec(&(self.me(), to)) else { return };
+        let Ok(mut message) = postcard::to_stdvec(&(self.me(), to)) else {
+            return;
+        };
         message.extend_from_slice(body);
         self.seal(kind, to, &message);
     }
 
     fn seal(&mut self, kind: Kind, to: SocketAddr, message: &[u8]) {
-        let bytes = seal::seal(&self.set.key, millis(self.now), self.packet_number, kind, message);
+        let bytes = seal::seal(
+            &self.set.key,
+            millis(self.now),
+            self.packet_number,
+            kind,
+            message,
+        );
         self.packet_number += 1;
         self.pacer.charge(self.now, bytes.len());
         self.effects.push(Effect::Send { to, bytes });
     }
 
     fn due(&mut self) {
-        let Some((&(first, _), _)) = self.timers.first_key_value() else { return };
+        let Some((&(first, _), _)) = self.timers.first_key_value() else {
+            return;
+        };
         let stalled = self.now - first;
         if stalled > self.set.period {
             // We were stopped, or starved. Answers that came meanwhile were not heard, so what our timers would conclude
             // about others would be about ourselves (Lifeguard, section IV-A).
             let moved = std::mem::take(&mut self.timers);
-            self.timers = moved.into_iter().map(|((at, n), due)| ((at + stalled, n), due)).collect();
+            self.timers = moved
+                .into_iter()
+                .map(|((at, n), due)| ((at + stalled, n), due))
+                .collect();
             self.effects.push(Effect::Stalled(stalled));
         }
         while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= self.now) {
--- a/crates/membership/src/members/agreement.rs
+++ b/crates/membership/src/members/agreement.rs
@@ -20,20 +20,40 @@
     pub(super) fn cast_vote(&mut self, leaves: bool) {
         self.vote_number += 1;
         let (number, down, payload) = (self.vote_number, self.voting.voted(), self.payload.clone());
-        lock(&self.votes).note(self.my_hash(), Vote { number, leaves, down, payload });
+        lock(&self.votes).note(
+            self.my_hash(),
+            Vote {
+                number,
+                leaves,
+                down,
+                payload,
+            },
+        );
         self.differed = true;
     }
 
     /// Has our vote spread with the gossip as well.
     pub(super) fn broadcast_vote(&mut self) {
         let voter = self.my_hash();
-        let Some(Vote { number, leaves, down, payload }) = lock(&self.votes).get(voter).cloned() else {
+        let Some(Vote {
+            number,
+            leaves,
+            down,
+            payload,
+        }) = lock(&self.votes).get(voter).cloned()
+        else {
             return;
         };
         // Taken in anew by the handler, which passes on only what is newer.
         self.vote_number = number + 1;
         let number = self.vote_number;
-        if let Ok(bytes) = postcard::to_stdvec(&Broadcast { voter, number, leaves, down, payload }) {
+        if let Ok(bytes) = postcard::to_stdvec(&Broadcast {
+            voter,
+            number,
+            leaves,
+            down,
+            payload,
+        }) {
             let _ = self.foca.add_broadcast(&bytes);
         }
     }
@@ -54,7 +74,9 @@
         self.vote_at = None;
         let chance = self.rng.random_range(0.0..1.0);
         let votes = std::sync::Arc::clone(&self.votes);
-        let choice = self.voting.choose(self.now, &self.views, &lock(&votes), &mut self.sets, chance);
+        let choice =
+            self.voting
+                .choose(self.now, &self.views, &lock(&votes), &mut self.sets, chance);
         match choice {
             Choice::Keep => {}
             Choice::Vote(_) => {
@@ -82,8 +104,11 @@
         let mine = self.my_hash();
         let mut votes = lock(&self.votes);
         votes.keep(|voter| voter == mine || self.views.is_told(voter));
-        let named: BTreeSet<ShortHash> =
-            votes.iter().filter_map(|(_, vote)| vote.down).chain(self.voting.voted()).collect();
+        let named: BTreeSet<ShortHash> = votes
+            .iter()
+            .filter_map(|(_, vote)| vote.down)
+            .chain(self.voting.voted())
+            .collect();
         let silent = votes.get(mine).is_none();
         drop(votes);
         self.sets.keep(|set| named.contains(&set));
@@ -97,8 +122,11 @@
     /// Asks for sets that votes name and that aren't known here, in random order: there may be more of them than a period's
     /// requests, and none may wait for ever behind others that nobody answers.
     fn fetch_missing(&mut self, named: &BTreeSet<ShortHash>) {
-        let mut missing: Vec<ShortHash> =
-            named.iter().copied().filter(|set| self.sets.next_page(*set).is_some()).collect();
+        let mut missing: Vec<ShortHash> = named
+            .iter()
+            .copied()
+            .filter(|set| self.sets.next_page(*set).is_some())
+            .collect();
         self.holders.retain(|set, _| missing.contains(set));
         while !missing.is_empty() {
             let set = missing.swap_remove(self.rng.random_range(0..missing.len()));
@@ -113,7 +141,10 @@
     /// asked of that one by all.
     fn likely_holder(&mut self, set: ShortHash) -> Option<SocketAddr> {
         let votes = lock(&self.votes);
-        let active = self.views.named().filter(|(_, view)| view.state.is_active());
+        let active = self
+            .views
+            .named()
+            .filter(|(_, view)| view.state.is_active());
         let voters: Vec<SocketAddr> = active
             .filter(|(name, _)| votes.get(*name).is_some_and(|vote| vote.down == Some(set)))
             .map(|(_, view)| view.member.at)
--- a/crates/membership/src/members/exchange.rs
+++ b/crates/membership/src/members/exchange.rs
@@ -68,7 +68,12 @@
     }
 
     fn own_row(&self) -> Row {
-        Row { member: self.me().clone(), incarnation: self.incarnation, state: 0, down_for: 0 }
+        Row {
+            member: self.me().clone(),
+            incarnation: self.incarnation,
+            state: 0,
+            down_for: 0,
+        }
     }
 
     pub(super) fn send_exchange(&mut self, to: SocketAddr, message: &Message) {
@@ -83,7 +88,11 @@
         MAX_MESSAGE.saturating_sub(frame)
     }
 
-    pub(super) fn receive_exchange(&mut self, from: Identity, body: &[u8]) -> Result<(), DropReason> {
+    pub(super) fn receive_exchange(
+        &mut self,
+        from: Identity,
+        body: &[u8],
+    ) -> Result<(), DropReason> {
         let (message, rest) =
             postcard::take_from_bytes::<Message>(body).map_err(|_| DropReason::Unreadable)?;
         if !rest.is_empty() {
@@ -96,7 +105,8 @@
         match message {
             Message::Compare { members, votes } => {
                 let differs = self.with_state(|state| state.differs(members, votes));
-                if let Some(differs) = differs.filter(|_| self.pacer.allows(self.now, Class::Bulk)) {
+                if let Some(differs) = differs.filter(|_| self.pacer.allows(self.now, Class::Bulk))
+                {
                     self.differed = true;
                     self.send_exchange(from.at, &differs);
                 }
@@ -114,11 +124,26 @@
             Message::WantSet { set, from: place } => {
                 let page = self.sets.page(set, place, PAGE);
                 let page = page.filter(|(_, members)| !members.is_empty());
-                if let Some((total, members)) = page.filter(|_| self.pacer.allows(self.now, Class::Gossip)) {
-                    self.send_exchange(from.at, &Message::SetPage { set, total, from: place, members });
+                if let Some((total, members)) =
+                    page.filter(|_| self.pacer.allows(self.now, Class::Gossip))
+                {
+                    self.send_exchange(
+                        from.at,
+                        &Message::SetPage {
+                            set,
+                            total,
+                            from: place,
+                            members,
+                        },
+                    );
                 }
             }
-            Message::SetPage { set, total, from: place, members } => {
+            Message::SetPage {
+                set,
+                total,
+                from: place,
+                members,
+            } => {
                 self.receive_page(from.at, set, total, place, &members);
             }
         }
@@ -130,13 +155,17 @@
         let known = self.views.get(&from.at);
         match known {
             Some(view) if view.member.generation > from.generation => return false,
-            Some(view) if view.member.generation == from.generation => return view.state.is_active(),
+            Some(view) if view.member.generation == from.generation => {
+                return view.state.is_active();
+            }
             None if self.views.len() >= MAX_MEMBERS => return false,
             _ => {}
         }
         self.views_stale = true;
         let member = Member::alive(from.clone());
-        self.foca.apply_many(std::iter::once(member), true, &mut self.runtime).is_ok()
+        self.foca
+            .apply_many(std::iter::once(member), true, &mut self.runtime)
+            .is_ok()
     }
 
     fn receive_entries(&mut self, from: SocketAddr, entries: &Entries) -> Result<(), DropReason> {
@@ -191,7 +220,9 @@
         }
         self.views_stale = true;
         // Not broadcast: whoever lacks it will find out by its own exchanges.
-        let _ = self.foca.apply_many(members.into_iter(), false, &mut self.runtime);
+        let _ = self
+            .foca
+            .apply_many(members.into_iter(), false, &mut self.runtime);
         self.drain_runtime();
         self.refresh_views();
     }
@@ -199,8 +230,14 @@
     fn apply_votes(&mut self, from: SocketAddr, entries: &Entries) {
         let (mine, mut wanted) = (self.my_hash(), Vec::new());
         let mut votes = lock(&self.votes);
-        for row in entries.votes.iter().filter(|row| row.voter != mine && self.views.is_told(row.voter)) {
-            let Some(vote) = row.vote(&entries.sets) else { continue };
+        for row in entries
+            .votes
+            .iter()
+            .filter(|row| row.voter != mine && self.views.is_told(row.voter))
+        {
+            let Some(vote) = row.vote(&entries.sets) else {
+                continue;
+            };
             if votes.note(row.voter, vote.clone()) {
                 wanted.extend(vote.down);
             }
@@ -215,15 +252,26 @@
 
     /// Asks for the next page of a set, if it isn't whole here.
     pub(super) fn want_set(&mut self, from: SocketAddr, set: ShortHash) {
-        let Some(place) = self.sets.next_page(set) else { return };
+        let Some(place) = self.sets.next_page(set) else {
+            return;
+        };
         if self.requested.len() < MAX_REQUESTED && self.requested.insert(set) {
             self.send_exchange(from, &Message::WantSet { set, from: place });
         }
     }
 
-    fn receive_page(&mut self, from: SocketAddr, set: ShortHash, total: u32, place: u32, page: &[ShortHash]) {
+    fn receive_page(
+        &mut self,
+        from: SocketAddr,
+        set: ShortHash,
+        total: u32,
+        place: u32,
+        page: &[ShortHash],
+    ) {
         // Only what some vote names is kept.
-        let named = lock(&self.votes).iter().any(|(_, vote)| vote.down == Some(set));
+        let named = lock(&self.votes)
+            .iter()
+            .any(|(_, vote)| vote.down == Some(set));
         if !named || page.len() > PAGE {
             return;
         }
@@ -243,6 +291,11 @@
             State::Suspect => 1,
             State::Down | State::Left => 2,
         };
-        Row { member: view.member.clone(), incarnation: view.incarnation, state, down_for: 0 }
+        Row {
+            member: view.member.clone(),
+            incarnation: view.incarnation,
+            state,
+            down_for: 0,
+        }
     }
 }
--- a/crates/membership/src/members/swim.rs
+++ b/crates/membership/src/members/swim.rs
@@ -18,9 +18,10 @@
 
 impl Members {
     pub(super) fn receive_swim(&mut self, number: u64, message: &[u8]) -> Result<(), DropReason> {
-        let (header, rest) =
-            postcard::take_from_bytes::<Header<Identity>>(message).map_err(|_| DropReason::Unreadable)?;
-        self.replays.accept(header.src.at, header.src.generation, number)?;
+        let (header, rest) = postcard::take_from_bytes::<Header<Identity>>(message)
+            .map_err(|_| DropReason::Unreadable)?;
+        self.replays
+            .accept(header.src.at, header.src.generation, number)?;
         self.refuse_beyond_bound(&header.src, rest)?;
         self.last_heard = self.now;
         let me = self.me();
@@ -28,9 +29,13 @@
         if ours && header.dst.generation > me.generation {
             self.rise_above(header.dst.generation);
         }
-        let earlier = ours && header.dst.generation != 0 && header.dst.generation < self.me().generation;
+        let earlier =
+            ours && header.dst.generation != 0 && header.dst.generation < self.me().generation;
         self.views_stale |= self.may_tell_news(&header, rest);
-        let taken = self.foca.handle_data(message, &mut self.runtime).map_err(|_| DropReason::Unreadable);
+        let taken = self
+            .foca
+            .handle_data(message, &mut self.runtime)
+            .map_err(|_| DropReason::Unreadable);
         // It speaks to an earlier generation of ours, so it doesn't know this one.
         if earlier && self.pacer.allows(self.now, Class::Bulk) {
             self.compare_with(header.src.at);
@@ -42,7 +47,10 @@
     /// something of the past.
     pub(super) fn rise_above(&mut self, generation: u64) {
         let generation = generation + 1;
-        let risen = Identity { generation, ..self.me().clone() };
+        let risen = Identity {
+            generation,
+            ..self.me().clone()
+        };
         if self.foca.change_identity(risen, &mut self.runtime).is_ok() {
             self.effects.push(Effect::Rejoined { generation });
         }
@@ -50,7 +58,9 @@
 
     /// Whether a packet may change what we hold of anybody.
     fn may_tell_news(&self, header: &Header<Identity>, rest: &[u8]) -> bool {
-        let updates = rest.first_chunk::<2>().is_some_and(|tally| *tally != [0, 0]);
+        let updates = rest
+            .first_chunk::<2>()
+            .is_some_and(|tally| *tally != [0, 0]);
         let known = self.views.get(&header.src.at).is_some_and(|view| {
             view.state == State::Alive
                 && view.member == header.src
@@ -66,15 +76,21 @@
         if held + 1000 < MAX_MEMBERS {
             return Ok(());
         }
-        let Some((tally, mut rest)) = rest.split_first_chunk::<2>() else { return Ok(()) };
+        let Some((tally, mut rest)) = rest.split_first_chunk::<2>() else {
+            return Ok(());
+        };
         let mut unknown = usize::from(self.views.get(&source.at).is_none());
         for _ in 0..u16::from_be_bytes(*tally) {
-            let (member, after) =
-                postcard::take_from_bytes::<Member<Identity>>(rest).map_err(|_| DropReason::Unreadable)?;
+            let (member, after) = postcard::take_from_bytes::<Member<Identity>>(rest)
+                .map_err(|_| DropReason::Unreadable)?;
             unknown += usize::from(self.views.get(&member.id().at).is_none());
             rest = after;
         }
-        if held + unknown > MAX_MEMBERS && unknown > 0 { Err(DropReason::TooMany) } else { Ok(()) }
+        if held + unknown > MAX_MEMBERS && unknown > 0 {
+            Err(DropReason::TooMany)
+        } else {
+            Ok(())
+        }
     }
 
     pub(super) fn swim_due(&mut self, timer: Timer<Identity>) {
@@ -93,9 +109,18 @@
     /// A suspicion that was refuted. `foca` 2.0 leaves such a member alive but tells it all the same that it is down, upon
     /// which it would come back under another generation for nothing.
     fn is_over(&self, timer: &Timer<Identity>) -> bool {
-        let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
+        let Timer::ChangeSuspectToDown {
+            member_id,
+            incarnation,
+            ..
+        } = timer
+        else {
+            return false;
+        };
         !self.foca.iter_membership_state().any(|m| {
-            m.id() == member_id && m.incarnation() == *incarnation && m.state() == foca::State::Suspect
+            m.id() == member_id
+                && m.incarnation() == *incarnation
+                && m.state() == foca::State::Suspect
         })
     }
 
@@ -118,9 +143,18 @@
     /// only out of sight.
     pub(super) fn contact_absent(&mut self) {
         let me = self.me().at;
-        let down = self.views.iter().filter(|v| !v.state.is_active()).map(|v| v.member.clone());
-        let seeds = self.set.seeds.iter().filter(|at| self.views.get(at).is_none());
-        let mut absent: Vec<Identity> = down.chain(seeds.map(|at| Identity::unknown(*at))).collect();
+        let down = self
+            .views
+            .iter()
+            .filter(|v| !v.state.is_active())
+            .map(|v| v.member.clone());
+        let seeds = self
+            .set
+            .seeds
+            .iter()
+            .filter(|at| self.views.get(at).is_none());
+        let mut absent: Vec<Identity> =
+            down.chain(seeds.map(|at| Identity::unknown(*at))).collect();
         absent.retain(|m| m.at != me);
         // Alone, it is worth asking more of them.
         let alone = self.foca.num_members() == 0;
@@ -133,7 +167,10 @@
             let _ = self.foca.announce(one, &mut self.runtime);
         }
         // Not all at the same moment: after a mass restart the seeds would be asked by everybody at once.
-        self.after(self.set.period * if alone { 1 } else { CALL_PERIODS }, Due::Call);
+        self.after(
+            self.set.period * if alone { 1 } else { CALL_PERIODS },
+            Due::Call,
+        );
     }
 
     pub(super) fn leave(&mut self) {
@@ -162,7 +199,12 @@
             }
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
-            if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
+            if let Timer::ChangeSuspectToDown {
+                member_id,
+                incarnation,
+                ..
+            } = &timer
+            {
                 self.accused.insert(member_id.at, *incarnation);
             }
             self.at(self.now + after, Due::Swim(timer));
@@ -170,7 +212,9 @@
         while let Some(notification) = self.runtime.to_notify() {
             self.views_stale = true;
             if let OwnedNotification::Rejoin(me) = notification {
-                self.effects.push(Effect::Rejoined { generation: me.generation });
+                self.effects.push(Effect::Rejoined {
+                    generation: me.generation,
+                });
             }
         }
     }
@@ -187,7 +231,11 @@
             return;
         }
         for (view, quiet) in changed {
-            let down_for = self.down_for.get(&view.member.at).copied().unwrap_or_default();
+            let down_for = self
+                .down_for
+                .get(&view.member.at)
+                .copied()
+                .unwrap_or_default();
             if !quiet {
                 self.note_change(&view);
             }
@@ -206,12 +254,21 @@
         let votes = super::lock(&self.votes);
         let me = self.me().at;
         let mut changed = Vec::new();
-        for member in self.foca.iter_membership_state().filter(|m| m.id().at != me) {
+        for member in self
+            .foca
+            .iter_membership_state()
+            .filter(|m| m.id().at != me)
+        {
             let (id, incarnation) = (member.id(), member.incarnation());
-            let before = self.views.get(&id.at).filter(|v| v.member.generation == id.generation);
+            let before = self
+                .views
+                .get(&id.at)
+                .filter(|v| v.member.generation == id.generation);
             let left = || {
                 before.is_some_and(|v| v.state == State::Left)
-                    || votes.get(crate::digest::identity_hash(id)).is_some_and(|vote| vote.leaves)
+                    || votes
+                        .get(crate::digest::identity_hash(id))
+                        .is_some_and(|vote| vote.leaves)
             };
             let state = match member.state() {
                 foca::State::Alive => State::Alive,
@@ -224,7 +281,15 @@
                 continue;
             }
             let since = before.filter(|_| quiet).map_or(self.now, |v| v.since);
-            changed.push((View { member: id.clone(), incarnation, state, since }, quiet));
+            changed.push((
+                View {
+                    member: id.clone(),
+                    incarnation,
+                    state,
+                    since,
+                },
+                quiet,
+            ));
         }
         changed
     }
@@ -232,11 +297,15 @@
     fn note_change(&mut self, view: &View) {
         let before = self.views.get(&view.member.at);
         let same = before.is_some_and(|b| {
-            b.member.generation == view.member.generation && b.state.is_active() == view.state.is_active()
+            b.member.generation == view.member.generation
+                && b.state.is_active() == view.state.is_active()
         });
         self.active_changes += u64::from(!same);
         let before = before.map(|v| v.state);
-        self.effects.push(Effect::Changed { view: view.clone(), before });
+        self.effects.push(Effect::Changed {
+            view: view.clone(),
+            before,
+        });
         if view.state != State::Suspect {
             self.accused.remove(&view.member.at);
             return;
@@ -248,27 +317,47 @@
     }
 
     fn forget_removed(&mut self) {
-        let held: std::collections::BTreeSet<_> =
-            self.foca.iter_membership_state().map(|m| m.id().at).collect();
-        let gone: Vec<_> = self.views.iter().map(|v| v.member.at).filter(|at| !held.contains(at)).collect();
+        let held: std::collections::BTreeSet<_> = self
+            .foca
+            .iter_membership_state()
+            .map(|m| m.id().at)
+            .collect();
+        let gone: Vec<_> = self
+            .views
+            .iter()
+            .map(|v| v.member.at)
+            .filter(|at| !held.contains(at))
+            .collect();
         gone.iter().for_each(|at| self.views.remove(at));
     }
 
     /// Tells those whom our own probes missed that they are suspected, as long as they are.
     pub(super) fn tell_accused(&mut self) {
         let suspect = |view: &&View| {
-            view.state == State::Suspect && self.accused.get(&view.member.at) == Some(&view.incarnation)
+            view.state == State::Suspect
+                && self.accused.get(&view.member.at) == Some(&view.incarnation)
         };
         let accused = self.accused.keys().filter_map(|at| self.views.get(at));
         let suspects: Vec<View> = accused.filter(suspect).cloned().collect();
-        self.accused.retain(|at, _| suspects.iter().any(|v| v.member.at == *at));
-        suspects.into_iter().for_each(|view| self.tell_suspect(view));
+        self.accused
+            .retain(|at, _| suspects.iter().any(|v| v.member.at == *at));
+        suspects
+            .into_iter()
+            .for_each(|view| self.tell_suspect(view));
     }
 
     fn tell_suspect(&mut self, view: View) {
         let to = view.member.at;
-        let row = Row { member: view.member, incarnation: view.incarnation, state: 1, down_for: 0 };
-        let entries = sync::Entries { rows: vec![row], ..Default::default() };
+        let row = Row {
+            member: view.member,
+            incarnation: view.incarnation,
+            state: 1,
+            down_for: 0,
+        };
+        let entries = sync::Entries {
+            rows: vec![row],
+            ..Default::default()
+        };
         self.send_exchange(to, &sync::Message::Entries(entries));
     }
 }
--- a/crates/membership/src/pacer.rs
+++ b/crates/membership/src/pacer.rs
@@ -32,7 +32,12 @@
     pub fn new(rate: u32, burst: Duration, now: Time) -> Pacer {
         let rate = f64::from(rate);
         let burst = rate * burst.as_secs_f64();
-        Pacer { rate, burst, tokens: burst, filled: now }
+        Pacer {
+            rate,
+            burst,
+            tokens: burst,
+            filled: now,
+        }
     }
 
     fn fill(&mut self, now: Time) {
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -86,9 +86,14 @@
 
 impl Kind {
     fn of(byte: u8) -> Option<Kind> {
-        [Kind::Swim, Kind::LearnedRequest, Kind::LearnedReply, Kind::Exchange]
-            .into_iter()
-            .find(|k| *k as u8 == byte)
+        [
+            Kind::Swim,
+            Kind::LearnedRequest,
+            Kind::LearnedReply,
+            Kind::Exchange,
+        ]
+        .into_iter()
+        .find(|k| *k as u8 == byte)
     }
 }
 
@@ -119,7 +124,12 @@
 }
 
 /// Checks a packet; `late_ms` is how far its time of sending may lie from `now_ms`, in either direction.
-pub fn open<'a>(key: &Key, now_ms: u64, late_ms: u64, bytes: &'a [u8]) -> Result<Opened<'a>, DropReason> {
+pub fn open<'a>(
+    key: &Key,
+    now_ms: u64,
+    late_ms: u64,
+    bytes: &'a [u8],
+) -> Result<Opened<'a>, DropReason> {
     if bytes.len() < OVERHEAD {
         return Err(DropReason::Short);
     }
@@ -143,7 +153,11 @@
         return Err(DropReason::Old);
     }
     let kind = Kind::of(signed[HEADER_BYTES - 1]).ok_or(DropReason::Unreadable)?;
-    Ok(Opened { number: number(MAGIC.len() + 8), kind, message: &signed[HEADER_BYTES..] })
+    Ok(Opened {
+        number: number(MAGIC.len() + 8),
+        kind,
+        message: &signed[HEADER_BYTES..],
+    })
 }
 
 #[derive(Debug)]
@@ -162,22 +176,39 @@
 
 impl ReplayFilter {
     /// Accepts a packet, once.
-    pub fn accept(&mut self, from: SocketAddr, generation: u64, number: u64) -> Result<(), DropReason> {
+    pub fn accept(
+        &mut self,
+        from: SocketAddr,
+        generation: u64,
+        number: u64,
+    ) -> Result<(), DropReason> {
         // Addresses are bounded by who has the key; this bounds them all the same.
         if !self.windows.contains_key(&from) && self.windows.len() >= MAX_MEMBERS {
             self.windows.pop_first();
         }
-        let fresh = Window { generation, highest: number, came: 0 };
+        let fresh = Window {
+            generation,
+            highest: number,
+            came: 0,
+        };
         let window = self.windows.entry(from).or_insert(fresh);
         if generation < window.generation {
             return Err(DropReason::EarlierGeneration);
         }
         if generation > window.generation {
-            *window = Window { generation, highest: number, came: 0 };
+            *window = Window {
+                generation,
+                highest: number,
+                came: 0,
+            };
         }
         if number > window.highest {
             let ahead = number - window.highest;
-            window.came = if ahead < REPLAY_WINDOW { window.came << ahead } else { 0 };
+            window.came = if ahead < REPLAY_WINDOW {
+                window.came << ahead
+            } else {
+                0
+            };
             window.highest = number;
         }
         let behind = window.highest - number;
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -51,7 +51,8 @@
     /// [`Settings::suspicion`], or what holds in its place: 4 log10(n) periods as in memberlist, four at least.
     pub fn suspicion(&self) -> Duration {
         let scale = f64::from(self.configured_members.max(1)).log10().max(1.0);
-        self.suspicion.unwrap_or_else(|| (self.period * 4).mul_f64(scale))
+        self.suspicion
+            .unwrap_or_else(|| (self.period * 4).mul_f64(scale))
     }
 
     fn transmissions(&self) -> NonZeroU8 {
--- a/crates/membership/src/share.rs
+++ b/crates/membership/src/share.rs
@@ -37,7 +37,11 @@
     /// `configured`: the number of members by the settings. `eviction_delay`: how long a majority must agree; `None` for
     /// ever.
     pub fn new(configured: u32, eviction_delay: Option<Duration>) -> Share {
-        Share { configured: configured.max(1), eviction_delay, known: BTreeMap::new() }
+        Share {
+            configured: configured.max(1),
+            eviction_delay,
+            known: BTreeMap::new(),
+        }
     }
 
     /// Takes in the present view of the others, and tells the number of senders to leave room for, ourselves included.
@@ -45,27 +49,37 @@
     pub fn update(&mut self, now: Time, views: &Views, votes: &Votes, sets: &DownSets) -> u32 {
         views.iter().for_each(|view| self.note(view));
         let down = || views.named().filter(|(_, view)| !view.state.is_active());
-        let undecided = down().any(|(_, v)| self.known.get(&v.member.at).is_some_and(|k| !k.evicted));
+        let undecided =
+            down().any(|(_, v)| self.known.get(&v.member.at).is_some_and(|k| !k.evicted));
         // Counting is for those alone whose part is not free yet.
-        let tally = if undecided { Tally::of(views, votes, sets) } else { Tally::default() };
+        let tally = if undecided {
+            Tally::of(views, votes, sets)
+        } else {
+            Tally::default()
+        };
         let whole = self.whole();
         for (name, view) in down() {
-            let Some(known) = self.known.get_mut(&view.member.at).filter(|k| !k.evicted) else { continue };
+            let Some(known) = self.known.get_mut(&view.member.at).filter(|k| !k.evicted) else {
+                continue;
+            };
             if !is_majority(1 + tally.votes_against(name), whole) {
                 known.agreed = None;
                 continue;
             }
             let since = *known.agreed.get_or_insert(now);
             let delay = match view.state {
-                State::Left => {
-                    Some(self.eviction_delay.unwrap_or(LEAVE_EVICTION_DELAY).min(LEAVE_EVICTION_DELAY))
-                }
+                State::Left => Some(
+                    self.eviction_delay
+                        .unwrap_or(LEAVE_EVICTION_DELAY)
+                        .min(LEAVE_EVICTION_DELAY),
+                ),
                 _ => self.eviction_delay,
             };
             known.evicted = delay.is_some_and(|delay| now - since >= delay);
         }
         // Whom nobody speaks of any more: a part that was freed falls back to the settings.
-        self.known.retain(|at, known| !known.evicted || views.get(at).is_some());
+        self.known
+            .retain(|at, known| !known.evicted || views.get(at).is_some());
         let evicted = self.evicted() as u32;
         let present = 1 + self.known.len() as u32 - evicted;
         self.configured.saturating_sub(evicted).max(present)
@@ -74,7 +88,11 @@
     fn note(&mut self, view: &View) {
         let (active, generation) = (view.state.is_active(), view.member.generation);
         let full = self.known.len() >= MAX_MEMBERS;
-        let fresh = Known { generation, agreed: None, evicted: false };
+        let fresh = Known {
+            generation,
+            agreed: None,
+            evicted: false,
+        };
         match self.known.get_mut(&view.member.at) {
             Some(known) if active || known.generation != generation => *known = fresh,
             Some(_) => {}
@@ -117,10 +135,19 @@
                 *counts.entry(set).or_default() += 1;
             }
         }
-        Tally { sets: counts.into_iter().filter_map(|(set, n)| Some((sets.get(set)?, n))).collect() }
+        Tally {
+            sets: counts
+                .into_iter()
+                .filter_map(|(set, n)| Some((sets.get(set)?, n)))
+                .collect(),
+        }
     }
 
     fn votes_against(&self, name: ShortHash) -> usize {
-        self.sets.iter().filter(|(set, _)| set.contains(&name)).map(|(_, n)| n).sum()
+        self.sets
+            .iter()
+            .filter(|(set, _)| set.contains(&name))
+            .map(|(_, n)| n)
+            .sum()
     }
 }
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -29,11 +29,25 @@
 /// One message of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    Compare { members: ShortHash, votes: ShortHash },
-    Differs { members: Vec<[u8; 4]>, votes: Vec<[u8; 4]> },
+    Compare {
+        members: ShortHash,
+        votes: ShortHash,
+    },
+    Differs {
+        members: Vec<[u8; 4]>,
+        votes: Vec<[u8; 4]>,
+    },
     Entries(Entries),
-    WantSet { set: ShortHash, from: u32 },
-    SetPage { set: ShortHash, total: u32, from: u32, members: Vec<ShortHash> },
+    WantSet {
+        set: ShortHash,
+        from: u32,
+    },
+    SetPage {
+        set: ShortHash,
+        total: u32,
+        from: u32,
+        members: Vec<ShortHash>,
+    },
 }
 
 /// Part of a member's state.
@@ -65,7 +79,12 @@
             0 => None,
             place => Some(*sets.get(usize::from(place) - 1)?),
         };
-        Some(Vote { number: self.number, leaves: self.leaves, down, payload: self.payload.clone() })
+        Some(Vote {
+            number: self.number,
+            leaves: self.leaves,
+            down,
+            payload: self.payload.clone(),
+        })
     }
 }
 
@@ -92,29 +111,47 @@
 
     /// What to compare with another.
     pub fn compare(&self) -> Message {
-        Message::Compare { members: self.members().root(), votes: self.votes.digest().root() }
+        Message::Compare {
+            members: self.members().root(),
+            votes: self.votes.digest().root(),
+        }
     }
 
     /// The answer to [`Message::Compare`]; `None` if nothing differs.
     pub fn differs(&self, members: ShortHash, votes: ShortHash) -> Option<Message> {
         let ours = self.members();
         let same = ours.root() == members && self.votes.digest().root() == votes;
-        (!same).then(|| Message::Differs { members: ours.to_wire(), votes: self.votes.digest().to_wire() })
+        (!same).then(|| Message::Differs {
+            members: ours.to_wire(),
+            votes: self.votes.digest().to_wire(),
+        })
     }
 
     /// The answer to [`Message::Differs`]: entries of differing buckets from a place on, as many as fit.
-    pub fn push(&self, members: &[[u8; 4]], votes: &[[u8; 4]], start: usize, room: usize) -> Option<Entries> {
-        let differing = [self.members().differing(members)?, self.votes.digest().differing(votes)?];
+    pub fn push(
+        &self,
+        members: &[[u8; 4]],
+        votes: &[[u8; 4]],
+        start: usize,
+        room: usize,
+    ) -> Option<Entries> {
+        let differing = [
+            self.members().differing(members)?,
+            self.votes.digest().differing(votes)?,
+        ];
         let (mut rows, mut voters) = (self.rows(differing[0]), self.voters(differing[1]));
         let mut packet = Packet::new(room);
         for i in 0..BUCKETS {
             let bucket = (start + i) % BUCKETS;
             let bit = 1 << bucket;
             // Members first: a vote of an unknown member says nothing.
-            if differing[0] & bit != 0 && packet.add_rows(rows.remove(&bucket).unwrap_or_default()) {
+            if differing[0] & bit != 0 && packet.add_rows(rows.remove(&bucket).unwrap_or_default())
+            {
                 packet.entries.wanted[0] |= bit;
             }
-            if differing[1] & bit != 0 && packet.add_votes(voters.remove(&bucket).unwrap_or_default()) {
+            if differing[1] & bit != 0
+                && packet.add_votes(voters.remove(&bucket).unwrap_or_default())
+            {
                 packet.entries.wanted[1] |= bit;
             }
         }
@@ -123,11 +160,17 @@
 
     /// The answer to [`Entries`]: what we hold in the wanted buckets that is newer, or that the other lacks.
     pub fn pull(&self, theirs: &Entries, room: usize) -> Option<Entries> {
-        let rows: BTreeMap<SocketAddr, &Row> = theirs.rows.iter().map(|row| (row.member.at, row)).collect();
-        let votes: BTreeMap<ShortHash, u32> = theirs.votes.iter().map(|v| (v.voter, v.number)).collect();
-        let newer_row = |row: &Row| rows.get(&row.member.at).is_none_or(|t| t.rank() < row.rank());
-        let newer_vote =
-            |(voter, vote): &(ShortHash, &Vote)| votes.get(voter).is_none_or(|number| *number < vote.number);
+        let rows: BTreeMap<SocketAddr, &Row> =
+            theirs.rows.iter().map(|row| (row.member.at, row)).collect();
+        let votes: BTreeMap<ShortHash, u32> =
+            theirs.votes.iter().map(|v| (v.voter, v.number)).collect();
+        let newer_row = |row: &Row| {
+            rows.get(&row.member.at)
+                .is_none_or(|t| t.rank() < row.rank())
+        };
+        let newer_vote = |(voter, vote): &(ShortHash, &Vote)| {
+            votes.get(voter).is_none_or(|number| *number < vote.number)
+        };
         let mut packet = Packet::new(room);
         for rows in self.rows(theirs.wanted[0]).into_values() {
             packet.add_rows(rows.into_iter().filter(newer_row).collect());
@@ -141,7 +184,8 @@
 
     fn rows(&self, buckets: u64) -> Buckets<Row> {
         let mut rows: Buckets<Row> = BTreeMap::new();
-        let own = (buckets >> self.own_bucket & 1 == 1).then(|| (self.own_bucket, self.own.clone()));
+        let own =
+            (buckets >> self.own_bucket & 1 == 1).then(|| (self.own_bucket, self.own.clone()));
         for (bucket, row) in self.views.rows(self.now, buckets).chain(own) {
             rows.entry(bucket).or_default().push(row);
         }
@@ -176,7 +220,10 @@
 
 impl Packet {
     fn new(room: usize) -> Packet {
-        Packet { entries: Entries::default(), room: room.saturating_sub(ENTRIES_FRAME) }
+        Packet {
+            entries: Entries::default(),
+            room: room.saturating_sub(ENTRIES_FRAME),
+        }
     }
 
     fn take(&mut self, bytes: usize) -> bool {
@@ -228,7 +275,11 @@
     fn place_of(&self, set: ShortHash) -> Option<(u8, usize)> {
         let known = self.entries.sets.iter().position(|s| *s == set);
         let place = known.unwrap_or(self.entries.sets.len());
-        let added = if known.is_some() { 0 } else { size_of::<ShortHash>() };
+        let added = if known.is_some() {
+            0
+        } else {
+            size_of::<ShortHash>()
+        };
         (place < MAX_NAMED_SETS).then_some((place as u8 + 1, added))
     }
 }
--- a/crates/membership/src/views.rs
+++ b/crates/membership/src/views.rs
@@ -80,14 +80,25 @@
     /// suspicion stands until a higher incarnation refutes it.
     pub(crate) fn rank(&self) -> (u64, bool, u16, u8) {
         let down = self.state >= 2;
-        (self.member.generation, down, if down { 0 } else { self.incarnation }, self.state.min(2))
+        (
+            self.member.generation,
+            down,
+            if down { 0 } else { self.incarnation },
+            self.state.min(2),
+        )
     }
 
     pub(crate) fn hash(&self) -> ShortHash {
         let (generation, _, incarnation, state) = self.rank();
         let name = self.member.name.as_bytes();
         let at = identity_hash(&self.member);
-        ShortHash::of(&[at.as_bytes(), &generation.to_le_bytes(), &incarnation.to_le_bytes(), &[state], name])
+        ShortHash::of(&[
+            at.as_bytes(),
+            &generation.to_le_bytes(),
+            &incarnation.to_le_bytes(),
+            &[state],
+            name,
+        ])
     }
 }
 
@@ -104,10 +115,20 @@
 
 impl Entry {
     fn row(&self, now: Time) -> Row {
-        let View { member, incarnation, state, .. } = &self.view;
+        let View {
+            member,
+            incarnation,
+            state,
+            ..
+        } = &self.view;
         let down_for = self.down_since.map_or(0, |since| (now - since).as_secs());
         let down_for = u16::try_from(down_for).unwrap_or(u16::MAX);
-        Row { member: member.clone(), incarnation: *incarnation, state: state.rank(), down_for }
+        Row {
+            member: member.clone(),
+            incarnation: *incarnation,
+            state: state.rank(),
+            down_for,
+        }
     }
 }
 
@@ -160,7 +181,9 @@
         let name = identity_hash(&view.member);
         let same = before.filter(|b| b.name == name);
         let down = !view.state.is_active();
-        let down_since = same.and_then(|b| b.down_since).or_else(|| down.then(|| earlier(now, down_for)));
+        let down_since = same
+            .and_then(|b| b.down_since)
+            .or_else(|| down.then(|| earlier(now, down_for)));
         if let Some(b) = before.filter(|b| b.name != name) {
             self.ended.push_back(b.name);
         }
@@ -168,7 +191,13 @@
             self.ended.pop_front();
         }
         let bucket = bucket_of(at);
-        let mut entry = Entry { view, name, bucket, told: None, down_since };
+        let mut entry = Entry {
+            view,
+            name,
+            bucket,
+            told: None,
+            down_since,
+        };
         entry.told = is_told(now, &entry).then(|| entry.row(now).hash());
         if let Some(before) = self.entries.remove(&at) {
             self.untell(&before);
@@ -212,7 +241,10 @@
 
     /// The rows of some buckets, with their buckets; bit k of `buckets` stands for bucket k.
     pub fn rows(&self, now: Time, buckets: u64) -> impl Iterator<Item = (usize, Row)> {
-        let told = self.entries.values().filter(move |e| buckets >> e.bucket & 1 == 1 && e.told.is_some());
+        let told = self
+            .entries
+            .values()
+            .filter(move |e| buckets >> e.bucket & 1 == 1 && e.told.is_some());
         told.map(move |e| (e.bucket, e.row(now)))
     }
 }
--- a/crates/membership/src/vote.rs
+++ b/crates/membership/src/vote.rs
@@ -36,9 +36,19 @@
 
 impl Vote {
     fn hash(&self, voter: ShortHash) -> ShortHash {
-        let down = self.down.as_ref().map(ShortHash::as_bytes).unwrap_or_default();
+        let down = self
+            .down
+            .as_ref()
+            .map(ShortHash::as_bytes)
+            .unwrap_or_default();
         let head = [u8::from(self.leaves), u8::from(self.down.is_some())];
-        ShortHash::of(&[voter.as_bytes(), &self.number.to_le_bytes(), &head, down, &self.payload])
+        ShortHash::of(&[
+            voter.as_bytes(),
+            &self.number.to_le_bytes(),
+            &head,
+            down,
+            &self.payload,
+        ])
     }
 
     /// Of two with the same number, which only a faulty voter makes, all must keep the same.
@@ -66,7 +76,10 @@
     pub fn note(&mut self, voter: ShortHash, vote: Vote) -> bool {
         let known = self.newest.get(&voter);
         let newer = known.is_none_or(|k| k.rank(voter) < vote.rank(voter));
-        if !newer || known.is_none() && self.newest.len() >= MAX_VOTERS || vote.payload.len() > MAX_PAYLOAD {
+        if !newer
+            || known.is_none() && self.newest.len() >= MAX_VOTERS
+            || vote.payload.len() > MAX_PAYLOAD
+        {
             return false;
         }
         self.digest.add(voter_bucket(voter), vote.hash(voter));
@@ -103,7 +116,12 @@
 
     /// Forgets those of members that are no longer known.
     pub fn keep(&mut self, known: impl Fn(ShortHash) -> bool) {
-        let unknown: Vec<ShortHash> = self.newest.keys().copied().filter(|voter| !known(*voter)).collect();
+        let unknown: Vec<ShortHash> = self
+            .newest
+            .keys()
+            .copied()
+            .filter(|voter| !known(*voter))
+            .collect();
         for voter in unknown {
             if let Some(vote) = self.newest.remove(&voter) {
                 self.digest.remove(voter_bucket(voter), vote.hash(voter));
@@ -150,18 +168,32 @@
     /// Members from this place on, `most` at most, and how many the set has in all.
     pub fn page(&self, name: ShortHash, from: u32, most: usize) -> Option<(u32, Vec<ShortHash>)> {
         let members = self.whole.get(&name)?;
-        let page = members.iter().skip(from as usize).take(most).copied().collect();
+        let page = members
+            .iter()
+            .skip(from as usize)
+            .take(most)
+            .copied()
+            .collect();
         Some((members.len() as u32, page))
     }
 
     /// Which place of a set comes next; `None` if it is whole.
     pub fn next_page(&self, name: ShortHash) -> Option<u32> {
-        let got = self.partial.get(&name).map_or(0, |(_, members)| members.len() as u32);
+        let got = self
+            .partial
+            .get(&name)
+            .map_or(0, |(_, members)| members.len() as u32);
         (!self.whole.contains_key(&name)).then_some(got)
     }
 
     /// Takes a page of a set. True once the set is whole and is what its name says.
-    pub fn take_page(&mut self, name: ShortHash, total: u32, from: u32, members: &[ShortHash]) -> bool {
+    pub fn take_page(
+        &mut self,
+        name: ShortHash,
+        total: u32,
+        from: u32,
+        members: &[ShortHash],
+    ) -> bool {
         let known = self.partial.contains_key(&name);
         if self.whole.contains_key(&name)
             || total as usize > MAX_DOWN
@@ -227,12 +259,22 @@
         data: &[u8],
         _from: Option<&crate::Identity>,
     ) -> Result<Option<VoterKey>, Unreadable> {
-        let Broadcast { voter, number, leaves, down, payload } =
-            postcard::from_bytes(data).map_err(|_| Unreadable)?;
+        let Broadcast {
+            voter,
+            number,
+            leaves,
+            down,
+            payload,
+        } = postcard::from_bytes(data).map_err(|_| Unreadable)?;
         if payload.len() > MAX_PAYLOAD {
             return Err(Unreadable);
         }
-        let vote = Vote { number, leaves, down, payload };
+        let vote = Vote {
+            number,
+            leaves,
+            down,
+            payload,
+        };
         let mut votes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         Ok(votes.note(voter, vote).then_some(VoterKey(voter)))
     }
--- a/crates/membership/src/voting.rs
+++ b/crates/membership/src/voting.rs
@@ -42,7 +42,12 @@
     pub fn new(period: Duration, members: u32) -> Voting {
         let wait = (f64::from(members) / MEMBERS_A_PERIOD).clamp(WAITS[0], WAITS[1]);
         let settle = period.mul_f64(wait.min(2.0));
-        Voting { settle, spread: period.mul_f64(wait), voted: None, make_at: None }
+        Voting {
+            settle,
+            spread: period.mul_f64(wait),
+            voted: None,
+            make_at: None,
+        }
     }
 
     pub fn voted(&self) -> Option<ShortHash> {
@@ -61,7 +66,9 @@
         let present = self.voted.and_then(|set| sets.get(set));
         let unnamed = |name: &ShortHash| present.is_none_or(|set| !set.contains(name));
         let down = || views.named().filter(|(_, view)| !view.state.is_active());
-        let unsettled = down().filter(|(name, _)| unnamed(name)).map(|(_, view)| view.since + self.settle);
+        let unsettled = down()
+            .filter(|(name, _)| unnamed(name))
+            .map(|(_, view)| view.since + self.settle);
         let Some(settled_at) = unsettled.min() else {
             self.make_at = None;
             return Choice::Keep;
@@ -69,13 +76,17 @@
         if settled_at > now {
             return Choice::Wait(settled_at);
         }
-        let settled: BTreeSet<ShortHash> =
-            down().filter(|(_, v)| v.since + self.settle <= now).map(|(name, _)| name).collect();
+        let settled: BTreeSet<ShortHash> = down()
+            .filter(|(_, v)| v.since + self.settle <= now)
+            .map(|(name, _)| name)
+            .collect();
         let all: BTreeSet<ShortHash> = down().map(|(name, _)| name).collect();
         if let Some(set) = adoptable(views, votes, sets, &settled, &all) {
             return self.vote(set);
         }
-        let make_at = *self.make_at.get_or_insert_with(|| now + self.spread.mul_f64(chance));
+        let make_at = *self
+            .make_at
+            .get_or_insert_with(|| now + self.spread.mul_f64(chance));
         if make_at > now {
             return Choice::Wait(make_at);
         }
@@ -108,9 +119,17 @@
         }
     }
     let confirmed = |set: &&ShortHash| {
-        let Some(members) = sets.get(**set) else { return false };
-        settled.is_subset(members) && members.iter().all(|m| down.contains(m) || views.has_ended(*m))
+        let Some(members) = sets.get(**set) else {
+            return false;
+        };
+        settled.is_subset(members)
+            && members
+                .iter()
+                .all(|m| down.contains(m) || views.has_ended(*m))
     };
-    let best = support.keys().filter(confirmed).max_by_key(|set| (support.get(set), **set));
+    let best = support
+        .keys()
+        .filter(confirmed)
+        .max_by_key(|set| (support.get(set), **set));
     best.copied()
 }
--- a/crates/model/src/audit/mod.rs
+++ b/crates/model/src/audit/mod.rs
@@ -298,7 +298,13 @@
 
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:.3} s: {}: {}", self.at.as_secs_f64(), self.rule, self.why)?;
+        write!(
+            f,
+            "{:.3} s: {}: {}",
+            self.at.as_secs_f64(),
+            self.rule,
+            self.why
+        )?;
         if let Some(id) = &self.id {
             write!(f, " (notice {id})")?;
         }
@@ -363,8 +369,13 @@
     }
 
     fn verdict(&self, rule: Rule) -> Verdict {
-        let broken: Vec<Breach> =
-            self.breaches.iter().filter(|b| b.rule == rule).take(PROVEN_MOST).cloned().collect();
+        let broken: Vec<Breach> = self
+            .breaches
+            .iter()
+            .filter(|b| b.rule == rule)
+            .take(PROVEN_MOST)
+            .cloned()
+            .collect();
         let (kept, unclear) = self.cases.get(&rule).copied().unwrap_or_default();
         match (broken.is_empty(), unclear) {
             (false, _) => Verdict::Broken(broken),
@@ -414,8 +425,12 @@
 
     /// The day is over at `end`, when every notice must have had its end; `late` is the rig's lateness then.
     pub fn verdicts(mut self, end: Duration, late: Duration) -> Vec<(Rule, Verdict)> {
-        self.ends.close(end, late, &self.figures, &mut self.findings);
+        self.ends
+            .close(end, late, &self.figures, &mut self.findings);
         self.returns.close(&self.figures, &mut self.findings);
-        Rule::ALL.into_iter().map(|rule| (rule, self.findings.verdict(rule))).collect()
+        Rule::ALL
+            .into_iter()
+            .map(|rule| (rule, self.findings.verdict(rule)))
+            .collect()
     }
 }
