--- a/crates/model/src/day/classes.rs
+++ b/crates/model/src/day/classes.rs
@@ -24,14 +24,22 @@
     /// Adds the classes of Web Push posts, and tells the index of the first. A post without a topic must not be shown twice.
     pub fn add_push_classes(&mut self) -> usize {
         let first = self.effects.len();
-        let usual = clients::Class { keyed: false, order_keys: 0, share: 0.0, ..self.load[0].clone() };
+        let usual = clients::Class {
+            keyed: false,
+            order_keys: 0,
+            share: 0.0,
+            ..self.load[0].clone()
+        };
         self.add("push", Effect::Unsafe, usual.clone());
         self.add("push-topic", Effect::Safe, usual);
         first
     }
 
     fn add(&mut self, name: &str, effect: Effect, class: clients::Class) {
-        self.effects.push(MessageClass { name: name.to_owned(), effect });
+        self.effects.push(MessageClass {
+            name: name.to_owned(),
+            effect,
+        });
         self.load.push(class);
     }
 }
@@ -60,7 +68,13 @@
             share: 1.0,
             late_share: DEFAULT_LATE_SHARE,
         };
-        classes.add(DEFAULT_NAME, Effect::Keyed { window: DEFAULT_LASTS }, load);
+        classes.add(
+            DEFAULT_NAME,
+            Effect::Keyed {
+                window: DEFAULT_LASTS,
+            },
+            load,
+        );
     }
     Ok(classes)
 }
@@ -72,8 +86,13 @@
     }
     match class.effect.get_ref().as_str() {
         "safe" => Ok(Effect::Safe),
-        "keyed" => Ok(Effect::Keyed { window: class.window.map_or(lasts, |w| w.0) }),
+        "keyed" => Ok(Effect::Keyed {
+            window: class.window.map_or(lasts, |w| w.0),
+        }),
         "unsafe" => Ok(Effect::Unsafe),
-        other => Err(source.error(&class.effect, format!("'{other}' is not safe, keyed or unsafe"))),
+        other => Err(source.error(
+            &class.effect,
+            format!("'{other}' is not safe, keyed or unsafe"),
+        )),
     }
 }
--- a/crates/model/src/day/faults.rs
+++ b/crates/model/src/day/faults.rs
@@ -25,13 +25,33 @@
     for table in &file.fault {
         let kind = kind(source, table)?;
         let struck = struck_partners(source, table, partners)?;
-        let part = table.part.as_ref().map(|p| source.share(p, "part")).transpose()?.unwrap_or(1.0);
-        let of_zone = table.of_zone.as_ref().map(|name| source.zone(zones, name)).transpose()?;
-        let fault = Fault { kind, start: table.at.get_ref().0, length: table.lasts.0 };
+        let part = table
+            .part
+            .as_ref()
+            .map(|p| source.share(p, "part"))
+            .transpose()?
+            .unwrap_or(1.0);
+        let of_zone = table
+            .of_zone
+            .as_ref()
+            .map(|name| source.zone(zones, name))
+            .transpose()?;
+        let fault = Fault {
+            kind,
+            start: table.at.get_ref().0,
+            length: table.lasts.0,
+        };
         for partner in struck {
-            let Member { faults, zones: places, .. } = &mut partners[partner];
+            let Member {
+                faults,
+                zones: places,
+                ..
+            } = &mut partners[partner];
             for (endpoint, faults) in faults.iter_mut().enumerate() {
-                let meant = table.endpoints.as_ref().is_none_or(|e| e.contains(&endpoint))
+                let meant = table
+                    .endpoints
+                    .as_ref()
+                    .is_none_or(|e| e.contains(&endpoint))
                     && of_zone.is_none_or(|zone| places[endpoint] == zone);
                 if meant && (part >= 1.0 || rng.random_bool(part)) {
                     faults.push(fault);
@@ -43,18 +63,32 @@
 }
 
 fn kind(source: &Source<'_>, table: &FaultFile) -> Result<Kind, DayError> {
-    let share = table.share.as_ref().map(|s| source.share(s, "share")).transpose()?;
+    let share = table
+        .share
+        .as_ref()
+        .map(|s| source.share(s, "share"))
+        .transpose()?;
     match table.kind.get_ref().as_str() {
         "vanish" => Ok(Kind::Vanish),
         "refuse" => Ok(Kind::Refuse),
         "silent" => Ok(Kind::Silent),
         "shut" => Ok(Kind::Shut),
-        "fail" => Ok(Kind::Fail { share: share.unwrap_or(1.0) }),
-        "spoil" => Ok(Kind::Spoil { share: share.unwrap_or(1.0) }),
-        "slow" => Ok(Kind::Slow { factor: table.factor.unwrap_or(2.0).max(0.0) }),
-        "lower" => Ok(Kind::Lower { factor: table.factor.unwrap_or(0.5).clamp(0.0, 1.0) }),
+        "fail" => Ok(Kind::Fail {
+            share: share.unwrap_or(1.0),
+        }),
+        "spoil" => Ok(Kind::Spoil {
+            share: share.unwrap_or(1.0),
+        }),
+        "slow" => Ok(Kind::Slow {
+            factor: table.factor.unwrap_or(2.0).max(0.0),
+        }),
+        "lower" => Ok(Kind::Lower {
+            factor: table.factor.unwrap_or(0.5).clamp(0.0, 1.0),
+        }),
         "close-idle" => {
-            let (least, most) = table.after.map_or(CLOSE_IDLE, |(least, most)| (least.0, most.0));
+            let (least, most) = table
+                .after
+                .map_or(CLOSE_IDLE, |(least, most)| (least.0, most.0));
             Ok(Kind::CloseIdle { least, most })
         }
         other => {
@@ -75,7 +109,10 @@
         struck.extend(named(source, partners, name)?);
     }
     if let Some(kind) = &table.of_kind {
-        let of_kind = partners.iter().enumerate().filter(|(_, m)| m.kind == *kind.get_ref());
+        let of_kind = partners
+            .iter()
+            .enumerate()
+            .filter(|(_, m)| m.kind == *kind.get_ref());
         let found: Vec<usize> = of_kind.map(|(n, _)| n).collect();
         if found.is_empty() {
             return Err(source.error(kind, format!("no partner is of kind '{}'", kind.get_ref())));
--- a/crates/model/src/day/source.rs
+++ b/crates/model/src/day/source.rs
@@ -28,7 +28,10 @@
 impl Source<'_> {
     /// An error at the place of a value.
     pub fn error<T>(&self, at: &Spanned<T>, why: impl Into<String>) -> DayError {
-        DayError { line: self.line(at.span()), why: why.into() }
+        DayError {
+            line: self.line(at.span()),
+            why: why.into(),
+        }
     }
 
     /// A value from 0 to 1.
@@ -44,12 +47,17 @@
     pub fn zone(&self, zones: &[String], name: &Spanned<String>) -> Result<usize, DayError> {
         let found = zones.iter().position(|z| z == name.get_ref());
         found.ok_or_else(|| {
-            self.error(name, format!("no partner has an endpoint in a zone '{}'", name.get_ref()))
+            self.error(
+                name,
+                format!("no partner has an endpoint in a zone '{}'", name.get_ref()),
+            )
         })
     }
 
     /// The line, from 1, on which a span begins.
     pub fn line(&self, span: Range<usize>) -> usize {
-        self.text.get(..span.start).map_or(1, |t| t.matches('\n').count() + 1)
+        self.text
+            .get(..span.start)
+            .map_or(1, |t| t.matches('\n').count() + 1)
     }
 }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -54,15 +54,21 @@
 impl Break {
     /// Whether it is on the way from one sender to another.
     pub fn between(&self, from: usize, to: usize) -> bool {
-        let Side::Senders(others) = &self.to else { return false };
+        let Side::Senders(others) = &self.to else {
+            return false;
+        };
         self.from.contains(&from) && others.contains(&to)
             || !self.one_way && self.from.contains(&to) && others.contains(&from)
     }
 
     /// Whether it is on the way from a sender to the endpoints of a zone, or back.
     pub fn at_partners(&self, sender: usize, zone: usize, back: bool) -> bool {
-        let Side::Partners(only) = self.to else { return false };
-        only.is_none_or(|only| only == zone) && self.from.contains(&sender) && !(back && self.one_way)
+        let Side::Partners(only) = self.to else {
+            return false;
+        };
+        only.is_none_or(|only| only == zone)
+            && self.from.contains(&sender)
+            && !(back && self.one_way)
     }
 
     /// Whether it lies between senders.
@@ -97,9 +103,15 @@
     /// SIGSTOP, and SIGCONT at the end.
     Stop { lasts: Duration },
     /// SIGKILL; started again so long after its end, or never.
-    Kill { back: Option<Duration>, folder: Folder },
+    Kill {
+        back: Option<Duration>,
+        folder: Folder,
+    },
     /// SIGTERM; as before.
-    Term { back: Option<Duration>, folder: Folder },
+    Term {
+        back: Option<Duration>,
+        folder: Folder,
+    },
     /// Started a second time beside itself, over the same folder, as for a new version; one of the two may be killed so
     /// long after that.
     Upgrade { kill: Option<(Which, Duration)> },
--- a/crates/model/src/return_guard.rs
+++ b/crates/model/src/return_guard.rs
@@ -67,7 +67,9 @@
             (self.back, self.total) = (back, 0.0);
             self.sent.clear();
         }
-        let Some(back) = back.filter(|&b| now.saturating_sub(b) < set.warm) else { return false };
+        let Some(back) = back.filter(|&b| now.saturating_sub(b) < set.warm) else {
+            return false;
+        };
         self.sent.push_back((now, messages));
         self.total += messages;
         while let Some(&(at, old)) = self.sent.front()
--- a/crates/recovery/src/memory.rs
+++ b/crates/recovery/src/memory.rs
@@ -33,7 +33,10 @@
 
 impl Memory {
     pub fn new(bounds: Bounds) -> Memory {
-        Memory { bounds, kept: BTreeMap::new() }
+        Memory {
+            bounds,
+            kept: BTreeMap::new(),
+        }
     }
 
     /// Takes pieces in: of two the younger counts, of two waits the one that ends later.
--- a/crates/recovery/src/owed.rs
+++ b/crates/recovery/src/owed.rs
@@ -34,7 +34,10 @@
 impl Owed {
     /// Of a sender that came back then.
     pub fn new(since: Time) -> Owed {
-        Owed { since, lines: BTreeMap::new() }
+        Owed {
+            since,
+            lines: BTreeMap::new(),
+        }
     }
 
     /// Adds one that may go out until `last_chance`.
@@ -57,23 +60,31 @@
         for line in self.lines.values_mut() {
             while let Some((last_chance, _)) = line.waiting.first() {
                 let behind = (line.handed as f64) < line.all as f64 * passed;
-                if line.in_hand.len() >= IN_HAND && !behind && now < latest(self.since, *last_chance) {
+                if line.in_hand.len() >= IN_HAND
+                    && !behind
+                    && now < latest(self.since, *last_chance)
+                {
                     break;
                 }
                 line.handed += 1;
-                let Some((_, id)) = line.waiting.pop_first() else { break };
+                let Some((_, id)) = line.waiting.pop_first() else {
+                    break;
+                };
                 line.in_hand.insert(id.clone());
                 all.push(id);
             }
         }
-        self.lines.retain(|_, l| !l.waiting.is_empty() || !l.in_hand.is_empty());
+        self.lines
+            .retain(|_, l| !l.waiting.is_empty() || !l.in_hand.is_empty());
         all
     }
 
     /// When one must be handed over at the latest.
     pub fn due(&self) -> Option<Time> {
         let firsts = self.lines.values().filter_map(|l| l.waiting.first());
-        firsts.map(|(last_chance, _)| latest(self.since, *last_chance)).min()
+        firsts
+            .map(|(last_chance, _)| latest(self.since, *last_chance))
+            .min()
     }
 
     /// Notices not handed over yet.
--- a/crates/recovery/src/pieces.rs
+++ b/crates/recovery/src/pieces.rs
@@ -41,8 +41,12 @@
 /// The file's content.
 pub fn pack(learnt: &[Learnt]) -> Vec<u8> {
     let mut bytes = MARK.to_vec();
-    bytes
-        .extend(encode(learnt, LEARNT_MOST - MARK.len() - SUM).into_iter().next().unwrap_or_else(|| vec![0]));
+    bytes.extend(
+        encode(learnt, LEARNT_MOST - MARK.len() - SUM)
+            .into_iter()
+            .next()
+            .unwrap_or_else(|| vec![0]),
+    );
     let sum = blake3::hash(&bytes);
     bytes.extend_from_slice(&sum.as_bytes()[..SUM]);
     bytes
@@ -50,7 +54,9 @@
 
 /// Reads it again.
 pub fn unpack(bytes: &[u8]) -> Result<Vec<Learnt>, Unreadable> {
-    let (body, sum) = bytes.split_at_checked(bytes.len().saturating_sub(SUM)).ok_or(Unreadable)?;
+    let (body, sum) = bytes
+        .split_at_checked(bytes.len().saturating_sub(SUM))
+        .ok_or(Unreadable)?;
     if !body.starts_with(&MARK) || blake3::hash(body).as_bytes()[..SUM] != *sum {
         return Err(Unreadable);
     }
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -104,7 +104,9 @@
 
     /// Whether members should be asked now; `others` is whether there are any.
     pub fn asks(&mut self, now: Time, others: bool) -> bool {
-        let Stage::Recovering { since } = self.stage else { return false };
+        let Stage::Recovering { since } = self.stage else {
+            return false;
+        };
         if self.told || !others || now < self.ask_at || now - since >= self.set.alone {
             return false;
         }
@@ -114,7 +116,9 @@
 
     /// Looks whether all is done; the time that it took, once.
     pub fn look(&mut self, now: Time) -> Option<Duration> {
-        let Stage::Recovering { since } = self.stage else { return None };
+        let Stage::Recovering { since } = self.stage else {
+            return None;
+        };
         let heard = self.told || now - since >= self.set.alone;
         if !heard || self.recall || now < self.spread_until || self.owed.waiting() > 0 {
             return None;
@@ -126,18 +130,25 @@
 
     /// When to look again, while recovering.
     pub fn due(&self, now: Time) -> Option<Time> {
-        let Stage::Recovering { since } = self.stage else { return None };
+        let Stage::Recovering { since } = self.stage else {
+            return None;
+        };
         let alone = since + self.set.alone;
-        let next =
-            if self.told || now >= alone { self.spread_until } else { self.ask_at.max(now).min(alone) };
+        let next = if self.told || now >= alone {
+            self.spread_until
+        } else {
+            self.ask_at.max(now).min(alone)
+        };
         let next = self.owed.due().map_or(next, |owed| next.min(owed));
         Some(next.max(now + Duration::from_millis(20)))
     }
 
     /// Whether what is learnt should be written down now: at its time, and at once when a wait was told.
     pub fn remembers(&mut self, now: Time, learnt: &[Learnt]) -> bool {
-        let waits: Vec<_> =
-            learnt.iter().filter_map(|l| Some((l.dest, l.route.clone(), l.shut_until?))).collect();
+        let waits: Vec<_> = learnt
+            .iter()
+            .filter_map(|l| Some((l.dest, l.route.clone(), l.shut_until?)))
+            .collect();
         let fresh = waits.iter().any(|w| !self.waits.contains(w));
         if !fresh && now < self.remember_at {
             return false;
--- a/crates/rehearsal/src/breakages.rs
+++ b/crates/rehearsal/src/breakages.rs
@@ -20,19 +20,79 @@
 
 /// All of them, by the names that a build with breakages knows.
 pub const CASES: [Case; 15] = [
-    Case { name: "ignores-waits", rule: Rule::Waits, day: PARTNERS },
-    Case { name: "sends-to-drained", rule: Rule::Drains, day: PARTNERS },
-    Case { name: "two-copies", rule: Rule::SecondCopy, day: PARTNERS },
-    Case { name: "forgets-journal", rule: Rule::OneEnd, day: RESTARTS },
-    Case { name: "answers-first", rule: Rule::OneEnd, day: RESTARTS },
-    Case { name: "drops-reports", rule: Rule::OneEnd, day: PARTNERS },
-    Case { name: "floods-cold", rule: Rule::Return, day: RETURN },
-    Case { name: "holds-answers", rule: Rule::Answers, day: PARTNERS },
-    Case { name: "reuses-spoilt", rule: Rule::Idle, day: PARTNERS },
-    Case { name: "repeats-unsafe", rule: Rule::Repeats, day: UNSAFE },
-    Case { name: "seventh-attempt", rule: Rule::Attempts, day: PARTNERS },
-    Case { name: "leaks-at-stop", rule: Rule::OneEnd, day: RESTARTS },
-    Case { name: "closes-clients", rule: Rule::Answers, day: PARTNERS },
-    Case { name: "ignores-order", rule: Rule::Order, day: ORDER },
-    Case { name: "forgets-order", rule: Rule::Order, day: ORDER },
+    Case {
+        name: "ignores-waits",
+        rule: Rule::Waits,
+        day: PARTNERS,
+    },
+    Case {
+        name: "sends-to-drained",
+        rule: Rule::Drains,
+        day: PARTNERS,
+    },
+    Case {
+        name: "two-copies",
+        rule: Rule::SecondCopy,
+        day: PARTNERS,
+    },
+    Case {
+        name: "forgets-journal",
+        rule: Rule::OneEnd,
+        day: RESTARTS,
+    },
+    Case {
+        name: "answers-first",
+        rule: Rule::OneEnd,
+        day: RESTARTS,
+    },
+    Case {
+        name: "drops-reports",
+        rule: Rule::OneEnd,
+        day: PARTNERS,
+    },
+    Case {
+        name: "floods-cold",
+        rule: Rule::Return,
+        day: RETURN,
+    },
+    Case {
+        name: "holds-answers",
+        rule: Rule::Answers,
+        day: PARTNERS,
+    },
+    Case {
+        name: "reuses-spoilt",
+        rule: Rule::Idle,
+        day: PARTNERS,
+    },
+    Case {
+        name: "repeats-unsafe",
+        rule: Rule::Repeats,
+        day: UNSAFE,
+    },
+    Case {
+        name: "seventh-attempt",
+        rule: Rule::Attempts,
+        day: PARTNERS,
+    },
+    Case {
+        name: "leaks-at-stop",
+        rule: Rule::OneEnd,
+        day: RESTARTS,
+    },
+    Case {
+        name: "closes-clients",
+        rule: Rule::Answers,
+        day: PARTNERS,
+    },
+    Case {
+        name: "ignores-order",
+        rule: Rule::Order,
+        day: ORDER,
+    },
+    Case {
+        name: "forgets-order",
+        rule: Rule::Order,
+        day: ORDER,
+    },
 ];
--- a/crates/rehearsal/src/network.rs
+++ b/crates/rehearsal/src/network.rs
@@ -9,8 +9,12 @@
 /// Maps the address on which a stand-in or a sender listens to the address that others are given for it.
 pub trait Network {
     /// The address (TCP) under which `sender` reaches an endpoint of `zone` that listens at `real`.
-    fn destination_address(&mut self, sender: usize, zone: usize, real: SocketAddr)
-    -> io::Result<SocketAddr>;
+    fn destination_address(
+        &mut self,
+        sender: usize,
+        zone: usize,
+        real: SocketAddr,
+    ) -> io::Result<SocketAddr>;
 
     /// The address (UDP) under which the other senders reach `sender`, which listens at `real`.
     fn sender_address(&mut self, sender: usize, real: SocketAddr) -> io::Result<SocketAddr>;
--- a/crates/rehearsal/src/stage/event_log.rs
+++ b/crates/rehearsal/src/stage/event_log.rs
@@ -27,8 +27,18 @@
 impl EventLog {
     /// Records an event that is noticed now.
     pub fn record(&mut self, now: Duration, sender: Option<usize>, what: What, wire: &str) {
-        let wire: String = wire.chars().filter(|c| !c.is_control()).take(WIRE_MOST).collect();
-        self.lines.push(Line { at: now, late: self.late, sender, what, wire });
+        let wire: String = wire
+            .chars()
+            .filter(|c| !c.is_control())
+            .take(WIRE_MOST)
+            .collect();
+        self.lines.push(Line {
+            at: now,
+            late: self.late,
+            sender,
+            what,
+            wire,
+        });
     }
 
     /// The event that is handled next is late by this much.
@@ -52,7 +62,11 @@
         self.lateness.sort_unstable();
         Lateness {
             most: self.lateness.last().copied().unwrap_or_default(),
-            usual: self.lateness.get(self.lateness.len() * 99 / 100).copied().unwrap_or_default(),
+            usual: self
+                .lateness
+                .get(self.lateness.len() * 99 / 100)
+                .copied()
+                .unwrap_or_default(),
         }
     }
 }
