--- a/crates/rehearsal/src/stage/processes.rs
+++ b/crates/rehearsal/src/stage/processes.rs
@@ -25,7 +25,10 @@
 
 impl Restart {
     /// What follows an end that the day does not describe further.
-    pub const USUAL: Restart = Restart { after: Some(RESTART_AFTER), folder: Folder::Kept };
+    pub const USUAL: Restart = Restart {
+        after: Some(RESTART_AFTER),
+        folder: Folder::Kept,
+    };
 }
 
 impl Stage<'_> {
@@ -39,8 +42,13 @@
             one.routed = true;
             return Ok(());
         }
-        one.process.operated = self.day.acts.iter().any(|a| matches!(a.deed, Deed::Upgrade { .. }));
-        one.process.start(self.process_events.0.clone(), self.waker.clone(), breakage)
+        one.process.operated = self
+            .day
+            .acts
+            .iter()
+            .any(|a| matches!(a.deed, Deed::Upgrade { .. }));
+        one.process
+            .start(self.process_events.0.clone(), self.waker.clone(), breakage)
     }
 
     /// Starts a sender again, unless another restart has done so already.
@@ -137,8 +145,15 @@
         self.senders[sender].restart = restart;
         self.record(Some(sender), What::Signalled, "SIGTERM");
         self.senders[sender].process.signal("TERM");
-        self.timers.insert(now + ROUTED_AFTER_TERM, Timer::StopRouting { sender });
-        self.timers.insert(now + EXIT_CHECK, Timer::AwaitExit { sender, kill_at: now + KILL_AFTER });
+        self.timers
+            .insert(now + ROUTED_AFTER_TERM, Timer::StopRouting { sender });
+        self.timers.insert(
+            now + EXIT_CHECK,
+            Timer::AwaitExit {
+                sender,
+                kill_at: now + KILL_AFTER,
+            },
+        );
     }
 
     /// The load balancer notices that a sender is ending.
@@ -153,7 +168,9 @@
         let now = self.now();
         if self.senders[sender].process.is_running() {
             if now < kill_at {
-                return self.timers.insert(now + EXIT_CHECK, Timer::AwaitExit { sender, kill_at });
+                return self
+                    .timers
+                    .insert(now + EXIT_CHECK, Timer::AwaitExit { sender, kill_at });
             }
             self.senders[sender].process.kill();
         }
--- a/crates/rig/src/hollow/mod.rs
+++ b/crates/rig/src/hollow/mod.rs
@@ -25,7 +25,8 @@
 pub use member::Seen;
 pub use observer::{Observation, Observed, Observer};
 pub use plan::{
-    Conditions, Disturbance, HollowError, HollowPlan, MEMBERS_LEAST, MEMBERS_MOST, Timing, Transport, ZONES,
+    Conditions, Disturbance, HollowError, HollowPlan, MEMBERS_LEAST, MEMBERS_MOST, Timing,
+    Transport, ZONES,
 };
 pub use script::RESTART_AFTER;
 
--- a/crates/rig/src/hollow/traffic.rs
+++ b/crates/rig/src/hollow/traffic.rs
@@ -40,17 +40,24 @@
 
 impl Traffic {
     pub fn new(members: usize) -> Traffic {
-        Traffic { counters: (0..members).map(|_| Counters::default()).collect(), ..Traffic::default() }
+        Traffic {
+            counters: (0..members).map(|_| Counters::default()).collect(),
+            ..Traffic::default()
+        }
     }
 
     pub fn sent(&self, member: usize, bytes: usize) {
-        self.counters[member].bytes_sent.fetch_add(bytes as u64, Relaxed);
+        self.counters[member]
+            .bytes_sent
+            .fetch_add(bytes as u64, Relaxed);
         self.counters[member].packets_sent.fetch_add(1, Relaxed);
         self.largest.fetch_max(bytes as u64, Relaxed);
     }
 
     pub fn received(&self, member: usize, bytes: usize) {
-        self.counters[member].bytes_received.fetch_add(bytes as u64, Relaxed);
+        self.counters[member]
+            .bytes_received
+            .fetch_add(bytes as u64, Relaxed);
     }
 
     pub fn lose(&self) {
--- a/crates/rig/src/hollow/udp.rs
+++ b/crates/rig/src/hollow/udp.rs
@@ -41,8 +41,13 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            unix,
+        }
     }
 
     pub fn now(&self) -> Time {
@@ -82,7 +87,8 @@
     fn open(&mut self, member: usize) -> io::Result<()> {
         let slot = member - self.first;
         let mut socket = UdpSocket::bind(self.listen[member - self.first_hollow])?;
-        self.registry.register(&mut socket, Token(slot), Interest::READABLE)?;
+        self.registry
+            .register(&mut socket, Token(slot), Interest::READABLE)?;
         self.open[slot] = Some(socket);
         Ok(())
     }
@@ -95,7 +101,9 @@
     }
 
     fn send(&mut self, from: usize, to: Option<usize>, packet: &Packet) -> Option<Duration> {
-        let direct = to.filter(|to| *to >= self.first_hollow).map(|to| self.listen[to - self.first_hollow]);
+        let direct = to
+            .filter(|to| *to >= self.first_hollow)
+            .map(|to| self.listen[to - self.first_hollow]);
         if let Some(socket) = &self.open[from - self.first] {
             // A packet that does not go is a packet lost.
             let _ = socket.send_to(&packet.bytes, direct.unwrap_or(packet.to));
@@ -158,7 +166,13 @@
 
     fn read_ready(&mut self, events: &Events) {
         let mut ready = std::mem::take(&mut self.more);
-        ready.extend(events.iter().map(|event| event.token()).filter(|token| *token != WAKE).map(|t| t.0));
+        ready.extend(
+            events
+                .iter()
+                .map(|event| event.token())
+                .filter(|token| *token != WAKE)
+                .map(|t| t.0),
+        );
         ready.sort_unstable();
         ready.dedup();
         ready.into_iter().for_each(|slot| self.read(slot));
@@ -183,8 +197,11 @@
         let mut bytes = [0; PACKET_MOST];
         let first = self.engine.network.first;
         for _ in 0..PACKETS_PER_TURN {
-            let Some(len) = self.engine.network.receive(slot, &mut bytes) else { return };
-            self.engine.receive(self.clock.now(), first + slot, bytes[..len].to_vec());
+            let Some(len) = self.engine.network.receive(slot, &mut bytes) else {
+                return;
+            };
+            self.engine
+                .receive(self.clock.now(), first + slot, bytes[..len].to_vec());
         }
         self.more.push(slot);
     }
@@ -231,7 +248,11 @@
         let processors = std::thread::available_parallelism().map_or(1, usize::from);
         let threads = (setups.len() / MEMBERS_PER_THREAD + 1).min(processors);
         let per_thread = setups.len().div_ceil(threads);
-        let mut running = Running { threads: Vec::new(), clock, observations };
+        let mut running = Running {
+            threads: Vec::new(),
+            clock,
+            observations,
+        };
         for setups in setups.chunks(per_thread) {
             let poll = Poll::new()?;
             let waker = Waker::new(poll.registry(), WAKE)?;
@@ -253,22 +274,33 @@
                 more: Vec::new(),
             };
             let handle = std::thread::spawn(move || shard.run());
-            running.threads.push(Thread { orders, waker, handle });
+            running.threads.push(Thread {
+                orders,
+                waker,
+                handle,
+            });
         }
         Ok(running)
     }
 
     /// The script's clock starts.
     pub fn begin(&self, at: Time) {
-        self.threads.iter().for_each(|thread| thread.tell(Order::Begin(at)));
+        self.threads
+            .iter()
+            .for_each(|thread| thread.tell(Order::Begin(at)));
     }
 
     /// Ends all members; tells the processor time of their threads since the script's clock started.
     pub fn end(self) -> Result<Duration, HollowError> {
-        self.threads.iter().for_each(|thread| thread.tell(Order::End));
+        self.threads
+            .iter()
+            .for_each(|thread| thread.tell(Order::End));
         let mut cpu = Duration::ZERO;
         for thread in self.threads {
-            let ended = thread.handle.join().map_err(|_| io::Error::other("a thread of members panicked"))?;
+            let ended = thread
+                .handle
+                .join()
+                .map_err(|_| io::Error::other("a thread of members panicked"))?;
             let [at_begin, at_end] = ended?;
             cpu += at_end.saturating_sub(at_begin);
         }
@@ -311,7 +343,10 @@
     watch(&running, &mut course)?;
     let resident_bytes = usage::resident_bytes().saturating_sub(resident);
     let cpu = running.end()?;
-    Ok(course.figures(Usage { cpu, resident_bytes }))
+    Ok(course.figures(Usage {
+        cpu,
+        resident_bytes,
+    }))
 }
 
 /// Follows the course to its end.
@@ -325,7 +360,10 @@
             // A thread has ended too early; its error is told when it is joined.
             Err(RecvTimeoutError::Disconnected) => return Ok(()),
         }
-        running.observations.try_iter().for_each(|observation| course.note(&observation));
+        running
+            .observations
+            .try_iter()
+            .for_each(|observation| course.note(&observation));
         let now = running.clock.now();
         if course.look(now) {
             course.begin(now);
--- a/crates/rig/src/hollow_costs.rs
+++ b/crates/rig/src/hollow_costs.rs
@@ -22,7 +22,11 @@
     pub fn of(hollow: &HollowPassed, lasted: Duration) -> HollowCosts {
         let member_seconds = lasted.as_secs_f64() * hollow.members as f64;
         let each = |sum: u64| sum as f64 / member_seconds;
-        let held_up = hollow.observations.iter().filter(|seen| seen.what == Observed::HeldUp).count();
+        let held_up = hollow
+            .observations
+            .iter()
+            .filter(|seen| seen.what == Observed::HeldUp)
+            .count();
         HollowCosts {
             members: hollow.members,
             bytes_sent: each(hollow.bytes_sent),
--- a/crates/rig/src/shares.rs
+++ b/crates/rig/src/shares.rs
@@ -35,14 +35,20 @@
         }
         divided_by.retain(|_, count| *count > 0);
         // Summed by divisor: as many members as there are come to exactly one.
-        let share = divided_by.iter().map(|(by, count)| *count as f64 / *by as f64).sum();
+        let share = divided_by
+            .iter()
+            .map(|(by, count)| *count as f64 / *by as f64)
+            .sum();
         largest = largest.max(share);
     }
     largest
 }
 
 fn changes(timeline: &Timeline, members: usize) -> Vec<(Duration, usize, Change)> {
-    let told = timeline.senders.iter().map(|&(at, by, senders)| (at, by, Change::Divides(senders)));
+    let told = timeline
+        .senders
+        .iter()
+        .map(|&(at, by, senders)| (at, by, Change::Divides(senders)));
     let mut changes: Vec<(Duration, usize, Change)> = told.collect();
     for (&member, away) in &timeline.away {
         for &(gone, back) in away {
--- a/crates/rig/src/sweep/mod.rs
+++ b/crates/rig/src/sweep/mod.rs
@@ -17,7 +17,9 @@
 use std::time::Duration;
 
 use cranehill_capacity::sizes::Sizes;
-use cranehill_capacity::{Figure, FitError, Kind, Quantity, STRAIGHT_LEAST, Sample, Samples, Sweep, catalog};
+use cranehill_capacity::{
+    Figure, FitError, Kind, Quantity, STRAIGHT_LEAST, Sample, Samples, Sweep, catalog,
+};
 
 /// What to play.
 #[derive(Clone, Debug)]
@@ -37,7 +39,11 @@
     #[error("{0}")]
     Io(#[from] std::io::Error),
     #[error("{sweep} at size {size}: {why}")]
-    Failed { sweep: &'static str, size: u64, why: String },
+    Failed {
+        sweep: &'static str,
+        size: u64,
+        why: String,
+    },
     #[error("{id}: {source}")]
     Fit { id: &'static str, source: FitError },
     #[error("no quantity '{0}' in the catalog")]
@@ -70,7 +76,11 @@
 
 impl Gathered {
     fn new(quick: bool) -> Gathered {
-        Gathered { quick, rows: Vec::new(), remarks: Vec::new() }
+        Gathered {
+            quick,
+            rows: Vec::new(),
+            remarks: Vec::new(),
+        }
     }
 
     /// Notes one measurement; a quick run keeps no times.
@@ -79,7 +89,10 @@
         if self.quick && quantity.kind == Kind::Time {
             return Ok(());
         }
-        let sample = Sample { size: size as f64, value };
+        let sample = Sample {
+            size: size as f64,
+            value,
+        };
         match self.rows.iter_mut().find(|(q, _)| q.id == id) {
             Some((_, samples)) => samples.push(sample),
             None => self.rows.push((quantity, vec![sample])),
@@ -99,9 +112,16 @@
             if samples.len() < STRAIGHT_LEAST {
                 continue;
             }
-            let fit = |source| SweepError::Fit { id: quantity.id, source };
-            let mut figure = Figure::fitted(quantity, Samples::new(samples).map_err(fit)?).map_err(fit)?;
-            let about = self.remarks.iter().filter(|(ids, _)| quantity.id.starts_with(ids));
+            let fit = |source| SweepError::Fit {
+                id: quantity.id,
+                source,
+            };
+            let mut figure =
+                Figure::fitted(quantity, Samples::new(samples).map_err(fit)?).map_err(fit)?;
+            let about = self
+                .remarks
+                .iter()
+                .filter(|(ids, _)| quantity.id.starts_with(ids));
             let remarks: Vec<&str> = about.map(|(_, what)| what.as_str()).collect();
             figure.remark = (!remarks.is_empty()).then(|| remarks.join("; "));
             figures.push(figure);
--- a/crates/rig/src/sweep/sender.rs
+++ b/crates/rig/src/sweep/sender.rs
@@ -77,7 +77,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error("{program}: {source}")]
-    Spawn { program: PathBuf, source: std::io::Error },
+    Spawn {
+        program: PathBuf,
+        source: std::io::Error,
+    },
     #[error("the sender ended: {0}")]
     Ended(String),
     #[error("the sender was not ready after {0:?}")]
@@ -92,7 +95,10 @@
         setting: &Setting,
         most: Duration,
     ) -> Result<Sender, StartError> {
-        let failed = |source| StartError::Spawn { program: program.to_owned(), source };
+        let failed = |source| StartError::Spawn {
+            program: program.to_owned(),
+            source,
+        };
         std::fs::create_dir_all(folder).map_err(failed)?;
         let config = folder.join("config.json");
         std::fs::write(&config, setting.text()).map_err(failed)?;
@@ -118,13 +124,21 @@
                 }
             });
         }
-        let mut sender = Sender { child, ready: Duration::ZERO };
+        let mut sender = Sender {
+            child,
+            ready: Duration::ZERO,
+        };
         sender.listens(&words, begun + most, most)?;
         sender.ready = begun.elapsed();
         Ok(sender)
     }
 
-    fn listens(&self, words: &Receiver<String>, end: Instant, most: Duration) -> Result<(), StartError> {
+    fn listens(
+        &self,
+        words: &Receiver<String>,
+        end: Instant,
+        most: Duration,
+    ) -> Result<(), StartError> {
         let mut last = String::new();
         loop {
             let left = end.saturating_duration_since(Instant::now());
--- a/crates/zones/src/evidence.rs
+++ b/crates/zones/src/evidence.rs
@@ -38,14 +38,25 @@
 
     /// The view by the calls within the window. Failures at one endpoint of several are that endpoint's.
     pub fn view(&mut self, now: Time, window: Duration, endpoints: usize) -> View {
-        while self.calls.front().is_some_and(|(at, ..)| now - *at > window) {
+        while self
+            .calls
+            .front()
+            .is_some_and(|(at, ..)| now - *at > window)
+        {
             self.calls.pop_front();
         }
         let answered = self.calls.iter().filter(|c| c.2).count();
         let failed = self.calls.len() - answered;
-        let places: BTreeSet<&str> = self.calls.iter().filter(|c| !c.2).map(|c| c.1.as_str()).collect();
+        let places: BTreeSet<&str> = self
+            .calls
+            .iter()
+            .filter(|c| !c.2)
+            .map(|c| c.1.as_str())
+            .collect();
         match () {
-            () if failed > answered && places.len() >= endpoints.min(2) && failed >= 2 => View::Fails,
+            () if failed > answered && places.len() >= endpoints.min(2) && failed >= 2 => {
+                View::Fails
+            }
             () if answered > 0 && answered >= failed => View::Serves,
             () => View::None,
         }
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -62,7 +62,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// Nothing goes to the zone any more. For the log: how many said that it fails, and that it serves.
-    Leave { zone: u32, fails: usize, serves: usize, out: Duration },
+    Leave {
+        zone: u32,
+        fails: usize,
+        serves: usize,
+        out: Duration,
+    },
     /// One call may go there, to this one of its endpoints, by number in their order; until the next change of the zone.
     Probe { zone: u32, pick: u64 },
     /// The probe's slot is over.
@@ -97,7 +102,10 @@
 
 impl Zones {
     pub fn new(set: Settings) -> Zones {
-        Zones { set, zones: BTreeMap::new() }
+        Zones {
+            set,
+            zones: BTreeMap::new(),
+        }
     }
 
     /// How many endpoints the list has in each zone.
@@ -105,12 +113,15 @@
         for (zone, count) in endpoints {
             self.zones.entry(*zone).or_default().endpoints = *count;
         }
-        self.zones.retain(|zone, z| endpoints.contains_key(zone) || z.state != State::Free);
+        self.zones
+            .retain(|zone, z| endpoints.contains_key(zone) || z.state != State::Free);
     }
 
     /// A call ended: answered in whatever way, or not at all.
     pub fn ended(&mut self, now: Time, zone: u32, endpoint: &str, answered: bool) {
-        let Some(zone) = self.zones.get_mut(&zone) else { return };
+        let Some(zone) = self.zones.get_mut(&zone) else {
+            return;
+        };
         zone.evidence.note(now, endpoint, answered);
         if let State::Left(_) = zone.state {
             zone.served = if answered { zone.served + 1 } else { 0 };
@@ -127,12 +138,17 @@
         let mut words = Vec::new();
         for (&number, zone) in &mut self.zones {
             let view = zone.evidence.view(now, window, zone.endpoints);
-            let doubted = others
-                .iter()
-                .flat_map(|o| &o.1)
-                .any(|w| w.zone == number && (w.view == View::Fails || matches!(w.state, State::Left(_))));
-            let word = Word { zone: number, state: zone.state, view, served: zone.served };
-            let usual = zone.state == State::Free && (view == View::None || view == View::Serves && !doubted);
+            let doubted = others.iter().flat_map(|o| &o.1).any(|w| {
+                w.zone == number && (w.view == View::Fails || matches!(w.state, State::Left(_)))
+            });
+            let word = Word {
+                zone: number,
+                state: zone.state,
+                view,
+                served: zone.served,
+            };
+            let usual = zone.state == State::Free
+                && (view == View::None || view == View::Serves && !doubted);
             if !usual && words.len() < ZONES_MOST {
                 words.push(word);
             }
@@ -142,18 +158,31 @@
 
     /// When to look again although nothing came.
     pub fn due(&self, now: Time) -> Option<Time> {
-        let unusual = self.zones.values().any(|z| z.state != State::Free || z.stands.is_some());
+        let unusual = self
+            .zones
+            .values()
+            .any(|z| z.state != State::Free || z.stands.is_some());
         unusual.then(|| now + Duration::from_millis(50))
     }
 
     /// Reads the words of the members that are there, and decides.
-    pub fn look(&mut self, now: Time, me: SocketAddr, others: &[(SocketAddr, Vec<Word>)]) -> Vec<Change> {
+    pub fn look(
+        &mut self,
+        now: Time,
+        me: SocketAddr,
+        others: &[(SocketAddr, Vec<Word>)],
+    ) -> Vec<Change> {
         let own = self.words(now, others);
         let set = self.set;
         let need = quorum(others.len() + 1);
         let mut changes = Vec::new();
         for (&number, zone) in &mut self.zones {
-            let said = || others.iter().flat_map(|o| &o.1).filter(|w| w.zone == number);
+            let said = || {
+                others
+                    .iter()
+                    .flat_map(|o| &o.1)
+                    .filter(|w| w.zone == number)
+            };
             let all = || said().chain(own.iter().filter(|w| w.zone == number));
             let count = |view: View| all().filter(|w| w.view == view).count();
             let (fails, serves) = (count(View::Fails), count(View::Serves));
@@ -162,9 +191,13 @@
                 State::Free | State::Returning(_) => {
                     let left = said().filter(|w| matches!(w.state, State::Left(_))).count();
                     // Who comes later, or missed the words. Who is answered there knows better than one who stayed out.
-                    let served = own.iter().any(|w| w.zone == number && w.view == View::Serves);
-                    let told =
-                        left >= need && left * 2 >= said().count() && !served && zone.state == State::Free;
+                    let served = own
+                        .iter()
+                        .any(|w| w.zone == number && w.view == View::Serves);
+                    let told = left >= need
+                        && left * 2 >= said().count()
+                        && !served
+                        && zone.state == State::Free;
                     let since = *zone.stands.get_or_insert(now);
                     if !stands {
                         zone.stands = None;
@@ -173,7 +206,12 @@
                         let again = zone.freed.is_some_and(|at| now - at < set.calm)
                             || matches!(zone.state, State::Returning(_));
                         zone.leave(now, &set, again);
-                        changes.push(Change::Leave { zone: number, fails, serves, out: zone.out });
+                        changes.push(Change::Leave {
+                            zone: number,
+                            fails,
+                            serves,
+                            out: zone.out,
+                        });
                     } else if let State::Returning(since) = zone.state
                         && now - since >= set.warm
                     {
@@ -186,15 +224,28 @@
                     let tried = |w: &&Word| matches!(w.state, State::Left(_));
                     let served: u32 = all().filter(tried).map(|w| w.served).sum();
                     let back: Vec<Time> = said()
-                        .filter_map(|w| if let State::Returning(at) = w.state { Some(at) } else { None })
+                        .filter_map(|w| {
+                            if let State::Returning(at) = w.state {
+                                Some(at)
+                            } else {
+                                None
+                            }
+                        })
                         .filter(|at| *at > since)
                         .collect();
                     let told = back.len() >= need.min(others.len()) && !back.is_empty();
                     if told || served >= SERVED && now - since >= zone.out {
-                        let since = if told { back.into_iter().min().unwrap_or(now) } else { now };
+                        let since = if told {
+                            back.into_iter().min().unwrap_or(now)
+                        } else {
+                            now
+                        };
                         zone.give_back();
                         zone.state = State::Returning(since);
-                        changes.push(Change::Return { zone: number, since });
+                        changes.push(Change::Return {
+                            zone: number,
+                            since,
+                        });
                     } else {
                         zone.probe(now, &set, number, me, others, &mut changes);
                     }
@@ -207,7 +258,11 @@
 
 impl Zone {
     fn leave(&mut self, now: Time, set: &Settings, again: bool) {
-        self.out = if again { (self.out * 2).clamp(set.out[0], set.out[1]) } else { set.out[0] };
+        self.out = if again {
+            (self.out * 2).clamp(set.out[0], set.out[1])
+        } else {
+            set.out[0]
+        };
         self.give_back();
         self.state = State::Left(now);
     }
@@ -243,7 +298,10 @@
         let mine = draw(me);
         if others.iter().all(|o| draw(o.0) < mine) {
             self.slot = Some(slot);
-            changes.push(Change::Probe { zone: number, pick: mine });
+            changes.push(Change::Probe {
+                zone: number,
+                pick: mine,
+            });
         }
     }
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -7,13 +7,18 @@
 use serde::{Deserialize, Serialize};
 
 /// A moment on the caller's clock: nanoseconds since any fixed origin.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Hash, Serialize, Deserialize,
+)]
 pub struct Time(pub u64);
 
 impl Add<Duration> for Time {
     type Output = Time;
     fn add(self, span: Duration) -> Time {
-        Time(self.0.saturating_add(u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)))
+        Time(
+            self.0
+                .saturating_add(u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)),
+        )
     }
 }
 
