--- a/src/brain.rs
+++ b/src/brain.rs
@@ -6,8 +6,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::api::{
-    Action, Class, Condition, Decay, DedupScope, DestId, Effect, EndpointId, Entry, Event, Key, Kind, MsgId,
-    Outcome, Rules, Settings, SettingsError, Status, Taken, Time,
+    Action, Class, Condition, Decay, DedupScope, DestId, Effect, EndpointId, Entry, Event, Key,
+    Kind, MsgId, Outcome, Rules, Settings, SettingsError, Status, Taken, Time,
 };
 use crate::state::{Attempt, Call, Endpoint, KeyLine, Lane, Message};
 
@@ -70,7 +70,11 @@
     /// A new destination's window, for a sender with so many slots.
     pub fn new(slots: u32) -> Window {
         let cap = (CAP_SHARE * f64::from(slots)).max(1.0);
-        Window { size: (START_SHARE * f64::from(slots)).clamp(FLOOR, cap), cap, answers: 0 }
+        Window {
+            size: (START_SHARE * f64::from(slots)).clamp(FLOOR, cap),
+            cap,
+            answers: 0,
+        }
     }
 
     /// The window's size in calls.
@@ -158,7 +162,15 @@
 impl Demand {
     pub(crate) fn new(now: Time) -> Demand {
         let none = f64::INFINITY;
-        Demand { count: 0.0, since: now, at: now, proven: none, listed: none, told: None, share: 1.0 }
+        Demand {
+            count: 0.0,
+            since: now,
+            at: now,
+            proven: none,
+            listed: none,
+            told: None,
+            share: 1.0,
+        }
     }
 
     fn add(&mut self, now: Time, share: f64) {
@@ -194,7 +206,11 @@
 
 impl Pace {
     pub(crate) fn new(now: Time) -> Pace {
-        Pace { calls: PACE_DEPTH, at: now, rate: f64::INFINITY }
+        Pace {
+            calls: PACE_DEPTH,
+            at: now,
+            rate: f64::INFINITY,
+        }
     }
 
     /// Adds what has come since, and goes on at so many calls a second.
@@ -211,7 +227,8 @@
 
     /// When the next call is ready.
     fn next(&self) -> Time {
-        self.at + Duration::from_secs_f64(((1.0 - self.calls) / self.rate.max(1e-3)).clamp(0.0, 60.0))
+        self.at
+            + Duration::from_secs_f64(((1.0 - self.calls) / self.rate.max(1e-3)).clamp(0.0, 60.0))
     }
 }
 
@@ -226,13 +243,24 @@
         let limit = told.unwrap_or(listed);
         let Mode::Cold { since } = self.health.mode else {
             // Where there is no limit, who was refused goes on at the pace of its own messages.
-            let own = if self.refused > 0 { 2.0 * self.demand.rate(now) } else { f64::INFINITY };
-            return eased * if limit.is_finite() { PACE_SHARE * limit } else { own };
+            let own = if self.refused > 0 {
+                2.0 * self.demand.rate(now)
+            } else {
+                f64::INFINITY
+            };
+            return eased
+                * if limit.is_finite() {
+                    PACE_SHARE * limit
+                } else {
+                    own
+                };
         };
         let warm = (now - since).as_secs_f64() / rules.cold.as_secs_f64().max(1e-9);
         let present = rules.cold_from + (1.0 - rules.cold_from) * warm.min(1.0);
         // Without a limit told, who is asked for more than a destination takes must not return at that pace.
-        let part = told.filter(|part| part.is_finite()).unwrap_or(self.demand.rate(now).min(listed));
+        let part = told
+            .filter(|part| part.is_finite())
+            .unwrap_or(self.demand.rate(now).min(listed));
         COLD_SHARE * rules.fall_multiple * present * part * eased
     }
 }
@@ -292,7 +320,10 @@
         };
         let usual = (TRIAL_FIRST * (1 << step.min(4))).min(TRIAL_MOST);
         let pause = usual.max(gap).mul_f64(jitter);
-        self.mode = Mode::Down { next: now + pause, step };
+        self.mode = Mode::Down {
+            next: now + pause,
+            step,
+        };
         false
     }
 }
@@ -355,7 +386,9 @@
     pub fn new(set: Settings, seed: u64, now: Time) -> Result<Sender, SettingsError> {
         let none = [set.instances, set.slots, set.attempts_cap].contains(&0) || set.most_held == 0;
         if none || set.classes.is_empty() {
-            return Err(SettingsError("senders, classes, slots, messages held, attempts must be above zero"));
+            return Err(SettingsError(
+                "senders, classes, slots, messages held, attempts must be above zero",
+            ));
         }
         let ask_at = set.ask_for_list.then_some(now);
         let (idle_limit, crowded) = (set.conn_idle, vec![now; set.kinds.len()]);
@@ -417,7 +450,9 @@
                 // Asking again at once would add to what broke it; the rule leaves several such pauses.
                 self.asks_failed += 1;
                 let pause = Duration::from_millis(300) * (1 << self.asks_failed.min(4));
-                let pause = pause.min(self.set.rules.must_ask_in / 2).mul_f64(self.jitter());
+                let pause = pause
+                    .min(self.set.rules.must_ask_in / 2)
+                    .mul_f64(self.jitter());
                 self.ask_at = self.set.ask_for_list.then_some(self.now + pause);
             }
             Event::Accept(taken) => self.on_accept(taken),
@@ -445,7 +480,9 @@
     fn on_list(&mut self, whole: bool, entries: Vec<Entry>) {
         self.asks_failed = 0;
         if whole {
-            self.endpoints.iter_mut().for_each(|e| e.condition = Condition::Gone);
+            self.endpoints
+                .iter_mut()
+                .for_each(|e| e.condition = Condition::Gone);
             self.gone = self.by_id.clone();
         }
         for entry in entries {
@@ -461,12 +498,16 @@
             if entry.condition == Condition::Gone {
                 continue;
             }
-            let kind = self.set.kinds.get(entry.kind).copied().unwrap_or(Kind { per_call: 1, apart: false });
+            let kind = self.set.kinds.get(entry.kind).copied().unwrap_or(Kind {
+                per_call: 1,
+                apart: false,
+            });
             let lanes = self.dests.entry(entry.dest).or_default();
             let lane = match lanes.first() {
                 Some(&lane) if !kind.apart => lane,
                 sibling => {
-                    let demand = sibling.map_or(Demand::new(self.now), |&l| self.lanes[l].demand.clone());
+                    let demand =
+                        sibling.map_or(Demand::new(self.now), |&l| self.lanes[l].demand.clone());
                     let (window, classes) = (Window::new(self.set.slots), self.set.classes.len());
                     let fresh = Lane::new(entry.dest, kind, window, demand, self.now, classes);
                     let lane = self.lanes.place(&mut self.spare_lanes, fresh);
@@ -491,7 +532,15 @@
     }
 
     fn on_accept(&mut self, taken: Taken) {
-        let Taken { id, class, tenant, key, time_left: left, dest, past } = taken;
+        let Taken {
+            id,
+            class,
+            tenant,
+            key,
+            time_left: left,
+            dest,
+            past,
+        } = taken;
         if class >= self.set.classes.len() || self.ids.contains_key(&id) {
             return;
         }
@@ -505,7 +554,11 @@
         let spec = &self.set.classes[class];
         let passed = spec.deadline.saturating_sub(left);
         if let Some(key) = &key {
-            self.keys.entry(key.clone()).or_default().line.push_back(number);
+            self.keys
+                .entry(key.clone())
+                .or_default()
+                .line
+                .push_back(number);
         }
         // Each route apart counts its part only: the whole at each would sum to a multiple of the traffic.
         let lanes = self.listed(dest);
@@ -517,8 +570,10 @@
             // What a restart found came over the time passed since; as new demand it would be a burst
             // that never was.
             if past.earlier_life {
-                lane.demand.since =
-                    lane.demand.since.min(Time(self.now.0.saturating_sub(passed.as_nanos() as u64)));
+                lane.demand.since = lane
+                    .demand
+                    .since
+                    .min(Time(self.now.0.saturating_sub(passed.as_nanos() as u64)));
             }
             // As the paper under a window of one: where a sender seldom calls, half of its messages are tried
             // as they come, out or not. All senders together then push less than their fresh traffic.
@@ -547,7 +602,10 @@
             out: None,
             // An earlier life's attempt keeps its age, so that no repeat leaves its window.
             maybe_ran: past.maybe_ran.map(|(ago, at)| {
-                (Time(self.now.0.saturating_sub(ago.as_nanos() as u64)), self.by_id.get(&at).copied())
+                (
+                    Time(self.now.0.saturating_sub(ago.as_nanos() as u64)),
+                    self.by_id.get(&at).copied(),
+                )
             }),
             verdict: None,
             over: false,
@@ -556,16 +614,32 @@
     }
 
     fn on_outcome(&mut self, outcome: Outcome) {
-        let Outcome { id, attempt, status, over, took, wait, report } = outcome;
-        let Some(&number) = self.ids.get(&id) else { return };
+        let Outcome {
+            id,
+            attempt,
+            status,
+            over,
+            took,
+            wait,
+            report,
+        } = outcome;
+        let Some(&number) = self.ids.get(&id) else {
+            return;
+        };
         let now = self.now;
         let jitter = self.jitter();
-        let Some(message) = self.messages.get_mut(&number) else { return };
-        let Some(out) = message.out.take_if(|o| o.number == attempt) else { return };
+        let Some(message) = self.messages.get_mut(&number) else {
+            return;
+        };
+        let Some(out) = message.out.take_if(|o| o.number == attempt) else {
+            return;
+        };
         let class = message.class;
         let lane = self.endpoints[out.endpoint].lane;
         // Who could not be reached and soon answers is short of connections: an outage would have gone on.
-        let unreached = self.lanes[lane].unreached.take_if(|_| status == Status::Served);
+        let unreached = self.lanes[lane]
+            .unreached
+            .take_if(|_| status == Status::Served);
         if unreached.is_some_and(|at| now - at < TRIAL_MOST)
             && let Some(crowded) = self.crowded.get_mut(self.endpoints[out.endpoint].kind)
         {
@@ -577,15 +651,22 @@
             lane.shut_until = lane.shut_until.max(now + wait + self.set.tick);
         }
         if let Some(report) = report.filter(|r| r.limit >= 0.0 && r.left.is_finite()) {
-            self.lanes[lane].demand.told =
-                Some(if report.limit > 0.0 { report.limit } else { f64::INFINITY });
+            self.lanes[lane].demand.told = Some(if report.limit > 0.0 {
+                report.limit
+            } else {
+                f64::INFINITY
+            });
         }
         // A client's short patience ends a call before its usual time: that says nothing of the destination.
         let overdue = self.times(&self.lanes[lane], class).1;
         let cut_short = status == Status::TimedOut && took.as_secs_f64() < overdue;
         if first && !cut_short {
             match status {
-                Status::Served | Status::Error | Status::Spoilt | Status::Gone | Status::Rejected => {
+                Status::Served
+                | Status::Error
+                | Status::Spoilt
+                | Status::Gone
+                | Status::Rejected => {
                     self.lanes[lane].rtt[class].sample(took.as_secs_f64());
                     self.endpoints[out.endpoint].last_answer = now;
                 }
@@ -615,12 +696,18 @@
             let next = lane.shut_until + lane.demand.cold_gap(now, &self.set.rules).mul_f64(jitter);
             lane.health.mode = Mode::Down { next, step: 0 };
         }
-        let Some(message) = self.messages.get_mut(&number) else { return };
+        let Some(message) = self.messages.get_mut(&number) else {
+            return;
+        };
         if !status.never_ran() {
-            message.maybe_ran.get_or_insert((out.sent, Some(out.endpoint)));
+            message
+                .maybe_ran
+                .get_or_insert((out.sent, Some(out.endpoint)));
         }
-        if matches!(status, Status::TimedOut | Status::Reset | Status::Dropped | Status::Cancelled)
-            && let Some(line) = message.key.as_ref().and_then(|k| self.keys.get_mut(k))
+        if matches!(
+            status,
+            Status::TimedOut | Status::Reset | Status::Dropped | Status::Cancelled
+        ) && let Some(line) = message.key.as_ref().and_then(|k| self.keys.get_mut(k))
         {
             (line.rest_until, line.rest_by) = (now + self.set.rules.key_quiet, number);
         }
@@ -646,7 +733,9 @@
         let endpoint = &self.endpoints[e];
         let lost = match status {
             Status::TimedOut | Status::Reset | Status::Dropped => true,
-            Status::Served | Status::Error | Status::Spoilt | Status::Gone | Status::Rejected => false,
+            Status::Served | Status::Error | Status::Spoilt | Status::Gone | Status::Rejected => {
+                false
+            }
             Status::Refused | Status::NoConnection | Status::Cancelled | Status::NotSent => return,
         };
         if endpoint.gap <= IDLE_LEAST || endpoint.streak > 0 {
@@ -664,7 +753,9 @@
     /// One message of a call is back; true for the first of them, which speaks for the call.
     fn end_call(&mut self, out: &Attempt) -> bool {
         let now = self.now;
-        let Some(call) = self.calls.get_mut(&out.call) else { return false };
+        let Some(call) = self.calls.get_mut(&out.call) else {
+            return false;
+        };
         call.waiting -= 1;
         let first = !std::mem::replace(&mut call.counted, true);
         if call.waiting == 0 {
@@ -706,8 +797,14 @@
             lane.window.cut();
             lane.cut_at = now;
         }
-        endpoint.streak = if sign == Sign::Good { 0 } else { endpoint.streak + u32::from(sign == Sign::Bad) };
-        let back = lane.health.note(now, sign, &rules, lane.demand.cold_gap(now, &rules), jitter);
+        endpoint.streak = if sign == Sign::Good {
+            0
+        } else {
+            endpoint.streak + u32::from(sign == Sign::Bad)
+        };
+        let back = lane
+            .health
+            .note(now, sign, &rules, lane.demand.cold_gap(now, &rules), jitter);
         if sign == Sign::Good {
             lane.refused = 0;
             lane.demand.proven = lane.demand.asked(now);
@@ -724,7 +821,9 @@
 
     /// Nothing more is owed for this message. Its place in its key's line stays until its attempt is back.
     fn close(&mut self, number: u64) {
-        let Some(message) = self.messages.get_mut(&number) else { return };
+        let Some(message) = self.messages.get_mut(&number) else {
+            return;
+        };
         message.over = true;
         if message.out.is_some() {
             return;
@@ -739,15 +838,23 @@
 
     /// The final answer for a message given up on: refused where another try is harmless, else failed.
     fn give_up(&mut self, number: u64) {
-        let Some(m) = self.messages.get(&number) else { return };
+        let Some(m) = self.messages.get(&number) else {
+            return;
+        };
         let class = &self.set.classes[m.class];
         let (id, verdict) = (m.id.clone(), m.verdict);
-        let after = (self.set.retry_after && verdict.is_none()).then_some(self.set.max_retry_after / 2);
+        let after =
+            (self.set.retry_after && verdict.is_none()).then_some(self.set.max_retry_after / 2);
         // Who is told to come again comes to any endpoint, after that wait.
         let anywhere = class.effect == Effect::Safe || class.dedup == DedupScope::All;
         let inside = self.harmless(m, self.now + after.unwrap_or_default());
-        let refused = (m.maybe_ran.is_none() || anywhere) && inside && verdict != Some(Status::Rejected);
-        self.acts.push(if refused { Action::Refuse { id, after } } else { Action::Fail(id) });
+        let refused =
+            (m.maybe_ran.is_none() || anywhere) && inside && verdict != Some(Status::Rejected);
+        self.acts.push(if refused {
+            Action::Refuse { id, after }
+        } else {
+            Action::Fail(id)
+        });
         self.hold_for_report(number);
         self.close(number);
     }
@@ -756,7 +863,10 @@
     fn end_hopeless(&mut self) {
         let (now, margin) = (self.now, self.set.tick * 2);
         let ends = |m: &Message| m.deadline <= now + margin || !self.may_repeat(m);
-        let held = self.messages.iter().filter(|(_, m)| m.out.is_none() && !m.over && ends(m));
+        let held = self
+            .messages
+            .iter()
+            .filter(|(_, m)| m.out.is_none() && !m.over && ends(m));
         let hopeless: Vec<u64> = held.map(|(&n, _)| n).collect();
         hopeless.into_iter().for_each(|n| self.give_up(n));
         self.forget_keys();
@@ -767,10 +877,17 @@
     fn trim(&mut self) {
         let excess = self.messages.len().saturating_sub(self.kept_most());
         if excess > 0 {
-            let held = self.messages.iter().filter(|(_, m)| m.out.is_none() && !m.over);
-            let mut order: Vec<(f64, u64)> = held.map(|(&n, m)| (self.worth(m, self.now), n)).collect();
+            let held = self
+                .messages
+                .iter()
+                .filter(|(_, m)| m.out.is_none() && !m.over);
+            let mut order: Vec<(f64, u64)> =
+                held.map(|(&n, m)| (self.worth(m, self.now), n)).collect();
             order.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
-            order.into_iter().take(excess).for_each(|(_, n)| self.give_up(n));
+            order
+                .into_iter()
+                .take(excess)
+                .for_each(|(_, n)| self.give_up(n));
         }
     }
 
@@ -802,12 +919,21 @@
         let late = (at - m.aim_at).as_secs_f64();
         let share = match self.set.decay {
             Decay::Linear => {
-                let span = class.deadline.saturating_sub(class.aim).as_secs_f64().max(1e-9);
+                let span = class
+                    .deadline
+                    .saturating_sub(class.aim)
+                    .as_secs_f64()
+                    .max(1e-9);
                 1.0 - (1.0 - class.late_share) * (late / span)
             }
             Decay::Halving => 0.5f64.powf(late / class.aim.as_secs_f64().max(1e-9)),
         };
-        let full = class.worth * if m.over_share { self.set.over_share_worth } else { 1.0 };
+        let full = class.worth
+            * if m.over_share {
+                self.set.over_share_worth
+            } else {
+                1.0
+            };
         full * share.clamp(class.late_share.min(1.0), 1.0)
     }
 
@@ -815,7 +941,8 @@
     fn times(&self, lane: &Lane, class: usize) -> (f64, f64) {
         let aim = self.set.classes[class].aim.as_secs_f64();
         let rtt = &lane.rtt[class];
-        rtt.late().map_or((aim / 4.0, aim), |late| (rtt.mean, late.max(aim / 8.0)))
+        rtt.late()
+            .map_or((aim / 4.0, aim), |late| (rtt.mean, late.max(aim / 8.0)))
     }
 
     /// Time-out of an attempt: generous beyond overdue, doubled after each time-out (as RFC 6298 does), so
@@ -826,7 +953,11 @@
         let doubled = f64::from(1u32 << lane.rtt[m.class].doubled.min(4));
         let usual = 2.0 * self.times(lane, m.class).1 * doubled;
         let unsafely = (2.0 * usual).max(2.0 * class.aim.as_secs_f64());
-        let time = if class.effect == Effect::Unsafe { unsafely } else { usual };
+        let time = if class.effect == Effect::Unsafe {
+            unsafely
+        } else {
+            usual
+        };
         Duration::from_secs_f64(time).min(m.deadline - self.now)
     }
 
@@ -850,7 +981,12 @@
         let lane = &self.lanes[endpoint.lane];
         let class: &Class = &self.set.classes[m.class];
         // No message lost, no effect twice, attempts capped, never two at once.
-        if m.over || m.out.is_some() || m.deadline <= now || now < m.not_before || !self.may_repeat(m) {
+        if m.over
+            || m.out.is_some()
+            || m.deadline <= now
+            || now < m.not_before
+            || !self.may_repeat(m)
+        {
             return false;
         }
         // A repeat that may be one goes only where it is dropped.
@@ -874,7 +1010,9 @@
         let room = lane.window.has_room(lane.out) && (lane.lucky || lane.window.chance().is_none());
         let open = match lane.health.mode {
             Mode::Down { next, .. } => now >= next && lane.out == 0,
-            Mode::Up | Mode::Cold { .. } => room && (lane.pace.calls >= 1.0 || lane.pace.rate.is_infinite()),
+            Mode::Up | Mode::Cold { .. } => {
+                room && (lane.pace.calls >= 1.0 || lane.pace.rate.is_infinite())
+            }
         };
         let free = (self.set.slots as usize).saturating_sub(self.calls.len());
         let slow = lane.rtt.iter().any(|r| r.seen && r.mean > SLOW * r.base);
@@ -900,7 +1038,8 @@
         }
         for lane in self.lanes.active_mut() {
             // A slow start that is over.
-            if matches!(lane.health.mode, Mode::Cold { since } if now - since >= self.set.rules.cold) {
+            if matches!(lane.health.mode, Mode::Cold { since } if now - since >= self.set.rules.cold)
+            {
                 lane.health.mode = Mode::Up;
             }
             let rate = lane.own_rate(now, &self.set.rules, self.set.instances);
@@ -908,11 +1047,13 @@
             let chance = lane.window.chance();
             lane.lucky |= chance.is_none();
             // The paper's fractional call: one toss for each arrival or retest; a toss won waits for a slot.
-            if let Some(chance) = chance.filter(|_| lane.backlog > 0 && !lane.lucky && lane.out == 0)
+            if let Some(chance) =
+                chance.filter(|_| lane.backlog > 0 && !lane.lucky && lane.out == 0)
                 && now >= lane.toss_at.max(lane.shut_until)
             {
                 // What cut the window ages: a rare sender would need minutes of answers to climb back to one.
-                let aged = (now - lane.cut_at).as_secs_f64() / self.set.rules.cold.as_secs_f64().max(1.0);
+                let aged =
+                    (now - lane.cut_at).as_secs_f64() / self.set.rules.cold.as_secs_f64().max(1.0);
                 lane.lucky = self.rng.f64() < chance.max(aged);
                 // The paper tosses once for each call that comes. Retests double that, however many senders.
                 let mean = Duration::from_secs_f64(1.0 / lane.demand.rate(now).max(0.1));
@@ -920,7 +1061,10 @@
             }
         }
         self.lanes.settle(now);
-        let ready = self.messages.iter().filter(|(_, m)| m.out.is_none() && now >= m.not_before);
+        let ready = self
+            .messages
+            .iter()
+            .filter(|(_, m)| m.out.is_none() && now >= m.not_before);
         let mut order: Vec<(f64, u64)> = ready.map(|(&n, m)| (self.urgency(m), n)).collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         let mut open: BTreeMap<usize, u64> = BTreeMap::new();
@@ -934,15 +1078,25 @@
     /// What is lost, for each second of a slot, if this message waits as long as its destination's backlog.
     fn urgency(&self, m: &Message) -> f64 {
         // Of routes apart, the one with the shortest time is meant.
-        let lanes = self.dests.get(&m.dest).into_iter().flatten().map(|&l| &self.lanes[l]);
+        let lanes = self
+            .dests
+            .get(&m.dest)
+            .into_iter()
+            .flatten()
+            .map(|&l| &self.lanes[l]);
         let timed = lanes.map(|lane| (self.times(lane, m.class).0, lane));
-        let Some((usual, lane)) = timed.min_by(|a, b| a.0.total_cmp(&b.0)) else { return 0.0 };
+        let Some((usual, lane)) = timed.min_by(|a, b| a.0.total_cmp(&b.0)) else {
+            return 0.0;
+        };
         // A call that carries many costs each of them only its part of the slot.
         let sharing = lane.backlog.clamp(1, lane.kind.per_call.max(1) as usize);
         let served = lane.demand.rate(self.now).max(0.5);
         let wait = (lane.backlog as f64 / served).clamp(0.5, 10.0);
         let soon = self.now + Duration::from_secs_f64(usual);
-        let (first, last) = (self.worth(m, soon), self.worth(m, soon + Duration::from_secs_f64(wait)));
+        let (first, last) = (
+            self.worth(m, soon),
+            self.worth(m, soon + Duration::from_secs_f64(wait)),
+        );
         (first - last + 0.01 * first) * sharing as f64 / usual.max(1e-3)
     }
 
@@ -959,8 +1113,19 @@
                 let endpoint = &self.endpoints[e];
                 let far = endpoint.distance(self.set.zone);
                 // Of several that failed, the one that failed least: an outage need not be all of them's.
-                let failed = if self.shunned(endpoint) { endpoint.streak } else { 0 };
-                (!self.joins(m, e, open), failed, far, endpoint.out, endpoint.rank, e)
+                let failed = if self.shunned(endpoint) {
+                    endpoint.streak
+                } else {
+                    0
+                };
+                (
+                    !self.joins(m, e, open),
+                    failed,
+                    far,
+                    endpoint.out,
+                    endpoint.rank,
+                    e,
+                )
             })
     }
 
@@ -975,13 +1140,17 @@
     fn listed(&self, dest: DestId) -> Vec<usize> {
         let there = |&e: &usize| self.endpoints[e].condition != Condition::Gone;
         let lanes = self.dests.get(&dest).into_iter().flatten().copied();
-        lanes.filter(|&l| self.lanes[l].endpoints.iter().any(there)).collect()
+        lanes
+            .filter(|&l| self.lanes[l].endpoints.iter().any(there))
+            .collect()
     }
 
     /// Whether a message may share this batch's call. A call has one wait, within the time of each and no
     /// shorter than each needs: one that ran out alone would leave open what the answer says of the rest.
     fn joins(&self, m: &Message, e: usize, open: &BTreeMap<usize, u64>) -> bool {
-        let Some(call) = open.get(&e).and_then(|c| self.calls.get(c)) else { return false };
+        let Some(call) = open.get(&e).and_then(|c| self.calls.get(c)) else {
+            return false;
+        };
         let lane = &self.lanes[self.endpoints[e].lane];
         let until = call.until.min(self.now + self.timeout(m, lane));
         call.messages < lane.kind.per_call && call.least.max(self.least(m, lane)) <= until
@@ -991,13 +1160,20 @@
     fn least(&self, m: &Message, lane: &Lane) -> Time {
         let unsafely = self.set.classes[m.class].effect == Effect::Unsafe;
         let usual = Duration::from_secs_f64(self.times(lane, m.class).0);
-        self.now + if unsafely { self.timeout(m, lane) } else { usual }
+        self.now
+            + if unsafely {
+                self.timeout(m, lane)
+            } else {
+                usual
+            }
     }
 
     fn send(&mut self, number: u64, e: usize, open: &mut BTreeMap<usize, u64>) {
         let now = self.now;
         let fresh = self.number();
-        let Some(m) = self.messages.get(&number) else { return };
+        let Some(m) = self.messages.get(&number) else {
+            return;
+        };
         let (joining, lane, class) = (self.joins(m, e, open), self.endpoints[e].lane, m.class);
         let timeout = self.timeout(m, &self.lanes[lane]);
         let (until, least) = (now + timeout, self.least(m, &self.lanes[lane]));
@@ -1008,12 +1184,23 @@
             (call.until, call.least) = (call.until.min(until), call.least.max(least));
         } else {
             let (endpoint, sent, waiting, counted) = (e, now, 1, false);
-            let new = Call { endpoint, class, sent, until, least, messages: 1, waiting, counted };
+            let new = Call {
+                endpoint,
+                class,
+                sent,
+                until,
+                least,
+                messages: 1,
+                waiting,
+                counted,
+            };
             self.calls.insert(call, new);
             open.insert(e, call);
             let endpoint = &mut self.endpoints[e];
             let lane = &mut self.lanes[lane];
-            endpoint.gap = endpoint.last_used.map_or(Duration::ZERO, |t| now - t.max(endpoint.last_answer));
+            endpoint.gap = endpoint
+                .last_used
+                .map_or(Duration::ZERO, |t| now - t.max(endpoint.last_answer));
             if endpoint.out == 0 && endpoint.gap > self.idle_limit {
                 self.acts.push(Action::Close(endpoint.id.clone()));
                 endpoint.gap = Duration::ZERO;
@@ -1026,10 +1213,21 @@
             lane.pace.calls = (lane.pace.calls - 1.0).max(-1.0);
         }
         if let Some(m) = self.messages.get_mut(&number) {
-            m.out = Some(Attempt { number: m.attempts, endpoint: e, call, sent: now });
+            m.out = Some(Attempt {
+                number: m.attempts,
+                endpoint: e,
+                call,
+                sent: now,
+            });
             m.attempts += 1;
             let (id, endpoint) = (m.id.clone(), self.endpoints[e].id.clone());
-            self.acts.push(Action::Send { id, endpoint, timeout, call, write_within });
+            self.acts.push(Action::Send {
+                id,
+                endpoint,
+                timeout,
+                call,
+                write_within,
+            });
         }
     }
 
@@ -1040,16 +1238,36 @@
         let mut consider = |t: Time| next = Some(next.map_or(t, |n| n.min(t)));
         for m in self.messages.values().filter(|m| m.out.is_none()) {
             consider(
-                (now + RETEST).min(Time(m.deadline.0.saturating_sub(2 * self.set.tick.as_nanos() as u64))),
+                (now + RETEST).min(Time(
+                    m.deadline
+                        .0
+                        .saturating_sub(2 * self.set.tick.as_nanos() as u64),
+                )),
             );
-            let gates = self.dests.get(&m.dest).into_iter().flatten().map(|&l| &self.lanes[l]);
-            let keys =
-                m.key.as_ref().and_then(|k| self.keys.get(k)).map(|k| k.rest_until.max(self.keys_rest_until));
+            let gates = self
+                .dests
+                .get(&m.dest)
+                .into_iter()
+                .flatten()
+                .map(|&l| &self.lanes[l]);
+            let keys = m
+                .key
+                .as_ref()
+                .and_then(|k| self.keys.get(k))
+                .map(|k| k.rest_until.max(self.keys_rest_until));
             let opens = gates.flat_map(|lane| {
-                let trial = if let Mode::Down { next, .. } = lane.health.mode { next } else { now };
+                let trial = if let Mode::Down { next, .. } = lane.health.mode {
+                    next
+                } else {
+                    now
+                };
                 [lane.shut_until, trial, lane.pace.next()]
             });
-            opens.chain(keys).chain([m.not_before]).filter(|&t| t > now).for_each(&mut consider);
+            opens
+                .chain(keys)
+                .chain([m.not_before])
+                .filter(|&t| t > now)
+                .for_each(&mut consider);
         }
         if let Some(next) = next.map(|t| t.max(now + self.set.tick))
             && self.armed.is_none_or(|t| t <= now || t > next)
--- a/src/brain/lanes.rs
+++ b/src/brain/lanes.rs
@@ -49,12 +49,21 @@
 
     /// Destinations among which all are that something was learnt of.
     pub fn learnt_of(&self) -> BTreeSet<DestId> {
-        self.known.iter().chain(&self.active).map(|&place| self.all[place].dest).collect()
+        self.known
+            .iter()
+            .chain(&self.active)
+            .map(|&place| self.all[place].dest)
+            .collect()
     }
 
     /// After a turn has looked at all active lanes: those that a further one would not change are idle from now on.
     pub fn settle(&mut self, now: Time) {
-        let Lanes { all, active, known, turned } = self;
+        let Lanes {
+            all,
+            active,
+            known,
+            turned,
+        } = self;
         let learnt_of = |lane: &Lane| lane.used || lane.shut_until > now;
         known.extend(active.iter().filter(|&&place| learnt_of(&all[place])));
         active.retain(|&place| !all[place].is_settled());
@@ -96,10 +105,15 @@
 
     /// Guards memory on a long day: new endpoints under new ids replace the old ones without end.
     pub(super) fn forget_gone(&mut self) {
-        let first_ran: BTreeSet<usize> = self.messages.values().filter_map(|m| m.maybe_ran?.1).collect();
+        let first_ran: BTreeSet<usize> = self
+            .messages
+            .values()
+            .filter_map(|m| m.maybe_ran?.1)
+            .collect();
         let needed = |e: &usize| self.endpoints[*e].out > 0 || first_ran.contains(e);
         let gone = std::mem::take(&mut self.gone);
-        let (needed, gone): (BTreeMap<_, _>, BTreeMap<_, _>) = gone.into_iter().partition(|(_, e)| needed(e));
+        let (needed, gone): (BTreeMap<_, _>, BTreeMap<_, _>) =
+            gone.into_iter().partition(|(_, e)| needed(e));
         self.gone = needed;
         for (id, e) in gone {
             let (lane, dest) = (self.endpoints[e].lane, self.endpoints[e].dest);
@@ -107,7 +121,9 @@
             self.spare.push(e);
             self.lanes[lane].endpoints.retain(|&i| i != e);
             if self.lanes[lane].endpoints.is_empty() && self.lanes[lane].kind.apart {
-                self.dests.entry(dest).and_modify(|lanes| lanes.retain(|&l| l != lane));
+                self.dests
+                    .entry(dest)
+                    .and_modify(|lanes| lanes.retain(|&l| l != lane));
                 self.spare_lanes.push(lane);
             }
         }
--- a/src/brain/learnt.rs
+++ b/src/brain/learnt.rs
@@ -49,7 +49,11 @@
         for dest in self.lanes.learnt_of() {
             for &l in self.dests.get(&dest).into_iter().flatten() {
                 let lane = &self.lanes[l];
-                let used = lane.endpoints.iter().map(|&e| &self.endpoints[e]).filter(|e| e.uses > 0);
+                let used = lane
+                    .endpoints
+                    .iter()
+                    .map(|&e| &self.endpoints[e])
+                    .filter(|e| e.uses > 0);
                 let shut_until = Some(lane.shut_until).filter(|t| *t > self.now);
                 let Some(at) = used.map(|e| e.last_answer.max(lane.cut_at)).max() else {
                     // A wait that was only recalled, or told by an endpoint that has gone, holds all the same: it is told on
@@ -91,15 +95,23 @@
     pub fn recall(&mut self, now: Time, learnt: &[Learnt]) -> Time {
         self.now = self.now.max(now);
         let (now, mut last) = (self.now, self.now);
-        let known: BTreeMap<(u64, Option<&str>), &Learnt> =
-            learnt.iter().map(|k| ((k.dest, k.route.as_deref()), k)).collect();
-        let places: Vec<(u64, usize)> =
-            self.dests.iter().flat_map(|(dest, lanes)| lanes.iter().map(|&l| (dest.0, l))).collect();
+        let known: BTreeMap<(u64, Option<&str>), &Learnt> = learnt
+            .iter()
+            .map(|k| ((k.dest, k.route.as_deref()), k))
+            .collect();
+        let places: Vec<(u64, usize)> = self
+            .dests
+            .iter()
+            .flat_map(|(dest, lanes)| lanes.iter().map(|&l| (dest.0, l)))
+            .collect();
         for (dest, l) in places {
             let route = self.route(l);
             let (senders, rules) = (self.set.instances, self.set.rules);
             let (chance, jitter) = (self.rng.f64(), self.jitter());
-            let untried = self.lanes[l].endpoints.iter().all(|&e| self.endpoints[e].uses == 0);
+            let untried = self.lanes[l]
+                .endpoints
+                .iter()
+                .all(|&e| self.endpoints[e].uses == 0);
             let lane = &mut self.lanes[l];
             if let Some(known) = known.get(&(dest, route.as_deref())) {
                 // A wait holds whoever was told it.
@@ -115,7 +127,11 @@
             if gap > 0.0 && gap.is_finite() && lane.pace.calls >= PACE_DEPTH {
                 let spread = (FIRST_GAPS * gap).min(FIRST_MOST.max(gap));
                 // So much is missing in the bucket that it lets the first one go at a time drawn from all of the spread.
-                lane.pace = Pace { calls: 1.0 - spread * chance / gap, at: now, rate: 1.0 / gap };
+                lane.pace = Pace {
+                    calls: 1.0 - spread * chance / gap,
+                    at: now,
+                    rate: 1.0 / gap,
+                };
                 last = last.max(lane.pace.next());
             }
         }
@@ -140,7 +156,10 @@
             let lane = &mut self.lanes[l];
             lane.shut_until = lane.shut_until.max(known.shut_until.unwrap_or_default());
             lane.take(&known, self.now, &rules, jitter);
-            lane.window.size = known.window.unwrap_or(lane.window.size).clamp(FLOOR, lane.window.cap);
+            lane.window.size = known
+                .window
+                .unwrap_or(lane.window.size)
+                .clamp(FLOOR, lane.window.cap);
             lane.proven_window = lane.window.clone();
         }
         left
@@ -165,7 +184,10 @@
         }
         match known.state {
             Some(Seen::Out) if self.health.mode == Mode::Up => {
-                self.health.mode = Mode::Down { next: now + TRIAL_FIRST.mul_f64(jitter), step: 0 };
+                self.health.mode = Mode::Down {
+                    next: now + TRIAL_FIRST.mul_f64(jitter),
+                    step: 0,
+                };
             }
             Some(Seen::Cold(since)) if self.health.mode == Mode::Up && now - since < rules.cold => {
                 self.health.mode = Mode::Cold { since };
--- a/src/brain/order.rs
+++ b/src/brain/order.rs
@@ -34,7 +34,9 @@
 
     /// Whether the message is the head of its key's line, with no report under way and after any rest.
     pub(super) fn in_turn(&self, number: u64, message: &Message) -> bool {
-        let Some(line) = message.key.as_ref().and_then(|k| self.keys.get(k)) else { return true };
+        let Some(line) = message.key.as_ref().and_then(|k| self.keys.get(k)) else {
+            return true;
+        };
         let rested = self.now >= line.rest_until || line.rest_by == number;
         let rested = rested && self.now >= self.keys_rest_until;
         line.reports == 0 && rested && line.line.front() == Some(&number)
@@ -51,6 +53,7 @@
     /// Forgets keys that nothing waits for.
     pub(super) fn forget_keys(&mut self) {
         let now = self.now;
-        self.keys.retain(|_, line| !line.line.is_empty() || line.rest_until > now || line.reports > 0);
+        self.keys
+            .retain(|_, line| !line.line.is_empty() || line.rest_until > now || line.reports > 0);
     }
 }
--- a/src/brain/zones.rs
+++ b/src/brain/zones.rs
@@ -16,7 +16,9 @@
 
     /// Endpoints that were listed since are barred too.
     pub fn bar_new(&mut self, zone: u32) {
-        self.of_zone(zone).filter(|e| e.bar.is_none()).for_each(|e| e.bar = Some(0.0));
+        self.of_zone(zone)
+            .filter(|e| e.bar.is_none())
+            .for_each(|e| e.bar = Some(0.0));
     }
 
     /// The fleet returns to this zone: all of its endpoints, or those listed since alone, begin with a part of a call that
@@ -40,11 +42,21 @@
             .collect();
         let there = |e: &Endpoint| e.zone == zone && e.condition == Condition::Ready;
         let wanted = |all: bool| -> Vec<usize> {
-            let ready = self.by_id.values().copied().filter(|&e| there(&self.endpoints[e]));
-            ready.filter(|&e| all || waits.contains(&self.endpoints[e].lane)).collect()
+            let ready = self
+                .by_id
+                .values()
+                .copied()
+                .filter(|&e| there(&self.endpoints[e]));
+            ready
+                .filter(|&e| all || waits.contains(&self.endpoints[e].lane))
+                .collect()
+        };
+        let some = Some(wanted(false))
+            .filter(|w| !w.is_empty())
+            .unwrap_or_else(|| wanted(true));
+        let Some(&e) = some.get((pick % some.len().max(1) as u64) as usize) else {
+            return;
         };
-        let some = Some(wanted(false)).filter(|w| !w.is_empty()).unwrap_or_else(|| wanted(true));
-        let Some(&e) = some.get((pick % some.len().max(1) as u64) as usize) else { return };
         self.endpoints[e].bar = Some(1.0);
         let lane = &mut self.lanes[self.endpoints[e].lane];
         if let Mode::Down { next, .. } = &mut lane.health.mode {
@@ -55,8 +67,12 @@
     /// Lets in what has come, since the last look, of this sender's part of what the zone's endpoints may be sent on their
     /// return.
     pub fn admit_returning(&mut self, now: Time, zone: u32, since: Time) {
-        let places: Vec<usize> =
-            self.by_id.values().copied().filter(|&e| self.endpoints[e].zone == zone).collect();
+        let places: Vec<usize> = self
+            .by_id
+            .values()
+            .copied()
+            .filter(|&e| self.endpoints[e].zone == zone)
+            .collect();
         places.into_iter().for_each(|e| self.admit(now, e, since));
     }
 
@@ -74,7 +90,11 @@
         let present = rules.cold_from + (1.0 - rules.cold_from) * warm.min(1.0);
         let passed = (now - self.now).as_secs_f64();
         let lane = &self.lanes[self.endpoints[e].lane];
-        let limit = lane.demand.told.filter(|l| l.is_finite()).unwrap_or(lane.demand.listed);
+        let limit = lane
+            .demand
+            .told
+            .filter(|l| l.is_finite())
+            .unwrap_or(lane.demand.listed);
         // Without any limit, what this sender is asked for is its part.
         let part = Some(limit / f64::from(self.set.instances)).filter(|p| p.is_finite());
         let part = part.unwrap_or_else(|| lane.demand.rate(now));
@@ -84,7 +104,9 @@
         let own = pace / lane.endpoints.len().max(1) as f64;
         let first = self.rng.f64();
         let endpoint = &mut self.endpoints[e];
-        let Some(saved) = &mut endpoint.bar else { return };
+        let Some(saved) = &mut endpoint.bar else {
+            return;
+        };
         // Who came back together must not have a whole call together.
         if *saved <= 0.0 && endpoint.streak > 0 {
             (*saved, endpoint.streak) = (first, 0);
--- a/src/profile.rs
+++ b/src/profile.rs
@@ -140,10 +140,14 @@
     pub fn into_settings(self) -> Result<Settings, String> {
         if !(1..=SENDERS_MOST).contains(&self.n_instances) {
             let n = self.n_instances;
-            return Err(format!("settings.nInstances: {n} senders; it must be 1 to {SENDERS_MOST}"));
+            return Err(format!(
+                "settings.nInstances: {n} senders; it must be 1 to {SENDERS_MOST}"
+            ));
         }
         let classes = self.classes.into_iter().enumerate().map(|(place, class)| {
-            class.into_class().map_err(|why| format!("settings.classes[{place}].{why}"))
+            class
+                .into_class()
+                .map_err(|why| format!("settings.classes[{place}].{why}"))
         });
         let classes = classes.collect::<Result<Vec<_>, _>>()?;
         let family = self.family_info;
@@ -158,9 +162,19 @@
         Ok(Settings {
             classes,
             kinds,
-            tenants: self.tenants.iter().map(|t| Tenant { quota_rps: t.quota_rps }).collect(),
+            tenants: self
+                .tenants
+                .iter()
+                .map(|t| Tenant {
+                    quota_rps: t.quota_rps,
+                })
+                .collect(),
             over_share_worth: self.over_share_worth,
-            decay: if family.loses_worth == "halving" { Decay::Halving } else { Decay::Linear },
+            decay: if family.loses_worth == "halving" {
+                Decay::Halving
+            } else {
+                Decay::Linear
+            },
             slots: family.calls_out,
             most_held: limits.most_held,
             attempts_cap: limits.attempts_cap,
--- a/src/state.rs
+++ b/src/state.rs
@@ -160,7 +160,14 @@
 }
 
 impl Lane {
-    pub fn new(dest: DestId, kind: Kind, window: Window, demand: Demand, now: Time, classes: usize) -> Lane {
+    pub fn new(
+        dest: DestId,
+        kind: Kind,
+        window: Window,
+        demand: Demand,
+        now: Time,
+        classes: usize,
+    ) -> Lane {
         Lane {
             dest,
             kind,
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -12,7 +12,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("adapter starts");
-    child.stdin.take().expect("stdin").write_all(input.as_bytes()).expect("write");
+    child
+        .stdin
+        .take()
+        .expect("stdin")
+        .write_all(input.as_bytes())
+        .expect("write");
     child.wait_with_output().expect("adapter ends")
 }
 
@@ -30,7 +35,11 @@
         _ => format!(
             r#"{{"msg":"Returned","sender":"sender/{n}","msgId":"t/{n}x1x{}","status":"{}","seqNo":0,"endpoint":"h:1","costTime":20000000}},{}"#,
             batch % 2,
-            if n == 1 { "turned_away" } else { "server_error" },
+            if n == 1 {
+                "turned_away"
+            } else {
+                "server_error"
+            },
             accepts.join(",")
         ),
     }
@@ -51,12 +60,21 @@
 
 fn actions(input: &str) -> Vec<String> {
     let out = run(input);
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let text = String::from_utf8(out.stdout).expect("utf-8");
     text.lines()
         .flat_map(|l| {
             let reply: serde_json::Value = serde_json::from_str(l).expect("a reply");
-            reply["output"].as_array().expect("output").iter().map(ToString::to_string).collect::<Vec<_>>()
+            reply["output"]
+                .as_array()
+                .expect("output")
+                .iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>()
         })
         .collect()
 }
@@ -92,8 +110,14 @@
         sender_events(0, 0),
         sender_events(0, 1)
     );
-    let sent: Vec<String> = actions(&input).into_iter().filter(|a| a.contains("\"Send\"")).collect();
-    assert!(!sent.is_empty() && sent.iter().all(|a| a.contains("h:2")), "{sent:?}");
+    let sent: Vec<String> = actions(&input)
+        .into_iter()
+        .filter(|a| a.contains("\"Send\""))
+        .collect();
+    assert!(
+        !sent.is_empty() && sent.iter().all(|a| a.contains("h:2")),
+        "{sent:?}"
+    );
 }
 
 #[test]
@@ -124,7 +148,14 @@
         sender_events(0, 0),
         sender_events(0, 1).replace("x1x", "x7x")
     );
-    let sent: Vec<String> = actions(&input).into_iter().filter(|a| a.contains("\"Send\"")).collect();
+    let sent: Vec<String> = actions(&input)
+        .into_iter()
+        .filter(|a| a.contains("\"Send\""))
+        .collect();
     let new: Vec<&String> = sent.iter().filter(|a| a.contains("x7x")).collect();
-    assert_eq!((sent.len() - new.len(), new.len()), (2, 2), "half of four slots, each life anew: {sent:?}");
+    assert_eq!(
+        (sent.len() - new.len(), new.len()),
+        (2, 2),
+        "half of four slots, each life anew: {sent:?}"
+    );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -23,13 +23,25 @@
     Settings {
         classes: vec![
             class(Effect::Safe),
-            Class { in_order: true, ..class(Effect::Keyed) },
+            Class {
+                in_order: true,
+                ..class(Effect::Keyed)
+            },
             class(Effect::Unsafe),
         ],
         kinds: vec![
-            Kind { per_call: 1, apart: false },
-            Kind { per_call: 5, apart: false },
-            Kind { per_call: 1, apart: true },
+            Kind {
+                per_call: 1,
+                apart: false,
+            },
+            Kind {
+                per_call: 5,
+                apart: false,
+            },
+            Kind {
+                per_call: 1,
+                apart: true,
+            },
         ],
         tenants: vec![],
         over_share_worth: 0.1,
@@ -60,7 +72,14 @@
 }
 
 pub fn entry(endpoint: &str, dest: u64, condition: Condition, kind: usize) -> Entry {
-    Entry { endpoint: EndpointId(endpoint.into()), dest: DestId(dest), condition, zone: 0, kind, rate: 0.0 }
+    Entry {
+        endpoint: EndpointId(endpoint.into()),
+        dest: DestId(dest),
+        condition,
+        zone: 0,
+        kind,
+        rate: 0.0,
+    }
 }
 
 pub struct Bench {
@@ -76,7 +95,13 @@
     /// One of several senders, which must not all draw the same.
     pub fn seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Bench {
         let mut sender = Sender::new(settings, seed, Time(0)).expect("settings");
-        sender.handle(Time(0), vec![Event::List { whole: true, entries }]);
+        sender.handle(
+            Time(0),
+            vec![Event::List {
+                whole: true,
+                entries,
+            }],
+        );
         Bench { sender, ms: 0 }
     }
 
@@ -112,7 +137,10 @@
 
 pub fn refused(id: &str, attempt: u32, wait_ms: u64) -> Event {
     match outcome(id, attempt, Status::Refused, 10) {
-        Event::Outcome(o) => Event::Outcome(Outcome { wait: Some(Duration::from_millis(wait_ms)), ..o }),
+        Event::Outcome(o) => Event::Outcome(Outcome {
+            wait: Some(Duration::from_millis(wait_ms)),
+            ..o
+        }),
         other => other,
     }
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -14,9 +14,19 @@
         b.at(i * 100, vec![accept(&id, 2, None, 9000)]);
         b.at(i * 100 + 50, vec![outcome(&id, 0, Status::Served, 50)]);
     }
-    assert_eq!(sends(&b.at(2000, vec![accept("lost", 2, None, 9000)])).len(), 1);
-    assert!(sends(&b.at(2300, vec![accept("m", 0, None, 9000)])).is_empty(), "overdue: nothing is added");
-    assert!((2300..3200).step_by(5).any(|ms| !sends(&b.at(ms, vec![Event::Wake])).is_empty()));
+    assert_eq!(
+        sends(&b.at(2000, vec![accept("lost", 2, None, 9000)])).len(),
+        1
+    );
+    assert!(
+        sends(&b.at(2300, vec![accept("m", 0, None, 9000)])).is_empty(),
+        "overdue: nothing is added"
+    );
+    assert!(
+        (2300..3200)
+            .step_by(5)
+            .any(|ms| !sends(&b.at(ms, vec![Event::Wake])).is_empty())
+    );
 }
 
 /// i4a8067: an unsafe call whose answer is lost holds its slot for far less than its deadline.
@@ -29,7 +39,8 @@
         b.at(i * 100 + 50, vec![outcome(&id, 0, Status::Served, 50)]);
     }
     let acts = b.at(2000, vec![accept("m", 2, None, 10000)]);
-    let Some(Action::Send { timeout, .. }) = acts.iter().find(|a| matches!(a, Action::Send { .. })) else {
+    let Some(Action::Send { timeout, .. }) = acts.iter().find(|a| matches!(a, Action::Send { .. }))
+    else {
         panic!("not sent")
     };
     assert!((2.0..5.0).contains(&timeout.as_secs_f64()), "{timeout:?}");
@@ -40,10 +51,15 @@
 fn idle_connections_are_closed_once_calls_after_idling_are_lost() {
     let mut b = Bench::new(
         settings(),
-        (0..8).map(|i| entry(&format!("e{i}"), 10 + i, Condition::Ready, 0)).collect(),
+        (0..8)
+            .map(|i| entry(&format!("e{i}"), 10 + i, Condition::Ready, 0))
+            .collect(),
     );
     let to = |id: &str, dest| match accept(id, 0, None, 9000) {
-        Event::Accept(t) => Event::Accept(Taken { dest: DestId(dest), ..t }),
+        Event::Accept(t) => Event::Accept(Taken {
+            dest: DestId(dest),
+            ..t
+        }),
         other => other,
     };
     let mut closed = 0;
@@ -52,8 +68,14 @@
         b.at(i * 6000, vec![to(&warm, 10 + i)]);
         b.at(i * 6000 + 50, vec![outcome(&warm, 0, Status::Served, 50)]);
         let acts = b.at(i * 6000 + 3000, vec![to(&idle, 10 + i)]);
-        closed += acts.iter().filter(|a| matches!(a, Action::Close(_))).count();
-        b.at(i * 6000 + 4500, vec![outcome(&idle, 0, Status::TimedOut, 1500)]);
+        closed += acts
+            .iter()
+            .filter(|a| matches!(a, Action::Close(_)))
+            .count();
+        b.at(
+            i * 6000 + 4500,
+            vec![outcome(&idle, 0, Status::TimedOut, 1500)],
+        );
         b.at(i * 6000 + 4600, vec![Event::Lapsed(MsgId(idle))]);
     }
     assert!(closed >= 2, "{closed}");
@@ -68,7 +90,12 @@
         b.at(i * 500, vec![accept(&id, 0, None, 9000)]);
         b.at(i * 500 + took, vec![outcome(&id, 0, Status::Served, took)]);
     }
-    let acts = b.at(11_000, (0..20).map(|i| accept(&format!("m{i}"), 0, None, 9000)).collect());
+    let acts = b.at(
+        11_000,
+        (0..20)
+            .map(|i| accept(&format!("m{i}"), 0, None, 9000))
+            .collect(),
+    );
     assert!(sends(&acts).len() < 6, "{}", sends(&acts).len());
     assert!(!sends(&acts).is_empty());
 }
@@ -76,17 +103,28 @@
 /// konya big-1, ib2709c: small calls piled up at a destination that takes many messages in one, while slots were short.
 #[test]
 fn small_calls_are_filled_instead_while_slots_are_short() {
-    let entries = (1..6).map(|i| entry(&format!("e{i}"), i, Condition::Ready, usize::from(i == 1))).collect();
+    let entries = (1..6)
+        .map(|i| entry(&format!("e{i}"), i, Condition::Ready, usize::from(i == 1)))
+        .collect();
     let mut b = Bench::new(settings(), entries);
     let to = |dest| match accept(&format!("o{dest}"), 0, None, 9000) {
-        Event::Accept(t) => Event::Accept(Taken { dest: DestId(dest), ..t }),
+        Event::Accept(t) => Event::Accept(Taken {
+            dest: DestId(dest),
+            ..t
+        }),
         other => other,
     };
     assert_eq!(sends(&b.at(0, vec![accept("m0", 0, None, 9000)])).len(), 1);
-    assert_eq!(sends(&b.at(10, vec![accept("m1", 0, None, 9000)])).len(), 1, "slots are free");
+    assert_eq!(
+        sends(&b.at(10, vec![accept("m1", 0, None, 9000)])).len(),
+        1,
+        "slots are free"
+    );
     assert_eq!(sends(&b.at(20, (2..5).map(to).collect())).len(), 3);
     for i in 2..6 {
-        assert!(sends(&b.at(20 + i * 10, vec![accept(&format!("m{i}"), 0, None, 9000)])).is_empty());
+        assert!(
+            sends(&b.at(20 + i * 10, vec![accept(&format!("m{i}"), 0, None, 9000)])).is_empty()
+        );
     }
     let acts = b.at(110, vec![accept("m6", 0, None, 9000)]);
     assert_eq!(sends(&acts).len(), 5, "a full call goes beside the first");
@@ -98,7 +136,11 @@
     let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)]);
     for i in 0..6u64 {
         let id = format!("s{i}");
-        assert_eq!(sends(&b.at(i * 100, vec![accept(&id, 0, None, 50)])).len(), 1, "{id}");
+        assert_eq!(
+            sends(&b.at(i * 100, vec![accept(&id, 0, None, 50)])).len(),
+            1,
+            "{id}"
+        );
         b.at(i * 100 + 50, vec![outcome(&id, 0, Status::TimedOut, 50)]);
     }
 }
@@ -106,12 +148,20 @@
 /// The reload day of 1 December: of two endpoints the one that had failed was left out until the day's end.
 #[test]
 fn an_endpoint_that_failed_is_tried_again_beside_one_that_works() {
-    let mut b =
-        Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0), entry("b", 1, Condition::Ready, 0)]);
+    let mut b = Bench::new(
+        settings(),
+        vec![
+            entry("a", 1, Condition::Ready, 0),
+            entry("b", 1, Condition::Ready, 0),
+        ],
+    );
     let mut at_b = Vec::new();
     for i in 0..40u64 {
         let pair = [format!("m{i}"), format!("n{i}")];
-        let acts = b.at(i * 100, pair.iter().map(|id| accept(id, 0, None, 9000)).collect());
+        let acts = b.at(
+            i * 100,
+            pair.iter().map(|id| accept(id, 0, None, 9000)).collect(),
+        );
         for (id, endpoint) in sends(&acts) {
             let fails = endpoint == "b" && at_b.is_empty();
             if endpoint == "b" {
@@ -136,10 +186,19 @@
             entry(&format!("r{}", i - 1), 2, Condition::Gone, 2),
             entry(&format!("r{i}"), 2, Condition::Ready, 2),
         ];
-        b.at(i * 100, vec![Event::List { whole: false, entries }]);
+        b.at(
+            i * 100,
+            vec![Event::List {
+                whole: false,
+                entries,
+            }],
+        );
         let acts = b.at(i * 100 + 5, vec![accept(&format!("m{i}"), 0, None, 9000)]);
         assert_eq!(sends(&acts), [(format!("m{i}"), format!("e{i}"))]);
-        b.at(i * 100 + 20, vec![outcome(&format!("m{i}"), 0, Status::Served, 15)]);
+        b.at(
+            i * 100 + 20,
+            vec![outcome(&format!("m{i}"), 0, Status::Served, 15)],
+        );
     }
     assert!(b.sender.places() < 10, "{}", b.sender.places());
 }
@@ -150,11 +209,26 @@
     let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)]);
     for i in 0..3u64 {
         b.at(i * 1000, vec![accept(&format!("m{i}"), 2, None, 9000)]);
-        b.at(i * 1000 + 10, vec![outcome(&format!("m{i}"), 0, Status::Reset, 10)]);
+        b.at(
+            i * 1000 + 10,
+            vec![outcome(&format!("m{i}"), 0, Status::Reset, 10)],
+        );
     }
-    assert!(sends(&b.at(2050, vec![accept("m", 0, None, 9000)])).is_empty(), "it is out");
-    let entries = vec![entry("a", 1, Condition::Gone, 0), entry("b", 1, Condition::Ready, 0)];
-    let acts = b.at(2100, vec![Event::List { whole: false, entries }]);
+    assert!(
+        sends(&b.at(2050, vec![accept("m", 0, None, 9000)])).is_empty(),
+        "it is out"
+    );
+    let entries = vec![
+        entry("a", 1, Condition::Gone, 0),
+        entry("b", 1, Condition::Ready, 0),
+    ];
+    let acts = b.at(
+        2100,
+        vec![Event::List {
+            whole: false,
+            entries,
+        }],
+    );
     assert_eq!(sends(&acts), [("m".to_owned(), "b".to_owned())]);
 }
 
@@ -166,11 +240,20 @@
         let mut sender = Sender::new(settings(), 1, start).expect("settings");
         sender.handle(
             start,
-            vec![Event::List { whole: true, entries: vec![entry("a", 1, Condition::Ready, 0)] }],
+            vec![Event::List {
+                whole: true,
+                entries: vec![entry("a", 1, Condition::Ready, 0)],
+            }],
         );
         let mut b = Bench { sender, ms: 20_000 };
         let old = (0..60).map(|i| match accept(&format!("m{i}"), 0, None, 4000) {
-            Event::Accept(t) => Event::Accept(Taken { past: Past { earlier_life, ..Past::default() }, ..t }),
+            Event::Accept(t) => Event::Accept(Taken {
+                past: Past {
+                    earlier_life,
+                    ..Past::default()
+                },
+                ..t
+            }),
             other => other,
         });
         let mut out = sends(&b.at(20_010, old.collect()));
@@ -180,7 +263,11 @@
             let ends = std::mem::take(&mut out).into_iter().map(|(id, _)| {
                 let attempt = attempts.entry(id.clone()).or_insert(0);
                 *attempt += 1;
-                let status = if ms < 20_400 { Status::NoConnection } else { Status::Served };
+                let status = if ms < 20_400 {
+                    Status::NoConnection
+                } else {
+                    Status::Served
+                };
                 outcome(&id, *attempt - 1, status, 10)
             });
             let ends: Vec<Event> = ends.chain([Event::Wake]).collect();
@@ -189,13 +276,21 @@
         }
         sent
     };
-    assert!(paced(true) < paced(false), "{} {}", paced(true), paced(false));
+    assert!(
+        paced(true) < paced(false),
+        "{} {}",
+        paced(true),
+        paced(false)
+    );
 }
 
 /// The reload day of 1 December: trials of a destination that is out went to the endpoint that had failed most.
 #[test]
 fn a_trial_goes_to_the_endpoint_that_failed_least() {
-    let entries = vec![entry("a", 1, Condition::Ready, 0), entry("b", 1, Condition::Ready, 0)];
+    let entries = vec![
+        entry("a", 1, Condition::Ready, 0),
+        entry("b", 1, Condition::Ready, 0),
+    ];
     let mut b = Bench::new(settings(), entries);
     let mut went = Vec::new();
     for i in 0..3u64 {
@@ -206,7 +301,9 @@
     }
     assert!(went[0] == went[2] && went[0] != went[1], "{went:?}");
     b.at(300, vec![accept("m", 0, None, 9000)]);
-    let trial = (305..2000).step_by(5).find_map(|ms| sends(&b.at(ms, vec![Event::Wake])).pop());
+    let trial = (305..2000)
+        .step_by(5)
+        .find_map(|ms| sends(&b.at(ms, vec![Event::Wake])).pop());
     assert_eq!(trial, Some(("m".to_owned(), went[1].clone())));
 }
 
@@ -214,7 +311,11 @@
 /// destinations out, and then held them to a cold one's budget for nine seconds.
 #[test]
 fn connections_that_died_while_kept_do_not_put_a_destination_out() {
-    for (status, stays) in [(Status::Dropped, true), (Status::Spoilt, true), (Status::Reset, false)] {
+    for (status, stays) in [
+        (Status::Dropped, true),
+        (Status::Spoilt, true),
+        (Status::Reset, false),
+    ] {
         let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)]);
         for i in 0..4u64 {
             let id = format!("m{i}");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -11,12 +11,23 @@
 /// Every sender gets a message for the one destination each ten seconds, in turn. It answers with `status` until
 /// `back` and serves from then on. Returns the calls sent in each second.
 fn day(status: Status, back: u64, until: u64) -> Vec<usize> {
-    let set = Settings { instances: SENDERS as u32, slots: 2, most_held: 16, ..settings() };
+    let set = Settings {
+        instances: SENDERS as u32,
+        slots: 2,
+        most_held: 16,
+        ..settings()
+    };
     let mut senders: Vec<Sender> = (0..SENDERS)
         .map(|i| {
             let mut sender = Sender::new(set.clone(), i, Time(0)).expect("settings");
             let entries = vec![entry("a", 1, Condition::Ready, 0)];
-            sender.handle(Time(0), vec![Event::List { whole: true, entries }]);
+            sender.handle(
+                Time(0),
+                vec![Event::List {
+                    whole: true,
+                    entries,
+                }],
+            );
             sender
         })
         .collect();
@@ -26,8 +37,10 @@
     for ms in (0..until).step_by(50) {
         for (i, sender) in senders.iter_mut().enumerate() {
             let status = if ms < back { status } else { Status::Served };
-            let mut events: Vec<Event> =
-                calls[i].drain(..).map(|(id, n)| outcome(&id, n, status, 50)).collect();
+            let mut events: Vec<Event> = calls[i]
+                .drain(..)
+                .map(|(id, n)| outcome(&id, n, status, 50))
+                .collect();
             if (ms + 50 * i as u64) % 10_000 == 0 {
                 events.push(accept(&format!("{i}-{ms}"), 0, None, 9_900));
             }
@@ -50,8 +63,14 @@
     for status in [Status::NoConnection, Status::Refused] {
         let sent = day(status, 25_000, 40_000);
         let fresh = SENDERS as usize / 10;
-        assert!(sent[20..30].iter().all(|&n| n <= fresh * 2), "{status:?}: {sent:?}");
-        assert!(sent[20..30].iter().sum::<usize>() <= fresh * 13, "{status:?}: {sent:?}");
+        assert!(
+            sent[20..30].iter().all(|&n| n <= fresh * 2),
+            "{status:?}: {sent:?}"
+        );
+        assert!(
+            sent[20..30].iter().sum::<usize>() <= fresh * 13,
+            "{status:?}: {sent:?}"
+        );
     }
 }
 
@@ -68,18 +87,34 @@
 #[test]
 fn connections_are_given_back_after_use_once_they_are_short() {
     let mut b = Bench::new(
-        Settings { instances: SENDERS as u32, ..settings() },
-        vec![entry("a", 1, Condition::Ready, 0), entry("b", 1, Condition::Ready, 0)],
+        Settings {
+            instances: SENDERS as u32,
+            ..settings()
+        },
+        vec![
+            entry("a", 1, Condition::Ready, 0),
+            entry("b", 1, Condition::Ready, 0),
+        ],
     );
-    let closes = |acts: &[Action]| acts.iter().filter(|a| matches!(a, Action::Close(_))).count();
+    let closes = |acts: &[Action]| {
+        acts.iter()
+            .filter(|a| matches!(a, Action::Close(_)))
+            .count()
+    };
     for i in 0..6u64 {
         let id = format!("w{i}");
         b.at(i * 1000, vec![accept(&id, 0, None, 9000)]);
-        assert_eq!(closes(&b.at(i * 1000 + 50, vec![outcome(&id, 0, Status::Served, 50)])), 0);
+        assert_eq!(
+            closes(&b.at(i * 1000 + 50, vec![outcome(&id, 0, Status::Served, 50)])),
+            0
+        );
     }
     b.at(6000, vec![accept("m", 0, None, 9000)]);
     b.at(6010, vec![outcome("m", 0, Status::NoConnection, 10)]);
-    assert_eq!(closes(&b.at(6060, vec![outcome("m", 1, Status::Served, 50)])), 1);
+    assert_eq!(
+        closes(&b.at(6060, vec![outcome("m", 1, Status::Served, 50)])),
+        1
+    );
 }
 
 /// zone+vast, seed 3: after a zone had been down for 5 s every call went on a connection of its own for a minute, since
@@ -87,14 +122,28 @@
 #[test]
 fn connections_refused_in_an_outage_do_not_tell_of_shortage() {
     let mut b = Bench::new(
-        Settings { instances: SENDERS as u32, ..settings() },
-        vec![entry("a", 1, Condition::Ready, 0), entry("b", 1, Condition::Ready, 0)],
+        Settings {
+            instances: SENDERS as u32,
+            ..settings()
+        },
+        vec![
+            entry("a", 1, Condition::Ready, 0),
+            entry("b", 1, Condition::Ready, 0),
+        ],
     );
-    let closes = |acts: &[Action]| acts.iter().filter(|a| matches!(a, Action::Close(_))).count();
+    let closes = |acts: &[Action]| {
+        acts.iter()
+            .filter(|a| matches!(a, Action::Close(_)))
+            .count()
+    };
     let mut tries = std::collections::BTreeMap::<String, u32>::new();
     let (mut out, mut closed, mut served) = (Vec::<String>::new(), 0, 0);
     for ms in (0..20_000).step_by(50) {
-        let status = if (6_000..12_000).contains(&ms) { Status::NoConnection } else { Status::Served };
+        let status = if (6_000..12_000).contains(&ms) {
+            Status::NoConnection
+        } else {
+            Status::Served
+        };
         let mut events: Vec<Event> = vec![Event::Wake];
         for id in out.drain(..) {
             let n = tries.entry(id.clone()).or_default();
@@ -109,26 +158,45 @@
         closed += closes(&acts);
         out = sends(&acts).into_iter().map(|(id, _)| id).collect();
     }
-    assert!(served >= 8 && closed == 0, "{served} served, {closed} closed");
+    assert!(
+        served >= 8 && closed == 0,
+        "{served} served, {closed} closed"
+    );
 }
 
 /// calm+mass, seed 13: an order of endpoints that all shared sent 98% of a partner's calls to one of two, which refused
 /// half of them while two thirds of the partner's limit were left.
 #[test]
 fn senders_with_little_to_send_spread_over_a_partners_endpoints() {
-    let set = Settings { instances: SENDERS as u32, slots: 4, most_held: 16, ..settings() };
+    let set = Settings {
+        instances: SENDERS as u32,
+        slots: 4,
+        most_held: 16,
+        ..settings()
+    };
     let mut calls = std::collections::BTreeMap::<String, usize>::new();
     for seed in 0..SENDERS {
         let mut sender = Sender::new(set.clone(), seed, Time(0)).expect("settings");
-        let entries = ["a", "b", "c"].map(|e| entry(e, 1, Condition::Ready, 0)).to_vec();
-        let list = Event::List { whole: true, entries };
+        let entries = ["a", "b", "c"]
+            .map(|e| entry(e, 1, Condition::Ready, 0))
+            .to_vec();
+        let list = Event::List {
+            whole: true,
+            entries,
+        };
         let first = sends(&sender.handle(Time(0), vec![list, accept("m", 0, None, 9000)]));
-        let then = vec![outcome("m", 0, Status::Served, 50), accept("n", 0, None, 9000)];
+        let then = vec![
+            outcome("m", 0, Status::Served, 50),
+            accept("n", 0, None, 9000),
+        ];
         let second = sends(&sender.handle(Time(1_000_000_000), then));
         // Each keeps to its own: the connection there is warm.
         assert_eq!(first[0].1, second[0].1, "seed {seed}");
         *calls.entry(first[0].1.clone()).or_default() += 1;
     }
     let even = SENDERS as usize / 3;
-    assert!(calls.values().all(|&n| n < even * 4 / 3) && calls.len() == 3, "{calls:?}");
+    assert!(
+        calls.values().all(|&n| n < even * 4 / 3) && calls.len() == 3,
+        "{calls:?}"
+    );
 }
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -15,7 +15,10 @@
 fn active_lanes(bench: &mut Bench) -> Vec<usize> {
     let change = |endpoint: &str, condition| {
         let entries = vec![entry(endpoint, 2, condition, 0)];
-        Event::List { whole: false, entries }
+        Event::List {
+            whole: false,
+            entries,
+        }
     };
     let events = [
         Event::Wake,
@@ -41,24 +44,41 @@
     let few = active_lanes(&mut listed(10));
     assert_eq!(few, active_lanes(&mut listed(57_000)));
     assert_eq!(few.last(), Some(&0), "what is over is idle again: {few:?}");
-    assert!(few.contains(&1) && few.iter().all(|&lanes| lanes <= 1), "{few:?}");
+    assert!(
+        few.contains(&1) && few.iter().all(|&lanes| lanes <= 1),
+        "{few:?}"
+    );
 }
 
 /// An idle lane saves up no calls beyond its bucket: after a long rest a returning destination still starts slowly.
 #[test]
 fn a_lane_that_was_skipped_starts_no_faster() {
     let mut bench = listed(2);
-    let Event::Outcome(served) = outcome("first", 0, Status::Served, 10) else { return };
-    let report = Some(Report { left: 1.0, limit: 20.0 });
+    let Event::Outcome(served) = outcome("first", 0, Status::Served, 10) else {
+        return;
+    };
+    let report = Some(Report {
+        left: 1.0,
+        limit: 20.0,
+    });
     bench.at(10, vec![accept("first", 0, None, 5000)]);
     bench.at(20, vec![Event::Outcome(Outcome { report, ..served })]);
-    let probed = |status| Event::Probed { endpoint: EndpointId("e1".into()), status };
+    let probed = |status| Event::Probed {
+        endpoint: EndpointId("e1".into()),
+        status,
+    };
     bench.at(1000, (0..3).map(|_| probed(Status::Error)).collect());
     bench.at(6000, vec![Event::Wake]);
     assert_eq!(bench.sender.active_lanes(), 0, "idle, and out");
     bench.at(30_000, vec![Event::Wake]);
     let waiting = |n: u64| accept(&format!("m{n}"), 0, None, 5000);
-    let at_once = bench.at(30_005, [probed(Status::Served)].into_iter().chain((0..4).map(waiting)).collect());
+    let at_once = bench.at(
+        30_005,
+        [probed(Status::Served)]
+            .into_iter()
+            .chain((0..4).map(waiting))
+            .collect(),
+    );
     assert_eq!(sends(&at_once), [], "its bucket is empty as it returns");
     // Two times a fifth of 10/s is 4/s, of which it aims at four fifths.
     assert_eq!(sends(&bench.at(30_400, vec![Event::Wake])).len(), 1);
--- a/tests/learnt.rs
+++ b/tests/learnt.rs
@@ -11,14 +11,30 @@
 }
 
 fn learnt() -> Learnt {
-    Learnt { dest: 1, route: None, at: ms(0), window: None, limit: None, shut_until: None, state: None }
+    Learnt {
+        dest: 1,
+        route: None,
+        at: ms(0),
+        window: None,
+        limit: None,
+        shut_until: None,
+        state: None,
+    }
 }
 
 fn fresh(senders: u32, seed: u64) -> Sender {
-    let set = Settings { instances: senders, ..settings() };
+    let set = Settings {
+        instances: senders,
+        ..settings()
+    };
     let mut sender = Sender::new(set, seed, ms(0)).expect("settings");
-    sender
-        .handle(ms(0), vec![Event::List { whole: true, entries: vec![entry("a", 1, Condition::Ready, 0)] }]);
+    sender.handle(
+        ms(0),
+        vec![Event::List {
+            whole: true,
+            entries: vec![entry("a", 1, Condition::Ready, 0)],
+        }],
+    );
     sender
 }
 
@@ -26,7 +42,13 @@
 fn first_calls(limit: f64) -> Vec<usize> {
     let mut senders: Vec<Sender> = (0..100).map(|seed| fresh(100, seed)).collect();
     for sender in &mut senders {
-        let last = sender.recall(ms(0), &[Learnt { limit: Some(limit), ..learnt() }]);
+        let last = sender.recall(
+            ms(0),
+            &[Learnt {
+                limit: Some(limit),
+                ..learnt()
+            }],
+        );
         assert!(last <= ms(5300), "{last:?}");
     }
     let mut seconds = vec![0; 7];
@@ -47,9 +69,15 @@
 #[test]
 fn all_first_calls_together_stay_well_within_the_limit() {
     let wide = first_calls(100.0);
-    assert!(wide.iter().all(|&n| n <= 40) && wide.iter().sum::<usize>() == 100, "{wide:?}");
+    assert!(
+        wide.iter().all(|&n| n <= 40) && wide.iter().sum::<usize>() == 100,
+        "{wide:?}"
+    );
     let narrow = first_calls(20.0);
-    assert!(narrow.iter().all(|&n| n <= 28) && narrow.iter().sum::<usize>() == 100, "{narrow:?}");
+    assert!(
+        narrow.iter().all(|&n| n <= 28) && narrow.iter().sum::<usize>() == 100,
+        "{narrow:?}"
+    );
     // A partner without a limit is for the window alone.
     assert_eq!(first_calls(f64::INFINITY)[0], 100);
 }
@@ -58,7 +86,13 @@
 #[test]
 fn a_recalled_wait_is_kept_to_its_end() {
     let mut sender = fresh(1, 1);
-    sender.recall(ms(0), &[Learnt { shut_until: Some(ms(3000)), ..learnt() }]);
+    sender.recall(
+        ms(0),
+        &[Learnt {
+            shut_until: Some(ms(3000)),
+            ..learnt()
+        }],
+    );
     let mut sent = None;
     for step in 0..80 {
         let mut events = vec![Event::Wake];
@@ -69,26 +103,49 @@
             sent.get_or_insert(step * 50);
         }
     }
-    assert!(sent.is_some_and(|at| (3000..3600).contains(&at)), "{sent:?}");
+    assert!(
+        sent.is_some_and(|at| (3000..3600).contains(&at)),
+        "{sent:?}"
+    );
 }
 
 /// A window is never above a new one's, and what a call has shown since is not overwritten.
 #[test]
 fn what_is_recalled_never_allows_more() {
     let out = |mut sender: Sender, window: f64| -> usize {
-        sender.recall(ms(0), &[Learnt { window: Some(window), ..learnt() }]);
-        let events = (0..20).map(|k| accept(&format!("m{k}"), 0, None, 9_900)).collect();
+        sender.recall(
+            ms(0),
+            &[Learnt {
+                window: Some(window),
+                ..learnt()
+            }],
+        );
+        let events = (0..20)
+            .map(|k| accept(&format!("m{k}"), 0, None, 9_900))
+            .collect();
         sends(&sender.handle(ms(0), events)).len()
     };
-    let (usual, large, small) = (out(fresh(1, 1), 4.0), out(fresh(1, 1), 50.0), out(fresh(1, 1), 2.0));
+    let (usual, large, small) = (
+        out(fresh(1, 1), 4.0),
+        out(fresh(1, 1), 50.0),
+        out(fresh(1, 1), 2.0),
+    );
     assert_eq!((usual, large, small), (4, 4, 2));
     // One call has been answered: what is told later of the limit and the state changes nothing.
     let mut sender = fresh(1, 1);
     sender.handle(ms(0), vec![accept("a", 0, None, 9_900)]);
     sender.handle(ms(50), vec![outcome("a", 0, Status::Served, 50)]);
-    let told = Learnt { limit: Some(0.1), state: Some(Seen::Out), window: Some(0.5), ..learnt() };
+    let told = Learnt {
+        limit: Some(0.1),
+        state: Some(Seen::Out),
+        window: Some(0.5),
+        ..learnt()
+    };
     sender.recall(ms(60), &[told]);
-    let sent = sends(&sender.handle(ms(60), vec![accept("b", 0, None, 9_900), accept("c", 0, None, 9_900)]));
+    let sent = sends(&sender.handle(
+        ms(60),
+        vec![accept("b", 0, None, 9_900), accept("c", 0, None, 9_900)],
+    ));
     assert_eq!(sent.len(), 2);
 }
 
@@ -96,7 +153,13 @@
 #[test]
 fn a_partner_that_was_out_gets_one_trial() {
     let mut sender = fresh(1, 1);
-    sender.recall(ms(0), &[Learnt { state: Some(Seen::Out), ..learnt() }]);
+    sender.recall(
+        ms(0),
+        &[Learnt {
+            state: Some(Seen::Out),
+            ..learnt()
+        }],
+    );
     let mut sent = 0;
     for step in 0..40 {
         let mut events = vec![Event::Wake];
@@ -119,14 +182,25 @@
     let told = match outcome("a", 0, Status::Refused, 50) {
         Event::Outcome(o) => Event::Outcome(Outcome {
             wait: Some(Duration::from_secs(1)),
-            report: Some(Report { left: 0.0, limit: 12.0 }),
+            report: Some(Report {
+                left: 0.0,
+                limit: 12.0,
+            }),
             ..o
         }),
         other => other,
     };
     sender.handle(ms(50), vec![told]);
     let known = sender.learnt();
-    let [one] = known.as_slice() else { panic!("{known:?}") };
-    assert_eq!((one.dest, one.at, one.limit, one.state), (1, ms(50), Some(12.0), Some(Seen::Up)));
-    assert!(one.shut_until.is_some_and(|t| t >= ms(1050)) && one.window.is_some_and(|w| w < 4.0), "{one:?}");
+    let [one] = known.as_slice() else {
+        panic!("{known:?}")
+    };
+    assert_eq!(
+        (one.dest, one.at, one.limit, one.state),
+        (1, ms(50), Some(12.0), Some(Seen::Up))
+    );
+    assert!(
+        one.shut_until.is_some_and(|t| t >= ms(1050)) && one.window.is_some_and(|w| w < 4.0),
+        "{one:?}"
+    );
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -9,8 +9,14 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use tansycroft::api::*;
 
-const STATUSES: [Status; 6] =
-    [Status::Served, Status::Error, Status::Refused, Status::TimedOut, Status::NoConnection, Status::Reset];
+const STATUSES: [Status; 6] = [
+    Status::Served,
+    Status::Error,
+    Status::Refused,
+    Status::TimedOut,
+    Status::NoConnection,
+    Status::Reset,
+];
 
 #[derive(Default)]
 struct Held {
@@ -50,10 +56,17 @@
                     prop_assert!(message.out.is_none(), "{id} has two attempts out");
                     prop_assert!(message.attempts < self.cap, "{id} has too many attempts");
                     prop_assert!(now < message.deadline, "{id} is sent too late");
-                    prop_assert!(Some(endpoint.0.as_str()) != self.drained, "{endpoint} drains");
+                    prop_assert!(
+                        Some(endpoint.0.as_str()) != self.drained,
+                        "{endpoint} drains"
+                    );
                     prop_assert!(now >= self.shut_until, "sent in a told wait");
                     if let Some(key) = message.key {
-                        let first = self.line.iter().find(|(k, _)| *k == key).map(|(_, id)| id.as_str());
+                        let first = self
+                            .line
+                            .iter()
+                            .find(|(k, _)| *k == key)
+                            .map(|(_, id)| id.as_str());
                         prop_assert_eq!(first, Some(id.0.as_str()), "out of turn");
                     }
                     message.out = Some(message.attempts);
@@ -71,14 +84,20 @@
                 _ => {}
             }
         }
-        let lost = self.held.iter().find(|(_, m)| m.out.is_none() && m.deadline < now);
+        let lost = self
+            .held
+            .iter()
+            .find(|(_, m)| m.out.is_none() && m.deadline < now);
         prop_assert!(lost.is_none(), "lost: {:?}", lost.map(|(id, _)| id));
         Ok(())
     }
 }
 
 fn play(steps: &[Step]) -> Result<usize, TestCaseError> {
-    let entries = vec![entry("a", 1, Condition::Ready, 0), entry("b", 1, Condition::Ready, 0)];
+    let entries = vec![
+        entry("a", 1, Condition::Ready, 0),
+        entry("b", 1, Condition::Ready, 0),
+    ];
     let mut w = World {
         bench: Bench::new(settings(), entries),
         cap: settings().attempts_cap,
@@ -107,23 +126,43 @@
             let ended: Vec<String> = past.into_iter().map(|(id, _)| id).collect();
             w.at(tick, events, &ended)?;
         }
-        let busy: Vec<String> =
-            w.held.iter().filter(|(_, m)| m.out.is_some()).map(|(id, _)| id.clone()).collect();
+        let busy: Vec<String> = w
+            .held
+            .iter()
+            .filter(|(_, m)| m.out.is_some())
+            .map(|(id, _)| id.clone())
+            .collect();
         let (mut events, mut ended) = (vec![Event::Wake], vec![]);
         match what {
             0..=3 => {
                 let (id, class) = (format!("m{i}"), n as usize % 3);
                 let key = (class == 1).then_some(n % 2);
                 w.line.extend(key.map(|key| (key, id.clone())));
-                events.push(accept(&id, class, key.map(|k| k.to_string()).as_deref(), 5000));
-                w.held.insert(id, Held { key, deadline: now + 5000, ..Held::default() });
+                events.push(accept(
+                    &id,
+                    class,
+                    key.map(|k| k.to_string()).as_deref(),
+                    5000,
+                ));
+                w.held.insert(
+                    id,
+                    Held {
+                        key,
+                        deadline: now + 5000,
+                        ..Held::default()
+                    },
+                );
             }
             4..=8 if !busy.is_empty() => {
                 let id = &busy[n as usize % busy.len()];
                 let status = STATUSES[n as usize / 7 % STATUSES.len()];
                 let message = w.held.get_mut(id).expect("busy");
                 let attempt = message.out.take().expect("busy");
-                let wait = if status == Status::Refused { n % 3 * 300 } else { 0 };
+                let wait = if status == Status::Refused {
+                    n % 3 * 300
+                } else {
+                    0
+                };
                 if wait > 0 {
                     w.shut_until = w.shut_until.max(now + wait);
                     events.push(refused(id, attempt, wait));
@@ -137,8 +176,14 @@
             11 => {
                 let (gone, other) = if n % 2 == 0 { ("a", "b") } else { ("b", "a") };
                 w.drained = Some(gone);
-                let news = vec![entry(gone, 1, Condition::Draining, 0), entry(other, 1, Condition::Ready, 0)];
-                events.push(Event::List { whole: false, entries: news });
+                let news = vec![
+                    entry(gone, 1, Condition::Draining, 0),
+                    entry(other, 1, Condition::Ready, 0),
+                ];
+                events.push(Event::List {
+                    whole: false,
+                    entries: news,
+                });
             }
             _ => {}
         }
@@ -150,8 +195,13 @@
 /// The same histories each time: the verdict must not depend on the run.
 #[test]
 fn random_histories_keep_the_rules() {
-    let config = Config { cases: 90, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
+    let config = Config {
+        cases: 90,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let sends = std::cell::Cell::new(0);
     let steps = prop::collection::vec((1u64..120, 0u8..14, 0u64..10_000), 1..300);
     let verdict = runner.run(&steps, |steps| {
@@ -159,5 +209,9 @@
         Ok(())
     });
     assert!(verdict.is_ok(), "{verdict:?}");
-    assert!(sends.get() > 1000, "too little was sent to prove anything: {}", sends.get());
+    assert!(
+        sends.get() > 1000,
+        "too little was sent to prove anything: {}",
+        sends.get()
+    );
 }
--- a/tests/returns.rs
+++ b/tests/returns.rs
@@ -13,18 +13,34 @@
     for (senders, limit) in [(2u32, 60.0), (300, 60.0)] {
         let mut all: Vec<Bench> = (0..senders)
             .map(|n| {
-                let set = Settings { instances: senders, rates_listed: true, ..settings() };
-                let ready = Entry { rate: limit, ..entry("a", 1, Condition::Ready, 0) };
+                let set = Settings {
+                    instances: senders,
+                    rates_listed: true,
+                    ..settings()
+                };
+                let ready = Entry {
+                    rate: limit,
+                    ..entry("a", 1, Condition::Ready, 0)
+                };
                 let mut b = Bench::seeded(set, vec![ready.clone()], n.into());
                 b.at(
                     10,
                     vec![Event::List {
                         whole: false,
-                        entries: vec![Entry { condition: Condition::Draining, ..ready.clone() }],
+                        entries: vec![Entry {
+                            condition: Condition::Draining,
+                            ..ready.clone()
+                        }],
                     }],
                 );
                 b.sender.bar_endpoint(&ready.endpoint);
-                b.at(20, vec![Event::List { whole: false, entries: vec![ready] }]);
+                b.at(
+                    20,
+                    vec![Event::List {
+                        whole: false,
+                        entries: vec![ready],
+                    }],
+                );
                 b
             })
             .collect();
@@ -33,7 +49,11 @@
         let mut sent: Vec<u64> = Vec::new();
         for ms in (25..rules.cold.as_millis() as u64).step_by(25) {
             for (n, b) in all.iter_mut().enumerate() {
-                b.sender.admit_endpoint(Time(ms * 1_000_000), &EndpointId("a".into()), Time(20_000_000));
+                b.sender.admit_endpoint(
+                    Time(ms * 1_000_000),
+                    &EndpointId("a".into()),
+                    Time(20_000_000),
+                );
                 let gap = (u64::from(senders) * 1000 * 2 / (limit as u64 * 3)).max(25) / 25;
                 let mut events = vec![Event::Wake];
                 if (ms / 25 + n as u64) % gap == 0 {
@@ -48,7 +68,10 @@
         }
         let fall = rules.fall.as_millis() as u64;
         for &from in &sent {
-            let within = sent.iter().filter(|&&s| s >= from && s < from + fall).count() as f64;
+            let within = sent
+                .iter()
+                .filter(|&&s| s >= from && s < from + fall)
+                .count() as f64;
             let warm = ((from + fall) as f64 / rules.cold.as_millis() as f64).min(1.0);
             let present = rules.cold_from + (1.0 - rules.cold_from) * warm;
             let most = rules.fall_multiple * present * limit * rules.fall.as_secs_f64();
@@ -57,8 +80,16 @@
                 "{senders} senders: {within} of {most} from {from} ms on"
             );
         }
-        assert!(sent.first().is_some_and(|&ms| ms < 1000), "{senders}: the first call at {:?}", sent.first());
-        assert!(sent.len() as f64 > 0.2 * limit * rules.cold.as_secs_f64(), "{senders}: only {}", sent.len());
+        assert!(
+            sent.first().is_some_and(|&ms| ms < 1000),
+            "{senders}: the first call at {:?}",
+            sent.first()
+        );
+        assert!(
+            sent.len() as f64 > 0.2 * limit * rules.cold.as_secs_f64(),
+            "{senders}: only {}",
+            sent.len()
+        );
     }
 }
 
@@ -67,9 +98,16 @@
 #[test]
 fn a_fleet_that_returns_to_a_zone_does_not_come_at_one_moment() {
     let (senders, limit) = (100u32, 20.0);
-    let ready = Entry { rate: limit, ..entry("a", 1, Condition::Ready, 0) };
+    let ready = Entry {
+        rate: limit,
+        ..entry("a", 1, Condition::Ready, 0)
+    };
     let start = |n: u32| {
-        let set = Settings { instances: senders, rates_listed: true, ..settings() };
+        let set = Settings {
+            instances: senders,
+            rates_listed: true,
+            ..settings()
+        };
         let mut b = Bench::seeded(set, vec![ready.clone()], n.into());
         b.sender.bar(0);
         b.at(10, vec![accept("held", 0, None, 9900)]);
@@ -80,7 +118,8 @@
     let mut a_second = [0u32; 9];
     for ms in (25..9000).step_by(25) {
         for b in &mut all {
-            b.sender.admit_returning(Time(ms * 1_000_000), 0, Time(10_000_000));
+            b.sender
+                .admit_returning(Time(ms * 1_000_000), 0, Time(10_000_000));
             let acts = b.at(ms, vec![Event::Wake]);
             a_second[(ms / 1000) as usize] += sends(&acts).len() as u32;
         }
@@ -94,14 +133,28 @@
 /// same was taken for the return, so that the slow start ran off during the wait and a sender came back with a whole window.
 #[test]
 fn what_was_on_its_way_as_a_long_wait_was_told_ends_no_outage() {
-    let long = Class { deadline: std::time::Duration::from_secs(30), ..class(Effect::Safe) };
-    let set = Settings { classes: vec![long], ..settings() };
+    let long = Class {
+        deadline: std::time::Duration::from_secs(30),
+        ..class(Effect::Safe)
+    };
+    let set = Settings {
+        classes: vec![long],
+        ..settings()
+    };
     let mut b = Bench::new(set, vec![entry("a", 1, Condition::Ready, 0)]);
     let wait = settings().rules.cold.as_millis() as u64 + 2000;
-    b.at(0, vec![accept("first", 0, None, 30_000), accept("second", 0, None, 30_000)]);
+    b.at(
+        0,
+        vec![
+            accept("first", 0, None, 30_000),
+            accept("second", 0, None, 30_000),
+        ],
+    );
     b.at(10, vec![refused("first", 0, wait)]);
     b.at(20, vec![outcome("second", 0, Status::Served, 20)]);
-    let held = (0..4).map(|n| accept(&format!("held{n}"), 0, None, 29_000)).collect();
+    let held = (0..4)
+        .map(|n| accept(&format!("held{n}"), 0, None, 29_000))
+        .collect();
     assert!(sends(&b.at(30, held)).is_empty());
     let back = (wait..wait + 10_000).step_by(20).find_map(|ms| {
         let sent = sends(&b.at(ms, vec![Event::Wake]));
@@ -109,5 +162,8 @@
     });
     let (ms, sent) = back.expect("a trial");
     assert_eq!(sent, 1, "one trial at {ms} ms");
-    assert!(sends(&b.at(ms + 20, vec![Event::Wake])).is_empty(), "nothing beside the trial");
+    assert!(
+        sends(&b.at(ms + 20, vec![Event::Wake])).is_empty(),
+        "nothing beside the trial"
+    );
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -32,7 +32,9 @@
     let mut acts = b.at(0, vec![accept("m", 0, None, 777)]);
     let mut now = 0u64;
     for _ in 0..10 {
-        let Some(Action::Timer(after)) = acts.iter().find(|a| matches!(a, Action::Timer(_))) else { break };
+        let Some(Action::Timer(after)) = acts.iter().find(|a| matches!(a, Action::Timer(_))) else {
+            break;
+        };
         now += after.as_nanos() as u64 - 999;
         acts = b.sender.handle(Time(now), vec![Event::Wake]);
         if !finals(&acts).is_empty() {
@@ -47,18 +49,32 @@
 fn a_time_out_at_the_deadline_is_answered_in_the_same_batch_and_in_kind() {
     for (class, expected) in [(0, "refuse m"), (1, "refuse m"), (2, "fail m")] {
         let mut b = one();
-        assert_eq!(sends(&b.at(0, vec![accept("m", class, None, 1000)])).len(), 1);
-        assert_eq!(finals(&b.at(1000, vec![outcome("m", 0, Status::TimedOut, 1000)])), [expected]);
+        assert_eq!(
+            sends(&b.at(0, vec![accept("m", class, None, 1000)])).len(),
+            1
+        );
+        assert_eq!(
+            finals(&b.at(1000, vec![outcome("m", 0, Status::TimedOut, 1000)])),
+            [expected]
+        );
     }
 }
 
 #[test]
 fn an_unsafe_message_is_never_sent_again_once_it_may_have_run() {
-    for status in [Status::Error, Status::TimedOut, Status::Reset, Status::Cancelled] {
+    for status in [
+        Status::Error,
+        Status::TimedOut,
+        Status::Reset,
+        Status::Cancelled,
+    ] {
         let mut b = one();
         b.at(0, vec![accept("m", 2, None, 9000)]);
         let acts = b.at(100, vec![outcome("m", 0, status, 100)]);
-        assert_eq!((finals(&acts), sends(&acts)), (vec!["fail m".to_owned()], vec![]));
+        assert_eq!(
+            (finals(&acts), sends(&acts)),
+            (vec!["fail m".to_owned()], vec![])
+        );
     }
 }
 
@@ -69,7 +85,11 @@
     let acts = b.at(10, vec![refused("m", 0, 100)]);
     assert!(finals(&acts).is_empty());
     // The wait, then a pause of our own: waits end for all who were told at once.
-    assert!((200..3000).step_by(5).any(|ms| !sends(&b.at(ms, vec![Event::Wake])).is_empty()));
+    assert!(
+        (200..3000)
+            .step_by(5)
+            .any(|ms| !sends(&b.at(ms, vec![Event::Wake])).is_empty())
+    );
 }
 
 #[test]
@@ -86,12 +106,19 @@
 #[test]
 fn what_may_have_run_is_handed_back_only_while_it_may_come_again() {
     // The window is 5 s, and the wait that is told 1 s.
-    for (sent_ago, class, expected) in
-        [(3999, 1, "refuse m"), (4000, 1, "fail m"), (9000, 0, "refuse m"), (10, 2, "fail m")]
-    {
+    for (sent_ago, class, expected) in [
+        (3999, 1, "refuse m"),
+        (4000, 1, "fail m"),
+        (9000, 0, "refuse m"),
+        (10, 2, "fail m"),
+    ] {
         // All attempts are used: the end comes at once.
         let acts = one().at(10_000, vec![with_past("m", class, 4, Some(sent_ago))]);
-        assert_eq!(finals(&acts), [expected], "class {class}, sent {sent_ago} ms ago");
+        assert_eq!(
+            finals(&acts),
+            [expected],
+            "class {class}, sent {sent_ago} ms ago"
+        );
     }
 }
 
@@ -100,7 +127,13 @@
     let mut b = one();
     let mut attempts = sends(&b.at(0, vec![accept("m", 0, None, 9900)])).len() as u32;
     for ms in (50..9000).step_by(50) {
-        let acts = b.at(ms, vec![outcome("m", attempts - 1, Status::NoConnection, 10), Event::Wake]);
+        let acts = b.at(
+            ms,
+            vec![
+                outcome("m", attempts - 1, Status::NoConnection, 10),
+                Event::Wake,
+            ],
+        );
         attempts += sends(&acts).len() as u32;
     }
     assert_eq!(attempts, 4);
@@ -110,36 +143,68 @@
 fn nothing_new_to_a_draining_or_gone_endpoint() {
     for condition in [Condition::Draining, Condition::Gone] {
         let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)]);
-        let news = Event::List { whole: false, entries: vec![entry("a", 1, condition, 0)] };
+        let news = Event::List {
+            whole: false,
+            entries: vec![entry("a", 1, condition, 0)],
+        };
         assert_eq!(sends(&b.at(10, vec![news, accept("m", 0, None, 9000)])), []);
-        let news = Event::List { whole: false, entries: vec![entry("b", 1, Condition::Ready, 0)] };
-        assert_eq!(sends(&b.at(20, vec![news])), [("m".to_owned(), "b".to_owned())]);
+        let news = Event::List {
+            whole: false,
+            entries: vec![entry("b", 1, Condition::Ready, 0)],
+        };
+        assert_eq!(
+            sends(&b.at(20, vec![news])),
+            [("m".to_owned(), "b".to_owned())]
+        );
     }
 }
 
 #[test]
 fn a_whole_list_removes_what_it_does_not_name() {
     let mut b = one();
-    let news = Event::List { whole: true, entries: vec![entry("b", 1, Condition::Ready, 0)] };
-    assert_eq!(sends(&b.at(10, vec![news, accept("m", 0, None, 9000)])), [("m".to_owned(), "b".to_owned())]);
+    let news = Event::List {
+        whole: true,
+        entries: vec![entry("b", 1, Condition::Ready, 0)],
+    };
+    assert_eq!(
+        sends(&b.at(10, vec![news, accept("m", 0, None, 9000)])),
+        [("m".to_owned(), "b".to_owned())]
+    );
 }
 
 #[test]
 fn waits_are_heeded_for_every_message_and_endpoint() {
-    let mut b =
-        Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0), entry("b", 1, Condition::Ready, 0)]);
+    let mut b = Bench::new(
+        settings(),
+        vec![
+            entry("a", 1, Condition::Ready, 0),
+            entry("b", 1, Condition::Ready, 0),
+        ],
+    );
     b.at(0, vec![accept("m", 0, None, 9000)]);
-    assert_eq!(sends(&b.at(10, vec![refused("m", 0, 500), accept("n", 0, None, 9000)])), []);
+    assert_eq!(
+        sends(&b.at(10, vec![refused("m", 0, 500), accept("n", 0, None, 9000)])),
+        []
+    );
     for ms in (15..510).step_by(5) {
         assert_eq!(sends(&b.at(ms, vec![Event::Wake])), [], "at {ms}");
     }
-    assert!((510..3000).step_by(5).any(|ms| !sends(&b.at(ms, vec![Event::Wake])).is_empty()));
+    assert!(
+        (510..3000)
+            .step_by(5)
+            .any(|ms| !sends(&b.at(ms, vec![Event::Wake])).is_empty())
+    );
 }
 
 #[test]
 fn a_wait_binds_one_route_only_where_routes_are_apart() {
-    let mut b =
-        Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 2), entry("b", 1, Condition::Ready, 2)]);
+    let mut b = Bench::new(
+        settings(),
+        vec![
+            entry("a", 1, Condition::Ready, 2),
+            entry("b", 1, Condition::Ready, 2),
+        ],
+    );
     let first = sends(&b.at(0, vec![accept("m", 0, None, 9000)]));
     let second = sends(&b.at(10, vec![refused("m", 0, 5000)]));
     assert_eq!(second.len(), 1);
@@ -149,20 +214,39 @@
 #[test]
 fn keys_go_in_order_one_at_a_time_and_rest_after_a_time_out() {
     let mut b = one();
-    let acts = b.at(0, vec![accept("m", 1, Some("k"), 1000), accept("n", 1, Some("k"), 9000)]);
+    let acts = b.at(
+        0,
+        vec![
+            accept("m", 1, Some("k"), 1000),
+            accept("n", 1, Some("k"), 9000),
+        ],
+    );
     assert_eq!(sends(&acts), [("m".to_owned(), "a".to_owned())]);
     // The holder times out at its deadline and is over: the next rests for 300 ms more.
-    assert_eq!(sends(&b.at(1000, vec![outcome("m", 0, Status::TimedOut, 1000)])), []);
+    assert_eq!(
+        sends(&b.at(1000, vec![outcome("m", 0, Status::TimedOut, 1000)])),
+        []
+    );
     for ms in (1005..1300).step_by(5) {
         assert_eq!(sends(&b.at(ms, vec![Event::Wake])), [], "at {ms}");
     }
-    assert!((1300..3000).step_by(5).any(|ms| !sends(&b.at(ms, vec![Event::Wake])).is_empty()));
+    assert!(
+        (1300..3000)
+            .step_by(5)
+            .any(|ms| !sends(&b.at(ms, vec![Event::Wake])).is_empty())
+    );
 }
 
 #[test]
 fn a_lapsed_holder_keeps_its_turn_until_its_attempt_is_back() {
     let mut b = one();
-    b.at(0, vec![accept("m", 1, Some("k"), 9000), accept("n", 1, Some("k"), 9000)]);
+    b.at(
+        0,
+        vec![
+            accept("m", 1, Some("k"), 9000),
+            accept("n", 1, Some("k"), 9000),
+        ],
+    );
     assert_eq!(sends(&b.at(50, vec![Event::Lapsed(MsgId("m".into()))])), []);
     let acts = b.at(100, vec![outcome("m", 0, Status::Served, 100)]);
     assert_eq!(sends(&acts), [("n".to_owned(), "a".to_owned())]);
@@ -185,50 +269,92 @@
             })
             .collect::<Vec<_>>()
     };
-    out.extend(at(&mut b, 0, ids.iter().map(|i| accept(i, 0, None, 9900)).collect()));
+    out.extend(at(
+        &mut b,
+        0,
+        ids.iter().map(|i| accept(i, 0, None, 9900)).collect(),
+    ));
     assert_eq!(out.len(), 4);
-    let failed = out.drain(..).map(|(id, n)| outcome(&id, n, Status::NoConnection, 5)).collect();
+    let failed = out
+        .drain(..)
+        .map(|(id, n)| outcome(&id, n, Status::NoConnection, 5))
+        .collect();
     out.extend(at(&mut b, 10, failed));
     assert!(out.is_empty(), "an outage: nothing before the first trial");
     let mut most = 0;
     for ms in (15..4000).step_by(5) {
-        let events = out.drain(..).map(|(id, n)| outcome(&id, n, Status::NoConnection, 5)).collect();
+        let events = out
+            .drain(..)
+            .map(|(id, n)| outcome(&id, n, Status::NoConnection, 5))
+            .collect();
         out.extend(at(&mut b, ms, events));
         most = most.max(out.len());
     }
     assert_eq!(most, 1);
     let mut served = 0;
     for ms in (4000..6000).step_by(5) {
-        let events = out.drain(..).map(|(id, n)| outcome(&id, n, Status::Served, 5)).collect::<Vec<_>>();
+        let events = out
+            .drain(..)
+            .map(|(id, n)| outcome(&id, n, Status::Served, 5))
+            .collect::<Vec<_>>();
         served += events.len();
         out.extend(at(&mut b, ms, events));
     }
-    assert!((1..=3).contains(&served), "nothing was ever served here, so the budget is least: {served}");
+    assert!(
+        (1..=3).contains(&served),
+        "nothing was ever served here, so the budget is least: {served}"
+    );
 }
 
 #[test]
 fn a_full_buffer_keeps_room_and_answers_at_once() {
     let mut b = Bench::new(settings(), vec![]);
-    let acts = b.at(0, (0..64).map(|i| accept(&format!("m{i}"), 0, None, 9000)).collect());
+    let acts = b.at(
+        0,
+        (0..64)
+            .map(|i| accept(&format!("m{i}"), 0, None, 9000))
+            .collect(),
+    );
     assert_eq!(finals(&acts).len(), 4);
-    assert!(acts.iter().all(|a| !matches!(a, Action::Refuse { after: None, .. })));
+    assert!(
+        acts.iter()
+            .all(|a| !matches!(a, Action::Refuse { after: None, .. }))
+    );
 }
 
 #[test]
 fn messages_of_one_reply_share_a_call() {
     let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 1)]);
-    let acts = b.at(0, (0..23).map(|i| accept(&format!("m{i}"), 0, None, 9000)).collect());
+    let acts = b.at(
+        0,
+        (0..23)
+            .map(|i| accept(&format!("m{i}"), 0, None, 9000))
+            .collect(),
+    );
     assert_eq!(sends(&acts).len(), 20, "four calls of five");
 }
 
 #[test]
 fn the_list_is_asked_for_at_start_and_after_a_failure() {
-    let mut sender =
-        Sender::new(Settings { ask_for_list: true, ..settings() }, 1, Time(0)).expect("settings");
+    let mut sender = Sender::new(
+        Settings {
+            ask_for_list: true,
+            ..settings()
+        },
+        1,
+        Time(0),
+    )
+    .expect("settings");
     assert!(sender.handle(Time(0), vec![]).contains(&Action::Subscribe));
-    assert!(!sender.handle(Time(5_000_000), vec![Event::ListFailed]).contains(&Action::Subscribe));
+    assert!(
+        !sender
+            .handle(Time(5_000_000), vec![Event::ListFailed])
+            .contains(&Action::Subscribe)
+    );
     let again = (1..1000u64).find(|i| {
-        sender.handle(Time(5_000_000 + i * 5_000_000), vec![Event::Wake]).contains(&Action::Subscribe)
+        sender
+            .handle(Time(5_000_000 + i * 5_000_000), vec![Event::Wake])
+            .contains(&Action::Subscribe)
     });
     assert!(again.is_some_and(|i| i < 400));
 }
@@ -236,24 +362,70 @@
 #[test]
 fn late_unknown_and_repeated_ids_are_passed_over() {
     let mut b = one();
-    let acts = b.at(0, vec![outcome("x", 0, Status::Served, 1), Event::Lapsed(MsgId("y".into()))]);
+    let acts = b.at(
+        0,
+        vec![
+            outcome("x", 0, Status::Served, 1),
+            Event::Lapsed(MsgId("y".into())),
+        ],
+    );
     assert!(sends(&acts).is_empty() && finals(&acts).is_empty());
-    b.at(1, vec![accept("m", 0, None, 9000), accept("m", 0, None, 9000), accept("n", 99, None, 9000)]);
-    b.at(2, vec![outcome("m", 7, Status::Served, 1), outcome("m", 0, Status::Served, 1)]);
+    b.at(
+        1,
+        vec![
+            accept("m", 0, None, 9000),
+            accept("m", 0, None, 9000),
+            accept("n", 99, None, 9000),
+        ],
+    );
+    b.at(
+        2,
+        vec![
+            outcome("m", 7, Status::Served, 1),
+            outcome("m", 0, Status::Served, 1),
+        ],
+    );
     assert!(finals(&b.at(3, vec![outcome("m", 0, Status::TimedOut, 1)])).is_empty());
 }
 
 #[test]
 fn settings_that_cannot_work_are_an_error() {
-    assert!(Sender::new(Settings { slots: 0, ..settings() }, 1, Time(0)).is_err());
-    assert!(Sender::new(Settings { classes: vec![], ..settings() }, 1, Time(0)).is_err());
+    assert!(
+        Sender::new(
+            Settings {
+                slots: 0,
+                ..settings()
+            },
+            1,
+            Time(0)
+        )
+        .is_err()
+    );
+    assert!(
+        Sender::new(
+            Settings {
+                classes: vec![],
+                ..settings()
+            },
+            1,
+            Time(0)
+        )
+        .is_err()
+    );
 }
 
 /// A trim once dropped this, and the rule broke at calls that carry many messages.
 #[test]
 fn a_wait_told_with_a_later_message_of_a_call_counts_too() {
     let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 1)]);
-    assert_eq!(sends(&b.at(0, vec![accept("m", 0, None, 9000), accept("n", 0, None, 9000)])).len(), 2);
+    assert_eq!(
+        sends(&b.at(
+            0,
+            vec![accept("m", 0, None, 9000), accept("n", 0, None, 9000)]
+        ))
+        .len(),
+        2
+    );
     let mut acts = sends(&b.at(10, vec![refused("m", 0, 0), refused("n", 0, 2000)]));
     for ms in (15..2010).step_by(5) {
         acts.extend(sends(&b.at(ms, vec![Event::Wake])));
@@ -265,10 +437,19 @@
 fn a_keyed_repeat_stays_in_the_zone_that_drops_it() {
     let mut set = settings();
     set.classes[1].dedup = DedupScope::Zone;
-    let far = Entry { zone: 1, ..entry("far", 1, Condition::Ready, 0) };
+    let far = Entry {
+        zone: 1,
+        ..entry("far", 1, Condition::Ready, 0)
+    };
     let mut b = Bench::new(set, vec![entry("near", 1, Condition::Ready, 0), far]);
-    assert_eq!(sends(&b.at(0, vec![accept("m", 1, None, 9000)]))[0].1, "near");
-    let gone = Event::List { whole: false, entries: vec![entry("near", 1, Condition::Gone, 0)] };
+    assert_eq!(
+        sends(&b.at(0, vec![accept("m", 1, None, 9000)]))[0].1,
+        "near"
+    );
+    let gone = Event::List {
+        whole: false,
+        entries: vec![entry("near", 1, Condition::Gone, 0)],
+    };
     let mut sent = sends(&b.at(50, vec![gone, outcome("m", 0, Status::Error, 50)]));
     let mut last = vec![];
     for ms in (55..5100).step_by(5) {
@@ -276,7 +457,11 @@
         sent.extend(sends(&acts));
         last.extend(finals(&acts));
     }
-    assert_eq!((sent, last), (vec![], vec!["fail m".to_owned()]), "a refusal would promise too much here");
+    assert_eq!(
+        (sent, last),
+        (vec![], vec!["fail m".to_owned()]),
+        "a refusal would promise too much here"
+    );
 }
 
 #[test]
@@ -291,8 +476,16 @@
 fn with_past(id: &str, class: usize, attempts: u32, ran_ms_ago: Option<u64>) -> Event {
     match accept(id, class, None, 9000) {
         Event::Accept(t) => {
-            let maybe_ran = ran_ms_ago.map(|ms| (Duration::from_millis(ms), EndpointId("a".into())));
-            Event::Accept(Taken { past: Past { earlier_life: true, attempts, maybe_ran }, ..t })
+            let maybe_ran =
+                ran_ms_ago.map(|ms| (Duration::from_millis(ms), EndpointId("a".into())));
+            Event::Accept(Taken {
+                past: Past {
+                    earlier_life: true,
+                    attempts,
+                    maybe_ran,
+                },
+                ..t
+            })
         }
         other => other,
     }
@@ -325,9 +518,18 @@
     for n in 0..10u64 {
         let id = format!("m{n}");
         let acts = b.at(n * 100, vec![accept(&id, 0, None, 9000)]);
-        assert_eq!(sends(&acts).len(), 1, "the destination is not held to be out");
+        assert_eq!(
+            sends(&acts).len(),
+            1,
+            "the destination is not held to be out"
+        );
         let acts = b.at(n * 100 + 50, vec![outcome(&id, 0, Status::Gone, 50)]);
-        assert_eq!(acts.iter().filter(|a| matches!(a, Action::Refuse { after: None, .. })).count(), 1);
+        assert_eq!(
+            acts.iter()
+                .filter(|a| matches!(a, Action::Refuse { after: None, .. }))
+                .count(),
+            1
+        );
         assert!(sends(&acts).is_empty());
     }
 }
@@ -338,7 +540,10 @@
         let mut b = one();
         b.at(0, vec![accept("m", class, None, 9000)]);
         let acts = b.at(50, vec![outcome("m", 0, Status::Rejected, 50)]);
-        assert_eq!((finals(&acts), sends(&acts)), (vec!["fail m".to_owned()], vec![]));
+        assert_eq!(
+            (finals(&acts), sends(&acts)),
+            (vec!["fail m".to_owned()], vec![])
+        );
     }
 }
 
@@ -362,9 +567,18 @@
         });
         times.collect::<Vec<_>>()
     };
-    let class = |effect: Effect| settings().classes.iter().position(|c| c.effect == effect).expect("there");
+    let class = |effect: Effect| {
+        settings()
+            .classes
+            .iter()
+            .position(|c| c.effect == effect)
+            .expect("there")
+    };
     assert_eq!(within(&set, class(Effect::Safe), Status::Error), [None]);
     assert_eq!(within(&set, class(Effect::Keyed), Status::Refused), [None]);
     let left = within(&set, class(Effect::Keyed), Status::Error);
-    assert!(left.len() == 1 && left[0].is_some_and(|l| l <= Duration::from_millis(1300)), "{left:?}");
+    assert!(
+        left.len() == 1 && left[0].is_some_and(|l| l <= Duration::from_millis(1300)),
+        "{left:?}"
+    );
 }
--- a/tests/shared_calls.rs
+++ b/tests/shared_calls.rs
@@ -10,15 +10,28 @@
 
 /// A destination whose calls take five messages, of which the sender's window lets one out at a time.
 fn bench(seed: u64) -> Bench {
-    Bench::seeded(Settings { slots: 2, ..settings() }, vec![entry("a", 1, Condition::Ready, 1)], seed)
+    Bench::seeded(
+        Settings {
+            slots: 2,
+            ..settings()
+        },
+        vec![entry("a", 1, Condition::Ready, 1)],
+        seed,
+    )
 }
 
 /// The calls of a batch: their messages, and how long each was to be waited for.
 fn calls(actions: &[Action]) -> Vec<Vec<(String, Duration)>> {
     let mut calls: BTreeMap<u64, Vec<(String, Duration)>> = BTreeMap::new();
     for action in actions {
-        if let Action::Send { id, timeout, call, .. } = action {
-            calls.entry(*call).or_default().push((id.0.clone(), *timeout));
+        if let Action::Send {
+            id, timeout, call, ..
+        } = action
+        {
+            calls
+                .entry(*call)
+                .or_default()
+                .push((id.0.clone(), *timeout));
         }
     }
     calls.into_values().collect()
@@ -26,7 +39,9 @@
 
 fn sent_with(left_ms: u64, class: usize) -> usize {
     let first = accept("m", 0, None, 9000);
-    calls(&bench(1).at(0, vec![first, accept("other", class, None, left_ms)])).concat().len()
+    calls(&bench(1).at(0, vec![first, accept("other", class, None, left_ms)]))
+        .concat()
+        .len()
 }
 
 /// Guards against a call that goes on after one of its messages has run out of time: what its answer then says of the
--- a/tests/window.rs
+++ b/tests/window.rs
@@ -37,7 +37,10 @@
     (0..1000).for_each(|_| w.answered());
     assert_eq!(w.size(), 7.5);
     assert!(w.has_room(6));
-    assert!(!w.has_room(7), "an eighth call of ten slots would pass three quarters");
+    assert!(
+        !w.has_room(7),
+        "an eighth call of ten slots would pass three quarters"
+    );
 }
 
 #[test]
