--- a/crates/rig/src/returns.rs
+++ b/crates/rig/src/returns.rs
@@ -195,7 +195,7 @@
                 }
             }
             What::Closed { connection } | What::Broke { connection, .. } => {
-                drop(out.remove(connection))
+                out.remove(connection);
             }
             _ => {}
         }
