--- /dev/null
+++ b/crates/membership/tests/golden/message.rs
@@ -0,0 +1,157 @@
+//! Messages as values: how they are encoded, decoded and named.
+
+use std::net::SocketAddr;
+
+use cranehill_membership::digest::ShortHash;
+use cranehill_membership::seal::Kind;
+use cranehill_membership::{Identity, sync};
+use foca::{Header, Member, Message};
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+
+/// A vote as it is broadcast with SWIM's packets. The package keeps its own type of it private.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct BroadcastVote {
+    pub voter: ShortHash,
+    pub number: u32,
+    pub leaves: bool,
+    pub down: Option<ShortHash>,
+    pub payload: Vec<u8>,
+}
+
+/// What a sealed packet contains.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Content {
+    Swim { header: Header<Identity>, updates: Vec<Member<Identity>>, votes: Vec<BroadcastVote> },
+    LearnedRequest { from: Identity, to: SocketAddr },
+    LearnedReply { from: Identity, to: SocketAddr, piece: Vec<u8> },
+    Exchange { from: Identity, to: SocketAddr, message: sync::Message },
+}
+
+fn to_postcard<T: Serialize>(value: &T) -> Vec<u8> {
+    postcard::to_stdvec(value).expect("a value in memory can be encoded")
+}
+
+fn from_postcard<T: DeserializeOwned>(bytes: &[u8]) -> (T, &[u8]) {
+    postcard::take_from_bytes(bytes).expect("golden bytes can be decoded")
+}
+
+fn has_updates(message: &Message<Identity>) -> bool {
+    !matches!(message, Message::Announce | Message::TurnUndead | Message::Broadcast)
+}
+
+fn split_length(bytes: &[u8]) -> (usize, &[u8]) {
+    let (length, rest) = bytes.split_first_chunk::<2>().expect("a length has two bytes");
+    (usize::from(u16::from_be_bytes(*length)), rest)
+}
+
+impl Content {
+    pub fn kind(&self) -> Kind {
+        match self {
+            Content::Swim { .. } => Kind::Swim,
+            Content::LearnedRequest { .. } => Kind::LearnedRequest,
+            Content::LearnedReply { .. } => Kind::LearnedReply,
+            Content::Exchange { .. } => Kind::Exchange,
+        }
+    }
+
+    /// The names stand in the golden files, so they stay as they are when the code is renamed.
+    pub fn name(&self) -> &'static str {
+        match self {
+            Content::Swim { header, .. } => swim_name(&header.message),
+            Content::LearnedRequest { .. } => "learned-request",
+            Content::LearnedReply { .. } => "learned-reply",
+            Content::Exchange { message, .. } => exchange_name(message),
+        }
+    }
+
+    pub fn encode(&self) -> Vec<u8> {
+        match self {
+            Content::Swim { header, updates, votes } => encode_swim(header, updates, votes),
+            Content::LearnedRequest { from, to } => to_postcard(&(from, to)),
+            Content::LearnedReply { from, to, piece } => [to_postcard(&(from, to)), piece.clone()].concat(),
+            Content::Exchange { from, to, message } => {
+                [to_postcard(&(from, to)), to_postcard(message)].concat()
+            }
+        }
+    }
+
+    pub fn decode(kind: Kind, bytes: &[u8]) -> Content {
+        if kind == Kind::Swim {
+            return decode_swim(bytes);
+        }
+        let ((from, to), body) = from_postcard::<(Identity, SocketAddr)>(bytes);
+        match kind {
+            Kind::LearnedRequest => Content::LearnedRequest { from, to },
+            Kind::LearnedReply => Content::LearnedReply { from, to, piece: body.to_vec() },
+            _ => {
+                let (message, rest) = from_postcard(body);
+                assert!(rest.is_empty(), "an exchange's message ends with its packet");
+                Content::Exchange { from, to, message }
+            }
+        }
+    }
+}
+
+fn swim_name(message: &Message<Identity>) -> &'static str {
+    match message {
+        Message::Ping(_) => "swim-ping",
+        Message::Ack(_) => "swim-ack",
+        Message::PingReq { .. } => "swim-ping-request",
+        Message::IndirectPing { .. } => "swim-indirect-ping",
+        Message::IndirectAck { .. } => "swim-indirect-ack",
+        Message::ForwardedAck { .. } => "swim-forwarded-ack",
+        Message::Announce => "swim-announce",
+        Message::Feed => "swim-feed",
+        Message::Gossip => "swim-gossip",
+        Message::Broadcast => "swim-broadcast",
+        Message::TurnUndead => "swim-turn-undead",
+    }
+}
+
+fn exchange_name(message: &sync::Message) -> &'static str {
+    match message {
+        sync::Message::Compare { .. } => "exchange-compare",
+        sync::Message::Differs { .. } => "exchange-differs",
+        sync::Message::Entries(_) => "exchange-entries",
+        sync::Message::WantSet { .. } => "exchange-want-set",
+        sync::Message::SetPage { .. } => "exchange-set-page",
+    }
+}
+
+fn encode_swim(header: &Header<Identity>, updates: &[Member<Identity>], votes: &[BroadcastVote]) -> Vec<u8> {
+    let mut bytes = to_postcard(header);
+    if has_updates(&header.message) {
+        bytes.extend((updates.len() as u16).to_be_bytes());
+        updates.iter().for_each(|member| bytes.extend(to_postcard(member)));
+    }
+    for vote in votes.iter().map(to_postcard) {
+        bytes.extend((vote.len() as u16).to_be_bytes());
+        bytes.extend(vote);
+    }
+    bytes
+}
+
+fn decode_swim(bytes: &[u8]) -> Content {
+    let (header, mut rest) = from_postcard::<Header<Identity>>(bytes);
+    let mut updates = Vec::new();
+    if has_updates(&header.message) {
+        let (count, mut after) = split_length(rest);
+        for _ in 0..count {
+            let member;
+            (member, after) = from_postcard(after);
+            updates.push(member);
+        }
+        rest = after;
+    }
+    let mut votes = Vec::new();
+    while !rest.is_empty() {
+        let (length, after) = split_length(rest);
+        let (vote, after_vote) = after.split_at(length);
+        let (vote, unread) = from_postcard(vote);
+        assert!(unread.is_empty(), "a vote ends with its length");
+        votes.push(vote);
+        rest = after_vote;
+    }
+    Content::Swim { header, updates, votes }
+}
--- /dev/null
+++ b/crates/membership/tests/golden/samples.rs
@@ -0,0 +1,158 @@
+//! One packet of each kind, spelled out as values.
+
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+use cranehill_membership::digest::{BUCKETS, ShortHash, identity_hash};
+use cranehill_membership::sync::{Entries, Message as ExchangeMessage, VoteRow};
+use cranehill_membership::views::Row;
+use cranehill_membership::vote::DownSets;
+use cranehill_membership::{Identity, Key, seal};
+use foca::{Header, Member, Message, State};
+
+use super::message::{BroadcastVote, Content};
+
+pub const KEY: Key = [7; 32];
+/// When all samples are sent, in milliseconds since 1970.
+pub const SENT_MS: u64 = 1_700_000_001_000;
+/// The generation of members in samples.
+const GENERATION: u64 = 1_700_000_000_000;
+const FIRST_PORT: u16 = 7000;
+
+pub fn address(member: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + member as u16))
+}
+
+pub fn member_at(address: SocketAddr) -> usize {
+    usize::from(address.port() - FIRST_PORT)
+}
+
+pub fn identity(member: usize) -> Identity {
+    Identity { at: address(member), generation: GENERATION, name: format!("n{member}") }
+}
+
+/// An identity at the bounds of its fields.
+pub fn identity_v6() -> Identity {
+    let at = "[2001:db8::7]:65535".parse().expect("an address");
+    Identity { at, generation: u64::MAX, name: "Kranichhügel".to_owned() }
+}
+
+pub fn hash(member: usize) -> ShortHash {
+    identity_hash(&identity(member))
+}
+
+/// The set of down members that the samples name: n3 and the IPv6 one.
+pub fn down_set() -> BTreeSet<ShortHash> {
+    BTreeSet::from([hash(3), identity_hash(&identity_v6())])
+}
+
+fn swim(message: Message<Identity>) -> Content {
+    let header = Header { src: identity(1), src_incarnation: 2, dst: identity(0), message };
+    Content::Swim { header, updates: Vec::new(), votes: Vec::new() }
+}
+
+fn swim_with(
+    message: Message<Identity>,
+    updates: Vec<Member<Identity>>,
+    votes: Vec<BroadcastVote>,
+) -> Content {
+    let header = Header { src: identity(1), src_incarnation: 300, dst: identity(0), message };
+    Content::Swim { header, updates, votes }
+}
+
+fn updates() -> Vec<Member<Identity>> {
+    vec![
+        Member::new(identity(2), 1, State::Alive),
+        Member::new(identity(3), 0, State::Suspect),
+        Member::new(identity_v6(), u16::MAX, State::Down),
+    ]
+}
+
+fn vote(voter: usize) -> BroadcastVote {
+    let payload = format!("payload of n{voter}").into_bytes();
+    BroadcastVote { voter: hash(voter), number: 1, leaves: false, down: None, payload }
+}
+
+fn votes() -> Vec<BroadcastVote> {
+    let down = Some(DownSets::name(&down_set()));
+    vec![BroadcastVote { number: 300, down, ..vote(1) }, vote(2)]
+}
+
+fn leaving_vote() -> BroadcastVote {
+    BroadcastVote { number: 9, leaves: true, payload: Vec::new(), ..vote(1) }
+}
+
+fn swim_samples() -> Vec<(&'static str, Content)> {
+    let (other, probe_number) = (identity(2), 200);
+    let leave = vec![Member::new(identity(1), 0, State::Down)];
+    vec![
+        ("swim-ping", swim(Message::Ping(1))),
+        ("swim-ack", swim(Message::Ack(255))),
+        ("swim-ping-request", swim(Message::PingReq { target: other.clone(), probe_number })),
+        ("swim-indirect-ping", swim(Message::IndirectPing { origin: other.clone(), probe_number })),
+        ("swim-indirect-ack", swim(Message::IndirectAck { target: other.clone(), probe_number })),
+        ("swim-forwarded-ack", swim(Message::ForwardedAck { origin: other, probe_number })),
+        ("swim-announce", swim(Message::Announce)),
+        ("swim-feed", swim_with(Message::Feed, updates(), Vec::new())),
+        ("swim-gossip", swim_with(Message::Gossip, updates(), votes())),
+        ("swim-gossip of a leave", swim_with(Message::Gossip, leave, vec![leaving_vote()])),
+        ("swim-broadcast", swim_with(Message::Broadcast, Vec::new(), votes())),
+        ("swim-turn-undead", swim(Message::TurnUndead)),
+    ]
+}
+
+/// Entries with a member in each state and a vote of each form.
+pub fn entries() -> Entries {
+    let row = |member, incarnation, state, down_for| Row { member, incarnation, state, down_for };
+    let vote = |voter, number, leaves, set, payload: &[u8]| VoteRow {
+        voter: hash(voter),
+        number,
+        leaves,
+        set,
+        payload: payload.to_vec(),
+    };
+    Entries {
+        rows: vec![
+            row(identity(1), 300, 0, 0),
+            row(identity(2), 0, 1, 0),
+            row(identity(3), 0, 2, 30),
+            row(identity_v6(), u16::MAX, 2, u16::MAX),
+        ],
+        votes: vec![vote(1, 5, false, 1, b"payload of n1"), vote(2, u32::MAX, true, 0, b"")],
+        sets: vec![DownSets::name(&down_set())],
+        wanted: [1, u64::MAX],
+    }
+}
+
+fn exchange_messages() -> Vec<ExchangeMessage> {
+    let set = DownSets::name(&down_set());
+    let sums = |first: u8| (0..BUCKETS as u8).map(|bucket| [first, bucket, 0, 255]).collect();
+    vec![
+        ExchangeMessage::Compare { members: hash(1), votes: hash(2) },
+        ExchangeMessage::Differs { members: sums(1), votes: sums(2) },
+        ExchangeMessage::Entries(entries()),
+        ExchangeMessage::WantSet { set, from: 128 },
+        ExchangeMessage::SetPage { set, total: 2, from: 0, members: down_set().into_iter().collect() },
+    ]
+}
+
+/// All samples by name. They go from n1 to n0.
+pub fn all() -> Vec<(&'static str, Content)> {
+    let (from, to) = (identity(1), address(0));
+    let exchange = |message| Content::Exchange { from: from.clone(), to, message };
+    let mut samples = swim_samples();
+    samples.push(("learned-request", Content::LearnedRequest { from: from.clone(), to }));
+    let piece = b"a piece of learned state".to_vec();
+    samples.push(("learned-reply", Content::LearnedReply { from: from.clone(), to, piece }));
+    samples.extend(exchange_messages().into_iter().map(exchange).map(|content| (content.name(), content)));
+    samples
+}
+
+/// The number of a sample's packet: it takes more than one byte.
+pub fn packet_number(place: usize) -> u64 {
+    0x1_0000 + place as u64
+}
+
+pub fn sealed(place: usize, content: &Content) -> Vec<u8> {
+    seal::seal(&KEY, SENT_MS, packet_number(place), content.kind(), &content.encode())
+}
--- /dev/null
+++ b/crates/membership/tests/golden/trace.rs
@@ -0,0 +1,202 @@
+//! A small fleet in virtual time, whose every packet is recorded. Each packet arrives after the same delay, so the trace depends
+//! on nothing but the members and their seeds.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use cranehill_membership::{Effect, Input, Members, Settings, State, seal};
+use tansycroft::Time;
+
+use super::fixture::Entry;
+use super::message::Content;
+use super::samples::{KEY, address, member_at};
+
+pub const START: Time = Time(1_700_000_000_000_000_000);
+pub const PERIOD: Duration = Duration::from_secs(1);
+const MEMBERS: usize = 4;
+const PACKET_DELAY: Duration = Duration::from_millis(3);
+const FIRST_SEED: u64 = 20;
+
+pub fn settings(member: usize) -> Settings {
+    Settings {
+        name: format!("n{member}"),
+        at: address(member),
+        seeds: vec![address(0), address(1)],
+        key: KEY,
+        period: PERIOD,
+        round_trip: PERIOD.mul_f64(0.3),
+        suspicion: Some(PERIOD),
+        eviction_delay: Some(PERIOD * 2),
+        max_packet_age: PERIOD * 5,
+        configured_members: MEMBERS as u32,
+    }
+}
+
+/// The kind and values of a sealed packet.
+pub fn content_of(bytes: &[u8]) -> Content {
+    let opened = seal::open(&KEY, 0, u64::MAX, bytes).expect("a packet of the fleet");
+    Content::decode(opened.kind, opened.message)
+}
+
+pub fn state_name(state: State) -> &'static str {
+    match state {
+        State::Alive => "alive",
+        State::Suspect => "suspect",
+        State::Down => "down",
+        State::Left => "left",
+    }
+}
+
+/// An effect as a line of text; `None` for timers.
+pub fn describe(effect: &Effect) -> Option<String> {
+    Some(match effect {
+        Effect::WakeAt(_) => return None,
+        Effect::Send { to, bytes } => format!("sends {} to n{}", content_of(bytes).name(), member_at(*to)),
+        Effect::Changed { view, before } => {
+            let before = before.map_or("unknown", state_name);
+            format!(
+                "{} {} incarnation {} was {before}",
+                view.member.name,
+                state_name(view.state),
+                view.incarnation
+            )
+        }
+        Effect::Rejoined { generation } => format!("rejoined as {generation}"),
+        Effect::Stalled(pause) => format!("paused for {} ms", pause.as_millis()),
+        Effect::LearnedRequested { by } => format!("learned state requested by n{}", member_at(*by)),
+        Effect::LearnedReceived { by, piece } => {
+            format!("learned state from n{}: {}", member_at(*by), String::from_utf8_lossy(piece))
+        }
+        Effect::Dropped(_) => "dropped a packet".to_owned(),
+        Effect::ShareDivisor(divisor) => format!("share divisor {divisor}"),
+    })
+}
+
+/// The members and the packets between them.
+pub struct Fleet {
+    now: Time,
+    members: Vec<Members>,
+    wakes: Vec<Option<Time>>,
+    in_flight: BTreeMap<(Time, usize), (usize, Vec<u8>)>,
+    /// From one to another: packets are lost.
+    cut: BTreeSet<(usize, usize)>,
+    pub packets: Vec<Entry>,
+    /// What the members reported, besides packets and timers.
+    pub events: Vec<String>,
+}
+
+impl Fleet {
+    fn new() -> Fleet {
+        let member = |i| Members::new(settings(i), FIRST_SEED + i as u64, START);
+        Fleet {
+            now: START,
+            members: (0..MEMBERS).map(member).collect(),
+            wakes: vec![Some(START); MEMBERS],
+            in_flight: BTreeMap::new(),
+            cut: BTreeSet::new(),
+            packets: Vec::new(),
+            events: Vec::new(),
+        }
+    }
+
+    pub fn member(&self, member: usize) -> &Members {
+        &self.members[member]
+    }
+
+    fn elapsed_ms(&self) -> u128 {
+        (self.now - START).as_millis()
+    }
+
+    fn step(&mut self, member: usize, input: Input) {
+        for effect in self.members[member].step(self.now, input) {
+            match effect {
+                Effect::Send { to, bytes } => self.send(member, member_at(to), bytes),
+                Effect::WakeAt(time) => self.wakes[member] = Some(time),
+                effect => self.record_event(member, &effect),
+            }
+        }
+    }
+
+    fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        let name = format!("{:05}ms n{from}-n{to} {}", self.elapsed_ms(), content_of(&bytes).name());
+        self.packets.push(Entry::new(name, bytes.clone()));
+        if !self.cut.contains(&(from, to)) {
+            self.in_flight.insert((self.now + PACKET_DELAY, self.packets.len()), (to, bytes));
+        }
+    }
+
+    fn record_event(&mut self, member: usize, effect: &Effect) {
+        let description = describe(effect).unwrap_or_default();
+        self.events.push(format!("{:05}ms n{member} {description}", self.elapsed_ms()));
+        if let Effect::LearnedRequested { by } = effect {
+            let pieces = vec![format!("first of n{member}").into_bytes(), b"second".to_vec()];
+            self.step(member, Input::SendLearned { to: *by, pieces });
+        }
+    }
+
+    fn next_wake(&self) -> Option<(Time, usize)> {
+        let wakes = self.wakes.iter().enumerate();
+        wakes.filter_map(|(member, wake)| Some(((*wake)?, member))).min()
+    }
+
+    fn run(&mut self, span: Duration) {
+        let end = self.now + span;
+        loop {
+            let wake = self.next_wake().filter(|(time, _)| *time <= end);
+            let packet = self.in_flight.first_key_value().map(|(&(time, _), _)| time).filter(|t| *t <= end);
+            match (packet, wake) {
+                (Some(arrival), wake) if wake.is_none_or(|(time, _)| arrival <= time) => {
+                    self.now = arrival;
+                    let Some((_, (to, bytes))) = self.in_flight.pop_first() else { break };
+                    self.step(to, Input::Heard(bytes));
+                }
+                (_, Some((time, member))) => {
+                    self.now = self.now.max(time);
+                    self.wakes[member] = None;
+                    self.step(member, Input::Due);
+                }
+                _ => break,
+            }
+        }
+        self.now = end;
+    }
+
+    fn cut_both(&mut self, one: usize, other: usize) {
+        self.cut.extend([(one, other), (other, one)]);
+    }
+}
+
+/// Start, payloads, learned state, indirect probes, a member that is cut off, evicted and back, and a leave.
+pub fn play() -> Fleet {
+    let mut fleet = Fleet::new();
+    fleet.run(PERIOD * 3);
+    fleet.step(1, Input::SetPayload(b"payload of n1".to_vec()));
+    fleet.step(2, Input::RequestLearned);
+    fleet.run(PERIOD);
+    fleet.cut_both(0, 1);
+    fleet.run(PERIOD * 3);
+    fleet.cut.clear();
+    (0..3).for_each(|other| fleet.cut_both(3, other));
+    fleet.run(PERIOD * 5);
+    fleet.step(0, Input::SetPayload(b"payload of n0".to_vec()));
+    fleet.run(PERIOD * 3);
+    fleet.cut.clear();
+    fleet.run(PERIOD * 4);
+    fleet.step(2, Input::Leave);
+    fleet.run(PERIOD * 2);
+    fleet
+}
+
+/// What a member holds of the others, as lines of text.
+pub fn views_of(member: &Members) -> Vec<String> {
+    let payloads: BTreeMap<_, _> = member.payloads().into_iter().collect();
+    let line = |view: &cranehill_membership::View| {
+        let payload =
+            payloads.get(&view.member.at).map(|payload| String::from_utf8_lossy(payload)).unwrap_or_default();
+        let identity = &view.member;
+        let generation = identity.generation;
+        let state = state_name(view.state);
+        format!("{} {} {generation} {state} {} [{payload}]", identity.name, identity.at, view.incarnation)
+    };
+    member.views().map(line).collect()
+}
