--- /dev/null
+++ b/crates/daemon/tests/golden.rs
@@ -0,0 +1,467 @@
+//! What the program leaves for the next process, as earlier builds wrote it: the files beside the journal, and the exchange by
+//! which a running process hands over to a new version. Each test plays one side against the program's other side.
+
+#[path = "../../recovery/tests/common/golden_file.rs"]
+mod golden_file;
+
+use std::fs::File;
+use std::io::{ErrorKind, IoSlice, IoSliceMut, Read, Write};
+use std::mem::MaybeUninit;
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
+use std::os::unix::net::{UnixListener, UnixStream};
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+use cranehill_daemon::config;
+use cranehill_daemon::fleet::Fleet;
+use cranehill_daemon::reactor::{Halter, Reactor, Setup, State};
+use cranehill_daemon::webpush;
+use cranehill_recovery::{Bounds, pack, unpack};
+use rustix::fs::{FlockOperation, flock};
+use rustix::net::{
+    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
+    SendFlags, recvmsg, sendmsg,
+};
+use tansycroft::{Learnt, Time};
+
+/// Only a failure waits so long.
+const TIMEOUT: Duration = Duration::from_secs(10);
+const LOCALHOST: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// What the new process sends: its greeting, and the same bytes once it has everything.
+const NEW_TO_OLD: &str = "handover-new-to-old.bin";
+const GREETING_LENGTH: usize = 8;
+/// What the old process sends with nothing learned.
+const OLD_TO_NEW: &str = "handover-old-to-new.bin";
+/// Its first message with something learned.
+const LEARNED_STATE_MESSAGE: &str = "handover-learned-state.bin";
+/// Whether a descriptor comes with each message of `OLD_TO_NEW`.
+const WITH_DESCRIPTOR: [bool; 7] = [false, true, true, true, true, true, false];
+/// The wait in `LEARNED_STATE_MESSAGE`, far from now at any run: its destination and its end, in Unix nanoseconds.
+const LEARNED_WAIT: (u64, u64) = (7, 4_102_444_800_000_000_000);
+const LEARNED_STATE_EMPTY: &str = "learned-state-empty.bin";
+const DETACHED: &str = "detached.json";
+/// Stands in the committed files for the time of writing: later than any run, so it is read as the time of that run.
+const COMMITTED_TIME: u64 = 4_000_000_000_000_000_000;
+
+/// Three rows; what the test detaches is among them.
+const CONFIG: &str = r#"{"name":"n0","seed":"1f","limits":{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":3},"known":{"version":1,"full":true,"servers":[
+{"id":"a/1 %","addr":"127.0.0.1:1","zone":"sanjose-1","kind":"station","cell":7,"state":"up","weight":0.0,"started_ms":0},
+{"id":"b","addr":"127.0.0.1:1","zone":"sanjose-1","kind":"station","cell":7,"state":"up","weight":0.0,"started_ms":0},
+{"id":"c","addr":"127.0.0.1:1","zone":"sanjose-1","kind":"station","cell":7,"state":"up","weight":0.0,"started_ms":0}]},
+"settings":{"classes":[{"aim":4000000000,"deadline":20000000000,"dedupScope":"all","effect":"keyed","lateShare":0.4,"name":"episode-notice","window":20000000000,"worth":1.0}],
+"familyInfo":{"callsOut":8,"kindApart":[false,false],"losesWorth":"halving","perCall":[5,1]},"membershipMode":"push","models":["bulk-directory","station"],"nInstances":1,
+"policyLimits":{"attemptsCap":6,"connIdle":15000000000,"connectTimeout":1500000000,"maxRetryAfter":2000000000,"mostHeld":64,"probes":true,"retryAfter":true},
+"rules":{"cold":9100000000,"coldFrom":0.23,"fall":3000000000,"fallMultiple":1.5,"graceToAnswer":20000000},
+"tenants":[{"name":"onda-central","quotaRps":10.0}],"tick":5000000,"weightKind":"rough","zone":0,"zones":["sanjose-1"]}}"#;
+
+/// An empty state folder, removed in the end.
+struct StateFolder(PathBuf);
+
+impl StateFolder {
+    fn new() -> StateFolder {
+        static NEXT: AtomicU32 = AtomicU32::new(0);
+        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let dir = std::env::temp_dir().join(format!("cranehill-golden-{}-{number}", std::process::id()));
+        std::fs::create_dir(&dir).expect("a new folder");
+        StateFolder(dir)
+    }
+
+    fn path(&self, name: &str) -> PathBuf {
+        self.0.join(name)
+    }
+}
+
+impl Drop for StateFolder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+fn setup(dir: &Path) -> Setup {
+    let var = |name: &str| match name {
+        "NODE_LISTEN" | "NODE_DISCOVERY" => Some(LOCALHOST.to_string()),
+        "NODE_STATE" => Some("unused".to_owned()),
+        _ => None,
+    };
+    let config = config::parse(CONFIG, var).expect("configuration");
+    Setup {
+        site: config.site,
+        seed: config.seed,
+        state: Some(State { dir: dir.to_owned(), disk: 1_000_000, key: None }),
+        listen: Some(LOCALHOST),
+        discovery: None,
+        known_version: config.known_version,
+        known: config.known,
+        push: None,
+        fleet: None,
+        operator: Some(LOCALHOST),
+        sockets: 1024,
+        memory: 192_000_000,
+        reread: None,
+    }
+}
+
+/// With a listener for Web Push, and its push service as the only destination.
+fn setup_with_push(dir: &Path) -> Setup {
+    let file = webpush::File {
+        listen: Some(LOCALHOST.to_string()),
+        vapid: None,
+        upstream: vec![webpush::Upstream {
+            name: "service".into(),
+            rate: None,
+            server: vec![webpush::Server { address: "127.0.0.1:1".into(), draining: false }],
+        }],
+        location: vec![webpush::Location { path: "/push/".into(), upstream: "service".into(), to: None }],
+    };
+    Setup { push: Some(file), ..setup(dir) }
+}
+
+/// The program's reactor in a thread of its own.
+struct Running {
+    clients: SocketAddr,
+    pushes: Option<SocketAddr>,
+    operator: SocketAddr,
+    halter: Halter,
+    thread: Option<JoinHandle<std::io::Result<()>>>,
+}
+
+impl Running {
+    fn start(setup: Setup) -> Running {
+        let mut reactor = Reactor::new(setup).expect("the program starts");
+        let (clients, pushes) = reactor.addresses();
+        let operator = reactor.operator_address().expect("a listener for operators");
+        let halter = reactor.halter().expect("a halter");
+        let thread = Some(std::thread::spawn(move || reactor.run(Vec::new)));
+        Running { clients: clients.expect("a listener for clients"), pushes, operator, halter, thread }
+    }
+
+    /// Waits until it has ended by itself.
+    fn join(mut self) {
+        let thread = self.thread.take().expect("a thread");
+        thread.join().expect("no panic").expect("no error");
+    }
+
+    fn operate(&self, path: &str) {
+        let mut stream = connect(self.operator);
+        write!(stream, "PUT {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n").expect("written");
+        let mut answer = String::new();
+        stream.read_to_string(&mut answer).expect("an answer");
+        assert!(answer.starts_with("HTTP/1.1 200 "), "{path}: {answer}");
+    }
+}
+
+impl Drop for Running {
+    fn drop(&mut self) {
+        self.halter.halt();
+        drop(self.thread.take().map(JoinHandle::join));
+    }
+}
+
+fn connect(to: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(to).expect("a connection");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    stream
+}
+
+fn ping(stream: &mut TcpStream) {
+    stream.write_all(b"*1\r\n$4\r\nPING\r\n").expect("written");
+    let mut answer = [0; 7];
+    stream.read_exact(&mut answer).expect("an answer");
+    assert_eq!(&answer, b"+PONG\r\n");
+}
+
+/// The first part of a request, long enough for a length of two bytes on the wire.
+fn unfinished_request() -> Vec<u8> {
+    let mut request =
+        b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$16\r\n00000000000000a7\r\n".to_vec();
+    request.extend_from_slice(b"$46\r\nc=episode-notice,t=onda-central,d=15000,dest=7\r\n$300\r\n");
+    request.extend((0..=255).cycle().take(290));
+    request
+}
+
+/// A message of the hand-over as it is on the wire, and the descriptor that came with its first byte.
+struct Message {
+    bytes: Vec<u8>,
+    descriptor: Option<OwnedFd>,
+}
+
+fn receive(stream: &mut UnixStream) -> Message {
+    let mut bytes = vec![0; 4];
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
+    let mut control = RecvAncillaryBuffer::new(&mut space);
+    let received =
+        recvmsg(&*stream, &mut [IoSliceMut::new(&mut bytes)], &mut control, RecvFlags::CMSG_CLOEXEC)
+            .expect("a message in time");
+    assert_eq!(received.bytes, bytes.len(), "a whole length");
+    let mut descriptors = Vec::new();
+    for message in control.drain() {
+        if let RecvAncillaryMessage::ScmRights(received) = message {
+            descriptors.extend(received);
+        }
+    }
+    assert!(descriptors.len() <= 1, "one descriptor at most with a message");
+    let length = u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]) as usize;
+    bytes.resize(4 + length, 0);
+    stream.read_exact(&mut bytes[4..]).expect("the rest of the message");
+    Message { bytes, descriptor: descriptors.pop() }
+}
+
+fn send(stream: &UnixStream, bytes: &[u8], descriptor: Option<BorrowedFd<'_>>) {
+    let descriptors: Vec<BorrowedFd<'_>> = descriptor.into_iter().collect();
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+    let mut control = SendAncillaryBuffer::new(&mut space);
+    if !descriptors.is_empty() {
+        assert!(control.push(SendAncillaryMessage::ScmRights(&descriptors)));
+    }
+    let sent = sendmsg(stream, &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL).expect("sent");
+    assert_eq!(sent, bytes.len());
+}
+
+/// Plays the new process up to the old one's last message, and lets the old one end.
+fn take_over(dir: &Path) -> Vec<Message> {
+    let greetings = golden_file::read(NEW_TO_OLD);
+    let (greeting, receipt) = greetings.split_at(GREETING_LENGTH);
+    let mut stream = UnixStream::connect(dir.join("handover")).expect("the program's socket");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    stream.write_all(greeting).expect("written");
+    let messages = WITH_DESCRIPTOR.iter().map(|_| receive(&mut stream)).collect();
+    stream.write_all(receipt).expect("written");
+    let mut rest = Vec::new();
+    stream.read_to_end(&mut rest).expect("the end");
+    assert!(rest.is_empty(), "nothing follows the last message");
+    messages
+}
+
+/// The committed messages, one by one.
+fn committed_messages() -> Vec<Vec<u8>> {
+    let (mut messages, committed) = (Vec::new(), golden_file::read(OLD_TO_NEW));
+    let mut rest = &committed[..];
+    while let Some((head, _)) = rest.split_first_chunk::<4>() {
+        let (message, following) = rest.split_at(4 + u32::from_le_bytes(*head) as usize);
+        messages.push(message.to_vec());
+        rest = following;
+    }
+    assert_eq!(messages.len(), WITH_DESCRIPTOR.len());
+    messages
+}
+
+fn joined(messages: &[Message]) -> Vec<u8> {
+    messages.iter().flat_map(|message| message.bytes.clone()).collect()
+}
+
+fn with_descriptor(messages: &[Message]) -> Vec<bool> {
+    messages.iter().map(|message| message.descriptor.is_some()).collect()
+}
+
+/// The message with the committed time in place of the time at which this run has written its one record.
+fn with_committed_time(message: &[u8]) -> Vec<u8> {
+    let start = message.windows(4).position(|bytes| bytes == b"CRL\x01").expect("a learned state");
+    let (head, learned_state) = message.split_at(start);
+    let mut learned = unpack(learned_state).expect("a readable learned state");
+    let [record] = &mut learned[..] else { panic!("not one record: {learned:?}") };
+    assert_eq!((record.dest, record.shut_until.map(|end| end.0)), (LEARNED_WAIT.0, Some(LEARNED_WAIT.1)));
+    assert!(record.at < Time(COMMITTED_TIME), "{record:?} is not of this run");
+    record.at = Time(COMMITTED_TIME);
+    [head, &pack(&learned)].concat()
+}
+
+#[test]
+fn handover_of_the_old_process_is_unchanged() {
+    let folder = StateFolder::new();
+    let old = Running::start(setup_with_push(&folder.0));
+    // Accepted in this order, which is the order in which they are passed on.
+    let mut unfinished = connect(old.clients);
+    let mut fresh = connect(old.clients);
+    let mut idle = connect(old.clients);
+    ping(&mut unfinished);
+    unfinished.write_all(&unfinished_request()).expect("written");
+    fresh.write_all(b"*1\r\n").expect("written");
+    ping(&mut idle);
+    let (clients, pushes) = (old.clients, old.pushes);
+    let messages = take_over(&folder.0);
+    old.join();
+    golden_file::assert_unchanged(OLD_TO_NEW, &joined(&messages));
+    assert_eq!(with_descriptor(&messages), WITH_DESCRIPTOR);
+    let mut descriptors = messages.into_iter().filter_map(|message| message.descriptor);
+    let listener = |descriptor: Option<OwnedFd>| {
+        TcpListener::from(descriptor.expect("a listener")).local_addr().expect("an address")
+    };
+    assert_eq!(listener(descriptors.next()), clients);
+    assert_eq!(Some(listener(descriptors.next())), pushes);
+    for (client, descriptor) in [&unfinished, &fresh, &idle].iter().zip(descriptors) {
+        let passed_on = TcpStream::from(descriptor).peer_addr().expect("connected");
+        assert_eq!(passed_on, client.local_addr().expect("an address"));
+    }
+}
+
+/// The next connection; panics where none comes before the time-out.
+fn accept_in_time(server: &UnixListener) -> UnixStream {
+    server.set_nonblocking(true).expect("a listener that does not block");
+    let deadline = Instant::now() + TIMEOUT;
+    loop {
+        match server.accept() {
+            Ok((stream, _)) => {
+                stream.set_nonblocking(false).expect("a stream that blocks");
+                return stream;
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+            Err(error) => panic!("no connection: {error}"),
+        }
+        assert!(Instant::now() < deadline, "nobody connects");
+        std::thread::sleep(Duration::from_millis(5));
+    }
+}
+
+/// Plays the old process with the committed bytes, then a newer one: what the program has understood it passes on unchanged.
+#[test]
+fn handover_of_the_new_process_is_unchanged() {
+    let folder = StateFolder::new();
+    let lock = File::create(folder.path("lock")).expect("a lock");
+    flock(&lock, FlockOperation::NonBlockingLockExclusive).expect("locked");
+    let server = UnixListener::bind(folder.path("handover")).expect("a socket");
+    let [clients, pushes] = [(); 2].map(|()| TcpListener::bind(LOCALHOST).expect("a listener"));
+    let address = clients.local_addr().expect("an address");
+    let client_ends: Vec<TcpStream> = (0..3).map(|_| connect(address)).collect();
+    let server_ends: Vec<TcpStream> = (0..3).map(|_| clients.accept().expect("a client").0).collect();
+    let new = std::thread::spawn({
+        let setup = setup_with_push(&folder.0);
+        move || Running::start(setup)
+    });
+    let mut stream = accept_in_time(&server);
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    let mut greetings = vec![0; GREETING_LENGTH];
+    stream.read_exact(&mut greetings).expect("a greeting");
+    let mut committed = committed_messages();
+    committed[0] = golden_file::read(LEARNED_STATE_MESSAGE);
+    let mut descriptors =
+        [clients.as_fd(), pushes.as_fd()].into_iter().chain(server_ends.iter().map(AsFd::as_fd));
+    for (message, with_descriptor) in committed.iter().zip(WITH_DESCRIPTOR) {
+        send(&stream, message, with_descriptor.then(|| descriptors.next().expect("a descriptor")));
+    }
+    stream.read_to_end(&mut greetings).expect("a receipt, then the end");
+    golden_file::assert_unchanged(NEW_TO_OLD, &greetings);
+    drop((server, lock));
+    let new = new.join().expect("it starts");
+    assert_eq!((new.clients, new.pushes), (address, pushes.local_addr().ok()));
+    ping(&mut connect(new.clients));
+    let messages = take_over(&folder.0);
+    new.join();
+    // The wait's destination has not been called, so the wait alone is passed on, with the time of the hand-over.
+    golden_file::assert_unchanged(LEARNED_STATE_MESSAGE, &with_committed_time(&messages[0].bytes));
+    let passed_on = [committed_messages()[0].clone(), joined(&messages[1..])].concat();
+    golden_file::assert_unchanged(OLD_TO_NEW, &passed_on);
+    assert_eq!(with_descriptor(&messages), WITH_DESCRIPTOR);
+    for (client, message) in client_ends.iter().zip(messages.into_iter().skip(3)) {
+        let passed_on =
+            TcpStream::from(message.descriptor.expect("a client")).peer_addr().expect("connected");
+        assert_eq!(passed_on, client.local_addr().expect("an address"));
+    }
+}
+
+/// Puts the committed time in place of the time at which this run has written the text.
+fn normalize_time(written: &str) -> String {
+    let digit = |c: char| c.is_ascii_digit();
+    let start = written.find("[\"b\",").expect("an attached endpoint") + "[\"b\",".len();
+    let end = start + written[start..].find(|c| !digit(c)).expect("the end of the number");
+    let time: u64 = written[start..end].parse().expect("Unix nanoseconds");
+    assert!(time < COMMITTED_TIME, "{time} is not a time of this run");
+    format!("{}{COMMITTED_TIME}{}", &written[..start], &written[end..])
+}
+
+#[test]
+fn detached_endpoints_file_is_written_unchanged() {
+    let folder = StateFolder::new();
+    let program = Running::start(setup(&folder.0));
+    for path in ["detach/b", "detach/a%2F1%20%25", "attach/b"] {
+        program.operate(&format!("/_endpoints/{path}"));
+    }
+    let written = std::fs::read_to_string(folder.path("detached")).expect("the state file");
+    golden_file::assert_unchanged(DETACHED, normalize_time(&written).as_bytes());
+}
+
+/// The program is given the committed file; a call that changes nothing has it written again.
+#[test]
+fn detached_endpoints_file_is_read_unchanged() {
+    let folder = StateFolder::new();
+    std::fs::write(folder.path("detached"), golden_file::read(DETACHED)).expect("written");
+    let program = Running::start(setup(&folder.0));
+    program.operate("/_endpoints/detach/a%2F1%20%25");
+    let written = std::fs::read_to_string(folder.path("detached")).expect("the state file");
+    golden_file::assert_unchanged(DETACHED, normalize_time(&written).as_bytes());
+}
+
+/// With the learned state restored from the folder.
+fn setup_with_recovery(dir: &Path) -> Setup {
+    let age = Duration::from_secs(10);
+    let fleet = Fleet {
+        listen: LOCALHOST,
+        status: None,
+        settings: cranehill_membership::Settings {
+            name: "n0".into(),
+            at: SocketAddr::from(([127, 0, 0, 1], 1)),
+            seeds: Vec::new(),
+            key: [7; 32],
+            period: Duration::from_secs(1),
+            round_trip: Duration::from_millis(300),
+            suspicion: None,
+            eviction_delay: None,
+            max_packet_age: Duration::from_secs(5),
+            configured_members: 1,
+        },
+        recovery: Some(cranehill_recovery::Settings {
+            bounds: Bounds { window: age, limit: age, state: age, ahead: Duration::from_secs(5) },
+            ask: Duration::from_millis(500),
+            alone: Duration::from_secs(2),
+            remember: Duration::from_secs(1),
+        }),
+        zones: None,
+    };
+    Setup { fleet: Some(fleet), ..setup(dir) }
+}
+
+/// The state file's bytes, once they are others than those.
+fn learned_state_after(folder: &StateFolder, before: Option<&[u8]>) -> Vec<u8> {
+    let deadline = Instant::now() + TIMEOUT;
+    loop {
+        let written = std::fs::read(folder.path("learnt")).ok();
+        if let Some(written) = written.filter(|written| Some(&written[..]) != before) {
+            return written;
+        }
+        assert!(Instant::now() < deadline, "the learned state is not written");
+        std::thread::sleep(Duration::from_millis(5));
+    }
+}
+
+#[test]
+fn learned_state_file_is_written_unchanged() {
+    let folder = StateFolder::new();
+    let _program = Running::start(setup_with_recovery(&folder.0));
+    golden_file::assert_unchanged(LEARNED_STATE_EMPTY, &learned_state_after(&folder, None));
+}
+
+/// A wait is believed for a day at most, so the file is written for this run; its format is committed with the package
+/// `cranehill-recovery`. The program writes the wait again, with its own time.
+#[test]
+fn learned_state_file_is_read_and_written_again() {
+    let folder = StateFolder::new();
+    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
+    let now = Time(now.as_nanos() as u64);
+    let wait = Learnt {
+        dest: LEARNED_WAIT.0,
+        route: None,
+        at: now,
+        window: None,
+        limit: None,
+        shut_until: Some(now + Duration::from_secs(3600)),
+        state: None,
+    };
+    let given = pack(std::slice::from_ref(&wait));
+    std::fs::write(folder.path("learnt"), &given).expect("written");
+    let _program = Running::start(setup_with_recovery(&folder.0));
+    let mut written = unpack(&learned_state_after(&folder, Some(&given))).expect("a learned state");
+    written.iter_mut().for_each(|learned| learned.at = now);
+    assert_eq!(written, [wait]);
+}
--- /dev/null
+++ b/crates/recovery/tests/golden.rs
@@ -0,0 +1,81 @@
+//! The learned state's bytes, in the state file and in the packets between members, as earlier builds wrote them.
+
+#[path = "common/golden_file.rs"]
+mod golden_file;
+
+use cranehill_recovery::{decode, encode, pack, unpack};
+use tansycroft::{Learnt, Seen, Time};
+
+const STATE_FILE: &str = "learned-state.bin";
+const EMPTY_STATE_FILE: &str = "learned-state-empty.bin";
+const PACKETS: [&str; 2] = ["learned-state-packet-1.bin", "learned-state-packet-2.bin"];
+/// Half of the four records fit.
+const PACKET_LIMIT: usize = 100;
+
+fn at(seconds: u64) -> Time {
+    Time((1_700_000_000 + seconds) * 1_000_000_000)
+}
+
+/// Each variant and each optional field, present and absent.
+fn learned_state() -> Vec<Learnt> {
+    let serving = Learnt {
+        dest: 7,
+        route: None,
+        at: at(0),
+        window: Some(3.5),
+        limit: Some(12.25),
+        shut_until: None,
+        state: Some(Seen::Up),
+    };
+    let failed = Learnt {
+        dest: 300,
+        route: Some("endpoint-a/1 %".into()),
+        at: at(1),
+        window: None,
+        limit: Some(f64::INFINITY),
+        shut_until: Some(at(30)),
+        state: Some(Seen::Out),
+    };
+    let warming_up = Learnt {
+        dest: u64::MAX,
+        route: Some("ü".into()),
+        at: at(2),
+        window: Some(0.125),
+        limit: None,
+        shut_until: None,
+        state: Some(Seen::Cold(at(3))),
+    };
+    let waiting = Learnt {
+        dest: 0,
+        route: None,
+        at: at(4),
+        window: None,
+        limit: None,
+        shut_until: Some(at(60)),
+        state: None,
+    };
+    vec![serving, failed, warming_up, waiting]
+}
+
+#[test]
+fn learned_state_file_is_unchanged() {
+    golden_file::assert_unchanged(STATE_FILE, &pack(&learned_state()));
+    assert_eq!(unpack(&golden_file::read(STATE_FILE)), Ok(learned_state()));
+}
+
+#[test]
+fn empty_learned_state_file_is_unchanged() {
+    golden_file::assert_unchanged(EMPTY_STATE_FILE, &pack(&[]));
+    assert_eq!(unpack(&golden_file::read(EMPTY_STATE_FILE)), Ok(Vec::new()));
+}
+
+#[test]
+fn learned_state_packets_are_unchanged() {
+    let packets = encode(&learned_state(), PACKET_LIMIT);
+    assert_eq!(packets.len(), PACKETS.len());
+    for (name, packet) in PACKETS.iter().zip(&packets) {
+        golden_file::assert_unchanged(name, packet);
+    }
+    let read = PACKETS.iter().flat_map(|name| decode(&golden_file::read(name)).expect("a readable packet"));
+    assert_eq!(read.collect::<Vec<_>>(), learned_state());
+}
