--- /dev/null
+++ b/crates/model/tests/golden.rs
@@ -0,0 +1,407 @@
+//! Scenario files as people have written them: each must read as it always did, whatever the code calls its parts.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use cranehill_model::clients::{Class, Hot, Load, Target};
+use cranehill_model::day::{
+    self, Day, Effect, ListChange, Member, MessageClass, ScheduledSignal, Signal, To,
+};
+use cranehill_model::directory;
+use cranehill_model::fleet::{Act, Break, Deed, Fleet, Folder, Side, Way, Which};
+use cranehill_model::{Fault, Kind, Limit, Spec};
+
+const EVERY_KEY: &str = include_str!("golden/every-key.toml");
+const SHORT_WINDOW: &str = include_str!("golden/short-window.toml");
+const UPGRADE: &str = include_str!("golden/upgrade.toml");
+const WEB_PUSH: &str = include_str!("golden/push.toml");
+const DIRECTORY_DOWN: &str = include_str!("golden/directory-down.toml");
+const ZONE_KILLED: &str = include_str!("golden/zone-killed.toml");
+
+/// The seed decides which endpoints and senders a share strikes.
+const SEED: u64 = 1;
+
+fn read(text: &str) -> Day {
+    day::parse(text, SEED).expect("a scenario")
+}
+
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
+}
+
+fn secs(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
+}
+
+fn senders<const N: usize>(numbers: [usize; N]) -> BTreeSet<usize> {
+    numbers.into()
+}
+
+fn fault(kind: Kind, start_s: u64, length_s: u64) -> Fault {
+    Fault { kind, start: secs(start_s), length: secs(length_s) }
+}
+
+fn texts<const N: usize>(names: [&str; N]) -> Vec<String> {
+    names.map(str::to_owned).into()
+}
+
+#[test]
+fn every_key_of_a_scenario_reads_as_before() {
+    let Day {
+        name,
+        lasts,
+        senders,
+        hollow,
+        stations,
+        classes,
+        partners,
+        kinds,
+        zones,
+        load,
+        directory,
+        changes,
+        signals,
+        fleet,
+        breaks,
+        acts,
+    } = read(EVERY_KEY);
+    assert_eq!(name, "Every key");
+    assert_eq!(lasts, secs(60));
+    assert_eq!(senders, 4);
+    assert_eq!(hollow, 0);
+    assert_eq!(stations, ["north", "south"]);
+    assert_eq!(classes, expected_classes());
+    assert_eq!(partners, expected_partners());
+    assert_eq!(kinds, ["bulk-directory", "station"]);
+    assert_eq!(zones, ["east", "west"]);
+    assert_eq!(load, expected_load());
+    assert_eq!(directory, expected_directory());
+    assert_eq!(changes, expected_changes());
+    assert_eq!(signals, expected_signals());
+    assert_eq!(fleet, Some(expected_fleet()));
+    assert_eq!(breaks, expected_breaks());
+    assert_eq!(acts, expected_acts());
+}
+
+fn expected_classes() -> Vec<MessageClass> {
+    let class = |name: &str, effect| MessageClass { name: name.into(), effect };
+    vec![
+        class("ordered", Effect::Keyed { window: secs(3) }),
+        class("repeatable", Effect::Safe),
+        class("single", Effect::Unsafe),
+        // Web Push adds these two: without a topic, and with one.
+        class("push", Effect::Unsafe),
+        class("push-topic", Effect::Safe),
+    ]
+}
+
+fn expected_partners() -> Vec<Member> {
+    let bulk = Spec {
+        endpoints: 3,
+        shared: false,
+        limit: Limit::Count { calls: 5, span: secs(2) },
+        charge_refused: true,
+        capacity: 30.0,
+        queue: 7,
+        pace: ms(80),
+        spread: 0.5,
+        connections: Some(9),
+        tells_wait: 0.25,
+        wait: (ms(700), ms(900)),
+        batch: 5,
+        item_cost: 0.375,
+        reports: Some(ms(400)),
+        ..Spec::default()
+    };
+    let vanished = fault(Kind::Vanish, 1, 2);
+    let refusing = fault(Kind::Refuse, 2, 3);
+    let silent = fault(Kind::Silent, 3, 4);
+    let member = |name: &str, faults| Member {
+        name: name.into(),
+        kind: "bulk-directory".into(),
+        station: 1,
+        spec: bulk.clone(),
+        push: false,
+        faults,
+        zones: vec![0, 1, 0],
+    };
+    let web = Member {
+        name: "web".into(),
+        kind: "push".into(),
+        station: 0,
+        // The defaults, spelled out: a file that leaves a key out relies on them.
+        spec: Spec {
+            endpoints: 1,
+            shared: true,
+            limit: Limit::Rate { per_second: 4.0, burst: 2.0 },
+            charge_refused: false,
+            capacity: 10.0,
+            queue: 16,
+            pace: ms(300),
+            spread: 0.4,
+            connections: None,
+            tells_wait: 0.8,
+            wait: (ms(640), ms(1500)),
+            batch: 1,
+            item_cost: 0.1,
+            reports: None,
+            ..Spec::default()
+        },
+        push: true,
+        faults: vec![vec![
+            fault(Kind::Shut, 4, 5),
+            fault(Kind::Fail { share: 0.5 }, 5, 6),
+            fault(Kind::Spoil { share: 0.25 }, 6, 7),
+            fault(Kind::Slow { factor: 3.0 }, 7, 8),
+            fault(Kind::Lower { factor: 0.25 }, 8, 9),
+            fault(Kind::CloseIdle { least: ms(100), most: ms(900) }, 9, 10),
+        ]],
+        zones: vec![0],
+    };
+    let plain = Member {
+        name: "plain".into(),
+        kind: "station".into(),
+        spec: Spec { limit: Limit::None, ..web.spec.clone() },
+        push: false,
+        faults: vec![vec![]],
+        ..web.clone()
+    };
+    vec![
+        // Of three endpoints each, the seed draws the first two for the silence with `part = 0.5`.
+        member("bulk-0", vec![vec![silent], vec![vanished, refusing, silent], vec![]]),
+        member("bulk-1", vec![vec![silent], vec![refusing, silent], vec![]]),
+        web,
+        plain,
+    ]
+}
+
+fn expected_load() -> Load {
+    let class = |aim_s, lasts_s, share| Class {
+        aim: secs(aim_s),
+        lasts: secs(lasts_s),
+        keyed: false,
+        order_keys: 0,
+        share,
+        late_share: 0.4,
+    };
+    let ordered = Class { keyed: true, order_keys: 12, late_share: 0.125, ..class(2, 8, 0.5) };
+    let web_push = Class { late_share: 0.125, ..class(2, 8, 0.0) };
+    let bulk = |partner| Target { partner, station: 1, weight: 6.0, takes: 12.5, push: false };
+    Load {
+        rate: 1.5,
+        stations: vec![0.75, 0.25],
+        targets: vec![
+            bulk(0),
+            bulk(1),
+            Target { partner: 2, station: 0, weight: 0.8, takes: 4.0, push: true },
+            Target { partner: 3, station: 0, weight: 0.2, takes: 10.0, push: false },
+        ],
+        classes: vec![ordered, class(1, 4, 1.0), class(1, 5, 1.0), web_push.clone(), web_push],
+        push: Some(3),
+        clumps: 0.25,
+        clump: (1.0, 2.5),
+        hot: vec![Hot { start: secs(10), length: secs(5), partners: vec![0, 1], share: 0.2 }],
+        body: (10, 20),
+        retries: 5,
+        pause: ms(500),
+        patience: ms(400),
+        until: secs(60),
+    }
+}
+
+fn expected_directory() -> directory::Spec {
+    directory::Spec { delays: vec![ms(200), ms(900)], outages: vec![(secs(15), secs(17))], history: 64 }
+}
+
+fn expected_changes() -> Vec<ListChange> {
+    let change = |at_s, partner, endpoint, to| ListChange { at: secs(at_s), partner, endpoint, to };
+    vec![
+        change(11, 1, 0, To::Draining),
+        change(12, 1, 0, To::Removed),
+        change(13, 1, 0, To::Up),
+        change(14, 0, 2, To::Replaced),
+    ]
+}
+
+fn expected_signals() -> Vec<ScheduledSignal> {
+    let scheduled = |at_s, sender, signal| ScheduledSignal { at: secs(at_s), sender, signal };
+    vec![
+        scheduled(16, 1, Signal::Term),
+        scheduled(17, 2, Signal::Kill),
+        // Without a number: the first sender.
+        scheduled(18, 0, Signal::Hup),
+    ]
+}
+
+fn expected_fleet() -> Fleet {
+    Fleet {
+        period: secs(2),
+        round_trip: ms(400),
+        suspicion: Some(secs(6)),
+        hold: secs(20),
+        recovery: true,
+        zones: true,
+    }
+}
+
+fn expected_breaks() -> Vec<Break> {
+    let all = senders([0, 1, 2, 3]);
+    let whole =
+        |at_s, from, to, way| Break { at: secs(at_s), until: secs(at_s + 2), from, to, one_way: false, way };
+    vec![
+        Break { one_way: true, ..whole(20, senders([0]), Side::Senders(senders([1, 2, 3])), Way::Cut) },
+        whole(21, all.clone(), Side::Partners(Some(1)), Way::Drop { share: 0.4 }),
+        whole(22, senders([0, 1]), Side::Senders(senders([2, 3])), Way::Delay { by: ms(150) }),
+        whole(23, all.clone(), Side::Partners(None), Way::Stall),
+        // A reset is a moment.
+        Break { until: ms(24_001), ..whole(24, senders([3]), Side::Senders(all), Way::Reset) },
+    ]
+}
+
+fn expected_acts() -> Vec<Act> {
+    let act = |at_s, senders, deed| Act { at: secs(at_s), senders, deed };
+    vec![
+        act(25, senders([2]), Deed::Stop { lasts: secs(2) }),
+        // The seed draws these two of the four.
+        act(26, senders([1, 3]), Deed::Kill { back: None, folder: Folder::Wiped }),
+        act(27, senders([1]), Deed::Term { back: Some(ms(1500)), folder: Folder::Cut }),
+        act(28, senders([0]), Deed::Upgrade { kill: Some((Which::Old, ms(100))) }),
+        act(29, senders([0]), Deed::Upgrade { kill: Some((Which::New, Duration::ZERO)) }),
+    ]
+}
+
+/// The text with one key, or the name of one table, misspelt; each with its line.
+fn misspelt(text: &str) -> Vec<(usize, String)> {
+    let lines: Vec<&str> = text.lines().collect();
+    let mut variants = Vec::new();
+    for (index, line) in lines.iter().enumerate() {
+        let wrong = if line.starts_with('[') {
+            line.replacen(']', "-misspelt]", 1)
+        } else if let Some((key, value)) = line.split_once(" = ") {
+            format!("{key}-misspelt = {value}")
+        } else {
+            continue;
+        };
+        let mut changed = lines.clone();
+        changed[index] = &wrong;
+        variants.push((index + 1, changed.join("\n")));
+    }
+    variants
+}
+
+#[test]
+fn every_misspelt_key_of_a_scenario_is_an_error_at_its_line() {
+    let variants = misspelt(EVERY_KEY);
+    assert_eq!(variants.len(), EVERY_KEY.lines().filter(|l| !l.is_empty() && !l.starts_with('#')).count());
+    for (line, text) in variants {
+        let error = day::parse(&text, SEED).expect_err("a key is misspelt");
+        assert!(error.why.starts_with("unknown field"), "line {line}: {error}");
+        assert!(error.why.contains("-misspelt"), "line {line}: {error}");
+        assert_eq!(error.line, line, "{error}");
+    }
+}
+
+#[test]
+fn keys_left_out_of_a_scenario_have_their_old_defaults() {
+    let day = read("name = \"Least\"\n[load]\nrate = \"2/s\"\n[[partner]]\nname = \"one\"\n");
+    assert_eq!((day.lasts, day.senders), (secs(30), 1));
+    assert_eq!(day.stations, ["onda-central"]);
+    let usual = MessageClass { name: "episode-notice".into(), effect: Effect::Keyed { window: secs(20) } };
+    assert_eq!(day.classes, [usual]);
+    let class =
+        Class { aim: secs(4), lasts: secs(20), keyed: true, order_keys: 0, share: 1.0, late_share: 0.4 };
+    assert_eq!(day.load.classes, [class]);
+    assert_eq!((day.load.clumps, day.load.clump), (0.1, (1.2, 3.5)));
+    assert_eq!((day.load.body, day.load.retries), ((80, 400), 3));
+    assert_eq!((day.partners[0].kind.as_str(), day.partners[0].spec.endpoints), ("station", 1));
+    assert_eq!((day.kinds, day.zones), (texts(["station"]), texts(["z"])));
+    assert!(day.directory.delays.is_empty() && day.directory.outages.is_empty());
+    assert_eq!((day.fleet, day.breaks, day.acts), (None, vec![], vec![]));
+}
+
+#[test]
+fn the_short_window_scenario_reads_as_before() {
+    let day = read(SHORT_WINDOW);
+    assert_eq!(day.name, "Restarts with a window of one second");
+    assert_eq!((day.senders, day.lasts, day.load.rate), (4, secs(11), 40.0));
+    let effects: Vec<Effect> = day.classes.iter().map(|c| c.effect).collect();
+    assert_eq!(effects, [Effect::Keyed { window: secs(1) }, Effect::Safe, Effect::Unsafe]);
+    let shares: Vec<f64> = day.load.classes.iter().map(|c| c.share).collect();
+    assert_eq!(shares, [0.6, 0.2, 0.2]);
+    let names: Vec<&str> = day.partners.iter().map(|p| p.name.as_str()).collect();
+    assert_eq!(names, ["slow-0", "slow-1", "slow-2", "limited"]);
+    assert_eq!(day.partners[0].faults, [[fault(Kind::Fail { share: 0.3 }, 1, 8)]; 2]);
+    assert_eq!(day.partners[3].spec.limit, Limit::Rate { per_second: 10.0, burst: 3.0 });
+    let signals: Vec<_> = day.signals.iter().map(|s| (s.at.as_millis(), s.sender, s.signal)).collect();
+    assert_eq!(
+        signals,
+        [
+            (2000, 0, Signal::Kill),
+            (2500, 1, Signal::Term),
+            (4200, 2, Signal::Kill),
+            (4600, 0, Signal::Kill),
+            (6000, 3, Signal::Term),
+            (7200, 1, Signal::Kill),
+            (8300, 2, Signal::Term),
+        ]
+    );
+}
+
+#[test]
+fn the_upgrade_scenario_reads_as_before() {
+    let day = read(UPGRADE);
+    assert_eq!((day.senders, day.lasts, day.load.rate), (2, secs(24), 120.0));
+    let upgrade = |at_s, numbers: &[usize], kill| Act {
+        at: secs(at_s),
+        senders: numbers.iter().copied().collect(),
+        deed: Deed::Upgrade { kill },
+    };
+    assert_eq!(
+        day.acts,
+        [
+            upgrade(3, &[0, 1], None),
+            upgrade(6, &[0], Some((Which::Old, ms(100)))),
+            upgrade(7, &[1], Some((Which::New, ms(100)))),
+            upgrade(10, &[0], Some((Which::New, ms(420)))),
+            upgrade(11, &[1], Some((Which::Old, ms(415)))),
+            upgrade(15, &[0, 1], None),
+        ]
+    );
+}
+
+#[test]
+fn the_web_push_scenario_reads_as_before() {
+    let day = read(WEB_PUSH);
+    let services: Vec<(&str, bool)> = day.partners.iter().map(|p| (p.name.as_str(), p.push)).collect();
+    assert_eq!(services[4..], [("servicio-0", true), ("servicio-1", true)]);
+    assert_eq!(day.load.push, Some(1));
+    let service = &day.partners[4];
+    assert_eq!((service.spec.tells_wait, service.spec.wait), (1.0, (secs(1), secs(1))));
+    let shut = fault(Kind::Shut, 4, 3);
+    assert_eq!(service.faults, [vec![shut, fault(Kind::Silent, 11, 2)], vec![shut]]);
+    assert_eq!(day.partners[5].faults, [[fault(Kind::Fail { share: 0.4 }, 8, 3)]; 2]);
+}
+
+#[test]
+fn the_directory_scenario_reads_as_before() {
+    let day = read(DIRECTORY_DOWN);
+    assert_eq!(day.stations, ["onda-central", "onda-guanacaste", "onda-limon"]);
+    assert_eq!(day.load.stations, [0.35, 0.34, 0.31]);
+    assert_eq!(day.directory.delays, [ms(1500), secs(3)]);
+    assert_eq!(day.directory.outages, [(secs(4), secs(12))]);
+    let change = |at_s, partner, endpoint, to| ListChange { at: secs(at_s), partner, endpoint, to };
+    assert_eq!(day.changes, [change(6, 3, 0, To::Draining), change(13, 1, 1, To::Removed)]);
+    assert_eq!(day.partners[0].spec.limit, Limit::Count { calls: 6, span: secs(1) });
+}
+
+#[test]
+fn the_killed_zone_scenario_reads_as_before() {
+    let day = read(ZONE_KILLED);
+    assert_eq!((day.senders, day.zones), (10, texts(["a", "b"])));
+    assert_eq!(day.partners[4].zones, [0, 1]);
+    let fleet = Fleet { period: secs(1), round_trip: ms(300), hold: secs(30), ..Fleet::default() };
+    assert_eq!(day.fleet, Some(fleet));
+    let [kill] = day.acts.as_slice() else { panic!("one act: {:?}", day.acts) };
+    assert_eq!((kill.at, kill.senders.len()), (secs(10), 2));
+    assert_eq!(kill.deed, Deed::Kill { back: None, folder: Folder::Kept });
+}
--- /dev/null
+++ b/tests/golden_settings.rs
@@ -0,0 +1,209 @@
+//! The settings object as the platform writes it: each key must read as it always did, whatever the code calls it.
+
+use std::time::Duration;
+
+use serde_json::{Value, json};
+use tansycroft::api::{Class, Decay, DedupScope, Effect, Kind, Rules, Settings, Tenant};
+use tansycroft::profile::{Names, Profile};
+
+/// Every key that is read, each with a value that is not its default.
+const SETTINGS: &str = include_str!("golden/settings.json");
+
+/// Keys without which the object is an error. Any other key that is misspelt is ignored, and its default holds.
+const REQUIRED: [&str; 17] = [
+    "/classes",
+    "/classes/0/aim",
+    "/classes/0/deadline",
+    "/classes/0/effect",
+    "/classes/0/worth",
+    "/familyInfo",
+    "/familyInfo/callsOut",
+    "/membershipMode",
+    "/nInstances",
+    "/policyLimits",
+    "/policyLimits/attemptsCap",
+    "/policyLimits/connIdle",
+    "/policyLimits/connectTimeout",
+    "/policyLimits/maxRetryAfter",
+    "/policyLimits/mostHeld",
+    "/rules",
+    "/tick",
+];
+
+fn golden() -> Value {
+    serde_json::from_str(SETTINGS).expect("JSON")
+}
+
+fn read(object: Value) -> Result<(Names, Settings), String> {
+    let profile: Profile = serde_json::from_value(object).map_err(|e| e.to_string())?;
+    Ok((profile.names(), profile.into_settings()?))
+}
+
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
+}
+
+#[test]
+fn every_key_of_the_settings_reads_as_before() {
+    let (names, settings) = read(golden()).expect("settings");
+    // Whole patterns: a new field must be added here.
+    let Names { classes, tenants, kinds, zones } = names;
+    assert_eq!(classes, ["storm-alert"]);
+    assert_eq!(tenants, ["tal-land"]);
+    assert_eq!(kinds, ["hut", "lift-control"]);
+    assert_eq!(zones, ["valley", "ridge"]);
+    let Settings {
+        classes,
+        kinds,
+        tenants,
+        over_share_worth,
+        decay,
+        slots,
+        most_held,
+        attempts_cap,
+        connect_timeout,
+        conn_idle,
+        instances,
+        zone,
+        ask_for_list,
+        rates_listed,
+        probes,
+        retry_after,
+        max_retry_after,
+        tick,
+        rules,
+    } = settings;
+    check_class(&classes);
+    check_kinds(&kinds);
+    let [Tenant { quota_rps }] = tenants.as_slice() else { panic!("one tenant") };
+    assert_eq!(*quota_rps, 9.0);
+    assert_eq!(over_share_worth, 0.125);
+    assert_eq!(decay, Decay::Halving);
+    assert_eq!(slots, 6);
+    assert_eq!(most_held, 24);
+    assert_eq!(attempts_cap, 5);
+    assert_eq!(connect_timeout, ms(1200));
+    assert_eq!(conn_idle, ms(12_000));
+    assert_eq!(instances, 3);
+    assert_eq!(zone, 2);
+    assert!(ask_for_list);
+    assert!(rates_listed);
+    assert!(probes);
+    assert!(retry_after);
+    assert_eq!(max_retry_after, ms(1700));
+    assert_eq!(tick, ms(5));
+    check_rules(&rules);
+}
+
+fn check_class(classes: &[Class]) {
+    let [class] = classes else { panic!("one class") };
+    let Class { aim, deadline, effect, dedup, window, in_order, worth, late_share } = class;
+    assert_eq!(*aim, ms(600));
+    assert_eq!(*deadline, ms(1600));
+    assert_eq!(*effect, Effect::Keyed);
+    assert_eq!(*dedup, DedupScope::Zone);
+    assert_eq!(*window, ms(1500));
+    assert!(*in_order);
+    assert_eq!(*worth, 4.0);
+    assert_eq!(*late_share, 0.25);
+}
+
+fn check_kinds(kinds: &[Kind]) {
+    let kinds: Vec<(u32, bool)> = kinds.iter().map(|Kind { per_call, apart }| (*per_call, *apart)).collect();
+    assert_eq!(kinds, [(3, true), (2, false)]);
+}
+
+fn check_rules(rules: &Rules) {
+    let Rules { cold_from, cold, fall_multiple, fall, key_quiet, must_ask_in, grace_to_answer } = rules;
+    assert_eq!(*cold_from, 0.2);
+    assert_eq!(*cold, ms(8000));
+    assert_eq!(*fall_multiple, 1.75);
+    assert_eq!(*fall, ms(2200));
+    assert_eq!(*key_quiet, ms(300));
+    assert_eq!(*must_ask_in, ms(10_000));
+    assert_eq!(*grace_to_answer, ms(20));
+}
+
+#[test]
+fn every_word_of_the_settings_reads_as_before() {
+    let with = |pointer: &str, value: Value| {
+        let mut object = golden();
+        *object.pointer_mut(pointer).expect("there") = value;
+        read(object).map(|(_, settings)| settings)
+    };
+    let effects = [("safe", Effect::Safe), ("keyed", Effect::Keyed), ("unsafe", Effect::Unsafe)];
+    for (word, effect) in effects {
+        let settings = with("/classes/0/effect", json!(word)).expect("settings");
+        assert_eq!(settings.classes[0].effect, effect, "{word}");
+    }
+    let wrong = with("/classes/0/effect", json!("odd")).expect_err("no effect");
+    assert_eq!(wrong, "settings.classes[0].effect: 'odd' is not safe, keyed or unsafe");
+    let scopes = [
+        ("all", DedupScope::All),
+        ("", DedupScope::All),
+        ("zone", DedupScope::Zone),
+        ("endpoint", DedupScope::Endpoint),
+        ("odd", DedupScope::Endpoint),
+    ];
+    for (word, scope) in scopes {
+        let settings = with("/classes/0/dedupScope", json!(word)).expect("settings");
+        assert_eq!(settings.classes[0].dedup, scope, "{word}");
+    }
+    for (word, decay) in [("halving", Decay::Halving), ("linear", Decay::Linear), ("odd", Decay::Linear)] {
+        let settings = with("/familyInfo/losesWorth", json!(word)).expect("settings");
+        assert_eq!(settings.decay, decay, "{word}");
+    }
+    for (word, asked) in [("ask", true), ("odd", false)] {
+        let settings = with("/membershipMode", json!(word)).expect("settings");
+        assert_eq!(settings.ask_for_list, asked, "{word}");
+    }
+    for (word, listed) in [("nominal", true), ("rough", true), ("odd", false)] {
+        let settings = with("/weightKind", json!(word)).expect("settings");
+        assert_eq!(settings.rates_listed, listed, "{word}");
+    }
+}
+
+/// The JSON pointers of all keys.
+fn keys(value: &Value, at: &str, found: &mut Vec<String>) {
+    match value {
+        Value::Object(map) => {
+            for (key, inner) in map {
+                let pointer = format!("{at}/{key}");
+                keys(inner, &pointer, found);
+                found.push(pointer);
+            }
+        }
+        Value::Array(list) => {
+            for (index, inner) in list.iter().enumerate() {
+                keys(inner, &format!("{at}/{index}"), found);
+            }
+        }
+        _ => {}
+    }
+}
+
+/// The settings with the last key of a pointer misspelt.
+fn misspelt(pointer: &str) -> Value {
+    let mut object = golden();
+    let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
+    let parent = object.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
+    let value = parent.remove(key).expect("there");
+    parent.insert(format!("{key}Misspelt"), value);
+    object
+}
+
+#[test]
+fn a_misspelt_key_of_the_settings_is_an_error_if_required_and_else_ignored() {
+    let mut found = Vec::new();
+    keys(&golden(), "", &mut found);
+    let whole = format!("{:?}", read(golden()).expect("settings"));
+    for pointer in &found {
+        let result = read(misspelt(pointer));
+        let required = REQUIRED.contains(&pointer.as_str());
+        assert_eq!(result.is_err(), required, "{pointer}: {result:?}");
+        // Compared within one build only: the key counts, so that its default is something else.
+        if let Ok(settings) = result {
+            assert_ne!(format!("{settings:?}"), whole, "{pointer}");
+        }
+    }
+}
