--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -32,21 +32,34 @@
         kind: 0,
         rate: 0.0,
     };
-    Listing { entry, address: "127.0.0.1:1".into() }
+    Listing {
+        entry,
+        address: "127.0.0.1:1".into(),
+    }
 }
 
 fn core_with_endpoints() -> Core {
     let profile: Profile = serde_json::from_str(SETTINGS).expect("settings");
-    let mut core = Core::new(profile.into_settings().expect("settings"), 1, START).expect("settings");
+    let mut core =
+        Core::new(profile.into_settings().expect("settings"), 1, START).expect("settings");
     let list = vec![listing("a/1 %", 7), listing("b", 7), listing("ü", 0)];
     core.step(START, Input::Listed { whole: true, list });
     core
 }
 
 fn detach(core: &mut Core, now: Time, endpoint: &str, back: bool) -> Detachments {
-    let effects = core.step(now, Input::Detach { by: 1, endpoint: endpoint.into(), back });
+    let effects = core.step(
+        now,
+        Input::Detach {
+            by: 1,
+            endpoint: endpoint.into(),
+            back,
+        },
+    );
     let detached = effects.into_iter().find_map(|effect| match effect {
-        Effect::Detached { known: true, now, .. } => Some(now),
+        Effect::Detached {
+            known: true, now, ..
+        } => Some(now),
         _ => None,
     });
     detached.expect("the endpoint is known")
@@ -54,7 +67,10 @@
 
 fn expected_detachments() -> Detachments {
     let attached_at = START + Duration::from_secs(2);
-    Detachments { out: vec!["a/1 %".into(), "ü".into()], back: vec![("b".into(), attached_at.0)] }
+    Detachments {
+        out: vec!["a/1 %".into(), "ü".into()],
+        back: vec![("b".into(), attached_at.0)],
+    }
 }
 
 #[test]
@@ -70,7 +86,8 @@
 
 #[test]
 fn detached_endpoints_are_read_unchanged() {
-    let detached: Detachments = serde_json::from_slice(&golden_file::read(DETACHED)).expect("readable");
+    let detached: Detachments =
+        serde_json::from_slice(&golden_file::read(DETACHED)).expect("readable");
     assert_eq!(detached, expected_detachments());
     let mut core = core_with_endpoints();
     core.step(START + Duration::from_secs(3), Input::Due);
@@ -105,6 +122,9 @@
     let written = written.expect("the learned state is written at the first turn");
     golden_file::assert_unchanged(LEARNED_STATE_RESTORED, &written);
     let restored = cranehill_recovery::unpack(&written).expect("readable");
-    let waits: Vec<_> = restored.iter().map(|learned| (learned.dest, learned.shut_until)).collect();
+    let waits: Vec<_> = restored
+        .iter()
+        .map(|learned| (learned.dest, learned.shut_until))
+        .collect();
     assert_eq!(waits, [(0, Some(Time(1_700_000_060_000_000_000)))]);
 }
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -37,7 +37,9 @@
 const NANOS_PER_MS: u64 = 1_000_000;
 
 fn golden(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
 }
 
 fn path_text(path: &Path) -> &str {
@@ -47,9 +49,14 @@
 fn program(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cranehill"));
     command.args(args);
-    for variable in
-        ["NODE_CONFIG", "NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_STATE", "NODE_OPERATOR"]
-    {
+    for variable in [
+        "NODE_CONFIG",
+        "NODE_NAME",
+        "NODE_LISTEN",
+        "NODE_DISCOVERY",
+        "NODE_STATE",
+        "NODE_OPERATOR",
+    ] {
         command.env_remove(variable);
     }
     command
@@ -81,7 +88,8 @@
 fn fleet_of(text: &str) -> Fleet {
     let config = common::config("null", address("127.0.0.1:1"));
     let file = fleet::parse(text).expect("a fleet file");
-    file.fleet(KEY, &config.name, &config.site.settings).expect("a fleet")
+    file.fleet(KEY, &config.name, &config.site.settings)
+        .expect("a fleet")
 }
 
 /// The text with one key, or the name of one table, misspelt; each with its line.
@@ -105,9 +113,18 @@
 
 #[test]
 fn every_key_of_a_fleet_file_reads_as_before() {
-    assert_eq!(fleet::parse(FLEET_EVERY_KEY).expect("a fleet file").key, Path::new("keys/fleet.key"));
+    assert_eq!(
+        fleet::parse(FLEET_EVERY_KEY).expect("a fleet file").key,
+        Path::new("keys/fleet.key")
+    );
     // Whole patterns: a new field must be added here.
-    let Fleet { listen, status, settings, recovery, zones } = fleet_of(FLEET_EVERY_KEY);
+    let Fleet {
+        listen,
+        status,
+        settings,
+        recovery,
+        zones,
+    } = fleet_of(FLEET_EVERY_KEY);
     assert_eq!(listen, address("127.0.0.1:7946"));
     assert_eq!(status, Some(address("127.0.0.1:7947")));
 
@@ -125,7 +142,10 @@
     } = settings;
     assert_eq!(name, "n0");
     assert_eq!(at, address("127.0.0.3:7950"));
-    assert_eq!(seeds, [address("127.0.0.1:7946"), address("127.0.0.2:7946")]);
+    assert_eq!(
+        seeds,
+        [address("127.0.0.1:7946"), address("127.0.0.2:7946")]
+    );
     assert_eq!(key, KEY);
     assert_eq!(period, secs(2));
     assert_eq!(round_trip, ms(400));
@@ -154,12 +174,24 @@
 
 #[test]
 fn the_deployed_fleet_file_reads_as_before() {
-    assert_eq!(fleet::parse(FLEET).expect("a fleet file").key, Path::new("fleet.key"));
-    let Fleet { listen, status, settings, recovery, zones } = fleet_of(FLEET);
+    assert_eq!(
+        fleet::parse(FLEET).expect("a fleet file").key,
+        Path::new("fleet.key")
+    );
+    let Fleet {
+        listen,
+        status,
+        settings,
+        recovery,
+        zones,
+    } = fleet_of(FLEET);
     assert_eq!(listen, address("127.0.0.1:7946"));
     assert_eq!(status, Some(address("127.0.0.1:7947")));
     assert_eq!(settings.at, listen);
-    assert_eq!(settings.seeds, [address("127.0.0.1:7946"), address("127.0.0.2:7946")]);
+    assert_eq!(
+        settings.seeds,
+        [address("127.0.0.1:7946"), address("127.0.0.2:7946")]
+    );
     assert_eq!(settings.period, secs(1));
     assert_eq!(settings.round_trip, ms(300));
     assert_eq!(settings.suspicion, None);
@@ -172,17 +204,38 @@
 #[test]
 fn keys_left_out_of_a_fleet_file_have_their_old_defaults() {
     let least = "listen = \"127.0.0.1:7946\"\nkey = \"fleet.key\"\n";
-    let Fleet { status, settings, recovery, zones, .. } = fleet_of(&format!("{least}[recovery]\n[zones]\n"));
+    let Fleet {
+        status,
+        settings,
+        recovery,
+        zones,
+        ..
+    } = fleet_of(&format!("{least}[recovery]\n[zones]\n"));
     assert_eq!(status, None);
     assert!(settings.seeds.is_empty());
-    assert_eq!((settings.period, settings.round_trip, settings.suspicion), (secs(1), ms(300), None));
-    assert_eq!((settings.eviction_delay, settings.max_packet_age), (Some(secs(30)), secs(5)));
+    assert_eq!(
+        (settings.period, settings.round_trip, settings.suspicion),
+        (secs(1), ms(300), None)
+    );
+    assert_eq!(
+        (settings.eviction_delay, settings.max_packet_age),
+        (Some(secs(30)), secs(5))
+    );
     let recovery = recovery.expect("a [recovery] table");
     let bounds = recovery.bounds;
-    assert_eq!((bounds.window, bounds.limit, bounds.state), (secs(10), secs(10), secs(10)));
-    assert_eq!((recovery.ask, recovery.alone, recovery.remember), (ms(500), secs(2), secs(1)));
+    assert_eq!(
+        (bounds.window, bounds.limit, bounds.state),
+        (secs(10), secs(10), secs(10))
+    );
+    assert_eq!(
+        (recovery.ask, recovery.alone, recovery.remember),
+        (ms(500), secs(2), secs(1))
+    );
     let zones = zones.expect("a [zones] table");
-    assert_eq!((zones.window, zones.settle, zones.probes), (secs(2), ms(300), 4.0));
+    assert_eq!(
+        (zones.window, zones.settle, zones.probes),
+        (secs(2), ms(300), 4.0)
+    );
     assert_eq!((zones.out, zones.calm), ([secs(2), secs(60)], secs(30)));
     let never = fleet_of(&format!("{least}hold = \"never\"\n"));
     assert_eq!(never.settings.eviction_delay, None);
@@ -194,7 +247,10 @@
     assert_eq!(variants.len(), 24);
     for (line, text) in variants {
         let error = fleet::parse(&text).expect_err("a key is misspelt");
-        assert!(error.contains("unknown field") && error.contains("-misspelt"), "line {line}: {error}");
+        assert!(
+            error.contains("unknown field") && error.contains("-misspelt"),
+            "line {line}: {error}"
+        );
     }
 }
 
@@ -204,25 +260,38 @@
     let config = folder.path().join("config.json");
     std::fs::write(&config, WRITTEN_CONFIG).expect("written");
     std::fs::write(folder.path().join("fleet.key"), KEY_FILE).expect("written");
-    let (fleet, web_push) = (folder.path().join("fleet.toml"), folder.path().join("webpush.toml"));
+    let (fleet, web_push) = (
+        folder.path().join("fleet.toml"),
+        folder.path().join("webpush.toml"),
+    );
     let check = |fleet_text: &str, web_push_text: &str| {
         std::fs::write(&fleet, fleet_text).expect("written");
         std::fs::write(&web_push, web_push_text).expect("written");
-        program(&["check", "--webpush", path_text(&web_push), "--fleet", path_text(&fleet)])
-            .env("NODE_CONFIG", &config)
-            .env("NODE_STATE", folder.path())
-            .output()
-            .expect("it runs")
+        program(&[
+            "check",
+            "--webpush",
+            path_text(&web_push),
+            "--fleet",
+            path_text(&fleet),
+        ])
+        .env("NODE_CONFIG", &config)
+        .env("NODE_STATE", folder.path())
+        .output()
+        .expect("it runs")
     };
     let accepted = printed(&check(FLEET, WEB_PUSH));
     assert_eq!(accepted.lines().count(), 3, "{accepted}");
-    assert!(accepted.contains("n0 at 127.0.0.1:7946, 2 seeds"), "{accepted}");
+    assert!(
+        accepted.contains("n0 at 127.0.0.1:7946, 2 seeds"),
+        "{accepted}"
+    );
 
     let misspelt_period = FLEET.replacen("\nperiod", "\nperiode", 1);
     let misspelt_path = WEB_PUSH.replacen("\npath", "\npathe", 1);
-    for (output, key) in
-        [(check(&misspelt_period, WEB_PUSH), "periode"), (check(FLEET, &misspelt_path), "pathe")]
-    {
+    for (output, key) in [
+        (check(&misspelt_period, WEB_PUSH), "periode"),
+        (check(FLEET, &misspelt_path), "pathe"),
+    ] {
         let error = text(&output.stderr);
         assert_eq!(output.status.code(), Some(2), "{error}");
         assert!(error.contains("line ") && error.contains(key), "{error}");
@@ -231,7 +300,10 @@
 
 #[test]
 fn every_key_of_a_web_push_file_reads_as_before() {
-    let server = |port: u16, draining| Server { address: format!("127.0.0.1:{port}"), draining };
+    let server = |port: u16, draining| Server {
+        address: format!("127.0.0.1:{port}"),
+        draining,
+    };
     let location = |path: &str, to: Option<&str>| Location {
         path: path.into(),
         upstream: "app-partner".into(),
@@ -248,9 +320,15 @@
             rate: Some(12.5),
             server: vec![server(9100, false), server(9101, true)],
         }],
-        location: vec![location("/push/", Some("/wpush/v2/")), location("/other/", None)],
+        location: vec![
+            location("/push/", Some("/wpush/v2/")),
+            location("/other/", None),
+        ],
     };
-    assert_eq!(webpush::parse_file(WEB_PUSH_EVERY_KEY).expect("a Web Push file"), expected);
+    assert_eq!(
+        webpush::parse_file(WEB_PUSH_EVERY_KEY).expect("a Web Push file"),
+        expected
+    );
 }
 
 #[test]
@@ -261,7 +339,10 @@
         upstream: vec![Upstream {
             name: "app-partner".into(),
             rate: None,
-            server: vec![Server { address: "127.0.0.1:9100".into(), draining: false }],
+            server: vec![Server {
+                address: "127.0.0.1:9100".into(),
+                draining: false,
+            }],
         }],
         location: vec![Location {
             path: "/push/".into(),
@@ -269,7 +350,10 @@
             to: Some("/wpush/v2/".into()),
         }],
     };
-    assert_eq!(webpush::parse_file(WEB_PUSH).expect("a Web Push file"), expected);
+    assert_eq!(
+        webpush::parse_file(WEB_PUSH).expect("a Web Push file"),
+        expected
+    );
 }
 
 #[test]
@@ -280,16 +364,24 @@
         let error = webpush::parse_file(&text).expect_err("a key is misspelt");
         if WEB_PUSH_EVERY_KEY.lines().nth(line - 1) == Some("[[upstream]]") {
             // TOML: without its header, the [[upstream.server]] below makes `upstream` a table, not a list.
-            assert_eq!(error, "line 12: invalid type: map, expected a sequence", "line {line}");
+            assert_eq!(
+                error, "line 12: invalid type: map, expected a sequence",
+                "line {line}"
+            );
         } else {
-            assert!(error.contains("unknown field") && error.contains("-misspelt"), "line {line}: {error}");
+            assert!(
+                error.contains("unknown field") && error.contains("-misspelt"),
+                "line {line}: {error}"
+            );
         }
     }
 }
 
 #[test]
 fn an_imported_web_push_file_is_written_and_read_as_before() {
-    let output = program(&["import-nginx", path_text(&golden("nginx.conf"))]).output().expect("it runs");
+    let output = program(&["import-nginx", path_text(&golden("nginx.conf"))])
+        .output()
+        .expect("it runs");
     assert_eq!(printed(&output), IMPORTED);
     let file = webpush::parse_file(IMPORTED).expect("a Web Push file");
     assert_eq!(file.upstream[0].server.len(), 2);
@@ -299,7 +391,9 @@
 
 #[test]
 fn the_script_of_hard_cases_plays_as_before() {
-    let output = program(&["rehearse", path_text(&golden("hard-cases.txt"))]).output().expect("it runs");
+    let output = program(&["rehearse", path_text(&golden("hard-cases.txt"))])
+        .output()
+        .expect("it runs");
     assert_eq!(printed(&output).lines().count(), 6);
 }
 
@@ -307,10 +401,20 @@
 fn every_word_of_a_push_script_means_what_it_did() {
     let script = rehearsal::parse(EVERY_WORD).expect("a script");
     let report = rehearsal::play(&script).expect("played");
-    let missed: Vec<&String> = report.lines.iter().filter(|l| l.contains("MISSED")).collect();
+    let missed: Vec<&String> = report
+        .lines
+        .iter()
+        .filter(|l| l.contains("MISSED"))
+        .collect();
     assert_eq!((report.lines.len(), report.missed), (7, 1), "{report:?}");
-    assert!(missed[0].starts_with("line 28: not-refused: "), "{missed:?}");
-    assert!(missed[0].ends_with("expected refused within 5.00 s in 9 attempts"), "{missed:?}");
+    assert!(
+        missed[0].starts_with("line 28: not-refused: "),
+        "{missed:?}"
+    );
+    assert!(
+        missed[0].ends_with("expected refused within 5.00 s in 9 attempts"),
+        "{missed:?}"
+    );
     // What is left out is the same as these.
     let push = |words: &str| rehearsal::parse(&format!("push one{words}")).expect("a script");
     assert_eq!(push(""), push(" ttl=20 body=one"));
@@ -349,11 +453,16 @@
     let is_word = |token: &str, word: &str| token == word || token.starts_with(&format!("{word}="));
     for word in words {
         let mut found = 0;
-        for (index, line) in EVERY_WORD.lines().enumerate().filter(|(_, l)| !l.starts_with('#')) {
+        for (index, line) in EVERY_WORD
+            .lines()
+            .enumerate()
+            .filter(|(_, l)| !l.starts_with('#'))
+        {
             // The second word of a push or an expectation is a name.
             let named = line.starts_with("push") || line.starts_with("expect");
             let mut tokens: Vec<String> = line.split_whitespace().map(str::to_owned).collect();
-            let place = (0..tokens.len()).find(|&n| !(named && n == 1) && is_word(&tokens[n], word));
+            let place =
+                (0..tokens.len()).find(|&n| !(named && n == 1) && is_word(&tokens[n], word));
             let Some(place) = place else { continue };
             found += 1;
             tokens[place] = tokens[place].replacen(word, &format!("{word}-misspelt"), 1);
@@ -361,7 +470,10 @@
             let changed = tokens.join(" ");
             lines[index] = &changed;
             let error = rehearsal::parse(&lines.join("\n")).expect_err("a word is misspelt");
-            assert!(error.starts_with(&format!("line {}: ", index + 1)), "{changed}: {error}");
+            assert!(
+                error.starts_with(&format!("line {}: ", index + 1)),
+                "{changed}: {error}"
+            );
         }
         assert!(found > 0, "{word} is not in the script");
     }
@@ -371,18 +483,35 @@
 fn the_configuration_for_a_scenario_is_written_as_before() {
     let folder = tempfile::tempdir().expect("a folder");
     let written = folder.path().join("config.json");
-    let output = program(&["rehearse", path_text(&golden("scenario.toml")), "--directory", "127.0.0.1:9190"])
-        .args(["--write-config", path_text(&written)])
-        .output()
-        .expect("it runs");
+    let output = program(&[
+        "rehearse",
+        path_text(&golden("scenario.toml")),
+        "--directory",
+        "127.0.0.1:9190",
+    ])
+    .args(["--write-config", path_text(&written)])
+    .output()
+    .expect("it runs");
     printed(&output);
-    assert_eq!(std::fs::read_to_string(&written).expect("written"), WRITTEN_CONFIG);
+    assert_eq!(
+        std::fs::read_to_string(&written).expect("written"),
+        WRITTEN_CONFIG
+    );
 }
 
 /// A journal with each kind of record that a sender appends.
 fn write_journal(folder: &Path) {
-    let options = Options { disk: 400_000, key: None, fresh_key: KEY, segment: Some(4096) };
-    let open = Journal::open(Folder::new(folder, options.disk).expect("a folder"), &options, NOW);
+    let options = Options {
+        disk: 400_000,
+        key: None,
+        fresh_key: KEY,
+        segment: Some(4096),
+    };
+    let open = Journal::open(
+        Folder::new(folder, options.disk).expect("a folder"),
+        &options,
+        NOW,
+    );
     let mut journal = open.expect("opens").0;
     let accepted = |id: &str, key: Option<&str>, order_key: Option<&str>| Record::Taken {
         id: id.into(),
@@ -408,15 +537,30 @@
         accepted(third, None, None),
         sent(first),
         sent(second),
-        Record::Back { id: first.into(), attempt: 3, never_ran: false },
-        Record::Back { id: second.into(), attempt: 3, never_ran: true },
-        Record::Over { id: first.into(), until: (NOW + 40_000) * NANOS_PER_MS },
+        Record::Back {
+            id: first.into(),
+            attempt: 3,
+            never_ran: false,
+        },
+        Record::Back {
+            id: second.into(),
+            attempt: 3,
+            never_ran: true,
+        },
+        Record::Over {
+            id: first.into(),
+            until: (NOW + 40_000) * NANOS_PER_MS,
+        },
         Record::Closing {
             id: second.into(),
             closing: Closing::Returned { after_ms: 150 },
             order_key: Some("account-1".into()),
         },
-        Record::Closing { id: third.into(), closing: Closing::Failed, order_key: None },
+        Record::Closing {
+            id: third.into(),
+            closing: Closing::Failed,
+            order_key: None,
+        },
     ];
     journal.append(NOW, &records).expect("room");
 }
@@ -425,7 +569,9 @@
 fn an_exported_journal_is_written_as_before() {
     let folder = tempfile::tempdir().expect("a folder");
     write_journal(folder.path());
-    let output = program(&["journal", "export", path_text(folder.path())]).output().expect("it runs");
+    let output = program(&["journal", "export", path_text(folder.path())])
+        .output()
+        .expect("it runs");
     let exported: String = printed(&output).lines().map(without_place).collect();
     assert_eq!(exported, EXPORTED);
 }
@@ -434,8 +580,11 @@
 fn without_place(row: &str) -> String {
     let mut row = format!("{row}\n");
     for key in ["segment", "offset", "bytes", "lsn", "born"] {
-        let start =
-            row.find(&format!("\"{key}\":")).unwrap_or_else(|| panic!("no {key}: {row}")) + key.len() + 3;
+        let start = row
+            .find(&format!("\"{key}\":"))
+            .unwrap_or_else(|| panic!("no {key}: {row}"))
+            + key.len()
+            + 3;
         let digits = row[start..].bytes().take_while(u8::is_ascii_digit).count();
         row.replace_range(start..start + digits, "N");
     }
@@ -448,20 +597,33 @@
     let elsewhere = tempfile::tempdir().expect("a folder");
     let table = elsewhere.path().join("records.parquet");
     write_journal(folder.path());
-    let output = program(&["journal", "export", path_text(folder.path()), "--format", "parquet"])
-        .args(["--out", path_text(&table)])
-        .output()
-        .expect("it runs");
+    let output = program(&[
+        "journal",
+        "export",
+        path_text(folder.path()),
+        "--format",
+        "parquet",
+    ])
+    .args(["--out", path_text(&table)])
+    .output()
+    .expect("it runs");
     printed(&output);
     let expected = "segment offset bytes lsn kind id born attempt never_ran endpoint at class station partner key deadline \
                     after_ms until before body_bytes body order_key";
-    assert_eq!(columns(&table), expected.split_whitespace().collect::<Vec<_>>());
+    assert_eq!(
+        columns(&table),
+        expected.split_whitespace().collect::<Vec<_>>()
+    );
 }
 
 fn columns(table: &Path) -> Vec<String> {
     let reader = SerializedFileReader::new(File::open(table).expect("a table")).expect("Parquet");
     let schema = reader.metadata().file_metadata().schema_descr();
-    schema.columns().iter().map(|column| column.name().to_owned()).collect()
+    schema
+        .columns()
+        .iter()
+        .map(|column| column.name().to_owned())
+        .collect()
 }
 
 /// The paths of all keys; places in a list are one path.
@@ -474,7 +636,9 @@
                 found.insert(path);
             }
         }
-        Value::Array(list) => list.iter().for_each(|inner| key_paths(inner, &format!("{at}/*"), found)),
+        Value::Array(list) => list
+            .iter()
+            .for_each(|inner| key_paths(inner, &format!("{at}/*"), found)),
         _ => {}
     }
 }
@@ -482,9 +646,14 @@
 #[test]
 fn a_report_has_the_same_keys_and_columns_as_before() {
     let out = tempfile::tempdir().expect("a folder");
-    let output = program(&["rehearse", path_text(&golden("short.toml")), "--out", path_text(out.path())])
-        .output()
-        .expect("it runs");
+    let output = program(&[
+        "rehearse",
+        path_text(&golden("short.toml")),
+        "--out",
+        path_text(out.path()),
+    ])
+    .output()
+    .expect("it runs");
     let report = std::fs::read_to_string(out.path().join("report.json"));
     let report = report.unwrap_or_else(|e| panic!("{e}: {output:?}"));
     let report: Value = serde_json::from_str(&report).expect("JSON");
@@ -495,7 +664,16 @@
     found.retain(|path| !path.starts_with("/rules/*/breaches/"));
     let found: String = found.iter().map(|path| format!("{path}\n")).collect();
     assert_eq!(found, REPORT_KEYS);
-    let expected =
-        ["at_us", "late_us", "sender", "kind", "notices", "partner", "endpoint", "connection", "wire"];
+    let expected = [
+        "at_us",
+        "late_us",
+        "sender",
+        "kind",
+        "notices",
+        "partner",
+        "endpoint",
+        "connection",
+        "wire",
+    ];
     assert_eq!(columns(&out.path().join("events.parquet")), expected);
 }
--- a/crates/daemon/tests/golden.rs
+++ b/crates/daemon/tests/golden.rs
@@ -22,8 +22,8 @@
 use cranehill_recovery::{Bounds, pack, unpack};
 use rustix::fs::{FlockOperation, flock};
 use rustix::net::{
-    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
-    SendFlags, recvmsg, sendmsg,
+    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
 };
 use tansycroft::{Learnt, Time};
 
@@ -64,7 +64,8 @@
     fn new() -> StateFolder {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let dir = std::env::temp_dir().join(format!("cranehill-golden-{}-{number}", std::process::id()));
+        let dir =
+            std::env::temp_dir().join(format!("cranehill-golden-{}-{number}", std::process::id()));
         std::fs::create_dir(&dir).expect("a new folder");
         StateFolder(dir)
     }
@@ -90,7 +91,11 @@
     Setup {
         site: config.site,
         seed: config.seed,
-        state: Some(State { dir: dir.to_owned(), disk: 1_000_000, key: None }),
+        state: Some(State {
+            dir: dir.to_owned(),
+            disk: 1_000_000,
+            key: None,
+        }),
         listen: Some(LOCALHOST),
         discovery: None,
         known_version: config.known_version,
@@ -112,11 +117,21 @@
         upstream: vec![webpush::Upstream {
             name: "service".into(),
             rate: None,
-            server: vec![webpush::Server { address: "127.0.0.1:1".into(), draining: false }],
+            server: vec![webpush::Server {
+                address: "127.0.0.1:1".into(),
+                draining: false,
+            }],
+        }],
+        location: vec![webpush::Location {
+            path: "/push/".into(),
+            upstream: "service".into(),
+            to: None,
         }],
-        location: vec![webpush::Location { path: "/push/".into(), upstream: "service".into(), to: None }],
     };
-    Setup { push: Some(file), ..setup(dir) }
+    Setup {
+        push: Some(file),
+        ..setup(dir)
+    }
 }
 
 /// The program's reactor in a thread of its own.
@@ -132,10 +147,18 @@
     fn start(setup: Setup) -> Running {
         let mut reactor = Reactor::new(setup).expect("the program starts");
         let (clients, pushes) = reactor.addresses();
-        let operator = reactor.operator_address().expect("a listener for operators");
+        let operator = reactor
+            .operator_address()
+            .expect("a listener for operators");
         let halter = reactor.halter().expect("a halter");
         let thread = Some(std::thread::spawn(move || reactor.run(Vec::new)));
-        Running { clients: clients.expect("a listener for clients"), pushes, operator, halter, thread }
+        Running {
+            clients: clients.expect("a listener for clients"),
+            pushes,
+            operator,
+            halter,
+            thread,
+        }
     }
 
     /// Waits until it has ended by itself.
@@ -192,9 +215,13 @@
     let mut bytes = vec![0; 4];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
-    let received =
-        recvmsg(&*stream, &mut [IoSliceMut::new(&mut bytes)], &mut control, RecvFlags::CMSG_CLOEXEC)
-            .expect("a message in time");
+    let received = recvmsg(
+        &*stream,
+        &mut [IoSliceMut::new(&mut bytes)],
+        &mut control,
+        RecvFlags::CMSG_CLOEXEC,
+    )
+    .expect("a message in time");
     assert_eq!(received.bytes, bytes.len(), "a whole length");
     let mut descriptors = Vec::new();
     for message in control.drain() {
@@ -202,11 +229,19 @@
             descriptors.extend(received);
         }
     }
-    assert!(descriptors.len() <= 1, "one descriptor at most with a message");
+    assert!(
+        descriptors.len() <= 1,
+        "one descriptor at most with a message"
+    );
     let length = u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]) as usize;
     bytes.resize(4 + length, 0);
-    stream.read_exact(&mut bytes[4..]).expect("the rest of the message");
-    Message { bytes, descriptor: descriptors.pop() }
+    stream
+        .read_exact(&mut bytes[4..])
+        .expect("the rest of the message");
+    Message {
+        bytes,
+        descriptor: descriptors.pop(),
+    }
 }
 
 fn send(stream: &UnixStream, bytes: &[u8], descriptor: Option<BorrowedFd<'_>>) {
@@ -216,7 +251,13 @@
     if !descriptors.is_empty() {
         assert!(control.push(SendAncillaryMessage::ScmRights(&descriptors)));
     }
-    let sent = sendmsg(stream, &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL).expect("sent");
+    let sent = sendmsg(
+        stream,
+        &[IoSlice::new(bytes)],
+        &mut control,
+        SendFlags::NOSIGNAL,
+    )
+    .expect("sent");
     assert_eq!(sent, bytes.len());
 }
 
@@ -227,7 +268,10 @@
     let mut stream = UnixStream::connect(dir.join("handover")).expect("the program's socket");
     stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
     stream.write_all(greeting).expect("written");
-    let messages = WITH_DESCRIPTOR.iter().map(|_| receive(&mut stream)).collect();
+    let messages = WITH_DESCRIPTOR
+        .iter()
+        .map(|_| receive(&mut stream))
+        .collect();
     stream.write_all(receipt).expect("written");
     let mut rest = Vec::new();
     stream.read_to_end(&mut rest).expect("the end");
@@ -249,21 +293,38 @@
 }
 
 fn joined(messages: &[Message]) -> Vec<u8> {
-    messages.iter().flat_map(|message| message.bytes.clone()).collect()
+    messages
+        .iter()
+        .flat_map(|message| message.bytes.clone())
+        .collect()
 }
 
 fn with_descriptor(messages: &[Message]) -> Vec<bool> {
-    messages.iter().map(|message| message.descriptor.is_some()).collect()
+    messages
+        .iter()
+        .map(|message| message.descriptor.is_some())
+        .collect()
 }
 
 /// The message with the committed time in place of the time at which this run has written its one record.
 fn with_committed_time(message: &[u8]) -> Vec<u8> {
-    let start = message.windows(4).position(|bytes| bytes == b"CRL\x01").expect("a learned state");
+    let start = message
+        .windows(4)
+        .position(|bytes| bytes == b"CRL\x01")
+        .expect("a learned state");
     let (head, learned_state) = message.split_at(start);
     let mut learned = unpack(learned_state).expect("a readable learned state");
-    let [record] = &mut learned[..] else { panic!("not one record: {learned:?}") };
-    assert_eq!((record.dest, record.shut_until.map(|end| end.0)), (LEARNED_WAIT.0, Some(LEARNED_WAIT.1)));
-    assert!(record.at < Time(COMMITTED_TIME), "{record:?} is not of this run");
+    let [record] = &mut learned[..] else {
+        panic!("not one record: {learned:?}")
+    };
+    assert_eq!(
+        (record.dest, record.shut_until.map(|end| end.0)),
+        (LEARNED_WAIT.0, Some(LEARNED_WAIT.1))
+    );
+    assert!(
+        record.at < Time(COMMITTED_TIME),
+        "{record:?} is not of this run"
+    );
     record.at = Time(COMMITTED_TIME);
     [head, &pack(&learned)].concat()
 }
@@ -277,7 +338,9 @@
     let mut fresh = connect(old.clients);
     let mut idle = connect(old.clients);
     ping(&mut unfinished);
-    unfinished.write_all(&unfinished_request()).expect("written");
+    unfinished
+        .write_all(&unfinished_request())
+        .expect("written");
     fresh.write_all(b"*1\r\n").expect("written");
     ping(&mut idle);
     let (clients, pushes) = (old.clients, old.pushes);
@@ -285,9 +348,13 @@
     old.join();
     golden_file::assert_unchanged(OLD_TO_NEW, &joined(&messages));
     assert_eq!(with_descriptor(&messages), WITH_DESCRIPTOR);
-    let mut descriptors = messages.into_iter().filter_map(|message| message.descriptor);
+    let mut descriptors = messages
+        .into_iter()
+        .filter_map(|message| message.descriptor);
     let listener = |descriptor: Option<OwnedFd>| {
-        TcpListener::from(descriptor.expect("a listener")).local_addr().expect("an address")
+        TcpListener::from(descriptor.expect("a listener"))
+            .local_addr()
+            .expect("an address")
     };
     assert_eq!(listener(descriptors.next()), clients);
     assert_eq!(Some(listener(descriptors.next())), pushes);
@@ -299,7 +366,9 @@
 
 /// The next connection; panics where none comes before the time-out.
 fn accept_in_time(server: &UnixListener) -> UnixStream {
-    server.set_nonblocking(true).expect("a listener that does not block");
+    server
+        .set_nonblocking(true)
+        .expect("a listener that does not block");
     let deadline = Instant::now() + TIMEOUT;
     loop {
         match server.accept() {
@@ -325,7 +394,9 @@
     let [clients, pushes] = [(); 2].map(|()| TcpListener::bind(LOCALHOST).expect("a listener"));
     let address = clients.local_addr().expect("an address");
     let client_ends: Vec<TcpStream> = (0..3).map(|_| connect(address)).collect();
-    let server_ends: Vec<TcpStream> = (0..3).map(|_| clients.accept().expect("a client").0).collect();
+    let server_ends: Vec<TcpStream> = (0..3)
+        .map(|_| clients.accept().expect("a client").0)
+        .collect();
     let new = std::thread::spawn({
         let setup = setup_with_push(&folder.0);
         move || Running::start(setup)
@@ -336,27 +407,41 @@
     stream.read_exact(&mut greetings).expect("a greeting");
     let mut committed = committed_messages();
     committed[0] = golden_file::read(LEARNED_STATE_MESSAGE);
-    let mut descriptors =
-        [clients.as_fd(), pushes.as_fd()].into_iter().chain(server_ends.iter().map(AsFd::as_fd));
+    let mut descriptors = [clients.as_fd(), pushes.as_fd()]
+        .into_iter()
+        .chain(server_ends.iter().map(AsFd::as_fd));
     for (message, with_descriptor) in committed.iter().zip(WITH_DESCRIPTOR) {
-        send(&stream, message, with_descriptor.then(|| descriptors.next().expect("a descriptor")));
+        send(
+            &stream,
+            message,
+            with_descriptor.then(|| descriptors.next().expect("a descriptor")),
+        );
     }
-    stream.read_to_end(&mut greetings).expect("a receipt, then the end");
+    stream
+        .read_to_end(&mut greetings)
+        .expect("a receipt, then the end");
     golden_file::assert_unchanged(NEW_TO_OLD, &greetings);
     drop((server, lock));
     let new = new.join().expect("it starts");
-    assert_eq!((new.clients, new.pushes), (address, pushes.local_addr().ok()));
+    assert_eq!(
+        (new.clients, new.pushes),
+        (address, pushes.local_addr().ok())
+    );
     ping(&mut connect(new.clients));
     let messages = take_over(&folder.0);
     new.join();
     // The wait's destination has not been called, so the wait alone is passed on, with the time of the hand-over.
-    golden_file::assert_unchanged(LEARNED_STATE_MESSAGE, &with_committed_time(&messages[0].bytes));
+    golden_file::assert_unchanged(
+        LEARNED_STATE_MESSAGE,
+        &with_committed_time(&messages[0].bytes),
+    );
     let passed_on = [committed_messages()[0].clone(), joined(&messages[1..])].concat();
     golden_file::assert_unchanged(OLD_TO_NEW, &passed_on);
     assert_eq!(with_descriptor(&messages), WITH_DESCRIPTOR);
     for (client, message) in client_ends.iter().zip(messages.into_iter().skip(3)) {
-        let passed_on =
-            TcpStream::from(message.descriptor.expect("a client")).peer_addr().expect("connected");
+        let passed_on = TcpStream::from(message.descriptor.expect("a client"))
+            .peer_addr()
+            .expect("connected");
         assert_eq!(passed_on, client.local_addr().expect("an address"));
     }
 }
@@ -365,7 +450,10 @@
 fn normalize_time(written: &str) -> String {
     let digit = |c: char| c.is_ascii_digit();
     let start = written.find("[\"b\",").expect("an attached endpoint") + "[\"b\",".len();
-    let end = start + written[start..].find(|c| !digit(c)).expect("the end of the number");
+    let end = start
+        + written[start..]
+            .find(|c| !digit(c))
+            .expect("the end of the number");
     let time: u64 = written[start..end].parse().expect("Unix nanoseconds");
     assert!(time < COMMITTED_TIME, "{time} is not a time of this run");
     format!("{}{COMMITTED_TIME}{}", &written[..start], &written[end..])
@@ -412,14 +500,22 @@
             configured_members: 1,
         },
         recovery: Some(cranehill_recovery::Settings {
-            bounds: Bounds { window: age, limit: age, state: age, ahead: Duration::from_secs(5) },
+            bounds: Bounds {
+                window: age,
+                limit: age,
+                state: age,
+                ahead: Duration::from_secs(5),
+            },
             ask: Duration::from_millis(500),
             alone: Duration::from_secs(2),
             remember: Duration::from_secs(1),
         }),
         zones: None,
     };
-    Setup { fleet: Some(fleet), ..setup(dir) }
+    Setup {
+        fleet: Some(fleet),
+        ..setup(dir)
+    }
 }
 
 /// The state file's bytes, once they are others than those.
@@ -430,7 +526,10 @@
         if let Some(written) = written.filter(|written| Some(&written[..]) != before) {
             return written;
         }
-        assert!(Instant::now() < deadline, "the learned state is not written");
+        assert!(
+            Instant::now() < deadline,
+            "the learned state is not written"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -447,7 +546,9 @@
 #[test]
 fn learned_state_file_is_read_and_written_again() {
     let folder = StateFolder::new();
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("after 1970");
     let now = Time(now.as_nanos() as u64);
     let wait = Learnt {
         dest: LEARNED_WAIT.0,
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -90,19 +90,35 @@
 }
 
 fn attempt_started(id: &str, attempt: u32, endpoint: &str, after_ms: u64) -> Record {
-    Record::Sent { id: id.into(), attempt, endpoint: endpoint.into(), at: nanos(START_MS + after_ms) }
+    Record::Sent {
+        id: id.into(),
+        attempt,
+        endpoint: endpoint.into(),
+        at: nanos(START_MS + after_ms),
+    }
 }
 
 fn attempt_finished(id: &str, attempt: u32, not_executed: bool) -> Record {
-    Record::Back { id: id.into(), attempt, never_ran: not_executed }
+    Record::Back {
+        id: id.into(),
+        attempt,
+        never_ran: not_executed,
+    }
 }
 
 fn final_report_due(id: &str, report: Closing, ordering_key: Option<&str>) -> Record {
-    Record::Closing { id: id.into(), closing: report, order_key: ordering_key.map(Into::into) }
+    Record::Closing {
+        id: id.into(),
+        closing: report,
+        order_key: ordering_key.map(Into::into),
+    }
 }
 
 fn completed(id: &str, until_after_ms: u64) -> Record {
-    Record::Over { id: id.into(), until: nanos(START_MS + until_after_ms) }
+    Record::Over {
+        id: id.into(),
+        until: nanos(START_MS + until_after_ms),
+    }
 }
 
 /// Long and repetitive enough to be stored compressed.
@@ -127,9 +143,24 @@
                 attempt_started(IDEMPOTENT_ID, 0, "s-5be2a07c", 10),
             ],
         ),
-        (20, vec![attempt_finished(PLAIN_ID, 0, true), attempt_finished(IDEMPOTENT_ID, 0, false)]),
+        (
+            20,
+            vec![
+                attempt_finished(PLAIN_ID, 0, true),
+                attempt_finished(IDEMPOTENT_ID, 0, false),
+            ],
+        ),
         (30, vec![attempt_started(PLAIN_ID, 1, "s-0001", 30)]),
-        (40, vec![accepted(ORDERED_ID, 40, None, Some("account-3"), &compressible_body())]),
+        (
+            40,
+            vec![accepted(
+                ORDERED_ID,
+                40,
+                None,
+                Some("account-3"),
+                &compressible_body(),
+            )],
+        ),
         (
             50,
             vec![
@@ -192,20 +223,29 @@
 fn open(files: Files, fresh_key: [u8; 32], now_ms: u64) -> (Journal<Memory>, Recovered) {
     let mut storage = Memory::new(DISK_BYTES);
     storage.files = files;
-    let options = Options { disk: DISK_BYTES, key: None, fresh_key, segment: Some(SEGMENT_BYTES) };
+    let options = Options {
+        disk: DISK_BYTES,
+        key: None,
+        fresh_key,
+        segment: Some(SEGMENT_BYTES),
+    };
     Journal::open(storage, &options, now_ms).expect("the folder opens")
 }
 
 fn write_intact() -> Files {
     let (mut journal, _) = open(Files::new(), FOLDER_KEY, START_MS);
     for (after_ms, records) in append_calls() {
-        journal.append(START_MS + after_ms, &records).expect("the folder has room");
+        journal
+            .append(START_MS + after_ms, &records)
+            .expect("the folder has room");
     }
     journal.storage().files.clone()
 }
 
 fn damage(mut files: Files) -> Files {
-    files.get_mut(DAMAGED_SEGMENT).expect("the segment to damage")[DAMAGED_OFFSET] ^= DAMAGE_MASK;
+    files
+        .get_mut(DAMAGED_SEGMENT)
+        .expect("the segment to damage")[DAMAGED_OFFSET] ^= DAMAGE_MASK;
     files
 }
 
@@ -223,12 +263,17 @@
 }
 
 fn committed(folder: &str) -> Files {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(folder);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(folder);
     let entries = fs::read_dir(&path).unwrap_or_else(|e| panic!("{folder}: {e}"));
     entries
         .map(|entry| {
             let entry = entry.expect("a directory entry");
-            let name = entry.file_name().into_string().expect("a file name in UTF-8");
+            let name = entry
+                .file_name()
+                .into_string()
+                .expect("a file name in UTF-8");
             (name, fs::read(entry.path()).expect("a golden file"))
         })
         .collect()
@@ -236,7 +281,9 @@
 
 /// Leaves the folder as it is written now where it can be inspected.
 fn keep_for_inspection(folder: &str, files: &Files) -> PathBuf {
-    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden").join(folder);
+    let path = Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join("golden")
+        .join(folder);
     if path.exists() {
         fs::remove_dir_all(&path).expect("the folder of an earlier run is removed");
     }
@@ -252,7 +299,11 @@
     if expected == actual {
         return None;
     }
-    let offset = expected.iter().zip(actual).take_while(|(a, b)| a == b).count();
+    let offset = expected
+        .iter()
+        .zip(actual)
+        .take_while(|(a, b)| a == b)
+        .count();
     let (expected_byte, actual_byte) = (expected.get(offset), actual.get(offset));
     Some(format!(
         "differs at offset {offset}: committed {expected_byte:02x?} of {} bytes, written {actual_byte:02x?} of {}",
@@ -270,15 +321,18 @@
     let differences: Vec<String> = names
         .into_iter()
         .filter_map(|name| match (committed.get(name), written.get(name)) {
-            (Some(expected), Some(actual)) => {
-                first_difference(expected, actual).map(|difference| format!("{folder}/{name} {difference}"))
-            }
+            (Some(expected), Some(actual)) => first_difference(expected, actual)
+                .map(|difference| format!("{folder}/{name} {difference}")),
             (Some(_), None) => Some(format!("{folder}/{name} is not written any more")),
             (None, _) => Some(format!("{folder}/{name} is not among the committed files")),
         })
         .collect();
     let inspection_folder = keep_for_inspection(folder, written);
-    panic!("{}\nas written now: {}", differences.join("\n"), inspection_folder.display());
+    panic!(
+        "{}\nas written now: {}",
+        differences.join("\n"),
+        inspection_folder.display()
+    );
 }
 
 fn assert_recovered(recovered: &Recovered, expected: &Expected) {
@@ -316,7 +370,11 @@
             completed(COMPLETED_ID, 30_000),
             final_report_due(RETURNED_ID, Closing::Returned { after_ms: 500 }, None),
             final_report_due(FAILED_ID, Closing::Failed, None),
-            final_report_due(RETURNED_ORDERED_ID, Closing::Returned { after_ms: 70_000 }, Some("account-7")),
+            final_report_due(
+                RETURNED_ORDERED_ID,
+                Closing::Returned { after_ms: 70_000 },
+                Some("account-7"),
+            ),
             final_report_due(FAILED_ORDERED_ID, Closing::Failed, Some("account-8")),
             accepted(PLAIN_ID, 0, None, None, b"plain"),
             attempt_started(PLAIN_ID, 0, "s-5be2a07c", 10),
@@ -325,7 +383,13 @@
             accepted(IDEMPOTENT_ID, 0, Some("idempotency-1"), None, b"idempotent"),
             attempt_started(IDEMPOTENT_ID, 0, "s-5be2a07c", 10),
             attempt_finished(IDEMPOTENT_ID, 0, false),
-            accepted(ORDERED_ID, 40, None, Some("account-3"), &compressible_body()),
+            accepted(
+                ORDERED_ID,
+                40,
+                None,
+                Some("account-3"),
+                &compressible_body(),
+            ),
             accepted(IDEMPOTENT_ORDERED_ID, 50, Some("00ff"), Some("a1b2"), b""),
             attempt_started(IDEMPOTENT_ORDERED_ID, 0, "s-0002", 50),
             attempt_finished(IDEMPOTENT_ORDERED_ID, 0, false),
@@ -363,15 +427,28 @@
     let intact = expected_of_intact();
     let mut records = intact.records;
     records.retain(|record| record.id() != IDEMPOTENT_ID);
-    let plain = records.iter().position(|record| record.id() == PLAIN_ID).expect("the plain message");
+    let plain = records
+        .iter()
+        .position(|record| record.id() == PLAIN_ID)
+        .expect("the plain message");
     records.insert(plain + 1, possible_attempt_of_plain());
-    let ordered = records.iter().position(|record| record.id() == ORDERED_ID).expect("the ordered message");
-    records.insert(ordered, final_report_due(IDEMPOTENT_ID, Closing::Failed, None));
+    let ordered = records
+        .iter()
+        .position(|record| record.id() == ORDERED_ID)
+        .expect("the ordered message");
+    records.insert(
+        ordered,
+        final_report_due(IDEMPOTENT_ID, Closing::Failed, None),
+    );
     Expected {
         records,
         damage: vec![damaged_range()],
         // Its first attempt is the earliest record left of it.
-        lost: vec![Lost { id: IDEMPOTENT_ID.into(), file: DAMAGED_SEGMENT.into(), offset: 223 }],
+        lost: vec![Lost {
+            id: IDEMPOTENT_ID.into(),
+            file: DAMAGED_SEGMENT.into(),
+            offset: 223,
+        }],
         possibly_executed: 1,
         counts: (3, 5, 2),
         ..intact
@@ -387,19 +464,34 @@
         .iter()
         .position(|record| matches!(record, Record::Closing { .. }))
         .expect("a final report that is due");
-    records.insert(first_report, final_report_due(IDEMPOTENT_ID, Closing::Failed, None));
-    Expected { records, lost: Vec::new(), latest_ms: REOPENED_MS, ..damaged }
+    records.insert(
+        first_report,
+        final_report_due(IDEMPOTENT_ID, Closing::Failed, None),
+    );
+    Expected {
+        records,
+        lost: Vec::new(),
+        latest_ms: REOPENED_MS,
+        ..damaged
+    }
 }
 
 /// The damaged segment is gone; what it cast doubt on stays possibly executed.
 fn expected_of_compacted() -> Expected {
-    Expected { damage: Vec::new(), ..expected_of_reopened() }
+    Expected {
+        damage: Vec::new(),
+        ..expected_of_reopened()
+    }
 }
 
 #[test]
 fn golden_intact_folder_is_recovered() {
     let files = committed("intact");
-    assert!(files.len() >= 5, "a key, a manifest and several segments: {:?}", files.keys());
+    assert!(
+        files.len() >= 5,
+        "a key, a manifest and several segments: {:?}",
+        files.keys()
+    );
     let (_, recovered) = open(files, UNUSED_KEY, READ_MS);
     assert_recovered(&recovered, &expected_of_intact());
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -43,14 +43,23 @@
 
 fn identities() -> [(&'static str, Identity); 3] {
     let unknown = Identity::unknown(samples::address(1));
-    [("identity-v4", identity(1)), ("identity-v6", identity_v6()), ("identity-unknown", unknown)]
+    [
+        ("identity-v4", identity(1)),
+        ("identity-v6", identity_v6()),
+        ("identity-unknown", unknown),
+    ]
 }
 
 #[test]
 fn messages_encode_to_golden_bytes() {
-    let encode = |(name, identity)| Entry::new(name, postcard::to_stdvec(&identity).expect("an identity"));
+    let encode =
+        |(name, identity)| Entry::new(name, postcard::to_stdvec(&identity).expect("an identity"));
     let mut messages: Vec<Entry> = identities().into_iter().map(encode).collect();
-    messages.extend(samples::all().iter().map(|(name, content)| Entry::new(*name, content.encode())));
+    messages.extend(
+        samples::all()
+            .iter()
+            .map(|(name, content)| Entry::new(*name, content.encode())),
+    );
     assert_matches_file(MESSAGES, &messages);
 }
 
@@ -58,11 +67,16 @@
 fn golden_messages_decode_to_known_values() {
     let golden = load(MESSAGES);
     for (name, expected) in identities() {
-        let decoded: Identity = postcard::from_bytes(&bytes_of(&golden, name)).expect("an identity");
+        let decoded: Identity =
+            postcard::from_bytes(&bytes_of(&golden, name)).expect("an identity");
         assert_eq!(decoded, expected, "{name}");
     }
     for (name, expected) in samples::all() {
-        assert_eq!(Content::decode(expected.kind(), &bytes_of(&golden, name)), expected, "{name}");
+        assert_eq!(
+            Content::decode(expected.kind(), &bytes_of(&golden, name)),
+            expected,
+            "{name}"
+        );
     }
 }
 
@@ -85,11 +99,27 @@
         let opened = seal::open(&KEY, SENT_MS + MAX_AGE_MS, MAX_AGE_MS, &bytes).expect(name);
         assert_eq!(opened.number, samples::packet_number(place), "{name}");
         assert_eq!(opened.kind, expected.kind(), "{name}");
-        assert_eq!(Content::decode(opened.kind, opened.message), expected, "{name}");
+        assert_eq!(
+            Content::decode(opened.kind, opened.message),
+            expected,
+            "{name}"
+        );
         let open = |key, now| seal::open(key, now, MAX_AGE_MS, &bytes).map(|opened| opened.number);
-        assert_eq!(open(&OTHER_KEY, SENT_MS), Err(DropReason::WrongKey), "{name}");
-        assert_eq!(open(&KEY, SENT_MS + MAX_AGE_MS + 1), Err(DropReason::Old), "{name}");
-        assert_eq!(open(&KEY, SENT_MS - MAX_AGE_MS - 1), Err(DropReason::Old), "{name}");
+        assert_eq!(
+            open(&OTHER_KEY, SENT_MS),
+            Err(DropReason::WrongKey),
+            "{name}"
+        );
+        assert_eq!(
+            open(&KEY, SENT_MS + MAX_AGE_MS + 1),
+            Err(DropReason::Old),
+            "{name}"
+        );
+        assert_eq!(
+            open(&KEY, SENT_MS - MAX_AGE_MS - 1),
+            Err(DropReason::Old),
+            "{name}"
+        );
     }
 }
 
@@ -120,26 +150,68 @@
 /// The digests over members in each state and over votes of each form.
 fn digests() -> [(&'static str, Digest); 2] {
     let (mut views, mut votes) = (Views::default(), Votes::default());
-    let members = [(identity(1), State::Alive), (identity(2), State::Suspect), (identity_v6(), State::Down)];
+    let members = [
+        (identity(1), State::Alive),
+        (identity(2), State::Suspect),
+        (identity_v6(), State::Down),
+    ];
     for (place, (member, state)) in members.into_iter().enumerate() {
-        let view = View { member, incarnation: place as u16, state, since: START };
+        let view = View {
+            member,
+            incarnation: place as u16,
+            state,
+            since: START,
+        };
         views.set(START, view, Duration::from_secs(place as u64));
     }
     let down = Some(DownSets::name(&samples::down_set()));
-    votes.note(samples::hash(1), Vote { number: 300, leaves: false, down, payload: b"payload".to_vec() });
-    votes.note(samples::hash(2), Vote { number: 1, leaves: true, down: None, payload: Vec::new() });
-    [("members", views.digest().clone()), ("votes", votes.digest().clone())]
+    votes.note(
+        samples::hash(1),
+        Vote {
+            number: 300,
+            leaves: false,
+            down,
+            payload: b"payload".to_vec(),
+        },
+    );
+    votes.note(
+        samples::hash(2),
+        Vote {
+            number: 1,
+            leaves: true,
+            down: None,
+            payload: Vec::new(),
+        },
+    );
+    [
+        ("members", views.digest().clone()),
+        ("votes", votes.digest().clone()),
+    ]
 }
 
 #[test]
 fn hashes_and_digests_match_golden_bytes() {
     let bytes_of_hash = |hash: ShortHash| postcard::to_stdvec(&hash).expect("a hash");
-    let hash = |(name, identity)| Entry::new(format!("hash {name}"), bytes_of_hash(identity_hash(&identity)));
+    let hash = |(name, identity)| {
+        Entry::new(
+            format!("hash {name}"),
+            bytes_of_hash(identity_hash(&identity)),
+        )
+    };
     let mut entries: Vec<Entry> = identities().into_iter().map(hash).collect();
-    entries.push(Entry::new("hash down-set", bytes_of_hash(DownSets::name(&samples::down_set()))));
+    entries.push(Entry::new(
+        "hash down-set",
+        bytes_of_hash(DownSets::name(&samples::down_set())),
+    ));
     for (name, digest) in digests() {
-        entries.push(Entry::new(format!("digest-root {name}"), bytes_of_hash(digest.root())));
-        entries.push(Entry::new(format!("digest-sums {name}"), digest.to_wire().concat()));
+        entries.push(Entry::new(
+            format!("digest-root {name}"),
+            bytes_of_hash(digest.root()),
+        ));
+        entries.push(Entry::new(
+            format!("digest-sums {name}"),
+            digest.to_wire().concat(),
+        ));
     }
     assert_matches_file(HASHES, &entries);
 }
@@ -169,9 +241,18 @@
 
 #[test]
 fn golden_trace_has_every_kind_that_is_sent() {
-    let sent: BTreeSet<&str> = load(TRACE).iter().map(|entry| content_of(&entry.bytes).name()).collect();
-    let mut kinds: BTreeSet<&str> = samples::all().iter().map(|(_, content)| content.name()).collect();
-    assert!(kinds.remove("swim-broadcast"), "the package doesn't send it");
+    let sent: BTreeSet<&str> = load(TRACE)
+        .iter()
+        .map(|entry| content_of(&entry.bytes).name())
+        .collect();
+    let mut kinds: BTreeSet<&str> = samples::all()
+        .iter()
+        .map(|(_, content)| content.name())
+        .collect();
+    assert!(
+        kinds.remove("swim-broadcast"),
+        "the package doesn't send it"
+    );
     assert_eq!(sent, kinds);
 }
 
@@ -183,10 +264,24 @@
     has_payload: bool,
 }
 
-const PAYLOAD: VoteForm = VoteForm { leaves: false, names_down_set: false, has_payload: true };
-const DOWN_SET: VoteForm = VoteForm { leaves: false, names_down_set: true, has_payload: false };
-const DOWN_SET_AND_PAYLOAD: VoteForm = VoteForm { has_payload: true, ..DOWN_SET };
-const LEAVE: VoteForm = VoteForm { leaves: true, ..DOWN_SET };
+const PAYLOAD: VoteForm = VoteForm {
+    leaves: false,
+    names_down_set: false,
+    has_payload: true,
+};
+const DOWN_SET: VoteForm = VoteForm {
+    leaves: false,
+    names_down_set: true,
+    has_payload: false,
+};
+const DOWN_SET_AND_PAYLOAD: VoteForm = VoteForm {
+    has_payload: true,
+    ..DOWN_SET
+};
+const LEAVE: VoteForm = VoteForm {
+    leaves: true,
+    ..DOWN_SET
+};
 
 /// A change of payload and a leave are broadcast. A vote on who is down is left to the exchange, which has nothing to do for
 /// a payload that all have by broadcast.
@@ -200,7 +295,10 @@
                 names_down_set: vote.down.is_some(),
                 has_payload: !vote.payload.is_empty(),
             })),
-            Content::Exchange { message: sync::Message::Entries(entries), .. } => {
+            Content::Exchange {
+                message: sync::Message::Entries(entries),
+                ..
+            } => {
                 exchanged.extend(entries.votes.iter().map(|vote| VoteForm {
                     leaves: vote.leaves,
                     names_down_set: vote.set != 0,
@@ -210,6 +308,12 @@
             _ => {}
         }
     }
-    assert_eq!(broadcast, BTreeSet::from([PAYLOAD, DOWN_SET_AND_PAYLOAD, LEAVE]));
-    assert_eq!(exchanged, BTreeSet::from([DOWN_SET, DOWN_SET_AND_PAYLOAD, LEAVE]));
+    assert_eq!(
+        broadcast,
+        BTreeSet::from([PAYLOAD, DOWN_SET_AND_PAYLOAD, LEAVE])
+    );
+    assert_eq!(
+        exchanged,
+        BTreeSet::from([DOWN_SET, DOWN_SET_AND_PAYLOAD, LEAVE])
+    );
 }
--- a/crates/membership/tests/golden/fixture.rs
+++ b/crates/membership/tests/golden/fixture.rs
@@ -12,7 +12,10 @@
 
 impl Entry {
     pub fn new(name: impl Into<String>, bytes: Vec<u8>) -> Entry {
-        Entry { name: name.into(), bytes }
+        Entry {
+            name: name.into(),
+            bytes,
+        }
     }
 
     fn parse(line: &str) -> Entry {
@@ -29,7 +32,9 @@
 }
 
 fn path(file: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file)
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file)
 }
 
 /// The entries of a golden file.
@@ -41,18 +46,33 @@
 /// The bytes of one entry.
 pub fn bytes_of(entries: &[Entry], name: &str) -> Vec<u8> {
     let entry = entries.iter().find(|entry| entry.name == name);
-    entry.unwrap_or_else(|| panic!("{name} is missing from the golden file")).bytes.clone()
+    entry
+        .unwrap_or_else(|| panic!("{name} is missing from the golden file"))
+        .bytes
+        .clone()
 }
 
 /// Compares what the present code produces with a golden file, byte for byte.
 pub fn assert_matches_file(file: &str, produced: &[Entry]) {
     let golden = load(file);
-    let mut differences: Vec<String> =
-        golden.iter().zip(produced).filter_map(|(golden, ours)| difference(golden, ours)).collect();
+    let mut differences: Vec<String> = golden
+        .iter()
+        .zip(produced)
+        .filter_map(|(golden, ours)| difference(golden, ours))
+        .collect();
     if golden.len() != produced.len() {
-        differences.push(format!("{} entries became {}", golden.len(), produced.len()));
+        differences.push(format!(
+            "{} entries became {}",
+            golden.len(),
+            produced.len()
+        ));
     }
-    assert!(differences.is_empty(), "{file}: {} differences\n{}", differences.len(), differences.join("\n"));
+    assert!(
+        differences.is_empty(),
+        "{file}: {} differences\n{}",
+        differences.len(),
+        differences.join("\n")
+    );
 }
 
 /// Compares lines of text with a golden file.
@@ -74,7 +94,19 @@
     if *bytes == produced.bytes {
         return None;
     }
-    let common = bytes.iter().zip(&produced.bytes).take_while(|(golden, ours)| golden == ours).count();
-    let byte = |bytes: &[u8]| bytes.get(common).map_or("the end".to_owned(), |byte| format!("{byte:#04x}"));
-    Some(format!("{name}: differs at offset {common}: {} became {}", byte(bytes), byte(&produced.bytes)))
+    let common = bytes
+        .iter()
+        .zip(&produced.bytes)
+        .take_while(|(golden, ours)| golden == ours)
+        .count();
+    let byte = |bytes: &[u8]| {
+        bytes
+            .get(common)
+            .map_or("the end".to_owned(), |byte| format!("{byte:#04x}"))
+    };
+    Some(format!(
+        "{name}: differs at offset {common}: {} became {}",
+        byte(bytes),
+        byte(&produced.bytes)
+    ))
 }
--- a/crates/membership/tests/golden/message.rs
+++ b/crates/membership/tests/golden/message.rs
@@ -22,10 +22,25 @@
 /// What a sealed packet contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Content {
-    Swim { header: Header<Identity>, updates: Vec<Member<Identity>>, votes: Vec<BroadcastVote> },
-    LearnedRequest { from: Identity, to: SocketAddr },
-    LearnedReply { from: Identity, to: SocketAddr, piece: Vec<u8> },
-    Exchange { from: Identity, to: SocketAddr, message: sync::Message },
+    Swim {
+        header: Header<Identity>,
+        updates: Vec<Member<Identity>>,
+        votes: Vec<BroadcastVote>,
+    },
+    LearnedRequest {
+        from: Identity,
+        to: SocketAddr,
+    },
+    LearnedReply {
+        from: Identity,
+        to: SocketAddr,
+        piece: Vec<u8>,
+    },
+    Exchange {
+        from: Identity,
+        to: SocketAddr,
+        message: sync::Message,
+    },
 }
 
 fn to_postcard<T: Serialize>(value: &T) -> Vec<u8> {
@@ -37,11 +52,16 @@
 }
 
 fn has_updates(message: &Message<Identity>) -> bool {
-    !matches!(message, Message::Announce | Message::TurnUndead | Message::Broadcast)
+    !matches!(
+        message,
+        Message::Announce | Message::TurnUndead | Message::Broadcast
+    )
 }
 
 fn split_length(bytes: &[u8]) -> (usize, &[u8]) {
-    let (length, rest) = bytes.split_first_chunk::<2>().expect("a length has two bytes");
+    let (length, rest) = bytes
+        .split_first_chunk::<2>()
+        .expect("a length has two bytes");
     (usize::from(u16::from_be_bytes(*length)), rest)
 }
 
@@ -67,9 +87,15 @@
 
     pub fn encode(&self) -> Vec<u8> {
         match self {
-            Content::Swim { header, updates, votes } => encode_swim(header, updates, votes),
+            Content::Swim {
+                header,
+                updates,
+                votes,
+            } => encode_swim(header, updates, votes),
             Content::LearnedRequest { from, to } => to_postcard(&(from, to)),
-            Content::LearnedReply { from, to, piece } => [to_postcard(&(from, to)), piece.clone()].concat(),
+            Content::LearnedReply { from, to, piece } => {
+                [to_postcard(&(from, to)), piece.clone()].concat()
+            }
             Content::Exchange { from, to, message } => {
                 [to_postcard(&(from, to)), to_postcard(message)].concat()
             }
@@ -83,10 +109,17 @@
         let ((from, to), body) = from_postcard::<(Identity, SocketAddr)>(bytes);
         match kind {
             Kind::LearnedRequest => Content::LearnedRequest { from, to },
-            Kind::LearnedReply => Content::LearnedReply { from, to, piece: body.to_vec() },
+            Kind::LearnedReply => Content::LearnedReply {
+                from,
+                to,
+                piece: body.to_vec(),
+            },
             _ => {
                 let (message, rest) = from_postcard(body);
-                assert!(rest.is_empty(), "an exchange's message ends with its packet");
+                assert!(
+                    rest.is_empty(),
+                    "an exchange's message ends with its packet"
+                );
                 Content::Exchange { from, to, message }
             }
         }
@@ -119,11 +152,17 @@
     }
 }
 
-fn encode_swim(header: &Header<Identity>, updates: &[Member<Identity>], votes: &[BroadcastVote]) -> Vec<u8> {
+fn encode_swim(
+    header: &Header<Identity>,
+    updates: &[Member<Identity>],
+    votes: &[BroadcastVote],
+) -> Vec<u8> {
     let mut bytes = to_postcard(header);
     if has_updates(&header.message) {
         bytes.extend((updates.len() as u16).to_be_bytes());
-        updates.iter().for_each(|member| bytes.extend(to_postcard(member)));
+        updates
+            .iter()
+            .for_each(|member| bytes.extend(to_postcard(member)));
     }
     for vote in votes.iter().map(to_postcard) {
         bytes.extend((vote.len() as u16).to_be_bytes());
@@ -153,5 +192,9 @@
         votes.push(vote);
         rest = after_vote;
     }
-    Content::Swim { header, updates, votes }
+    Content::Swim {
+        header,
+        updates,
+        votes,
+    }
 }
--- a/crates/membership/tests/golden/reactions.rs
+++ b/crates/membership/tests/golden/reactions.rs
@@ -10,7 +10,13 @@
             "n1 127.0.0.1:7001 1700000000000 alive 2 []",
         ],
     ),
-    ("swim-ack", &["n1 alive incarnation 2 was unknown", "n1 127.0.0.1:7001 1700000000000 alive 2 []"]),
+    (
+        "swim-ack",
+        &[
+            "n1 alive incarnation 2 was unknown",
+            "n1 127.0.0.1:7001 1700000000000 alive 2 []",
+        ],
+    ),
     (
         "swim-ping-request",
         &[
@@ -37,7 +43,10 @@
     ),
     (
         "swim-forwarded-ack",
-        &["n1 alive incarnation 2 was unknown", "n1 127.0.0.1:7001 1700000000000 alive 2 []"],
+        &[
+            "n1 alive incarnation 2 was unknown",
+            "n1 127.0.0.1:7001 1700000000000 alive 2 []",
+        ],
     ),
     (
         "swim-announce",
@@ -78,7 +87,10 @@
     // The vote that announces the leave makes it `left` instead of `down`.
     (
         "swim-gossip of a leave",
-        &["n1 left incarnation 0 was unknown", "n1 127.0.0.1:7001 1700000000000 left 0 []"],
+        &[
+            "n1 left incarnation 0 was unknown",
+            "n1 127.0.0.1:7001 1700000000000 left 0 []",
+        ],
     ),
     (
         "swim-broadcast",
@@ -97,7 +109,10 @@
         ],
     ),
     ("learned-request", &["learned state requested by n1"]),
-    ("learned-reply", &["learned state from n1: a piece of learned state"]),
+    (
+        "learned-reply",
+        &["learned state from n1: a piece of learned state"],
+    ),
     (
         "exchange-compare",
         &[
@@ -131,11 +146,17 @@
     // The set isn't known here, so there is no answer.
     (
         "exchange-want-set",
-        &["n1 alive incarnation 0 was unknown", "n1 127.0.0.1:7001 1700000000000 alive 0 []"],
+        &[
+            "n1 alive incarnation 0 was unknown",
+            "n1 127.0.0.1:7001 1700000000000 alive 0 []",
+        ],
     ),
     // No vote names the set, so it isn't kept.
     (
         "exchange-set-page",
-        &["n1 alive incarnation 0 was unknown", "n1 127.0.0.1:7001 1700000000000 alive 0 []"],
+        &[
+            "n1 alive incarnation 0 was unknown",
+            "n1 127.0.0.1:7001 1700000000000 alive 0 []",
+        ],
     ),
 ];
--- a/crates/membership/tests/golden/samples.rs
+++ b/crates/membership/tests/golden/samples.rs
@@ -28,13 +28,21 @@
 }
 
 pub fn identity(member: usize) -> Identity {
-    Identity { at: address(member), generation: GENERATION, name: format!("n{member}") }
+    Identity {
+        at: address(member),
+        generation: GENERATION,
+        name: format!("n{member}"),
+    }
 }
 
 /// An identity at the bounds of its fields.
 pub fn identity_v6() -> Identity {
     let at = "[2001:db8::7]:65535".parse().expect("an address");
-    Identity { at, generation: u64::MAX, name: "Kranichhügel".to_owned() }
+    Identity {
+        at,
+        generation: u64::MAX,
+        name: "Kranichhügel".to_owned(),
+    }
 }
 
 pub fn hash(member: usize) -> ShortHash {
@@ -47,8 +55,17 @@
 }
 
 fn swim(message: Message<Identity>) -> Content {
-    let header = Header { src: identity(1), src_incarnation: 2, dst: identity(0), message };
-    Content::Swim { header, updates: Vec::new(), votes: Vec::new() }
+    let header = Header {
+        src: identity(1),
+        src_incarnation: 2,
+        dst: identity(0),
+        message,
+    };
+    Content::Swim {
+        header,
+        updates: Vec::new(),
+        votes: Vec::new(),
+    }
 }
 
 fn swim_with(
@@ -56,8 +73,17 @@
     updates: Vec<Member<Identity>>,
     votes: Vec<BroadcastVote>,
 ) -> Content {
-    let header = Header { src: identity(1), src_incarnation: 300, dst: identity(0), message };
-    Content::Swim { header, updates, votes }
+    let header = Header {
+        src: identity(1),
+        src_incarnation: 300,
+        dst: identity(0),
+        message,
+    };
+    Content::Swim {
+        header,
+        updates,
+        votes,
+    }
 }
 
 fn updates() -> Vec<Member<Identity>> {
@@ -70,16 +96,34 @@
 
 fn vote(voter: usize) -> BroadcastVote {
     let payload = format!("payload of n{voter}").into_bytes();
-    BroadcastVote { voter: hash(voter), number: 1, leaves: false, down: None, payload }
+    BroadcastVote {
+        voter: hash(voter),
+        number: 1,
+        leaves: false,
+        down: None,
+        payload,
+    }
 }
 
 fn votes() -> Vec<BroadcastVote> {
     let down = Some(DownSets::name(&down_set()));
-    vec![BroadcastVote { number: 300, down, ..vote(1) }, vote(2)]
+    vec![
+        BroadcastVote {
+            number: 300,
+            down,
+            ..vote(1)
+        },
+        vote(2),
+    ]
 }
 
 fn leaving_vote() -> BroadcastVote {
-    BroadcastVote { number: 9, leaves: true, payload: Vec::new(), ..vote(1) }
+    BroadcastVote {
+        number: 9,
+        leaves: true,
+        payload: Vec::new(),
+        ..vote(1)
+    }
 }
 
 fn swim_samples() -> Vec<(&'static str, Content)> {
@@ -88,22 +132,60 @@
     vec![
         ("swim-ping", swim(Message::Ping(1))),
         ("swim-ack", swim(Message::Ack(255))),
-        ("swim-ping-request", swim(Message::PingReq { target: other.clone(), probe_number })),
-        ("swim-indirect-ping", swim(Message::IndirectPing { origin: other.clone(), probe_number })),
-        ("swim-indirect-ack", swim(Message::IndirectAck { target: other.clone(), probe_number })),
-        ("swim-forwarded-ack", swim(Message::ForwardedAck { origin: other, probe_number })),
+        (
+            "swim-ping-request",
+            swim(Message::PingReq {
+                target: other.clone(),
+                probe_number,
+            }),
+        ),
+        (
+            "swim-indirect-ping",
+            swim(Message::IndirectPing {
+                origin: other.clone(),
+                probe_number,
+            }),
+        ),
+        (
+            "swim-indirect-ack",
+            swim(Message::IndirectAck {
+                target: other.clone(),
+                probe_number,
+            }),
+        ),
+        (
+            "swim-forwarded-ack",
+            swim(Message::ForwardedAck {
+                origin: other,
+                probe_number,
+            }),
+        ),
         ("swim-announce", swim(Message::Announce)),
         ("swim-feed", swim_with(Message::Feed, updates(), Vec::new())),
-        ("swim-gossip", swim_with(Message::Gossip, updates(), votes())),
-        ("swim-gossip of a leave", swim_with(Message::Gossip, leave, vec![leaving_vote()])),
-        ("swim-broadcast", swim_with(Message::Broadcast, Vec::new(), votes())),
+        (
+            "swim-gossip",
+            swim_with(Message::Gossip, updates(), votes()),
+        ),
+        (
+            "swim-gossip of a leave",
+            swim_with(Message::Gossip, leave, vec![leaving_vote()]),
+        ),
+        (
+            "swim-broadcast",
+            swim_with(Message::Broadcast, Vec::new(), votes()),
+        ),
         ("swim-turn-undead", swim(Message::TurnUndead)),
     ]
 }
 
 /// Entries with a member in each state and a vote of each form.
 pub fn entries() -> Entries {
-    let row = |member, incarnation, state, down_for| Row { member, incarnation, state, down_for };
+    let row = |member, incarnation, state, down_for| Row {
+        member,
+        incarnation,
+        state,
+        down_for,
+    };
     let vote = |voter, number, leaves, set, payload: &[u8]| VoteRow {
         voter: hash(voter),
         number,
@@ -118,7 +200,10 @@
             row(identity(3), 0, 2, 30),
             row(identity_v6(), u16::MAX, 2, u16::MAX),
         ],
-        votes: vec![vote(1, 5, false, 1, b"payload of n1"), vote(2, u32::MAX, true, 0, b"")],
+        votes: vec![
+            vote(1, 5, false, 1, b"payload of n1"),
+            vote(2, u32::MAX, true, 0, b""),
+        ],
         sets: vec![DownSets::name(&down_set())],
         wanted: [1, u64::MAX],
     }
@@ -126,25 +211,62 @@
 
 fn exchange_messages() -> Vec<ExchangeMessage> {
     let set = DownSets::name(&down_set());
-    let sums = |first: u8| (0..BUCKETS as u8).map(|bucket| [first, bucket, 0, 255]).collect();
+    let sums = |first: u8| {
+        (0..BUCKETS as u8)
+            .map(|bucket| [first, bucket, 0, 255])
+            .collect()
+    };
     vec![
-        ExchangeMessage::Compare { members: hash(1), votes: hash(2) },
-        ExchangeMessage::Differs { members: sums(1), votes: sums(2) },
+        ExchangeMessage::Compare {
+            members: hash(1),
+            votes: hash(2),
+        },
+        ExchangeMessage::Differs {
+            members: sums(1),
+            votes: sums(2),
+        },
         ExchangeMessage::Entries(entries()),
         ExchangeMessage::WantSet { set, from: 128 },
-        ExchangeMessage::SetPage { set, total: 2, from: 0, members: down_set().into_iter().collect() },
+        ExchangeMessage::SetPage {
+            set,
+            total: 2,
+            from: 0,
+            members: down_set().into_iter().collect(),
+        },
     ]
 }
 
 /// All samples by name. They go from n1 to n0.
 pub fn all() -> Vec<(&'static str, Content)> {
     let (from, to) = (identity(1), address(0));
-    let exchange = |message| Content::Exchange { from: from.clone(), to, message };
+    let exchange = |message| Content::Exchange {
+        from: from.clone(),
+        to,
+        message,
+    };
     let mut samples = swim_samples();
-    samples.push(("learned-request", Content::LearnedRequest { from: from.clone(), to }));
+    samples.push((
+        "learned-request",
+        Content::LearnedRequest {
+            from: from.clone(),
+            to,
+        },
+    ));
     let piece = b"a piece of learned state".to_vec();
-    samples.push(("learned-reply", Content::LearnedReply { from: from.clone(), to, piece }));
-    samples.extend(exchange_messages().into_iter().map(exchange).map(|content| (content.name(), content)));
+    samples.push((
+        "learned-reply",
+        Content::LearnedReply {
+            from: from.clone(),
+            to,
+            piece,
+        },
+    ));
+    samples.extend(
+        exchange_messages()
+            .into_iter()
+            .map(exchange)
+            .map(|content| (content.name(), content)),
+    );
     samples
 }
 
@@ -154,5 +276,11 @@
 }
 
 pub fn sealed(place: usize, content: &Content) -> Vec<u8> {
-    seal::seal(&KEY, SENT_MS, packet_number(place), content.kind(), &content.encode())
+    seal::seal(
+        &KEY,
+        SENT_MS,
+        packet_number(place),
+        content.kind(),
+        &content.encode(),
+    )
 }
--- a/crates/membership/tests/golden/trace.rs
+++ b/crates/membership/tests/golden/trace.rs
@@ -51,7 +51,9 @@
 pub fn describe(effect: &Effect) -> Option<String> {
     Some(match effect {
         Effect::WakeAt(_) => return None,
-        Effect::Send { to, bytes } => format!("sends {} to n{}", content_of(bytes).name(), member_at(*to)),
+        Effect::Send { to, bytes } => {
+            format!("sends {} to n{}", content_of(bytes).name(), member_at(*to))
+        }
         Effect::Changed { view, before } => {
             let before = before.map_or("unknown", state_name);
             format!(
@@ -63,9 +65,15 @@
         }
         Effect::Rejoined { generation } => format!("rejoined as {generation}"),
         Effect::Stalled(pause) => format!("paused for {} ms", pause.as_millis()),
-        Effect::LearnedRequested { by } => format!("learned state requested by n{}", member_at(*by)),
+        Effect::LearnedRequested { by } => {
+            format!("learned state requested by n{}", member_at(*by))
+        }
         Effect::LearnedReceived { by, piece } => {
-            format!("learned state from n{}: {}", member_at(*by), String::from_utf8_lossy(piece))
+            format!(
+                "learned state from n{}: {}",
+                member_at(*by),
+                String::from_utf8_lossy(piece)
+            )
         }
         Effect::Dropped(_) => "dropped a packet".to_owned(),
         Effect::ShareDivisor(divisor) => format!("share divisor {divisor}"),
@@ -118,36 +126,55 @@
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let name = format!("{:05}ms n{from}-n{to} {}", self.elapsed_ms(), content_of(&bytes).name());
+        let name = format!(
+            "{:05}ms n{from}-n{to} {}",
+            self.elapsed_ms(),
+            content_of(&bytes).name()
+        );
         self.packets.push(Entry::new(name, bytes.clone()));
         if !self.cut.contains(&(from, to)) {
-            self.in_flight.insert((self.now + PACKET_DELAY, self.packets.len()), (to, bytes));
+            self.in_flight
+                .insert((self.now + PACKET_DELAY, self.packets.len()), (to, bytes));
         }
     }
 
     fn record_event(&mut self, member: usize, effect: &Effect) {
         let description = describe(effect).unwrap_or_default();
-        self.events.push(format!("{:05}ms n{member} {description}", self.elapsed_ms()));
+        self.events.push(format!(
+            "{:05}ms n{member} {description}",
+            self.elapsed_ms()
+        ));
         if let Effect::LearnedRequested { by } = effect {
-            let pieces = vec![format!("first of n{member}").into_bytes(), b"second".to_vec()];
+            let pieces = vec![
+                format!("first of n{member}").into_bytes(),
+                b"second".to_vec(),
+            ];
             self.step(member, Input::SendLearned { to: *by, pieces });
         }
     }
 
     fn next_wake(&self) -> Option<(Time, usize)> {
         let wakes = self.wakes.iter().enumerate();
-        wakes.filter_map(|(member, wake)| Some(((*wake)?, member))).min()
+        wakes
+            .filter_map(|(member, wake)| Some(((*wake)?, member)))
+            .min()
     }
 
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
             let wake = self.next_wake().filter(|(time, _)| *time <= end);
-            let packet = self.in_flight.first_key_value().map(|(&(time, _), _)| time).filter(|t| *t <= end);
+            let packet = self
+                .in_flight
+                .first_key_value()
+                .map(|(&(time, _), _)| time)
+                .filter(|t| *t <= end);
             match (packet, wake) {
                 (Some(arrival), wake) if wake.is_none_or(|(time, _)| arrival <= time) => {
                     self.now = arrival;
-                    let Some((_, (to, bytes))) = self.in_flight.pop_first() else { break };
+                    let Some((_, (to, bytes))) = self.in_flight.pop_first() else {
+                        break;
+                    };
                     self.step(to, Input::Heard(bytes));
                 }
                 (_, Some((time, member))) => {
@@ -191,12 +218,17 @@
 pub fn views_of(member: &Members) -> Vec<String> {
     let payloads: BTreeMap<_, _> = member.payloads().into_iter().collect();
     let line = |view: &cranehill_membership::View| {
-        let payload =
-            payloads.get(&view.member.at).map(|payload| String::from_utf8_lossy(payload)).unwrap_or_default();
+        let payload = payloads
+            .get(&view.member.at)
+            .map(|payload| String::from_utf8_lossy(payload))
+            .unwrap_or_default();
         let identity = &view.member;
         let generation = identity.generation;
         let state = state_name(view.state);
-        format!("{} {} {generation} {state} {} [{payload}]", identity.name, identity.at, view.incarnation)
+        format!(
+            "{} {} {generation} {state} {} [{payload}]",
+            identity.name, identity.at, view.incarnation
+        )
     };
     member.views().map(line).collect()
 }
--- a/crates/model/tests/golden.rs
+++ b/crates/model/tests/golden.rs
@@ -38,7 +38,11 @@
 }
 
 fn fault(kind: Kind, start_s: u64, length_s: u64) -> Fault {
-    Fault { kind, start: secs(start_s), length: secs(length_s) }
+    Fault {
+        kind,
+        start: secs(start_s),
+        length: secs(length_s),
+    }
 }
 
 fn texts<const N: usize>(names: [&str; N]) -> Vec<String> {
@@ -84,7 +88,10 @@
 }
 
 fn expected_classes() -> Vec<MessageClass> {
-    let class = |name: &str, effect| MessageClass { name: name.into(), effect };
+    let class = |name: &str, effect| MessageClass {
+        name: name.into(),
+        effect,
+    };
     vec![
         class("ordered", Effect::Keyed { window: secs(3) }),
         class("repeatable", Effect::Safe),
@@ -99,7 +106,10 @@
     let bulk = Spec {
         endpoints: 3,
         shared: false,
-        limit: Limit::Count { calls: 5, span: secs(2) },
+        limit: Limit::Count {
+            calls: 5,
+            span: secs(2),
+        },
         charge_refused: true,
         capacity: 30.0,
         queue: 7,
@@ -133,7 +143,10 @@
         spec: Spec {
             endpoints: 1,
             shared: true,
-            limit: Limit::Rate { per_second: 4.0, burst: 2.0 },
+            limit: Limit::Rate {
+                per_second: 4.0,
+                burst: 2.0,
+            },
             charge_refused: false,
             capacity: 10.0,
             queue: 16,
@@ -154,21 +167,34 @@
             fault(Kind::Spoil { share: 0.25 }, 6, 7),
             fault(Kind::Slow { factor: 3.0 }, 7, 8),
             fault(Kind::Lower { factor: 0.25 }, 8, 9),
-            fault(Kind::CloseIdle { least: ms(100), most: ms(900) }, 9, 10),
+            fault(
+                Kind::CloseIdle {
+                    least: ms(100),
+                    most: ms(900),
+                },
+                9,
+                10,
+            ),
         ]],
         zones: vec![0],
     };
     let plain = Member {
         name: "plain".into(),
         kind: "station".into(),
-        spec: Spec { limit: Limit::None, ..web.spec.clone() },
+        spec: Spec {
+            limit: Limit::None,
+            ..web.spec.clone()
+        },
         push: false,
         faults: vec![vec![]],
         ..web.clone()
     };
     vec![
         // Of three endpoints each, the seed draws the first two for the silence with `part = 0.5`.
-        member("bulk-0", vec![vec![silent], vec![vanished, refusing, silent], vec![]]),
+        member(
+            "bulk-0",
+            vec![vec![silent], vec![vanished, refusing, silent], vec![]],
+        ),
         member("bulk-1", vec![vec![silent], vec![refusing, silent], vec![]]),
         web,
         plain,
@@ -184,23 +210,60 @@
         share,
         late_share: 0.4,
     };
-    let ordered = Class { keyed: true, order_keys: 12, late_share: 0.125, ..class(2, 8, 0.5) };
-    let web_push = Class { late_share: 0.125, ..class(2, 8, 0.0) };
-    let bulk = |partner| Target { partner, station: 1, weight: 6.0, takes: 12.5, push: false };
+    let ordered = Class {
+        keyed: true,
+        order_keys: 12,
+        late_share: 0.125,
+        ..class(2, 8, 0.5)
+    };
+    let web_push = Class {
+        late_share: 0.125,
+        ..class(2, 8, 0.0)
+    };
+    let bulk = |partner| Target {
+        partner,
+        station: 1,
+        weight: 6.0,
+        takes: 12.5,
+        push: false,
+    };
     Load {
         rate: 1.5,
         stations: vec![0.75, 0.25],
         targets: vec![
             bulk(0),
             bulk(1),
-            Target { partner: 2, station: 0, weight: 0.8, takes: 4.0, push: true },
-            Target { partner: 3, station: 0, weight: 0.2, takes: 10.0, push: false },
+            Target {
+                partner: 2,
+                station: 0,
+                weight: 0.8,
+                takes: 4.0,
+                push: true,
+            },
+            Target {
+                partner: 3,
+                station: 0,
+                weight: 0.2,
+                takes: 10.0,
+                push: false,
+            },
+        ],
+        classes: vec![
+            ordered,
+            class(1, 4, 1.0),
+            class(1, 5, 1.0),
+            web_push.clone(),
+            web_push,
         ],
-        classes: vec![ordered, class(1, 4, 1.0), class(1, 5, 1.0), web_push.clone(), web_push],
         push: Some(3),
         clumps: 0.25,
         clump: (1.0, 2.5),
-        hot: vec![Hot { start: secs(10), length: secs(5), partners: vec![0, 1], share: 0.2 }],
+        hot: vec![Hot {
+            start: secs(10),
+            length: secs(5),
+            partners: vec![0, 1],
+            share: 0.2,
+        }],
         body: (10, 20),
         retries: 5,
         pause: ms(500),
@@ -210,11 +273,20 @@
 }
 
 fn expected_directory() -> directory::Spec {
-    directory::Spec { delays: vec![ms(200), ms(900)], outages: vec![(secs(15), secs(17))], history: 64 }
+    directory::Spec {
+        delays: vec![ms(200), ms(900)],
+        outages: vec![(secs(15), secs(17))],
+        history: 64,
+    }
 }
 
 fn expected_changes() -> Vec<ListChange> {
-    let change = |at_s, partner, endpoint, to| ListChange { at: secs(at_s), partner, endpoint, to };
+    let change = |at_s, partner, endpoint, to| ListChange {
+        at: secs(at_s),
+        partner,
+        endpoint,
+        to,
+    };
     vec![
         change(11, 1, 0, To::Draining),
         change(12, 1, 0, To::Removed),
@@ -224,7 +296,11 @@
 }
 
 fn expected_signals() -> Vec<ScheduledSignal> {
-    let scheduled = |at_s, sender, signal| ScheduledSignal { at: secs(at_s), sender, signal };
+    let scheduled = |at_s, sender, signal| ScheduledSignal {
+        at: secs(at_s),
+        sender,
+        signal,
+    };
     vec![
         scheduled(16, 1, Signal::Term),
         scheduled(17, 2, Signal::Kill),
@@ -246,27 +322,84 @@
 
 fn expected_breaks() -> Vec<Break> {
     let all = senders([0, 1, 2, 3]);
-    let whole =
-        |at_s, from, to, way| Break { at: secs(at_s), until: secs(at_s + 2), from, to, one_way: false, way };
+    let whole = |at_s, from, to, way| Break {
+        at: secs(at_s),
+        until: secs(at_s + 2),
+        from,
+        to,
+        one_way: false,
+        way,
+    };
     vec![
-        Break { one_way: true, ..whole(20, senders([0]), Side::Senders(senders([1, 2, 3])), Way::Cut) },
-        whole(21, all.clone(), Side::Partners(Some(1)), Way::Drop { share: 0.4 }),
-        whole(22, senders([0, 1]), Side::Senders(senders([2, 3])), Way::Delay { by: ms(150) }),
+        Break {
+            one_way: true,
+            ..whole(
+                20,
+                senders([0]),
+                Side::Senders(senders([1, 2, 3])),
+                Way::Cut,
+            )
+        },
+        whole(
+            21,
+            all.clone(),
+            Side::Partners(Some(1)),
+            Way::Drop { share: 0.4 },
+        ),
+        whole(
+            22,
+            senders([0, 1]),
+            Side::Senders(senders([2, 3])),
+            Way::Delay { by: ms(150) },
+        ),
         whole(23, all.clone(), Side::Partners(None), Way::Stall),
         // A reset is a moment.
-        Break { until: ms(24_001), ..whole(24, senders([3]), Side::Senders(all), Way::Reset) },
+        Break {
+            until: ms(24_001),
+            ..whole(24, senders([3]), Side::Senders(all), Way::Reset)
+        },
     ]
 }
 
 fn expected_acts() -> Vec<Act> {
-    let act = |at_s, senders, deed| Act { at: secs(at_s), senders, deed };
+    let act = |at_s, senders, deed| Act {
+        at: secs(at_s),
+        senders,
+        deed,
+    };
     vec![
         act(25, senders([2]), Deed::Stop { lasts: secs(2) }),
         // The seed draws these two of the four.
-        act(26, senders([1, 3]), Deed::Kill { back: None, folder: Folder::Wiped }),
-        act(27, senders([1]), Deed::Term { back: Some(ms(1500)), folder: Folder::Cut }),
-        act(28, senders([0]), Deed::Upgrade { kill: Some((Which::Old, ms(100))) }),
-        act(29, senders([0]), Deed::Upgrade { kill: Some((Which::New, Duration::ZERO)) }),
+        act(
+            26,
+            senders([1, 3]),
+            Deed::Kill {
+                back: None,
+                folder: Folder::Wiped,
+            },
+        ),
+        act(
+            27,
+            senders([1]),
+            Deed::Term {
+                back: Some(ms(1500)),
+                folder: Folder::Cut,
+            },
+        ),
+        act(
+            28,
+            senders([0]),
+            Deed::Upgrade {
+                kill: Some((Which::Old, ms(100))),
+            },
+        ),
+        act(
+            29,
+            senders([0]),
+            Deed::Upgrade {
+                kill: Some((Which::New, Duration::ZERO)),
+            },
+        ),
     ]
 }
 
@@ -292,10 +425,19 @@
 #[test]
 fn every_misspelt_key_of_a_scenario_is_an_error_at_its_line() {
     let variants = misspelt(EVERY_KEY);
-    assert_eq!(variants.len(), EVERY_KEY.lines().filter(|l| !l.is_empty() && !l.starts_with('#')).count());
+    assert_eq!(
+        variants.len(),
+        EVERY_KEY
+            .lines()
+            .filter(|l| !l.is_empty() && !l.starts_with('#'))
+            .count()
+    );
     for (line, text) in variants {
         let error = day::parse(&text, SEED).expect_err("a key is misspelt");
-        assert!(error.why.starts_with("unknown field"), "line {line}: {error}");
+        assert!(
+            error.why.starts_with("unknown field"),
+            "line {line}: {error}"
+        );
         assert!(error.why.contains("-misspelt"), "line {line}: {error}");
         assert_eq!(error.line, line, "{error}");
     }
@@ -306,14 +448,29 @@
     let day = read("name = \"Least\"\n[load]\nrate = \"2/s\"\n[[partner]]\nname = \"one\"\n");
     assert_eq!((day.lasts, day.senders), (secs(30), 1));
     assert_eq!(day.stations, ["onda-central"]);
-    let usual = MessageClass { name: "episode-notice".into(), effect: Effect::Keyed { window: secs(20) } };
+    let usual = MessageClass {
+        name: "episode-notice".into(),
+        effect: Effect::Keyed { window: secs(20) },
+    };
     assert_eq!(day.classes, [usual]);
-    let class =
-        Class { aim: secs(4), lasts: secs(20), keyed: true, order_keys: 0, share: 1.0, late_share: 0.4 };
+    let class = Class {
+        aim: secs(4),
+        lasts: secs(20),
+        keyed: true,
+        order_keys: 0,
+        share: 1.0,
+        late_share: 0.4,
+    };
     assert_eq!(day.load.classes, [class]);
     assert_eq!((day.load.clumps, day.load.clump), (0.1, (1.2, 3.5)));
     assert_eq!((day.load.body, day.load.retries), ((80, 400), 3));
-    assert_eq!((day.partners[0].kind.as_str(), day.partners[0].spec.endpoints), ("station", 1));
+    assert_eq!(
+        (
+            day.partners[0].kind.as_str(),
+            day.partners[0].spec.endpoints
+        ),
+        ("station", 1)
+    );
     assert_eq!((day.kinds, day.zones), (texts(["station"]), texts(["z"])));
     assert!(day.directory.delays.is_empty() && day.directory.outages.is_empty());
     assert_eq!((day.fleet, day.breaks, day.acts), (None, vec![], vec![]));
@@ -325,14 +482,34 @@
     assert_eq!(day.name, "Restarts with a window of one second");
     assert_eq!((day.senders, day.lasts, day.load.rate), (4, secs(11), 40.0));
     let effects: Vec<Effect> = day.classes.iter().map(|c| c.effect).collect();
-    assert_eq!(effects, [Effect::Keyed { window: secs(1) }, Effect::Safe, Effect::Unsafe]);
+    assert_eq!(
+        effects,
+        [
+            Effect::Keyed { window: secs(1) },
+            Effect::Safe,
+            Effect::Unsafe
+        ]
+    );
     let shares: Vec<f64> = day.load.classes.iter().map(|c| c.share).collect();
     assert_eq!(shares, [0.6, 0.2, 0.2]);
     let names: Vec<&str> = day.partners.iter().map(|p| p.name.as_str()).collect();
     assert_eq!(names, ["slow-0", "slow-1", "slow-2", "limited"]);
-    assert_eq!(day.partners[0].faults, [[fault(Kind::Fail { share: 0.3 }, 1, 8)]; 2]);
-    assert_eq!(day.partners[3].spec.limit, Limit::Rate { per_second: 10.0, burst: 3.0 });
-    let signals: Vec<_> = day.signals.iter().map(|s| (s.at.as_millis(), s.sender, s.signal)).collect();
+    assert_eq!(
+        day.partners[0].faults,
+        [[fault(Kind::Fail { share: 0.3 }, 1, 8)]; 2]
+    );
+    assert_eq!(
+        day.partners[3].spec.limit,
+        Limit::Rate {
+            per_second: 10.0,
+            burst: 3.0
+        }
+    );
+    let signals: Vec<_> = day
+        .signals
+        .iter()
+        .map(|s| (s.at.as_millis(), s.sender, s.signal))
+        .collect();
     assert_eq!(
         signals,
         [
@@ -350,7 +527,10 @@
 #[test]
 fn the_upgrade_scenario_reads_as_before() {
     let day = read(UPGRADE);
-    assert_eq!((day.senders, day.lasts, day.load.rate), (2, secs(24), 120.0));
+    assert_eq!(
+        (day.senders, day.lasts, day.load.rate),
+        (2, secs(24), 120.0)
+    );
     let upgrade = |at_s, numbers: &[usize], kill| Act {
         at: secs(at_s),
         senders: numbers.iter().copied().collect(),
@@ -372,26 +552,56 @@
 #[test]
 fn the_web_push_scenario_reads_as_before() {
     let day = read(WEB_PUSH);
-    let services: Vec<(&str, bool)> = day.partners.iter().map(|p| (p.name.as_str(), p.push)).collect();
+    let services: Vec<(&str, bool)> = day
+        .partners
+        .iter()
+        .map(|p| (p.name.as_str(), p.push))
+        .collect();
     assert_eq!(services[4..], [("servicio-0", true), ("servicio-1", true)]);
     assert_eq!(day.load.push, Some(1));
     let service = &day.partners[4];
-    assert_eq!((service.spec.tells_wait, service.spec.wait), (1.0, (secs(1), secs(1))));
+    assert_eq!(
+        (service.spec.tells_wait, service.spec.wait),
+        (1.0, (secs(1), secs(1)))
+    );
     let shut = fault(Kind::Shut, 4, 3);
-    assert_eq!(service.faults, [vec![shut, fault(Kind::Silent, 11, 2)], vec![shut]]);
-    assert_eq!(day.partners[5].faults, [[fault(Kind::Fail { share: 0.4 }, 8, 3)]; 2]);
+    assert_eq!(
+        service.faults,
+        [vec![shut, fault(Kind::Silent, 11, 2)], vec![shut]]
+    );
+    assert_eq!(
+        day.partners[5].faults,
+        [[fault(Kind::Fail { share: 0.4 }, 8, 3)]; 2]
+    );
 }
 
 #[test]
 fn the_directory_scenario_reads_as_before() {
     let day = read(DIRECTORY_DOWN);
-    assert_eq!(day.stations, ["onda-central", "onda-guanacaste", "onda-limon"]);
+    assert_eq!(
+        day.stations,
+        ["onda-central", "onda-guanacaste", "onda-limon"]
+    );
     assert_eq!(day.load.stations, [0.35, 0.34, 0.31]);
     assert_eq!(day.directory.delays, [ms(1500), secs(3)]);
     assert_eq!(day.directory.outages, [(secs(4), secs(12))]);
-    let change = |at_s, partner, endpoint, to| ListChange { at: secs(at_s), partner, endpoint, to };
-    assert_eq!(day.changes, [change(6, 3, 0, To::Draining), change(13, 1, 1, To::Removed)]);
-    assert_eq!(day.partners[0].spec.limit, Limit::Count { calls: 6, span: secs(1) });
+    let change = |at_s, partner, endpoint, to| ListChange {
+        at: secs(at_s),
+        partner,
+        endpoint,
+        to,
+    };
+    assert_eq!(
+        day.changes,
+        [change(6, 3, 0, To::Draining), change(13, 1, 1, To::Removed)]
+    );
+    assert_eq!(
+        day.partners[0].spec.limit,
+        Limit::Count {
+            calls: 6,
+            span: secs(1)
+        }
+    );
 }
 
 #[test]
@@ -399,9 +609,22 @@
     let day = read(ZONE_KILLED);
     assert_eq!((day.senders, day.zones), (10, texts(["a", "b"])));
     assert_eq!(day.partners[4].zones, [0, 1]);
-    let fleet = Fleet { period: secs(1), round_trip: ms(300), hold: secs(30), ..Fleet::default() };
+    let fleet = Fleet {
+        period: secs(1),
+        round_trip: ms(300),
+        hold: secs(30),
+        ..Fleet::default()
+    };
     assert_eq!(day.fleet, Some(fleet));
-    let [kill] = day.acts.as_slice() else { panic!("one act: {:?}", day.acts) };
+    let [kill] = day.acts.as_slice() else {
+        panic!("one act: {:?}", day.acts)
+    };
     assert_eq!((kill.at, kill.senders.len()), (secs(10), 2));
-    assert_eq!(kill.deed, Deed::Kill { back: None, folder: Folder::Kept });
+    assert_eq!(
+        kill.deed,
+        Deed::Kill {
+            back: None,
+            folder: Folder::Kept
+        }
+    );
 }
--- a/crates/recovery/tests/common/golden_file.rs
+++ b/crates/recovery/tests/common/golden_file.rs
@@ -4,7 +4,9 @@
 use std::path::PathBuf;
 
 fn path(name: &str) -> PathBuf {
-    [env!("CARGO_MANIFEST_DIR"), "tests", "golden", name].iter().collect()
+    [env!("CARGO_MANIFEST_DIR"), "tests", "golden", name]
+        .iter()
+        .collect()
 }
 
 /// The committed bytes.
@@ -17,7 +19,11 @@
 pub fn assert_unchanged(name: &str, written: &[u8]) {
     let expected = read(name);
     let shorter = expected.len().min(written.len());
-    let offset = expected.iter().zip(written).position(|(old, new)| old != new).unwrap_or(shorter);
+    let offset = expected
+        .iter()
+        .zip(written)
+        .position(|(old, new)| old != new)
+        .unwrap_or(shorter);
     assert!(
         expected == written,
         "{}: first difference at offset {offset} ({} bytes committed, {} bytes written): {:02x?} became {:02x?}",
--- a/crates/recovery/tests/golden.rs
+++ b/crates/recovery/tests/golden.rs
@@ -76,6 +76,8 @@
     for (name, packet) in PACKETS.iter().zip(&packets) {
         golden_file::assert_unchanged(name, packet);
     }
-    let read = PACKETS.iter().flat_map(|name| decode(&golden_file::read(name)).expect("a readable packet"));
+    let read = PACKETS
+        .iter()
+        .flat_map(|name| decode(&golden_file::read(name)).expect("a readable packet"));
     assert_eq!(read.collect::<Vec<_>>(), learned_state());
 }
--- a/tests/golden_settings.rs
+++ b/tests/golden_settings.rs
@@ -47,7 +47,12 @@
 fn every_key_of_the_settings_reads_as_before() {
     let (names, settings) = read(golden()).expect("settings");
     // Whole patterns: a new field must be added here.
-    let Names { classes, tenants, kinds, zones } = names;
+    let Names {
+        classes,
+        tenants,
+        kinds,
+        zones,
+    } = names;
     assert_eq!(classes, ["storm-alert"]);
     assert_eq!(tenants, ["tal-land"]);
     assert_eq!(kinds, ["hut", "lift-control"]);
@@ -75,7 +80,9 @@
     } = settings;
     check_class(&classes);
     check_kinds(&kinds);
-    let [Tenant { quota_rps }] = tenants.as_slice() else { panic!("one tenant") };
+    let [Tenant { quota_rps }] = tenants.as_slice() else {
+        panic!("one tenant")
+    };
     assert_eq!(*quota_rps, 9.0);
     assert_eq!(over_share_worth, 0.125);
     assert_eq!(decay, Decay::Halving);
@@ -96,8 +103,19 @@
 }
 
 fn check_class(classes: &[Class]) {
-    let [class] = classes else { panic!("one class") };
-    let Class { aim, deadline, effect, dedup, window, in_order, worth, late_share } = class;
+    let [class] = classes else {
+        panic!("one class")
+    };
+    let Class {
+        aim,
+        deadline,
+        effect,
+        dedup,
+        window,
+        in_order,
+        worth,
+        late_share,
+    } = class;
     assert_eq!(*aim, ms(600));
     assert_eq!(*deadline, ms(1600));
     assert_eq!(*effect, Effect::Keyed);
@@ -109,12 +127,23 @@
 }
 
 fn check_kinds(kinds: &[Kind]) {
-    let kinds: Vec<(u32, bool)> = kinds.iter().map(|Kind { per_call, apart }| (*per_call, *apart)).collect();
+    let kinds: Vec<(u32, bool)> = kinds
+        .iter()
+        .map(|Kind { per_call, apart }| (*per_call, *apart))
+        .collect();
     assert_eq!(kinds, [(3, true), (2, false)]);
 }
 
 fn check_rules(rules: &Rules) {
-    let Rules { cold_from, cold, fall_multiple, fall, key_quiet, must_ask_in, grace_to_answer } = rules;
+    let Rules {
+        cold_from,
+        cold,
+        fall_multiple,
+        fall,
+        key_quiet,
+        must_ask_in,
+        grace_to_answer,
+    } = rules;
     assert_eq!(*cold_from, 0.2);
     assert_eq!(*cold, ms(8000));
     assert_eq!(*fall_multiple, 1.75);
@@ -131,13 +160,20 @@
         *object.pointer_mut(pointer).expect("there") = value;
         read(object).map(|(_, settings)| settings)
     };
-    let effects = [("safe", Effect::Safe), ("keyed", Effect::Keyed), ("unsafe", Effect::Unsafe)];
+    let effects = [
+        ("safe", Effect::Safe),
+        ("keyed", Effect::Keyed),
+        ("unsafe", Effect::Unsafe),
+    ];
     for (word, effect) in effects {
         let settings = with("/classes/0/effect", json!(word)).expect("settings");
         assert_eq!(settings.classes[0].effect, effect, "{word}");
     }
     let wrong = with("/classes/0/effect", json!("odd")).expect_err("no effect");
-    assert_eq!(wrong, "settings.classes[0].effect: 'odd' is not safe, keyed or unsafe");
+    assert_eq!(
+        wrong,
+        "settings.classes[0].effect: 'odd' is not safe, keyed or unsafe"
+    );
     let scopes = [
         ("all", DedupScope::All),
         ("", DedupScope::All),
@@ -149,7 +185,11 @@
         let settings = with("/classes/0/dedupScope", json!(word)).expect("settings");
         assert_eq!(settings.classes[0].dedup, scope, "{word}");
     }
-    for (word, decay) in [("halving", Decay::Halving), ("linear", Decay::Linear), ("odd", Decay::Linear)] {
+    for (word, decay) in [
+        ("halving", Decay::Halving),
+        ("linear", Decay::Linear),
+        ("odd", Decay::Linear),
+    ] {
         let settings = with("/familyInfo/losesWorth", json!(word)).expect("settings");
         assert_eq!(settings.decay, decay, "{word}");
     }
@@ -186,7 +226,10 @@
 fn misspelt(pointer: &str) -> Value {
     let mut object = golden();
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
-    let parent = object.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
+    let parent = object
+        .pointer_mut(parent)
+        .and_then(Value::as_object_mut)
+        .expect("an object");
     let value = parent.remove(key).expect("there");
     parent.insert(format!("{key}Misspelt"), value);
     object
