--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! Start at [`Figure`]: a [`Quantity`] of the [`catalog`], the samples that a sweep measured, and what follows from them
 //! at the planned size. [`page`] reads the figures that the page states and [`compare`] holds a fresh run against them.
-//! Nothing here reads a clock, a file or a socket; the sweeps themselves are `cranehill_rig::sweep`.
+//! Nothing here reads a clock, a file or a socket; the sweeps themselves are `cranehill_fleet_harness::sweep`.
 #![forbid(unsafe_code)]
 
 pub mod catalog;
--- a/crates/core/src/backlog.rs
+++ b/crates/core/src/backlog.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 /// See the module's text.
 #[derive(Debug, Default)]
--- a/crates/core/src/detach.rs
+++ b/crates/core/src/detach.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{Condition, EndpointId, Entry, Event};
 use serde::{Deserialize, Serialize};
-use tansycroft::Time;
-use tansycroft::api::{Condition, EndpointId, Entry, Event};
 
 use crate::effect::Effect;
 use crate::reducer::Core;
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cranehill_membership as membership;
-use tansycroft::Time;
-use tansycroft::api::EndpointId;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::EndpointId;
 
 use crate::detach::Detachments;
 use crate::notice::{Answer, Closing, Envelope, Origin};
@@ -57,7 +57,7 @@
     /// The sender is back in full, so long after its start.
     Full(Duration),
     /// A zone is left, tried or returned to, by the whole fleet.
-    Zone(cranehill_zones::Change),
+    Zone(cranehill_zone_failover::Change),
     /// Keep what is detached `now`, then answer the operator; `known` is false where nobody holds what was asked.
     Detached {
         by: usize,
--- a/crates/core/src/ended.rs
+++ b/crates/core/src/ended.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 /// Ids that are remembered, at most; the oldest go first.
 const ENDED_MOST: usize = 8192;
--- a/crates/core/src/ends.rs
+++ b/crates/core/src/ends.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use tansycroft::Time;
-use tansycroft::api::{DestId, Event, Key, MsgId, Outcome, Status};
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{DestId, Event, Key, MsgId, Outcome, Status};
 
 use crate::breakage::{self, Breakage};
 use crate::effect::{Effect, Record};
--- a/crates/core/src/held.rs
+++ b/crates/core/src/held.rs
@@ -1,7 +1,7 @@
 //! Messages that are held, and how they are handed to the decisions.
 
-use tansycroft::Time;
-use tansycroft::api::{DestId, EndpointId, Event, Key, MsgId, Past, Taken};
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{DestId, EndpointId, Event, Key, MsgId, Past, Taken};
 
 use crate::breakage::{self, Breakage};
 use crate::effect::Record;
--- a/crates/core/src/input.rs
+++ b/crates/core/src/input.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_membership as membership;
-use tansycroft::api::{EndpointId, Report, Status};
+use cranehill_scheduler::api::{EndpointId, Report, Status};
 
 use crate::effect::Record;
 use crate::notice::{Listing, Notice};
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use tansycroft::Time;
-use tansycroft::api::{Condition, DestId, EndpointId, Entry};
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry};
 
 use crate::notice::Listing;
 
--- a/crates/core/src/listed.rs
+++ b/crates/core/src/listed.rs
@@ -1,6 +1,6 @@
 //! What a list from the directory changes in the reducer's state.
 
-use tansycroft::api::{Condition, Event};
+use cranehill_scheduler::api::{Condition, Event};
 
 use crate::breakage::{self, Breakage};
 use crate::effect::Effect;
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/notice.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use tansycroft::Time;
-use tansycroft::api::Entry;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::Entry;
 
 /// What a front passes along with a notice and the core does not look into.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -4,8 +4,8 @@
 
 use cranehill_membership as membership;
 use cranehill_recovery::{self as recovery, Recovery};
-use tansycroft::Time;
-use tansycroft::api::{self, Action, EndpointId, Event, Key};
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{self, Action, EndpointId, Event, Key};
 
 use crate::breakage::{self, Breakage};
 use crate::effect::{Effect, Record};
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -5,9 +5,9 @@
 
 use cranehill_membership::{self as membership, Members};
 use cranehill_recovery::Recovery;
-use cranehill_zones::Zones;
-use tansycroft::api::{DestId, Event, MsgId, Settings};
-use tansycroft::{Learnt, Sender, SettingsError, Time};
+use cranehill_scheduler::api::{DestId, Event, MsgId, Settings};
+use cranehill_scheduler::{Learnt, Sender, SettingsError, Time};
+use cranehill_zone_failover::Zones;
 
 use crate::backlog::Backlog;
 use crate::breakage::{self, Breakage};
@@ -74,7 +74,7 @@
         if breakage::is(Breakage::RepeatsUnsafe) {
             set.classes
                 .iter_mut()
-                .for_each(|c| c.effect = tansycroft::api::Effect::Safe);
+                .for_each(|c| c.effect = cranehill_scheduler::api::Effect::Safe);
         }
         if breakage::is(Breakage::SeventhAttempt) {
             set.attempts_cap = 9;
--- a/crates/core/src/turn.rs
+++ b/crates/core/src/turn.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use tansycroft::Time;
-use tansycroft::api::{Action, EndpointId, Event, MsgId, Status};
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{Action, EndpointId, Event, MsgId, Status};
 
 use crate::breakage::{self, Breakage};
 use crate::effect::{Attempt, Effect, Record};
--- a/crates/core/src/zones.rs
+++ b/crates/core/src/zones.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use cranehill_membership as membership;
-use cranehill_zones::{Change, Settings, State, Word, Zones};
-use tansycroft::Time;
-use tansycroft::api::{EndpointId, Status};
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{EndpointId, Status};
+use cranehill_zone_failover::{Change, Settings, State, Word, Zones};
 
 use crate::effect::Effect;
 use crate::list::EndpointList;
--- a/crates/core/tests/cold_fleet.rs
+++ b/crates/core/tests/cold_fleet.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use cranehill_model::fault::Fault;
-use cranehill_model::return_guard::Return;
+use cranehill_simulation::fault::Fault;
+use cranehill_simulation::return_guard::Return;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use virtual_fleet::{Call, OUTAGES, Played, Scenario, play};
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -8,9 +8,9 @@
 
 use cranehill_core::{Core, Detachments, Effect, Input, Listing};
 use cranehill_recovery::{Bounds, Settings};
-use tansycroft::Time;
-use tansycroft::api::{Condition, DestId, EndpointId, Entry};
-use tansycroft::profile::Profile;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry};
+use cranehill_scheduler::profile::Profile;
 
 const DETACHED: &str = "detached.json";
 const LEARNED_STATE: &str = "learned-state.bin";
--- a/crates/core/tests/list.rs
+++ b/crates/core/tests/list.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use cranehill_core::{EndpointList, Listing};
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry};
 use proptest::prelude::*;
-use tansycroft::Time;
-use tansycroft::api::{Condition, DestId, EndpointId, Entry};
 
 /// How long a destination without endpoints stays known.
 const FORGOTTEN: Duration = Duration::from_secs(600);
--- a/crates/core/tests/order.rs
+++ b/crates/core/tests/order.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use cranehill_core::*;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Status};
+use cranehill_scheduler::profile::Profile;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use tansycroft::Time;
-use tansycroft::api::{Condition, DestId, EndpointId, Entry, Status};
-use tansycroft::profile::Profile;
 
 /// Class 0 may be repeated, class 1 must not be, class 2 keeps no order.
 const SETTINGS: &str = r#"{"classes":[
@@ -65,7 +65,7 @@
     restarts: usize,
 }
 
-fn settings() -> tansycroft::api::Settings {
+fn settings() -> cranehill_scheduler::api::Settings {
     let profile: Profile = serde_json::from_str(SETTINGS).expect("settings");
     profile.into_settings().expect("settings")
 }
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use cranehill_core::*;
-use tansycroft::Time;
-use tansycroft::api::{Condition, DestId, EndpointId, Entry, Status};
-use tansycroft::profile::Profile;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Status};
+use cranehill_scheduler::profile::Profile;
 
 const SETTINGS: &str = r#"{"classes":[{"aim":4000000000,"deadline":20000000000,"dedupScope":"all","effect":"keyed","lateShare":0.4,"name":"episode-notice","window":20000000000,"worth":1.0}],
 "familyInfo":{"callsOut":8,"kindApart":[false,false],"losesWorth":"halving","perCall":[5,1]},"membershipMode":"push","models":["bulk-directory","station"],"nInstances":1,
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use cranehill_core::*;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Status};
+use cranehill_scheduler::profile::Profile;
 use serde_json::{Value, json};
-use tansycroft::Time;
-use tansycroft::api::{Condition, DestId, EndpointId, Entry, Status};
-use tansycroft::profile::Profile;
 
 const SETTINGS: &str = include_str!("settings.json");
 const START: u64 = 1_000_000_000_000;
--- a/crates/core/tests/short_window.rs
+++ b/crates/core/tests/short_window.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use cranehill_core::*;
-use tansycroft::Time;
-use tansycroft::api::{Condition, DestId, EndpointId, Entry, Status};
-use tansycroft::profile::Profile;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Status};
+use cranehill_scheduler::profile::Profile;
 
 const SETTINGS: &str = include_str!("settings.json");
 /// Of its classes: keyed with a window, here of 1 s, and unsafe.
--- a/crates/core/tests/virtual_fleet/mod.rs
+++ b/crates/core/tests/virtual_fleet/mod.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use cranehill_core::*;
-use cranehill_model::fault::{Fault, Kind};
-use cranehill_model::partner::{Asked, Connect, Fate, Partner, Reply, Spec};
-use cranehill_model::return_guard::Return;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Report, Status};
+use cranehill_scheduler::profile::Profile;
+use cranehill_simulation::fault::{Fault, Kind};
+use cranehill_simulation::partner::{Asked, Connect, Fate, Partner, Reply, Spec};
+use cranehill_simulation::return_guard::Return;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
-use tansycroft::Time;
-use tansycroft::api::{Condition, DestId, EndpointId, Entry, Report, Status};
-use tansycroft::profile::Profile;
 
 /// The reducers' clock at the start of a run.
 const START: Time = Time(1_000_000_000_000);
@@ -424,7 +424,7 @@
     }
 }
 
-fn settings(scenario: &Scenario) -> tansycroft::api::Settings {
+fn settings(scenario: &Scenario) -> cranehill_scheduler::api::Settings {
     let (rules, part) = (Return::default(), scenario.rate / scenario.senders as f64);
     let nanos = |d: Duration| d.as_nanos() as u64;
     let deadline = nanos(scenario.deadline);
--- a/crates/cranehill/src/capacity.rs
+++ b/crates/cranehill/src/capacity.rs
@@ -6,7 +6,7 @@
 use cranehill_capacity::page::{self, Run, Stated};
 use cranehill_capacity::sizes::Sizes;
 use cranehill_capacity::{Figure, Sweep, derived, plot, table};
-use cranehill_rig::sweep;
+use cranehill_fleet_harness::sweep;
 use serde_json::json;
 
 /// The page as it was when this program was built.
--- a/crates/cranehill/src/cli.rs
+++ b/crates/cranehill/src/cli.rs
@@ -16,7 +16,7 @@
 use cranehill_daemon::fleet::{self, Fleet};
 use cranehill_daemon::reactor::{self, Order, Reactor, Setup, State};
 use cranehill_daemon::webpush;
-use cranehill_rehearsal::measure;
+use cranehill_scenario_runner::measure;
 
 #[derive(Parser)]
 #[command(
--- a/crates/cranehill/src/hollow.rs
+++ b/crates/cranehill/src/hollow.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use clap::ValueEnum;
-use cranehill_rig::hollow::{
+use cranehill_fleet_harness::hollow::{
     Conditions, Disturbance, HollowFigures, HollowPlan, Spread, Transport, play,
 };
 use serde_json::{Value, json};
--- a/crates/cranehill/src/kills.rs
+++ b/crates/cranehill/src/kills.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use cranehill_daemon::http::{self, Request};
-use cranehill_rehearsal::journal_damage::segments;
+use cranehill_scenario_runner::journal_damage::segments;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/cranehill/src/rehearse.rs
+++ b/crates/cranehill/src/rehearse.rs
@@ -8,12 +8,12 @@
 use std::thread;
 use std::time::Duration;
 
-use cranehill_model::day;
-use cranehill_rehearsal::breakages::CASES;
-use cranehill_rehearsal::measure::{self, Step};
-use cranehill_rehearsal::{
+use cranehill_scenario_runner::breakages::CASES;
+use cranehill_scenario_runner::measure::{self, Step};
+use cranehill_scenario_runner::{
     Against, Limits, Outcome, Plan, node_config, play, report, report_files,
 };
+use cranehill_simulation::day;
 use indicatif::{ProgressBar, ProgressStyle};
 
 use crate::rehearsal;
--- a/crates/cranehill/src/rig.rs
+++ b/crates/cranehill/src/rig.rs
@@ -2,9 +2,9 @@
 
 use std::path::PathBuf;
 
-use cranehill_model::day;
-use cranehill_rehearsal::{Limits, Plan};
-use cranehill_rig::{Report, SCENARIOS, play, scenario, table, write};
+use cranehill_fleet_harness::{Report, SCENARIOS, play, scenario, table, write};
+use cranehill_scenario_runner::{Limits, Plan};
+use cranehill_simulation::day;
 
 use crate::rehearse::bar;
 
--- a/crates/cranehill/tests/cold_fleet.rs
+++ b/crates/cranehill/tests/cold_fleet.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeSet;
 use std::thread;
 
-use cranehill_model::audit::{Rule, Verdict, What};
-use cranehill_model::day;
-use cranehill_rehearsal::{Limits, Outcome, Plan, play, report};
-use cranehill_rig::scenario;
+use cranehill_fleet_harness::scenario;
+use cranehill_scenario_runner::{Limits, Outcome, Plan, play, report};
+use cranehill_simulation::audit::{Rule, Verdict, What};
+use cranehill_simulation::day;
 
 const SEED: u64 = 1;
 /// The destination that fails.
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -8,11 +8,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use cranehill_fleet_harness::{Report, Timeline, play, table};
 use cranehill_membership::seal::{Kind, seal};
-use cranehill_model::audit::What;
-use cranehill_model::day;
-use cranehill_rehearsal::{Limits, Plan, node_config, report};
-use cranehill_rig::{Report, Timeline, play, table};
+use cranehill_scenario_runner::{Limits, Plan, node_config, report};
+use cranehill_simulation::audit::What;
+use cranehill_simulation::day;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
 
--- a/crates/cranehill/tests/handover.rs
+++ b/crates/cranehill/tests/handover.rs
@@ -13,9 +13,9 @@
 use cranehill::rehearsal::{Reply, StandIn};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::State;
-use cranehill_model::audit::What;
-use cranehill_model::day;
-use cranehill_rehearsal::{Limits, Plan, play, report};
+use cranehill_scenario_runner::{Limits, Plan, play, report};
+use cranehill_simulation::audit::What;
+use cranehill_simulation::day;
 
 fn beside(known: &str, platform: &StandIn, dir: &Path) -> Running {
     start_as(known, platform, |setup| {
@@ -191,8 +191,9 @@
         outcome.warnings
     );
     for sender in 0..2 {
-        let ready =
-            |l: &&cranehill_model::audit::Line| l.sender == Some(sender) && l.what == What::Ready;
+        let ready = |l: &&cranehill_simulation::audit::Line| {
+            l.sender == Some(sender) && l.what == What::Ready
+        };
         let lives = outcome.lines.iter().filter(ready).count();
         assert!(
             lives >= 5,
--- a/crates/cranehill/tests/hollow.rs
+++ b/crates/cranehill/tests/hollow.rs
@@ -3,10 +3,12 @@
 use std::process::Command;
 use std::time::Duration;
 
-use cranehill_model::day;
-use cranehill_rehearsal::{Limits, Plan, report};
-use cranehill_rig::hollow::{Disturbance, HollowPlan, Timing, Transport, play as play_hollow};
-use cranehill_rig::{Report, Timeline, play, table};
+use cranehill_fleet_harness::hollow::{
+    Disturbance, HollowPlan, Timing, Transport, play as play_hollow,
+};
+use cranehill_fleet_harness::{Report, Timeline, play, table};
+use cranehill_scenario_runner::{Limits, Plan, report};
+use cranehill_simulation::day;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
 
--- a/crates/cranehill/tests/order.rs
+++ b/crates/cranehill/tests/order.rs
@@ -12,7 +12,7 @@
 use cranehill::rehearsal::{Reply, StandIn};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::{Setup, State};
-use tansycroft::api::Effect;
+use cranehill_scheduler::api::Effect;
 
 const NAMES: &str = "c=episode-notice,t=onda-central,d=20000,dest=7";
 const KEY_REST: Duration = Duration::from_millis(100);
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -9,7 +9,7 @@
 use cranehill_daemon::http::{self, Response};
 use cranehill_daemon::partners::{self, Verdict};
 use cranehill_daemon::{config, directory, webpush};
-use tansycroft::api::{Condition, Status};
+use cranehill_scheduler::api::{Condition, Status};
 
 #[test]
 fn a_request_is_the_same_in_one_piece_and_in_any_two() {
--- a/crates/cranehill/tests/rehearse.rs
+++ b/crates/cranehill/tests/rehearse.rs
@@ -6,10 +6,10 @@
 use std::thread;
 
 use cranehill_core::breakage::Breakage;
-use cranehill_model::audit::Rule;
-use cranehill_model::day;
-use cranehill_rehearsal::breakages::CASES;
-use cranehill_rehearsal::{Limits, Outcome, Plan, play, report, report_files};
+use cranehill_scenario_runner::breakages::CASES;
+use cranehill_scenario_runner::{Limits, Outcome, Plan, play, report, report_files};
+use cranehill_simulation::audit::Rule;
+use cranehill_simulation::day;
 use parquet::file::reader::{FileReader, SerializedFileReader};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
@@ -27,7 +27,7 @@
 }
 
 fn judged(outcome: &Outcome, rule: Rule) -> bool {
-    use cranehill_model::audit::Verdict;
+    use cranehill_simulation::audit::Verdict;
     let (_, verdict) = outcome
         .verdicts
         .iter()
--- a/crates/cranehill/tests/short_window.rs
+++ b/crates/cranehill/tests/short_window.rs
@@ -5,10 +5,10 @@
 use std::thread;
 use std::time::Duration;
 
-use cranehill_model::audit::{Answer, Fate, Rule, Verdict, What};
-use cranehill_model::day;
-use cranehill_model::fleet::Fleet;
-use cranehill_rehearsal::{Limits, Outcome, Plan, play, report};
+use cranehill_scenario_runner::{Limits, Outcome, Plan, play, report};
+use cranehill_simulation::audit::{Answer, Fate, Rule, Verdict, What};
+use cranehill_simulation::day;
+use cranehill_simulation::fleet::Fleet;
 
 const SEED: u64 = 1;
 /// Of the day's classes, the one that may be repeated at any time, and its ends by SIGKILL.
--- a/crates/daemon/src/by_endpoint.rs
+++ b/crates/daemon/src/by_endpoint.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use tansycroft::api::EndpointId;
+use cranehill_scheduler::api::EndpointId;
 
 use crate::link::Role;
 
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+use cranehill_scheduler::api::Settings;
+use cranehill_scheduler::profile::{Names, Profile};
 use serde::Deserialize;
-use tansycroft::api::Settings;
-use tansycroft::profile::{Names, Profile};
 
 use crate::directory;
 use cranehill_core::Listing;
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry};
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use tansycroft::api::{Condition, DestId, EndpointId, Entry};
 
 use crate::config::Site;
 use crate::http;
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -6,9 +6,9 @@
 
 use cranehill_membership::{Key, Settings};
 use cranehill_recovery as recovery;
-use cranehill_zones as zones;
+use cranehill_scheduler::api;
+use cranehill_zone_failover as zones;
 use serde::Deserialize;
-use tansycroft::api;
 
 use crate::file::{self, Span};
 
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -3,9 +3,9 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::EndpointId;
 use mio::net::TcpStream;
-use tansycroft::Time;
-use tansycroft::api::EndpointId;
 
 use crate::{clients, http};
 use cranehill_core::Attempt;
--- a/crates/daemon/src/partners.rs
+++ b/crates/daemon/src/partners.rs
@@ -5,9 +5,9 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{Report, Status};
 use serde::{Deserialize, Serialize};
-use tansycroft::Time;
-use tansycroft::api::{Report, Status};
 
 use crate::http::{self, Response, header};
 use cranehill_core::Attempt;
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -24,10 +24,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{EndpointId, Status};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
-use tansycroft::Time;
-use tansycroft::api::{EndpointId, Status};
 
 use crate::beside;
 use crate::by_endpoint::ByEndpoint;
--- a/crates/daemon/src/reactor/fleet.rs
+++ b/crates/daemon/src/reactor/fleet.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Fleet;
 use cranehill_membership::{Effect, Input, State, View};
 use cranehill_recovery::Stage;
-use cranehill_zones::{Change, State as ZoneState};
+use cranehill_zone_failover::{Change, State as ZoneState};
 use mio::net::UdpSocket;
 use serde_json::{Value, json};
 
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 use crate::directory;
 
--- a/crates/daemon/src/webpush.rs
+++ b/crates/daemon/src/webpush.rs
@@ -8,15 +8,15 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
-use p256::ecdsa::signature::Signer;
-use p256::ecdsa::{Signature, SigningKey};
-use serde::{Deserialize, Serialize};
-use tansycroft::Time;
-use tansycroft::api::{
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{
     Class, Condition, Decay, DedupScope, DestId, Effect, EndpointId, Entry, Kind, Rules, Settings,
     Status,
 };
-use tansycroft::profile::Names;
+use cranehill_scheduler::profile::Names;
+use p256::ecdsa::signature::Signer;
+use p256::ecdsa::{Signature, SigningKey};
+use serde::{Deserialize, Serialize};
 
 use crate::config::Site;
 use crate::file;
--- a/crates/daemon/tests/directory.rs
+++ b/crates/daemon/tests/directory.rs
@@ -3,7 +3,7 @@
 use cranehill_daemon::config::Site;
 use cranehill_daemon::directory::{ENTRIES_MOST, Told, body_most, read};
 use cranehill_daemon::http;
-use tansycroft::profile::Profile;
+use cranehill_scheduler::profile::Profile;
 
 fn site() -> Site {
     let profile: Profile = serde_json::from_str(
--- a/crates/daemon/tests/golden.rs
+++ b/crates/daemon/tests/golden.rs
@@ -20,12 +20,12 @@
 use cranehill_daemon::reactor::{Halter, Reactor, Setup, State};
 use cranehill_daemon::webpush;
 use cranehill_recovery::{Bounds, pack, unpack};
+use cranehill_scheduler::{Learnt, Time};
 use rustix::fs::{FlockOperation, flock};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
 };
-use tansycroft::{Learnt, Time};
 
 /// Only a failure waits so long.
 const TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/daemon/tests/watch.rs
+++ b/crates/daemon/tests/watch.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cranehill_daemon::watch::{BETWEEN_TRIES_MOST, Failure, Watch};
+use cranehill_scheduler::Time;
 use proptest::prelude::*;
-use tansycroft::Time;
 
 const MUST_ASK: Duration = Duration::from_secs(10);
 /// The first pause after a watch that could not be put, and what one costs a directory that refuses some.
--- a/crates/rig/src/hollow/course.rs
+++ b/crates/fleet-harness/src/hollow/course.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranehill_model::fleet::{Deed, Way};
-use tansycroft::Time;
+use cranehill_scheduler::Time;
+use cranehill_simulation::fleet::{Deed, Way};
 
 use super::figures::{HollowFigures, Spread};
 use super::observer::{Observation, Observer};
--- a/crates/rig/src/hollow/engine.rs
+++ b/crates/fleet-harness/src/hollow/engine.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranehill_model::fleet::Deed;
+use cranehill_scheduler::Time;
+use cranehill_simulation::fleet::Deed;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use tansycroft::Time;
 
 use super::member::{Member, Output, Packet, Report, Setup};
 use super::observer::{Observation, Observed};
--- a/crates/rig/src/hollow/fleet.rs
+++ b/crates/fleet-harness/src/hollow/fleet.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use cranehill_model::day::Day;
-use cranehill_model::fleet::Fleet;
-use cranehill_rehearsal::Network;
-use tansycroft::Time;
+use cranehill_scenario_runner::Network;
+use cranehill_scheduler::Time;
+use cranehill_simulation::day::Day;
+use cranehill_simulation::fleet::Fleet;
 
 use super::engine::{AddressBook, Common};
 use super::member::Setup;
--- a/crates/rig/src/hollow/member.rs
+++ b/crates/fleet-harness/src/hollow/member.rs
@@ -7,9 +7,9 @@
 
 use cranehill_core::{Core, Effect, Input, Kept};
 use cranehill_membership as membership;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::profile::Profile;
 use serde_json::json;
-use tansycroft::Time;
-use tansycroft::profile::Profile;
 
 use super::plan::{HollowError, Timing, ZONES};
 
@@ -101,7 +101,7 @@
     }
 
     /// A sender's settings with one class, one kind and no destination.
-    fn decisions(&self) -> Result<tansycroft::api::Settings, HollowError> {
+    fn decisions(&self) -> Result<cranehill_scheduler::api::Settings, HollowError> {
         let zones: Vec<String> = (1..=ZONES).map(|zone| format!("zone-{zone}")).collect();
         let settings = json!({
             "classes": [{"name": "event", "effect": "keyed", "window": 20_000_000_000u64, "aim": 4_000_000_000u64,
--- a/crates/rig/src/hollow/observer.rs
+++ b/crates/fleet-harness/src/hollow/observer.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 use super::Seen;
 
--- a/crates/rig/src/hollow/script.rs
+++ b/crates/fleet-harness/src/hollow/script.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use cranehill_model::fleet::{Act, Break, Deed, Folder, Side, Way};
+use cranehill_simulation::fleet::{Act, Break, Deed, Folder, Side, Way};
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
--- a/crates/rig/src/hollow/udp.rs
+++ b/crates/fleet-harness/src/hollow/udp.rs
@@ -7,9 +7,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use cranehill_scheduler::Time;
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Registry, Token, Waker};
-use tansycroft::Time;
 
 use super::course::{Course, Usage};
 use super::engine::{AddressBook, Common, Engine, Network};
--- a/crates/rig/src/hollow/virtual_time.rs
+++ b/crates/fleet-harness/src/hollow/virtual_time.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use cranehill_scheduler::Time;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use tansycroft::Time;
 
 use super::course::{Course, Usage};
 use super::engine::{AddressBook, Common, Engine, Network};
--- a/crates/rig/src/lib.rs
+++ b/crates/fleet-harness/src/lib.rs
@@ -1,7 +1,7 @@
 //! The rig: a day played by many real senders that know each other, with a relay on every way network them and to the
 //! partners. What breaks is in the day's file (`[[break]]`), drawn by the seed.
 //!
-//! Start at [`play`] and [`Report`]. The stand-ins, the processes and the auditor are `cranehill_rehearsal`'s.
+//! Start at [`play`] and [`Report`]. The stand-ins, the processes and the auditor are `cranehill_scenario_runner`'s.
 #![forbid(unsafe_code)]
 
 pub mod hollow;
@@ -19,7 +19,7 @@
 
 use std::time::Duration;
 
-use cranehill_rehearsal::{Outcome, Plan, RunError, play_through};
+use cranehill_scenario_runner::{Outcome, Plan, RunError, play_through};
 use hdrhistogram::Histogram;
 
 use crate::network::RigNetwork;
--- a/crates/rig/src/network.rs
+++ b/crates/fleet-harness/src/network.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use cranehill_model::day::Day;
-use cranehill_model::fleet::Fleet;
-use cranehill_rehearsal::{Network, Plan};
+use cranehill_scenario_runner::{Network, Plan};
+use cranehill_simulation::day::Day;
+use cranehill_simulation::fleet::Fleet;
 
 use crate::hollow::{HollowError, HollowFleet, HollowPassed};
 use crate::relay::Relay;
--- a/crates/rig/src/relay.rs
+++ b/crates/fleet-harness/src/relay.rs
@@ -14,8 +14,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use cranehill_model::fleet::{Break, Way};
-use cranehill_rehearsal::Network;
+use cranehill_scenario_runner::Network;
+use cranehill_simulation::fleet::{Break, Way};
 use mio::net::{TcpListener, TcpStream, UdpSocket};
 use mio::{Events, Interest, Poll, Token, Waker};
 use rand::{RngExt, SeedableRng};
--- a/crates/rig/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -5,10 +5,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-use cranehill_model::audit::{Line, Verdict, What};
-use cranehill_model::fleet::{Break, Side, Way};
-use cranehill_model::limit::Limit;
-use cranehill_rehearsal::{Outcome, Plan, report as day_report};
+use cranehill_scenario_runner::{Outcome, Plan, report as day_report};
+use cranehill_simulation::audit::{Line, Verdict, What};
+use cranehill_simulation::fleet::{Break, Side, Way};
+use cranehill_simulation::limit::Limit;
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
 use serde_json::{Value, json};
--- a/crates/rig/src/returns.rs
+++ b/crates/fleet-harness/src/returns.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use cranehill_model::audit::{Fate, Line, What};
-use cranehill_model::day::Day;
-use cranehill_model::fault::State;
-use cranehill_model::limit::Limit;
+use cranehill_simulation::audit::{Fate, Line, What};
+use cranehill_simulation::day::Day;
+use cranehill_simulation::fault::State;
+use cranehill_simulation::limit::Limit;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
--- a/crates/rig/src/sweep/events.rs
+++ b/crates/fleet-harness/src/sweep/events.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_capacity::Figure;
-use cranehill_rehearsal::measure::{Setup, step};
+use cranehill_scenario_runner::measure::{Setup, step};
 
 use crate::sweep::{Gathered, Order, SweepError};
 
--- a/crates/rig/src/sweep/reducer.rs
+++ b/crates/fleet-harness/src/sweep/reducer.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use cranehill_core::{AttemptEnd, Core, Effect, Input, Kept, Listing, Record};
-use tansycroft::Time;
-use tansycroft::api::{Condition, DestId, EndpointId, Entry, Status};
-use tansycroft::profile::Profile;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Status};
+use cranehill_scheduler::profile::Profile;
 
 use crate::hollow::usage::thread_cpu;
 use crate::sweep::sender::{LASTS, settings};
--- a/crates/rig/src/sweep/sender.rs
+++ b/crates/fleet-harness/src/sweep/sender.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cranehill_rehearsal::resource_usage::{self, ResourceUsage};
+use cranehill_scenario_runner::resource_usage::{self, ResourceUsage};
 use serde_json::json;
 
 /// Where a sender's processor time is looked at, until it has been still for [`STILL`].
--- a/crates/rig/src/timeline.rs
+++ b/crates/fleet-harness/src/timeline.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, UNIX_EPOCH};
 
-use cranehill_model::audit::{Line, What};
+use cranehill_scheduler::Time;
+use cranehill_simulation::audit::{Line, What};
 use serde_json::Value;
-use tansycroft::Time;
 
 use crate::hollow::{HollowPassed, Observation, Observed};
 
--- a/crates/rig/src/ways.rs
+++ b/crates/fleet-harness/src/ways.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranehill_model::fleet::{Break, Way};
+use cranehill_simulation::fleet::{Break, Way};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/rig/src/zones.rs
+++ b/crates/fleet-harness/src/zones.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use cranehill_model::audit::{Line, What};
-use cranehill_model::day::Day;
-use cranehill_model::limit::Limit;
+use cranehill_simulation::audit::{Line, What};
+use cranehill_simulation::day::Day;
+use cranehill_simulation::limit::Limit;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
--- a/crates/rig/tests/hollow.rs
+++ b/crates/fleet-harness/tests/hollow.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use cranehill_rig::hollow::{
+use cranehill_fleet_harness::hollow::{
     Conditions, Disturbance, HollowError, HollowFigures, HollowPlan, MEMBERS_MOST, Observation,
     Observed, Observer, Seen, Timing, Transport, play,
 };
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 const MEMBERS: usize = 30;
 
--- a/crates/rig/tests/relay.rs
+++ b/crates/fleet-harness/tests/relay.rs
@@ -7,9 +7,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cranehill_model::fleet::{Break, Side, Way};
-use cranehill_rehearsal::Network;
-use cranehill_rig::Relay;
+use cranehill_fleet_harness::Relay;
+use cranehill_scenario_runner::Network;
+use cranehill_simulation::fleet::{Break, Side, Way};
 
 const LONG: Duration = Duration::from_secs(3600);
 /// Long enough for what is on its way, short enough to wait for nothing.
--- a/crates/membership/examples/membership_figures.rs
+++ b/crates/membership/examples/membership_figures.rs
@@ -14,7 +14,7 @@
 use common::traffic::{Content, IP_UDP_HEADERS, Traffic};
 use common::{Net, secs};
 use cranehill_membership::State;
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 const SCENARIOS: [&str; 7] = [
     "start", "quiet", "crashes", "zone", "region", "halves", "restart",
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 use crate::seal::DropReason;
 use crate::views::{State, View};
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -10,10 +10,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
+use cranehill_scheduler::Time;
 use foca::{AccumulatingRuntime, Foca, PostcardCodec, Timer};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use tansycroft::Time;
 
 use crate::digest::ShortHash;
 use crate::event::{Effect, Input};
--- a/crates/membership/src/members/agreement.rs
+++ b/crates/membership/src/members/agreement.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
+use cranehill_scheduler::Time;
 use rand::RngExt;
-use tansycroft::Time;
 
 use super::{Due, Members, lock};
 use crate::digest::ShortHash;
--- a/crates/membership/src/pacer.rs
+++ b/crates/membership/src/pacer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 /// What a packet is for, as far as its pace goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/membership/src/share.rs
+++ b/crates/membership/src/share.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 use crate::digest::ShortHash;
 use crate::views::{MAX_MEMBERS, State, View, Views};
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -14,8 +14,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+use cranehill_scheduler::Time;
 use serde::{Deserialize, Serialize};
-use tansycroft::Time;
 
 use crate::digest::{BUCKETS, Digest, ShortHash};
 use crate::views::{Row, Views};
--- a/crates/membership/src/views.rs
+++ b/crates/membership/src/views.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use cranehill_scheduler::Time;
 use serde::{Deserialize, Serialize};
-use tansycroft::Time;
 
 use crate::Identity;
 use crate::digest::{Digest, ShortHash, bucket_of, identity_hash};
--- a/crates/membership/src/voting.rs
+++ b/crates/membership/src/voting.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 use crate::digest::ShortHash;
 use crate::views::Views;
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 use cranehill_membership::{DropReason, Effect, Input, Key, Members, Settings, State};
+use cranehill_scheduler::Time;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use tansycroft::Time;
 use traffic::Traffic;
 
 pub const KEY: Key = [7; 32];
--- a/crates/membership/tests/common/traffic.rs
+++ b/crates/membership/tests/common/traffic.rs
@@ -4,8 +4,8 @@
 
 use cranehill_membership::Identity;
 use cranehill_membership::seal::{self, Kind};
+use cranehill_scheduler::Time;
 use foca::{Header, Member, Message};
-use tansycroft::Time;
 
 use super::KEY;
 
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -7,7 +7,7 @@
 use common::{KEY, Net, START, address, secs};
 use cranehill_membership::seal::{Kind, seal};
 use cranehill_membership::{DropReason, Input, MAX_LEARNED_PIECE, State};
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 /// Guards the bound of SWIM: a crash is known to all within the probing of one round, the suspicion, and the gossip.
 #[test]
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -26,11 +26,11 @@
 use cranehill_membership::views::Views;
 use cranehill_membership::vote::{DownSets, Vote, Votes};
 use cranehill_membership::{DropReason, Identity, Input, Key, Members, State, View, seal, sync};
+use cranehill_scheduler::Time;
 use fixture::{Entry, assert_matches_file, assert_matches_text, bytes_of, load};
 use message::Content;
 use reactions::REACTIONS;
 use samples::{KEY, SENT_MS, identity, identity_v6};
-use tansycroft::Time;
 use trace::{START, content_of, describe, settings, views_of};
 
 const MESSAGES: &str = "messages.txt";
--- a/crates/membership/tests/golden/trace.rs
+++ b/crates/membership/tests/golden/trace.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cranehill_membership::{Effect, Input, Members, Settings, State, seal};
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 use super::fixture::Entry;
 use super::message::Content;
--- a/crates/recovery/src/memory.rs
+++ b/crates/recovery/src/memory.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use tansycroft::{Learnt, Time};
+use cranehill_scheduler::{Learnt, Time};
 
 /// How old a piece may be before no decision rests on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/recovery/src/owed.rs
+++ b/crates/recovery/src/owed.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use tansycroft::Time;
+use cranehill_scheduler::Time;
 
 /// Of each partner so many may be in the hands of the decisions and not yet sent: one that goes, and one that follows.
 const IN_HAND: usize = 2;
--- a/crates/recovery/src/pieces.rs
+++ b/crates/recovery/src/pieces.rs
@@ -1,6 +1,6 @@
 //! What is learnt as bytes: in pieces between members, whole in a file.
 
-use tansycroft::Learnt;
+use cranehill_scheduler::Learnt;
 
 /// The file begins so, with its format's number.
 const MARK: [u8; 4] = *b"CRL\x01";
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tansycroft::{Learnt, Time};
+use cranehill_scheduler::{Learnt, Time};
 
 use crate::memory::{Bounds, Memory};
 use crate::owed::Owed;
--- a/crates/recovery/tests/coming_back.rs
+++ b/crates/recovery/tests/coming_back.rs
@@ -5,8 +5,8 @@
 use cranehill_recovery::{
     Bounds, Memory, Owed, Recovery, Settings, Stage, decode, encode, pack, unpack,
 };
+use cranehill_scheduler::{Learnt, Seen, Time};
 use proptest::prelude::*;
-use tansycroft::{Learnt, Seen, Time};
 
 fn s(seconds: f64) -> Time {
     Time(1_700_000_000_000_000_000) + Duration::from_secs_f64(seconds)
--- a/crates/recovery/tests/golden.rs
+++ b/crates/recovery/tests/golden.rs
@@ -4,7 +4,7 @@
 mod golden_file;
 
 use cranehill_recovery::{decode, encode, pack, unpack};
-use tansycroft::{Learnt, Seen, Time};
+use cranehill_scheduler::{Learnt, Seen, Time};
 
 const STATE_FILE: &str = "learned-state.bin";
 const EMPTY_STATE_FILE: &str = "learned-state-empty.bin";
--- a/crates/rehearsal/src/breakages.rs
+++ b/crates/scenario-runner/src/breakages.rs
@@ -1,6 +1,6 @@
 //! Broken builds: each named breakage with a day on which it shows, and the rules of which one must catch it.
 
-use cranehill_model::audit::Rule;
+use cranehill_simulation::audit::Rule;
 
 const PARTNERS: &str = include_str!("../../../rehearsals/days/broken-partners.toml");
 const RESTARTS: &str = include_str!("../../../rehearsals/days/broken-restarts.toml");
--- a/crates/rehearsal/src/figures.rs
+++ b/crates/scenario-runner/src/figures.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use cranehill_model::audit::{Answer, Fate, Line, What};
-use cranehill_model::day::Day;
-use cranehill_model::partner::Partner;
+use cranehill_simulation::audit::{Answer, Fate, Line, What};
+use cranehill_simulation::day::Day;
+use cranehill_simulation::partner::Partner;
 use hdrhistogram::Histogram;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/scenario-runner/src/lib.rs
@@ -1,7 +1,7 @@
 //! Rehearsals: a whole day on loopback with stand-in partners, directory, platform and clients in one loop, faults by
 //! script, real senders as processes, and the auditor's verdicts.
 //!
-//! Start at [`Plan`] and [`play`]. The behaviour of stand-ins is `cranehill_model`'s; here are sockets, processes and the
+//! Start at [`Plan`] and [`play`]. The behaviour of stand-ins is `cranehill_simulation`'s; here are sockets, processes and the
 //! clock. Everything binds to 127.0.0.0/8.
 #![forbid(unsafe_code)]
 
@@ -21,8 +21,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use cranehill_model::audit::{Line, Rule, Verdict};
-use cranehill_model::day::Day;
+use cranehill_simulation::audit::{Line, Rule, Verdict};
+use cranehill_simulation::day::Day;
 
 pub use network::{Direct, Network};
 pub use resource_usage::ResourceUsage;
--- a/crates/rehearsal/src/measure.rs
+++ b/crates/scenario-runner/src/measure.rs
@@ -7,8 +7,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use cranehill_model::audit::Verdict;
-use cranehill_model::day;
+use cranehill_simulation::audit::Verdict;
+use cranehill_simulation::day;
 
 use crate::figures::{Figures, figures};
 use crate::{Limits, Outcome, Plan, RunError, play};
--- a/crates/rehearsal/src/network.rs
+++ b/crates/scenario-runner/src/network.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use cranehill_model::fleet::Fleet;
+use cranehill_simulation::fleet::Fleet;
 
 /// Maps the address on which a stand-in or a sender listens to the address that others are given for it.
 pub trait Network {
--- a/crates/rehearsal/src/report.rs
+++ b/crates/scenario-runner/src/report.rs
@@ -1,6 +1,6 @@
 //! What a day came to, for a person: a short table, and each breach with the lines that prove it.
 
-use cranehill_model::audit::{Rule, Verdict};
+use cranehill_simulation::audit::{Rule, Verdict};
 
 use crate::Outcome;
 
--- a/crates/rehearsal/src/report_files.rs
+++ b/crates/scenario-runner/src/report_files.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use arrow_array::{ArrayRef, RecordBatch, StringArray, UInt32Array, UInt64Array};
-use cranehill_model::audit::{Line, Verdict, What};
+use cranehill_simulation::audit::{Line, Verdict, What};
 use parquet::arrow::ArrowWriter;
 use parquet::basic::Compression;
 use parquet::file::properties::WriterProperties;
--- a/crates/rehearsal/src/senders.rs
+++ b/crates/scenario-runner/src/senders.rs
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::Duration;
 
-use cranehill_model::day::{Day, Effect, Member, MessageClass};
-use cranehill_model::fleet::Fleet;
-use cranehill_model::limit::Limit;
+use cranehill_simulation::day::{Day, Effect, Member, MessageClass};
+use cranehill_simulation::fleet::Fleet;
+use cranehill_simulation::limit::Limit;
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
 
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/scenario-runner/src/stage.rs
@@ -22,12 +22,12 @@
 use std::sync::mpsc::{Receiver, Sender as Channel};
 use std::time::{Duration, Instant};
 
-use cranehill_model::audit::{Auditor, Class, Figures, What};
-use cranehill_model::clients::Clients;
-use cranehill_model::day::{Day, Effect};
-use cranehill_model::directory::{Directory, Listed};
-use cranehill_model::fleet::Folder;
-use cranehill_model::partner::{Partner, Reply};
+use cranehill_simulation::audit::{Auditor, Class, Figures, What};
+use cranehill_simulation::clients::Clients;
+use cranehill_simulation::day::{Day, Effect};
+use cranehill_simulation::directory::{Directory, Listed};
+use cranehill_simulation::fleet::Folder;
+use cranehill_simulation::partner::{Partner, Reply};
 use mio::{Events, Poll, Token, Waker};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/rehearsal/src/stage/clients.rs
+++ b/crates/scenario-runner/src/stage/clients.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use cranehill_model::audit::{Answer, What};
-use cranehill_model::clients::{Handing, Said};
-use cranehill_model::day::Effect;
+use cranehill_simulation::audit::{Answer, What};
+use cranehill_simulation::clients::{Handing, Said};
+use cranehill_simulation::day::Effect;
 use mio::net::TcpStream;
 
 use super::Stage;
--- a/crates/rehearsal/src/stage/connections.rs
+++ b/crates/scenario-runner/src/stage/connections.rs
@@ -3,9 +3,9 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::time::Duration;
 
-use cranehill_model::audit::What;
-use cranehill_model::clients::Handing;
-use cranehill_model::partner::Connect;
+use cranehill_simulation::audit::What;
+use cranehill_simulation::clients::Handing;
+use cranehill_simulation::partner::Connect;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Token};
 use socket2::SockRef;
--- a/crates/rehearsal/src/stage/destinations.rs
+++ b/crates/scenario-runner/src/stage/destinations.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use cranehill_model::audit::What;
-use cranehill_model::partner::{Asked, Reply};
+use cranehill_simulation::audit::What;
+use cranehill_simulation::partner::{Asked, Reply};
 
 use super::Stage;
 use super::connections::{Call, CloseMode, ConnectionId, DestinationRole};
--- a/crates/rehearsal/src/stage/directory.rs
+++ b/crates/scenario-runner/src/stage/directory.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use cranehill_model::audit::{self, Closing, What};
-use cranehill_model::day::{ListChange, To};
-use cranehill_model::directory::{List, Listed, Row, Watch};
+use cranehill_simulation::audit::{self, Closing, What};
+use cranehill_simulation::day::{ListChange, To};
+use cranehill_simulation::directory::{List, Listed, Row, Watch};
 use serde_json::{Value, json};
 
 use super::connections::{CloseMode, ConnectionId, HeldWatch, Role};
--- a/crates/rehearsal/src/stage/event_log.rs
+++ b/crates/scenario-runner/src/stage/event_log.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranehill_model::audit::{Line, What};
+use cranehill_simulation::audit::{Line, What};
 
 /// Characters of the wire that a line keeps.
 const WIRE_MOST: usize = 120;
--- a/crates/rehearsal/src/stage/fleet.rs
+++ b/crates/scenario-runner/src/stage/fleet.rs
@@ -4,9 +4,9 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::time::Duration;
 
-use cranehill_model::audit::What;
-use cranehill_model::day::Day;
-use cranehill_model::fleet::{Act, Deed, Which};
+use cranehill_simulation::audit::What;
+use cranehill_simulation::day::Day;
+use cranehill_simulation::fleet::{Act, Deed, Which};
 use serde_json::Value;
 
 use super::timers::Timer;
--- a/crates/rehearsal/src/stage/losses.rs
+++ b/crates/scenario-runner/src/stage/losses.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use cranehill_model::audit::What;
-use cranehill_model::day::Effect;
+use cranehill_simulation::audit::What;
+use cranehill_simulation::day::Effect;
 
 use super::Stage;
 use crate::journal_damage::Damage;
--- a/crates/rehearsal/src/stage/processes.rs
+++ b/crates/scenario-runner/src/stage/processes.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cranehill_model::audit::What;
-use cranehill_model::day::{ScheduledSignal, Signal};
-use cranehill_model::fleet::{Deed, Folder};
+use cranehill_simulation::audit::What;
+use cranehill_simulation::day::{ScheduledSignal, Signal};
+use cranehill_simulation::fleet::{Deed, Folder};
 
 use super::timers::Timer;
 use super::{Restart, Stage};
--- a/crates/rehearsal/src/stage/replies.rs
+++ b/crates/scenario-runner/src/stage/replies.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use cranehill_model::audit::{self, What};
-use cranehill_model::partner::{Fate, Reply, Spoilt};
+use cranehill_simulation::audit::{self, What};
+use cranehill_simulation::partner::{Fate, Reply, Spoilt};
 
 use super::Stage;
 use super::connections::{AuditNames, Call, CloseMode, ConnectionId};
--- a/crates/rehearsal/src/stage/setup.rs
+++ b/crates/scenario-runner/src/stage/setup.rs
@@ -8,11 +8,11 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use cranehill_model::clients::Clients;
-use cranehill_model::day::Day;
-use cranehill_model::directory::{Directory, Listed, Row};
-use cranehill_model::fault::Kind;
-use cranehill_model::partner::Partner;
+use cranehill_simulation::clients::Clients;
+use cranehill_simulation::day::Day;
+use cranehill_simulation::directory::{Directory, Listed, Row};
+use cranehill_simulation::fault::Kind;
+use cranehill_simulation::partner::Partner;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token, Waker};
 use rand::SeedableRng;
--- a/crates/rehearsal/src/stage/timers.rs
+++ b/crates/scenario-runner/src/stage/timers.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use cranehill_model::fleet::Which;
+use cranehill_simulation::fleet::Which;
 
 use super::connections::ConnectionId;
 
--- a/crates/rehearsal/src/wire.rs
+++ b/crates/scenario-runner/src/wire.rs
@@ -4,9 +4,9 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use cranehill_model::audit::Answer;
-use cranehill_model::clients::{Handing, Said};
-use cranehill_model::partner::Fate;
+use cranehill_simulation::audit::Answer;
+use cranehill_simulation::clients::{Handing, Said};
+use cranehill_simulation::partner::Fate;
 
 /// Heads and bodies beyond this are nothing that a sender of ours says.
 const HEAD_MOST: usize = 64 * 1024;
--- a/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,11 +1,11 @@
-//! What a sender remembers: plain records. Nothing here decides; `src/brain.rs` does.
+//! What a sender remembers: plain records. Nothing here decides; `src/scheduler.rs` does.
 
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
 use crate::api::{Condition, DestId, EndpointId, Entry, Key, Kind, MsgId, Status, Time};
-use crate::brain::{Demand, Health, Pace, Rtt, Window};
+use crate::scheduler::{Demand, Health, Pace, Rtt, Window};
 
 #[derive(Debug)]
 pub struct Endpoint {
--- a/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! A sender under test, its clock and short ways to say what happens.
 #![allow(dead_code)]
 
+use cranehill_scheduler::api::*;
+use cranehill_scheduler::{Sender, Time};
 use std::time::Duration;
-use tansycroft::api::*;
-use tansycroft::{Sender, Time};
 
 pub fn class(effect: Effect) -> Class {
     Class {
--- a/tests/failures.rs
+++ b/crates/scheduler/tests/failures.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use tansycroft::api::*;
-use tansycroft::{Sender, Time};
+use cranehill_scheduler::api::*;
+use cranehill_scheduler::{Sender, Time};
 
 /// i4a8067: one lost answer froze an endpoint until a whole deadline had passed.
 #[test]
--- a/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::*;
-use tansycroft::Sender;
-use tansycroft::Time;
-use tansycroft::api::*;
+use cranehill_scheduler::Sender;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::*;
 
 const SENDERS: u64 = 200;
 
--- a/tests/golden_settings.rs
+++ b/crates/scheduler/tests/golden_settings.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use cranehill_scheduler::api::{Class, Decay, DedupScope, Effect, Kind, Rules, Settings, Tenant};
+use cranehill_scheduler::profile::{Names, Profile};
 use serde_json::{Value, json};
-use tansycroft::api::{Class, Decay, DedupScope, Effect, Kind, Rules, Settings, Tenant};
-use tansycroft::profile::{Names, Profile};
 
 /// Every key that is read, each with a value that is not its default.
 const SETTINGS: &str = include_str!("golden/settings.json");
--- a/tests/lanes.rs
+++ b/crates/scheduler/tests/lanes.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use tansycroft::api::*;
+use cranehill_scheduler::api::*;
 
 fn listed(destinations: u64) -> Bench {
     let one = |d: u64| entry(&format!("e{d}"), d, Condition::Ready, 0);
--- a/tests/learnt.rs
+++ b/crates/scheduler/tests/learnt.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::*;
+use cranehill_scheduler::api::*;
+use cranehill_scheduler::{Learnt, Seen, Sender, Time};
 use std::time::Duration;
-use tansycroft::api::*;
-use tansycroft::{Learnt, Seen, Sender, Time};
 
 fn ms(ms: u64) -> Time {
     Time(ms * 1_000_000)
--- a/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 
 use common::*;
+use cranehill_scheduler::api::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use tansycroft::api::*;
 
 const STATUSES: [Status; 6] = [
     Status::Served,
--- a/tests/returns.rs
+++ b/crates/scheduler/tests/returns.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use tansycroft::Time;
-use tansycroft::api::*;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::*;
 
 /// Guards a cold endpoint that comes back at an operator's word: what many senders send there together stays within the rule,
 /// two at once or three hundred, and no sender waits for its first call where few share it.
--- a/tests/routes.rs
+++ b/crates/scheduler/tests/routes.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use common::*;
-use tansycroft::Sender;
-use tansycroft::Time;
-use tansycroft::api::*;
+use cranehill_scheduler::Sender;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::*;
 
 fn routes() -> Vec<Entry> {
     vec![
--- a/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use common::*;
-use tansycroft::api::*;
-use tansycroft::{Sender, Time};
+use cranehill_scheduler::api::*;
+use cranehill_scheduler::{Sender, Time};
 
 fn one() -> Bench {
     Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)])
--- a/tests/shared_calls.rs
+++ b/crates/scheduler/tests/shared_calls.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use common::*;
+use cranehill_scheduler::api::*;
 use proptest::prelude::*;
-use tansycroft::api::*;
 
 /// A destination whose calls take five messages, of which the sender's window lets one out at a time.
 fn bench(seed: u64) -> Bench {
--- a/tests/window.rs
+++ b/crates/scheduler/tests/window.rs
@@ -1,6 +1,6 @@
 //! The paper's figures (section III.E, table IV), one by one.
 
-use tansycroft::Window;
+use cranehill_scheduler::Window;
 
 #[test]
 fn starts_at_half_of_the_slots() {
--- a/crates/model/tests/audit.rs
+++ b/crates/simulation/tests/audit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranehill_model::audit::{
+use cranehill_simulation::audit::{
     Answer, Auditor, Class, Closing, Fate, Figures, Line, Listed, Rule, Verdict, What,
 };
 
--- a/crates/model/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use cranehill_model::day::{self, Effect, ListChange, To};
-use cranehill_model::directory::{Directory, List, Listed, Row, Spec, Watch};
+use cranehill_simulation::day::{self, Effect, ListChange, To};
+use cranehill_simulation::directory::{Directory, List, Listed, Row, Spec, Watch};
 
 const DAY: &str = r#"name = "a day"
 senders = 2
--- a/crates/model/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use cranehill_model::clients::{Class, Hot, Load, Target};
-use cranehill_model::day::{
+use cranehill_simulation::clients::{Class, Hot, Load, Target};
+use cranehill_simulation::day::{
     self, Day, Effect, ListChange, Member, MessageClass, ScheduledSignal, Signal, To,
 };
-use cranehill_model::directory;
-use cranehill_model::fleet::{Act, Break, Deed, Fleet, Folder, Side, Way, Which};
-use cranehill_model::{Fault, Kind, Limit, Spec};
+use cranehill_simulation::directory;
+use cranehill_simulation::fleet::{Act, Break, Deed, Fleet, Folder, Side, Way, Which};
+use cranehill_simulation::{Fault, Kind, Limit, Spec};
 
 const EVERY_KEY: &str = include_str!("golden/every-key.toml");
 const SHORT_WINDOW: &str = include_str!("golden/short-window.toml");
--- a/crates/model/tests/laws.rs
+++ b/crates/simulation/tests/laws.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use cranehill_model::clients::{Class, Clients, Load, Said, Target, zipf};
-use cranehill_model::fault::{Fault, Kind, State, back_since, outage_before};
-use cranehill_model::limit::{Allowance, Limit};
-use cranehill_model::partner::{Asked, Connect, Fate, Partner, Reply, Spec};
+use cranehill_simulation::clients::{Class, Clients, Load, Said, Target, zipf};
+use cranehill_simulation::fault::{Fault, Kind, State, back_since, outage_before};
+use cranehill_simulation::limit::{Allowance, Limit};
+use cranehill_simulation::partner::{Asked, Connect, Fate, Partner, Reply, Spec};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::SeedableRng;
--- a/src/bin/tansycroft-benchlink/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -7,8 +7,8 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use tansycroft::api::{Entry, Event};
-use tansycroft::{Sender, Time};
+use cranehill_scheduler::api::{Entry, Event};
+use cranehill_scheduler::{Sender, Time};
 use wire::{Batch, Msg, Reply};
 
 /// The senders hosted by this process. They share nothing: each owns its state and random source.
--- a/src/bin/tansycroft-benchlink/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use serde::{Deserialize, Serialize};
-use tansycroft::api::{
+use cranehill_scheduler::api::{
     self, Action, Condition, DestId, EndpointId, Entry, Event, Key, MsgId, Past, Report, Status,
     Taken,
 };
-use tansycroft::profile::Profile;
+use cranehill_scheduler::profile::Profile;
+use serde::{Deserialize, Serialize};
 
 fn ns(n: u64) -> Duration {
     Duration::from_nanos(n)
--- a/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -6,7 +6,7 @@
 const PROFILE: &str = r#"{"classes":[{"aim":800000000,"deadline":8000000000,"dedupScope":"all","effect":"safe","lateShare":0.1,"name":"status","streaming":false,"window":5000000000,"worth":1.0,"newThing":3}],"familyInfo":{"callsOut":4,"kindApart":[false],"losesWorth":"linear","perCall":[1]},"index":0,"membershipMode":"push","models":["any"],"nInstances":3,"policyLimits":{"attemptsCap":6,"connIdle":10000000000,"connectTimeout":1500000000,"maxRetryAfter":2000000000,"mostHeld":40,"probes":true,"retryAfter":true},"rules":{"cold":13000000000,"coldFrom":0.19,"fall":1500000000,"fallMultiple":2.0,"graceToAnswer":20000000},"tenants":[],"tick":5000000,"zone":0,"unknownSetting":{"a":1}}"#;
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_tansycroft-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_cranehill-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/zones/src/evidence.rs
+++ b/crates/zone-failover/src/evidence.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
+use cranehill_scheduler::Time;
 use serde::{Deserialize, Serialize};
-use tansycroft::Time;
 
 /// Calls remembered, at most: more than a sender makes to one zone in a window.
 const CALLS_MOST: usize = 256;
--- a/crates/zones/src/zones.rs
+++ b/crates/zone-failover/src/zones.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use cranehill_scheduler::Time;
 use serde::{Deserialize, Serialize};
-use tansycroft::Time;
 
 use crate::evidence::{Evidence, View};
 
--- a/crates/zones/tests/fleets.rs
+++ b/crates/zone-failover/tests/fleets.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cranehill_zones::{Change, Settings, State, Word, Zones};
+use cranehill_scheduler::Time;
+use cranehill_zone_failover::{Change, Settings, State, Word, Zones};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use tansycroft::Time;
 
 const SETTINGS: Settings = Settings {
     window: Duration::from_secs(2),
