--- a/crates/core/src/breakage.rs
+++ b/crates/core/src/breakage.rs
@@ -12,11 +12,11 @@
     TwoCopies,
     /// Nothing is written to the journal.
     ForgetsJournal,
-    /// `+OK` goes out as soon as a notice comes, and the notice is lost if the process dies then.
+    /// `+OK` goes out as soon as a message comes, and the message is lost if the process dies then.
     AnswersFirst,
     /// Closing reports are not sent.
     DropsReports,
-    /// Failures are hidden from the decisions: a partner that is back gets all that there is.
+    /// Failures are hidden from the decisions: a destination that is back gets all that there is.
     FloodsCold,
     /// Answers are held back until the client has left.
     HoldsAnswers,
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -8,9 +8,9 @@
 use cranehill_scheduler::api::EndpointId;
 
 use crate::detach::Detachments;
-use crate::notice::{Answer, Closing, Envelope, Origin};
+use crate::message::{Answer, Closing, Envelope, Origin};
 
-/// One notice in a call.
+/// One message in a call.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub id: String,
@@ -52,7 +52,7 @@
         address: String,
     },
     WakeAt(Time),
-    /// Keep this in place of what was kept before: what is learnt of partners.
+    /// Keep this in place of what was kept before: what is learnt of destinations.
     Remember(Vec<u8>),
     /// The sender is back in full, so long after its start.
     Full(Duration),
@@ -74,8 +74,8 @@
     Taken {
         id: String,
         class: usize,
-        station: usize,
-        partner: u64,
+        tenant: usize,
+        destination: u64,
         key: Option<String>,
         /// What it keeps its order within.
         order_key: Option<String>,
@@ -108,7 +108,7 @@
 }
 
 impl Record {
-    /// The notice that it is about.
+    /// The message that it is about.
     pub fn id(&self) -> &str {
         match self {
             Record::Taken { id, .. }
--- a/crates/core/src/ended.rs
+++ b/crates/core/src/ended.rs
@@ -1,4 +1,4 @@
-//! Ids of notices that have ended, remembered for as long as a notice lasts: a repeat of one is no new notice.
+//! Ids of messages that have ended, remembered for as long as a message lasts: a repeat of one is no new message.
 
 use std::collections::{BTreeSet, VecDeque};
 
--- a/crates/core/src/ends.rs
+++ b/crates/core/src/ends.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{DestId, Event, Key, MsgId, Outcome, Status};
+use cranehill_scheduler::api::{DestinationId, Event, Key, MessageId, Outcome, Status};
 
 use crate::breakage::{self, Breakage};
 use crate::effect::{Effect, Record};
 use crate::input::AttemptEnd;
-use crate::notice::{Answer, Closing};
+use crate::message::{Answer, Closing};
 use crate::reducer::Core;
 use crate::zones::note_zone;
 
@@ -43,12 +43,12 @@
             };
             let out = held.out.take_if(|(number, _)| *number == end.attempt);
             must_hold!(
-                self.unknown_notice,
+                self.unknown_message,
                 out.is_some(),
                 "an end for {} that was not out",
                 end.id
             );
-            let destination = DestId(held.notice.partner);
+            let destination = DestinationId(held.message.destination);
             if let (Some(zones), Some((_, endpoint))) = (&mut self.zones, &out) {
                 note_zone(zones, &self.list, self.now, endpoint, end.status);
             }
@@ -67,7 +67,7 @@
                         Answer::Failed
                     };
                     self.deferred.push(Effect::Answer {
-                        to: held.notice.from,
+                        to: held.message.from,
                         id,
                         answer,
                     });
@@ -92,14 +92,14 @@
         effects
     }
 
-    /// A notice that keeps its order is over for good: the next one of its key may go.
+    /// A message that keeps its order is over for good: the next one of its key may go.
     pub(crate) fn end_order(&mut self, order_key: Option<&str>) {
         if let Some(key) = order_key {
             self.sender.report_answered(&Key(key.to_owned()));
         }
     }
 
-    /// Remembers an id that has ended for as long as a notice lasts, and tells until when.
+    /// Remembers an id that has ended for as long as a message lasts, and tells until when.
     pub(crate) fn remember(&mut self, id: &str) -> Time {
         let until = self.now + self.longest();
         self.ended.note(id, until, self.now);
@@ -112,7 +112,7 @@
         };
         self.fresh.remove(&(held.sequence, id.clone()));
         if let Some(recovery) = &mut self.recovery {
-            recovery.owed.moved(held.notice.partner, &id);
+            recovery.owed.moved(held.message.destination, &id);
         }
         if held.taken_on {
             let after_ms = after.map_or(0, |a| a.as_millis() as u64);
@@ -121,7 +121,7 @@
             } else {
                 Closing::Failed
             };
-            let order_key = held.notice.order_key;
+            let order_key = held.message.order_key;
             self.closing.insert(
                 id.clone(),
                 PendingReport {
@@ -145,12 +145,12 @@
             false => Answer::Failed,
         };
         // Its answer is its end.
-        if held.notice.order_key.is_some() {
-            self.end_order(held.notice.order_key.as_deref());
+        if held.message.order_key.is_some() {
+            self.end_order(held.message.order_key.as_deref());
             self.deferred.push(Effect::WakeAt(self.now));
         }
         self.deferred.push(Effect::Answer {
-            to: held.notice.from,
+            to: held.message.from,
             id,
             answer,
         });
@@ -159,7 +159,7 @@
 
 fn outcome(end: AttemptEnd, over: bool) -> Event {
     Event::Outcome(Outcome {
-        id: MsgId(end.id),
+        id: MessageId(end.id),
         attempt: end.attempt,
         status: end.status,
         over,
--- a/crates/core/src/held.rs
+++ b/crates/core/src/held.rs
@@ -1,22 +1,22 @@
 //! Messages that are held, and how they are handed to the decisions.
 
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{DestId, EndpointId, Event, Key, MsgId, Past, Taken};
+use cranehill_scheduler::api::{DestinationId, EndpointId, Event, Key, MessageId, Past, Taken};
 
 use crate::breakage::{self, Breakage};
 use crate::effect::Record;
-use crate::notice::{Notice, Origin};
+use crate::message::{Message, Origin};
 use crate::reducer::Core;
 
-/// When, where and as which attempt a notice first went out that may have run.
+/// When, where and as which attempt a message first went out that may have run.
 pub(crate) type FirstRun = (Time, EndpointId, u32);
 
-/// What is known of a notice that is held.
+/// What is known of a message that is held.
 #[derive(Debug)]
 pub(crate) struct Held {
-    /// Grows with each notice that is held.
+    /// Grows with each message that is held.
     pub(crate) sequence: u64,
-    pub(crate) notice: Notice,
+    pub(crate) message: Message,
     pub(crate) deadline: Time,
     /// When the decisions must have it, for its own sake or for that of one that waits behind it.
     pub(crate) hand_over_by: Time,
@@ -31,12 +31,12 @@
 
 impl Held {
     pub(crate) fn taken(&self, now: Time) -> Record {
-        let n = &self.notice;
+        let n = &self.message;
         Record::Taken {
             id: n.id.clone(),
             class: n.class,
-            station: n.station,
-            partner: n.partner,
+            tenant: n.tenant,
+            destination: n.destination,
             key: n.key.clone(),
             order_key: n.order_key.clone(),
             deadline: self.deadline.0,
@@ -47,7 +47,7 @@
 }
 
 impl Core {
-    /// Gives a notice that is held into the hands of the decisions, after those that it keeps its order with.
+    /// Gives a message that is held into the hands of the decisions, after those that it keeps its order with.
     pub(crate) fn hand_over(&mut self, id: &str) {
         let in_order = match self.order_key_of(id).map(str::to_owned) {
             Some(key) => self.pending_order.take_through(&key, id),
@@ -58,51 +58,51 @@
         }
     }
 
-    /// What a notice that is held keeps its order within.
+    /// What a message that is held keeps its order within.
     pub(crate) fn order_key_of(&self, id: &str) -> Option<&str> {
-        self.held.get(id)?.notice.order_key.as_deref()
+        self.held.get(id)?.message.order_key.as_deref()
     }
 
-    /// Adds a notice that is held to those that wait for room, unless it has ended meanwhile.
+    /// Adds a message that is held to those that wait for room, unless it has ended meanwhile.
     pub(crate) fn await_room(&mut self, id: String) {
         if let Some(held) = self.held.get(&id) {
             self.backlog.add(held.hand_over_by, held.sequence, id);
         }
     }
 
-    /// A notice of an earlier process has to be with the decisions by then.
+    /// A message of an earlier process has to be with the decisions by then.
     pub(crate) fn set_hand_over_by(&mut self, id: &str, by: Time) {
         if let Some(held) = self.held.get_mut(id) {
             held.hand_over_by = by;
         }
     }
 
-    /// A notice that is held as the decisions take it, with its ages as of now.
+    /// A message that is held as the decisions take it, with its ages as of now.
     pub(crate) fn accepted(&self, id: &str) -> Option<Taken> {
         let Held {
-            notice,
+            message,
             deadline,
             maybe_ran,
             ..
         } = self.held.get(id)?;
         let past = Past {
-            attempts: notice.spent,
-            earlier_life: notice.from == Origin::EarlierLife,
+            attempts: message.spent,
+            earlier_life: message.from == Origin::EarlierLife,
             maybe_ran: maybe_ran
                 .as_ref()
                 .map(|(at, endpoint, _)| (self.now - *at, endpoint.clone())),
         };
         Some(Taken {
-            id: MsgId(notice.id.clone()),
-            class: notice.class,
-            tenant: notice.station,
-            key: notice
+            id: MessageId(message.id.clone()),
+            class: message.class,
+            tenant: message.tenant,
+            key: message
                 .order_key
                 .clone()
                 .filter(|_| !breakage::is(Breakage::IgnoresOrder))
                 .map(Key),
             time_left: *deadline - self.now,
-            dest: DestId(notice.partner),
+            dest: DestinationId(message.destination),
             past,
         })
     }
@@ -121,23 +121,23 @@
         events
     }
 
-    /// Holds a notice, behind all others of its key, and tells its place among all that were ever held.
+    /// Holds a message, behind all others of its key, and tells its place among all that were ever held.
     pub(crate) fn hold(
         &mut self,
-        notice: Notice,
+        message: Message,
         deadline: Time,
         maybe_ran: Option<FirstRun>,
     ) -> u64 {
-        let (attempts, taken_on) = (notice.spent, notice.from == Origin::EarlierLife);
-        let id = notice.id.clone();
-        if let Some(key) = &notice.order_key {
+        let (attempts, taken_on) = (message.spent, message.from == Origin::EarlierLife);
+        let id = message.id.clone();
+        if let Some(key) = &message.order_key {
             self.pending_order.add(key, id.clone());
         }
         self.sequence += 1;
         let sequence = self.sequence;
         let held = Held {
             sequence,
-            notice,
+            message,
             deadline,
             hand_over_by: deadline,
             attempts,
--- a/crates/core/src/input.rs
+++ b/crates/core/src/input.rs
@@ -6,15 +6,15 @@
 use cranehill_scheduler::api::{EndpointId, Report, Status};
 
 use crate::effect::Record;
-use crate::notice::{Listing, Notice};
+use crate::message::{Listing, Message};
 
-/// How one notice's attempt ended.
+/// How one message's attempt ended.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
     pub id: String,
     pub attempt: u32,
     pub status: Status,
-    /// The partner says that the notice is over: nothing more is owed.
+    /// The destination says that the message is over: nothing more is owed.
     pub over: bool,
     pub took: Duration,
     pub told_wait: Option<Duration>,
@@ -23,8 +23,8 @@
 
 #[derive(Debug)]
 pub enum Input {
-    Handed(Notice),
-    /// Whoever waited for this notice's end has left.
+    Handed(Message),
+    /// Whoever waited for this message's end has left.
     Withdrawn(String),
     Listed {
         whole: bool,
@@ -47,7 +47,7 @@
     Recovered(Vec<Record>),
     /// No new attempts: the process is about to end.
     Stopping,
-    /// What an earlier life had learnt of partners, as [`crate::Effect::Remember`] wrote it.
+    /// What an earlier life had learnt of destinations, as [`crate::Effect::Remember`] wrote it.
     Remembered(Vec<u8>),
     /// No new attempts from now on, or again: another process is about to take over.
     Quiet(bool),
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry};
+use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry};
 
-use crate::notice::Listing;
+use crate::message::Listing;
 
 /// A destination that is no longer listed is known for so long.
 pub(crate) const FORGOTTEN: Duration = Duration::from_secs(600);
@@ -17,7 +17,7 @@
 /// An endpoint as it was listed last. Its id is the key in [`EndpointList`].
 #[derive(Debug)]
 struct Listed {
-    destination: DestId,
+    destination: DestinationId,
     condition: Condition,
     zone: u32,
     kind: usize,
@@ -39,11 +39,11 @@
 #[derive(Debug, Default)]
 pub struct EndpointList {
     endpoints: BTreeMap<EndpointId, Listed>,
-    by_destination: BTreeSet<(DestId, EndpointId)>,
+    by_destination: BTreeSet<(DestinationId, EndpointId)>,
     zones: BTreeMap<u32, usize>,
     /// Destinations without an endpoint, and since when; the same in the order of these times.
-    unlisted: BTreeMap<DestId, Time>,
-    unlisted_order: BTreeSet<(Time, DestId)>,
+    unlisted: BTreeMap<DestinationId, Time>,
+    unlisted_order: BTreeSet<(Time, DestinationId)>,
 }
 
 impl EndpointList {
@@ -80,12 +80,12 @@
     }
 
     /// Whether the destination is listed, or was until lately.
-    pub fn knows(&self, destination: DestId) -> bool {
+    pub fn knows(&self, destination: DestinationId) -> bool {
         self.has_endpoints(destination) || self.unlisted.contains_key(&destination)
     }
 
     /// The endpoints of a destination, in the order of their ids.
-    pub fn of_destination(&self, destination: DestId) -> impl Iterator<Item = &EndpointId> {
+    pub fn of_destination(&self, destination: DestinationId) -> impl Iterator<Item = &EndpointId> {
         let first = (destination, EndpointId(String::new()));
         let endpoints = self.by_destination.range(first..);
         endpoints
@@ -200,7 +200,7 @@
         }
     }
 
-    fn has_endpoints(&self, destination: DestId) -> bool {
+    fn has_endpoints(&self, destination: DestinationId) -> bool {
         self.of_destination(destination).next().is_some()
     }
 
--- a/crates/core/src/listed.rs
+++ b/crates/core/src/listed.rs
@@ -4,7 +4,7 @@
 
 use crate::breakage::{self, Breakage};
 use crate::effect::Effect;
-use crate::notice::Listing;
+use crate::message::Listing;
 use crate::reducer::Core;
 
 impl Core {
--- a/crates/core/src/notice.rs
+++ b/crates/core/src/message.rs
@@ -6,10 +6,10 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::Entry;
 
-/// What a front passes along with a notice and the core does not look into.
+/// What a front passes along with a message and the core does not look into.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Envelope {
-    /// Where at the partner it goes, if not to the usual place.
+    /// Where at the destination it goes, if not to the usual place.
     pub path: String,
     /// Headers that travel with it unchanged.
     pub headers: Vec<(String, String)>,
@@ -17,19 +17,19 @@
     pub expires: Time,
 }
 
-/// An episode notice as a client hands it in.
+/// An episode message as a client hands it in.
 #[derive(Clone, Debug)]
-pub struct Notice {
+pub struct Message {
     pub id: String,
     /// Position in the settings' classes.
     pub class: usize,
-    /// Position of the station in the settings.
-    pub station: usize,
-    /// The partner it is for.
-    pub partner: u64,
-    /// What the partner recognises a repeat by.
+    /// Position of the tenant in the settings.
+    pub tenant: usize,
+    /// The destination it is for.
+    pub destination: u64,
+    /// What the destination recognises a repeat by.
     pub key: Option<String>,
-    /// Notices of a class that keeps its order go one at a time within this, in the order handed in.
+    /// Messages of a class that keeps its order go one at a time within this, in the order handed in.
     pub order_key: Option<String>,
     pub body: Arc<[u8]>,
     /// How long it may still be delivered.
@@ -40,18 +40,18 @@
     pub from: Origin,
 }
 
-/// Who waits for an answer about a notice.
+/// Who waits for an answer about a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A client that is told when the notice is taken on, and of its end through the platform.
+    /// A client that is told when the message is taken on, and of its end through the platform.
     Client(usize),
-    /// A client whose answer is the notice's end; nothing is promised before, so nothing outlasts us.
+    /// A client whose answer is the message's end; nothing is promised before, so nothing outlasts us.
     Waiting(usize),
     /// An earlier life of this sender.
     EarlierLife,
 }
 
-/// The answer to who handed a notice in.
+/// The answer to who handed a message in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     TakenOn,
@@ -65,7 +65,7 @@
     GivenUp,
 }
 
-/// How a notice that was taken on ended without delivery, as the platform is told.
+/// How a message that was taken on ended without delivery, as the platform is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closing {
     Returned { after_ms: u64 },
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -11,16 +11,16 @@
 use crate::effect::{Effect, Record};
 use crate::ends::PendingReport;
 use crate::held::FirstRun;
-use crate::notice::{Notice, Origin};
+use crate::message::{Message, Origin};
 use crate::reducer::Core;
 
 /// A message that waits is handed over so many ticks before its last chance is over: the decisions end it then.
 const LAST_CHANCE_TICKS: u32 = 3;
 
-/// A notice that an earlier process left open.
+/// A message that an earlier process left open.
 struct Waiting {
     id: String,
-    partner: u64,
+    destination: u64,
     /// When the decisions must have it.
     by: Time,
 }
@@ -32,15 +32,15 @@
             self.sender.rest_keys(self.now);
         }
         // In the order in which they were taken on, by their place in it.
-        let mut open: BTreeMap<usize, (Notice, Time, Option<FirstRun>)> = BTreeMap::new();
+        let mut open: BTreeMap<usize, (Message, Time, Option<FirstRun>)> = BTreeMap::new();
         let mut places: HashMap<String, usize> = HashMap::new();
         for (place, record) in records.into_iter().enumerate() {
             match record {
                 Record::Taken {
                     id,
                     class,
-                    station,
-                    partner,
+                    tenant,
+                    destination,
                     key,
                     order_key,
                     deadline,
@@ -50,11 +50,11 @@
                     let deadline = Time(deadline);
                     let left = deadline - self.now;
                     let (spent, envelope, from) = (0, None, Origin::EarlierLife);
-                    let notice = Notice {
+                    let message = Message {
                         id: id.clone(),
                         class,
-                        station,
-                        partner,
+                        tenant,
+                        destination,
                         key,
                         order_key: order_key.filter(|_| !breakage::is(Breakage::ForgetsOrder)),
                         body,
@@ -66,7 +66,7 @@
                     if let Some(before) = places.insert(id, place) {
                         open.remove(&before);
                     }
-                    open.insert(place, (notice, deadline, None));
+                    open.insert(place, (message, deadline, None));
                 }
                 Record::Sent {
                     id,
@@ -74,9 +74,9 @@
                     endpoint,
                     at,
                 } => {
-                    let notice = places.get(&id).and_then(|place| open.get_mut(place));
-                    if let Some((notice, _, maybe_ran)) = notice {
-                        notice.spent = notice.spent.max(attempt + 1);
+                    let message = places.get(&id).and_then(|place| open.get_mut(place));
+                    if let Some((message, _, maybe_ran)) = message {
+                        message.spent = message.spent.max(attempt + 1);
                         maybe_ran.get_or_insert((Time(at), EndpointId(endpoint), attempt));
                     }
                 }
@@ -85,8 +85,8 @@
                     attempt,
                     never_ran,
                 } => {
-                    let notice = places.get(&id).and_then(|place| open.get_mut(place));
-                    if let Some((.., maybe_ran)) = notice {
+                    let message = places.get(&id).and_then(|place| open.get_mut(place));
+                    if let Some((.., maybe_ran)) = message {
                         maybe_ran.take_if(|(.., number)| never_ran && *number == attempt);
                     }
                 }
@@ -111,20 +111,25 @@
         }
         self.hold_back_order();
         let mut ids = Vec::with_capacity(open.len());
-        for (notice, deadline, maybe_ran) in open.into_values() {
-            let by = self.last_chance(notice.class, deadline, maybe_ran.as_ref());
+        for (message, deadline, maybe_ran) in open.into_values() {
+            let by = self.last_chance(message.class, deadline, maybe_ran.as_ref());
             ids.push(Waiting {
-                id: notice.id.clone(),
-                partner: notice.partner,
+                id: message.id.clone(),
+                destination: message.destination,
                 by,
             });
-            self.hold(notice, deadline, maybe_ran);
+            self.hold(message, deadline, maybe_ran);
         }
         self.order_by_key(&mut ids);
-        for Waiting { id, partner, by } in ids {
+        for Waiting {
+            id,
+            destination,
+            by,
+        } in ids
+        {
             self.set_hand_over_by(&id, by);
             match &mut self.recovery {
-                Some(recovery) => recovery.owed.add(partner, by, id),
+                Some(recovery) => recovery.owed.add(destination, by, id),
                 None => self.await_room(id),
             }
         }
@@ -140,7 +145,7 @@
         self.closing.iter().map(report).collect()
     }
 
-    /// Reports of an earlier process that are still unanswered hold back what keeps its order with their notices.
+    /// Reports of an earlier process that are still unanswered hold back what keeps its order with their messages.
     fn hold_back_order(&mut self) {
         for key in self
             .closing
@@ -163,7 +168,7 @@
         }
     }
 
-    /// Until when a notice may go out: to its deadline, or for a keyed one that may have run to the end of its window.
+    /// Until when a message may go out: to its deadline, or for a keyed one that may have run to the end of its window.
     pub(crate) fn last_chance(
         &self,
         class: usize,
@@ -181,7 +186,7 @@
         window_end.map_or(deadline, |end| end.min(deadline))
     }
 
-    /// Comes back by steps: what is recalled, first calls and owed notices each within their bounds.
+    /// Comes back by steps: what is recalled, first calls and owed messages each within their bounds.
     pub fn recover(&mut self, settings: recovery::Settings) {
         self.recovery = Some(Recovery::new(settings, self.now));
     }
@@ -204,7 +209,7 @@
         }
     }
 
-    /// What this sender knows of partners, for the process that goes on in its place.
+    /// What this sender knows of destinations, for the process that goes on in its place.
     pub fn learnt(&self) -> Vec<u8> {
         recovery::pack(&self.sender.learnt())
     }
@@ -271,7 +276,7 @@
         }
     }
 
-    /// Has the decisions recall what they may, once they know the partners that it is about: lists go before all else.
+    /// Has the decisions recall what they may, once they know the destinations that it is about: lists go before all else.
     pub(crate) fn recall(&mut self, events: Vec<Event>) -> (Vec<Action>, Vec<Event>) {
         // The list's part of a turn goes before the rest of it: with something withdrawn in between, a call could go out for it.
         // Such a turn is left whole, and the next one recalls.
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -5,7 +5,7 @@
 
 use cranehill_membership::{self as membership, Members};
 use cranehill_recovery::Recovery;
-use cranehill_scheduler::api::{DestId, Event, MsgId, Settings};
+use cranehill_scheduler::api::{DestinationId, Event, MessageId, Settings};
 use cranehill_scheduler::{Learnt, Sender, SettingsError, Time};
 use cranehill_zone_failover::Zones;
 
@@ -18,14 +18,14 @@
 use crate::held::Held;
 use crate::input::Input;
 use crate::list::EndpointList;
-use crate::notice::{Answer, Notice, Origin};
+use crate::message::{Answer, Message, Origin};
 use crate::order::PendingOrder;
 
 /// What must hold, counted where it does not. Debug builds stop instead.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Breaches {
     pub second_copy: u64,
-    pub unknown_notice: u64,
+    pub unknown_message: u64,
     pub unlisted_endpoint: u64,
 }
 
@@ -37,7 +37,7 @@
     pub(crate) held: BTreeMap<String, Held>,
     pub(crate) closing: BTreeMap<String, PendingReport>,
     pub(crate) list: EndpointList,
-    /// Notices taken on that have ended.
+    /// Messages taken on that have ended.
     pub(crate) ended: Ended,
     pub(crate) events: Vec<Event>,
     pub(crate) records: Vec<Record>,
@@ -46,7 +46,7 @@
     pub(crate) deferred: Vec<Effect>,
     /// Handed in this turn and not answered yet, in the order in which they came.
     pub(crate) fresh: BTreeSet<(u64, String)>,
-    /// Notices held so far.
+    /// Messages held so far.
     pub(crate) sequence: u64,
     pub(crate) stopping: bool,
     /// The other senders, where this one takes part in the fleet.
@@ -123,11 +123,11 @@
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Effect> {
         self.now = self.now.max(now);
         match input {
-            Input::Handed(notice) => self.on_handed(notice),
+            Input::Handed(message) => self.on_handed(message),
             Input::Withdrawn(id) => {
                 if let Some(held) = self.held.remove(&id) {
                     self.fresh.remove(&(held.sequence, id.clone()));
-                    self.events.push(Event::Lapsed(MsgId(id)));
+                    self.events.push(Event::Lapsed(MessageId(id)));
                 }
                 Vec::new()
             }
@@ -218,7 +218,7 @@
     /// Whether the directory lists this destination, or did until lately: all of its endpoints may be in the middle
     /// of being replaced.
     pub fn knows(&self, destination: u64) -> bool {
-        self.list.knows(DestId(destination))
+        self.list.knows(DestinationId(destination))
     }
 
     /// Endpoints that are kept, here and by the decisions.
@@ -231,16 +231,16 @@
         self.held.values().filter(|h| h.out.is_some()).count()
     }
 
-    /// Notices held, and closing reports that the platform has yet to take.
+    /// Messages held, and closing reports that the platform has yet to take.
     pub fn owed(&self) -> (usize, usize) {
         (self.held.len(), self.closing.len())
     }
 
-    fn on_handed(&mut self, notice: Notice) -> Vec<Effect> {
-        // The same id again is the same notice: a client resends what it could not know we had read.
-        if let Some(held) = self.held.get(&notice.id) {
+    fn on_handed(&mut self, message: Message) -> Vec<Effect> {
+        // The same id again is the same message: a client resends what it could not know we had read.
+        if let Some(held) = self.held.get(&message.id) {
             if held.taken_on {
-                let (to, id) = (notice.from, notice.id);
+                let (to, id) = (message.from, message.id);
                 return vec![Effect::Answer {
                     to,
                     id,
@@ -251,23 +251,23 @@
                 after: Some(Duration::from_millis(100)),
             };
             return vec![Effect::Answer {
-                to: notice.from,
-                id: notice.id,
+                to: message.from,
+                id: message.id,
                 answer: refused,
             }];
         }
-        // So is one that has ended, for as long as a notice lasts: nothing goes out twice under one id, nor to
+        // So is one that has ended, for as long as a message lasts: nothing goes out twice under one id, nor to
         // where somebody else under that id would have it go.
-        if self.ended.contains(&notice.id) && matches!(notice.from, Origin::Client(_)) {
+        if self.ended.contains(&message.id) && matches!(message.from, Origin::Client(_)) {
             return vec![Effect::Answer {
-                to: notice.from,
-                id: notice.id,
+                to: message.from,
+                id: message.id,
                 answer: Answer::TakenOn,
             }];
         }
-        let deadline = self.now + notice.left;
-        let id = notice.id.clone();
-        let sequence = self.hold(notice, deadline, None);
+        let deadline = self.now + message.left;
+        let id = message.id.clone();
+        let sequence = self.hold(message, deadline, None);
         self.fresh.insert((sequence, id.clone()));
         self.hand_over(&id);
         Vec::new()
@@ -278,7 +278,7 @@
         self.set.rules.cold
     }
 
-    /// How long a notice lasts at most.
+    /// How long a message lasts at most.
     pub(crate) fn longest(&self) -> Duration {
         self.set
             .classes
--- a/crates/core/src/turn.rs
+++ b/crates/core/src/turn.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Action, EndpointId, Event, MsgId, Status};
+use cranehill_scheduler::api::{Action, EndpointId, Event, MessageId, Status};
 
 use crate::breakage::{self, Breakage};
 use crate::effect::{Attempt, Effect, Record};
 use crate::input::{AttemptEnd, Kept};
-use crate::notice::{Answer, Origin};
+use crate::message::{Answer, Origin};
 use crate::reducer::Core;
 
-/// The largest body of a call with several notices, and what each adds besides its own body and key.
+/// The largest body of a call with several messages, and what each adds besides its own body and key.
 const CALL_MOST: usize = 64 * 1024;
 const ITEM: usize = 128;
 
@@ -55,7 +55,7 @@
 impl Outgoing {
     /// Puts an attempt into its call, if that has room, or into a new one.
     fn add(&mut self, number: u64, endpoint: EndpointId, address: &str, attempt: Attempt) {
-        // A call's body is bounded like any other: large notices must not share one.
+        // A call's body is bounded like any other: large messages must not share one.
         let size =
             |a: &Attempt| a.body.len() * 4 / 3 + a.key.as_ref().map_or(0, String::len) + ITEM;
         let fits = |c: &[Attempt]| c.iter().map(size).sum::<usize>() + size(&attempt) <= CALL_MOST;
@@ -102,7 +102,7 @@
         self.look_at_returning();
         let actions = self.decide(events);
         let outgoing = self.carry_out(actions);
-        // An answer goes before its call: a delivery counts only once the client knows that we have the notice.
+        // An answer goes before its call: a delivery counts only once the client knows that we have the message.
         let mut effects = self.take_on_fresh();
         self.record_attempts(outgoing.records);
         effects.append(&mut self.deferred);
@@ -181,7 +181,7 @@
         } = send;
         let Some(held) = self.held.get_mut(&id) else {
             must_hold!(
-                self.unknown_notice,
+                self.unknown_message,
                 false,
                 "a send for {id}, which is not held"
             );
@@ -200,7 +200,7 @@
             );
             return;
         };
-        let (number, of) = (held.attempts, held.notice.partner);
+        let (number, of) = (held.attempts, held.message.destination);
         held.attempts += 1;
         held.out = Some((number, endpoint.clone()));
         held.maybe_ran
@@ -208,9 +208,9 @@
         let attempt = Attempt {
             id: id.clone(),
             number,
-            key: held.notice.key.clone(),
-            body: held.notice.body.clone(),
-            envelope: held.notice.envelope.clone(),
+            key: held.message.key.clone(),
+            body: held.message.body.clone(),
+            envelope: held.message.envelope.clone(),
             until: until.min(held.deadline),
             write_by,
         };
@@ -232,12 +232,12 @@
         let mut answers = Vec::new();
         for (_, id) in std::mem::take(&mut self.fresh) {
             if let Some(held) = self.held.get_mut(&id)
-                && let Origin::Client(_) = held.notice.from
+                && let Origin::Client(_) = held.message.from
             {
                 held.taken_on = true;
                 self.records.push(held.taken(self.now));
                 answers.push(Effect::Answer {
-                    to: held.notice.from,
+                    to: held.message.from,
                     id,
                     answer: Answer::TakenOn,
                 });
@@ -283,7 +283,7 @@
                     answer: Answer::TakenOn,
                 } => {
                     self.held.remove(&id);
-                    self.events.push(Event::Lapsed(MsgId(id.clone())));
+                    self.events.push(Event::Lapsed(MessageId(id.clone())));
                     let after = Some(self.set.max_retry_after);
                     out.push(Effect::Answer {
                         to,
--- a/crates/core/tests/backlog.rs
+++ b/crates/core/tests/backlog.rs
@@ -6,7 +6,7 @@
 
 use cranehill_core::*;
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Status};
+use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
 
 const SETTINGS: &str = include_str!("settings.json");
@@ -36,7 +36,7 @@
         Core::new(profile.into_settings().expect("settings"), 1, at(0)).expect("settings");
     let entry = Entry {
         endpoint: EndpointId("a".into()),
-        dest: DestId(DESTINATION),
+        dest: DestinationId(DESTINATION),
         condition: Condition::Ready,
         zone: 0,
         kind: 1,
@@ -59,8 +59,8 @@
     Record::Taken {
         id,
         class: SAFE,
-        station: 0,
-        partner: DESTINATION,
+        tenant: 0,
+        destination: DESTINATION,
         key: None,
         order_key: None,
         deadline: at(deadline).0,
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -9,7 +9,7 @@
 use cranehill_core::{Core, Detachments, Effect, Input, Listing};
 use cranehill_recovery::{Bounds, Settings};
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry};
+use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry};
 use cranehill_scheduler::profile::Profile;
 
 const DETACHED: &str = "detached.json";
@@ -26,7 +26,7 @@
     let endpoint = EndpointId(endpoint.into());
     let entry = Entry {
         endpoint,
-        dest: DestId(destination),
+        dest: DestinationId(destination),
         condition: Condition::Ready,
         zone: 0,
         kind: 0,
--- a/crates/core/tests/list.rs
+++ b/crates/core/tests/list.rs
@@ -5,7 +5,7 @@
 
 use cranehill_core::{EndpointList, Listing};
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry};
+use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry};
 use proptest::prelude::*;
 
 /// How long a destination without endpoints stays known.
@@ -19,7 +19,7 @@
 }
 
 fn listing(endpoint: usize, destination: u64, zone: u32, condition: Condition) -> Listing {
-    let (dest, rate) = (DestId(destination), endpoint as f64);
+    let (dest, rate) = (DestinationId(destination), endpoint as f64);
     let entry = Entry {
         endpoint: id(endpoint),
         dest,
@@ -39,12 +39,12 @@
 struct Model {
     listed: BTreeMap<EndpointId, Listing>,
     /// When a destination was seen without an endpoint for the first time since it had one.
-    unlisted: BTreeMap<DestId, Time>,
+    unlisted: BTreeMap<DestinationId, Time>,
 }
 
 impl Model {
     fn update(&mut self, now: Time, whole: bool, list: &[Listing]) -> Vec<EndpointId> {
-        let before: BTreeSet<DestId> = self.destinations();
+        let before: BTreeSet<DestinationId> = self.destinations();
         let named: BTreeSet<&EndpointId> = list.iter().map(|l| &l.entry.endpoint).collect();
         let mut closed: Vec<EndpointId> = Vec::new();
         if whole {
@@ -71,7 +71,7 @@
         closed
     }
 
-    fn destinations(&self) -> BTreeSet<DestId> {
+    fn destinations(&self) -> BTreeSet<DestinationId> {
         self.listed.values().map(|l| l.entry.dest).collect()
     }
 }
@@ -80,7 +80,7 @@
 fn check(list: &EndpointList, model: &Model) -> Result<(), TestCaseError> {
     let destinations = model.destinations();
     prop_assert_eq!(list.len(), model.listed.len());
-    for destination in (0..DESTINATIONS).map(DestId) {
+    for destination in (0..DESTINATIONS).map(DestinationId) {
         let known =
             destinations.contains(&destination) || model.unlisted.contains_key(&destination);
         prop_assert_eq!(list.knows(destination), known, "{:?}", destination);
@@ -182,7 +182,7 @@
         );
     }
     visited.push(list.update(Time(2), false, Vec::new()).visited);
-    visited.push(list.of_destination(DestId(3)).count());
+    visited.push(list.of_destination(DestinationId(3)).count());
     visited
 }
 
--- a/crates/core/tests/order.rs
+++ b/crates/core/tests/order.rs
@@ -7,7 +7,7 @@
 
 use cranehill_core::*;
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Status};
+use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -38,7 +38,7 @@
 type Step = (u64, u8, u64);
 
 #[derive(Debug)]
-struct Message {
+struct ModelMessage {
     /// Place among all that were handed in.
     place: usize,
     key: Option<String>,
@@ -53,7 +53,7 @@
     by_steps: bool,
     ms: u64,
     journal: Vec<Record>,
-    messages: BTreeMap<String, Message>,
+    messages: BTreeMap<String, ModelMessage>,
     handed_in: usize,
     in_flight: BTreeMap<String, u32>,
     /// By key: the latest place that was ever sent, and until when the key rests for others than this message.
@@ -112,7 +112,7 @@
         let endpoint = |name: &str| Listing {
             entry: Entry {
                 endpoint: EndpointId(name.into()),
-                dest: DestId(7),
+                dest: DestinationId(7),
                 condition: Condition::Ready,
                 zone: 0,
                 kind: 0,
@@ -218,17 +218,17 @@
         );
         self.messages.insert(
             id.clone(),
-            Message {
+            ModelMessage {
                 place,
                 key: key.clone(),
                 class,
             },
         );
-        self.step(Input::Handed(Notice {
+        self.step(Input::Handed(Message {
             id: id.clone(),
             class,
-            station: 0,
-            partner: 7,
+            tenant: 0,
+            destination: 7,
             key: None,
             order_key: key,
             body: Arc::from(&b"body"[..]),
@@ -409,7 +409,7 @@
         let key = Some(format!("account-{}", place % 2));
         world.messages.insert(
             id.clone(),
-            Message {
+            ModelMessage {
                 place: place as usize,
                 key: key.clone(),
                 class: 1,
@@ -418,8 +418,8 @@
         world.journal.push(Record::Taken {
             id,
             class: 1,
-            station: 0,
-            partner: 7,
+            tenant: 0,
+            destination: 7,
             key: None,
             order_key: key,
             // The later it came, the sooner it is over.
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -5,7 +5,7 @@
 
 use cranehill_core::*;
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Status};
+use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
 
 const SETTINGS: &str = r#"{"classes":[{"aim":4000000000,"deadline":20000000000,"dedupScope":"all","effect":"keyed","lateShare":0.4,"name":"episode-notice","window":20000000000,"worth":1.0}],
@@ -25,7 +25,7 @@
     let endpoint = EndpointId(endpoint.into());
     let entry = Entry {
         endpoint,
-        dest: DestId(7),
+        dest: DestinationId(7),
         condition,
         zone: 0,
         kind,
@@ -37,12 +37,12 @@
     }
 }
 
-fn notice(id: &str, left_ms: u64) -> Notice {
-    Notice {
+fn message(id: &str, left_ms: u64) -> Message {
+    Message {
         id: id.into(),
         class: 0,
-        station: 0,
-        partner: 7,
+        tenant: 0,
+        destination: 7,
         key: None,
         order_key: None,
         body: Arc::from(&b"body"[..]),
@@ -129,7 +129,7 @@
 #[test]
 fn a_notice_and_its_attempt_are_kept_before_the_answer_and_the_call() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(notice("m", 8000)));
+    b.step(Input::Handed(message("m", 8000)));
     let (records, effects) = b.turn(5);
     assert!(
         matches!(
@@ -164,7 +164,7 @@
 #[test]
 fn what_the_journal_cannot_take_is_refused_and_not_sent() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(notice("m", 8000)));
+    b.step(Input::Handed(message("m", 8000)));
     b.ms = 5;
     let (_, effects) = b.turn_with(Kept::Ends);
     assert!(
@@ -178,7 +178,7 @@
 #[test]
 fn an_end_that_found_no_room_is_written_by_a_later_turn() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(notice("m", 8000)));
+    b.step(Input::Handed(message("m", 8000)));
     b.turn(5);
     b.ms = 50;
     b.step(Input::Ended(vec![end("m", 0, Status::Served)]));
@@ -201,7 +201,7 @@
         whole: false,
         list: vec![listing("a", Condition::Draining, 1)],
     });
-    b.step(Input::Handed(notice("m", 8000)));
+    b.step(Input::Handed(message("m", 8000)));
     b.turn(5);
     b.step(Input::Listed {
         whole: false,
@@ -228,7 +228,7 @@
         list: vec![],
     });
     for n in 0..80 {
-        b.step(Input::Handed(notice(&format!("m{n:02}"), 8000)));
+        b.step(Input::Handed(message(&format!("m{n:02}"), 8000)));
     }
     let (records, effects) = b.turn(5);
     let refused = answers(&effects)
@@ -248,7 +248,7 @@
     for (kind, expected) in [(0, vec![5, 2]), (1, vec![1; 4])] {
         let mut b = Bench::new(kind);
         for n in 0..7 {
-            b.step(Input::Handed(notice(&format!("m{n}"), 8000)));
+            b.step(Input::Handed(message(&format!("m{n}"), 8000)));
         }
         let (_, effects) = b.turn(5);
         assert_eq!(
@@ -263,9 +263,9 @@
     let mut b = Bench::new(0);
     for n in 0..3 {
         let body = Arc::from(vec![7u8; 20_000]);
-        b.step(Input::Handed(Notice {
+        b.step(Input::Handed(Message {
             body,
-            ..notice(&format!("m{n}"), 8000)
+            ..message(&format!("m{n}"), 8000)
         }));
     }
     let (_, effects) = b.turn(5);
@@ -278,7 +278,7 @@
 #[test]
 fn a_told_wait_holds_back_what_is_not_written_and_all_new_calls() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(notice("m", 8000)));
+    b.step(Input::Handed(message("m", 8000)));
     b.turn(5);
     b.ms = 30;
     let told = AttemptEnd {
@@ -290,7 +290,7 @@
         matches!(&effects[..], [Effect::HoldBack { endpoints }] if endpoints == &[EndpointId("a".into())])
     );
     b.turn(30);
-    b.step(Input::Handed(notice("n", 8000)));
+    b.step(Input::Handed(message("n", 8000)));
     for ms in (35..730).step_by(5) {
         b.ms = ms;
         b.step(Input::Due);
@@ -328,7 +328,7 @@
         whole: true,
         list: vec![],
     });
-    b.step(Input::Handed(notice("m", 1000)));
+    b.step(Input::Handed(message("m", 1000)));
     b.turn(5);
     let mut reported = Vec::new();
     for ms in (10..1000).step_by(5) {
@@ -357,8 +357,8 @@
     let taken = |id: &str, left_ms: u64| Record::Taken {
         id: id.into(),
         class: 0,
-        station: 0,
-        partner: 7,
+        tenant: 0,
+        destination: 7,
         key: Some("k".into()),
         order_key: None,
         deadline: START + left_ms * 1_000_000,
@@ -419,7 +419,7 @@
     ended.sort();
     assert_eq!(ended, ["late", "used"], "out of time, and out of attempts");
     // An id that ended in the earlier life is remembered: a repeat is answered and goes nowhere.
-    let effects = b.step(Input::Handed(notice("over", 8000)));
+    let effects = b.step(Input::Handed(message("over", 8000)));
     assert_eq!(answers(&effects), [("over".to_owned(), Answer::TakenOn)]);
 }
 
@@ -433,8 +433,8 @@
             Record::Taken {
                 id: "m".into(),
                 class: 0,
-                station: 0,
-                partner: 7,
+                tenant: 0,
+                destination: 7,
                 key: Some("k".into()),
                 order_key: None,
                 deadline: START + 35_000 * 1_000_000,
@@ -462,10 +462,10 @@
 #[test]
 fn the_end_of_the_process_starts_nothing_new_and_still_hears_of_ends() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(notice("m", 8000)));
+    b.step(Input::Handed(message("m", 8000)));
     b.turn(5);
     b.step(Input::Stopping);
-    b.step(Input::Handed(notice("n", 8000)));
+    b.step(Input::Handed(message("n", 8000)));
     let (_, effects) = b.turn(10);
     assert_eq!((calls(&effects).len(), answers(&effects).len()), (0, 1));
     b.ms = 20;
@@ -476,9 +476,9 @@
 #[test]
 fn a_message_withdrawn_while_its_attempt_is_out_is_over_for_good() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(Notice {
+    b.step(Input::Handed(Message {
         from: Origin::Waiting(3),
-        ..notice("m", 8000)
+        ..message("m", 8000)
     }));
     let (records, effects) = b.turn(5);
     assert!(
@@ -497,26 +497,26 @@
 #[test]
 fn an_id_that_has_ended_is_not_taken_on_again_and_is_forgotten_in_time() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(notice("m", 8000)));
+    b.step(Input::Handed(message("m", 8000)));
     b.turn(5);
     b.step(Input::Ended(vec![end("m", 0, Status::Served)]));
     b.turn(10);
     // Another client's, under the same id and for elsewhere.
-    let other = Notice {
-        partner: 8,
+    let other = Message {
+        destination: 8,
         from: Origin::Client(2),
-        ..notice("m", 8000)
+        ..message("m", 8000)
     };
     let effects = b.step(Input::Handed(other));
     assert_eq!(answers(&effects), [("m".to_owned(), Answer::TakenOn)]);
     assert!(calls(&b.turn(15).1).is_empty());
     assert_eq!(b.core.owed(), (0, 0));
     b.ms = 40_000;
-    b.step(Input::Handed(notice("n", 8000)));
+    b.step(Input::Handed(message("n", 8000)));
     b.turn(40_005);
     b.step(Input::Ended(vec![end("n", 0, Status::Served)]));
     b.turn(40_010);
-    b.step(Input::Handed(notice("m", 8000)));
+    b.step(Input::Handed(message("m", 8000)));
     assert_eq!(calls(&b.turn(40_015).1), [["m"]]);
 }
 
@@ -532,7 +532,7 @@
     assert!(effects.iter().any(closed), "{effects:?}");
     b.turn(5);
     assert!(b.core.knows(7));
-    b.step(Input::Handed(notice("m", 8000)));
+    b.step(Input::Handed(message("m", 8000)));
     assert!(calls(&b.turn(10).1).is_empty());
     b.step(Input::Listed {
         whole: false,
@@ -556,13 +556,13 @@
     assert!(b.core.endpoints() < 10, "{}", b.core.endpoints());
 }
 
-/// Guards against a call that goes on after one of its notices has run out of time: see tests/shared_calls.rs. `short` has
+/// Guards against a call that goes on after one of its messages has run out of time: see tests/shared_calls.rs. `short` has
 /// more time left than a call usually takes and less than the others wait, so it shares their call, and ends its wait.
 #[test]
 fn all_in_a_call_wait_until_the_same_moment() {
     let mut b = Bench::new(0);
     for (id, left) in [("m1", 20_000), ("short", 1500), ("m2", 20_000)] {
-        b.step(Input::Handed(notice(id, left)));
+        b.step(Input::Handed(message(id, left)));
     }
     let (_, effects) = b.turn(5);
     let mut shared = 0;
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -5,7 +5,7 @@
 
 use cranehill_core::*;
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Status};
+use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
 use serde_json::{Value, json};
 
@@ -27,12 +27,12 @@
     all.push(at.to_owned());
 }
 
-fn notice(n: usize, class: usize, left_ms: u64) -> Notice {
-    Notice {
+fn message(n: usize, class: usize, left_ms: u64) -> Message {
+    Message {
         id: format!("m{n}"),
         class,
-        station: n % 3,
-        partner: 7,
+        tenant: n % 3,
+        destination: 7,
         key: Some("k".into()),
         order_key: None,
         body: Arc::from(&b"body"[..]),
@@ -43,7 +43,7 @@
     }
 }
 
-/// Plays a few seconds: notices of all classes, calls that end in each way, by turns. Nothing may panic, and each notice
+/// Plays a few seconds: messages of all classes, calls that end in each way, by turns. Nothing may panic, and each message
 /// that was taken on has one end by its time and a second.
 fn play(settings: Value) -> Result<(), String> {
     let profile: Profile = serde_json::from_value(settings).map_err(|e| e.to_string())?;
@@ -53,7 +53,7 @@
     let entry = |e: &str, zone, kind| Listing {
         entry: Entry {
             endpoint: EndpointId(e.into()),
-            dest: DestId(7),
+            dest: DestinationId(7),
             condition: Condition::Ready,
             zone,
             kind,
@@ -82,7 +82,7 @@
             let n = (ms / 50) as usize;
             core.step(
                 now,
-                Input::Handed(notice(n, n % classes, [0, 30, 900, 4000][n % 4])),
+                Input::Handed(message(n, n % classes, [0, 30, 900, 4000][n % 4])),
             );
         }
         for attempt in std::mem::take(&mut out) {
--- a/crates/core/tests/short_window.rs
+++ b/crates/core/tests/short_window.rs
@@ -6,7 +6,7 @@
 
 use cranehill_core::*;
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Status};
+use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
 
 const SETTINGS: &str = include_str!("settings.json");
@@ -58,7 +58,7 @@
     }
     let entry = Entry {
         endpoint: EndpointId("a".into()),
-        dest: DestId(DESTINATION),
+        dest: DestinationId(DESTINATION),
         condition: Condition::Ready,
         zone: 0,
         kind: 1,
@@ -81,8 +81,8 @@
     Record::Taken {
         id: id.into(),
         class,
-        station: 0,
-        partner: DESTINATION,
+        tenant: 0,
+        destination: DESTINATION,
         key: None,
         order_key: None,
         deadline: at(deadline).0,
--- a/crates/core/tests/virtual_fleet/mod.rs
+++ b/crates/core/tests/virtual_fleet/mod.rs
@@ -6,10 +6,10 @@
 
 use cranehill_core::*;
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Report, Status};
+use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Report, Status};
 use cranehill_scheduler::profile::Profile;
+use cranehill_simulation::destination::{Asked, Connect, Fate, Reply, SimulatedDestination, Spec};
 use cranehill_simulation::fault::{Fault, Kind};
-use cranehill_simulation::partner::{Asked, Connect, Fate, Partner, Reply, Spec};
 use cranehill_simulation::return_guard::Return;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -101,7 +101,7 @@
 struct Fleet<'a> {
     scenario: &'a Scenario,
     now: Duration,
-    partner: Partner,
+    destination: SimulatedDestination,
     nodes: Vec<Node>,
     happenings: BTreeMap<(Duration, u64), Happening>,
     number: u64,
@@ -123,14 +123,14 @@
         },
         ..Spec::default()
     };
-    let partner_rng = ChaCha8Rng::seed_from_u64(rng.next_u64());
+    let destination_rng = ChaCha8Rng::seed_from_u64(rng.next_u64());
     let mut fleet = Fleet {
         scenario,
         now: Duration::ZERO,
-        partner: Partner::new(
+        destination: SimulatedDestination::new(
             spec,
             vec![vec![scenario.outage]; scenario.endpoints],
-            partner_rng,
+            destination_rng,
         ),
         nodes: (0..scenario.senders).map(|_| Node::default()).collect(),
         happenings: BTreeMap::new(),
@@ -184,7 +184,7 @@
                 ends,
             } => {
                 if connected {
-                    self.partner.disconnect(endpoint);
+                    self.destination.disconnect(endpoint);
                 }
                 if self.nodes[sender].process == process {
                     self.on_ended(sender, ends);
@@ -230,7 +230,7 @@
     fn listing(&self, endpoint: usize) -> Listing {
         let entry = Entry {
             endpoint: EndpointId(endpoint.to_string()),
-            dest: DestId(DESTINATION),
+            dest: DestinationId(DESTINATION),
             condition: Condition::Ready,
             zone: 0,
             kind: 0,
@@ -252,11 +252,11 @@
             return;
         }
         self.number += 1;
-        let notice = Notice {
+        let message = Message {
             id: self.number.to_string(),
             class: 0,
-            station: 0,
-            partner: DESTINATION,
+            tenant: 0,
+            destination: DESTINATION,
             key: None,
             order_key: None,
             body: Arc::from(&b"body"[..]),
@@ -265,7 +265,7 @@
             envelope: None,
             from: Origin::Client(0),
         };
-        self.step(sender, Input::Handed(notice));
+        self.step(sender, Input::Handed(message));
         self.turn(sender);
     }
 
@@ -325,7 +325,7 @@
     fn call(&mut self, sender: usize, endpoint: &EndpointId, attempts: Vec<Attempt>) {
         let number: usize = endpoint.0.parse().expect("an endpoint's number");
         let until = attempts.iter().map(|a| a.until).min().unwrap_or(START) - START;
-        let connect = self.partner.connect(self.now, number);
+        let connect = self.destination.connect(self.now, number);
         let failed = |status| (status, None, None);
         let (at, (status, wait, report)) = match connect {
             Connect::Refused => (self.now + AT_ONCE, failed(Status::NoConnection)),
@@ -353,7 +353,7 @@
                     endpoint: number,
                     messages: attempts.len(),
                 };
-                let (reply, _) = self.partner.call(self.now, asked);
+                let (reply, _) = self.destination.call(self.now, asked);
                 self.outcome(number, reply, until)
             }
         };
@@ -396,7 +396,7 @@
                 wait,
                 report,
             } => {
-                let state = self.partner.state(endpoint, at);
+                let state = self.destination.state(endpoint, at);
                 if at > until || state.silent || state.vanished {
                     return overdue;
                 }
--- a/crates/cranehill/src/cli.rs
+++ b/crates/cranehill/src/cli.rs
@@ -139,7 +139,7 @@
         /// Over Web Push in place of the first front.
         #[arg(long)]
         push: bool,
-        /// Endpoints of the stand-in partners, two for each.
+        /// Endpoints of the simulated destinations, two for each.
         #[arg(long, default_value_t = 100, value_parser = clap::value_parser!(u16).range(2..=2000))]
         endpoints: u16,
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=16))]
--- a/crates/cranehill/src/journal.rs
+++ b/crates/cranehill/src/journal.rs
@@ -28,7 +28,7 @@
     Dump {
         #[arg(value_name = "DIR")]
         dir: PathBuf,
-        /// Only those of this notice.
+        /// Only those of this message.
         #[arg(long, value_name = "ID")]
         id: Option<String>,
     },
--- a/crates/cranehill/src/kills.rs
+++ b/crates/cranehill/src/kills.rs
@@ -1,4 +1,4 @@
-//! Kills: a real sender under load is killed at random instants, again and again over one folder, and what partners
+//! Kills: a real sender under load is killed at random instants, again and again over one folder, and what destinations
 //! and the platform saw is held against what was promised. With flips, a byte of its journal is changed between lives.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,13 +18,13 @@
 
 use crate::rehearsal::{Reply, StandIn};
 
-/// How long a notice may be delivered. Short, so that the last life need not be long.
+/// How long a message may be delivered. Short, so that the last life need not be long.
 const LASTS: Duration = Duration::from_millis(3000);
 /// After its time an end may take this much longer to arrive.
 const GRACE: Duration = Duration::from_millis(2000);
 const CLASSES: [&str; 3] = ["safe", "keyed", "unsafe"];
 const CLIENTS: usize = 3;
-const PARTNERS: usize = 3;
+const DESTINATIONS: usize = 3;
 /// Smaller than a segment's header: nothing to flip.
 const HEADER: u64 = 72;
 const ATTEMPTS_MOST: usize = 6;
@@ -47,7 +47,7 @@
 pub struct Outcome {
     pub kills: u32,
     pub flips: u32,
-    /// Notices answered `+OK`, by class.
+    /// Messages answered `+OK`, by class.
     pub taken: [u32; 3],
     pub refused: u32,
     pub delivered: u32,
@@ -60,7 +60,7 @@
     pub second_ends: Vec<String>,
     /// Sent more than six times.
     pub too_often: Vec<String>,
-    /// Lines of the senders' logs that tell of damage, and of notices in doubt.
+    /// Lines of the senders' logs that tell of damage, and of messages in doubt.
     pub damage_lines: u32,
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// What was seen of one notice from outside.
+/// What was seen of one message from outside.
 #[derive(Debug, Default)]
 struct Seen {
     class: usize,
@@ -119,7 +119,7 @@
 
 #[derive(Default)]
 struct Book {
-    notices: BTreeMap<String, Seen>,
+    messages: BTreeMap<String, Seen>,
     refused: u32,
 }
 
@@ -129,8 +129,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The settings of a sender that is killed: three classes, two kinds of partner.
-fn configuration(platform: SocketAddr, partners: &[SocketAddr], disk_mb: f64) -> String {
+/// The settings of a sender that is killed: three classes, two kinds of destination.
+fn configuration(platform: SocketAddr, destinations: &[SocketAddr], disk_mb: f64) -> String {
     let nanos = LASTS.as_nanos();
     let class = |name: &str| {
         format!(
@@ -138,7 +138,7 @@
         )
     };
     let classes: Vec<String> = CLASSES.iter().map(|c| class(c)).collect();
-    let servers: Vec<String> = partners
+    let servers: Vec<String> = destinations
         .iter()
         .enumerate()
         .map(|(n, address)| {
@@ -163,7 +163,7 @@
     )
 }
 
-/// How a partner treats one notice of a call.
+/// How a destination treats one message of a call.
 #[derive(Clone, Copy, PartialEq)]
 enum Fate {
     Done,
@@ -171,7 +171,7 @@
     Busy,
 }
 
-fn partner(book: Shared, seed: u64) -> std::io::Result<StandIn> {
+fn destination(book: Shared, seed: u64) -> std::io::Result<StandIn> {
     let rng = Mutex::new(ChaCha8Rng::seed_from_u64(seed));
     StandIn::new(move |request, _| {
         let draw: u32 = lock(&rng).random_range(0..100);
@@ -191,7 +191,7 @@
         };
         let mut states = Vec::new();
         for (n, id) in ids.iter().enumerate() {
-            // A batch that is answered notice by notice has mixed ends.
+            // A batch that is answered message by message has mixed ends.
             let fate = if batch && fate == Fate::Done && n % 3 == 2 {
                 Fate::Busy
             } else {
@@ -218,7 +218,7 @@
 }
 
 fn attempt(book: &mut Book, id: &str, fate: Fate) {
-    let seen = book.notices.entry(id.to_owned()).or_default();
+    let seen = book.messages.entry(id.to_owned()).or_default();
     seen.attempts += 1;
     seen.repeated |= seen.ran > 0;
     seen.ran += usize::from(fate != Fate::Busy);
@@ -263,7 +263,7 @@
                     "failed"
                 };
                 lock(&book)
-                    .notices
+                    .messages
                     .entry(id)
                     .or_default()
                     .reports
@@ -327,13 +327,13 @@
     }
 }
 
-/// Hands notices in until told to stop or the sender is gone.
+/// Hands messages in until told to stop or the sender is gone.
 fn client(
     to: SocketAddr,
     book: &Mutex<Book>,
     stop: &AtomicBool,
     seed: u64,
-    partners: usize,
+    destinations: usize,
     name: &str,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -357,9 +357,9 @@
         } else {
             String::new()
         };
-        let partner = rng.random_range(0..partners);
+        let destination = rng.random_range(0..destinations);
         let names = format!(
-            "c={},t=onda-central,d={},dest={partner}{key}",
+            "c={},t=onda-central,d={},dest={destination}{key}",
             CLASSES[class],
             LASTS.as_millis()
         );
@@ -374,14 +374,14 @@
             body.len()
         ));
         let bytes = [request.as_bytes(), &body, b"\r\n"].concat();
-        // Known before it is sent: a partner may see it before the answer is here.
-        lock(book).notices.entry(id.clone()).or_default().class = class;
+        // Known before it is sent: a destination may see it before the answer is here.
+        lock(book).messages.entry(id.clone()).or_default().class = class;
         if stream.write_all(&bytes).is_err() {
             return;
         }
         match line(&mut stream).as_deref() {
             Some("+OK") => {
-                if let Some(seen) = lock(book).notices.get_mut(&id) {
+                if let Some(seen) = lock(book).messages.get_mut(&id) {
                     seen.promised = true;
                 }
             }
@@ -428,11 +428,12 @@
     let folder = tempfile::tempdir().map_err(text)?;
     let book: Shared = Arc::default();
     let platform = platform(book.clone()).map_err(text)?;
-    let mut partners = Vec::new();
-    for n in 0..PARTNERS {
-        partners.push(partner(book.clone(), plan.seed.wrapping_add(n as u64)).map_err(text)?);
+    let mut destinations = Vec::new();
+    for n in 0..DESTINATIONS {
+        destinations
+            .push(destination(book.clone(), plan.seed.wrapping_add(n as u64)).map_err(text)?);
     }
-    let addresses: Vec<SocketAddr> = partners.iter().map(|p| p.address).collect();
+    let addresses: Vec<SocketAddr> = destinations.iter().map(|p| p.address).collect();
     let config = configuration(platform.address, &addresses, plan.disk_mb);
     std::fs::write(folder.path().join("config.json"), config).map_err(text)?;
     let state = folder.path().join("state");
@@ -446,7 +447,7 @@
                 let (book, stop, to) = (book.clone(), stop.clone(), life.clients);
                 let seed = rng.random();
                 let name = format!("{kill:06x}{n:02x}");
-                thread::spawn(move || client(to, &book, &stop, seed, PARTNERS, &name))
+                thread::spawn(move || client(to, &book, &stop, seed, DESTINATIONS, &name))
             })
             .collect();
         thread::sleep(Duration::from_micros(rng.random_range(1_000..50_000)));
@@ -465,7 +466,7 @@
     let life = Life::begin(&plan.program, folder.path())?;
     let end = Instant::now() + LASTS + GRACE;
     let owed = |book: &Book| {
-        book.notices
+        book.messages
             .values()
             .any(|s| s.promised && !s.delivered && s.reports.is_empty())
     };
@@ -479,7 +480,7 @@
 
 fn audit(book: &Book, outcome: &mut Outcome) {
     outcome.refused = book.refused;
-    for (id, seen) in &book.notices {
+    for (id, seen) in &book.messages {
         if seen.promised {
             outcome.taken[seen.class] += 1;
             outcome.delivered += u32::from(seen.delivered);
--- a/crates/cranehill/src/rehearsal.rs
+++ b/crates/cranehill/src/rehearsal.rs
@@ -202,7 +202,7 @@
     pub missed: usize,
 }
 
-/// What a notice has at most: no expectation need wait longer.
+/// What a message has at most: no expectation need wait longer.
 const LONGEST: Duration = Duration::from_secs(21);
 
 fn seconds(text: &str) -> Result<Duration, String> {
--- a/crates/cranehill/tests/clients.rs
+++ b/crates/cranehill/tests/clients.rs
@@ -10,10 +10,13 @@
 
 #[test]
 fn a_stream_of_pipelined_requests_neither_overflows_the_stack_nor_starves_the_rest() {
-    let partner = StandIn::new(|_, _| Reply::Silent).expect("partner");
+    let destination = StandIn::new(|_, _| Reply::Silent).expect("partner");
     let platform = platform();
-    let sender = start(&list(1, &[("a", partner.address, 7, "station")]), &platform);
-    // The same notice again is answered at once, so each answer lets the next request in.
+    let sender = start(
+        &list(1, &[("a", destination.address, 7, "station")]),
+        &platform,
+    );
+    // The same message again is answered at once, so each answer lets the next request in.
     const MANY: usize = 20_000;
     let request = put("m1", "c=episode-notice,d=20000,k=aa,dest=7", b"x");
     let address = sender.clients;
@@ -35,8 +38,8 @@
         assert_eq!(other.line(), "+PONG");
     }
     assert_eq!(stream.join().expect("answered"), MANY);
-    assert!(partner.wait_for(1, SOON));
-    assert_eq!(partner.seen().len(), 1, "one notice, one attempt");
+    assert!(destination.wait_for(1, SOON));
+    assert_eq!(destination.seen().len(), 1, "one notice, one attempt");
 }
 
 #[test]
@@ -64,11 +67,11 @@
 
 #[test]
 fn those_who_ask_once_or_nothing_and_stay_do_not_keep_others_out() {
-    let partner = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let destination = StandIn::new(|_, _| Reply::status(200)).expect("partner");
     let platform = platform();
     // So few descriptors as the smallest deployment has.
     let sender = start_with(
-        &list(1, &[("a", partner.address, 7, "station")]),
+        &list(1, &[("a", destination.address, 7, "station")]),
         &platform,
         256,
     );
@@ -86,7 +89,7 @@
         usual.put("m1", "c=episode-notice,d=20000,k=aa,dest=7", b"x"),
         "+OK"
     );
-    assert!(partner.wait_for(1, SOON));
+    assert!(destination.wait_for(1, SOON));
 }
 
 #[test]
@@ -103,9 +106,12 @@
 
 #[test]
 fn what_can_not_be_used_is_never_taken_on_and_its_sender_is_cut_off_in_the_end() {
-    let partner = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let destination = StandIn::new(|_, _| Reply::status(200)).expect("partner");
     let platform = platform();
-    let sender = start(&list(1, &[("a", partner.address, 7, "station")]), &platform);
+    let sender = start(
+        &list(1, &[("a", destination.address, 7, "station")]),
+        &platform,
+    );
     let mut client = Client::new(sender.clients);
     let wrong = [
         "c=episode-notice,d=8000,k=aa,dest=99",
@@ -133,8 +139,8 @@
         client.put("m3", "c=episode-notice,d=8000,k=aa,dest=7", b"x"),
         "+OK"
     );
-    assert!(partner.wait_for(1, SOON));
-    assert_eq!(partner.seen().len(), 1);
+    assert!(destination.wait_for(1, SOON));
+    assert_eq!(destination.seen().len(), 1);
 }
 
 /// Incident r84ba72: when the other sender restarts, its clients all come at once, while every place is held by
@@ -166,10 +172,10 @@
 /// reads at once, so that some is unread at the end.
 #[test]
 fn what_comes_behind_our_end_of_a_connection_is_thrown_away_and_resets_nothing() {
-    let partner = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let destination = StandIn::new(|_, _| Reply::status(200)).expect("partner");
     let platform = platform();
     let prepared = prepare(
-        &list(1, &[("a", partner.address, 7, "station")]),
+        &list(1, &[("a", destination.address, 7, "station")]),
         &platform,
         |_| {},
     );
@@ -196,8 +202,12 @@
     }
     let mut client = Client::new(sender.clients);
     assert_eq!(client.put("m1", names, b"y"), "+OK");
-    assert!(partner.wait_for(1, SOON));
-    let bodies: Vec<Vec<u8>> = partner.seen().into_iter().map(|s| s.request.body).collect();
+    assert!(destination.wait_for(1, SOON));
+    let bodies: Vec<Vec<u8>> = destination
+        .seen()
+        .into_iter()
+        .map(|s| s.request.body)
+        .collect();
     assert_eq!(bodies, [b"y"], "what came behind the end was not sent on");
 }
 
--- a/crates/cranehill/tests/cold_fleet.rs
+++ b/crates/cranehill/tests/cold_fleet.rs
@@ -34,8 +34,12 @@
     for line in &outcome.lines {
         match &line.what {
             What::Back { .. } => back = true,
-            What::Broke { partner: COLD, .. } if !back => told.extend(line.sender),
-            What::Called { partner: COLD, .. } if back => after.extend(line.sender),
+            What::Broke {
+                destination: COLD, ..
+            } if !back => told.extend(line.sender),
+            What::Called {
+                destination: COLD, ..
+            } if back => after.extend(line.sender),
             _ => {}
         }
     }
--- a/crates/cranehill/tests/common/mod.rs
+++ b/crates/cranehill/tests/common/mod.rs
@@ -24,7 +24,7 @@
 "rules":{"cold":9100000000,"coldFrom":0.23,"fall":3000000000,"fallMultiple":1.5,"graceToAnswer":20000000},
 "tenants":[{"name":"onda-central","quotaRps":10.0}],"tick":5000000,"weightKind":"rough","zone":0,"zones":["sanjose-1"]}"#;
 
-/// A list of endpoints: id, address, partner, kind.
+/// A list of endpoints: id, address, destination, kind.
 pub fn list(version: u64, endpoints: &[(&str, SocketAddr, u64, &str)]) -> String {
     let rows: Vec<String> = endpoints
         .iter()
@@ -145,7 +145,7 @@
     prepare(known, platform, change).run()
 }
 
-/// A program of a station that hands notices in.
+/// A program of a tenant that hands messages in.
 pub struct Client(TcpStream);
 
 impl Client {
@@ -232,7 +232,7 @@
     (listener, fill)
 }
 
-/// What the platform has been told of notices that ended.
+/// What the platform has been told of messages that ended.
 pub fn reports(platform: &StandIn) -> Vec<String> {
     let posts = platform
         .seen()
--- a/crates/cranehill/tests/endings.rs
+++ b/crates/cranehill/tests/endings.rs
@@ -12,22 +12,22 @@
 
 const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
-fn seen_bodies(partner: &StandIn) -> Vec<String> {
-    partner
+fn seen_bodies(destination: &StandIn) -> Vec<String> {
+    destination
         .seen()
         .iter()
         .map(|s| String::from_utf8_lossy(&s.request.body).into_owned())
         .collect()
 }
 
-/// The states of all notices in a call's body.
+/// The states of all messages in a call's body.
 fn states(body: &[u8], state: &str) -> String {
     let items: Vec<serde_json::Value> = serde_json::from_slice(body).expect("a batch");
     let one = |item: &serde_json::Value| serde_json::json!({"id": item["id"], "state": state});
     serde_json::Value::from(items.iter().map(one).collect::<Vec<_>>()).to_string()
 }
 
-/// A sender that finds m1 and m2, of a client each, at once: they share a call where the partner takes several.
+/// A sender that finds m1 and m2, of a client each, at once: they share a call where the destination takes several.
 fn two_at_once(known: &str, platform: &StandIn) -> (Running, [Client; 2]) {
     let prepared = prepare(known, platform, |_| {});
     let mut clients = [Client::new(prepared.clients), Client::new(prepared.clients)];
@@ -39,15 +39,15 @@
     (sender, clients)
 }
 
-/// Guards a batch whose answer breaks off: its first line says 200, and for several notices only the whole answer says what
-/// became of each. Both notices are there before the sender runs, so that they share a call.
+/// Guards a batch whose answer breaks off: its first line says 200, and for several messages only the whole answer says what
+/// became of each. Both messages are there before the sender runs, so that they share a call.
 #[test]
 fn a_batch_whose_answer_is_cut_has_delivered_none_of_it() {
     for cut in [
         "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n[{\"id\":\"m1\",\"state\":\"done\"},",
         "HTTP/1.1 200 OK\r\n",
     ] {
-        let partner = StandIn::new(move |request, number| match number {
+        let destination = StandIn::new(move |request, number| match number {
             0 => Reply::Bytes(cut.as_bytes().to_vec()),
             _ if request.path == "/hook/batch" => {
                 let text = states(&request.body, "done");
@@ -62,21 +62,21 @@
         })
         .expect("partner");
         let platform = platform();
-        let known = list(1, &[("a", partner.address, 7, "bulk-directory")]);
+        let known = list(1, &[("a", destination.address, 7, "bulk-directory")]);
         let _running = two_at_once(&known, &platform);
         let both = |bodies: &[String]| {
             ["m1", "m2"]
                 .iter()
                 .all(|id| bodies.iter().any(|b| b.contains(id)))
         };
-        assert!(partner.wait_for(1, SOON));
+        assert!(destination.wait_for(1, SOON));
         assert!(
-            both(&seen_bodies(&partner)[..1]),
+            both(&seen_bodies(&destination)[..1]),
             "they share a call: {:?}",
-            seen_bodies(&partner)
+            seen_bodies(&destination)
         );
         let again = |ids: &[&str]| {
-            let after = partner.seen()[1..].to_vec();
+            let after = destination.seen()[1..].to_vec();
             ids.iter().all(|id| {
                 after.iter().any(|s| {
                     let one = s.request.headers.iter().any(|h| h.1 == id.as_bytes());
@@ -89,10 +89,10 @@
     }
 }
 
-/// Guards a whole answer that leaves one notice out or says it failed: the others are delivered, that one goes again.
+/// Guards a whole answer that leaves one message out or says it failed: the others are delivered, that one goes again.
 #[test]
 fn what_a_batch_answer_does_not_say_of_a_notice_is_not_said_by_the_others() {
-    let partner = StandIn::new(|request, number| match number {
+    let destination = StandIn::new(|request, number| match number {
         0 => {
             let text = r#"[{"id":"m1","state":"done"},{"id":"m3","state":"done"}]"#;
             assert_eq!(request.path, "/hook/batch");
@@ -102,16 +102,16 @@
     })
     .expect("partner");
     let platform = platform();
-    let known = list(1, &[("a", partner.address, 7, "bulk-directory")]);
+    let known = list(1, &[("a", destination.address, 7, "bulk-directory")]);
     let (_sender, mut clients) = two_at_once(&known, &platform);
-    assert!(partner.wait_for(2, SOON));
-    let again = &partner.seen()[1].request;
+    assert!(destination.wait_for(2, SOON));
+    let again = &destination.seen()[1].request;
     assert!(again.headers.iter().any(|h| h.1 == b"m2"), "{again:?}");
-    // A further notice shows that nothing else was to come before it.
+    // A further message shows that nothing else was to come before it.
     assert_eq!(clients[0].put("m4", NAMES, b"y"), "+OK");
-    assert!(partner.wait_for(3, SOON));
+    assert!(destination.wait_for(3, SOON));
     assert!(
-        partner.seen()[2]
+        destination.seen()[2]
             .request
             .headers
             .iter()
@@ -123,10 +123,10 @@
 /// a part of one is nothing.
 #[test]
 fn a_client_that_is_gone_before_it_is_heard_leaves_what_was_whole_and_nothing_else() {
-    let partner = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let destination = StandIn::new(|_, _| Reply::status(200)).expect("partner");
     let platform = platform();
     let prepared = prepare(
-        &list(1, &[("a", partner.address, 7, "station")]),
+        &list(1, &[("a", destination.address, 7, "station")]),
         &platform,
         |_| {},
     );
@@ -138,23 +138,26 @@
     whole.send(&put("whole", NAMES, b"whole"));
     drop(whole);
     let sender = prepared.run();
-    assert!(partner.wait_for(1, SOON));
+    assert!(destination.wait_for(1, SOON));
     let mut other = Client::new(sender.clients);
     assert_eq!(other.put("m1", NAMES, b"after"), "+OK");
-    assert!(partner.wait_for(2, SOON));
-    assert_eq!(seen_bodies(&partner), ["whole", "after"]);
+    assert!(destination.wait_for(2, SOON));
+    assert_eq!(seen_bodies(&destination), ["whole", "after"]);
 }
 
 /// Guards a new endpoint at an old address: it is another, and gets no connection of the old one.
 #[test]
 fn a_new_id_at_an_old_address_gets_a_connection_of_its_own() {
-    let partner = StandIn::new(|_, _| Reply::status(200)).expect("partner");
-    let (platform, change) = changing(list(2, &[("b", partner.address, 7, "station")]));
-    let sender = start(&list(1, &[("a", partner.address, 7, "station")]), &platform);
+    let destination = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let (platform, change) = changing(list(2, &[("b", destination.address, 7, "station")]));
+    let sender = start(
+        &list(1, &[("a", destination.address, 7, "station")]),
+        &platform,
+    );
     let mut client = Client::new(sender.clients);
     for id in ["m1", "m2"] {
         assert_eq!(client.put(id, NAMES, b"x"), "+OK");
-        assert!(partner.wait_for(if id == "m1" { 1 } else { 2 }, SOON));
+        assert!(destination.wait_for(if id == "m1" { 1 } else { 2 }, SOON));
     }
     change.store(true, Ordering::Relaxed);
     soon("the watch that continues", || {
@@ -164,8 +167,8 @@
             .any(|s| s.request.path.contains("from=2&"))
     });
     assert_eq!(client.put("m3", NAMES, b"x"), "+OK");
-    assert!(partner.wait_for(3, SOON));
-    let connections: Vec<usize> = partner.seen().iter().map(|s| s.connection).collect();
+    assert!(destination.wait_for(3, SOON));
+    let connections: Vec<usize> = destination.seen().iter().map(|s| s.connection).collect();
     assert!(
         !connections[..2].contains(&connections[2]),
         "{connections:?}"
--- a/crates/cranehill/tests/exchanges.rs
+++ b/crates/cranehill/tests/exchanges.rs
@@ -37,7 +37,7 @@
     let mut endpoints: BTreeMap<&str, (StandIn, Answers, u64, &str)> = BTreeMap::new();
     for line in &lines {
         if let ["endpoint", id, rest] = line[..] {
-            let (partner, kind) = rest.split_once(' ').expect("partner and kind");
+            let (destination, kind) = rest.split_once(' ').expect("partner and kind");
             let answers = Answers::default();
             let next = answers.clone();
             let stand_in = StandIn::new(move |_, _| {
@@ -51,7 +51,7 @@
                 (
                     stand_in.expect("endpoint"),
                     answers,
-                    partner.parse().expect("a number"),
+                    destination.parse().expect("a number"),
                     kind,
                 ),
             );
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -298,8 +298,8 @@
     }
 }
 
-/// Three of five are killed at once under load, one of them without its folder, while the directory is silent and a partner
-/// lowers its limit. Guards the whole way back: every owed notice ends once and in time, and each sender says that it is full.
+/// Three of five are killed at once under load, one of them without its folder, while the directory is silent and a destination
+/// lowers its limit. Guards the whole way back: every owed message ends once and in time, and each sender says that it is full.
 #[test]
 fn most_senders_come_back_at_once() {
     let (head, _) = DAY.split_once("[[break]]").expect("breaks");
@@ -471,7 +471,7 @@
 "#;
 
 /// Guards the whole way: evidence, words, quorum, gates and probes. One that is cut off from a zone moves nobody; a zone that fails
-/// is left by all and returned to by all; every notice ends in time, and the returning partners are not pushed over.
+/// is left by all and returned to by all; every message ends in time, and the returning destinations are not pushed over.
 #[test]
 fn a_zone_is_left_and_returned_to_by_all_and_not_for_one() {
     let plan = Plan {
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -516,8 +516,8 @@
     let accepted = |id: &str, key: Option<&str>, order_key: Option<&str>| Record::Taken {
         id: id.into(),
         class: 2,
-        station: 1,
-        partner: 7,
+        tenant: 1,
+        destination: 7,
         key: key.map(str::to_owned),
         order_key: order_key.map(str::to_owned),
         deadline: (NOW + 20_000) * NANOS_PER_MS,
--- a/crates/cranehill/tests/handover.rs
+++ b/crates/cranehill/tests/handover.rs
@@ -50,7 +50,7 @@
 const SEVEN: &str = "c=episode-notice,t=onda-central,d=15000,dest=7";
 const EIGHT: &str = "c=episode-notice,t=onda-central,d=15000,dest=8";
 
-/// Guards the whole way: the listener, a connection in the middle of a request, a notice that is held, and a told wait all
+/// Guards the whole way: the listener, a connection in the middle of a request, a message that is held, and a told wait all
 /// pass from one process to the other, and nobody is closed on.
 #[test]
 fn a_new_process_goes_on_where_the_old_one_stops() {
@@ -92,7 +92,7 @@
         calls.recv_timeout(SOON).expect("a call").0,
         "00000000000000b7"
     );
-    // Once more inside the wait: the second process has never called that partner, and knows of the wait all the same.
+    // Once more inside the wait: the second process has never called that destination, and knows of the wait all the same.
     let old = new;
     let new = beside(&known, &platform, folder.path());
     assert_eq!(new.clients, old.clients);
@@ -170,7 +170,7 @@
 }
 
 /// Guards the promises over real processes: upgrades under load, with the old or the new process killed around the moment of the
-/// hand-over. Whatever moment it hits, every notice has one end in time, and no attempt is out twice.
+/// hand-over. Whatever moment it hits, every message has one end in time, and no attempt is out twice.
 #[test]
 fn upgrades_under_load_lose_nothing_also_when_one_process_is_killed() {
     let text = include_str!("../../../rehearsals/days/upgrade.toml").replace("120/s", "40/s");
--- a/crates/cranehill/tests/journal.rs
+++ b/crates/cranehill/tests/journal.rs
@@ -29,8 +29,8 @@
     Record::Taken {
         id: id.into(),
         class: 0,
-        station: 1,
-        partner: 7,
+        tenant: 1,
+        destination: 7,
         key: None,
         order_key: Some(format!("account-{}", &id[id.len() - 1..])),
         deadline: (NOW + 20_000) * 1_000_000,
--- a/crates/cranehill/tests/operator.rs
+++ b/crates/cranehill/tests/operator.rs
@@ -46,8 +46,8 @@
         .unwrap_or_else(|| panic!("{path}: {text}"))
 }
 
-/// Two endpoints of partner 7 that say who was called with what.
-fn partner() -> (StandIn, StandIn, Receiver<(char, String)>) {
+/// Two endpoints of destination 7 that say who was called with what.
+fn destination() -> (StandIn, StandIn, Receiver<(char, String)>) {
     let (said, heard) = channel();
     let endpoint = |name: char| {
         let said = said.clone();
@@ -75,7 +75,7 @@
 
 #[test]
 fn each_call_has_its_yes_and_its_no() {
-    let (a, b, _heard) = partner();
+    let (a, b, _heard) = destination();
     let platform = platform();
     let sender = operated(&rows(&a, &b), &platform, None);
     let mut transcript = String::new();
@@ -117,7 +117,7 @@
 /// back; one call back is enough however many took it out.
 #[test]
 fn what_is_detached_gets_nothing_until_the_call_back() {
-    let (a, b, heard) = partner();
+    let (a, b, heard) = destination();
     let (known, platform) = (rows(&a, &b), platform());
     let folder = tempfile::tempdir().expect("a folder");
     let put = |sender: &Running, id: &str| Client::new(sender.clients).put(id, NAMES, b"body");
@@ -161,7 +161,7 @@
 /// Guards the drain: who asks hears a no, connections end between requests, and what was written is answered.
 #[test]
 fn an_emptying_sender_answers_what_has_come_and_ends_its_connections() {
-    let (a, b, _heard) = partner();
+    let (a, b, _heard) = destination();
     let platform = platform();
     let sender = operated(&rows(&a, &b), &platform, None);
     let (mut idle, mut busy) = (Client::new(sender.clients), Client::new(sender.clients));
@@ -198,7 +198,7 @@
 /// Guards the address against callers who open connections and ask nothing: they neither keep others out nor stay.
 #[test]
 fn silent_callers_keep_nobody_out() {
-    let (a, b, _heard) = partner();
+    let (a, b, _heard) = destination();
     let platform = platform();
     let sender = operated(&rows(&a, &b), &platform, None);
     let at = sender.operator.expect("an address");
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -6,8 +6,8 @@
 
 use cranehill::{nginx, rehearsal};
 use cranehill_daemon::clients::{self, Request};
+use cranehill_daemon::destinations::{self, Verdict};
 use cranehill_daemon::http::{self, Response};
-use cranehill_daemon::partners::{self, Verdict};
 use cranehill_daemon::{config, directory, webpush};
 use cranehill_scheduler::api::{Condition, Status};
 
@@ -62,11 +62,11 @@
         "127.0.0.1:1".parse().expect("an address"),
     )
     .site;
-    let read = |names: &str| clients::notice(&site, 1, b"0000", "m".into(), names, Vec::new());
-    let notice =
+    let read = |names: &str| clients::message(&site, 1, b"0000", "m".into(), names, Vec::new());
+    let message =
         read("c=episode-notice,t=onda-central,d=8000,k=5c0f,dest=7,r=1,new=thing").expect("valid");
     assert_eq!(
-        (notice.partner, notice.left, notice.key.as_deref()),
+        (message.destination, message.left, message.key.as_deref()),
         (7, Duration::from_secs(8), Some("5c0f"))
     );
     for bad in [
@@ -165,7 +165,7 @@
         " x0=-3,x1=5",
         " x0=0.5,x1=1e300",
     ] {
-        let told = partners::read(&response(&text(bad)), &["a"], Duration::ZERO);
+        let told = destinations::read(&response(&text(bad)), &["a"], Duration::ZERO);
         assert_eq!(
             (told.verdicts[0].status, told.wait),
             (Status::Refused, Some(Duration::from_secs(2))),
@@ -174,12 +174,12 @@
         assert!(told.report.is_none(), "{bad:?}");
     }
     assert!(
-        partners::read(&response(&text(" x0=0.5,x1=5")), &["a"], Duration::ZERO)
+        destinations::read(&response(&text(" x0=0.5,x1=5")), &["a"], Duration::ZERO)
             .report
             .is_some()
     );
     let batch = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[{";
-    let told = partners::read(&response(batch), &["a", "b"], Duration::ZERO);
+    let told = destinations::read(&response(batch), &["a", "b"], Duration::ZERO);
     assert_eq!(
         told.verdicts,
         [Verdict::of(Status::Spoilt); 2],
@@ -189,7 +189,7 @@
 
 #[test]
 fn a_partners_answer_tells_of_each_notice_of_the_wait_and_of_the_limit() {
-    let told = |text: &str, ids: &[&str]| partners::read(&response(text), ids, Duration::ZERO);
+    let told = |text: &str, ids: &[&str]| destinations::read(&response(text), ids, Duration::ZERO);
     let one = |text: &str| told(text, &["a"]).verdicts[0];
     assert_eq!(
         one("HTTP/1.1 200 OK\r\n\r\n"),
--- a/crates/cranehill/tests/rehearse.rs
+++ b/crates/cranehill/tests/rehearse.rs
@@ -36,7 +36,7 @@
     !matches!(verdict, Verdict::Kept { cases: 0 })
 }
 
-/// What partners ask for, unsafe classes, restarts and Web Push, all at once: the sound build breaks no rule. Whatever the
+/// What destinations ask for, unsafe classes, restarts and Web Push, all at once: the sound build breaks no rule. Whatever the
 /// machine is busy with can make a rule unclear, and never broken.
 #[test]
 fn a_short_set_of_days_breaks_no_rule() {
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -70,14 +70,14 @@
 
 #[test]
 fn a_reload_moves_the_list_and_the_unanswered_reports_again_and_again() {
-    let partner = StandIn::new(|_, _| Reply::status(400)).expect("partner");
+    let destination = StandIn::new(|_, _| Reply::status(400)).expect("partner");
     let other = StandIn::new(|_, _| Reply::status(200)).expect("partner");
     // The first platform takes no report: it must go to the second.
     let first = StandIn::new(|_, _| Reply::Silent).expect("platform");
     let second = listing(list(3, &[("b", other.address, 7, "station")]));
-    let third = listing(list(2, &[("a", partner.address, 7, "station")]));
+    let third = listing(list(2, &[("a", destination.address, 7, "station")]));
     let says = Answers::default();
-    let known = list(50, &[("a", partner.address, 7, "station")]);
+    let known = list(50, &[("a", destination.address, 7, "station")]);
     let (clients, ask) = start_with(&known, &first, says.clone());
     let mut client = Client::new(clients);
     let names = "c=episode-notice,d=20000,k=aa,dest=7";
--- a/crates/cranehill/tests/restart.rs
+++ b/crates/cranehill/tests/restart.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// A partner that is silent until it is opened.
-fn partner() -> (StandIn, Arc<AtomicBool>) {
+/// A destination that is silent until it is opened.
+fn destination() -> (StandIn, Arc<AtomicBool>) {
     let open = Arc::new(AtomicBool::new(false));
     let is_open = open.clone();
     let answer = move |_: &_, _| {
@@ -84,29 +84,33 @@
 
 const NAMES: &str = "c=episode-notice,t=onda-central,d=20000,k=5c0f,dest=7";
 
-fn bodies(partner: &StandIn) -> Vec<Vec<u8>> {
-    partner.seen().into_iter().map(|s| s.request.body).collect()
+fn bodies(destination: &StandIn) -> Vec<Vec<u8>> {
+    destination
+        .seen()
+        .into_iter()
+        .map(|s| s.request.body)
+        .collect()
 }
 
 #[test]
 fn a_notice_taken_on_is_delivered_after_a_kill() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
-    let (partner, open) = partner();
+    let (destination, open) = destination();
     let platform = platform();
-    let known = list(1, &[("a", partner.address, 7, "station")]);
+    let known = list(1, &[("a", destination.address, 7, "station")]);
     let mut first = spawn(folder, &known, &platform);
     assert_eq!(
         Client::new(first.clients).put("m1", NAMES, b"one\r\n\0two"),
         "+OK"
     );
-    assert!(partner.wait_for(1, SOON));
+    assert!(destination.wait_for(1, SOON));
     first.child.kill().expect("killed");
     first.child.wait().expect("gone");
     open.store(true, Ordering::Relaxed);
     let _second = spawn(folder, &known, &platform);
-    assert!(partner.wait_for(2, SOON), "the notice is sent again");
-    assert_eq!(bodies(&partner), [b"one\r\n\0two", b"one\r\n\0two"]);
+    assert!(destination.wait_for(2, SOON), "the notice is sent again");
+    assert_eq!(bodies(&destination), [b"one\r\n\0two", b"one\r\n\0two"]);
 }
 
 #[test]
@@ -153,9 +157,9 @@
 fn a_sigterm_still_serves_and_ends_by_itself_with_the_rest_in_the_ledger() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
-    let (partner, open) = partner();
+    let (destination, open) = destination();
     let platform = platform();
-    let known = list(1, &[("a", partner.address, 7, "station")]);
+    let known = list(1, &[("a", destination.address, 7, "station")]);
     let mut first = spawn(folder, &known, &platform);
     let mut client = Client::new(first.clients);
     assert_eq!(client.put("m1", NAMES, b"one"), "+OK");
@@ -173,13 +177,13 @@
     assert_eq!(late.line(), "+OK");
     assert!(first.child.wait().expect("it ends").success());
     open.store(true, Ordering::Relaxed);
-    let seen = partner.seen().len();
+    let seen = destination.seen().len();
     let _second = spawn(folder, &known, &platform);
     assert!(
-        partner.wait_for(seen + 2, SOON),
+        destination.wait_for(seen + 2, SOON),
         "both are delivered by the next life"
     );
-    let mut after = bodies(&partner)[seen..].to_vec();
+    let mut after = bodies(&destination)[seen..].to_vec();
     after.sort();
     assert_eq!(after, [b"one", b"two"]);
 }
@@ -188,8 +192,8 @@
 fn every_notice_taken_on_ends_however_often_the_process_is_killed() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
-    // Slow enough that each kill finds attempts out and notices held; some answers are errors and refusals.
-    let partner = StandIn::new(|_, number| {
+    // Slow enough that each kill finds attempts out and messages held; some answers are errors and refusals.
+    let destination = StandIn::new(|_, number| {
         std::thread::sleep(Duration::from_millis(15));
         match number % 7 {
             3 => Reply::status(500),
@@ -199,7 +203,7 @@
     })
     .expect("partner");
     let platform = platform();
-    let known = list(1, &[("a", partner.address, 7, "station")]);
+    let known = list(1, &[("a", destination.address, 7, "station")]);
     let mut taken = Vec::new();
     for life in 0..4 {
         let mut process = spawn(folder, &known, &platform);
@@ -216,7 +220,7 @@
     assert!(taken.len() >= 24, "{taken:?}");
     let mut last = spawn(folder, &known, &platform);
     let ended = || {
-        let seen: std::collections::BTreeSet<Vec<u8>> = bodies(&partner).into_iter().collect();
+        let seen: std::collections::BTreeSet<Vec<u8>> = bodies(&destination).into_iter().collect();
         taken.iter().all(|id| seen.contains(id.as_bytes()))
     };
     let until = Instant::now() + SOON * 2;
@@ -243,9 +247,9 @@
 fn a_torn_last_record_is_dropped_and_the_rest_kept() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
-    let (partner, open) = partner();
+    let (destination, open) = destination();
     let platform = platform();
-    let known = list(1, &[("a", partner.address, 7, "station")]);
+    let known = list(1, &[("a", destination.address, 7, "station")]);
     let mut first = spawn(folder, &known, &platform);
     assert_eq!(Client::new(first.clients).put("m1", NAMES, b"one"), "+OK");
     first.child.kill().expect("killed");
@@ -261,9 +265,9 @@
     bytes.extend_from_slice(&[90, 0, 0]);
     std::fs::write(head, bytes).expect("written");
     open.store(true, Ordering::Relaxed);
-    let before = partner.seen().len();
+    let before = destination.seen().len();
     let _second = spawn(folder, &known, &platform);
-    assert!(partner.wait_for(before + 1, SOON));
+    assert!(destination.wait_for(before + 1, SOON));
 }
 
 #[test]
@@ -340,10 +344,10 @@
 fn a_sighup_does_not_end_the_process_whatever_the_file_says() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
-    let (partner, open) = partner();
+    let (destination, open) = destination();
     open.store(true, Ordering::Relaxed);
     let platform = platform();
-    let known = list(1, &[("a", partner.address, 7, "station")]);
+    let known = list(1, &[("a", destination.address, 7, "station")]);
     let mut first = spawn(folder, &known, &platform);
     let other = self::platform();
     let config = folder.join("config.json");
@@ -359,7 +363,7 @@
         "the file goes before the variable that was told at start"
     );
     assert_eq!(Client::new(first.clients).put("m2", NAMES, b"two"), "+OK");
-    assert!(partner.wait_for(2, SOON));
+    assert!(destination.wait_for(2, SOON));
     first.signal("-TERM");
     assert!(first.child.wait().expect("it ends").success());
 }
@@ -367,15 +371,20 @@
 /// A process whose call for m1 is answered so after the wait for it: it is stopped over the moment, so that it finds the
 /// end of the wait and the answer at once.
 fn answered_late(folder: &Path, platform: &StandIn, answer: &[u8]) -> (Process, TcpListener) {
-    let partner = TcpListener::bind("127.0.0.1:0").expect("bound");
+    let destination = TcpListener::bind("127.0.0.1:0").expect("bound");
     let known = list(
         1,
-        &[("a", partner.local_addr().expect("an address"), 7, "station")],
+        &[(
+            "a",
+            destination.local_addr().expect("an address"),
+            7,
+            "station",
+        )],
     );
     let process = spawn(folder, &known, platform);
     let names = "c=episode-notice,d=900,k=5c0f,dest=7";
     assert_eq!(Client::new(process.clients).put("m1", names, b"one"), "+OK");
-    let (mut call, _) = partner.accept().expect("its connection");
+    let (mut call, _) = destination.accept().expect("its connection");
     let mut request = Vec::new();
     while !request.ends_with(b"one") {
         let mut byte = [0];
@@ -392,10 +401,10 @@
     soon("its end is reported", || {
         reports(platform).iter().any(|r| r.contains(r#""id":"m1""#))
     });
-    (process, partner)
+    (process, destination)
 }
 
-/// Guards an answer that comes as the wait for it ends: the partner, which was told how long the sender waits, held the
+/// Guards an answer that comes as the wait for it ends: the destination, which was told how long the sender waits, held the
 /// call for given up, and the sender took the answer for a delivery and told nobody (narrow days of an own site, seed 205:
 /// one message lost).
 #[test]
@@ -414,7 +423,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let platform = platform();
     let answer = b"HTTP/1.1 429 No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n";
-    let (process, partner) = answered_late(folder.path(), &platform, answer);
+    let (process, destination) = answered_late(folder.path(), &platform, answer);
     let names = "c=episode-notice,d=900,k=5c10,dest=7";
     assert_eq!(Client::new(process.clients).put("m2", names, b"two"), "+OK");
     soon("it is given up", || {
@@ -422,8 +431,8 @@
             .iter()
             .any(|r| r.contains(r#""id":"m2""#))
     });
-    partner.set_nonblocking(true).expect("set");
-    assert!(partner.accept().is_err(), "a call inside the wait");
+    destination.set_nonblocking(true).expect("set");
+    assert!(destination.accept().is_err(), "a call inside the wait");
 }
 
 /// Guards an end that is asked for more than once, with a reload between, while the endpoint hangs and the platform takes no
@@ -432,13 +441,13 @@
 fn a_second_sigterm_and_a_sighup_while_all_hangs_change_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
-    let (partner, open) = partner();
+    let (destination, open) = destination();
     let rejects = StandIn::new(|_, _| Reply::status(400)).expect("partner");
     let silent = StandIn::new(|_, _| Reply::Silent).expect("platform");
     let known = list(
         1,
         &[
-            ("a", partner.address, 7, "station"),
+            ("a", destination.address, 7, "station"),
             ("r", rejects.address, 8, "station"),
         ],
     );
@@ -461,10 +470,10 @@
         .expect("its last line");
     assert!(stopped.contains(" 1 notices and 1 reports"), "{stopped}");
     open.store(true, Ordering::Relaxed);
-    let before = partner.seen().len();
+    let before = destination.seen().len();
     let platform = platform();
     let _second = spawn(folder, &known, &platform);
-    assert!(partner.wait_for(before + 1, SOON), "the notice");
+    assert!(destination.wait_for(before + 1, SOON), "the notice");
     soon("the report", || {
         reports(&platform)
             .iter()
--- a/crates/cranehill/tests/spoilt.rs
+++ b/crates/cranehill/tests/spoilt.rs
@@ -9,37 +9,37 @@
 
 const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
-/// What the partner was sent when it answers the first requests so, and 200 from then on: for each request
+/// What the destination was sent when it answers the first requests so, and 200 from then on: for each request
 /// its connection and how long after the first it came.
 fn play(
     answers: &'static [&'static str],
-    notices: usize,
+    messages: usize,
     requests: usize,
 ) -> Vec<(usize, Duration)> {
-    let partner = StandIn::new(|_, number| match answers.get(number) {
+    let destination = StandIn::new(|_, number| match answers.get(number) {
         Some(text) => Reply::Bytes(text.as_bytes().to_vec()),
         None => Reply::status(200),
     })
     .expect("partner");
     let platform = platform();
     // A call is waited for for a quarter of the aim at least: 5 s, so that what ends sooner did not end by that.
-    let known = list(1, &[("a", partner.address, 7, "station")]);
+    let known = list(1, &[("a", destination.address, 7, "station")]);
     let sender = start_as(&known, &platform, |setup| {
         setup.site.settings.classes[0].aim = Duration::from_secs(20)
     });
     let mut client = Client::new(sender.clients);
-    for n in 0..notices {
+    for n in 0..messages {
         assert_eq!(client.put(&format!("m{n}"), NAMES, b"x"), "+OK");
-        assert!(partner.wait_for((n + 1).min(requests), SOON));
+        assert!(destination.wait_for((n + 1).min(requests), SOON));
     }
     assert!(
-        partner.wait_for(requests, SOON),
+        destination.wait_for(requests, SOON),
         "{} of {requests} requests",
-        partner.seen().len()
+        destination.seen().len()
     );
     // Nothing more comes, unless something is wrong.
     std::thread::sleep(Duration::from_millis(700));
-    let seen = partner.seen();
+    let seen = destination.seen();
     let first: Instant = seen[0].at;
     seen.iter().map(|s| (s.connection, s.at - first)).collect()
 }
@@ -91,7 +91,7 @@
 
 #[test]
 fn a_kept_connection_that_died_is_no_failure_of_the_partner_and_others_kept_as_long_are_not_used() {
-    let partner = StandIn::new(|_, number| {
+    let destination = StandIn::new(|_, number| {
         if number == 1 {
             Reply::Close
         } else {
@@ -100,13 +100,16 @@
     })
     .expect("partner");
     let platform = platform();
-    let sender = start(&list(1, &[("a", partner.address, 7, "station")]), &platform);
+    let sender = start(
+        &list(1, &[("a", destination.address, 7, "station")]),
+        &platform,
+    );
     let mut client = Client::new(sender.clients);
     for (n, requests) in [1, 3, 4].into_iter().enumerate() {
         assert_eq!(client.put(&format!("m{n}"), NAMES, b"x"), "+OK");
-        assert!(partner.wait_for(requests, SOON));
+        assert!(destination.wait_for(requests, SOON));
         std::thread::sleep(Duration::from_millis(400));
     }
-    let connections: Vec<usize> = partner.seen().iter().map(|s| s.connection).collect();
+    let connections: Vec<usize> = destination.seen().iter().map(|s| s.connection).collect();
     assert_eq!(connections, [0, 0, 1, 2]);
 }
--- a/crates/cranehill/tests/webpush.rs
+++ b/crates/cranehill/tests/webpush.rs
@@ -1,4 +1,4 @@
-//! The Web Push front, from an app partner's post to its one answer, before a stand-in push service.
+//! The Web Push front, from an app destination's post to its one answer, before a stand-in push service.
 
 mod common;
 
@@ -375,9 +375,9 @@
 
 #[test]
 fn beside_the_platform_both_fronts_work_and_a_new_whole_list_leaves_the_push_services_in() {
-    let partner = always(Reply::status(200));
+    let destination = always(Reply::status(200));
     let service = always(Reply::status(201));
-    let whole = common::list(9, &[("a", partner.address, 7, "station")]);
+    let whole = common::list(9, &[("a", destination.address, 7, "station")]);
     let answer = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{whole}",
         whole.len()
@@ -412,7 +412,7 @@
         client.put("m1", "c=episode-notice,d=8000,k=aa,dest=7", b"x"),
         "+OK"
     );
-    assert!(partner.wait_for(1, SOON));
+    assert!(destination.wait_for(1, SOON));
     assert_eq!(post(&front, "a", &[("TTL", "9")], b"y").status, 201);
-    assert_eq!((partner.seen().len(), service.seen().len()), (1, 1));
+    assert_eq!((destination.seen().len(), service.seen().len()), (1, 1));
 }
--- a/crates/daemon/src/beside.rs
+++ b/crates/daemon/src/beside.rs
@@ -12,7 +12,7 @@
     most: u64,
 }
 
-/// What this sender knew of partners.
+/// What this sender knew of destinations.
 pub const LEARNT: Beside = Beside {
     name: "learnt",
     new: "learnt.new",
--- a/crates/daemon/src/by_endpoint.rs
+++ b/crates/daemon/src/by_endpoint.rs
@@ -15,7 +15,7 @@
 impl ByEndpoint {
     /// A connection was opened.
     pub fn add(&mut self, role: &Role, connection: usize) {
-        if let Role::Partner { endpoint, .. } = role {
+        if let Role::Destination { endpoint, .. } = role {
             self.connections
                 .entry(endpoint.clone())
                 .or_default()
@@ -25,7 +25,7 @@
 
     /// A connection is closed.
     pub fn remove(&mut self, role: &Role, connection: usize) {
-        let Role::Partner { endpoint, .. } = role else {
+        let Role::Destination { endpoint, .. } = role else {
             return;
         };
         let Some(connections) = self.connections.get_mut(endpoint) else {
--- a/crates/daemon/src/clients.rs
+++ b/crates/daemon/src/clients.rs
@@ -1,12 +1,12 @@
-//! The stations' programs that hand notices in, over RESP2: pure parsing and writing.
+//! The tenants' programs that hand messages in, over RESP2: pure parsing and writing.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::config::Site;
-use cranehill_core::{Answer, Notice, Origin};
+use cranehill_core::{Answer, Message, Origin};
 
-/// The largest body of a notice, and room for the words before it.
+/// The largest body of a message, and room for the words before it.
 const WORD_MOST: usize = 64 * 1024;
 const WORDS_MOST: usize = 16;
 /// The longest key of a class that keeps its order; those of the platform have 16 characters.
@@ -19,7 +19,7 @@
     Ping,
     Quit,
     Put {
-        /// The first argument: what the notice keeps its order within, where its class keeps one.
+        /// The first argument: what the message keeps its order within, where its class keeps one.
         key: Vec<u8>,
         id: String,
         names: String,
@@ -120,7 +120,7 @@
     }
 }
 
-/// The key of a notice whose class keeps its order: text without spaces. Zeros alone are none.
+/// The key of a message whose class keeps its order: text without spaces. Zeros alone are none.
 fn order_key(key: &[u8]) -> Result<Option<String>, &'static str> {
     let plain = (1..=ORDER_KEY_MOST).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic);
     let text = std::str::from_utf8(key).ok().filter(|_| plain);
@@ -128,25 +128,26 @@
     Ok(Some(text.to_owned()).filter(|_| key.iter().any(|&byte| byte != b'0')))
 }
 
-/// Reads a notice's list of names and values. `key` is the request's first argument.
-pub fn notice(
+/// Reads a message's list of names and values. `key` is the request's first argument.
+pub fn message(
     site: &Site,
     from: usize,
     key: &[u8],
     id: String,
     names: &str,
     body: Vec<u8>,
-) -> Result<Notice, &'static str> {
+) -> Result<Message, &'static str> {
     let first_argument = key;
-    let (mut class, mut station, mut left, mut partner, mut key) = (None, None, None, None, None);
+    let (mut class, mut tenant, mut left, mut destination, mut key) =
+        (None, None, None, None, None);
     for pair in names.split(',').filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once('=').ok_or("a name without a value")?;
         match name {
             "c" => class = Some(site.class(value).ok_or("class not known")?),
-            "t" => station = Some(site.station(value).ok_or("station not known")?),
+            "t" => tenant = Some(site.tenant(value).ok_or("station not known")?),
             "d" => left = Some(value.parse::<u64>().map_err(|_| "time left not a number")?),
             "dest" => {
-                partner = Some(
+                destination = Some(
                     value
                         .parse::<u64>()
                         .map_err(|_| "destination not a number")?,
@@ -169,11 +170,11 @@
         None
     };
     let longest = spec.deadline;
-    Ok(Notice {
+    Ok(Message {
         id,
         class,
-        station: station.unwrap_or(0),
-        partner: partner.ok_or("destination missing")?,
+        tenant: tenant.unwrap_or(0),
+        destination: destination.ok_or("destination missing")?,
         key,
         order_key,
         body: Arc::from(body),
--- a/crates/daemon/src/closing.rs
+++ b/crates/daemon/src/closing.rs
@@ -1,4 +1,4 @@
-//! Closing reports: how the platform is told of notices that ended without delivery. One call is out at a
+//! Closing reports: how the platform is told of messages that ended without delivery. One call is out at a
 //! time; what it carried is kept until its 204 and sent again otherwise.
 
 use std::collections::VecDeque;
@@ -8,7 +8,7 @@
 use cranehill_core::Closing;
 
 /// Pause before a report is sent again, and how long its answer, which the platform gives at once, may take. Together within
-/// the 300 ms after a notice's time in which its end must be told, so that one lost report does not lose the notice; a
+/// the 300 ms after a message's time in which its end must be told, so that one lost report does not lose the message; a
 /// report that comes twice does no harm.
 pub const AGAIN: Duration = Duration::from_millis(100);
 pub const OVERDUE: Duration = Duration::from_millis(150);
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -17,18 +17,18 @@
     pub settings: Settings,
     pub names: Names,
     classes: HashMap<String, usize>,
-    stations: HashMap<String, usize>,
+    tenants: HashMap<String, usize>,
 }
 
 impl Site {
     pub fn new(settings: Settings, names: Names) -> Site {
         let places = |n: &[String]| n.iter().enumerate().map(|(i, n)| (n.clone(), i)).collect();
-        let (classes, stations) = (places(&names.classes), places(&names.tenants));
+        let (classes, tenants) = (places(&names.classes), places(&names.tenants));
         Site {
             settings,
             names,
             classes,
-            stations,
+            tenants,
         }
     }
 
@@ -39,8 +39,8 @@
             .filter(|&c| c < self.settings.classes.len())
     }
 
-    pub fn station(&self, name: &str) -> Option<usize> {
-        self.stations.get(name).copied()
+    pub fn tenant(&self, name: &str) -> Option<usize> {
+        self.tenants.get(name).copied()
     }
 }
 
--- a/crates/daemon/src/partners.rs
+++ b/crates/daemon/src/destinations.rs
@@ -1,5 +1,5 @@
-//! Partners' endpoints as the platform speaks to them: a call's bytes, and what its answer says of each
-//! notice in it. Pure; the reactor owns the connections.
+//! Destinations' endpoints as the platform speaks to them: a call's bytes, and what its answer says of each
+//! message in it. Pure; the reactor owns the connections.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::http::{self, Response, header};
 use cranehill_core::Attempt;
 
-/// What an answer says of one notice.
+/// What an answer says of one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
     pub status: Status,
@@ -29,7 +29,7 @@
     }
 }
 
-/// What an answer says: of each notice in the call, in order, and of the partner.
+/// What an answer says: of each message in the call, in order, and of the destination.
 #[derive(Clone, Debug)]
 pub struct Told {
     pub verdicts: Vec<Verdict>,
@@ -51,7 +51,7 @@
     state: String,
 }
 
-/// The bytes of a call with these notices.
+/// The bytes of a call with these messages.
 pub fn call(host: &str, attempts: &[Attempt], now: Time) -> Vec<u8> {
     let longest = attempts
         .iter()
@@ -92,7 +92,7 @@
     ((0.0..=10.0).contains(&left) && (0.0..=1e6).contains(&limit)).then_some(Report { left, limit })
 }
 
-/// Reads the answer to a call with these notices.
+/// Reads the answer to a call with these messages.
 pub fn read(response: &Response, ids: &[&str], unix_now: Duration) -> Told {
     let wait = http::told_wait(&response.headers, unix_now);
     let not_sent = header(&response.headers, "x-no-slot").is_some_and(|v| v == "1");
@@ -110,7 +110,7 @@
             status: Status::NotSent,
             over: true,
         },
-        // The partner could not read it, and will not read it better the next time.
+        // The destination could not read it, and will not read it better the next time.
         400 | 413 => Verdict::of(Status::Rejected),
         // 500, and what the page does not name: it may have run.
         _ => Verdict::of(Status::Error),
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -1,8 +1,8 @@
-//! The directory of partners' endpoints: its list, and the questions for it. When they are put: `watch`.
+//! The directory of destinations' endpoints: its list, and the questions for it. When they are put: `watch`.
 
 use std::time::Duration;
 
-use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry};
+use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
@@ -91,7 +91,7 @@
         Ok(Listing {
             entry: Entry {
                 endpoint: EndpointId(self.id),
-                dest: DestId(self.cell),
+                dest: DestinationId(self.cell),
                 condition,
                 zone: place(&site.names.zones, &self.zone).unwrap_or(0) as u32,
                 // A kind that the settings don't name is taken as one that batches nothing.
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -51,7 +51,7 @@
 }
 
 impl Zones {
-    /// `warm` is the rule's time until a partner that is back is warm.
+    /// `warm` is the rule's time until a destination that is back is warm.
     fn settings(&self, warm: Duration) -> Result<zones::Settings, String> {
         let span =
             |given: Option<Span>, usual: u64| given.map_or(Duration::from_millis(usual), |s| s.0);
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
 //! The sender on sockets. [`reactor::Reactor`] is where to start: it carries out what `cranehill_core` asks for.
-//! `clients`, `partners`, `directory`, `closing` and `webpush` each say how one peer speaks, without I/O.
+//! `clients`, `destinations`, `directory`, `closing` and `webpush` each say how one peer speaks, without I/O.
 #![forbid(unsafe_code)]
 
 mod beside;
@@ -7,13 +7,13 @@
 pub mod clients;
 pub mod closing;
 pub mod config;
+pub mod destinations;
 pub mod directory;
 mod file;
 pub mod fleet;
 mod handover;
 pub mod http;
 mod link;
-pub mod partners;
 pub mod reactor;
 pub mod watch;
 pub mod webpush;
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -30,7 +30,7 @@
         self.attempts.iter().map(|a| a.until).min()
     }
 
-    /// Whether an answer that begins so has delivered all that is in the call: of several notices only the whole answer
+    /// Whether an answer that begins so has delivered all that is in the call: of several messages only the whole answer
     /// does.
     pub fn delivers(&self, answer: &[u8]) -> bool {
         let push = self.attempts.iter().any(|a| a.envelope.is_some());
@@ -50,7 +50,7 @@
         busy: Option<String>,
         close: bool,
     },
-    Partner {
+    Destination {
         endpoint: EndpointId,
         address: String,
         call: Option<Out>,
@@ -78,7 +78,7 @@
         match self {
             Role::Client { .. } => "client",
             Role::Pusher { .. } => "app partner",
-            Role::Partner { .. } => "partner",
+            Role::Destination { .. } => "partner",
             Role::Ending { .. } => "ending client",
             Role::Directory { .. } => "directory",
             Role::Closing => "closing reports",
@@ -97,7 +97,7 @@
     pub ended: bool,
     /// When something last went over it.
     pub used: Time,
-    /// A partner's: calls answered on it, and how long it had been idle when the latest one went.
+    /// A destination's: calls answered on it, and how long it had been idle when the latest one went.
     pub answered: u32,
     pub gap: Duration,
     /// A client's: since when we wait for it.
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -1,6 +1,6 @@
 //! The mio loop: carries out what the core asks for, and tells it what came of it. One thread, no blocking
 //! but in the poll. Everything decided is decided in the core; here are connections, bytes and clocks.
-//! `door` looks after those who hand notices in, `calls` after partners, `platform` after the directory and
+//! `door` looks after those who hand messages in, `calls` after destinations, `platform` after the directory and
 //! the closing reports, `fleet` after the other senders, `operator` after the operators' calls. `effects` carries
 //! out what the core asks for, `due` keeps the times, `journal` opens the journal and looks after it, `shutdown`
 //! has the steps to the end.
@@ -34,12 +34,12 @@
 use crate::clients;
 use crate::closing::{self, Reports};
 use crate::config::Site;
+use crate::destinations::{self, Told, Verdict};
 use crate::directory;
 use crate::fleet::Fleet;
 use crate::handover as passing;
 use crate::http;
 use crate::link::{ANSWER_MOST, Clock, Link, Out, Role, consume};
-use crate::partners::{self, Told, Verdict};
 use crate::watch::{Failure, Watch};
 use crate::webpush::{self, Push};
 use cranehill_core as core;
@@ -57,10 +57,10 @@
 const OPERATOR: Token = Token(6);
 const HANDOVER: Token = Token(7);
 const FIRST_LINK: usize = 16;
-/// Descriptors that are neither clients' nor partners': the listeners, the poll, signals, the directory, the
+/// Descriptors that are neither clients' nor destinations': the listeners, the poll, signals, the directory, the
 /// reports, the journal's head and what it reads or writes besides, the fleet and who asks for its view.
 const KEPT_SOCKETS: usize = 24;
-/// Connections to partners kept idle besides the calls that may be out.
+/// Connections to destinations kept idle besides the calls that may be out.
 const IDLE_SOCKETS: usize = 32;
 
 const TELL_STUCK: Duration = Duration::from_secs(5);
@@ -131,8 +131,8 @@
     by_endpoint: ByEndpoint,
     next_link: usize,
     clients_most: usize,
-    partners_most: usize,
-    /// A connection to a partner that was idle for longer is not written to.
+    max_destination_connections: usize,
+    /// A connection to a destination that was idle for longer is not written to.
     trusted_idle: Duration,
     /// Bytes of requests that have not come whole, over all clients.
     unread_most: usize,
@@ -141,7 +141,7 @@
     /// Connections closed unserved since the log last told.
     turned_away: u64,
     tell_away: Time,
-    /// Notices refused for want of room in the journal since the log last told.
+    /// Messages refused for want of room in the journal since the log last told.
     turned_back: u64,
     tell_back: Time,
     reread: Option<Reread>,
@@ -184,7 +184,7 @@
     }
 }
 
-/// How many connections clients, and partners, may have. Clients get what the calls that may be out leave, but
+/// How many connections clients, and destinations, may have. Clients get what the calls that may be out leave, but
 /// always enough for the third of the descriptors that their requests may take and as much again for those
 /// who ask nothing.
 fn places(sockets: usize, slots: usize) -> (usize, usize) {
@@ -225,7 +225,7 @@
             ..
         } = setup;
         let operators = setup.operator.map_or(0, |_| operator::MOST + 1);
-        let (clients_most, partners_most) = places(
+        let (clients_most, max_destination_connections) = places(
             setup.sockets.saturating_sub(operators),
             site.settings.slots as usize,
         );
@@ -250,7 +250,7 @@
             let opened = journal::open_journal(state, millis(clock.now()))?;
             (journal, recovered) = (Some(opened.0), opened.1);
         }
-        // A clock that was set back must not give notices more time than they had.
+        // A clock that was set back must not give messages more time than they had.
         clock.not_before(Duration::from_millis(recovered.latest));
         let now = clock.now();
         let push_listen = push.as_ref().and_then(webpush::File::listen);
@@ -308,7 +308,7 @@
             by_endpoint: ByEndpoint::default(),
             next_link: FIRST_LINK,
             clients_most,
-            partners_most,
+            max_destination_connections,
             trusted_idle: Duration::MAX,
             unread_most: setup.memory / 8,
             list_body_most: directory::body_most(setup.memory),
@@ -338,7 +338,9 @@
         let (held, reports) = reactor.core.owed();
         log::info!(records = found, held, reports;
             "started: {found} records in the journal, {held} notices held, {reports} reports due");
-        log::info!("places: {clients_most} for clients, {partners_most} for partners");
+        log::info!(
+            "places: {clients_most} for clients, {max_destination_connections} for partners"
+        );
         if let Some(address) = discovery {
             log::info!("directory: at {address}");
         }
@@ -394,7 +396,7 @@
         Ok(listener)
     }
 
-    /// Where clients, and where app partners, reach this sender.
+    /// Where clients, and where app destinations, reach this sender.
     pub fn addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
         let at = |l: &Option<TcpListener>| l.as_ref().and_then(|l| l.local_addr().ok());
         (at(&self.clients), at(&self.pushes))
@@ -464,7 +466,7 @@
             other => other?,
         }
         let mut tokens: Vec<Token> = events.iter().map(|e| e.token()).collect();
-        // Operators wait for nobody: what they ask goes before all that clients and partners have brought.
+        // Operators wait for nobody: what they ask goes before all that clients and destinations have brought.
         if self.operators.is_some() {
             tokens.sort_by_key(|t| !self.is_operators(*t));
         }
@@ -565,7 +567,7 @@
         }
         let due = !link.written_out();
         let flushed = link.flush();
-        if due && link.written_out() && matches!(link.role, Role::Partner { .. }) {
+        if due && link.written_out() && matches!(link.role, Role::Destination { .. }) {
             log::trace!("connection {id}: all of the call is written");
         }
         let before = link.input.len();
@@ -583,7 +585,7 @@
         match link.role {
             Role::Client { .. } => self.on_client(id),
             Role::Pusher { .. } => self.on_pusher(id),
-            Role::Partner { .. } => self.on_partner(id, !flushed),
+            Role::Destination { .. } => self.on_destination(id, !flushed),
             Role::Directory { .. } | Role::Closing => self.on_platform(id, !flushed),
             Role::Operator { .. } => self.on_operator(id),
             Role::Ending { .. } => self.on_ending(id),
@@ -596,7 +598,7 @@
             return;
         };
         match link.role {
-            Role::Partner {
+            Role::Destination {
                 endpoint,
                 call: Some(out),
                 ..
@@ -604,7 +606,7 @@
                 log::debug!("partner {endpoint}: no connection, {why}");
                 self.end_call(out, &Told::all(Verdict::of(Status::NoConnection)));
             }
-            Role::Partner {
+            Role::Destination {
                 endpoint,
                 check: Some(_),
                 ..
@@ -616,7 +618,7 @@
             }
             Role::Directory { .. } => self.watch_failed(why, Failure::Unreached),
             Role::Closing => self.report_later(),
-            Role::Partner { .. }
+            Role::Destination { .. }
             | Role::Client { .. }
             | Role::Pusher { .. }
             | Role::Ending { .. }
--- a/crates/daemon/src/reactor/calls.rs
+++ b/crates/daemon/src/reactor/calls.rs
@@ -1,4 +1,4 @@
-//! Partners: their connections, and the calls out on them.
+//! Destinations: their connections, and the calls out on them.
 
 use super::*;
 
@@ -18,7 +18,7 @@
 /// would leave the window of its class. Guards against connections that come up late: the decision was in time.
 pub(super) fn write_by(link: &Link) -> Option<Time> {
     match &link.role {
-        Role::Partner {
+        Role::Destination {
             call: Some(out), ..
         } if !link.written_out() => out.attempts.iter().filter_map(|a| a.write_by).min(),
         _ => None,
@@ -40,8 +40,9 @@
     /// Ends calls that are not written yet: they would arrive inside a told wait, or at an endpoint that drains or is
     /// gone.
     pub(super) fn hold_back(&mut self, endpoints: &[EndpointId]) {
-        let waits =
-            |l: &Link| matches!(l.role, Role::Partner { call: Some(_), .. }) && !l.written_out();
+        let waits = |l: &Link| {
+            matches!(l.role, Role::Destination { call: Some(_), .. }) && !l.written_out()
+        };
         // In the order of the connections, each once, however the endpoints are named.
         let ids: BTreeSet<usize> = endpoints
             .iter()
@@ -55,7 +56,7 @@
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
-        let Role::Partner { call, .. } = &mut link.role else {
+        let Role::Destination { call, .. } = &mut link.role else {
             return;
         };
         let Some(out) = call.take() else { return };
@@ -71,7 +72,7 @@
         let idle = |l: &Link| {
             matches!(
                 l.role,
-                Role::Partner {
+                Role::Destination {
                     call: None,
                     check: None,
                     ..
@@ -98,7 +99,7 @@
         let (now, limit) = (self.clock.now(), self.idle_limit().min(self.trusted_idle));
         loop {
             let fits = |l: &Link| match &l.role {
-                Role::Partner {
+                Role::Destination {
                     address: a,
                     call: None,
                     check: None,
@@ -123,19 +124,20 @@
     pub(super) fn connect(&mut self, role: Role, address: &str) -> io::Result<usize> {
         let address: SocketAddr = address.parse().map_err(|_| ErrorKind::InvalidInput)?;
         // Descriptors are few: an idle connection makes room for one that is needed.
-        if matches!(role, Role::Partner { .. }) {
-            let partners = |l: &&Link| matches!(l.role, Role::Partner { .. });
+        if matches!(role, Role::Destination { .. }) {
+            let destinations = |l: &&Link| matches!(l.role, Role::Destination { .. });
             let idle = |l: &Link| {
                 matches!(
                     l.role,
-                    Role::Partner {
+                    Role::Destination {
                         call: None,
                         check: None,
                         ..
                     }
                 )
             };
-            if self.links.values().filter(partners).count() >= self.partners_most {
+            if self.links.values().filter(destinations).count() >= self.max_destination_connections
+            {
                 let longest = self
                     .links
                     .iter()
@@ -156,7 +158,7 @@
             (Some(push), Some(first)) if first.envelope.is_some() => {
                 push.call(&address, first, now)
             }
-            _ => partners::call(&address, &attempts, now),
+            _ => destinations::call(&address, &attempts, now),
         };
         let ids = attempts.iter().map(|a| a.id.clone()).collect();
         let out = Out {
@@ -168,7 +170,7 @@
         let id = match self.free_link(&endpoint, &address) {
             Some(id) => id,
             None => {
-                let role = Role::Partner {
+                let role = Role::Destination {
                     endpoint: endpoint.clone(),
                     address: address.clone(),
                     call: None,
@@ -189,7 +191,7 @@
                 out.ids,
                 link.up
             );
-            if let Role::Partner { call, .. } = &mut link.role {
+            if let Role::Destination { call, .. } = &mut link.role {
                 *call = Some(out);
             }
             link.output = bytes;
@@ -202,7 +204,7 @@
 
     pub(super) fn check(&mut self, endpoint: EndpointId, address: String) {
         let now = self.clock.now();
-        let role = Role::Partner {
+        let role = Role::Destination {
             endpoint: endpoint.clone(),
             address: address.clone(),
             call: None,
@@ -251,7 +253,7 @@
         self.step(Input::Ended(ends));
     }
 
-    pub(super) fn on_partner(&mut self, id: usize, write_broke: bool) {
+    pub(super) fn on_destination(&mut self, id: usize, write_broke: bool) {
         let unix_now = Duration::from_nanos(self.clock.now().0);
         let Some(link) = self.links.get_mut(&id) else {
             return;
@@ -259,7 +261,7 @@
         let ended = link.ended || write_broke;
         let written = link.written_out();
         let stalled = stall(link).is_some_and(|t| t <= self.clock.now());
-        let Role::Partner {
+        let Role::Destination {
             endpoint,
             call,
             check,
@@ -286,8 +288,8 @@
             }
             return;
         };
-        // What comes after the wait that the call states is no answer to it any more: the partner may hold it for given up,
-        // and then nobody would tell how its notices ended.
+        // What comes after the wait that the call states is no answer to it any more: the destination may hold it for given up,
+        // and then nobody would tell how its messages ended.
         if out.until().is_some_and(|until| until <= self.clock.now()) && written {
             return self.break_off(id, Cut::OutOfTime);
         }
@@ -299,7 +301,7 @@
                 let told = if push {
                     webpush::read(&response, unix_now)
                 } else {
-                    partners::read(&response, &ids, unix_now)
+                    destinations::read(&response, &ids, unix_now)
                 };
                 if let Some(wait) = told.wait {
                     log::debug!("partner {endpoint}: told to wait {} ms", wait.as_millis());
@@ -353,7 +355,7 @@
         let Some(mut link) = self.drop_link(id) else {
             return;
         };
-        let Role::Partner { endpoint, call, .. } = &mut link.role else {
+        let Role::Destination { endpoint, call, .. } = &mut link.role else {
             return;
         };
         let Some(out) = call.take() else { return };
@@ -365,10 +367,10 @@
         let status = match cut {
             _ if delivered => Status::Served,
             Cut::OutOfTime => Status::TimedOut,
-            // It ran. An answer that has begun and breaks off says, as a spoilt one does, that the partner is there.
+            // It ran. An answer that has begun and breaks off says, as a spoilt one does, that the destination is there.
             Cut::Spoilt => Status::Spoilt,
             Cut::Ended { .. } if begun => Status::Spoilt,
-            // A connection that was kept and is dead at its next call says nothing of the partner.
+            // A connection that was kept and is dead at its next call says nothing of the destination.
             Cut::Ended { written } => match (kept, written) {
                 (true, false) => Status::NotSent,
                 (true, true) => Status::Dropped,
--- a/crates/daemon/src/reactor/door.rs
+++ b/crates/daemon/src/reactor/door.rs
@@ -1,4 +1,4 @@
-//! Those who hand notices in, over either front: their connections, and how much of us one of them gets.
+//! Those who hand messages in, over either front: their connections, and how much of us one of them gets.
 
 use super::*;
 
@@ -322,19 +322,19 @@
                         .journal
                         .as_mut()
                         .map_or(Ok(()), |j| j.admit(body.len()));
-                    match clients::notice(&self.site, id, &key, name, &names, body) {
+                    match clients::message(&self.site, id, &key, name, &names, body) {
                         // Taken on, it could only be given up: nobody knows where it should go.
-                        Ok(notice) if !self.core.knows(notice.partner) => {
+                        Ok(message) if !self.core.knows(message.destination) => {
                             Some("destination not known")
                         }
-                        Ok(notice) if room.is_ok() => {
+                        Ok(message) if room.is_ok() => {
                             log::trace!(
                                 "notice {}: handed in on connection {link_id}, {:?} left",
-                                notice.id,
-                                notice.left
+                                message.id,
+                                message.left
                             );
                             *busy = true;
-                            self.step(Input::Handed(notice));
+                            self.step(Input::Handed(message));
                             None
                         }
                         Ok(_) => {
@@ -395,12 +395,12 @@
             let Role::Pusher { busy, close } = &mut link.role else {
                 return;
             };
-            if let Some(notice) = busy {
-                // Whoever waited has left: nobody would hear of the notice's end.
+            if let Some(message) = busy {
+                // Whoever waited has left: nobody would hear of the message's end.
                 if link.ended {
-                    let notice = std::mem::take(notice);
+                    let message = std::mem::take(message);
                     self.drop_link(id);
-                    self.step(Input::Withdrawn(notice));
+                    self.step(Input::Withdrawn(message));
                 }
                 return;
             }
@@ -441,9 +441,9 @@
             *close = request.close;
             let Some(push) = &mut self.push else { return };
             match push.accept(request, id, &self.site, self.clock.now()) {
-                Ok(notice) => {
-                    *busy = Some(notice.id.clone());
-                    self.step(Input::Handed(notice));
+                Ok(message) => {
+                    *busy = Some(message.id.clone());
+                    self.step(Input::Handed(message));
                 }
                 Err((status, why)) => {
                     link.faults += 1;
--- a/crates/daemon/src/reactor/due.rs
+++ b/crates/daemon/src/reactor/due.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// How long before a partner closes an idle connection we stop trusting it.
+/// How long before a destination closes an idle connection we stop trusting it.
 const IDLE_MARGIN: Duration = Duration::from_millis(1000);
 
 impl Reactor {
@@ -92,7 +92,7 @@
     fn link_due(&self, link: &Link) -> Option<Time> {
         let set = &self.site.settings;
         match &link.role {
-            Role::Partner {
+            Role::Destination {
                 call: Some(call), ..
             } => {
                 let first = call.until();
@@ -104,10 +104,10 @@
                     .chain(calls::write_by(link))
                     .min()
             }
-            Role::Partner {
+            Role::Destination {
                 check: Some(at), ..
             } => Some(*at + set.connect_timeout),
-            Role::Partner { .. } => Some(link.used + self.idle_limit()),
+            Role::Destination { .. } => Some(link.used + self.idle_limit()),
             Role::Directory { .. } if !link.up => {
                 Some(self.watch.overdue().min(link.used + set.connect_timeout))
             }
@@ -135,15 +135,15 @@
         let sent = link.up && link.written_out();
         match &link.role {
             // A further attempt must not have this one beside it: the call is broken off, with all that it carries.
-            Role::Partner { call: Some(_), .. } if sent => {
+            Role::Destination { call: Some(_), .. } if sent => {
                 self.break_off(id, calls::Cut::OutOfTime)
             }
-            Role::Partner { call: Some(_), .. } | Role::Partner { check: Some(_), .. } => {
+            Role::Destination { call: Some(_), .. } | Role::Destination { check: Some(_), .. } => {
                 self.broken(id, "no answer in time");
             }
             Role::Directory { .. } | Role::Closing => self.broken(id, "no answer in time"),
             Role::Client { .. } | Role::Pusher { .. } => self.out_of_patience(id),
-            Role::Partner { .. } | Role::Operator { .. } | Role::Ending { .. } => {
+            Role::Destination { .. } | Role::Operator { .. } | Role::Ending { .. } => {
                 self.drop_link(id);
             }
         }
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -92,7 +92,7 @@
 
     fn pass_all(&mut self) -> io::Result<()> {
         // What is still out is broken off, as at an end by signal: it may have run, and the journal says so.
-        let out = |l: &Link| matches!(l.role, Role::Partner { call: Some(_), .. });
+        let out = |l: &Link| matches!(l.role, Role::Destination { call: Some(_), .. });
         let late: Vec<usize> = self
             .links
             .iter()
@@ -101,7 +101,7 @@
             .collect();
         for id in late {
             let Some(Link {
-                role: Role::Partner {
+                role: Role::Destination {
                     call: Some(out), ..
                 },
                 up,
--- a/crates/daemon/src/reactor/journal.rs
+++ b/crates/daemon/src/reactor/journal.rs
@@ -58,7 +58,7 @@
             "journal: {bytes} bytes of a write that was cut off at the end of {file}; nothing in it was promised");
     }
     for d in &recovered.damage {
-        log::error!(segment = d.file.as_str(), offset = d.offset, bytes = d.len, why:? = d.why, notices = d.taken;
+        log::error!(segment = d.file.as_str(), offset = d.offset, bytes = d.len, why:? = d.why, messages = d.taken;
             "journal: damage ({:?}) in {} at {}, {} bytes; at most {} notices taken on there are lost",
             d.why, d.file, d.offset, d.len, d.taken);
     }
@@ -68,7 +68,7 @@
             lost.id, lost.file, lost.offset);
     }
     if recovered.doubted > 0 {
-        log::error!(notices = recovered.doubted;
+        log::error!(messages = recovered.doubted;
             "journal: {} open notices count as possibly run because of damage", recovered.doubted);
     }
     for file in recovered
--- a/crates/daemon/src/reactor/shutdown.rs
+++ b/crates/daemon/src/reactor/shutdown.rs
@@ -45,7 +45,7 @@
         true
     }
 
-    /// Who still waits here for a notice's end is told to come back; nothing of it was promised.
+    /// Who still waits here for a message's end is told to come back; nothing of it was promised.
     pub(super) fn end_waiting(&mut self) {
         let waiting = |l: &Link| matches!(&l.role, Role::Pusher { busy: Some(_), .. });
         let ids: Vec<usize> = self
--- a/crates/daemon/src/webpush.rs
+++ b/crates/daemon/src/webpush.rs
@@ -1,4 +1,4 @@
-//! Web Push (RFC 8030, with VAPID as in RFC 8292), both ways: as the service that app partners post to, and
+//! Web Push (RFC 8030, with VAPID as in RFC 8292), both ways: as the service that app destinations post to, and
 //! as the client of the push services behind it. Pure; the reactor owns the connections.
 
 use std::collections::HashMap;
@@ -10,8 +10,8 @@
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{
-    Class, Condition, Decay, DedupScope, DestId, Effect, EndpointId, Entry, Kind, Rules, Settings,
-    Status,
+    Class, Condition, Decay, DedupScope, DestinationId, Effect, EndpointId, Entry, Kind, Rules,
+    Settings, Status,
 };
 use cranehill_scheduler::profile::Names;
 use p256::ecdsa::signature::Signer;
@@ -19,12 +19,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::config::Site;
+use crate::destinations::{Told, Verdict};
 use crate::file;
 use crate::http::{self, Request, Response, header};
-use crate::partners::{Told, Verdict};
-use cranehill_core::{Answer, Attempt, Envelope, Listing, Notice, Origin};
+use cranehill_core::{Answer, Attempt, Envelope, Listing, Message, Origin};
 
-/// Push services are numbered from here on, out of the way of the platform's partners.
+/// Push services are numbered from here on, out of the way of the platform's destinations.
 const FIRST: u64 = 1 << 40;
 /// What a message with a TTL of zero has: one attempt, now or not at all.
 const AT_ONCE: Duration = Duration::from_secs(2);
@@ -273,7 +273,7 @@
                 listings.push(Listing {
                     entry: Entry {
                         endpoint: EndpointId(format!("push/{}/{}", upstream.name, server.address)),
-                        dest: DestId(place),
+                        dest: DestinationId(place),
                         condition,
                         zone: 0,
                         kind: self.kind,
@@ -286,14 +286,14 @@
         listings
     }
 
-    /// A post to this front as a notice, or the answer that it gets at once.
+    /// A post to this front as a message, or the answer that it gets at once.
     pub fn accept(
         &mut self,
         request: Request,
         from: usize,
         site: &Site,
         now: Time,
-    ) -> Result<Notice, (u16, &'static str)> {
+    ) -> Result<Message, (u16, &'static str)> {
         let fits = |l: &&Location| request.path.starts_with(&l.path);
         let location = self
             .file
@@ -354,12 +354,12 @@
             .iter()
             .position(|u| u.name == location.upstream);
         self.next += 1;
-        Ok(Notice {
+        Ok(Message {
             id: format!("push-{}", self.next),
             class,
-            // No station's share: push services are reached on their own account.
-            station: usize::MAX,
-            partner: FIRST + place.unwrap_or(0) as u64,
+            // No tenant's share: push services are reached on their own account.
+            tenant: usize::MAX,
+            destination: FIRST + place.unwrap_or(0) as u64,
             key: None,
             order_key: None,
             body: Arc::from(request.body),
--- a/crates/fleet-harness/src/lib.rs
+++ b/crates/fleet-harness/src/lib.rs
@@ -1,5 +1,5 @@
 //! The rig: a day played by many real senders that know each other, with a relay on every way network them and to the
-//! partners. What breaks is in the day's file (`[[break]]`), drawn by the seed.
+//! destinations. What breaks is in the day's file (`[[break]]`), drawn by the seed.
 //!
 //! Start at [`play`] and [`Report`]. The stand-ins, the processes and the auditor are `cranehill_scenario_runner`'s.
 #![forbid(unsafe_code)]
--- a/crates/fleet-harness/src/relay.rs
+++ b/crates/fleet-harness/src/relay.rs
@@ -180,11 +180,11 @@
     sender: usize,
     /// Of the endpoint.
     zone: usize,
-    /// The token of the partner's side.
+    /// The token of the destination's side.
     second: usize,
-    /// The sender's side and the partner's.
+    /// The sender's side and the destination's.
     sides: [TcpStream; 2],
-    /// From the sender to the partner, and back.
+    /// From the sender to the destination, and back.
     flows: [Flow; 2],
     /// Cut off at some time: it ends with the cut.
     cut: bool,
@@ -422,7 +422,7 @@
         }
     }
 
-    // Between senders and partners.
+    // Between senders and destinations.
 
     fn accept(&mut self, door: usize) {
         loop {
@@ -485,7 +485,7 @@
     fn cut(&self, sender: usize, zone: usize, now: Duration) -> bool {
         self.breaks
             .iter()
-            .any(|b| b.way == Way::Cut && b.lasts_at(now) && b.at_partners(sender, zone, false))
+            .any(|b| b.way == Way::Cut && b.lasts_at(now) && b.at_destinations(sender, zone, false))
     }
 
     /// Until when a piece is held on its way, in one direction.
@@ -497,7 +497,7 @@
         for b in self
             .breaks
             .iter()
-            .filter(|b| b.lasts_at(now) && b.at_partners(sender, zone, back))
+            .filter(|b| b.lasts_at(now) && b.at_destinations(sender, zone, back))
         {
             match b.way {
                 Way::Cut | Way::Stall => at = at.max(b.until),
@@ -604,7 +604,7 @@
             let resets = |b: &Break| {
                 b.way == Way::Reset
                     && b.lasts_at(now)
-                    && b.at_partners(pair.sender, pair.zone, false)
+                    && b.at_destinations(pair.sender, pair.zone, false)
             };
             if self.breaks.iter().any(resets) {
                 ended.push(id);
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -26,10 +26,10 @@
 /// The most that a token bucket lets out at once, in calls, by the decisions: see `PACE_DEPTH` there.
 const DEPTH: f64 = 2.0;
 
-/// Calls a second of one side of a cut to one partner, against its part of the limit.
+/// Calls a second of one side of a cut to one destination, against its part of the limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Part {
-    pub partner: String,
+    pub destination: String,
     pub senders: usize,
     pub before: f64,
     pub during: f64,
@@ -369,7 +369,7 @@
         }
     }
 
-    /// What each side of a cut sent to the partners that share a limit.
+    /// What each side of a cut sent to the destinations that share a limit.
     fn limits(&mut self, plan: &Plan, outcome: &Outcome) {
         for cut in plan
             .day
@@ -382,7 +382,7 @@
             };
             let length = cut.until - cut.at;
             let before = cut.at.saturating_sub(length.min(cut.at))..cut.at;
-            for (n, member) in plan.day.partners.iter().enumerate() {
+            for (n, member) in plan.day.destinations.iter().enumerate() {
                 let Limit::Rate { per_second, .. } = member.spec.limit else {
                     continue;
                 };
@@ -397,7 +397,7 @@
                     }
                     let allowed = per_second * real as f64 / plan.day.members() as f64;
                     let part = Part {
-                        partner: member.name.clone(),
+                        destination: member.name.clone(),
                         senders: real,
                         before: calls(&outcome.lines, n, side, &before),
                         during: calls(&outcome.lines, n, side, &(cut.at..cut.until)),
@@ -406,7 +406,7 @@
                     // Buckets that were full as the cut began let go what they held.
                     let most = allowed + DEPTH * real as f64 / secs(length);
                     if part.during > most {
-                        let (name, during) = (&part.partner, part.during);
+                        let (name, during) = (&part.destination, part.during);
                         self.failed.push(format!(
                             "{real} senders sent {during:.2} calls/s to {name} while cut off; their part is {allowed:.2}"
                         ));
@@ -428,7 +428,7 @@
             .parts
             .iter()
             .map(|p| {
-                json!({"partner": p.partner, "senders": p.senders, "before": p.before, "during": p.during,
+                json!({"partner": p.destination, "senders": p.senders, "before": p.before, "during": p.during,
                     "allowed": p.allowed})
             })
             .collect();
@@ -493,15 +493,16 @@
 
 fn calls(
     lines: &[Line],
-    partner: usize,
+    destination: usize,
     by: &BTreeSet<usize>,
     span: &std::ops::Range<Duration>,
 ) -> f64 {
     let called = lines
         .iter()
         .filter(|l| span.contains(&l.at) && l.sender.is_some_and(|s| by.contains(&s)));
-    let to =
-        called.filter(|l| matches!(l.what, What::Called { partner: p, .. } if p == partner as u64));
+    let to = called.filter(
+        |l| matches!(l.what, What::Called { destination: p, .. } if p == destination as u64),
+    );
     to.count() as f64 / secs(span.end - span.start).max(1e-9)
 }
 
@@ -552,7 +553,7 @@
     for p in &report.parts {
         lines.push(format!(
             "  {} senders cut off, to {}: {:.2} calls/s before, {:.2} during; their part {:.2}",
-            p.senders, p.partner, p.before, p.during, p.allowed
+            p.senders, p.destination, p.before, p.during, p.allowed
         ));
     }
     if !report.timeline.killed.is_empty() {
--- a/crates/fleet-harness/src/returns.rs
+++ b/crates/fleet-harness/src/returns.rs
@@ -1,4 +1,4 @@
-//! What came of returns: how long senders took, and what the partners got from all of them together.
+//! What came of returns: how long senders took, and what the destinations got from all of them together.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -18,10 +18,10 @@
 /// Rates are counted in spans of this.
 const SPAN: Duration = Duration::from_secs(1);
 
-/// What one partner got while senders came back, and in the time before.
+/// What one destination got while senders came back, and in the time before.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Peak {
-    pub partner: String,
+    pub destination: String,
     /// Calls a second by its limit, with its burst in any one second; none if it has none.
     pub limit: Option<f64>,
     /// The most calls, connections opened, and calls out at once, in any second; and calls refused.
@@ -58,7 +58,7 @@
             .flatten()
             .filter_map(|(gone, back)| Some((*gone, (*back)? + RETURN)))
             .collect();
-        let peaks = (0..day.partners.len())
+        let peaks = (0..day.destinations.len())
             .map(|n| peak(day, n, lines, &spans))
             .collect();
         Returns {
@@ -74,7 +74,7 @@
             .peaks
             .iter()
             .map(|p| {
-                json!({"partner": p.partner, "limit": p.limit, "calls_a_second": p.calls, "opened_a_second": p.opened,
+                json!({"partner": p.destination, "limit": p.limit, "calls_a_second": p.calls, "opened_a_second": p.opened,
                     "out": p.out, "refused": p.refused, "of_limit": p.over})
             })
             .collect();
@@ -104,7 +104,7 @@
             lines.push(format!(
                 "  {} during returns, at most in a second: {} calls (limit {}; {:.2} of it as it was), {} opened, {} out at once; \
                  {} refused",
-                p.partner,
+                p.destination,
                 p.calls,
                 p.limit.map_or("none".into(), |l| format!("{l:.0}")),
                 p.over,
@@ -141,8 +141,8 @@
     }
 }
 
-fn peak(day: &Day, partner: usize, lines: &[Line], spans: &[(Duration, Duration)]) -> Peak {
-    let member = &day.partners[partner];
+fn peak(day: &Day, destination: usize, lines: &[Line], spans: &[(Duration, Duration)]) -> Peak {
+    let member = &day.destinations[destination];
     let limit = match member.spec.limit {
         Limit::None => None,
         Limit::Rate { per_second, burst } => Some(per_second * SPAN.as_secs_f64() + burst),
@@ -151,23 +151,23 @@
         }
     };
     let mut peak = Peak {
-        partner: member.name.clone(),
+        destination: member.name.clone(),
         limit,
         ..Peak::default()
     };
     let (mut calls, mut opened) = (Sliding::default(), Sliding::default());
     let mut out: BTreeSet<u64> = BTreeSet::new();
-    let number = partner as u64;
+    let number = destination as u64;
     for line in lines {
         let counts = spans
             .iter()
             .any(|(from, to)| *from <= line.at && line.at < *to);
         match &line.what {
             What::Called {
-                partner,
+                destination,
                 connection,
                 ..
-            } if *partner == number => {
+            } if *destination == number => {
                 out.insert(*connection);
                 if counts {
                     let present = calls.add(line.at);
@@ -180,15 +180,15 @@
                     peak.out = peak.out.max(out.len());
                 }
             }
-            What::Opened { partner, .. } if *partner == number && counts => {
+            What::Opened { destination, .. } if *destination == number && counts => {
                 opened.add(line.at);
             }
             What::Replied {
-                partner,
+                destination,
                 connection,
                 fates,
                 ..
-            } if *partner == number => {
+            } if *destination == number => {
                 out.remove(connection);
                 if counts && fates.iter().all(|f| f.1 == Fate::Busy) {
                     peak.refused += 1;
--- a/crates/fleet-harness/src/sweep/events.rs
+++ b/crates/fleet-harness/src/sweep/events.rs
@@ -7,7 +7,7 @@
 
 use crate::sweep::{Gathered, Order, SweepError};
 
-/// Endpoints of the stand-in destinations, two for each.
+/// Endpoints of the simulated destinations, two for each.
 const ENDPOINTS: usize = 100;
 /// How long each rate is played.
 const SPAN: Duration = Duration::from_secs(6);
--- a/crates/fleet-harness/src/sweep/reducer.rs
+++ b/crates/fleet-harness/src/sweep/reducer.rs
@@ -5,7 +5,7 @@
 
 use cranehill_core::{AttemptEnd, Core, Effect, Input, Kept, Listing, Record};
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Condition, DestId, EndpointId, Entry, Status};
+use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
 
 use crate::hollow::usage::thread_cpu;
@@ -21,7 +21,7 @@
     let listing = |number: u64| Listing {
         entry: Entry {
             endpoint: EndpointId(format!("s-{number:08x}")),
-            dest: DestId(number),
+            dest: DestinationId(number),
             condition: Condition::Ready,
             zone: (number % 6) as u32,
             kind: 0,
@@ -46,8 +46,8 @@
     Record::Taken {
         id: format!("{:016x}", mixed(number)),
         class: 0,
-        station: 0,
-        partner: number % destinations,
+        tenant: 0,
+        destination: number % destinations,
         key: Some(format!("{:016x}", mixed(!number))),
         order_key: None,
         deadline: now + lasts / 2 + mixed(number ^ 0x5eed) % (lasts / 2),
--- a/crates/fleet-harness/src/zones.rs
+++ b/crates/fleet-harness/src/zones.rs
@@ -33,7 +33,7 @@
     /// Calls and refused connections into it while it was down; and a second, from four seconds on.
     pub sent: u64,
     pub probes: f64,
-    /// On its return: the most calls in any second to one partner's endpoints there, as a share of the limit.
+    /// On its return: the most calls in any second to one destination's endpoints there, as a share of the limit.
     pub peak: f64,
     /// From its end until nine tenths of the calls before it went there.
     pub full: Option<Duration>,
@@ -44,7 +44,7 @@
     let mut found = Vec::new();
     for (zone, name) in day.zones.iter().enumerate().filter(|_| day.zones.len() > 1) {
         let endpoints = || {
-            day.partners
+            day.destinations
                 .iter()
                 .flat_map(|m| m.faults.iter().zip(&m.zones))
                 .filter(|(_, z)| **z == zone)
@@ -72,9 +72,9 @@
     from: Duration,
     until: Duration,
 ) -> Outage {
-    // Endpoints by the auditor's number: partners in order, each with its endpoints. Replaced ones are not in these days.
+    // Endpoints by the auditor's number: destinations in order, each with its endpoints. Replaced ones are not in these days.
     let places: Vec<(usize, usize)> = day
-        .partners
+        .destinations
         .iter()
         .enumerate()
         .flat_map(|(n, m)| m.zones.iter().map(move |z| (n, *z)))
@@ -107,7 +107,7 @@
             } if ids.is_empty() => *endpoint,
             _ => continue,
         };
-        let Some(&(partner, _)) = places.get(endpoint).filter(|p| p.1 == zone) else {
+        let Some(&(destination, _)) = places.get(endpoint).filter(|p| p.1 == zone) else {
             continue;
         };
         *seconds.entry(line.at.as_secs()).or_default() += 1;
@@ -117,10 +117,10 @@
             last.extend(line.sender.map(|s| (s, line.at)));
         }
         if (until..until + RETURN).contains(&line.at) {
-            let times = sliding.entry(partner).or_default();
+            let times = sliding.entry(destination).or_default();
             times.push(line.at);
             times.retain(|t| line.at.saturating_sub(*t) < SPAN);
-            let spec = &day.partners[partner].spec;
+            let spec = &day.destinations[destination].spec;
             let limit = match spec.limit {
                 Limit::Rate { per_second, burst } => per_second + burst,
                 Limit::Count { calls, span } => f64::from(calls) / span.as_secs_f64(),
--- a/crates/fleet-harness/tests/relay.rs
+++ b/crates/fleet-harness/tests/relay.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// A partner that answers each byte with the same, and a sender's connection to it through the relay.
+/// A destination that answers each byte with the same, and a sender's connection to it through the relay.
 fn echoed(relay: &mut Relay, zone: usize) -> TcpStream {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let real = listener.local_addr().expect("its address");
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_cut_to_one_zone_is_silence_there_and_nothing_elsewhere() {
-    let cut = broken(0, Side::Partners(Some(1)), false, Way::Cut, LONG);
+    let cut = broken(0, Side::Destinations(Some(1)), false, Way::Cut, LONG);
     let mut relay = Relay::start(1, vec![cut], 1).expect("it starts");
     let (mut near, mut far) = (echoed(&mut relay, 0), echoed(&mut relay, 1));
     assert_eq!(
@@ -79,7 +79,7 @@
 fn delays_and_stalls_hold_what_passes_and_lose_nothing() {
     let until = Duration::from_millis(600);
     for way in [Way::Delay { by: until }, Way::Stall] {
-        let held = broken(0, Side::Partners(None), false, way, until);
+        let held = broken(0, Side::Destinations(None), false, way, until);
         let mut relay = Relay::start(1, vec![held], 1).expect("it starts");
         let mut stream = echoed(&mut relay, 0);
         let begun = Instant::now();
@@ -96,7 +96,7 @@
         (Way::Reset, Duration::from_millis(1)),
         (Way::Cut, Duration::from_millis(300)),
     ] {
-        let reset = broken(0, Side::Partners(None), false, way, until);
+        let reset = broken(0, Side::Destinations(None), false, way, until);
         let mut relay = Relay::start(1, vec![reset], 1).expect("it starts");
         let mut stream = echoed(&mut relay, 0);
         assert_eq!(through(&mut stream).expect("through"), 7);
--- a/crates/journal-tools/src/row.rs
+++ b/crates/journal-tools/src/row.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use cranehill_journal::{At, Fact, Id, TakenNotice, unpack};
+use cranehill_journal::{AcceptedMessage, At, Fact, Id, unpack};
 use serde::Serialize;
 
 /// A fact with its place. Times are Unix time in milliseconds; what a kind of fact does not have is left out.
@@ -30,12 +30,14 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub class: Option<u32>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub station: Option<u32>,
+    #[serde(rename = "station")]
+    pub tenant: Option<u32>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub partner: Option<u64>,
+    #[serde(rename = "partner")]
+    pub destination: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// What its notice keeps its order within.
+    /// What its message keeps its order within.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub order_key: Option<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -46,7 +48,7 @@
     /// Until when an ended id, or a doubt, is remembered.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub until: Option<u64>,
-    /// A doubt's: notices born before that number are concerned.
+    /// A doubt's: messages born before that number are concerned.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub before: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -81,10 +83,10 @@
         };
         match *fact {
             Fact::Taken(taken) | Fact::TakenInOrder { taken, .. } => {
-                let TakenNotice {
+                let AcceptedMessage {
                     class,
-                    station,
-                    partner,
+                    tenant,
+                    destination,
                     key,
                     deadline,
                     lasts,
@@ -96,8 +98,8 @@
                 Row {
                     kind: "taken",
                     class: Some(class),
-                    station: Some(station),
-                    partner: Some(partner),
+                    tenant: Some(tenant),
+                    destination: Some(destination),
                     key: key.and_then(|k| text(k)),
                     deadline: Some(deadline),
                     at: Some(deadline.saturating_sub(u64::from(lasts))),
@@ -168,8 +170,8 @@
         add("endpoint", self.endpoint.clone());
         add("at", self.at.map(|v| v.to_string()));
         add("class", self.class.map(|v| v.to_string()));
-        add("station", self.station.map(|v| v.to_string()));
-        add("partner", self.partner.map(|v| v.to_string()));
+        add("station", self.tenant.map(|v| v.to_string()));
+        add("partner", self.destination.map(|v| v.to_string()));
         add("key", self.key.clone());
         add("order_key", self.order_key.clone());
         add("deadline", self.deadline.map(|v| v.to_string()));
--- a/crates/journal/benches/journal.rs
+++ b/crates/journal/benches/journal.rs
@@ -31,7 +31,7 @@
     format!("{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// A body as a program of a station might write it; `noise` is what can't be packed.
+/// A body as a program of a tenant might write it; `noise` is what can't be packed.
 fn body(n: u64, size: usize, noise: bool) -> Arc<[u8]> {
     let mut state = n | 1;
     let mut next = move || {
@@ -60,8 +60,8 @@
     Record::Taken {
         id: id(n),
         class: 0,
-        station: 1,
-        partner: n % 22,
+        tenant: 1,
+        destination: n % 22,
         key: Some(id(n ^ 7)),
         order_key: None,
         deadline,
@@ -84,8 +84,8 @@
         Record::Taken {
             id,
             class,
-            station,
-            partner,
+            tenant,
+            destination,
             key,
             deadline,
             body,
@@ -93,8 +93,8 @@
         } => OldRecord::Taken {
             id,
             class,
-            station,
-            partner,
+            tenant,
+            destination,
             key,
             deadline,
             body,
@@ -173,8 +173,8 @@
     write.commit().expect("committed");
 }
 
-/// Bytes on disk for a notice that is held: taken on, one attempt out.
-fn bytes_a_notice() {
+/// Bytes on disk for a message that is held: taken on, one attempt out.
+fn bytes_per_message() {
     println!("\nbytes a held notice (taken on, one attempt out), over 5,000 notices");
     for (size, noise) in [
         (0, false),
@@ -210,7 +210,7 @@
     tempfile::tempdir().expect("a folder")
 }
 
-/// A turn of 32 records: eight notices taken on, sent, back and over.
+/// A turn of 32 records: eight messages taken on, sent, back and over.
 fn turn(n: u64) -> Vec<Record> {
     let mut records = Vec::with_capacity(32);
     for k in 0..8 {
@@ -313,7 +313,7 @@
     );
 }
 
-/// A folder of 0.5 MB with notices that come and go.
+/// A folder of 0.5 MB with messages that come and go.
 fn amplification() {
     const DISK: u64 = 500_000;
     const TURNS: u64 = 20_000;
@@ -367,7 +367,7 @@
     }
 }
 
-/// The longest time for which a turn waits for the journal, with 100,000 open notices.
+/// The longest time for which a turn waits for the journal, with 100,000 open messages.
 fn longest_step() {
     const OPEN: u64 = 100_000;
     let (a, b) = (dir(), dir());
@@ -384,7 +384,7 @@
     }
     ledger.append(&live).expect("room");
     let mut all = Vec::new();
-    // Every second notice ends, and new ones come: compaction has work all the time.
+    // Every second message ends, and new ones come: compaction has work all the time.
     for n in 0..6000u64 {
         let now = NOW + n * 5;
         let mut records = Vec::new();
@@ -441,7 +441,7 @@
         .filter(|a| !a.starts_with('-'))
         .collect();
     let parts: [(&str, fn()); 5] = [
-        ("bytes", bytes_a_notice),
+        ("bytes", bytes_per_message),
         ("append", append),
         ("recovery", recovery),
         ("amplification", amplification),
--- a/crates/journal/benches/old_ledger.rs
+++ b/crates/journal/benches/old_ledger.rs
@@ -15,8 +15,10 @@
     Taken {
         id: String,
         class: usize,
-        station: usize,
-        partner: u64,
+        #[serde(rename = "station")]
+        tenant: usize,
+        #[serde(rename = "partner")]
+        destination: u64,
         key: Option<String>,
         deadline: u64,
         #[serde(skip)]
--- a/crates/journal/src/compact.rs
+++ b/crates/journal/src/compact.rs
@@ -15,7 +15,7 @@
 const EXPIRED_MOST: usize = 256;
 /// More segments than these are made fewer, even if none is empty: each takes a place in the manifest.
 const SEGMENTS_MOST: usize = 48;
-/// A doubt is kept for so long after the last notice that it concerns.
+/// A doubt is kept for so long after the last message that it concerns.
 const DOUBT_GRACE: u64 = 60_000;
 
 /// The segment being carried over.
@@ -23,7 +23,7 @@
 pub(crate) struct Moving {
     sequence: u32,
     offset: u64,
-    /// One for each frame of a notice passed so far: what goes with the file.
+    /// One for each frame of a message passed so far: what goes with the file.
     slots: Vec<u32>,
 }
 
@@ -115,7 +115,7 @@
                 self.doomed.push(doomed);
                 continue;
             }
-            // Only now are its frames gone: an end may be forgotten only when nothing could bring its notice back.
+            // Only now are its frames gone: an end may be forgotten only when nothing could bring its message back.
             self.index.removed(doomed.sequence, &doomed.slots);
             self.stats.removed += 1;
             step.removed += 1;
--- a/crates/journal/src/fact.rs
+++ b/crates/journal/src/fact.rs
@@ -14,16 +14,16 @@
 /// An id in its packed form, as it stands in a frame.
 pub type Packed<'a> = &'a serde_bytes::Bytes;
 
-/// A notice as it was taken on.
+/// A message as it was taken on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TakenNotice<'a> {
+pub struct AcceptedMessage<'a> {
     #[serde(borrow)]
     pub id: Packed<'a>,
     /// 0 for the log number of this very frame.
     pub born: u64,
     pub class: u32,
-    pub station: u32,
-    pub partner: u64,
+    pub tenant: u32,
+    pub destination: u64,
     pub key: Option<Packed<'a>>,
     /// Unix time in milliseconds, like all times here.
     pub deadline: u64,
@@ -34,14 +34,14 @@
     pub body: Packed<'a>,
 }
 
-/// One fact, borrowed from its frame. `born` is the log number under which the notice was taken: an id that comes
+/// One fact, borrowed from its frame. `born` is the log number under which the message was taken: an id that comes
 /// again after it was forgotten is a new life of it.
 ///
 /// The place of a variant is its number on disk: new ones go to the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fact<'a> {
     #[serde(borrow)]
-    Taken(TakenNotice<'a>),
+    Taken(AcceptedMessage<'a>),
     Sent {
         #[serde(borrow)]
         id: Packed<'a>,
@@ -70,19 +70,19 @@
         born: u64,
         until: u64,
     },
-    /// A notice born before that number may have had so many more attempts; all of these have ended by `until`.
+    /// A message born before that number may have had so many more attempts; all of these have ended by `until`.
     Doubt {
         before: u64,
         attempts: u32,
         until: u64,
     },
-    /// A notice that keeps its order with others of the same key.
+    /// A message that keeps its order with others of the same key.
     TakenInOrder {
         #[serde(borrow)]
-        taken: TakenNotice<'a>,
+        taken: AcceptedMessage<'a>,
         order_key: Packed<'a>,
     },
-    /// As [`Fact::Closing`], for a notice that keeps its order.
+    /// As [`Fact::Closing`], for a message that keeps its order.
     ClosingInOrder {
         #[serde(borrow)]
         id: Packed<'a>,
@@ -96,12 +96,12 @@
 pub const SENT_LEAST: usize = crate::frame::HEAD + 10;
 
 impl<'a> Fact<'a> {
-    /// The notice that it is about, and its life.
+    /// The message that it is about, and its life.
     pub fn subject(&self) -> Option<(&'a [u8], u64)> {
         match *self {
-            Fact::Taken(TakenNotice { id, born, .. })
+            Fact::Taken(AcceptedMessage { id, born, .. })
             | Fact::TakenInOrder {
-                taken: TakenNotice { id, born, .. },
+                taken: AcceptedMessage { id, born, .. },
                 ..
             }
             | Fact::ClosingInOrder { id, born, .. }
@@ -113,15 +113,15 @@
         }
     }
 
-    /// The notice that it says was taken on, if it says that.
-    pub fn taken(&self) -> Option<&TakenNotice<'a>> {
+    /// The message that it says was taken on, if it says that.
+    pub fn taken(&self) -> Option<&AcceptedMessage<'a>> {
         match self {
             Fact::Taken(taken) | Fact::TakenInOrder { taken, .. } => Some(taken),
             _ => None,
         }
     }
 
-    /// What its notice keeps its order within, where the fact tells.
+    /// What its message keeps its order within, where the fact tells.
     pub fn order_key(&self) -> Option<Packed<'a>> {
         match self {
             Fact::TakenInOrder { order_key, .. } | Fact::ClosingInOrder { order_key, .. } => {
@@ -141,7 +141,7 @@
         self
     }
 
-    /// Which of its notice's facts it is: the same tag twice is the same fact twice.
+    /// Which of its message's facts it is: the same tag twice is the same fact twice.
     pub fn tag(&self) -> Tag {
         match *self {
             Fact::Taken(_) | Fact::TakenInOrder { .. } => Tag::Taken,
@@ -172,7 +172,7 @@
     debug_assert!(written);
 }
 
-/// Reads a payload; `None` if it is none, or has ids that no notice has.
+/// Reads a payload; `None` if it is none, or has ids that no message has.
 pub fn read(payload: &[u8]) -> Option<(u64, Fact<'_>)> {
     let (lsn, rest) = postcard::take_from_bytes::<u64>(payload).ok()?;
     let (fact, rest) = postcard::take_from_bytes::<Fact<'_>>(rest).ok()?;
@@ -217,12 +217,12 @@
     fn facts_are_read_as_written_and_never_from_other_bytes() {
         let id = Id::new("9b1f03aa5c7e2d41");
         let id = Bytes::new(id.packed());
-        let taken = TakenNotice {
+        let taken = AcceptedMessage {
             id,
             born: 5,
             class: 1,
-            station: 2,
-            partner: 300,
+            tenant: 2,
+            destination: 300,
             key: Some(id),
             deadline: 1_764_590_000_000,
             lasts: 20_000,
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    /// A client chooses its notice's body: a frame inside it must not be taken for one of ours.
+    /// A client chooses its message's body: a frame inside it must not be taken for one of ours.
     #[test]
     fn a_frame_under_another_salt_is_not_one() {
         let (other, _) = three();
--- a/crates/journal/src/fuzzing.rs
+++ b/crates/journal/src/fuzzing.rs
@@ -63,13 +63,13 @@
     for step in 0..40 {
         journal.compact(NOW + step);
     }
-    let before = open_notices(&found.records);
+    let before = open_messages(&found.records);
     let new = "00000000000000ff0000ff";
     let taken = Record::Taken {
         id: new.into(),
         class: 0,
-        station: 0,
-        partner: 1,
+        tenant: 0,
+        destination: 1,
         key: None,
         order_key: None,
         deadline: LATER * 1_000_000,
@@ -79,7 +79,7 @@
     let kept = journal.append(NOW, &[taken]).is_ok();
     let (_, again) = Journal::open(journal.storage().after_death(), &options, NOW)
         .expect("it was opened before");
-    let after = open_notices(&again.records);
+    let after = open_messages(&again.records);
     assert!(
         !kept || before.contains_key(new) || after.contains_key(new),
         "what is taken on stays"
@@ -95,8 +95,8 @@
     }
 }
 
-/// Attempts used, and whether one may have run, by open notice: as the reducer reads it.
-fn open_notices(records: &[Record]) -> BTreeMap<String, (u32, bool)> {
+/// Attempts used, and whether one may have run, by open message: as the reducer reads it.
+fn open_messages(records: &[Record]) -> BTreeMap<String, (u32, bool)> {
     let mut open: BTreeMap<String, (u32, Option<u32>)> = BTreeMap::new();
     for record in records {
         match record {
--- a/crates/journal/src/id.rs
+++ b/crates/journal/src/id.rs
@@ -1,4 +1,4 @@
-//! Ids of notices, packed: most are lower-case hexadecimal text and take half of its bytes.
+//! Ids of messages, packed: most are lower-case hexadecimal text and take half of its bytes.
 
 use std::fmt;
 
@@ -17,7 +17,7 @@
 c0c1c2c3c4c5c6c7c8c9cacbcccdcecfd0d1d2d3d4d5d6d7d8d9dadbdcdddedf\
 e0e1e2e3e4e5e6e7e8e9eaebecedeeeff0f1f2f3f4f5f6f7f8f9fafbfcfdfeff";
 
-/// A notice's id. Equal texts have equal packed forms.
+/// A message's id. Equal texts have equal packed forms.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Id(Packed);
 
@@ -136,7 +136,7 @@
 
     const LONG_HEX: &str = "00112233445566778899aabbccddeeff";
 
-    /// Two texts with one packed form would be one notice.
+    /// Two texts with one packed form would be one message.
     #[test]
     fn every_text_comes_back_and_only_hexadecimal_is_shortened() {
         for (text, size) in [
--- a/crates/journal/src/index.rs
+++ b/crates/journal/src/index.rs
@@ -1,4 +1,4 @@
-//! What is live, and where: the join of all facts, by notice. Pure: it reads and writes nothing.
+//! What is live, and where: the join of all facts, by message. Pure: it reads and writes nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 use crate::id::Id;
 use crate::key::Key;
 
-/// Facts that an open notice may still need room for: six attempts with their ends, its closing and its end.
+/// Facts that an open message may still need room for: six attempts with their ends, its closing and its end.
 const FACTS_MOST: u64 = 14;
 /// Bytes of such a fact besides the id.
 const FACT_MOST: u64 = (HEAD + 56) as u64;
@@ -115,7 +115,7 @@
     Dead,
 }
 
-/// The state by notice, with live bytes by segment.
+/// The state by message, with live bytes by segment.
 #[derive(Debug)]
 pub struct Index {
     hasher: RandomState,
@@ -197,7 +197,7 @@
         self.entry(self.slot(id)?)
     }
 
-    /// Notices open, closing and remembered.
+    /// Messages open, closing and remembered.
     pub fn counts(&self) -> (u64, u64, u64) {
         (
             self.open,
@@ -221,7 +221,7 @@
         self.entries.iter()
     }
 
-    /// Takes in a fact that stands at `place`, and tells its notice's slot. `until` matters for ends only.
+    /// Takes in a fact that stands at `place`, and tells its message's slot. `until` matters for ends only.
     pub fn join(
         &mut self,
         id: &Id,
@@ -433,7 +433,7 @@
         self.known -= 1;
     }
 
-    /// Counts live bytes that are no notice's.
+    /// Counts live bytes that are no message's.
     pub fn add_live(&mut self, place: Place) {
         *self.live.entry(place.sequence).or_default() += u64::from(place.len);
     }
@@ -520,7 +520,7 @@
         }
     }
 
-    /// An end that goes before the facts that it ends would bring the notice back to life.
+    /// An end that goes before the facts that it ends would bring the message back to life.
     #[test]
     fn an_end_outlasts_all_facts_of_its_notice_and_its_time() {
         let id = Id::new("aa");
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -6,7 +6,7 @@
 use cranehill_core::{Closing, Kept, Record};
 use serde_bytes::Bytes;
 
-use crate::fact::{self, Fact, Tag, TakenNotice, pack};
+use crate::fact::{self, AcceptedMessage, Fact, Tag, pack};
 use crate::frame;
 use crate::id::Id;
 use crate::index::{Index, Place, State};
@@ -144,7 +144,7 @@
     pub(crate) pending: Vec<Record>,
     pub(crate) moving: Option<crate::compact::Moving>,
     pub(crate) doomed: Vec<crate::compact::Doomed>,
-    /// Bytes promised to notices that were let in since the last turn.
+    /// Bytes promised to messages that were let in since the last turn.
     promised: u64,
     pub(crate) stats: Stats,
     /// Kept to be filled anew each turn.
@@ -154,7 +154,7 @@
 /// A fact that is in the buffer and goes into the index once it is on disk.
 struct Written {
     id: Id,
-    /// Its notice's slot, if that was known before this turn.
+    /// Its message's slot, if that was known before this turn.
     slot: Option<u32>,
     /// Which record of this turn first spoke of it, if it was not.
     first: usize,
@@ -222,7 +222,7 @@
         })
     }
 
-    /// Whether there is room for a further notice of so many bytes, or when to come back. What is let in counts
+    /// Whether there is room for a further message of so many bytes, or when to come back. What is let in counts
     /// until the next turn is appended.
     pub fn admit(&mut self, bytes: usize) -> Result<(), Duration> {
         let more = bytes as u64 + 2048;
@@ -418,7 +418,7 @@
         Ok(())
     }
 
-    /// Under which number the notice of a record was taken, its slot if it has one, and the record of this turn that
+    /// Under which number the message of a record was taken, its slot if it has one, and the record of this turn that
     /// spoke of it first; `None` if the record says nothing that counts.
     fn born(
         &self,
@@ -441,7 +441,7 @@
             (None, None) => (0, true, true),
         };
         let born = match record {
-            // An id that ended and was forgotten by the sender is another notice.
+            // An id that ended and was forgotten by the sender is another message.
             Record::Taken { .. } => (over || closing).then_some(lsn),
             Record::Sent { .. } | Record::Back { .. } => (!over && !closing).then_some(born),
             Record::Closing { .. } if born == 0 => Some(lsn),
@@ -650,8 +650,8 @@
     let fact = match record {
         Record::Taken {
             class,
-            station,
-            partner,
+            tenant,
+            destination,
             key,
             order_key,
             deadline,
@@ -664,12 +664,12 @@
                 order_key.as_deref().map(Id::new),
             );
             let (packed_from, body) = pack(body);
-            let taken = TakenNotice {
+            let taken = AcceptedMessage {
                 id,
                 born: if born == lsn { 0 } else { born },
                 class: *class as u32,
-                station: *station as u32,
-                partner: *partner,
+                tenant: *tenant as u32,
+                destination: *destination,
                 key: key.as_ref().map(|k| Bytes::new(k.packed())),
                 deadline: deadline / NANOS,
                 lasts: u32::try_from(deadline.saturating_sub(*at) / NANOS).unwrap_or(u32::MAX),
--- a/crates/journal/src/key.rs
+++ b/crates/journal/src/key.rs
@@ -44,7 +44,7 @@
     mac
 }
 
-/// What makes the checksums of one segment's frames its own: bytes inside a notice's body can't pass for a frame,
+/// What makes the checksums of one segment's frames its own: bytes inside a message's body can't pass for a frame,
 /// nor can a frame of another segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Salt {
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -31,8 +31,10 @@
     Taken {
         id: String,
         class: usize,
-        station: usize,
-        partner: u64,
+        #[serde(rename = "station")]
+        tenant: usize,
+        #[serde(rename = "partner")]
+        destination: u64,
         key: Option<String>,
         deadline: u64,
     },
@@ -77,7 +79,7 @@
     Ok(Some(decode(&bytes)))
 }
 
-/// All readable records. A notice open before a damaged stretch may have been tried in it: it counts as possibly run
+/// All readable records. A message open before a damaged stretch may have been tried in it: it counts as possibly run
 /// with all attempts used, since the old frames have no numbers to tell which it can concern.
 pub fn decode(bytes: &[u8]) -> Old {
     let mut old = Old {
@@ -147,15 +149,15 @@
         Line::Taken {
             id,
             class,
-            station,
-            partner,
+            tenant,
+            destination,
             key,
             deadline,
         } => Record::Taken {
             id,
             class,
-            station,
-            partner,
+            tenant,
+            destination,
             key,
             order_key: None,
             deadline,
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,8 +1,8 @@
-//! The log of what the sender owes: a notice is in it before `+OK`, an attempt before its last byte goes out.
+//! The log of what the sender owes: a message is in it before `+OK`, an attempt before its last byte goes out.
 //!
 //! Start at [`Journal`]: [`Journal::open`] reads a folder and tells what an earlier life left ([`Recovered`]),
 //! [`Journal::append`] keeps a turn's records, [`Journal::compact`] takes one bounded step of upkeep, and
-//! [`Journal::admit`] says whether there is room for a further notice. Files are reached through [`Storage`] only:
+//! [`Journal::admit`] says whether there is room for a further message. Files are reached through [`Storage`] only:
 //! [`Folder`] is a real one, [`Memory`] fails as it is told to. The package reads no clock and starts no thread.
 //!
 //! The state is the join of all facts on disk, whatever their order and however often each is there; so compaction
@@ -31,7 +31,7 @@
 
 pub use compact::Step;
 pub use error::OpenError;
-pub use fact::{Fact, TakenNotice, unpack};
+pub use fact::{AcceptedMessage, Fact, unpack};
 pub use id::Id;
 pub use journal::{Journal, Options, Stats, Unkept};
 pub use key::Key;
--- a/crates/journal/src/open.rs
+++ b/crates/journal/src/open.rs
@@ -81,7 +81,7 @@
         }
         journal.next_sequence = scan.next_sequence;
         journal.next_lsn = scan.next_lsn;
-        // A doubt concerns notices that are open now: where there are none, nothing is in doubt.
+        // A doubt concerns messages that are open now: where there are none, nothing is in doubt.
         let deadline = |r: &Record| {
             if let Record::Taken { deadline, .. } = r {
                 Some(deadline / NANOS)
@@ -179,7 +179,7 @@
         mut old: legacy::Old,
         recovered: &mut Recovered,
     ) -> Result<(), OpenError> {
-        // The old file did not say until when an id that ended is remembered: from now on for as long as a notice may
+        // The old file did not say until when an id that ended is remembered: from now on for as long as a message may
         // last.
         let until = now.saturating_mul(NANOS).saturating_add(legacy::REMEMBERED);
         for record in &mut old.records {
--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -1,11 +1,11 @@
-//! From facts to what an earlier life left: the notices owed, with doubt where damage was found.
+//! From facts to what an earlier life left: the messages owed, with doubt where damage was found.
 
 use std::sync::Arc;
 
 use cranehill_core::{Closing, Record};
 
 use crate::error::OpenError;
-use crate::fact::{Fact, Packed, SENT_LEAST, Tag, TakenNotice, unpack};
+use crate::fact::{AcceptedMessage, Fact, Packed, SENT_LEAST, Tag, unpack};
 use crate::id::Id;
 use crate::index::{Index, Joined, Place, State};
 use crate::key::Key;
@@ -19,7 +19,7 @@
 /// Dead records are dropped once there are more than these.
 const SWEEP_LEAST: usize = 4096;
 
-/// A notice whose own record is gone: known only by its attempts, and concluded as failed.
+/// A message whose own record is gone: known only by its attempts, and concluded as failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lost {
     pub id: String,
@@ -31,11 +31,11 @@
 /// What an earlier life left.
 #[derive(Debug, Default)]
 pub struct Recovered {
-    /// For the reducer: remembered ends, closings, then open notices in the order in which they were taken on.
+    /// For the reducer: remembered ends, closings, then open messages in the order in which they were taken on.
     pub records: Vec<Record>,
     pub damage: Vec<Stretch>,
     pub lost: Vec<Lost>,
-    /// Open notices that count as possibly run because of damage.
+    /// Open messages that count as possibly run because of damage.
     pub doubted: usize,
     /// A cut-off write at the end: file and bytes.
     pub torn: Option<(String, u64)>,
@@ -43,7 +43,7 @@
     pub foreign: Vec<String>,
     /// The latest time known to have been reached, in ms since 1970. The process's clock must start no earlier.
     pub latest: u64,
-    /// Notices open, closing and remembered.
+    /// Messages open, closing and remembered.
     pub counts: (u64, u64, u64),
     /// Carried over from the single file of earlier releases.
     pub carried_over: usize,
@@ -73,7 +73,7 @@
 struct About {
     slot: u32,
     born: u64,
-    /// Orders the records of one notice: taken on, then each attempt and its end.
+    /// Orders the records of one message: taken on, then each attempt and its end.
     which: u64,
     at: At,
 }
@@ -94,7 +94,7 @@
         });
     }
 
-    /// Drops what no longer counts, so that ended notices do not fill the memory.
+    /// Drops what no longer counts, so that ended messages do not fill the memory.
     fn sweep(&mut self, index: &Index) {
         self.dead = 0;
         let counts = |record: &Record, about: &About| {
@@ -125,7 +125,7 @@
         self.about.truncate(kept);
     }
 
-    /// Ends by their time, reports due, then open notices in the order in which they were taken on.
+    /// Ends by their time, reports due, then open messages in the order in which they were taken on.
     fn sort(&mut self) {
         let key = |record: &Record, about: &About| match record {
             Record::Over { until, .. } => (0u8, *until, u64::from(about.slot)),
@@ -213,7 +213,7 @@
         }
         match record(&id, fact) {
             Some(record) => {
-                // What it ends is dead from now on: a few records a notice, mostly.
+                // What it ends is dead from now on: a few records a message, mostly.
                 let ends = matches!(record, Record::Closing { .. } | Record::Over { .. });
                 told.dead += if ends || joined == Joined::NewLife {
                     3
@@ -287,7 +287,7 @@
     all
 }
 
-/// Notices taken on that finished segments hold, by the manifest.
+/// Messages taken on that finished segments hold, by the manifest.
 fn expected<S: Storage>(storage: &mut S, given: Option<Key>) -> usize {
     let Ok(files) = storage.list() else { return 0 };
     let Ok(ring) = ring(storage, given, &files) else {
@@ -317,10 +317,10 @@
     let order_key = fact.order_key().and_then(text);
     Some(match fact {
         Fact::Taken(taken) | Fact::TakenInOrder { taken, .. } => {
-            let TakenNotice {
+            let AcceptedMessage {
                 class,
-                station,
-                partner,
+                tenant,
+                destination,
                 key,
                 deadline,
                 lasts,
@@ -331,8 +331,8 @@
             Record::Taken {
                 id,
                 class: class as usize,
-                station: station as usize,
-                partner,
+                tenant: tenant as usize,
+                destination,
                 key: key.and_then(text),
                 order_key,
                 deadline: deadline.saturating_mul(NANOS),
@@ -385,7 +385,7 @@
         counts: index.counts(),
         ..Recovered::default()
     };
-    // A notice of which all is known needs nothing but its records as they stand.
+    // A message of which all is known needs nothing but its records as they stand.
     let whole = doubts.is_empty()
         && told
             .records
@@ -410,31 +410,37 @@
         out.records = told.records;
         return out;
     }
-    let mut notice: Vec<Record> = Vec::new();
+    let mut message: Vec<Record> = Vec::new();
     let mut all = told.records.into_iter().zip(told.about).peekable();
     while let Some((record, about)) = all.next() {
         if matches!(record, Record::Over { .. } | Record::Closing { .. }) {
             out.records.push(record);
             continue;
         }
-        notice.push(record);
+        message.push(record);
         while let Some((record, _)) = all.next_if(|(_, next)| next.slot == about.slot) {
-            notice.push(record);
+            message.push(record);
         }
-        one(scan, &mut notice, about, doubts, &mut out);
+        one(scan, &mut message, about, doubts, &mut out);
     }
     out
 }
 
-/// Adds what is known of one open notice, and what is in doubt. Leaves `notice` empty.
-fn one(scan: &Scan, notice: &mut Vec<Record>, about: About, doubts: &[Doubt], out: &mut Recovered) {
-    let Some(Record::Taken { id, at, .. }) = notice.first() else {
+/// Adds what is known of one open message, and what is in doubt. Leaves `message` empty.
+fn one(
+    scan: &Scan,
+    message: &mut Vec<Record>,
+    about: About,
+    doubts: &[Doubt],
+    out: &mut Recovered,
+) {
+    let Some(Record::Taken { id, at, .. }) = message.first() else {
         // Its own record is gone: it can only be concluded.
         let file = scan
             .segments
             .get(&about.at.sequence)
             .map_or_else(String::new, |s| s.name.clone());
-        for record in notice.drain(..).take(1) {
+        for record in message.drain(..).take(1) {
             let id = record.id().to_owned();
             let (closing, order_key) = (Closing::Failed, None);
             out.records.push(Record::Closing {
@@ -457,7 +463,7 @@
         endpoint: String::new(),
         at,
     };
-    let numbers: Vec<u32> = notice
+    let numbers: Vec<u32> = message
         .iter()
         .filter_map(|r| match r {
             Record::Sent { attempt, .. } | Record::Back { attempt, .. } => Some(*attempt),
@@ -465,7 +471,7 @@
         })
         .collect();
     let used = numbers.iter().max().map_or(0, |n| n.saturating_add(1));
-    let mut rest = notice.drain(..);
+    let mut rest = message.drain(..);
     out.records.extend(rest.next());
     let doubted: u32 = doubts
         .iter()
--- a/crates/journal/src/scan.rs
+++ b/crates/journal/src/scan.rs
@@ -49,11 +49,11 @@
     pub file: String,
     pub offset: u64,
     pub len: u64,
-    /// Notices born from this log number on are not concerned.
+    /// Messages born from this log number on are not concerned.
     pub before: u64,
-    /// Attempts of one notice that it may have held.
+    /// Attempts of one message that it may have held.
     pub attempts: u32,
-    /// Notices taken on that it may have held, at most.
+    /// Messages taken on that it may have held, at most.
     pub taken: u32,
     pub why: Why,
 }
@@ -322,7 +322,7 @@
         Ok(())
     }
 
-    /// The lowest log number that a notice born after `sequence` was finished can have.
+    /// The lowest log number that a message born after `sequence` was finished can have.
     fn base_after(&self, sequence: u32) -> u64 {
         let listed = self
             .manifest
@@ -522,7 +522,7 @@
     }
 }
 
-/// How many attempts of one notice fit in so many bytes. More than any class allows means all.
+/// How many attempts of one message fit in so many bytes. More than any class allows means all.
 fn attempts_in(bytes: u64) -> u32 {
     (bytes.div_ceil(SENT_LEAST as u64)).clamp(1, 32) as u32
 }
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -15,7 +15,7 @@
 pub const KEY: [u8; 32] = [0x5a; 32];
 pub const MS: u64 = 1_000_000;
 pub const START: u64 = 1_764_590_000_000;
-/// How long a notice lasts here.
+/// How long a message lasts here.
 pub const LASTS: u64 = 2_000;
 
 /// Small segments: a day has many switches.
@@ -74,7 +74,7 @@
     }
 }
 
-/// One notice, as plainly as can be.
+/// One message, as plainly as can be.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Owed {
     pub order: usize,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Half of all notices keep an order.
+/// Half of all messages keep an order.
 fn order_key(id: &str) -> Option<String> {
     let digit = id
         .bytes()
@@ -115,15 +115,15 @@
 /// The reference: everything ever said, in the order in which it was said.
 #[derive(Clone, Debug, Default)]
 pub struct Model {
-    pub notices: BTreeMap<String, Owed>,
+    pub messages: BTreeMap<String, Owed>,
 }
 
 impl Model {
     pub fn take(&mut self, records: &[Record]) {
         for record in records {
-            let order = self.notices.len();
+            let order = self.messages.len();
             let owed = self
-                .notices
+                .messages
                 .entry(record.id().to_owned())
                 .or_insert_with(|| Owed {
                     order,
@@ -145,10 +145,10 @@
         }
     }
 
-    /// What a recovery at `now` must tell of open notices and of reports that are due.
+    /// What a recovery at `now` must tell of open messages and of reports that are due.
     pub fn owed(&self) -> Vec<Record> {
         let mut closing: Vec<(&String, &Owed)> = self
-            .notices
+            .messages
             .iter()
             .filter(|(_, o)| o.over.is_none())
             .collect();
@@ -158,7 +158,7 @@
             .filter_map(|(_, o)| o.closing.clone())
             .collect();
         let mut open: Vec<(&String, &Owed)> =
-            self.notices.iter().filter(|(_, o)| o.open()).collect();
+            self.messages.iter().filter(|(_, o)| o.open()).collect();
         open.sort_by_key(|(_, o)| o.order);
         for (id, owed) in open {
             records.extend(owed.taken.clone());
@@ -186,7 +186,7 @@
             return Err(format!("owed: found {owed:?}\nexpected {expected:?}"));
         }
         let ends: BTreeMap<&str, &Record> = ends.into_iter().map(|r| (r.id(), r)).collect();
-        for (id, owed) in &self.notices {
+        for (id, owed) in &self.messages {
             match (owed.over, ends.get(id.as_str())) {
                 (Some(until), None) if until > now * MS => {
                     return Err(format!("{id} is not remembered"));
@@ -203,13 +203,13 @@
 pub struct Day {
     pub rng: ChaCha8Rng,
     pub now: u64,
-    /// Open notices: id, attempts used, one out.
+    /// Open messages: id, attempts used, one out.
     open: Vec<(String, u32, bool)>,
     closing: Vec<String>,
     count: u32,
     /// Bytes of a body at most.
     pub body: usize,
-    /// Open notices at most.
+    /// Open messages at most.
     pub most: usize,
 }
 
@@ -231,12 +231,12 @@
     pub fn resume(&mut self, records: &[Record]) {
         let mut model = Model::default();
         model.take(records);
-        let notices = || model.notices.iter();
-        self.open = notices()
+        let messages = || model.messages.iter();
+        self.open = messages()
             .filter(|(_, o)| o.open())
             .map(|(id, o)| (id.clone(), o.attempts(), false))
             .collect();
-        self.closing = notices()
+        self.closing = messages()
             .filter(|(_, o)| o.closing.is_some() && o.over.is_none())
             .map(|(id, _)| id.clone())
             .collect();
@@ -307,8 +307,8 @@
             records.push(Record::Taken {
                 id: id.clone(),
                 class: 0,
-                station: self.rng.random_range(0..3),
-                partner: self.rng.random_range(0..30),
+                tenant: self.rng.random_range(0..3),
+                destination: self.rng.random_range(0..30),
                 key: self
                     .rng
                     .random_bool(0.5)
