--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -164,7 +164,7 @@
             removed > 8,
             "seed {seed}: the day has too little compaction, {removed}"
         );
-        assert!(whole.promised.notices.len() > 20);
+        assert!(whole.promised.messages.len() > 20);
         for (operation, change) in files.log.iter().enumerate() {
             let len = if let Change::Append(len) = change {
                 *len
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -79,8 +79,8 @@
     Record::Taken {
         id: id.into(),
         class: 1,
-        station: 2,
-        partner: 300,
+        tenant: 2,
+        destination: 300,
         key: idempotency_key.map(Into::into),
         order_key: ordering_key.map(Into::into),
         deadline: nanos(accepted_ms + MESSAGE_LIFETIME_MS),
--- a/crates/journal/tests/hard_cases.rs
+++ b/crates/journal/tests/hard_cases.rs
@@ -12,8 +12,8 @@
     Record::Taken {
         id: id.into(),
         class: 0,
-        station: 1,
-        partner: 7,
+        tenant: 1,
+        destination: 7,
         key: Some("k".into()),
         order_key: None,
         deadline: (START + LASTS) * MS,
@@ -76,7 +76,7 @@
         .collect()
 }
 
-/// A journal with `n` open notices in many segments, one turn each.
+/// A journal with `n` open messages in many segments, one turn each.
 fn filled(n: usize) -> Journal<Memory> {
     let (mut journal, _) = open(Memory::new(256 * 1024), START);
     for i in 0..n {
@@ -126,7 +126,7 @@
     }
 }
 
-/// The sender must not run an `unsafe` notice again whose attempt stood in the damaged stretch.
+/// The sender must not run an `unsafe` message again whose attempt stood in the damaged stretch.
 #[test]
 fn an_attempt_whose_record_was_hit_still_counts() {
     let (mut journal, _) = open(Memory::new(64 * 1024), START);
@@ -136,7 +136,7 @@
     let files = journal.storage().after_death();
     let name = segments(&files).pop().expect("a segment");
     let whole = &files.files[&name];
-    // The attempt's record is the one that ends before the second notice's.
+    // The attempt's record is the one that ends before the second message's.
     let at = whole
         .windows(2)
         .rposition(|w| w == [1, b'b'])
@@ -167,7 +167,7 @@
     assert_eq!((last.damage.len(), &last.records), (0, &found.records));
 }
 
-/// A sender that was down for long finds notices whose time is out, concludes them, and may be killed before it has: the
+/// A sender that was down for long finds messages whose time is out, concludes them, and may be killed before it has: the
 /// doubt must last that long, or one that may have run is told as never run.
 #[test]
 fn a_doubt_outlasts_notices_whose_time_was_out_before_the_start() {
@@ -550,7 +550,7 @@
     compact(&mut journal, 50, START + LASTS);
     let (_, found) = open(journal.storage().after_death(), START + LASTS);
     assert!(found.records.is_empty(), "{:?}", found.records);
-    // And if the id comes again then, it is another notice.
+    // And if the id comes again then, it is another message.
     journal
         .append(START + 5000, &[taken("a", 20)])
         .expect("room");
--- a/crates/journal/tests/property.rs
+++ b/crates/journal/tests/property.rs
@@ -117,7 +117,7 @@
                     if e.kept == Kept::Ends {
                         self.model.take(&ends);
                     }
-                    // New notices and attempts are taken back by the sender; the day goes on as if they had been
+                    // New messages and attempts are taken back by the sender; the day goes on as if they had been
                     // kept, so they are handed in again here once there is room.
                     left = if e.kept == Kept::Ends {
                         rest
@@ -251,20 +251,20 @@
     }
 }
 
-/// What is found as the sender reads it: by notice, its attempts used and whether it may have run.
+/// What is found as the sender reads it: by message, its attempts used and whether it may have run.
 fn read(records: &[Record]) -> BTreeMap<String, Owed> {
     let mut model = Model::default();
     model.take(records);
-    model.notices
+    model.messages
 }
 
 /// The promises, weaker than equality: also with damage.
 fn holds(promised: &Model, found: &Recovered, now: u64) -> Result<(), String> {
-    let notices = read(&found.records);
+    let messages = read(&found.records);
     let damaged = !found.damage.is_empty();
     let mut lost = 0;
-    for (id, owed) in &promised.notices {
-        let there = notices.get(id);
+    for (id, owed) in &promised.messages {
+        let there = messages.get(id);
         let ended = owed.closing.is_some() || owed.over.is_some();
         match there {
             // Damage may have hidden its end; then it must not go out as if it had never run.
@@ -410,7 +410,7 @@
         bench.act(&Act::Restart)?;
     }
 
-    /// Damage hides facts: what they may have said counts as said, and no notice goes without being counted.
+    /// Damage hides facts: what they may have said counts as said, and no message goes without being counted.
     #[test]
     fn with_damage_nothing_runs_as_if_for_the_first_time_and_every_loss_is_counted(
         seed in any::<u64>(),
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -19,7 +19,7 @@
     Leave,
     /// Tell all members this payload in place of the one before; [`crate::vote::MAX_PAYLOAD`] bytes at most, a longer one is not sent.
     SetPayload(Vec<u8>),
-    /// Ask a few members for what they have learnt of partners.
+    /// Ask a few members for what they have learnt of destinations.
     RequestLearned,
     /// Tell a member what was learnt, in pieces of [`crate::MAX_LEARNED_PIECE`] bytes at most.
     SendLearned {
--- a/crates/membership/src/pacer.rs
+++ b/crates/membership/src/pacer.rs
@@ -7,7 +7,7 @@
 /// What a packet is for, as far as its pace goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Probes, their answers, refutations, notices to suspects and of leaving: never held back, always charged.
+    /// Probes, their answers, refutations, messages to suspects and of leaving: never held back, always charged.
     Urgent,
     /// Gossip.
     Gossip,
--- a/crates/membership/src/share.rs
+++ b/crates/membership/src/share.rs
@@ -14,7 +14,7 @@
 use crate::views::{MAX_MEMBERS, State, View, Views};
 use crate::vote::{DownSets, Votes};
 
-/// After SIGTERM a sender ends within 3.4 s; half a second is for the notice to spread.
+/// After SIGTERM a sender ends within 3.4 s; half a second is for the message to spread.
 pub const LEAVE_EVICTION_DELAY: Duration = Duration::from_secs(4);
 
 #[derive(Debug)]
--- a/crates/recovery/src/memory.rs
+++ b/crates/recovery/src/memory.rs
@@ -1,4 +1,4 @@
-//! What was learnt of partners before, by ourselves or by others: the youngest of each, and only while it is young enough.
+//! What was learnt of destinations before, by ourselves or by others: the youngest of each, and only while it is young enough.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 /// The longest wait that is believed; the wire takes no longer one.
 const WAIT_MOST: Duration = Duration::from_secs(86_400);
-/// Partners and routes remembered, at most.
+/// Destinations and routes remembered, at most.
 const KEPT_MOST: usize = 4096;
 
 /// See the module's text.
--- a/crates/recovery/src/owed.rs
+++ b/crates/recovery/src/owed.rs
@@ -1,4 +1,4 @@
-//! What an earlier life took on, in the order in which it is taken up again: by partner, first what can go out for the shortest
+//! What an earlier life took on, in the order in which it is taken up again: by destination, first what can go out for the shortest
 //! time, be that to its deadline or to the end of its window for repeats.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,12 +6,12 @@
 
 use cranehill_scheduler::Time;
 
-/// Of each partner so many may be in the hands of the decisions and not yet sent: one that goes, and one that follows.
+/// Of each destination so many may be in the hands of the decisions and not yet sent: one that goes, and one that follows.
 const IN_HAND: usize = 2;
-/// All are in hand after so long, whatever the decisions do with them: where a partner is asked for more than it takes, they
+/// All are in hand after so long, whatever the decisions do with them: where a destination is asked for more than it takes, they
 /// prefer fresh ones, and what is owed would else wait here until its time is over.
 const ALL_WITHIN: Duration = Duration::from_secs(5);
-/// Whatever the pace, a notice is handed over with this part of its time left: where deadlines or windows are short, a fixed time
+/// Whatever the pace, a message is handed over with this part of its time left: where deadlines or windows are short, a fixed time
 /// before them would leave no time for a try, and neither would all of the time above.
 const LEFT_LEAST: u32 = 2;
 
@@ -41,14 +41,14 @@
     }
 
     /// Adds one that may go out until `last_chance`.
-    pub fn add(&mut self, partner: u64, last_chance: Time, id: String) {
-        let line = self.lines.entry(partner).or_default();
+    pub fn add(&mut self, destination: u64, last_chance: Time, id: String) {
+        let line = self.lines.entry(destination).or_default();
         line.all += usize::from(line.waiting.insert((last_chance, id)));
     }
 
-    /// This one has been sent, or has ended: another of its partner's may follow.
-    pub fn moved(&mut self, partner: u64, id: &str) {
-        if let Some(line) = self.lines.get_mut(&partner) {
+    /// This one has been sent, or has ended: another of its destination's may follow.
+    pub fn moved(&mut self, destination: u64, id: &str) {
+        if let Some(line) = self.lines.get_mut(&destination) {
             line.in_hand.remove(id);
         }
     }
@@ -87,13 +87,13 @@
             .min()
     }
 
-    /// Notices not handed over yet.
+    /// Messages not handed over yet.
     pub fn waiting(&self) -> usize {
         self.lines.values().map(|l| l.waiting.len()).sum()
     }
 }
 
-/// When a notice that may go out until then is handed over at the latest, by a sender that came back at `since`.
+/// When a message that may go out until then is handed over at the latest, by a sender that came back at `since`.
 fn latest(since: Time, last_chance: Time) -> Time {
     since + ((last_chance - since) / LEFT_LEAST).min(ALL_WITHIN)
 }
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -39,7 +39,7 @@
     stage: Stage,
     pub memory: Memory,
     pub owed: Owed,
-    /// Something new in the memory, or new partners: the decisions should recall.
+    /// Something new in the memory, or new destinations: the decisions should recall.
     recall: bool,
     ask_at: Time,
     told: bool,
@@ -87,7 +87,7 @@
         self.recall = true;
     }
 
-    /// The list changed: there may be partners whose first calls are to be spread.
+    /// The list changed: there may be destinations whose first calls are to be spread.
     pub fn listed(&mut self) {
         self.recall = true;
     }
--- a/crates/recovery/tests/coming_back.rs
+++ b/crates/recovery/tests/coming_back.rs
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Guards short deadlines: by a fixed time before them a restart's notices were handed over too late for a try. Each is
+    /// Guards short deadlines: by a fixed time before them a restart's messages were handed over too late for a try. Each is
     /// in the decisions' hands with half of its time left at least, and within five seconds, though none before it moves.
     #[test]
     fn what_is_owed_is_handed_over_with_half_of_its_time_left(
@@ -235,8 +235,8 @@
     ) {
         let mut owed = Owed::new(s(0.0));
         let ms = |ms: u64| s(0.0) + Duration::from_millis(ms);
-        for (n, (partner, left)) in lefts.iter().enumerate() {
-            owed.add(*partner, ms(*left), n.to_string());
+        for (n, (destination, left)) in lefts.iter().enumerate() {
+            owed.add(*destination, ms(*left), n.to_string());
         }
         let (mut now, mut handed) = (0, 0);
         while owed.waiting() > 0 {
--- a/crates/scenario-runner/src/breakages.rs
+++ b/crates/scenario-runner/src/breakages.rs
@@ -2,7 +2,7 @@
 
 use cranehill_simulation::audit::Rule;
 
-const PARTNERS: &str = include_str!("../../../rehearsals/days/broken-partners.toml");
+const DESTINATIONS: &str = include_str!("../../../rehearsals/days/broken-partners.toml");
 const RESTARTS: &str = include_str!("../../../rehearsals/days/broken-restarts.toml");
 const UNSAFE: &str = include_str!("../../../rehearsals/days/broken-unsafe.toml");
 const RETURN: &str = include_str!("../../../rehearsals/days/broken-return.toml");
@@ -23,17 +23,17 @@
     Case {
         name: "ignores-waits",
         rule: Rule::Waits,
-        day: PARTNERS,
+        day: DESTINATIONS,
     },
     Case {
         name: "sends-to-drained",
         rule: Rule::Drains,
-        day: PARTNERS,
+        day: DESTINATIONS,
     },
     Case {
         name: "two-copies",
         rule: Rule::SecondCopy,
-        day: PARTNERS,
+        day: DESTINATIONS,
     },
     Case {
         name: "forgets-journal",
@@ -48,7 +48,7 @@
     Case {
         name: "drops-reports",
         rule: Rule::OneEnd,
-        day: PARTNERS,
+        day: DESTINATIONS,
     },
     Case {
         name: "floods-cold",
@@ -58,12 +58,12 @@
     Case {
         name: "holds-answers",
         rule: Rule::Answers,
-        day: PARTNERS,
+        day: DESTINATIONS,
     },
     Case {
         name: "reuses-spoilt",
         rule: Rule::Idle,
-        day: PARTNERS,
+        day: DESTINATIONS,
     },
     Case {
         name: "repeats-unsafe",
@@ -73,7 +73,7 @@
     Case {
         name: "seventh-attempt",
         rule: Rule::Attempts,
-        day: PARTNERS,
+        day: DESTINATIONS,
     },
     Case {
         name: "leaks-at-stop",
@@ -83,7 +83,7 @@
     Case {
         name: "closes-clients",
         rule: Rule::Answers,
-        day: PARTNERS,
+        day: DESTINATIONS,
     },
     Case {
         name: "ignores-order",
--- a/crates/scenario-runner/src/figures.rs
+++ b/crates/scenario-runner/src/figures.rs
@@ -5,7 +5,7 @@
 
 use cranehill_simulation::audit::{Answer, Fate, Line, What};
 use cranehill_simulation::day::Day;
-use cranehill_simulation::partner::Partner;
+use cranehill_simulation::destination::SimulatedDestination;
 use hdrhistogram::Histogram;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -16,19 +16,19 @@
 /// What a day looked like over time.
 #[derive(Debug)]
 pub struct Figures {
-    /// Microseconds from a notice's handing in to its answer, and to the 200 that a partner wrote for it.
+    /// Microseconds from a message's handing in to its answer, and to the 200 that a destination wrote for it.
     pub answered: Histogram<u64>,
     pub delivered: Histogram<u64>,
-    /// Notices handed in, delivered and refused, by second.
+    /// Messages handed in, delivered and refused, by second.
     pub handed: Curve,
     pub done: Curve,
     pub refused: Curve,
     /// Calls out, by sender.
     pub in_flight: Vec<Curve>,
-    /// Partners that have told some sender to wait, over time.
+    /// Destinations that have told some sender to wait, over time.
     pub waits: Curve,
-    /// By partner: messages sent to it a second, and what it could do.
-    pub partners: Vec<(String, Curve, Curve)>,
+    /// By destination: messages sent to it a second, and what it could do.
+    pub destinations: Vec<(String, Curve, Curve)>,
 }
 
 /// An hour in microseconds, beyond which nothing is told apart.
@@ -54,10 +54,10 @@
         refused: Vec::new(),
         in_flight: vec![Vec::new(); day.senders],
         waits: Vec::new(),
-        partners: Vec::new(),
+        destinations: Vec::new(),
     };
     let mut counts = vec![[0u32; 3]; seconds];
-    let mut sent = vec![vec![0u32; seconds]; day.partners.len()];
+    let mut sent = vec![vec![0u32; seconds]; day.destinations.len()];
     let mut begun: HashMap<&str, Duration> = HashMap::new();
     let mut out: Vec<BTreeSet<u64>> = vec![BTreeSet::new(); day.senders];
     let mut told: Vec<(Duration, i32)> = Vec::new();
@@ -77,13 +77,13 @@
             }
             What::Called {
                 connection,
-                partner,
+                destination,
                 ids,
                 ..
             } => {
                 out[sender].insert(*connection);
                 figures.in_flight[sender].push((line.at.as_secs_f64(), out[sender].len() as f64));
-                if let Some(row) = sent.get_mut(*partner as usize) {
+                if let Some(row) = sent.get_mut(*destination as usize) {
                     row[second] += ids.len() as u32;
                 }
             }
@@ -128,8 +128,8 @@
         open += change;
         figures.waits.push((at.as_secs_f64(), f64::from(open)));
     }
-    for (n, member) in day.partners.iter().enumerate() {
-        let partner = Partner::new(
+    for (n, member) in day.destinations.iter().enumerate() {
+        let destination = SimulatedDestination::new(
             member.spec.clone(),
             member.faults.clone(),
             ChaCha8Rng::seed_from_u64(0),
@@ -143,11 +143,13 @@
             .map(|k| {
                 (
                     k as f64 / 5.0,
-                    partner.capacity(Duration::from_millis(k as u64 * 200)),
+                    destination.capacity(Duration::from_millis(k as u64 * 200)),
                 )
             })
             .collect();
-        figures.partners.push((member.name.clone(), load, could));
+        figures
+            .destinations
+            .push((member.name.clone(), load, could));
     }
     figures
 }
--- a/crates/scenario-runner/src/journal_damage.rs
+++ b/crates/scenario-runner/src/journal_damage.rs
@@ -111,8 +111,8 @@
         Record::Taken {
             id,
             class: 0,
-            station: 0,
-            partner: 1,
+            tenant: 0,
+            destination: 1,
             key: None,
             order_key: None,
             deadline,
--- a/crates/scenario-runner/src/lib.rs
+++ b/crates/scenario-runner/src/lib.rs
@@ -1,4 +1,4 @@
-//! Rehearsals: a whole day on loopback with stand-in partners, directory, platform and clients in one loop, faults by
+//! Rehearsals: a whole day on loopback with simulated destinations, directory, platform and clients in one loop, faults by
 //! script, real senders as processes, and the auditor's verdicts.
 //!
 //! Start at [`Plan`] and [`play`]. The behaviour of stand-ins is `cranehill_simulation`'s; here are sockets, processes and the
@@ -96,7 +96,7 @@
     pub lines: Vec<Line>,
     /// Worth delivered and asked for.
     pub worth: (f64, f64),
-    /// The same by the second in which a notice was first handed in.
+    /// The same by the second in which a message was first handed in.
     pub worth_over_time: Vec<(f64, f64)>,
     /// What the senders had used at the day's end, and the processor time of the rig's own loop.
     pub senders: Vec<ResourceUsage>,
--- a/crates/scenario-runner/src/measure.rs
+++ b/crates/scenario-runner/src/measure.rs
@@ -1,6 +1,6 @@
 //! Measurements: what one sender carries on one core, and what the stand-ins carry themselves.
 //!
-//! A step is a short day of steady load to many partners that could take more. The load is open, so a sender that can't
+//! A step is a short day of steady load to many destinations that could take more. The load is open, so a sender that can't
 //! keep up shows by refusals, late answers and what is never delivered, and not by a load that slows down with it.
 
 use std::fmt::Write as _;
@@ -19,7 +19,7 @@
 const ANSWERED: Duration = Duration::from_millis(100);
 /// Beyond this lateness of the rig, 99 of 100 times, nothing can be said of the sender.
 const RIG_LATE: Duration = Duration::from_millis(20);
-/// Notices last so long; what is held longer than a fraction of it shows as a late answer or delivery.
+/// Messages last so long; what is held longer than a fraction of it shows as a late answer or delivery.
 const LASTS_S: u64 = 8;
 /// A search begins here and goes no further than that, in messages a second.
 const FIRST: f64 = 250.0;
@@ -30,7 +30,7 @@
 /// What is measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Setup {
-    /// Endpoints of all partners together, two for each.
+    /// Endpoints of all destinations together, two for each.
     pub endpoints: usize,
     pub senders: usize,
     /// Over Web Push in place of the first front.
@@ -47,7 +47,7 @@
     pub rate: f64,
     pub handed: u64,
     pub delivered: u64,
-    /// Median, 99 and 99.9 of 100 from handing in to the answer, and to the partner's 200, in microseconds.
+    /// Median, 99 and 99.9 of 100 from handing in to the answer, and to the destination's 200, in microseconds.
     pub answered: [u64; 3],
     pub done: [u64; 3],
     /// Cores that the rig's one loop was busy with, and each sender.
@@ -103,9 +103,9 @@
 
 /// The day of one step.
 fn text(setup: &Setup, rate: f64) -> String {
-    let partners = (setup.endpoints / 2).max(1);
-    // Twice what comes, so that no partner is what is measured.
-    let capacity = (rate / partners as f64 * 4.0).max(20.0);
+    let destinations = (setup.endpoints / 2).max(1);
+    // Twice what comes, so that no destination is what is measured.
+    let capacity = (rate / destinations as f64 * 4.0).max(20.0);
     let seconds = setup.span.as_secs_f64();
     let mut text = format!(
         "name = \"{rate:.0} messages a second\"\nsenders = {}\nlasts = \"{seconds} s\"\n[load]\nrate = \"{rate}/s\"\nclumps = 0.0\nzipf = 0.0\n",
@@ -117,7 +117,7 @@
     );
     let _ = write!(
         text,
-        "[[partner]]\nname = \"estacion\"\ncount = {partners}\nendpoints = 2\npush = {}\ncapacity = \"{capacity}/s\"\nqueue = 1000\npace = \"10 ms\"\nspread = 0.2\n",
+        "[[partner]]\nname = \"estacion\"\ncount = {destinations}\nendpoints = 2\npush = {}\ncapacity = \"{capacity}/s\"\nqueue = 1000\npace = \"10 ms\"\nspread = 0.2\n",
         setup.push
     );
     text
--- a/crates/scenario-runner/src/report_files.rs
+++ b/crates/scenario-runner/src/report_files.rs
@@ -20,8 +20,8 @@
 /// Rows of one group of the table.
 const GROUP: usize = 16 * 1024;
 const SIZE: (u32, u32) = (900, 260);
-/// Partners that are plotted: those with most load.
-const PARTNERS_MOST: usize = 12;
+/// Destinations that are plotted: those with most load.
+const MAX_DESTINATIONS: usize = 12;
 
 fn other(e: impl std::fmt::Display) -> io::Error {
     io::Error::other(e.to_string())
@@ -72,7 +72,7 @@
             let breaches: Vec<Value> = breaches
                 .iter()
                 .map(|b| {
-                    json!({"at_ms": b.at.as_millis() as u64, "notice": b.id, "partner": b.partner, "why": b.why,
+                    json!({"at_ms": b.at.as_millis() as u64, "notice": b.id, "partner": b.destination, "why": b.why,
                         "wire": b.wire})
                 })
                 .collect();
@@ -90,7 +90,7 @@
     })
 }
 
-/// One row of the events' table: kind, notice, partner, endpoint, connection.
+/// One row of the events' table: kind, message, destination, endpoint, connection.
 fn columns(
     what: &What,
 ) -> (
@@ -102,23 +102,23 @@
 ) {
     let one = |ids: &[String]| Some(ids.join(" ")).filter(|i| !i.is_empty());
     match what {
-        What::Handed { id, partner, .. } => {
-            ("handed", Some(id.clone()), Some(*partner), None, None)
-        }
-        What::Posted { id, partner, .. } => {
-            ("posted", Some(id.clone()), Some(*partner), None, None)
-        }
+        What::Handed {
+            id, destination, ..
+        } => ("handed", Some(id.clone()), Some(*destination), None, None),
+        What::Posted {
+            id, destination, ..
+        } => ("posted", Some(id.clone()), Some(*destination), None, None),
         What::Answered { id, .. } => ("answered", Some(id.clone()), None, None, None),
         What::Dropped { id } => ("dropped", Some(id.clone()), None, None, None),
         What::Abandoned { id } => ("abandoned", Some(id.clone()), None, None, None),
         What::Opened {
             connection,
             endpoint,
-            partner,
+            destination,
         } => (
             "opened",
             None,
-            Some(*partner),
+            Some(*destination),
             Some(*endpoint as u64),
             Some(*connection),
         ),
@@ -126,30 +126,30 @@
         What::Begun {
             connection,
             endpoint,
-            partner,
+            destination,
         } => (
             "begun",
             None,
-            Some(*partner),
+            Some(*destination),
             Some(*endpoint as u64),
             Some(*connection),
         ),
         What::Called {
             connection,
             endpoint,
-            partner,
+            destination,
             ids,
         } => (
             "called",
             one(ids),
-            Some(*partner),
+            Some(*destination),
             Some(*endpoint as u64),
             Some(*connection),
         ),
         What::Replied {
             connection,
             endpoint,
-            partner,
+            destination,
             fates,
             ..
         } => {
@@ -157,7 +157,7 @@
             (
                 "replied",
                 one(&ids),
-                Some(*partner),
+                Some(*destination),
                 Some(*endpoint as u64),
                 Some(*connection),
             )
@@ -165,26 +165,34 @@
         What::Broke {
             connection,
             endpoint,
-            partner,
+            destination,
             ids,
             ..
         } => (
             "broke",
             one(ids),
-            Some(*partner),
+            Some(*destination),
             Some(*endpoint as u64),
             Some(*connection),
         ),
         What::Told {
-            endpoint, partner, ..
-        } => ("told", None, Some(*partner), Some(*endpoint as u64), None),
+            endpoint,
+            destination,
+            ..
+        } => (
+            "told",
+            None,
+            Some(*destination),
+            Some(*endpoint as u64),
+            None,
+        ),
         What::Reported { id, .. } => ("reported", Some(id.clone()), None, None, None),
         What::Signalled => ("signalled", None, None, None, None),
         What::Gone => ("gone", None, None, None, None),
         What::Lost { only } => ("lost", only.as_deref().and_then(one), None, None, None),
         What::Ready => ("ready", None, None, None, None),
-        What::Fell { partner } => ("fell", None, Some(*partner), None, None),
-        What::Back { partner, .. } => ("back", None, Some(*partner), None, None),
+        What::Fell { destination } => ("fell", None, Some(*destination), None, None),
+        What::Back { destination, .. } => ("back", None, Some(*destination), None, None),
     }
 }
 
@@ -411,9 +419,9 @@
         &[("told", &figures.waits, RED_)],
     )?);
     let total = |curve: &Curve| curve.iter().map(|p| p.1).sum::<f64>();
-    let mut partners: Vec<_> = figures.partners.iter().collect();
-    partners.sort_by(|a, b| total(&b.1).total_cmp(&total(&a.1)));
-    for (name, load, could) in partners.into_iter().take(PARTNERS_MOST) {
+    let mut destinations: Vec<_> = figures.destinations.iter().collect();
+    destinations.sort_by(|a, b| total(&b.1).total_cmp(&total(&a.1)));
+    for (name, load, could) in destinations.into_iter().take(MAX_DESTINATIONS) {
         let curves = [
             ("sent to it", load, BLUE_),
             ("what it can do", could, GREY_),
--- a/crates/scenario-runner/src/senders.rs
+++ b/crates/scenario-runner/src/senders.rs
@@ -436,16 +436,16 @@
         .map(|k| of_kind(day, k).all(|m| !m.spec.shared))
         .collect();
     let tenants: Vec<Value> = day
-        .stations
+        .tenants
         .iter()
-        .zip(&day.load.stations)
+        .zip(&day.load.tenants)
         .map(|(name, share)| json!({"name": name, "quotaRps": day.load.rate * share}))
         .collect();
     let (slots, held) = sizes(day);
     let slots = limits.calls_out.unwrap_or(slots);
     let probes = false;
     let rules = day
-        .partners
+        .destinations
         .first()
         .map(|m| m.spec.back)
         .unwrap_or_default();
@@ -478,7 +478,7 @@
 /// A push service as one sender reaches it.
 #[derive(Clone, Debug)]
 pub struct PushService {
-    /// Index into [`Day::partners`].
+    /// Index into [`Day::destinations`].
     pub destination: usize,
     pub addresses: Vec<SocketAddr>,
 }
@@ -490,34 +490,34 @@
     }
     let mut text = String::from("listen = \"127.0.0.1:0\"\n");
     for PushService {
-        destination: partner,
+        destination: destination,
         addresses,
     } in services
     {
-        let member = &day.partners[*partner];
+        let member = &day.destinations[*destination];
         text.push_str(&format!(
-            "[[upstream]]\nname = \"p{partner}\"\nrate = {:?}\n",
+            "[[upstream]]\nname = \"p{destination}\"\nrate = {:?}\n",
             rough_rate(member)
         ));
         for address in addresses {
             text.push_str(&format!("[[upstream.server]]\naddress = \"{address}\"\n"));
         }
-        let path = crate::wire::push_path(*partner as u64);
+        let path = crate::wire::push_path(*destination as u64);
         text.push_str(&format!(
-            "[[location]]\npath = \"{path}\"\nupstream = \"p{partner}\"\n"
+            "[[location]]\npath = \"{path}\"\nupstream = \"p{destination}\"\n"
         ));
     }
     Some(text)
 }
 
 fn of_kind<'a>(day: &'a Day, kind: &'a str) -> impl Iterator<Item = &'a Member> {
-    day.partners.iter().filter(move |m| m.kind == kind)
+    day.destinations.iter().filter(move |m| m.kind == kind)
 }
 
-/// Slots for calls and places for notices of one sender: twice what its part of the load keeps busy, ten seconds of it.
+/// Slots for calls and places for messages of one sender: twice what its part of the load keeps busy, ten seconds of it.
 fn sizes(day: &Day) -> (usize, usize) {
     let weight: f64 = day.load.targets.iter().map(|t| t.weight).sum();
-    let pace = |n: usize| day.partners[n].spec.pace.as_secs_f64();
+    let pace = |n: usize| day.destinations[n].spec.pace.as_secs_f64();
     let mean: f64 = day
         .load
         .targets
@@ -534,7 +534,7 @@
     )
 }
 
-/// The rate that the list gives for a partner: rough.
+/// The rate that the list gives for a destination: rough.
 pub fn rough_rate(member: &Member) -> f64 {
     let batch = member.spec.batch as f64;
     match member.spec.limit {
--- a/crates/scenario-runner/src/stage.rs
+++ b/crates/scenario-runner/src/stage.rs
@@ -25,9 +25,9 @@
 use cranehill_simulation::audit::{Auditor, Class, Figures, What};
 use cranehill_simulation::clients::Clients;
 use cranehill_simulation::day::{Day, Effect};
+use cranehill_simulation::destination::{Reply, SimulatedDestination};
 use cranehill_simulation::directory::{Directory, Listed};
 use cranehill_simulation::fleet::Folder;
-use cranehill_simulation::partner::{Partner, Reply};
 use mio::{Events, Poll, Token, Waker};
 use rand_chacha::ChaCha8Rng;
 
@@ -99,7 +99,7 @@
     /// All destinations' endpoints.
     endpoints: Vec<Endpoint>,
     next_audited_endpoint: usize,
-    destinations: Vec<Partner>,
+    destinations: Vec<SimulatedDestination>,
     /// Replies of destinations that are not due yet, by the serial of their call.
     replies: HashMap<u64, Reply>,
     directory: Directory,
--- a/crates/scenario-runner/src/stage/clients.rs
+++ b/crates/scenario-runner/src/stage/clients.rs
@@ -95,7 +95,7 @@
     }
 
     fn protocol_for(&self, message: &Handing) -> ClientProtocol {
-        let destination = self.day.partners.get(message.partner as usize);
+        let destination = self.day.destinations.get(message.destination as usize);
         if destination.is_some_and(|d| d.push) {
             ClientProtocol::WebPush
         } else {
@@ -149,7 +149,10 @@
 
     fn post_request(&self, message: &Handing) -> ClientRequest {
         let Handing {
-            id, class, partner, ..
+            id,
+            class,
+            destination,
+            ..
         } = message;
         let lasts = Duration::from_secs(message.lasts.as_secs().max(POST_TTL_LEAST_S));
         let topic = self.day.classes[*class].effect == Effect::Safe;
@@ -159,12 +162,12 @@
             event: What::Posted {
                 id: id.clone(),
                 class: *class,
-                partner: *partner,
+                destination: *destination,
                 lasts,
             },
             line: format!(
                 "POST {}{id} TTL {} topic {topic}",
-                wire::push_path(*partner),
+                wire::push_path(*destination),
                 lasts.as_secs()
             ),
         }
@@ -174,7 +177,7 @@
         let Handing {
             id,
             class,
-            partner,
+            destination,
             lasts,
             order_key,
             ..
@@ -182,7 +185,7 @@
         let event = What::Handed {
             id: id.clone(),
             class: *class,
-            partner: *partner,
+            destination: *destination,
             lasts: *lasts,
             order_key: order_key.clone(),
         };
@@ -192,11 +195,11 @@
             .unwrap_or_default();
         let class_name = &self.day.classes[*class].name;
         ClientRequest {
-            bytes: wire::put(message, class_name, &self.day.stations[message.station]),
+            bytes: wire::put(message, class_name, &self.day.tenants[message.tenant]),
             patience: self.day.load.patience,
             event,
             line: format!(
-                "MSG.PUT {id} {class_name} dest={partner} d={}{key}",
+                "MSG.PUT {id} {class_name} dest={destination} d={}{key}",
                 lasts.as_millis()
             ),
         }
--- a/crates/scenario-runner/src/stage/connections.rs
+++ b/crates/scenario-runner/src/stage/connections.rs
@@ -5,7 +5,7 @@
 
 use cranehill_simulation::audit::What;
 use cranehill_simulation::clients::Handing;
-use cranehill_simulation::partner::Connect;
+use cranehill_simulation::destination::Connect;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Token};
 use socket2::SockRef;
@@ -370,7 +370,7 @@
         What::Opened {
             connection,
             endpoint,
-            partner: destination,
+            destination: destination,
         }
     }
 
@@ -383,7 +383,7 @@
         What::Begun {
             connection,
             endpoint,
-            partner: destination,
+            destination: destination,
         }
     }
 
@@ -396,7 +396,7 @@
         What::Called {
             connection,
             endpoint,
-            partner: destination,
+            destination: destination,
             ids,
         }
     }
@@ -410,7 +410,7 @@
         What::Broke {
             connection,
             endpoint,
-            partner: destination,
+            destination: destination,
             ids,
             ran,
         }
--- a/crates/scenario-runner/src/stage/destinations.rs
+++ b/crates/scenario-runner/src/stage/destinations.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::What;
-use cranehill_simulation::partner::{Asked, Reply};
+use cranehill_simulation::destination::{Asked, Reply};
 
 use super::Stage;
 use super::connections::{Call, CloseMode, ConnectionId, DestinationRole};
@@ -142,7 +142,7 @@
             RejectedCall { status: 400 }
         })?;
         let destination = self.endpoints[endpoint].destination;
-        let member = &self.day.partners[destination];
+        let member = &self.day.destinations[destination];
         if member.push
             != request
                 .path
@@ -170,10 +170,10 @@
         };
         let (reply, fell) = self.destinations[place.destination].call(now, asked);
         if fell {
-            let name = &self.day.partners[place.destination].name;
-            log::warn!(partner = name.as_str(); "{name} has fallen over");
-            let partner = place.destination as u64;
-            self.record(None, What::Fell { partner }, "has fallen over");
+            let name = &self.day.destinations[place.destination].name;
+            log::warn!(destination = name.as_str(); "{name} has fallen over");
+            let destination = place.destination as u64;
+            self.record(None, What::Fell { destination }, "has fallen over");
         }
         reply
     }
@@ -234,11 +234,11 @@
             return;
         };
         let spec = self.destinations[destination].spec();
-        let faults = self.day.partners[destination].faults.iter().flatten();
+        let faults = self.day.destinations[destination].faults.iter().flatten();
         let outages = faults.filter(|f| f.is_outage() && f.end() <= now);
         let first = outages.map(|f| f.start).min().unwrap_or(since);
         let back = What::Back {
-            partner: destination as u64,
+            destination: destination as u64,
             since,
             down: since.saturating_sub(first),
             capacity: spec.capacity,
--- a/crates/scenario-runner/src/stage/directory.rs
+++ b/crates/scenario-runner/src/stage/directory.rs
@@ -170,7 +170,7 @@
             }
             let told = What::Told {
                 endpoint,
-                partner: destination,
+                destination: destination,
                 listed: audited_state(listed),
             };
             let line = format!("version {}: endpoint {endpoint} {listed:?}", list.version);
@@ -188,7 +188,7 @@
         };
         ToldState {
             endpoint,
-            destination: row.partner,
+            destination: row.destination,
             listed: row.listed,
         }
     }
@@ -205,7 +205,7 @@
 
     fn row_json(&self, row: &Row, sender: usize) -> Value {
         let place = &self.endpoints[row.endpoint];
-        let member = &self.day.partners[place.destination];
+        let member = &self.day.destinations[place.destination];
         let state = match row.listed {
             Listed::Up => "up",
             Listed::Draining => "draining",
@@ -216,18 +216,18 @@
             .map_or(0, |s| (self.begun_unix + s).as_millis() as u64);
         let zone = &self.day.zones[member.zones[place.number]];
         json!({"id": row.id, "addr": place.addresses[sender].to_string(), "zone": zone, "kind": member.kind,
-            "cell": row.partner, "state": state, "weight": rough_rate(member), "started_ms": started})
+            "cell": row.destination, "state": state, "weight": rough_rate(member), "started_ms": started})
     }
 
     /// Makes a change of the day to the list.
     pub(super) fn change_list(&mut self, change: usize) {
         let ListChange {
-            partner,
+            destination,
             endpoint: number,
             to,
             ..
         } = self.day.changes[change];
-        let is_meant = |e: &Endpoint| e.destination == partner && e.number == number;
+        let is_meant = |e: &Endpoint| e.destination == destination && e.number == number;
         let Some(endpoint) = self.endpoints.iter().position(is_meant) else {
             return;
         };
@@ -251,7 +251,7 @@
         let row = Row {
             id: place.id.clone(),
             endpoint,
-            partner: place.destination as u64,
+            destination: place.destination as u64,
             listed,
             started,
         };
--- a/crates/scenario-runner/src/stage/fleet.rs
+++ b/crates/scenario-runner/src/stage/fleet.rs
@@ -87,7 +87,7 @@
     fn stop(&mut self, sender: usize) {
         self.record(Some(sender), What::Signalled, "SIGSTOP");
         self.senders[sender].process.signal("STOP");
-        // The load balancer notices that nobody answers.
+        // The load balancer messages that nobody answers.
         self.senders[sender].routed = false;
     }
 
--- a/crates/scenario-runner/src/stage/processes.rs
+++ b/crates/scenario-runner/src/stage/processes.rs
@@ -156,7 +156,7 @@
         );
     }
 
-    /// The load balancer notices that a sender is ending.
+    /// The load balancer messages that a sender is ending.
     pub(super) fn stop_routing(&mut self, sender: usize) {
         if self.senders[sender].end_expected {
             self.senders[sender].routed = false;
--- a/crates/scenario-runner/src/stage/replies.rs
+++ b/crates/scenario-runner/src/stage/replies.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::{self, What};
-use cranehill_simulation::partner::{Fate, Reply, Spoilt};
+use cranehill_simulation::destination::{Fate, Reply, Spoilt};
 
 use super::Stage;
 use super::connections::{AuditNames, Call, CloseMode, ConnectionId};
@@ -40,7 +40,7 @@
         if state.silent || state.vanished {
             return;
         }
-        let push = self.day.partners[place.destination].push;
+        let push = self.day.destinations[place.destination].push;
         match reply {
             Reply::Answer {
                 fates,
@@ -185,7 +185,7 @@
     What::Replied {
         connection: names.connection,
         endpoint: names.endpoint,
-        partner: names.destination,
+        destination: names.destination,
         fates,
         wait: reply.retry_after,
         spoilt: reply.spoilt,
--- a/crates/scenario-runner/src/stage/setup.rs
+++ b/crates/scenario-runner/src/stage/setup.rs
@@ -10,9 +10,9 @@
 
 use cranehill_simulation::clients::Clients;
 use cranehill_simulation::day::Day;
+use cranehill_simulation::destination::SimulatedDestination;
 use cranehill_simulation::directory::{Directory, Listed, Row};
 use cranehill_simulation::fault::Kind;
-use cranehill_simulation::partner::Partner;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token, Waker};
 use rand::SeedableRng;
@@ -47,7 +47,7 @@
 struct Destinations {
     listeners: Vec<Listener>,
     endpoints: Vec<Endpoint>,
-    models: Vec<Partner>,
+    models: Vec<SimulatedDestination>,
     /// By sender: the push services that it is configured with.
     push_services: Vec<Vec<PushService>>,
 }
@@ -218,7 +218,7 @@
     /// Faults that reset an endpoint's connections, at their beginning and end.
     fn schedule_fault_edges(&mut self) {
         for (endpoint, place) in self.endpoints.iter().enumerate() {
-            let faults = &self.day.partners[place.destination].faults[place.number];
+            let faults = &self.day.destinations[place.destination].faults[place.number];
             for fault in faults
                 .iter()
                 .filter(|f| matches!(f.kind, Kind::Refuse | Kind::Vanish))
@@ -232,7 +232,7 @@
     }
 
     fn schedule_outage_ends(&mut self) {
-        for (destination, member) in self.day.partners.iter().enumerate() {
+        for (destination, member) in self.day.destinations.iter().enumerate() {
             let outages = member.faults.iter().flatten().filter(|f| f.is_outage());
             let ends: BTreeSet<Duration> = outages.map(|f| f.end()).collect();
             for end in ends {
@@ -249,9 +249,9 @@
             push_services: vec![Vec::new(); day.senders],
             ..Default::default()
         };
-        for (n, member) in day.partners.iter().enumerate() {
+        for (n, member) in day.destinations.iter().enumerate() {
             let rng = rng_stream(seed, n as u64);
-            all.models.push(Partner::new(
+            all.models.push(SimulatedDestination::new(
                 member.spec.clone(),
                 member.faults.clone(),
                 rng,
@@ -284,7 +284,7 @@
         network: &mut dyn Network,
     ) -> io::Result<Vec<SocketAddr>> {
         let endpoint = self.endpoints.len();
-        let zone = day.partners[destination].zones[number];
+        let zone = day.destinations[destination].zones[number];
         let mut addresses = Vec::with_capacity(day.senders);
         for sender in 0..day.senders {
             let (socket, address) = bind(sender, ENDPOINT_HOST)?;
@@ -332,11 +332,11 @@
     let listed = endpoints
         .iter()
         .enumerate()
-        .filter(|(_, e)| !day.partners[e.destination].push);
+        .filter(|(_, e)| !day.destinations[e.destination].push);
     let row = |(endpoint, place): (usize, &Endpoint)| Row {
         id: place.id.clone(),
         endpoint,
-        partner: place.destination as u64,
+        destination: place.destination as u64,
         listed: Listed::Up,
         started: None,
     };
--- a/crates/scenario-runner/src/wire.rs
+++ b/crates/scenario-runner/src/wire.rs
@@ -6,7 +6,7 @@
 use base64::engine::general_purpose::STANDARD;
 use cranehill_simulation::audit::Answer;
 use cranehill_simulation::clients::{Handing, Said};
-use cranehill_simulation::partner::Fate;
+use cranehill_simulation::destination::Fate;
 
 /// Heads and bodies beyond this are nothing that a sender of ours says.
 const HEAD_MOST: usize = 64 * 1024;
@@ -98,7 +98,7 @@
     text.into_bytes()
 }
 
-/// The notices of a call; an error if it is none that the platform's pages know.
+/// The messages of a call; an error if it is none that the platform's pages know.
 pub fn call_ids(request: &Request) -> Result<(Vec<String>, bool), String> {
     match request.path.as_str() {
         "/hook" => {
@@ -138,14 +138,14 @@
     }
 }
 
-/// The path under which posts for a partner are taken and passed on.
-pub fn push_path(partner: u64) -> String {
-    format!("/p/{partner}/")
+/// The path under which posts for a destination are taken and passed on.
+pub fn push_path(destination: u64) -> String {
+    format!("/p/{destination}/")
 }
 
 /// A Web Push post. Its TTL is whole seconds, one at least.
 pub fn post(handing: &Handing, ttl: Duration, topic: bool) -> Vec<u8> {
-    let path = push_path(handing.partner);
+    let path = push_path(handing.destination);
     let topic = if topic {
         format!("Topic: {}\r\n", handing.id)
     } else {
@@ -194,7 +194,7 @@
     (bytes.len() >= whole).then_some((answer, whole))
 }
 
-/// A partner's answer to a call with these fates.
+/// A destination's answer to a call with these fates.
 pub fn call_answer(
     ids: &[String],
     batch: bool,
@@ -240,12 +240,12 @@
 /// The first argument of a request whose class keeps no order.
 const NO_ORDER_KEY: &str = "0000000000000000";
 
-/// A notice as a station's program hands it in.
-pub fn put(handing: &Handing, class: &str, station: &str) -> Vec<u8> {
+/// A message as a tenant's program hands it in.
+pub fn put(handing: &Handing, class: &str, tenant: &str) -> Vec<u8> {
     let mut names = format!(
-        "c={class},t={station},d={},dest={}",
+        "c={class},t={tenant},d={},dest={}",
         handing.lasts.as_millis(),
-        handing.partner
+        handing.destination
     );
     if let Some(key) = &handing.key {
         names.push_str(&format!(",k={key}"));
@@ -256,7 +256,7 @@
     if handing.again {
         names.push_str(",again=1");
     }
-    // Text that packs about as well as a real notice's.
+    // Text that packs about as well as a real message's.
     let body: Vec<u8> = handing
         .id
         .bytes()
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -44,7 +44,7 @@
 }
 text_id!(
     /// Names one message; returned unmodified.
-    MsgId
+    MessageId
 );
 text_id!(
     /// Names one endpoint; returned unmodified.
@@ -57,7 +57,7 @@
 
 /// Names one destination. A message may go only to endpoints of its own destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct DestId(pub u64);
+pub struct DestinationId(pub u64);
 
 /// Whether a message's effect may happen more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -217,7 +217,7 @@
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its destination.
-    pub dest: DestId,
+    pub dest: DestinationId,
     /// Its state in the list.
     pub condition: Condition,
     /// Its zone.
@@ -282,7 +282,7 @@
 #[derive(Clone, Debug)]
 pub struct Taken {
     /// Its id.
-    pub id: MsgId,
+    pub id: MessageId,
     /// Position in [`Settings::classes`].
     pub class: usize,
     /// Position in [`Settings::tenants`].
@@ -292,7 +292,7 @@
     /// Time until it is given up.
     pub time_left: Duration,
     /// Its destination.
-    pub dest: DestId,
+    pub dest: DestinationId,
     /// What was done for it before, under the same id: by an earlier life of this sender.
     pub past: Past,
 }
@@ -312,7 +312,7 @@
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// The message.
-    pub id: MsgId,
+    pub id: MessageId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
     /// How it concluded.
@@ -344,7 +344,7 @@
     /// An attempt concluded.
     Outcome(Outcome),
     /// The client has withdrawn the message.
-    Lapsed(MsgId),
+    Lapsed(MessageId),
     /// A probe concluded.
     Probed {
         /// The endpoint.
@@ -365,7 +365,7 @@
     /// Start an attempt.
     Send {
         /// The message.
-        id: MsgId,
+        id: MessageId,
         /// Where to.
         endpoint: EndpointId,
         /// Time-out of the attempt.
@@ -380,12 +380,12 @@
     /// Final: handed back; trying again is harmless.
     Refuse {
         /// The message.
-        id: MsgId,
+        id: MessageId,
         /// When the client should come back.
         after: Option<Duration>,
     },
     /// Final: given up, no promise.
-    Fail(MsgId),
+    Fail(MessageId),
     /// Ask for an [`Event::Wake`] after this time.
     Timer(Duration),
     /// Close this sender's idle connections to an endpoint.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -6,8 +6,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::api::{
-    Action, Class, Condition, Decay, DedupScope, DestId, Effect, EndpointId, Entry, Event, Key,
-    Kind, MsgId, Outcome, Rules, Settings, SettingsError, Status, Taken, Time,
+    Action, Class, Condition, Decay, DedupScope, DestinationId, Effect, EndpointId, Entry, Event,
+    Key, Kind, MessageId, Outcome, Rules, Settings, SettingsError, Status, Taken, Time,
 };
 use crate::state::{Attempt, Call, Endpoint, KeyLine, Lane, Message};
 
@@ -359,9 +359,9 @@
     /// Those of them that have left the list and are not forgotten yet.
     gone: BTreeMap<EndpointId, usize>,
     lanes: lanes::Lanes,
-    dests: BTreeMap<DestId, Vec<usize>>,
+    dests: BTreeMap<DestinationId, Vec<usize>>,
     messages: BTreeMap<u64, Message>,
-    ids: BTreeMap<MsgId, u64>,
+    ids: BTreeMap<MessageId, u64>,
     keys: BTreeMap<Key, KeyLine>,
     /// Final answers are reported, and the reports answered: see `order`.
     confirms_reports: bool,
@@ -1137,7 +1137,7 @@
     }
 
     /// A destination's lanes that still have an endpoint in the list.
-    fn listed(&self, dest: DestId) -> Vec<usize> {
+    fn listed(&self, dest: DestinationId) -> Vec<usize> {
         let there = |&e: &usize| self.endpoints[e].condition != Condition::Gone;
         let lanes = self.dests.get(&dest).into_iter().flatten().copied();
         lanes
--- a/crates/scheduler/src/scheduler/lanes.rs
+++ b/crates/scheduler/src/scheduler/lanes.rs
@@ -48,7 +48,7 @@
     }
 
     /// Destinations among which all are that something was learnt of.
-    pub fn learnt_of(&self) -> BTreeSet<DestId> {
+    pub fn learnt_of(&self) -> BTreeSet<DestinationId> {
         self.known
             .iter()
             .chain(&self.active)
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -4,13 +4,13 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-use crate::api::{Condition, DestId, EndpointId, Entry, Key, Kind, MsgId, Status, Time};
+use crate::api::{Condition, DestinationId, EndpointId, Entry, Key, Kind, MessageId, Status, Time};
 use crate::scheduler::{Demand, Health, Pace, Rtt, Window};
 
 #[derive(Debug)]
 pub struct Endpoint {
     pub id: EndpointId,
-    pub dest: DestId,
+    pub dest: DestinationId,
     pub zone: u32,
     pub condition: Condition,
     pub lane: usize,
@@ -35,7 +35,7 @@
 /// What the paper calls a proxy: a destination, or one route where routes are apart.
 #[derive(Debug)]
 pub struct Lane {
-    pub dest: DestId,
+    pub dest: DestinationId,
     pub kind: Kind,
     pub endpoints: Vec<usize>,
     pub window: Window,
@@ -84,10 +84,10 @@
 
 #[derive(Debug)]
 pub struct Message {
-    pub id: MsgId,
+    pub id: MessageId,
     pub class: usize,
     pub key: Option<Key>,
-    pub dest: DestId,
+    pub dest: DestinationId,
     pub over_share: bool,
     pub aim_at: Time,
     pub deadline: Time,
@@ -161,7 +161,7 @@
 
 impl Lane {
     pub fn new(
-        dest: DestId,
+        dest: DestinationId,
         kind: Kind,
         window: Window,
         demand: Demand,
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -74,7 +74,7 @@
 pub fn entry(endpoint: &str, dest: u64, condition: Condition, kind: usize) -> Entry {
     Entry {
         endpoint: EndpointId(endpoint.into()),
-        dest: DestId(dest),
+        dest: DestinationId(dest),
         condition,
         zone: 0,
         kind,
@@ -113,19 +113,19 @@
 
 pub fn accept(id: &str, class: usize, key: Option<&str>, left_ms: u64) -> Event {
     Event::Accept(Taken {
-        id: MsgId(id.into()),
+        id: MessageId(id.into()),
         class,
         tenant: 0,
         key: key.map(|k| Key(k.into())),
         time_left: Duration::from_millis(left_ms),
-        dest: DestId(1),
+        dest: DestinationId(1),
         past: Past::default(),
     })
 }
 
 pub fn outcome(id: &str, attempt: u32, status: Status, took_ms: u64) -> Event {
     Event::Outcome(Outcome {
-        id: MsgId(id.into()),
+        id: MessageId(id.into()),
         attempt,
         status,
         over: status == Status::Served,
--- a/crates/scheduler/tests/failures.rs
+++ b/crates/scheduler/tests/failures.rs
@@ -57,7 +57,7 @@
     );
     let to = |id: &str, dest| match accept(id, 0, None, 9000) {
         Event::Accept(t) => Event::Accept(Taken {
-            dest: DestId(dest),
+            dest: DestinationId(dest),
             ..t
         }),
         other => other,
@@ -76,7 +76,7 @@
             i * 6000 + 4500,
             vec![outcome(&idle, 0, Status::TimedOut, 1500)],
         );
-        b.at(i * 6000 + 4600, vec![Event::Lapsed(MsgId(idle))]);
+        b.at(i * 6000 + 4600, vec![Event::Lapsed(MessageId(idle))]);
     }
     assert!(closed >= 2, "{closed}");
 }
@@ -109,7 +109,7 @@
     let mut b = Bench::new(settings(), entries);
     let to = |dest| match accept(&format!("o{dest}"), 0, None, 9000) {
         Event::Accept(t) => Event::Accept(Taken {
-            dest: DestId(dest),
+            dest: DestinationId(dest),
             ..t
         }),
         other => other,
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -164,8 +164,8 @@
     );
 }
 
-/// calm+mass, seed 13: an order of endpoints that all shared sent 98% of a partner's calls to one of two, which refused
-/// half of them while two thirds of the partner's limit were left.
+/// calm+mass, seed 13: an order of endpoints that all shared sent 98% of a destination's calls to one of two, which refused
+/// half of them while two thirds of the destination's limit were left.
 #[test]
 fn senders_with_little_to_send_spread_over_a_partners_endpoints() {
     let set = Settings {
--- a/crates/scheduler/tests/learnt.rs
+++ b/crates/scheduler/tests/learnt.rs
@@ -38,7 +38,7 @@
     sender
 }
 
-/// What 100 senders that recall this limit send in each second, with a notice each from the start.
+/// What 100 senders that recall this limit send in each second, with a message each from the start.
 fn first_calls(limit: f64) -> Vec<usize> {
     let mut senders: Vec<Sender> = (0..100).map(|seed| fresh(100, seed)).collect();
     for sender in &mut senders {
@@ -64,7 +64,7 @@
     seconds
 }
 
-/// Guards a partner against everybody's first call at once: they come at a quarter of the limit, so also one that was
+/// Guards a destination against everybody's first call at once: they come at a quarter of the limit, so also one that was
 /// lowered to half of it meanwhile is not overrun; where that would take long, still within the limit.
 #[test]
 fn all_first_calls_together_stay_well_within_the_limit() {
@@ -78,7 +78,7 @@
         narrow.iter().all(|&n| n <= 28) && narrow.iter().sum::<usize>() == 100,
         "{narrow:?}"
     );
-    // A partner without a limit is for the window alone.
+    // A destination without a limit is for the window alone.
     assert_eq!(first_calls(f64::INFINITY)[0], 100);
 }
 
@@ -149,7 +149,7 @@
     assert_eq!(sent.len(), 2);
 }
 
-/// A partner that others saw out is tried once, not at once with all that there is.
+/// A destination that others saw out is tried once, not at once with all that there is.
 #[test]
 fn a_partner_that_was_out_gets_one_trial() {
     let mut sender = fresh(1, 1);
--- a/crates/scheduler/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -120,7 +120,7 @@
                 .collect();
             let mut events = vec![Event::Wake];
             for (id, attempt) in &past {
-                events.push(Event::Lapsed(MsgId(id.clone())));
+                events.push(Event::Lapsed(MessageId(id.clone())));
                 events.push(outcome(id, *attempt, Status::TimedOut, 10));
             }
             let ended: Vec<String> = past.into_iter().map(|(id, _)| id).collect();
@@ -172,7 +172,7 @@
                 ended.extend((status == Status::Served).then(|| id.clone()));
             }
             9 => events.push(outcome(&format!("m{}", n % 50), 9, Status::Served, 1)),
-            10 => events.push(Event::Lapsed(MsgId("unknown".into()))),
+            10 => events.push(Event::Lapsed(MessageId("unknown".into()))),
             11 => {
                 let (gone, other) = if n % 2 == 0 { ("a", "b") } else { ("b", "a") };
                 w.drained = Some(gone);
--- a/crates/scheduler/tests/returns.rs
+++ b/crates/scheduler/tests/returns.rs
@@ -94,7 +94,7 @@
 }
 
 /// Guards a zone's return by a large fleet with little traffic, in which most members never failed there themselves: in the rig 100
-/// of them had their first call at one moment, five times what a partner takes.
+/// of them had their first call at one moment, five times what a destination takes.
 #[test]
 fn a_fleet_that_returns_to_a_zone_does_not_come_at_one_moment() {
     let (senders, limit) = (100u32, 20.0);
--- a/crates/scheduler/tests/routes.rs
+++ b/crates/scheduler/tests/routes.rs
@@ -68,7 +68,7 @@
                 .drain(..)
                 .map(|(id, attempt, (status, wait, report))| {
                     Event::Outcome(Outcome {
-                        id: MsgId(id),
+                        id: MessageId(id),
                         attempt,
                         status,
                         over: status == Status::Served,
@@ -293,7 +293,7 @@
 }
 
 /// Days with 300 senders: an outage of 5 s, then a cold return, at a limit that answers tell. The rule on returning
-/// partners is counted over all senders: no window of its span gets more than its multiple of what can be done then.
+/// destinations is counted over all senders: no window of its span gets more than its multiple of what can be done then.
 #[test]
 fn three_hundred_senders_do_not_topple_a_partner_that_returns_cold() {
     // As the operators' sites have them.
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -101,8 +101,8 @@
     assert_eq!(finals(&acts), ["fail m"]);
 }
 
-/// Guards against a notice that a partner has and that its client brings again once the partner has forgotten its
-/// key: seen after a restart, where nobody had heard the 200 and the notice was crowded out until its deadline.
+/// Guards against a message that a destination has and that its client brings again once the destination has forgotten its
+/// key: seen after a restart, where nobody had heard the 200 and the message was crowded out until its deadline.
 #[test]
 fn what_may_have_run_is_handed_back_only_while_it_may_come_again() {
     // The window is 5 s, and the wait that is told 1 s.
@@ -247,7 +247,10 @@
             accept("n", 1, Some("k"), 9000),
         ],
     );
-    assert_eq!(sends(&b.at(50, vec![Event::Lapsed(MsgId("m".into()))])), []);
+    assert_eq!(
+        sends(&b.at(50, vec![Event::Lapsed(MessageId("m".into()))])),
+        []
+    );
     let acts = b.at(100, vec![outcome("m", 0, Status::Served, 100)]);
     assert_eq!(sends(&acts), [("n".to_owned(), "a".to_owned())]);
     assert!(finals(&acts).is_empty());
@@ -366,7 +369,7 @@
         0,
         vec![
             outcome("x", 0, Status::Served, 1),
-            Event::Lapsed(MsgId("y".into())),
+            Event::Lapsed(MessageId("y".into())),
         ],
     );
     assert!(sends(&acts).is_empty() && finals(&acts).is_empty());
@@ -468,7 +471,7 @@
 fn an_answer_after_a_lapse_is_passed_over() {
     let mut b = one();
     b.at(0, vec![accept("m", 0, None, 9000)]);
-    b.at(10, vec![Event::Lapsed(MsgId("m".into()))]);
+    b.at(10, vec![Event::Lapsed(MessageId("m".into()))]);
     let acts = b.at(20, vec![outcome("m", 0, Status::TimedOut, 20)]);
     assert!(sends(&acts).is_empty() && finals(&acts).is_empty());
 }
--- a/crates/simulation/src/audit/copies.rs
+++ b/crates/simulation/src/audit/copies.rs
@@ -1,5 +1,5 @@
-//! Never two attempts of a notice at once, none too many, and no repeat that its class forbids: none that the sender
-//! makes, and none that it asks the client for by returning a notice.
+//! Never two attempts of a message at once, none too many, and no repeat that its class forbids: none that the sender
+//! makes, and none that it asks the client for by returning a message.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use super::{Breach, Class, Closing, Fate, Figures, Findings, Line, Rule, What};
 
 #[derive(Debug, Default)]
-struct Notice {
+struct Message {
     class: Option<usize>,
     attempts: u32,
     /// The connection on which an attempt is out, and the line that brought it.
@@ -21,8 +21,8 @@
 #[derive(Debug)]
 pub(super) struct Copies {
     classes: Vec<Class>,
-    notices: BTreeMap<String, Notice>,
-    /// Notices out on each open connection.
+    messages: BTreeMap<String, Message>,
+    /// Messages out on each open connection.
     on: BTreeMap<u64, Vec<String>>,
 }
 
@@ -30,7 +30,7 @@
     pub(super) fn new(classes: Vec<Class>) -> Copies {
         Copies {
             classes,
-            notices: BTreeMap::new(),
+            messages: BTreeMap::new(),
             on: BTreeMap::new(),
         }
     }
@@ -38,16 +38,16 @@
     pub(super) fn hear(&mut self, line: &Line, figures: &Figures, findings: &mut Findings) {
         match &line.what {
             What::Handed { id, class, .. } | What::Posted { id, class, .. } => {
-                self.notices.entry(id.clone()).or_default().class = Some(*class);
+                self.messages.entry(id.clone()).or_default().class = Some(*class);
             }
             What::Called {
                 connection,
-                partner,
+                destination,
                 ids,
                 ..
             } => {
                 for id in ids {
-                    self.called(id, *connection, *partner, line, figures, findings);
+                    self.called(id, *connection, *destination, line, figures, findings);
                 }
                 self.on.insert(*connection, ids.clone());
             }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// `returned` tells the client that handing the notice in again after the wait does no harm.
+    /// `returned` tells the client that handing the message in again after the wait does no harm.
     fn reported(
         &mut self,
         id: &str,
@@ -90,23 +90,24 @@
         figures: &Figures,
         findings: &mut Findings,
     ) {
-        let Some(notice) = self.notices.get_mut(id) else {
+        let Some(message) = self.messages.get_mut(id) else {
             return;
         };
-        let resent = std::mem::replace(&mut notice.reported, true);
+        let resent = std::mem::replace(&mut message.reported, true);
         let (Closing::Returned { after }, false) = (closing, resent) else {
             return;
         };
-        if let (Some((first, proof)), Some(class)) =
-            (&notice.ran, notice.class.and_then(|c| self.classes.get(c)))
-        {
+        if let (Some((first, proof)), Some(class)) = (
+            &message.ran,
+            message.class.and_then(|c| self.classes.get(c)),
+        ) {
             let wire = vec![proof.clone(), line.wire.clone()];
             let again = (line.at + after.unwrap_or_default()).saturating_sub(*first);
             let why = "returned as harmless to hand in again".to_owned();
             let breach = Breach {
                 rule: Rule::Repeats,
                 id: Some(id.into()),
-                partner: None,
+                destination: None,
                 at: line.at,
                 why,
                 wire,
@@ -119,22 +120,22 @@
         &mut self,
         id: &str,
         connection: u64,
-        partner: u64,
+        destination: u64,
         line: &Line,
         figures: &Figures,
         findings: &mut Findings,
     ) {
-        let notice = self.notices.entry(id.to_owned()).or_default();
+        let message = self.messages.entry(id.to_owned()).or_default();
         let breach = |rule, why: String, wire: Vec<String>| Breach {
             rule,
             id: Some(id.to_owned()),
-            partner: Some(partner),
+            destination: Some(destination),
             at: line.at,
             why,
             wire,
         };
-        notice.attempts += 1;
-        match &notice.out {
+        message.attempts += 1;
+        match &message.out {
             Some((_, first)) => {
                 let wire = vec![first.clone(), line.wire.clone()];
                 findings.broken(breach(
@@ -145,37 +146,37 @@
             }
             None => findings.kept(Rule::SecondCopy),
         }
-        if notice.attempts > figures.attempts {
-            let why = format!("attempt {}", notice.attempts);
+        if message.attempts > figures.attempts {
+            let why = format!("attempt {}", message.attempts);
             findings.broken(breach(Rule::Attempts, why, vec![line.wire.clone()]));
         } else {
             findings.kept(Rule::Attempts);
         }
-        let class = notice.class.and_then(|c| self.classes.get(c).copied());
-        if let (Some((first, proof)), Some(class)) = (&notice.ran, class) {
+        let class = message.class.and_then(|c| self.classes.get(c).copied());
+        if let (Some((first, proof)), Some(class)) = (&message.ran, class) {
             let wire = vec![proof.clone(), line.wire.clone()];
             let breach = breach(Rule::Repeats, "sent again".into(), wire);
             let again = line.at.saturating_sub(*first);
             judge_repeat(class, again, breach, line.late, figures, findings);
         }
-        notice.out = Some((connection, line.wire.clone()));
+        message.out = Some((connection, line.wire.clone()));
     }
 
     fn settle(&mut self, id: &str, connection: u64, ran: bool, line: &Line) {
-        let Some(notice) = self.notices.get_mut(id) else {
+        let Some(message) = self.messages.get_mut(id) else {
             return;
         };
-        notice.out.take_if(|(on, _)| *on == connection);
+        message.out.take_if(|(on, _)| *on == connection);
         if ran {
             // It can't have run before it came; the end is what the sender can know.
-            notice
+            message
                 .ran
                 .get_or_insert_with(|| (line.at, line.wire.clone()));
         }
     }
 }
 
-/// Judges a notice that comes, or may come, to its partner `again` after it may have run there.
+/// Judges a message that comes, or may come, to its destination `again` after it may have run there.
 fn judge_repeat(
     class: Class,
     again: Duration,
--- a/crates/simulation/src/audit/partners.rs
+++ b/crates/simulation/src/audit/destinations.rs
@@ -1,4 +1,4 @@
-//! What partners asked for: drains, told waits, and connections that had been idle too long.
+//! What destinations asked for: drains, told waits, and connections that had been idle too long.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use super::{Breach, Figures, Findings, Line, Listed, Rule, What};
 
 #[derive(Debug, Default)]
-pub(super) struct Partners {
+pub(super) struct DestinationRules {
     /// By sender and endpoint: since when it has been told that this endpoint drains or is gone.
     leaving: BTreeMap<(usize, usize), (Duration, Duration, String)>,
-    /// By sender and partner: when the wait was told, until when it lasts, and what proves it.
+    /// By sender and destination: when the wait was told, until when it lasts, and what proves it.
     waits: BTreeMap<(usize, u64), (Duration, Duration, Duration, String)>,
     /// Connections on which more came than an answer, and what proves it.
     spoilt: BTreeMap<u64, String>,
@@ -17,7 +17,7 @@
     used: BTreeMap<u64, (Duration, Duration)>,
 }
 
-impl Partners {
+impl DestinationRules {
     pub(super) fn hear(&mut self, line: &Line, figures: &Figures, findings: &mut Findings) {
         match &line.what {
             What::Told {
@@ -47,21 +47,28 @@
             What::Begun {
                 connection,
                 endpoint,
-                partner,
+                destination,
             } => {
-                self.begun(*connection, *endpoint, *partner, line, figures, findings);
+                self.begun(
+                    *connection,
+                    *endpoint,
+                    *destination,
+                    line,
+                    figures,
+                    findings,
+                );
             }
             What::Called {
                 connection,
-                partner,
+                destination,
                 ..
             } => {
                 self.used.insert(*connection, (line.at, line.late));
-                self.called(*partner, line, figures, findings);
+                self.called(*destination, line, figures, findings);
             }
             What::Replied {
                 connection,
-                partner,
+                destination,
                 wait,
                 spoilt,
                 ..
@@ -72,10 +79,10 @@
                 self.used.insert(*connection, (line.at, line.late));
                 if let (Some(sender), Some(wait)) = (line.sender, wait) {
                     let until = line.at + *wait;
-                    let known = self.waits.get(&(sender, *partner));
+                    let known = self.waits.get(&(sender, *destination));
                     if known.is_none_or(|k| k.1 < until) {
                         self.waits.insert(
-                            (sender, *partner),
+                            (sender, *destination),
                             (line.at, until, line.late, line.wire.clone()),
                         );
                     }
@@ -95,7 +102,7 @@
         &mut self,
         connection: u64,
         endpoint: usize,
-        partner: u64,
+        destination: u64,
         line: &Line,
         figures: &Figures,
         findings: &mut Findings,
@@ -103,7 +110,7 @@
         let breach = |rule, why: String, wire: Vec<String>| Breach {
             rule,
             id: None,
-            partner: Some(partner),
+            destination: Some(destination),
             at: line.at,
             why,
             wire,
@@ -151,14 +158,20 @@
     }
 
     /// A call counts when its last byte has come.
-    fn called(&mut self, partner: u64, line: &Line, figures: &Figures, findings: &mut Findings) {
+    fn called(
+        &mut self,
+        destination: u64,
+        line: &Line,
+        figures: &Figures,
+        findings: &mut Findings,
+    ) {
         let Some(sender) = line.sender else { return };
-        let Some((told, until, late, proof)) = self.waits.get(&(sender, partner)) else {
+        let Some((told, until, late, proof)) = self.waits.get(&(sender, destination)) else {
             return;
         };
         if line.at >= *until {
             findings.kept(Rule::Waits);
-            self.waits.remove(&(sender, partner));
+            self.waits.remove(&(sender, destination));
             return;
         }
         let passed = line.at.saturating_sub(*told);
@@ -175,7 +188,7 @@
         let breach = || Breach {
             rule: Rule::Waits,
             id: None,
-            partner: Some(partner),
+            destination: Some(destination),
             at: line.at,
             why,
             wire: vec![proof.clone(), line.wire.clone()],
--- a/crates/simulation/src/audit/ends.rs
+++ b/crates/simulation/src/audit/ends.rs
@@ -1,4 +1,4 @@
-//! One end for every notice that was taken on, in time; and an answer for every request.
+//! One end for every message that was taken on, in time; and an answer for every request.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use super::{Answer, Breach, Closing, Fate, Figures, Findings, Line, Rule, What};
 
 #[derive(Debug, Default)]
-struct Notice {
+struct TrackedMessage {
     sender: Option<usize>,
     handed: Duration,
     handed_late: Duration,
@@ -25,7 +25,7 @@
 
 #[derive(Debug, Default)]
 pub(super) struct Ends {
-    notices: BTreeMap<String, Notice>,
+    messages: BTreeMap<String, TrackedMessage>,
     /// By sender: from when until when no end is overdue.
     excused: BTreeMap<usize, Vec<(Duration, Option<Duration>)>>,
 }
@@ -34,36 +34,36 @@
     pub(super) fn hear(&mut self, line: &Line, figures: &Figures, findings: &mut Findings) {
         match &line.what {
             What::Handed { id, lasts, .. } => {
-                let notice = self.notices.entry(id.clone()).or_default();
-                notice.sender = line.sender;
-                (notice.handed, notice.handed_late, notice.lasts) = (line.at, line.late, *lasts);
-                notice.handed_wire = line.wire.clone();
+                let message = self.messages.entry(id.clone()).or_default();
+                message.sender = line.sender;
+                (message.handed, message.handed_late, message.lasts) = (line.at, line.late, *lasts);
+                message.handed_wire = line.wire.clone();
             }
             What::Posted { id, lasts, .. } => {
-                let notice = self.notices.entry(id.clone()).or_default();
-                notice.sender = line.sender;
-                (notice.handed, notice.handed_late, notice.lasts) = (line.at, line.late, *lasts);
-                notice.handed_wire = line.wire.clone();
-                (notice.posted, notice.taken) = (true, Some(line.at));
+                let message = self.messages.entry(id.clone()).or_default();
+                message.sender = line.sender;
+                (message.handed, message.handed_late, message.lasts) = (line.at, line.late, *lasts);
+                message.handed_wire = line.wire.clone();
+                (message.posted, message.taken) = (true, Some(line.at));
             }
             What::Answered { id, answer } => {
-                let Some(notice) = self.notices.get_mut(id) else {
+                let Some(message) = self.messages.get_mut(id) else {
                     return;
                 };
-                notice.answered = true;
-                if notice.posted {
+                message.answered = true;
+                if message.posted {
                     return self.post_answered(id, answer, line, figures, findings);
                 }
                 let over = line
                     .at
-                    .saturating_sub(notice.handed)
+                    .saturating_sub(message.handed)
                     .checked_sub(figures.patience);
                 let over = over.filter(|o| !o.is_zero());
-                let late = line.late + notice.handed_late;
-                let wire = vec![notice.handed_wire.clone(), line.wire.clone()];
+                let late = line.late + message.handed_late;
+                let wire = vec![message.handed_wire.clone(), line.wire.clone()];
                 let why = format!(
                     "answered after {} ms",
-                    line.at.saturating_sub(notice.handed).as_millis()
+                    line.at.saturating_sub(message.handed).as_millis()
                 );
                 findings.judge(
                     over,
@@ -72,20 +72,20 @@
                     Rule::Answers,
                 );
                 if *answer == Answer::TakenOn {
-                    notice.taken.get_or_insert(line.at);
+                    message.taken.get_or_insert(line.at);
                 }
             }
             What::Dropped { id } => {
                 let excused = line.sender.is_some_and(|s| self.is_excused(s, line.at));
-                let Some(notice) = self.notices.get_mut(id).filter(|n| !n.answered) else {
+                let Some(message) = self.messages.get_mut(id).filter(|n| !n.answered) else {
                     return;
                 };
                 // Whoever posted knows that nothing more will come.
-                notice.answered = notice.posted;
+                message.answered = message.posted;
                 if excused {
                     return;
                 }
-                let wire = vec![notice.handed_wire.clone(), line.wire.clone()];
+                let wire = vec![message.handed_wire.clone(), line.wire.clone()];
                 findings.broken(breach(
                     Rule::Answers,
                     id,
@@ -96,13 +96,14 @@
             }
             What::Abandoned { id } => {
                 let excused = line.sender.is_some_and(|s| self.is_excused(s, line.at));
-                let Some(notice) = self.notices.get(id).filter(|n| !n.answered && !excused) else {
+                let Some(message) = self.messages.get(id).filter(|n| !n.answered && !excused)
+                else {
                     return;
                 };
-                let wire = vec![notice.handed_wire.clone(), line.wire.clone()];
+                let wire = vec![message.handed_wire.clone(), line.wire.clone()];
                 let why = format!("no answer in {} ms", figures.patience.as_millis());
                 // How much later it would have come nobody knows: a rig that was late itself is no proof.
-                let late = line.late + notice.handed_late;
+                let late = line.late + message.handed_late;
                 findings.judge(
                     Some(figures.slack),
                     late,
@@ -112,8 +113,8 @@
             }
             What::Replied { fates, .. } => {
                 for (id, _) in fates.iter().filter(|(_, fate)| *fate == Fate::Done) {
-                    if let Some(notice) = self.notices.get_mut(id) {
-                        notice
+                    if let Some(message) = self.messages.get_mut(id) {
+                        message
                             .delivered
                             .get_or_insert_with(|| (line.at, line.wire.clone()));
                     }
@@ -130,14 +131,14 @@
             }
             What::Lost { only: None } => {
                 let of = self
-                    .notices
+                    .messages
                     .values_mut()
                     .filter(|n| n.sender == line.sender);
                 of.for_each(|n| n.lost = true);
             }
             What::Lost { only: Some(ids) } => {
                 for id in ids {
-                    self.notices.entry(id.clone()).or_default().lost = true;
+                    self.messages.entry(id.clone()).or_default().lost = true;
                 }
             }
             What::Ready => {
@@ -160,7 +161,7 @@
         figures: &Figures,
         findings: &mut Findings,
     ) {
-        let Some(notice) = self.notices.get_mut(id) else {
+        let Some(message) = self.messages.get_mut(id) else {
             let why = "a report of a notice that nobody handed in".into();
             findings.broken(breach(
                 Rule::OneEnd,
@@ -172,7 +173,7 @@
             return;
         };
         let kind = |c: &Closing| matches!(c, Closing::Returned { .. });
-        match &notice.closing {
+        match &message.closing {
             // The same report again is no second end: it is resent until it is answered.
             Some((first, _)) if kind(first) == kind(&closing) => {}
             Some((_, wire)) => {
@@ -187,10 +188,10 @@
             }
             // What was delivered may still be reported, if the 200 never reached the sender; whether as
             // `returned` is a matter of its class, and so of the rule on repeats.
-            None => notice.closing = Some((closing, line.wire.clone())),
+            None => message.closing = Some((closing, line.wire.clone())),
         }
-        if !notice.answered {
-            notice.answered = true;
+        if !message.answered {
+            message.answered = true;
         }
         self.in_time(id, line, figures, findings);
     }
@@ -204,15 +205,15 @@
         figures: &Figures,
         findings: &mut Findings,
     ) {
-        let Some(notice) = self.notices.get(id) else {
+        let Some(message) = self.messages.get(id) else {
             return;
         };
         let wire = |proof: Option<&String>| {
-            let mut wire = vec![notice.handed_wire.clone(), line.wire.clone()];
+            let mut wire = vec![message.handed_wire.clone(), line.wire.clone()];
             wire.extend(proof.cloned());
             wire
         };
-        match (answer, &notice.delivered) {
+        match (answer, &message.delivered) {
             (Answer::Delivered | Answer::TakenOn, None) => {
                 let why = "answered as delivered, and no push service took it".into();
                 findings.broken(breach(Rule::OneEnd, id, line.at, why, wire(None)));
@@ -223,13 +224,13 @@
             }
             _ => findings.kept(Rule::Answers),
         }
-        let due = notice.handed + notice.lasts + figures.overdue;
+        let due = message.handed + message.lasts + figures.overdue;
         let over = line.at.checked_sub(due).filter(|o| !o.is_zero());
         let why = format!(
             "answered {} ms after its time",
             over.unwrap_or_default().as_millis()
         );
-        let late = line.late + notice.handed_late;
+        let late = line.late + message.handed_late;
         findings.judge(
             over,
             late,
@@ -239,14 +240,14 @@
     }
 
     fn in_time(&self, id: &str, line: &Line, figures: &Figures, findings: &mut Findings) {
-        let Some(notice) = self.notices.get(id) else {
+        let Some(message) = self.messages.get(id) else {
             return;
         };
-        let due = notice.handed + notice.lasts + figures.overdue;
-        if notice
+        let due = message.handed + message.lasts + figures.overdue;
+        if message
             .sender
             .is_some_and(|s| self.is_excused_since(s, due, line.at))
-            || notice.delivered.is_some()
+            || message.delivered.is_some()
         {
             return;
         }
@@ -255,10 +256,10 @@
             "its end came {} ms after its time",
             over.unwrap_or_default().as_millis()
         );
-        let wire = vec![notice.handed_wire.clone(), line.wire.clone()];
+        let wire = vec![message.handed_wire.clone(), line.wire.clone()];
         findings.judge(
             over,
-            line.late + notice.handed_late,
+            line.late + message.handed_late,
             || breach(Rule::InTime, id, line.at, why, wire),
             Rule::InTime,
         );
@@ -289,31 +290,31 @@
         figures: &Figures,
         findings: &mut Findings,
     ) {
-        let notices = std::mem::take(&mut self.notices);
-        for (id, notice) in &notices {
-            let Some(taken) = notice.taken.filter(|_| !notice.lost) else {
+        let messages = std::mem::take(&mut self.messages);
+        for (id, message) in &messages {
+            let Some(taken) = message.taken.filter(|_| !message.lost) else {
                 continue;
             };
-            let ended = if notice.posted {
-                notice.answered
+            let ended = if message.posted {
+                message.answered
             } else {
-                notice.delivered.is_some() || notice.closing.is_some()
+                message.delivered.is_some() || message.closing.is_some()
             };
             if ended {
                 findings.kept(Rule::OneEnd);
                 continue;
             }
-            let due = notice.handed + notice.lasts + figures.overdue;
+            let due = message.handed + message.lasts + figures.overdue;
             // A day that ends before its time says nothing about it.
             let over = end.checked_sub(due).filter(|o| !o.is_zero());
-            let what = if notice.posted { "posted" } else { "taken on" };
-            let lacks = if notice.posted {
+            let what = if message.posted { "posted" } else { "taken on" };
+            let lacks = if message.posted {
                 "never answered"
             } else {
                 "neither delivered nor reported"
             };
             let why = format!("{what} at {:.3} s, and {lacks}", taken.as_secs_f64());
-            let wire = vec![notice.handed_wire.clone()];
+            let wire = vec![message.handed_wire.clone()];
             if over.is_some() {
                 findings.judge(
                     over,
@@ -330,7 +331,7 @@
     Breach {
         rule,
         id: Some(id.to_owned()),
-        partner: None,
+        destination: None,
         at,
         why,
         wire,
--- a/crates/simulation/src/audit/mod.rs
+++ b/crates/simulation/src/audit/mod.rs
@@ -5,9 +5,9 @@
 //! bound is broken only if it is broken by more than the rig itself was late; what lies between is not judged.
 
 mod copies;
+mod destinations;
 mod ends;
 mod order;
-mod partners;
 mod returns;
 
 use std::fmt;
@@ -16,15 +16,15 @@
 /// Figures of the rules, from the operators' pages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figures {
-    /// Attempts that a notice may have.
+    /// Attempts that a message may have.
     pub attempts: u32,
     /// New work to an endpoint may go on for so long after the sender was told that it drains or is gone.
     pub drain: Duration,
-    /// What reaches a partner so soon after a wait was told had been on its way.
+    /// What reaches a destination so soon after a wait was told had been on its way.
     pub wait_grace: Duration,
     /// A connection idle for longer is not written to.
     pub idle: Duration,
-    /// A notice that was taken on has its end so soon after its time at the latest.
+    /// A message that was taken on has its end so soon after its time at the latest.
     pub overdue: Duration,
     /// After a restart no report is overdue until so long after the sender is ready.
     pub restart: Duration,
@@ -32,7 +32,7 @@
     pub patience: Duration,
     /// Time-outs of the rules are extended by this on sockets.
     pub slack: Duration,
-    /// Most of what pushed a partner over: beyond this share it is the senders' doing that saw it fail.
+    /// Most of what pushed a destination over: beyond this share it is the senders' doing that saw it fail.
     pub share: f64,
     pub multiple: f64,
     pub fall: Duration,
@@ -74,7 +74,7 @@
     Unsafe,
 }
 
-/// The answer to who handed a notice in.
+/// The answer to who handed a message in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     TakenOn,
@@ -88,14 +88,14 @@
     Error,
 }
 
-/// How a closing report ends a notice.
+/// How a closing report ends a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closing {
     Returned { after: Option<Duration> },
     Failed,
 }
 
-/// What one notice of a call came to, as the partner knows it.
+/// What one message of a call came to, as the destination knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     Done,
@@ -114,11 +114,11 @@
 /// One thing that passed, or that the rig did.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
-    /// The last byte of a notice was written to the sender.
+    /// The last byte of a message was written to the sender.
     Handed {
         id: String,
         class: usize,
-        partner: u64,
+        destination: u64,
         lasts: Duration,
         /// Within which it keeps its order, where its class keeps one.
         order_key: Option<String>,
@@ -127,7 +127,7 @@
     Posted {
         id: String,
         class: usize,
-        partner: u64,
+        destination: u64,
         lasts: Duration,
     },
     Answered {
@@ -145,7 +145,7 @@
     Opened {
         connection: u64,
         endpoint: usize,
-        partner: u64,
+        destination: u64,
     },
     Closed {
         connection: u64,
@@ -154,20 +154,20 @@
     Begun {
         connection: u64,
         endpoint: usize,
-        partner: u64,
+        destination: u64,
     },
     /// Its last byte came.
     Called {
         connection: u64,
         endpoint: usize,
-        partner: u64,
+        destination: u64,
         ids: Vec<String>,
     },
     /// The last byte of the answer was written, with more behind it if it was `spoilt`.
     Replied {
         connection: u64,
         endpoint: usize,
-        partner: u64,
+        destination: u64,
         fates: Vec<(String, Fate)>,
         wait: Option<Duration>,
         spoilt: bool,
@@ -176,13 +176,13 @@
     Broke {
         connection: u64,
         endpoint: usize,
-        partner: u64,
+        destination: u64,
         ids: Vec<String>,
         ran: bool,
     },
     Told {
         endpoint: usize,
-        partner: u64,
+        destination: u64,
         listed: Listed,
     },
     Reported {
@@ -202,12 +202,12 @@
     Ready,
     /// A destination that is back cold took more than it could, and has fallen.
     Fell {
-        partner: u64,
+        destination: u64,
     },
-    /// An outage of a partner is over since `since`; from `since` on it can do so many calls a second when warm. A further
+    /// An outage of a destination is over since `since`; from `since` on it can do so many calls a second when warm. A further
     /// message in a call weighs `item` of one.
     Back {
-        partner: u64,
+        destination: u64,
         since: Duration,
         down: Duration,
         capacity: f64,
@@ -290,7 +290,7 @@
 pub struct Breach {
     pub rule: Rule,
     pub id: Option<String>,
-    pub partner: Option<u64>,
+    pub destination: Option<u64>,
     pub at: Duration,
     pub why: String,
     pub wire: Vec<String>,
@@ -308,8 +308,8 @@
         if let Some(id) = &self.id {
             write!(f, " (notice {id})")?;
         }
-        if let Some(partner) = self.partner {
-            write!(f, " (partner {partner})")?;
+        if let Some(destination) = self.destination {
+            write!(f, " (partner {destination})")?;
         }
         self.wire.iter().try_for_each(|w| write!(f, "\n    {w}"))
     }
@@ -392,21 +392,21 @@
     findings: Findings,
     ends: ends::Ends,
     copies: copies::Copies,
-    partners: partners::Partners,
+    destinations: destinations::DestinationRules,
     returns: returns::Returns,
     order: order::Order,
     now: Duration,
 }
 
 impl Auditor {
-    /// `classes` as the notices' positions name them.
+    /// `classes` as the messages' positions name them.
     pub fn new(figures: Figures, classes: Vec<Class>) -> Auditor {
         Auditor {
             figures,
             findings: Findings::default(),
             ends: ends::Ends::default(),
             copies: copies::Copies::new(classes),
-            partners: partners::Partners::default(),
+            destinations: destinations::DestinationRules::default(),
             returns: returns::Returns::default(),
             order: order::Order::default(),
             now: Duration::ZERO,
@@ -418,12 +418,13 @@
         self.now = self.now.max(line.at);
         self.ends.hear(line, &self.figures, &mut self.findings);
         self.copies.hear(line, &self.figures, &mut self.findings);
-        self.partners.hear(line, &self.figures, &mut self.findings);
+        self.destinations
+            .hear(line, &self.figures, &mut self.findings);
         self.returns.hear(line, &self.figures, &mut self.findings);
         self.order.hear(line, &self.figures, &mut self.findings);
     }
 
-    /// The day is over at `end`, when every notice must have had its end; `late` is the rig's lateness then.
+    /// The day is over at `end`, when every message must have had its end; `late` is the rig's lateness then.
     pub fn verdicts(mut self, end: Duration, late: Duration) -> Vec<(Rule, Verdict)> {
         self.ends
             .close(end, late, &self.figures, &mut self.findings);
--- a/crates/simulation/src/audit/order.rs
+++ b/crates/simulation/src/audit/order.rs
@@ -48,11 +48,11 @@
             What::Called {
                 connection,
                 ids,
-                partner,
+                destination,
                 ..
             } => {
                 ids.iter()
-                    .for_each(|id| self.called(id, *partner, line, figures, findings));
+                    .for_each(|id| self.called(id, *destination, line, figures, findings));
                 self.in_flight.insert(*connection, ids.clone());
             }
             What::Replied {
@@ -119,7 +119,7 @@
     fn called(
         &mut self,
         id: &str,
-        partner: u64,
+        destination: u64,
         line: &Line,
         figures: &Figures,
         findings: &mut Findings,
@@ -138,7 +138,7 @@
         let breach = |why: String| Breach {
             rule: Rule::Order,
             id: Some(id.to_owned()),
-            partner: Some(partner),
+            destination: Some(destination),
             at: line.at,
             why,
             wire: vec![line.wire.clone()],
--- a/crates/simulation/src/audit/returns.rs
+++ b/crates/simulation/src/audit/returns.rs
@@ -1,11 +1,11 @@
-//! A partner that comes back cold is not pushed over by those who saw it fail.
+//! A destination that comes back cold is not pushed over by those who saw it fail.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 use super::{Breach, Fate, Figures, Findings, Line, Rule, What};
 
-/// A partner since its last outage.
+/// A destination since its last outage.
 #[derive(Debug)]
 struct Back {
     since: Duration,
@@ -22,11 +22,11 @@
 
 #[derive(Debug, Default)]
 pub(super) struct Returns {
-    /// By partner and sender: when a call or connection there last failed or was refused.
+    /// By destination and sender: when a call or connection there last failed or was refused.
     last_failure: BTreeMap<(u64, usize), Duration>,
-    /// Calls that wait for their answer: the partner, by connection.
+    /// Calls that wait for their answer: the destination, by connection.
     unanswered: BTreeMap<u64, u64>,
-    /// Senders that are ending, or gone: what they close tells nothing of a partner.
+    /// Senders that are ending, or gone: what they close tells nothing of a destination.
     ending: BTreeSet<usize>,
     back: BTreeMap<u64, Back>,
 }
@@ -35,50 +35,52 @@
     pub(super) fn hear(&mut self, line: &Line, figures: &Figures, findings: &mut Findings) {
         match &line.what {
             What::Replied {
-                partner,
+                destination,
                 connection,
                 fates,
                 ..
             } => {
                 self.unanswered.remove(connection);
                 if fates.iter().any(|(_, fate)| *fate != Fate::Done) {
-                    self.note_failure(*partner, line);
+                    self.note_failure(*destination, line);
                 }
             }
             What::Broke {
-                partner,
+                destination,
                 connection,
                 ..
             } => {
                 self.unanswered.remove(connection);
-                self.note_failure(*partner, line);
+                self.note_failure(*destination, line);
             }
             What::Called {
-                partner,
+                destination,
                 connection,
                 ids,
                 ..
             } => {
-                self.unanswered.insert(*connection, *partner);
-                self.called(*partner, ids.len(), line, figures, findings);
+                self.unanswered.insert(*connection, *destination);
+                self.called(*destination, ids.len(), line, figures, findings);
             }
-            // The sender has given up a call that was not answered: a partner that is silent fails so.
+            // The sender has given up a call that was not answered: a destination that is silent fails so.
             What::Closed { connection } => {
-                let partner = self.unanswered.remove(connection);
+                let destination = self.unanswered.remove(connection);
                 let ending = line
                     .sender
                     .is_none_or(|sender| self.ending.contains(&sender));
-                if let Some(partner) = partner.filter(|_| !ending) {
-                    self.note_failure(partner, line);
+                if let Some(destination) = destination.filter(|_| !ending) {
+                    self.note_failure(destination, line);
                 }
             }
             What::Signalled | What::Gone => self.ending.extend(line.sender),
             What::Ready => {
                 line.sender.map(|sender| self.ending.remove(&sender));
             }
-            What::Fell { partner } => self.blame(*partner, "it fell", line, figures, findings),
+            What::Fell { destination } => {
+                self.blame(*destination, "it fell", line, figures, findings)
+            }
             What::Back {
-                partner,
+                destination,
                 since,
                 down,
                 capacity,
@@ -92,28 +94,28 @@
                     cold: *cold,
                     warm: *warm,
                     item: *item,
-                    informed: self.failed_since(*partner, since.saturating_sub(*down)),
+                    informed: self.failed_since(*destination, since.saturating_sub(*down)),
                     sent: VecDeque::new(),
                     broken: false,
                 };
-                self.back.insert(*partner, back);
+                self.back.insert(*destination, back);
             }
             _ => {}
         }
     }
 
-    fn note_failure(&mut self, partner: u64, line: &Line) {
+    fn note_failure(&mut self, destination: u64, line: &Line) {
         if let Some(sender) = line.sender {
-            self.last_failure.insert((partner, sender), line.at);
+            self.last_failure.insert((destination, sender), line.at);
         }
     }
 
-    /// Senders that have seen a partner fail since `begin`.
-    fn failed_since(&self, partner: u64, begin: Duration) -> BTreeSet<usize> {
-        let of_partner = self
+    /// Senders that have seen a destination fail since `begin`.
+    fn failed_since(&self, destination: u64, begin: Duration) -> BTreeSet<usize> {
+        let of_destination = self
             .last_failure
-            .range((partner, usize::MIN)..=(partner, usize::MAX));
-        of_partner
+            .range((destination, usize::MIN)..=(destination, usize::MAX));
+        of_destination
             .filter(|(_, at)| **at >= begin)
             .map(|((_, sender), _)| *sender)
             .collect()
@@ -121,14 +123,14 @@
 
     fn called(
         &mut self,
-        partner: u64,
+        destination: u64,
         messages: usize,
         line: &Line,
         figures: &Figures,
         findings: &mut Findings,
     ) {
         let Some(sender) = line.sender else { return };
-        let Some(back) = self.back.get_mut(&partner) else {
+        let Some(back) = self.back.get_mut(&destination) else {
             return;
         };
         let since = line.at.saturating_sub(back.since);
@@ -156,19 +158,19 @@
             return;
         }
         let why = format!("it could take {budget:.1}");
-        self.blame(partner, &why, line, figures, findings);
+        self.blame(destination, &why, line, figures, findings);
     }
 
-    /// The rule is broken if most of what pushed the partner over came from senders that had been told of its outage.
+    /// The rule is broken if most of what pushed the destination over came from senders that had been told of its outage.
     fn blame(
         &mut self,
-        partner: u64,
+        destination: u64,
         why: &str,
         line: &Line,
         figures: &Figures,
         findings: &mut Findings,
     ) {
-        let Some(back) = self.back.get_mut(&partner).filter(|back| !back.broken) else {
+        let Some(back) = self.back.get_mut(&destination).filter(|back| !back.broken) else {
             return;
         };
         let total: f64 = back.sent.iter().map(|s| s.2).sum();
@@ -185,7 +187,7 @@
         findings.broken(Breach {
             rule: Rule::Return,
             id: None,
-            partner: Some(partner),
+            destination: Some(destination),
             at: line.at,
             why: format!(
                 "{total:.1} calls in {:.1} s, {theirs:.1} of them from senders that saw it fail; {why}",
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,6 +1,6 @@
-//! Those who hand notices in: arrivals drawn ahead, retries after refusals, and patience.
+//! Those who hand messages in: arrivals drawn ahead, retries after refusals, and patience.
 //!
-//! The load is open: when a notice comes does not depend on how fast the sender answers, so a slow sender does not slow
+//! The load is open: when a message comes does not depend on how fast the sender answers, so a slow sender does not slow
 //! its own measurement.
 
 use std::cmp::Reverse;
@@ -13,70 +13,70 @@
 
 use crate::limit::seconds;
 
-/// Notices of a clump come within this.
+/// Messages of a clump come within this.
 const CLUMP: Duration = Duration::from_millis(200);
 
-/// One class of notices as clients hand them in.
+/// One class of messages as clients hand them in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Wanted within this; worth half as much with each further such span.
     pub aim: Duration,
     /// Given up after this.
     pub lasts: Duration,
-    /// Notices carry a key that a repeat is recognised by.
+    /// Messages carry a key that a repeat is recognised by.
     pub keyed: bool,
-    /// Notices keep their order within so many keys; 0 for a class that keeps none.
+    /// Messages keep their order within so many keys; 0 for a class that keeps none.
     pub order_keys: u32,
     pub share: f64,
     /// Least worth, at the end of its time.
     pub late_share: f64,
 }
 
-/// A partner as clients know it.
+/// A destination as clients know it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    pub partner: u64,
-    pub station: usize,
-    /// Its part of its station's notices.
+    pub destination: u64,
+    pub tenant: usize,
+    /// Its part of its tenant's messages.
     pub weight: f64,
-    /// Notices a second that it takes: a clump is as many as it takes in some seconds.
+    /// Messages a second that it takes: a clump is as many as it takes in some seconds.
     pub takes: f64,
     /// Reached over Web Push.
     pub push: bool,
 }
 
-/// While it lasts, these partners draw a further share of all notices.
+/// While it lasts, these destinations draw a further share of all messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hot {
     pub start: Duration,
     pub length: Duration,
-    pub partners: Vec<u64>,
+    pub destinations: Vec<u64>,
     pub share: f64,
 }
 
 /// The load of a day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    /// Notices a second over all stations.
+    /// Messages a second over all tenants.
     pub rate: f64,
-    /// Shares of the stations.
-    pub stations: Vec<f64>,
+    /// Shares of the tenants.
+    pub tenants: Vec<f64>,
     pub targets: Vec<Target>,
     pub classes: Vec<Class>,
     /// The class of posts without a topic, which the one with a topic follows. Each has half of the posts.
     pub push: Option<usize>,
-    /// Share of the notices that come in clumps, and a clump's size in seconds of what the partner takes.
+    /// Share of the messages that come in clumps, and a clump's size in seconds of what the destination takes.
     pub clumps: f64,
     pub clump: (f64, f64),
     pub hot: Vec<Hot>,
     /// Bytes of a body.
     pub body: (usize, usize),
-    /// After a refusal a notice comes again so often at most, after the wait told or this.
+    /// After a refusal a message comes again so often at most, after the wait told or this.
     pub retries: u32,
     pub pause: Duration,
     /// How long a client waits for an answer before it closes the connection and hands in anew.
     pub patience: Duration,
-    /// No new notices from then on.
+    /// No new messages from then on.
     pub until: Duration,
 }
 
@@ -89,15 +89,15 @@
         .collect()
 }
 
-/// A notice as it is handed in, once.
+/// A message as it is handed in, once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Handing {
     pub id: String,
     /// Which first try it belongs to.
     pub origin: usize,
     pub class: usize,
-    pub station: usize,
-    pub partner: u64,
+    pub tenant: usize,
+    pub destination: u64,
     pub key: Option<String>,
     /// What it keeps its order within.
     pub order_key: Option<String>,
@@ -126,13 +126,13 @@
 pub struct Origin {
     pub at: Duration,
     pub class: usize,
-    pub station: usize,
-    pub partner: u64,
+    pub tenant: usize,
+    pub destination: u64,
     key: Option<String>,
     order_key: Option<String>,
     body: usize,
     tries: u32,
-    /// When the first delivery counted: written by a partner, and the client knew that it was taken on.
+    /// When the first delivery counted: written by a destination, and the client knew that it was taken on.
     pub delivered: Option<Duration>,
     pub refused: bool,
     pub failed: bool,
@@ -151,7 +151,7 @@
 pub struct Clients {
     load: Load,
     rng: ChaCha8Rng,
-    /// Notices of clumps that are still to come, and retries: by time, then in the order drawn.
+    /// Messages of clumps that are still to come, and retries: by time, then in the order drawn.
     due: BinaryHeap<Reverse<(Duration, u64, Due)>>,
     drawn: u64,
     next_single: Duration,
@@ -168,7 +168,7 @@
     Again(Try),
 }
 
-/// One handing of a notice that was drawn before.
+/// One handing of a message that was drawn before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Try {
     origin: usize,
@@ -199,7 +199,7 @@
         clients
     }
 
-    /// When the next notice comes, if any does.
+    /// When the next message comes, if any does.
     pub fn next(&self) -> Option<Duration> {
         let due = self.due.peek().map(|Reverse((at, ..))| *at);
         let new = [self.next_single, self.next_clump]
@@ -262,7 +262,7 @@
         }
     }
 
-    /// A partner wrote a 200 for it.
+    /// A destination wrote a 200 for it.
     pub fn delivered(&mut self, now: Duration, id: &str) {
         let Some(out) = self.out.get_mut(id) else {
             return;
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Clumps a second, so that their notices make up their share.
+    /// Clumps a second, so that their messages make up their share.
     fn clump_rate(&self) -> f64 {
         let mean = (self.load.clump.0 + self.load.clump.1) / 2.0;
         let size: f64 = self
@@ -369,15 +369,21 @@
         let mut draw: f64 = self.rng.random();
         for hot in hot {
             if draw < hot.share {
-                let partner = hot.partners[self.rng.random_range(0..hot.partners.len().max(1))];
-                if let Some(found) = self.load.targets.iter().position(|t| t.partner == partner) {
+                let destination =
+                    hot.destinations[self.rng.random_range(0..hot.destinations.len().max(1))];
+                if let Some(found) = self
+                    .load
+                    .targets
+                    .iter()
+                    .position(|t| t.destination == destination)
+                {
                     return found;
                 }
             }
             draw = (draw - hot.share).max(0.0);
         }
-        let station = pick(&mut self.rng, &self.load.stations);
-        let weight = |t: &Target| if t.station == station { t.weight } else { 0.0 };
+        let tenant = pick(&mut self.rng, &self.load.tenants);
+        let weight = |t: &Target| if t.tenant == tenant { t.weight } else { 0.0 };
         let mut weights: Vec<f64> = self.load.targets.iter().map(weight).collect();
         if weights.iter().sum::<f64>() <= 0.0 {
             weights = self.load.targets.iter().map(|t| t.weight).collect();
@@ -404,13 +410,15 @@
         let order_key = (order_keys > 0)
             .then(|| format!("{:016x}", self.rng.random_range(1..=u64::from(order_keys))));
         let Target {
-            partner, station, ..
+            destination,
+            tenant,
+            ..
         } = self.load.targets[target];
         self.origins.push(Origin {
             at,
             class,
-            station,
-            partner,
+            tenant,
+            destination,
             key,
             order_key,
             body,
@@ -476,8 +484,8 @@
             id: id.clone(),
             origin,
             class: from.class,
-            station: from.station,
-            partner: from.partner,
+            tenant: from.tenant,
+            destination: from.destination,
             key: from.key.clone(),
             order_key: from.order_key.clone(),
             body: from.body,
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -3,11 +3,11 @@
 //! Start at [`parse`], which makes a [`Day`] of a file's text. Each part of the file is read by a module of its own.
 
 mod classes;
+mod destinations;
 mod faults;
 mod file;
 mod fleet;
 mod load;
-mod partners;
 mod schedule;
 mod source;
 mod types;
@@ -58,19 +58,19 @@
     let lasts = length(&source, &file)?;
     let senders = sender_count(&source, &file, senders)?;
     check_hollow(&source, &file, senders, hollow)?;
-    let stations = partners::stations(&file);
+    let tenants = destinations::tenants(&file);
     let mut classes = classes::read(&source, &file)?;
-    let zones = partners::zones(&file);
-    let mut partners = partners::read(&source, &file, &stations, &zones)?;
-    let push = partners
+    let zones = destinations::zones(&file);
+    let mut destinations = destinations::read(&source, &file, &tenants, &zones)?;
+    let push = destinations
         .iter()
         .any(|m| m.push)
         .then(|| classes.add_push_classes());
-    partners::check_total(&partners)?;
-    faults::read(&source, &file, &mut partners, &zones, &mut rng)?;
-    let mut load = load::read(&source, &file, &partners, &stations, classes.load, lasts)?;
+    destinations::check_total(&destinations)?;
+    faults::read(&source, &file, &mut destinations, &zones, &mut rng)?;
+    let mut load = load::read(&source, &file, &destinations, &tenants, classes.load, lasts)?;
     load.push = push;
-    let changes = schedule::changes(&source, &file, &partners)?;
+    let changes = schedule::changes(&source, &file, &destinations)?;
     let signals = schedule::signals(&source, &file, senders)?;
     let broken = fleet::read(&source, &file.breaks, senders + hollow, &zones, &mut rng)?;
     Ok(Day {
@@ -78,10 +78,10 @@
         lasts,
         senders,
         hollow,
-        stations: stations.into_iter().map(|s| s.name).collect(),
+        tenants: tenants.into_iter().map(|s| s.name).collect(),
         classes: classes.effects,
-        kinds: partners::kinds(&partners),
-        partners,
+        kinds: destinations::kinds(&destinations),
+        destinations,
         zones,
         load,
         directory: directory_spec(&file.directory),
--- a/crates/simulation/src/day/partners.rs
+++ b/crates/simulation/src/day/destinations.rs
@@ -1,47 +1,47 @@
-//! Partners with their stations, kinds and zones.
+//! Destinations with their tenants, kinds and zones.
 
 use std::collections::BTreeSet;
 
 use toml::Spanned;
 
-use super::file::{File, PartnerFile};
+use super::file::{DestinationFile, File};
 use super::source::{DayError, Source};
 use super::types::Member;
+use crate::destination::Spec;
 use crate::limit::Limit;
-use crate::partner::Spec;
 
-/// Endpoints of all partners together, and partners that one table makes.
+/// Endpoints of all destinations together, and destinations that one table makes.
 const ENDPOINTS_MOST: usize = 100_000;
-/// Endpoints of one partner.
-const PARTNER_ENDPOINTS_MOST: usize = 64;
+/// Endpoints of one destination.
+const MAX_DESTINATION_ENDPOINTS: usize = 64;
 /// Messages that one call may hold.
 const BATCH_MOST: usize = 64;
 
-/// A station, and its share of the load.
-pub(super) struct StationShare {
+/// A tenant, and its share of the load.
+pub(super) struct TenantShare {
     pub name: String,
     pub share: f64,
 }
 
-/// The file's stations; one of them if it names none.
-pub(super) fn stations(file: &File) -> Vec<StationShare> {
-    if file.station.is_empty() {
-        return vec![StationShare {
+/// The file's tenants; one of them if it names none.
+pub(super) fn tenants(file: &File) -> Vec<TenantShare> {
+    if file.tenant.is_empty() {
+        return vec![TenantShare {
             name: "onda-central".into(),
             share: 1.0,
         }];
     }
-    let station = |s: &super::file::Station| StationShare {
+    let tenant = |s: &super::file::Tenant| TenantShare {
         name: s.name.get_ref().clone(),
         share: s.share,
     };
-    file.station.iter().map(station).collect()
+    file.tenant.iter().map(tenant).collect()
 }
 
-/// The names of the day's zones, in the order in which partners name them.
+/// The names of the day's zones, in the order in which destinations name them.
 pub(super) fn zones(file: &File) -> Vec<String> {
     let mut zones: Vec<String> = Vec::new();
-    for name in file.partner.iter().flat_map(|p| &p.zones) {
+    for name in file.destination.iter().flat_map(|p| &p.zones) {
         if !zones.contains(name) {
             zones.push(name.clone());
         }
@@ -53,10 +53,10 @@
     }
 }
 
-/// The kinds of partners that the directory lists.
-pub(super) fn kinds(partners: &[Member]) -> Vec<String> {
+/// The kinds of destinations that the directory lists.
+pub(super) fn kinds(destinations: &[Member]) -> Vec<String> {
     let mut kinds: Vec<String> = Vec::new();
-    for member in partners {
+    for member in destinations {
         if !member.push && !kinds.contains(&member.kind) {
             kinds.push(member.kind.clone());
         }
@@ -64,17 +64,17 @@
     kinds
 }
 
-/// All partners of a file: a table makes one, or `count` of them.
+/// All destinations of a file: a table makes one, or `count` of them.
 pub(super) fn read(
     source: &Source<'_>,
     file: &File,
-    stations: &[StationShare],
+    tenants: &[TenantShare],
     zones: &[String],
 ) -> Result<Vec<Member>, DayError> {
     let mut members: Vec<Member> = Vec::new();
     let mut names = BTreeSet::new();
-    for table in &file.partner {
-        let member = member(source, table, members.len(), stations, zones)?;
+    for table in &file.destination {
+        let member = member(source, table, members.len(), tenants, zones)?;
         for n in 0..count(source, table)? {
             let base = table.name.get_ref();
             let name = if table.count.is_some() {
@@ -101,8 +101,8 @@
 }
 
 /// An error if a day has more endpoints than can be played.
-pub(super) fn check_total(partners: &[Member]) -> Result<(), DayError> {
-    let total: usize = partners.iter().map(|m| m.spec.endpoints).sum();
+pub(super) fn check_total(destinations: &[Member]) -> Result<(), DayError> {
+    let total: usize = destinations.iter().map(|m| m.spec.endpoints).sum();
     if total > ENDPOINTS_MOST {
         return Err(DayError {
             line: 1,
@@ -112,10 +112,10 @@
     Ok(())
 }
 
-/// The partners of that name, or of that name with a number behind.
+/// The destinations of that name, or of that name with a number behind.
 pub(super) fn named(
     source: &Source<'_>,
-    partners: &[Member],
+    destinations: &[Member],
     name: &Spanned<String>,
 ) -> Result<Vec<usize>, DayError> {
     let wanted = name.get_ref();
@@ -127,7 +127,7 @@
         m.name == *wanted
             || number.is_some_and(|n| !n.is_empty() && n.bytes().all(|b| b.is_ascii_digit()))
     };
-    let found: Vec<usize> = partners
+    let found: Vec<usize> = destinations
         .iter()
         .enumerate()
         .filter(|(_, m)| is(m))
@@ -139,12 +139,12 @@
     Ok(found)
 }
 
-/// How many partners a table makes.
-pub(super) fn table_count(table: &PartnerFile) -> usize {
+/// How many destinations a table makes.
+pub(super) fn table_count(table: &DestinationFile) -> usize {
     table.count.as_ref().map_or(1, |c| *c.get_ref())
 }
 
-fn count(source: &Source<'_>, table: &PartnerFile) -> Result<usize, DayError> {
+fn count(source: &Source<'_>, table: &DestinationFile) -> Result<usize, DayError> {
     let count = table_count(table);
     if let Some(at) = table
         .count
@@ -156,17 +156,17 @@
     Ok(count)
 }
 
-/// What the partners of one table have in common. Their stations go round unless one is named.
+/// What the destinations of one table have in common. Their tenants go round unless one is named.
 fn member(
     source: &Source<'_>,
-    table: &PartnerFile,
+    table: &DestinationFile,
     index: usize,
-    stations: &[StationShare],
+    tenants: &[TenantShare],
     zones: &[String],
 ) -> Result<Member, DayError> {
-    let station = match &table.station {
-        None => index % stations.len(),
-        Some(name) => stations
+    let tenant = match &table.tenant {
+        None => index % tenants.len(),
+        Some(name) => tenants
             .iter()
             .position(|s| s.name == *name.get_ref())
             .ok_or_else(|| source.error(name, format!("no station '{}'", name.get_ref())))?,
@@ -190,7 +190,7 @@
             .kind
             .as_ref()
             .map_or_else(|| usual_kind.into(), |k| k.get_ref().clone()),
-        station,
+        tenant,
         push,
         faults: vec![Vec::new(); spec.endpoints],
         zones: endpoint_zones(table, spec.endpoints, zones),
@@ -198,13 +198,13 @@
     })
 }
 
-fn spec(source: &Source<'_>, table: &PartnerFile) -> Result<Spec, DayError> {
+fn spec(source: &Source<'_>, table: &DestinationFile) -> Result<Spec, DayError> {
     let set = Spec::default();
     let endpoints = table.endpoints.as_ref().map_or(1, |e| *e.get_ref());
     if let Some(at) = table
         .endpoints
         .as_ref()
-        .filter(|_| !(1..=PARTNER_ENDPOINTS_MOST).contains(&endpoints))
+        .filter(|_| !(1..=MAX_DESTINATION_ENDPOINTS).contains(&endpoints))
     {
         return Err(source.error(at, "a partner has 1 to 64 endpoints"));
     }
@@ -239,7 +239,7 @@
 }
 
 /// The zone of each endpoint: those that the table names, in turn.
-fn endpoint_zones(table: &PartnerFile, endpoints: usize, zones: &[String]) -> Vec<usize> {
+fn endpoint_zones(table: &DestinationFile, endpoints: usize, zones: &[String]) -> Vec<usize> {
     let named = (0..endpoints).map(|e| table.zones.get(e % table.zones.len().max(1)));
     named
         .map(|name| zones.iter().position(|z| Some(z) == name).unwrap_or(0))
--- a/crates/simulation/src/day/faults.rs
+++ b/crates/simulation/src/day/faults.rs
@@ -5,8 +5,8 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
+use super::destinations::named;
 use super::file::{FaultFile, File};
-use super::partners::named;
 use super::source::{DayError, Source};
 use super::types::Member;
 use crate::fault::{Fault, Kind};
@@ -14,17 +14,17 @@
 /// After how long an idle connection is closed, where the file does not say.
 const CLOSE_IDLE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(3));
 
-/// Gives the partners' endpoints their faults, in the file's order, which is the order in which the seed draws.
+/// Gives the destinations' endpoints their faults, in the file's order, which is the order in which the seed draws.
 pub(super) fn read(
     source: &Source<'_>,
     file: &File,
-    partners: &mut [Member],
+    destinations: &mut [Member],
     zones: &[String],
     rng: &mut ChaCha8Rng,
 ) -> Result<(), DayError> {
     for table in &file.fault {
         let kind = kind(source, table)?;
-        let struck = struck_partners(source, table, partners)?;
+        let struck = affected_destinations(source, table, destinations)?;
         let part = table
             .part
             .as_ref()
@@ -41,12 +41,12 @@
             start: table.at.get_ref().0,
             length: table.lasts.0,
         };
-        for partner in struck {
+        for destination in struck {
             let Member {
                 faults,
                 zones: places,
                 ..
-            } = &mut partners[partner];
+            } = &mut destinations[destination];
             for (endpoint, faults) in faults.iter_mut().enumerate() {
                 let meant = table
                     .endpoints
@@ -98,18 +98,18 @@
     }
 }
 
-/// The partners that a fault strikes: those named, those of a kind, or all if it says neither. Each once.
-fn struck_partners(
+/// The destinations that a fault strikes: those named, those of a kind, or all if it says neither. Each once.
+fn affected_destinations(
     source: &Source<'_>,
     table: &FaultFile,
-    partners: &[Member],
+    destinations: &[Member],
 ) -> Result<Vec<usize>, DayError> {
     let mut struck = Vec::new();
-    for name in &table.partners {
-        struck.extend(named(source, partners, name)?);
+    for name in &table.destinations {
+        struck.extend(named(source, destinations, name)?);
     }
     if let Some(kind) = &table.of_kind {
-        let of_kind = partners
+        let of_kind = destinations
             .iter()
             .enumerate()
             .filter(|(_, m)| m.kind == *kind.get_ref());
@@ -119,8 +119,8 @@
         }
         struck.extend(found);
     }
-    if table.partners.is_empty() && table.of_kind.is_none() {
-        struck.extend(0..partners.len());
+    if table.destinations.is_empty() && table.of_kind.is_none() {
+        struck.extend(0..destinations.len());
     }
     struck.sort_unstable();
     struck.dedup();
--- a/crates/simulation/src/day/file.rs
+++ b/crates/simulation/src/day/file.rs
@@ -19,10 +19,12 @@
     pub senders: Spanned<usize>,
     pub load: LoadFile,
     #[serde(default)]
-    pub station: Vec<Station>,
+    #[serde(rename = "station")]
+    pub tenant: Vec<Tenant>,
     #[serde(default)]
     pub class: Vec<ClassFile>,
-    pub partner: Vec<PartnerFile>,
+    #[serde(rename = "partner")]
+    pub destination: Vec<DestinationFile>,
     #[serde(default)]
     pub fault: Vec<FaultFile>,
     #[serde(default)]
@@ -57,7 +59,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct Station {
+pub(super) struct Tenant {
     pub name: Spanned<String>,
     pub share: f64,
 }
@@ -83,13 +85,14 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct PartnerFile {
+pub(super) struct DestinationFile {
     pub name: Spanned<String>,
     #[serde(default)]
-    pub station: Option<Spanned<String>>,
+    #[serde(rename = "station")]
+    pub tenant: Option<Spanned<String>>,
     #[serde(default)]
     pub kind: Option<Spanned<String>>,
-    /// So many partners alike, named with a number behind.
+    /// So many destinations alike, named with a number behind.
     #[serde(default)]
     pub count: Option<Spanned<usize>>,
     #[serde(default)]
@@ -138,13 +141,14 @@
     pub lasts: Span,
     /// One of these says where.
     #[serde(default)]
-    pub partners: Vec<Spanned<String>>,
+    #[serde(rename = "partners")]
+    pub destinations: Vec<Spanned<String>>,
     #[serde(default)]
     pub of_kind: Option<Spanned<String>>,
     /// Only endpoints of this zone.
     #[serde(default)]
     pub of_zone: Option<Spanned<String>>,
-    /// Only these endpoints of each partner, from 0.
+    /// Only these endpoints of each destination, from 0.
     #[serde(default)]
     pub endpoints: Option<Vec<usize>>,
     /// Share of the endpoints that it strikes, drawn by the seed.
@@ -166,7 +170,8 @@
 pub(super) struct HotFile {
     pub at: Span,
     pub lasts: Span,
-    pub partners: Vec<Spanned<String>>,
+    #[serde(rename = "partners")]
+    pub destinations: Vec<Spanned<String>>,
     pub share: Spanned<f64>,
 }
 
@@ -174,7 +179,7 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct ChangeFile {
     pub at: Spanned<Span>,
-    /// A partner's name and the number of its endpoint: `onda-1/0`.
+    /// A destination's name and the number of its endpoint: `onda-1/0`.
     pub endpoint: Spanned<String>,
     pub to: Spanned<String>,
 }
--- a/crates/simulation/src/day/fleet.rs
+++ b/crates/simulation/src/day/fleet.rs
@@ -53,7 +53,7 @@
     #[serde(alias = "senders")]
     from: Option<Spanned<Who>>,
     to: Option<Spanned<Who>>,
-    /// With `to = "partners"`: only to endpoints of this zone.
+    /// With `to = "destinations"`: only to endpoints of this zone.
     zone: Option<Spanned<String>>,
     #[serde(default)]
     one_way: bool,
@@ -68,7 +68,7 @@
     after: Option<Span>,
 }
 
-/// Whom something is about: `all`, `others`, `partners`, numbers, or a share that the seed draws.
+/// Whom something is about: `all`, `others`, `destinations`, numbers, or a share that the seed draws.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum Who {
@@ -197,7 +197,7 @@
     }
 }
 
-/// What happens to a way between senders or to partners.
+/// What happens to a way between senders or to destinations.
 fn way(source: &Source<'_>, table: &BreakFile) -> Result<Way, DayError> {
     match table.kind.get_ref().as_str() {
         "cut" => Ok(Way::Cut),
@@ -243,7 +243,7 @@
                 .as_ref()
                 .map(|name| source.zone(zones, name))
                 .transpose()?;
-            Ok(Side::Partners(zone))
+            Ok(Side::Destinations(zone))
         }
         Who::Word(word) if word == "others" => Ok(Side::Senders(
             (0..count).filter(|n| !from.contains(n)).collect(),
--- a/crates/simulation/src/day/load.rs
+++ b/crates/simulation/src/day/load.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use super::destinations::{TenantShare, named, table_count};
 use super::file::{File, HotFile};
-use super::partners::{StationShare, named, table_count};
 use super::source::{DayError, Source};
 use super::types::Member;
 use crate::clients::{self, Hot, Load, Target, zipf};
@@ -23,8 +23,8 @@
 pub(super) fn read(
     source: &Source<'_>,
     file: &File,
-    partners: &[Member],
-    stations: &[StationShare],
+    destinations: &[Member],
+    tenants: &[TenantShare],
     classes: Vec<clients::Class>,
     lasts: Duration,
 ) -> Result<Load, DayError> {
@@ -35,7 +35,7 @@
     let hot = file
         .hot
         .iter()
-        .map(|table| hot(source, table, partners))
+        .map(|table| hot(source, table, destinations))
         .collect::<Result<_, _>>()?;
     let clumps = file
         .load
@@ -49,8 +49,8 @@
         .map_or(CLUMP, |(least, most)| (least.0, most.0));
     Ok(Load {
         rate,
-        stations: stations.iter().map(|s| s.share).collect(),
-        targets: targets(file, partners, stations.len()),
+        tenants: tenants.iter().map(|s| s.share).collect(),
+        targets: targets(file, destinations, tenants.len()),
         classes,
         push: None,
         clumps: clumps.unwrap_or(CLUMPS),
@@ -64,40 +64,40 @@
     })
 }
 
-fn targets(file: &File, partners: &[Member], stations: usize) -> Vec<Target> {
-    let weights = weights(file, partners, stations);
+fn targets(file: &File, destinations: &[Member], tenants: usize) -> Vec<Target> {
+    let weights = weights(file, destinations, tenants);
     let target = |(n, member): (usize, &Member)| Target {
-        partner: n as u64,
-        station: member.station,
+        destination: n as u64,
+        tenant: member.tenant,
         weight: weights[n],
         takes: rate_taken(member),
         push: member.push,
     };
-    partners.iter().enumerate().map(target).collect()
+    destinations.iter().enumerate().map(target).collect()
 }
 
-/// Within a station the first partner takes most, by Zipf's law, unless the file gives weights.
-fn weights(file: &File, partners: &[Member], stations: usize) -> Vec<f64> {
+/// Within a tenant the first destination takes most, by Zipf's law, unless the file gives weights.
+fn weights(file: &File, destinations: &[Member], tenants: usize) -> Vec<f64> {
     let mut given: Vec<Option<f64>> = Vec::new();
-    for table in &file.partner {
+    for table in &file.destination {
         given.extend(std::iter::repeat_n(table.weight, table_count(table)));
     }
-    let mut weights = vec![0.0; partners.len()];
-    for station in 0..stations {
-        let of: Vec<usize> = (0..partners.len())
-            .filter(|&n| partners[n].station == station)
+    let mut weights = vec![0.0; destinations.len()];
+    for tenant in 0..tenants {
+        let of: Vec<usize> = (0..destinations.len())
+            .filter(|&n| destinations[n].tenant == tenant)
             .collect();
-        for (&partner, weight) in of
+        for (&destination, weight) in of
             .iter()
             .zip(zipf(of.len(), file.load.zipf.unwrap_or(ZIPF)))
         {
-            weights[partner] = given[partner].unwrap_or(weight);
+            weights[destination] = given[destination].unwrap_or(weight);
         }
     }
     weights
 }
 
-/// Messages a second that a partner takes.
+/// Messages a second that a destination takes.
 fn rate_taken(member: &Member) -> f64 {
     let capacity = member.spec.capacity;
     match member.spec.limit {
@@ -109,10 +109,14 @@
     }
 }
 
-fn hot(source: &Source<'_>, table: &HotFile, partners: &[Member]) -> Result<Hot, DayError> {
+fn hot(source: &Source<'_>, table: &HotFile, destinations: &[Member]) -> Result<Hot, DayError> {
     let mut drawn = Vec::new();
-    for name in &table.partners {
-        drawn.extend(named(source, partners, name)?.into_iter().map(|n| n as u64));
+    for name in &table.destinations {
+        drawn.extend(
+            named(source, destinations, name)?
+                .into_iter()
+                .map(|n| n as u64),
+        );
     }
     let share = source.share(&table.share, "share")?;
     if drawn.is_empty() {
@@ -121,7 +125,7 @@
     Ok(Hot {
         start: table.at.0,
         length: table.lasts.0,
-        partners: drawn,
+        destinations: drawn,
         share,
     })
 }
--- a/crates/simulation/src/day/schedule.rs
+++ b/crates/simulation/src/day/schedule.rs
@@ -8,14 +8,14 @@
 pub(super) fn changes(
     source: &Source<'_>,
     file: &File,
-    partners: &[Member],
+    destinations: &[Member],
 ) -> Result<Vec<ListChange>, DayError> {
     let read = file
         .change
         .iter()
-        .map(|table| change(source, table, partners));
+        .map(|table| change(source, table, destinations));
     let mut changes = read.collect::<Result<Vec<ListChange>, DayError>>()?;
-    changes.sort_by_key(|c| (c.at, c.partner, c.endpoint));
+    changes.sort_by_key(|c| (c.at, c.destination, c.endpoint));
     Ok(changes)
 }
 
@@ -37,7 +37,7 @@
 fn change(
     source: &Source<'_>,
     table: &ChangeFile,
-    partners: &[Member],
+    destinations: &[Member],
 ) -> Result<ListChange, DayError> {
     let text = table.endpoint.get_ref();
     let wrong = || {
@@ -48,11 +48,11 @@
     };
     let (name, number) = text.rsplit_once('/').ok_or_else(wrong)?;
     let endpoint: usize = number.parse().map_err(|_| wrong())?;
-    let partner = partners.iter().position(|m| m.name == name);
-    let partner = partner
-        .filter(|&p| endpoint < partners[p].spec.endpoints)
+    let destination = destinations.iter().position(|m| m.name == name);
+    let destination = destination
+        .filter(|&p| endpoint < destinations[p].spec.endpoints)
         .ok_or_else(wrong)?;
-    if partners[partner].push {
+    if destinations[destination].push {
         return Err(source.error(
             &table.endpoint,
             "a push service is not in the directory's list",
@@ -70,7 +70,7 @@
     };
     Ok(ListChange {
         at: table.at.get_ref().0,
-        partner,
+        destination,
         endpoint,
         to,
     })
--- a/crates/simulation/src/day/types.rs
+++ b/crates/simulation/src/day/types.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use crate::clients::Load;
+use crate::destination::Spec;
 use crate::directory;
 use crate::fault::Fault;
 use crate::fleet::{Act, Break, Fleet};
-use crate::partner::Spec;
 
 /// A day, checked and drawn: the same file and seed give the same.
 #[derive(Clone, Debug, PartialEq)]
@@ -16,10 +16,10 @@
     pub senders: usize,
     /// Members of the fleet beside the senders that hand nothing on; their numbers follow the senders'.
     pub hollow: usize,
-    pub stations: Vec<String>,
+    pub tenants: Vec<String>,
     pub classes: Vec<MessageClass>,
-    /// Partners by their number, which is what a notice is sent to.
-    pub partners: Vec<Member>,
+    /// Destinations by their number, which is what a message is sent to.
+    pub destinations: Vec<Member>,
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
     pub load: Load,
@@ -43,12 +43,12 @@
     }
 }
 
-/// One partner of a day.
+/// One destination of a day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     pub name: String,
     pub kind: String,
-    pub station: usize,
+    pub tenant: usize,
     pub spec: Spec,
     /// A push service behind the second front, unknown to the directory.
     pub push: bool,
@@ -77,9 +77,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListChange {
     pub at: Duration,
-    /// Index into [`Day::partners`].
-    pub partner: usize,
-    /// The endpoint's number at its partner.
+    /// Index into [`Day::destinations`].
+    pub destination: usize,
+    /// The endpoint's number at its destination.
     pub endpoint: usize,
     pub to: To,
 }
--- a/crates/simulation/src/partner.rs
+++ b/crates/simulation/src/destination.rs
@@ -1,4 +1,4 @@
-//! One partner: its endpoints, what it takes, how fast it is, and what comes back from it.
+//! One destination: its endpoints, what it takes, how fast it is, and what comes back from it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 /// Quick failures and refusals are answered within this.
 const QUICK: Duration = Duration::from_millis(4);
 
-/// A partner as it is set up for a day.
+/// A destination as it is set up for a day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
     pub endpoints: usize,
@@ -122,7 +122,7 @@
     pub messages: usize,
 }
 
-/// Whether a partner has just been pushed over.
+/// Whether a destination has just been pushed over.
 pub type Fell = bool;
 
 #[derive(Clone, Debug, Default)]
@@ -135,9 +135,9 @@
     waiting: Vec<Duration>,
 }
 
-/// A partner in use.
+/// A destination in use.
 #[derive(Clone, Debug)]
-pub struct Partner {
+pub struct SimulatedDestination {
     spec: Spec,
     endpoints: Vec<Endpoint>,
     allowances: Vec<Allowance>,
@@ -147,9 +147,9 @@
     rng: ChaCha8Rng,
 }
 
-impl Partner {
-    /// `faults` by endpoint. The generator is the partner's own: what others do does not change its draws.
-    pub fn new(spec: Spec, faults: Vec<Vec<Fault>>, rng: ChaCha8Rng) -> Partner {
+impl SimulatedDestination {
+    /// `faults` by endpoint. The generator is the destination's own: what others do does not change its draws.
+    pub fn new(spec: Spec, faults: Vec<Vec<Fault>>, rng: ChaCha8Rng) -> SimulatedDestination {
         let count = spec.endpoints.max(1);
         // So many calls at once that a whole endpoint's share of the capacity is done at the mean pace.
         let at_once = spec.capacity * spec.pace.as_secs_f64() / count as f64;
@@ -163,7 +163,7 @@
             })
             .collect();
         let allowances = vec![Allowance::new(spec.limit); if spec.shared { 1 } else { count }];
-        Partner {
+        SimulatedDestination {
             spec,
             endpoints,
             allowances,
@@ -252,7 +252,7 @@
         Some(between(&mut self.rng, least, most))
     }
 
-    /// A call has arrived whole: what comes back, and whether the partner has been pushed over by it.
+    /// A call has arrived whole: what comes back, and whether the destination has been pushed over by it.
     pub fn call(&mut self, now: Duration, asked: Asked) -> (Reply, Fell) {
         let count = asked.messages.max(1);
         let state = self.state(asked.endpoint, now);
@@ -268,7 +268,7 @@
                 false,
             );
         }
-        // Whatever becomes of it, it is load on a partner that has come back.
+        // Whatever becomes of it, it is load on a destination that has come back.
         let back = self.back(now);
         let weight = weight(count, self.spec.item_cost);
         let fell = self
--- a/crates/simulation/src/directory.rs
+++ b/crates/simulation/src/directory.rs
@@ -16,7 +16,7 @@
     pub id: String,
     /// Which stand-in it is.
     pub endpoint: usize,
-    pub partner: u64,
+    pub destination: u64,
     pub listed: Listed,
     /// Its latest start, since the day began; `None` if that was long ago.
     pub started: Option<Duration>,
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -36,7 +36,7 @@
 pub enum Side {
     Senders(BTreeSet<usize>),
     /// All endpoints, or those of one zone.
-    Partners(Option<usize>),
+    Destinations(Option<usize>),
 }
 
 /// Ways that are broken for a time.
@@ -62,8 +62,8 @@
     }
 
     /// Whether it is on the way from a sender to the endpoints of a zone, or back.
-    pub fn at_partners(&self, sender: usize, zone: usize, back: bool) -> bool {
-        let Side::Partners(only) = self.to else {
+    pub fn at_destinations(&self, sender: usize, zone: usize, back: bool) -> bool {
+        let Side::Destinations(only) = self.to else {
             return false;
         };
         only.is_none_or(|only| only == zone)
--- a/crates/simulation/src/limit.rs
+++ b/crates/simulation/src/limit.rs
@@ -1,8 +1,8 @@
-//! What a partner takes from all senders together: a plain rate, a count in each span, or no limit of its own.
+//! What a destination takes from all senders together: a plain rate, a count in each span, or no limit of its own.
 
 use std::time::Duration;
 
-/// A limit as a partner's operator would state it.
+/// A limit as a destination's operator would state it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Limit {
     /// Only its capacity.
--- a/crates/simulation/src/return_guard.rs
+++ b/crates/simulation/src/return_guard.rs
@@ -1,4 +1,4 @@
-//! A partner that comes back cold: what it can do then, and when it is pushed over.
+//! A destination that comes back cold: what it can do then, and when it is pushed over.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -43,7 +43,7 @@
     }
 }
 
-/// Counts what is sent to one partner that has come back.
+/// Counts what is sent to one destination that has come back.
 #[derive(Clone, Debug, Default)]
 pub struct Guard {
     /// The end of the outage that is being watched.
@@ -54,7 +54,7 @@
 }
 
 impl Guard {
-    /// Notes so many messages sent at `now` to a partner that is back since then; true if that pushes it over.
+    /// Notes so many messages sent at `now` to a destination that is back since then; true if that pushes it over.
     pub fn sent(
         &mut self,
         set: &Return,
--- a/crates/simulation/tests/audit.rs
+++ b/crates/simulation/tests/audit.rs
@@ -45,7 +45,7 @@
         let handed = What::Handed {
             id: id.into(),
             class,
-            partner: 7,
+            destination: 7,
             lasts: ms(20_000),
             order_key: None,
         };
@@ -65,7 +65,7 @@
             What::Begun {
                 connection,
                 endpoint: 0,
-                partner: 7,
+                destination: 7,
             },
         )
         .add(
@@ -73,7 +73,7 @@
             What::Called {
                 connection,
                 endpoint: 0,
-                partner: 7,
+                destination: 7,
                 ids,
             },
         )
@@ -87,7 +87,7 @@
             What::Replied {
                 connection,
                 endpoint: 0,
-                partner: 7,
+                destination: 7,
                 fates,
                 wait: wait.map(ms),
                 spoilt,
@@ -189,7 +189,7 @@
     delivered
         .report(900, "a", Closing::Failed)
         .keeps(Rule::OneEnd);
-    // A day that ends before a notice's time says nothing.
+    // A day that ends before a message's time says nothing.
     let verdict = log().taken(0, "a", 0).verdict(Rule::OneEnd, 20_000);
     assert_eq!(verdict, Verdict::Kept { cases: 0 });
 }
@@ -273,7 +273,7 @@
     given_up.call(3100, 2, &["a"]).breaks(Rule::Repeats);
 }
 
-/// Who is told `returned` hands the notice in again: that is a repeat that the sender asked for.
+/// Who is told `returned` hands the message in again: that is a repeat that the sender asked for.
 #[test]
 fn nothing_is_returned_that_must_not_come_again() {
     let ran = |class, fate| {
@@ -332,7 +332,7 @@
             1000,
             What::Told {
                 endpoint: 0,
-                partner: 7,
+                destination: 7,
                 listed: Listed::Draining,
             },
         )
@@ -344,7 +344,7 @@
         1400,
         What::Told {
             endpoint: 0,
-            partner: 7,
+            destination: 7,
             listed: Listed::Gone,
         },
     );
@@ -356,7 +356,7 @@
             What::Begun {
                 connection: 1,
                 endpoint: 0,
-                partner: 7,
+                destination: 7,
             },
         )
         .from(1);
@@ -368,7 +368,7 @@
         1200,
         What::Told {
             endpoint: 0,
-            partner: 7,
+            destination: 7,
             listed: Listed::Up,
         },
     );
@@ -414,7 +414,7 @@
     );
 }
 
-/// So many calls, 60 ms apart, to a partner that is back since the first of them and could take three a second then. N is
+/// So many calls, 60 ms apart, to a destination that is back since the first of them and could take three a second then. N is
 /// 1.5 times what it can do in 3 s: 16.2 at the 26th call, so that 26.3 calls are let through.
 fn pushed(calls: u64, saw: bool, others: u64) -> Log {
     let mut log = log();
@@ -425,7 +425,7 @@
             .reply(3005, 1, "x", Fate::Busy, None);
     }
     let back = What::Back {
-        partner: 7,
+        destination: 7,
         since: ms(5000),
         down: ms(4000),
         capacity: 10.0,
@@ -458,7 +458,7 @@
         Verdict::Kept { .. }
     ));
     // One that falls tells so itself, in the very call that would be one too many.
-    let fallen = |saw, others| pushed(26, saw, others).add(6600, What::Fell { partner: 7 });
+    let fallen = |saw, others| pushed(26, saw, others).add(6600, What::Fell { destination: 7 });
     fallen(true, 0).breaks(Rule::Return);
     assert!(matches!(
         fallen(false, 0).verdict(Rule::Return, 60_000),
@@ -475,15 +475,15 @@
         })
     };
     refused(pushed(26, true, 0))
-        .add(6600, What::Fell { partner: 7 })
+        .add(6600, What::Fell { destination: 7 })
         .breaks(Rule::Return);
     // And a sender that sees it fail only after its return was not told of the outage.
-    let later = refused(pushed(26, false, 0)).add(6600, What::Fell { partner: 7 });
+    let later = refused(pushed(26, false, 0)).add(6600, What::Fell { destination: 7 });
     assert!(matches!(
         later.verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
     ));
-    // A partner that is silent fails by calls that are given up, but not by those that a sender's own end cuts off.
+    // A destination that is silent fails by calls that are given up, but not by those that a sender's own end cuts off.
     let silent = |given_up: Log| {
         let mut all = given_up
             .add(3100, What::Closed { connection: 1 })
@@ -524,7 +524,7 @@
                 What::Opened {
                     connection: 1,
                     endpoint: 0,
-                    partner: 7,
+                    destination: 7,
                 },
             )
             .call(at, 1, &["a"])
@@ -537,7 +537,7 @@
         let replied = What::Replied {
             connection: 1,
             endpoint: 0,
-            partner: 7,
+            destination: 7,
             fates,
             wait: None,
             spoilt,
@@ -558,7 +558,7 @@
     let other = What::Handed {
         id: "b".into(),
         class: 0,
-        partner: 7,
+        destination: 7,
         lasts: ms(20_000),
         order_key: None,
     };
@@ -596,7 +596,7 @@
             What::Handed {
                 id: "a".into(),
                 class: 0,
-                partner: 7,
+                destination: 7,
                 lasts: ms(20_000),
                 order_key: None,
             },
@@ -635,7 +635,7 @@
             What::Posted {
                 id: "a".into(),
                 class: 2,
-                partner: 7,
+                destination: 7,
                 lasts: ms(4000),
             },
         )
@@ -681,7 +681,7 @@
         let handed = What::Handed {
             id: id.into(),
             class: 2,
-            partner: 7,
+            destination: 7,
             lasts: ms(20_000),
             order_key,
         };
@@ -738,7 +738,7 @@
     let elsewhere = What::Handed {
         id: "d".into(),
         class: 2,
-        partner: 7,
+        destination: 7,
         lasts: ms(20_000),
         order_key: Some("k".into()),
     };
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -127,7 +127,7 @@
     }
 }
 
-/// Two partners of one name would share what is judged of each.
+/// Two destinations of one name would share what is judged of each.
 #[test]
 fn a_partners_name_is_its_own() {
     let twice = DAY.replacen(r#"name = "servicio""#, r#"name = "grande""#, 1);
@@ -151,7 +151,7 @@
         .replace("count = 3", "count = 30");
     let struck = |seed| {
         let day = day::parse(&half, seed).expect("good");
-        day.partners
+        day.destinations
             .iter()
             .map(|m| m.faults.concat().len())
             .collect::<Vec<_>>()
@@ -176,7 +176,7 @@
     assert!(!day.kinds.contains(&"push".to_owned()));
     let replaced = ListChange {
         at: Duration::from_secs(2),
-        partner: 0,
+        destination: 0,
         endpoint: 1,
         to: To::Replaced,
     };
@@ -193,7 +193,7 @@
     Row {
         id: id.into(),
         endpoint,
-        partner: 0,
+        destination: 0,
         listed,
         started: started.map(ms),
     }
--- a/crates/simulation/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -56,9 +56,9 @@
         lasts,
         senders,
         hollow,
-        stations,
+        tenants,
         classes,
-        partners,
+        destinations,
         kinds,
         zones,
         load,
@@ -73,9 +73,9 @@
     assert_eq!(lasts, secs(60));
     assert_eq!(senders, 4);
     assert_eq!(hollow, 0);
-    assert_eq!(stations, ["north", "south"]);
+    assert_eq!(tenants, ["north", "south"]);
     assert_eq!(classes, expected_classes());
-    assert_eq!(partners, expected_partners());
+    assert_eq!(destinations, expected_partners());
     assert_eq!(kinds, ["bulk-directory", "station"]);
     assert_eq!(zones, ["east", "west"]);
     assert_eq!(load, expected_load());
@@ -129,7 +129,7 @@
     let member = |name: &str, faults| Member {
         name: name.into(),
         kind: "bulk-directory".into(),
-        station: 1,
+        tenant: 1,
         spec: bulk.clone(),
         push: false,
         faults,
@@ -138,7 +138,7 @@
     let web = Member {
         name: "web".into(),
         kind: "push".into(),
-        station: 0,
+        tenant: 0,
         // The defaults, spelled out: a file that leaves a key out relies on them.
         spec: Spec {
             endpoints: 1,
@@ -220,29 +220,29 @@
         late_share: 0.125,
         ..class(2, 8, 0.0)
     };
-    let bulk = |partner| Target {
-        partner,
-        station: 1,
+    let bulk = |destination| Target {
+        destination,
+        tenant: 1,
         weight: 6.0,
         takes: 12.5,
         push: false,
     };
     Load {
         rate: 1.5,
-        stations: vec![0.75, 0.25],
+        tenants: vec![0.75, 0.25],
         targets: vec![
             bulk(0),
             bulk(1),
             Target {
-                partner: 2,
-                station: 0,
+                destination: 2,
+                tenant: 0,
                 weight: 0.8,
                 takes: 4.0,
                 push: true,
             },
             Target {
-                partner: 3,
-                station: 0,
+                destination: 3,
+                tenant: 0,
                 weight: 0.2,
                 takes: 10.0,
                 push: false,
@@ -261,7 +261,7 @@
         hot: vec![Hot {
             start: secs(10),
             length: secs(5),
-            partners: vec![0, 1],
+            destinations: vec![0, 1],
             share: 0.2,
         }],
         body: (10, 20),
@@ -281,9 +281,9 @@
 }
 
 fn expected_changes() -> Vec<ListChange> {
-    let change = |at_s, partner, endpoint, to| ListChange {
+    let change = |at_s, destination, endpoint, to| ListChange {
         at: secs(at_s),
-        partner,
+        destination,
         endpoint,
         to,
     };
@@ -343,7 +343,7 @@
         whole(
             21,
             all.clone(),
-            Side::Partners(Some(1)),
+            Side::Destinations(Some(1)),
             Way::Drop { share: 0.4 },
         ),
         whole(
@@ -352,7 +352,7 @@
             Side::Senders(senders([2, 3])),
             Way::Delay { by: ms(150) },
         ),
-        whole(23, all.clone(), Side::Partners(None), Way::Stall),
+        whole(23, all.clone(), Side::Destinations(None), Way::Stall),
         // A reset is a moment.
         Break {
             until: ms(24_001),
@@ -447,7 +447,7 @@
 fn keys_left_out_of_a_scenario_have_their_old_defaults() {
     let day = read("name = \"Least\"\n[load]\nrate = \"2/s\"\n[[partner]]\nname = \"one\"\n");
     assert_eq!((day.lasts, day.senders), (secs(30), 1));
-    assert_eq!(day.stations, ["onda-central"]);
+    assert_eq!(day.tenants, ["onda-central"]);
     let usual = MessageClass {
         name: "episode-notice".into(),
         effect: Effect::Keyed { window: secs(20) },
@@ -466,8 +466,8 @@
     assert_eq!((day.load.body, day.load.retries), ((80, 400), 3));
     assert_eq!(
         (
-            day.partners[0].kind.as_str(),
-            day.partners[0].spec.endpoints
+            day.destinations[0].kind.as_str(),
+            day.destinations[0].spec.endpoints
         ),
         ("station", 1)
     );
@@ -492,14 +492,14 @@
     );
     let shares: Vec<f64> = day.load.classes.iter().map(|c| c.share).collect();
     assert_eq!(shares, [0.6, 0.2, 0.2]);
-    let names: Vec<&str> = day.partners.iter().map(|p| p.name.as_str()).collect();
+    let names: Vec<&str> = day.destinations.iter().map(|p| p.name.as_str()).collect();
     assert_eq!(names, ["slow-0", "slow-1", "slow-2", "limited"]);
     assert_eq!(
-        day.partners[0].faults,
+        day.destinations[0].faults,
         [[fault(Kind::Fail { share: 0.3 }, 1, 8)]; 2]
     );
     assert_eq!(
-        day.partners[3].spec.limit,
+        day.destinations[3].spec.limit,
         Limit::Rate {
             per_second: 10.0,
             burst: 3.0
@@ -553,13 +553,13 @@
 fn the_web_push_scenario_reads_as_before() {
     let day = read(WEB_PUSH);
     let services: Vec<(&str, bool)> = day
-        .partners
+        .destinations
         .iter()
         .map(|p| (p.name.as_str(), p.push))
         .collect();
     assert_eq!(services[4..], [("servicio-0", true), ("servicio-1", true)]);
     assert_eq!(day.load.push, Some(1));
-    let service = &day.partners[4];
+    let service = &day.destinations[4];
     assert_eq!(
         (service.spec.tells_wait, service.spec.wait),
         (1.0, (secs(1), secs(1)))
@@ -570,7 +570,7 @@
         [vec![shut, fault(Kind::Silent, 11, 2)], vec![shut]]
     );
     assert_eq!(
-        day.partners[5].faults,
+        day.destinations[5].faults,
         [[fault(Kind::Fail { share: 0.4 }, 8, 3)]; 2]
     );
 }
@@ -579,15 +579,15 @@
 fn the_directory_scenario_reads_as_before() {
     let day = read(DIRECTORY_DOWN);
     assert_eq!(
-        day.stations,
+        day.tenants,
         ["onda-central", "onda-guanacaste", "onda-limon"]
     );
-    assert_eq!(day.load.stations, [0.35, 0.34, 0.31]);
+    assert_eq!(day.load.tenants, [0.35, 0.34, 0.31]);
     assert_eq!(day.directory.delays, [ms(1500), secs(3)]);
     assert_eq!(day.directory.outages, [(secs(4), secs(12))]);
-    let change = |at_s, partner, endpoint, to| ListChange {
+    let change = |at_s, destination, endpoint, to| ListChange {
         at: secs(at_s),
-        partner,
+        destination,
         endpoint,
         to,
     };
@@ -596,7 +596,7 @@
         [change(6, 3, 0, To::Draining), change(13, 1, 1, To::Removed)]
     );
     assert_eq!(
-        day.partners[0].spec.limit,
+        day.destinations[0].spec.limit,
         Limit::Count {
             calls: 6,
             span: secs(1)
@@ -608,7 +608,7 @@
 fn the_killed_zone_scenario_reads_as_before() {
     let day = read(ZONE_KILLED);
     assert_eq!((day.senders, day.zones), (10, texts(["a", "b"])));
-    assert_eq!(day.partners[4].zones, [0, 1]);
+    assert_eq!(day.destinations[4].zones, [0, 1]);
     let fleet = Fleet {
         period: secs(1),
         round_trip: ms(300),
--- a/crates/simulation/tests/laws.rs
+++ b/crates/simulation/tests/laws.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use cranehill_simulation::clients::{Class, Clients, Load, Said, Target, zipf};
+use cranehill_simulation::destination::{Asked, Connect, Fate, Reply, SimulatedDestination, Spec};
 use cranehill_simulation::fault::{Fault, Kind, State, back_since, outage_before};
 use cranehill_simulation::limit::{Allowance, Limit};
-use cranehill_simulation::partner::{Asked, Connect, Fate, Partner, Reply, Spec};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::SeedableRng;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Whatever a partner is asked, answers do not come before the question, have one fate a message, and a partner
+    /// Whatever a destination is asked, answers do not come before the question, have one fate a message, and a destination
     /// that is silent or vanished says nothing.
     #[test]
     fn a_partner_answers_after_it_is_asked_and_not_at_all_when_silent(
@@ -113,15 +113,15 @@
         calls in prop::collection::vec((0..300u64, 0..2usize, 1..6usize), 1..120),
     ) {
         let spec = Spec { endpoints: 2, batch: 5, limit: Limit::Count { calls: 5, span: ms(1000) }, reports: Some(ms(500)), ..Spec::default() };
-        let mut partner = Partner::new(spec, vec![faults.clone(), Vec::new()], rng(seed));
+        let mut destination = SimulatedDestination::new(spec, vec![faults.clone(), Vec::new()], rng(seed));
         let mut now = Duration::ZERO;
         for (gap, endpoint, messages) in calls {
             now += ms(gap);
-            let state = partner.state(endpoint, now);
-            let up = partner.connect(now, endpoint);
+            let state = destination.state(endpoint, now);
+            let up = destination.connect(now, endpoint);
             if state.vanished { prop_assert_eq!(up, Connect::Nothing); }
-            if up == Connect::Up { partner.disconnect(endpoint); }
-            let (reply, _) = partner.call(now, Asked { endpoint, messages });
+            if up == Connect::Up { destination.disconnect(endpoint); }
+            let (reply, _) = destination.call(now, Asked { endpoint, messages });
             match reply {
                 Reply::Answer { at, fates, wait, .. } => {
                     prop_assert!(at >= now && fates.len() == messages);
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The same seed gives the same day, and a notice is handed in no more often than clients may.
+    /// The same seed gives the same day, and a message is handed in no more often than clients may.
     #[test]
     fn clients_are_the_same_for_the_same_seed_and_give_up(seed in any::<u64>(), answers in prop::collection::vec(0..4u8, 1..60)) {
         let play = || {
@@ -173,11 +173,11 @@
     Load {
         push: None,
         rate: 30.0,
-        stations: vec![0.35, 0.34, 0.31],
+        tenants: vec![0.35, 0.34, 0.31],
         targets: (0..6)
             .map(|n| Target {
-                partner: n,
-                station: n as usize % 3,
+                destination: n,
+                tenant: n as usize % 3,
                 weight: weights[n as usize],
                 takes: 4.0,
                 push: false,
@@ -205,7 +205,7 @@
 /// The load is what it says, clumps included.
 #[test]
 fn the_load_is_as_heavy_as_asked_and_stations_get_their_shares() {
-    let (mut count, mut by_station, mut clumped) = (0, [0; 3], 0);
+    let (mut count, mut by_tenant, mut clumped) = (0, [0; 3], 0);
     for seed in 0..40 {
         let mut clients = Clients::new(load(), rng(seed));
         let mut last = (Duration::ZERO, u64::MAX);
@@ -213,9 +213,9 @@
             for (at, handing) in clients.hand_in(at) {
                 clients.answered(at, &handing.id, Said::TakenOn);
                 count += 1;
-                by_station[handing.station] += 1;
-                clumped += usize::from(handing.partner == last.1 && at - last.0 < ms(60));
-                last = (at, handing.partner);
+                by_tenant[handing.tenant] += 1;
+                clumped += usize::from(handing.destination == last.1 && at - last.0 < ms(60));
+                last = (at, handing.destination);
             }
         }
     }
@@ -225,7 +225,7 @@
         "{count} of {expected}"
     );
     for (n, share) in [0.35, 0.34, 0.31].iter().enumerate() {
-        let got = f64::from(by_station[n]) / f64::from(count);
+        let got = f64::from(by_tenant[n]) / f64::from(count);
         assert!((got - share).abs() < 0.06, "station {n}: {got}");
     }
     assert!(clumped > 300, "{clumped}");
@@ -246,13 +246,13 @@
             spread: 0.0,
             ..Spec::default()
         };
-        Partner::new(spec, vec![vec![outage]], rng(seed))
+        SimulatedDestination::new(spec, vec![vec![outage]], rng(seed))
     };
-    let partner = new(1);
-    assert_eq!(partner.capacity(ms(2000)), 0.0);
-    assert!((partner.capacity(ms(5000)) - 23.0).abs() < 1e-9);
-    assert!((partner.capacity(ms(5000 + 4550)) - 61.5).abs() < 1e-6);
-    assert!((partner.capacity(ms(5000 + 9100)) - 100.0).abs() < 1e-9);
+    let destination = new(1);
+    assert_eq!(destination.capacity(ms(2000)), 0.0);
+    assert!((destination.capacity(ms(5000)) - 23.0).abs() < 1e-9);
+    assert!((destination.capacity(ms(5000 + 4550)) - 61.5).abs() < 1e-6);
+    assert!((destination.capacity(ms(5000 + 9100)) - 100.0).abs() < 1e-9);
     // 1.5 times what it can do, all the way up, is let through.
     let mut careful = new(2);
     let mut owed = 0.0;
@@ -306,10 +306,10 @@
         pace: ms(200),
         ..Spec::default()
     };
-    let mut partner = Partner::new(spec, Vec::new(), rng(4));
+    let mut destination = SimulatedDestination::new(spec, Vec::new(), rng(4));
     let replies: Vec<Reply> = (0..6)
         .map(|_| {
-            partner
+            destination
                 .call(
                     ms(0),
                     Asked {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cranehill_scheduler::api::{
-    self, Action, Condition, DestId, EndpointId, Entry, Event, Key, MsgId, Past, Report, Status,
-    Taken,
+    self, Action, Condition, DestinationId, EndpointId, Entry, Event, Key, MessageId, Past, Report,
+    Status, Taken,
 };
 use cranehill_scheduler::profile::Profile;
 use serde::{Deserialize, Serialize};
@@ -126,12 +126,12 @@
                 called_node,
             } => {
                 let taken = Taken {
-                    id: MsgId(msg_id),
+                    id: MessageId(msg_id),
                     class,
                     tenant: org,
                     key: key.map(Key),
                     time_left: ns(u64::try_from(time_left).unwrap_or(0)),
-                    dest: DestId(called_node),
+                    dest: DestinationId(called_node),
                     past: Past::default(),
                 };
                 (sender, Some(Event::Accept(taken)))
@@ -148,7 +148,7 @@
             } => {
                 let status = Status::from(status);
                 let outcome = api::Outcome {
-                    id: MsgId(msg_id),
+                    id: MessageId(msg_id),
                     attempt: seq_no,
                     status,
                     over,
@@ -159,7 +159,7 @@
                 };
                 (sender, Some(Event::Outcome(outcome)))
             }
-            Msg::Lapsed { sender, msg_id } => (sender, Some(Event::Lapsed(MsgId(msg_id)))),
+            Msg::Lapsed { sender, msg_id } => (sender, Some(Event::Lapsed(MessageId(msg_id)))),
             Msg::Wake { sender } => (sender, Some(Event::Wake)),
             Msg::CheckResult {
                 sender,
@@ -247,7 +247,7 @@
         };
         Ok(Entry {
             endpoint: EndpointId(self.endpoint),
-            dest: DestId(self.belongs_to),
+            dest: DestinationId(self.belongs_to),
             condition,
             zone: self.region_part,
             kind: self.generation_hw,
--- a/crates/zone-failover/src/zones.rs
+++ b/crates/zone-failover/src/zones.rs
@@ -21,7 +21,7 @@
     pub probes: f64,
     /// Out for so long at least, and at most.
     pub out: [Duration; 2],
-    /// A return lasts so long: the rule's time until a partner is warm.
+    /// A return lasts so long: the rule's time until a destination is warm.
     pub warm: Duration,
     /// Failing again within this after its return doubles the time out.
     pub calm: Duration,
