--- a/crates/core/src/backlog.rs
+++ b/crates/core/src/backlog.rs
@@ -2,7 +2,7 @@
 //!
 //! The decisions end what exceeds the settings' bound on held messages. A process that finds more than that in its journal hands
 //! over what there is room for, and the rest as room appears: first what can go out for the shortest time, and among these what was
-//! taken on first.
+//! accepted first.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 /// See the module's text.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
-    /// By last chance, and by the place among all that were taken on.
+    /// By last chance, and by the place among all that were accepted.
     waiting: BTreeSet<(Time, u64, String)>,
 }
 
--- a/crates/core/src/breakage.rs
+++ b/crates/core/src/breakage.rs
@@ -14,7 +14,7 @@
     ForgetsJournal,
     /// `+OK` goes out as soon as a message comes, and the message is lost if the process dies then.
     AnswersFirst,
-    /// Closing reports are not sent.
+    /// Final reports are not sent.
     DropsReports,
     /// Failures are hidden from the decisions: a destination that is back gets all that there is.
     FloodsCold,
@@ -22,7 +22,7 @@
     HoldsAnswers,
     /// A connection with bytes behind an answer is used again.
     ReusesSpoilt,
-    /// What may have run is sent again whatever its class.
+    /// What may have been executed is sent again whatever its class.
     RepeatsUnsafe,
     /// Nine attempts.
     SeventhAttempt,
--- a/crates/core/src/detach.rs
+++ b/crates/core/src/detach.rs
@@ -73,7 +73,7 @@
         if listed && was_out == back && known {
             if !back {
                 self.detached.returning.remove(&id);
-                effects.push(Effect::HoldBack {
+                effects.push(Effect::CancelUnwritten {
                     endpoints: vec![id.clone()],
                 });
             } else {
@@ -97,7 +97,7 @@
         effects
     }
 
-    /// What an earlier life of this sender had detached.
+    /// What an earlier process of this sender had detached.
     pub fn detached_before(&mut self, before: Detachments) {
         let (now, cold) = (self.now, self.cold());
         for id in before
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -8,7 +8,7 @@
 use cranehill_scheduler::api::EndpointId;
 
 use crate::detach::Detachments;
-use crate::message::{Answer, Closing, Envelope, Origin};
+use crate::message::{Answer, Envelope, FinalReport, Origin};
 
 /// One message in a call.
 #[derive(Clone, Debug)]
@@ -20,14 +20,14 @@
     pub envelope: Option<Arc<Envelope>>,
     /// When the wait for it ends: the same for all that share a call.
     pub until: Time,
-    /// A repeat that is not written whole by then must not be written: what it repeats may have run too long ago.
+    /// A repeat that is not written whole by then must not be written: what it repeats may have been executed too long ago.
     pub write_by: Option<Time>,
 }
 
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Write these down, then say [`crate::Input::Kept`].
-    Keep(Vec<Record>),
+    /// Write these down, then say [`crate::Input::Persisted`].
+    Persist(Vec<Record>),
     Answer {
         to: Origin,
         id: String,
@@ -38,24 +38,24 @@
         address: String,
         attempts: Vec<Attempt>,
     },
-    Report {
+    SendFinalReport {
         id: String,
-        closing: Closing,
+        final_report: FinalReport,
     },
     /// End calls to these of which nothing is written yet: told to wait, or not to be sent to.
-    HoldBack {
+    CancelUnwritten {
         endpoints: Vec<EndpointId>,
     },
     CloseIdle(EndpointId),
-    Check {
+    CheckHealth {
         endpoint: EndpointId,
         address: String,
     },
     WakeAt(Time),
     /// Keep this in place of what was kept before: what is learnt of destinations.
-    Remember(Vec<u8>),
+    PersistLearnedState(Vec<u8>),
     /// The sender is back in full, so long after its start.
-    Full(Duration),
+    RecoveryComplete(Duration),
     /// A zone is left, tried or returned to, by the whole fleet.
     Zone(cranehill_zone_failover::Change),
     /// Keep what is detached `now`, then answer the operator; `known` is false where nobody holds what was asked.
@@ -71,51 +71,51 @@
 /// What the journal keeps. Times are in nanoseconds on the core's clock, which is anchored to Unix time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    Taken {
+    Accepted {
         id: String,
         class: usize,
         tenant: usize,
         destination: u64,
         key: Option<String>,
         /// What it keeps its order within.
-        order_key: Option<String>,
+        ordering_key: Option<String>,
         deadline: u64,
-        /// When it was taken on.
+        /// When it was accepted.
         at: u64,
         body: Arc<[u8]>,
     },
     /// Written before the attempt goes out.
-    Sent {
+    AttemptStarted {
         id: String,
         attempt: u32,
         endpoint: String,
         at: u64,
     },
-    /// The attempt is back; it may have run unless `never_ran`.
-    Back {
+    /// The attempt is back; it may have been executed unless `not_executed`.
+    AttemptFinished {
         id: String,
         attempt: u32,
-        never_ran: bool,
+        not_executed: bool,
     },
-    /// Ended; the platform is still to be told, and until then nothing else goes within `order_key`.
-    Closing {
+    /// Ended; the platform is still to be told, and until then nothing else goes within `ordering_key`.
+    FinalReportDue {
         id: String,
-        closing: Closing,
-        order_key: Option<String>,
+        final_report: FinalReport,
+        ordering_key: Option<String>,
     },
     /// Nothing more is owed; the id is remembered until then.
-    Over { id: String, until: u64 },
+    Completed { id: String, until: u64 },
 }
 
 impl Record {
     /// The message that it is about.
     pub fn id(&self) -> &str {
         match self {
-            Record::Taken { id, .. }
-            | Record::Sent { id, .. }
-            | Record::Back { id, .. }
-            | Record::Closing { id, .. }
-            | Record::Over { id, .. } => id,
+            Record::Accepted { id, .. }
+            | Record::AttemptStarted { id, .. }
+            | Record::AttemptFinished { id, .. }
+            | Record::FinalReportDue { id, .. }
+            | Record::Completed { id, .. } => id,
         }
     }
 
@@ -123,7 +123,9 @@
     pub fn is_end(&self) -> bool {
         matches!(
             self,
-            Record::Back { .. } | Record::Closing { .. } | Record::Over { .. }
+            Record::AttemptFinished { .. }
+                | Record::FinalReportDue { .. }
+                | Record::Completed { .. }
         )
     }
 }
--- a/crates/core/src/input.rs
+++ b/crates/core/src/input.rs
@@ -10,49 +10,49 @@
 
 /// How one message's attempt ended.
 #[derive(Clone, Debug)]
-pub struct AttemptEnd {
+pub struct AttemptOutcome {
     pub id: String,
     pub attempt: u32,
     pub status: Status,
     /// The destination says that the message is over: nothing more is owed.
     pub over: bool,
     pub took: Duration,
-    pub told_wait: Option<Duration>,
+    pub retry_after: Option<Duration>,
     pub report: Option<Report>,
 }
 
 #[derive(Debug)]
 pub enum Input {
-    Handed(Message),
+    Submitted(Message),
     /// Whoever waited for this message's end has left.
-    Withdrawn(String),
-    Listed {
+    Cancelled(String),
+    EndpointsChanged {
         whole: bool,
         list: Vec<Listing>,
     },
-    Ended(Vec<AttemptEnd>),
-    Checked {
+    AttemptsFinished(Vec<AttemptOutcome>),
+    HealthChecked {
         endpoint: EndpointId,
         status: Status,
     },
     /// The timer asked for with [`crate::Effect::WakeAt`] is due.
-    Due,
+    TimerFired,
     /// Everything of this turn is in.
-    TurnOver,
+    TickEnded,
     /// What of the records of [`crate::Effect::Keep`] is in the journal now.
-    Kept(Kept),
-    /// The platform has these closing reports.
-    Reported(Vec<String>),
-    /// What an earlier life left in the journal.
+    Persisted(Persisted),
+    /// The platform has these final reports.
+    FinalReportsAcknowledged(Vec<String>),
+    /// What an earlier process left in the journal.
     Recovered(Vec<Record>),
     /// No new attempts: the process is about to end.
     Stopping,
-    /// What an earlier life had learnt of destinations, as [`crate::Effect::Remember`] wrote it.
-    Remembered(Vec<u8>),
+    /// What an earlier process had learnt of destinations, as [`crate::Effect::Remember`] wrote it.
+    LearnedStateRestored(Vec<u8>),
     /// No new attempts from now on, or again: another process is about to take over.
-    Quiet(bool),
+    Quiesced(bool),
     /// What the process before this one passed on, as [`crate::Core::learnt`] gave it.
-    Adopted(Vec<u8>),
+    LearnedStateInherited(Vec<u8>),
     /// An operator takes an endpoint out, or has it `back`; answered by [`crate::Effect::Detached`].
     Detach {
         by: usize,
@@ -65,9 +65,9 @@
 
 /// How much of a turn's records the journal took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
+pub enum Persisted {
     All,
     /// There was room for what has ended only ([`Record::is_end`]).
-    Ends,
+    EndsOnly,
     Nothing,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,7 +2,7 @@
 //! is to be read or written in consequence is returned as effects. It knows no wire, socket, file or clock.
 //!
 //! Decisions (when, where, whether again, when to give up) are [`cranehill_scheduler::Sender`]'s alone. A turn goes in
-//! two steps: [`Input::TurnOver`] asks for the turn's records to be kept, and only [`Input::Kept`] lets out
+//! two steps: [`Input::TickEnded`] asks for the turn's records to be kept, and only [`Input::Persisted`] lets out
 //! what depends on them: answers, calls and reports. So nothing is promised or sent that the journal lacks.
 //!
 //! Start at [`Core`], [`Input`] and [`Effect`]; [`Record`] is what the journal keeps.
@@ -17,12 +17,12 @@
 mod effect;
 mod ended;
 mod ends;
-mod held;
 mod input;
 mod list;
 mod listed;
 mod message;
 mod order;
+mod pending;
 mod recovery;
 mod reducer;
 mod turn;
@@ -30,7 +30,7 @@
 
 pub use detach::Detachments;
 pub use effect::{Attempt, Effect, Record};
-pub use input::{AttemptEnd, Input, Kept};
+pub use input::{AttemptOutcome, Input, Persisted};
 pub use list::{EndpointList, ListUpdate};
-pub use message::{Answer, Closing, Envelope, Listing, Message, Origin};
+pub use message::{Answer, Envelope, FinalReport, Listing, Message, Origin};
 pub use reducer::{Breaches, Core};
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -71,7 +71,7 @@
         update.closed.extend(not_ready);
         for (id, Listing { entry, address }) in named {
             match entry.condition {
-                Condition::Gone => self.remove(now, &id),
+                Condition::Removed => self.remove(now, &id),
                 Condition::Ready | Condition::Draining => self.insert(now, id, entry, address),
             }
         }
--- a/crates/core/src/listed.rs
+++ b/crates/core/src/listed.rs
@@ -8,7 +8,7 @@
 use crate::reducer::Core;
 
 impl Core {
-    pub(crate) fn on_listed(&mut self, whole: bool, list: Vec<Listing>) -> Vec<Effect> {
+    pub(crate) fn on_endpoints_changed(&mut self, whole: bool, list: Vec<Listing>) -> Vec<Effect> {
         let (mut whole, mut list) = (whole, list);
         if breakage::is(Breakage::SendsToDrained) {
             list.retain(|l| l.entry.condition == Condition::Ready);
@@ -38,7 +38,7 @@
             .cloned()
             .map(Effect::CloseIdle)
             .collect();
-        effects.push(Effect::HoldBack {
+        effects.push(Effect::CancelUnwritten {
             endpoints: update.closed,
         });
         effects
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,4 +1,4 @@
-//! What is handed in, and how it ends.
+//! What is submitted, and how it ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,8 +29,8 @@
     pub destination: u64,
     /// What the destination recognises a repeat by.
     pub key: Option<String>,
-    /// Messages of a class that keeps its order go one at a time within this, in the order handed in.
-    pub order_key: Option<String>,
+    /// Messages of a class that keeps its order go one at a time within this, in the order submitted.
+    pub ordering_key: Option<String>,
     pub body: Arc<[u8]>,
     /// How long it may still be delivered.
     pub left: Duration,
@@ -43,31 +43,31 @@
 /// Who waits for an answer about a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A client that is told when the message is taken on, and of its end through the platform.
+    /// A client that is told when the message is accepted, and of its end through the platform.
     Client(usize),
     /// A client whose answer is the message's end; nothing is promised before, so nothing outlasts us.
     Waiting(usize),
-    /// An earlier life of this sender.
-    EarlierLife,
+    /// An earlier process of this sender.
+    Restored,
 }
 
 /// The answer to who handed a message in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    TakenOn,
-    Refused {
+    Accepted,
+    Rejected {
         after: Option<Duration>,
     },
     Failed,
     Delivered,
-    Gone,
+    RecipientRemoved,
     /// Its time is out.
-    GivenUp,
+    Expired,
 }
 
-/// How a message that was taken on ended without delivery, as the platform is told.
+/// How a message that was accepted ended without delivery, as the platform is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closing {
+pub enum FinalReport {
     Returned { after_ms: u64 },
     Failed,
 }
--- a/crates/core/src/order.rs
+++ b/crates/core/src/order.rs
@@ -2,14 +2,14 @@
 //!
 //! The decisions send messages of one key in the order in which they get them. What a restart finds is handed over by deadline and
 //! as there is room ([`crate::backlog`]), so that a later message of a key may be due before an earlier one: then all that
-//! were taken on before it are handed over first.
+//! were accepted before it are handed over first.
 
 use std::collections::{BTreeMap, VecDeque};
 
 /// See the module's text.
 #[derive(Debug, Default)]
 pub(crate) struct PendingOrder {
-    /// Ids by key, in the order in which they were taken on.
+    /// Ids by key, in the order in which they were accepted.
     lines: BTreeMap<String, VecDeque<String>>,
 }
 
--- a/crates/core/src/held.rs
+++ b/crates/core/src/pending.rs
@@ -1,19 +1,21 @@
 //! Messages that are held, and how they are handed to the decisions.
 
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{DestinationId, EndpointId, Event, Key, MessageId, Past, Taken};
+use cranehill_scheduler::api::{
+    AcceptedMessage, DestinationId, EndpointId, Event, MessageId, OrderingKey, PriorAttempts,
+};
 
 use crate::breakage::{self, Breakage};
 use crate::effect::Record;
 use crate::message::{Message, Origin};
 use crate::reducer::Core;
 
-/// When, where and as which attempt a message first went out that may have run.
+/// When, where and as which attempt a message first went out that may have been executed.
 pub(crate) type FirstRun = (Time, EndpointId, u32);
 
 /// What is known of a message that is held.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct PendingMessage {
     /// Grows with each message that is held.
     pub(crate) sequence: u64,
     pub(crate) message: Message,
@@ -23,22 +25,22 @@
     pub(crate) attempts: u32,
     /// The attempt that is out, and where.
     pub(crate) out: Option<(u32, EndpointId)>,
-    /// First attempt that may have run and still counts as such.
-    pub(crate) maybe_ran: Option<FirstRun>,
-    pub(crate) taken_on: bool,
-    pub(crate) gone: bool,
+    /// First attempt that may have been executed and still counts as such.
+    pub(crate) possibly_executed: Option<FirstRun>,
+    pub(crate) accepted: bool,
+    pub(crate) recipient_removed: bool,
 }
 
-impl Held {
+impl PendingMessage {
     pub(crate) fn taken(&self, now: Time) -> Record {
         let n = &self.message;
-        Record::Taken {
+        Record::Accepted {
             id: n.id.clone(),
             class: n.class,
             tenant: n.tenant,
             destination: n.destination,
             key: n.key.clone(),
-            order_key: n.order_key.clone(),
+            ordering_key: n.ordering_key.clone(),
             deadline: self.deadline.0,
             at: now.0,
             body: n.body.clone(),
@@ -49,61 +51,62 @@
 impl Core {
     /// Gives a message that is held into the hands of the decisions, after those that it keeps its order with.
     pub(crate) fn hand_over(&mut self, id: &str) {
-        let in_order = match self.order_key_of(id).map(str::to_owned) {
+        let in_order = match self.ordering_key_of(id).map(str::to_owned) {
             Some(key) => self.pending_order.take_through(&key, id),
             None => vec![id.to_owned()],
         };
         for id in in_order {
-            self.events.extend(self.accepted(&id).map(Event::Accept));
+            self.events
+                .extend(self.accepted_message(&id).map(Event::Accept));
         }
     }
 
     /// What a message that is held keeps its order within.
-    pub(crate) fn order_key_of(&self, id: &str) -> Option<&str> {
-        self.held.get(id)?.message.order_key.as_deref()
+    pub(crate) fn ordering_key_of(&self, id: &str) -> Option<&str> {
+        self.pending.get(id)?.message.ordering_key.as_deref()
     }
 
     /// Adds a message that is held to those that wait for room, unless it has ended meanwhile.
     pub(crate) fn await_room(&mut self, id: String) {
-        if let Some(held) = self.held.get(&id) {
-            self.backlog.add(held.hand_over_by, held.sequence, id);
+        if let Some(pending) = self.pending.get(&id) {
+            self.backlog.add(pending.hand_over_by, pending.sequence, id);
         }
     }
 
     /// A message of an earlier process has to be with the decisions by then.
     pub(crate) fn set_hand_over_by(&mut self, id: &str, by: Time) {
-        if let Some(held) = self.held.get_mut(id) {
-            held.hand_over_by = by;
+        if let Some(pending) = self.pending.get_mut(id) {
+            pending.hand_over_by = by;
         }
     }
 
     /// A message that is held as the decisions take it, with its ages as of now.
-    pub(crate) fn accepted(&self, id: &str) -> Option<Taken> {
-        let Held {
+    pub(crate) fn accepted_message(&self, id: &str) -> Option<AcceptedMessage> {
+        let PendingMessage {
             message,
             deadline,
-            maybe_ran,
+            possibly_executed,
             ..
-        } = self.held.get(id)?;
-        let past = Past {
+        } = self.pending.get(id)?;
+        let prior = PriorAttempts {
             attempts: message.spent,
-            earlier_life: message.from == Origin::EarlierLife,
-            maybe_ran: maybe_ran
+            restored: message.from == Origin::Restored,
+            possibly_executed: possibly_executed
                 .as_ref()
                 .map(|(at, endpoint, _)| (self.now - *at, endpoint.clone())),
         };
-        Some(Taken {
+        Some(AcceptedMessage {
             id: MessageId(message.id.clone()),
             class: message.class,
             tenant: message.tenant,
             key: message
-                .order_key
+                .ordering_key
                 .clone()
                 .filter(|_| !breakage::is(Breakage::IgnoresOrder))
-                .map(Key),
+                .map(OrderingKey),
             time_left: *deadline - self.now,
             dest: DestinationId(message.destination),
-            past,
+            prior,
         })
     }
 
@@ -113,7 +116,7 @@
         let mut events = std::mem::take(&mut self.events);
         for event in &mut events {
             if let Event::Accept(taken) = event
-                && let Some(present) = self.accepted(&taken.id.0)
+                && let Some(present) = self.accepted_message(&taken.id.0)
             {
                 *taken = present;
             }
@@ -126,27 +129,27 @@
         &mut self,
         message: Message,
         deadline: Time,
-        maybe_ran: Option<FirstRun>,
+        possibly_executed: Option<FirstRun>,
     ) -> u64 {
-        let (attempts, taken_on) = (message.spent, message.from == Origin::EarlierLife);
+        let (attempts, accepted) = (message.spent, message.from == Origin::Restored);
         let id = message.id.clone();
-        if let Some(key) = &message.order_key {
+        if let Some(key) = &message.ordering_key {
             self.pending_order.add(key, id.clone());
         }
         self.sequence += 1;
         let sequence = self.sequence;
-        let held = Held {
+        let pending = PendingMessage {
             sequence,
             message,
             deadline,
             hand_over_by: deadline,
             attempts,
             out: None,
-            maybe_ran,
-            taken_on,
-            gone: false,
+            possibly_executed,
+            accepted,
+            recipient_removed: false,
         };
-        self.held.insert(id, held);
+        self.pending.insert(id, pending);
         sequence
     }
 }
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -1,17 +1,17 @@
-//! What an earlier life left, taken up again.
+//! What an earlier process left, taken up again.
 
 use std::collections::{BTreeMap, HashMap};
 
 use cranehill_membership as membership;
 use cranehill_recovery::{self as recovery, Recovery};
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{self, Action, EndpointId, Event, Key};
+use cranehill_scheduler::api::{self, Action, EndpointId, Event, OrderingKey};
 
 use crate::breakage::{self, Breakage};
 use crate::effect::{Effect, Record};
 use crate::ends::PendingReport;
-use crate::held::FirstRun;
 use crate::message::{Message, Origin};
+use crate::pending::FirstRun;
 use crate::reducer::Core;
 
 /// A message that waits is handed over so many ticks before its last chance is over: the decisions end it then.
@@ -31,32 +31,33 @@
             // Attempts that were cut off with the earlier process may still run.
             self.sender.rest_keys(self.now);
         }
-        // In the order in which they were taken on, by their place in it.
+        // In the order in which they were accepted, by their place in it.
         let mut open: BTreeMap<usize, (Message, Time, Option<FirstRun>)> = BTreeMap::new();
         let mut places: HashMap<String, usize> = HashMap::new();
         for (place, record) in records.into_iter().enumerate() {
             match record {
-                Record::Taken {
+                Record::Accepted {
                     id,
                     class,
                     tenant,
                     destination,
                     key,
-                    order_key,
+                    ordering_key,
                     deadline,
                     body,
                     ..
                 } => {
                     let deadline = Time(deadline);
                     let left = deadline - self.now;
-                    let (spent, envelope, from) = (0, None, Origin::EarlierLife);
+                    let (spent, envelope, from) = (0, None, Origin::Restored);
                     let message = Message {
                         id: id.clone(),
                         class,
                         tenant,
                         destination,
                         key,
-                        order_key: order_key.filter(|_| !breakage::is(Breakage::ForgetsOrder)),
+                        ordering_key: ordering_key
+                            .filter(|_| !breakage::is(Breakage::ForgetsOrder)),
                         body,
                         left,
                         spent,
@@ -68,41 +69,47 @@
                     }
                     open.insert(place, (message, deadline, None));
                 }
-                Record::Sent {
+                Record::AttemptStarted {
                     id,
                     attempt,
                     endpoint,
                     at,
                 } => {
                     let message = places.get(&id).and_then(|place| open.get_mut(place));
-                    if let Some((message, _, maybe_ran)) = message {
+                    if let Some((message, _, possibly_executed)) = message {
                         message.spent = message.spent.max(attempt + 1);
-                        maybe_ran.get_or_insert((Time(at), EndpointId(endpoint), attempt));
+                        possibly_executed.get_or_insert((Time(at), EndpointId(endpoint), attempt));
                     }
                 }
-                Record::Back {
+                Record::AttemptFinished {
                     id,
                     attempt,
-                    never_ran,
+                    not_executed,
                 } => {
                     let message = places.get(&id).and_then(|place| open.get_mut(place));
-                    if let Some((.., maybe_ran)) = message {
-                        maybe_ran.take_if(|(.., number)| never_ran && *number == attempt);
+                    if let Some((.., possibly_executed)) = message {
+                        possibly_executed
+                            .take_if(|(.., number)| not_executed && *number == attempt);
                     }
                 }
-                Record::Closing {
+                Record::FinalReportDue {
                     id,
-                    closing,
-                    order_key,
+                    final_report,
+                    ordering_key,
                 } => {
                     places.remove(&id).map(|place| open.remove(&place));
                     self.remember(&id);
-                    self.closing
-                        .insert(id, PendingReport { closing, order_key });
+                    self.final_report.insert(
+                        id,
+                        PendingReport {
+                            final_report,
+                            ordering_key,
+                        },
+                    );
                 }
-                Record::Over { id, until } => {
+                Record::Completed { id, until } => {
                     places.remove(&id).map(|place| open.remove(&place));
-                    self.closing.remove(&id);
+                    self.final_report.remove(&id);
                     // A clock that was far ahead must not have an id remembered for ever.
                     let until = Time(until).min(self.now + self.longest());
                     self.ended.note(&id, until, self.now);
@@ -111,14 +118,14 @@
         }
         self.hold_back_order();
         let mut ids = Vec::with_capacity(open.len());
-        for (message, deadline, maybe_ran) in open.into_values() {
-            let by = self.last_chance(message.class, deadline, maybe_ran.as_ref());
+        for (message, deadline, possibly_executed) in open.into_values() {
+            let by = self.last_chance(message.class, deadline, possibly_executed.as_ref());
             ids.push(Waiting {
                 id: message.id.clone(),
                 destination: message.destination,
                 by,
             });
-            self.hold(message, deadline, maybe_ran);
+            self.hold(message, deadline, possibly_executed);
         }
         self.order_by_key(&mut ids);
         for Waiting {
@@ -129,38 +136,38 @@
         {
             self.set_hand_over_by(&id, by);
             match &mut self.recovery {
-                Some(recovery) => recovery.owed.add(destination, by, id),
+                Some(recovery) => recovery.work_queue.add(destination, by, id),
                 None => self.await_room(id),
             }
         }
         self.take_up();
         self.hand_over_backlog();
         let report = |(id, report): (&String, &PendingReport)| {
-            let closing = report.closing;
-            Effect::Report {
+            let final_report = report.final_report;
+            Effect::SendFinalReport {
                 id: id.clone(),
-                closing,
+                final_report,
             }
         };
-        self.closing.iter().map(report).collect()
+        self.final_report.iter().map(report).collect()
     }
 
     /// Reports of an earlier process that are still unanswered hold back what keeps its order with their messages.
     fn hold_back_order(&mut self) {
         for key in self
-            .closing
+            .final_report
             .values()
-            .filter_map(|report| report.order_key.as_ref())
+            .filter_map(|report| report.ordering_key.as_ref())
         {
-            self.sender.await_report(&Key(key.clone()));
+            self.sender.await_report(&OrderingKey(key.clone()));
         }
     }
 
-    /// None of a key may be handed over later than one that was taken on after it.
+    /// None of a key may be handed over later than one that was accepted after it.
     fn order_by_key(&self, waiting: &mut [Waiting]) {
         let mut earliest: HashMap<&str, Time> = HashMap::new();
         for Waiting { id, by, .. } in waiting.iter_mut().rev() {
-            if let Some(key) = self.order_key_of(id) {
+            if let Some(key) = self.ordering_key_of(id) {
                 let earliest = earliest.entry(key).or_insert(*by);
                 *earliest = (*earliest).min(*by);
                 *by = *earliest;
@@ -168,7 +175,7 @@
         }
     }
 
-    /// Until when a message may go out: to its deadline, or for a keyed one that may have run to the end of its window.
+    /// Until when a message may go out: to its deadline, or for a keyed one that may have been executed to the end of its window.
     pub(crate) fn last_chance(
         &self,
         class: usize,
@@ -196,7 +203,7 @@
         self.recovery.as_ref().map(Recovery::stage)
     }
 
-    pub(crate) fn on_remembered(&mut self, bytes: &[u8]) {
+    pub(crate) fn on_learned_state_restored(&mut self, bytes: &[u8]) {
         let Some(recovery) = &mut self.recovery else {
             return;
         };
@@ -251,7 +258,7 @@
         let ids = self
             .recovery
             .as_mut()
-            .map(|r| r.owed.release(self.now))
+            .map(|r| r.work_queue.release(self.now))
             .unwrap_or_default();
         for id in ids {
             self.await_room(id);
@@ -261,12 +268,12 @@
     /// Hands to the decisions what they have room for of what is taken up. Tells when to come again, where anything waits.
     pub(crate) fn hand_over_backlog(&mut self) -> Option<Time> {
         let margin = self.set.tick * LAST_CHANCE_TICKS;
-        let handed_over = self
+        let transferred = self
             .events
             .iter()
             .filter(|event| matches!(event, Event::Accept(_)))
             .count();
-        let room = self.sender.room().saturating_sub(handed_over);
+        let room = self.sender.room().saturating_sub(transferred);
         let released = self.backlog.release(self.now, room, margin);
         released.iter().for_each(|id| self.hand_over(id));
         if released.is_empty() {
@@ -280,7 +287,7 @@
     pub(crate) fn recall(&mut self, events: Vec<Event>) -> (Vec<Action>, Vec<Event>) {
         // The list's part of a turn goes before the rest of it: with something withdrawn in between, a call could go out for it.
         // Such a turn is left whole, and the next one recalls.
-        if events.iter().any(|e| matches!(e, Event::Lapsed(_))) {
+        if events.iter().any(|e| matches!(e, Event::Cancelled(_))) {
             return (Vec::new(), events);
         }
         if !self.adopted.is_empty() {
@@ -320,16 +327,20 @@
         let before = self.events.len();
         self.take_up();
         self.hand_over_backlog();
-        let handed = self.events.len() > before;
+        let submitted = self.events.len() > before;
         let learnt = self.sender.learnt();
         let Some(recovery) = &mut self.recovery else {
             return effects;
         };
         if recovery.remembers(now, &learnt) {
-            effects.push(Effect::Remember(recovery::pack(&learnt)));
+            effects.push(Effect::PersistLearnedState(recovery::pack(&learnt)));
         }
-        effects.extend(recovery.look(now).map(Effect::Full));
-        let next = if handed { Some(now) } else { recovery.due(now) };
+        effects.extend(recovery.look(now).map(Effect::RecoveryComplete));
+        let next = if submitted {
+            Some(now)
+        } else {
+            recovery.due(now)
+        };
         effects.extend(next.map(Effect::WakeAt));
         effects
     }
@@ -339,5 +350,5 @@
 fn split_lists(events: Vec<Event>) -> (Vec<Event>, Vec<Event>) {
     events
         .into_iter()
-        .partition(|e| matches!(e, Event::List { .. } | Event::Senders(_)))
+        .partition(|e| matches!(e, Event::List { .. } | Event::SenderCount(_)))
 }
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -15,11 +15,11 @@
 use crate::effect::{Effect, Record};
 use crate::ended::Ended;
 use crate::ends::PendingReport;
-use crate::held::Held;
 use crate::input::Input;
 use crate::list::EndpointList;
 use crate::message::{Answer, Message, Origin};
 use crate::order::PendingOrder;
+use crate::pending::PendingMessage;
 
 /// What must hold, counted where it does not. Debug builds stop instead.
 #[derive(Debug, Default, Clone, Copy)]
@@ -34,18 +34,18 @@
     pub(crate) sender: Sender,
     pub(crate) set: Settings,
     pub(crate) now: Time,
-    pub(crate) held: BTreeMap<String, Held>,
-    pub(crate) closing: BTreeMap<String, PendingReport>,
+    pub(crate) pending: BTreeMap<String, PendingMessage>,
+    pub(crate) final_report: BTreeMap<String, PendingReport>,
     pub(crate) list: EndpointList,
-    /// Messages taken on that have ended.
+    /// Messages accepted that have ended.
     pub(crate) ended: Ended,
     pub(crate) events: Vec<Event>,
     pub(crate) records: Vec<Record>,
     /// Ends that the journal had no room for: they go into its next turn again.
-    pub(crate) unkept: Vec<Record>,
+    pub(crate) unpersisted: Vec<Record>,
     pub(crate) deferred: Vec<Effect>,
-    /// Handed in this turn and not answered yet, in the order in which they came.
-    pub(crate) fresh: BTreeSet<(u64, String)>,
+    /// Submitted this turn and not answered yet, in the order in which they came.
+    pub(crate) unacknowledged: BTreeSet<(u64, String)>,
     /// Messages held so far.
     pub(crate) sequence: u64,
     pub(crate) stopping: bool,
@@ -85,15 +85,15 @@
             sender,
             set,
             now,
-            held: BTreeMap::new(),
-            closing: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            final_report: BTreeMap::new(),
             list: EndpointList::default(),
             ended: Ended::default(),
             events: Vec::new(),
             records: Vec::new(),
-            unkept: Vec::new(),
+            unpersisted: Vec::new(),
             deferred: Vec::new(),
-            fresh: BTreeSet::new(),
+            unacknowledged: BTreeSet::new(),
             sequence: 0,
             stopping: false,
             members: None,
@@ -123,50 +123,50 @@
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Effect> {
         self.now = self.now.max(now);
         match input {
-            Input::Handed(message) => self.on_handed(message),
-            Input::Withdrawn(id) => {
-                if let Some(held) = self.held.remove(&id) {
-                    self.fresh.remove(&(held.sequence, id.clone()));
-                    self.events.push(Event::Lapsed(MessageId(id)));
+            Input::Submitted(message) => self.on_submitted(message),
+            Input::Cancelled(id) => {
+                if let Some(pending) = self.pending.remove(&id) {
+                    self.unacknowledged.remove(&(pending.sequence, id.clone()));
+                    self.events.push(Event::Cancelled(MessageId(id)));
                 }
                 Vec::new()
             }
-            Input::Listed { whole, list } => self.on_listed(whole, list),
-            Input::Ended(ends) => self.on_ended(ends),
-            Input::Checked { endpoint, status } => {
-                self.events.push(Event::Probed { endpoint, status });
+            Input::EndpointsChanged { whole, list } => self.on_endpoints_changed(whole, list),
+            Input::AttemptsFinished(ends) => self.on_attempts_finished(ends),
+            Input::HealthChecked { endpoint, status } => {
+                self.events.push(Event::HealthChecked { endpoint, status });
                 Vec::new()
             }
-            Input::Due => {
+            Input::TimerFired => {
                 self.events.push(Event::Wake);
                 Vec::new()
             }
-            Input::TurnOver => self.on_turn_over(),
-            Input::Kept(kept) => self.on_kept(kept),
-            Input::Reported(ids) => {
+            Input::TickEnded => self.on_tick_ended(),
+            Input::Persisted(kept) => self.on_persisted(kept),
+            Input::FinalReportsAcknowledged(ids) => {
                 for id in ids {
-                    if let Some(report) = self.closing.remove(&id) {
-                        self.end_order(report.order_key.as_deref());
+                    if let Some(report) = self.final_report.remove(&id) {
+                        self.end_order(report.ordering_key.as_deref());
                         let until = self.remember(&id);
-                        self.records.push(Record::Over { id, until: until.0 });
+                        self.records.push(Record::Completed { id, until: until.0 });
                     }
                 }
                 Vec::new()
             }
             Input::Recovered(records) => self.on_recovered(records),
-            Input::Remembered(bytes) => {
-                self.on_remembered(&bytes);
+            Input::LearnedStateRestored(bytes) => {
+                self.on_learned_state_restored(&bytes);
                 Vec::new()
             }
             Input::Fleet(input) => self.on_fleet(input),
-            Input::Quiet(quiet) => {
+            Input::Quiesced(quiet) => {
                 self.quiet = quiet;
                 if !quiet {
                     self.sender.unbar_all();
                 }
                 Vec::new()
             }
-            Input::Adopted(bytes) => {
+            Input::LearnedStateInherited(bytes) => {
                 self.adopt(&bytes);
                 Vec::new()
             }
@@ -174,11 +174,11 @@
             Input::Stopping => {
                 if breakage::is(Breakage::LeaksAtStop) {
                     let now = self.now.0;
-                    let over = |id: &String| Record::Over {
+                    let over = |id: &String| Record::Completed {
                         id: id.clone(),
                         until: now,
                     };
-                    return vec![Effect::Keep(self.held.keys().map(over).collect())];
+                    return vec![Effect::Persist(self.pending.keys().map(over).collect())];
                 }
                 self.stopping = true;
                 Vec::new()
@@ -198,7 +198,7 @@
                     effects.extend(self.on_word(&effect));
                 }
                 membership::Effect::ShareDivisor(senders) => {
-                    self.events.push(Event::Senders(senders));
+                    self.events.push(Event::SenderCount(senders));
                     effects.push(Effect::Fleet(effect));
                 }
                 other => effects.push(Effect::Fleet(other)),
@@ -228,26 +228,26 @@
 
     /// Calls out just now.
     pub fn attempts_out(&self) -> usize {
-        self.held.values().filter(|h| h.out.is_some()).count()
+        self.pending.values().filter(|h| h.out.is_some()).count()
     }
 
-    /// Messages held, and closing reports that the platform has yet to take.
-    pub fn owed(&self) -> (usize, usize) {
-        (self.held.len(), self.closing.len())
+    /// Messages held, and final reports that the platform has yet to take.
+    pub fn outstanding(&self) -> (usize, usize) {
+        (self.pending.len(), self.final_report.len())
     }
 
-    fn on_handed(&mut self, message: Message) -> Vec<Effect> {
+    fn on_submitted(&mut self, message: Message) -> Vec<Effect> {
         // The same id again is the same message: a client resends what it could not know we had read.
-        if let Some(held) = self.held.get(&message.id) {
-            if held.taken_on {
+        if let Some(pending) = self.pending.get(&message.id) {
+            if pending.accepted {
                 let (to, id) = (message.from, message.id);
                 return vec![Effect::Answer {
                     to,
                     id,
-                    answer: Answer::TakenOn,
+                    answer: Answer::Accepted,
                 }];
             }
-            let refused = Answer::Refused {
+            let refused = Answer::Rejected {
                 after: Some(Duration::from_millis(100)),
             };
             return vec![Effect::Answer {
@@ -262,13 +262,13 @@
             return vec![Effect::Answer {
                 to: message.from,
                 id: message.id,
-                answer: Answer::TakenOn,
+                answer: Answer::Accepted,
             }];
         }
         let deadline = self.now + message.left;
         let id = message.id.clone();
         let sequence = self.hold(message, deadline, None);
-        self.fresh.insert((sequence, id.clone()));
+        self.unacknowledged.insert((sequence, id.clone()));
         self.hand_over(&id);
         Vec::new()
     }
--- a/crates/core/src/turn.rs
+++ b/crates/core/src/turn.rs
@@ -7,7 +7,7 @@
 
 use crate::breakage::{self, Breakage};
 use crate::effect::{Attempt, Effect, Record};
-use crate::input::{AttemptEnd, Kept};
+use crate::input::{AttemptOutcome, Persisted};
 use crate::message::{Answer, Origin};
 use crate::reducer::Core;
 
@@ -96,14 +96,14 @@
 
 impl Core {
     /// Lets the module decide on all that came in this turn.
-    pub(crate) fn on_turn_over(&mut self) -> Vec<Effect> {
+    pub(crate) fn on_tick_ended(&mut self) -> Vec<Effect> {
         let events = self.events_of_this_turn();
         let zoned = self.look_at_zones();
         self.look_at_returning();
         let actions = self.decide(events);
         let outgoing = self.carry_out(actions);
         // An answer goes before its call: a delivery counts only once the client knows that we have the message.
-        let mut effects = self.take_on_fresh();
+        let mut effects = self.accept_unacknowledged();
         self.record_attempts(outgoing.records);
         effects.append(&mut self.deferred);
         effects.extend(
@@ -116,7 +116,7 @@
         effects.extend(self.hand_over_backlog().map(Effect::WakeAt));
         effects.extend(self.come_back());
         self.deferred = effects;
-        self.keep_records()
+        self.persist_records()
     }
 
     fn decide(&mut self, events: Vec<Event>) -> Vec<Action> {
@@ -155,14 +155,14 @@
                         &mut outgoing,
                     );
                 }
-                Action::Refuse { id, after } => self.on_final(id.0, after, true),
+                Action::Reject { id, after } => self.on_final(id.0, after, true),
                 Action::Fail(id) => self.on_final(id.0, None, false),
                 Action::Timer(after) => self.deferred.push(Effect::WakeAt(now + after)),
-                Action::Close(endpoint) => self.deferred.push(Effect::CloseIdle(endpoint)),
-                Action::Probe(endpoint) => {
+                Action::CloseIdle(endpoint) => self.deferred.push(Effect::CloseIdle(endpoint)),
+                Action::CheckHealth(endpoint) => {
                     let address = self.list.address(&endpoint).map(str::to_owned);
                     self.deferred
-                        .extend(address.map(|address| Effect::Check { endpoint, address }));
+                        .extend(address.map(|address| Effect::CheckHealth { endpoint, address }));
                 }
                 // The directory is watched all the time.
                 Action::Subscribe => {}
@@ -179,7 +179,7 @@
             until,
             write_by,
         } = send;
-        let Some(held) = self.held.get_mut(&id) else {
+        let Some(pending) = self.pending.get_mut(&id) else {
             must_hold!(
                 self.unknown_message,
                 false,
@@ -189,7 +189,7 @@
         };
         must_hold!(
             self.second_copy,
-            held.out.is_none(),
+            pending.out.is_none(),
             "a second copy of {id}"
         );
         let Some(address) = self.list.address(&endpoint) else {
@@ -200,25 +200,26 @@
             );
             return;
         };
-        let (number, of) = (held.attempts, held.message.destination);
-        held.attempts += 1;
-        held.out = Some((number, endpoint.clone()));
-        held.maybe_ran
+        let (number, of) = (pending.attempts, pending.message.destination);
+        pending.attempts += 1;
+        pending.out = Some((number, endpoint.clone()));
+        pending
+            .possibly_executed
             .get_or_insert_with(|| (self.now, endpoint.clone(), number));
         let attempt = Attempt {
             id: id.clone(),
             number,
-            key: held.message.key.clone(),
-            body: held.message.body.clone(),
-            envelope: held.message.envelope.clone(),
-            until: until.min(held.deadline),
+            key: pending.message.key.clone(),
+            body: pending.message.body.clone(),
+            envelope: pending.message.envelope.clone(),
+            until: until.min(pending.deadline),
             write_by,
         };
         if let Some(recovery) = &mut self.recovery {
-            recovery.owed.moved(of, &id);
+            recovery.work_queue.moved(of, &id);
         }
         let (attempt_endpoint, at) = (endpoint.0.clone(), self.now.0);
-        outgoing.records.push(Record::Sent {
+        outgoing.records.push(Record::AttemptStarted {
             id,
             attempt: number,
             endpoint: attempt_endpoint,
@@ -227,51 +228,55 @@
         outgoing.add(call, endpoint, address, attempt);
     }
 
-    /// What survived its first verdict is taken on: its record, and its answer, which waits for the journal.
-    fn take_on_fresh(&mut self) -> Vec<Effect> {
+    /// What survived its first verdict is accepted: its record, and its answer, which waits for the journal.
+    fn accept_unacknowledged(&mut self) -> Vec<Effect> {
         let mut answers = Vec::new();
-        for (_, id) in std::mem::take(&mut self.fresh) {
-            if let Some(held) = self.held.get_mut(&id)
-                && let Origin::Client(_) = held.message.from
+        for (_, id) in std::mem::take(&mut self.unacknowledged) {
+            if let Some(pending) = self.pending.get_mut(&id)
+                && let Origin::Client(_) = pending.message.from
             {
-                held.taken_on = true;
-                self.records.push(held.taken(self.now));
+                pending.accepted = true;
+                self.records.push(pending.taken(self.now));
                 answers.push(Effect::Answer {
-                    to: held.message.from,
+                    to: pending.message.from,
                     id,
-                    answer: Answer::TakenOn,
+                    answer: Answer::Accepted,
                 });
             }
         }
         answers
     }
 
-    /// Attempts of what is not taken on are nobody's after a restart.
+    /// Attempts of what is not accepted are nobody's after a restart.
     fn record_attempts(&mut self, mut sent: Vec<Record>) {
-        sent.retain(|record| self.held.get(record.id()).is_some_and(|held| held.taken_on));
+        sent.retain(|record| {
+            self.pending
+                .get(record.id())
+                .is_some_and(|pending| pending.accepted)
+        });
         self.records.append(&mut sent);
     }
 
     /// Asks for this turn's records to be kept, or lets its effects out at once where there are none.
-    fn keep_records(&mut self) -> Vec<Effect> {
+    fn persist_records(&mut self) -> Vec<Effect> {
         if self.records.is_empty() {
             return std::mem::take(&mut self.deferred);
         }
         let records = std::mem::take(&mut self.records);
-        self.unkept = records.iter().filter(|r| r.is_end()).cloned().collect();
-        vec![Effect::Keep(records)]
+        self.unpersisted = records.iter().filter(|r| r.is_end()).cloned().collect();
+        vec![Effect::Persist(records)]
     }
 
     /// The journal has taken this turn's records, or some of them: what depends on them goes out.
-    pub(crate) fn on_kept(&mut self, kept: Kept) -> Vec<Effect> {
+    pub(crate) fn on_persisted(&mut self, kept: Persisted) -> Vec<Effect> {
         let effects = std::mem::take(&mut self.deferred);
-        let unkept = std::mem::take(&mut self.unkept);
-        if kept == Kept::All {
+        let unpersisted = std::mem::take(&mut self.unpersisted);
+        if kept == Persisted::All {
             return effects;
         }
-        // An end that is not written down would be forgotten by the next life: it is asked for again.
-        if kept == Kept::Nothing {
-            self.records.extend(unkept);
+        // An end that is not written down would be forgotten by the next process: it is asked for again.
+        if kept == Persisted::Nothing {
+            self.records.extend(unpersisted);
         }
         // The disk is full: what is new is refused, and no attempt goes out that a restart would not know of.
         let mut out = Vec::new();
@@ -280,29 +285,29 @@
                 Effect::Answer {
                     to,
                     id,
-                    answer: Answer::TakenOn,
+                    answer: Answer::Accepted,
                 } => {
-                    self.held.remove(&id);
-                    self.events.push(Event::Lapsed(MessageId(id.clone())));
+                    self.pending.remove(&id);
+                    self.events.push(Event::Cancelled(MessageId(id.clone())));
                     let after = Some(self.set.max_retry_after);
                     out.push(Effect::Answer {
                         to,
                         id,
-                        answer: Answer::Refused { after },
+                        answer: Answer::Rejected { after },
                     });
                 }
                 Effect::Call { attempts, .. } => {
-                    let ended = |a: Attempt| AttemptEnd {
+                    let ended = |a: Attempt| AttemptOutcome {
                         id: a.id,
                         attempt: a.number,
                         status: Status::NotSent,
                         over: false,
                         took: Duration::ZERO,
-                        told_wait: None,
+                        retry_after: None,
                         report: None,
                     };
                     let ends = attempts.into_iter().map(ended).collect();
-                    self.on_ended(ends);
+                    self.on_attempts_finished(ends);
                 }
                 other => out.push(other),
             }
--- a/crates/core/src/zones.rs
+++ b/crates/core/src/zones.rs
@@ -24,9 +24,9 @@
         // Whoever refuses, errs or rejects is there.
         Status::Served
         | Status::Error
-        | Status::Refused
-        | Status::Gone
-        | Status::Rejected
+        | Status::Overloaded
+        | Status::RecipientRemoved
+        | Status::PermanentError
         | Status::Spoilt => true,
         Status::Dropped | Status::Cancelled | Status::NotSent => return,
     };
--- a/crates/core/tests/backlog.rs
+++ b/crates/core/tests/backlog.rs
@@ -44,7 +44,7 @@
     };
     core.step(
         at(0),
-        Input::Listed {
+        Input::EndpointsChanged {
             whole: true,
             list: vec![Listing {
                 entry,
@@ -56,13 +56,13 @@
 }
 
 fn found(id: String, deadline: u64) -> Record {
-    Record::Taken {
+    Record::Accepted {
         id,
         class: SAFE,
         tenant: 0,
         destination: DESTINATION,
         key: None,
-        order_key: None,
+        ordering_key: None,
         deadline: at(deadline).0,
         at: at(0).0,
         body: Arc::from(&b"body"[..]),
@@ -79,21 +79,25 @@
 /// Plays until nothing is owed; every call is served unless `serves` is false, when it stays unanswered to its end.
 fn play(mut core: Core, records: Vec<Record>, serves: bool) -> Ends {
     let mut ends = Ends::default();
-    let mut answers: BTreeMap<u64, Vec<AttemptEnd>> = BTreeMap::new();
+    let mut answers: BTreeMap<u64, Vec<AttemptOutcome>> = BTreeMap::new();
     let (mut now, mut wakes) = (1, BTreeSet::new());
     let mut effects = core.step(at(now), Input::Recovered(records));
-    while core.owed() != (0, 0) {
-        assert!(now < 700_000, "still owed: {:?}", core.owed());
+    while core.outstanding() != (0, 0) {
+        assert!(now < 700_000, "still owed: {:?}", core.outstanding());
         while let Some(due) = answers.first_entry().filter(|due| *due.key() <= now) {
-            effects.extend(core.step(at(now), Input::Ended(due.remove())));
+            effects.extend(core.step(at(now), Input::AttemptsFinished(due.remove())));
         }
-        core.step(at(now), Input::Due);
-        effects.extend(core.step(at(now), Input::TurnOver));
+        core.step(at(now), Input::TimerFired);
+        effects.extend(core.step(at(now), Input::TickEnded));
         while let Some(effect) = effects.pop() {
             match effect {
-                Effect::Keep(_) => effects.extend(core.step(at(now), Input::Kept(Kept::All))),
-                Effect::Report { id, .. } => {
-                    effects.extend(core.step(at(now), Input::Reported(vec![id.clone()])));
+                Effect::Persist(_) => {
+                    effects.extend(core.step(at(now), Input::Persisted(Persisted::All)))
+                }
+                Effect::SendFinalReport { id, .. } => {
+                    effects.extend(
+                        core.step(at(now), Input::FinalReportsAcknowledged(vec![id.clone()])),
+                    );
                     ends.reported.insert(id, now);
                 }
                 Effect::WakeAt(time) => {
@@ -107,7 +111,7 @@
                         } else {
                             ms(attempt.until).max(now + 1)
                         };
-                        answers.entry(ended).or_default().push(AttemptEnd {
+                        answers.entry(ended).or_default().push(AttemptOutcome {
                             id: attempt.id,
                             attempt: attempt.number,
                             status: if serves {
@@ -117,7 +121,7 @@
                             },
                             over: serves,
                             took: Duration::from_millis(ended - now),
-                            told_wait: None,
+                            retry_after: None,
                             report: None,
                         });
                     }
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -43,7 +43,7 @@
     let mut core =
         Core::new(profile.into_settings().expect("settings"), 1, START).expect("settings");
     let list = vec![listing("a/1 %", 7), listing("b", 7), listing("ü", 0)];
-    core.step(START, Input::Listed { whole: true, list });
+    core.step(START, Input::EndpointsChanged { whole: true, list });
     core
 }
 
@@ -90,7 +90,7 @@
         serde_json::from_slice(&golden_file::read(DETACHED)).expect("readable");
     assert_eq!(detached, expected_detachments());
     let mut core = core_with_endpoints();
-    core.step(START + Duration::from_secs(3), Input::Due);
+    core.step(START + Duration::from_secs(3), Input::TimerFired);
     core.detached_before(detached);
     // An endpoint that is out already changes nothing; the answer names the restored ones.
     let restored = detach(&mut core, START + Duration::from_secs(3), "ü", false);
@@ -113,10 +113,13 @@
         remember: Duration::from_secs(1),
     };
     core.recover(settings);
-    core.step(START, Input::Remembered(golden_file::read(LEARNED_STATE)));
-    let effects = core.step(START, Input::TurnOver);
+    core.step(
+        START,
+        Input::LearnedStateRestored(golden_file::read(LEARNED_STATE)),
+    );
+    let effects = core.step(START, Input::TickEnded);
     let written = effects.into_iter().find_map(|effect| match effect {
-        Effect::Remember(bytes) => Some(bytes),
+        Effect::PersistLearnedState(bytes) => Some(bytes),
         _ => None,
     });
     let written = written.expect("the learned state is written at the first turn");
--- a/crates/core/tests/list.rs
+++ b/crates/core/tests/list.rs
@@ -59,7 +59,7 @@
                 .insert(listing.entry.endpoint.clone(), listing.clone());
         }
         self.listed
-            .retain(|_, l| l.entry.condition != Condition::Gone);
+            .retain(|_, l| l.entry.condition != Condition::Removed);
         let after = self.destinations();
         self.unlisted.extend(
             before
@@ -116,7 +116,7 @@
     let condition = prop_oneof![
         3 => Just(Condition::Ready),
         1 => Just(Condition::Draining),
-        2 => Just(Condition::Gone),
+        2 => Just(Condition::Removed),
     ];
     // An endpoint mostly keeps its destination and zone, and now and then is listed under others.
     let place = prop_oneof![
@@ -173,7 +173,7 @@
     for condition in [
         Condition::Draining,
         Condition::Ready,
-        Condition::Gone,
+        Condition::Removed,
         Condition::Ready,
     ] {
         visited.push(
--- a/crates/core/tests/order.rs
+++ b/crates/core/tests/order.rs
@@ -28,7 +28,7 @@
 const STATUSES: [Status; 6] = [
     Status::Served,
     Status::Served,
-    Status::Refused,
+    Status::Overloaded,
     Status::Error,
     Status::TimedOut,
     Status::Reset,
@@ -39,7 +39,7 @@
 
 #[derive(Debug)]
 struct ModelMessage {
-    /// Place among all that were handed in.
+    /// Place among all that were submitted.
     place: usize,
     key: Option<String>,
     class: usize,
@@ -54,7 +54,7 @@
     ms: u64,
     journal: Vec<Record>,
     messages: BTreeMap<String, ModelMessage>,
-    handed_in: usize,
+    submitted: usize,
     in_flight: BTreeMap<String, u32>,
     /// By key: the latest place that was ever sent, and until when the key rests for others than this message.
     sent: BTreeMap<String, usize>,
@@ -96,7 +96,7 @@
             ms: 0,
             journal: Vec::new(),
             messages: BTreeMap::new(),
-            handed_in: 0,
+            submitted: 0,
             in_flight: BTreeMap::new(),
             sent: BTreeMap::new(),
             rests: BTreeMap::new(),
@@ -121,7 +121,7 @@
             address: "127.0.0.1:1".into(),
         };
         let list = vec![endpoint("a"), endpoint("b")];
-        self.step(Input::Listed { whole: true, list });
+        self.step(Input::EndpointsChanged { whole: true, list });
     }
 
     fn step(&mut self, input: Input) -> Vec<Effect> {
@@ -130,15 +130,15 @@
 
     /// A whole turn. `dies`: the process ends with its records written and nothing of the rest let out.
     fn turn(&mut self, dies: bool) -> Result<(), TestCaseError> {
-        let effects = self.step(Input::TurnOver);
+        let effects = self.step(Input::TickEnded);
         for effect in effects {
             match effect {
-                Effect::Keep(records) => {
+                Effect::Persist(records) => {
                     self.journal.extend(records);
                     if dies {
                         return Ok(());
                     }
-                    let effects = self.step(Input::Kept(Kept::All));
+                    let effects = self.step(Input::Persisted(Persisted::All));
                     self.carry_out(effects)?;
                 }
                 other => self.carry_out(vec![other])?,
@@ -157,7 +157,7 @@
                         self.sends += 1;
                     }
                 }
-                Effect::Report { id, .. } => {
+                Effect::SendFinalReport { id, .. } => {
                     self.reports.insert(id);
                 }
                 _ => {}
@@ -209,8 +209,8 @@
     /// A message of a class, about one of three accounts where the class keeps its order. Tells its id.
     fn hand_in(&mut self, class: usize, account: u64, left_ms: u64) -> String {
         let key = (class < 2).then(|| format!("account-{}", account % ACCOUNTS));
-        self.handed_in += 1;
-        let place = self.handed_in;
+        self.submitted += 1;
+        let place = self.submitted;
         // Ids are in no order that means anything.
         let id = format!(
             "{:016x}",
@@ -224,13 +224,13 @@
                 class,
             },
         );
-        self.step(Input::Handed(Message {
+        self.step(Input::Submitted(Message {
             id: id.clone(),
             class,
             tenant: 0,
             destination: 7,
             key: None,
-            order_key: key,
+            ordering_key: key,
             body: Arc::from(&b"body"[..]),
             left: Duration::from_millis(left_ms),
             spent: 0,
@@ -249,13 +249,13 @@
         }
         let over = status == Status::Served;
         let took = Duration::from_millis(20);
-        self.step(Input::Ended(vec![AttemptEnd {
+        self.step(Input::AttemptsFinished(vec![AttemptOutcome {
             id,
             attempt,
             status,
             over,
             took,
-            told_wait: None,
+            retry_after: None,
             report: None,
         }]));
     }
@@ -317,7 +317,7 @@
                 10 | 11 if !reported.is_empty() => {
                     let id = reported[n as usize % reported.len()].clone();
                     self.reports.remove(&id);
-                    self.step(Input::Reported(vec![id]));
+                    self.step(Input::FinalReportsAcknowledged(vec![id]));
                 }
                 12 => {
                     self.turn(n % 2 == 0)?;
@@ -333,7 +333,7 @@
     /// Five milliseconds pass. Attempts of which the time is over time out.
     fn tick(&mut self) -> Result<(), TestCaseError> {
         self.ms += 5;
-        self.step(Input::Due);
+        self.step(Input::TimerFired);
         self.turn(false)
     }
 
@@ -344,10 +344,12 @@
                 self.end(id, attempt, Status::Served);
             }
             let reports = std::mem::take(&mut self.reports);
-            self.step(Input::Reported(reports.into_iter().collect()));
+            self.step(Input::FinalReportsAcknowledged(
+                reports.into_iter().collect(),
+            ));
             self.tick()?;
         }
-        prop_assert_eq!(self.core.owed(), (0, 0), "something is stuck");
+        prop_assert_eq!(self.core.outstanding(), (0, 0), "something is stuck");
         Ok(())
     }
 
@@ -415,13 +417,13 @@
                 class: 1,
             },
         );
-        world.journal.push(Record::Taken {
+        world.journal.push(Record::Accepted {
             id,
             class: 1,
             tenant: 0,
             destination: 7,
             key: None,
-            order_key: key,
+            ordering_key: key,
             // The later it came, the sooner it is over.
             deadline: START + (9000 - 50 * place) * 1_000_000,
             at: START,
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -44,7 +44,7 @@
         tenant: 0,
         destination: 7,
         key: None,
-        order_key: None,
+        ordering_key: None,
         body: Arc::from(&b"body"[..]),
         left: Duration::from_millis(left_ms),
         spent: 0,
@@ -53,16 +53,16 @@
     }
 }
 
-fn end(id: &str, attempt: u32, status: Status) -> AttemptEnd {
+fn end(id: &str, attempt: u32, status: Status) -> AttemptOutcome {
     let over = status == Status::Served;
     let took = Duration::from_millis(20);
-    AttemptEnd {
+    AttemptOutcome {
         id: id.into(),
         attempt,
         status,
         over,
         took,
-        told_wait: None,
+        retry_after: None,
         report: None,
     }
 }
@@ -75,7 +75,7 @@
         let core = Core::new(settings, 1, Time(START)).expect("settings");
         let mut bench = Bench { core, ms: 0 };
         let list = vec![listing("a", Condition::Ready, kind)];
-        bench.step(Input::Listed { whole: true, list });
+        bench.step(Input::EndpointsChanged { whole: true, list });
         bench.turn(0);
         bench
     }
@@ -87,15 +87,15 @@
     /// A whole turn with a journal that works: what was kept, and what followed.
     fn turn(&mut self, ms: u64) -> (Vec<Record>, Vec<Effect>) {
         self.ms = ms;
-        self.turn_with(Kept::All)
+        self.turn_with(Persisted::All)
     }
 
-    fn turn_with(&mut self, kept: Kept) -> (Vec<Record>, Vec<Effect>) {
-        let mut effects = self.step(Input::TurnOver);
+    fn turn_with(&mut self, kept: Persisted) -> (Vec<Record>, Vec<Effect>) {
+        let mut effects = self.step(Input::TickEnded);
         match effects.pop() {
-            Some(Effect::Keep(records)) => {
+            Some(Effect::Persist(records)) => {
                 assert!(effects.is_empty(), "nothing goes before the journal has it");
-                (records, self.step(Input::Kept(kept)))
+                (records, self.step(Input::Persisted(kept)))
             }
             last => (Vec::new(), effects.into_iter().chain(last).collect()),
         }
@@ -118,9 +118,9 @@
     effects.iter().filter_map(answer).collect()
 }
 
-fn reports(effects: &[Effect]) -> Vec<(String, Closing)> {
+fn reports(effects: &[Effect]) -> Vec<(String, FinalReport)> {
     let report = |e: &Effect| match e {
-        Effect::Report { id, closing } => Some((id.clone(), *closing)),
+        Effect::SendFinalReport { id, final_report } => Some((id.clone(), *final_report)),
         _ => None,
     };
     effects.iter().filter_map(report).collect()
@@ -129,12 +129,15 @@
 #[test]
 fn a_notice_and_its_attempt_are_kept_before_the_answer_and_the_call() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(message("m", 8000)));
+    b.step(Input::Submitted(message("m", 8000)));
     let (records, effects) = b.turn(5);
     assert!(
         matches!(
             &records[..],
-            [Record::Taken { .. }, Record::Sent { attempt: 0, .. }]
+            [
+                Record::Accepted { .. },
+                Record::AttemptStarted { attempt: 0, .. }
+            ]
         ),
         "{records:?}"
     );
@@ -143,7 +146,7 @@
         matches!(
             effects[0],
             Effect::Answer {
-                answer: Answer::TakenOn,
+                answer: Answer::Accepted,
                 ..
             }
         ),
@@ -151,65 +154,68 @@
     );
     assert_eq!(calls(&effects), [["m"]]);
     b.ms = 50;
-    b.step(Input::Ended(vec![end("m", 0, Status::Served)]));
+    b.step(Input::AttemptsFinished(vec![end("m", 0, Status::Served)]));
     let (records, effects) = b.turn(50);
     assert!(
-        matches!(&records[..], [Record::Over { id, .. }] if id == "m"),
+        matches!(&records[..], [Record::Completed { id, .. }] if id == "m"),
         "{records:?}"
     );
     assert!(answers(&effects).is_empty() && reports(&effects).is_empty());
-    assert_eq!(b.core.owed(), (0, 0));
+    assert_eq!(b.core.outstanding(), (0, 0));
 }
 
 #[test]
 fn what_the_journal_cannot_take_is_refused_and_not_sent() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(message("m", 8000)));
+    b.step(Input::Submitted(message("m", 8000)));
     b.ms = 5;
-    let (_, effects) = b.turn_with(Kept::Ends);
+    let (_, effects) = b.turn_with(Persisted::EndsOnly);
     assert!(
-        matches!(&answers(&effects)[..], [(id, Answer::Refused { after: Some(_) })] if id == "m")
+        matches!(&answers(&effects)[..], [(id, Answer::Rejected { after: Some(_) })] if id == "m")
     );
     assert!(calls(&effects).is_empty());
     let (records, effects) = b.turn(500);
-    assert!(records.is_empty() && calls(&effects).is_empty() && b.core.owed() == (0, 0));
+    assert!(records.is_empty() && calls(&effects).is_empty() && b.core.outstanding() == (0, 0));
 }
 
 #[test]
 fn an_end_that_found_no_room_is_written_by_a_later_turn() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(message("m", 8000)));
+    b.step(Input::Submitted(message("m", 8000)));
     b.turn(5);
     b.ms = 50;
-    b.step(Input::Ended(vec![end("m", 0, Status::Served)]));
-    // Forgotten, it would be sent again by the next life though it was delivered.
+    b.step(Input::AttemptsFinished(vec![end("m", 0, Status::Served)]));
+    // Forgotten, it would be sent again by the next process though it was delivered.
     for ms in [50, 55] {
         b.ms = ms;
-        let (records, _) = b.turn_with(Kept::Nothing);
-        assert!(matches!(&records[..], [Record::Over { .. }]), "{records:?}");
-        b.step(Input::Due);
+        let (records, _) = b.turn_with(Persisted::Nothing);
+        assert!(
+            matches!(&records[..], [Record::Completed { .. }]),
+            "{records:?}"
+        );
+        b.step(Input::TimerFired);
     }
-    assert!(matches!(&b.turn(60).0[..], [Record::Over { .. }]));
-    b.step(Input::Due);
+    assert!(matches!(&b.turn(60).0[..], [Record::Completed { .. }]));
+    b.step(Input::TimerFired);
     assert!(b.turn(65).0.is_empty());
 }
 
 #[test]
 fn a_full_journal_spends_no_partner_on_attempts_it_could_not_remember() {
     let mut b = Bench::new(1);
-    b.step(Input::Listed {
+    b.step(Input::EndpointsChanged {
         whole: false,
         list: vec![listing("a", Condition::Draining, 1)],
     });
-    b.step(Input::Handed(message("m", 8000)));
+    b.step(Input::Submitted(message("m", 8000)));
     b.turn(5);
-    b.step(Input::Listed {
+    b.step(Input::EndpointsChanged {
         whole: false,
         list: vec![listing("a", Condition::Ready, 1)],
     });
     b.ms = 10;
-    let (records, effects) = b.turn_with(Kept::Ends);
-    assert!(matches!(&records[..], [Record::Sent { .. }]));
+    let (records, effects) = b.turn_with(Persisted::EndsOnly);
+    assert!(matches!(&records[..], [Record::AttemptStarted { .. }]));
     assert!(calls(&effects).is_empty());
     b.turn(15);
     let (_, effects) = b.turn(1000);
@@ -223,21 +229,21 @@
 #[test]
 fn more_than_may_be_held_is_refused_at_the_door() {
     let mut b = Bench::new(1);
-    b.step(Input::Listed {
+    b.step(Input::EndpointsChanged {
         whole: true,
         list: vec![],
     });
     for n in 0..80 {
-        b.step(Input::Handed(message(&format!("m{n:02}"), 8000)));
+        b.step(Input::Submitted(message(&format!("m{n:02}"), 8000)));
     }
     let (records, effects) = b.turn(5);
     let refused = answers(&effects)
         .iter()
-        .filter(|a| matches!(a.1, Answer::Refused { after: Some(_) }))
+        .filter(|a| matches!(a.1, Answer::Rejected { after: Some(_) }))
         .count();
     let taken = answers(&effects)
         .iter()
-        .filter(|a| a.1 == Answer::TakenOn)
+        .filter(|a| a.1 == Answer::Accepted)
         .count();
     assert_eq!((refused + taken, records.len()), (80, taken));
     assert!(taken <= 64 && reports(&effects).is_empty());
@@ -248,7 +254,7 @@
     for (kind, expected) in [(0, vec![5, 2]), (1, vec![1; 4])] {
         let mut b = Bench::new(kind);
         for n in 0..7 {
-            b.step(Input::Handed(message(&format!("m{n}"), 8000)));
+            b.step(Input::Submitted(message(&format!("m{n}"), 8000)));
         }
         let (_, effects) = b.turn(5);
         assert_eq!(
@@ -263,7 +269,7 @@
     let mut b = Bench::new(0);
     for n in 0..3 {
         let body = Arc::from(vec![7u8; 20_000]);
-        b.step(Input::Handed(Message {
+        b.step(Input::Submitted(Message {
             body,
             ..message(&format!("m{n}"), 8000)
         }));
@@ -278,27 +284,27 @@
 #[test]
 fn a_told_wait_holds_back_what_is_not_written_and_all_new_calls() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(message("m", 8000)));
+    b.step(Input::Submitted(message("m", 8000)));
     b.turn(5);
     b.ms = 30;
-    let told = AttemptEnd {
-        told_wait: Some(Duration::from_millis(700)),
-        ..end("m", 0, Status::Refused)
+    let told = AttemptOutcome {
+        retry_after: Some(Duration::from_millis(700)),
+        ..end("m", 0, Status::Overloaded)
     };
-    let effects = b.step(Input::Ended(vec![told]));
+    let effects = b.step(Input::AttemptsFinished(vec![told]));
     assert!(
-        matches!(&effects[..], [Effect::HoldBack { endpoints }] if endpoints == &[EndpointId("a".into())])
+        matches!(&effects[..], [Effect::CancelUnwritten { endpoints }] if endpoints == &[EndpointId("a".into())])
     );
     b.turn(30);
-    b.step(Input::Handed(message("n", 8000)));
+    b.step(Input::Submitted(message("n", 8000)));
     for ms in (35..730).step_by(5) {
         b.ms = ms;
-        b.step(Input::Due);
+        b.step(Input::TimerFired);
         assert!(calls(&b.turn(ms).1).is_empty(), "at {ms} ms");
     }
     let sent = (730..5000).step_by(5).any(|ms| {
         b.ms = ms;
-        b.step(Input::Due);
+        b.step(Input::TimerFired);
         !calls(&b.turn(ms).1).is_empty()
     });
     assert!(sent);
@@ -308,35 +314,35 @@
 fn an_endpoint_that_drains_or_leaves_the_list_is_held_back() {
     let mut b = Bench::new(1);
     let list = vec![listing("a", Condition::Draining, 1)];
-    let effects = b.step(Input::Listed { whole: false, list });
+    let effects = b.step(Input::EndpointsChanged { whole: false, list });
     assert!(
-        matches!(&effects[..], [Effect::CloseIdle(_), Effect::HoldBack { endpoints }] if endpoints.len() == 1)
+        matches!(&effects[..], [Effect::CloseIdle(_), Effect::CancelUnwritten { endpoints }] if endpoints.len() == 1)
     );
-    let effects = b.step(Input::Listed {
+    let effects = b.step(Input::EndpointsChanged {
         whole: true,
         list: vec![listing("b", Condition::Ready, 1)],
     });
     assert!(
-        matches!(&effects[..], [Effect::CloseIdle(_), Effect::HoldBack { endpoints }] if endpoints == &[EndpointId("a".into())])
+        matches!(&effects[..], [Effect::CloseIdle(_), Effect::CancelUnwritten { endpoints }] if endpoints == &[EndpointId("a".into())])
     );
 }
 
 #[test]
 fn a_notice_given_up_is_reported_at_once_with_when_to_come_back_until_the_platform_has_it() {
     let mut b = Bench::new(1);
-    b.step(Input::Listed {
+    b.step(Input::EndpointsChanged {
         whole: true,
         list: vec![],
     });
-    b.step(Input::Handed(message("m", 1000)));
+    b.step(Input::Submitted(message("m", 1000)));
     b.turn(5);
     let mut reported = Vec::new();
     for ms in (10..1000).step_by(5) {
         b.ms = ms;
-        b.step(Input::Due);
+        b.step(Input::TimerFired);
         let (records, effects) = b.turn(ms);
-        if let [(_, Closing::Returned { after_ms })] = reports(&effects)[..] {
-            assert!(after_ms > 0 && matches!(records[..], [Record::Closing { .. }]));
+        if let [(_, FinalReport::Returned { after_ms })] = reports(&effects)[..] {
+            assert!(after_ms > 0 && matches!(records[..], [Record::FinalReportDue { .. }]));
             reported.push(ms);
         }
     }
@@ -345,36 +351,36 @@
         1,
         "one report, before its time is out: {reported:?}"
     );
-    assert_eq!(b.core.owed(), (0, 1));
-    b.step(Input::Reported(vec!["m".into()]));
-    assert!(matches!(&b.turn(1100).0[..], [Record::Over { id, .. }] if id == "m"));
-    assert_eq!(b.core.owed(), (0, 0));
+    assert_eq!(b.core.outstanding(), (0, 1));
+    b.step(Input::FinalReportsAcknowledged(vec!["m".into()]));
+    assert!(matches!(&b.turn(1100).0[..], [Record::Completed { id, .. }] if id == "m"));
+    assert_eq!(b.core.outstanding(), (0, 0));
 }
 
 #[test]
 fn a_restart_knows_attempts_used_time_left_and_reports_due() {
     let mut b = Bench::new(1);
-    let taken = |id: &str, left_ms: u64| Record::Taken {
+    let taken = |id: &str, left_ms: u64| Record::Accepted {
         id: id.into(),
         class: 0,
         tenant: 0,
         destination: 7,
         key: Some("k".into()),
-        order_key: None,
+        ordering_key: None,
         deadline: START + left_ms * 1_000_000,
         at: START,
         body: Arc::from(&b"body"[..]),
     };
-    let sent = |id: &str, attempt| Record::Sent {
+    let sent = |id: &str, attempt| Record::AttemptStarted {
         id: id.into(),
         attempt,
         endpoint: "a".into(),
         at: START,
     };
-    let back = |id: &str, attempt| Record::Back {
+    let back = |id: &str, attempt| Record::AttemptFinished {
         id: id.into(),
         attempt,
-        never_ran: true,
+        not_executed: true,
     };
     let mut records = vec![
         taken("fresh", 9000),
@@ -386,18 +392,18 @@
     records.extend([
         sent("fresh", 0),
         back("fresh", 0),
-        Record::Over {
+        Record::Completed {
             id: "over".into(),
             until: START + 9_000_000_000,
         },
     ]);
-    records.push(Record::Closing {
+    records.push(Record::FinalReportDue {
         id: "due".into(),
-        closing: Closing::Failed,
-        order_key: None,
+        final_report: FinalReport::Failed,
+        ordering_key: None,
     });
     let effects = b.step(Input::Recovered(records));
-    assert_eq!(reports(&effects), [("due".into(), Closing::Failed)]);
+    assert_eq!(reports(&effects), [("due".into(), FinalReport::Failed)]);
     let (kept, effects) = b.turn(5);
     assert_eq!(calls(&effects), [["fresh"]]);
     let numbers: Vec<u32> = effects
@@ -413,14 +419,14 @@
     assert_eq!(numbers, [1], "attempts used before count");
     assert!(
         kept.iter()
-            .any(|r| matches!(r, Record::Sent { attempt: 1, .. }))
+            .any(|r| matches!(r, Record::AttemptStarted { attempt: 1, .. }))
     );
     let mut ended: Vec<String> = reports(&effects).into_iter().map(|r| r.0).collect();
     ended.sort();
     assert_eq!(ended, ["late", "used"], "out of time, and out of attempts");
-    // An id that ended in the earlier life is remembered: a repeat is answered and goes nowhere.
-    let effects = b.step(Input::Handed(message("over", 8000)));
-    assert_eq!(answers(&effects), [("over".to_owned(), Answer::TakenOn)]);
+    // An id that ended in the earlier process is remembered: a repeat is answered and goes nowhere.
+    let effects = b.step(Input::Submitted(message("over", 8000)));
+    assert_eq!(answers(&effects), [("over".to_owned(), Answer::Accepted)]);
 }
 
 #[test]
@@ -430,18 +436,18 @@
         let mut b = Bench::new(1);
         b.ms = 30_000;
         let records = vec![
-            Record::Taken {
+            Record::Accepted {
                 id: "m".into(),
                 class: 0,
                 tenant: 0,
                 destination: 7,
                 key: Some("k".into()),
-                order_key: None,
+                ordering_key: None,
                 deadline: START + 35_000 * 1_000_000,
                 at: START,
                 body: Arc::from(&b"body"[..]),
             },
-            Record::Sent {
+            Record::AttemptStarted {
                 id: "m".into(),
                 attempt: 0,
                 endpoint: "a".into(),
@@ -462,21 +468,21 @@
 #[test]
 fn the_end_of_the_process_starts_nothing_new_and_still_hears_of_ends() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(message("m", 8000)));
+    b.step(Input::Submitted(message("m", 8000)));
     b.turn(5);
     b.step(Input::Stopping);
-    b.step(Input::Handed(message("n", 8000)));
+    b.step(Input::Submitted(message("n", 8000)));
     let (_, effects) = b.turn(10);
     assert_eq!((calls(&effects).len(), answers(&effects).len()), (0, 1));
     b.ms = 20;
-    b.step(Input::Ended(vec![end("m", 0, Status::Served)]));
-    assert!(matches!(&b.turn(20).0[..], [Record::Over { id, .. }] if id == "m"));
+    b.step(Input::AttemptsFinished(vec![end("m", 0, Status::Served)]));
+    assert!(matches!(&b.turn(20).0[..], [Record::Completed { id, .. }] if id == "m"));
 }
 
 #[test]
 fn a_message_withdrawn_while_its_attempt_is_out_is_over_for_good() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(Message {
+    b.step(Input::Submitted(Message {
         from: Origin::Waiting(3),
         ..message("m", 8000)
     }));
@@ -486,10 +492,10 @@
         "whoever waits was promised nothing: {records:?}"
     );
     assert_eq!((calls(&effects).len(), answers(&effects).len()), (1, 0));
-    b.step(Input::Withdrawn("m".into()));
+    b.step(Input::Cancelled("m".into()));
     b.turn(10);
     b.ms = 60;
-    b.step(Input::Ended(vec![end("m", 0, Status::Error)]));
+    b.step(Input::AttemptsFinished(vec![end("m", 0, Status::Error)]));
     let (records, effects) = b.turn(60);
     assert!(records.is_empty() && calls(&effects).is_empty() && answers(&effects).is_empty());
 }
@@ -497,9 +503,9 @@
 #[test]
 fn an_id_that_has_ended_is_not_taken_on_again_and_is_forgotten_in_time() {
     let mut b = Bench::new(1);
-    b.step(Input::Handed(message("m", 8000)));
+    b.step(Input::Submitted(message("m", 8000)));
     b.turn(5);
-    b.step(Input::Ended(vec![end("m", 0, Status::Served)]));
+    b.step(Input::AttemptsFinished(vec![end("m", 0, Status::Served)]));
     b.turn(10);
     // Another client's, under the same id and for elsewhere.
     let other = Message {
@@ -507,16 +513,16 @@
         from: Origin::Client(2),
         ..message("m", 8000)
     };
-    let effects = b.step(Input::Handed(other));
-    assert_eq!(answers(&effects), [("m".to_owned(), Answer::TakenOn)]);
+    let effects = b.step(Input::Submitted(other));
+    assert_eq!(answers(&effects), [("m".to_owned(), Answer::Accepted)]);
     assert!(calls(&b.turn(15).1).is_empty());
-    assert_eq!(b.core.owed(), (0, 0));
+    assert_eq!(b.core.outstanding(), (0, 0));
     b.ms = 40_000;
-    b.step(Input::Handed(message("n", 8000)));
+    b.step(Input::Submitted(message("n", 8000)));
     b.turn(40_005);
-    b.step(Input::Ended(vec![end("n", 0, Status::Served)]));
+    b.step(Input::AttemptsFinished(vec![end("n", 0, Status::Served)]));
     b.turn(40_010);
-    b.step(Input::Handed(message("m", 8000)));
+    b.step(Input::Submitted(message("m", 8000)));
     assert_eq!(calls(&b.turn(40_015).1), [["m"]]);
 }
 
@@ -524,17 +530,17 @@
 fn a_partner_is_known_while_its_endpoints_are_replaced_and_their_idle_connections_end() {
     let mut b = Bench::new(1);
     assert!(b.core.knows(7) && !b.core.knows(8));
-    let effects = b.step(Input::Listed {
+    let effects = b.step(Input::EndpointsChanged {
         whole: false,
-        list: vec![listing("a", Condition::Gone, 1)],
+        list: vec![listing("a", Condition::Removed, 1)],
     });
     let closed = |e: &Effect| matches!(e, Effect::CloseIdle(e) if e.0 == "a");
     assert!(effects.iter().any(closed), "{effects:?}");
     b.turn(5);
     assert!(b.core.knows(7));
-    b.step(Input::Handed(message("m", 8000)));
+    b.step(Input::Submitted(message("m", 8000)));
     assert!(calls(&b.turn(10).1).is_empty());
-    b.step(Input::Listed {
+    b.step(Input::EndpointsChanged {
         whole: false,
         list: vec![listing("b", Condition::Ready, 1)],
     });
@@ -542,27 +548,27 @@
     // Names that came and went leave nothing behind.
     for n in 0..1000 {
         let name = format!("e{n}");
-        b.step(Input::Listed {
+        b.step(Input::EndpointsChanged {
             whole: false,
             list: vec![listing(&name, Condition::Ready, 1)],
         });
         b.turn(20 + 2 * n);
-        b.step(Input::Listed {
+        b.step(Input::EndpointsChanged {
             whole: false,
-            list: vec![listing(&name, Condition::Gone, 1)],
+            list: vec![listing(&name, Condition::Removed, 1)],
         });
         b.turn(21 + 2 * n);
     }
     assert!(b.core.endpoints() < 10, "{}", b.core.endpoints());
 }
 
-/// Guards against a call that goes on after one of its messages has run out of time: see tests/shared_calls.rs. `short` has
+/// Guards against a call that goes on after one of its messages has been executed out of time: see tests/shared_calls.rs. `short` has
 /// more time left than a call usually takes and less than the others wait, so it shares their call, and ends its wait.
 #[test]
 fn all_in_a_call_wait_until_the_same_moment() {
     let mut b = Bench::new(0);
     for (id, left) in [("m1", 20_000), ("short", 1500), ("m2", 20_000)] {
-        b.step(Input::Handed(message(id, left)));
+        b.step(Input::Submitted(message(id, left)));
     }
     let (_, effects) = b.turn(5);
     let mut shared = 0;
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -34,7 +34,7 @@
         tenant: n % 3,
         destination: 7,
         key: Some("k".into()),
-        order_key: None,
+        ordering_key: None,
         body: Arc::from(&b"body"[..]),
         left: Duration::from_millis(left_ms),
         spent: 0,
@@ -44,7 +44,7 @@
 }
 
 /// Plays a few seconds: messages of all classes, calls that end in each way, by turns. Nothing may panic, and each message
-/// that was taken on has one end by its time and a second.
+/// that was accepted has one end by its time and a second.
 fn play(settings: Value) -> Result<(), String> {
     let profile: Profile = serde_json::from_value(settings).map_err(|e| e.to_string())?;
     let set = profile.into_settings()?;
@@ -63,7 +63,7 @@
     };
     core.step(
         Time(START),
-        Input::Listed {
+        Input::EndpointsChanged {
             whole: true,
             list: vec![entry("a", 0, 0), entry("b", 1, 9)],
         },
@@ -71,18 +71,18 @@
     let ways = [
         Status::Served,
         Status::Error,
-        Status::Refused,
+        Status::Overloaded,
         Status::TimedOut,
         Status::NoConnection,
     ];
-    let (mut out, mut owed, mut way) = (Vec::new(), std::collections::BTreeSet::new(), 0);
+    let (mut out, mut outstanding, mut way) = (Vec::new(), std::collections::BTreeSet::new(), 0);
     for ms in (0..12_000u64).step_by(50) {
         let now = Time(START + ms * 1_000_000);
         if ms < 4000 {
             let n = (ms / 50) as usize;
             core.step(
                 now,
-                Input::Handed(message(n, n % classes, [0, 30, 900, 4000][n % 4])),
+                Input::Submitted(message(n, n % classes, [0, 30, 900, 4000][n % 4])),
             );
         }
         for attempt in std::mem::take(&mut out) {
@@ -91,40 +91,42 @@
             way += 1;
             let over = status == Status::Served;
             if over {
-                owed.remove(&id);
+                outstanding.remove(&id);
             }
-            let told_wait = (status == Status::Refused).then_some(Duration::from_millis(120));
+            let retry_after = (status == Status::Overloaded).then_some(Duration::from_millis(120));
             let took = Duration::from_millis(50);
-            let end = AttemptEnd {
+            let end = AttemptOutcome {
                 id,
                 attempt: number,
                 status,
                 over,
                 took,
-                told_wait,
+                retry_after,
                 report: None,
             };
-            core.step(now, Input::Ended(vec![end]));
+            core.step(now, Input::AttemptsFinished(vec![end]));
         }
-        core.step(now, Input::Due);
-        let mut effects = core.step(now, Input::TurnOver);
-        if let Some(Effect::Keep(_)) = effects.last() {
-            effects = core.step(now, Input::Kept(Kept::All));
+        core.step(now, Input::TimerFired);
+        let mut effects = core.step(now, Input::TickEnded);
+        if let Some(Effect::Persist(_)) = effects.last() {
+            effects = core.step(now, Input::Persisted(Persisted::All));
         }
         for effect in effects {
             match effect {
                 Effect::Call { attempts, .. } => out.extend(attempts),
                 Effect::Answer {
                     id,
-                    answer: Answer::TakenOn,
+                    answer: Answer::Accepted,
                     ..
-                } => drop(owed.insert(id)),
-                Effect::Report { id, .. } => assert!(owed.remove(&id), "{id} ends twice"),
+                } => drop(outstanding.insert(id)),
+                Effect::SendFinalReport { id, .. } => {
+                    assert!(outstanding.remove(&id), "{id} ends twice")
+                }
                 _ => {}
             }
         }
     }
-    assert!(owed.is_empty(), "still owed: {owed:?}");
+    assert!(outstanding.is_empty(), "still owed: {outstanding:?}");
     Ok(())
 }
 
--- a/crates/core/tests/short_window.rs
+++ b/crates/core/tests/short_window.rs
@@ -15,7 +15,7 @@
 const UNSAFE: usize = 2;
 const WINDOW_MS: u64 = 1000;
 const TAKEN_MS: u64 = 10_000;
-/// The first attempt of those that may have run went out then.
+/// The first attempt of those that may have been executed went out then.
 const SENT_MS: u64 = 10_100;
 /// A repeat that has less than this left when the process is there again may be too late: two ticks of the decisions.
 const MARGIN_MS: u64 = 20;
@@ -66,7 +66,7 @@
     };
     core.step(
         at(now),
-        Input::Listed {
+        Input::EndpointsChanged {
             whole: true,
             list: vec![Listing {
                 entry,
@@ -78,13 +78,13 @@
 }
 
 fn taken(id: &str, class: usize, deadline: u64) -> Record {
-    Record::Taken {
+    Record::Accepted {
         id: id.into(),
         class,
         tenant: 0,
         destination: DESTINATION,
         key: None,
-        order_key: None,
+        ordering_key: None,
         deadline: at(deadline).0,
         at: at(TAKEN_MS).0,
         body: Arc::from(&b"body"[..]),
@@ -92,7 +92,7 @@
 }
 
 fn sent(id: &str) -> Record {
-    Record::Sent {
+    Record::AttemptStarted {
         id: id.into(),
         attempt: 0,
         endpoint: "a".into(),
@@ -111,21 +111,25 @@
 /// Plays the return of a process until nothing is owed; every call is served.
 fn play(mut core: Core, mut now: u64, records: Vec<Record>) -> Ends {
     let mut ends = Ends::default();
-    let mut answers: BTreeMap<u64, Vec<AttemptEnd>> = BTreeMap::new();
+    let mut answers: BTreeMap<u64, Vec<AttemptOutcome>> = BTreeMap::new();
     let mut effects = core.step(at(now), Input::Recovered(records));
     now += START_MS;
     let mut wake = now;
     while now < 40_000 {
         while let Some(due) = answers.first_entry().filter(|due| *due.key() <= now) {
-            effects.extend(core.step(at(now), Input::Ended(due.remove())));
+            effects.extend(core.step(at(now), Input::AttemptsFinished(due.remove())));
         }
-        core.step(at(now), Input::Due);
-        effects.extend(core.step(at(now), Input::TurnOver));
+        core.step(at(now), Input::TimerFired);
+        effects.extend(core.step(at(now), Input::TickEnded));
         while let Some(effect) = effects.pop() {
             match effect {
-                Effect::Keep(_) => effects.extend(core.step(at(now), Input::Kept(Kept::All))),
-                Effect::Report { id, .. } => {
-                    effects.extend(core.step(at(now), Input::Reported(vec![id.clone()])));
+                Effect::Persist(_) => {
+                    effects.extend(core.step(at(now), Input::Persisted(Persisted::All)))
+                }
+                Effect::SendFinalReport { id, .. } => {
+                    effects.extend(
+                        core.step(at(now), Input::FinalReportsAcknowledged(vec![id.clone()])),
+                    );
                     ends.reported.insert(id);
                 }
                 Effect::WakeAt(time) => {
@@ -140,13 +144,13 @@
                         ends.called
                             .entry(a.id.clone())
                             .or_insert((now, a.write_by.map(ms)));
-                        AttemptEnd {
+                        AttemptOutcome {
                             id: a.id,
                             attempt: a.number,
                             status: Status::Served,
                             over: true,
                             took: Duration::from_millis(SERVED_AFTER_MS),
-                            told_wait: None,
+                            retry_after: None,
                             report: None,
                         }
                     });
@@ -158,16 +162,16 @@
                 _ => {}
             }
         }
-        if core.owed() == (0, 0) {
+        if core.outstanding() == (0, 0) {
             return ends;
         }
         let due = answers.first_key_value().map_or(u64::MAX, |(due, _)| *due);
         now = wake.max(now + 1).min(due.max(now + 1));
     }
-    panic!("still owed: {:?}", core.owed());
+    panic!("still owed: {:?}", core.outstanding());
 }
 
-/// Restarts 0 to 1.5 s after an attempt that may have run, all at once and by steps, before a backlog of what was not tried.
+/// Restarts 0 to 1.5 s after an attempt that may have been executed, all at once and by steps, before a backlog of what was not tried.
 #[test]
 fn a_repeat_goes_inside_its_window_and_what_was_not_tried_goes_all_the_same() {
     for by_steps in [false, true] {
@@ -184,10 +188,10 @@
             }
             // Refused, so that it surely did not run: it is as good as new.
             records.extend([taken("refused", UNSAFE, 14_500), sent("refused")]);
-            records.push(Record::Back {
+            records.push(Record::AttemptFinished {
                 id: "refused".into(),
                 attempt: 0,
-                never_ran: true,
+                not_executed: true,
             });
             // Behind the others by its deadline, before them by its window.
             records.extend([taken("repeat", KEYED, 18_000), sent("repeat")]);
--- a/crates/core/tests/virtual_fleet/mod.rs
+++ b/crates/core/tests/virtual_fleet/mod.rs
@@ -29,7 +29,7 @@
 pub struct Scenario {
     pub senders: usize,
     pub seed: u64,
-    /// Calls a second that the destination can do when warm, and messages a second handed in for it.
+    /// Calls a second that the destination can do when warm, and messages a second submitted for it.
     pub capacity: f64,
     pub rate: f64,
     /// What the list tells in place of the capacity: it may be rough.
@@ -73,7 +73,7 @@
         process: u32,
         endpoint: usize,
         connected: bool,
-        ends: Vec<AttemptEnd>,
+        ends: Vec<AttemptOutcome>,
     },
     Due {
         sender: usize,
@@ -187,13 +187,13 @@
                     self.destination.disconnect(endpoint);
                 }
                 if self.nodes[sender].process == process {
-                    self.on_ended(sender, ends);
+                    self.on_attempts_finished(sender, ends);
                 }
             }
             Happening::Due { sender, process } => {
                 let node = &mut self.nodes[sender];
                 if node.process == process && node.due.take_if(|due| *due == self.now).is_some() {
-                    self.step(sender, Input::Due);
+                    self.step(sender, Input::TimerFired);
                     self.turn(sender);
                 }
             }
@@ -218,9 +218,9 @@
         let list = (0..self.scenario.endpoints)
             .map(|n| self.listing(n))
             .collect();
-        self.step(sender, Input::Listed { whole: true, list });
+        self.step(sender, Input::EndpointsChanged { whole: true, list });
         if let Some(learnt) = self.nodes[sender].remembered.clone() {
-            self.step(sender, Input::Remembered(learnt));
+            self.step(sender, Input::LearnedStateRestored(learnt));
         }
         let records = self.nodes[sender].records.clone();
         self.step(sender, Input::Recovered(records));
@@ -258,18 +258,18 @@
             tenant: 0,
             destination: DESTINATION,
             key: None,
-            order_key: None,
+            ordering_key: None,
             body: Arc::from(&b"body"[..]),
             left: self.scenario.deadline,
             spent: 0,
             envelope: None,
             from: Origin::Client(0),
         };
-        self.step(sender, Input::Handed(message));
+        self.step(sender, Input::Submitted(message));
         self.turn(sender);
     }
 
-    fn on_ended(&mut self, sender: usize, ends: Vec<AttemptEnd>) {
+    fn on_attempts_finished(&mut self, sender: usize, ends: Vec<AttemptOutcome>) {
         let failed = ends.iter().any(|e| e.status != Status::Served);
         let outage = self.scenario.outage;
         if failed && (outage.start..=outage.end()).contains(&self.now) {
@@ -277,7 +277,7 @@
                 .told
                 .insert((sender, self.nodes[sender].process));
         }
-        self.step(sender, Input::Ended(ends));
+        self.step(sender, Input::AttemptsFinished(ends));
         self.turn(sender);
     }
 
@@ -291,21 +291,23 @@
     }
 
     fn turn(&mut self, sender: usize) {
-        self.step(sender, Input::TurnOver);
+        self.step(sender, Input::TickEnded);
     }
 
     fn carry_out(&mut self, sender: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Keep(records) => {
+                Effect::Persist(records) => {
                     self.nodes[sender].records.extend(records);
-                    self.step(sender, Input::Kept(Kept::All));
+                    self.step(sender, Input::Persisted(Persisted::All));
                 }
                 Effect::Call {
                     endpoint, attempts, ..
                 } => self.call(sender, &endpoint, attempts),
-                Effect::Report { id, .. } => self.step(sender, Input::Reported(vec![id])),
-                Effect::Remember(learnt) => self.nodes[sender].remembered = Some(learnt),
+                Effect::SendFinalReport { id, .. } => {
+                    self.step(sender, Input::FinalReportsAcknowledged(vec![id]))
+                }
+                Effect::PersistLearnedState(learnt) => self.nodes[sender].remembered = Some(learnt),
                 Effect::WakeAt(at) => self.wake(sender, at - START),
                 _ => {}
             }
@@ -358,13 +360,13 @@
             }
         };
         let took = at.saturating_sub(self.now);
-        let end = |a: Attempt| AttemptEnd {
+        let end = |a: Attempt| AttemptOutcome {
             id: a.id,
             attempt: a.number,
             status,
             over: status == Status::Served,
             took,
-            told_wait: wait,
+            retry_after: wait,
             report,
         };
         let ends = attempts.into_iter().map(end).collect();
@@ -406,7 +408,7 @@
                 let status = match fates[0] {
                     Fate::Done => Status::Served,
                     Fate::Failed => Status::Error,
-                    Fate::Busy => Status::Refused,
+                    Fate::Busy => Status::Overloaded,
                 };
                 (
                     at,
--- a/crates/cranehill/src/kills.rs
+++ b/crates/cranehill/src/kills.rs
@@ -54,7 +54,7 @@
     pub reported: u32,
     /// Neither delivered nor reported.
     pub lost: Vec<String>,
-    /// Of class `unsafe`, sent again after an attempt that may have run.
+    /// Of class `unsafe`, sent again after an attempt that may have been executed.
     pub repeated: Vec<String>,
     /// Reported with two different ends, or as never run though they had.
     pub second_ends: Vec<String>,
@@ -110,8 +110,8 @@
     class: usize,
     promised: bool,
     attempts: usize,
-    /// Attempts after which it may have run.
-    ran: usize,
+    /// Attempts after which it may have been executed.
+    executed: usize,
     delivered: bool,
     repeated: bool,
     reports: BTreeSet<String>,
@@ -220,8 +220,8 @@
 fn attempt(book: &mut Book, id: &str, fate: Fate) {
     let seen = book.messages.entry(id.to_owned()).or_default();
     seen.attempts += 1;
-    seen.repeated |= seen.ran > 0;
-    seen.ran += usize::from(fate != Fate::Busy);
+    seen.repeated |= seen.executed > 0;
+    seen.executed += usize::from(fate != Fate::Busy);
     seen.delivered |= fate == Fate::Done;
 }
 
@@ -493,8 +493,8 @@
         if unsafe_class && seen.repeated {
             outcome.repeated.push(id.clone());
         }
-        // `returned` tells the client that it never ran.
-        let denied = unsafe_class && seen.ran > 0 && seen.reports.contains("returned");
+        // `returned` tells the client that it was not executed.
+        let denied = unsafe_class && seen.executed > 0 && seen.reports.contains("returned");
         if seen.reports.len() > 1 || denied {
             outcome.second_ends.push(id.clone());
         }
--- a/crates/cranehill/src/rehearsal.rs
+++ b/crates/cranehill/src/rehearsal.rs
@@ -349,7 +349,7 @@
 struct Service {
     next: VecDeque<(Option<String>, Reply, Option<Duration>)>,
     waits_until: Option<Instant>,
-    /// Posts that came inside a told wait.
+    /// Posts that came inside a Retry-After wait.
     during_wait: usize,
 }
 
--- a/crates/cranehill/tests/clients.rs
+++ b/crates/cranehill/tests/clients.rs
@@ -167,7 +167,7 @@
 }
 
 /// Guards what comes in the very moment in which a connection ends from our side. A request that is behind the end must not
-/// be taken on, since its client hands it in elsewhere; and a close over bytes that were not read resets the connection,
+/// be accepted, since its client hands it in elsewhere; and a close over bytes that were not read resets the connection,
 /// which takes answers along that are still on their way. All of it is there before the sender runs, and is more than it
 /// reads at once, so that some is unread at the end.
 #[test]
--- a/crates/cranehill/tests/common/mod.rs
+++ b/crates/cranehill/tests/common/mod.rs
@@ -57,7 +57,7 @@
     config::parse(&config_text(known), var).expect("configuration")
 }
 
-/// The platform: its watches are held, its closing reports are taken.
+/// The platform: its watches are held, its final reports are taken.
 pub fn platform() -> StandIn {
     StandIn::new(|request, _| match request.method.as_str() {
         "GET" => Reply::Silent,
--- a/crates/cranehill/tests/descriptors.rs
+++ b/crates/cranehill/tests/descriptors.rs
@@ -42,7 +42,7 @@
     format!("c=episode-notice,d=20000,k=5c0f,dest={destination}")
 }
 
-/// Hands one message in for each destination, each over a connection of its own; it must be taken on and delivered.
+/// Hands one message in for each destination, each over a connection of its own; it must be accepted and delivered.
 fn work(
     sender: &Process,
     endpoint: &StandIn,
--- a/crates/cranehill/tests/directory.rs
+++ b/crates/cranehill/tests/directory.rs
@@ -84,13 +84,13 @@
 fn a_directory_that_holds_no_watch_is_not_asked_without_end() {
     let same = list(4, &[]).replace("\"full\":true", "\"full\":false");
     // Every other answer ends its connection too.
-    let closing = format!(
+    let final_report = format!(
         "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{same}",
         same.len()
     );
     let platform = StandIn::new(move |_, number| match number % 2 {
         0 => body(&same),
-        _ => Reply::Bytes(closing.clone().into_bytes()),
+        _ => Reply::Bytes(final_report.clone().into_bytes()),
     })
     .expect("platform");
     let _sender = start(&list(4, &[]), &platform);
--- a/crates/cranehill/tests/endings.rs
+++ b/crates/cranehill/tests/endings.rs
@@ -119,7 +119,7 @@
     );
 }
 
-/// Guards what a client leaves behind: a whole request that is there when its client has already gone is taken on and owed;
+/// Guards what a client leaves behind: a whole request that is there when its client has already gone is accepted and owed;
 /// a part of one is nothing.
 #[test]
 fn a_client_that_is_gone_before_it_is_heard_leaves_what_was_whole_and_nothing_else() {
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use cranehill::rehearsal;
-use cranehill_core::{Closing, Record};
+use cranehill_core::{FinalReport, Record};
 use cranehill_daemon::fleet::{self, Fleet};
 use cranehill_daemon::webpush::{self, Location, Server, Upstream, VapidFile};
 use cranehill_journal::{Folder, Journal, Options};
@@ -513,18 +513,18 @@
         NOW,
     );
     let mut journal = open.expect("opens").0;
-    let accepted = |id: &str, key: Option<&str>, order_key: Option<&str>| Record::Taken {
+    let accepted = |id: &str, key: Option<&str>, ordering_key: Option<&str>| Record::Accepted {
         id: id.into(),
         class: 2,
         tenant: 1,
         destination: 7,
         key: key.map(str::to_owned),
-        order_key: order_key.map(str::to_owned),
+        ordering_key: ordering_key.map(str::to_owned),
         deadline: (NOW + 20_000) * NANOS_PER_MS,
         at: NOW * NANOS_PER_MS,
         body: Arc::from(&b"a body"[..]),
     };
-    let sent = |id: &str| Record::Sent {
+    let sent = |id: &str| Record::AttemptStarted {
         id: id.into(),
         attempt: 3,
         endpoint: "s-1".into(),
@@ -537,29 +537,29 @@
         accepted(third, None, None),
         sent(first),
         sent(second),
-        Record::Back {
+        Record::AttemptFinished {
             id: first.into(),
             attempt: 3,
-            never_ran: false,
+            not_executed: false,
         },
-        Record::Back {
+        Record::AttemptFinished {
             id: second.into(),
             attempt: 3,
-            never_ran: true,
+            not_executed: true,
         },
-        Record::Over {
+        Record::Completed {
             id: first.into(),
             until: (NOW + 40_000) * NANOS_PER_MS,
         },
-        Record::Closing {
+        Record::FinalReportDue {
             id: second.into(),
-            closing: Closing::Returned { after_ms: 150 },
-            order_key: Some("account-1".into()),
+            final_report: FinalReport::Returned { after_ms: 150 },
+            ordering_key: Some("account-1".into()),
         },
-        Record::Closing {
+        Record::FinalReportDue {
             id: third.into(),
-            closing: Closing::Failed,
-            order_key: None,
+            final_report: FinalReport::Failed,
+            ordering_key: None,
         },
     ];
     journal.append(NOW, &records).expect("room");
--- a/crates/cranehill/tests/handover.rs
+++ b/crates/cranehill/tests/handover.rs
@@ -50,7 +50,7 @@
 const SEVEN: &str = "c=episode-notice,t=onda-central,d=15000,dest=7";
 const EIGHT: &str = "c=episode-notice,t=onda-central,d=15000,dest=8";
 
-/// Guards the whole way: the listener, a connection in the middle of a request, a message that is held, and a told wait all
+/// Guards the whole way: the listener, a connection in the middle of a request, a message that is held, and a Retry-After wait all
 /// pass from one process to the other, and nobody is closed on.
 #[test]
 fn a_new_process_goes_on_where_the_old_one_stops() {
@@ -132,7 +132,7 @@
 }
 
 /// Guards the one writer: while the old one can't be asked, the new one waits; once it has died, the new one starts as after a
-/// kill, with all that was taken on.
+/// kill, with all that was accepted.
 #[test]
 fn a_dead_process_leaves_its_folder_to_the_next() {
     let (silent, calls) = endpoint(|_| Reply::Silent);
--- a/crates/cranehill/tests/journal.rs
+++ b/crates/cranehill/tests/journal.rs
@@ -26,13 +26,13 @@
 }
 
 fn taken(id: &str) -> Record {
-    Record::Taken {
+    Record::Accepted {
         id: id.into(),
         class: 0,
         tenant: 1,
         destination: 7,
         key: None,
-        order_key: Some(format!("account-{}", &id[id.len() - 1..])),
+        ordering_key: Some(format!("account-{}", &id[id.len() - 1..])),
         deadline: (NOW + 20_000) * 1_000_000,
         at: NOW * 1_000_000,
         body: Arc::from(id.repeat(6).as_bytes()),
@@ -41,7 +41,7 @@
 
 fn turn(n: u32) -> Vec<Record> {
     let id = format!("{n:016x}");
-    let sent = Record::Sent {
+    let sent = Record::AttemptStarted {
         id: id.clone(),
         attempt: 0,
         endpoint: "s-1".into(),
@@ -49,7 +49,7 @@
     };
     let mut records = vec![taken(&id), sent];
     if n.is_multiple_of(2) {
-        records.push(Record::Over {
+        records.push(Record::Completed {
             id,
             until: (NOW + 1) * 1_000_000,
         });
@@ -199,7 +199,7 @@
             }
             let mut records = turn(n);
             if n >= 40 {
-                records.push(Record::Over {
+                records.push(Record::Completed {
                     id: format!("{:016x}", n - 40),
                     until: (NOW + 1) * 1_000_000,
                 });
--- a/crates/cranehill/tests/kills.rs
+++ b/crates/cranehill/tests/kills.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// A hundred kills: nothing taken on is lost, nothing ends twice, nothing `unsafe` goes out again.
+/// A hundred kills: nothing accepted is lost, nothing ends twice, nothing `unsafe` goes out again.
 #[test]
 fn a_hundred_kills_lose_nothing_and_repeat_nothing_that_must_not_be() {
     let outcome = play(&plan(100, 3, 0), |_| {}).expect("it plays");
--- a/crates/cranehill/tests/late_connections.rs
+++ b/crates/cranehill/tests/late_connections.rs
@@ -64,7 +64,7 @@
     let mut client = Client::new(sender.clients);
     assert_eq!(client.put("m1", NAMES, b"x"), "+OK");
     assert!(first.wait_for(1, SOON));
-    let ran = first.seen()[0].at;
+    let executed = first.seen()[0].at;
     change.store(true, Ordering::Relaxed);
     assert!(
         platform.wait_for(2, SOON),
@@ -73,7 +73,7 @@
     // It failed at the first endpoint, so the repeat goes to the second, whose connection does not come up yet.
     fail.store(true, Ordering::Relaxed);
     // The window's end is a moment of the clock, and the listener lets nothing up before it.
-    while ran.elapsed() < window {
+    while executed.elapsed() < window {
         std::thread::sleep(Duration::from_millis(5));
     }
     drop(fill);
--- a/crates/cranehill/tests/operator.rs
+++ b/crates/cranehill/tests/operator.rs
@@ -136,7 +136,7 @@
         }
         assert!((0..6).all(|_| heard.recv_timeout(SOON).is_ok_and(|call| call.0 == 'a')));
     }
-    // The next life has the whole list from its configuration, and what is out from the folder.
+    // The next process has the whole list from its configuration, and what is out from the folder.
     let sender = operated(&known, &platform, Some(folder.path()));
     assert_eq!(call(&sender, "PUT", "/_endpoints/detach/a%2F1%20%25"), 200);
     // What the halt left open may go to `a` once more before that.
--- a/crates/cranehill/tests/order.rs
+++ b/crates/cranehill/tests/order.rs
@@ -1,4 +1,4 @@
-//! A class that keeps its order, on sockets: one message of a key at a time, as handed in, whatever ends the one before it.
+//! A class that keeps its order, on sockets: one message of a key at a time, as submitted, whatever ends the one before it.
 
 mod common;
 
@@ -208,7 +208,7 @@
 }
 
 /// Hands over to a new process while the first of a key is in flight, answered meanwhile or cut off, and tells what came.
-fn handed_over(answered: bool) -> (Vec<String>, StandIn) {
+fn transferred(answered: bool) -> (Vec<String>, StandIn) {
     let (destination, release) = destination("a1", || Reply::status(200));
     let (platform, folder) = (platform(), tempfile::tempdir().expect("a folder"));
     let beside = || {
@@ -242,8 +242,8 @@
 /// Guards the order over a hand-over under load: the old process still waits for an answer as the new one takes over.
 #[test]
 fn a_new_version_goes_on_in_the_order_of_its_keys() {
-    assert_eq!(handed_over(true).0, ["a1", "b1", "a2", "a3"]);
-    let (came, platform) = handed_over(false);
+    assert_eq!(transferred(true).0, ["a1", "b1", "a2", "a3"]);
+    let (came, platform) = transferred(false);
     assert_eq!(came, ["a1", "b1", "a2", "a3"]);
     assert!(
         reports(&platform)
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -168,7 +168,7 @@
         let told = destinations::read(&response(&text(bad)), &["a"], Duration::ZERO);
         assert_eq!(
             (told.verdicts[0].status, told.wait),
-            (Status::Refused, Some(Duration::from_secs(2))),
+            (Status::Overloaded, Some(Duration::from_secs(2))),
             "{bad:?}"
         );
         assert!(told.report.is_none(), "{bad:?}");
@@ -199,7 +199,7 @@
         }
     );
     assert_eq!(one("HTTP/1.1 500 E\r\n\r\n").status, Status::Error);
-    assert_eq!(one("HTTP/1.1 503 F\r\n\r\n").status, Status::Refused);
+    assert_eq!(one("HTTP/1.1 503 F\r\n\r\n").status, Status::Overloaded);
     assert_eq!(
         one("HTTP/1.1 503 F\r\nX-No-Slot: 1\r\n\r\n").status,
         Status::NotSent
@@ -225,7 +225,7 @@
     assert_eq!(
         full.verdicts,
         [Verdict {
-            status: Status::Refused,
+            status: Status::Overloaded,
             over: false
         }; 2]
     );
@@ -242,11 +242,11 @@
         statuses,
         [
             (Status::Served, true),
-            (Status::Refused, false),
+            (Status::Overloaded, false),
             (Status::Error, false),
             (Status::NotSent, true),
             (Status::NotSent, false),
-            // Not told of: it may have run.
+            // Not told of: it may have been executed.
             (Status::Error, false),
         ]
     );
--- a/crates/cranehill/tests/ready.rs
+++ b/crates/cranehill/tests/ready.rs
@@ -17,7 +17,7 @@
 /// Messages that a sender may hold by its settings, and those that it takes on: it keeps a sixteenth free.
 const MOST_HELD: usize = 2048;
 const HELD: usize = MOST_HELD - MOST_HELD / 16;
-/// Messages handed in at once.
+/// Messages submitted at once.
 const BATCH: usize = 256;
 /// Restarts of each kind of process.
 const RESTARTS: usize = 5;
--- a/crates/cranehill/tests/rehearse.rs
+++ b/crates/cranehill/tests/rehearse.rs
@@ -61,7 +61,7 @@
                     rules.iter().all(|&r| judged(&outcome, r)),
                     "a rule had no case: {table}"
                 );
-                assert!(outcome.delivered > 0 && outcome.handed > 50, "{table}");
+                assert!(outcome.delivered > 0 && outcome.submitted > 50, "{table}");
             });
         }
     });
@@ -91,7 +91,7 @@
     report_files::write(dir.path(), &plan, &outcome).expect("written");
     let text = fs::read_to_string(dir.path().join("report.json")).expect("a report");
     let json: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-    assert_eq!(json["handed"], outcome.handed);
+    assert_eq!(json["handed"], outcome.submitted);
     assert_eq!(
         json["rules"].as_array().map(Vec::len),
         Some(Rule::ALL.len())
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the directory and the closing reports move to where the configuration says now.
+//! SIGHUP: the directory and the final reports move to where the configuration says now.
 
 mod common;
 
--- a/crates/cranehill/tests/restart.rs
+++ b/crates/cranehill/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What was taken on outlasts its process: the program itself, killed and ended, and started again.
+//! What was accepted outlasts its process: the program itself, killed and ended, and started again.
 
 mod common;
 
@@ -436,7 +436,7 @@
 }
 
 /// Guards an end that is asked for more than once, with a reload between, while the endpoint hangs and the platform takes no
-/// reports: the process ends by itself, and the next life has all that is owed, the report too.
+/// reports: the process ends by itself, and the next process has all that is owed, the report too.
 #[test]
 fn a_second_sigterm_and_a_sighup_while_all_hangs_change_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/cranehill/tests/short_window.rs
+++ b/crates/cranehill/tests/short_window.rs
@@ -46,7 +46,7 @@
     play(&plan, |_, _| {}).expect("it plays")
 }
 
-/// Messages that were taken on, may go at any time and were reported with time left: those that nothing was seen of at the
+/// Messages that were accepted, may go at any time and were reported with time left: those that nothing was seen of at the
 /// destinations, and those that may be repeated without end.
 #[derive(Debug, Default)]
 struct Lost {
@@ -55,12 +55,12 @@
 }
 
 fn lost_by_caution(outcome: &Outcome) -> Lost {
-    let (mut times, mut taken_on, mut may_have_run) =
+    let (mut times, mut accepted, mut may_have_run) =
         (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
     let mut lost = Lost::default();
     for line in &outcome.lines {
         match &line.what {
-            What::Handed {
+            What::Submitted {
                 id, class, lasts, ..
             } => {
                 times
@@ -69,9 +69,9 @@
             }
             What::Answered {
                 id,
-                answer: Answer::TakenOn,
+                answer: Answer::Accepted,
             } => {
-                taken_on.insert(id.clone());
+                accepted.insert(id.clone());
             }
             What::Called { ids, .. } => may_have_run.extend(ids.iter().cloned()),
             What::Replied { fates, .. } => {
@@ -79,7 +79,7 @@
                     may_have_run.remove(id);
                 }
             }
-            What::Reported { id, .. } if taken_on.contains(id) => {
+            What::Reported { id, .. } if accepted.contains(id) => {
                 let Some((over, class)) = times
                     .get(id)
                     .filter(|(over, _)| line.at + SOON_OVER < *over)
--- a/crates/cranehill/tests/spoilt.rs
+++ b/crates/cranehill/tests/spoilt.rs
@@ -1,4 +1,4 @@
-//! Answers that come spoilt: the attempt failed and may have run, and its connection is not used again.
+//! Answers that come spoilt: the attempt failed and may have been executed, and its connection is not used again.
 
 mod common;
 
--- a/crates/cranehill/tests/told_wait.rs
+++ b/crates/cranehill/tests/told_wait.rs
@@ -1,4 +1,4 @@
-//! A told wait also stops the call whose connection was still coming up when the wait was told.
+//! A Retry-After wait also stops the call whose connection was still coming up when the wait was told.
 
 mod common;
 
--- a/crates/daemon/src/beside.rs
+++ b/crates/daemon/src/beside.rs
@@ -1,4 +1,4 @@
-//! Small files beside the journal in the lasting folder: what its next life is to know, each replaced as a whole.
+//! Small files beside the journal in the lasting folder: what its next process is to know, each replaced as a whole.
 
 use std::fs;
 use std::io::{self, ErrorKind};
--- a/crates/daemon/src/clients.rs
+++ b/crates/daemon/src/clients.rs
@@ -10,7 +10,7 @@
 const WORD_MOST: usize = 64 * 1024;
 const WORDS_MOST: usize = 16;
 /// The longest key of a class that keeps its order; those of the platform have 16 characters.
-const ORDER_KEY_MOST: usize = 64;
+const MAX_ORDERING_KEY_BYTES: usize = 64;
 /// The longest request that may be waited for.
 pub const REQUEST_MOST: usize = WORD_MOST + 4096;
 
@@ -121,8 +121,9 @@
 }
 
 /// The key of a message whose class keeps its order: text without spaces. Zeros alone are none.
-fn order_key(key: &[u8]) -> Result<Option<String>, &'static str> {
-    let plain = (1..=ORDER_KEY_MOST).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic);
+fn ordering_key(key: &[u8]) -> Result<Option<String>, &'static str> {
+    let plain =
+        (1..=MAX_ORDERING_KEY_BYTES).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic);
     let text = std::str::from_utf8(key).ok().filter(|_| plain);
     let text = text.ok_or("the first argument is no key: 1 to 64 characters without spaces")?;
     Ok(Some(text.to_owned()).filter(|_| key.iter().any(|&byte| byte != b'0')))
@@ -164,8 +165,8 @@
     }
     let class = class.ok_or("class missing")?;
     let spec = &site.settings.classes[class];
-    let order_key = if spec.in_order {
-        order_key(first_argument)?
+    let ordering_key = if spec.in_order {
+        ordering_key(first_argument)?
     } else {
         None
     };
@@ -176,7 +177,7 @@
         tenant: tenant.unwrap_or(0),
         destination: destination.ok_or("destination missing")?,
         key,
-        order_key,
+        ordering_key,
         body: Arc::from(body),
         left: Duration::from_millis(left.ok_or("time left missing")?).min(longest),
         spent: 0,
@@ -188,12 +189,12 @@
 /// The answer's bytes.
 pub fn answer(answer: Answer) -> Vec<u8> {
     match answer {
-        Answer::TakenOn | Answer::Delivered => b"+OK\r\n".to_vec(),
-        Answer::Refused { after: Some(after) } => {
+        Answer::Accepted | Answer::Delivered => b"+OK\r\n".to_vec(),
+        Answer::Rejected { after: Some(after) } => {
             format!("-BUSY {}\r\n", after.as_millis()).into_bytes()
         }
-        Answer::Refused { after: None } => b"-BUSY\r\n".to_vec(),
-        Answer::Failed | Answer::Gone | Answer::GivenUp => b"-ERR failed\r\n".to_vec(),
+        Answer::Rejected { after: None } => b"-BUSY\r\n".to_vec(),
+        Answer::Failed | Answer::RecipientRemoved | Answer::Expired => b"-ERR failed\r\n".to_vec(),
     }
 }
 
--- a/crates/daemon/src/destinations.rs
+++ b/crates/daemon/src/destinations.rs
@@ -94,7 +94,7 @@
 
 /// Reads the answer to a call with these messages.
 pub fn read(response: &Response, ids: &[&str], unix_now: Duration) -> Told {
-    let wait = http::told_wait(&response.headers, unix_now);
+    let wait = http::retry_after(&response.headers, unix_now);
     let not_sent = header(&response.headers, "x-no-slot").is_some_and(|v| v == "1");
     let all = match response.status {
         200 if ids.len() > 1 => return states(response, ids, wait),
@@ -102,17 +102,17 @@
             status: Status::Served,
             over: true,
         },
-        429 => Verdict::of(Status::Refused),
+        429 => Verdict::of(Status::Overloaded),
         503 if not_sent => Verdict::of(Status::NotSent),
-        503 => Verdict::of(Status::Refused),
+        503 => Verdict::of(Status::Overloaded),
         504 => Verdict::of(Status::NotSent),
         410 => Verdict {
             status: Status::NotSent,
             over: true,
         },
         // The destination could not read it, and will not read it better the next time.
-        400 | 413 => Verdict::of(Status::Rejected),
-        // 500, and what the page does not name: it may have run.
+        400 | 413 => Verdict::of(Status::PermanentError),
+        // 500, and what the page does not name: it may have been executed.
         _ => Verdict::of(Status::Error),
     };
     Told {
@@ -146,13 +146,13 @@
             status: Status::Served,
             over: true,
         },
-        Some("busy") => Verdict::of(Status::Refused),
+        Some("busy") => Verdict::of(Status::Overloaded),
         Some("void") => Verdict {
             status: Status::NotSent,
             over: true,
         },
         Some("used_up") => Verdict::of(Status::NotSent),
-        // `failed`, or not told: it may have run.
+        // `failed`, or not told: it may have been executed.
         _ => Verdict::of(Status::Error),
     };
     Told {
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -84,7 +84,7 @@
         let condition = match self.state.as_str() {
             "up" => Condition::Ready,
             "draining" => Condition::Draining,
-            "removed" => Condition::Gone,
+            "removed" => Condition::Removed,
             other => return Err(format!("state '{other}' of {} is not known", self.id)),
         };
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
--- a/crates/daemon/src/closing.rs
+++ b/crates/daemon/src/final_report.rs
@@ -1,11 +1,11 @@
-//! Closing reports: how the platform is told of messages that ended without delivery. One call is out at a
+//! Final reports: how the platform is told of messages that ended without delivery. One call is out at a
 //! time; what it carried is kept until its 204 and sent again otherwise.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::http;
-use cranehill_core::Closing;
+use cranehill_core::FinalReport;
 
 /// Pause before a report is sent again, and how long its answer, which the platform gives at once, may take. Together within
 /// the 300 ms after a message's time in which its end must be told, so that one lost report does not lose the message; a
@@ -16,13 +16,13 @@
 
 #[derive(Debug, Default)]
 pub struct Reports {
-    waiting: VecDeque<(String, Closing)>,
-    out: Vec<(String, Closing)>,
+    waiting: VecDeque<(String, FinalReport)>,
+    out: Vec<(String, FinalReport)>,
 }
 
 impl Reports {
-    pub fn add(&mut self, id: String, closing: Closing) {
-        self.waiting.push_back((id, closing));
+    pub fn add(&mut self, id: String, final_report: FinalReport) {
+        self.waiting.push_back((id, final_report));
     }
 
     /// The next call's bytes, if there is something to report and no call is out.
@@ -35,15 +35,15 @@
             .drain(..self.waiting.len().min(LINES_MOST))
             .collect();
         let mut body = String::new();
-        for (id, closing) in &self.out {
-            let line = match closing {
-                Closing::Returned { after_ms: 0 } => {
+        for (id, final_report) in &self.out {
+            let line = match final_report {
+                FinalReport::Returned { after_ms: 0 } => {
                     serde_json::json!({"id": id, "state": "returned"})
                 }
-                Closing::Returned { after_ms } => {
+                FinalReport::Returned { after_ms } => {
                     serde_json::json!({"id": id, "state": "returned", "after_ms": after_ms})
                 }
-                Closing::Failed => serde_json::json!({"id": id, "state": "failed"}),
+                FinalReport::Failed => serde_json::json!({"id": id, "state": "failed"}),
             };
             body.push_str(&format!("{line}\n"));
         }
--- a/crates/daemon/src/handover.rs
+++ b/crates/daemon/src/handover.rs
@@ -60,7 +60,7 @@
 
 /// What was passed on.
 #[derive(Default)]
-pub struct Taken {
+pub struct InheritedSockets {
     pub clients: Option<TcpListener>,
     pub pushes: Option<TcpListener>,
     pub connections: Vec<Client>,
@@ -82,10 +82,10 @@
 }
 
 /// The folder for this process alone: at once where nobody works in it, else from who does.
-pub fn take(dir: &Path) -> Result<(Lock, Taken), String> {
+pub fn take(dir: &Path) -> Result<(Lock, InheritedSockets), String> {
     let named = |e: io::Error| format!("{}: {e}", dir.join(LOCK).display());
     if let Some(lock) = lock(dir).map_err(named)? {
-        return Ok((lock, Taken::default()));
+        return Ok((lock, InheritedSockets::default()));
     }
     log::info!(
         "hand-over: another process works in {}; it is asked to pass on",
@@ -113,11 +113,11 @@
     }
 }
 
-fn ask(dir: &Path) -> io::Result<Taken> {
+fn ask(dir: &Path) -> io::Result<InheritedSockets> {
     let mut stream = UnixStream::connect(dir.join(SOCKET))?;
     stream.set_read_timeout(Some(ANSWER_MOST))?;
     stream.write_all(HELLO)?;
-    let mut taken = Taken::default();
+    let mut taken = InheritedSockets::default();
     loop {
         let (message, fd) = receive(&mut stream)?;
         match (message, fd) {
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -345,7 +345,7 @@
 }
 
 /// `Retry-After`: seconds, with decimals where the peer writes them, or a date.
-pub fn told_wait(headers: &Headers, unix_now: Duration) -> Option<Duration> {
+pub fn retry_after(headers: &Headers, unix_now: Duration) -> Option<Duration> {
     let text = header(headers, "retry-after")?;
     if let Ok(seconds) = text.parse::<f64>() {
         let sane = seconds.is_finite() && seconds > 0.0;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,15 +1,15 @@
 //! The sender on sockets. [`reactor::Reactor`] is where to start: it carries out what `cranehill_core` asks for.
-//! `clients`, `destinations`, `directory`, `closing` and `webpush` each say how one peer speaks, without I/O.
+//! `clients`, `destinations`, `directory`, `final_report` and `webpush` each say how one peer speaks, without I/O.
 #![forbid(unsafe_code)]
 
 mod beside;
 mod by_endpoint;
 pub mod clients;
-pub mod closing;
 pub mod config;
 pub mod destinations;
 pub mod directory;
 mod file;
+pub mod final_report;
 pub mod fleet;
 mod handover;
 pub mod http;
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/link.rs
@@ -65,7 +65,7 @@
     Directory {
         body_most: usize,
     },
-    Closing,
+    FinalReports,
     /// An operator; `all` calls are here, or the view of the fleet alone.
     Operator {
         all: bool,
@@ -81,7 +81,7 @@
             Role::Destination { .. } => "partner",
             Role::Ending { .. } => "ending client",
             Role::Directory { .. } => "directory",
-            Role::Closing => "closing reports",
+            Role::FinalReports => "closing reports",
             Role::Operator { .. } => "operator",
         }
     }
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -1,7 +1,7 @@
 //! The mio loop: carries out what the core asks for, and tells it what came of it. One thread, no blocking
 //! but in the poll. Everything decided is decided in the core; here are connections, bytes and clocks.
 //! `door` looks after those who hand messages in, `calls` after destinations, `platform` after the directory and
-//! the closing reports, `fleet` after the other senders, `operator` after the operators' calls. `effects` carries
+//! the final reports, `fleet` after the other senders, `operator` after the operators' calls. `effects` carries
 //! out what the core asks for, `due` keeps the times, `journal` opens the journal and looks after it, `shutdown`
 //! has the steps to the end.
 
@@ -32,19 +32,19 @@
 use crate::beside;
 use crate::by_endpoint::ByEndpoint;
 use crate::clients;
-use crate::closing::{self, Reports};
 use crate::config::Site;
 use crate::destinations::{self, Told, Verdict};
 use crate::directory;
+use crate::final_report::{self, Reports};
 use crate::fleet::Fleet;
-use crate::handover as passing;
+use crate::handover as handover_exchange;
 use crate::http;
 use crate::link::{ANSWER_MOST, Clock, Link, Out, Role, consume};
 use crate::watch::{Failure, Watch};
 use crate::webpush::{self, Push};
 use cranehill_core as core;
 use cranehill_core::breakage::{self, Breakage};
-use cranehill_core::{Attempt, AttemptEnd, Core, Effect, Input, Kept, Listing, Origin};
+use cranehill_core::{Attempt, AttemptOutcome, Core, Effect, Input, Listing, Origin, Persisted};
 use cranehill_journal::{Folder, Journal, Key, Options, Recovered};
 
 const CLIENTS: Token = Token(0);
@@ -123,7 +123,7 @@
     pushes: Option<TcpListener>,
     operators: Option<TcpListener>,
     /// The right to work in the folder, and the end of this process that passes on to a new one.
-    _lock: Option<passing::Lock>,
+    _lock: Option<handover_exchange::Lock>,
     handover: Option<handover::End>,
     /// Since when operators have this sender emptied.
     lame: Option<Time>,
@@ -232,10 +232,10 @@
         let poll = Poll::new().map_err(|e| format!("poll: {e}"))?;
         let mut clock = Clock::new();
         let (mut journal, mut recovered, mut state_dir) = (None, Recovered::default(), None);
-        let (mut lock, mut taken) = (None, passing::Taken::default());
+        let (mut lock, mut taken) = (None, handover_exchange::InheritedSockets::default());
         // Only operators start a second process beside this one.
         if let Some(state) = state.as_ref().filter(|_| setup.operator.is_some()) {
-            let (own, all) = passing::take(&state.dir)?;
+            let (own, all) = handover_exchange::take(&state.dir)?;
             (lock, taken) = (Some(own), all);
         }
         let remembers = setup.fleet.as_ref().is_some_and(|f| f.recovery.is_some());
@@ -258,7 +258,7 @@
         let mut core = Core::new(site.settings.clone(), seed, now).map_err(|e| e.to_string())?;
         let mut list = known;
         list.extend(push.iter().flat_map(Push::listings));
-        core.step(now, Input::Listed { whole: true, list });
+        core.step(now, Input::EndpointsChanged { whole: true, list });
         let mut fleet_end = None;
         if let Some(fleet) = setup.fleet {
             fleet_end = Some(fleet::End::open(&fleet, poll.registry(), now)?);
@@ -335,7 +335,7 @@
             halted: Arc::default(),
         };
         reactor.carry_out(effects);
-        let (held, reports) = reactor.core.owed();
+        let (held, reports) = reactor.core.outstanding();
         log::info!(records = found, held, reports;
             "started: {found} records in the journal, {held} notices held, {reports} reports due");
         log::info!(
@@ -373,7 +373,7 @@
             reactor.handover = handover::End::open(dir, reactor.poll.registry());
         }
         if let Some(learnt) = taken.learnt.take() {
-            reactor.step(Input::Adopted(learnt));
+            reactor.step(Input::LearnedStateInherited(learnt));
         }
         let connections = taken.connections.len();
         taken
@@ -423,7 +423,7 @@
     /// Begins the end: as on SIGTERM.
     pub fn stop(&mut self) {
         if self.stopping.is_none() {
-            let (held, reports) = self.core.owed();
+            let (held, reports) = self.core.outstanding();
             log::info!("stopping: {held} notices held, {reports} reports due");
             self.stopping = Some(self.clock.now());
             self.step_fleet(cranehill_membership::Input::Leave);
@@ -444,7 +444,7 @@
                 return Ok(());
             }
             if self.turn(&mut events)? {
-                let (held, reports) = self.core.owed();
+                let (held, reports) = self.core.outstanding();
                 let breaches = self.core.breaches;
                 log::info!(
                     "stopped: {held} notices and {reports} reports left to the journal; {breaches:?}"
@@ -490,7 +490,7 @@
         if self.dirty && now - self.last_turn >= self.site.settings.tick {
             self.last_turn = now;
             self.dirty = false;
-            let effects = self.core.step(now, Input::TurnOver);
+            let effects = self.core.step(now, Input::TickEnded);
             self.carry_out(effects);
         }
         if now >= self.upkeep_at && self.wants_compaction(now) {
@@ -586,7 +586,7 @@
             Role::Client { .. } => self.on_client(id),
             Role::Pusher { .. } => self.on_pusher(id),
             Role::Destination { .. } => self.on_destination(id, !flushed),
-            Role::Directory { .. } | Role::Closing => self.on_platform(id, !flushed),
+            Role::Directory { .. } | Role::FinalReports => self.on_platform(id, !flushed),
             Role::Operator { .. } => self.on_operator(id),
             Role::Ending { .. } => self.on_ending(id),
         }
@@ -611,13 +611,13 @@
                 check: Some(_),
                 ..
             } => {
-                self.step(Input::Checked {
+                self.step(Input::HealthChecked {
                     endpoint,
                     status: Status::NoConnection,
                 });
             }
             Role::Directory { .. } => self.watch_failed(why, Failure::Unreached),
-            Role::Closing => self.report_later(),
+            Role::FinalReports => self.report_later(),
             Role::Destination { .. }
             | Role::Client { .. }
             | Role::Pusher { .. }
--- a/crates/daemon/src/reactor/calls.rs
+++ b/crates/daemon/src/reactor/calls.rs
@@ -14,7 +14,7 @@
     (!link.input.is_empty()).then(|| link.used + STALL)
 }
 
-/// When a call that is not written whole must not be any more, since a message in it may have run before and a repeat
+/// When a call that is not written whole must not be any more, since a message in it may have been executed before and a repeat
 /// would leave the window of its class. Guards against connections that come up late: the decision was in time.
 pub(super) fn write_by(link: &Link) -> Option<Time> {
     match &link.role {
@@ -37,7 +37,7 @@
 }
 
 impl Reactor {
-    /// Ends calls that are not written yet: they would arrive inside a told wait, or at an endpoint that drains or is
+    /// Ends calls that are not written yet: they would arrive inside a Retry-After wait, or at an endpoint that drains or is
     /// gone.
     pub(super) fn hold_back(&mut self, endpoints: &[EndpointId]) {
         let waits = |l: &Link| {
@@ -216,7 +216,7 @@
                     link.output = http::write_request("GET", "/health", &address, &[], b"");
                 }
             }
-            Err(_) => self.step(Input::Checked {
+            Err(_) => self.step(Input::HealthChecked {
                 endpoint,
                 status: Status::NoConnection,
             }),
@@ -240,17 +240,17 @@
                 attempt.id,
                 attempt.number
             );
-            ends.push(AttemptEnd {
+            ends.push(AttemptOutcome {
                 id: attempt.id,
                 attempt: attempt.number,
                 status,
                 over,
                 took: now - out.started,
-                told_wait: told.wait,
+                retry_after: told.wait,
                 report: told.report,
             });
         }
-        self.step(Input::Ended(ends));
+        self.step(Input::AttemptsFinished(ends));
     }
 
     pub(super) fn on_destination(&mut self, id: usize, write_broke: bool) {
@@ -274,13 +274,13 @@
             if check.is_some() {
                 let status = match http::response(&link.input, ended) {
                     Ok(Some((r, _))) if r.status == 200 => Status::Served,
-                    Ok(Some(_)) => Status::Refused,
+                    Ok(Some(_)) => Status::Overloaded,
                     Ok(None) if !ended && link.input.len() < ANSWER_MOST => return,
                     _ => Status::Reset,
                 };
                 let endpoint = endpoint.clone();
                 self.drop_link(id);
-                return self.step(Input::Checked { endpoint, status });
+                return self.step(Input::HealthChecked { endpoint, status });
             }
             // Idle: closed by the other side, or talking out of turn.
             if ended || !link.input.is_empty() {
@@ -308,7 +308,7 @@
                 }
                 if let [
                     Verdict {
-                        status: Status::Rejected,
+                        status: Status::PermanentError,
                         ..
                     },
                     ..,
@@ -386,7 +386,7 @@
         // A wait binds from when it was written, also where its answer came too late to count.
         let unix_now = Duration::from_nanos(self.clock.now().0);
         let late = http::response(&link.input, false).ok().flatten();
-        let wait = late.and_then(|(response, _)| http::told_wait(&response.headers, unix_now));
+        let wait = late.and_then(|(response, _)| http::retry_after(&response.headers, unix_now));
         self.end_call(
             out,
             &Told {
--- a/crates/daemon/src/reactor/door.rs
+++ b/crates/daemon/src/reactor/door.rs
@@ -316,14 +316,14 @@
                     names,
                     body,
                 } => {
-                    // What the journal can't hold must not be taken on.
+                    // What the journal can't hold must not be accepted.
                     let now = self.clock.now();
                     let room = self
                         .journal
                         .as_mut()
                         .map_or(Ok(()), |j| j.admit(body.len()));
                     match clients::message(&self.site, id, &key, name, &names, body) {
-                        // Taken on, it could only be given up: nobody knows where it should go.
+                        // Accepted, it could only be given up: nobody knows where it should go.
                         Ok(message) if !self.core.knows(message.destination) => {
                             Some("destination not known")
                         }
@@ -334,7 +334,7 @@
                                 message.left
                             );
                             *busy = true;
-                            self.step(Input::Handed(message));
+                            self.step(Input::Submitted(message));
                             None
                         }
                         Ok(_) => {
@@ -349,7 +349,7 @@
                                 (self.turned_back, self.tell_back) =
                                     (0, now + Duration::from_secs(1));
                             }
-                            self.say(id, &clients::answer(core::Answer::Refused { after }));
+                            self.say(id, &clients::answer(core::Answer::Rejected { after }));
                             None
                         }
                         Err(why) => Some(why),
@@ -400,7 +400,7 @@
                 if link.ended {
                     let message = std::mem::take(message);
                     self.drop_link(id);
-                    self.step(Input::Withdrawn(message));
+                    self.step(Input::Cancelled(message));
                 }
                 return;
             }
@@ -443,7 +443,7 @@
             match push.accept(request, id, &self.site, self.clock.now()) {
                 Ok(message) => {
                     *busy = Some(message.id.clone());
-                    self.step(Input::Handed(message));
+                    self.step(Input::Submitted(message));
                 }
                 Err((status, why)) => {
                     link.faults += 1;
--- a/crates/daemon/src/reactor/due.rs
+++ b/crates/daemon/src/reactor/due.rs
@@ -59,12 +59,12 @@
                 self.hear_fleet();
             }
             if due {
-                self.step_fleet(cranehill_membership::Input::Due);
+                self.step_fleet(cranehill_membership::Input::TimerFired);
             }
         }
         while self.wakes.first().is_some_and(|&t| t <= now) {
             self.wakes.pop_first();
-            self.step(Input::Due);
+            self.step(Input::TimerFired);
         }
         if self.reload.is_some_and(|(at, _)| at <= now) {
             self.read_again();
@@ -112,13 +112,13 @@
                 Some(self.watch.overdue().min(link.used + set.connect_timeout))
             }
             Role::Directory { .. } => Some(self.watch.overdue()),
-            Role::Closing if !self.reports.idle() => Some(link.used + closing::OVERDUE),
+            Role::FinalReports if !self.reports.idle() => Some(link.used + final_report::OVERDUE),
             Role::Client { busy: false } | Role::Pusher { busy: None, .. } => {
                 Some(link.since + door::patience(link))
             }
             Role::Ending { until } => Some(*until),
             Role::Operator { .. } => Some(link.since + operator::PATIENCE),
-            Role::Client { .. } | Role::Pusher { .. } | Role::Closing => None,
+            Role::Client { .. } | Role::Pusher { .. } | Role::FinalReports => None,
         }
     }
 
@@ -141,7 +141,7 @@
             Role::Destination { call: Some(_), .. } | Role::Destination { check: Some(_), .. } => {
                 self.broken(id, "no answer in time");
             }
-            Role::Directory { .. } | Role::Closing => self.broken(id, "no answer in time"),
+            Role::Directory { .. } | Role::FinalReports => self.broken(id, "no answer in time"),
             Role::Client { .. } | Role::Pusher { .. } => self.out_of_patience(id),
             Role::Destination { .. } | Role::Operator { .. } | Role::Ending { .. } => {
                 self.drop_link(id);
--- a/crates/daemon/src/reactor/effects.rs
+++ b/crates/daemon/src/reactor/effects.rs
@@ -12,17 +12,19 @@
     pub(super) fn carry_out(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Keep(records) if breakage::is(Breakage::AnswersFirst) => {
+                Effect::Persist(records) if breakage::is(Breakage::AnswersFirst) => {
                     self.unwritten.extend(records);
-                    let effects = self.core.step(self.clock.now(), Input::Kept(Kept::All));
+                    let effects = self
+                        .core
+                        .step(self.clock.now(), Input::Persisted(Persisted::All));
                     self.carry_out(effects);
                 }
-                Effect::Keep(records) => {
+                Effect::Persist(records) => {
                     let now = millis(self.clock.now());
                     let forgets = breakage::is(Breakage::ForgetsJournal);
                     let journal = self.journal.as_mut().filter(|_| !forgets);
                     let kept = match journal.map_or(Ok(()), |j| j.append(now, &records)) {
-                        Ok(()) => Kept::All,
+                        Ok(()) => Persisted::All,
                         Err(e) => {
                             log::error!(records = records.len(), kept:? = e.kept;
                                 "journal: of {} records kept: {:?}: {e}", records.len(), e.kept);
@@ -30,8 +32,8 @@
                         }
                     };
                     // What could not be kept has ended in the core: another turn must take that in.
-                    self.dirty |= kept != Kept::All;
-                    let effects = self.core.step(self.clock.now(), Input::Kept(kept));
+                    self.dirty |= kept != Persisted::All;
+                    let effects = self.core.step(self.clock.now(), Input::Persisted(kept));
                     self.carry_out(effects);
                 }
                 Effect::Answer {
@@ -50,7 +52,7 @@
                     self.answer(link, webpush::answer(answer, &id));
                 }
                 Effect::Answer {
-                    to: Origin::EarlierLife,
+                    to: Origin::Restored,
                     ..
                 } => {}
                 Effect::Call {
@@ -58,22 +60,22 @@
                     address,
                     attempts,
                 } => self.call(endpoint, address, attempts),
-                Effect::Report { .. } if breakage::is(Breakage::DropsReports) => {}
-                Effect::Report { id, closing } => {
-                    log::trace!("notice {id}: to be reported as {closing:?}");
-                    self.reports.add(id, closing);
+                Effect::SendFinalReport { .. } if breakage::is(Breakage::DropsReports) => {}
+                Effect::SendFinalReport { id, final_report } => {
+                    log::trace!("notice {id}: to be reported as {final_report:?}");
+                    self.reports.add(id, final_report);
                 }
-                Effect::HoldBack { endpoints } => self.hold_back(&endpoints),
+                Effect::CancelUnwritten { endpoints } => self.hold_back(&endpoints),
                 Effect::CloseIdle(endpoint) => self.close_idle(&endpoint),
-                Effect::Check { endpoint, address } => self.check(endpoint, address),
+                Effect::CheckHealth { endpoint, address } => self.check(endpoint, address),
                 Effect::WakeAt(at) => {
                     self.wakes.insert(at);
                 }
                 Effect::Fleet(effect) => self.on_fleet(effect),
                 Effect::Zone(change) => fleet::tell_zone(&change, &self.site.names.zones),
                 Effect::Detached { by, known, now } => self.detached(by, known, &now),
-                Effect::Remember(bytes) => self.remember(&bytes),
-                Effect::Full(took) => {
+                Effect::PersistLearnedState(bytes) => self.remember(&bytes),
+                Effect::RecoveryComplete(took) => {
                     log::info!(event = "full", took_ms = took.as_millis() as u64;
                         "recovery: full service {took:?} after the start");
                 }
--- a/crates/daemon/src/reactor/fleet.rs
+++ b/crates/daemon/src/reactor/fleet.rs
@@ -62,17 +62,17 @@
     }
 }
 
-/// Tells the core what an earlier life had learnt.
+/// Tells the core what an earlier process had learnt.
 pub(super) fn remembered(dir: Option<&std::path::Path>, core: &mut Core, now: Time) {
     match dir.map(|dir| beside::LEARNT.read(dir)).transpose() {
         Ok(bytes) => {
             if let Some(bytes) = bytes.flatten() {
-                core.step(now, core::Input::Remembered(bytes));
+                core.step(now, core::Input::LearnedStateRestored(bytes));
             }
         }
         Err(e) => log::warn!("recovery: what was learnt can't be read: {e}"),
     }
-    let (held, _) = core.owed();
+    let (held, _) = core.outstanding();
     log::info!(event = "recovering", held; "recovery: recovering");
 }
 
@@ -234,7 +234,7 @@
             .dropped()
             .map(|(why, times)| (why.label(), times))
             .collect();
-        let (held, reports) = self.core.owed();
+        let (held, reports) = self.core.outstanding();
         let body = json!({"name": me.name, "at": me.at.to_string(), "life": me.generation, "senders": members.share_divisor(),
             "members": views, "refused": refused, "held": held, "reports": reports,
             "zones": self.core.zone_states().map(|states| zones_shown(&states, &self.site.names.zones, now)),
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -59,9 +59,9 @@
         match (asked, end.quiet) {
             (true, None) => {
                 end.quiet = Some(now);
-                let (held, out) = (self.core.owed().0, self.core.attempts_out());
+                let (held, out) = (self.core.outstanding().0, self.core.attempts_out());
                 log::info!(event = "hand-over", held, out; "hand-over: asked for; {held} notices held, {out} attempts out");
-                self.step(Input::Quiet(true));
+                self.step(Input::Quiesced(true));
                 false
             }
             (false, Some(_)) => {
@@ -87,11 +87,11 @@
             end.quiet = None;
             end.giver.given_up();
         }
-        self.step(Input::Quiet(false));
+        self.step(Input::Quiesced(false));
     }
 
     fn pass_all(&mut self) -> io::Result<()> {
-        // What is still out is broken off, as at an end by signal: it may have run, and the journal says so.
+        // What is still out is broken off, as at an end by signal: it may have been executed, and the journal says so.
         let out = |l: &Link| matches!(l.role, Role::Destination { call: Some(_), .. });
         let late: Vec<usize> = self
             .links
@@ -127,7 +127,7 @@
         for &id in &clients {
             self.pump(id);
         }
-        let effects = self.core.step(self.clock.now(), Input::TurnOver);
+        let effects = self.core.step(self.clock.now(), Input::TickEnded);
         self.carry_out(effects);
         let learnt = self.core.learnt();
         let Some(End { giver, .. }) = &mut self.handover else {
@@ -160,7 +160,7 @@
             passed += 1;
         }
         giver.end()?;
-        let (held, reports) = self.core.owed();
+        let (held, reports) = self.core.outstanding();
         log::info!(event = "handed-over", clients = passed, held, reports;
             "hand-over: done, with {passed} client connections; {held} notices and {reports} reports are in the journal");
         self.end_waiting();
--- a/crates/daemon/src/reactor/journal.rs
+++ b/crates/daemon/src/reactor/journal.rs
@@ -50,9 +50,9 @@
 
 /// What the on-call staff should know of how the folder was found.
 pub(super) fn tell_recovered(recovered: &Recovered) {
-    let (open, closing, remembered) = recovered.counts;
-    log::info!(open, closing, remembered, latest_ms = recovered.latest;
-        "journal: {open} notices open, {closing} reports due, {remembered} ended ids remembered");
+    let (open, final_report, remembered) = recovered.counts;
+    log::info!(open, final_report, remembered, latest_ms = recovered.latest;
+        "journal: {open} notices open, {final_report} reports due, {remembered} ended ids remembered");
     if let Some((file, bytes)) = &recovered.torn {
         log::warn!(segment = file.as_str(), bytes = *bytes;
             "journal: {bytes} bytes of a write that was cut off at the end of {file}; nothing in it was promised");
@@ -74,7 +74,7 @@
     for file in recovered
         .foreign
         .iter()
-        .filter(|f| !beside::is_ours(f) && !passing::NAMES.contains(&f.as_str()))
+        .filter(|f| !beside::is_ours(f) && !handover_exchange::NAMES.contains(&f.as_str()))
     {
         log::warn!(file = file.as_str(); "journal: {file} is not of this folder; left alone, it takes room");
     }
--- a/crates/daemon/src/reactor/operator.rs
+++ b/crates/daemon/src/reactor/operator.rs
@@ -27,7 +27,7 @@
     Attach(String),
 }
 
-/// Tells the core what an earlier life had detached.
+/// Tells the core what an earlier process had detached.
 pub(super) fn detached_before(dir: &std::path::Path, core: &mut Core) {
     let read = beside::DETACHED
         .read(dir)
--- a/crates/daemon/src/reactor/platform.rs
+++ b/crates/daemon/src/reactor/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: the directory's watch, the closing reports, and where both are.
+//! The platform: the directory's watch, the final reports, and where both are.
 
 use super::*;
 
@@ -19,7 +19,7 @@
 
     pub(super) fn report_later(&mut self) {
         self.reports.lost();
-        self.report_at = self.clock.now() + closing::AGAIN;
+        self.report_at = self.clock.now() + final_report::AGAIN;
     }
 
     pub(super) fn on_platform(&mut self, id: usize, write_broke: bool) {
@@ -54,9 +54,9 @@
                     let told = self.reports.answered(response.status);
                     log::trace!("reports {told:?} are with the platform");
                     if told.is_empty() {
-                        self.report_at = self.clock.now() + closing::AGAIN;
+                        self.report_at = self.clock.now() + final_report::AGAIN;
                     } else {
-                        self.step(Input::Reported(told));
+                        self.step(Input::FinalReportsAcknowledged(told));
                     }
                 }
             }
@@ -101,11 +101,11 @@
                 if whole {
                     list.extend(self.push.iter().flat_map(Push::listings));
                 }
-                self.step(Input::Listed { whole, list });
+                self.step(Input::EndpointsChanged { whole, list });
             }
             Err(why) => {
                 let unix_now = Duration::from_nanos(self.clock.now().0);
-                let told = http::told_wait(&response.headers, unix_now);
+                let told = http::retry_after(&response.headers, unix_now);
                 self.watch_failed(&why, Failure::Refused { told });
             }
         }
@@ -155,11 +155,11 @@
         let open = self
             .links
             .iter()
-            .find(|(_, l)| matches!(l.role, Role::Closing) && !l.ended)
+            .find(|(_, l)| matches!(l.role, Role::FinalReports) && !l.ended)
             .map(|(&id, _)| id);
         let id = match open {
             Some(id) => id,
-            None => match self.connect(Role::Closing, &host) {
+            None => match self.connect(Role::FinalReports, &host) {
                 Ok(id) => id,
                 Err(e) => {
                     log::info!("closing: {e}");
@@ -200,7 +200,7 @@
         }
     }
 
-    /// The directory is at another address from now on: watch and closing reports go there, and what the old
+    /// The directory is at another address from now on: watch and final reports go there, and what the old
     /// one has not answered goes again. The last list is kept until the new one has told all of its own; its
     /// versions need not go on from the old one's.
     fn move_platform(&mut self, address: SocketAddr) {
@@ -210,7 +210,7 @@
         }
         log::info!("reload: the directory is at {address} now");
         let now = self.clock.now();
-        let platform = |l: &Link| matches!(l.role, Role::Directory { .. } | Role::Closing);
+        let platform = |l: &Link| matches!(l.role, Role::Directory { .. } | Role::FinalReports);
         let old: Vec<usize> = self
             .links
             .iter()
--- a/crates/daemon/src/reactor/shutdown.rs
+++ b/crates/daemon/src/reactor/shutdown.rs
@@ -34,7 +34,7 @@
             self.sending_stopped = true;
             self.step(Input::Stopping);
         }
-        let (held, reports) = self.core.owed();
+        let (held, reports) = self.core.outstanding();
         let over = held == 0 && reports == 0
             || self.sending_stopped && self.core.attempts_out() == 0 && reports == 0;
         let over = over && !self.links.values().any(door::open);
@@ -56,7 +56,7 @@
             .collect();
         for id in ids {
             let after = Some(Duration::from_secs(5));
-            self.say(id, &webpush::answer(core::Answer::Refused { after }, ""));
+            self.say(id, &webpush::answer(core::Answer::Rejected { after }, ""));
         }
     }
 }
--- a/crates/daemon/src/webpush.rs
+++ b/crates/daemon/src/webpush.rs
@@ -361,7 +361,7 @@
             tenant: usize::MAX,
             destination: FIRST + place.unwrap_or(0) as u64,
             key: None,
-            order_key: None,
+            ordering_key: None,
             body: Arc::from(request.body),
             left,
             spent: if ttl == 0 {
@@ -404,14 +404,14 @@
             status: Status::Served,
             over: true,
         },
-        429 | 503 => Verdict::of(Status::Refused),
-        404 | 410 => Verdict::of(Status::Gone),
+        429 | 503 => Verdict::of(Status::Overloaded),
+        404 | 410 => Verdict::of(Status::RecipientRemoved),
         500..600 => Verdict::of(Status::Error),
         // 400, 401, 403, 413 and their like: the same message will not be taken the next time either.
-        _ => Verdict::of(Status::Rejected),
+        _ => Verdict::of(Status::PermanentError),
     };
-    let waits = verdict.status == Status::Refused;
-    let wait = http::told_wait(&response.headers, unix_now).filter(|_| waits);
+    let waits = verdict.status == Status::Overloaded;
+    let wait = http::retry_after(&response.headers, unix_now).filter(|_| waits);
     Told {
         verdicts: vec![verdict],
         wait,
@@ -422,13 +422,13 @@
 /// The one answer to a post.
 pub fn answer(answer: Answer, id: &str) -> Vec<u8> {
     match answer {
-        Answer::Delivered | Answer::TakenOn => http::write_response(
+        Answer::Delivered | Answer::Accepted => http::write_response(
             201,
             "Created",
             &[("Location", format!("/message/{id}"))],
             "",
         ),
-        Answer::Refused { after } => {
+        Answer::Rejected { after } => {
             // Whole seconds, and never sooner than meant.
             let seconds = after.unwrap_or_default().as_millis().div_ceil(1000).max(1);
             let headers = [("Retry-After", seconds.to_string())];
@@ -439,8 +439,10 @@
                 "refused; come again later\n",
             )
         }
-        Answer::Gone => http::write_response(410, "Gone", &[], "the subscription is gone\n"),
-        Answer::GivenUp => {
+        Answer::RecipientRemoved => {
+            http::write_response(410, "Gone", &[], "the subscription is gone\n")
+        }
+        Answer::Expired => {
             http::write_response(504, "Gateway Timeout", &[], "given up: out of time\n")
         }
         Answer::Failed => http::write_response(
--- a/crates/daemon/tests/closing.rs
+++ b/crates/daemon/tests/final_report.rs
@@ -1,9 +1,9 @@
-//! Closing reports: what is out, lost and sent again.
+//! Final reports: what is out, lost and sent again.
 
 use std::time::Duration;
 
-use cranehill_core::Closing;
-use cranehill_daemon::closing::{AGAIN, OVERDUE, Reports};
+use cranehill_core::FinalReport;
+use cranehill_daemon::final_report::{AGAIN, OVERDUE, Reports};
 
 fn ids(bytes: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(bytes);
@@ -19,11 +19,11 @@
 fn a_lost_report_goes_again_first_and_inside_the_time_for_it() {
     assert!(OVERDUE + AGAIN < Duration::from_millis(300));
     let mut reports = Reports::default();
-    reports.add("a".into(), Closing::Failed);
-    reports.add("b".into(), Closing::Returned { after_ms: 500 });
+    reports.add("a".into(), FinalReport::Failed);
+    reports.add("b".into(), FinalReport::Returned { after_ms: 500 });
     let first = reports.next("h").expect("two reports");
     assert_eq!(ids(&first), [r#""a""#, r#""b""#]);
-    reports.add("c".into(), Closing::Failed);
+    reports.add("c".into(), FinalReport::Failed);
     assert!(reports.next("h").is_none(), "one call at a time");
     reports.lost();
     assert_eq!(
--- a/crates/fleet-harness/src/hollow/member.rs
+++ b/crates/fleet-harness/src/hollow/member.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use cranehill_core::{Core, Effect, Input, Kept};
+use cranehill_core::{Core, Effect, Input, Persisted};
 use cranehill_membership as membership;
 use cranehill_scheduler::Time;
 use cranehill_scheduler::profile::Profile;
@@ -177,10 +177,10 @@
     /// The time of [`Member::due`] has come.
     pub fn wake(&mut self, now: Time, output: &mut Output) {
         if self.membership_due.take_if(|due| *due <= now).is_some() {
-            self.step_membership(now, membership::Input::Due, output);
+            self.step_membership(now, membership::Input::TimerFired, output);
         }
         if self.decisions_due.take_if(|due| *due <= now).is_some() {
-            self.step(now, Input::Due, output);
+            self.step(now, Input::TimerFired, output);
             self.take_turn(now, output);
         }
     }
@@ -200,7 +200,7 @@
 
     /// Lets the decisions be made of all that came in.
     fn take_turn(&mut self, now: Time, output: &mut Output) {
-        self.step(now, Input::TurnOver, output);
+        self.step(now, Input::TickEnded, output);
     }
 
     /// True if shared limits are divided anew.
@@ -220,13 +220,13 @@
                         self.decisions_due = Some(self.decisions_due.map_or(at, |due| due.min(at)));
                     }
                     // There is no journal: all is kept at once.
-                    Effect::Keep(_) => kept = true,
+                    Effect::Persist(_) => kept = true,
                     // There are no clients and no destinations.
                     _ => {}
                 }
             }
             if kept {
-                effects = self.core.step(now, Input::Kept(Kept::All));
+                effects = self.core.step(now, Input::Persisted(Persisted::All));
             }
         }
         divided
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -435,7 +435,7 @@
         json!({
             "scenario": plan.day.name, "seed": plan.seed, "nodes": plan.day.senders, "hollow": plan.day.hollow, "lasted_ms": ms(outcome.lasted),
             "holds": self.holds(), "failed": self.failed,
-            "service": {"worth": outcome.worth.0, "asked": outcome.worth.1, "handed": outcome.handed,
+            "service": {"worth": outcome.worth.0, "asked": outcome.worth.1, "handed": outcome.submitted,
                 "delivered": outcome.delivered},
             "detection_ms": {"count": d.len(), "p50": d.value_at_quantile(0.5), "p99": d.value_at_quantile(0.99),
                 "max": d.max(), "bound": ms(self.bound), "undetected": self.undetected},
--- a/crates/fleet-harness/src/sweep/backlog.rs
+++ b/crates/fleet-harness/src/sweep/backlog.rs
@@ -217,7 +217,7 @@
     let mut events: Vec<(u64, String)> = (0..size)
         .map(|n| event(n, DESTINATIONS, 0, &body))
         .filter_map(|record| match record {
-            cranehill_core::Record::Taken { id, deadline, .. } => Some((deadline, id)),
+            cranehill_core::Record::Accepted { id, deadline, .. } => Some((deadline, id)),
             _ => None,
         })
         .collect();
--- a/crates/fleet-harness/src/sweep/reducer.rs
+++ b/crates/fleet-harness/src/sweep/reducer.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranehill_core::{AttemptEnd, Core, Effect, Input, Kept, Listing, Record};
+use cranehill_core::{AttemptOutcome, Core, Effect, Input, Listing, Persisted, Record};
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
@@ -40,16 +40,16 @@
     state ^ (state >> 31)
 }
 
-/// One event of a backlog, taken on at `now` (ns since 1970): half of its time at least is left.
+/// One event of a backlog, accepted at `now` (ns since 1970): half of its time at least is left.
 pub fn event(number: u64, destinations: u64, now: u64, body: &Arc<[u8]>) -> Record {
     let lasts = LASTS.as_nanos() as u64;
-    Record::Taken {
+    Record::Accepted {
         id: format!("{:016x}", mixed(number)),
         class: 0,
         tenant: 0,
         destination: number % destinations,
         key: Some(format!("{:016x}", mixed(!number))),
-        order_key: None,
+        ordering_key: None,
         deadline: now + lasts / 2 + mixed(number ^ 0x5eed) % (lasts / 2),
         at: now,
         body: body.clone(),
@@ -86,7 +86,7 @@
         let list = listings(destinations);
         let begun = thread_cpu();
         self.core
-            .step(self.now, Input::Listed { whole: true, list });
+            .step(self.now, Input::EndpointsChanged { whole: true, list });
         let step = thread_cpu() - begun;
         step + self.turn().took
     }
@@ -105,11 +105,11 @@
     pub fn turn(&mut self) -> Turn {
         self.now = self.now + TICK;
         let begun = thread_cpu();
-        let mut effects = self.core.step(self.now, Input::Due);
-        effects.extend(self.core.step(self.now, Input::TurnOver));
-        if matches!(effects.last(), Some(Effect::Keep(_))) {
+        let mut effects = self.core.step(self.now, Input::TimerFired);
+        effects.extend(self.core.step(self.now, Input::TickEnded));
+        if matches!(effects.last(), Some(Effect::Persist(_))) {
             effects.pop();
-            effects.extend(self.core.step(self.now, Input::Kept(Kept::All)));
+            effects.extend(self.core.step(self.now, Input::Persisted(Persisted::All)));
         }
         let mut turn = Turn {
             took: thread_cpu() - begun,
@@ -121,7 +121,7 @@
                     turn.calls
                         .extend(attempts.into_iter().map(|a| (a.id, a.number)));
                 }
-                Effect::Report { .. } => turn.given_up += 1,
+                Effect::SendFinalReport { .. } => turn.given_up += 1,
                 _ => {}
             }
         }
@@ -130,16 +130,18 @@
 
     /// The destinations serve these calls.
     pub fn serve(&mut self, calls: Vec<(String, u32)>) {
-        let end = |(id, attempt)| AttemptEnd {
+        let end = |(id, attempt)| AttemptOutcome {
             id,
             attempt,
             status: Status::Served,
             over: true,
             took: TICK,
-            told_wait: None,
+            retry_after: None,
             report: None,
         };
-        self.core
-            .step(self.now, Input::Ended(calls.into_iter().map(end).collect()));
+        self.core.step(
+            self.now,
+            Input::AttemptsFinished(calls.into_iter().map(end).collect()),
+        );
     }
 }
--- a/crates/fleet-harness/src/zones.rs
+++ b/crates/fleet-harness/src/zones.rs
@@ -102,7 +102,7 @@
             What::Broke {
                 endpoint,
                 ids,
-                ran: false,
+                executed: false,
                 ..
             } if ids.is_empty() => *endpoint,
             _ => continue,
--- a/crates/journal-tools/src/export.rs
+++ b/crates/journal-tools/src/export.rs
@@ -61,11 +61,15 @@
         ("lsn", wide(|r| Some(r.lsn))),
         ("kind", text(|r| Some(r.kind))),
         ("id", text(|r| r.id.as_deref())),
-        ("born", wide(|r| r.born)),
+        ("born", wide(|r| r.accepted_lsn)),
         ("attempt", narrow(|r| r.attempt)),
         (
             "never_ran",
-            Arc::new(rows.iter().map(|r| r.never_ran).collect::<BooleanArray>()),
+            Arc::new(
+                rows.iter()
+                    .map(|r| r.not_executed)
+                    .collect::<BooleanArray>(),
+            ),
         ),
         ("endpoint", text(|r| r.endpoint.as_deref())),
         ("at", wide(|r| r.at)),
@@ -87,7 +91,7 @@
             ),
         ),
         // Newer columns go to the end: readers may go by place.
-        ("order_key", text(|r| r.order_key.as_deref())),
+        ("order_key", text(|r| r.ordering_key.as_deref())),
     ];
     let columns = columns.map(|(name, column)| (name, column, true));
     Ok(RecordBatch::try_from_iter_with_nullable(columns)?)
--- a/crates/journal-tools/src/lib.rs
+++ b/crates/journal-tools/src/lib.rs
@@ -23,7 +23,7 @@
     pub torn: Option<(String, u64)>,
     pub foreign: Vec<String>,
     pub open: u64,
-    pub closing: u64,
+    pub final_report: u64,
     pub remembered: u64,
     pub segments: usize,
     pub frames: u64,
@@ -72,7 +72,7 @@
         }
         lines.push(format!(
             "{} segments, {} frames; {} notices open ({} in doubt), {} reports due, {} ended ids remembered",
-            self.segments, self.frames, self.open, self.doubted, self.closing, self.remembered
+            self.segments, self.frames, self.open, self.doubted, self.final_report, self.remembered
         ));
         lines
     }
@@ -83,7 +83,7 @@
     let mut files = snapshot.files.after_death();
     let found =
         read(&mut files, snapshot.key, &Key::default()).map_err(ToolError::open(&snapshot.path))?;
-    let (open, closing, remembered) = found.index.counts();
+    let (open, final_report, remembered) = found.index.counts();
     Ok(Verdict {
         damage: found.recovered.damage,
         lost: found.recovered.lost,
@@ -91,7 +91,7 @@
         torn: found.recovered.torn,
         foreign: found.recovered.foreign,
         open,
-        closing,
+        final_report,
         remembered,
         segments: found.scan.segments.len(),
         frames: found
@@ -125,7 +125,7 @@
     /// Bytes of bodies as they came, and as they stand in the folder.
     pub bodies: (u64, u64),
     pub open: u64,
-    pub closing: u64,
+    pub final_report: u64,
     pub remembered: u64,
 }
 
@@ -154,7 +154,7 @@
         ));
         lines.push(format!(
             "{} open, {} closing, {} remembered",
-            self.open, self.closing, self.remembered
+            self.open, self.final_report, self.remembered
         ));
         lines
     }
@@ -166,7 +166,7 @@
     let found =
         read(&mut files, snapshot.key, &Key::default()).map_err(ToolError::open(&snapshot.path))?;
     let mut stats = Stats::default();
-    (stats.open, stats.closing, stats.remembered) = found.index.counts();
+    (stats.open, stats.final_report, stats.remembered) = found.index.counts();
     stats.segments = found
         .scan
         .segments
--- a/crates/journal-tools/src/row.rs
+++ b/crates/journal-tools/src/row.rs
@@ -17,14 +17,16 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub accepted_lsn: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub attempt: Option<u32>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub never_ran: Option<bool>,
+    #[serde(rename = "never_ran")]
+    pub not_executed: Option<bool>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<String>,
-    /// When it was taken on or sent.
+    /// When it was accepted or sent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub at: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -39,7 +41,8 @@
     pub key: Option<String>,
     /// What its message keeps its order within.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub order_key: Option<String>,
+    #[serde(rename = "order_key")]
+    pub ordering_key: Option<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline: Option<u64>,
     /// A closing's wait; a closing without one failed.
@@ -74,22 +77,22 @@
         let subject = fact.subject();
         let row = Row {
             id: subject.and_then(|s| text(s.0)),
-            born: subject.map(|s| s.1),
+            accepted_lsn: subject.map(|s| s.1),
             ..place
         };
         let row = Row {
-            order_key: fact.order_key().and_then(|key| text(key)),
+            ordering_key: fact.ordering_key().and_then(|key| text(key)),
             ..row
         };
         match *fact {
-            Fact::Taken(taken) | Fact::TakenInOrder { taken, .. } => {
+            Fact::Accepted(taken) | Fact::AcceptedInOrder { taken, .. } => {
                 let AcceptedMessage {
                     class,
                     tenant,
                     destination,
                     key,
                     deadline,
-                    lasts,
+                    lifetime,
                     packed_from,
                     body,
                     ..
@@ -102,13 +105,13 @@
                     destination: Some(destination),
                     key: key.and_then(|k| text(k)),
                     deadline: Some(deadline),
-                    at: Some(deadline.saturating_sub(u64::from(lasts))),
+                    at: Some(deadline.saturating_sub(u64::from(lifetime))),
                     body_bytes: body.as_ref().map(|b| b.len() as u32),
                     body,
                     ..row
                 }
             }
-            Fact::Sent {
+            Fact::AttemptStarted {
                 attempt,
                 endpoint,
                 at,
@@ -120,20 +123,22 @@
                 at: Some(at),
                 ..row
             },
-            Fact::Back {
-                attempt, never_ran, ..
+            Fact::AttemptFinished {
+                attempt,
+                not_executed,
+                ..
             } => Row {
                 kind: "back",
                 attempt: Some(attempt),
-                never_ran: Some(never_ran),
+                not_executed: Some(not_executed),
                 ..row
             },
-            Fact::Closing { after, .. } | Fact::ClosingInOrder { after, .. } => Row {
+            Fact::FinalReportDue { after, .. } | Fact::FinalReportDueInOrder { after, .. } => Row {
                 kind: "closing",
                 after_ms: after,
                 ..row
             },
-            Fact::Over { until, .. } => Row {
+            Fact::Completed { until, .. } => Row {
                 kind: "over",
                 until: Some(until),
                 ..row
@@ -164,16 +169,16 @@
             }
         };
         add("id", self.id.clone());
-        add("born", self.born.map(|v| v.to_string()));
+        add("born", self.accepted_lsn.map(|v| v.to_string()));
         add("attempt", self.attempt.map(|v| v.to_string()));
-        add("never_ran", self.never_ran.map(|v| v.to_string()));
+        add("never_ran", self.not_executed.map(|v| v.to_string()));
         add("endpoint", self.endpoint.clone());
         add("at", self.at.map(|v| v.to_string()));
         add("class", self.class.map(|v| v.to_string()));
         add("station", self.tenant.map(|v| v.to_string()));
         add("partner", self.destination.map(|v| v.to_string()));
         add("key", self.key.clone());
-        add("order_key", self.order_key.clone());
+        add("order_key", self.ordering_key.clone());
         add("deadline", self.deadline.map(|v| v.to_string()));
         add("after_ms", self.after_ms.map(|v| v.to_string()));
         add("until", self.until.map(|v| v.to_string()));
--- a/crates/journal/benches/journal.rs
+++ b/crates/journal/benches/journal.rs
@@ -57,13 +57,13 @@
 
 fn taken(n: u64, body: Arc<[u8]>) -> Record {
     let deadline = (NOW + 20_000) * MS;
-    Record::Taken {
+    Record::Accepted {
         id: id(n),
         class: 0,
         tenant: 1,
         destination: n % 22,
         key: Some(id(n ^ 7)),
-        order_key: None,
+        ordering_key: None,
         deadline,
         at: NOW * MS,
         body,
@@ -71,7 +71,7 @@
 }
 
 fn sent(n: u64, attempt: u32) -> Record {
-    Record::Sent {
+    Record::AttemptStarted {
         id: id(n),
         attempt,
         endpoint: format!("s-{:08x}", n % 29),
@@ -81,7 +81,7 @@
 
 fn old(record: &Record) -> OldRecord {
     match record.clone() {
-        Record::Taken {
+        Record::Accepted {
             id,
             class,
             tenant,
@@ -90,7 +90,7 @@
             deadline,
             body,
             ..
-        } => OldRecord::Taken {
+        } => OldRecord::Accepted {
             id,
             class,
             tenant,
@@ -99,7 +99,7 @@
             deadline,
             body,
         },
-        Record::Sent {
+        Record::AttemptStarted {
             id,
             attempt,
             endpoint,
@@ -110,30 +110,32 @@
             endpoint,
             at,
         },
-        Record::Back {
+        Record::AttemptFinished {
             id,
             attempt,
-            never_ran,
-        } => OldRecord::Back {
+            not_executed,
+        } => OldRecord::AttemptFinished {
             id,
             attempt,
-            never_ran,
+            not_executed,
         },
-        Record::Closing { id, .. } | Record::Over { id, .. } => OldRecord::Over { id },
+        Record::FinalReportDue { id, .. } | Record::Completed { id, .. } => OldRecord::Over { id },
     }
 }
 
 /// What redb would hold of a record: as few bytes as the journal's, without its frame.
 fn value(record: &Record) -> Vec<u8> {
     match record {
-        Record::Taken { id, key, body, .. } => [
+        Record::Accepted { id, key, body, .. } => [
             id.as_bytes(),
             &[0; 12],
             key.as_deref().unwrap_or_default().as_bytes(),
             body,
         ]
         .concat(),
-        Record::Sent { id, endpoint, .. } => [id.as_bytes(), &[1; 8], endpoint.as_bytes()].concat(),
+        Record::AttemptStarted { id, endpoint, .. } => {
+            [id.as_bytes(), &[1; 8], endpoint.as_bytes()].concat()
+        }
         other => [other.id().as_bytes(), &[2; 2]].concat(),
     }
 }
@@ -173,7 +175,7 @@
     write.commit().expect("committed");
 }
 
-/// Bytes on disk for a message that is held: taken on, one attempt out.
+/// Bytes on disk for a message that is held: accepted, one attempt out.
 fn bytes_per_message() {
     println!("\nbytes a held notice (taken on, one attempt out), over 5,000 notices");
     for (size, noise) in [
@@ -210,20 +212,20 @@
     tempfile::tempdir().expect("a folder")
 }
 
-/// A turn of 32 records: eight messages taken on, sent, back and over.
+/// A turn of 32 records: eight messages accepted, sent, back and over.
 fn turn(n: u64) -> Vec<Record> {
     let mut records = Vec::with_capacity(32);
     for k in 0..8 {
         let (new, older) = (n * 8 + k, (n * 8 + k).wrapping_sub(80));
         records.push(taken(new, body(new, 212, false)));
         records.push(sent(new, 0));
-        records.push(Record::Back {
+        records.push(Record::AttemptFinished {
             id: id(new),
             attempt: 0,
-            never_ran: false,
+            not_executed: false,
         });
         let over = if n >= 10 { older } else { new };
-        records.push(Record::Over {
+        records.push(Record::Completed {
             id: id(over),
             until: (NOW + 20_000) * MS,
         });
@@ -334,7 +336,7 @@
                 let until = (now + 20_000) * MS;
                 let ends = [n - held, n - held / 2].into_iter().zip([0, 1]);
                 let due = ends.filter(|(older, soon)| (older % 7 == 0) == (*soon == 0));
-                records.extend(due.map(|(older, _)| Record::Over {
+                records.extend(due.map(|(older, _)| Record::Completed {
                     id: id(older),
                     until,
                 }));
@@ -392,7 +394,7 @@
             let new = OPEN + n * 8 + k;
             records.push(taken(new, body(new, 212, false)));
             records.push(sent(new, 0));
-            records.push(Record::Over {
+            records.push(Record::Completed {
                 id: id((n * 8 + k) * 2 % OPEN),
                 until: (now + 20_000) * MS,
             });
--- a/crates/journal/benches/old_ledger.rs
+++ b/crates/journal/benches/old_ledger.rs
@@ -12,7 +12,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OldRecord {
-    Taken {
+    #[serde(rename = "taken")]
+    Accepted {
         id: String,
         class: usize,
         #[serde(rename = "station")]
@@ -30,10 +31,12 @@
         endpoint: String,
         at: u64,
     },
-    Back {
+    #[serde(rename = "back")]
+    AttemptFinished {
         id: String,
         attempt: u32,
-        never_ran: bool,
+        #[serde(rename = "never_ran")]
+        not_executed: bool,
     },
     Over {
         id: String,
@@ -104,7 +107,7 @@
 fn encode(record: &OldRecord, into: &mut Vec<u8>) {
     let mut payload = serde_json::to_vec(record).unwrap_or_default();
     payload.push(b'\n');
-    if let OldRecord::Taken { body, .. } = record {
+    if let OldRecord::Accepted { body, .. } = record {
         payload.extend_from_slice(body);
     }
     into.extend_from_slice(&(payload.len() as u32).to_le_bytes());
@@ -130,7 +133,7 @@
     }
     let split = payload.iter().position(|&b| b == b'\n')?;
     let mut record: OldRecord = serde_json::from_slice(&payload[..split]).ok()?;
-    if let OldRecord::Taken { body, .. } = &mut record {
+    if let OldRecord::Accepted { body, .. } = &mut record {
         *body = Arc::from(&payload[split + 1..]);
     }
     Some((record, at + FRAME + len))
--- a/crates/journal/src/compact.rs
+++ b/crates/journal/src/compact.rs
@@ -169,11 +169,14 @@
                         let slot = fact
                             .subject()
                             .and_then(|(id, _)| self.index.slot(&Id::from_packed(id)?));
-                        if let (Some(slot), Some((_, born))) = (slot, fact.subject()) {
-                            if !matches!(fact, Fact::Over { .. }) {
+                        if let (Some(slot), Some((_, accepted_lsn))) = (slot, fact.subject()) {
+                            if !matches!(fact, Fact::Completed { .. }) {
                                 slots.push(slot);
                             }
-                            if self.index.is_live(slot, born, fact.tag(), moving.sequence) {
+                            if self
+                                .index
+                                .is_live(slot, accepted_lsn, fact.tag(), moving.sequence)
+                            {
                                 live.push((at + frame::HEAD..end, slot));
                                 most += (end - at + 16) as u64;
                             }
--- a/crates/journal/src/fact.rs
+++ b/crates/journal/src/fact.rs
@@ -14,13 +14,13 @@
 /// An id in its packed form, as it stands in a frame.
 pub type Packed<'a> = &'a serde_bytes::Bytes;
 
-/// A message as it was taken on.
+/// A message as it was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedMessage<'a> {
     #[serde(borrow)]
     pub id: Packed<'a>,
     /// 0 for the log number of this very frame.
-    pub born: u64,
+    pub accepted_lsn: u64,
     pub class: u32,
     pub tenant: u32,
     pub destination: u64,
@@ -28,46 +28,46 @@
     /// Unix time in milliseconds, like all times here.
     pub deadline: u64,
     /// Milliseconds from when it was taken to the deadline.
-    pub lasts: u32,
+    pub lifetime: u32,
     /// Size before packing, if it is packed.
     pub packed_from: Option<u32>,
     pub body: Packed<'a>,
 }
 
-/// One fact, borrowed from its frame. `born` is the log number under which the message was taken: an id that comes
+/// One fact, borrowed from its frame. `accepted_lsn` is the log number under which the message was taken: an id that comes
 /// again after it was forgotten is a new life of it.
 ///
 /// The place of a variant is its number on disk: new ones go to the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fact<'a> {
     #[serde(borrow)]
-    Taken(AcceptedMessage<'a>),
-    Sent {
+    Accepted(AcceptedMessage<'a>),
+    AttemptStarted {
         #[serde(borrow)]
         id: Packed<'a>,
-        born: u64,
+        accepted_lsn: u64,
         attempt: u32,
         endpoint: &'a str,
         at: u64,
     },
-    Back {
+    AttemptFinished {
         #[serde(borrow)]
         id: Packed<'a>,
-        born: u64,
+        accepted_lsn: u64,
         attempt: u32,
-        never_ran: bool,
+        not_executed: bool,
     },
     /// `after` milliseconds the client may try again; `None` if it failed.
-    Closing {
+    FinalReportDue {
         #[serde(borrow)]
         id: Packed<'a>,
-        born: u64,
+        accepted_lsn: u64,
         after: Option<u64>,
     },
-    Over {
+    Completed {
         #[serde(borrow)]
         id: Packed<'a>,
-        born: u64,
+        accepted_lsn: u64,
         until: u64,
     },
     /// A message born before that number may have had so many more attempts; all of these have ended by `until`.
@@ -77,18 +77,18 @@
         until: u64,
     },
     /// A message that keeps its order with others of the same key.
-    TakenInOrder {
+    AcceptedInOrder {
         #[serde(borrow)]
         taken: AcceptedMessage<'a>,
-        order_key: Packed<'a>,
+        ordering_key: Packed<'a>,
     },
-    /// As [`Fact::Closing`], for a message that keeps its order.
-    ClosingInOrder {
+    /// As [`Fact::FinalReport`], for a message that keeps its order.
+    FinalReportDueInOrder {
         #[serde(borrow)]
         id: Packed<'a>,
-        born: u64,
+        accepted_lsn: u64,
         after: Option<u64>,
-        order_key: Packed<'a>,
+        ordering_key: Packed<'a>,
     },
 }
 
@@ -99,44 +99,57 @@
     /// The message that it is about, and its life.
     pub fn subject(&self) -> Option<(&'a [u8], u64)> {
         match *self {
-            Fact::Taken(AcceptedMessage { id, born, .. })
-            | Fact::TakenInOrder {
-                taken: AcceptedMessage { id, born, .. },
+            Fact::Accepted(AcceptedMessage {
+                id, accepted_lsn, ..
+            })
+            | Fact::AcceptedInOrder {
+                taken: AcceptedMessage {
+                    id, accepted_lsn, ..
+                },
                 ..
             }
-            | Fact::ClosingInOrder { id, born, .. }
-            | Fact::Sent { id, born, .. }
-            | Fact::Back { id, born, .. }
-            | Fact::Closing { id, born, .. }
-            | Fact::Over { id, born, .. } => Some((id, born)),
+            | Fact::FinalReportDueInOrder {
+                id, accepted_lsn, ..
+            }
+            | Fact::AttemptStarted {
+                id, accepted_lsn, ..
+            }
+            | Fact::AttemptFinished {
+                id, accepted_lsn, ..
+            }
+            | Fact::FinalReportDue {
+                id, accepted_lsn, ..
+            }
+            | Fact::Completed {
+                id, accepted_lsn, ..
+            } => Some((id, accepted_lsn)),
             Fact::Doubt { .. } => None,
         }
     }
 
-    /// The message that it says was taken on, if it says that.
+    /// The message that it says was accepted, if it says that.
     pub fn taken(&self) -> Option<&AcceptedMessage<'a>> {
         match self {
-            Fact::Taken(taken) | Fact::TakenInOrder { taken, .. } => Some(taken),
+            Fact::Accepted(taken) | Fact::AcceptedInOrder { taken, .. } => Some(taken),
             _ => None,
         }
     }
 
     /// What its message keeps its order within, where the fact tells.
-    pub fn order_key(&self) -> Option<Packed<'a>> {
+    pub fn ordering_key(&self) -> Option<Packed<'a>> {
         match self {
-            Fact::TakenInOrder { order_key, .. } | Fact::ClosingInOrder { order_key, .. } => {
-                Some(order_key)
-            }
+            Fact::AcceptedInOrder { ordering_key, .. }
+            | Fact::FinalReportDueInOrder { ordering_key, .. } => Some(ordering_key),
             _ => None,
         }
     }
 
-    /// The same with `born` filled in, for a frame with this log number.
+    /// The same with `accepted_lsn` filled in, for a frame with this log number.
     pub fn resolved(mut self, lsn: u64) -> Fact<'a> {
-        if let Fact::Taken(taken) | Fact::TakenInOrder { taken, .. } = &mut self
-            && taken.born == 0
+        if let Fact::Accepted(taken) | Fact::AcceptedInOrder { taken, .. } = &mut self
+            && taken.accepted_lsn == 0
         {
-            taken.born = lsn;
+            taken.accepted_lsn = lsn;
         }
         self
     }
@@ -144,11 +157,11 @@
     /// Which of its message's facts it is: the same tag twice is the same fact twice.
     pub fn tag(&self) -> Tag {
         match *self {
-            Fact::Taken(_) | Fact::TakenInOrder { .. } => Tag::Taken,
-            Fact::Sent { attempt, .. } => Tag::Sent(attempt),
-            Fact::Back { attempt, .. } => Tag::Back(attempt),
-            Fact::Closing { .. } | Fact::ClosingInOrder { .. } => Tag::Closing,
-            Fact::Over { .. } => Tag::Over,
+            Fact::Accepted(_) | Fact::AcceptedInOrder { .. } => Tag::Accepted,
+            Fact::AttemptStarted { attempt, .. } => Tag::AttemptStarted(attempt),
+            Fact::AttemptFinished { attempt, .. } => Tag::AttemptFinished(attempt),
+            Fact::FinalReportDue { .. } | Fact::FinalReportDueInOrder { .. } => Tag::FinalReportDue,
+            Fact::Completed { .. } => Tag::Completed,
             Fact::Doubt { .. } => Tag::Doubt,
         }
     }
@@ -156,11 +169,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tag {
-    Taken,
-    Sent(u32),
-    Back(u32),
-    Closing,
-    Over,
+    Accepted,
+    AttemptStarted(u32),
+    AttemptFinished(u32),
+    FinalReportDue,
+    Completed,
     Doubt,
 }
 
@@ -180,8 +193,12 @@
         fact.subject().map(|(id, _)| id),
         fact.taken().and_then(|t| t.key).map(|key| &**key),
     ];
-    let order_key = fact.order_key().map(|key| &**key);
-    let sound = ids.into_iter().chain([order_key]).flatten().all(is_packed);
+    let ordering_key = fact.ordering_key().map(|key| &**key);
+    let sound = ids
+        .into_iter()
+        .chain([ordering_key])
+        .flatten()
+        .all(is_packed);
     (rest.is_empty() && lsn > 0 && sound).then_some((lsn, fact.resolved(lsn)))
 }
 
@@ -219,49 +236,49 @@
         let id = Bytes::new(id.packed());
         let taken = AcceptedMessage {
             id,
-            born: 5,
+            accepted_lsn: 5,
             class: 1,
             tenant: 2,
             destination: 300,
             key: Some(id),
             deadline: 1_764_590_000_000,
-            lasts: 20_000,
+            lifetime: 20_000,
             packed_from: None,
             body: Bytes::new(b"\0body"),
         };
         let facts = [
-            Fact::Taken(taken),
-            Fact::TakenInOrder {
+            Fact::Accepted(taken),
+            Fact::AcceptedInOrder {
                 taken,
-                order_key: id,
+                ordering_key: id,
             },
-            Fact::ClosingInOrder {
+            Fact::FinalReportDueInOrder {
                 id,
-                born: 5,
+                accepted_lsn: 5,
                 after: None,
-                order_key: id,
+                ordering_key: id,
             },
-            Fact::Sent {
+            Fact::AttemptStarted {
                 id,
-                born: 5,
+                accepted_lsn: 5,
                 attempt: 3,
                 endpoint: "s-5be2a07c",
                 at: 1_764_590_000_000,
             },
-            Fact::Back {
+            Fact::AttemptFinished {
                 id,
-                born: 5,
+                accepted_lsn: 5,
                 attempt: 3,
-                never_ran: true,
+                not_executed: true,
             },
-            Fact::Closing {
+            Fact::FinalReportDue {
                 id,
-                born: 5,
+                accepted_lsn: 5,
                 after: Some(500),
             },
-            Fact::Over {
+            Fact::Completed {
                 id,
-                born: 5,
+                accepted_lsn: 5,
                 until: 9,
             },
             Fact::Doubt {
--- a/crates/journal/src/fuzzing.rs
+++ b/crates/journal/src/fuzzing.rs
@@ -65,13 +65,13 @@
     }
     let before = open_messages(&found.records);
     let new = "00000000000000ff0000ff";
-    let taken = Record::Taken {
+    let taken = Record::Accepted {
         id: new.into(),
         class: 0,
         tenant: 0,
         destination: 1,
         key: None,
-        order_key: None,
+        ordering_key: None,
         deadline: LATER * 1_000_000,
         at: NOW * 1_000_000,
         body: Arc::from(&b"new"[..]),
@@ -84,47 +84,47 @@
         !kept || before.contains_key(new) || after.contains_key(new),
         "what is taken on stays"
     );
-    for (id, (attempts, ran)) in before {
+    for (id, (attempts, executed)) in before {
         let Some((more, still)) = after.get(&id) else {
             panic!("{id} was open")
         };
         assert!(
-            *more >= attempts && (*still || !ran),
-            "{id}: {attempts} {ran}, then {more} {still}"
+            *more >= attempts && (*still || !executed),
+            "{id}: {attempts} {executed}, then {more} {still}"
         );
     }
 }
 
-/// Attempts used, and whether one may have run, by open message: as the reducer reads it.
+/// Attempts used, and whether one may have been executed, by open message: as the reducer reads it.
 fn open_messages(records: &[Record]) -> BTreeMap<String, (u32, bool)> {
     let mut open: BTreeMap<String, (u32, Option<u32>)> = BTreeMap::new();
     for record in records {
         match record {
-            Record::Taken { id, .. } => {
+            Record::Accepted { id, .. } => {
                 open.insert(id.clone(), (0, None));
             }
-            Record::Sent { id, attempt, .. } => {
-                if let Some((used, ran)) = open.get_mut(id) {
+            Record::AttemptStarted { id, attempt, .. } => {
+                if let Some((used, executed)) = open.get_mut(id) {
                     *used = (*used).max(attempt.saturating_add(1));
-                    ran.get_or_insert(*attempt);
+                    executed.get_or_insert(*attempt);
                 }
             }
-            Record::Back {
+            Record::AttemptFinished {
                 id,
                 attempt,
-                never_ran,
+                not_executed,
             } => {
-                if let Some((_, ran)) = open.get_mut(id) {
-                    ran.take_if(|number| *never_ran && number == attempt);
+                if let Some((_, executed)) = open.get_mut(id) {
+                    executed.take_if(|number| *not_executed && number == attempt);
                 }
             }
-            Record::Closing { id, .. } | Record::Over { id, .. } => {
+            Record::FinalReportDue { id, .. } | Record::Completed { id, .. } => {
                 open.remove(id);
             }
         }
     }
     open.into_iter()
-        .map(|(id, (used, ran))| (id, (used, ran.is_some())))
+        .map(|(id, (used, executed))| (id, (used, executed.is_some())))
         .collect()
 }
 
