--- a/crates/journal/src/index.rs
+++ b/crates/journal/src/index.rs
@@ -30,10 +30,10 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Held; without a [`Tag::Taken`] among these its own record is gone.
+    /// Held; without a [`Tag::Accepted`] among these its own record is gone.
     Open(SmallVec<[(Tag, Place); 2]>),
-    Closing(Place),
-    Over {
+    FinalReportDue(Place),
+    Completed {
         until: u64,
         place: Place,
         /// Kept only because older facts of it are still on disk; its frame no longer counts as live bytes, so
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub id: Id,
-    pub born: u64,
+    pub accepted_lsn: u64,
     pub state: State,
     /// Frames about this id on disk, live or dead, but for ends. While there are any, its end must stay.
     copies: u32,
@@ -127,8 +127,8 @@
     /// Ends by when they may be forgotten.
     expiring: BTreeSet<(u64, u32)>,
     open: u64,
-    closing: u64,
-    owed: u64,
+    final_report: u64,
+    reserved_bytes: u64,
 }
 
 impl Index {
@@ -143,8 +143,8 @@
             live: BTreeMap::new(),
             expiring: BTreeSet::new(),
             open: 0,
-            closing: 0,
-            owed: 0,
+            final_report: 0,
+            reserved_bytes: 0,
         }
     }
 
@@ -179,7 +179,7 @@
         }
         let entry = Entry {
             id: id.clone(),
-            born: 0,
+            accepted_lsn: 0,
             state: State::Open(SmallVec::new()),
             copies: 0,
         };
@@ -189,7 +189,7 @@
         self.tables[table_of(hash)].insert_unique(hash, slot, again);
         self.known += 1;
         self.open += 1;
-        self.owed += owed_by(id);
+        self.reserved_bytes += reservation_for(id);
         slot
     }
 
@@ -201,14 +201,14 @@
     pub fn counts(&self) -> (u64, u64, u64) {
         (
             self.open,
-            self.closing,
-            self.known - self.open - self.closing,
+            self.final_report,
+            self.known - self.open - self.final_report,
         )
     }
 
     /// Room that must stay free, so that what is owed can be written to its end.
-    pub fn owed_room(&self) -> u64 {
-        self.owed
+    pub fn reserved_room(&self) -> u64 {
+        self.reserved_bytes
     }
 
     /// Bytes of live frames in a segment.
@@ -225,58 +225,74 @@
     pub fn join(
         &mut self,
         id: &Id,
-        born: u64,
+        accepted_lsn: u64,
         tag: Tag,
         until: u64,
         place: Place,
     ) -> (u32, Joined) {
         let slot = self.slot_for(id);
-        (slot, self.join_at(slot, born, tag, until, place))
+        (slot, self.join_at(slot, accepted_lsn, tag, until, place))
     }
 
     /// As [`Index::join`], for a slot that is known.
-    pub fn join_at(&mut self, slot: u32, born: u64, tag: Tag, until: u64, place: Place) -> Joined {
+    pub fn join_at(
+        &mut self,
+        slot: u32,
+        accepted_lsn: u64,
+        tag: Tag,
+        until: u64,
+        place: Place,
+    ) -> Joined {
         let Some(entry) = self.entries.get_mut(slot) else {
             return Joined::Dead;
         };
-        if tag != Tag::Over {
+        if tag != Tag::Completed {
             entry.copies += 1;
         }
-        if born < entry.born {
+        if accepted_lsn < entry.accepted_lsn {
             return Joined::Dead;
         }
-        let new_life = born > entry.born && entry.born > 0;
-        let owed = owed_by(&entry.id);
+        let new_life = accepted_lsn > entry.accepted_lsn && entry.accepted_lsn > 0;
+        let reserved_bytes = reservation_for(&entry.id);
         if new_life {
             self.leave(slot);
             self.open += 1;
-            self.owed += owed;
+            self.reserved_bytes += reserved_bytes;
         }
         let Some(entry) = self.entries.get_mut(slot) else {
             return Joined::Dead;
         };
-        entry.born = born;
+        entry.accepted_lsn = accepted_lsn;
         match (&mut entry.state, tag) {
-            (State::Over { .. }, _)
-            | (State::Closing(_), Tag::Taken | Tag::Sent(_) | Tag::Back(_) | Tag::Closing) => {
+            (State::Completed { .. }, _)
+            | (
+                State::FinalReportDue(_),
+                Tag::Accepted
+                | Tag::AttemptStarted(_)
+                | Tag::AttemptFinished(_)
+                | Tag::FinalReportDue,
+            ) => {
                 return Joined::Dead;
             }
-            (State::Open(places), Tag::Taken | Tag::Sent(_) | Tag::Back(_)) => {
+            (
+                State::Open(places),
+                Tag::Accepted | Tag::AttemptStarted(_) | Tag::AttemptFinished(_),
+            ) => {
                 if places.iter().any(|(t, _)| *t == tag) {
                     return Joined::Dead;
                 }
                 places.push((tag, place));
             }
-            (_, Tag::Closing | Tag::Over) => {
+            (_, Tag::FinalReportDue | Tag::Completed) => {
                 self.leave(slot);
                 let state = match tag {
-                    Tag::Closing => {
-                        self.closing += 1;
-                        State::Closing(place)
+                    Tag::FinalReportDue => {
+                        self.final_report += 1;
+                        State::FinalReportDue(place)
                     }
                     _ => {
                         self.expiring.insert((until, slot));
-                        State::Over {
+                        State::Completed {
                             until,
                             place,
                             expired: false,
@@ -305,16 +321,16 @@
         match std::mem::replace(&mut entry.state, State::Open(SmallVec::new())) {
             State::Open(places) => {
                 self.open -= 1;
-                self.owed -= owed_by(&entry.id);
+                self.reserved_bytes -= reservation_for(&entry.id);
                 for (_, place) in places {
                     drop_live(&mut self.live, place);
                 }
             }
-            State::Closing(place) => {
-                self.closing -= 1;
+            State::FinalReportDue(place) => {
+                self.final_report -= 1;
                 drop_live(&mut self.live, place);
             }
-            State::Over {
+            State::Completed {
                 until,
                 place,
                 expired,
@@ -328,15 +344,15 @@
     }
 
     /// Whether the frame of this fact in this segment is the one that counts.
-    pub fn is_live(&self, slot: u32, born: u64, tag: Tag, sequence: u32) -> bool {
-        let Some(entry) = self.entry(slot).filter(|e| e.born == born) else {
+    pub fn is_live(&self, slot: u32, accepted_lsn: u64, tag: Tag, sequence: u32) -> bool {
+        let Some(entry) = self.entry(slot).filter(|e| e.accepted_lsn == accepted_lsn) else {
             return false;
         };
         let there = |place: &Place| place.sequence == sequence;
         match (&entry.state, tag) {
             (State::Open(places), _) => places.iter().any(|(t, p)| *t == tag && there(p)),
-            (State::Closing(place), Tag::Closing) => there(place),
-            (State::Over { place, expired, .. }, Tag::Over) => {
+            (State::FinalReportDue(place), Tag::FinalReportDue) => there(place),
+            (State::Completed { place, expired, .. }, Tag::Completed) => {
                 there(place) && !(*expired && entry.copies == 0)
             }
             _ => false,
@@ -348,7 +364,7 @@
         let Some(entry) = self.entries.get_mut(slot) else {
             return;
         };
-        if tag != Tag::Over {
+        if tag != Tag::Completed {
             entry.copies += 1;
         }
         let place = match &mut entry.state {
@@ -356,8 +372,8 @@
                 .iter_mut()
                 .find(|(t, p)| *t == tag && p.sequence == from)
                 .map(|(_, p)| p),
-            State::Closing(place) => Some(place),
-            State::Over {
+            State::FinalReportDue(place) => Some(place),
+            State::Completed {
                 place,
                 expired: true,
                 ..
@@ -365,7 +381,7 @@
                 *place = to;
                 None
             }
-            State::Over { place, .. } => Some(place),
+            State::Completed { place, .. } => Some(place),
         };
         let Some(place) = place else { return };
         drop_live(&mut self.live, *place);
@@ -398,7 +414,7 @@
             };
             self.expiring.remove(&(until, slot));
             if let Some(Entry {
-                state: State::Over { expired, place, .. },
+                state: State::Completed { expired, place, .. },
                 ..
             }) = self.entries.get_mut(slot)
             {
@@ -419,7 +435,7 @@
         let Some(entry) = self.entry(slot) else {
             return;
         };
-        let State::Over { expired: true, .. } = entry.state else {
+        let State::Completed { expired: true, .. } = entry.state else {
             return;
         };
         if entry.copies > 0 {
@@ -454,7 +470,7 @@
     }
 }
 
-fn owed_by(id: &Id) -> u64 {
+fn reservation_for(id: &Id) -> u64 {
     FACTS_MOST * (FACT_MOST + id.packed().len() as u64)
 }
 
@@ -468,11 +484,11 @@
 
     fn facts() -> [(Tag, u32); 5] {
         [
-            (Tag::Taken, 1),
-            (Tag::Sent(0), 2),
-            (Tag::Back(0), 3),
-            (Tag::Closing, 4),
-            (Tag::Over, 5),
+            (Tag::Accepted, 1),
+            (Tag::AttemptStarted(0), 2),
+            (Tag::AttemptFinished(0), 3),
+            (Tag::FinalReportDue, 4),
+            (Tag::Completed, 5),
         ]
     }
 
@@ -493,8 +509,8 @@
                 for &(tag, sequence) in order[..many].iter().chain(&order[..many]) {
                     index.join(&id, 7, tag, 50, place(sequence));
                     expected = expected.max(match tag {
-                        Tag::Over => 2,
-                        Tag::Closing => 1,
+                        Tag::Completed => 2,
+                        Tag::FinalReportDue => 1,
                         _ => 0,
                     });
                 }
@@ -504,11 +520,11 @@
                         assert_eq!(places.len(), many);
                         0
                     }
-                    State::Closing(place) => {
+                    State::FinalReportDue(place) => {
                         assert_eq!(place.sequence, 4);
                         1
                     }
-                    State::Over { place, .. } => {
+                    State::Completed { place, .. } => {
                         assert_eq!(place.sequence, 5);
                         2
                     }
@@ -525,41 +541,46 @@
     fn an_end_outlasts_all_facts_of_its_notice_and_its_time() {
         let id = Id::new("aa");
         let mut index = Index::new(&[1; 32]);
-        let slot = index.join(&id, 7, Tag::Taken, 0, place(1)).0;
-        index.join(&id, 7, Tag::Sent(0), 0, place(2));
-        index.join(&id, 7, Tag::Over, 50, place(3));
+        let slot = index.join(&id, 7, Tag::Accepted, 0, place(1)).0;
+        index.join(&id, 7, Tag::AttemptStarted(0), 0, place(2));
+        index.join(&id, 7, Tag::Completed, 50, place(3));
         index.removed(1, &[slot]);
         index.expire(60, 10);
         assert!(
-            index.is_live(slot, 7, Tag::Over, 3),
+            index.is_live(slot, 7, Tag::Completed, 3),
             "the attempt's record is still there"
         );
-        index.moved(slot, Tag::Over, 3, place(4));
+        index.moved(slot, Tag::Completed, 3, place(4));
         index.removed(2, &[slot]);
         assert!(index.get(&id).is_none() && index.live(4) == 0);
         // The other way round: the facts go first, then the time is out.
-        let slot = index.join(&id, 9, Tag::Taken, 0, place(5)).0;
-        index.join(&id, 9, Tag::Over, 80, place(6));
+        let slot = index.join(&id, 9, Tag::Accepted, 0, place(5)).0;
+        index.join(&id, 9, Tag::Completed, 80, place(6));
         index.removed(5, &[slot]);
         index.expire(79, 10);
-        assert!(index.is_live(slot, 9, Tag::Over, 6));
+        assert!(index.is_live(slot, 9, Tag::Completed, 6));
         index.expire(80, 10);
-        assert!(index.get(&id).is_none() && index.counts() == (0, 0, 0) && index.owed_room() == 0);
+        assert!(
+            index.get(&id).is_none() && index.counts() == (0, 0, 0) && index.reserved_room() == 0
+        );
     }
 
     #[test]
     fn an_id_that_comes_again_is_another_notice_and_the_older_one_stays_dead() {
         let id = Id::new("aa");
         let mut index = Index::new(&[1; 32]);
-        index.join(&id, 7, Tag::Taken, 0, place(1));
-        let slot = index.join(&id, 7, Tag::Over, 50, place(1)).0;
+        index.join(&id, 7, Tag::Accepted, 0, place(1));
+        let slot = index.join(&id, 7, Tag::Completed, 50, place(1)).0;
         assert_eq!(
-            index.join(&id, 20, Tag::Taken, 0, place(2)),
+            index.join(&id, 20, Tag::Accepted, 0, place(2)),
             (slot, Joined::NewLife)
         );
-        assert_eq!(index.join(&id, 7, Tag::Over, 50, place(3)).1, Joined::Dead);
         assert_eq!(
-            index.join(&id, 7, Tag::Sent(0), 0, place(3)).1,
+            index.join(&id, 7, Tag::Completed, 50, place(3)).1,
+            Joined::Dead
+        );
+        assert_eq!(
+            index.join(&id, 7, Tag::AttemptStarted(0), 0, place(3)).1,
             Joined::Dead
         );
         assert_eq!(
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-use cranehill_core::{Closing, Kept, Record};
+use cranehill_core::{FinalReport, Persisted, Record};
 use serde_bytes::Bytes;
 
 use crate::fact::{self, AcceptedMessage, Fact, Tag, pack};
@@ -47,8 +47,8 @@
 /// What was not written, and why.
 #[derive(Debug, thiserror::Error)]
 #[error("{source}")]
-pub struct Unkept {
-    pub kept: Kept,
+pub struct AppendError {
+    pub kept: Persisted,
     pub source: io::Error,
 }
 
@@ -60,7 +60,7 @@
     pub bytes: u64,
     pub live: u64,
     pub open: u64,
-    pub closing: u64,
+    pub final_report: u64,
     pub remembered: u64,
     /// Bytes free in the folder's share.
     pub room: u64,
@@ -158,7 +158,7 @@
     slot: Option<u32>,
     /// Which record of this turn first spoke of it, if it was not.
     first: usize,
-    born: u64,
+    accepted_lsn: u64,
     tag: Tag,
     until: u64,
     len: u32,
@@ -193,11 +193,11 @@
 
     /// Appends a turn's records at `now` (ms since 1970). On an error, either what has ended is kept or nothing is,
     /// as the error says.
-    pub fn append(&mut self, now: u64, records: &[Record]) -> Result<(), Unkept> {
+    pub fn append(&mut self, now: u64, records: &[Record]) -> Result<(), AppendError> {
         self.promised = 0;
         let mut all = std::mem::take(&mut self.pending);
-        let owed = all.len();
-        let whole = if owed == 0 {
+        let reserved_bytes = all.len();
+        let whole = if reserved_bytes == 0 {
             self.write(now, records, |_| true)
         } else {
             all.extend_from_slice(records);
@@ -207,17 +207,21 @@
         self.stats.refused += 1;
         let ends = records.iter().any(Record::is_end);
         if ends && self.write(now, records, Record::is_end).is_ok() {
-            all.truncate(owed);
+            all.truncate(reserved_bytes);
             self.pending = all;
-            return Err(Unkept {
-                kept: Kept::Ends,
+            return Err(AppendError {
+                kept: Persisted::EndsOnly,
                 source,
             });
         }
-        all.truncate(owed);
+        all.truncate(reserved_bytes);
         self.pending = all;
-        Err(Unkept {
-            kept: if ends { Kept::Nothing } else { Kept::Ends },
+        Err(AppendError {
+            kept: if ends {
+                Persisted::Nothing
+            } else {
+                Persisted::EndsOnly
+            },
             source,
         })
     }
@@ -226,7 +230,7 @@
     /// until the next turn is appended.
     pub fn admit(&mut self, bytes: usize) -> Result<(), Duration> {
         let more = bytes as u64 + 2048;
-        let reserve = self.carry_reserve() * 2 + self.index.owed_room();
+        let reserve = self.carry_reserve() * 2 + self.index.reserved_room();
         if self.storage.room() >= self.promised + more + reserve {
             self.promised += more;
             return Ok(());
@@ -251,13 +255,13 @@
             .map(|(&s, i)| (s, i.len))
             .chain(head)
             .collect();
-        let (open, closing, remembered) = self.index.counts();
+        let (open, final_report, remembered) = self.index.counts();
         Stats {
             segments: all.len(),
             bytes: all.iter().map(|(_, len)| len).sum(),
             live: all.iter().map(|&(s, _)| self.index.live(s)).sum(),
             open,
-            closing,
+            final_report,
             remembered,
             room: self.storage.room(),
             ..self.stats
@@ -307,7 +311,7 @@
         buffer: &mut Vec<u8>,
     ) -> io::Result<()> {
         // An upper bound will do to decide whether a new segment is due; frames are salted by their segment.
-        let fresh = |r: &Record| matches!(r, Record::Taken { .. }) && which(r);
+        let fresh = |r: &Record| matches!(r, Record::Accepted { .. }) && which(r);
         let expected: u64 = records
             .iter()
             .filter(|r| which(r))
@@ -360,13 +364,16 @@
         let mut taken = 0;
         for record in records.iter().filter(|r| which(r)) {
             let id = Id::new(record.id());
-            let Some((born, slot, first)) = self.born(&id, record, lsn, &written) else {
+            let Some((accepted_lsn, slot, first)) = self.accepted_lsn(&id, record, lsn, &written)
+            else {
                 continue;
             };
             let at = buffer.len();
-            frame::write(salt, buffer, |b| write_record(lsn, born, &id, record, b));
-            taken += u32::from(matches!(record, Record::Taken { .. }));
-            let until = if let Record::Over { until, .. } = record {
+            frame::write(salt, buffer, |b| {
+                write_record(lsn, accepted_lsn, &id, record, b)
+            });
+            taken += u32::from(matches!(record, Record::Accepted { .. }));
+            let until = if let Record::Completed { until, .. } = record {
                 until / NANOS
             } else {
                 0
@@ -376,7 +383,7 @@
                 id,
                 slot,
                 first,
-                born,
+                accepted_lsn,
                 tag: tag(record),
                 until,
                 len: (buffer.len() - at) as u32,
@@ -405,10 +412,15 @@
             };
             match slot {
                 Some(slot) => {
-                    self.index.join_at(slot, w.born, w.tag, w.until, place);
+                    self.index
+                        .join_at(slot, w.accepted_lsn, w.tag, w.until, place);
                 }
                 None => {
-                    written[n].slot = Some(self.index.join(&w.id, w.born, w.tag, w.until, place).0)
+                    written[n].slot = Some(
+                        self.index
+                            .join(&w.id, w.accepted_lsn, w.tag, w.until, place)
+                            .0,
+                    )
                 }
             }
         }
@@ -420,7 +432,7 @@
 
     /// Under which number the message of a record was taken, its slot if it has one, and the record of this turn that
     /// spoke of it first; `None` if the record says nothing that counts.
-    fn born(
+    fn accepted_lsn(
         &self,
         id: &Id,
         record: &Record,
@@ -431,25 +443,31 @@
         // What this very turn says comes first.
         let here = written.iter().rev().find(|w| w.id == *id);
         let known = slot.and_then(|slot| self.index.entry(slot));
-        let (born, over, closing) = match (here, known) {
-            (Some(w), _) => (w.born, w.tag == Tag::Over, w.tag == Tag::Closing),
+        let (accepted_lsn, over, final_report) = match (here, known) {
+            (Some(w), _) => (
+                w.accepted_lsn,
+                w.tag == Tag::Completed,
+                w.tag == Tag::FinalReportDue,
+            ),
             (None, Some(e)) => (
-                e.born,
-                matches!(e.state, State::Over { .. }),
-                matches!(e.state, State::Closing(_)),
+                e.accepted_lsn,
+                matches!(e.state, State::Completed { .. }),
+                matches!(e.state, State::FinalReportDue(_)),
             ),
             (None, None) => (0, true, true),
         };
-        let born = match record {
+        let accepted_lsn = match record {
             // An id that ended and was forgotten by the sender is another message.
-            Record::Taken { .. } => (over || closing).then_some(lsn),
-            Record::Sent { .. } | Record::Back { .. } => (!over && !closing).then_some(born),
-            Record::Closing { .. } if born == 0 => Some(lsn),
-            Record::Closing { .. } => (!over && !closing).then_some(born),
-            Record::Over { .. } if born == 0 => Some(lsn),
-            Record::Over { .. } => (!over).then_some(born),
+            Record::Accepted { .. } => (over || final_report).then_some(lsn),
+            Record::AttemptStarted { .. } | Record::AttemptFinished { .. } => {
+                (!over && !final_report).then_some(accepted_lsn)
+            }
+            Record::FinalReportDue { .. } if accepted_lsn == 0 => Some(lsn),
+            Record::FinalReportDue { .. } => (!over && !final_report).then_some(accepted_lsn),
+            Record::Completed { .. } if accepted_lsn == 0 => Some(lsn),
+            Record::Completed { .. } => (!over).then_some(accepted_lsn),
         };
-        born.map(|born| (born, slot, here.map(|w| w.first)))
+        accepted_lsn.map(|accepted_lsn| (accepted_lsn, slot, here.map(|w| w.first)))
     }
 
     /// Appends whole frames to the head; tells which segment that is. After an error none of them is there.
@@ -628,108 +646,120 @@
 
 fn size_of_record(record: &Record) -> u64 {
     let more = match record {
-        Record::Taken {
+        Record::Accepted {
             key,
-            order_key,
+            ordering_key,
             body,
             ..
         } => {
             key.as_ref().map_or(0, String::len)
-                + order_key.as_ref().map_or(0, String::len)
+                + ordering_key.as_ref().map_or(0, String::len)
                 + body.len()
         }
-        Record::Closing { order_key, .. } => order_key.as_ref().map_or(0, String::len),
-        Record::Sent { endpoint, .. } => endpoint.len(),
+        Record::FinalReportDue { ordering_key, .. } => ordering_key.as_ref().map_or(0, String::len),
+        Record::AttemptStarted { endpoint, .. } => endpoint.len(),
         _ => 0,
     };
     (record.id().len() + more) as u64
 }
 
-fn write_record(lsn: u64, born: u64, id: &Id, record: &Record, into: &mut Vec<u8>) {
+fn write_record(lsn: u64, accepted_lsn: u64, id: &Id, record: &Record, into: &mut Vec<u8>) {
     let id = Bytes::new(id.packed());
     let fact = match record {
-        Record::Taken {
+        Record::Accepted {
             class,
             tenant,
             destination,
             key,
-            order_key,
+            ordering_key,
             deadline,
             at,
             body,
             ..
         } => {
-            let (key, order_key) = (
+            let (key, ordering_key) = (
                 key.as_deref().map(Id::new),
-                order_key.as_deref().map(Id::new),
+                ordering_key.as_deref().map(Id::new),
             );
             let (packed_from, body) = pack(body);
             let taken = AcceptedMessage {
                 id,
-                born: if born == lsn { 0 } else { born },
+                accepted_lsn: if accepted_lsn == lsn { 0 } else { accepted_lsn },
                 class: *class as u32,
                 tenant: *tenant as u32,
                 destination: *destination,
                 key: key.as_ref().map(|k| Bytes::new(k.packed())),
                 deadline: deadline / NANOS,
-                lasts: u32::try_from(deadline.saturating_sub(*at) / NANOS).unwrap_or(u32::MAX),
+                lifetime: u32::try_from(deadline.saturating_sub(*at) / NANOS).unwrap_or(u32::MAX),
                 packed_from,
                 body: Bytes::new(&body),
             };
-            let fact = match &order_key {
-                Some(key) => Fact::TakenInOrder {
+            let fact = match &ordering_key {
+                Some(key) => Fact::AcceptedInOrder {
                     taken,
-                    order_key: Bytes::new(key.packed()),
+                    ordering_key: Bytes::new(key.packed()),
                 },
-                None => Fact::Taken(taken),
+                None => Fact::Accepted(taken),
             };
             return fact::write(lsn, &fact, into);
         }
-        Record::Sent {
+        Record::AttemptStarted {
             attempt,
             endpoint,
             at,
             ..
-        } => Fact::Sent {
+        } => Fact::AttemptStarted {
             id,
-            born,
+            accepted_lsn,
             attempt: *attempt,
             endpoint,
             at: at / NANOS,
         },
-        Record::Back {
-            attempt, never_ran, ..
-        } => Fact::Back {
+        Record::AttemptFinished {
+            attempt,
+            not_executed,
+            ..
+        } => Fact::AttemptFinished {
             id,
-            born,
+            accepted_lsn,
             attempt: *attempt,
-            never_ran: *never_ran,
+            not_executed: *not_executed,
         },
-        Record::Closing {
-            closing, order_key, ..
+        Record::FinalReportDue {
+            final_report,
+            ordering_key,
+            ..
         } => {
-            let after = match closing {
-                Closing::Returned { after_ms } => Some(*after_ms),
-                Closing::Failed => None,
+            let after = match final_report {
+                FinalReport::Returned { after_ms } => Some(*after_ms),
+                FinalReport::Failed => None,
             };
-            let Some(key) = order_key.as_deref().map(Id::new) else {
-                return fact::write(lsn, &Fact::Closing { id, born, after }, into);
+            let Some(key) = ordering_key.as_deref().map(Id::new) else {
+                return fact::write(
+                    lsn,
+                    &Fact::FinalReportDue {
+                        id,
+                        accepted_lsn,
+                        after,
+                    },
+                    into,
+                );
             };
-            let order_key = Bytes::new(key.packed());
+            let ordering_key = Bytes::new(key.packed());
             return fact::write(
                 lsn,
-                &Fact::ClosingInOrder {
+                &Fact::FinalReportDueInOrder {
                     id,
-                    born,
+                    accepted_lsn,
                     after,
-                    order_key,
+                    ordering_key,
                 },
                 into,
             );
         }
-        Record::Over { until, .. } => Fact::Over {
+        Record::Completed { until, .. } => Fact::Completed {
             id,
-            born,
+            accepted_lsn,
             until: until / NANOS,
         },
     };
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use cranehill_core::{Closing, Record};
+use cranehill_core::{FinalReport, Record};
 use serde::Deserialize;
 
 use crate::error::OpenError;
@@ -28,7 +28,8 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Line {
-    Taken {
+    #[serde(rename = "taken")]
+    Accepted {
         id: String,
         class: usize,
         #[serde(rename = "station")]
@@ -44,14 +45,18 @@
         endpoint: String,
         at: u64,
     },
-    Back {
+    #[serde(rename = "back")]
+    AttemptFinished {
         id: String,
         attempt: u32,
-        never_ran: bool,
+        #[serde(rename = "never_ran")]
+        not_executed: bool,
     },
-    Closing {
+    #[serde(rename = "closing")]
+    FinalReport {
         id: String,
-        closing: End,
+        #[serde(rename = "closing")]
+        final_report: End,
     },
     Over {
         id: String,
@@ -118,14 +123,14 @@
     let taken: Vec<(String, u64)> = records
         .iter()
         .filter_map(|r| {
-            if let Record::Taken { id, at, .. } = r {
+            if let Record::Accepted { id, at, .. } = r {
                 Some((id.clone(), *at))
             } else {
                 None
             }
         })
         .collect();
-    let sent = |(id, at)| Record::Sent {
+    let sent = |(id, at)| Record::AttemptStarted {
         id,
         attempt: 63,
         endpoint: String::new(),
@@ -146,20 +151,20 @@
     }
     let split = payload.iter().position(|&b| b == b'\n')?;
     let record = match serde_json::from_slice(&payload[..split]).ok()? {
-        Line::Taken {
+        Line::Accepted {
             id,
             class,
             tenant,
             destination,
             key,
             deadline,
-        } => Record::Taken {
+        } => Record::Accepted {
             id,
             class,
             tenant,
             destination,
             key,
-            order_key: None,
+            ordering_key: None,
             deadline,
             // It lasted 20 s at most.
             at: deadline.saturating_sub(REMEMBERED),
@@ -170,30 +175,30 @@
             attempt,
             endpoint,
             at,
-        } => Record::Sent {
+        } => Record::AttemptStarted {
             id,
             attempt,
             endpoint,
             at,
         },
-        Line::Back {
+        Line::AttemptFinished {
             id,
             attempt,
-            never_ran,
-        } => Record::Back {
+            not_executed,
+        } => Record::AttemptFinished {
             id,
             attempt,
-            never_ran,
+            not_executed,
         },
-        Line::Closing { id, closing } => Record::Closing {
+        Line::FinalReport { id, final_report } => Record::FinalReportDue {
             id,
-            closing: match closing {
-                End::Returned { after_ms } => Closing::Returned { after_ms },
-                End::Failed => Closing::Failed,
+            final_report: match final_report {
+                End::Returned { after_ms } => FinalReport::Returned { after_ms },
+                End::Failed => FinalReport::Failed,
             },
-            order_key: None,
+            ordering_key: None,
         },
-        Line::Over { id } => Record::Over {
+        Line::Over { id } => Record::Completed {
             id,
             until: REMEMBERED,
         },
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,6 +1,6 @@
 //! The log of what the sender owes: a message is in it before `+OK`, an attempt before its last byte goes out.
 //!
-//! Start at [`Journal`]: [`Journal::open`] reads a folder and tells what an earlier life left ([`Recovered`]),
+//! Start at [`Journal`]: [`Journal::open`] reads a folder and tells what an earlier process left ([`Recovered`]),
 //! [`Journal::append`] keeps a turn's records, [`Journal::compact`] takes one bounded step of upkeep, and
 //! [`Journal::admit`] says whether there is room for a further message. Files are reached through [`Storage`] only:
 //! [`Folder`] is a real one, [`Memory`] fails as it is told to. The package reads no clock and starts no thread.
@@ -33,7 +33,7 @@
 pub use error::OpenError;
 pub use fact::{AcceptedMessage, Fact, unpack};
 pub use id::Id;
-pub use journal::{Journal, Options, Stats, Unkept};
+pub use journal::{AppendError, Journal, Options, Stats};
 pub use key::Key;
 pub use memory::{Change, Crash, Memory};
 pub use recover::{Doubt, Lost, Reading, Recovered, read};
--- a/crates/journal/src/manifest.rs
+++ b/crates/journal/src/manifest.rs
@@ -39,7 +39,7 @@
 pub struct Seal {
     pub len: u32,
     pub frames: u32,
-    /// Messages taken on that it holds.
+    /// Messages accepted that it holds.
     pub taken: u32,
     /// Its chained hash.
     pub chain: Mac,
--- a/crates/journal/src/memory.rs
+++ b/crates/journal/src/memory.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// What a next life finds: the files, without the faults.
+    /// What a next process finds: the files, without the faults.
     pub fn after_death(&self) -> Memory {
         Memory {
             files: self.files.clone(),
--- a/crates/journal/src/open.rs
+++ b/crates/journal/src/open.rs
@@ -1,6 +1,6 @@
 //! A journal's start: reads what is there, changes nothing until all is read, and begins a new segment.
 
-use cranehill_core::{Closing, Record};
+use cranehill_core::{FinalReport, Record};
 
 use crate::error::OpenError;
 use crate::fact::{self, Fact};
@@ -83,7 +83,7 @@
         journal.next_lsn = scan.next_lsn;
         // A doubt concerns messages that are open now: where there are none, nothing is in doubt.
         let deadline = |r: &Record| {
-            if let Record::Taken { deadline, .. } = r {
+            if let Record::Accepted { deadline, .. } = r {
                 Some(deadline / NANOS)
             } else {
                 None
@@ -99,10 +99,10 @@
         doubts.iter_mut().for_each(|d| d.until = d.until.max(until));
         journal.doubts = doubts;
         for lost in &recovered.lost {
-            journal.pending.push(Record::Closing {
+            journal.pending.push(Record::FinalReportDue {
                 id: lost.id.clone(),
-                closing: Closing::Failed,
-                order_key: None,
+                final_report: FinalReport::Failed,
+                ordering_key: None,
             });
         }
         journal.first_head(now, scan.damage.iter().any(|d| d.why == Why::Unlisted));
@@ -118,7 +118,7 @@
         // An end whose time is out is there only because older facts still are.
         recovered
             .records
-            .retain(|r| !matches!(r, Record::Over { until, .. } if until / NANOS <= now));
+            .retain(|r| !matches!(r, Record::Completed { until, .. } if until / NANOS <= now));
         recovered.counts = journal.index.counts();
         Ok((journal, recovered))
     }
@@ -183,7 +183,7 @@
         // last.
         let until = now.saturating_mul(NANOS).saturating_add(legacy::REMEMBERED);
         for record in &mut old.records {
-            if let Record::Over {
+            if let Record::Completed {
                 until: remembered, ..
             } = record
             {
--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -1,8 +1,8 @@
-//! From facts to what an earlier life left: the messages owed, with doubt where damage was found.
+//! From facts to what an earlier process left: the messages owed, with doubt where damage was found.
 
 use std::sync::Arc;
 
-use cranehill_core::{Closing, Record};
+use cranehill_core::{FinalReport, Record};
 
 use crate::error::OpenError;
 use crate::fact::{AcceptedMessage, Fact, Packed, SENT_LEAST, Tag, unpack};
@@ -28,10 +28,10 @@
     pub offset: u64,
 }
 
-/// What an earlier life left.
+/// What an earlier process left.
 #[derive(Debug, Default)]
 pub struct Recovered {
-    /// For the reducer: remembered ends, closings, then open messages in the order in which they were taken on.
+    /// For the reducer: remembered ends, closings, then open messages in the order in which they were accepted.
     pub records: Vec<Record>,
     pub damage: Vec<Stretch>,
     pub lost: Vec<Lost>,
@@ -72,23 +72,23 @@
 #[derive(Clone, Copy)]
 struct About {
     slot: u32,
-    born: u64,
-    /// Orders the records of one message: taken on, then each attempt and its end.
+    accepted_lsn: u64,
+    /// Orders the records of one message: accepted, then each attempt and its end.
     which: u64,
     at: At,
 }
 
 impl Told {
-    fn push(&mut self, record: Record, slot: u32, born: u64, at: At) {
+    fn push(&mut self, record: Record, slot: u32, accepted_lsn: u64, at: At) {
         let which = match &record {
-            Record::Taken { .. } | Record::Closing { .. } | Record::Over { .. } => 0,
-            Record::Sent { attempt, .. } => 1 + 2 * u64::from(*attempt),
-            Record::Back { attempt, .. } => 2 + 2 * u64::from(*attempt),
+            Record::Accepted { .. } | Record::FinalReportDue { .. } | Record::Completed { .. } => 0,
+            Record::AttemptStarted { attempt, .. } => 1 + 2 * u64::from(*attempt),
+            Record::AttemptFinished { attempt, .. } => 2 + 2 * u64::from(*attempt),
         };
         self.records.push(record);
         self.about.push(About {
             slot,
-            born,
+            accepted_lsn,
             which,
             at,
         });
@@ -100,15 +100,19 @@
         let counts = |record: &Record, about: &About| {
             let state = index
                 .entry(about.slot)
-                .filter(|e| e.born == about.born)
+                .filter(|e| e.accepted_lsn == about.accepted_lsn)
                 .map(|e| &e.state);
             matches!(
                 (state, record),
                 (
                     Some(State::Open(_)),
-                    Record::Taken { .. } | Record::Sent { .. } | Record::Back { .. }
-                ) | (Some(State::Closing(_)), Record::Closing { .. })
-                    | (Some(State::Over { .. }), Record::Over { .. })
+                    Record::Accepted { .. }
+                        | Record::AttemptStarted { .. }
+                        | Record::AttemptFinished { .. }
+                ) | (
+                    Some(State::FinalReportDue(_)),
+                    Record::FinalReportDue { .. }
+                ) | (Some(State::Completed { .. }), Record::Completed { .. })
             )
         };
         let mut kept = 0;
@@ -125,12 +129,12 @@
         self.about.truncate(kept);
     }
 
-    /// Ends by their time, reports due, then open messages in the order in which they were taken on.
+    /// Ends by their time, reports due, then open messages in the order in which they were accepted.
     fn sort(&mut self) {
         let key = |record: &Record, about: &About| match record {
-            Record::Over { until, .. } => (0u8, *until, u64::from(about.slot)),
-            Record::Closing { .. } => (1, about.born, 0),
-            _ => (2, about.born, about.which),
+            Record::Completed { until, .. } => (0u8, *until, u64::from(about.slot)),
+            Record::FinalReportDue { .. } => (1, about.accepted_lsn, 0),
+            _ => (2, about.accepted_lsn, about.which),
         };
         let keys = || self.records.iter().zip(&self.about).map(|(r, a)| key(r, a));
         if keys().is_sorted() {
@@ -196,40 +200,43 @@
             }
             return;
         }
-        let Some((packed, born)) = fact.subject() else {
+        let Some((packed, accepted_lsn)) = fact.subject() else {
             return;
         };
         let Some(id) = Id::from_packed(packed) else {
             return;
         };
-        let until = if let Fact::Over { until, .. } = fact {
+        let until = if let Fact::Completed { until, .. } = fact {
             until
         } else {
             0
         };
-        let (slot, joined) = index.join(&id, born, fact.tag(), until, place);
+        let (slot, joined) = index.join(&id, accepted_lsn, fact.tag(), until, place);
         if joined == Joined::Dead {
             return;
         }
         match record(&id, fact) {
             Some(record) => {
                 // What it ends is dead from now on: a few records a message, mostly.
-                let ends = matches!(record, Record::Closing { .. } | Record::Over { .. });
+                let ends = matches!(
+                    record,
+                    Record::FinalReportDue { .. } | Record::Completed { .. }
+                );
                 told.dead += if ends || joined == Joined::NewLife {
                     3
                 } else {
                     0
                 };
-                told.push(record, slot, born, at);
+                told.push(record, slot, accepted_lsn, at);
                 if told.dead > SWEEP_LEAST && told.dead > told.records.len() {
                     told.sweep(&index);
                 }
             }
-            None => unreadable.push((born, at)),
+            None => unreadable.push((accepted_lsn, at)),
         }
     };
     let mut scan = scan(storage, given, on_fact, |_, _| {})?;
-    for (born, at) in unreadable {
+    for (accepted_lsn, at) in unreadable {
         scan.damage.push(Stretch {
             file: scan
                 .segments
@@ -237,7 +244,7 @@
                 .map_or_else(String::new, |s| s.name.clone()),
             offset: at.offset,
             len: u64::from(at.len),
-            before: born + 1,
+            before: accepted_lsn + 1,
             attempts: 0,
             taken: 1,
             why: Why::Damaged,
@@ -255,7 +262,7 @@
     })
 }
 
-/// What earlier lives wrote down, and what is found now. Damage that is still there when it is found again yields the
+/// What earlier processes wrote down, and what is found now. Damage that is still there when it is found again yields the
 /// same number, and counts once.
 fn doubts(scan: &Scan, written: Vec<Doubt>, index: &mut Index) -> Vec<Doubt> {
     let mut found: Vec<Doubt> = Vec::new();
@@ -287,7 +294,7 @@
     all
 }
 
-/// Messages taken on that finished segments hold, by the manifest.
+/// Messages accepted that finished segments hold, by the manifest.
 fn expected<S: Storage>(storage: &mut S, given: Option<Key>) -> usize {
     let Ok(files) = storage.list() else { return 0 };
     let Ok(ring) = ring(storage, given, &files) else {
@@ -314,61 +321,65 @@
 fn record(id: &Id, fact: Fact<'_>) -> Option<Record> {
     let id = id.text();
     let text = |packed: Packed<'_>| Id::from_packed(packed).map(|key| key.text());
-    let order_key = fact.order_key().and_then(text);
+    let ordering_key = fact.ordering_key().and_then(text);
     Some(match fact {
-        Fact::Taken(taken) | Fact::TakenInOrder { taken, .. } => {
+        Fact::Accepted(taken) | Fact::AcceptedInOrder { taken, .. } => {
             let AcceptedMessage {
                 class,
                 tenant,
                 destination,
                 key,
                 deadline,
-                lasts,
+                lifetime,
                 packed_from,
                 body,
                 ..
             } = taken;
-            Record::Taken {
+            Record::Accepted {
                 id,
                 class: class as usize,
                 tenant: tenant as usize,
                 destination,
                 key: key.and_then(text),
-                order_key,
+                ordering_key,
                 deadline: deadline.saturating_mul(NANOS),
                 at: deadline
-                    .saturating_sub(u64::from(lasts))
+                    .saturating_sub(u64::from(lifetime))
                     .saturating_mul(NANOS),
                 body: Arc::from(unpack(packed_from, body)?.as_ref()),
             }
         }
-        Fact::Sent {
+        Fact::AttemptStarted {
             attempt,
             endpoint,
             at,
             ..
-        } => Record::Sent {
+        } => Record::AttemptStarted {
             id,
             attempt,
             endpoint: endpoint.to_owned(),
             at: at.saturating_mul(NANOS),
         },
-        Fact::Back {
-            attempt, never_ran, ..
-        } => Record::Back {
+        Fact::AttemptFinished {
+            attempt,
+            not_executed,
+            ..
+        } => Record::AttemptFinished {
             id,
             attempt,
-            never_ran,
+            not_executed,
         },
-        Fact::Closing { after, .. } | Fact::ClosingInOrder { after, .. } => {
-            let closing = after.map_or(Closing::Failed, |after_ms| Closing::Returned { after_ms });
-            Record::Closing {
+        Fact::FinalReportDue { after, .. } | Fact::FinalReportDueInOrder { after, .. } => {
+            let final_report = after.map_or(FinalReport::Failed, |after_ms| {
+                FinalReport::Returned { after_ms }
+            });
+            Record::FinalReportDue {
                 id,
-                closing,
-                order_key,
+                final_report,
+                ordering_key,
             }
         }
-        Fact::Over { until, .. } => Record::Over {
+        Fact::Completed { until, .. } => Record::Completed {
             id,
             until: until.saturating_mul(NANOS),
         },
@@ -392,19 +403,20 @@
             .windows(2)
             .all(|pair| match (&pair[0], &pair[1]) {
                 (
-                    Record::Over { .. } | Record::Closing { .. },
-                    Record::Sent { .. } | Record::Back { .. },
+                    Record::Completed { .. } | Record::FinalReportDue { .. },
+                    Record::AttemptStarted { .. } | Record::AttemptFinished { .. },
                 ) => false,
-                (one, Record::Sent { .. }) => one.id() == pair[1].id(),
-                (Record::Sent { attempt, .. }, Record::Back { attempt: back, .. }) => {
-                    attempt == back && pair[0].id() == pair[1].id()
-                }
-                (_, Record::Back { .. }) => false,
+                (one, Record::AttemptStarted { .. }) => one.id() == pair[1].id(),
+                (
+                    Record::AttemptStarted { attempt, .. },
+                    Record::AttemptFinished { attempt: back, .. },
+                ) => attempt == back && pair[0].id() == pair[1].id(),
+                (_, Record::AttemptFinished { .. }) => false,
                 _ => true,
             })
         && !matches!(
             told.records.first(),
-            Some(Record::Sent { .. } | Record::Back { .. })
+            Some(Record::AttemptStarted { .. } | Record::AttemptFinished { .. })
         );
     if whole {
         out.records = told.records;
@@ -413,7 +425,10 @@
     let mut message: Vec<Record> = Vec::new();
     let mut all = told.records.into_iter().zip(told.about).peekable();
     while let Some((record, about)) = all.next() {
-        if matches!(record, Record::Over { .. } | Record::Closing { .. }) {
+        if matches!(
+            record,
+            Record::Completed { .. } | Record::FinalReportDue { .. }
+        ) {
             out.records.push(record);
             continue;
         }
@@ -434,7 +449,7 @@
     doubts: &[Doubt],
     out: &mut Recovered,
 ) {
-    let Some(Record::Taken { id, at, .. }) = message.first() else {
+    let Some(Record::Accepted { id, at, .. }) = message.first() else {
         // Its own record is gone: it can only be concluded.
         let file = scan
             .segments
@@ -442,11 +457,11 @@
             .map_or_else(String::new, |s| s.name.clone());
         for record in message.drain(..).take(1) {
             let id = record.id().to_owned();
-            let (closing, order_key) = (Closing::Failed, None);
-            out.records.push(Record::Closing {
+            let (final_report, ordering_key) = (FinalReport::Failed, None);
+            out.records.push(Record::FinalReportDue {
                 id: id.clone(),
-                closing,
-                order_key,
+                final_report,
+                ordering_key,
             });
             out.lost.push(Lost {
                 id,
@@ -457,7 +472,7 @@
         return;
     };
     let (id, at) = (id.clone(), *at);
-    let sent = |attempt: u32| Record::Sent {
+    let sent = |attempt: u32| Record::AttemptStarted {
         id: id.clone(),
         attempt,
         endpoint: String::new(),
@@ -466,7 +481,9 @@
     let numbers: Vec<u32> = message
         .iter()
         .filter_map(|r| match r {
-            Record::Sent { attempt, .. } | Record::Back { attempt, .. } => Some(*attempt),
+            Record::AttemptStarted { attempt, .. } | Record::AttemptFinished { attempt, .. } => {
+                Some(*attempt)
+            }
             _ => None,
         })
         .collect();
@@ -475,7 +492,7 @@
     out.records.extend(rest.next());
     let doubted: u32 = doubts
         .iter()
-        .filter(|d| d.before > about.born)
+        .filter(|d| d.before > about.accepted_lsn)
         .map(|d| d.attempts.min(ATTEMPTS_MOST))
         .sum();
     if doubted > 0 {
@@ -496,9 +513,9 @@
     let mut last = None;
     for record in rest {
         match &record {
-            Record::Sent { attempt, .. } => last = Some(*attempt),
+            Record::AttemptStarted { attempt, .. } => last = Some(*attempt),
             // An end without its attempt: the attempt's record is gone, and it did go out.
-            Record::Back { attempt, .. } if last != Some(*attempt) => {
+            Record::AttemptFinished { attempt, .. } if last != Some(*attempt) => {
                 out.records.push(sent(*attempt))
             }
             _ => {}
@@ -510,10 +527,10 @@
 /// The tag of a record, as the index knows it.
 pub(crate) fn tag(record: &Record) -> Tag {
     match record {
-        Record::Taken { .. } => Tag::Taken,
-        Record::Sent { attempt, .. } => Tag::Sent(*attempt),
-        Record::Back { attempt, .. } => Tag::Back(*attempt),
-        Record::Closing { .. } => Tag::Closing,
-        Record::Over { .. } => Tag::Over,
+        Record::Accepted { .. } => Tag::Accepted,
+        Record::AttemptStarted { attempt, .. } => Tag::AttemptStarted(*attempt),
+        Record::AttemptFinished { attempt, .. } => Tag::AttemptFinished(*attempt),
+        Record::FinalReportDue { .. } => Tag::FinalReportDue,
+        Record::Completed { .. } => Tag::Completed,
     }
 }
--- a/crates/journal/src/scan.rs
+++ b/crates/journal/src/scan.rs
@@ -53,7 +53,7 @@
     pub before: u64,
     /// Attempts of one message that it may have held.
     pub attempts: u32,
-    /// Messages taken on that it may have held, at most.
+    /// Messages accepted that it may have held, at most.
     pub taken: u32,
     pub why: Why,
 }
@@ -538,10 +538,10 @@
 /// The Unix time in ms that a fact proves to have been reached.
 fn time_of(fact: &Fact<'_>) -> u64 {
     match *fact {
-        Fact::Taken(taken) | Fact::TakenInOrder { taken, .. } => {
-            taken.deadline.saturating_sub(u64::from(taken.lasts))
+        Fact::Accepted(taken) | Fact::AcceptedInOrder { taken, .. } => {
+            taken.deadline.saturating_sub(u64::from(taken.lifetime))
         }
-        Fact::Sent { at, .. } => at,
+        Fact::AttemptStarted { at, .. } => at,
         _ => 0,
     }
 }
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use cranehill_core::{Closing, Record};
+use cranehill_core::{FinalReport, Record};
 use cranehill_journal::{Journal, Memory, Options, Recovered, Storage};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -81,13 +81,13 @@
     pub taken: Option<Record>,
     pub sent: BTreeMap<u32, Record>,
     pub back: BTreeMap<u32, bool>,
-    pub closing: Option<Record>,
+    pub final_report: Option<Record>,
     pub over: Option<u64>,
 }
 
 impl Owed {
     pub fn open(&self) -> bool {
-        self.taken.is_some() && self.closing.is_none() && self.over.is_none()
+        self.taken.is_some() && self.final_report.is_none() && self.over.is_none()
     }
 
     pub fn attempts(&self) -> u32 {
@@ -104,7 +104,7 @@
 }
 
 /// Half of all messages keep an order.
-fn order_key(id: &str) -> Option<String> {
+fn ordering_key(id: &str) -> Option<String> {
     let digit = id
         .bytes()
         .last()
@@ -122,7 +122,7 @@
     pub fn take(&mut self, records: &[Record]) {
         for record in records {
             let order = self.messages.len();
-            let owed = self
+            let reserved_bytes = self
                 .messages
                 .entry(record.id().to_owned())
                 .or_insert_with(|| Owed {
@@ -130,46 +130,48 @@
                     ..Owed::default()
                 });
             match record {
-                Record::Taken { .. } => owed.taken = Some(record.clone()),
-                Record::Sent { attempt, .. } => {
-                    owed.sent.insert(*attempt, record.clone());
+                Record::Accepted { .. } => reserved_bytes.taken = Some(record.clone()),
+                Record::AttemptStarted { attempt, .. } => {
+                    reserved_bytes.sent.insert(*attempt, record.clone());
                 }
-                Record::Back {
-                    attempt, never_ran, ..
+                Record::AttemptFinished {
+                    attempt,
+                    not_executed,
+                    ..
                 } => {
-                    owed.back.insert(*attempt, *never_ran);
+                    reserved_bytes.back.insert(*attempt, *not_executed);
                 }
-                Record::Closing { .. } => owed.closing = Some(record.clone()),
-                Record::Over { until, .. } => owed.over = Some(*until),
+                Record::FinalReportDue { .. } => reserved_bytes.final_report = Some(record.clone()),
+                Record::Completed { until, .. } => reserved_bytes.over = Some(*until),
             }
         }
     }
 
     /// What a recovery at `now` must tell of open messages and of reports that are due.
-    pub fn owed(&self) -> Vec<Record> {
-        let mut closing: Vec<(&String, &Owed)> = self
+    pub fn reserved_bytes(&self) -> Vec<Record> {
+        let mut final_report: Vec<(&String, &Owed)> = self
             .messages
             .iter()
             .filter(|(_, o)| o.over.is_none())
             .collect();
-        closing.sort_by_key(|(_, o)| o.order);
-        let mut records: Vec<Record> = closing
+        final_report.sort_by_key(|(_, o)| o.order);
+        let mut records: Vec<Record> = final_report
             .iter()
-            .filter_map(|(_, o)| o.closing.clone())
+            .filter_map(|(_, o)| o.final_report.clone())
             .collect();
         let mut open: Vec<(&String, &Owed)> =
             self.messages.iter().filter(|(_, o)| o.open()).collect();
         open.sort_by_key(|(_, o)| o.order);
-        for (id, owed) in open {
-            records.extend(owed.taken.clone());
-            for (&attempt, sent) in &owed.sent {
+        for (id, reserved_bytes) in open {
+            records.extend(reserved_bytes.taken.clone());
+            for (&attempt, sent) in &reserved_bytes.sent {
                 records.push(sent.clone());
-                let back = |&never_ran: &bool| Record::Back {
+                let back = |&not_executed: &bool| Record::AttemptFinished {
                     id: id.clone(),
                     attempt,
-                    never_ran,
+                    not_executed,
                 };
-                records.extend(owed.back.get(&attempt).map(back));
+                records.extend(reserved_bytes.back.get(&attempt).map(back));
             }
         }
         records
@@ -177,17 +179,19 @@
 
     /// Whether a recovery without damage tells exactly this. An end whose time is out may be remembered or not.
     pub fn agrees(&self, found: &Recovered, now: u64) -> Result<(), String> {
-        let (ends, owed): (Vec<&Record>, Vec<&Record>) = found
+        let (ends, reserved_bytes): (Vec<&Record>, Vec<&Record>) = found
             .records
             .iter()
-            .partition(|r| matches!(r, Record::Over { .. }));
-        let expected = self.owed();
-        if !owed.iter().copied().eq(expected.iter()) {
-            return Err(format!("owed: found {owed:?}\nexpected {expected:?}"));
+            .partition(|r| matches!(r, Record::Completed { .. }));
+        let expected = self.reserved_bytes();
+        if !reserved_bytes.iter().copied().eq(expected.iter()) {
+            return Err(format!(
+                "owed: found {reserved_bytes:?}\nexpected {expected:?}"
+            ));
         }
         let ends: BTreeMap<&str, &Record> = ends.into_iter().map(|r| (r.id(), r)).collect();
-        for (id, owed) in &self.messages {
-            match (owed.over, ends.get(id.as_str())) {
+        for (id, reserved_bytes) in &self.messages {
+            match (reserved_bytes.over, ends.get(id.as_str())) {
                 (Some(until), None) if until > now * MS => {
                     return Err(format!("{id} is not remembered"));
                 }
@@ -205,7 +209,7 @@
     pub now: u64,
     /// Open messages: id, attempts used, one out.
     open: Vec<(String, u32, bool)>,
-    closing: Vec<String>,
+    final_report: Vec<String>,
     count: u32,
     /// Bytes of a body at most.
     pub body: usize,
@@ -220,7 +224,7 @@
             rng,
             now: START,
             open: Vec::new(),
-            closing: Vec::new(),
+            final_report: Vec::new(),
             count: 0,
             body: 24,
             most: 8,
@@ -236,8 +240,8 @@
             .filter(|(_, o)| o.open())
             .map(|(id, o)| (id.clone(), o.attempts(), false))
             .collect();
-        self.closing = messages()
-            .filter(|(_, o)| o.closing.is_some() && o.over.is_none())
+        self.final_report = messages()
+            .filter(|(_, o)| o.final_report.is_some() && o.over.is_none())
             .map(|(id, _)| id.clone())
             .collect();
     }
@@ -247,44 +251,44 @@
         self.now += self.rng.random_range(1..200);
         let (now, mut records) = (self.now, Vec::new());
         let until = (now + LASTS) * MS;
-        for id in std::mem::take(&mut self.closing) {
+        for id in std::mem::take(&mut self.final_report) {
             if self.rng.random_bool(0.6) {
-                records.push(Record::Over { id, until });
+                records.push(Record::Completed { id, until });
             } else {
-                self.closing.push(id);
+                self.final_report.push(id);
             }
         }
         for (id, attempts, out) in std::mem::take(&mut self.open) {
             if out {
                 match self.rng.random_range(0..10) {
                     0..3 => self.open.push((id, attempts, true)),
-                    3..6 => records.push(Record::Over { id, until }),
+                    3..6 => records.push(Record::Completed { id, until }),
                     draw => {
-                        let never_ran = draw < 8;
-                        records.push(Record::Back {
+                        let not_executed = draw < 8;
+                        records.push(Record::AttemptFinished {
                             id: id.clone(),
                             attempt: attempts - 1,
-                            never_ran,
+                            not_executed,
                         });
                         self.open.push((id, attempts, false));
                     }
                 }
             } else if attempts == 6 || self.rng.random_bool(0.1) {
                 let returned = self.rng.random_bool(0.5);
-                let closing = if returned {
-                    Closing::Returned { after_ms: 500 }
+                let final_report = if returned {
+                    FinalReport::Returned { after_ms: 500 }
                 } else {
-                    Closing::Failed
+                    FinalReport::Failed
                 };
-                records.push(Record::Closing {
+                records.push(Record::FinalReportDue {
                     id: id.clone(),
-                    closing,
-                    order_key: order_key(&id),
+                    final_report,
+                    ordering_key: ordering_key(&id),
                 });
-                self.closing.push(id);
+                self.final_report.push(id);
             } else {
                 let endpoint = format!("s-{:04x}", self.rng.random_range(0..9u32));
-                records.push(Record::Sent {
+                records.push(Record::AttemptStarted {
                     id: id.clone(),
                     attempt: attempts,
                     endpoint,
@@ -304,7 +308,7 @@
             self.count += 1;
             let size = self.rng.random_range(0..=self.body);
             let body: Vec<u8> = (0..size).map(|_| self.rng.random_range(0..4)).collect();
-            records.push(Record::Taken {
+            records.push(Record::Accepted {
                 id: id.clone(),
                 class: 0,
                 tenant: self.rng.random_range(0..3),
@@ -313,7 +317,7 @@
                     .rng
                     .random_bool(0.5)
                     .then(|| format!("k-{}", self.count)),
-                order_key: order_key(&id),
+                ordering_key: ordering_key(&id),
                 deadline: (now + LASTS) * MS,
                 at: now * MS,
                 body: Arc::from(body),
--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -1,6 +1,6 @@
 //! Every operation of a scripted day, and every byte of its writes, as the point of a kill.
 //!
-//! The journal is killed, a next life reads the folder, and what it finds must be what was promised, or that and a
+//! The journal is killed, a next process reads the folder, and what it finds must be what was promised, or that and a
 //! first part of what was being written. A failure prints seed, operation and byte: [`replay`] plays just that.
 
 mod common;
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -23,7 +23,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use cranehill_core::{Closing, Record};
+use cranehill_core::{FinalReport, Record};
 use cranehill_journal::{Journal, Lost, Memory, Options, Recovered, Stretch, Why};
 
 /// Unix time in milliseconds of the first record.
@@ -76,13 +76,13 @@
     body: &[u8],
 ) -> Record {
     let accepted_ms = START_MS + after_ms;
-    Record::Taken {
+    Record::Accepted {
         id: id.into(),
         class: 1,
         tenant: 2,
         destination: 300,
         key: idempotency_key.map(Into::into),
-        order_key: ordering_key.map(Into::into),
+        ordering_key: ordering_key.map(Into::into),
         deadline: nanos(accepted_ms + MESSAGE_LIFETIME_MS),
         at: nanos(accepted_ms),
         body: Arc::from(body),
@@ -90,7 +90,7 @@
 }
 
 fn attempt_started(id: &str, attempt: u32, endpoint: &str, after_ms: u64) -> Record {
-    Record::Sent {
+    Record::AttemptStarted {
         id: id.into(),
         attempt,
         endpoint: endpoint.into(),
@@ -99,23 +99,23 @@
 }
 
 fn attempt_finished(id: &str, attempt: u32, not_executed: bool) -> Record {
-    Record::Back {
+    Record::AttemptFinished {
         id: id.into(),
         attempt,
-        never_ran: not_executed,
+        not_executed: not_executed,
     }
 }
 
-fn final_report_due(id: &str, report: Closing, ordering_key: Option<&str>) -> Record {
-    Record::Closing {
+fn final_report_due(id: &str, report: FinalReport, ordering_key: Option<&str>) -> Record {
+    Record::FinalReportDue {
         id: id.into(),
-        closing: report,
-        order_key: ordering_key.map(Into::into),
+        final_report: report,
+        ordering_key: ordering_key.map(Into::into),
     }
 }
 
 fn completed(id: &str, until_after_ms: u64) -> Record {
-    Record::Over {
+    Record::Completed {
         id: id.into(),
         until: nanos(START_MS + until_after_ms),
     }
@@ -173,14 +173,14 @@
             60,
             vec![
                 accepted(RETURNED_ID, 60, None, None, b"returned"),
-                final_report_due(RETURNED_ID, Closing::Returned { after_ms: 500 }, None),
+                final_report_due(RETURNED_ID, FinalReport::Returned { after_ms: 500 }, None),
             ],
         ),
         (
             70,
             vec![
                 accepted(FAILED_ID, 70, None, None, b"failed"),
-                final_report_due(FAILED_ID, Closing::Failed, None),
+                final_report_due(FAILED_ID, FinalReport::Failed, None),
             ],
         ),
         (
@@ -189,7 +189,7 @@
                 accepted(RETURNED_ORDERED_ID, 80, None, Some("account-7"), b"7"),
                 final_report_due(
                     RETURNED_ORDERED_ID,
-                    Closing::Returned { after_ms: 70_000 },
+                    FinalReport::Returned { after_ms: 70_000 },
                     Some("account-7"),
                 ),
             ],
@@ -198,7 +198,7 @@
             90,
             vec![
                 accepted(FAILED_ORDERED_ID, 90, None, Some("account-8"), b"8"),
-                final_report_due(FAILED_ORDERED_ID, Closing::Failed, Some("account-8")),
+                final_report_due(FAILED_ORDERED_ID, FinalReport::Failed, Some("account-8")),
             ],
         ),
         (
@@ -213,7 +213,7 @@
             110,
             vec![
                 accepted(REPORTED_ID, 110, None, None, b"reported"),
-                final_report_due(REPORTED_ID, Closing::Failed, None),
+                final_report_due(REPORTED_ID, FinalReport::Failed, None),
                 completed(REPORTED_ID, 25_000),
             ],
         ),
@@ -368,14 +368,14 @@
         records: vec![
             completed(REPORTED_ID, 25_000),
             completed(COMPLETED_ID, 30_000),
-            final_report_due(RETURNED_ID, Closing::Returned { after_ms: 500 }, None),
-            final_report_due(FAILED_ID, Closing::Failed, None),
+            final_report_due(RETURNED_ID, FinalReport::Returned { after_ms: 500 }, None),
+            final_report_due(FAILED_ID, FinalReport::Failed, None),
             final_report_due(
                 RETURNED_ORDERED_ID,
-                Closing::Returned { after_ms: 70_000 },
+                FinalReport::Returned { after_ms: 70_000 },
                 Some("account-7"),
             ),
-            final_report_due(FAILED_ORDERED_ID, Closing::Failed, Some("account-8")),
+            final_report_due(FAILED_ORDERED_ID, FinalReport::Failed, Some("account-8")),
             accepted(PLAIN_ID, 0, None, None, b"plain"),
             attempt_started(PLAIN_ID, 0, "s-5be2a07c", 10),
             attempt_finished(PLAIN_ID, 0, true),
@@ -438,7 +438,7 @@
         .expect("the ordered message");
     records.insert(
         ordered,
-        final_report_due(IDEMPOTENT_ID, Closing::Failed, None),
+        final_report_due(IDEMPOTENT_ID, FinalReport::Failed, None),
     );
     Expected {
         records,
@@ -462,11 +462,11 @@
     records.retain(|record| record.id() != IDEMPOTENT_ID);
     let first_report = records
         .iter()
-        .position(|record| matches!(record, Record::Closing { .. }))
+        .position(|record| matches!(record, Record::FinalReportDue { .. }))
         .expect("a final report that is due");
     records.insert(
         first_report,
-        final_report_due(IDEMPOTENT_ID, Closing::Failed, None),
+        final_report_due(IDEMPOTENT_ID, FinalReport::Failed, None),
     );
     Expected {
         records,
--- a/crates/journal/tests/hard_cases.rs
+++ b/crates/journal/tests/hard_cases.rs
@@ -5,17 +5,17 @@
 use std::sync::Arc;
 
 use common::*;
-use cranehill_core::{Closing, Kept, Record};
+use cranehill_core::{FinalReport, Persisted, Record};
 use cranehill_journal::{Folder, Journal, Memory, OpenError, Options, Storage, Why};
 
 fn taken(id: &str, size: usize) -> Record {
-    Record::Taken {
+    Record::Accepted {
         id: id.into(),
         class: 0,
         tenant: 1,
         destination: 7,
         key: Some("k".into()),
-        order_key: None,
+        ordering_key: None,
         deadline: (START + LASTS) * MS,
         at: START * MS,
         body: Arc::from(vec![7; size]),
@@ -23,7 +23,7 @@
 }
 
 fn sent(id: &str, attempt: u32) -> Record {
-    Record::Sent {
+    Record::AttemptStarted {
         id: id.into(),
         attempt,
         endpoint: "e".into(),
@@ -32,15 +32,15 @@
 }
 
 fn back(id: &str, attempt: u32) -> Record {
-    Record::Back {
+    Record::AttemptFinished {
         id: id.into(),
         attempt,
-        never_ran: true,
+        not_executed: true,
     }
 }
 
 fn over(id: &str) -> Record {
-    Record::Over {
+    Record::Completed {
         id: id.into(),
         until: (START + LASTS) * MS,
     }
@@ -49,7 +49,7 @@
 fn open_ids(records: &[Record]) -> Vec<&str> {
     records
         .iter()
-        .filter(|r| matches!(r, Record::Taken { .. }))
+        .filter(|r| matches!(r, Record::Accepted { .. }))
         .map(Record::id)
         .collect()
 }
@@ -82,7 +82,7 @@
     for i in 0..n {
         let id = format!("m{i:03}");
         let mut records = vec![taken(&id, 0), sent(&id, 0)];
-        if let Record::Taken { body, .. } = &mut records[0] {
+        if let Record::Accepted { body, .. } = &mut records[0] {
             *body = noise(i, 100);
         }
         journal.append(START + i as u64, &records).expect("room");
@@ -106,17 +106,17 @@
         );
         let known = open_ids(&found.records).len() + found.lost.len();
         assert!(known >= 59, "byte {at}: {known} of 60");
-        // What was taken on later can't be concerned.
+        // What was accepted later can't be concerned.
         assert!(
             found.doubted >= 20 && found.doubted < 60,
             "byte {at}: {} in doubt",
             found.doubted
         );
         for lost in &found.lost {
-            let end = Record::Closing {
+            let end = Record::FinalReportDue {
                 id: lost.id.clone(),
-                closing: Closing::Failed,
-                order_key: None,
+                final_report: FinalReport::Failed,
+                ordering_key: None,
             };
             assert!(
                 found.records.contains(&end),
@@ -147,7 +147,7 @@
     let (journal, found) = open(hit, START + 10);
     let first: Vec<&Record> = found.records.iter().filter(|r| r.id() == "a").collect();
     assert!(
-        matches!(first[..], [Record::Taken { .. }, Record::Sent { attempt: 0, at, .. }] if *at == START * MS),
+        matches!(first[..], [Record::Accepted { .. }, Record::AttemptStarted { attempt: 0, at, .. }] if *at == START * MS),
         "{first:?}"
     );
     assert_eq!(
@@ -168,7 +168,7 @@
 }
 
 /// A sender that was down for long finds messages whose time is out, concludes them, and may be killed before it has: the
-/// doubt must last that long, or one that may have run is told as never run.
+/// doubt must last that long, or one that may have been executed is told as never run.
 #[test]
 fn a_doubt_outlasts_notices_whose_time_was_out_before_the_start() {
     let mut files = filled(30).storage().after_death();
@@ -183,7 +183,7 @@
     // All but one end, and others come: the segment that the doubt is in is the emptiest then.
     let until = (later + 10) * MS;
     let ends: Vec<Record> = (1..30)
-        .map(|i| Record::Over {
+        .map(|i| Record::Completed {
             id: format!("m{i:03}"),
             until,
         })
@@ -191,7 +191,7 @@
     journal.append(later + 20, &ends).expect("room");
     for i in 0..80 {
         let mut record = taken(&format!("later{i}"), 0);
-        if let Record::Taken { body, .. } = &mut record {
+        if let Record::Accepted { body, .. } = &mut record {
             *body = noise(i, 300);
         }
         journal.append(later + 20, &[record]).expect("room");
@@ -446,12 +446,14 @@
         }
     }
     for id in &ids {
-        let closing = Record::Closing {
+        let final_report = Record::FinalReportDue {
             id: id.clone(),
-            closing: Closing::Failed,
-            order_key: None,
+            final_report: FinalReport::Failed,
+            ordering_key: None,
         };
-        journal.append(START, &[closing]).expect("room is kept");
+        journal
+            .append(START, &[final_report])
+            .expect("room is kept");
         journal.compact(START);
     }
     assert!(journal.admit(500).is_err() || journal.stats().room > 20_000);
@@ -461,7 +463,10 @@
     compact(&mut journal, 200, START + LASTS);
     assert!(journal.admit(500).is_ok(), "{:?}", journal.stats());
     let stats = journal.stats();
-    assert_eq!((stats.open, stats.closing, stats.remembered), (0, 0, 0));
+    assert_eq!(
+        (stats.open, stats.final_report, stats.remembered),
+        (0, 0, 0)
+    );
 }
 
 #[test]
@@ -480,12 +485,12 @@
     let refused = journal
         .append(START, &[over("a"), taken("c", 10), sent("c", 0)])
         .expect_err("no room");
-    assert_eq!(refused.kept, Kept::Ends);
+    assert_eq!(refused.kept, Persisted::EndsOnly);
     journal.storage_mut().no_appends = true;
     let refused = journal
         .append(START, &[over("b"), taken("d", 10)])
         .expect_err("no file takes anything");
-    assert_eq!(refused.kept, Kept::Nothing);
+    assert_eq!(refused.kept, Persisted::Nothing);
     let (_, found) = open(journal.storage().after_death(), START);
     assert_eq!(open_ids(&found.records), ["b"]);
 }
@@ -562,7 +567,7 @@
 fn the_latest_time_is_known_so_that_a_clock_set_back_gains_nobody_anything() {
     let (mut journal, _) = open(Memory::new(64 * 1024), START);
     journal.append(START, &[taken("a", 10)]).expect("room");
-    let late = Record::Sent {
+    let late = Record::AttemptStarted {
         id: "a".into(),
         attempt: 0,
         endpoint: "e".into(),
@@ -588,7 +593,7 @@
     let name = segments(&ours).pop().expect("a segment");
     let body: Arc<[u8]> = Arc::from(ours.files[&name].clone());
     let mut record = taken("outer", 0);
-    if let Record::Taken { body: b, .. } = &mut record {
+    if let Record::Accepted { body: b, .. } = &mut record {
         *b = body.clone();
     }
     journal
@@ -681,16 +686,16 @@
         (found.carried_over, open_ids(&found.records)),
         (8, vec!["a", "d"])
     );
-    assert!(found.records.contains(&Record::Closing {
+    assert!(found.records.contains(&Record::FinalReportDue {
         id: "b".into(),
-        closing: Closing::Returned { after_ms: 500 },
-        order_key: None
+        final_report: FinalReport::Returned { after_ms: 500 },
+        ordering_key: None
     }));
     assert!(
         found
             .records
             .iter()
-            .any(|r| matches!(r, Record::Over { id, .. } if id == "c"))
+            .any(|r| matches!(r, Record::Completed { id, .. } if id == "c"))
     );
     let left = journal.storage().after_death();
     assert!(!left.files.contains_key("ledger") && !left.files.contains_key("ledger.new"));
@@ -717,7 +722,7 @@
             );
         }
     }
-    // The frame of `a`'s attempt is hit: `a` counts as possibly run, `d` was taken on later.
+    // The frame of `a`'s attempt is hit: `a` counts as possibly run, `d` was accepted later.
     let mut hit = whole.concat();
     let at = whole[0].len() + 30;
     hit[at] ^= 1;
@@ -728,11 +733,11 @@
         (found.damage.len(), open_ids(&found.records)),
         (1, vec!["a", "d"])
     );
-    let ran = |id: &str| {
+    let executed = |id: &str| {
         found
             .records
             .iter()
-            .any(|r| matches!(r, Record::Sent { id: i, .. } if i == id))
+            .any(|r| matches!(r, Record::AttemptStarted { id: i, .. } if i == id))
     };
-    assert!(ran("a") && !ran("d"));
+    assert!(executed("a") && !executed("d"));
 }
--- a/crates/journal/tests/property.rs
+++ b/crates/journal/tests/property.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use cranehill_core::{Closing, Kept, Record};
+use cranehill_core::{FinalReport, Persisted, Record};
 use cranehill_journal::{Crash, Journal, Memory, Recovered};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -114,12 +114,12 @@
                 Err(e) => {
                     let (ends, rest): (Vec<Record>, Vec<Record>) =
                         left.into_iter().partition(Record::is_end);
-                    if e.kept == Kept::Ends {
+                    if e.kept == Persisted::EndsOnly {
                         self.model.take(&ends);
                     }
                     // New messages and attempts are taken back by the sender; the day goes on as if they had been
-                    // kept, so they are handed in again here once there is room.
-                    left = if e.kept == Kept::Ends {
+                    // kept, so they are submitted again here once there is room.
+                    left = if e.kept == Persisted::EndsOnly {
                         rest
                     } else {
                         ends.into_iter().chain(rest).collect()
@@ -251,7 +251,7 @@
     }
 }
 
-/// What is found as the sender reads it: by message, its attempts used and whether it may have run.
+/// What is found as the sender reads it: by message, its attempts used and whether it may have been executed.
 fn read(records: &[Record]) -> BTreeMap<String, Owed> {
     let mut model = Model::default();
     model.take(records);
@@ -263,9 +263,9 @@
     let messages = read(&found.records);
     let damaged = !found.damage.is_empty();
     let mut lost = 0;
-    for (id, owed) in &promised.messages {
+    for (id, reserved_bytes) in &promised.messages {
         let there = messages.get(id);
-        let ended = owed.closing.is_some() || owed.over.is_some();
+        let ended = reserved_bytes.final_report.is_some() || reserved_bytes.over.is_some();
         match there {
             // Damage may have hidden its end; then it must not go out as if it had never run.
             Some(there) if there.open() && ended && !(damaged && there.may_have_run()) => {
@@ -273,22 +273,22 @@
             }
             Some(there) if there.open() && ended => {}
             Some(there) if there.open() => {
-                if there.attempts() < owed.attempts() {
+                if there.attempts() < reserved_bytes.attempts() {
                     return Err(format!(
                         "{id}: {} attempts known of {}",
                         there.attempts(),
-                        owed.attempts()
+                        reserved_bytes.attempts()
                     ));
                 }
-                if owed.may_have_run() && !there.may_have_run() {
+                if reserved_bytes.may_have_run() && !there.may_have_run() {
                     return Err(format!("{id} may have run, and that is not known"));
                 }
             }
-            Some(there) if owed.open() => {
+            Some(there) if reserved_bytes.open() => {
                 let failed = matches!(
-                    there.closing,
-                    Some(Record::Closing {
-                        closing: Closing::Failed,
+                    there.final_report,
+                    Some(Record::FinalReportDue {
+                        final_report: FinalReport::Failed,
                         ..
                     })
                 );
@@ -296,11 +296,14 @@
                     return Err(format!("{id} is open, and found as ended"));
                 }
             }
-            None if owed.open() => lost += 1,
-            None if owed.closing.is_some() && owed.over.is_none() && !damaged => {
+            None if reserved_bytes.open() => lost += 1,
+            None if reserved_bytes.final_report.is_some()
+                && reserved_bytes.over.is_none()
+                && !damaged =>
+            {
                 return Err(format!("the report of {id} is not owed any more"));
             }
-            None if owed.over.is_some_and(|until| until > now * MS) && !damaged => {
+            None if reserved_bytes.over.is_some_and(|until| until > now * MS) && !damaged => {
                 return Err(format!("{id} is not remembered"));
             }
             _ => {}
@@ -444,11 +447,11 @@
         }
         let (again, later) = open(journal.storage().after_death(), now);
         let (first, second) = (read(&found.records), read(&later.records));
-        for (id, owed) in first.iter().filter(|(_, o)| o.open()) {
+        for (id, reserved_bytes) in first.iter().filter(|(_, o)| o.open()) {
             let there = second.get(id).expect("an open notice stays");
             prop_assert!(there.open(), "{} is open", id);
-            prop_assert!(there.attempts() >= owed.attempts(), "{}: attempts", id);
-            prop_assert!(there.may_have_run() || !owed.may_have_run(), "{}: doubt", id);
+            prop_assert!(there.attempts() >= reserved_bytes.attempts(), "{}: attempts", id);
+            prop_assert!(there.may_have_run() || !reserved_bytes.may_have_run(), "{}: doubt", id);
         }
         drop(again);
     }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -14,7 +14,7 @@
     /// A packet came. Where from does not matter: what counts is in it.
     Heard(Vec<u8>),
     /// The time that [`Effect::WakeAt`] named has come.
-    Due,
+    TimerFired,
     /// This sender is about to end.
     Leave,
     /// Tell all members this payload in place of the one before; [`crate::vote::MAX_PAYLOAD`] bytes at most, a longer one is not sent.
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -237,7 +237,7 @@
                     self.drop_packet(why);
                 }
             }
-            Input::Due => {
+            Input::TimerFired => {
                 // The alarm is spent, also if a new timer is for this very moment.
                 self.wake_at = None;
                 self.due();
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -192,7 +192,7 @@
                 }
             } else if let Some((_, i)) = wake {
                 self.set_wake(i, None);
-                self.step(i, Input::Due);
+                self.step(i, Input::TimerFired);
             }
         }
     }
--- a/crates/membership/tests/golden/trace.rs
+++ b/crates/membership/tests/golden/trace.rs
@@ -180,7 +180,7 @@
                 (_, Some((time, member))) => {
                     self.now = self.now.max(time);
                     self.wakes[member] = None;
-                    self.step(member, Input::Due);
+                    self.step(member, Input::TimerFired);
                 }
                 _ => break,
             }
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -5,7 +5,7 @@
 use cranehill_scheduler::{Learnt, Time};
 
 use crate::memory::{Bounds, Memory};
-use crate::owed::Owed;
+use crate::work_queue::WorkQueue;
 
 /// How a sender comes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     set: Settings,
     stage: Stage,
     pub memory: Memory,
-    pub owed: Owed,
+    pub work_queue: WorkQueue,
     /// Something new in the memory, or new destinations: the decisions should recall.
     recall: bool,
     ask_at: Time,
@@ -56,7 +56,7 @@
             set,
             stage: Stage::Recovering { since: now },
             memory: Memory::new(set.bounds),
-            owed: Owed::new(now),
+            work_queue: WorkQueue::new(now),
             recall: true,
             ask_at: now,
             told: false,
@@ -74,7 +74,7 @@
         matches!(self.stage, Stage::Recovering { .. })
     }
 
-    /// What our own earlier life left.
+    /// What our own earlier process left.
     pub fn remembered(&mut self, now: Time, learnt: Vec<Learnt>) {
         self.memory.note(now, learnt);
         self.recall = true;
@@ -120,7 +120,7 @@
             return None;
         };
         let heard = self.told || now - since >= self.set.alone;
-        if !heard || self.recall || now < self.spread_until || self.owed.waiting() > 0 {
+        if !heard || self.recall || now < self.spread_until || self.work_queue.waiting() > 0 {
             return None;
         }
         let took = now - since;
@@ -139,7 +139,10 @@
         } else {
             self.ask_at.max(now).min(alone)
         };
-        let next = self.owed.due().map_or(next, |owed| next.min(owed));
+        let next = self
+            .work_queue
+            .due()
+            .map_or(next, |work_queue| next.min(work_queue));
         Some(next.max(now + Duration::from_millis(20)))
     }
 
--- a/crates/recovery/src/owed.rs
+++ b/crates/recovery/src/work_queue.rs
@@ -1,4 +1,4 @@
-//! What an earlier life took on, in the order in which it is taken up again: by destination, first what can go out for the shortest
+//! What an earlier process took on, in the order in which it is taken up again: by destination, first what can go out for the shortest
 //! time, be that to its deadline or to the end of its window for repeats.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,20 +21,20 @@
     in_hand: BTreeSet<String>,
     /// All that there were, and those handed over.
     all: usize,
-    handed: usize,
+    submitted: usize,
 }
 
 /// See the module's text.
 #[derive(Debug)]
-pub struct Owed {
+pub struct WorkQueue {
     since: Time,
     lines: BTreeMap<u64, Line>,
 }
 
-impl Owed {
+impl WorkQueue {
     /// Of a sender that came back then.
-    pub fn new(since: Time) -> Owed {
-        Owed {
+    pub fn new(since: Time) -> WorkQueue {
+        WorkQueue {
             since,
             lines: BTreeMap::new(),
         }
@@ -59,14 +59,14 @@
         let passed = (now - self.since).as_secs_f64() / ALL_WITHIN.as_secs_f64();
         for line in self.lines.values_mut() {
             while let Some((last_chance, _)) = line.waiting.first() {
-                let behind = (line.handed as f64) < line.all as f64 * passed;
+                let behind = (line.submitted as f64) < line.all as f64 * passed;
                 if line.in_hand.len() >= IN_HAND
                     && !behind
                     && now < latest(self.since, *last_chance)
                 {
                     break;
                 }
-                line.handed += 1;
+                line.submitted += 1;
                 let Some((_, id)) = line.waiting.pop_first() else {
                     break;
                 };
--- a/crates/recovery/tests/coming_back.rs
+++ b/crates/recovery/tests/coming_back.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_recovery::{
-    Bounds, Memory, Owed, Recovery, Settings, Stage, decode, encode, pack, unpack,
+    Bounds, Memory, Recovery, Settings, Stage, WorkQueue, decode, encode, pack, unpack,
 };
 use cranehill_scheduler::{Learnt, Seen, Time};
 use proptest::prelude::*;
@@ -124,24 +124,27 @@
 
 #[test]
 fn what_is_owed_goes_oldest_deadline_first_two_of_a_partner_at_a_time() {
-    let mut owed = Owed::new(s(0.0));
+    let mut work_queue = WorkQueue::new(s(0.0));
     for (id, deadline) in [("c", 14.0), ("a", 10.0), ("d", 16.0), ("b", 12.0)] {
-        owed.add(1, s(deadline), id.into());
+        work_queue.add(1, s(deadline), id.into());
     }
-    owed.add(2, s(11.0), "x".into());
-    assert_eq!(owed.release(s(0.0)), ["a", "b", "x"]);
-    assert_eq!(owed.release(s(1.0)), [""; 0]);
-    owed.moved(1, "a");
-    assert_eq!(owed.release(s(1.0)), ["c"]);
+    work_queue.add(2, s(11.0), "x".into());
+    assert_eq!(work_queue.release(s(0.0)), ["a", "b", "x"]);
+    assert_eq!(work_queue.release(s(1.0)), [""; 0]);
+    work_queue.moved(1, "a");
+    assert_eq!(work_queue.release(s(1.0)), ["c"]);
     // Half of its time is more than the five seconds in which all are in hand.
-    assert_eq!(owed.due(), Some(s(5.0)));
+    assert_eq!(work_queue.due(), Some(s(5.0)));
     // None has gone, since fresh ones went first: after five seconds all are in hand all the same.
-    assert_eq!((owed.release(s(3.7)), owed.waiting()), (vec![], 1));
     assert_eq!(
-        (owed.release(s(3.8)), owed.waiting()),
+        (work_queue.release(s(3.7)), work_queue.waiting()),
+        (vec![], 1)
+    );
+    assert_eq!(
+        (work_queue.release(s(3.8)), work_queue.waiting()),
         (vec!["d".to_owned()], 0)
     );
-    let mut late = Owed::new(s(15.0));
+    let mut late = WorkQueue::new(s(15.0));
     (0..9).for_each(|n| late.add(1, s(20.0), n.to_string()));
     late.add(1, s(15.4), "soon".into());
     late.add(1, s(15.45), "too".into());
@@ -174,9 +177,9 @@
     );
     assert_eq!(told.recall(s(0.8)).map(|l| l.len()), Some(1));
     told.spread(s(1.5));
-    told.owed.add(1, s(20.0), "a".into());
+    told.work_queue.add(1, s(20.0), "a".into());
     assert!(told.look(s(1.6)).is_none(), "one is owed");
-    told.owed.release(s(1.6));
+    told.work_queue.release(s(1.6));
     assert!(told.look(s(1.4)).is_none() && told.look(s(1.6)).is_some());
     assert!(
         told.recall(s(2.0)).is_none(),
@@ -184,7 +187,7 @@
     );
 }
 
-/// A told wait is written down at once, all else once a second.
+/// A Retry-After wait is written down at once, all else once a second.
 #[test]
 fn a_wait_is_written_down_at_once() {
     let mut recovery = Recovery::new(SETTINGS, s(0.0));
@@ -233,23 +236,23 @@
     fn what_is_owed_is_handed_over_with_half_of_its_time_left(
         lefts in proptest::collection::vec((0u64..3, 10u64..30_000), 1..60)
     ) {
-        let mut owed = Owed::new(s(0.0));
+        let mut work_queue = WorkQueue::new(s(0.0));
         let ms = |ms: u64| s(0.0) + Duration::from_millis(ms);
         for (n, (destination, left)) in lefts.iter().enumerate() {
-            owed.add(*destination, ms(*left), n.to_string());
+            work_queue.add(*destination, ms(*left), n.to_string());
         }
-        let (mut now, mut handed) = (0, 0);
-        while owed.waiting() > 0 {
-            for id in owed.release(ms(now)) {
+        let (mut now, mut submitted) = (0, 0);
+        while work_queue.waiting() > 0 {
+            for id in work_queue.release(ms(now)) {
                 let (_, left) = lefts[id.parse::<usize>().expect("a number")];
                 prop_assert!(now <= (left / 2).min(5000) + 1, "{id} of {left} ms after {now} ms");
-                handed += 1;
+                submitted += 1;
             }
             // As the sender does: it wakes when one is due, and at least each second.
-            let due = owed.due().map_or(now + 1000, |t| ((t - s(0.0)).as_millis() as u64 + 1).min(now + 1000));
+            let due = work_queue.due().map_or(now + 1000, |t| ((t - s(0.0)).as_millis() as u64 + 1).min(now + 1000));
             now = due.max(now + 1);
         }
-        prop_assert_eq!(handed, lefts.len());
+        prop_assert_eq!(submitted, lefts.len());
     }
 
     /// A file that was cut or changed anywhere is not used, and never stops a start.
--- a/crates/scenario-runner/src/figures.rs
+++ b/crates/scenario-runner/src/figures.rs
@@ -19,8 +19,8 @@
     /// Microseconds from a message's handing in to its answer, and to the 200 that a destination wrote for it.
     pub answered: Histogram<u64>,
     pub delivered: Histogram<u64>,
-    /// Messages handed in, delivered and refused, by second.
-    pub handed: Curve,
+    /// Messages submitted, delivered and refused, by second.
+    pub submitted: Curve,
     pub done: Curve,
     pub refused: Curve,
     /// Calls out, by sender.
@@ -49,7 +49,7 @@
     let mut figures = Figures {
         answered: histogram(),
         delivered: histogram(),
-        handed: Vec::new(),
+        submitted: Vec::new(),
         done: Vec::new(),
         refused: Vec::new(),
         in_flight: vec![Vec::new(); day.senders],
@@ -65,7 +65,7 @@
         let second = (line.at.as_secs() as usize).min(seconds - 1);
         let sender = line.sender.unwrap_or(0).min(day.senders - 1);
         match &line.what {
-            What::Handed { id, .. } | What::Posted { id, .. } => {
+            What::Submitted { id, .. } | What::Posted { id, .. } => {
                 counts[second][0] += 1;
                 begun.insert(id, line.at);
             }
@@ -73,7 +73,7 @@
                 if let Some(&since) = begun.get(id.as_str()) {
                     note(&mut figures.answered, line.at.saturating_sub(since));
                 }
-                counts[second][2] += u32::from(matches!(answer, Answer::Refused { .. }));
+                counts[second][2] += u32::from(matches!(answer, Answer::Rejected { .. }));
             }
             What::Called {
                 connection,
@@ -121,7 +121,7 @@
             .map(|(s, c)| (s as f64, f64::from(c[n])))
             .collect()
     };
-    (figures.handed, figures.done, figures.refused) = (curve(0), curve(1), curve(2));
+    (figures.submitted, figures.done, figures.refused) = (curve(0), curve(1), curve(2));
     told.sort_unstable();
     let mut open = 0;
     for (at, change) in told {
--- a/crates/scenario-runner/src/journal_damage.rs
+++ b/crates/scenario-runner/src/journal_damage.rs
@@ -108,13 +108,13 @@
     fn record(n: u64) -> Record {
         let (id, at, deadline) = (format!("n{n}"), n, 20_000_000_000);
         let body = vec![n as u8; 40];
-        Record::Taken {
+        Record::Accepted {
             id,
             class: 0,
             tenant: 0,
             destination: 1,
             key: None,
-            order_key: None,
+            ordering_key: None,
             deadline,
             at,
             body: body.into(),
--- a/crates/scenario-runner/src/lib.rs
+++ b/crates/scenario-runner/src/lib.rs
@@ -72,7 +72,7 @@
 pub struct Against {
     /// Where it listens for clients.
     pub clients: SocketAddr,
-    /// Where it asks for its list of endpoints, and sends its closing reports.
+    /// Where it asks for its list of endpoints, and sends its final reports.
     pub directory: SocketAddr,
 }
 
@@ -96,12 +96,12 @@
     pub lines: Vec<Line>,
     /// Worth delivered and asked for.
     pub worth: (f64, f64),
-    /// The same by the second in which a message was first handed in.
+    /// The same by the second in which a message was first submitted.
     pub worth_over_time: Vec<(f64, f64)>,
     /// What the senders had used at the day's end, and the processor time of the rig's own loop.
     pub senders: Vec<ResourceUsage>,
     pub rig_cpu: Duration,
-    pub handed: u64,
+    pub submitted: u64,
     pub delivered: u64,
     /// Senders that ended without being told to.
     pub crashed: Vec<usize>,
--- a/crates/scenario-runner/src/measure.rs
+++ b/crates/scenario-runner/src/measure.rs
@@ -13,7 +13,7 @@
 use crate::figures::{Figures, figures};
 use crate::{Limits, Outcome, Plan, RunError, play};
 
-/// Delivered of what is handed in, for a rate to count as sustained. What a kind of errors would cost is far more.
+/// Delivered of what is submitted, for a rate to count as sustained. What a kind of errors would cost is far more.
 const DELIVERED: f64 = 0.999;
 /// Answers come within this, 99 of 100 times.
 const ANSWERED: Duration = Duration::from_millis(100);
@@ -45,7 +45,7 @@
 pub struct Step {
     /// Messages a second that were asked for.
     pub rate: f64,
-    pub handed: u64,
+    pub submitted: u64,
     pub delivered: u64,
     /// Median, 99 and 99.9 of 100 from handing in to the answer, and to the destination's 200, in microseconds.
     pub answered: [u64; 3],
@@ -66,7 +66,7 @@
     /// The sender kept up.
     pub fn sustained(&self) -> bool {
         self.holds
-            && self.delivered as f64 >= self.handed as f64 * DELIVERED
+            && self.delivered as f64 >= self.submitted as f64 * DELIVERED
             && Duration::from_micros(self.answered[1]) <= ANSWERED
     }
 
@@ -81,7 +81,7 @@
         format!(
             "{:>8.0} {:>8} {:>9} {:>16} {:>18} {:>7.2} {:>7.2} {:>8} {:>6} {:>8.1}  {}",
             self.rate,
-            self.handed,
+            self.submitted,
             self.delivered,
             ms(self.answered),
             ms(self.done),
@@ -160,7 +160,7 @@
         |of: fn(&crate::ResourceUsage) -> f64| outcome.senders.iter().map(of).fold(0.0, f64::max);
     Step {
         rate,
-        handed: outcome.handed,
+        submitted: outcome.submitted,
         delivered: outcome.delivered,
         answered: quantiles(&answered),
         done: quantiles(&delivered),
--- a/crates/scenario-runner/src/report.rs
+++ b/crates/scenario-runner/src/report.rs
@@ -18,7 +18,7 @@
         ),
         format!(
             "  service {share:.3}: {worth:.1} of {asked:.0} notices' worth; {} handings, {} delivered",
-            outcome.handed, outcome.delivered
+            outcome.submitted, outcome.delivered
         ),
         format!(
             "  rig late by {:.1} ms at most, {:.2} ms 99 of 100 times",
--- a/crates/scenario-runner/src/report_files.rs
+++ b/crates/scenario-runner/src/report_files.rs
@@ -83,7 +83,7 @@
         "day": plan.day.name, "seed": plan.seed, "senders": plan.day.senders,
         "lasted_ms": outcome.lasted.as_millis() as u64,
         "worth": {"delivered": outcome.worth.0, "asked": outcome.worth.1},
-        "handed": outcome.handed, "delivered": outcome.delivered,
+        "handed": outcome.submitted, "delivered": outcome.delivered,
         "answered": quantiles(&figures.answered), "delivery": quantiles(&figures.delivered),
         "rig_late_ms": {"most": outcome.late.0.as_secs_f64() * 1e3, "p99": outcome.late.1.as_secs_f64() * 1e3},
         "rules": rules, "crashed": outcome.crashed, "void": outcome.void, "warnings": outcome.warnings,
@@ -102,7 +102,7 @@
 ) {
     let one = |ids: &[String]| Some(ids.join(" ")).filter(|i| !i.is_empty());
     match what {
-        What::Handed {
+        What::Submitted {
             id, destination, ..
         } => ("handed", Some(id.clone()), Some(*destination), None, None),
         What::Posted {
@@ -382,7 +382,7 @@
     }
     body.push_str("</table>");
     let load = [
-        ("handed in", &figures.handed, BLUE_),
+        ("handed in", &figures.submitted, BLUE_),
         ("delivered", &figures.done, GREEN_),
         ("refused", &figures.refused, RED_),
     ];
--- a/crates/scenario-runner/src/stage.rs
+++ b/crates/scenario-runner/src/stage.rs
@@ -104,7 +104,7 @@
     replies: HashMap<u64, Reply>,
     directory: Directory,
     clients: Clients,
-    /// When the next message is handed in, if a timer is set for it.
+    /// When the next message is submitted, if a timer is set for it.
     next_arrival: Option<Duration>,
     /// Messages that were accepted, or posted, and have not ended, with the sender that has them.
     pending: BTreeMap<String, usize>,
@@ -168,7 +168,7 @@
         self.begun.elapsed()
     }
 
-    /// By then every message has run out of time.
+    /// By then every message has been executed out of time.
     fn latest_end(&self) -> Duration {
         let longest = self
             .day
--- a/crates/scenario-runner/src/stage/clients.rs
+++ b/crates/scenario-runner/src/stage/clients.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::{Answer, What};
-use cranehill_simulation::clients::{Handing, Said};
+use cranehill_simulation::clients::{Said, Submission};
 use cranehill_simulation::day::Effect;
 use mio::net::TcpStream;
 
@@ -41,7 +41,7 @@
         self.next_arrival = None;
         let now = self.now();
         for (_, message) in self.clients.hand_in(now) {
-            self.outcome.handed += 1;
+            self.outcome.submitted += 1;
             self.submit(message);
         }
         self.schedule_arrival();
@@ -60,9 +60,9 @@
     }
 
     /// Sends a message to a sender. Where none can be reached, it counts as unanswered later.
-    fn submit(&mut self, message: Handing) {
+    fn submit(&mut self, message: Submission) {
         let protocol = self.protocol_for(&message);
-        let chosen = match &message.order_key {
+        let chosen = match &message.ordering_key {
             Some(key) => self.sender_of_key(key),
             None => self.next_routed_sender(),
         };
@@ -94,7 +94,7 @@
             .insert(timeout, Timer::ClientTimeout { connection, id });
     }
 
-    fn protocol_for(&self, message: &Handing) -> ClientProtocol {
+    fn protocol_for(&self, message: &Submission) -> ClientProtocol {
         let destination = self.day.destinations.get(message.destination as usize);
         if destination.is_some_and(|d| d.push) {
             ClientProtocol::WebPush
@@ -147,8 +147,8 @@
         self.add_connection(stream, sender, Role::Client(role)).ok()
     }
 
-    fn post_request(&self, message: &Handing) -> ClientRequest {
-        let Handing {
+    fn post_request(&self, message: &Submission) -> ClientRequest {
+        let Submission {
             id,
             class,
             destination,
@@ -173,23 +173,23 @@
         }
     }
 
-    fn put_request(&self, message: &Handing) -> ClientRequest {
-        let Handing {
+    fn put_request(&self, message: &Submission) -> ClientRequest {
+        let Submission {
             id,
             class,
             destination,
             lasts,
-            order_key,
+            ordering_key,
             ..
         } = message;
-        let event = What::Handed {
+        let event = What::Submitted {
             id: id.clone(),
             class: *class,
             destination: *destination,
             lasts: *lasts,
-            order_key: order_key.clone(),
+            ordering_key: ordering_key.clone(),
         };
-        let key = order_key
+        let key = ordering_key
             .as_deref()
             .map(|key| format!(" key={key}"))
             .unwrap_or_default();
@@ -245,7 +245,7 @@
         if protocol == ClientProtocol::WebPush {
             self.pending.remove(&message.id);
         }
-        if answer == Answer::TakenOn {
+        if answer == Answer::Accepted {
             self.pending.insert(message.id.clone(), sender);
         }
         let said = answer_for_client(&answer);
@@ -311,16 +311,16 @@
 
 fn audited_answer(said: Said) -> Answer {
     match said {
-        Said::TakenOn => Answer::TakenOn,
-        Said::Refused { after } => Answer::Refused { after },
+        Said::Accepted => Answer::Accepted,
+        Said::Rejected { after } => Answer::Rejected { after },
         Said::Error | Said::Nothing => Answer::Error,
     }
 }
 
 fn answer_for_client(answer: &Answer) -> Said {
     match answer {
-        Answer::TakenOn | Answer::Delivered => Said::TakenOn,
-        Answer::Refused { after } => Said::Refused { after: *after },
+        Answer::Accepted | Answer::Delivered => Said::Accepted,
+        Answer::Rejected { after } => Said::Rejected { after: *after },
         Answer::Failed | Answer::Error => Said::Error,
     }
 }
--- a/crates/scenario-runner/src/stage/connections.rs
+++ b/crates/scenario-runner/src/stage/connections.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::What;
-use cranehill_simulation::clients::Handing;
+use cranehill_simulation::clients::Submission;
 use cranehill_simulation::destination::Connect;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Token};
@@ -93,7 +93,7 @@
 pub(super) struct ClientRole {
     pub protocol: ClientProtocol,
     /// The message that waits for its answer.
-    pub in_flight: Option<Handing>,
+    pub in_flight: Option<Submission>,
     /// An answer has come on it.
     pub used: bool,
 }
@@ -401,7 +401,7 @@
         }
     }
 
-    pub fn broke(self, ids: Vec<String>, ran: bool) -> What {
+    pub fn broke(self, ids: Vec<String>, executed: bool) -> What {
         let AuditNames {
             connection,
             endpoint,
@@ -412,7 +412,7 @@
             endpoint,
             destination: destination,
             ids,
-            ran,
+            executed,
         }
     }
 
--- a/crates/scenario-runner/src/stage/destinations.rs
+++ b/crates/scenario-runner/src/stage/destinations.rs
@@ -119,8 +119,8 @@
                     },
                 );
             }
-            Reply::Reset { ran, .. } => {
-                self.break_call(id, ran, "reset");
+            Reply::Reset { executed, .. } => {
+                self.break_call(id, executed, "reset");
                 self.close_connection(id, CloseMode::Reset);
             }
             Reply::Nothing => {}
@@ -179,7 +179,7 @@
     }
 
     /// Records that a connection ends without a proper reply to its call.
-    pub(super) fn break_call(&mut self, id: ConnectionId, ran: bool, how: &str) {
+    pub(super) fn break_call(&mut self, id: ConnectionId, executed: bool, how: &str) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
@@ -194,7 +194,7 @@
             .map(|call| call.ids)
             .unwrap_or_default();
         let line = format!("{how} {} on connection {}", ids.join(" "), names.connection);
-        self.record(Some(sender), names.broke(ids, ran), &line);
+        self.record(Some(sender), names.broke(ids, executed), &line);
     }
 
     /// Resets all connections of an endpoint, at the beginning of a refusal and at the end of a silence.
--- a/crates/scenario-runner/src/stage/directory.rs
+++ b/crates/scenario-runner/src/stage/directory.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use cranehill_simulation::audit::{self, Closing, What};
+use cranehill_simulation::audit::{self, FinalReport, What};
 use cranehill_simulation::day::{ListChange, To};
 use cranehill_simulation::directory::{List, Listed, Row, Watch};
 use serde_json::{Value, json};
@@ -66,12 +66,12 @@
         match wire::reports(&request.body) {
             Ok(reports) => {
                 for (message, after, returned) in reports {
-                    let closing = if returned {
-                        Closing::Returned { after }
+                    let final_report = if returned {
+                        FinalReport::Returned { after }
                     } else {
-                        Closing::Failed
+                        FinalReport::Failed
                     };
-                    self.on_final_report(sender, &message, closing);
+                    self.on_final_report(sender, &message, final_report);
                 }
                 self.send(id, &wire::response(204, &[], ""));
             }
@@ -84,17 +84,17 @@
         }
     }
 
-    fn on_final_report(&mut self, sender: usize, id: &str, closing: Closing) {
-        let line = format!("report {id} {closing:?}");
-        let retry_after = match &closing {
-            Closing::Returned { after } => Some(after.unwrap_or(self.day.load.pause)),
-            Closing::Failed => None,
+    fn on_final_report(&mut self, sender: usize, id: &str, final_report: FinalReport) {
+        let line = format!("report {id} {final_report:?}");
+        let retry_after = match &final_report {
+            FinalReport::Returned { after } => Some(after.unwrap_or(self.day.load.pause)),
+            FinalReport::Failed => None,
         };
         self.record(
             Some(sender),
             What::Reported {
                 id: id.to_owned(),
-                closing,
+                final_report,
             },
             &line,
         );
--- a/crates/scenario-runner/src/stage/losses.rs
+++ b/crates/scenario-runner/src/stage/losses.rs
@@ -9,7 +9,7 @@
 use super::Stage;
 use crate::journal_damage::Damage;
 
-/// A lost message is handed in again after this.
+/// A lost message is submitted again after this.
 const RETRY_AFTER_LOSS: Duration = Duration::from_secs(1);
 
 impl Stage<'_> {
@@ -37,7 +37,7 @@
     }
 
     /// A sender loses all its messages, or `only` these. Clients hand them in again, to a sender that is there, unless a
-    /// message may have run and must not run again.
+    /// message may have been executed and must not run again.
     pub(super) fn lose_messages(
         &mut self,
         sender: usize,
@@ -51,19 +51,19 @@
             .filter(|(id, by)| **by == sender && is_lost(id));
         let lost: Vec<String> = held.map(|(id, _)| id.clone()).collect();
         self.pending.retain(|id, by| *by != sender || !is_lost(id));
-        let handed_in_again = self.repeatable(lost);
+        let resubmitted = self.repeatable(lost);
         let event = What::Lost {
             only: only.map(|ids| ids.into_iter().collect()),
         };
         self.record(Some(sender), event, why);
         let now = self.now();
-        for id in &handed_in_again {
+        for id in &resubmitted {
             self.clients.closed(now, id, Some(RETRY_AFTER_LOSS));
         }
         self.schedule_arrival();
     }
 
-    /// Those of the messages that may run again. Classes are not told apart: where a day has an unsafe one, no message that
+    /// Those of the messages that may be executed again. Classes are not told apart: where a day has an unsafe one, no message that
     /// has been called is repeated.
     fn repeatable(&self, mut ids: Vec<String>) -> Vec<String> {
         if self
--- a/crates/scenario-runner/src/wire.rs
+++ b/crates/scenario-runner/src/wire.rs
@@ -5,7 +5,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use cranehill_simulation::audit::Answer;
-use cranehill_simulation::clients::{Handing, Said};
+use cranehill_simulation::clients::{Said, Submission};
 use cranehill_simulation::destination::Fate;
 
 /// Heads and bodies beyond this are nothing that a sender of ours says.
@@ -144,21 +144,21 @@
 }
 
 /// A Web Push post. Its TTL is whole seconds, one at least.
-pub fn post(handing: &Handing, ttl: Duration, topic: bool) -> Vec<u8> {
-    let path = push_path(handing.destination);
+pub fn post(submission: &Submission, ttl: Duration, topic: bool) -> Vec<u8> {
+    let path = push_path(submission.destination);
     let topic = if topic {
-        format!("Topic: {}\r\n", handing.id)
+        format!("Topic: {}\r\n", submission.id)
     } else {
         String::new()
     };
     let head = format!(
         "POST {path}{} HTTP/1.1\r\nHost: sender\r\nTTL: {}\r\n{topic}Content-Encoding: aes128gcm\r\nContent-Length: {}\r\n\r\n",
-        handing.id,
+        submission.id,
         ttl.as_secs(),
-        handing.body
+        submission.body
     );
     let mut bytes = head.into_bytes();
-    bytes.extend(handing.id.bytes().cycle().take(handing.body));
+    bytes.extend(submission.id.bytes().cycle().take(submission.body));
     bytes
 }
 
@@ -185,7 +185,7 @@
     let whole = head + header("content-length").unwrap_or(0) as usize;
     let answer = match parsed.code {
         Some(201) => Answer::Delivered,
-        Some(503) => Answer::Refused {
+        Some(503) => Answer::Rejected {
             after: header("retry-after").map(Duration::from_secs),
         },
         Some(410 | 504) => Answer::Failed,
@@ -238,43 +238,43 @@
 }
 
 /// The first argument of a request whose class keeps no order.
-const NO_ORDER_KEY: &str = "0000000000000000";
+const NO_ORDERING_KEY: &str = "0000000000000000";
 
 /// A message as a tenant's program hands it in.
-pub fn put(handing: &Handing, class: &str, tenant: &str) -> Vec<u8> {
+pub fn put(submission: &Submission, class: &str, tenant: &str) -> Vec<u8> {
     let mut names = format!(
         "c={class},t={tenant},d={},dest={}",
-        handing.lasts.as_millis(),
-        handing.destination
+        submission.lasts.as_millis(),
+        submission.destination
     );
-    if let Some(key) = &handing.key {
+    if let Some(key) = &submission.key {
         names.push_str(&format!(",k={key}"));
     }
-    if handing.retry {
+    if submission.retry {
         names.push_str(",r=1");
     }
-    if handing.again {
+    if submission.again {
         names.push_str(",again=1");
     }
     // Text that packs about as well as a real message's.
-    let body: Vec<u8> = handing
+    let body: Vec<u8> = submission
         .id
         .bytes()
         .cycle()
         .zip(b"episodio de la tarde; ".iter().cycle())
         .map(|(a, b)| if a % 3 == 0 { a } else { *b })
-        .take(handing.body)
+        .take(submission.body)
         .collect();
-    let order_key = handing
-        .order_key
+    let ordering_key = submission
+        .ordering_key
         .as_deref()
-        .unwrap_or(NO_ORDER_KEY)
+        .unwrap_or(NO_ORDERING_KEY)
         .as_bytes();
     let mut bytes = b"*5\r\n".to_vec();
     for word in [
         b"MSG.PUT" as &[u8],
-        order_key,
-        handing.id.as_bytes(),
+        ordering_key,
+        submission.id.as_bytes(),
         names.as_bytes(),
         &body,
     ] {
@@ -292,20 +292,20 @@
     let said = match line.strip_prefix("-BUSY") {
         Some(rest) => {
             let after = rest.trim().parse::<u64>().ok().map(Duration::from_millis);
-            Said::Refused { after }
+            Said::Rejected { after }
         }
-        None if line.starts_with('+') => Said::TakenOn,
+        None if line.starts_with('+') => Said::Accepted,
         None if line.starts_with('$') => {
             let size: usize = line[1..].parse().ok()?;
             return (bytes.len() >= end + 2 + size + 2)
-                .then_some((Said::TakenOn, end + 2 + size + 2));
+                .then_some((Said::Accepted, end + 2 + size + 2));
         }
         None => Said::Error,
     };
     Some((said, end + 2))
 }
 
-/// `id` and how it ended, of each line of a closing report; an error if one can't be read.
+/// `id` and how it ended, of each line of a final report; an error if one can't be read.
 pub fn reports(body: &[u8]) -> Result<Vec<(String, Option<Duration>, bool)>, String> {
     let mut all = Vec::new();
     for line in String::from_utf8_lossy(body)
@@ -414,18 +414,21 @@
 
     #[test]
     fn a_senders_words_are_understood() {
-        assert_eq!(said(b"+OK\r\n+"), Some((Said::TakenOn, 5)));
-        assert_eq!(said(b"$2\r\nOK\r\n"), Some((Said::TakenOn, 8)));
+        assert_eq!(said(b"+OK\r\n+"), Some((Said::Accepted, 5)));
+        assert_eq!(said(b"$2\r\nOK\r\n"), Some((Said::Accepted, 8)));
         assert_eq!(
             said(b"-BUSY 250\r\n"),
             Some((
-                Said::Refused {
+                Said::Rejected {
                     after: Some(Duration::from_millis(250))
                 },
                 11
             ))
         );
-        assert_eq!(said(b"-BUSY\r\n"), Some((Said::Refused { after: None }, 7)));
+        assert_eq!(
+            said(b"-BUSY\r\n"),
+            Some((Said::Rejected { after: None }, 7))
+        );
         assert_eq!(said(b"-ERR no\r\n"), Some((Said::Error, 9)));
         assert_eq!(said(b"+OK\r"), None);
         let lines =
@@ -443,7 +446,7 @@
         let after = Some(Duration::from_secs(2));
         assert_eq!(
             posted(refused),
-            Some((Answer::Refused { after }, refused.len()))
+            Some((Answer::Rejected { after }, refused.len()))
         );
         assert_eq!(posted(&refused[..refused.len() - 1]), None);
         assert_eq!(posted(b"+OK\r\n"), Some((Answer::Error, 5)));
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -52,7 +52,7 @@
 );
 text_id!(
     /// What an ordered message is about: messages with one key go one at a time.
-    Key
+    OrderingKey
 );
 
 /// Names one destination. A message may go only to endpoints of its own destination.
@@ -95,13 +95,13 @@
 pub struct Class {
     /// Delivered within this time, it earns its full worth.
     pub aim: Duration,
-    /// How long it may be delivered, from when it was first handed in.
+    /// How long it may be delivered, from when it was first submitted.
     pub deadline: Duration,
     /// Whether it may be repeated.
     pub effect: Effect,
     /// For keyed classes: who drops repeats.
     pub dedup: DedupScope,
-    /// For keyed classes: how long repeats are dropped, from the first send that may have run.
+    /// For keyed classes: how long repeats are dropped, from the first send that may have been executed.
     pub window: Duration,
     /// Messages with one key go one at a time, in the order taken.
     pub in_order: bool,
@@ -208,7 +208,7 @@
     /// Send nothing new.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One line of the list of endpoints.
@@ -240,10 +240,10 @@
     /// the destination's health: the answer was spoilt on its way.
     Spoilt,
     /// Turned away unseen.
-    Refused,
+    Overloaded,
     /// No answer in time; it may have taken effect.
     TimedOut,
-    /// No connection was possible; it never ran.
+    /// No connection was possible; it was not executed.
     NoConnection,
     /// The connection broke; it may have taken effect.
     Reset,
@@ -254,18 +254,21 @@
     Cancelled,
     /// Never left the sender.
     NotSent,
-    /// Whom the message is for is no longer there: it never ran and never will. It says nothing of the
+    /// Whom the message is for is no longer there: it was not executed and never will. It says nothing of the
     /// destination's health.
-    Gone,
+    RecipientRemoved,
     /// The destination will never take this message as it is; it did not run.
-    Rejected,
+    PermanentError,
 }
 
 impl Status {
     /// Whether it is certain that the message had no effect.
-    pub fn never_ran(self) -> bool {
-        use Status::{Gone, NoConnection, NotSent, Refused, Rejected};
-        matches!(self, Refused | NoConnection | NotSent | Gone | Rejected)
+    pub fn not_executed(self) -> bool {
+        use Status::{NoConnection, NotSent, Overloaded, PermanentError, RecipientRemoved};
+        matches!(
+            self,
+            Overloaded | NoConnection | NotSent | RecipientRemoved | PermanentError
+        )
     }
 }
 
@@ -280,7 +283,7 @@
 
 /// A message handed to a sender.
 #[derive(Clone, Debug)]
-pub struct Taken {
+pub struct AcceptedMessage {
     /// Its id.
     pub id: MessageId,
     /// Position in [`Settings::classes`].
@@ -288,24 +291,24 @@
     /// Position in [`Settings::tenants`].
     pub tenant: usize,
     /// What it is about, for ordered classes.
-    pub key: Option<Key>,
+    pub key: Option<OrderingKey>,
     /// Time until it is given up.
     pub time_left: Duration,
     /// Its destination.
     pub dest: DestinationId,
-    /// What was done for it before, under the same id: by an earlier life of this sender.
-    pub past: Past,
+    /// What was done for it before, under the same id: by an earlier process of this sender.
+    pub prior: PriorAttempts,
 }
 
 /// What was already done for a message when it is handed to a sender.
 #[derive(Clone, Debug, Default)]
-pub struct Past {
+pub struct PriorAttempts {
     /// Attempts used.
     pub attempts: u32,
-    /// An earlier life of this sender took it in.
-    pub earlier_life: bool,
+    /// An earlier process of this sender took it in.
+    pub restored: bool,
     /// How long ago, and where, the first attempt went that may have taken effect.
-    pub maybe_ran: Option<(Duration, EndpointId)>,
+    pub possibly_executed: Option<(Duration, EndpointId)>,
 }
 
 /// How an attempt concluded.
@@ -340,13 +343,13 @@
     /// Asking for the list failed, or the subscription broke.
     ListFailed,
     /// A message was handed to this sender, which owes it one final answer.
-    Accept(Taken),
+    Accept(AcceptedMessage),
     /// An attempt concluded.
     Outcome(Outcome),
     /// The client has withdrawn the message.
-    Lapsed(MessageId),
+    Cancelled(MessageId),
     /// A probe concluded.
-    Probed {
+    HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
         /// How it concluded.
@@ -354,7 +357,7 @@
     },
     /// From now on shared limits are divided by so many senders, this one included; before, by
     /// [`Settings::instances`].
-    Senders(u32),
+    SenderCount(u32),
     /// The timer is due.
     Wake,
 }
@@ -373,12 +376,12 @@
         /// The call that it goes in: all with this number go together, and are waited for until the first of
         /// their time-outs.
         call: u64,
-        /// It may have run before, and a repeat is harmless only so long: what is not written whole by then (its
+        /// It may have been executed before, and a repeat is harmless only so long: what is not written whole by then (its
         /// connection came up late, say) must not be written at all.
         write_within: Option<Duration>,
     },
     /// Final: handed back; trying again is harmless.
-    Refuse {
+    Reject {
         /// The message.
         id: MessageId,
         /// When the client should come back.
@@ -389,9 +392,9 @@
     /// Ask for an [`Event::Wake`] after this time.
     Timer(Duration),
     /// Close this sender's idle connections to an endpoint.
-    Close(EndpointId),
+    CloseIdle(EndpointId),
     /// Send a check.
-    Probe(EndpointId),
+    CheckHealth(EndpointId),
     /// Ask for the list and its changes.
     Subscribe,
 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -6,10 +6,11 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::api::{
-    Action, Class, Condition, Decay, DedupScope, DestinationId, Effect, EndpointId, Entry, Event,
-    Key, Kind, MessageId, Outcome, Rules, Settings, SettingsError, Status, Taken, Time,
+    AcceptedMessage, Action, Class, Condition, Decay, DedupScope, DestinationId, Effect,
+    EndpointId, Entry, Event, Kind, MessageId, OrderingKey, Outcome, Rules, Settings,
+    SettingsError, Status, Time,
 };
-use crate::state::{Attempt, Call, Endpoint, KeyLine, Lane, Message};
+use crate::state::{Attempt, Call, Endpoint, Lane, Message, OrderedQueue};
 
 mod lanes;
 mod learnt;
@@ -139,7 +140,7 @@
     }
 }
 
-/// This sender's part of a destination's traffic, from the messages handed in. However thin, it is unbiased:
+/// This sender's part of a destination's traffic, from the messages submitted. However thin, it is unbiased:
 /// what all senders together take it for adds up to what the destination gets.
 #[derive(Clone, Debug)]
 pub(crate) struct Demand {
@@ -183,7 +184,7 @@
         self.asked(now).min(self.proven)
     }
 
-    /// Time between calls at this part of what is taken on return; `rules.cold` at most over all routes.
+    /// Time between calls at this part of what is accepted return; `rules.cold` at most over all routes.
     fn cold_gap(&self, now: Time, rules: &Rules) -> Duration {
         let gap = 1.0 / (rules.fall_multiple * rules.cold_from * self.rate(now)).max(1e-3);
         Duration::from_secs_f64(gap.min(rules.cold.as_secs_f64() / self.share))
@@ -338,7 +339,7 @@
     at
 }
 
-/// The longest span of a limit: refusals and told waits beyond it mean an outage.
+/// The longest span of a limit: refusals and Retry-After waits beyond it mean an outage.
 fn span(rules: &Rules) -> Duration {
     rules.fall.max(Duration::from_secs(2))
 }
@@ -362,7 +363,7 @@
     dests: BTreeMap<DestinationId, Vec<usize>>,
     messages: BTreeMap<u64, Message>,
     ids: BTreeMap<MessageId, u64>,
-    keys: BTreeMap<Key, KeyLine>,
+    keys: BTreeMap<OrderingKey, OrderedQueue>,
     /// Final answers are reported, and the reports answered: see `order`.
     confirms_reports: bool,
     keys_rest_until: Time,
@@ -457,17 +458,17 @@
             }
             Event::Accept(taken) => self.on_accept(taken),
             Event::Outcome(outcome) => self.on_outcome(outcome),
-            Event::Lapsed(id) => {
+            Event::Cancelled(id) => {
                 if let Some(&number) = self.ids.get(&id) {
                     self.close(number);
                 }
             }
-            Event::Probed { endpoint, status } => {
+            Event::HealthChecked { endpoint, status } => {
                 if let Some(&e) = self.by_id.get(&endpoint) {
                     self.note_sign(e, status);
                 }
             }
-            Event::Senders(senders) => self.set.instances = senders.max(1),
+            Event::SenderCount(senders) => self.set.instances = senders.max(1),
             Event::Wake => {
                 // Callers may round a timer down: a wake within a tick of the time meant is the one meant.
                 if self.armed.is_some_and(|t| t <= self.now + self.set.tick) {
@@ -482,7 +483,7 @@
         if whole {
             self.endpoints
                 .iter_mut()
-                .for_each(|e| e.condition = Condition::Gone);
+                .for_each(|e| e.condition = Condition::Removed);
             self.gone = self.by_id.clone();
         }
         for entry in entries {
@@ -490,12 +491,12 @@
                 self.endpoints[e].condition = entry.condition;
                 self.endpoints[e].zone = entry.zone;
                 match entry.condition {
-                    Condition::Gone => self.gone.insert(entry.endpoint, e),
+                    Condition::Removed => self.gone.insert(entry.endpoint, e),
                     Condition::Ready | Condition::Draining => self.gone.remove(&entry.endpoint),
                 };
                 continue;
             }
-            if entry.condition == Condition::Gone {
+            if entry.condition == Condition::Removed {
                 continue;
             }
             let kind = self.set.kinds.get(entry.kind).copied().unwrap_or(Kind {
@@ -531,15 +532,15 @@
         self.forget_gone();
     }
 
-    fn on_accept(&mut self, taken: Taken) {
-        let Taken {
+    fn on_accept(&mut self, taken: AcceptedMessage) {
+        let AcceptedMessage {
             id,
             class,
             tenant,
             key,
             time_left: left,
             dest,
-            past,
+            prior,
         } = taken;
         if class >= self.set.classes.len() || self.ids.contains_key(&id) {
             return;
@@ -569,7 +570,7 @@
             lane.demand.add(self.now, part);
             // What a restart found came over the time passed since; as new demand it would be a burst
             // that never was.
-            if past.earlier_life {
+            if prior.restored {
                 lane.demand.since = lane
                     .demand
                     .since
@@ -598,10 +599,10 @@
             aim_at: self.now + spec.aim.saturating_sub(passed),
             deadline: self.now + left,
             not_before: self.now,
-            attempts: past.attempts,
+            attempts: prior.attempts,
             out: None,
-            // An earlier life's attempt keeps its age, so that no repeat leaves its window.
-            maybe_ran: past.maybe_ran.map(|(ago, at)| {
+            // An earlier process's attempt keeps its age, so that no repeat leaves its window.
+            possibly_executed: prior.possibly_executed.map(|(ago, at)| {
                 (
                     Time(self.now.0.saturating_sub(ago.as_nanos() as u64)),
                     self.by_id.get(&at).copied(),
@@ -665,8 +666,8 @@
                 Status::Served
                 | Status::Error
                 | Status::Spoilt
-                | Status::Gone
-                | Status::Rejected => {
+                | Status::RecipientRemoved
+                | Status::PermanentError => {
                     self.lanes[lane].rtt[class].sample(took.as_secs_f64());
                     self.endpoints[out.endpoint].last_answer = now;
                 }
@@ -678,7 +679,7 @@
                         (rtt.doubled, rtt.doubled_at) = (rtt.doubled + 1, Some(now));
                     }
                 }
-                Status::Refused => {
+                Status::Overloaded => {
                     self.endpoints[out.endpoint].last_answer = now;
                     // Senders refused together, or told the same end of a wait, must not return together.
                     let lane = &mut self.lanes[lane];
@@ -699,9 +700,9 @@
         let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
-        if !status.never_ran() {
+        if !status.not_executed() {
             message
-                .maybe_ran
+                .possibly_executed
                 .get_or_insert((out.sent, Some(out.endpoint)));
         }
         if matches!(
@@ -714,7 +715,7 @@
         if over || message.over || status == Status::Served {
             return self.close(number);
         }
-        if matches!(status, Status::Gone | Status::Rejected) {
+        if matches!(status, Status::RecipientRemoved | Status::PermanentError) {
             message.verdict = Some(status);
         }
         let pause = match status {
@@ -733,10 +734,14 @@
         let endpoint = &self.endpoints[e];
         let lost = match status {
             Status::TimedOut | Status::Reset | Status::Dropped => true,
-            Status::Served | Status::Error | Status::Spoilt | Status::Gone | Status::Rejected => {
-                false
+            Status::Served
+            | Status::Error
+            | Status::Spoilt
+            | Status::RecipientRemoved
+            | Status::PermanentError => false,
+            Status::Overloaded | Status::NoConnection | Status::Cancelled | Status::NotSent => {
+                return;
             }
-            Status::Refused | Status::NoConnection | Status::Cancelled | Status::NotSent => return,
         };
         if endpoint.gap <= IDLE_LEAST || endpoint.streak > 0 {
             return;
@@ -745,7 +750,7 @@
         if lost && self.idle_lost > IDLE_LOST {
             self.idle_limit = self.idle_limit.min(endpoint.gap / 2).max(IDLE_LEAST);
             if endpoint.out == 0 {
-                self.acts.push(Action::Close(endpoint.id.clone()));
+                self.acts.push(Action::CloseIdle(endpoint.id.clone()));
             }
         }
     }
@@ -768,7 +773,7 @@
             let crowded = self.crowded.get(endpoint.kind).is_some_and(|&t| now < t);
             let sharers = if crowded { self.set.instances } else { 1 };
             if endpoint.out == 0 && gap * sharers > self.idle_limit * IDLE_WORTH {
-                self.acts.push(Action::Close(endpoint.id.clone()));
+                self.acts.push(Action::CloseIdle(endpoint.id.clone()));
             }
             self.calls.remove(&out.call);
         }
@@ -780,15 +785,17 @@
         let (now, jitter, rules) = (self.now, self.jitter(), self.set.rules);
         let endpoint = &mut self.endpoints[endpoint];
         let lane = &mut self.lanes[endpoint.lane];
-        // Nothing is sent during a told wait: what is served then was sent before, and ends no outage.
+        // Nothing is sent during a Retry-After wait: what is served then was sent before, and ends no outage.
         let early = now < lane.shut_until && matches!(lane.health.mode, Mode::Down { .. });
         let sign = match status {
             Status::Served if early => return lane.window.answered(),
             Status::Served => Sign::Good,
-            Status::Refused => Sign::Refused,
+            Status::Overloaded => Sign::Refused,
             Status::Error | Status::TimedOut | Status::NoConnection | Status::Reset => Sign::Bad,
             // An answer about one message only, or spoilt on its way: it is neither better nor worse.
-            Status::Gone | Status::Rejected | Status::Spoilt => return lane.window.answered(),
+            Status::RecipientRemoved | Status::PermanentError | Status::Spoilt => {
+                return lane.window.answered();
+            }
             Status::Cancelled | Status::Dropped | Status::NotSent => return,
         };
         if matches!(status, Status::Served | Status::Error) {
@@ -848,10 +855,11 @@
         // Who is told to come again comes to any endpoint, after that wait.
         let anywhere = class.effect == Effect::Safe || class.dedup == DedupScope::All;
         let inside = self.harmless(m, self.now + after.unwrap_or_default());
-        let refused =
-            (m.maybe_ran.is_none() || anywhere) && inside && verdict != Some(Status::Rejected);
+        let refused = (m.possibly_executed.is_none() || anywhere)
+            && inside
+            && verdict != Some(Status::PermanentError);
         self.acts.push(if refused {
-            Action::Refuse { id, after }
+            Action::Reject { id, after }
         } else {
             Action::Fail(id)
         });
@@ -896,9 +904,9 @@
         m.attempts < self.set.attempts_cap && m.verdict.is_none() && self.harmless(m, self.now)
     }
 
-    /// Until when this message may come to its destination though it may have run, if not at any time.
+    /// Until when this message may come to its destination though it may have been executed, if not at any time.
     fn repeats_until(&self, m: &Message) -> Option<Time> {
-        let (class, (sent, _)) = (&self.set.classes[m.class], m.maybe_ran?);
+        let (class, (sent, _)) = (&self.set.classes[m.class], m.possibly_executed?);
         match class.effect {
             Effect::Safe => None,
             Effect::Keyed => Some(sent + class.window),
@@ -995,7 +1003,10 @@
             DedupScope::Zone => first.is_some_and(|f| self.endpoints[f].zone == endpoint.zone),
             DedupScope::Endpoint => first == Some(e),
         };
-        if class.effect == Effect::Keyed && m.maybe_ran.is_some_and(|(_, first)| !dropped(first)) {
+        if class.effect == Effect::Keyed
+            && m.possibly_executed
+                .is_some_and(|(_, first)| !dropped(first))
+        {
             return false;
         }
         // Drains kept, waits heeded.
@@ -1138,7 +1149,7 @@
 
     /// A destination's lanes that still have an endpoint in the list.
     fn listed(&self, dest: DestinationId) -> Vec<usize> {
-        let there = |&e: &usize| self.endpoints[e].condition != Condition::Gone;
+        let there = |&e: &usize| self.endpoints[e].condition != Condition::Removed;
         let lanes = self.dests.get(&dest).into_iter().flatten().copied();
         lanes
             .filter(|&l| self.lanes[l].endpoints.iter().any(there))
@@ -1202,7 +1213,7 @@
                 .last_used
                 .map_or(Duration::ZERO, |t| now - t.max(endpoint.last_answer));
             if endpoint.out == 0 && endpoint.gap > self.idle_limit {
-                self.acts.push(Action::Close(endpoint.id.clone()));
+                self.acts.push(Action::CloseIdle(endpoint.id.clone()));
                 endpoint.gap = Duration::ZERO;
             }
             endpoint.out += 1;
--- a/crates/scheduler/src/scheduler/lanes.rs
+++ b/crates/scheduler/src/scheduler/lanes.rs
@@ -105,12 +105,12 @@
 
     /// Guards memory on a long day: new endpoints under new ids replace the old ones without end.
     pub(super) fn forget_gone(&mut self) {
-        let first_ran: BTreeSet<usize> = self
+        let first_executed: BTreeSet<usize> = self
             .messages
             .values()
-            .filter_map(|m| m.maybe_ran?.1)
+            .filter_map(|m| m.possibly_executed?.1)
             .collect();
-        let needed = |e: &usize| self.endpoints[*e].out > 0 || first_ran.contains(e);
+        let needed = |e: &usize| self.endpoints[*e].out > 0 || first_executed.contains(e);
         let gone = std::mem::take(&mut self.gone);
         let (needed, gone): (BTreeMap<_, _>, BTreeMap<_, _>) =
             gone.into_iter().partition(|(_, e)| needed(e));
--- a/crates/scheduler/src/scheduler/learnt.rs
+++ b/crates/scheduler/src/scheduler/learnt.rs
@@ -25,7 +25,7 @@
     pub window: Option<f64>,
     /// The limit that an answer told, in calls a second for all senders together; infinite where it told that there is none.
     pub limit: Option<f64>,
-    /// The end of a told wait.
+    /// The end of a Retry-After wait.
     pub shut_until: Option<Time>,
     /// How it was.
     pub state: Option<Seen>,
--- a/crates/scheduler/src/scheduler/order.rs
+++ b/crates/scheduler/src/scheduler/order.rs
@@ -11,12 +11,12 @@
     }
 
     /// The final report of a message with this key is under way, from an earlier process of this sender.
-    pub fn await_report(&mut self, key: &Key) {
+    pub fn await_report(&mut self, key: &OrderingKey) {
         self.keys.entry(key.clone()).or_default().reports += 1;
     }
 
     /// A final report about a message with this key has been answered, or was an immediate answer.
-    pub fn report_answered(&mut self, key: &Key) {
+    pub fn report_answered(&mut self, key: &OrderingKey) {
         if let Some(line) = self.keys.get_mut(key) {
             line.reports = line.reports.saturating_sub(1);
         }
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -4,7 +4,9 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-use crate::api::{Condition, DestinationId, EndpointId, Entry, Key, Kind, MessageId, Status, Time};
+use crate::api::{
+    Condition, DestinationId, EndpointId, Entry, Kind, MessageId, OrderingKey, Status, Time,
+};
 use crate::scheduler::{Demand, Health, Pace, Rtt, Window};
 
 #[derive(Debug)]
@@ -44,7 +46,7 @@
     pub demand: Demand,
     pub pace: Pace,
     pub out: u32,
-    /// No call before this: a told wait.
+    /// No call before this: a Retry-After wait.
     pub shut_until: Time,
     pub refused: u32,
     /// When a connection there failed last, and no call was served since.
@@ -86,7 +88,7 @@
 pub struct Message {
     pub id: MessageId,
     pub class: usize,
-    pub key: Option<Key>,
+    pub key: Option<OrderingKey>,
     pub dest: DestinationId,
     pub over_share: bool,
     pub aim_at: Time,
@@ -95,7 +97,7 @@
     pub attempts: u32,
     pub out: Option<Attempt>,
     /// First send that may have taken effect, and where.
-    pub maybe_ran: Option<(Time, Option<usize>)>,
+    pub possibly_executed: Option<(Time, Option<usize>)>,
     /// An answer that no further attempt can change: gone, or rejected as it is.
     pub verdict: Option<Status>,
     pub over: bool,
@@ -103,7 +105,7 @@
 
 /// Messages that share a key.
 #[derive(Debug, Default)]
-pub struct KeyLine {
+pub struct OrderedQueue {
     /// In the order taken.
     pub line: VecDeque<u64>,
     /// Until then only this message goes: an attempt may still run.
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -112,14 +112,14 @@
 }
 
 pub fn accept(id: &str, class: usize, key: Option<&str>, left_ms: u64) -> Event {
-    Event::Accept(Taken {
+    Event::Accept(AcceptedMessage {
         id: MessageId(id.into()),
         class,
         tenant: 0,
-        key: key.map(|k| Key(k.into())),
+        key: key.map(|k| OrderingKey(k.into())),
         time_left: Duration::from_millis(left_ms),
         dest: DestinationId(1),
-        past: Past::default(),
+        prior: PriorAttempts::default(),
     })
 }
 
@@ -136,7 +136,7 @@
 }
 
 pub fn refused(id: &str, attempt: u32, wait_ms: u64) -> Event {
-    match outcome(id, attempt, Status::Refused, 10) {
+    match outcome(id, attempt, Status::Overloaded, 10) {
         Event::Outcome(o) => Event::Outcome(Outcome {
             wait: Some(Duration::from_millis(wait_ms)),
             ..o
@@ -160,7 +160,7 @@
     actions
         .iter()
         .filter_map(|a| match a {
-            Action::Refuse { id, .. } => Some(format!("refuse {id}")),
+            Action::Reject { id, .. } => Some(format!("refuse {id}")),
             Action::Fail(id) => Some(format!("fail {id}")),
             _ => None,
         })
--- a/crates/scheduler/tests/failures.rs
+++ b/crates/scheduler/tests/failures.rs
@@ -56,7 +56,7 @@
             .collect(),
     );
     let to = |id: &str, dest| match accept(id, 0, None, 9000) {
-        Event::Accept(t) => Event::Accept(Taken {
+        Event::Accept(t) => Event::Accept(AcceptedMessage {
             dest: DestinationId(dest),
             ..t
         }),
@@ -70,13 +70,13 @@
         let acts = b.at(i * 6000 + 3000, vec![to(&idle, 10 + i)]);
         closed += acts
             .iter()
-            .filter(|a| matches!(a, Action::Close(_)))
+            .filter(|a| matches!(a, Action::CloseIdle(_)))
             .count();
         b.at(
             i * 6000 + 4500,
             vec![outcome(&idle, 0, Status::TimedOut, 1500)],
         );
-        b.at(i * 6000 + 4600, vec![Event::Lapsed(MessageId(idle))]);
+        b.at(i * 6000 + 4600, vec![Event::Cancelled(MessageId(idle))]);
     }
     assert!(closed >= 2, "{closed}");
 }
@@ -108,7 +108,7 @@
         .collect();
     let mut b = Bench::new(settings(), entries);
     let to = |dest| match accept(&format!("o{dest}"), 0, None, 9000) {
-        Event::Accept(t) => Event::Accept(Taken {
+        Event::Accept(t) => Event::Accept(AcceptedMessage {
             dest: DestinationId(dest),
             ..t
         }),
@@ -181,9 +181,9 @@
     let mut b = Bench::new(settings(), vec![entry("e0", 1, Condition::Ready, 0)]);
     for i in 1..500u64 {
         let entries = vec![
-            entry(&format!("e{}", i - 1), 1, Condition::Gone, 0),
+            entry(&format!("e{}", i - 1), 1, Condition::Removed, 0),
             entry(&format!("e{i}"), 1, Condition::Ready, 0),
-            entry(&format!("r{}", i - 1), 2, Condition::Gone, 2),
+            entry(&format!("r{}", i - 1), 2, Condition::Removed, 2),
             entry(&format!("r{i}"), 2, Condition::Ready, 2),
         ];
         b.at(
@@ -219,7 +219,7 @@
         "it is out"
     );
     let entries = vec![
-        entry("a", 1, Condition::Gone, 0),
+        entry("a", 1, Condition::Removed, 0),
         entry("b", 1, Condition::Ready, 0),
     ];
     let acts = b.at(
@@ -235,7 +235,7 @@
 /// What a restart finds again came over seconds, and is no burst of new demand.
 #[test]
 fn recovered_messages_count_over_the_time_in_which_they_came() {
-    let paced = |earlier_life: bool| {
+    let paced = |restored: bool| {
         let start = Time(20_000_000_000);
         let mut sender = Sender::new(settings(), 1, start).expect("settings");
         sender.handle(
@@ -247,10 +247,10 @@
         );
         let mut b = Bench { sender, ms: 20_000 };
         let old = (0..60).map(|i| match accept(&format!("m{i}"), 0, None, 4000) {
-            Event::Accept(t) => Event::Accept(Taken {
-                past: Past {
-                    earlier_life,
-                    ..Past::default()
+            Event::Accept(t) => Event::Accept(AcceptedMessage {
+                prior: PriorAttempts {
+                    restored,
+                    ..PriorAttempts::default()
                 },
                 ..t
             }),
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -60,7 +60,7 @@
 /// that had just come back.
 #[test]
 fn all_senders_together_push_a_returning_destination_little_more_than_their_fresh_messages() {
-    for status in [Status::NoConnection, Status::Refused] {
+    for status in [Status::NoConnection, Status::Overloaded] {
         let sent = day(status, 25_000, 40_000);
         let fresh = SENDERS as usize / 10;
         assert!(
@@ -77,7 +77,7 @@
 /// erzurum big-1: pauses after refusals grew with the number of senders until messages expired untried.
 #[test]
 fn a_destination_that_serves_again_is_found_by_fresh_messages() {
-    let sent = day(Status::Refused, 15_000, 40_000);
+    let sent = day(Status::Overloaded, 15_000, 40_000);
     let fresh = SENDERS as usize / 10;
     let served: usize = sent[30..].iter().sum();
     assert!(served >= 8 * fresh, "{served} {sent:?}");
@@ -98,7 +98,7 @@
     );
     let closes = |acts: &[Action]| {
         acts.iter()
-            .filter(|a| matches!(a, Action::Close(_)))
+            .filter(|a| matches!(a, Action::CloseIdle(_)))
             .count()
     };
     for i in 0..6u64 {
@@ -133,7 +133,7 @@
     );
     let closes = |acts: &[Action]| {
         acts.iter()
-            .filter(|a| matches!(a, Action::Close(_)))
+            .filter(|a| matches!(a, Action::CloseIdle(_)))
             .count()
     };
     let mut tries = std::collections::BTreeMap::<String, u32>::new();
--- a/crates/scheduler/tests/lanes.rs
+++ b/crates/scheduler/tests/lanes.rs
@@ -25,7 +25,7 @@
         change("e2", Condition::Draining),
         change("e2", Condition::Ready),
         change("new", Condition::Ready),
-        change("new", Condition::Gone),
+        change("new", Condition::Removed),
         accept("m", 0, None, 5000),
         outcome("m", 0, Status::Served, 10),
         Event::Wake,
@@ -63,7 +63,7 @@
     });
     bench.at(10, vec![accept("first", 0, None, 5000)]);
     bench.at(20, vec![Event::Outcome(Outcome { report, ..served })]);
-    let probed = |status| Event::Probed {
+    let probed = |status| Event::HealthChecked {
         endpoint: EndpointId("e1".into()),
         status,
     };
--- a/crates/scheduler/tests/learnt.rs
+++ b/crates/scheduler/tests/learnt.rs
@@ -179,7 +179,7 @@
     let mut sender = fresh(4, 1);
     assert_eq!(sender.learnt(), [], "nothing was called");
     sender.handle(ms(0), vec![accept("a", 0, None, 9_900)]);
-    let told = match outcome("a", 0, Status::Refused, 50) {
+    let told = match outcome("a", 0, Status::Overloaded, 50) {
         Event::Outcome(o) => Event::Outcome(Outcome {
             wait: Some(Duration::from_secs(1)),
             report: Some(Report {
--- a/crates/scheduler/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -1,5 +1,5 @@
 //! Random histories keep the rules: one final answer each and before the deadline, one attempt out, attempts capped, nothing
-//! to an endpoint that drains, nothing in a told wait, keys in turn. Late, unknown and repeated ids are among them.
+//! to an endpoint that drains, nothing in a Retry-After wait, keys in turn. Late, unknown and repeated ids are among them.
 
 mod common;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 const STATUSES: [Status; 6] = [
     Status::Served,
     Status::Error,
-    Status::Refused,
+    Status::Overloaded,
     Status::TimedOut,
     Status::NoConnection,
     Status::Reset,
@@ -73,7 +73,7 @@
                     message.attempts += 1;
                     self.sends += 1;
                 }
-                Action::Refuse { id, .. } | Action::Fail(id) => {
+                Action::Reject { id, .. } | Action::Fail(id) => {
                     let message = self.held.remove(&id.0);
                     prop_assert!(
                         message.is_some_and(|m| m.out.is_none() && now < m.deadline),
@@ -112,18 +112,18 @@
         while w.bench.ms + 5 < now {
             let tick = w.bench.ms + 5;
             // A client withdraws what is out at its deadline; the attempt still gets its outcome.
-            let past: Vec<(String, u32)> = w
+            let prior: Vec<(String, u32)> = w
                 .held
                 .iter()
                 .filter(|(_, m)| m.deadline <= tick)
                 .filter_map(|(id, m)| m.out.map(|attempt| (id.clone(), attempt)))
                 .collect();
             let mut events = vec![Event::Wake];
-            for (id, attempt) in &past {
-                events.push(Event::Lapsed(MessageId(id.clone())));
+            for (id, attempt) in &prior {
+                events.push(Event::Cancelled(MessageId(id.clone())));
                 events.push(outcome(id, *attempt, Status::TimedOut, 10));
             }
-            let ended: Vec<String> = past.into_iter().map(|(id, _)| id).collect();
+            let ended: Vec<String> = prior.into_iter().map(|(id, _)| id).collect();
             w.at(tick, events, &ended)?;
         }
         let busy: Vec<String> = w
@@ -158,7 +158,7 @@
                 let status = STATUSES[n as usize / 7 % STATUSES.len()];
                 let message = w.held.get_mut(id).expect("busy");
                 let attempt = message.out.take().expect("busy");
-                let wait = if status == Status::Refused {
+                let wait = if status == Status::Overloaded {
                     n % 3 * 300
                 } else {
                     0
@@ -172,7 +172,7 @@
                 ended.extend((status == Status::Served).then(|| id.clone()));
             }
             9 => events.push(outcome(&format!("m{}", n % 50), 9, Status::Served, 1)),
-            10 => events.push(Event::Lapsed(MessageId("unknown".into()))),
+            10 => events.push(Event::Cancelled(MessageId("unknown".into()))),
             11 => {
                 let (gone, other) = if n % 2 == 0 { ("a", "b") } else { ("b", "a") };
                 w.drained = Some(gone);
--- a/crates/scheduler/tests/routes.rs
+++ b/crates/scheduler/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes apart, told limits and told waits: each route or destination is counted over all senders together.
+//! Routes apart, told limits and Retry-After waits: each route or destination is counted over all senders together.
 
 mod common;
 use std::time::Duration;
@@ -117,7 +117,11 @@
                 outcome(
                     &id,
                     a,
-                    if up { Status::Served } else { Status::Refused },
+                    if up {
+                        Status::Served
+                    } else {
+                        Status::Overloaded
+                    },
                     50,
                 )
             })
@@ -181,7 +185,7 @@
                 if debt <= limit {
                     Status::Served
                 } else {
-                    Status::Refused
+                    Status::Overloaded
                 },
                 0,
                 report,
@@ -218,7 +222,7 @@
                 if left >= 0.0 {
                     Status::Served
                 } else {
-                    Status::Refused
+                    Status::Overloaded
                 },
                 0,
                 report,
@@ -245,7 +249,7 @@
         30_000,
         |ms, _| {
             if ms < opens {
-                (Status::Refused, opens - ms, None)
+                (Status::Overloaded, opens - ms, None)
             } else {
                 (Status::Served, 0, None)
             }
@@ -280,7 +284,7 @@
             entries,
         );
         assert_eq!(sends(&b.at(0, vec![accept("m", 0, None, 9000)])).len(), 1);
-        let mut event = outcome("m", 0, Status::Refused, 10);
+        let mut event = outcome("m", 0, Status::Overloaded, 10);
         if let Event::Outcome(o) = &mut event {
             o.report = Some(Report { left, limit });
         }
@@ -329,7 +333,7 @@
                 limit,
             });
             if left < 1.0 {
-                return (Status::Refused, 0, report);
+                return (Status::Overloaded, 0, report);
             }
             left -= 1.0;
             (Status::Served, 0, report)
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -141,7 +141,7 @@
 
 #[test]
 fn nothing_new_to_a_draining_or_gone_endpoint() {
-    for condition in [Condition::Draining, Condition::Gone] {
+    for condition in [Condition::Draining, Condition::Removed] {
         let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)]);
         let news = Event::List {
             whole: false,
@@ -248,7 +248,7 @@
         ],
     );
     assert_eq!(
-        sends(&b.at(50, vec![Event::Lapsed(MessageId("m".into()))])),
+        sends(&b.at(50, vec![Event::Cancelled(MessageId("m".into()))])),
         []
     );
     let acts = b.at(100, vec![outcome("m", 0, Status::Served, 100)]);
@@ -321,7 +321,7 @@
     assert_eq!(finals(&acts).len(), 4);
     assert!(
         acts.iter()
-            .all(|a| !matches!(a, Action::Refuse { after: None, .. }))
+            .all(|a| !matches!(a, Action::Reject { after: None, .. }))
     );
 }
 
@@ -369,7 +369,7 @@
         0,
         vec![
             outcome("x", 0, Status::Served, 1),
-            Event::Lapsed(MessageId("y".into())),
+            Event::Cancelled(MessageId("y".into())),
         ],
     );
     assert!(sends(&acts).is_empty() && finals(&acts).is_empty());
@@ -451,7 +451,7 @@
     );
     let gone = Event::List {
         whole: false,
-        entries: vec![entry("near", 1, Condition::Gone, 0)],
+        entries: vec![entry("near", 1, Condition::Removed, 0)],
     };
     let mut sent = sends(&b.at(50, vec![gone, outcome("m", 0, Status::Error, 50)]));
     let mut last = vec![];
@@ -471,21 +471,21 @@
 fn an_answer_after_a_lapse_is_passed_over() {
     let mut b = one();
     b.at(0, vec![accept("m", 0, None, 9000)]);
-    b.at(10, vec![Event::Lapsed(MessageId("m".into()))]);
+    b.at(10, vec![Event::Cancelled(MessageId("m".into()))]);
     let acts = b.at(20, vec![outcome("m", 0, Status::TimedOut, 20)]);
     assert!(sends(&acts).is_empty() && finals(&acts).is_empty());
 }
 
-fn with_past(id: &str, class: usize, attempts: u32, ran_ms_ago: Option<u64>) -> Event {
+fn with_past(id: &str, class: usize, attempts: u32, executed_ms_ago: Option<u64>) -> Event {
     match accept(id, class, None, 9000) {
         Event::Accept(t) => {
-            let maybe_ran =
-                ran_ms_ago.map(|ms| (Duration::from_millis(ms), EndpointId("a".into())));
-            Event::Accept(Taken {
-                past: Past {
-                    earlier_life: true,
+            let possibly_executed =
+                executed_ms_ago.map(|ms| (Duration::from_millis(ms), EndpointId("a".into())));
+            Event::Accept(AcceptedMessage {
+                prior: PriorAttempts {
+                    restored: true,
                     attempts,
-                    maybe_ran,
+                    possibly_executed,
                 },
                 ..t
             })
@@ -496,7 +496,7 @@
 
 #[test]
 fn what_an_earlier_life_did_binds_this_one() {
-    // Attempts used up; an unsafe message that may have run; a keyed one inside and outside its window.
+    // Attempts used up; an unsafe message that may have been executed; a keyed one inside and outside its window.
     for (event, sent, ended) in [
         (with_past("m", 0, 4, None), 0, vec!["refuse m"]),
         (with_past("m", 0, 3, Some(100)), 1, vec![]),
@@ -526,10 +526,13 @@
             1,
             "the destination is not held to be out"
         );
-        let acts = b.at(n * 100 + 50, vec![outcome(&id, 0, Status::Gone, 50)]);
+        let acts = b.at(
+            n * 100 + 50,
+            vec![outcome(&id, 0, Status::RecipientRemoved, 50)],
+        );
         assert_eq!(
             acts.iter()
-                .filter(|a| matches!(a, Action::Refuse { after: None, .. }))
+                .filter(|a| matches!(a, Action::Reject { after: None, .. }))
                 .count(),
             1
         );
@@ -542,7 +545,7 @@
     for class in 0..3 {
         let mut b = one();
         b.at(0, vec![accept("m", class, None, 9000)]);
-        let acts = b.at(50, vec![outcome("m", 0, Status::Rejected, 50)]);
+        let acts = b.at(50, vec![outcome("m", 0, Status::PermanentError, 50)]);
         assert_eq!(
             (finals(&acts), sends(&acts)),
             (vec!["fail m".to_owned()], vec![])
@@ -551,7 +554,7 @@
 }
 
 /// Guards the window against what comes after the decision: a connection that comes up late (narrow days of the other
-/// customer: up to 10 repeats a day). What may have run is told to be written inside its window; what has not run, or may
+/// customer: up to 10 repeats a day). What may have been executed is told to be written inside its window; what has not run, or may
 /// run twice, at any time.
 #[test]
 fn a_repeat_is_to_be_written_inside_its_window() {
@@ -578,7 +581,10 @@
             .expect("there")
     };
     assert_eq!(within(&set, class(Effect::Safe), Status::Error), [None]);
-    assert_eq!(within(&set, class(Effect::Keyed), Status::Refused), [None]);
+    assert_eq!(
+        within(&set, class(Effect::Keyed), Status::Overloaded),
+        [None]
+    );
     let left = within(&set, class(Effect::Keyed), Status::Error);
     assert!(
         left.len() == 1 && left[0].is_some_and(|l| l <= Duration::from_millis(1300)),
--- a/crates/scheduler/tests/shared_calls.rs
+++ b/crates/scheduler/tests/shared_calls.rs
@@ -44,7 +44,7 @@
         .len()
 }
 
-/// Guards against a call that goes on after one of its messages has run out of time: what its answer then says of the
+/// Guards against a call that goes on after one of its messages has been executed out of time: what its answer then says of the
 /// others was taken for a delivery that did not count (narrow days, seeds 104 and 112: 1 to 11 messages lost a day).
 /// All wait alike, so who has less time left than a call usually takes (a quarter of the aim of 1 s, before any is
 /// known) would have each such call broken off: it goes alone.
--- a/crates/simulation/src/audit/copies.rs
+++ b/crates/simulation/src/audit/copies.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Breach, Class, Closing, Fate, Figures, Findings, Line, Rule, What};
+use super::{Breach, Class, Fate, Figures, FinalReport, Findings, Line, Rule, What};
 
 #[derive(Debug, Default)]
 struct Message {
@@ -12,9 +12,9 @@
     attempts: u32,
     /// The connection on which an attempt is out, and the line that brought it.
     out: Option<(u64, String)>,
-    /// The first attempt that may have run.
-    ran: Option<(Duration, String)>,
-    /// Its closing report was heard: what is resent is the same one.
+    /// The first attempt that may have been executed.
+    executed: Option<(Duration, String)>,
+    /// Its final report was heard: what is resent is the same one.
     reported: bool,
 }
 
@@ -37,7 +37,7 @@
 
     pub(super) fn hear(&mut self, line: &Line, figures: &Figures, findings: &mut Findings) {
         match &line.what {
-            What::Handed { id, class, .. } | What::Posted { id, class, .. } => {
+            What::Submitted { id, class, .. } | What::Posted { id, class, .. } => {
                 self.messages.entry(id.clone()).or_default().class = Some(*class);
             }
             What::Called {
@@ -62,21 +62,23 @@
             What::Broke {
                 connection,
                 ids,
-                ran,
+                executed,
                 ..
             } => {
                 for id in ids {
-                    self.settle(id, *connection, *ran, line);
+                    self.settle(id, *connection, *executed, line);
                 }
                 self.on.remove(connection);
             }
-            // The sender gave the call up: it may run, or may have.
+            // The sender gave the call up: it may be executed, or may have.
             What::Closed { connection } => {
                 for id in self.on.remove(connection).unwrap_or_default() {
                     self.settle(&id, *connection, true, line);
                 }
             }
-            What::Reported { id, closing } => self.reported(id, *closing, line, figures, findings),
+            What::Reported { id, final_report } => {
+                self.reported(id, *final_report, line, figures, findings)
+            }
             _ => {}
         }
     }
@@ -85,7 +87,7 @@
     fn reported(
         &mut self,
         id: &str,
-        closing: Closing,
+        final_report: FinalReport,
         line: &Line,
         figures: &Figures,
         findings: &mut Findings,
@@ -94,11 +96,11 @@
             return;
         };
         let resent = std::mem::replace(&mut message.reported, true);
-        let (Closing::Returned { after }, false) = (closing, resent) else {
+        let (FinalReport::Returned { after }, false) = (final_report, resent) else {
             return;
         };
         if let (Some((first, proof)), Some(class)) = (
-            &message.ran,
+            &message.executed,
             message.class.and_then(|c| self.classes.get(c)),
         ) {
             let wire = vec![proof.clone(), line.wire.clone()];
@@ -153,7 +155,7 @@
             findings.kept(Rule::Attempts);
         }
         let class = message.class.and_then(|c| self.classes.get(c).copied());
-        if let (Some((first, proof)), Some(class)) = (&message.ran, class) {
+        if let (Some((first, proof)), Some(class)) = (&message.executed, class) {
             let wire = vec![proof.clone(), line.wire.clone()];
             let breach = breach(Rule::Repeats, "sent again".into(), wire);
             let again = line.at.saturating_sub(*first);
@@ -162,21 +164,21 @@
         message.out = Some((connection, line.wire.clone()));
     }
 
-    fn settle(&mut self, id: &str, connection: u64, ran: bool, line: &Line) {
+    fn settle(&mut self, id: &str, connection: u64, executed: bool, line: &Line) {
         let Some(message) = self.messages.get_mut(id) else {
             return;
         };
         message.out.take_if(|(on, _)| *on == connection);
-        if ran {
+        if executed {
             // It can't have run before it came; the end is what the sender can know.
             message
-                .ran
+                .executed
                 .get_or_insert_with(|| (line.at, line.wire.clone()));
         }
     }
 }
 
-/// Judges a message that comes, or may come, to its destination `again` after it may have run there.
+/// Judges a message that comes, or may come, to its destination `again` after it may have been executed there.
 fn judge_repeat(
     class: Class,
     again: Duration,
--- a/crates/simulation/src/audit/destinations.rs
+++ b/crates/simulation/src/audit/destinations.rs
@@ -1,4 +1,4 @@
-//! What destinations asked for: drains, told waits, and connections that had been idle too long.
+//! What destinations asked for: drains, Retry-After waits, and connections that had been idle too long.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/simulation/src/audit/ends.rs
+++ b/crates/simulation/src/audit/ends.rs
@@ -1,16 +1,16 @@
-//! One end for every message that was taken on, in time; and an answer for every request.
+//! One end for every message that was accepted, in time; and an answer for every request.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Answer, Breach, Closing, Fate, Figures, Findings, Line, Rule, What};
+use super::{Answer, Breach, Fate, Figures, FinalReport, Findings, Line, Rule, What};
 
 #[derive(Debug, Default)]
 struct TrackedMessage {
     sender: Option<usize>,
-    handed: Duration,
-    handed_late: Duration,
-    handed_wire: String,
+    submitted: Duration,
+    submitted_late: Duration,
+    submitted_wire: String,
     lasts: Duration,
     taken: Option<Duration>,
     /// Over Web Push, where the answer is the end.
@@ -18,7 +18,7 @@
     answered: bool,
     /// The first 200 that was written for it.
     delivered: Option<(Duration, String)>,
-    closing: Option<(Closing, String)>,
+    final_report: Option<(FinalReport, String)>,
     /// The sender that took it on is gone for good with all that it held.
     lost: bool,
 }
@@ -33,17 +33,19 @@
 impl Ends {
     pub(super) fn hear(&mut self, line: &Line, figures: &Figures, findings: &mut Findings) {
         match &line.what {
-            What::Handed { id, lasts, .. } => {
+            What::Submitted { id, lasts, .. } => {
                 let message = self.messages.entry(id.clone()).or_default();
                 message.sender = line.sender;
-                (message.handed, message.handed_late, message.lasts) = (line.at, line.late, *lasts);
-                message.handed_wire = line.wire.clone();
+                (message.submitted, message.submitted_late, message.lasts) =
+                    (line.at, line.late, *lasts);
+                message.submitted_wire = line.wire.clone();
             }
             What::Posted { id, lasts, .. } => {
                 let message = self.messages.entry(id.clone()).or_default();
                 message.sender = line.sender;
-                (message.handed, message.handed_late, message.lasts) = (line.at, line.late, *lasts);
-                message.handed_wire = line.wire.clone();
+                (message.submitted, message.submitted_late, message.lasts) =
+                    (line.at, line.late, *lasts);
+                message.submitted_wire = line.wire.clone();
                 (message.posted, message.taken) = (true, Some(line.at));
             }
             What::Answered { id, answer } => {
@@ -56,14 +58,14 @@
                 }
                 let over = line
                     .at
-                    .saturating_sub(message.handed)
+                    .saturating_sub(message.submitted)
                     .checked_sub(figures.patience);
                 let over = over.filter(|o| !o.is_zero());
-                let late = line.late + message.handed_late;
-                let wire = vec![message.handed_wire.clone(), line.wire.clone()];
+                let late = line.late + message.submitted_late;
+                let wire = vec![message.submitted_wire.clone(), line.wire.clone()];
                 let why = format!(
                     "answered after {} ms",
-                    line.at.saturating_sub(message.handed).as_millis()
+                    line.at.saturating_sub(message.submitted).as_millis()
                 );
                 findings.judge(
                     over,
@@ -71,7 +73,7 @@
                     || breach(Rule::Answers, id, line.at, why, wire),
                     Rule::Answers,
                 );
-                if *answer == Answer::TakenOn {
+                if *answer == Answer::Accepted {
                     message.taken.get_or_insert(line.at);
                 }
             }
@@ -85,7 +87,7 @@
                 if excused {
                     return;
                 }
-                let wire = vec![message.handed_wire.clone(), line.wire.clone()];
+                let wire = vec![message.submitted_wire.clone(), line.wire.clone()];
                 findings.broken(breach(
                     Rule::Answers,
                     id,
@@ -100,10 +102,10 @@
                 else {
                     return;
                 };
-                let wire = vec![message.handed_wire.clone(), line.wire.clone()];
+                let wire = vec![message.submitted_wire.clone(), line.wire.clone()];
                 let why = format!("no answer in {} ms", figures.patience.as_millis());
                 // How much later it would have come nobody knows: a rig that was late itself is no proof.
-                let late = line.late + message.handed_late;
+                let late = line.late + message.submitted_late;
                 findings.judge(
                     Some(figures.slack),
                     late,
@@ -120,7 +122,9 @@
                     }
                 }
             }
-            What::Reported { id, closing } => self.reported(id, *closing, line, figures, findings),
+            What::Reported { id, final_report } => {
+                self.reported(id, *final_report, line, figures, findings)
+            }
             What::Signalled | What::Gone => {
                 if let Some(sender) = line.sender {
                     let spans = self.excused.entry(sender).or_default();
@@ -156,7 +160,7 @@
     fn reported(
         &mut self,
         id: &str,
-        closing: Closing,
+        final_report: FinalReport,
         line: &Line,
         figures: &Figures,
         findings: &mut Findings,
@@ -172,10 +176,10 @@
             ));
             return;
         };
-        let kind = |c: &Closing| matches!(c, Closing::Returned { .. });
-        match &message.closing {
+        let kind = |c: &FinalReport| matches!(c, FinalReport::Returned { .. });
+        match &message.final_report {
             // The same report again is no second end: it is resent until it is answered.
-            Some((first, _)) if kind(first) == kind(&closing) => {}
+            Some((first, _)) if kind(first) == kind(&final_report) => {}
             Some((_, wire)) => {
                 let wire = vec![wire.clone(), line.wire.clone()];
                 findings.broken(breach(
@@ -188,7 +192,7 @@
             }
             // What was delivered may still be reported, if the 200 never reached the sender; whether as
             // `returned` is a matter of its class, and so of the rule on repeats.
-            None => message.closing = Some((closing, line.wire.clone())),
+            None => message.final_report = Some((final_report, line.wire.clone())),
         }
         if !message.answered {
             message.answered = true;
@@ -209,28 +213,28 @@
             return;
         };
         let wire = |proof: Option<&String>| {
-            let mut wire = vec![message.handed_wire.clone(), line.wire.clone()];
+            let mut wire = vec![message.submitted_wire.clone(), line.wire.clone()];
             wire.extend(proof.cloned());
             wire
         };
         match (answer, &message.delivered) {
-            (Answer::Delivered | Answer::TakenOn, None) => {
+            (Answer::Delivered | Answer::Accepted, None) => {
                 let why = "answered as delivered, and no push service took it".into();
                 findings.broken(breach(Rule::OneEnd, id, line.at, why, wire(None)));
             }
-            (Answer::Refused { .. } | Answer::Error, Some((_, proof))) => {
+            (Answer::Rejected { .. } | Answer::Error, Some((_, proof))) => {
                 let why = "answered as never run, and it had been delivered".into();
                 findings.broken(breach(Rule::OneEnd, id, line.at, why, wire(Some(proof))));
             }
             _ => findings.kept(Rule::Answers),
         }
-        let due = message.handed + message.lasts + figures.overdue;
+        let due = message.submitted + message.lasts + figures.overdue;
         let over = line.at.checked_sub(due).filter(|o| !o.is_zero());
         let why = format!(
             "answered {} ms after its time",
             over.unwrap_or_default().as_millis()
         );
-        let late = line.late + message.handed_late;
+        let late = line.late + message.submitted_late;
         findings.judge(
             over,
             late,
@@ -243,7 +247,7 @@
         let Some(message) = self.messages.get(id) else {
             return;
         };
-        let due = message.handed + message.lasts + figures.overdue;
+        let due = message.submitted + message.lasts + figures.overdue;
         if message
             .sender
             .is_some_and(|s| self.is_excused_since(s, due, line.at))
@@ -256,10 +260,10 @@
             "its end came {} ms after its time",
             over.unwrap_or_default().as_millis()
         );
-        let wire = vec![message.handed_wire.clone(), line.wire.clone()];
+        let wire = vec![message.submitted_wire.clone(), line.wire.clone()];
         findings.judge(
             over,
-            line.late + message.handed_late,
+            line.late + message.submitted_late,
             || breach(Rule::InTime, id, line.at, why, wire),
             Rule::InTime,
         );
@@ -282,7 +286,7 @@
         })
     }
 
-    /// The day is over: whatever was taken on and has no end is lost.
+    /// The day is over: whatever was accepted and has no end is lost.
     pub(super) fn close(
         &mut self,
         end: Duration,
@@ -298,13 +302,13 @@
             let ended = if message.posted {
                 message.answered
             } else {
-                message.delivered.is_some() || message.closing.is_some()
+                message.delivered.is_some() || message.final_report.is_some()
             };
             if ended {
                 findings.kept(Rule::OneEnd);
                 continue;
             }
-            let due = message.handed + message.lasts + figures.overdue;
+            let due = message.submitted + message.lasts + figures.overdue;
             // A day that ends before its time says nothing about it.
             let over = end.checked_sub(due).filter(|o| !o.is_zero());
             let what = if message.posted { "posted" } else { "taken on" };
@@ -314,7 +318,7 @@
                 "neither delivered nor reported"
             };
             let why = format!("{what} at {:.3} s, and {lacks}", taken.as_secs_f64());
-            let wire = vec![message.handed_wire.clone()];
+            let wire = vec![message.submitted_wire.clone()];
             if over.is_some() {
                 findings.judge(
                     over,
--- a/crates/simulation/src/audit/mod.rs
+++ b/crates/simulation/src/audit/mod.rs
@@ -24,7 +24,7 @@
     pub wait_grace: Duration,
     /// A connection idle for longer is not written to.
     pub idle: Duration,
-    /// A message that was taken on has its end so soon after its time at the latest.
+    /// A message that was accepted has its end so soon after its time at the latest.
     pub overdue: Duration,
     /// After a restart no report is overdue until so long after the sender is ready.
     pub restart: Duration,
@@ -67,7 +67,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
     Safe,
-    /// Repeats are dropped for so long from the first that may have run.
+    /// Repeats are dropped for so long from the first that may have been executed.
     Keyed {
         window: Duration,
     },
@@ -77,20 +77,20 @@
 /// The answer to who handed a message in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    TakenOn,
+    Accepted,
     /// Web Push: the one answer says that the service has it.
     Delivered,
-    Refused {
+    Rejected {
         after: Option<Duration>,
     },
-    /// Web Push: given up, and it may have run.
+    /// Web Push: given up, and it may have been executed.
     Failed,
     Error,
 }
 
-/// How a closing report ends a message.
+/// How a final report ends a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Closing {
+pub enum FinalReport {
     Returned { after: Option<Duration> },
     Failed,
 }
@@ -115,13 +115,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
     /// The last byte of a message was written to the sender.
-    Handed {
+    Submitted {
         id: String,
         class: usize,
         destination: u64,
         lasts: Duration,
         /// Within which it keeps its order, where its class keeps one.
-        order_key: Option<String>,
+        ordering_key: Option<String>,
     },
     /// The last byte of a Web Push post was written: its one answer is its end.
     Posted {
@@ -172,13 +172,13 @@
         wait: Option<Duration>,
         spoilt: bool,
     },
-    /// The stand-in ended the connection without a proper answer: refused, reset or spoilt. It may have run if `ran`.
+    /// The stand-in ended the connection without a proper answer: refused, reset or spoilt. It may have been executed if `executed`.
     Broke {
         connection: u64,
         endpoint: usize,
         destination: u64,
         ids: Vec<String>,
-        ran: bool,
+        executed: bool,
     },
     Told {
         endpoint: usize,
@@ -187,7 +187,7 @@
     },
     Reported {
         id: String,
-        closing: Closing,
+        final_report: FinalReport,
     },
     /// The sender was asked to end, or was killed.
     Signalled,
--- a/crates/simulation/src/audit/order.rs
+++ b/crates/simulation/src/audit/order.rs
@@ -10,10 +10,10 @@
 struct Message {
     sender: usize,
     key: String,
-    /// Place among all that were handed in.
+    /// Place among all that were submitted.
     place: u64,
     /// The sender said that it has it; until then it may not.
-    taken_on: bool,
+    accepted: bool,
     /// Delivered, refused, or reported as ended.
     over: bool,
     in_flight: bool,
@@ -21,7 +21,7 @@
 
 #[derive(Debug, Default)]
 pub(super) struct Order {
-    handed_in: u64,
+    submitted: u64,
     messages: BTreeMap<String, Message>,
     /// Messages in flight on each open connection.
     in_flight: BTreeMap<u64, Vec<String>>,
@@ -32,15 +32,15 @@
 impl Order {
     pub(super) fn hear(&mut self, line: &Line, figures: &Figures, findings: &mut Findings) {
         match &line.what {
-            What::Handed {
+            What::Submitted {
                 id,
-                order_key: Some(key),
+                ordering_key: Some(key),
                 ..
-            } => self.handed(id, key, line),
+            } => self.submitted(id, key, line),
             What::Answered { id, answer } => {
                 if let Some(message) = self.messages.get_mut(id) {
-                    message.taken_on = *answer == Answer::TakenOn;
-                    message.over |= *answer != Answer::TakenOn;
+                    message.accepted = *answer == Answer::Accepted;
+                    message.over |= *answer != Answer::Accepted;
                 }
             }
             // Whether the sender has it is not known: it holds nobody up, and nobody is held against it.
@@ -79,17 +79,17 @@
         }
     }
 
-    fn handed(&mut self, id: &str, key: &str, line: &Line) {
+    fn submitted(&mut self, id: &str, key: &str, line: &Line) {
         let Some(sender) = line.sender else { return };
         self.messages
             .retain(|_, message| !message.over || message.in_flight);
-        self.handed_in += 1;
-        let (place, key) = (self.handed_in, key.to_owned());
+        self.submitted += 1;
+        let (place, key) = (self.submitted, key.to_owned());
         let message = Message {
             sender,
             key,
             place,
-            taken_on: false,
+            accepted: false,
             over: false,
             in_flight: false,
         };
@@ -149,7 +149,7 @@
                 "{other} of the same key {key} is in flight"
             )));
         } else if let Some((other, _)) =
-            line_of_key().find(|(_, o)| o.place < message.place && o.taken_on && !o.over)
+            line_of_key().find(|(_, o)| o.place < message.place && o.accepted && !o.over)
         {
             findings.broken(breach(format!(
                 "{other} of the same key {key} was handed in before it"
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -89,9 +89,9 @@
         .collect()
 }
 
-/// A message as it is handed in, once.
+/// A message as it is submitted, once.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Handing {
+pub struct Submission {
     pub id: String,
     /// Which first try it belongs to.
     pub origin: usize,
@@ -100,7 +100,7 @@
     pub destination: u64,
     pub key: Option<String>,
     /// What it keeps its order within.
-    pub order_key: Option<String>,
+    pub ordering_key: Option<String>,
     pub body: usize,
     /// What is left of its time.
     pub lasts: Duration,
@@ -112,8 +112,8 @@
 /// What the sender said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Said {
-    TakenOn,
-    Refused {
+    Accepted,
+    Rejected {
         after: Option<Duration>,
     },
     Error,
@@ -129,10 +129,10 @@
     pub tenant: usize,
     pub destination: u64,
     key: Option<String>,
-    order_key: Option<String>,
+    ordering_key: Option<String>,
     body: usize,
     tries: u32,
-    /// When the first delivery counted: written by a destination, and the client knew that it was taken on.
+    /// When the first delivery counted: written by a destination, and the client knew that it was accepted.
     pub delivered: Option<Duration>,
     pub refused: bool,
     pub failed: bool,
@@ -141,8 +141,8 @@
 #[derive(Clone, Debug)]
 struct Out {
     origin: usize,
-    taken_on: bool,
-    /// Delivered before the client heard that it was taken on.
+    accepted: bool,
+    /// Delivered before the client heard that it was accepted.
     early: Option<Duration>,
 }
 
@@ -208,25 +208,25 @@
         new.chain(due).min()
     }
 
-    /// All that are handed in by `now`, each with its instant.
-    pub fn hand_in(&mut self, now: Duration) -> Vec<(Duration, Handing)> {
-        let mut handings = Vec::new();
+    /// All that are submitted by `now`, each with its instant.
+    pub fn hand_in(&mut self, now: Duration) -> Vec<(Duration, Submission)> {
+        let mut submissions = Vec::new();
         while let Some(at) = self.next().filter(|&t| t <= now) {
             if at == self.next_single && at < self.load.until {
                 let target = self.draw_target(at);
                 self.next_single = self.after(at, self.load.rate * (1.0 - self.load.clumps));
-                handings.extend(self.first(at, target));
+                submissions.extend(self.first(at, target));
             } else if at == self.next_clump && at < self.load.until {
                 self.next_clump = self.after(at, self.clump_rate());
                 self.clump(at);
             } else if let Some(Reverse((at, _, due))) = self.due.pop() {
                 match due {
-                    Due::First { target } => handings.extend(self.first(at, target)),
-                    Due::Again(again) => handings.extend(self.handing(at, again)),
+                    Due::First { target } => submissions.extend(self.first(at, target)),
+                    Due::Again(again) => submissions.extend(self.submission(at, again)),
                 }
             }
         }
-        handings
+        submissions
     }
 
     /// The sender's answer to a handing, or that there will be none.
@@ -240,13 +240,13 @@
             return;
         };
         match said {
-            Said::TakenOn => {
-                out.taken_on = true;
+            Said::Accepted => {
+                out.accepted = true;
                 if let Some(at) = out.early {
                     self.origins[origin].delivered.get_or_insert(at.max(now));
                 }
             }
-            Said::Refused { after } => {
+            Said::Rejected { after } => {
                 self.out.remove(id);
                 self.come_again(now, origin, after, true);
             }
@@ -267,14 +267,14 @@
         let Some(out) = self.out.get_mut(id) else {
             return;
         };
-        if out.taken_on {
+        if out.accepted {
             self.origins[out.origin].delivered.get_or_insert(now);
         } else {
             out.early.get_or_insert(now);
         }
     }
 
-    /// The platform was told that it ended without delivery: it comes again if it never ran.
+    /// The platform was told that it ended without delivery: it comes again if it was not executed.
     pub fn closed(&mut self, now: Duration, id: &str, returned: Option<Duration>) {
         let Some(out) = self.out.remove(id) else {
             return;
@@ -391,7 +391,7 @@
         pick(&mut self.rng, &weights)
     }
 
-    fn first(&mut self, at: Duration, target: usize) -> Option<(Duration, Handing)> {
+    fn first(&mut self, at: Duration, target: usize) -> Option<(Duration, Submission)> {
         let shares: Vec<f64> = self.load.classes.iter().map(|c| c.share).collect();
         let class = match self.load.push.filter(|_| self.load.targets[target].push) {
             Some(first) => first + usize::from(self.rng.random_bool(0.5)),
@@ -407,7 +407,7 @@
             .keyed
             .then(|| format!("{:016x}", self.rng.random::<u64>()));
         let order_keys = self.load.classes[class].order_keys;
-        let order_key = (order_keys > 0)
+        let ordering_key = (order_keys > 0)
             .then(|| format!("{:016x}", self.rng.random_range(1..=u64::from(order_keys))));
         let Target {
             destination,
@@ -420,14 +420,14 @@
             tenant,
             destination,
             key,
-            order_key,
+            ordering_key,
             body,
             tries: 0,
             delivered: None,
             refused: false,
             failed: false,
         });
-        self.handing(
+        self.submission(
             at,
             Try {
                 origin: self.origins.len() - 1,
@@ -439,7 +439,7 @@
 
     /// Whether a try has to wait for the answer to the one before it of its key; if not, others wait for it from now on.
     fn waits_behind(&mut self, this: Try) -> bool {
-        let Some(key) = self.origins[this.origin].order_key.clone() else {
+        let Some(key) = self.origins[this.origin].ordering_key.clone() else {
             return false;
         };
         match self.behind.get_mut(&key) {
@@ -454,7 +454,7 @@
 
     /// A try has its answer: the next one of its key is due.
     fn next_of_key(&mut self, now: Duration, origin: usize) {
-        let Some(key) = self.origins[origin].order_key.clone() else {
+        let Some(key) = self.origins[origin].ordering_key.clone() else {
             return;
         };
         let behind = self.behind.remove(&key).unwrap_or_default();
@@ -463,7 +463,7 @@
         }
     }
 
-    fn handing(&mut self, at: Duration, this: Try) -> Option<(Duration, Handing)> {
+    fn submission(&mut self, at: Duration, this: Try) -> Option<(Duration, Submission)> {
         let Try {
             origin,
             retry,
@@ -480,14 +480,14 @@
         let id = format!("{:016x}", self.rng.random::<u64>());
         let from = &mut self.origins[origin];
         from.tries += 1;
-        let handing = Handing {
+        let submission = Submission {
             id: id.clone(),
             origin,
             class: from.class,
             tenant: from.tenant,
             destination: from.destination,
             key: from.key.clone(),
-            order_key: from.order_key.clone(),
+            ordering_key: from.ordering_key.clone(),
             body: from.body,
             lasts,
             retry,
@@ -497,11 +497,11 @@
             id,
             Out {
                 origin,
-                taken_on: false,
+                accepted: false,
                 early: None,
             },
         );
-        Some((at, handing))
+        Some((at, submission))
     }
 
     fn come_again(&mut self, now: Duration, origin: usize, after: Option<Duration>, retry: bool) {
--- a/crates/simulation/src/day/types.rs
+++ b/crates/simulation/src/day/types.rs
@@ -65,7 +65,7 @@
     pub effect: Effect,
 }
 
-/// What a class allows after an attempt that may have run.
+/// What a class allows after an attempt that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Safe,
--- a/crates/simulation/src/destination.rs
+++ b/crates/simulation/src/destination.rs
@@ -107,11 +107,11 @@
         wait: Option<Duration>,
         report: Option<(f64, f64)>,
     },
-    /// Bytes that are no answer; the call has run.
+    /// Bytes that are no answer; the call has been executed.
     Spoilt { at: Duration, how: Spoilt },
-    /// The connection is reset; it may have run.
-    Reset { at: Duration, ran: bool },
-    /// Nothing, ever; it may run all the same.
+    /// The connection is reset; it may have been executed.
+    Reset { at: Duration, executed: bool },
+    /// Nothing, ever; it may be executed all the same.
     Nothing,
 }
 
@@ -263,7 +263,7 @@
             return (
                 Reply::Reset {
                     at: now,
-                    ran: false,
+                    executed: false,
                 },
                 false,
             );
@@ -278,7 +278,7 @@
             return (
                 Reply::Reset {
                     at: now,
-                    ran: false,
+                    executed: false,
                 },
                 true,
             );
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -13,7 +13,7 @@
     Silent,
     /// Every call is turned away as full.
     Shut,
-    /// This share of the calls fails quickly; they may have run.
+    /// This share of the calls fails quickly; they may have been executed.
     Fail { share: f64 },
     /// This share of the answers is no proper HTTP.
     Spoil { share: f64 },
--- a/crates/simulation/tests/audit.rs
+++ b/crates/simulation/tests/audit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::{
-    Answer, Auditor, Class, Closing, Fate, Figures, Line, Listed, Rule, Verdict, What,
+    Answer, Auditor, Class, Fate, Figures, FinalReport, Line, Listed, Rule, Verdict, What,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -40,20 +40,20 @@
         self
     }
 
-    /// Handed in at `at` and taken on 5 ms later.
+    /// Submitted at `at` and accepted 5 ms later.
     fn taken(self, at: u64, id: &str, class: usize) -> Log {
-        let handed = What::Handed {
+        let submitted = What::Submitted {
             id: id.into(),
             class,
             destination: 7,
             lasts: ms(20_000),
-            order_key: None,
+            ordering_key: None,
         };
-        self.add(at, handed).add(
+        self.add(at, submitted).add(
             at + 5,
             What::Answered {
                 id: id.into(),
-                answer: Answer::TakenOn,
+                answer: Answer::Accepted,
             },
         )
     }
@@ -95,12 +95,12 @@
         )
     }
 
-    fn report(self, at: u64, id: &str, closing: Closing) -> Log {
+    fn report(self, at: u64, id: &str, final_report: FinalReport) -> Log {
         self.add(
             at,
             What::Reported {
                 id: id.into(),
-                closing,
+                final_report,
             },
         )
     }
@@ -155,7 +155,7 @@
     Log(Vec::new())
 }
 
-const RETURNED: Closing = Closing::Returned { after: None };
+const RETURNED: FinalReport = FinalReport::Returned { after: None };
 
 #[test]
 fn one_end_for_each_notice() {
@@ -166,7 +166,7 @@
         .keeps(Rule::OneEnd);
     log()
         .taken(0, "a", 0)
-        .report(20_200, "a", Closing::Failed)
+        .report(20_200, "a", FinalReport::Failed)
         .keeps(Rule::OneEnd);
     // Resent until it is answered.
     log()
@@ -178,7 +178,7 @@
     log()
         .taken(0, "a", 0)
         .report(900, "a", RETURNED)
-        .report(1200, "a", Closing::Failed)
+        .report(1200, "a", FinalReport::Failed)
         .breaks(Rule::OneEnd);
     log().report(900, "nobody", RETURNED).breaks(Rule::OneEnd);
     // The 200 may never have reached the sender.
@@ -187,7 +187,7 @@
         .call(10, 1, &["a"])
         .reply(300, 1, "a", Fate::Done, None);
     delivered
-        .report(900, "a", Closing::Failed)
+        .report(900, "a", FinalReport::Failed)
         .keeps(Rule::OneEnd);
     // A day that ends before a message's time says nothing.
     let verdict = log().taken(0, "a", 0).verdict(Rule::OneEnd, 20_000);
@@ -198,15 +198,15 @@
 fn every_end_in_time() {
     log()
         .taken(0, "a", 0)
-        .report(20_300, "a", Closing::Failed)
+        .report(20_300, "a", FinalReport::Failed)
         .keeps(Rule::InTime);
     log()
         .taken(0, "a", 0)
-        .report(20_301, "a", Closing::Failed)
+        .report(20_301, "a", FinalReport::Failed)
         .breaks(Rule::InTime);
     log()
         .taken(0, "a", 0)
-        .report(20_310, "a", Closing::Failed)
+        .report(20_310, "a", FinalReport::Failed)
         .late(30)
         .is_not_judged(Rule::InTime);
     // Killed, and back: nothing is overdue until 1.5 s after it is ready.
@@ -256,7 +256,7 @@
         .late(20)
         .is_not_judged(Rule::Repeats);
     failed(2).call(60, 1, &["a"]).breaks(Rule::Repeats);
-    // What was turned away never ran.
+    // What was turned away was not executed.
     let busy = log()
         .taken(0, "a", 2)
         .call(10, 1, &["a"])
@@ -265,7 +265,7 @@
         busy.call(60, 1, &["a"]).verdict(Rule::Repeats, 60_000),
         Verdict::Kept { .. }
     ));
-    // A call that the sender gave up may run all the same, also when the answer comes later.
+    // A call that the sender gave up may be executed all the same, also when the answer comes later.
     let given_up = log()
         .taken(0, "a", 2)
         .call(10, 1, &["a"])
@@ -276,37 +276,39 @@
 /// Who is told `returned` hands the message in again: that is a repeat that the sender asked for.
 #[test]
 fn nothing_is_returned_that_must_not_come_again() {
-    let ran = |class, fate| {
+    let executed = |class, fate| {
         log()
             .taken(0, "a", class)
             .call(10, 1, &["a"])
             .reply(50, 1, "a", fate, None)
     };
-    let after = |ms: u64| Closing::Returned {
+    let after = |ms: u64| FinalReport::Returned {
         after: Some(Duration::from_millis(ms)),
     };
     for fate in [Fate::Done, Fate::Failed] {
-        ran(0, fate).report(900, "a", RETURNED).keeps(Rule::Repeats);
-        ran(1, fate)
+        executed(0, fate)
+            .report(900, "a", RETURNED)
+            .keeps(Rule::Repeats);
+        executed(1, fate)
             .report(19_000, "a", after(1090))
             .keeps(Rule::Repeats);
-        ran(1, fate)
+        executed(1, fate)
             .report(19_000, "a", after(1110))
             .breaks(Rule::Repeats);
-        ran(1, fate)
+        executed(1, fate)
             .report(19_000, "a", after(1110))
             .late(20)
             .is_not_judged(Rule::Repeats);
-        ran(2, fate)
+        executed(2, fate)
             .report(900, "a", RETURNED)
             .breaks(Rule::Repeats);
         // Resent until it is answered: the same report.
-        ran(1, fate)
+        executed(1, fate)
             .report(19_000, "a", after(500))
             .report(25_000, "a", after(500))
             .keeps(Rule::Repeats);
     }
-    let busy = ran(2, Fate::Busy).report(900, "a", RETURNED);
+    let busy = executed(2, Fate::Busy).report(900, "a", RETURNED);
     assert_eq!(
         busy.verdict(Rule::Repeats, 60_000),
         Verdict::Kept { cases: 0 }
@@ -555,12 +557,12 @@
 /// A sender that is gone for good owes nothing more; the others owe what they owed.
 #[test]
 fn what_a_lost_folder_held_is_nobodys() {
-    let other = What::Handed {
+    let other = What::Submitted {
         id: "b".into(),
         class: 0,
         destination: 7,
         lasts: ms(20_000),
-        order_key: None,
+        ordering_key: None,
     };
     let lost = || log().taken(0, "a", 0).add(50, What::Lost { only: None });
     assert_eq!(
@@ -569,7 +571,7 @@
     );
     let taken = What::Answered {
         id: "b".into(),
-        answer: Answer::TakenOn,
+        answer: Answer::Accepted,
     };
     lost().add(100, other).add(110, taken).breaks(Rule::OneEnd);
     // A journal that was cut: what it still had is owed.
@@ -590,35 +592,35 @@
 
 #[test]
 fn every_request_is_answered_in_time() {
-    let handed = || {
+    let submitted = || {
         log().add(
             0,
-            What::Handed {
+            What::Submitted {
                 id: "a".into(),
                 class: 0,
                 destination: 7,
                 lasts: ms(20_000),
-                order_key: None,
+                ordering_key: None,
             },
         )
     };
     let refused = |at| {
-        handed().add(
+        submitted().add(
             at,
             What::Answered {
                 id: "a".into(),
-                answer: Answer::Refused { after: None },
+                answer: Answer::Rejected { after: None },
             },
         )
     };
     refused(400).keeps(Rule::Answers);
     refused(401).breaks(Rule::Answers);
     refused(410).late(20).is_not_judged(Rule::Answers);
-    handed()
+    submitted()
         .add(10, What::Dropped { id: "a".into() })
         .breaks(Rule::Answers);
     // A sender that was killed can't answer.
-    let killed = handed()
+    let killed = submitted()
         .add(5, What::Gone)
         .add(6, What::Dropped { id: "a".into() });
     assert_eq!(
@@ -657,7 +659,7 @@
     answered(taken(), 101, Answer::Delivered).keeps(Rule::OneEnd);
     // Answered from thin air, or told to come again although the user has seen it.
     answered(posted(), 101, Answer::Delivered).breaks(Rule::OneEnd);
-    answered(taken(), 101, Answer::Refused { after: None }).breaks(Rule::OneEnd);
+    answered(taken(), 101, Answer::Rejected { after: None }).breaks(Rule::OneEnd);
     // A 201 of the service that never reached the sender.
     answered(taken(), 4200, Answer::Failed).keeps(Rule::OneEnd);
     answered(posted(), 4300, Answer::Failed).keeps(Rule::InTime);
@@ -677,19 +679,19 @@
 #[test]
 fn messages_of_one_key_in_turn() {
     let in_order = |log: Log, at: u64, id: &str, key: &str| {
-        let order_key = Some(key.to_owned());
-        let handed = What::Handed {
+        let ordering_key = Some(key.to_owned());
+        let submitted = What::Submitted {
             id: id.into(),
             class: 2,
             destination: 7,
             lasts: ms(20_000),
-            order_key,
+            ordering_key,
         };
-        log.add(at, handed).add(
+        log.add(at, submitted).add(
             at + 5,
             What::Answered {
                 id: id.into(),
-                answer: Answer::TakenOn,
+                answer: Answer::Accepted,
             },
         )
     };
@@ -722,7 +724,7 @@
             .call(20, 1, &["a"])
             .add(500, What::Closed { connection: 1 })
     };
-    let reported = || cut().report(510, "a", Closing::Failed);
+    let reported = || cut().report(510, "a", FinalReport::Failed);
     reported().call(549, 2, &["b"]).breaks(Rule::Order);
     reported().call(550, 2, &["b"]).keeps(Rule::Order);
     reported()
@@ -735,12 +737,12 @@
         .call(20, 1, &["a"])
         .call(30, 2, &["c"])
         .keeps(Rule::Order);
-    let elsewhere = What::Handed {
+    let elsewhere = What::Submitted {
         id: "d".into(),
         class: 2,
         destination: 7,
         lasts: ms(20_000),
-        order_key: Some("k".into()),
+        ordering_key: Some("k".into()),
     };
     let elsewhere = two()
         .add(20, elsewhere)
