--- a/crates/simulation/tests/laws.rs
+++ b/crates/simulation/tests/laws.rs
@@ -135,24 +135,24 @@
         }
     }
 
-    /// The same seed gives the same day, and a message is handed in no more often than clients may.
+    /// The same seed gives the same day, and a message is submitted no more often than clients may.
     #[test]
     fn clients_are_the_same_for_the_same_seed_and_give_up(seed in any::<u64>(), answers in prop::collection::vec(0..4u8, 1..60)) {
         let play = || {
             let mut clients = Clients::new(load(), rng(seed));
             let (mut log, mut n) = (Vec::new(), 0);
             while let Some(at) = clients.next() {
-                for (at, handing) in clients.hand_in(at) {
+                for (at, submission) in clients.hand_in(at) {
                     let said = match answers[n % answers.len()] {
-                        0 => Said::TakenOn,
-                        1 => Said::Refused { after: Some(ms(300)) },
+                        0 => Said::Accepted,
+                        1 => Said::Rejected { after: Some(ms(300)) },
                         2 => Said::Nothing,
                         _ => Said::Error,
                     };
                     n += 1;
-                    clients.answered(at + ms(5), &handing.id, said);
-                    if said == Said::TakenOn { clients.delivered(at + ms(200), &handing.id); }
-                    log.push(handing);
+                    clients.answered(at + ms(5), &submission.id, said);
+                    if said == Said::Accepted { clients.delivered(at + ms(200), &submission.id); }
+                    log.push(submission);
                 }
             }
             let worth = clients.worth();
@@ -210,12 +210,12 @@
         let mut clients = Clients::new(load(), rng(seed));
         let mut last = (Duration::ZERO, u64::MAX);
         while let Some(at) = clients.next() {
-            for (at, handing) in clients.hand_in(at) {
-                clients.answered(at, &handing.id, Said::TakenOn);
+            for (at, submission) in clients.hand_in(at) {
+                clients.answered(at, &submission.id, Said::Accepted);
                 count += 1;
-                by_tenant[handing.tenant] += 1;
-                clumped += usize::from(handing.destination == last.1 && at - last.0 < ms(60));
-                last = (at, handing.destination);
+                by_tenant[submission.tenant] += 1;
+                clumped += usize::from(submission.destination == last.1 && at - last.0 < ms(60));
+                last = (at, submission.destination);
             }
         }
     }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cranehill_scheduler::api::{
-    self, Action, Condition, DestinationId, EndpointId, Entry, Event, Key, MessageId, Past, Report,
-    Status, Taken,
+    self, AcceptedMessage, Action, Condition, DestinationId, EndpointId, Entry, Event, MessageId,
+    OrderingKey, PriorAttempts, Report, Status,
 };
 use cranehill_scheduler::profile::Profile;
 use serde::{Deserialize, Serialize};
@@ -125,14 +125,14 @@
                 time_left,
                 called_node,
             } => {
-                let taken = Taken {
+                let taken = AcceptedMessage {
                     id: MessageId(msg_id),
                     class,
                     tenant: org,
-                    key: key.map(Key),
+                    key: key.map(OrderingKey),
                     time_left: ns(u64::try_from(time_left).unwrap_or(0)),
                     dest: DestinationId(called_node),
-                    past: Past::default(),
+                    prior: PriorAttempts::default(),
                 };
                 (sender, Some(Event::Accept(taken)))
             }
@@ -153,13 +153,13 @@
                     status,
                     over,
                     took: ns(cost_time),
-                    wait: (status == Status::Refused && detail > 0)
+                    wait: (status == Status::Overloaded && detail > 0)
                         .then(|| Duration::from_millis(detail)),
                     report: server_stats.and_then(Stats::into_report),
                 };
                 (sender, Some(Event::Outcome(outcome)))
             }
-            Msg::Lapsed { sender, msg_id } => (sender, Some(Event::Lapsed(MessageId(msg_id)))),
+            Msg::Lapsed { sender, msg_id } => (sender, Some(Event::Cancelled(MessageId(msg_id)))),
             Msg::Wake { sender } => (sender, Some(Event::Wake)),
             Msg::CheckResult {
                 sender,
@@ -167,7 +167,7 @@
                 status,
             } => (
                 sender,
-                Some(Event::Probed {
+                Some(Event::HealthChecked {
                     endpoint: EndpointId(endpoint),
                     status: status.into(),
                 }),
@@ -213,7 +213,7 @@
         match o {
             Outcome::Served => Status::Served,
             Outcome::ServerError => Status::Error,
-            Outcome::TurnedAway => Status::Refused,
+            Outcome::TurnedAway => Status::Overloaded,
             Outcome::NoAnswer => Status::TimedOut,
             Outcome::NoConnection => Status::NoConnection,
             Outcome::ConnectionLost => Status::Reset,
@@ -240,7 +240,7 @@
 impl Row {
     pub fn into_entry(self) -> Result<Entry, String> {
         let condition = match self.condition {
-            0 => Condition::Gone,
+            0 => Condition::Removed,
             1 => Condition::Ready,
             2 => Condition::Draining,
             c => return Err(format!("unknown condition {c}")),
@@ -313,7 +313,7 @@
                 endpoint: endpoint.0,
                 patience: span(timeout),
             },
-            Action::Refuse { id, after } => Act::SayNo {
+            Action::Reject { id, after } => Act::SayNo {
                 msg_id: id.0,
                 stay_away: after.map(span),
             },
@@ -322,10 +322,10 @@
                 span: span(after),
                 name: "wake",
             },
-            Action::Close(endpoint) => Act::HangUp {
+            Action::CloseIdle(endpoint) => Act::HangUp {
                 endpoint: endpoint.0,
             },
-            Action::Probe(endpoint) => Act::AskLoad {
+            Action::CheckHealth(endpoint) => Act::AskLoad {
                 endpoint: endpoint.0,
             },
             Action::Subscribe => Act::Subscribe { on: true },
