--- a/crates/core/src/detach.rs
+++ b/crates/core/src/detach.rs
@@ -78,11 +78,11 @@
                 });
             } else {
                 self.detached.returning.insert(id.clone(), now);
-                self.sender.bar_endpoint(&id);
+                self.scheduler.bar_endpoint(&id);
             }
             // What stands connected is of the endpoint as it was: it may be restarted before it is attached.
             effects.push(Effect::CloseIdle(id.clone()));
-            self.tell_listed(&id);
+            self.push_entry_event(&id);
         }
         let detached = &self.detached;
         let now = Detachments {
@@ -108,7 +108,7 @@
             .map(EndpointId)
         {
             self.detached.out.insert(id.clone(), now);
-            self.tell_listed(&id);
+            self.push_entry_event(&id);
         }
         for (id, since) in before.back.into_iter().take(MOST) {
             // A clock that was ahead must not keep it cold for longer than it is.
@@ -119,7 +119,7 @@
         }
     }
 
-    fn tell_listed(&mut self, id: &EndpointId) {
+    fn push_entry_event(&mut self, id: &EndpointId) {
         let Some(entry) = self.list.entry(id) else {
             return;
         };
@@ -136,10 +136,10 @@
         let detached = &mut self.detached;
         for (id, since) in std::mem::take(&mut detached.returning) {
             if now - since >= cold {
-                self.sender.unbar_endpoint(&id);
+                self.scheduler.unbar_endpoint(&id);
                 continue;
             }
-            self.sender.admit_endpoint(now, &id, since);
+            self.scheduler.admit_endpoint(now, &id, since);
             detached.returning.insert(id, since);
         }
     }
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -52,7 +52,7 @@
         address: String,
     },
     WakeAt(Time),
-    /// Keep this in place of what was kept before: what is learnt of destinations.
+    /// Keep this in place of what was kept before: what is learned of destinations.
     PersistLearnedState(Vec<u8>),
     /// The sender is back in full, so long after its start.
     RecoveryComplete(Duration),
--- a/crates/core/src/ends.rs
+++ b/crates/core/src/ends.rs
@@ -96,7 +96,7 @@
     /// A message that keeps its order is over for good: the next one of its key may go.
     pub(crate) fn end_order(&mut self, ordering_key: Option<&str>) {
         if let Some(key) = ordering_key {
-            self.sender.report_answered(&OrderingKey(key.to_owned()));
+            self.scheduler.report_answered(&OrderingKey(key.to_owned()));
         }
     }
 
@@ -164,7 +164,7 @@
         id: MessageId(end.id),
         attempt: end.attempt,
         status: end.status,
-        over,
+        completed: over,
         took: end.took,
         wait: end.retry_after,
         report: end.report,
--- a/crates/core/src/input.rs
+++ b/crates/core/src/input.rs
@@ -47,11 +47,11 @@
     Recovered(Vec<Record>),
     /// No new attempts: the process is about to end.
     Stopping,
-    /// What an earlier process had learnt of destinations, as [`crate::Effect::Remember`] wrote it.
+    /// What an earlier process had learned of destinations, as [`crate::Effect::Remember`] wrote it.
     LearnedStateRestored(Vec<u8>),
     /// No new attempts from now on, or again: another process is about to take over.
     Quiesced(bool),
-    /// What the process before this one passed on, as [`crate::Core::learnt`] gave it.
+    /// What the process before this one passed on, as [`crate::Core::learned_state`] gave it.
     LearnedStateInherited(Vec<u8>),
     /// An operator takes an endpoint out, or has it `back`; answered by [`crate::Effect::Detached`].
     Detach {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
 //! The state of the sender and its one reducer. [`Core::step`] is the only place where state changes; what
 //! is to be read or written in consequence is returned as effects. It knows no wire, socket, file or clock.
 //!
-//! Decisions (when, where, whether again, when to give up) are [`cranehill_scheduler::Sender`]'s alone. A turn goes in
+//! Decisions (when, where, whether again, when to give up) are [`cranehill_scheduler::Scheduler`]'s alone. A turn goes in
 //! two steps: [`Input::TickEnded`] asks for the turn's records to be kept, and only [`Input::Persisted`] lets out
 //! what depends on them: answers, calls and reports. So nothing is promised or sent that the journal lacks.
 //!
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -113,7 +113,7 @@
         let listed = self.endpoints.get(id)?;
         Some(Entry {
             endpoint: id.clone(),
-            dest: listed.destination,
+            destination: listed.destination,
             condition: listed.condition,
             zone: listed.zone,
             kind: listed.kind,
@@ -151,7 +151,7 @@
 
     fn insert(&mut self, now: Time, id: EndpointId, entry: Entry, address: String) {
         let Entry {
-            dest: destination,
+            destination: destination,
             condition,
             zone,
             kind,
--- a/crates/core/src/pending.rs
+++ b/crates/core/src/pending.rs
@@ -99,13 +99,13 @@
             id: MessageId(message.id.clone()),
             class: message.class,
             tenant: message.tenant,
-            key: message
+            ordering_key: message
                 .ordering_key
                 .clone()
                 .filter(|_| !breakage::is(Breakage::IgnoresOrder))
                 .map(OrderingKey),
             time_left: *deadline - self.now,
-            dest: DestinationId(message.destination),
+            destination: DestinationId(message.destination),
             prior,
         })
     }
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -29,11 +29,11 @@
     pub(crate) fn on_recovered(&mut self, records: Vec<Record>) -> Vec<Effect> {
         if !records.is_empty() {
             // Attempts that were cut off with the earlier process may still run.
-            self.sender.rest_keys(self.now);
+            self.scheduler.rest_keys(self.now);
         }
         // In the order in which they were accepted, by their place in it.
         let mut open: BTreeMap<usize, (Message, Time, Option<FirstRun>)> = BTreeMap::new();
-        let mut places: HashMap<String, usize> = HashMap::new();
+        let mut endpoint_count: HashMap<String, usize> = HashMap::new();
         for (place, record) in records.into_iter().enumerate() {
             match record {
                 Record::Accepted {
@@ -64,7 +64,7 @@
                         envelope,
                         from,
                     };
-                    if let Some(before) = places.insert(id, place) {
+                    if let Some(before) = endpoint_count.insert(id, place) {
                         open.remove(&before);
                     }
                     open.insert(place, (message, deadline, None));
@@ -75,7 +75,9 @@
                     endpoint,
                     at,
                 } => {
-                    let message = places.get(&id).and_then(|place| open.get_mut(place));
+                    let message = endpoint_count
+                        .get(&id)
+                        .and_then(|place| open.get_mut(place));
                     if let Some((message, _, possibly_executed)) = message {
                         message.spent = message.spent.max(attempt + 1);
                         possibly_executed.get_or_insert((Time(at), EndpointId(endpoint), attempt));
@@ -86,7 +88,9 @@
                     attempt,
                     not_executed,
                 } => {
-                    let message = places.get(&id).and_then(|place| open.get_mut(place));
+                    let message = endpoint_count
+                        .get(&id)
+                        .and_then(|place| open.get_mut(place));
                     if let Some((.., possibly_executed)) = message {
                         possibly_executed
                             .take_if(|(.., number)| not_executed && *number == attempt);
@@ -97,7 +101,7 @@
                     final_report,
                     ordering_key,
                 } => {
-                    places.remove(&id).map(|place| open.remove(&place));
+                    endpoint_count.remove(&id).map(|place| open.remove(&place));
                     self.remember(&id);
                     self.final_report.insert(
                         id,
@@ -108,7 +112,7 @@
                     );
                 }
                 Record::Completed { id, until } => {
-                    places.remove(&id).map(|place| open.remove(&place));
+                    endpoint_count.remove(&id).map(|place| open.remove(&place));
                     self.final_report.remove(&id);
                     // A clock that was far ahead must not have an id remembered for ever.
                     let until = Time(until).min(self.now + self.longest());
@@ -159,7 +163,7 @@
             .values()
             .filter_map(|report| report.ordering_key.as_ref())
         {
-            self.sender.await_report(&OrderingKey(key.clone()));
+            self.scheduler.await_report(&OrderingKey(key.clone()));
         }
     }
 
@@ -186,7 +190,7 @@
             .set
             .classes
             .get(class)
-            .filter(|c| c.effect == api::Effect::Keyed);
+            .filter(|c| c.effect == api::Effect::Idempotent);
         let window_end = class
             .zip(first_run)
             .map(|(class, (at, ..))| *at + class.window);
@@ -208,31 +212,34 @@
             return;
         };
         match recovery::unpack(bytes) {
-            Ok(learnt) => {
-                log::info!(pieces = learnt.len(); "recovery: {} partners remembered", learnt.len());
-                recovery.remembered(self.now, learnt);
+            Ok(learned_state) => {
+                log::info!(pieces = learned_state.len(); "recovery: {} partners remembered", learned_state.len());
+                recovery.restored(self.now, learned_state);
             }
             Err(why) => log::warn!("recovery: {why}; nothing of it is used"),
         }
     }
 
     /// What this sender knows of destinations, for the process that goes on in its place.
-    pub fn learnt(&self) -> Vec<u8> {
-        recovery::pack(&self.sender.learnt())
+    pub fn learned_state(&self) -> Vec<u8> {
+        recovery::pack(&self.scheduler.learned_state())
     }
 
-    pub(crate) fn adopt(&mut self, bytes: &[u8]) {
+    pub(crate) fn inherit_learned_state(&mut self, bytes: &[u8]) {
         match recovery::unpack(bytes) {
-            Ok(learnt) => self.adopted = learnt,
+            Ok(learned_state) => self.inherited_state = learned_state,
             Err(why) => log::error!("hand-over: what was learnt: {why}"),
         }
     }
 
-    /// A member asks for what we have learnt, or tells what it has.
-    pub(crate) fn on_word(&mut self, word: &membership::Effect) -> Vec<Effect> {
+    /// A member asks for what we have learned, or tells what it has.
+    pub(crate) fn on_learned_state_message(&mut self, word: &membership::Effect) -> Vec<Effect> {
         match word {
             membership::Effect::LearnedRequested { by } => {
-                let pieces = recovery::encode(&self.sender.learnt(), membership::MAX_LEARNED_PIECE);
+                let pieces = recovery::encode(
+                    &self.scheduler.learned_state(),
+                    membership::MAX_LEARNED_PIECE,
+                );
                 self.on_fleet(membership::Input::SendLearned { to: *by, pieces })
             }
             membership::Effect::LearnedReceived { by, piece } => {
@@ -240,10 +247,10 @@
                     return Vec::new();
                 };
                 match recovery::decode(piece) {
-                    Ok(learnt) => {
-                        log::info!(event = "told", by:%, pieces = learnt.len();
-                            "recovery: {by} told of {} partners", learnt.len());
-                        recovery.told(self.now, learnt);
+                    Ok(learned_state) => {
+                        log::info!(event = "told", by:%, pieces = learned_state.len();
+                            "recovery: {by} told of {} partners", learned_state.len());
+                        recovery.peer_replied(self.now, learned_state);
                     }
                     Err(why) => log::warn!("recovery: from {by}: {why}"),
                 }
@@ -273,7 +280,7 @@
             .iter()
             .filter(|event| matches!(event, Event::Accept(_)))
             .count();
-        let room = self.sender.room().saturating_sub(transferred);
+        let room = self.scheduler.capacity().saturating_sub(transferred);
         let released = self.backlog.release(self.now, room, margin);
         released.iter().for_each(|id| self.hand_over(id));
         if released.is_empty() {
@@ -284,34 +291,34 @@
     }
 
     /// Has the decisions recall what they may, once they know the destinations that it is about: lists go before all else.
-    pub(crate) fn recall(&mut self, events: Vec<Event>) -> (Vec<Action>, Vec<Event>) {
+    pub(crate) fn restore(&mut self, events: Vec<Event>) -> (Vec<Action>, Vec<Event>) {
         // The list's part of a turn goes before the rest of it: with something withdrawn in between, a call could go out for it.
         // Such a turn is left whole, and the next one recalls.
         if events.iter().any(|e| matches!(e, Event::Cancelled(_))) {
             return (Vec::new(), events);
         }
-        if !self.adopted.is_empty() {
+        if !self.inherited_state.is_empty() {
             let (lists, rest) = split_lists(events);
-            let actions = self.sender.handle(self.now, lists);
-            self.adopted = self
-                .sender
-                .carry_on(self.now, std::mem::take(&mut self.adopted));
+            let actions = self.scheduler.handle(self.now, lists);
+            self.inherited_state = self
+                .scheduler
+                .inherit(self.now, std::mem::take(&mut self.inherited_state));
             return (actions, rest);
         }
-        let due = self.recovery.as_mut().and_then(|r| r.recall(self.now));
-        let Some(learnt) = due else {
+        let due = self.recovery.as_mut().and_then(|r| r.restore(self.now));
+        let Some(learned_state) = due else {
             return (Vec::new(), events);
         };
         let (lists, rest) = split_lists(events);
-        let actions = self.sender.handle(self.now, lists);
-        let last = self.sender.recall(self.now, &learnt);
+        let actions = self.scheduler.handle(self.now, lists);
+        let last = self.scheduler.restore(self.now, &learned_state);
         if let Some(recovery) = &mut self.recovery {
             recovery.spread(last);
         }
         (actions, rest)
     }
 
-    /// At a turn's end: asks members, goes on with what is owed, writes down what is learnt, and looks whether all is done.
+    /// At a turn's end: asks members, goes on with what is owed, writes down what is learned, and looks whether all is done.
     pub(crate) fn come_back(&mut self) -> Vec<Effect> {
         let now = self.now;
         let others = self
@@ -328,12 +335,12 @@
         self.take_up();
         self.hand_over_backlog();
         let submitted = self.events.len() > before;
-        let learnt = self.sender.learnt();
+        let learned_state = self.scheduler.learned_state();
         let Some(recovery) = &mut self.recovery else {
             return effects;
         };
-        if recovery.remembers(now, &learnt) {
-            effects.push(Effect::PersistLearnedState(recovery::pack(&learnt)));
+        if recovery.remembers(now, &learned_state) {
+            effects.push(Effect::PersistLearnedState(recovery::pack(&learned_state)));
         }
         effects.extend(recovery.look(now).map(Effect::RecoveryComplete));
         let next = if submitted {
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -6,7 +6,7 @@
 use cranehill_membership::{self as membership, Members};
 use cranehill_recovery::Recovery;
 use cranehill_scheduler::api::{DestinationId, Event, MessageId, Settings};
-use cranehill_scheduler::{Learnt, Sender, SettingsError, Time};
+use cranehill_scheduler::{LearnedState, Scheduler, SettingsError, Time};
 use cranehill_zone_failover::Zones;
 
 use crate::backlog::Backlog;
@@ -31,7 +31,7 @@
 
 #[derive(Debug)]
 pub struct Core {
-    pub(crate) sender: Sender,
+    pub(crate) scheduler: Scheduler,
     pub(crate) set: Settings,
     pub(crate) now: Time,
     pub(crate) pending: BTreeMap<String, PendingMessage>,
@@ -63,7 +63,7 @@
     /// No new attempts: another process is about to take over.
     pub(crate) quiet: bool,
     /// What the process before this one knew, until the list has what it is about.
-    pub(crate) adopted: Vec<Learnt>,
+    pub(crate) inherited_state: Vec<LearnedState>,
     /// The version of the members' payloads that was looked at last.
     pub(crate) payloads_version: u64,
     pub breaches: Breaches,
@@ -79,10 +79,10 @@
         if breakage::is(Breakage::SeventhAttempt) {
             set.attempts_cap = 9;
         }
-        let mut sender = Sender::new(set.clone(), seed, now)?;
-        sender.confirm_reports();
+        let mut scheduler = Scheduler::new(set.clone(), seed, now)?;
+        scheduler.confirm_reports();
         Ok(Core {
-            sender,
+            scheduler,
             set,
             now,
             pending: BTreeMap::new(),
@@ -103,7 +103,7 @@
             zones: None,
             detached: Detached::default(),
             quiet: false,
-            adopted: Vec::new(),
+            inherited_state: Vec::new(),
             payloads_version: 0,
             breaches: Breaches::default(),
         })
@@ -162,12 +162,12 @@
             Input::Quiesced(quiet) => {
                 self.quiet = quiet;
                 if !quiet {
-                    self.sender.unbar_all();
+                    self.scheduler.unbar_all();
                 }
                 Vec::new()
             }
             Input::LearnedStateInherited(bytes) => {
-                self.adopt(&bytes);
+                self.inherit_learned_state(&bytes);
                 Vec::new()
             }
             Input::Detach { by, endpoint, back } => self.on_detach(by, endpoint, back),
@@ -195,7 +195,7 @@
             match effect {
                 membership::Effect::LearnedRequested { .. }
                 | membership::Effect::LearnedReceived { .. } => {
-                    effects.extend(self.on_word(&effect));
+                    effects.extend(self.on_learned_state_message(&effect));
                 }
                 membership::Effect::ShareDivisor(senders) => {
                     self.events.push(Event::SenderCount(senders));
@@ -223,7 +223,7 @@
 
     /// Endpoints that are kept, here and by the decisions.
     pub fn endpoints(&self) -> usize {
-        self.list.len().max(self.sender.places())
+        self.list.len().max(self.scheduler.endpoint_count())
     }
 
     /// Calls out just now.
--- a/crates/core/src/turn.rs
+++ b/crates/core/src/turn.rs
@@ -121,11 +121,11 @@
 
     fn decide(&mut self, events: Vec<Event>) -> Vec<Action> {
         if self.quiet {
-            self.sender.bar_all();
+            self.scheduler.bar_all();
         }
-        let (mut actions, events) = self.recall(events);
-        actions.extend(self.sender.handle(self.now, events));
-        let active = self.sender.active_lanes();
+        let (mut actions, events) = self.restore(events);
+        actions.extend(self.scheduler.handle(self.now, events));
+        let active = self.scheduler.active_routes();
         log::trace!(active; "turn: {active} lanes are active after it");
         actions
     }
--- a/crates/core/src/zones.rs
+++ b/crates/core/src/zones.rs
@@ -75,19 +75,21 @@
         let due = zones.due(now);
         for change in &changes {
             match change {
-                Change::Leave { zone, .. } | Change::ProbeOver { zone } => self.sender.bar(*zone),
-                Change::Probe { zone, pick } => self.sender.probe(now, *zone, *pick),
-                Change::Return { zone, .. } => self.sender.return_to(*zone, false),
-                Change::Free { zone } => self.sender.unbar(*zone),
+                Change::Leave { zone, .. } | Change::ProbeOver { zone } => {
+                    self.scheduler.bar(*zone)
+                }
+                Change::Probe { zone, pick } => self.scheduler.probe(now, *zone, *pick),
+                Change::Return { zone, .. } => self.scheduler.return_to(*zone, false),
+                Change::Free { zone } => self.scheduler.unbar(*zone),
             }
         }
         for (zone, state) in states {
             match state {
                 State::Free => {}
-                State::Left(_) => self.sender.bar_new(zone),
+                State::Left(_) => self.scheduler.bar_new(zone),
                 State::Returning(since) => {
-                    self.sender.return_to(zone, true);
-                    self.sender.admit_returning(now, zone, since);
+                    self.scheduler.return_to(zone, true);
+                    self.scheduler.admit_returning(now, zone, since);
                 }
             }
         }
--- a/crates/core/tests/backlog.rs
+++ b/crates/core/tests/backlog.rs
@@ -36,7 +36,7 @@
         Core::new(profile.into_settings().expect("settings"), 1, at(0)).expect("settings");
     let entry = Entry {
         endpoint: EndpointId("a".into()),
-        dest: DestinationId(DESTINATION),
+        destination: DestinationId(DESTINATION),
         condition: Condition::Ready,
         zone: 0,
         kind: 1,
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -26,7 +26,7 @@
     let endpoint = EndpointId(endpoint.into());
     let entry = Entry {
         endpoint,
-        dest: DestinationId(destination),
+        destination: DestinationId(destination),
         condition: Condition::Ready,
         zone: 0,
         kind: 0,
@@ -127,7 +127,7 @@
     let restored = cranehill_recovery::unpack(&written).expect("readable");
     let waits: Vec<_> = restored
         .iter()
-        .map(|learned| (learned.dest, learned.shut_until))
+        .map(|learned| (learned.destination, learned.blocked_until))
         .collect();
     assert_eq!(waits, [(0, Some(Time(1_700_000_060_000_000_000)))]);
 }
--- a/crates/core/tests/list.rs
+++ b/crates/core/tests/list.rs
@@ -19,10 +19,10 @@
 }
 
 fn listing(endpoint: usize, destination: u64, zone: u32, condition: Condition) -> Listing {
-    let (dest, rate) = (DestinationId(destination), endpoint as f64);
+    let (destination, rate) = (DestinationId(destination), endpoint as f64);
     let entry = Entry {
         endpoint: id(endpoint),
-        dest,
+        destination,
         condition,
         zone,
         kind: 0,
@@ -72,7 +72,7 @@
     }
 
     fn destinations(&self) -> BTreeSet<DestinationId> {
-        self.listed.values().map(|l| l.entry.dest).collect()
+        self.listed.values().map(|l| l.entry.destination).collect()
     }
 }
 
@@ -88,7 +88,7 @@
         let there = model
             .listed
             .values()
-            .filter(|l| l.entry.dest == destination);
+            .filter(|l| l.entry.destination == destination);
         prop_assert_eq!(of, there.map(|l| &l.entry.endpoint).collect::<Vec<_>>());
     }
     let mut zones: BTreeMap<u32, usize> = BTreeMap::new();
--- a/crates/core/tests/order.rs
+++ b/crates/core/tests/order.rs
@@ -112,7 +112,7 @@
         let endpoint = |name: &str| Listing {
             entry: Entry {
                 endpoint: EndpointId(name.into()),
-                dest: DestinationId(7),
+                destination: DestinationId(7),
                 condition: Condition::Ready,
                 zone: 0,
                 kind: 0,
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -25,7 +25,7 @@
     let endpoint = EndpointId(endpoint.into());
     let entry = Entry {
         endpoint,
-        dest: DestinationId(7),
+        destination: DestinationId(7),
         condition,
         zone: 0,
         kind,
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -13,15 +13,15 @@
 const START: u64 = 1_000_000_000_000;
 
 /// The places of all values in the settings, as JSON pointers.
-fn places(value: &Value, at: &str, all: &mut Vec<String>) {
+fn endpoint_count(value: &Value, at: &str, all: &mut Vec<String>) {
     match value {
         Value::Object(map) => map
             .iter()
-            .for_each(|(k, v)| places(v, &format!("{at}/{k}"), all)),
+            .for_each(|(k, v)| endpoint_count(v, &format!("{at}/{k}"), all)),
         Value::Array(list) => list
             .iter()
             .enumerate()
-            .for_each(|(i, v)| places(v, &format!("{at}/{i}"), all)),
+            .for_each(|(i, v)| endpoint_count(v, &format!("{at}/{i}"), all)),
         _ => {}
     }
     all.push(at.to_owned());
@@ -53,7 +53,7 @@
     let entry = |e: &str, zone, kind| Listing {
         entry: Entry {
             endpoint: EndpointId(e.into()),
-            dest: DestinationId(7),
+            destination: DestinationId(7),
             condition: Condition::Ready,
             zone,
             kind,
@@ -140,7 +140,7 @@
 fn any_one_value_that_is_missing_or_absurd_is_an_error_or_does_no_harm() {
     let good: Value = serde_json::from_str(SETTINGS).expect("settings");
     let mut all = Vec::new();
-    places(&good, "", &mut all);
+    endpoint_count(&good, "", &mut all);
     all.retain(|place| !place.is_empty());
     assert!(all.len() > 60, "{}", all.len());
     let odd = [
--- a/crates/core/tests/short_window.rs
+++ b/crates/core/tests/short_window.rs
@@ -58,7 +58,7 @@
     }
     let entry = Entry {
         endpoint: EndpointId("a".into()),
-        dest: DestinationId(DESTINATION),
+        destination: DestinationId(DESTINATION),
         condition: Condition::Ready,
         zone: 0,
         kind: 1,
--- a/crates/core/tests/virtual_fleet/mod.rs
+++ b/crates/core/tests/virtual_fleet/mod.rs
@@ -41,7 +41,7 @@
     pub idle: BTreeSet<usize>,
     /// By sender: when its process is killed.
     pub killed: BTreeMap<usize, Duration>,
-    /// Restarts recall what was learnt, and hand over the backlog by steps.
+    /// Restarts recall what was learned, and hand over the backlog by steps.
     pub by_steps: bool,
     pub until: Duration,
 }
@@ -93,7 +93,7 @@
     process: u32,
     /// What the journal holds.
     records: Vec<Record>,
-    /// What it had learnt, where it comes back by steps.
+    /// What it had learned, where it comes back by steps.
     remembered: Option<Vec<u8>>,
     due: Option<Duration>,
 }
@@ -219,8 +219,8 @@
             .map(|n| self.listing(n))
             .collect();
         self.step(sender, Input::EndpointsChanged { whole: true, list });
-        if let Some(learnt) = self.nodes[sender].remembered.clone() {
-            self.step(sender, Input::LearnedStateRestored(learnt));
+        if let Some(learned_state) = self.nodes[sender].remembered.clone() {
+            self.step(sender, Input::LearnedStateRestored(learned_state));
         }
         let records = self.nodes[sender].records.clone();
         self.step(sender, Input::Recovered(records));
@@ -230,7 +230,7 @@
     fn listing(&self, endpoint: usize) -> Listing {
         let entry = Entry {
             endpoint: EndpointId(endpoint.to_string()),
-            dest: DestinationId(DESTINATION),
+            destination: DestinationId(DESTINATION),
             condition: Condition::Ready,
             zone: 0,
             kind: 0,
@@ -307,7 +307,9 @@
                 Effect::SendFinalReport { id, .. } => {
                     self.step(sender, Input::FinalReportsAcknowledged(vec![id]))
                 }
-                Effect::PersistLearnedState(learnt) => self.nodes[sender].remembered = Some(learnt),
+                Effect::PersistLearnedState(learned_state) => {
+                    self.nodes[sender].remembered = Some(learned_state)
+                }
                 Effect::WakeAt(at) => self.wake(sender, at - START),
                 _ => {}
             }
--- a/crates/cranehill/tests/late_connections.rs
+++ b/crates/cranehill/tests/late_connections.rs
@@ -59,7 +59,7 @@
     let sender = start_as(&list(1, &[a]), &platform, |setup| {
         let class = &mut setup.site.settings.classes[0];
         // A call is waited for for a quarter of the aim at least: longer than the connection takes.
-        (class.window, class.aim) = (window, Duration::from_secs(20));
+        (class.window, class.latency_objective) = (window, Duration::from_secs(20));
     });
     let mut client = Client::new(sender.clients);
     assert_eq!(client.put("m1", NAMES, b"x"), "+OK");
--- a/crates/daemon/src/beside.rs
+++ b/crates/daemon/src/beside.rs
@@ -13,10 +13,10 @@
 }
 
 /// What this sender knew of destinations.
-pub const LEARNT: Beside = Beside {
+pub const LEARNED_STATE: Beside = Beside {
     name: "learnt",
     new: "learnt.new",
-    most: cranehill_recovery::LEARNT_MOST as u64,
+    most: cranehill_recovery::MAX_LEARNED_STATE_BYTES as u64,
 };
 /// Endpoints that operators have detached, as JSON.
 pub const DETACHED: Beside = Beside {
@@ -27,7 +27,7 @@
 
 /// Whether a file of that name is one of them.
 pub fn is_ours(file: &str) -> bool {
-    [LEARNT, DETACHED]
+    [LEARNED_STATE, DETACHED]
         .iter()
         .any(|b| file == b.name || file == b.new)
 }
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -91,7 +91,7 @@
         Ok(Listing {
             entry: Entry {
                 endpoint: EndpointId(self.id),
-                dest: DestinationId(self.cell),
+                destination: DestinationId(self.cell),
                 condition,
                 zone: place(&site.names.zones, &self.zone).unwrap_or(0) as u32,
                 // A kind that the settings don't name is taken as one that batches nothing.
--- a/crates/daemon/src/handover.rs
+++ b/crates/daemon/src/handover.rs
@@ -30,7 +30,7 @@
 const ANSWER_MOST: Duration = Duration::from_secs(2);
 /// A new process that can't have the folder in this time gives up: the platform allows 30 s.
 const PATIENCE: Duration = Duration::from_secs(20);
-/// Larger than the largest client's request, and than all that is learnt.
+/// Larger than the largest client's request, and than all that is learned.
 const MESSAGE_MOST: usize = 1 << 20;
 /// What the new one says first: another version must not be taken for it.
 const HELLO: &[u8; 8] = b"hand-o1\n";
@@ -46,7 +46,8 @@
     /// A client's connection, what was read of its next request, and whether it has asked before.
     Client { input: Vec<u8>, asked: bool },
     /// As `cranehill_recovery::pack` writes it.
-    Learnt(Vec<u8>),
+    #[serde(rename = "Learnt")]
+    LearnedState(Vec<u8>),
     /// That is all; the new one says that it has it.
     End,
 }
@@ -64,7 +65,7 @@
     pub clients: Option<TcpListener>,
     pub pushes: Option<TcpListener>,
     pub connections: Vec<Client>,
-    pub learnt: Option<Vec<u8>>,
+    pub learned_state: Option<Vec<u8>>,
 }
 
 fn lock(dir: &Path) -> io::Result<Option<Lock>> {
@@ -130,7 +131,7 @@
                     asked,
                 });
             }
-            (Message::Learnt(bytes), None) => taken.learnt = Some(bytes),
+            (Message::LearnedState(bytes), None) => taken.learned_state = Some(bytes),
             (Message::End, None) => {
                 stream.write_all(HELLO)?;
                 return Ok(taken);
@@ -215,8 +216,8 @@
         self.asking.is_some()
     }
 
-    pub fn learnt(&mut self, bytes: Vec<u8>) -> io::Result<()> {
-        self.send(&Message::Learnt(bytes), None)
+    pub fn learned_state(&mut self, bytes: Vec<u8>) -> io::Result<()> {
+        self.send(&Message::LearnedState(bytes), None)
     }
 
     pub fn pass_listener(&mut self, listener: BorrowedFd<'_>, push: bool) -> io::Result<()> {
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -245,7 +245,7 @@
                 state.disk = state.disk.saturating_sub(beside::DETACHED.disk());
             }
             if remembers {
-                state.disk = state.disk.saturating_sub(beside::LEARNT.disk());
+                state.disk = state.disk.saturating_sub(beside::LEARNED_STATE.disk());
             }
             let opened = journal::open_journal(state, millis(clock.now()))?;
             (journal, recovered) = (Some(opened.0), opened.1);
@@ -372,8 +372,8 @@
         {
             reactor.handover = handover::End::open(dir, reactor.poll.registry());
         }
-        if let Some(learnt) = taken.learnt.take() {
-            reactor.step(Input::LearnedStateInherited(learnt));
+        if let Some(learned_state) = taken.learned_state.take() {
+            reactor.step(Input::LearnedStateInherited(learned_state));
         }
         let connections = taken.connections.len();
         taken
--- a/crates/daemon/src/reactor/fleet.rs
+++ b/crates/daemon/src/reactor/fleet.rs
@@ -62,9 +62,9 @@
     }
 }
 
-/// Tells the core what an earlier process had learnt.
+/// Tells the core what an earlier process had learned.
 pub(super) fn remembered(dir: Option<&std::path::Path>, core: &mut Core, now: Time) {
-    match dir.map(|dir| beside::LEARNT.read(dir)).transpose() {
+    match dir.map(|dir| beside::LEARNED_STATE.read(dir)).transpose() {
         Ok(bytes) => {
             if let Some(bytes) = bytes.flatten() {
                 core.step(now, core::Input::LearnedStateRestored(bytes));
@@ -216,7 +216,7 @@
     pub(super) fn remember(&mut self, bytes: &[u8]) {
         let Some(dir) = &self.state_dir else { return };
         let now = self.clock.now();
-        if let Err(e) = beside::LEARNT.write(dir, bytes)
+        if let Err(e) = beside::LEARNED_STATE.write(dir, bytes)
             && now >= self.tell_unlearnt
         {
             self.tell_unlearnt = now + TELL_STUCK;
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -129,11 +129,11 @@
         }
         let effects = self.core.step(self.clock.now(), Input::TickEnded);
         self.carry_out(effects);
-        let learnt = self.core.learnt();
+        let learned_state = self.core.learned_state();
         let Some(End { giver, .. }) = &mut self.handover else {
             return Ok(());
         };
-        giver.learnt(learnt)?;
+        giver.learned_state(learned_state)?;
         for (listener, push) in [(&self.clients, false), (&self.pushes, true)] {
             if let Some(listener) = listener {
                 giver.pass_listener(listener.as_fd(), push)?;
--- a/crates/daemon/src/webpush.rs
+++ b/crates/daemon/src/webpush.rs
@@ -273,7 +273,7 @@
                 listings.push(Listing {
                     entry: Entry {
                         endpoint: EndpointId(format!("push/{}/{}", upstream.name, server.address)),
-                        dest: DestinationId(place),
+                        destination: DestinationId(place),
                         condition,
                         zone: 0,
                         kind: self.kind,
@@ -472,13 +472,13 @@
 
 fn default_class() -> Class {
     Class {
-        aim: Duration::from_secs(4),
+        latency_objective: Duration::from_secs(4),
         deadline: Duration::from_secs(20),
         effect: Effect::Unsafe,
         dedup: DedupScope::All,
         window: Duration::from_secs(20),
         in_order: false,
-        worth: 1.0,
+        priority_weight: 1.0,
         late_share: 0.4,
     }
 }
@@ -492,7 +492,7 @@
         over_share_worth: 1.0,
         decay: Decay::Halving,
         slots: 16,
-        most_held: 256,
+        max_pending: 256,
         attempts_cap: 6,
         connect_timeout: Duration::from_millis(1500),
         conn_idle: Duration::from_secs(15),
--- a/crates/daemon/tests/golden.rs
+++ b/crates/daemon/tests/golden.rs
@@ -20,7 +20,7 @@
 use cranehill_daemon::reactor::{Halter, Reactor, Setup, State};
 use cranehill_daemon::webpush;
 use cranehill_recovery::{Bounds, pack, unpack};
-use cranehill_scheduler::{Learnt, Time};
+use cranehill_scheduler::{LearnedState, Time};
 use rustix::fs::{FlockOperation, flock};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -318,7 +318,7 @@
         panic!("not one record: {learned:?}")
     };
     assert_eq!(
-        (record.dest, record.shut_until.map(|end| end.0)),
+        (record.destination, record.blocked_until.map(|end| end.0)),
         (LEARNED_WAIT.0, Some(LEARNED_WAIT.1))
     );
     assert!(
@@ -550,13 +550,13 @@
         .duration_since(std::time::UNIX_EPOCH)
         .expect("after 1970");
     let now = Time(now.as_nanos() as u64);
-    let wait = Learnt {
-        dest: LEARNED_WAIT.0,
-        route: None,
+    let wait = LearnedState {
+        destination: LEARNED_WAIT.0,
+        route_id: None,
         at: now,
         window: None,
         limit: None,
-        shut_until: Some(now + Duration::from_secs(3600)),
+        blocked_until: Some(now + Duration::from_secs(3600)),
         state: None,
     };
     let given = pack(std::slice::from_ref(&wait));
--- a/crates/fleet-harness/src/sweep/reducer.rs
+++ b/crates/fleet-harness/src/sweep/reducer.rs
@@ -21,7 +21,7 @@
     let listing = |number: u64| Listing {
         entry: Entry {
             endpoint: EndpointId(format!("s-{number:08x}")),
-            dest: DestinationId(number),
+            destination: DestinationId(number),
             condition: Condition::Ready,
             zone: (number % 6) as u32,
             kind: 0,
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -19,9 +19,9 @@
     Leave,
     /// Tell all members this payload in place of the one before; [`crate::vote::MAX_PAYLOAD`] bytes at most, a longer one is not sent.
     SetPayload(Vec<u8>),
-    /// Ask a few members for what they have learnt of destinations.
+    /// Ask a few members for what they have learned of destinations.
     RequestLearned,
-    /// Tell a member what was learnt, in pieces of [`crate::MAX_LEARNED_PIECE`] bytes at most.
+    /// Tell a member what was learned, in pieces of [`crate::MAX_LEARNED_PIECE`] bytes at most.
     SendLearned {
         to: SocketAddr,
         pieces: Vec<Vec<u8>>,
@@ -47,11 +47,11 @@
     },
     /// We were held up for so long; our timers moved by it.
     Stalled(Duration),
-    /// A member asks for what we have learnt.
+    /// A member asks for what we have learned.
     LearnedRequested {
         by: SocketAddr,
     },
-    /// A member told a piece of what it has learnt.
+    /// A member told a piece of what it has learned.
     LearnedReceived {
         by: SocketAddr,
         piece: Vec<u8>,
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Swim,
-    /// Asks a member for what it has learnt of destinations.
+    /// Asks a member for what it has learned of destinations.
     LearnedRequest,
     /// Tells it.
     LearnedReply,
--- a/crates/recovery/src/pieces.rs
+++ b/crates/recovery/src/chunks.rs
@@ -1,12 +1,12 @@
-//! What is learnt as bytes: in pieces between members, whole in a file.
+//! What is learned as bytes: in pieces between members, whole in a file.
 
-use cranehill_scheduler::Learnt;
+use cranehill_scheduler::LearnedState;
 
 /// The file begins so, with its format's number.
 const MARK: [u8; 4] = *b"CRL\x01";
 const SUM: usize = 16;
 /// Bytes of the file at most; what is beyond is not kept.
-pub const LEARNT_MOST: usize = 32 * 1024;
+pub const MAX_LEARNED_STATE_BYTES: usize = 32 * 1024;
 
 /// The bytes are not what this build writes, or were changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -14,8 +14,8 @@
 pub struct Unreadable;
 
 /// Pieces of so many bytes at most, each readable by itself.
-pub fn encode(learnt: &[Learnt], most: usize) -> Vec<Vec<u8>> {
-    let (mut pieces, mut rest) = (Vec::new(), learnt);
+pub fn encode(learned_state: &[LearnedState], most: usize) -> Vec<Vec<u8>> {
+    let (mut chunks, mut rest) = (Vec::new(), learned_state);
     while !rest.is_empty() {
         // Each is some 40 bytes: halving finds a fit in a few steps.
         let mut take = rest.len();
@@ -27,22 +27,22 @@
             }
         };
         // One that does not fit by itself is left out: its endpoint's name would be longer than a packet.
-        pieces.extend(piece);
+        chunks.extend(piece);
         rest = &rest[take..];
     }
-    pieces
+    chunks
 }
 
 /// Reads one piece.
-pub fn decode(piece: &[u8]) -> Result<Vec<Learnt>, Unreadable> {
+pub fn decode(piece: &[u8]) -> Result<Vec<LearnedState>, Unreadable> {
     postcard::from_bytes(piece).map_err(|_| Unreadable)
 }
 
 /// The file's content.
-pub fn pack(learnt: &[Learnt]) -> Vec<u8> {
+pub fn pack(learned_state: &[LearnedState]) -> Vec<u8> {
     let mut bytes = MARK.to_vec();
     bytes.extend(
-        encode(learnt, LEARNT_MOST - MARK.len() - SUM)
+        encode(learned_state, MAX_LEARNED_STATE_BYTES - MARK.len() - SUM)
             .into_iter()
             .next()
             .unwrap_or_else(|| vec![0]),
@@ -53,7 +53,7 @@
 }
 
 /// Reads it again.
-pub fn unpack(bytes: &[u8]) -> Result<Vec<Learnt>, Unreadable> {
+pub fn unpack(bytes: &[u8]) -> Result<Vec<LearnedState>, Unreadable> {
     let (body, sum) = bytes
         .split_at_checked(bytes.len().saturating_sub(SUM))
         .ok_or(Unreadable)?;
--- a/crates/recovery/src/memory.rs
+++ b/crates/recovery/src/memory.rs
@@ -1,9 +1,9 @@
-//! What was learnt of destinations before, by ourselves or by others: the youngest of each, and only while it is young enough.
+//! What was learned of destinations before, by ourselves or by others: the youngest of each, and only while it is young enough.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use cranehill_scheduler::{Learnt, Time};
+use cranehill_scheduler::{LearnedState, Time};
 
 /// How old a piece may be before no decision rests on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct Memory {
     bounds: Bounds,
-    kept: BTreeMap<(u64, Option<String>), Learnt>,
+    kept: BTreeMap<(u64, Option<String>), LearnedState>,
 }
 
 fn finite(value: Option<f64>, least: f64) -> Option<f64> {
@@ -40,31 +40,31 @@
     }
 
     /// Takes pieces in: of two the younger counts, of two waits the one that ends later.
-    pub fn note(&mut self, now: Time, learnt: Vec<Learnt>) {
-        for mut piece in learnt {
+    pub fn note(&mut self, now: Time, learned_state: Vec<LearnedState>) {
+        for mut piece in learned_state {
             if piece.at > now + self.bounds.ahead {
                 continue;
             }
             piece.window = finite(piece.window, 0.0);
             piece.limit = finite(piece.limit, 0.0);
-            piece.shut_until = piece.shut_until.filter(|t| *t <= now + WAIT_MOST);
-            let key = (piece.dest, piece.route.clone());
+            piece.blocked_until = piece.blocked_until.filter(|t| *t <= now + WAIT_MOST);
+            let key = (piece.destination, piece.route_id.clone());
             let Some(known) = self.kept.get_mut(&key) else {
                 if self.kept.len() < KEPT_MOST {
                     self.kept.insert(key, piece);
                 }
                 continue;
             };
-            let wait = known.shut_until.max(piece.shut_until);
+            let wait = known.blocked_until.max(piece.blocked_until);
             if piece.at > known.at {
                 *known = piece;
             }
-            known.shut_until = wait;
+            known.blocked_until = wait;
         }
     }
 
     /// What may be used now; each piece without what is too old in it.
-    pub fn usable(&self, now: Time) -> Vec<Learnt> {
+    pub fn usable(&self, now: Time) -> Vec<LearnedState> {
         let mut all = Vec::new();
         for piece in self.kept.values() {
             let age = now - piece.at;
@@ -73,11 +73,11 @@
             piece.window = piece.window.filter(|_| young(self.bounds.window));
             piece.limit = piece.limit.filter(|_| young(self.bounds.limit));
             piece.state = piece.state.filter(|_| young(self.bounds.state));
-            piece.shut_until = piece.shut_until.filter(|t| *t > now);
+            piece.blocked_until = piece.blocked_until.filter(|t| *t > now);
             if piece.window.is_some()
                 || piece.limit.is_some()
                 || piece.state.is_some()
-                || piece.shut_until.is_some()
+                || piece.blocked_until.is_some()
             {
                 all.push(piece);
             }
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranehill_scheduler::{Learnt, Time};
+use cranehill_scheduler::{LearnedState, Time};
 
 use crate::memory::{Bounds, Memory};
 use crate::work_queue::WorkQueue;
@@ -11,11 +11,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     pub bounds: Bounds,
-    /// Members are asked so often what they have learnt.
+    /// Members are asked so often what they have learned.
     pub ask: Duration,
     /// Without an answer it goes on alone after that.
     pub alone: Duration,
-    /// What is learnt is written down so often.
+    /// What is learned is written down so often.
     pub remember: Duration,
 }
 
@@ -40,9 +40,9 @@
     pub memory: Memory,
     pub work_queue: WorkQueue,
     /// Something new in the memory, or new destinations: the decisions should recall.
-    recall: bool,
+    restore: bool,
     ask_at: Time,
-    told: bool,
+    peer_replied: bool,
     /// When the first calls' spread is over.
     spread_until: Time,
     remember_at: Time,
@@ -57,9 +57,9 @@
             stage: Stage::Recovering { since: now },
             memory: Memory::new(set.bounds),
             work_queue: WorkQueue::new(now),
-            recall: true,
+            restore: true,
             ask_at: now,
-            told: false,
+            peer_replied: false,
             spread_until: now,
             remember_at: now,
             waits: Vec::new(),
@@ -75,26 +75,26 @@
     }
 
     /// What our own earlier process left.
-    pub fn remembered(&mut self, now: Time, learnt: Vec<Learnt>) {
-        self.memory.note(now, learnt);
-        self.recall = true;
+    pub fn restored(&mut self, now: Time, learned_state: Vec<LearnedState>) {
+        self.memory.note(now, learned_state);
+        self.restore = true;
     }
 
     /// What a member told.
-    pub fn told(&mut self, now: Time, learnt: Vec<Learnt>) {
-        self.told = true;
-        self.memory.note(now, learnt);
-        self.recall = true;
+    pub fn peer_replied(&mut self, now: Time, learned_state: Vec<LearnedState>) {
+        self.peer_replied = true;
+        self.memory.note(now, learned_state);
+        self.restore = true;
     }
 
     /// The list changed: there may be destinations whose first calls are to be spread.
     pub fn listed(&mut self) {
-        self.recall = true;
+        self.restore = true;
     }
 
     /// What the decisions should recall now, if anything.
-    pub fn recall(&mut self, now: Time) -> Option<Vec<Learnt>> {
-        (self.is_recovering() && std::mem::take(&mut self.recall)).then(|| self.memory.usable(now))
+    pub fn restore(&mut self, now: Time) -> Option<Vec<LearnedState>> {
+        (self.is_recovering() && std::mem::take(&mut self.restore)).then(|| self.memory.usable(now))
     }
 
     /// The last first call may go then.
@@ -107,7 +107,7 @@
         let Stage::Recovering { since } = self.stage else {
             return false;
         };
-        if self.told || !others || now < self.ask_at || now - since >= self.set.alone {
+        if self.peer_replied || !others || now < self.ask_at || now - since >= self.set.alone {
             return false;
         }
         self.ask_at = now + self.set.ask;
@@ -119,8 +119,8 @@
         let Stage::Recovering { since } = self.stage else {
             return None;
         };
-        let heard = self.told || now - since >= self.set.alone;
-        if !heard || self.recall || now < self.spread_until || self.work_queue.waiting() > 0 {
+        let heard = self.peer_replied || now - since >= self.set.alone;
+        if !heard || self.restore || now < self.spread_until || self.work_queue.waiting() > 0 {
             return None;
         }
         let took = now - since;
@@ -134,7 +134,7 @@
             return None;
         };
         let alone = since + self.set.alone;
-        let next = if self.told || now >= alone {
+        let next = if self.peer_replied || now >= alone {
             self.spread_until
         } else {
             self.ask_at.max(now).min(alone)
@@ -146,11 +146,11 @@
         Some(next.max(now + Duration::from_millis(20)))
     }
 
-    /// Whether what is learnt should be written down now: at its time, and at once when a wait was told.
-    pub fn remembers(&mut self, now: Time, learnt: &[Learnt]) -> bool {
-        let waits: Vec<_> = learnt
+    /// Whether what is learned should be written down now: at its time, and at once when a wait was told.
+    pub fn remembers(&mut self, now: Time, learned_state: &[LearnedState]) -> bool {
+        let waits: Vec<_> = learned_state
             .iter()
-            .filter_map(|l| Some((l.dest, l.route.clone(), l.shut_until?)))
+            .filter_map(|l| Some((l.destination, l.route_id.clone(), l.blocked_until?)))
             .collect();
         let fresh = waits.iter().any(|w| !self.waits.contains(w));
         if !fresh && now < self.remember_at {
--- a/crates/recovery/tests/coming_back.rs
+++ b/crates/recovery/tests/coming_back.rs
@@ -5,7 +5,7 @@
 use cranehill_recovery::{
     Bounds, Memory, Recovery, Settings, Stage, WorkQueue, decode, encode, pack, unpack,
 };
-use cranehill_scheduler::{Learnt, Seen, Time};
+use cranehill_scheduler::{LearnedState, ObservedHealth, Time};
 use proptest::prelude::*;
 
 fn s(seconds: f64) -> Time {
@@ -30,15 +30,15 @@
     remember: Duration::from_secs(1),
 };
 
-fn piece(dest: u64, at: Time) -> Learnt {
-    Learnt {
-        dest,
-        route: None,
+fn piece(destination: u64, at: Time) -> LearnedState {
+    LearnedState {
+        destination,
+        route_id: None,
         at,
         window: Some(3.0),
         limit: Some(12.0),
-        shut_until: None,
-        state: Some(Seen::Up),
+        blocked_until: None,
+        state: Some(ObservedHealth::Up),
     }
 }
 
@@ -49,8 +49,8 @@
     memory.note(
         s(0.0),
         vec![
-            Learnt {
-                shut_until: Some(s(30.0)),
+            LearnedState {
+                blocked_until: Some(s(30.0)),
                 ..piece(1, s(0.0))
             },
             piece(2, s(0.0)),
@@ -67,7 +67,12 @@
         panic!("{:?}", at(10.5))
     };
     assert_eq!(
-        (wait.dest, wait.window, wait.limit, wait.shut_until),
+        (
+            wait.destination,
+            wait.window,
+            wait.limit,
+            wait.blocked_until
+        ),
         (1, None, None, Some(s(30.0)))
     );
     assert_eq!(at(30.0), []);
@@ -77,14 +82,14 @@
 /// number, is nobody's knowledge.
 #[test]
 fn the_younger_piece_counts_and_the_later_end_of_a_wait() {
-    let old = Learnt {
+    let old = LearnedState {
         limit: Some(48.0),
-        shut_until: Some(s(9.0)),
+        blocked_until: Some(s(9.0)),
         ..piece(1, s(1.0))
     };
-    let young = Learnt {
+    let young = LearnedState {
         limit: Some(12.0),
-        shut_until: Some(s(4.0)),
+        blocked_until: Some(s(4.0)),
         ..piece(1, s(2.0))
     };
     for order in [[old.clone(), young.clone()], [young, old]] {
@@ -92,12 +97,12 @@
         memory.note(s(3.0), order.to_vec());
         let known = memory.usable(s(3.0));
         assert_eq!(
-            (known[0].limit, known[0].shut_until),
+            (known[0].limit, known[0].blocked_until),
             (Some(12.0), Some(s(9.0)))
         );
     }
     let mut memory = Memory::new(BOUNDS);
-    let odd = Learnt {
+    let odd = LearnedState {
         limit: Some(f64::NAN),
         window: Some(-1.0),
         state: None,
@@ -108,15 +113,15 @@
         vec![
             piece(1, s(8.1)),
             odd,
-            Learnt {
-                shut_until: Some(s(1e6)),
+            LearnedState {
+                blocked_until: Some(s(1e6)),
                 ..piece(3, s(1.0))
             },
         ],
     );
     let known = memory.usable(s(3.0));
     assert_eq!(
-        (known.len(), known[0].dest, known[0].shut_until),
+        (known.len(), known[0].destination, known[0].blocked_until),
         (1, 3, None),
         "{known:?}"
     );
@@ -163,26 +168,30 @@
 fn each_step_holds_back_full_service() {
     let start = || Recovery::new(SETTINGS, s(0.0));
     let mut alone = start();
-    assert_eq!(alone.recall(s(0.0)).map(|l| l.len()), Some(0));
+    assert_eq!(alone.restore(s(0.0)).map(|l| l.len()), Some(0));
     assert!(!alone.asks(s(0.1), false) && alone.look(s(1.9)).is_none());
     assert_eq!(alone.look(s(2.0)), Some(secs(2)));
     assert!(matches!(alone.stage(), Stage::Full { took, .. } if took == secs(2)));
-    let mut told = start();
-    told.recall(s(0.0));
-    assert!(told.asks(s(0.1), true) && !told.asks(s(0.3), true) && told.asks(s(0.7), true));
-    told.told(s(0.8), vec![piece(1, s(0.5))]);
+    let mut peer_replied = start();
+    peer_replied.restore(s(0.0));
     assert!(
-        !told.asks(s(1.4), true) && told.look(s(0.8)).is_none(),
+        peer_replied.asks(s(0.1), true)
+            && !peer_replied.asks(s(0.3), true)
+            && peer_replied.asks(s(0.7), true)
+    );
+    peer_replied.peer_replied(s(0.8), vec![piece(1, s(0.5))]);
+    assert!(
+        !peer_replied.asks(s(1.4), true) && peer_replied.look(s(0.8)).is_none(),
         "what was told is to be recalled first"
     );
-    assert_eq!(told.recall(s(0.8)).map(|l| l.len()), Some(1));
-    told.spread(s(1.5));
-    told.work_queue.add(1, s(20.0), "a".into());
-    assert!(told.look(s(1.6)).is_none(), "one is owed");
-    told.work_queue.release(s(1.6));
-    assert!(told.look(s(1.4)).is_none() && told.look(s(1.6)).is_some());
+    assert_eq!(peer_replied.restore(s(0.8)).map(|l| l.len()), Some(1));
+    peer_replied.spread(s(1.5));
+    peer_replied.work_queue.add(1, s(20.0), "a".into());
+    assert!(peer_replied.look(s(1.6)).is_none(), "one is owed");
+    peer_replied.work_queue.release(s(1.6));
+    assert!(peer_replied.look(s(1.4)).is_none() && peer_replied.look(s(1.6)).is_some());
     assert!(
-        told.recall(s(2.0)).is_none(),
+        peer_replied.restore(s(2.0)).is_none(),
         "full: nothing is recalled any more"
     );
 }
@@ -192,8 +201,8 @@
 fn a_wait_is_written_down_at_once() {
     let mut recovery = Recovery::new(SETTINGS, s(0.0));
     let waits = |until| {
-        vec![Learnt {
-            shut_until: Some(until),
+        vec![LearnedState {
+            blocked_until: Some(until),
             ..piece(1, s(0.0))
         }]
     };
@@ -206,22 +215,22 @@
 }
 
 prop_compose! {
-    fn any_piece()(dest: u64, route: Option<String>, at: u64, window: Option<f64>, limit: Option<f64>, until: Option<u64>,
-        state in 0..4u8) -> Learnt {
-        let state = [None, Some(Seen::Up), Some(Seen::Out), Some(Seen::Cold(Time(at)))][usize::from(state)];
-        Learnt { dest, route, at: Time(at), window, limit, shut_until: until.map(Time), state }
+    fn any_piece()(destination: u64, route_id: Option<String>, at: u64, window: Option<f64>, limit: Option<f64>, until: Option<u64>,
+        state in 0..4u8) -> LearnedState {
+        let state = [None, Some(ObservedHealth::Up), Some(ObservedHealth::Down), Some(ObservedHealth::WarmingUp(Time(at)))][usize::from(state)];
+        LearnedState { destination, route_id, at: Time(at), window, limit, blocked_until: until.map(Time), state }
     }
 }
 
 proptest! {
     /// Pieces fit, and hold all but what can't fit by itself; whatever they say, the memory's use of it is bounded.
     #[test]
-    fn pieces_come_back_whole(learnt in proptest::collection::vec(any_piece(), 0..80)) {
-        let pieces = encode(&learnt, 1024);
-        prop_assert!(pieces.iter().all(|p| p.len() <= 1024));
-        let back: Vec<Learnt> = pieces.iter().flat_map(|p| decode(p).expect("ours")).collect();
-        let long = learnt.iter().filter(|l| encode(&[(*l).clone()], 1024).is_empty()).count();
-        prop_assert_eq!(back.len() + long, learnt.len());
+    fn pieces_come_back_whole(learned_state in proptest::collection::vec(any_piece(), 0..80)) {
+        let chunks = encode(&learned_state, 1024);
+        prop_assert!(chunks.iter().all(|p| p.len() <= 1024));
+        let back: Vec<LearnedState> = chunks.iter().flat_map(|p| decode(p).expect("ours")).collect();
+        let long = learned_state.iter().filter(|l| encode(&[(*l).clone()], 1024).is_empty()).count();
+        prop_assert_eq!(back.len() + long, learned_state.len());
         let mut memory = Memory::new(BOUNDS);
         memory.note(s(0.0), back);
         for p in memory.usable(s(0.0)) {
@@ -257,9 +266,9 @@
 
     /// A file that was cut or changed anywhere is not used, and never stops a start.
     #[test]
-    fn a_changed_file_is_not_believed(learnt in proptest::collection::vec(any_piece(), 0..20), at: prop::sample::Index,
+    fn a_changed_file_is_not_believed(learned_state in proptest::collection::vec(any_piece(), 0..20), at: prop::sample::Index,
         flip in 1..=255u8, noise: Vec<u8>) {
-        let bytes = pack(&learnt);
+        let bytes = pack(&learned_state);
         prop_assert!(unpack(&bytes).is_ok());
         let mut changed = bytes.clone();
         changed[at.index(bytes.len())] ^= flip;
--- a/crates/recovery/tests/golden.rs
+++ b/crates/recovery/tests/golden.rs
@@ -4,7 +4,7 @@
 mod golden_file;
 
 use cranehill_recovery::{decode, encode, pack, unpack};
-use cranehill_scheduler::{Learnt, Seen, Time};
+use cranehill_scheduler::{LearnedState, ObservedHealth, Time};
 
 const STATE_FILE: &str = "learned-state.bin";
 const EMPTY_STATE_FILE: &str = "learned-state-empty.bin";
@@ -17,41 +17,41 @@
 }
 
 /// Each variant and each optional field, present and absent.
-fn learned_state() -> Vec<Learnt> {
-    let serving = Learnt {
-        dest: 7,
-        route: None,
+fn learned_state() -> Vec<LearnedState> {
+    let serving = LearnedState {
+        destination: 7,
+        route_id: None,
         at: at(0),
         window: Some(3.5),
         limit: Some(12.25),
-        shut_until: None,
-        state: Some(Seen::Up),
+        blocked_until: None,
+        state: Some(ObservedHealth::Up),
     };
-    let failed = Learnt {
-        dest: 300,
-        route: Some("endpoint-a/1 %".into()),
+    let failed = LearnedState {
+        destination: 300,
+        route_id: Some("endpoint-a/1 %".into()),
         at: at(1),
         window: None,
         limit: Some(f64::INFINITY),
-        shut_until: Some(at(30)),
-        state: Some(Seen::Out),
+        blocked_until: Some(at(30)),
+        state: Some(ObservedHealth::Down),
     };
-    let warming_up = Learnt {
-        dest: u64::MAX,
-        route: Some("ü".into()),
+    let warming_up = LearnedState {
+        destination: u64::MAX,
+        route_id: Some("ü".into()),
         at: at(2),
         window: Some(0.125),
         limit: None,
-        shut_until: None,
-        state: Some(Seen::Cold(at(3))),
+        blocked_until: None,
+        state: Some(ObservedHealth::WarmingUp(at(3))),
     };
-    let waiting = Learnt {
-        dest: 0,
-        route: None,
+    let waiting = LearnedState {
+        destination: 0,
+        route_id: None,
         at: at(4),
         window: None,
         limit: None,
-        shut_until: Some(at(60)),
+        blocked_until: Some(at(60)),
         state: None,
     };
     vec![serving, failed, warming_up, waiting]
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -65,7 +65,7 @@
     /// A repeat does no harm.
     Safe,
     /// A repeat within [`Class::window`] is dropped by the destination.
-    Keyed,
+    Idempotent,
     /// A repeat does harm.
     Unsafe,
 }
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Delivered within this time, it earns its full worth.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// How long it may be delivered, from when it was first submitted.
     pub deadline: Duration,
     /// Whether it may be repeated.
@@ -106,7 +106,7 @@
     /// Messages with one key go one at a time, in the order taken.
     pub in_order: bool,
     /// Worth when on time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth left at the deadline.
     pub late_share: f64,
 }
@@ -162,7 +162,7 @@
     /// Calls that may be out at once.
     pub slots: u32,
     /// Messages that may be held, sent or not.
-    pub most_held: usize,
+    pub max_pending: usize,
     /// Attempts for one message, at most.
     pub attempts_cap: u32,
     /// How long a connection may take to open.
@@ -217,7 +217,7 @@
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its destination.
-    pub dest: DestinationId,
+    pub destination: DestinationId,
     /// Its state in the list.
     pub condition: Condition,
     /// Its zone.
@@ -291,11 +291,11 @@
     /// Position in [`Settings::tenants`].
     pub tenant: usize,
     /// What it is about, for ordered classes.
-    pub key: Option<OrderingKey>,
+    pub ordering_key: Option<OrderingKey>,
     /// Time until it is given up.
     pub time_left: Duration,
     /// Its destination.
-    pub dest: DestinationId,
+    pub destination: DestinationId,
     /// What was done for it before, under the same id: by an earlier process of this sender.
     pub prior: PriorAttempts,
 }
@@ -321,7 +321,7 @@
     /// How it concluded.
     pub status: Status,
     /// The message is over.
-    pub over: bool,
+    pub completed: bool,
     /// Time since it was sent.
     pub took: Duration,
     /// For refusals: the wait that was told.
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,6 +1,6 @@
 //! The decisions of a relay that hands messages on to destinations which nobody here controls.
 //!
-//! The library is sans-IO: a [`Sender`] is handed the time and a batch of [`Event`]s, and returns the
+//! The library is sans-IO: a [`Scheduler`] is handed the time and a batch of [`Event`]s, and returns the
 //! [`Action`]s to carry out. It opens no socket, reads no clock and starts no thread; the same settings,
 //! seed and events always give the same actions. Every decision is in one module, `scheduler`; the types it
 //! speaks in are in [`api`]. `docs/design.md` tells which published design it follows and where it departs.
@@ -13,7 +13,7 @@
 mod state;
 
 pub use api::{Action, Event, Settings, SettingsError, Time};
-pub use scheduler::{Learnt, Seen, Sender, Window};
+pub use scheduler::{LearnedState, ObservedHealth, Scheduler, Window};
 
 #[doc = include_str!("../../../README.md")]
 #[cfg(doctest)]
--- a/crates/scheduler/src/profile.rs
+++ b/crates/scheduler/src/profile.rs
@@ -44,7 +44,8 @@
 struct WireClass {
     #[serde(default)]
     name: String,
-    aim: u64,
+    #[serde(rename = "aim")]
+    latency_objective: u64,
     deadline: u64,
     effect: String,
     #[serde(default)]
@@ -53,7 +54,8 @@
     window: u64,
     #[serde(default)]
     by_arrival: bool,
-    worth: f64,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
     #[serde(default)]
     late_share: f64,
 }
@@ -77,7 +79,8 @@
     conn_idle: u64,
     connect_timeout: u64,
     max_retry_after: u64,
-    most_held: usize,
+    #[serde(rename = "mostHeld")]
+    max_pending: usize,
     #[serde(default)]
     probes: bool,
     #[serde(default)]
@@ -176,7 +179,7 @@
                 Decay::Linear
             },
             slots: family.calls_out,
-            most_held: limits.most_held,
+            max_pending: limits.max_pending,
             attempts_cap: limits.attempts_cap,
             connect_timeout: ns(limits.connect_timeout),
             conn_idle: ns(limits.conn_idle),
@@ -204,11 +207,11 @@
 impl WireClass {
     fn into_class(self) -> Result<Class, String> {
         Ok(Class {
-            aim: ns(self.aim),
+            latency_objective: ns(self.latency_objective),
             deadline: ns(self.deadline),
             effect: match self.effect.as_str() {
                 "safe" => Effect::Safe,
-                "keyed" => Effect::Keyed,
+                "keyed" => Effect::Idempotent,
                 "unsafe" => Effect::Unsafe,
                 e => return Err(format!("effect: '{e}' is not safe, keyed or unsafe")),
             },
@@ -220,7 +223,7 @@
             },
             window: ns(self.window),
             in_order: self.by_arrival,
-            worth: self.worth,
+            priority_weight: self.priority_weight,
             late_share: self.late_share,
         })
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,7 +1,7 @@
 //! Every decision of the library. The interface it speaks, settings, events and actions, is `src/api.rs`.
 //!
 //! Top to bottom: constants, the paper's window, round-trip times, health, the sender's state, its events,
-//! and `dispatch`, the only place that sends, behind `admits`, the one check for all rules.
+//! and `dispatch`, the only place that sends, behind `may_send`, the one check for all rules.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,14 +10,14 @@
     EndpointId, Entry, Event, Kind, MessageId, OrderingKey, Outcome, Rules, Settings,
     SettingsError, Status, Time,
 };
-use crate::state::{Attempt, Call, Endpoint, Lane, Message, OrderedQueue};
+use crate::state::{Attempt, Call, Endpoint, Message, OrderedQueue, Route};
 
-mod lanes;
-mod learnt;
+mod capacity;
+mod learned_state;
 mod order;
-mod room;
+mod routes;
 mod zones;
-pub use learnt::{Learnt, Seen};
+pub use learned_state::{LearnedState, ObservedHealth};
 
 /// W+ and W- of the paper (table IV): the loss outweighs many gains, so overload is left quickly.
 const GROW: f64 = 0.1;
@@ -47,7 +47,7 @@
 const IDLE_GAIN: f64 = 0.1;
 const IDLE_LOST: f64 = 0.25;
 /// How long a failed connection tells that its kind of destination is short of connections.
-const CROWDED: Duration = Duration::from_secs(60);
+const CONNECTION_SHORTAGE_PERIOD: Duration = Duration::from_secs(60);
 /// Mean gap between calls, in idle times trusted, at which keeping a connection does not pay.
 const IDLE_WORTH: u32 = 3;
 /// Calls that a sender may save up of its part of a limit, and the share of a limit that all aim at: readings
@@ -112,7 +112,7 @@
 
 /// Round-trip times of one class at one destination, as TCP keeps them (RFC 6298).
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Rtt {
+pub(crate) struct RoundTripEstimator {
     mean: f64,
     dev: f64,
     /// The lowest mean so far: its pace when not loaded.
@@ -122,7 +122,7 @@
     doubled_at: Option<Time>,
 }
 
-impl Rtt {
+impl RoundTripEstimator {
     fn sample(&mut self, took: f64) {
         if self.seen {
             self.dev += 0.25 * ((took - self.mean).abs() - self.dev);
@@ -143,7 +143,7 @@
 /// This sender's part of a destination's traffic, from the messages submitted. However thin, it is unbiased:
 /// what all senders together take it for adds up to what the destination gets.
 #[derive(Clone, Debug)]
-pub(crate) struct Demand {
+pub(crate) struct DemandEstimator {
     count: f64,
     since: Time,
     at: Time,
@@ -152,7 +152,7 @@
     share: f64,
     /// For all senders together: the rate that the list tells, perhaps rough, and what an answer told.
     listed: f64,
-    told: Option<f64>,
+    reported_limit: Option<f64>,
 }
 
 /// Share of a count remembered after a time.
@@ -160,16 +160,16 @@
     (-time.as_secs_f64() / DEMAND_MEMORY).exp()
 }
 
-impl Demand {
-    pub(crate) fn new(now: Time) -> Demand {
+impl DemandEstimator {
+    pub(crate) fn new(now: Time) -> DemandEstimator {
         let none = f64::INFINITY;
-        Demand {
+        DemandEstimator {
             count: 0.0,
             since: now,
             at: now,
             proven: none,
             listed: none,
-            told: None,
+            reported_limit: None,
             share: 1.0,
         }
     }
@@ -199,15 +199,15 @@
 /// This sender's part of a limit that all senders share, as a token bucket. Guards against many senders that
 /// all run into it: each sees too little to learn by refusals, and all pay for them with the limit.
 #[derive(Clone, Debug)]
-pub(crate) struct Pace {
+pub(crate) struct TokenBucket {
     calls: f64,
     at: Time,
     rate: f64,
 }
 
-impl Pace {
-    pub(crate) fn new(now: Time) -> Pace {
-        Pace {
+impl TokenBucket {
+    pub(crate) fn new(now: Time) -> TokenBucket {
+        TokenBucket {
             calls: PACE_DEPTH,
             at: now,
             rate: f64::INFINITY,
@@ -233,16 +233,19 @@
     }
 }
 
-impl Lane {
+impl Route {
     /// Calls a second that this sender lets itself make. Refusals in a row tell that its part is too much:
     /// what all send must fall below the limit before it is left. Who returns to a cold destination stays
     /// inside its part of what that can do, so that the other senders' parts are left to them.
-    fn own_rate(&self, now: Time, rules: &Rules, senders: u32) -> f64 {
+    fn allowed_rate(&self, now: Time, rules: &Rules, senders: u32) -> f64 {
         let eased = 1.0 / (1.0 + EASE * f64::from(self.refused.min(EASE_MOST)));
         let part = |limit: f64| limit / f64::from(senders);
-        let (told, listed) = (self.demand.told.map(part), part(self.demand.listed));
-        let limit = told.unwrap_or(listed);
-        let Mode::Cold { since } = self.health.mode else {
+        let (reported_limit, listed) = (
+            self.demand.reported_limit.map(part),
+            part(self.demand.listed),
+        );
+        let limit = reported_limit.unwrap_or(listed);
+        let HealthState::WarmingUp { since } = self.health.mode else {
             // Where there is no limit, who was refused goes on at the pace of its own messages.
             let own = if self.refused > 0 {
                 2.0 * self.demand.rate(now)
@@ -259,7 +262,7 @@
         let warm = (now - since).as_secs_f64() / rules.cold.as_secs_f64().max(1e-9);
         let present = rules.cold_from + (1.0 - rules.cold_from) * warm.min(1.0);
         // Without a limit told, who is asked for more than a destination takes must not return at that pace.
-        let part = told
+        let part = reported_limit
             .filter(|part| part.is_finite())
             .unwrap_or(self.demand.rate(now).min(listed));
         COLD_SHARE * rules.fall_multiple * present * part * eased
@@ -268,45 +271,52 @@
 
 /// What a call's end says of its destination's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Sign {
-    Good,
-    Bad,
-    Refused,
+enum HealthSignal {
+    Success,
+    Failure,
+    Overload,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Mode {
+pub(crate) enum HealthState {
     /// The window alone decides.
     #[default]
     Up,
     /// Out: one trial at a time, from `next` on.
     Down { next: Time, step: u32 },
     /// Back since: a slow start inside the cold budget.
-    Cold { since: Time },
+    WarmingUp { since: Time },
 }
 
 /// Health apart from load: guards against outages of any kind, which the paper's window takes for load.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
-    mode: Mode,
+    mode: HealthState,
     streak: u32,
     refused_since: Option<Time>,
 }
 
 impl Health {
     /// Takes in how a call ended; true if an outage has just ended.
-    fn note(&mut self, now: Time, sign: Sign, rules: &Rules, gap: Duration, jitter: f64) -> bool {
-        match sign {
-            Sign::Good => {
+    fn record(
+        &mut self,
+        now: Time,
+        signal: HealthSignal,
+        rules: &Rules,
+        gap: Duration,
+        jitter: f64,
+    ) -> bool {
+        match signal {
+            HealthSignal::Success => {
                 (self.streak, self.refused_since) = (0, None);
-                if let Mode::Down { .. } = self.mode {
-                    self.mode = Mode::Cold { since: now };
+                if let HealthState::Down { .. } = self.mode {
+                    self.mode = HealthState::WarmingUp { since: now };
                     return true;
                 }
             }
-            Sign::Bad => self.streak += 1,
+            HealthSignal::Failure => self.streak += 1,
             // Refusals are load, until they alone come for longer than any limit's span: then it is shut.
-            Sign::Refused => {
+            HealthSignal::Overload => {
                 let since = *self.refused_since.get_or_insert(now);
                 if now - since > span(rules) {
                     self.streak += 1;
@@ -314,14 +324,14 @@
             }
         }
         let step = match self.mode {
-            Mode::Up if self.streak >= STREAK => 0,
-            Mode::Cold { .. } if self.streak >= 2 => 0,
-            Mode::Down { step, .. } => step + 1,
-            Mode::Up | Mode::Cold { .. } => return false,
+            HealthState::Up if self.streak >= STREAK => 0,
+            HealthState::WarmingUp { .. } if self.streak >= 2 => 0,
+            HealthState::Down { step, .. } => step + 1,
+            HealthState::Up | HealthState::WarmingUp { .. } => return false,
         };
         let usual = (TRIAL_FIRST * (1 << step.min(4))).min(TRIAL_MOST);
         let pause = usual.max(gap).mul_f64(jitter);
-        self.mode = Mode::Down {
+        self.mode = HealthState::Down {
             next: now + pause,
             step,
         };
@@ -346,80 +356,82 @@
 
 /// One sender: it holds messages and decides when and where each goes.
 #[derive(Debug)]
-pub struct Sender {
-    set: Settings,
+pub struct Scheduler {
+    settings: Settings,
     seed: u64,
     rng: fastrand::Rng,
     now: Time,
-    acts: Vec<Action>,
+    actions: Vec<Action>,
     endpoints: Vec<Endpoint>,
     /// Places of endpoints, and of routes, that have gone: taken by new ones.
     spare: Vec<usize>,
-    spare_lanes: Vec<usize>,
+    free_routes: Vec<usize>,
     by_id: BTreeMap<EndpointId, usize>,
     /// Those of them that have left the list and are not forgotten yet.
-    gone: BTreeMap<EndpointId, usize>,
-    lanes: lanes::Lanes,
-    dests: BTreeMap<DestinationId, Vec<usize>>,
+    removed: BTreeMap<EndpointId, usize>,
+    routes: routes::RouteTable,
+    routes_by_destination: BTreeMap<DestinationId, Vec<usize>>,
     messages: BTreeMap<u64, Message>,
     ids: BTreeMap<MessageId, u64>,
-    keys: BTreeMap<OrderingKey, OrderedQueue>,
+    ordered_queues: BTreeMap<OrderingKey, OrderedQueue>,
     /// Final answers are reported, and the reports answered: see `order`.
     confirms_reports: bool,
     keys_rest_until: Time,
     calls: BTreeMap<u64, Call>,
     /// Tokens of each tenant's share, as of the last batch.
     tokens: Vec<f64>,
-    next_number: u64,
-    armed: Option<Time>,
+    last_number: u64,
+    next_wakeup: Option<Time>,
     ask_at: Option<Time>,
     asks_failed: u32,
     /// A connection idle for longer is closed before use.
     idle_limit: Duration,
     /// For each kind of destination: its endpoints are short of connections until then.
-    crowded: Vec<Time>,
+    connection_shortage: Vec<Time>,
     /// Recent share of calls lost among those sent after an idle time.
     idle_lost: f64,
 }
 
-impl Sender {
+impl Scheduler {
     /// A sender just started. It knows nothing but its settings.
-    pub fn new(set: Settings, seed: u64, now: Time) -> Result<Sender, SettingsError> {
-        let none = [set.instances, set.slots, set.attempts_cap].contains(&0) || set.most_held == 0;
-        if none || set.classes.is_empty() {
+    pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Scheduler, SettingsError> {
+        let none = [settings.instances, settings.slots, settings.attempts_cap].contains(&0)
+            || settings.max_pending == 0;
+        if none || settings.classes.is_empty() {
             return Err(SettingsError(
                 "senders, classes, slots, messages held, attempts must be above zero",
             ));
         }
-        let ask_at = set.ask_for_list.then_some(now);
-        let (idle_limit, crowded) = (set.conn_idle, vec![now; set.kinds.len()]);
-        Ok(Sender {
-            tokens: set.tenants.iter().map(|t| t.quota_rps).collect(),
-            set,
+        let ask_at = settings.ask_for_list.then_some(now);
+        let (idle_limit, connection_shortage) =
+            (settings.conn_idle, vec![now; settings.kinds.len()]);
+        Ok(Scheduler {
+            tokens: settings.tenants.iter().map(|t| t.quota_rps).collect(),
+            settings,
             seed,
             rng: fastrand::Rng::with_seed(seed),
             now,
-            acts: Vec::new(),
+            actions: Vec::new(),
             endpoints: Vec::new(),
             spare: Vec::new(),
-            spare_lanes: Vec::new(),
+            free_routes: Vec::new(),
             by_id: BTreeMap::new(),
-            gone: BTreeMap::new(),
-            lanes: Default::default(),
-            dests: BTreeMap::new(),
+            removed: BTreeMap::new(),
+            routes: Default::default(),
+            routes_by_destination: BTreeMap::new(),
             messages: BTreeMap::new(),
             ids: BTreeMap::new(),
-            keys: BTreeMap::new(),
+            ordered_queues: BTreeMap::new(),
             confirms_reports: false,
             keys_rest_until: now,
             calls: BTreeMap::new(),
-            next_number: 0,
-            armed: None,
+            last_number: 0,
+            next_wakeup: None,
             ask_at,
             asks_failed: 0,
             idle_limit,
             idle_lost: 0.0,
-            crowded,
+            connection_shortage,
         })
     }
 
@@ -427,21 +439,21 @@
     pub fn handle(&mut self, now: Time, events: Vec<Event>) -> Vec<Action> {
         let passed = (now - self.now).as_secs_f64();
         self.now = self.now.max(now);
-        for (tokens, tenant) in self.tokens.iter_mut().zip(&self.set.tenants) {
-            let part = tenant.quota_rps / f64::from(self.set.instances);
+        for (tokens, tenant) in self.tokens.iter_mut().zip(&self.settings.tenants) {
+            let part = tenant.quota_rps / f64::from(self.settings.instances);
             *tokens = (*tokens + part * passed).min((2.0 * part).max(1.0));
         }
         for event in events {
             self.on_event(event);
         }
         if self.ask_at.take_if(|t| *t <= self.now).is_some() {
-            self.acts.push(Action::Subscribe);
+            self.actions.push(Action::Subscribe);
         }
-        self.end_hopeless();
+        self.expire_unreachable();
         self.dispatch();
-        self.trim();
-        self.arm();
-        std::mem::take(&mut self.acts)
+        self.shed_excess();
+        self.schedule_wakeup();
+        std::mem::take(&mut self.actions)
     }
 
     fn on_event(&mut self, event: Event) {
@@ -452,9 +464,9 @@
                 self.asks_failed += 1;
                 let pause = Duration::from_millis(300) * (1 << self.asks_failed.min(4));
                 let pause = pause
-                    .min(self.set.rules.must_ask_in / 2)
+                    .min(self.settings.rules.must_ask_in / 2)
                     .mul_f64(self.jitter());
-                self.ask_at = self.set.ask_for_list.then_some(self.now + pause);
+                self.ask_at = self.settings.ask_for_list.then_some(self.now + pause);
             }
             Event::Accept(taken) => self.on_accept(taken),
             Event::Outcome(outcome) => self.on_outcome(outcome),
@@ -465,14 +477,17 @@
             }
             Event::HealthChecked { endpoint, status } => {
                 if let Some(&e) = self.by_id.get(&endpoint) {
-                    self.note_sign(e, status);
+                    self.record_health_signal(e, status);
                 }
             }
-            Event::SenderCount(senders) => self.set.instances = senders.max(1),
+            Event::SenderCount(senders) => self.settings.instances = senders.max(1),
             Event::Wake => {
                 // Callers may round a timer down: a wake within a tick of the time meant is the one meant.
-                if self.armed.is_some_and(|t| t <= self.now + self.set.tick) {
-                    self.armed = None;
+                if self
+                    .next_wakeup
+                    .is_some_and(|t| t <= self.now + self.settings.tick)
+                {
+                    self.next_wakeup = None;
                 }
             }
         }
@@ -484,52 +499,65 @@
             self.endpoints
                 .iter_mut()
                 .for_each(|e| e.condition = Condition::Removed);
-            self.gone = self.by_id.clone();
+            self.removed = self.by_id.clone();
         }
         for entry in entries {
             if let Some(&e) = self.by_id.get(&entry.endpoint) {
                 self.endpoints[e].condition = entry.condition;
                 self.endpoints[e].zone = entry.zone;
                 match entry.condition {
-                    Condition::Removed => self.gone.insert(entry.endpoint, e),
-                    Condition::Ready | Condition::Draining => self.gone.remove(&entry.endpoint),
+                    Condition::Removed => self.removed.insert(entry.endpoint, e),
+                    Condition::Ready | Condition::Draining => self.removed.remove(&entry.endpoint),
                 };
                 continue;
             }
             if entry.condition == Condition::Removed {
                 continue;
             }
-            let kind = self.set.kinds.get(entry.kind).copied().unwrap_or(Kind {
-                per_call: 1,
-                apart: false,
-            });
-            let lanes = self.dests.entry(entry.dest).or_default();
-            let lane = match lanes.first() {
-                Some(&lane) if !kind.apart => lane,
+            let kind = self
+                .settings
+                .kinds
+                .get(entry.kind)
+                .copied()
+                .unwrap_or(Kind {
+                    per_call: 1,
+                    apart: false,
+                });
+            let routes = self
+                .routes_by_destination
+                .entry(entry.destination)
+                .or_default();
+            let route = match routes.first() {
+                Some(&route) if !kind.apart => route,
                 sibling => {
-                    let demand =
-                        sibling.map_or(Demand::new(self.now), |&l| self.lanes[l].demand.clone());
-                    let (window, classes) = (Window::new(self.set.slots), self.set.classes.len());
-                    let fresh = Lane::new(entry.dest, kind, window, demand, self.now, classes);
-                    let lane = self.lanes.place(&mut self.spare_lanes, fresh);
-                    lanes.push(lane);
-                    lane
+                    let demand = sibling.map_or(DemandEstimator::new(self.now), |&l| {
+                        self.routes[l].demand.clone()
+                    });
+                    let (window, classes) = (
+                        Window::new(self.settings.slots),
+                        self.settings.classes.len(),
+                    );
+                    let fresh =
+                        Route::new(entry.destination, kind, window, demand, self.now, classes);
+                    let route = self.routes.place(&mut self.free_routes, fresh);
+                    routes.push(route);
+                    route
                 }
             };
             // What failed was another: a new endpoint need not wait for the next trial.
-            if let Mode::Down { next, .. } = &mut self.lanes[lane].health.mode {
+            if let HealthState::Down { next, .. } = &mut self.routes[route].health.mode {
                 *next = self.now;
             }
-            if self.set.rates_listed && entry.rate > 0.0 {
-                self.lanes[lane].demand.listed = entry.rate;
+            if self.settings.rates_listed && entry.rate > 0.0 {
+                self.routes[route].demand.listed = entry.rate;
             }
             let id = entry.endpoint.clone();
-            let fresh = Endpoint::new(entry, lane, self.now, self.seed);
+            let fresh = Endpoint::new(entry, route, self.now, self.seed);
             let index = place(&mut self.endpoints, &mut self.spare, fresh);
-            self.lanes[lane].endpoints.push(index);
+            self.routes[route].endpoints.push(index);
             self.by_id.insert(id, index);
         }
-        self.forget_gone();
+        self.forget_removed();
     }
 
     fn on_accept(&mut self, taken: AcceptedMessage) {
@@ -537,54 +565,54 @@
             id,
             class,
             tenant,
-            key,
+            ordering_key,
             time_left: left,
-            dest,
+            destination,
             prior,
         } = taken;
-        if class >= self.set.classes.len() || self.ids.contains_key(&id) {
+        if class >= self.settings.classes.len() || self.ids.contains_key(&id) {
             return;
         }
         let over_share = self.tokens.get_mut(tenant).is_some_and(|t| {
-            let over = *t < 1.0;
+            let completed = *t < 1.0;
             *t = (*t - 1.0).max(0.0);
-            over
+            completed
         });
         let number = self.number();
-        let key = key.filter(|_| self.set.classes[class].in_order);
-        let spec = &self.set.classes[class];
+        let ordering_key = ordering_key.filter(|_| self.settings.classes[class].in_order);
+        let spec = &self.settings.classes[class];
         let passed = spec.deadline.saturating_sub(left);
-        if let Some(key) = &key {
-            self.keys
-                .entry(key.clone())
+        if let Some(ordering_key) = &ordering_key {
+            self.ordered_queues
+                .entry(ordering_key.clone())
                 .or_default()
                 .line
                 .push_back(number);
         }
         // Each route apart counts its part only: the whole at each would sum to a multiple of the traffic.
-        let lanes = self.listed(dest);
-        let part = 1.0 / lanes.len().max(1) as f64;
-        for lane in lanes {
-            let lane = &mut self.lanes[lane];
-            lane.toss_at = self.now;
-            lane.demand.add(self.now, part);
+        let routes = self.listed(destination);
+        let part = 1.0 / routes.len().max(1) as f64;
+        for route in routes {
+            let route = &mut self.routes[route];
+            route.toss_at = self.now;
+            route.demand.add(self.now, part);
             // What a restart found came over the time passed since; as new demand it would be a burst
             // that never was.
             if prior.restored {
-                lane.demand.since = lane
+                route.demand.since = route
                     .demand
                     .since
                     .min(Time(self.now.0.saturating_sub(passed.as_nanos() as u64)));
             }
             // As the paper under a window of one: where a sender seldom calls, half of its messages are tried
             // as they come, out or not. All senders together then push less than their fresh traffic.
-            let rate = lane.demand.rate(self.now);
-            let open = self.now >= lane.shut_until;
+            let rate = route.demand.rate(self.now);
+            let open = self.now >= route.blocked_until;
             if open && rate * TRIAL_MOST.as_secs_f64() < 1.0 && self.rng.f64() < FLOOR * part {
-                if lane.demand.told.is_none_or(f64::is_infinite) {
-                    lane.pace.calls = lane.pace.calls.max(1.0);
+                if route.demand.reported_limit.is_none_or(f64::is_infinite) {
+                    route.token_bucket.calls = route.token_bucket.calls.max(1.0);
                 }
-                if let Mode::Down { next, .. } = &mut lane.health.mode {
+                if let HealthState::Down { next, .. } = &mut route.health.mode {
                     *next = self.now;
                 }
             }
@@ -593,14 +621,14 @@
         let message = Message {
             id,
             class,
-            key,
-            dest,
+            ordering_key,
+            destination,
             over_share,
-            aim_at: self.now + spec.aim.saturating_sub(passed),
+            latency_objective_at: self.now + spec.latency_objective.saturating_sub(passed),
             deadline: self.now + left,
             not_before: self.now,
             attempts: prior.attempts,
-            out: None,
+            in_flight: None,
             // An earlier process's attempt keeps its age, so that no repeat leaves its window.
             possibly_executed: prior.possibly_executed.map(|(ago, at)| {
                 (
@@ -609,7 +637,7 @@
                 )
             }),
             verdict: None,
-            over: false,
+            completed: false,
         };
         self.messages.insert(number, message);
     }
@@ -619,7 +647,7 @@
             id,
             attempt,
             status,
-            over,
+            completed,
             took,
             wait,
             report,
@@ -632,34 +660,36 @@
         let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
-        let Some(out) = message.out.take_if(|o| o.number == attempt) else {
+        let Some(in_flight) = message.in_flight.take_if(|o| o.number == attempt) else {
             return;
         };
         let class = message.class;
-        let lane = self.endpoints[out.endpoint].lane;
+        let route = self.endpoints[in_flight.endpoint].route;
         // Who could not be reached and soon answers is short of connections: an outage would have gone on.
-        let unreached = self.lanes[lane]
-            .unreached
+        let connect_failed_at = self.routes[route]
+            .connect_failed_at
             .take_if(|_| status == Status::Served);
-        if unreached.is_some_and(|at| now - at < TRIAL_MOST)
-            && let Some(crowded) = self.crowded.get_mut(self.endpoints[out.endpoint].kind)
+        if connect_failed_at.is_some_and(|at| now - at < TRIAL_MOST)
+            && let Some(connection_shortage) = self
+                .connection_shortage
+                .get_mut(self.endpoints[in_flight.endpoint].kind)
         {
-            *crowded = now + CROWDED;
+            *connection_shortage = now + CONNECTION_SHORTAGE_PERIOD;
         }
-        let first = self.end_call(&out);
+        let first = self.end_call(&in_flight);
         if let Some(wait) = wait {
-            let lane = &mut self.lanes[lane];
-            lane.shut_until = lane.shut_until.max(now + wait + self.set.tick);
+            let route = &mut self.routes[route];
+            route.blocked_until = route.blocked_until.max(now + wait + self.settings.tick);
         }
         if let Some(report) = report.filter(|r| r.limit >= 0.0 && r.left.is_finite()) {
-            self.lanes[lane].demand.told = Some(if report.limit > 0.0 {
+            self.routes[route].demand.reported_limit = Some(if report.limit > 0.0 {
                 report.limit
             } else {
                 f64::INFINITY
             });
         }
         // A client's short patience ends a call before its usual time: that says nothing of the destination.
-        let overdue = self.times(&self.lanes[lane], class).1;
+        let overdue = self.times(&self.routes[route], class).1;
         let cut_short = status == Status::TimedOut && took.as_secs_f64() < overdue;
         if first && !cut_short {
             match status {
@@ -668,34 +698,40 @@
                 | Status::Spoilt
                 | Status::RecipientRemoved
                 | Status::PermanentError => {
-                    self.lanes[lane].rtt[class].sample(took.as_secs_f64());
-                    self.endpoints[out.endpoint].last_answer = now;
+                    self.routes[route].rtt[class].sample(took.as_secs_f64());
+                    self.endpoints[in_flight.endpoint].last_answer = now;
                 }
-                Status::NoConnection => self.lanes[lane].unreached = Some(now),
+                Status::NoConnection => self.routes[route].connect_failed_at = Some(now),
                 // Once for all that were out together: only a call sent since tells of more.
                 Status::TimedOut => {
-                    let rtt = &mut self.lanes[lane].rtt[class];
-                    if rtt.doubled_at.is_none_or(|at| out.sent >= at) {
+                    let rtt = &mut self.routes[route].rtt[class];
+                    if rtt.doubled_at.is_none_or(|at| in_flight.sent >= at) {
                         (rtt.doubled, rtt.doubled_at) = (rtt.doubled + 1, Some(now));
                     }
                 }
                 Status::Overloaded => {
-                    self.endpoints[out.endpoint].last_answer = now;
+                    self.endpoints[in_flight.endpoint].last_answer = now;
                     // Senders refused together, or told the same end of a wait, must not return together.
-                    let lane = &mut self.lanes[lane];
-                    lane.refused += 1;
-                    lane.pace.rest(lane.shut_until.max(now), self.rng.f64());
+                    let route = &mut self.routes[route];
+                    route.refused += 1;
+                    route
+                        .token_bucket
+                        .rest(route.blocked_until.max(now), self.rng.f64());
                 }
                 Status::Reset | Status::Dropped | Status::Cancelled | Status::NotSent => {}
             }
-            self.learn_idle(out.endpoint, status);
-            self.note_sign(out.endpoint, status);
+            self.record_idle_loss(in_flight.endpoint, status);
+            self.record_health_signal(in_flight.endpoint, status);
         }
         // A wait longer than any limit's span tells of an outage: who was told returns as after one.
-        if wait.is_some_and(|w| w > span(&self.set.rules)) {
-            let lane = &mut self.lanes[lane];
-            let next = lane.shut_until + lane.demand.cold_gap(now, &self.set.rules).mul_f64(jitter);
-            lane.health.mode = Mode::Down { next, step: 0 };
+        if wait.is_some_and(|w| w > span(&self.settings.rules)) {
+            let route = &mut self.routes[route];
+            let next = route.blocked_until
+                + route
+                    .demand
+                    .cold_gap(now, &self.settings.rules)
+                    .mul_f64(jitter);
+            route.health.mode = HealthState::Down { next, step: 0 };
         }
         let Some(message) = self.messages.get_mut(&number) else {
             return;
@@ -703,16 +739,19 @@
         if !status.not_executed() {
             message
                 .possibly_executed
-                .get_or_insert((out.sent, Some(out.endpoint)));
+                .get_or_insert((in_flight.sent, Some(in_flight.endpoint)));
         }
         if matches!(
             status,
             Status::TimedOut | Status::Reset | Status::Dropped | Status::Cancelled
-        ) && let Some(line) = message.key.as_ref().and_then(|k| self.keys.get_mut(k))
+        ) && let Some(line) = message
+            .ordering_key
+            .as_ref()
+            .and_then(|k| self.ordered_queues.get_mut(k))
         {
-            (line.rest_until, line.rest_by) = (now + self.set.rules.key_quiet, number);
+            (line.rest_until, line.rest_by) = (now + self.settings.rules.key_quiet, number);
         }
-        if over || message.over || status == Status::Served {
+        if completed || message.completed || status == Status::Served {
             return self.close(number);
         }
         if matches!(status, Status::RecipientRemoved | Status::PermanentError) {
@@ -730,7 +769,7 @@
     /// Guards against connections that die unseen while idle: once a fair part of calls after an idle time is
     /// lost at endpoints that did not fail before, the idle time trusted is halved and longer idle ones are
     /// closed before use. Outages alone seldom reach that part.
-    fn learn_idle(&mut self, e: usize, status: Status) {
+    fn record_idle_loss(&mut self, e: usize, status: Status) {
         let endpoint = &self.endpoints[e];
         let lost = match status {
             Status::TimedOut | Status::Reset | Status::Dropped => true,
@@ -749,79 +788,93 @@
         self.idle_lost += IDLE_GAIN * (f64::from(u8::from(lost)) - self.idle_lost);
         if lost && self.idle_lost > IDLE_LOST {
             self.idle_limit = self.idle_limit.min(endpoint.gap / 2).max(IDLE_LEAST);
-            if endpoint.out == 0 {
-                self.acts.push(Action::CloseIdle(endpoint.id.clone()));
+            if endpoint.in_flight == 0 {
+                self.actions.push(Action::CloseIdle(endpoint.id.clone()));
             }
         }
     }
 
     /// One message of a call is back; true for the first of them, which speaks for the call.
-    fn end_call(&mut self, out: &Attempt) -> bool {
+    fn end_call(&mut self, in_flight: &Attempt) -> bool {
         let now = self.now;
-        let Some(call) = self.calls.get_mut(&out.call) else {
+        let Some(call) = self.calls.get_mut(&in_flight.call) else {
             return false;
         };
         call.waiting -= 1;
         let first = !std::mem::replace(&mut call.counted, true);
         if call.waiting == 0 {
             let endpoint = &mut self.endpoints[call.endpoint];
-            endpoint.out -= 1;
-            self.lanes[endpoint.lane].out -= 1;
+            endpoint.in_flight -= 1;
+            self.routes[endpoint.route].in_flight -= 1;
             // Idle connections count where an endpoint takes few: one that would hardly be used again is
             // closed; where they crowd, all senders together keep no more than one would.
-            let gap = (now - endpoint.since + self.set.conn_idle) / endpoint.uses.max(1);
-            let crowded = self.crowded.get(endpoint.kind).is_some_and(|&t| now < t);
-            let sharers = if crowded { self.set.instances } else { 1 };
-            if endpoint.out == 0 && gap * sharers > self.idle_limit * IDLE_WORTH {
-                self.acts.push(Action::CloseIdle(endpoint.id.clone()));
+            let gap = (now - endpoint.since + self.settings.conn_idle) / endpoint.uses.max(1);
+            let connection_shortage = self
+                .connection_shortage
+                .get(endpoint.kind)
+                .is_some_and(|&t| now < t);
+            let sharers = if connection_shortage {
+                self.settings.instances
+            } else {
+                1
+            };
+            if endpoint.in_flight == 0 && gap * sharers > self.idle_limit * IDLE_WORTH {
+                self.actions.push(Action::CloseIdle(endpoint.id.clone()));
             }
-            self.calls.remove(&out.call);
+            self.calls.remove(&in_flight.call);
         }
         first
     }
 
     /// A call's or probe's end, for the window (load) and for health (outage).
-    fn note_sign(&mut self, endpoint: usize, status: Status) {
-        let (now, jitter, rules) = (self.now, self.jitter(), self.set.rules);
+    fn record_health_signal(&mut self, endpoint: usize, status: Status) {
+        let (now, jitter, rules) = (self.now, self.jitter(), self.settings.rules);
         let endpoint = &mut self.endpoints[endpoint];
-        let lane = &mut self.lanes[endpoint.lane];
+        let route = &mut self.routes[endpoint.route];
         // Nothing is sent during a Retry-After wait: what is served then was sent before, and ends no outage.
-        let early = now < lane.shut_until && matches!(lane.health.mode, Mode::Down { .. });
-        let sign = match status {
-            Status::Served if early => return lane.window.answered(),
-            Status::Served => Sign::Good,
-            Status::Overloaded => Sign::Refused,
-            Status::Error | Status::TimedOut | Status::NoConnection | Status::Reset => Sign::Bad,
+        let early =
+            now < route.blocked_until && matches!(route.health.mode, HealthState::Down { .. });
+        let signal = match status {
+            Status::Served if early => return route.window.answered(),
+            Status::Served => HealthSignal::Success,
+            Status::Overloaded => HealthSignal::Overload,
+            Status::Error | Status::TimedOut | Status::NoConnection | Status::Reset => {
+                HealthSignal::Failure
+            }
             // An answer about one message only, or spoilt on its way: it is neither better nor worse.
             Status::RecipientRemoved | Status::PermanentError | Status::Spoilt => {
-                return lane.window.answered();
+                return route.window.answered();
             }
             Status::Cancelled | Status::Dropped | Status::NotSent => return,
         };
         if matches!(status, Status::Served | Status::Error) {
-            lane.window.answered();
+            route.window.answered();
         } else {
-            lane.window.cut();
-            lane.cut_at = now;
+            route.window.cut();
+            route.cut_at = now;
         }
-        endpoint.streak = if sign == Sign::Good {
+        endpoint.streak = if signal == HealthSignal::Success {
             0
         } else {
-            endpoint.streak + u32::from(sign == Sign::Bad)
+            endpoint.streak + u32::from(signal == HealthSignal::Failure)
         };
-        let back = lane
-            .health
-            .note(now, sign, &rules, lane.demand.cold_gap(now, &rules), jitter);
-        if sign == Sign::Good {
-            lane.refused = 0;
-            lane.demand.proven = lane.demand.asked(now);
+        let back = route.health.record(
+            now,
+            signal,
+            &rules,
+            route.demand.cold_gap(now, &rules),
+            jitter,
+        );
+        if signal == HealthSignal::Success {
+            route.refused = 0;
+            route.demand.proven = route.demand.asked(now);
             // Climbing back by tenths would age what is held: the proven window returns at once, and the
             // cold budget, not the window, holds the calls down.
             if back {
-                lane.window = lane.proven_window.clone();
-                lane.pace.calls = 0.0;
-            } else if lane.health.mode == Mode::Up {
-                lane.proven_window = lane.window.clone();
+                route.window = route.proven_window.clone();
+                route.token_bucket.calls = 0.0;
+            } else if route.health.mode == HealthState::Up {
+                route.proven_window = route.window.clone();
             }
         }
     }
@@ -831,13 +884,17 @@
         let Some(message) = self.messages.get_mut(&number) else {
             return;
         };
-        message.over = true;
-        if message.out.is_some() {
+        message.completed = true;
+        if message.in_flight.is_some() {
             return;
         }
         if let Some(message) = self.messages.remove(&number) {
             self.ids.remove(&message.id);
-            if let Some(line) = message.key.as_ref().and_then(|k| self.keys.get_mut(k)) {
+            if let Some(line) = message
+                .ordering_key
+                .as_ref()
+                .and_then(|k| self.ordered_queues.get_mut(k))
+            {
                 line.line.retain(|&n| n != number);
             }
         }
@@ -848,17 +905,17 @@
         let Some(m) = self.messages.get(&number) else {
             return;
         };
-        let class = &self.set.classes[m.class];
+        let class = &self.settings.classes[m.class];
         let (id, verdict) = (m.id.clone(), m.verdict);
-        let after =
-            (self.set.retry_after && verdict.is_none()).then_some(self.set.max_retry_after / 2);
+        let after = (self.settings.retry_after && verdict.is_none())
+            .then_some(self.settings.max_retry_after / 2);
         // Who is told to come again comes to any endpoint, after that wait.
         let anywhere = class.effect == Effect::Safe || class.dedup == DedupScope::All;
         let inside = self.harmless(m, self.now + after.unwrap_or_default());
         let refused = (m.possibly_executed.is_none() || anywhere)
             && inside
             && verdict != Some(Status::PermanentError);
-        self.acts.push(if refused {
+        self.actions.push(if refused {
             Action::Reject { id, after }
         } else {
             Action::Fail(id)
@@ -868,29 +925,30 @@
     }
 
     /// Ends at once what can't be delivered any more.
-    fn end_hopeless(&mut self) {
-        let (now, margin) = (self.now, self.set.tick * 2);
+    fn expire_unreachable(&mut self) {
+        let (now, margin) = (self.now, self.settings.tick * 2);
         let ends = |m: &Message| m.deadline <= now + margin || !self.may_repeat(m);
-        let held = self
+        let pending = self
             .messages
             .iter()
-            .filter(|(_, m)| m.out.is_none() && !m.over && ends(m));
-        let hopeless: Vec<u64> = held.map(|(&n, _)| n).collect();
-        hopeless.into_iter().for_each(|n| self.give_up(n));
+            .filter(|(_, m)| m.in_flight.is_none() && !m.completed && ends(m));
+        let unreachable: Vec<u64> = pending.map(|(&n, _)| n).collect();
+        unreachable.into_iter().for_each(|n| self.give_up(n));
         self.forget_keys();
     }
 
     /// Ends the least worthy of what overflows, once all that may go has gone: one destination's backlog must
     /// not turn away what others would take at once.
-    fn trim(&mut self) {
-        let excess = self.messages.len().saturating_sub(self.kept_most());
+    fn shed_excess(&mut self) {
+        let excess = self.messages.len().saturating_sub(self.max_pending());
         if excess > 0 {
-            let held = self
+            let pending = self
                 .messages
                 .iter()
-                .filter(|(_, m)| m.out.is_none() && !m.over);
-            let mut order: Vec<(f64, u64)> =
-                held.map(|(&n, m)| (self.worth(m, self.now), n)).collect();
+                .filter(|(_, m)| m.in_flight.is_none() && !m.completed);
+            let mut order: Vec<(f64, u64)> = pending
+                .map(|(&n, m)| (self.priority_weight(m, self.now), n))
+                .collect();
             order.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
             order
                 .into_iter()
@@ -901,15 +959,15 @@
 
     /// Whether a further attempt keeps the rules, wherever it goes.
     fn may_repeat(&self, m: &Message) -> bool {
-        m.attempts < self.set.attempts_cap && m.verdict.is_none() && self.harmless(m, self.now)
+        m.attempts < self.settings.attempts_cap && m.verdict.is_none() && self.harmless(m, self.now)
     }
 
     /// Until when this message may come to its destination though it may have been executed, if not at any time.
     fn repeats_until(&self, m: &Message) -> Option<Time> {
-        let (class, (sent, _)) = (&self.set.classes[m.class], m.possibly_executed?);
+        let (class, (sent, _)) = (&self.settings.classes[m.class], m.possibly_executed?);
         match class.effect {
             Effect::Safe => None,
-            Effect::Keyed => Some(sent + class.window),
+            Effect::Idempotent => Some(sent + class.window),
             Effect::Unsafe => Some(sent),
         }
     }
@@ -919,26 +977,26 @@
     }
 
     /// What a message earns if it is answered at `at`.
-    fn worth(&self, m: &Message, at: Time) -> f64 {
-        let class = &self.set.classes[m.class];
+    fn priority_weight(&self, m: &Message, at: Time) -> f64 {
+        let class = &self.settings.classes[m.class];
         if at >= m.deadline {
             return 0.0;
         }
-        let late = (at - m.aim_at).as_secs_f64();
-        let share = match self.set.decay {
+        let late = (at - m.latency_objective_at).as_secs_f64();
+        let share = match self.settings.decay {
             Decay::Linear => {
                 let span = class
                     .deadline
-                    .saturating_sub(class.aim)
+                    .saturating_sub(class.latency_objective)
                     .as_secs_f64()
                     .max(1e-9);
                 1.0 - (1.0 - class.late_share) * (late / span)
             }
-            Decay::Halving => 0.5f64.powf(late / class.aim.as_secs_f64().max(1e-9)),
+            Decay::Halving => 0.5f64.powf(late / class.latency_objective.as_secs_f64().max(1e-9)),
         };
-        let full = class.worth
+        let full = class.priority_weight
             * if m.over_share {
-                self.set.over_share_worth
+                self.settings.over_share_worth
             } else {
                 1.0
             };
@@ -946,21 +1004,23 @@
     }
 
     /// Usual time of a call of this class, and the time beyond which it is overdue.
-    fn times(&self, lane: &Lane, class: usize) -> (f64, f64) {
-        let aim = self.set.classes[class].aim.as_secs_f64();
-        let rtt = &lane.rtt[class];
+    fn times(&self, route: &Route, class: usize) -> (f64, f64) {
+        let latency_objective = self.settings.classes[class].latency_objective.as_secs_f64();
+        let rtt = &route.rtt[class];
         rtt.late()
-            .map_or((aim / 4.0, aim), |late| (rtt.mean, late.max(aim / 8.0)))
+            .map_or((latency_objective / 4.0, latency_objective), |late| {
+                (rtt.mean, late.max(latency_objective / 8.0))
+            })
     }
 
     /// Time-out of an attempt: generous beyond overdue, doubled after each time-out (as RFC 6298 does), so
     /// that neither a hang nor a lost answer holds slots for whole deadlines. An unsafe call timed out is
     /// lost, so there it is far beyond both what was ever seen and what still earns full worth.
-    fn timeout(&self, m: &Message, lane: &Lane) -> Duration {
-        let class = &self.set.classes[m.class];
-        let doubled = f64::from(1u32 << lane.rtt[m.class].doubled.min(4));
-        let usual = 2.0 * self.times(lane, m.class).1 * doubled;
-        let unsafely = (2.0 * usual).max(2.0 * class.aim.as_secs_f64());
+    fn timeout(&self, m: &Message, route: &Route) -> Duration {
+        let class = &self.settings.classes[m.class];
+        let doubled = f64::from(1u32 << route.rtt[m.class].doubled.min(4));
+        let usual = 2.0 * self.times(route, m.class).1 * doubled;
+        let unsafely = (2.0 * usual).max(2.0 * class.latency_objective.as_secs_f64());
         let time = if class.effect == Effect::Unsafe {
             unsafely
         } else {
@@ -975,7 +1035,7 @@
     fn suspect(&self, e: usize, repeatable: bool) -> bool {
         let endpoint = &self.endpoints[e];
         self.calls.values().any(|c| {
-            let late = Duration::from_secs_f64(self.times(&self.lanes[endpoint.lane], c.class).1);
+            let late = Duration::from_secs_f64(self.times(&self.routes[endpoint.route], c.class).1);
             let trial = repeatable && endpoint.last_used.is_none_or(|t| self.now - t > 4 * late);
             c.endpoint == e && endpoint.last_answer <= c.sent && self.now - c.sent > late && !trial
         })
@@ -983,14 +1043,14 @@
 
     /// The one check before every send: may this message go to this endpoint now, as a call of its own or
     /// (`joining`) as a further message in a call of this batch?
-    fn admits(&self, number: u64, m: &Message, e: usize, joining: bool) -> bool {
+    fn may_send(&self, number: u64, m: &Message, e: usize, joining: bool) -> bool {
         let now = self.now;
         let endpoint = &self.endpoints[e];
-        let lane = &self.lanes[endpoint.lane];
-        let class: &Class = &self.set.classes[m.class];
+        let route = &self.routes[endpoint.route];
+        let class: &Class = &self.settings.classes[m.class];
         // No message lost, no effect twice, attempts capped, never two at once.
-        if m.over
-            || m.out.is_some()
+        if m.completed
+            || m.in_flight.is_some()
             || m.deadline <= now
             || now < m.not_before
             || !self.may_repeat(m)
@@ -1003,14 +1063,14 @@
             DedupScope::Zone => first.is_some_and(|f| self.endpoints[f].zone == endpoint.zone),
             DedupScope::Endpoint => first == Some(e),
         };
-        if class.effect == Effect::Keyed
+        if class.effect == Effect::Idempotent
             && m.possibly_executed
                 .is_some_and(|(_, first)| !dropped(first))
         {
             return false;
         }
         // Drains kept, waits heeded.
-        if !endpoint.takes() || now < lane.shut_until {
+        if !endpoint.takes() || now < route.blocked_until {
             return false;
         }
         // Order kept: the head of its key's line, after any rest.
@@ -1018,22 +1078,24 @@
             return false;
         }
         // While out, one trial at a time.
-        let room = lane.window.has_room(lane.out) && (lane.lucky || lane.window.chance().is_none());
-        let open = match lane.health.mode {
-            Mode::Down { next, .. } => now >= next && lane.out == 0,
-            Mode::Up | Mode::Cold { .. } => {
-                room && (lane.pace.calls >= 1.0 || lane.pace.rate.is_infinite())
+        let capacity = route.window.has_room(route.in_flight)
+            && (route.lucky || route.window.chance().is_none());
+        let open = match route.health.mode {
+            HealthState::Down { next, .. } => now >= next && route.in_flight == 0,
+            HealthState::Up | HealthState::WarmingUp { .. } => {
+                capacity
+                    && (route.token_bucket.calls >= 1.0 || route.token_bucket.rate.is_infinite())
             }
         };
-        let free = (self.set.slots as usize).saturating_sub(self.calls.len());
-        let slow = lane.rtt.iter().any(|r| r.seen && r.mean > SLOW * r.base);
+        let free = (self.settings.slots as usize).saturating_sub(self.calls.len());
+        let slow = route.rtt.iter().any(|r| r.seen && r.mean > SLOW * r.base);
         // Slots run short together where one destination is slow: who has many must leave some to the rest
         // (the dynamic threshold of shared buffers), so that no backlog of one starves the others.
         joining
             || free > 0
             // Nagle's rule: where a call takes many messages, small ones beside it only take scarce slots.
-            && (lane.backlog >= lane.kind.per_call as usize || endpoint.out == 0 || free > self.calls.len())
-            && (!slow || (lane.out as usize) < SLOT_SHARE * free)
+            && (route.backlog >= route.kind.per_call as usize || endpoint.in_flight == 0 || free > self.calls.len())
+            && (!slow || (route.in_flight as usize) < SLOT_SHARE * free)
             && open
             && !self.suspect(e, class.effect != Effect::Unsafe)
     }
@@ -1041,41 +1103,46 @@
     /// Sends what may go, most urgent worth for its slot first. The only place that sends.
     fn dispatch(&mut self) {
         let now = self.now;
-        self.lanes.active_mut().for_each(|l| l.backlog = 0);
-        for m in self.messages.values().filter(|m| m.out.is_none()) {
-            for &lane in self.dests.get(&m.dest).into_iter().flatten() {
-                self.lanes[lane].backlog += 1;
+        self.routes.active_mut().for_each(|l| l.backlog = 0);
+        for m in self.messages.values().filter(|m| m.in_flight.is_none()) {
+            for &route in self
+                .routes_by_destination
+                .get(&m.destination)
+                .into_iter()
+                .flatten()
+            {
+                self.routes[route].backlog += 1;
             }
         }
-        for lane in self.lanes.active_mut() {
+        for route in self.routes.active_mut() {
             // A slow start that is over.
-            if matches!(lane.health.mode, Mode::Cold { since } if now - since >= self.set.rules.cold)
+            if matches!(route.health.mode, HealthState::WarmingUp { since } if now - since >= self.settings.rules.cold)
             {
-                lane.health.mode = Mode::Up;
+                route.health.mode = HealthState::Up;
             }
-            let rate = lane.own_rate(now, &self.set.rules, self.set.instances);
-            lane.pace.refill(now, rate);
-            let chance = lane.window.chance();
-            lane.lucky |= chance.is_none();
+            let rate = route.allowed_rate(now, &self.settings.rules, self.settings.instances);
+            route.token_bucket.refill(now, rate);
+            let chance = route.window.chance();
+            route.lucky |= chance.is_none();
             // The paper's fractional call: one toss for each arrival or retest; a toss won waits for a slot.
             if let Some(chance) =
-                chance.filter(|_| lane.backlog > 0 && !lane.lucky && lane.out == 0)
-                && now >= lane.toss_at.max(lane.shut_until)
+                chance.filter(|_| route.backlog > 0 && !route.lucky && route.in_flight == 0)
+                && now >= route.toss_at.max(route.blocked_until)
             {
                 // What cut the window ages: a rare sender would need minutes of answers to climb back to one.
-                let aged =
-                    (now - lane.cut_at).as_secs_f64() / self.set.rules.cold.as_secs_f64().max(1.0);
-                lane.lucky = self.rng.f64() < chance.max(aged);
+                let aged = (now - route.cut_at).as_secs_f64()
+                    / self.settings.rules.cold.as_secs_f64().max(1.0);
+                route.lucky = self.rng.f64() < chance.max(aged);
                 // The paper tosses once for each call that comes. Retests double that, however many senders.
-                let mean = Duration::from_secs_f64(1.0 / lane.demand.rate(now).max(0.1));
-                lane.toss_at = now + mean.max(RETEST);
+                let mean = Duration::from_secs_f64(1.0 / route.demand.rate(now).max(0.1));
+                route.toss_at = now + mean.max(RETEST);
             }
         }
-        self.lanes.settle(now);
+        self.routes.settle(now);
         let ready = self
             .messages
             .iter()
-            .filter(|(_, m)| m.out.is_none() && now >= m.not_before);
+            .filter(|(_, m)| m.in_flight.is_none() && now >= m.not_before);
         let mut order: Vec<(f64, u64)> = ready.map(|(&n, m)| (self.urgency(m), n)).collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         let mut open: BTreeMap<usize, u64> = BTreeMap::new();
@@ -1089,24 +1156,24 @@
     /// What is lost, for each second of a slot, if this message waits as long as its destination's backlog.
     fn urgency(&self, m: &Message) -> f64 {
         // Of routes apart, the one with the shortest time is meant.
-        let lanes = self
-            .dests
-            .get(&m.dest)
+        let routes = self
+            .routes_by_destination
+            .get(&m.destination)
             .into_iter()
             .flatten()
-            .map(|&l| &self.lanes[l]);
-        let timed = lanes.map(|lane| (self.times(lane, m.class).0, lane));
-        let Some((usual, lane)) = timed.min_by(|a, b| a.0.total_cmp(&b.0)) else {
+            .map(|&l| &self.routes[l]);
+        let timed = routes.map(|route| (self.times(route, m.class).0, route));
+        let Some((usual, route)) = timed.min_by(|a, b| a.0.total_cmp(&b.0)) else {
             return 0.0;
         };
         // A call that carries many costs each of them only its part of the slot.
-        let sharing = lane.backlog.clamp(1, lane.kind.per_call.max(1) as usize);
-        let served = lane.demand.rate(self.now).max(0.5);
-        let wait = (lane.backlog as f64 / served).clamp(0.5, 10.0);
+        let sharing = route.backlog.clamp(1, route.kind.per_call.max(1) as usize);
+        let served = route.demand.rate(self.now).max(0.5);
+        let wait = (route.backlog as f64 / served).clamp(0.5, 10.0);
         let soon = self.now + Duration::from_secs_f64(usual);
         let (first, last) = (
-            self.worth(m, soon),
-            self.worth(m, soon + Duration::from_secs_f64(wait)),
+            self.priority_weight(m, soon),
+            self.priority_weight(m, soon + Duration::from_secs_f64(wait)),
         );
         (first - last + 0.01 * first) * sharing as f64 / usual.max(1e-3)
     }
@@ -1115,16 +1182,16 @@
     /// failures, in the own zone, with least in flight, then by this sender's own order.
     fn choose(&self, number: u64, open: &BTreeMap<usize, u64>) -> Option<usize> {
         let m = self.messages.get(&number)?;
-        let lanes = self.dests.get(&m.dest)?;
-        lanes
+        let routes = self.routes_by_destination.get(&m.destination)?;
+        routes
             .iter()
-            .flat_map(|&l| self.lanes[l].endpoints.iter().copied())
-            .filter(|e| self.admits(number, m, *e, self.joins(m, *e, open)))
+            .flat_map(|&l| self.routes[l].endpoints.iter().copied())
+            .filter(|e| self.may_send(number, m, *e, self.joins(m, *e, open)))
             .min_by_key(|&e| {
                 let endpoint = &self.endpoints[e];
-                let far = endpoint.distance(self.set.zone);
+                let far = endpoint.distance(self.settings.zone);
                 // Of several that failed, the one that failed least: an outage need not be all of them's.
-                let failed = if self.shunned(endpoint) {
+                let failed = if self.is_ejected(endpoint) {
                     endpoint.streak
                 } else {
                     0
@@ -1133,7 +1200,7 @@
                     !self.joins(m, e, open),
                     failed,
                     far,
-                    endpoint.out,
+                    endpoint.in_flight,
                     endpoint.rank,
                     e,
                 )
@@ -1142,17 +1209,22 @@
 
     /// Whether an endpoint's failures still speak against it. They age: one that failed is tried now and
     /// then though others would do, or it would be left out for good.
-    fn shunned(&self, endpoint: &Endpoint) -> bool {
+    fn is_ejected(&self, endpoint: &Endpoint) -> bool {
         let pause = TRIAL_FIRST * (1 << endpoint.streak.min(4));
         endpoint.streak > 0 && endpoint.last_used.is_none_or(|t| self.now - t < pause)
     }
 
-    /// A destination's lanes that still have an endpoint in the list.
-    fn listed(&self, dest: DestinationId) -> Vec<usize> {
+    /// A destination's routes that still have an endpoint in the list.
+    fn listed(&self, destination: DestinationId) -> Vec<usize> {
         let there = |&e: &usize| self.endpoints[e].condition != Condition::Removed;
-        let lanes = self.dests.get(&dest).into_iter().flatten().copied();
-        lanes
-            .filter(|&l| self.lanes[l].endpoints.iter().any(there))
+        let routes = self
+            .routes_by_destination
+            .get(&destination)
+            .into_iter()
+            .flatten()
+            .copied();
+        routes
+            .filter(|&l| self.routes[l].endpoints.iter().any(there))
             .collect()
     }
 
@@ -1162,18 +1234,18 @@
         let Some(call) = open.get(&e).and_then(|c| self.calls.get(c)) else {
             return false;
         };
-        let lane = &self.lanes[self.endpoints[e].lane];
-        let until = call.until.min(self.now + self.timeout(m, lane));
-        call.messages < lane.kind.per_call && call.least.max(self.least(m, lane)) <= until
+        let route = &self.routes[self.endpoints[e].route];
+        let until = call.until.min(self.now + self.timeout(m, route));
+        call.messages < route.kind.per_call && call.least.max(self.least(m, route)) <= until
     }
 
     /// The shortest wait that a call with it may have: what may not be repeated is lost by a shorter one.
-    fn least(&self, m: &Message, lane: &Lane) -> Time {
-        let unsafely = self.set.classes[m.class].effect == Effect::Unsafe;
-        let usual = Duration::from_secs_f64(self.times(lane, m.class).0);
+    fn least(&self, m: &Message, route: &Route) -> Time {
+        let unsafely = self.settings.classes[m.class].effect == Effect::Unsafe;
+        let usual = Duration::from_secs_f64(self.times(route, m.class).0);
         self.now
             + if unsafely {
-                self.timeout(m, lane)
+                self.timeout(m, route)
             } else {
                 usual
             }
@@ -1185,9 +1257,9 @@
         let Some(m) = self.messages.get(&number) else {
             return;
         };
-        let (joining, lane, class) = (self.joins(m, e, open), self.endpoints[e].lane, m.class);
-        let timeout = self.timeout(m, &self.lanes[lane]);
-        let (until, least) = (now + timeout, self.least(m, &self.lanes[lane]));
+        let (joining, route, class) = (self.joins(m, e, open), self.endpoints[e].route, m.class);
+        let timeout = self.timeout(m, &self.routes[route]);
+        let (until, least) = (now + timeout, self.least(m, &self.routes[route]));
         let write_within = self.repeats_until(m).map(|until| until - now);
         let call = if joining { open[&e] } else { fresh };
         if let Some(call) = self.calls.get_mut(&call) {
@@ -1208,23 +1280,23 @@
             self.calls.insert(call, new);
             open.insert(e, call);
             let endpoint = &mut self.endpoints[e];
-            let lane = &mut self.lanes[lane];
+            let route = &mut self.routes[route];
             endpoint.gap = endpoint
                 .last_used
                 .map_or(Duration::ZERO, |t| now - t.max(endpoint.last_answer));
-            if endpoint.out == 0 && endpoint.gap > self.idle_limit {
-                self.acts.push(Action::CloseIdle(endpoint.id.clone()));
+            if endpoint.in_flight == 0 && endpoint.gap > self.idle_limit {
+                self.actions.push(Action::CloseIdle(endpoint.id.clone()));
                 endpoint.gap = Duration::ZERO;
             }
-            endpoint.out += 1;
+            endpoint.in_flight += 1;
             endpoint.last_used = Some(now);
             endpoint.use_up();
-            lane.out += 1;
-            (lane.lucky, lane.used) = (false, true);
-            lane.pace.calls = (lane.pace.calls - 1.0).max(-1.0);
+            route.in_flight += 1;
+            (route.lucky, route.used) = (false, true);
+            route.token_bucket.calls = (route.token_bucket.calls - 1.0).max(-1.0);
         }
         if let Some(m) = self.messages.get_mut(&number) {
-            m.out = Some(Attempt {
+            m.in_flight = Some(Attempt {
                 number: m.attempts,
                 endpoint: e,
                 call,
@@ -1232,7 +1304,7 @@
             });
             m.attempts += 1;
             let (id, endpoint) = (m.id.clone(), self.endpoints[e].id.clone());
-            self.acts.push(Action::Send {
+            self.actions.push(Action::Send {
                 id,
                 endpoint,
                 timeout,
@@ -1243,59 +1315,59 @@
     }
 
     /// Sets the timer for the next moment at which something held could move or must end.
-    fn arm(&mut self) {
+    fn schedule_wakeup(&mut self) {
         let now = self.now;
         let mut next = self.ask_at;
         let mut consider = |t: Time| next = Some(next.map_or(t, |n| n.min(t)));
-        for m in self.messages.values().filter(|m| m.out.is_none()) {
+        for m in self.messages.values().filter(|m| m.in_flight.is_none()) {
             consider(
                 (now + RETEST).min(Time(
                     m.deadline
                         .0
-                        .saturating_sub(2 * self.set.tick.as_nanos() as u64),
+                        .saturating_sub(2 * self.settings.tick.as_nanos() as u64),
                 )),
             );
             let gates = self
-                .dests
-                .get(&m.dest)
+                .routes_by_destination
+                .get(&m.destination)
                 .into_iter()
                 .flatten()
-                .map(|&l| &self.lanes[l]);
-            let keys = m
-                .key
+                .map(|&l| &self.routes[l]);
+            let ordered_queues = m
+                .ordering_key
                 .as_ref()
-                .and_then(|k| self.keys.get(k))
+                .and_then(|k| self.ordered_queues.get(k))
                 .map(|k| k.rest_until.max(self.keys_rest_until));
-            let opens = gates.flat_map(|lane| {
-                let trial = if let Mode::Down { next, .. } = lane.health.mode {
+            let opens = gates.flat_map(|route| {
+                let trial = if let HealthState::Down { next, .. } = route.health.mode {
                     next
                 } else {
                     now
                 };
-                [lane.shut_until, trial, lane.pace.next()]
+                [route.blocked_until, trial, route.token_bucket.next()]
             });
             opens
-                .chain(keys)
+                .chain(ordered_queues)
                 .chain([m.not_before])
                 .filter(|&t| t > now)
                 .for_each(&mut consider);
         }
-        if let Some(next) = next.map(|t| t.max(now + self.set.tick))
-            && self.armed.is_none_or(|t| t <= now || t > next)
+        if let Some(next) = next.map(|t| t.max(now + self.settings.tick))
+            && self.next_wakeup.is_none_or(|t| t <= now || t > next)
         {
-            self.armed = Some(next);
-            self.acts.push(Action::Timer(next - now));
+            self.next_wakeup = Some(next);
+            self.actions.push(Action::Timer(next - now));
         }
     }
 
     /// Endpoints and routes that there is room for: what a long day must not let grow.
-    pub fn places(&self) -> usize {
-        self.endpoints.len().max(self.lanes.len())
+    pub fn endpoint_count(&self) -> usize {
+        self.endpoints.len().max(self.routes.len())
     }
 
     fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+        self.last_number += 1;
+        self.last_number
     }
 
     /// A factor around one, so that senders struck together don't act together.
--- a/crates/scheduler/src/scheduler/zones.rs
+++ b/crates/scheduler/src/scheduler/zones.rs
@@ -8,7 +8,7 @@
 /// A cold destination falls only at three calls, and more, above what the rule lets it have in one span.
 const CHANCE: f64 = 3.0;
 
-impl Sender {
+impl Scheduler {
     /// Nothing goes to this zone's endpoints any more, whichever are listed. A probe that was allowed is not any more.
     pub fn bar(&mut self, zone: u32) {
         self.of_zone(zone).for_each(|e| e.bar = Some(0.0));
@@ -37,8 +37,14 @@
         let waits: std::collections::BTreeSet<usize> = self
             .messages
             .values()
-            .filter(|m| m.out.is_none() && !m.over)
-            .flat_map(|m| self.dests.get(&m.dest).into_iter().flatten().copied())
+            .filter(|m| m.in_flight.is_none() && !m.completed)
+            .flat_map(|m| {
+                self.routes_by_destination
+                    .get(&m.destination)
+                    .into_iter()
+                    .flatten()
+                    .copied()
+            })
             .collect();
         let there = |e: &Endpoint| e.zone == zone && e.condition == Condition::Ready;
         let wanted = |all: bool| -> Vec<usize> {
@@ -48,7 +54,7 @@
                 .copied()
                 .filter(|&e| there(&self.endpoints[e]));
             ready
-                .filter(|&e| all || waits.contains(&self.endpoints[e].lane))
+                .filter(|&e| all || waits.contains(&self.endpoints[e].route))
                 .collect()
         };
         let some = Some(wanted(false))
@@ -58,8 +64,8 @@
             return;
         };
         self.endpoints[e].bar = Some(1.0);
-        let lane = &mut self.lanes[self.endpoints[e].lane];
-        if let Mode::Down { next, .. } = &mut lane.health.mode {
+        let route = &mut self.routes[self.endpoints[e].route];
+        if let HealthState::Down { next, .. } = &mut route.health.mode {
             *next = now;
         }
     }
@@ -67,16 +73,18 @@
     /// Lets in what has come, since the last look, of this sender's part of what the zone's endpoints may be sent on their
     /// return.
     pub fn admit_returning(&mut self, now: Time, zone: u32, since: Time) {
-        let places: Vec<usize> = self
+        let endpoint_count: Vec<usize> = self
             .by_id
             .values()
             .copied()
             .filter(|&e| self.endpoints[e].zone == zone)
             .collect();
-        places.into_iter().for_each(|e| self.admit(now, e, since));
+        endpoint_count
+            .into_iter()
+            .for_each(|e| self.admit(now, e, since));
     }
 
-    /// As [`Sender::admit_returning`], for an endpoint that was taken out and is attached again.
+    /// As [`Scheduler::admit_returning`], for an endpoint that was taken out and is attached again.
     pub fn admit_endpoint(&mut self, now: Time, id: &EndpointId, since: Time) {
         if let Some(&e) = self.by_id.get(id) {
             self.endpoints[e].bar.get_or_insert(0.0);
@@ -85,23 +93,24 @@
     }
 
     fn admit(&mut self, now: Time, e: usize, since: Time) {
-        let rules = self.set.rules;
+        let rules = self.settings.rules;
         let warm = (now - since).as_secs_f64() / rules.cold.as_secs_f64().max(1e-9);
         let present = rules.cold_from + (1.0 - rules.cold_from) * warm.min(1.0);
         let passed = (now - self.now).as_secs_f64();
-        let lane = &self.lanes[self.endpoints[e].lane];
-        let limit = lane
+        let route = &self.routes[self.endpoints[e].route];
+        let limit = route
             .demand
-            .told
+            .reported_limit
             .filter(|l| l.is_finite())
-            .unwrap_or(lane.demand.listed);
+            .unwrap_or(route.demand.listed);
         // Without any limit, what this sender is asked for is its part.
-        let part = Some(limit / f64::from(self.set.instances)).filter(|p| p.is_finite());
-        let part = part.unwrap_or_else(|| lane.demand.rate(now));
+        let part = Some(limit / f64::from(self.settings.instances)).filter(|p| p.is_finite());
+        let part = part.unwrap_or_else(|| route.demand.rate(now));
         // However little it can do, what is left to chance may go in each span of the rule.
-        let least = CHANCE / rules.fall.as_secs_f64().max(1e-9) / f64::from(self.set.instances);
-        let pace = COLD_SHARE * rules.fall_multiple * present * part + least;
-        let own = pace / lane.endpoints.len().max(1) as f64;
+        let least =
+            CHANCE / rules.fall.as_secs_f64().max(1e-9) / f64::from(self.settings.instances);
+        let token_bucket = COLD_SHARE * rules.fall_multiple * present * part + least;
+        let own = token_bucket / route.endpoints.len().max(1) as f64;
         let first = self.rng.f64();
         let endpoint = &mut self.endpoints[e];
         let Some(saved) = &mut endpoint.bar else {
@@ -118,7 +127,7 @@
     /// together are those that the rule on returns leaves to chance, and need not be saved up.
     pub fn bar_endpoint(&mut self, id: &EndpointId) {
         if let Some(&e) = self.by_id.get(id) {
-            let at_once = self.rng.f64() < CHANCE / f64::from(self.set.instances);
+            let at_once = self.rng.f64() < CHANCE / f64::from(self.settings.instances);
             // Drawn, so that all who save at one pace do not have a whole call at one moment.
             self.endpoints[e].bar = Some(if at_once { SAVED } else { self.rng.f64() });
         }
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -7,21 +7,21 @@
 use crate::api::{
     Condition, DestinationId, EndpointId, Entry, Kind, MessageId, OrderingKey, Status, Time,
 };
-use crate::scheduler::{Demand, Health, Pace, Rtt, Window};
+use crate::scheduler::{DemandEstimator, Health, RoundTripEstimator, TokenBucket, Window};
 
 #[derive(Debug)]
 pub struct Endpoint {
     pub id: EndpointId,
-    pub dest: DestinationId,
+    pub destination: DestinationId,
     pub zone: u32,
     pub condition: Condition,
-    pub lane: usize,
+    pub route: usize,
     /// Its place in this sender's own order. Guards against an order that all senders share: where each has
     /// one call out, all would take the same endpoint of several and leave the others idle.
     pub rank: u64,
     /// Failed calls since the last one served.
     pub streak: u32,
-    pub out: u32,
+    pub in_flight: u32,
     pub last_answer: Time,
     pub last_used: Option<Time>,
     /// Calls sent there, since it was first listed.
@@ -36,22 +36,22 @@
 
 /// What the paper calls a proxy: a destination, or one route where routes are apart.
 #[derive(Debug)]
-pub struct Lane {
-    pub dest: DestinationId,
+pub struct Route {
+    pub destination: DestinationId,
     pub kind: Kind,
     pub endpoints: Vec<usize>,
     pub window: Window,
     pub proven_window: Window,
     pub health: Health,
-    pub demand: Demand,
-    pub pace: Pace,
-    pub out: u32,
+    pub demand: DemandEstimator,
+    pub token_bucket: TokenBucket,
+    pub in_flight: u32,
     /// No call before this: a Retry-After wait.
-    pub shut_until: Time,
+    pub blocked_until: Time,
     pub refused: u32,
     /// When a connection there failed last, and no call was served since.
-    pub unreached: Option<Time>,
-    pub rtt: Vec<Rtt>,
+    pub connect_failed_at: Option<Time>,
+    pub rtt: Vec<RoundTripEstimator>,
     pub toss_at: Time,
     pub cut_at: Time,
     pub lucky: bool,
@@ -88,19 +88,19 @@
 pub struct Message {
     pub id: MessageId,
     pub class: usize,
-    pub key: Option<OrderingKey>,
-    pub dest: DestinationId,
+    pub ordering_key: Option<OrderingKey>,
+    pub destination: DestinationId,
     pub over_share: bool,
-    pub aim_at: Time,
+    pub latency_objective_at: Time,
     pub deadline: Time,
     pub not_before: Time,
     pub attempts: u32,
-    pub out: Option<Attempt>,
+    pub in_flight: Option<Attempt>,
     /// First send that may have taken effect, and where.
     pub possibly_executed: Option<(Time, Option<usize>)>,
     /// An answer that no further attempt can change: gone, or rejected as it is.
     pub verdict: Option<Status>,
-    pub over: bool,
+    pub completed: bool,
 }
 
 /// Messages that share a key.
@@ -117,18 +117,18 @@
 
 impl Endpoint {
     /// `seed` is the sender's: with the id it decides the endpoint's rank there.
-    pub fn new(entry: Entry, lane: usize, now: Time, seed: u64) -> Endpoint {
+    pub fn new(entry: Entry, route: usize, now: Time, seed: u64) -> Endpoint {
         let mut hasher = DefaultHasher::new();
         (seed, &entry.endpoint).hash(&mut hasher);
         Endpoint {
             id: entry.endpoint,
-            dest: entry.dest,
+            destination: entry.destination,
             zone: entry.zone,
             condition: entry.condition,
-            lane,
+            route,
             rank: hasher.finish(),
             streak: 0,
-            out: 0,
+            in_flight: 0,
             last_answer: now,
             last_used: None,
             uses: 0,
@@ -161,29 +161,29 @@
     }
 }
 
-impl Lane {
+impl Route {
     pub fn new(
-        dest: DestinationId,
+        destination: DestinationId,
         kind: Kind,
         window: Window,
-        demand: Demand,
+        demand: DemandEstimator,
         now: Time,
         classes: usize,
-    ) -> Lane {
-        Lane {
-            dest,
+    ) -> Route {
+        Route {
+            destination,
             kind,
             endpoints: Vec::new(),
             proven_window: window.clone(),
             window,
             health: Health::default(),
             demand,
-            pace: Pace::new(now),
-            out: 0,
-            shut_until: Time::default(),
+            token_bucket: TokenBucket::new(now),
+            in_flight: 0,
+            blocked_until: Time::default(),
             refused: 0,
-            unreached: None,
-            rtt: vec![Rtt::default(); classes],
+            connect_failed_at: None,
+            rtt: vec![RoundTripEstimator::default(); classes],
             toss_at: now,
             cut_at: now,
             lucky: false,
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -2,18 +2,18 @@
 #![allow(dead_code)]
 
 use cranehill_scheduler::api::*;
-use cranehill_scheduler::{Sender, Time};
+use cranehill_scheduler::{Scheduler, Time};
 use std::time::Duration;
 
 pub fn class(effect: Effect) -> Class {
     Class {
-        aim: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
         deadline: Duration::from_secs(10),
         effect,
         dedup: DedupScope::All,
         window: Duration::from_secs(5),
         in_order: false,
-        worth: 1.0,
+        priority_weight: 1.0,
         late_share: 0.2,
     }
 }
@@ -25,7 +25,7 @@
             class(Effect::Safe),
             Class {
                 in_order: true,
-                ..class(Effect::Keyed)
+                ..class(Effect::Idempotent)
             },
             class(Effect::Unsafe),
         ],
@@ -47,7 +47,7 @@
         over_share_worth: 0.1,
         decay: Decay::Linear,
         slots: 8,
-        most_held: 64,
+        max_pending: 64,
         attempts_cap: 4,
         connect_timeout: Duration::from_secs(1),
         conn_idle: Duration::from_secs(10),
@@ -71,10 +71,10 @@
     }
 }
 
-pub fn entry(endpoint: &str, dest: u64, condition: Condition, kind: usize) -> Entry {
+pub fn entry(endpoint: &str, destination: u64, condition: Condition, kind: usize) -> Entry {
     Entry {
         endpoint: EndpointId(endpoint.into()),
-        dest: DestinationId(dest),
+        destination: DestinationId(destination),
         condition,
         zone: 0,
         kind,
@@ -83,7 +83,7 @@
 }
 
 pub struct Bench {
-    pub sender: Sender,
+    pub sender: Scheduler,
     pub ms: u64,
 }
 
@@ -94,7 +94,7 @@
 
     /// One of several senders, which must not all draw the same.
     pub fn seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Bench {
-        let mut sender = Sender::new(settings, seed, Time(0)).expect("settings");
+        let mut sender = Scheduler::new(settings, seed, Time(0)).expect("settings");
         sender.handle(
             Time(0),
             vec![Event::List {
@@ -116,9 +116,9 @@
         id: MessageId(id.into()),
         class,
         tenant: 0,
-        key: key.map(|k| OrderingKey(k.into())),
+        ordering_key: key.map(|k| OrderingKey(k.into())),
         time_left: Duration::from_millis(left_ms),
-        dest: DestinationId(1),
+        destination: DestinationId(1),
         prior: PriorAttempts::default(),
     })
 }
@@ -128,7 +128,7 @@
         id: MessageId(id.into()),
         attempt,
         status,
-        over: status == Status::Served,
+        completed: status == Status::Served,
         took: Duration::from_millis(took_ms),
         wait: None,
         report: None,
--- a/crates/scheduler/tests/failures.rs
+++ b/crates/scheduler/tests/failures.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use cranehill_scheduler::api::*;
-use cranehill_scheduler::{Sender, Time};
+use cranehill_scheduler::{Scheduler, Time};
 
 /// i4a8067: one lost answer froze an endpoint until a whole deadline had passed.
 #[test]
@@ -38,8 +38,9 @@
         b.at(i * 100, vec![accept(&id, 2, None, 10000)]);
         b.at(i * 100 + 50, vec![outcome(&id, 0, Status::Served, 50)]);
     }
-    let acts = b.at(2000, vec![accept("m", 2, None, 10000)]);
-    let Some(Action::Send { timeout, .. }) = acts.iter().find(|a| matches!(a, Action::Send { .. }))
+    let actions = b.at(2000, vec![accept("m", 2, None, 10000)]);
+    let Some(Action::Send { timeout, .. }) =
+        actions.iter().find(|a| matches!(a, Action::Send { .. }))
     else {
         panic!("not sent")
     };
@@ -55,9 +56,9 @@
             .map(|i| entry(&format!("e{i}"), 10 + i, Condition::Ready, 0))
             .collect(),
     );
-    let to = |id: &str, dest| match accept(id, 0, None, 9000) {
+    let to = |id: &str, destination| match accept(id, 0, None, 9000) {
         Event::Accept(t) => Event::Accept(AcceptedMessage {
-            dest: DestinationId(dest),
+            destination: DestinationId(destination),
             ..t
         }),
         other => other,
@@ -67,8 +68,8 @@
         let (warm, idle) = (format!("w{i}"), format!("i{i}"));
         b.at(i * 6000, vec![to(&warm, 10 + i)]);
         b.at(i * 6000 + 50, vec![outcome(&warm, 0, Status::Served, 50)]);
-        let acts = b.at(i * 6000 + 3000, vec![to(&idle, 10 + i)]);
-        closed += acts
+        let actions = b.at(i * 6000 + 3000, vec![to(&idle, 10 + i)]);
+        closed += actions
             .iter()
             .filter(|a| matches!(a, Action::CloseIdle(_)))
             .count();
@@ -90,14 +91,14 @@
         b.at(i * 500, vec![accept(&id, 0, None, 9000)]);
         b.at(i * 500 + took, vec![outcome(&id, 0, Status::Served, took)]);
     }
-    let acts = b.at(
+    let actions = b.at(
         11_000,
         (0..20)
             .map(|i| accept(&format!("m{i}"), 0, None, 9000))
             .collect(),
     );
-    assert!(sends(&acts).len() < 6, "{}", sends(&acts).len());
-    assert!(!sends(&acts).is_empty());
+    assert!(sends(&actions).len() < 6, "{}", sends(&actions).len());
+    assert!(!sends(&actions).is_empty());
 }
 
 /// konya big-1, ib2709c: small calls piled up at a destination that takes many messages in one, while slots were short.
@@ -107,9 +108,9 @@
         .map(|i| entry(&format!("e{i}"), i, Condition::Ready, usize::from(i == 1)))
         .collect();
     let mut b = Bench::new(settings(), entries);
-    let to = |dest| match accept(&format!("o{dest}"), 0, None, 9000) {
+    let to = |destination| match accept(&format!("o{destination}"), 0, None, 9000) {
         Event::Accept(t) => Event::Accept(AcceptedMessage {
-            dest: DestinationId(dest),
+            destination: DestinationId(destination),
             ..t
         }),
         other => other,
@@ -126,8 +127,12 @@
             sends(&b.at(20 + i * 10, vec![accept(&format!("m{i}"), 0, None, 9000)])).is_empty()
         );
     }
-    let acts = b.at(110, vec![accept("m6", 0, None, 9000)]);
-    assert_eq!(sends(&acts).len(), 5, "a full call goes beside the first");
+    let actions = b.at(110, vec![accept("m6", 0, None, 9000)]);
+    assert_eq!(
+        sends(&actions).len(),
+        5,
+        "a full call goes beside the first"
+    );
 }
 
 /// i603e33: clients gave up early, and healthy destinations were taken for out.
@@ -158,11 +163,11 @@
     let mut at_b = Vec::new();
     for i in 0..40u64 {
         let pair = [format!("m{i}"), format!("n{i}")];
-        let acts = b.at(
+        let actions = b.at(
             i * 100,
             pair.iter().map(|id| accept(id, 0, None, 9000)).collect(),
         );
-        for (id, endpoint) in sends(&acts) {
+        for (id, endpoint) in sends(&actions) {
             let fails = endpoint == "b" && at_b.is_empty();
             if endpoint == "b" {
                 at_b.push(i * 100);
@@ -193,14 +198,18 @@
                 entries,
             }],
         );
-        let acts = b.at(i * 100 + 5, vec![accept(&format!("m{i}"), 0, None, 9000)]);
-        assert_eq!(sends(&acts), [(format!("m{i}"), format!("e{i}"))]);
+        let actions = b.at(i * 100 + 5, vec![accept(&format!("m{i}"), 0, None, 9000)]);
+        assert_eq!(sends(&actions), [(format!("m{i}"), format!("e{i}"))]);
         b.at(
             i * 100 + 20,
             vec![outcome(&format!("m{i}"), 0, Status::Served, 15)],
         );
     }
-    assert!(b.sender.places() < 10, "{}", b.sender.places());
+    assert!(
+        b.sender.endpoint_count() < 10,
+        "{}",
+        b.sender.endpoint_count()
+    );
 }
 
 /// A destination that is out does not keep a new endpoint waiting for its next trial.
@@ -222,14 +231,14 @@
         entry("a", 1, Condition::Removed, 0),
         entry("b", 1, Condition::Ready, 0),
     ];
-    let acts = b.at(
+    let actions = b.at(
         2100,
         vec![Event::List {
             whole: false,
             entries,
         }],
     );
-    assert_eq!(sends(&acts), [("m".to_owned(), "b".to_owned())]);
+    assert_eq!(sends(&actions), [("m".to_owned(), "b".to_owned())]);
 }
 
 /// What a restart finds again came over seconds, and is no burst of new demand.
@@ -237,7 +246,7 @@
 fn recovered_messages_count_over_the_time_in_which_they_came() {
     let paced = |restored: bool| {
         let start = Time(20_000_000_000);
-        let mut sender = Sender::new(settings(), 1, start).expect("settings");
+        let mut sender = Scheduler::new(settings(), 1, start).expect("settings");
         sender.handle(
             start,
             vec![Event::List {
@@ -295,8 +304,8 @@
     let mut went = Vec::new();
     for i in 0..3u64 {
         let id = format!("m{i}");
-        let acts = b.at(i * 100, vec![accept(&id, 2, None, 9000)]);
-        went.extend(sends(&acts).into_iter().map(|s| s.1));
+        let actions = b.at(i * 100, vec![accept(&id, 2, None, 9000)]);
+        went.extend(sends(&actions).into_iter().map(|s| s.1));
         b.at(i * 100 + 10, vec![outcome(&id, 0, Status::Reset, 10)]);
     }
     assert!(went[0] == went[2] && went[0] != went[1], "{went:?}");
@@ -325,7 +334,7 @@
             );
             b.at(i * 20 + 5, vec![outcome(&id, 0, status, 5)]);
         }
-        let acts = b.at(100, vec![accept("m", 0, None, 9000)]);
-        assert_eq!(sends(&acts).len(), usize::from(stays), "{status:?}");
+        let actions = b.at(100, vec![accept("m", 0, None, 9000)]);
+        assert_eq!(sends(&actions).len(), usize::from(stays), "{status:?}");
     }
 }
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use cranehill_scheduler::Sender;
+use cranehill_scheduler::Scheduler;
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::*;
 
@@ -14,12 +14,12 @@
     let set = Settings {
         instances: SENDERS as u32,
         slots: 2,
-        most_held: 16,
+        max_pending: 16,
         ..settings()
     };
-    let mut senders: Vec<Sender> = (0..SENDERS)
+    let mut senders: Vec<Scheduler> = (0..SENDERS)
         .map(|i| {
-            let mut sender = Sender::new(set.clone(), i, Time(0)).expect("settings");
+            let mut sender = Scheduler::new(set.clone(), i, Time(0)).expect("settings");
             let entries = vec![entry("a", 1, Condition::Ready, 0)];
             sender.handle(
                 Time(0),
@@ -96,8 +96,9 @@
             entry("b", 1, Condition::Ready, 0),
         ],
     );
-    let closes = |acts: &[Action]| {
-        acts.iter()
+    let closes = |actions: &[Action]| {
+        actions
+            .iter()
             .filter(|a| matches!(a, Action::CloseIdle(_)))
             .count()
     };
@@ -131,8 +132,9 @@
             entry("b", 1, Condition::Ready, 0),
         ],
     );
-    let closes = |acts: &[Action]| {
-        acts.iter()
+    let closes = |actions: &[Action]| {
+        actions
+            .iter()
             .filter(|a| matches!(a, Action::CloseIdle(_)))
             .count()
     };
@@ -154,9 +156,9 @@
         if ms % 1_000 == 0 {
             events.push(accept(&format!("w{ms}"), 0, None, 9_000));
         }
-        let acts = b.at(ms, events);
-        closed += closes(&acts);
-        out = sends(&acts).into_iter().map(|(id, _)| id).collect();
+        let actions = b.at(ms, events);
+        closed += closes(&actions);
+        out = sends(&actions).into_iter().map(|(id, _)| id).collect();
     }
     assert!(
         served >= 8 && closed == 0,
@@ -171,12 +173,12 @@
     let set = Settings {
         instances: SENDERS as u32,
         slots: 4,
-        most_held: 16,
+        max_pending: 16,
         ..settings()
     };
     let mut calls = std::collections::BTreeMap::<String, usize>::new();
     for seed in 0..SENDERS {
-        let mut sender = Sender::new(set.clone(), seed, Time(0)).expect("settings");
+        let mut sender = Scheduler::new(set.clone(), seed, Time(0)).expect("settings");
         let entries = ["a", "b", "c"]
             .map(|e| entry(e, 1, Condition::Ready, 0))
             .to_vec();
--- a/crates/scheduler/tests/golden_settings.rs
+++ b/crates/scheduler/tests/golden_settings.rs
@@ -64,7 +64,7 @@
         over_share_worth,
         decay,
         slots,
-        most_held,
+        max_pending,
         attempts_cap,
         connect_timeout,
         conn_idle,
@@ -87,7 +87,7 @@
     assert_eq!(over_share_worth, 0.125);
     assert_eq!(decay, Decay::Halving);
     assert_eq!(slots, 6);
-    assert_eq!(most_held, 24);
+    assert_eq!(max_pending, 24);
     assert_eq!(attempts_cap, 5);
     assert_eq!(connect_timeout, ms(1200));
     assert_eq!(conn_idle, ms(12_000));
@@ -107,22 +107,22 @@
         panic!("one class")
     };
     let Class {
-        aim,
+        latency_objective,
         deadline,
         effect,
         dedup,
         window,
         in_order,
-        worth,
+        priority_weight,
         late_share,
     } = class;
-    assert_eq!(*aim, ms(600));
+    assert_eq!(*latency_objective, ms(600));
     assert_eq!(*deadline, ms(1600));
-    assert_eq!(*effect, Effect::Keyed);
+    assert_eq!(*effect, Effect::Idempotent);
     assert_eq!(*dedup, DedupScope::Zone);
     assert_eq!(*window, ms(1500));
     assert!(*in_order);
-    assert_eq!(*worth, 4.0);
+    assert_eq!(*priority_weight, 4.0);
     assert_eq!(*late_share, 0.25);
 }
 
@@ -162,7 +162,7 @@
     };
     let effects = [
         ("safe", Effect::Safe),
-        ("keyed", Effect::Keyed),
+        ("keyed", Effect::Idempotent),
         ("unsafe", Effect::Unsafe),
     ];
     for (word, effect) in effects {
--- a/crates/scheduler/tests/learnt.rs
+++ b/crates/scheduler/tests/learned_state.rs
@@ -3,31 +3,31 @@
 mod common;
 use common::*;
 use cranehill_scheduler::api::*;
-use cranehill_scheduler::{Learnt, Seen, Sender, Time};
+use cranehill_scheduler::{LearnedState, ObservedHealth, Scheduler, Time};
 use std::time::Duration;
 
 fn ms(ms: u64) -> Time {
     Time(ms * 1_000_000)
 }
 
-fn learnt() -> Learnt {
-    Learnt {
-        dest: 1,
-        route: None,
+fn learned_state() -> LearnedState {
+    LearnedState {
+        destination: 1,
+        route_id: None,
         at: ms(0),
         window: None,
         limit: None,
-        shut_until: None,
+        blocked_until: None,
         state: None,
     }
 }
 
-fn fresh(senders: u32, seed: u64) -> Sender {
+fn fresh(senders: u32, seed: u64) -> Scheduler {
     let set = Settings {
         instances: senders,
         ..settings()
     };
-    let mut sender = Sender::new(set, seed, ms(0)).expect("settings");
+    let mut sender = Scheduler::new(set, seed, ms(0)).expect("settings");
     sender.handle(
         ms(0),
         vec![Event::List {
@@ -40,13 +40,13 @@
 
 /// What 100 senders that recall this limit send in each second, with a message each from the start.
 fn first_calls(limit: f64) -> Vec<usize> {
-    let mut senders: Vec<Sender> = (0..100).map(|seed| fresh(100, seed)).collect();
+    let mut senders: Vec<Scheduler> = (0..100).map(|seed| fresh(100, seed)).collect();
     for sender in &mut senders {
-        let last = sender.recall(
+        let last = sender.restore(
             ms(0),
-            &[Learnt {
+            &[LearnedState {
                 limit: Some(limit),
-                ..learnt()
+                ..learned_state()
             }],
         );
         assert!(last <= ms(5300), "{last:?}");
@@ -86,11 +86,11 @@
 #[test]
 fn a_recalled_wait_is_kept_to_its_end() {
     let mut sender = fresh(1, 1);
-    sender.recall(
+    sender.restore(
         ms(0),
-        &[Learnt {
-            shut_until: Some(ms(3000)),
-            ..learnt()
+        &[LearnedState {
+            blocked_until: Some(ms(3000)),
+            ..learned_state()
         }],
     );
     let mut sent = None;
@@ -112,12 +112,12 @@
 /// A window is never above a new one's, and what a call has shown since is not overwritten.
 #[test]
 fn what_is_recalled_never_allows_more() {
-    let out = |mut sender: Sender, window: f64| -> usize {
-        sender.recall(
+    let out = |mut sender: Scheduler, window: f64| -> usize {
+        sender.restore(
             ms(0),
-            &[Learnt {
+            &[LearnedState {
                 window: Some(window),
-                ..learnt()
+                ..learned_state()
             }],
         );
         let events = (0..20)
@@ -135,13 +135,13 @@
     let mut sender = fresh(1, 1);
     sender.handle(ms(0), vec![accept("a", 0, None, 9_900)]);
     sender.handle(ms(50), vec![outcome("a", 0, Status::Served, 50)]);
-    let told = Learnt {
+    let told = LearnedState {
         limit: Some(0.1),
-        state: Some(Seen::Out),
+        state: Some(ObservedHealth::Down),
         window: Some(0.5),
-        ..learnt()
+        ..learned_state()
     };
-    sender.recall(ms(60), &[told]);
+    sender.restore(ms(60), &[told]);
     let sent = sends(&sender.handle(
         ms(60),
         vec![accept("b", 0, None, 9_900), accept("c", 0, None, 9_900)],
@@ -153,11 +153,11 @@
 #[test]
 fn a_partner_that_was_out_gets_one_trial() {
     let mut sender = fresh(1, 1);
-    sender.recall(
+    sender.restore(
         ms(0),
-        &[Learnt {
-            state: Some(Seen::Out),
-            ..learnt()
+        &[LearnedState {
+            state: Some(ObservedHealth::Down),
+            ..learned_state()
         }],
     );
     let mut sent = 0;
@@ -173,11 +173,11 @@
     assert_eq!(sent, 1, "the first has no answer yet");
 }
 
-/// What one sender has learnt is what another recalls: the two ends agree.
+/// What one sender has learned is what another recalls: the two ends agree.
 #[test]
 fn what_is_learnt_is_told_with_its_age() {
     let mut sender = fresh(4, 1);
-    assert_eq!(sender.learnt(), [], "nothing was called");
+    assert_eq!(sender.learned_state(), [], "nothing was called");
     sender.handle(ms(0), vec![accept("a", 0, None, 9_900)]);
     let told = match outcome("a", 0, Status::Overloaded, 50) {
         Event::Outcome(o) => Event::Outcome(Outcome {
@@ -191,16 +191,16 @@
         other => other,
     };
     sender.handle(ms(50), vec![told]);
-    let known = sender.learnt();
+    let known = sender.learned_state();
     let [one] = known.as_slice() else {
         panic!("{known:?}")
     };
     assert_eq!(
-        (one.dest, one.at, one.limit, one.state),
-        (1, ms(50), Some(12.0), Some(Seen::Up))
+        (one.destination, one.at, one.limit, one.state),
+        (1, ms(50), Some(12.0), Some(ObservedHealth::Up))
     );
     assert!(
-        one.shut_until.is_some_and(|t| t >= ms(1050)) && one.window.is_some_and(|w| w < 4.0),
+        one.blocked_until.is_some_and(|t| t >= ms(1050)) && one.window.is_some_and(|w| w < 4.0),
         "{one:?}"
     );
 }
--- a/crates/scheduler/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -36,7 +36,7 @@
     cap: u32,
     held: BTreeMap<String, Held>,
     line: Vec<(u64, String)>,
-    shut_until: u64,
+    blocked_until: u64,
     drained: Option<&'static str>,
     sends: usize,
 }
@@ -44,10 +44,10 @@
 impl World {
     /// Hands in events, forgets what they ended, and checks each action against the rules.
     fn at(&mut self, now: u64, events: Vec<Event>, ended: &[String]) -> Result<(), TestCaseError> {
-        let acts = self.bench.at(now, events);
+        let actions = self.bench.at(now, events);
         self.held.retain(|id, _| !ended.contains(id));
         self.line.retain(|(_, id)| !ended.contains(id));
-        for act in acts {
+        for act in actions {
             match act {
                 Action::Send { id, endpoint, .. } => {
                     let message = self.held.get_mut(&id.0);
@@ -60,7 +60,7 @@
                         Some(endpoint.0.as_str()) != self.drained,
                         "{endpoint} drains"
                     );
-                    prop_assert!(now >= self.shut_until, "sent in a told wait");
+                    prop_assert!(now >= self.blocked_until, "sent in a told wait");
                     if let Some(key) = message.key {
                         let first = self
                             .line
@@ -103,7 +103,7 @@
         cap: settings().attempts_cap,
         held: BTreeMap::new(),
         line: Vec::new(),
-        shut_until: 0,
+        blocked_until: 0,
         drained: None,
         sends: 0,
     };
@@ -164,7 +164,7 @@
                     0
                 };
                 if wait > 0 {
-                    w.shut_until = w.shut_until.max(now + wait);
+                    w.blocked_until = w.blocked_until.max(now + wait);
                     events.push(refused(id, attempt, wait));
                 } else {
                     events.push(outcome(id, attempt, status, 10));
--- a/crates/scheduler/tests/returns.rs
+++ b/crates/scheduler/tests/returns.rs
@@ -59,10 +59,10 @@
                 if (ms / 25 + n as u64) % gap == 0 {
                     events.push(accept(&format!("m{n}-{ms}"), 0, None, 9000));
                 }
-                let mut acts = b.at(ms, events);
-                while let Some((id, _)) = sends(&acts).pop() {
+                let mut actions = b.at(ms, events);
+                while let Some((id, _)) = sends(&actions).pop() {
                     sent.push(ms);
-                    acts = b.at(ms, vec![outcome(&id, 0, Status::Served, 20)]);
+                    actions = b.at(ms, vec![outcome(&id, 0, Status::Served, 20)]);
                 }
             }
         }
@@ -120,8 +120,8 @@
         for b in &mut all {
             b.sender
                 .admit_returning(Time(ms * 1_000_000), 0, Time(10_000_000));
-            let acts = b.at(ms, vec![Event::Wake]);
-            a_second[(ms / 1000) as usize] += sends(&acts).len() as u32;
+            let actions = b.at(ms, vec![Event::Wake]);
+            a_second[(ms / 1000) as usize] += sends(&actions).len() as u32;
         }
     }
     let most = a_second.iter().max().copied().unwrap_or_default();
--- a/crates/scheduler/tests/routes.rs
+++ b/crates/scheduler/tests/routes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use common::*;
-use cranehill_scheduler::Sender;
+use cranehill_scheduler::Scheduler;
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::*;
 
@@ -42,13 +42,13 @@
     let set = Settings {
         instances: senders as u32,
         slots: 2,
-        most_held: 16,
+        max_pending: 16,
         attempts_cap: 12,
         ..set
     };
-    let mut all: Vec<Sender> = (0..senders)
+    let mut all: Vec<Scheduler> = (0..senders)
         .map(|i| {
-            let mut sender = Sender::new(set.clone(), i, Time(0)).expect("settings");
+            let mut sender = Scheduler::new(set.clone(), i, Time(0)).expect("settings");
             sender.handle(
                 Time(0),
                 vec![Event::List {
@@ -71,7 +71,7 @@
                         id: MessageId(id),
                         attempt,
                         status,
-                        over: status == Status::Served,
+                        completed: status == Status::Served,
                         took: Duration::from_millis(50),
                         wait: (wait > 0).then(|| Duration::from_millis(wait)),
                         report,
@@ -200,7 +200,7 @@
     );
 }
 
-/// Days at size: each of 100 senders saw a call or two a second, so the windows learnt a shared limit by running into
+/// Days at size: each of 100 senders saw a call or two a second, so the windows learned a shared limit by running into
 /// it, and refused calls used it up. Four thirds of the limit come here; the windows alone served 671 of 970 calls.
 #[test]
 fn a_hundred_senders_keep_to_a_limit_that_they_share() {
--- a/crates/scheduler/tests/lanes.rs
+++ b/crates/scheduler/tests/routes_in_use.rs
@@ -1,4 +1,4 @@
-//! What a turn costs: the lanes in use or just changed, however many destinations are listed.
+//! What a turn costs: the routes in use or just changed, however many destinations are listed.
 
 mod common;
 use common::*;
@@ -11,8 +11,8 @@
     bench
 }
 
-/// Lanes that a turn would look at after each of some events.
-fn active_lanes(bench: &mut Bench) -> Vec<usize> {
+/// Routes that a turn would look at after each of some events.
+fn active_routes(bench: &mut Bench) -> Vec<usize> {
     let change = |endpoint: &str, condition| {
         let entries = vec![entry(endpoint, 2, condition, 0)];
         Event::List {
@@ -33,24 +33,24 @@
     let mut active = Vec::new();
     for (ms, event) in events.into_iter().enumerate() {
         bench.at(10 + 5 * ms as u64, vec![event]);
-        active.push(bench.sender.active_lanes());
+        active.push(bench.sender.active_routes());
     }
     active
 }
 
-/// Before, each turn, one every 5 ms where something happens, went over all lanes.
+/// Before, each turn, one every 5 ms where something happens, went over all routes.
 #[test]
 fn a_turn_looks_at_no_lane_that_nothing_has_changed() {
-    let few = active_lanes(&mut listed(10));
-    assert_eq!(few, active_lanes(&mut listed(57_000)));
+    let few = active_routes(&mut listed(10));
+    assert_eq!(few, active_routes(&mut listed(57_000)));
     assert_eq!(few.last(), Some(&0), "what is over is idle again: {few:?}");
     assert!(
-        few.contains(&1) && few.iter().all(|&lanes| lanes <= 1),
+        few.contains(&1) && few.iter().all(|&routes| routes <= 1),
         "{few:?}"
     );
 }
 
-/// An idle lane saves up no calls beyond its bucket: after a long rest a returning destination still starts slowly.
+/// An idle route saves up no calls beyond its bucket: after a long rest a returning destination still starts slowly.
 #[test]
 fn a_lane_that_was_skipped_starts_no_faster() {
     let mut bench = listed(2);
@@ -69,7 +69,7 @@
     };
     bench.at(1000, (0..3).map(|_| probed(Status::Error)).collect());
     bench.at(6000, vec![Event::Wake]);
-    assert_eq!(bench.sender.active_lanes(), 0, "idle, and out");
+    assert_eq!(bench.sender.active_routes(), 0, "idle, and out");
     bench.at(30_000, vec![Event::Wake]);
     let waiting = |n: u64| accept(&format!("m{n}"), 0, None, 5000);
     let at_once = bench.at(
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use cranehill_scheduler::api::*;
-use cranehill_scheduler::{Sender, Time};
+use cranehill_scheduler::{Scheduler, Time};
 
 fn one() -> Bench {
     Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)])
@@ -14,8 +14,8 @@
 #[test]
 fn a_held_message_gets_its_answer_before_its_deadline() {
     let mut b = Bench::new(settings(), vec![]);
-    let acts = b.at(0, vec![accept("m", 0, None, 1000)]);
-    assert!(finals(&acts).is_empty());
+    let actions = b.at(0, vec![accept("m", 0, None, 1000)]);
+    assert!(finals(&actions).is_empty());
     let mut at = None;
     for ms in (5..1100).step_by(5) {
         if !finals(&b.at(ms, vec![Event::Wake])).is_empty() {
@@ -29,15 +29,16 @@
 #[test]
 fn the_timer_comes_before_the_deadline_even_if_rounded_down() {
     let mut b = Bench::new(settings(), vec![]);
-    let mut acts = b.at(0, vec![accept("m", 0, None, 777)]);
+    let mut actions = b.at(0, vec![accept("m", 0, None, 777)]);
     let mut now = 0u64;
     for _ in 0..10 {
-        let Some(Action::Timer(after)) = acts.iter().find(|a| matches!(a, Action::Timer(_))) else {
+        let Some(Action::Timer(after)) = actions.iter().find(|a| matches!(a, Action::Timer(_)))
+        else {
             break;
         };
         now += after.as_nanos() as u64 - 999;
-        acts = b.sender.handle(Time(now), vec![Event::Wake]);
-        if !finals(&acts).is_empty() {
+        actions = b.sender.handle(Time(now), vec![Event::Wake]);
+        if !finals(&actions).is_empty() {
             assert!(now < 777_000_000);
             return;
         }
@@ -70,9 +71,9 @@
     ] {
         let mut b = one();
         b.at(0, vec![accept("m", 2, None, 9000)]);
-        let acts = b.at(100, vec![outcome("m", 0, status, 100)]);
+        let actions = b.at(100, vec![outcome("m", 0, status, 100)]);
         assert_eq!(
-            (finals(&acts), sends(&acts)),
+            (finals(&actions), sends(&actions)),
             (vec!["fail m".to_owned()], vec![])
         );
     }
@@ -82,8 +83,8 @@
 fn an_unsafe_message_that_never_ran_is_tried_again() {
     let mut b = one();
     b.at(0, vec![accept("m", 2, None, 9000)]);
-    let acts = b.at(10, vec![refused("m", 0, 100)]);
-    assert!(finals(&acts).is_empty());
+    let actions = b.at(10, vec![refused("m", 0, 100)]);
+    assert!(finals(&actions).is_empty());
     // The wait, then a pause of our own: waits end for all who were told at once.
     assert!(
         (200..3000)
@@ -96,9 +97,9 @@
 fn a_keyed_message_is_not_repeated_outside_its_window() {
     let mut b = one();
     b.at(0, vec![accept("m", 1, None, 9500)]);
-    let acts = b.at(5000, vec![outcome("m", 0, Status::TimedOut, 5000)]);
-    assert_eq!(sends(&acts), []);
-    assert_eq!(finals(&acts), ["fail m"]);
+    let actions = b.at(5000, vec![outcome("m", 0, Status::TimedOut, 5000)]);
+    assert_eq!(sends(&actions), []);
+    assert_eq!(finals(&actions), ["fail m"]);
 }
 
 /// Guards against a message that a destination has and that its client brings again once the destination has forgotten its
@@ -113,9 +114,9 @@
         (10, 2, "fail m"),
     ] {
         // All attempts are used: the end comes at once.
-        let acts = one().at(10_000, vec![with_past("m", class, 4, Some(sent_ago))]);
+        let actions = one().at(10_000, vec![with_past("m", class, 4, Some(sent_ago))]);
         assert_eq!(
-            finals(&acts),
+            finals(&actions),
             [expected],
             "class {class}, sent {sent_ago} ms ago"
         );
@@ -127,14 +128,14 @@
     let mut b = one();
     let mut attempts = sends(&b.at(0, vec![accept("m", 0, None, 9900)])).len() as u32;
     for ms in (50..9000).step_by(50) {
-        let acts = b.at(
+        let actions = b.at(
             ms,
             vec![
                 outcome("m", attempts - 1, Status::NoConnection, 10),
                 Event::Wake,
             ],
         );
-        attempts += sends(&acts).len() as u32;
+        attempts += sends(&actions).len() as u32;
     }
     assert_eq!(attempts, 4);
 }
@@ -214,14 +215,14 @@
 #[test]
 fn keys_go_in_order_one_at_a_time_and_rest_after_a_time_out() {
     let mut b = one();
-    let acts = b.at(
+    let actions = b.at(
         0,
         vec![
             accept("m", 1, Some("k"), 1000),
             accept("n", 1, Some("k"), 9000),
         ],
     );
-    assert_eq!(sends(&acts), [("m".to_owned(), "a".to_owned())]);
+    assert_eq!(sends(&actions), [("m".to_owned(), "a".to_owned())]);
     // The holder times out at its deadline and is over: the next rests for 300 ms more.
     assert_eq!(
         sends(&b.at(1000, vec![outcome("m", 0, Status::TimedOut, 1000)])),
@@ -251,9 +252,9 @@
         sends(&b.at(50, vec![Event::Cancelled(MessageId("m".into()))])),
         []
     );
-    let acts = b.at(100, vec![outcome("m", 0, Status::Served, 100)]);
-    assert_eq!(sends(&acts), [("n".to_owned(), "a".to_owned())]);
-    assert!(finals(&acts).is_empty());
+    let actions = b.at(100, vec![outcome("m", 0, Status::Served, 100)]);
+    assert_eq!(sends(&actions), [("n".to_owned(), "a".to_owned())]);
+    assert!(finals(&actions).is_empty());
 }
 
 #[test]
@@ -312,15 +313,16 @@
 #[test]
 fn a_full_buffer_keeps_room_and_answers_at_once() {
     let mut b = Bench::new(settings(), vec![]);
-    let acts = b.at(
+    let actions = b.at(
         0,
         (0..64)
             .map(|i| accept(&format!("m{i}"), 0, None, 9000))
             .collect(),
     );
-    assert_eq!(finals(&acts).len(), 4);
+    assert_eq!(finals(&actions).len(), 4);
     assert!(
-        acts.iter()
+        actions
+            .iter()
             .all(|a| !matches!(a, Action::Reject { after: None, .. }))
     );
 }
@@ -328,18 +330,18 @@
 #[test]
 fn messages_of_one_reply_share_a_call() {
     let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 1)]);
-    let acts = b.at(
+    let actions = b.at(
         0,
         (0..23)
             .map(|i| accept(&format!("m{i}"), 0, None, 9000))
             .collect(),
     );
-    assert_eq!(sends(&acts).len(), 20, "four calls of five");
+    assert_eq!(sends(&actions).len(), 20, "four calls of five");
 }
 
 #[test]
 fn the_list_is_asked_for_at_start_and_after_a_failure() {
-    let mut sender = Sender::new(
+    let mut sender = Scheduler::new(
         Settings {
             ask_for_list: true,
             ..settings()
@@ -365,14 +367,14 @@
 #[test]
 fn late_unknown_and_repeated_ids_are_passed_over() {
     let mut b = one();
-    let acts = b.at(
+    let actions = b.at(
         0,
         vec![
             outcome("x", 0, Status::Served, 1),
             Event::Cancelled(MessageId("y".into())),
         ],
     );
-    assert!(sends(&acts).is_empty() && finals(&acts).is_empty());
+    assert!(sends(&actions).is_empty() && finals(&actions).is_empty());
     b.at(
         1,
         vec![
@@ -394,7 +396,7 @@
 #[test]
 fn settings_that_cannot_work_are_an_error() {
     assert!(
-        Sender::new(
+        Scheduler::new(
             Settings {
                 slots: 0,
                 ..settings()
@@ -405,7 +407,7 @@
         .is_err()
     );
     assert!(
-        Sender::new(
+        Scheduler::new(
             Settings {
                 classes: vec![],
                 ..settings()
@@ -429,11 +431,11 @@
         .len(),
         2
     );
-    let mut acts = sends(&b.at(10, vec![refused("m", 0, 0), refused("n", 0, 2000)]));
+    let mut actions = sends(&b.at(10, vec![refused("m", 0, 0), refused("n", 0, 2000)]));
     for ms in (15..2010).step_by(5) {
-        acts.extend(sends(&b.at(ms, vec![Event::Wake])));
+        actions.extend(sends(&b.at(ms, vec![Event::Wake])));
     }
-    assert_eq!(acts, []);
+    assert_eq!(actions, []);
 }
 
 #[test]
@@ -456,9 +458,9 @@
     let mut sent = sends(&b.at(50, vec![gone, outcome("m", 0, Status::Error, 50)]));
     let mut last = vec![];
     for ms in (55..5100).step_by(5) {
-        let acts = b.at(ms, vec![Event::Wake]);
-        sent.extend(sends(&acts));
-        last.extend(finals(&acts));
+        let actions = b.at(ms, vec![Event::Wake]);
+        sent.extend(sends(&actions));
+        last.extend(finals(&actions));
     }
     assert_eq!(
         (sent, last),
@@ -472,8 +474,8 @@
     let mut b = one();
     b.at(0, vec![accept("m", 0, None, 9000)]);
     b.at(10, vec![Event::Cancelled(MessageId("m".into()))]);
-    let acts = b.at(20, vec![outcome("m", 0, Status::TimedOut, 20)]);
-    assert!(sends(&acts).is_empty() && finals(&acts).is_empty());
+    let actions = b.at(20, vec![outcome("m", 0, Status::TimedOut, 20)]);
+    assert!(sends(&actions).is_empty() && finals(&actions).is_empty());
 }
 
 fn with_past(id: &str, class: usize, attempts: u32, executed_ms_ago: Option<u64>) -> Event {
@@ -506,9 +508,9 @@
         (with_past("m", 1, 1, Some(5100)), 0, vec!["fail m"]),
     ] {
         let mut b = one();
-        let acts = b.at(10_000, vec![event.clone()]);
+        let actions = b.at(10_000, vec![event.clone()]);
         assert_eq!(
-            (sends(&acts).len(), finals(&acts)),
+            (sends(&actions).len(), finals(&actions)),
             (sent, ended.iter().map(ToString::to_string).collect()),
             "{event:?}"
         );
@@ -520,23 +522,24 @@
     let mut b = one();
     for n in 0..10u64 {
         let id = format!("m{n}");
-        let acts = b.at(n * 100, vec![accept(&id, 0, None, 9000)]);
+        let actions = b.at(n * 100, vec![accept(&id, 0, None, 9000)]);
         assert_eq!(
-            sends(&acts).len(),
+            sends(&actions).len(),
             1,
             "the destination is not held to be out"
         );
-        let acts = b.at(
+        let actions = b.at(
             n * 100 + 50,
             vec![outcome(&id, 0, Status::RecipientRemoved, 50)],
         );
         assert_eq!(
-            acts.iter()
+            actions
+                .iter()
                 .filter(|a| matches!(a, Action::Reject { after: None, .. }))
                 .count(),
             1
         );
-        assert!(sends(&acts).is_empty());
+        assert!(sends(&actions).is_empty());
     }
 }
 
@@ -545,9 +548,9 @@
     for class in 0..3 {
         let mut b = one();
         b.at(0, vec![accept("m", class, None, 9000)]);
-        let acts = b.at(50, vec![outcome("m", 0, Status::PermanentError, 50)]);
+        let actions = b.at(50, vec![outcome("m", 0, Status::PermanentError, 50)]);
         assert_eq!(
-            (finals(&acts), sends(&acts)),
+            (finals(&actions), sends(&actions)),
             (vec!["fail m".to_owned()], vec![])
         );
     }
@@ -563,11 +566,11 @@
     let within = |set: &Settings, class: usize, status: Status| {
         let mut b = Bench::new(set.clone(), vec![entry("a", 1, Condition::Ready, 0)]);
         b.at(0, vec![accept("m", class, None, 9000)]);
-        let mut acts = b.at(700, vec![outcome("m", 0, status, 700)]);
+        let mut actions = b.at(700, vec![outcome("m", 0, status, 700)]);
         for ms in (750..1950).step_by(50) {
-            acts.extend(b.at(ms, vec![Event::Wake]));
+            actions.extend(b.at(ms, vec![Event::Wake]));
         }
-        let times = acts.iter().filter_map(|a| match a {
+        let times = actions.iter().filter_map(|a| match a {
             Action::Send { write_within, .. } => Some(*write_within),
             _ => None,
         });
@@ -582,10 +585,10 @@
     };
     assert_eq!(within(&set, class(Effect::Safe), Status::Error), [None]);
     assert_eq!(
-        within(&set, class(Effect::Keyed), Status::Overloaded),
+        within(&set, class(Effect::Idempotent), Status::Overloaded),
         [None]
     );
-    let left = within(&set, class(Effect::Keyed), Status::Error);
+    let left = within(&set, class(Effect::Idempotent), Status::Error);
     assert!(
         left.len() == 1 && left[0].is_some_and(|l| l <= Duration::from_millis(1300)),
         "{left:?}"
--- a/crates/simulation/src/destination.rs
+++ b/crates/simulation/src/destination.rs
@@ -287,7 +287,7 @@
     }
 
     fn answer(&mut self, now: Duration, endpoint: usize, count: usize, state: &State) -> Reply {
-        if let Some(opens) = state.shut_until {
+        if let Some(opens) = state.blocked_until {
             return self.refusal(now, endpoint, count, Some(opens));
         }
         let which = if self.spec.shared { 0 } else { endpoint };
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -63,7 +63,7 @@
     pub refusing: bool,
     pub silent: bool,
     /// Until when, if it is shut: the end of the last fault that shuts it.
-    pub shut_until: Option<Duration>,
+    pub blocked_until: Option<Duration>,
     pub fail: f64,
     pub spoil: f64,
     pub slow: f64,
@@ -79,7 +79,7 @@
             vanished: false,
             refusing: false,
             silent: false,
-            shut_until: None,
+            blocked_until: None,
             fail: 0.0,
             spoil: 0.0,
             slow: 1.0,
@@ -91,7 +91,7 @@
                 Kind::Vanish => state.vanished = true,
                 Kind::Refuse => state.refusing = true,
                 Kind::Silent => state.silent = true,
-                Kind::Shut => state.shut_until = state.shut_until.max(Some(fault.end())),
+                Kind::Shut => state.blocked_until = state.blocked_until.max(Some(fault.end())),
                 Kind::Fail { share } => state.fail = 1.0 - (1.0 - state.fail) * (1.0 - share),
                 Kind::Spoil { share } => state.spoil = 1.0 - (1.0 - state.spoil) * (1.0 - share),
                 Kind::Slow { factor } => state.slow *= factor.max(0.0),
@@ -107,7 +107,7 @@
 
     /// Nothing that is sent now is answered as it should be.
     pub fn is_down(&self) -> bool {
-        self.vanished || self.refusing || self.silent || self.shut_until.is_some()
+        self.vanished || self.refusing || self.silent || self.blocked_until.is_some()
     }
 }
 
--- a/crates/simulation/tests/laws.rs
+++ b/crates/simulation/tests/laws.rs
@@ -92,7 +92,7 @@
         turned.reverse();
         let other = State::of(&turned, now);
         prop_assert!((state.fail - other.fail).abs() < 1e-9 && (state.slow - other.slow).abs() < 1e-9);
-        prop_assert_eq!((state.vanished, state.refusing, state.silent, state.shut_until), (other.vanished, other.refusing, other.silent, other.shut_until));
+        prop_assert_eq!((state.vanished, state.refusing, state.silent, state.blocked_until), (other.vanished, other.refusing, other.silent, other.blocked_until));
         let mut with = faults.clone();
         with.push(more);
         let worse = State::of(&with, now);
@@ -127,7 +127,7 @@
                     prop_assert!(at >= now && fates.len() == messages);
                     prop_assert!(!state.vanished && !state.silent && !state.refusing);
                     prop_assert!(wait.is_none_or(|w| w > Duration::ZERO));
-                    if state.shut_until.is_some() { prop_assert!(fates.iter().all(|f| *f == Fate::Busy)); }
+                    if state.blocked_until.is_some() { prop_assert!(fates.iter().all(|f| *f == Fate::Busy)); }
                 }
                 Reply::Nothing => prop_assert!(state.vanished || state.silent),
                 Reply::Spoilt { at, .. } | Reply::Reset { at, .. } => prop_assert!(at >= now),
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -8,13 +8,13 @@
 use std::process::ExitCode;
 
 use cranehill_scheduler::api::{Entry, Event};
-use cranehill_scheduler::{Sender, Time};
+use cranehill_scheduler::{Scheduler, Time};
 use wire::{Batch, Msg, Reply};
 
 /// The senders hosted by this process. They share nothing: each owns its state and random source.
 #[derive(Default)]
 struct Host {
-    senders: BTreeMap<String, Sender>,
+    senders: BTreeMap<String, Scheduler>,
     rosters: BTreeMap<u32, Vec<Entry>>,
 }
 
@@ -40,7 +40,7 @@
                     profile_data,
                 } => {
                     let settings = profile_data.into_settings()?;
-                    let new = Sender::new(settings, rng_seed, now).map_err(|e| e.to_string())?;
+                    let new = Scheduler::new(settings, rng_seed, now).map_err(|e| e.to_string())?;
                     self.senders.insert(sender.clone(), new);
                     inbox.insert(sender.clone(), Vec::new());
                     order.push(sender);
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -129,9 +129,9 @@
                     id: MessageId(msg_id),
                     class,
                     tenant: org,
-                    key: key.map(OrderingKey),
+                    ordering_key: key.map(OrderingKey),
                     time_left: ns(u64::try_from(time_left).unwrap_or(0)),
-                    dest: DestinationId(called_node),
+                    destination: DestinationId(called_node),
                     prior: PriorAttempts::default(),
                 };
                 (sender, Some(Event::Accept(taken)))
@@ -151,7 +151,7 @@
                     id: MessageId(msg_id),
                     attempt: seq_no,
                     status,
-                    over,
+                    completed: over,
                     took: ns(cost_time),
                     wait: (status == Status::Overloaded && detail > 0)
                         .then(|| Duration::from_millis(detail)),
@@ -247,7 +247,7 @@
         };
         Ok(Entry {
             endpoint: EndpointId(self.endpoint),
-            dest: DestinationId(self.belongs_to),
+            destination: DestinationId(self.belongs_to),
             condition,
             zone: self.region_part,
             kind: self.generation_hw,
