--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -180,8 +180,9 @@
 
 /// The number that a cell begins with.
 fn leading(cell: &str) -> Option<f64> {
-    let word = cell.split_whitespace().next()?;
-    word.replace(',', "")
+    let unit_text = cell.split_whitespace().next()?;
+    unit_text
+        .replace(',', "")
         .parse::<f64>()
         .ok()
         .filter(|v| v.is_finite())
--- a/crates/core/src/detach.rs
+++ b/crates/core/src/detach.rs
@@ -131,7 +131,7 @@
     }
 
     /// Before the decisions of a turn: lets in what may go to endpoints on their way back.
-    pub(crate) fn look_at_returning(&mut self) {
+    pub(crate) fn update_returning(&mut self) {
         let (now, cold) = (self.now, self.cold());
         let detached = &mut self.detached;
         for (id, since) in std::mem::take(&mut detached.returning) {
--- a/crates/core/src/ends.rs
+++ b/crates/core/src/ends.rs
@@ -5,10 +5,10 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{DestinationId, Event, MessageId, OrderingKey, Outcome, Status};
 
-use crate::breakage::{self, Breakage};
 use crate::effect::{Effect, Record};
 use crate::input::AttemptOutcome;
 use crate::message::{Answer, FinalReport};
+use crate::mutation::{self, Mutation};
 use crate::reducer::Core;
 use crate::zones::note_zone;
 
@@ -24,18 +24,18 @@
     pub(crate) fn on_attempts_finished(&mut self, ends: Vec<AttemptOutcome>) -> Vec<Effect> {
         let mut effects = Vec::new();
         for mut end in ends {
-            if breakage::is(Breakage::IgnoresWaits) {
+            if mutation::is(Mutation::IgnoresWaits) {
                 end.retry_after = None;
             }
             let failed = matches!(
                 end.status,
                 Status::NoConnection | Status::TimedOut | Status::Overloaded | Status::Reset
             );
-            let tries_on = breakage::is(Breakage::SeventhAttempt) && end.status == Status::Error;
-            if breakage::is(Breakage::FloodsCold) && failed || tries_on {
+            let tries_on = mutation::is(Mutation::SeventhAttempt) && end.status == Status::Error;
+            if mutation::is(Mutation::FloodsCold) && failed || tries_on {
                 end.status = Status::NotSent;
             }
-            let told = end.retry_after;
+            let retry_after = end.retry_after;
             let Some(pending) = self.pending.get_mut(&end.id) else {
                 // Withdrawn while out: the decisions still hear how it ended.
                 self.events.push(outcome(end, true));
@@ -85,7 +85,7 @@
             }
             self.events.push(outcome(end, over));
             // A call still on its way to its connection would arrive inside the wait.
-            if told.is_some() {
+            if retry_after.is_some() {
                 let endpoints = self.list.of_destination(destination).cloned().collect();
                 effects.push(Effect::CancelUnwritten { endpoints });
             }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -12,7 +12,6 @@
 mod invariant;
 
 mod backlog;
-pub mod breakage;
 mod detach;
 mod effect;
 mod ended;
@@ -21,6 +20,7 @@
 mod list;
 mod listed;
 mod message;
+pub mod mutation;
 mod order;
 mod pending;
 mod recovery;
@@ -33,4 +33,4 @@
 pub use input::{AttemptOutcome, Input, Persisted};
 pub use list::{EndpointList, ListUpdate};
 pub use message::{Answer, Envelope, FinalReport, Listing, Message, Origin};
-pub use reducer::{Breaches, Core};
+pub use reducer::{Core, Violations};
--- a/crates/core/src/listed.rs
+++ b/crates/core/src/listed.rs
@@ -2,20 +2,20 @@
 
 use cranehill_scheduler::api::{Condition, Event};
 
-use crate::breakage::{self, Breakage};
 use crate::effect::Effect;
 use crate::message::Listing;
+use crate::mutation::{self, Mutation};
 use crate::reducer::Core;
 
 impl Core {
     pub(crate) fn on_endpoints_changed(&mut self, whole: bool, list: Vec<Listing>) -> Vec<Effect> {
         let (mut whole, mut list) = (whole, list);
-        if breakage::is(Breakage::SendsToDrained) {
+        if mutation::is(Mutation::SendsToDrained) {
             list.retain(|l| l.entry.condition == Condition::Ready);
             whole = false;
         }
         // Without a rate the pace that a part of it sets is gone as well.
-        if breakage::is(Breakage::FloodsCold) {
+        if mutation::is(Mutation::FloodsCold) {
             list.iter_mut().for_each(|l| l.entry.rate = 0.0);
         }
         let now = self.now;
--- a/crates/core/src/breakage.rs
+++ b/crates/core/src/mutation.rs
@@ -1,9 +1,9 @@
-//! Breakages for rehearsals: a build with the feature `breakages` can be told to break one rule, so that the auditor can be
+//! Mutations for rehearsals: a build with the feature `mutations` can be told to break one rule, so that the auditor can be
 //! seen to catch it. Without the feature there is none, and nothing can switch one on.
 
 /// One way to break a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Breakage {
+pub enum Mutation {
     /// Told waits are not passed on to the decisions.
     IgnoresWaits,
     /// What the directory says of draining and gone endpoints is not heard.
@@ -36,59 +36,59 @@
     ForgetsOrder,
 }
 
-impl Breakage {
-    pub const ALL: [(&'static str, Breakage); 15] = [
-        ("ignores-waits", Breakage::IgnoresWaits),
-        ("sends-to-drained", Breakage::SendsToDrained),
-        ("two-copies", Breakage::TwoCopies),
-        ("forgets-journal", Breakage::ForgetsJournal),
-        ("answers-first", Breakage::AnswersFirst),
-        ("drops-reports", Breakage::DropsReports),
-        ("floods-cold", Breakage::FloodsCold),
-        ("holds-answers", Breakage::HoldsAnswers),
-        ("reuses-spoilt", Breakage::ReusesSpoilt),
-        ("repeats-unsafe", Breakage::RepeatsUnsafe),
-        ("seventh-attempt", Breakage::SeventhAttempt),
-        ("leaks-at-stop", Breakage::LeaksAtStop),
-        ("closes-clients", Breakage::ClosesClients),
-        ("ignores-order", Breakage::IgnoresOrder),
-        ("forgets-order", Breakage::ForgetsOrder),
+impl Mutation {
+    pub const ALL: [(&'static str, Mutation); 15] = [
+        ("ignores-waits", Mutation::IgnoresWaits),
+        ("sends-to-drained", Mutation::SendsToDrained),
+        ("two-copies", Mutation::TwoCopies),
+        ("forgets-journal", Mutation::ForgetsJournal),
+        ("answers-first", Mutation::AnswersFirst),
+        ("drops-reports", Mutation::DropsReports),
+        ("floods-cold", Mutation::FloodsCold),
+        ("holds-answers", Mutation::HoldsAnswers),
+        ("reuses-spoilt", Mutation::ReusesSpoilt),
+        ("repeats-unsafe", Mutation::RepeatsUnsafe),
+        ("seventh-attempt", Mutation::SeventhAttempt),
+        ("leaks-at-stop", Mutation::LeaksAtStop),
+        ("closes-clients", Mutation::ClosesClients),
+        ("ignores-order", Mutation::IgnoresOrder),
+        ("forgets-order", Mutation::ForgetsOrder),
     ];
 
-    pub fn named(name: &str) -> Option<Breakage> {
-        Breakage::ALL
+    pub fn named(name: &str) -> Option<Mutation> {
+        Mutation::ALL
             .iter()
             .find(|(n, _)| *n == name)
             .map(|(_, b)| *b)
     }
 }
 
-#[cfg(feature = "breakages")]
-static CHOSEN: std::sync::OnceLock<Breakage> = std::sync::OnceLock::new();
+#[cfg(feature = "mutations")]
+static CHOSEN: std::sync::OnceLock<Mutation> = std::sync::OnceLock::new();
 
 /// Switches one on for the rest of the process; false if this build has none.
-pub fn choose(breakage: Breakage) -> bool {
-    #[cfg(feature = "breakages")]
-    return CHOSEN.set(breakage).is_ok();
-    #[cfg(not(feature = "breakages"))]
+pub fn choose(mutation: Mutation) -> bool {
+    #[cfg(feature = "mutations")]
+    return CHOSEN.set(mutation).is_ok();
+    #[cfg(not(feature = "mutations"))]
     {
-        let _ = breakage;
+        let _ = mutation;
         false
     }
 }
 
 /// Whether this one is on.
-pub fn is(breakage: Breakage) -> bool {
-    #[cfg(feature = "breakages")]
-    return CHOSEN.get() == Some(&breakage);
-    #[cfg(not(feature = "breakages"))]
+pub fn is(mutation: Mutation) -> bool {
+    #[cfg(feature = "mutations")]
+    return CHOSEN.get() == Some(&mutation);
+    #[cfg(not(feature = "mutations"))]
     {
-        let _ = breakage;
+        let _ = mutation;
         false
     }
 }
 
-/// True for one call in so many, for breakages that show now and then.
+/// True for one call in so many, for mutations that show now and then.
 pub fn one_in(calls: u64) -> bool {
     static CALLS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
     CALLS
--- a/crates/core/src/pending.rs
+++ b/crates/core/src/pending.rs
@@ -5,9 +5,9 @@
     AcceptedMessage, DestinationId, EndpointId, Event, MessageId, OrderingKey, PriorAttempts,
 };
 
-use crate::breakage::{self, Breakage};
 use crate::effect::Record;
 use crate::message::{Message, Origin};
+use crate::mutation::{self, Mutation};
 use crate::reducer::Core;
 
 /// When, where and as which attempt a message first went out that may have been executed.
@@ -102,7 +102,7 @@
             ordering_key: message
                 .ordering_key
                 .clone()
-                .filter(|_| !breakage::is(Breakage::IgnoresOrder))
+                .filter(|_| !mutation::is(Mutation::IgnoresOrder))
                 .map(OrderingKey),
             time_left: *deadline - self.now,
             destination: DestinationId(message.destination),
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -7,10 +7,10 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{self, Action, EndpointId, Event, OrderingKey};
 
-use crate::breakage::{self, Breakage};
 use crate::effect::{Effect, Record};
 use crate::ends::PendingReport;
 use crate::message::{Message, Origin};
+use crate::mutation::{self, Mutation};
 use crate::pending::FirstRun;
 use crate::reducer::Core;
 
@@ -57,7 +57,7 @@
                         destination,
                         key,
                         ordering_key: ordering_key
-                            .filter(|_| !breakage::is(Breakage::ForgetsOrder)),
+                            .filter(|_| !mutation::is(Mutation::ForgetsOrder)),
                         body,
                         left,
                         spent,
@@ -213,7 +213,7 @@
         };
         match recovery::unpack(bytes) {
             Ok(learned_state) => {
-                log::info!(pieces = learned_state.len(); "recovery: {} partners remembered", learned_state.len());
+                log::info!(chunks = learned_state.len(); "recovery: {} partners remembered", learned_state.len());
                 recovery.restored(self.now, learned_state);
             }
             Err(why) => log::warn!("recovery: {why}; nothing of it is used"),
@@ -233,14 +233,17 @@
     }
 
     /// A member asks for what we have learned, or tells what it has.
-    pub(crate) fn on_learned_state_message(&mut self, word: &membership::Effect) -> Vec<Effect> {
-        match word {
+    pub(crate) fn on_learned_state_message(
+        &mut self,
+        announcement: &membership::Effect,
+    ) -> Vec<Effect> {
+        match announcement {
             membership::Effect::LearnedRequested { by } => {
-                let pieces = recovery::encode(
+                let chunks = recovery::encode(
                     &self.scheduler.learned_state(),
                     membership::MAX_LEARNED_PIECE,
                 );
-                self.on_fleet(membership::Input::SendLearned { to: *by, pieces })
+                self.on_fleet(membership::Input::SendLearned { to: *by, chunks })
             }
             membership::Effect::LearnedReceived { by, piece } => {
                 let Some(recovery) = &mut self.recovery else {
@@ -248,7 +251,7 @@
                 };
                 match recovery::decode(piece) {
                     Ok(learned_state) => {
-                        log::info!(event = "told", by:%, pieces = learned_state.len();
+                        log::info!(event = "told", by:%, chunks = learned_state.len();
                             "recovery: {by} told of {} partners", learned_state.len());
                         recovery.peer_replied(self.now, learned_state);
                     }
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -10,7 +10,6 @@
 use cranehill_zone_failover::Zones;
 
 use crate::backlog::Backlog;
-use crate::breakage::{self, Breakage};
 use crate::detach::Detached;
 use crate::effect::{Effect, Record};
 use crate::ended::Ended;
@@ -18,12 +17,13 @@
 use crate::input::Input;
 use crate::list::EndpointList;
 use crate::message::{Answer, Message, Origin};
+use crate::mutation::{self, Mutation};
 use crate::order::PendingOrder;
 use crate::pending::PendingMessage;
 
 /// What must hold, counted where it does not. Debug builds stop instead.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Breaches {
+pub struct Violations {
     pub second_copy: u64,
     pub unknown_message: u64,
     pub unlisted_endpoint: u64,
@@ -66,17 +66,17 @@
     pub(crate) inherited_state: Vec<LearnedState>,
     /// The version of the members' payloads that was looked at last.
     pub(crate) payloads_version: u64,
-    pub breaches: Breaches,
+    pub violations: Violations,
 }
 
 impl Core {
     pub fn new(mut set: Settings, seed: u64, now: Time) -> Result<Core, SettingsError> {
-        if breakage::is(Breakage::RepeatsUnsafe) {
+        if mutation::is(Mutation::RepeatsUnsafe) {
             set.classes
                 .iter_mut()
                 .for_each(|c| c.effect = cranehill_scheduler::api::Effect::Safe);
         }
-        if breakage::is(Breakage::SeventhAttempt) {
+        if mutation::is(Mutation::SeventhAttempt) {
             set.attempts_cap = 9;
         }
         let mut scheduler = Scheduler::new(set.clone(), seed, now)?;
@@ -105,7 +105,7 @@
             quiet: false,
             inherited_state: Vec::new(),
             payloads_version: 0,
-            breaches: Breaches::default(),
+            violations: Violations::default(),
         })
     }
 
@@ -172,7 +172,7 @@
             }
             Input::Detach { by, endpoint, back } => self.on_detach(by, endpoint, back),
             Input::Stopping => {
-                if breakage::is(Breakage::LeaksAtStop) {
+                if mutation::is(Mutation::LeaksAtStop) {
                     let now = self.now.0;
                     let over = |id: &String| Record::Completed {
                         id: id.clone(),
--- a/crates/core/src/turn.rs
+++ b/crates/core/src/turn.rs
@@ -5,10 +5,10 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{Action, EndpointId, Event, MessageId, Status};
 
-use crate::breakage::{self, Breakage};
 use crate::effect::{Attempt, Effect, Record};
 use crate::input::{AttemptOutcome, Persisted};
 use crate::message::{Answer, Origin};
+use crate::mutation::{self, Mutation};
 use crate::reducer::Core;
 
 /// The largest body of a call with several messages, and what each adds besides its own body and key.
@@ -37,7 +37,7 @@
             address,
             attempts,
         };
-        if breakage::is(Breakage::TwoCopies) {
+        if mutation::is(Mutation::TwoCopies) {
             vec![call.clone(), call]
         } else {
             vec![call]
@@ -98,8 +98,8 @@
     /// Lets the module decide on all that came in this turn.
     pub(crate) fn on_tick_ended(&mut self) -> Vec<Effect> {
         let events = self.events_of_this_turn();
-        let zoned = self.look_at_zones();
-        self.look_at_returning();
+        let zoned = self.update_zones();
+        self.update_returning();
         let actions = self.decide(events);
         let outgoing = self.carry_out(actions);
         // An answer goes before its call: a delivery counts only once the client knows that we have the message.
--- a/crates/core/src/zones.rs
+++ b/crates/core/src/zones.rs
@@ -5,7 +5,7 @@
 use cranehill_membership as membership;
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{EndpointId, Status};
-use cranehill_zone_failover::{Change, Settings, State, Word, Zones};
+use cranehill_zone_failover::{Change, Settings, State, ZoneAnnouncement, Zones};
 
 use crate::effect::Effect;
 use crate::list::EndpointList;
@@ -37,7 +37,7 @@
 
 impl Core {
     /// Leaves and returns to zones together with the other members.
-    pub fn mind_zones(&mut self, settings: Settings) {
+    pub fn manage_zones(&mut self, settings: Settings) {
         self.zones = Some(Zones::new(settings));
         self.count_zones();
     }
@@ -53,9 +53,9 @@
     }
 
     /// Before the decisions of a turn: reads what members say, says what there is to say, and sets the gates.
-    pub(crate) fn look_at_zones(&mut self) -> Vec<Effect> {
+    pub(crate) fn update_zones(&mut self) -> Vec<Effect> {
         let now = self.now;
-        let Some((me, said)) = self.members().map(|m| (m.me().at, m.payloads())) else {
+        let Some((me, payloads)) = self.members().map(|m| (m.me().at, m.payloads())) else {
             return Vec::new();
         };
         let Some(zones) = &mut self.zones else {
@@ -65,40 +65,41 @@
             // What a member of another version says of zones is nothing to go by.
             (
                 at,
-                postcard::from_bytes::<Vec<Word>>(&bytes).unwrap_or_default(),
+                postcard::from_bytes::<Vec<ZoneAnnouncement>>(&bytes).unwrap_or_default(),
             )
         };
-        let others: Vec<(SocketAddr, Vec<Word>)> = said.into_iter().map(read).collect();
+        let others: Vec<(SocketAddr, Vec<ZoneAnnouncement>)> =
+            payloads.into_iter().map(read).collect();
         let changes = zones.look(now, me, &others);
-        let words = zones.words(now, &others);
+        let announcements = zones.announcements(now, &others);
         let states: Vec<(u32, State)> = zones.states().collect();
         let due = zones.due(now);
         for change in &changes {
             match change {
-                Change::Leave { zone, .. } | Change::ProbeOver { zone } => {
+                Change::Evacuate { zone, .. } | Change::ProbeOver { zone } => {
                     self.scheduler.bar(*zone)
                 }
                 Change::Probe { zone, pick } => self.scheduler.probe(now, *zone, *pick),
                 Change::Return { zone, .. } => self.scheduler.return_to(*zone, false),
-                Change::Free { zone } => self.scheduler.unbar(*zone),
+                Change::InService { zone } => self.scheduler.unbar(*zone),
             }
         }
         for (zone, state) in states {
             match state {
-                State::Free => {}
-                State::Left(_) => self.scheduler.bar_new(zone),
+                State::InService => {}
+                State::Evacuated(_) => self.scheduler.bar_new(zone),
                 State::Returning(since) => {
                     self.scheduler.return_to(zone, true);
                     self.scheduler.admit_returning(now, zone, since);
                 }
             }
         }
-        let says = if words.is_empty() {
+        let description = if announcements.is_empty() {
             Vec::new()
         } else {
-            postcard::to_stdvec(&words).unwrap_or_default()
+            postcard::to_stdvec(&announcements).unwrap_or_default()
         };
-        let mut effects = self.on_fleet(membership::Input::SetPayload(says));
+        let mut effects = self.on_fleet(membership::Input::SetPayload(description));
         effects.extend(changes.into_iter().map(Effect::Zone));
         effects.extend(due.map(Effect::WakeAt));
         effects
--- a/crates/core/tests/cold_fleet.rs
+++ b/crates/core/tests/cold_fleet.rs
@@ -60,16 +60,16 @@
 struct Span {
     all: f64,
     /// From senders that were told of the outage, by this process or an earlier one.
-    told: f64,
+    notified: f64,
     /// From processes that were told of it themselves.
-    told_themselves: f64,
+    notified_themselves: f64,
     bound: f64,
 }
 
 impl Span {
     /// The destination falls, and over two thirds of the calls came from senders that had been told.
     fn breaks_the_rule(&self) -> bool {
-        self.all > self.bound && self.told_themselves > self.all * 2.0 / 3.0
+        self.all > self.bound && self.notified_themselves > self.all * 2.0 / 3.0
     }
 }
 
@@ -84,8 +84,8 @@
         let within = || cold[..=n].iter().filter(|c| call.at - c.at < rule.fall);
         Span {
             all: within().count() as f64,
-            told: within().filter(|c| c.told).count() as f64,
-            told_themselves: within().filter(|c| c.told_itself).count() as f64,
+            notified: within().filter(|c| c.notified).count() as f64,
+            notified_themselves: within().filter(|c| c.notified_itself).count() as f64,
             bound: rule.budget(call.at - back, scenario.capacity),
         }
     };
@@ -101,12 +101,15 @@
     for seed in 0..SEEDS {
         let scenario = scenario(senders, seed);
         let spans = spans(&scenario, &play(&scenario));
-        judged += spans.iter().filter(|s| s.told > 0.0).count();
-        let told = spans.iter().map(|s| s.told / s.bound).fold(0.0, f64::max);
-        most = most.max(told);
+        judged += spans.iter().filter(|s| s.notified > 0.0).count();
+        let notified = spans
+            .iter()
+            .map(|s| s.notified / s.bound)
+            .fold(0.0, f64::max);
+        most = most.max(notified);
         let broken = spans.iter().any(Span::breaks_the_rule);
-        if told > 1.0 || broken && scenario.listed > 0.0 {
-            over.push((seed, told));
+        if notified > 1.0 || broken && scenario.listed > 0.0 {
+            over.push((seed, notified));
         }
         without_rates.extend((broken && scenario.listed == 0.0).then_some(seed));
         falls.extend(spans.iter().any(|s| s.all > s.bound).then_some(seed));
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -287,11 +287,11 @@
     b.step(Input::Submitted(message("m", 8000)));
     b.turn(5);
     b.ms = 30;
-    let told = AttemptOutcome {
+    let overloaded = AttemptOutcome {
         retry_after: Some(Duration::from_millis(700)),
         ..end("m", 0, Status::Overloaded)
     };
-    let effects = b.step(Input::AttemptsFinished(vec![told]));
+    let effects = b.step(Input::AttemptsFinished(vec![overloaded]));
     assert!(
         matches!(&effects[..], [Effect::CancelUnwritten { endpoints }] if endpoints == &[EndpointId("a".into())])
     );
--- a/crates/core/tests/virtual_fleet/mod.rs
+++ b/crates/core/tests/virtual_fleet/mod.rs
@@ -8,7 +8,9 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Report, Status};
 use cranehill_scheduler::profile::Profile;
-use cranehill_simulation::destination::{Asked, Connect, Fate, Reply, SimulatedDestination, Spec};
+use cranehill_simulation::destination::{
+    Asked, Connect, DeliveryOutcome, Reply, SimulatedDestination, Spec,
+};
 use cranehill_simulation::fault::{Fault, Kind};
 use cranehill_simulation::return_guard::Return;
 use rand::{Rng, RngExt, SeedableRng};
@@ -51,9 +53,9 @@
 pub struct Call {
     pub at: Duration,
     /// The sender, or an earlier process of it, had seen the destination fail in the outage.
-    pub told: bool,
+    pub notified: bool,
     /// This very process had.
-    pub told_itself: bool,
+    pub notified_itself: bool,
 }
 
 /// What a run showed.
@@ -61,7 +63,7 @@
 pub struct Played {
     pub calls: Vec<Call>,
     /// Senders, and their processes, that saw the destination fail in the outage.
-    told: BTreeSet<(usize, u32)>,
+    notified: BTreeSet<(usize, u32)>,
 }
 
 enum Happening {
@@ -94,7 +96,7 @@
     /// What the journal holds.
     records: Vec<Record>,
     /// What it had learned, where it comes back by steps.
-    remembered: Option<Vec<u8>>,
+    completed: Option<Vec<u8>>,
     due: Option<Duration>,
 }
 
@@ -219,7 +221,7 @@
             .map(|n| self.listing(n))
             .collect();
         self.step(sender, Input::EndpointsChanged { whole: true, list });
-        if let Some(learned_state) = self.nodes[sender].remembered.clone() {
+        if let Some(learned_state) = self.nodes[sender].completed.clone() {
             self.step(sender, Input::LearnedStateRestored(learned_state));
         }
         let records = self.nodes[sender].records.clone();
@@ -274,7 +276,7 @@
         let outage = self.scenario.outage;
         if failed && (outage.start..=outage.end()).contains(&self.now) {
             self.played
-                .told
+                .notified
                 .insert((sender, self.nodes[sender].process));
         }
         self.step(sender, Input::AttemptsFinished(ends));
@@ -308,7 +310,7 @@
                     self.step(sender, Input::FinalReportsAcknowledged(vec![id]))
                 }
                 Effect::PersistLearnedState(learned_state) => {
-                    self.nodes[sender].remembered = Some(learned_state)
+                    self.nodes[sender].completed = Some(learned_state)
                 }
                 Effect::WakeAt(at) => self.wake(sender, at - START),
                 _ => {}
@@ -338,20 +340,20 @@
                 failed(Status::NoConnection),
             ),
             Connect::Up => {
-                let told = self
+                let notified = self
                     .played
-                    .told
+                    .notified
                     .range((sender, 0)..=(sender, u32::MAX))
                     .next()
                     .is_some();
-                let told_itself = self
+                let notified_itself = self
                     .played
-                    .told
+                    .notified
                     .contains(&(sender, self.nodes[sender].process));
                 self.played.calls.push(Call {
                     at: self.now,
-                    told,
-                    told_itself,
+                    notified,
+                    notified_itself,
                 });
                 let asked = Asked {
                     endpoint: number,
@@ -396,7 +398,7 @@
         match reply {
             Reply::Answer {
                 at,
-                fates,
+                outcomes,
                 wait,
                 report,
             } => {
@@ -407,10 +409,10 @@
                 if state.refusing {
                     return (at, (Status::Reset, None, None));
                 }
-                let status = match fates[0] {
-                    Fate::Done => Status::Served,
-                    Fate::Failed => Status::Error,
-                    Fate::Busy => Status::Overloaded,
+                let status = match outcomes[0] {
+                    DeliveryOutcome::Done => Status::Served,
+                    DeliveryOutcome::Failed => Status::Error,
+                    DeliveryOutcome::Busy => Status::Overloaded,
                 };
                 (
                     at,
@@ -476,6 +478,6 @@
     Kind::Refuse,
     Kind::Silent,
     Kind::Vanish,
-    Kind::Shut,
+    Kind::Closed,
     Kind::Fail { share: 1.0 },
 ];
--- a/crates/cranehill/src/cli.rs
+++ b/crates/cranehill/src/cli.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use cranehill_core::breakage::{self, Breakage};
+use cranehill_core::mutation::{self, Mutation};
 use cranehill_journal::Key;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
@@ -70,7 +70,7 @@
         #[arg(long)]
         senders: Option<usize>,
         /// Hand in at this sender, which runs already, and start none: what can be judged there is.
-        #[arg(long, value_name = "ADDRESS", requires = "directory", conflicts_with_all = ["senders", "breakages", "repeat", "jobs"])]
+        #[arg(long, value_name = "ADDRESS", requires = "directory", conflicts_with_all = ["senders", "mutations", "repeat", "jobs"])]
         against: Option<std::net::SocketAddr>,
         /// Where that sender asks for its list of endpoints: the rehearsal answers there.
         #[arg(long, value_name = "ADDRESS")]
@@ -81,10 +81,10 @@
         /// Write each day's report there: JSON, every event as Parquet, and a page with plots.
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
-        /// Play the broken builds: this program, built with the feature `breakages`, must be caught at each of them, and
+        /// Play the broken builds: this program, built with the feature `mutations`, must be caught at each of them, and
         /// the present one must pass the same days.
-        #[arg(long, value_name = "PROGRAM", conflicts_with_all = ["files", "repeat", "senders"])]
-        breakages: Option<PathBuf>,
+        #[arg(long, alias = "breakages", value_name = "PROGRAM", conflicts_with_all = ["files", "repeat", "senders"])]
+        mutations: Option<PathBuf>,
     },
     /// Start many senders that know each other, break ways and processes as a scenario says, and judge what came of it.
     Rig {
@@ -210,7 +210,7 @@
             directory,
             write_config,
             out,
-            breakages,
+            mutations,
         } => {
             let jobs = jobs.into();
             let order = rehearse::Order {
@@ -224,8 +224,8 @@
                 write_config,
                 out,
             };
-            let played = match &breakages {
-                Some(program) => rehearse::breakages(program, &order),
+            let played = match &mutations {
+                Some(program) => rehearse::mutations(program, &order),
                 None => rehearse::all(&order),
             };
             match played {
@@ -417,14 +417,14 @@
 
 fn serve(webpush: Option<&Path>, key: Option<&Path>, fleet: Option<&Path>) -> Result<(), String> {
     if let Some(name) = variable("CRANEHILL_BREAK") {
-        let breakage = Breakage::named(&name)
+        let mutation = Mutation::named(&name)
             .ok_or_else(|| format!("CRANEHILL_BREAK: no breakage '{name}'"))?;
-        if !breakage::choose(breakage) {
+        if !mutation::choose(mutation) {
             return Err(
                 "CRANEHILL_BREAK: this build has no breakages (feature `breakages`)".into(),
             );
         }
-        log::warn!(breakage = name.as_str(); "this sender breaks a rule on purpose: {name}");
+        log::warn!(mutation = name.as_str(); "this sender breaks a rule on purpose: {name}");
     }
     let push = webpush.map(webpush_file).transpose()?;
     let key = key.map(read_key).transpose()?;
--- a/crates/cranehill/src/hollow.rs
+++ b/crates/cranehill/src/hollow.rs
@@ -28,14 +28,20 @@
     /// With --members-only: seconds that are measured, after all have agreed.
     #[arg(
         long,
+        alias = "lasts",
         value_name = "SECONDS",
         default_value_t = 60,
         requires = "members_only"
     )]
-    pub lasts: u64,
+    pub duration: u64,
     /// With --disturbance halves: seconds until the cut heals, in place of half of the play.
-    #[arg(long, value_name = "SECONDS", requires = "members_only")]
-    pub cut_lasts: Option<u64>,
+    #[arg(
+        long,
+        alias = "cut-lasts",
+        value_name = "SECONDS",
+        requires = "members_only"
+    )]
+    pub cut_duration: Option<u64>,
     /// With --members-only: the part of all packets that is lost.
     #[arg(
         long,
@@ -67,16 +73,16 @@
 
 impl HollowArgs {
     fn plan(&self, seed: u64) -> HollowPlan {
-        let duration = Duration::from_secs(self.lasts);
+        let duration = Duration::from_secs(self.duration);
         let cut = self
-            .cut_lasts
+            .cut_duration
             .map_or(duration / CUT_PART, Duration::from_secs);
         let disturbance = match self.disturbance {
             Kind::None => Disturbance::None,
             Kind::Crashes => Disturbance::Crashes { one_in: 10 },
             Kind::Rack => Disturbance::RackDown,
             Kind::Zone => Disturbance::ZoneDown { zones: 6 },
-            Kind::Halves => Disturbance::Halves { lasts: cut },
+            Kind::Halves => Disturbance::Halves { duration: cut },
             Kind::Restarts => Disturbance::Restarts { count: 30 },
         };
         let transport = if self.virtual_time {
@@ -118,7 +124,7 @@
 /// A cut that lasts longer than the eviction delay can't be told from deaths.
 fn share_most(plan: &HollowPlan) -> f64 {
     match (plan.disturbance, plan.timing.eviction_delay) {
-        (Disturbance::Halves { lasts }, Some(delay)) if lasts >= delay => SHARE_MOST_EVICTED,
+        (Disturbance::Halves { duration }, Some(delay)) if duration >= delay => SHARE_MOST_EVICTED,
         _ => 1.0,
     }
 }
--- a/crates/cranehill/src/kills.rs
+++ b/crates/cranehill/src/kills.rs
@@ -19,7 +19,7 @@
 use crate::rehearsal::{Reply, StandIn};
 
 /// How long a message may be delivered. Short, so that the last life need not be long.
-const LASTS: Duration = Duration::from_millis(3000);
+const DURATION: Duration = Duration::from_millis(3000);
 /// After its time an end may take this much longer to arrive.
 const GRACE: Duration = Duration::from_millis(2000);
 const CLASSES: [&str; 3] = ["safe", "keyed", "unsafe"];
@@ -131,7 +131,7 @@
 
 /// The settings of a sender that is killed: three classes, two kinds of destination.
 fn configuration(platform: SocketAddr, destinations: &[SocketAddr], disk_mb: f64) -> String {
-    let nanos = LASTS.as_nanos();
+    let nanos = DURATION.as_nanos();
     let class = |name: &str| {
         format!(
             r#"{{"aim":1000000000,"deadline":{nanos},"dedupScope":"all","effect":"{name}","lateShare":0.4,"name":"{name}","window":{nanos},"worth":1.0}}"#
@@ -165,7 +165,7 @@
 
 /// How a destination treats one message of a call.
 #[derive(Clone, Copy, PartialEq)]
-enum Fate {
+enum DeliveryOutcome {
     Done,
     Failed,
     Busy,
@@ -184,21 +184,25 @@
         } else {
             header(request, "X-Txn").into_iter().collect()
         };
-        let fate = match draw {
-            60..70 | 85..90 => Fate::Failed,
-            70..85 => Fate::Busy,
-            _ => Fate::Done,
+        let outcome = match draw {
+            60..70 | 85..90 => DeliveryOutcome::Failed,
+            70..85 => DeliveryOutcome::Busy,
+            _ => DeliveryOutcome::Done,
         };
         let mut states = Vec::new();
         for (n, id) in ids.iter().enumerate() {
             // A batch that is answered message by message has mixed ends.
-            let fate = if batch && fate == Fate::Done && n % 3 == 2 {
-                Fate::Busy
+            let outcome = if batch && outcome == DeliveryOutcome::Done && n % 3 == 2 {
+                DeliveryOutcome::Busy
             } else {
-                fate
+                outcome
+            };
+            attempt(&mut lock(&book), id, outcome);
+            let state = if outcome == DeliveryOutcome::Done {
+                "done"
+            } else {
+                "busy"
             };
-            attempt(&mut lock(&book), id, fate);
-            let state = if fate == Fate::Done { "done" } else { "busy" };
             states.push(format!(r#"{{"id":"{id}","state":"{state}"}}"#));
         }
         match draw {
@@ -217,12 +221,12 @@
     })
 }
 
-fn attempt(book: &mut Book, id: &str, fate: Fate) {
+fn attempt(book: &mut Book, id: &str, outcome: DeliveryOutcome) {
     let seen = book.messages.entry(id.to_owned()).or_default();
     seen.attempts += 1;
     seen.repeated |= seen.executed > 0;
-    seen.executed += usize::from(fate != Fate::Busy);
-    seen.delivered |= fate == Fate::Done;
+    seen.executed += usize::from(outcome != DeliveryOutcome::Busy);
+    seen.delivered |= outcome == DeliveryOutcome::Done;
 }
 
 fn header(request: &Request, name: &str) -> Option<String> {
@@ -275,14 +279,14 @@
 }
 
 /// One life of the sender.
-struct Life {
+struct SenderProcess {
     child: Child,
     clients: SocketAddr,
     log: thread::JoinHandle<u32>,
 }
 
-impl Life {
-    fn begin(program: &Path, folder: &Path) -> Result<Life, String> {
+impl SenderProcess {
+    fn begin(program: &Path, folder: &Path) -> Result<SenderProcess, String> {
         let mut child = Command::new(program)
             .arg("serve")
             .env("NODE_CONFIG", folder.join("config.json"))
@@ -308,7 +312,7 @@
                 let log = thread::spawn(move || {
                     damage + lines.filter(|l| l.contains("damage")).count() as u32
                 });
-                return Ok(Life {
+                return Ok(SenderProcess {
                     child,
                     clients,
                     log,
@@ -361,7 +365,7 @@
         let names = format!(
             "c={},t=onda-central,d={},dest={destination}{key}",
             CLASSES[class],
-            LASTS.as_millis()
+            DURATION.as_millis()
         );
         let body = vec![b'a' + (n % 26) as u8; rng.random_range(0..400)];
         let mut request = format!(
@@ -440,18 +444,18 @@
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let mut outcome = Outcome::default();
     for kill in 0..plan.kills {
-        let life = Life::begin(&plan.program, folder.path())?;
+        let process = SenderProcess::begin(&plan.program, folder.path())?;
         let stop = Arc::new(AtomicBool::new(false));
         let clients: Vec<_> = (0..CLIENTS)
             .map(|n| {
-                let (book, stop, to) = (book.clone(), stop.clone(), life.clients);
+                let (book, stop, to) = (book.clone(), stop.clone(), process.clients);
                 let seed = rng.random();
                 let name = format!("{kill:06x}{n:02x}");
                 thread::spawn(move || client(to, &book, &stop, seed, DESTINATIONS, &name))
             })
             .collect();
         thread::sleep(Duration::from_micros(rng.random_range(1_000..50_000)));
-        outcome.damage_lines += life.kill();
+        outcome.damage_lines += process.kill();
         stop.store(true, Ordering::Relaxed);
         for client in clients {
             let _ = client.join();
@@ -463,17 +467,17 @@
         progress(outcome.kills);
     }
     // The last life works off all that is owed.
-    let life = Life::begin(&plan.program, folder.path())?;
-    let end = Instant::now() + LASTS + GRACE;
-    let owed = |book: &Book| {
+    let process = SenderProcess::begin(&plan.program, folder.path())?;
+    let end = Instant::now() + DURATION + GRACE;
+    let outstanding = |book: &Book| {
         book.messages
             .values()
             .any(|s| s.promised && !s.delivered && s.reports.is_empty())
     };
-    while Instant::now() < end && owed(&lock(&book)) {
+    while Instant::now() < end && outstanding(&lock(&book)) {
         thread::sleep(Duration::from_millis(20));
     }
-    outcome.damage_lines += life.kill();
+    outcome.damage_lines += process.kill();
     audit(&lock(&book), &mut outcome);
     Ok(outcome)
 }
--- a/crates/cranehill/src/nginx.rs
+++ b/crates/cranehill/src/nginx.rs
@@ -14,7 +14,7 @@
 
 #[derive(Debug, PartialEq)]
 enum Token {
-    Word(String),
+    Text(String),
     Open,
     Close,
     End,
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 struct Directive {
     line: usize,
-    words: Vec<String>,
+    arguments: Vec<String>,
     block: Option<Vec<Directive>>,
 }
 
@@ -43,39 +43,39 @@
             '}' => tokens.push((line, Token::Close)),
             ';' => tokens.push((line, Token::End)),
             '"' | '\'' => {
-                let (begun, mut word) = (line, String::new());
+                let (begun, mut text_token) = (line, String::new());
                 loop {
                     match chars.next() {
                         Some(e) if e == c => break,
-                        Some('\\') => word.extend(chars.next()),
+                        Some('\\') => text_token.extend(chars.next()),
                         Some(other) => {
                             line += usize::from(other == '\n');
-                            word.push(other);
+                            text_token.push(other);
                         }
                         None => return Err(format!("line {begun}: a quoted text does not end")),
                     }
                 }
-                tokens.push((begun, Token::Word(word)));
+                tokens.push((begun, Token::Text(text_token)));
             }
             first => {
-                let mut word = String::from(first);
+                let mut text_token = String::from(first);
                 loop {
                     let plain = |c: &char| !c.is_whitespace() && !matches!(c, ';' | '{' | '}');
                     match chars.next_if(plain) {
                         // A variable in braces belongs to its word.
                         Some('$') if chars.peek() == Some(&'{') => {
-                            word.push('$');
-                            word.extend(std::iter::from_fn(|| {
+                            text_token.push('$');
+                            text_token.extend(std::iter::from_fn(|| {
                                 chars.next_if(|&c| c != '}' && c != '\n')
                             }));
-                            word.extend(chars.next_if_eq(&'}'));
+                            text_token.extend(chars.next_if_eq(&'}'));
                         }
-                        Some('\\') => word.extend(chars.next_if(|&c| c != '\n')),
-                        Some(other) => word.push(other),
+                        Some('\\') => text_token.extend(chars.next_if(|&c| c != '\n')),
+                        Some(other) => text_token.push(other),
                         None => break,
                     }
                 }
-                tokens.push((line, Token::Word(word)));
+                tokens.push((line, Token::Text(text_token)));
             }
         }
     }
@@ -90,7 +90,7 @@
     let mut found = Vec::new();
     loop {
         let (line, first) = match (tokens.next(), opened) {
-            (Some((line, Token::Word(word))), _) => (line, word),
+            (Some((line, Token::Text(text_token))), _) => (line, text_token),
             (Some((_, Token::Close)), Some(_)) | (None, None) => return Ok(found),
             (Some((line, Token::Close)), None) => {
                 return Err(format!("line {line}: '}}' closes nothing"));
@@ -101,10 +101,10 @@
             (Some((_, Token::End)), _) => continue,
             (None, Some(line)) => return Err(format!("line {line}: the block does not end")),
         };
-        let mut words = vec![first];
+        let mut arguments = vec![first];
         let block = loop {
             match tokens.next() {
-                Some((_, Token::Word(word))) => words.push(word),
+                Some((_, Token::Text(text_token))) => arguments.push(text_token),
                 Some((_, Token::End)) => break None,
                 Some((line, Token::Open)) if depth >= DEEPEST => {
                     return Err(format!("line {line}: blocks stand too deep in one another"));
@@ -113,11 +113,15 @@
                     break Some(directives(tokens, Some(line), depth + 1)?);
                 }
                 Some((_, Token::Close)) | None => {
-                    return Err(format!("line {line}: '{}' has no ';'", words.join(" ")));
+                    return Err(format!("line {line}: '{}' has no ';'", arguments.join(" ")));
                 }
             }
         };
-        found.push(Directive { line, words, block });
+        found.push(Directive {
+            line,
+            arguments,
+            block,
+        });
     }
 }
 
@@ -173,8 +177,8 @@
     locations: &mut Vec<(usize, Location)>,
 ) -> Result<(), String> {
     for directive in directives {
-        let words: Vec<&str> = directive.words.iter().map(String::as_str).collect();
-        match (words.as_slice(), &directive.block) {
+        let arguments: Vec<&str> = directive.arguments.iter().map(String::as_str).collect();
+        match (arguments.as_slice(), &directive.block) {
             (["http" | "server"], Some(inside)) => walk(inside, imported, locations)?,
             (["upstream", name], Some(inside)) => upstream(name, directive.line, inside, imported)?,
             (["upstream", ..], _) => {
@@ -189,7 +193,9 @@
             (["location", ..], None) => {
                 return Err(format!("line {}: location needs a block", directive.line));
             }
-            _ => imported.left_out.push((directive.line, words.join(" "))),
+            _ => imported
+                .left_out
+                .push((directive.line, arguments.join(" "))),
         }
     }
     Ok(())
@@ -206,10 +212,10 @@
     }
     let mut servers = Vec::new();
     for directive in inside {
-        let words: Vec<&str> = directive.words.iter().map(String::as_str).collect();
+        let arguments: Vec<&str> = directive.arguments.iter().map(String::as_str).collect();
         let mut leave = |what: String| imported.left_out.push((directive.line, what));
-        let ["server", address, options @ ..] = words.as_slice() else {
-            leave(words.join(" "));
+        let ["server", address, options @ ..] = arguments.as_slice() else {
+            leave(arguments.join(" "));
             continue;
         };
         // nginx takes port 80 where none is given, and 'localhost' for this machine.
@@ -252,27 +258,27 @@
 }
 
 fn location(
-    words: &[&str],
+    arguments: &[&str],
     line: usize,
     inside: &[Directive],
     imported: &mut Imported,
     locations: &mut Vec<(usize, Location)>,
 ) -> Result<(), String> {
-    let path = match words {
+    let path = match arguments {
         [path] | ["^~", path] if path.starts_with('/') => *path,
         [] => return Err(format!("line {line}: location needs a path")),
         // Exact, named and regular-expression locations have no counterpart: a prefix would take more.
         _ => {
             imported
                 .left_out
-                .push((line, format!("location {}", words.join(" "))));
+                .push((line, format!("location {}", arguments.join(" "))));
             return Ok(());
         }
     };
     let mut passes = None;
     for directive in inside {
         match directive
-            .words
+            .arguments
             .iter()
             .map(String::as_str)
             .collect::<Vec<_>>()
--- a/crates/cranehill/src/rehearsal.rs
+++ b/crates/cranehill/src/rehearsal.rs
@@ -220,16 +220,16 @@
     let mut lines = Vec::new();
     let mut pushed: Vec<String> = Vec::new();
     for (number, text) in (1..).zip(text.lines()) {
-        let words: Vec<&str> = text
+        let arguments: Vec<&str> = text
             .split('#')
             .next()
             .unwrap_or("")
             .split_whitespace()
             .collect();
-        if words.is_empty() {
+        if arguments.is_empty() {
             continue;
         }
-        let line = parse_line(&words).map_err(|e| format!("line {number}: {e}"))?;
+        let line = parse_line(&arguments).map_err(|e| format!("line {number}: {e}"))?;
         match &line {
             Line::Push { name, .. } if pushed.contains(name) => {
                 return Err(format!("line {number}: '{name}' is pushed twice"));
@@ -245,8 +245,8 @@
     Ok(Script(lines))
 }
 
-fn parse_line(words: &[&str]) -> Result<Line, String> {
-    match words {
+fn parse_line(arguments: &[&str]) -> Result<Line, String> {
+    match arguments {
         ["service", rest @ ..] => parse_service(rest),
         ["push", name, rest @ ..] => {
             let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
@@ -259,8 +259,8 @@
                 vec![("TTL".to_owned(), "20".to_owned())],
                 (*name).to_owned(),
             );
-            for word in rest {
-                match word.split_once('=') {
+            for text_token in rest {
+                match text_token.split_once('=') {
                     Some(("ttl", "none")) => headers.retain(|h| h.0 != "TTL"),
                     Some(("ttl", value)) => {
                         headers.retain(|h| h.0 != "TTL");
@@ -269,7 +269,11 @@
                     Some(("urgency", value)) => headers.push(("Urgency".into(), value.into())),
                     Some(("topic", value)) => headers.push(("Topic".into(), value.into())),
                     Some(("body", value)) => body = value.to_owned(),
-                    _ => return Err(format!("'{word}' is not ttl=, urgency=, topic= or body=")),
+                    _ => {
+                        return Err(format!(
+                            "'{text_token}' is not ttl=, urgency=, topic= or body="
+                        ));
+                    }
                 }
             }
             Ok(Line::Push {
@@ -308,13 +312,13 @@
         }
         _ => Err(format!(
             "'{}' is not service, push, wait or expect",
-            words.join(" ")
+            arguments.join(" ")
         )),
     }
 }
 
-fn parse_service(words: &[&str]) -> Result<Line, String> {
-    let (reply, mut rest) = match words {
+fn parse_service(arguments: &[&str]) -> Result<Line, String> {
+    let (reply, mut rest) = match arguments {
         ["silent", rest @ ..] => (Reply::Silent, rest),
         ["closes", rest @ ..] => (Reply::Close, rest),
         ["answers", status, rest @ ..] => {
@@ -327,8 +331,8 @@
         _ => return Err("the service answers STATUS, is silent, or closes".into()),
     };
     let (mut reply, mut to, mut wait) = (reply, None, None);
-    while let [word, after @ ..] = rest {
-        match word.split_once('=') {
+    while let [text_token, after @ ..] = rest {
+        match text_token.split_once('=') {
             Some(("retry-after", value)) => {
                 let Reply::Bytes(bytes) = &reply else {
                     return Err("retry-after needs an answer".into());
@@ -338,7 +342,7 @@
                 wait = Some(seconds(value)?);
             }
             Some(("to", name)) => to = Some(name.to_owned()),
-            _ => return Err(format!("'{word}' is not retry-after= or to=")),
+            _ => return Err(format!("'{text_token}' is not retry-after= or to=")),
         }
         rest = after;
     }
--- a/crates/cranehill/src/rehearse.rs
+++ b/crates/cranehill/src/rehearse.rs
@@ -8,12 +8,12 @@
 use std::thread;
 use std::time::Duration;
 
-use cranehill_scenario_runner::breakages::CASES;
 use cranehill_scenario_runner::measure::{self, Step};
+use cranehill_scenario_runner::mutations::CASES;
 use cranehill_scenario_runner::{
     Against, Limits, Outcome, Plan, node_config, play, report, report_files,
 };
-use cranehill_simulation::day;
+use cranehill_simulation::scenario;
 use indicatif::{ProgressBar, ProgressStyle};
 
 use crate::rehearsal;
@@ -49,13 +49,13 @@
             continue;
         }
         let read = std::fs::read_dir(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        let mut days: Vec<PathBuf> = read.map_while(Result::ok).map(|e| e.path()).collect();
-        days.retain(|p| p.extension().is_some_and(|e| e == "toml"));
-        if days.is_empty() {
+        let mut scenarios: Vec<PathBuf> = read.map_while(Result::ok).map(|e| e.path()).collect();
+        scenarios.retain(|p| p.extension().is_some_and(|e| e == "toml"));
+        if scenarios.is_empty() {
             return Err(format!("{}: there is no day in it", path.display()));
         }
-        days.sort_unstable();
-        all.extend(days);
+        scenarios.sort_unstable();
+        all.extend(scenarios);
     }
     Ok(all)
 }
@@ -106,7 +106,7 @@
     let count = plans.len();
     play_all(&plans, order.jobs, |n, outcome| {
         let plan = &plans[n];
-        report::table(&plan.day.name, plan.seed, &outcome)
+        report::table(&plan.scenario.name, plan.seed, &outcome)
             .iter()
             .for_each(|l| println!("{l}"));
         if let Some(dir) = &order.out {
@@ -141,19 +141,19 @@
     mut each: impl FnMut(usize, Outcome) -> Result<(), String>,
 ) -> Result<(), String> {
     let jobs = jobs.clamp(1, plans.len().max(1));
-    let (next, (told, heard)) = (AtomicUsize::new(0), mpsc::channel());
+    let (next, (notified, heard)) = (AtomicUsize::new(0), mpsc::channel());
     let single = jobs == 1;
     let all = bar(if single { "" } else { "days" });
     all.set_length(plans.len() as u64);
     thread::scope(|scope| {
         for _ in 0..jobs {
-            let (told, next, all) = (told.clone(), &next, &all);
+            let (notified, next, all) = (notified.clone(), &next, &all);
             scope.spawn(move || {
                 loop {
                     let n = next.fetch_add(1, Ordering::Relaxed);
                     let Some(plan) = plans.get(n) else { return };
                     if single {
-                        all.set_message(plan.day.name.clone());
+                        all.set_message(plan.scenario.name.clone());
                     }
                     let outcome = play(plan, |now, end| {
                         // One at a time shows how far it is; several show how many are done.
@@ -165,27 +165,27 @@
                     if !single {
                         all.inc(1);
                     }
-                    if told.send((n, outcome)).is_err() {
+                    if notified.send((n, outcome)).is_err() {
                         return;
                     }
                 }
             });
         }
-        drop(told);
+        drop(notified);
         let (mut waiting, mut turn) = (BTreeMap::new(), 0);
         let mut result = Ok(());
         for (n, outcome) in heard {
             waiting.insert(n, outcome);
             while let Some(outcome) = waiting.remove(&turn) {
-                let said = match outcome {
+                let printed = match outcome {
                     Ok(outcome) => all.suspend(|| each(turn, outcome)),
                     Err(why) => Err(why.to_string()),
                 };
                 turn += 1;
-                if said.is_err() {
+                if printed.is_err() {
                     // What has begun is played to its end; nothing more begins.
                     next.store(plans.len(), Ordering::Relaxed);
-                    result = result.and(said);
+                    result = result.and(printed);
                 }
             }
         }
@@ -195,8 +195,8 @@
 }
 
 fn plan(text: &str, seed: u64, order: &Order) -> Result<Plan, String> {
-    let mut day = day::parse_for(text, seed, order.senders).map_err(|e| e.to_string())?;
-    if day.fleet.is_some() || !day.breaks.is_empty() {
+    let mut scenario = scenario::parse_for(text, seed, order.senders).map_err(|e| e.to_string())?;
+    if scenario.fleet.is_some() || !scenario.breaks.is_empty() {
         return Err("the day breaks ways between senders: play it with `cranehill rig`".into());
     }
     let mut against = None;
@@ -208,55 +208,55 @@
                 ));
             }
         }
-        if !day.signals.is_empty() || !day.acts.is_empty() {
+        if !scenario.signals.is_empty() || !scenario.acts.is_empty() {
             return Err(
                 "the day ends or kills senders, which --against does not: drop its [[signal]]"
                     .into(),
             );
         }
-        if day.load.push.is_some() {
+        if scenario.load.push.is_some() {
             return Err(
                 "the day has push services, which a sender can't be told of while it runs".into(),
             );
         }
-        day.senders = 1;
+        scenario.senders = 1;
         against = Some(Against { clients, directory });
     }
     let program = std::env::current_exe().map_err(|e| format!("this program's own file: {e}"))?;
     Ok(Plan {
-        day,
+        scenario,
         seed,
         program,
         limits: Limits::default(),
-        breakage: None,
+        mutation: None,
         against,
     })
 }
 
-/// Plays each breakage of `broken` on its day: false if one is not caught by its rule, or if this program breaks a rule on
+/// Plays each mutation of `broken` on its day: false if one is not caught by its rule, or if this program breaks a rule on
 /// one of these days.
-pub fn breakages(broken: &Path, order: &Order) -> Result<bool, String> {
-    let mut days: Vec<&str> = CASES.iter().map(|c| c.day).collect();
-    days.sort_unstable();
-    days.dedup();
+pub fn mutations(broken: &Path, order: &Order) -> Result<bool, String> {
+    let mut scenarios: Vec<&str> = CASES.iter().map(|c| c.scenario).collect();
+    scenarios.sort_unstable();
+    scenarios.dedup();
     let mut plans = Vec::new();
-    for text in &days {
+    for text in &scenarios {
         plans.push(plan(text, order.seed, order)?);
     }
     for case in CASES {
-        let sound = plan(case.day, order.seed, order)?;
+        let sound = plan(case.scenario, order.seed, order)?;
         plans.push(Plan {
             program: broken.to_owned(),
-            breakage: Some(case.name.into()),
+            mutation: Some(case.name.into()),
             ..sound
         });
     }
     let mut all = true;
     play_all(&plans, order.jobs, |n, mut outcome| {
         let plan = &plans[n];
-        let Some(case) = n.checked_sub(days.len()).map(|n| CASES[n]) else {
+        let Some(case) = n.checked_sub(scenarios.len()).map(|n| CASES[n]) else {
             if !outcome.holds() {
-                report::table(&plan.day.name, plan.seed, &outcome)
+                report::table(&plan.scenario.name, plan.seed, &outcome)
                     .iter()
                     .for_each(|l| println!("{l}"));
             }
@@ -277,7 +277,10 @@
         if !caught(&outcome) && outcome.unclear() {
             outcome = play(plan, |_, _| {}).map_err(|e| e.to_string())?;
         }
-        let by: Vec<&str> = report::broken(&outcome).iter().map(|r| r.says()).collect();
+        let by: Vec<&str> = report::broken(&outcome)
+            .iter()
+            .map(|r| r.description())
+            .collect();
         let verdict = if caught(&outcome) {
             "caught"
         } else {
@@ -299,7 +302,7 @@
 pub fn measure(setup: &measure::Setup, rate: Option<f64>) -> Result<bool, String> {
     let program = std::env::current_exe().map_err(|e| format!("this program's own file: {e}"))?;
     println!("{}", Step::HEADING);
-    let told = |step: &Step| {
+    let notified = |step: &Step| {
         println!("{}", step.line());
         // What a rig that can't keep up sees is no proof.
         step.wrong
@@ -309,10 +312,10 @@
     };
     if let Some(rate) = rate {
         let step = measure::step(&program, setup, rate).map_err(|e| e.to_string())?;
-        told(&step);
+        notified(&step);
         return Ok(step.sustained());
     }
-    let Some(best) = measure::highest(&program, setup, told).map_err(|e| e.to_string())? else {
+    let Some(best) = measure::highest(&program, setup, notified).map_err(|e| e.to_string())? else {
         return Ok(false);
     };
     println!(
@@ -323,7 +326,7 @@
         span: setup.span * 3,
         ..*setup
     };
-    told(&measure::step(&program, &longer, best.rate / 2.0).map_err(|e| e.to_string())?);
+    notified(&measure::step(&program, &longer, best.rate / 2.0).map_err(|e| e.to_string())?);
     Ok(true)
 }
 
--- a/crates/cranehill/src/rig.rs
+++ b/crates/cranehill/src/rig.rs
@@ -4,7 +4,7 @@
 
 use cranehill_fleet_harness::{Report, SCENARIOS, play, scenario, table, write};
 use cranehill_scenario_runner::{Limits, Plan};
-use cranehill_simulation::day;
+use cranehill_simulation::scenario;
 
 use crate::rehearse::bar;
 
@@ -37,21 +37,21 @@
             )
         })?,
     };
-    let mut day = day::parse_with_hollow(&text, order.seed, order.nodes, order.hollow)
+    let mut scenario = scenario::parse_with_hollow(&text, order.seed, order.nodes, order.hollow)
         .map_err(|e| format!("{name}: {e}"))?;
     if order.alone && order.hollow > 0 {
         return Err("--hollow: senders that do not know each other have no other members".into());
     }
     if order.alone {
-        day.fleet = None;
+        scenario.fleet = None;
     }
     let program = std::env::current_exe().map_err(|e| format!("this program's own file: {e}"))?;
     let plan = Plan {
-        day,
+        scenario,
         seed: order.seed,
         program,
         limits: Limits::default(),
-        breakage: None,
+        mutation: None,
         against: None,
     };
     let progress = bar(name);
--- a/crates/cranehill/tests/capacity.rs
+++ b/crates/cranehill/tests/capacity.rs
@@ -25,7 +25,7 @@
 fn sizes_that_cant_be_played_are_one_line_with_the_place_and_exit_code_2() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("sizes.toml");
-    for (sizes, told) in [
+    for (sizes, notified) in [
         (
             "# sizes\nmembers = [10, 0, 30]\n",
             "line 2: members: the size 0 measures nothing",
@@ -45,7 +45,10 @@
             (Some(2), 0, 1),
             "{line}"
         );
-        assert!(line.contains(path(&file)) && line.contains(told), "{line}");
+        assert!(
+            line.contains(path(&file)) && line.contains(notified),
+            "{line}"
+        );
     }
     let out = run(&["--sweep", "hopes"]);
     assert_eq!(out.status.code(), Some(2));
--- a/crates/cranehill/tests/cli.rs
+++ b/crates/cranehill/tests/cli.rs
@@ -124,12 +124,12 @@
             .env("NODE_STATE", state.path())
             .output()
             .expect("it runs");
-        let said = text(&out.stderr);
+        let printed = text(&out.stderr);
         assert_eq!(
-            (out.status.code(), said.lines().count()),
+            (out.status.code(), printed.lines().count()),
             (Some(2), 1),
-            "{senders}: {said}"
+            "{senders}: {printed}"
         );
-        assert!(said.contains(why), "{senders}: {said}");
+        assert!(printed.contains(why), "{senders}: {printed}");
     }
 }
--- a/crates/cranehill/tests/cold_fleet.rs
+++ b/crates/cranehill/tests/cold_fleet.rs
@@ -6,7 +6,7 @@
 use cranehill_fleet_harness::scenario;
 use cranehill_scenario_runner::{Limits, Outcome, Plan, play, report};
 use cranehill_simulation::audit::{Rule, Verdict, What};
-use cranehill_simulation::day;
+use cranehill_simulation::scenario;
 
 const SEED: u64 = 1;
 /// The destination that fails.
@@ -14,15 +14,15 @@
 
 fn played(senders: usize) -> Outcome {
     let text = scenario("cold-return").expect("a scenario of the program");
-    let day = day::parse_for(text, SEED, Some(senders)).expect("a good day");
+    let scenario = scenario::parse_for(text, SEED, Some(senders)).expect("a good day");
     let program = env!("CARGO_BIN_EXE_cranehill").into();
     let limits = Limits::default();
     let plan = Plan {
-        day,
+        scenario,
         seed: SEED,
         program,
         limits,
-        breakage: None,
+        mutation: None,
         against: None,
     };
     play(&plan, |_, _| {}).expect("it plays")
@@ -30,21 +30,21 @@
 
 /// Senders that called the destination once it was back, and those of them to which it had failed before.
 fn returned(outcome: &Outcome) -> (BTreeSet<usize>, BTreeSet<usize>) {
-    let (mut back, mut after, mut told) = (false, BTreeSet::new(), BTreeSet::new());
+    let (mut back, mut after, mut notified) = (false, BTreeSet::new(), BTreeSet::new());
     for line in &outcome.lines {
         match &line.what {
             What::Back { .. } => back = true,
             What::Broke {
                 destination: COLD, ..
-            } if !back => told.extend(line.sender),
+            } if !back => notified.extend(line.sender),
             What::Called {
                 destination: COLD, ..
             } if back => after.extend(line.sender),
             _ => {}
         }
     }
-    let returned_told = after.intersection(&told).copied().collect();
-    (after, returned_told)
+    let returned_notified = after.intersection(&notified).copied().collect();
+    (after, returned_notified)
 }
 
 /// The bound is on the sum of all processes, so that more of them must not mean more calls. Judged by the auditor, which sees the
@@ -63,12 +63,12 @@
                     .find(|(rule, _)| *rule == Rule::Return);
                 let judged = matches!(verdict, Some((_, Verdict::Kept { cases })) if *cases > 50);
                 assert!(judged, "too few calls to a cold destination: {table}");
-                let (after, told) = returned(&outcome);
+                let (after, notified) = returned(&outcome);
                 assert!(
-                    !told.is_empty(),
+                    !notified.is_empty(),
                     "{senders} senders: nobody had been told: {table}"
                 );
-                let never_saw = after.len() - told.len();
+                let never_saw = after.len() - notified.len();
                 assert!(
                     senders == 2 || never_saw > 0,
                     "{senders} senders: all had been told: {table}"
--- a/crates/cranehill/tests/common/mod.rs
+++ b/crates/cranehill/tests/common/mod.rs
@@ -185,15 +185,15 @@
 
 pub fn put(id: &str, names: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = b"*5\r\n".to_vec();
-    for word in [
+    for text_token in [
         b"MSG.PUT" as &[u8],
         b"0000000000000000",
         id.as_bytes(),
         names.as_bytes(),
         body,
     ] {
-        bytes.extend_from_slice(format!("${}\r\n", word.len()).as_bytes());
-        bytes.extend_from_slice(word);
+        bytes.extend_from_slice(format!("${}\r\n", text_token.len()).as_bytes());
+        bytes.extend_from_slice(text_token);
         bytes.extend_from_slice(b"\r\n");
     }
     bytes
@@ -261,15 +261,15 @@
 
 /// A platform whose list changes to this one when it is told so.
 pub fn changing(to: String) -> (StandIn, Arc<AtomicBool>) {
-    let told = Arc::new(AtomicBool::new(false));
-    let tell = told.clone();
+    let notified = Arc::new(AtomicBool::new(false));
+    let notify = notified.clone();
     let platform = StandIn::new(move |request, _| match request.path.as_str() {
         "/v1/notices" => Reply::status(204),
         path if path.contains("from=1&") => {
-            wait_for(&told);
+            wait_for(&notified);
             Reply::Bytes(cranehill_daemon::http::write_response(200, "OK", &[], &to))
         }
         _ => Reply::Silent,
     });
-    (platform.expect("platform"), tell)
+    (platform.expect("platform"), notify)
 }
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -12,7 +12,7 @@
 use cranehill_membership::seal::{Kind, seal};
 use cranehill_scenario_runner::{Limits, Plan, node_config, report};
 use cranehill_simulation::audit::What;
-use cranehill_simulation::day;
+use cranehill_simulation::scenario;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
 
@@ -58,13 +58,13 @@
 "#;
 
 fn plan() -> Plan {
-    let day = day::parse(DAY, 1).expect("a good day");
+    let scenario = scenario::parse(DAY, 1).expect("a good day");
     Plan {
-        day,
+        scenario,
         seed: 1,
         program: PROGRAM.into(),
         limits: Limits::default(),
-        breakage: None,
+        mutation: None,
         against: None,
     }
 }
@@ -83,8 +83,11 @@
     );
     let timeline = Timeline::read(&outcome.logs, &outcome.lines, outcome.began);
     let states = |by: usize, of: usize| -> Vec<(&str, u64)> {
-        let about = timeline.said.iter().filter(|s| s.by == by && s.of == of);
-        about.map(|s| (s.state.as_str(), s.life)).collect()
+        let about = timeline
+            .state_changes
+            .iter()
+            .filter(|s| s.by == by && s.of == of);
+        about.map(|s| (s.state.as_str(), s.incarnation)).collect()
     };
     // The killed one is down for all that live, and stays so.
     for by in 0..4 {
@@ -95,16 +98,17 @@
         );
     }
     // The stopped one is suspected, then down, then back under a higher life.
-    let said = states(0, 3);
+    let printed = states(0, 3);
     let first = |state: &str| {
-        said.iter()
+        printed
+            .iter()
             .position(|s| s.0 == state)
-            .unwrap_or_else(|| panic!("{said:?}: {shown}"))
+            .unwrap_or_else(|| panic!("{printed:?}: {shown}"))
     };
     let (suspect, down) = (first("suspect"), first("down"));
     assert!(
-        suspect < down && said[down + 1].0 == "alive" && said[down + 1].1 > said[down].1,
-        "{said:?}"
+        suspect < down && printed[down + 1].0 == "alive" && printed[down + 1].1 > printed[down].1,
+        "{printed:?}"
     );
     // Across the cut they lose sight of each other, and find each other again.
     assert!(states(0, 2).iter().any(|s| s.0 == "down"), "{shown}");
@@ -289,11 +293,11 @@
     for (fleet, key, why) in cases {
         let folder = tempfile::tempdir().expect("a folder");
         let output = alone(folder.path(), &fleet, key).output().expect("it runs");
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{fleet}: {said}");
+        let printed = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{fleet}: {printed}");
         assert!(
-            said.lines().count() == 1 && said.contains(why),
-            "{fleet}: {said}"
+            printed.lines().count() == 1 && printed.contains(why),
+            "{fleet}: {printed}"
         );
     }
 }
@@ -331,7 +335,7 @@
 "#
     );
     let plan = Plan {
-        day: day::parse(&text, 2).expect("a good day"),
+        scenario: scenario::parse(&text, 2).expect("a good day"),
         ..plan()
     };
     let (outcome, passed) = play(&plan, |_, _| {}).expect("it plays");
@@ -349,11 +353,11 @@
             .count()
     };
     for sender in 0..5 {
-        let lives = if sender < 3 { 2 } else { 1 };
+        let processes = if sender < 3 { 2 } else { 1 };
         let full = log(sender, "recovery: full service");
         assert_eq!(
             (log(sender, "recovery: recovering"), full),
-            (lives, lives),
+            (processes, processes),
             "{sender}: {shown}"
         );
         let view = outcome.views[sender]
@@ -362,8 +366,8 @@
         assert_eq!(view["recovery"]["state"], "full", "{view}");
     }
     // The first lives had nothing; the second ones remember, but for the one without its folder.
-    let remembered: Vec<usize> = (0..3).map(|s| log(s, "partners remembered")).collect();
-    assert_eq!(remembered, [1, 1, 0], "{shown}");
+    let completed: Vec<usize> = (0..3).map(|s| log(s, "partners remembered")).collect();
+    assert_eq!(completed, [1, 1, 0], "{shown}");
 }
 
 /// Guards recovery over journals that end too early, each at another place: what can still be read is owed and ends in time,
@@ -390,7 +394,7 @@
 "#
     );
     let plan = Plan {
-        day: day::parse(&text, 4).expect("a good day"),
+        scenario: scenario::parse(&text, 4).expect("a good day"),
         ..plan()
     };
     let (outcome, passed) = play(&plan, |_, _| {}).expect("it plays");
@@ -409,7 +413,7 @@
         [1, 2, 1, 0, 0],
         "{shown}"
     );
-    for (sender, lives) in [2, 3, 2, 1, 1].into_iter().enumerate() {
+    for (sender, processes) in [2, 3, 2, 1, 1].into_iter().enumerate() {
         let full = outcome
             .logs
             .iter()
@@ -417,8 +421,8 @@
             .count();
         // A sender that is killed while it comes back need not have been full between.
         assert!(
-            full + 1 >= lives && full >= 1,
-            "{sender}: full {full} times in {lives} lives: {shown}"
+            full + 1 >= processes && full >= 1,
+            "{sender}: full {full} times in {processes} lives: {shown}"
         );
     }
 }
@@ -475,7 +479,7 @@
 #[test]
 fn a_zone_is_left_and_returned_to_by_all_and_not_for_one() {
     let plan = Plan {
-        day: day::parse(ZONES, 3).expect("a good day"),
+        scenario: scenario::parse(ZONES, 3).expect("a good day"),
         ..plan()
     };
     let (outcome, passed) = play(&plan, |_, _| {}).expect("it plays");
@@ -499,15 +503,15 @@
         "{shown}"
     );
     for sender in 0..4 {
-        let said: Vec<&str> = timeline
+        let printed: Vec<&str> = timeline
             .zones
             .iter()
             .filter(|z| z.1 == sender)
             .map(|z| z.3.as_str())
             .collect();
         assert!(
-            said.starts_with(&["left", "returning"]),
-            "{sender}: {said:?}: {shown}"
+            printed.starts_with(&["left", "returning"]),
+            "{sender}: {printed:?}: {shown}"
         );
         let view = outcome.views[sender]
             .as_ref()
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -416,19 +416,21 @@
         "{missed:?}"
     );
     // What is left out is the same as these.
-    let push = |words: &str| rehearsal::parse(&format!("push one{words}")).expect("a script");
+    let push =
+        |arguments: &str| rehearsal::parse(&format!("push one{arguments}")).expect("a script");
     assert_eq!(push(""), push(" ttl=20 body=one"));
     assert_ne!(push(""), push(" body=two"));
     assert_ne!(push(""), push(" urgency=high"));
     assert_ne!(push(" topic=one"), push(" topic=two"));
-    let expect = |words: &str| rehearsal::parse(&format!("push one\nexpect one delivered{words}"));
+    let expect =
+        |arguments: &str| rehearsal::parse(&format!("push one\nexpect one delivered{arguments}"));
     assert_eq!(expect(""), expect(" within 21"));
     assert_ne!(expect(""), expect(" attempts 1"));
 }
 
 #[test]
 fn every_misspelt_word_of_a_push_script_is_an_error_at_its_line() {
-    let words = [
+    let arguments = [
         "service",
         "answers",
         "silent",
@@ -450,8 +452,10 @@
         "given-up",
         "invalid",
     ];
-    let is_word = |token: &str, word: &str| token == word || token.starts_with(&format!("{word}="));
-    for word in words {
+    let is_word = |token: &str, text_token: &str| {
+        token == text_token || token.starts_with(&format!("{text_token}="))
+    };
+    for text_token in arguments {
         let mut found = 0;
         for (index, line) in EVERY_WORD
             .lines()
@@ -462,10 +466,11 @@
             let named = line.starts_with("push") || line.starts_with("expect");
             let mut tokens: Vec<String> = line.split_whitespace().map(str::to_owned).collect();
             let place =
-                (0..tokens.len()).find(|&n| !(named && n == 1) && is_word(&tokens[n], word));
+                (0..tokens.len()).find(|&n| !(named && n == 1) && is_word(&tokens[n], text_token));
             let Some(place) = place else { continue };
             found += 1;
-            tokens[place] = tokens[place].replacen(word, &format!("{word}-misspelt"), 1);
+            tokens[place] =
+                tokens[place].replacen(text_token, &format!("{text_token}-misspelt"), 1);
             let mut lines: Vec<&str> = EVERY_WORD.lines().collect();
             let changed = tokens.join(" ");
             lines[index] = &changed;
@@ -475,7 +480,7 @@
                 "{changed}: {error}"
             );
         }
-        assert!(found > 0, "{word} is not in the script");
+        assert!(found > 0, "{text_token} is not in the script");
     }
 }
 
@@ -660,7 +665,7 @@
     assert_eq!(report["day"], "A short scenario, for its report");
     let mut found = BTreeSet::new();
     key_paths(&report, "", &mut found);
-    // A breach that a busy machine brings has keys of its own, which a quiet one never shows.
+    // A violation that a busy machine brings has keys of its own, which a quiet one never shows.
     found.retain(|path| !path.starts_with("/rules/*/breaches/"));
     let found: String = found.iter().map(|path| format!("{path}\n")).collect();
     assert_eq!(found, REPORT_KEYS);
--- a/crates/cranehill/tests/handover.rs
+++ b/crates/cranehill/tests/handover.rs
@@ -15,9 +15,9 @@
 use cranehill_daemon::reactor::State;
 use cranehill_scenario_runner::{Limits, Plan, play, report};
 use cranehill_simulation::audit::What;
-use cranehill_simulation::day;
+use cranehill_simulation::scenario;
 
-fn beside(known: &str, platform: &StandIn, dir: &Path) -> Running {
+fn state_file(known: &str, platform: &StandIn, dir: &Path) -> Running {
     start_as(known, platform, |setup| {
         setup.operator = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
         setup.state = Some(State {
@@ -32,15 +32,15 @@
 
 /// Tells of each call, and answers as `reply` says.
 fn endpoint(reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> (StandIn, Calls) {
-    let (said, heard) = channel();
-    let said = std::sync::Mutex::new(said);
+    let (printed, heard) = channel();
+    let printed = std::sync::Mutex::new(printed);
     let stand_in = StandIn::new(move |request, _| {
         let id = http::header(&request.headers, "X-Txn")
             .unwrap_or_default()
             .to_owned();
         let reply = reply(&id);
-        if let Ok(said) = said.lock() {
-            let _ = said.send((id, Instant::now()));
+        if let Ok(printed) = printed.lock() {
+            let _ = printed.send((id, Instant::now()));
         }
         reply
     });
@@ -56,7 +56,7 @@
 fn a_new_process_goes_on_where_the_old_one_stops() {
     let (plain, calls) = endpoint(|_| Reply::status(200));
     let waits = Duration::from_secs(3);
-    let (told, turned_away) = endpoint(|id| match id {
+    let (notified, evicted_connections) = endpoint(|id| match id {
         "00000000000000a8" => Reply::wait(429, "3"),
         _ => Reply::status(200),
     });
@@ -64,11 +64,11 @@
         1,
         &[
             ("a", plain.address, 7, "station"),
-            ("b", told.address, 8, "station"),
+            ("b", notified.address, 8, "station"),
         ],
     );
     let (platform, folder) = (platform(), tempfile::tempdir().expect("a folder"));
-    let old = beside(&known, &platform, folder.path());
+    let old = state_file(&known, &platform, folder.path());
     let mut client = Client::new(old.clients);
     assert_eq!(client.put("00000000000000a7", SEVEN, b"first"), "+OK");
     assert_eq!(
@@ -79,12 +79,12 @@
         client.put("00000000000000a8", EIGHT, b"told to wait"),
         "+OK"
     );
-    let (_, first) = turned_away.recv_timeout(SOON).expect("a call");
+    let (_, first) = evicted_connections.recv_timeout(SOON).expect("a call");
     // Heard by the sender before the next answer: both are dealt with in one turn at the latest.
     assert_eq!(client.put("00000000000000b8", EIGHT, b"waits"), "+OK");
     let request = put("00000000000000b7", SEVEN, b"in two pieces");
     client.send(&request[..30]);
-    let new = beside(&known, &platform, folder.path());
+    let new = state_file(&known, &platform, folder.path());
     assert_eq!(new.clients, old.clients, "one listener");
     client.send(&request[30..]);
     assert_eq!(client.line(), "+OK");
@@ -94,9 +94,9 @@
     );
     // Once more inside the wait: the second process has never called that destination, and knows of the wait all the same.
     let old = new;
-    let new = beside(&known, &platform, folder.path());
+    let new = state_file(&known, &platform, folder.path());
     assert_eq!(new.clients, old.clients);
-    let (_, again) = turned_away.recv_timeout(SOON).expect("a call");
+    let (_, again) = evicted_connections.recv_timeout(SOON).expect("a call");
     assert!(
         again - first >= waits,
         "the wait was told to one sender: {:?}",
@@ -114,7 +114,7 @@
     let (plain, calls) = endpoint(|_| Reply::status(200));
     let known = list(1, &[("a", plain.address, 7, "station")]);
     let (platform, folder) = (platform(), tempfile::tempdir().expect("a folder"));
-    let old = beside(&known, &platform, folder.path());
+    let old = state_file(&known, &platform, folder.path());
     let ask = |bytes: &[u8]| {
         let mut stream = UnixStream::connect(folder.path().join("handover")).expect("the socket");
         stream.write_all(bytes).expect("written");
@@ -123,8 +123,8 @@
     for round in 0..3 {
         let silent = ask(b"");
         let noise = ask(b"GET / HTTP/1.1\r\n\r\n");
-        let gone = ask(b"hand-o1\n");
-        drop((silent, noise, gone));
+        let removed = ask(b"hand-o1\n");
+        drop((silent, noise, removed));
         let id = format!("{round:016x}");
         assert_eq!(Client::new(old.clients).put(&id, SEVEN, b"x"), "+OK");
         assert_eq!(calls.recv_timeout(SOON).expect("a call").0, id);
@@ -138,7 +138,7 @@
     let (silent, calls) = endpoint(|_| Reply::Silent);
     let known = list(1, &[("a", silent.address, 7, "station")]);
     let (platform, folder) = (platform(), tempfile::tempdir().expect("a folder"));
-    let old = beside(&known, &platform, folder.path());
+    let old = state_file(&known, &platform, folder.path());
     assert_eq!(
         Client::new(old.clients).put("00000000000000a7", SEVEN, b"owed"),
         "+OK"
@@ -149,7 +149,7 @@
     );
     std::fs::remove_file(folder.path().join("handover")).expect("the socket");
     let new = std::thread::scope(|scope| {
-        let starting = scope.spawn(|| beside(&known, &platform, folder.path()));
+        let starting = scope.spawn(|| state_file(&known, &platform, folder.path()));
         assert_eq!(
             Client::new(old.clients).put("00000000000000b7", SEVEN, b"still served"),
             "+OK"
@@ -157,12 +157,12 @@
         drop(old);
         starting.join().expect("it starts")
     });
-    let mut owed: Vec<String> = (0..3)
+    let mut outstanding: Vec<String> = (0..3)
         .map(|_| calls.recv_timeout(SOON).expect("a call").0)
         .collect();
-    owed.sort();
-    owed.dedup();
-    assert_eq!(owed, ["00000000000000a7", "00000000000000b7"]);
+    outstanding.sort();
+    outstanding.dedup();
+    assert_eq!(outstanding, ["00000000000000a7", "00000000000000b7"]);
     assert_eq!(
         Client::new(new.clients).put("00000000000000c7", SEVEN, b"new"),
         "+OK"
@@ -175,11 +175,11 @@
 fn upgrades_under_load_lose_nothing_also_when_one_process_is_killed() {
     let text = include_str!("../../../rehearsals/days/upgrade.toml").replace("120/s", "40/s");
     let plan = Plan {
-        day: day::parse(&text, 3).expect("a good day"),
+        scenario: scenario::parse(&text, 3).expect("a good day"),
         seed: 3,
         program: env!("CARGO_BIN_EXE_cranehill").into(),
         limits: Limits::default(),
-        breakage: None,
+        mutation: None,
         against: None,
     };
     let outcome = play(&plan, |_, _| {}).expect("it plays");
@@ -194,10 +194,10 @@
         let ready = |l: &&cranehill_simulation::audit::Line| {
             l.sender == Some(sender) && l.what == What::Ready
         };
-        let lives = outcome.lines.iter().filter(ready).count();
+        let processes = outcome.lines.iter().filter(ready).count();
         assert!(
-            lives >= 5,
-            "{sender} was ready {lives} times: once, and after each of its four upgrades"
+            processes >= 5,
+            "{sender} was ready {processes} times: once, and after each of its four upgrades"
         );
     }
 }
--- a/crates/cranehill/tests/hollow.rs
+++ b/crates/cranehill/tests/hollow.rs
@@ -8,7 +8,7 @@
 };
 use cranehill_fleet_harness::{Report, Timeline, play, table};
 use cranehill_scenario_runner::{Limits, Plan, report};
-use cranehill_simulation::day;
+use cranehill_simulation::scenario;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
 
@@ -59,13 +59,13 @@
 /// a time.
 #[test]
 fn real_senders_and_hollow_members_are_one_fleet() {
-    let day = day::parse_with_hollow(DAY, 1, None, HOLLOW).expect("a good day");
+    let scenario = scenario::parse_with_hollow(DAY, 1, None, HOLLOW).expect("a good day");
     let plan = Plan {
-        day,
+        scenario,
         seed: 1,
         program: PROGRAM.into(),
         limits: Limits::default(),
-        breakage: None,
+        mutation: None,
         against: None,
     };
     let (outcome, traffic) = play(&plan, |_, _| {}).expect("it plays");
@@ -80,10 +80,10 @@
     timeline.add_hollow(hollow);
     let states = |by: usize, of: usize| -> Vec<&str> {
         let about = timeline
-            .said
+            .state_changes
             .iter()
-            .filter(|said| said.by == by && said.of == of);
-        about.map(|said| said.state.as_str()).collect()
+            .filter(|printed| printed.by == by && printed.of == of);
+        about.map(|printed| printed.state.as_str()).collect()
     };
     let killed = [KILLED_REAL, KILLED_HOLLOW];
     for by in (0..SENDERS + HOLLOW).filter(|by| !killed.contains(by)) {
@@ -93,25 +93,25 @@
             } else {
                 "alive"
             };
-            let said = states(by, of);
+            let printed = states(by, of);
             assert!(
-                said.contains(&"alive"),
-                "{by} never saw {of}: {said:?}\n{shown}"
+                printed.contains(&"alive"),
+                "{by} never saw {of}: {printed:?}\n{shown}"
             );
             assert_eq!(
-                said.last(),
+                printed.last(),
                 Some(&last),
-                "{of} as {by} sees it: {said:?}\n{shown}"
+                "{of} as {by} sees it: {printed:?}\n{shown}"
             );
         }
     }
     // Across the cut: real to hollow, hollow to real, hollow to hollow.
     for (by, of) in [(0, 10), (10, 0), (2, 10), (10, 2)] {
-        let said = states(by, of);
-        let down = said.iter().position(|state| *state == "down");
+        let printed = states(by, of);
+        let down = printed.iter().position(|state| *state == "down");
         assert!(
-            down.is_some_and(|down| said[down..].contains(&"alive")),
-            "{by} of {of}: {said:?}\n{shown}"
+            down.is_some_and(|down| printed[down..].contains(&"alive")),
+            "{by} of {of}: {printed:?}\n{shown}"
         );
     }
     assert!(judged.largest_share <= 1.0, "{shown}");
@@ -210,11 +210,11 @@
             .args(arguments)
             .output()
             .expect("it runs");
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {said}");
+        let printed = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {printed}");
         assert!(
-            said.lines().count() == 1 && said.contains(why),
-            "{arguments:?}: {said}"
+            printed.lines().count() == 1 && printed.contains(why),
+            "{arguments:?}: {printed}"
         );
     }
 }
--- a/crates/cranehill/tests/journal.rs
+++ b/crates/cranehill/tests/journal.rs
@@ -98,13 +98,14 @@
     bytes[1000] ^= 4;
     std::fs::write(dir.path().join(&name), bytes).expect("written");
     let hit = run(&["journal", "verify", path]);
-    let said = text(&hit.stdout);
+    let printed = text(&hit.stdout);
     assert_eq!(hit.status.code(), Some(1));
     assert!(
-        said.lines()
+        printed
+            .lines()
             .next()
             .is_some_and(|l| l.starts_with(&format!("{name} at "))),
-        "{said}"
+        "{printed}"
     );
     assert_eq!(files(), before, "it only reads");
     let stats = text(&run(&["journal", "stats", path]).stdout);
@@ -119,10 +120,10 @@
         (vec!["export", path, "--format", "parquet"], "--out"),
     ] {
         let out = run(&[&["journal"], &args[..]].concat());
-        let said = text(&out.stderr);
+        let printed = text(&out.stderr);
         assert!(
-            out.status.code() == Some(2) && said.lines().count() == 1 && said.contains(why),
-            "{said}"
+            out.status.code() == Some(2) && printed.lines().count() == 1 && printed.contains(why),
+            "{printed}"
         );
     }
 }
@@ -251,10 +252,12 @@
             .expect("it runs")
     };
     let out = serve().wait_with_output().expect("it ends");
-    let said = text(&out.stderr);
+    let printed = text(&out.stderr);
     assert!(
-        out.status.code() == Some(2) && said.lines().count() == 1 && said.contains("format 2"),
-        "{said}"
+        out.status.code() == Some(2)
+            && printed.lines().count() == 1
+            && printed.contains("format 2"),
+        "{printed}"
     );
     assert_eq!(
         std::fs::read(&manifest).expect("a manifest"),
--- a/crates/cranehill/tests/operator.rs
+++ b/crates/cranehill/tests/operator.rs
@@ -48,12 +48,12 @@
 
 /// Two endpoints of destination 7 that say who was called with what.
 fn destination() -> (StandIn, StandIn, Receiver<(char, String)>) {
-    let (said, heard) = channel();
+    let (printed, heard) = channel();
     let endpoint = |name: char| {
-        let said = said.clone();
+        let printed = printed.clone();
         StandIn::new(move |request, _| {
             let id = http::header(&request.headers, "X-Txn").unwrap_or_default();
-            let _ = said.send((name, id.to_owned()));
+            let _ = printed.send((name, id.to_owned()));
             Reply::status(200)
         })
         .expect("endpoint")
--- a/crates/cranehill/tests/order.rs
+++ b/crates/cranehill/tests/order.rs
@@ -63,16 +63,16 @@
 
 /// A destination that answers the first call of `held` when it is told to, with `reply`, and all others at once.
 fn destination(held: &'static str, reply: fn() -> Reply) -> (StandIn, Arc<AtomicBool>) {
-    let told = Arc::new(AtomicBool::new(false));
-    let tell = told.clone();
+    let notified = Arc::new(AtomicBool::new(false));
+    let notify = notified.clone();
     let stand_in = StandIn::new(move |request, _| {
-        if txn(request) == held && !told.load(Ordering::Relaxed) {
-            wait_for(&told);
+        if txn(request) == held && !notified.load(Ordering::Relaxed) {
+            wait_for(&notified);
             return reply();
         }
         Reply::status(200)
     });
-    (stand_in.expect("destination"), tell)
+    (stand_in.expect("destination"), notify)
 }
 
 fn txn(request: &http::Request) -> &str {
@@ -211,7 +211,7 @@
 fn transferred(answered: bool) -> (Vec<String>, StandIn) {
     let (destination, release) = destination("a1", || Reply::status(200));
     let (platform, folder) = (platform(), tempfile::tempdir().expect("a folder"));
-    let beside = || {
+    let state_file = || {
         start_as(&known(&destination), &platform, |setup| {
             keep_order(setup);
             setup.operator = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
@@ -222,7 +222,7 @@
             });
         })
     };
-    let old = beside();
+    let old = state_file();
     hand_in(old.clients, "aa01", "a1");
     assert!(destination.wait_for(1, SOON));
     hand_in(old.clients, "aa01", "a2");
@@ -230,7 +230,7 @@
     hand_in(old.clients, "aa02", "b1");
     assert!(destination.wait_for(2, SOON));
     release.store(answered, Ordering::Relaxed);
-    let new = beside();
+    let new = state_file();
     release.store(true, Ordering::Relaxed);
     hand_in(new.clients, "aa01", "a3");
     soon("the last of the key comes", || {
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -165,13 +165,13 @@
         " x0=-3,x1=5",
         " x0=0.5,x1=1e300",
     ] {
-        let told = destinations::read(&response(&text(bad)), &["a"], Duration::ZERO);
+        let notified = destinations::read(&response(&text(bad)), &["a"], Duration::ZERO);
         assert_eq!(
-            (told.verdicts[0].status, told.wait),
+            (notified.verdicts[0].status, notified.wait),
             (Status::Overloaded, Some(Duration::from_secs(2))),
             "{bad:?}"
         );
-        assert!(told.report.is_none(), "{bad:?}");
+        assert!(notified.report.is_none(), "{bad:?}");
     }
     assert!(
         destinations::read(&response(&text(" x0=0.5,x1=5")), &["a"], Duration::ZERO)
@@ -179,9 +179,9 @@
             .is_some()
     );
     let batch = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[{";
-    let told = destinations::read(&response(batch), &["a", "b"], Duration::ZERO);
+    let notified = destinations::read(&response(batch), &["a", "b"], Duration::ZERO);
     assert_eq!(
-        told.verdicts,
+        notified.verdicts,
         [Verdict::of(Status::Spoilt); 2],
         "a spoilt answer of several may have run"
     );
@@ -189,8 +189,9 @@
 
 #[test]
 fn a_partners_answer_tells_of_each_notice_of_the_wait_and_of_the_limit() {
-    let told = |text: &str, ids: &[&str]| destinations::read(&response(text), ids, Duration::ZERO);
-    let one = |text: &str| told(text, &["a"]).verdicts[0];
+    let notified =
+        |text: &str, ids: &[&str]| destinations::read(&response(text), ids, Duration::ZERO);
+    let one = |text: &str| notified(text, &["a"]).verdicts[0];
     assert_eq!(
         one("HTTP/1.1 200 OK\r\n\r\n"),
         Verdict {
@@ -218,7 +219,7 @@
             over: true
         }
     );
-    let full = told(
+    let full = notified(
         "HTTP/1.1 429 F\r\nRetry-After: 0.75\r\nX-Pressure: x0=0.4,x1=25\r\n\r\n",
         &["a", "b"],
     );
@@ -233,7 +234,7 @@
     let limit = full.report.expect("a reading");
     assert_eq!((limit.left, limit.limit), (0.4, 25.0));
     let states = r#"[{"id":"b","state":"busy"},{"id":"a","state":"done"},{"id":"c","state":"failed"},{"id":"d","state":"void"},{"id":"e","state":"used_up"}]"#;
-    let mixed = told(
+    let mixed = notified(
         &format!("HTTP/1.1 200 OK\r\nRetry-After: 1\r\n\r\n{states}"),
         &["a", "b", "c", "d", "e", "f"],
     );
@@ -253,7 +254,7 @@
     assert_eq!(mixed.wait, Some(Duration::from_secs(1)));
     for nonsense in ["", "-1", "inf", "nan", "soon"] {
         assert_eq!(
-            told(
+            notified(
                 &format!("HTTP/1.1 429 F\r\nRetry-After: {nonsense}\r\n\r\n"),
                 &["a"]
             )
--- a/crates/cranehill/tests/rehearse.rs
+++ b/crates/cranehill/tests/rehearse.rs
@@ -5,23 +5,23 @@
 use std::process::Command;
 use std::thread;
 
-use cranehill_core::breakage::Breakage;
-use cranehill_scenario_runner::breakages::CASES;
+use cranehill_core::mutation::Mutation;
+use cranehill_scenario_runner::mutations::CASES;
 use cranehill_scenario_runner::{Limits, Outcome, Plan, play, report, report_files};
 use cranehill_simulation::audit::Rule;
-use cranehill_simulation::day;
+use cranehill_simulation::scenario;
 use parquet::file::reader::{FileReader, SerializedFileReader};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
 
 fn plan(text: &str, seed: u64) -> Plan {
-    let day = day::parse(text, seed).expect("a good day");
+    let scenario = scenario::parse(text, seed).expect("a good day");
     Plan {
-        day,
+        scenario,
         seed,
         program: PROGRAM.into(),
         limits: Limits::default(),
-        breakage: None,
+        mutation: None,
         against: None,
     }
 }
@@ -41,14 +41,14 @@
 #[test]
 fn a_short_set_of_days_breaks_no_rule() {
     // What each day is sure to have cases of.
-    let days = [
+    let scenarios = [
         ("broken-partners", vec![Rule::Waits, Rule::Idle]),
         ("broken-restarts", vec![Rule::OneEnd, Rule::Answers]),
         ("broken-unsafe", vec![Rule::OneEnd, Rule::Attempts]),
         ("push", vec![Rule::InTime, Rule::OneEnd]),
     ];
     thread::scope(|scope| {
-        for (name, rules) in days {
+        for (name, rules) in scenarios {
             scope.spawn(move || {
                 let path = Path::new(env!("CARGO_MANIFEST_DIR"))
                     .join("../../rehearsals/days")
@@ -113,10 +113,10 @@
 
 fn cranehill(args: &[&str]) -> (Option<i32>, String) {
     let output = Command::new(PROGRAM).args(args).output().expect("it runs");
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let printed = String::from_utf8_lossy(&output.stderr).into_owned();
     (
         output.status.code(),
-        said + &String::from_utf8_lossy(&output.stdout),
+        printed + &String::from_utf8_lossy(&output.stdout),
     )
 }
 
@@ -127,11 +127,11 @@
     let bad = dir.path().join("bad.toml");
     fs::write(&bad, SHORT.replace("30/s", "30")).expect("written");
     let bad = bad.to_str().expect("UTF-8");
-    let (code, said) = cranehill(&["rehearse", bad]);
-    assert_eq!(code, Some(2), "{said}");
+    let (code, printed) = cranehill(&["rehearse", bad]);
+    assert_eq!(code, Some(2), "{printed}");
     assert!(
-        said.contains("bad.toml: line 4: ") && said.contains("not a rate"),
-        "{said}"
+        printed.contains("bad.toml: line 4: ") && printed.contains("not a rate"),
+        "{printed}"
     );
     let empty = tempfile::tempdir().expect("a folder");
     for args in [
@@ -150,26 +150,26 @@
         vec!["rig", "no-such-scenario"],
         vec!["rig", "membership", "--nodes", "251"],
     ] {
-        let (code, said) = cranehill(&args);
-        assert_eq!(code, Some(2), "{args:?}: {said}");
+        let (code, printed) = cranehill(&args);
+        assert_eq!(code, Some(2), "{args:?}: {printed}");
     }
 }
 
-/// Breakages are never in the shipped binary: one that is told to break something does not start.
+/// Mutations are never in the shipped binary: one that is told to break something does not start.
 #[test]
 fn the_shipped_program_has_no_breakages() {
     let plan = Plan {
-        breakage: Some("two-copies".into()),
+        mutation: Some("two-copies".into()),
         ..plan(SHORT, 1)
     };
     let error = play(&plan, |_, _| {}).expect_err("a sender that does not start");
     assert!(error.to_string().contains("did not start"), "{error}");
 }
 
-/// A breakage that no day plays would never be seen to be caught.
+/// A mutation that no day plays would never be seen to be caught.
 #[test]
 fn each_breakage_has_a_day() {
-    let known: Vec<&str> = Breakage::ALL.iter().map(|(name, _)| *name).collect();
+    let known: Vec<&str> = Mutation::ALL.iter().map(|(name, _)| *name).collect();
     let played: Vec<&str> = CASES.iter().map(|case| case.name).collect();
     assert_eq!(known, played);
 }
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -32,7 +32,11 @@
 }
 
 /// A sender whose configuration, read again, says this; and how to tell it to read.
-fn start_with(known: &str, platform: &StandIn, says: Answers) -> (SocketAddr, Arc<AtomicBool>) {
+fn start_with(
+    known: &str,
+    platform: &StandIn,
+    description: Answers,
+) -> (SocketAddr, Arc<AtomicBool>) {
     let config = config(known, platform.address);
     let mut reactor = Reactor::new(Setup {
         site: config.site,
@@ -48,8 +52,10 @@
         sockets: 1024,
         memory: 192_000_000,
         reread: Some(Box::new(move || {
-            let mut says = says.lock().expect("answers");
-            says.pop_front().unwrap_or(Err("no configuration".into()))
+            let mut description = description.lock().expect("answers");
+            description
+                .pop_front()
+                .unwrap_or(Err("no configuration".into()))
         })),
     })
     .expect("the sender starts");
@@ -76,9 +82,9 @@
     let first = StandIn::new(|_, _| Reply::Silent).expect("platform");
     let second = listing(list(3, &[("b", other.address, 7, "station")]));
     let third = listing(list(2, &[("a", destination.address, 7, "station")]));
-    let says = Answers::default();
+    let description = Answers::default();
     let known = list(50, &[("a", destination.address, 7, "station")]);
-    let (clients, ask) = start_with(&known, &first, says.clone());
+    let (clients, ask) = start_with(&known, &first, description.clone());
     let mut client = Client::new(clients);
     let names = "c=episode-notice,d=20000,k=aa,dest=7";
     assert_eq!(client.put("m1", names, b"x"), "+OK");
@@ -87,7 +93,7 @@
         "the watch, and the report of what the partner rejects"
     );
     let reload = |answers: Vec<Result<SocketAddr, String>>, client: &mut Client| {
-        says.lock().expect("answers").extend(answers);
+        description.lock().expect("answers").extend(answers);
         ask.store(true, Ordering::Relaxed);
         // Wakes it, as the signal does.
         client.send(b"*1\r\n$4\r\nPING\r\n");
--- a/crates/cranehill/tests/restart.rs
+++ b/crates/cranehill/tests/restart.rs
@@ -205,11 +205,11 @@
     let platform = platform();
     let known = list(1, &[("a", destination.address, 7, "station")]);
     let mut taken = Vec::new();
-    for life in 0..4 {
+    for sender_process in 0..4 {
         let mut process = spawn(folder, &known, &platform);
         let mut client = Client::new(process.clients);
         for n in 0..12 {
-            let id = format!("life{life}-{n}");
+            let id = format!("life{sender_process}-{n}");
             if client.put(&id, NAMES, id.as_bytes()) == "+OK" {
                 taken.push(id);
             }
--- a/crates/cranehill/tests/short_window.rs
+++ b/crates/cranehill/tests/short_window.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use cranehill_scenario_runner::{Limits, Outcome, Plan, play, report};
-use cranehill_simulation::audit::{Answer, Fate, Rule, Verdict, What};
-use cranehill_simulation::day;
+use cranehill_simulation::audit::{Answer, DeliveryOutcome, Rule, Verdict, What};
 use cranehill_simulation::fleet::Fleet;
+use cranehill_simulation::scenario;
 
 const SEED: u64 = 1;
 /// Of the day's classes, the one that may be repeated at any time, and its ends by SIGKILL.
@@ -21,11 +21,11 @@
     let path =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../rehearsals/days/short-window.toml");
     let text = std::fs::read_to_string(path).expect("a file");
-    let mut day = day::parse(&text, SEED).expect("a good day");
+    let mut scenario = scenario::parse(&text, SEED).expect("a good day");
     if by_steps {
         let period = Duration::from_millis(500);
         let (round_trip, hold) = (Duration::from_millis(150), Duration::from_secs(10));
-        day.fleet = Some(Fleet {
+        scenario.fleet = Some(Fleet {
             period,
             round_trip,
             hold,
@@ -36,11 +36,11 @@
     let program = env!("CARGO_BIN_EXE_cranehill").into();
     let limits = Limits::default();
     let plan = Plan {
-        day,
+        scenario,
         seed: SEED,
         program,
         limits,
-        breakage: None,
+        mutation: None,
         against: None,
     };
     play(&plan, |_, _| {}).expect("it plays")
@@ -61,11 +61,14 @@
     for line in &outcome.lines {
         match &line.what {
             What::Submitted {
-                id, class, lasts, ..
+                id,
+                class,
+                duration,
+                ..
             } => {
                 times
                     .entry(id.clone())
-                    .or_insert((line.at + *lasts, *class));
+                    .or_insert((line.at + *duration, *class));
             }
             What::Answered {
                 id,
@@ -74,8 +77,11 @@
                 accepted.insert(id.clone());
             }
             What::Called { ids, .. } => may_have_run.extend(ids.iter().cloned()),
-            What::Replied { fates, .. } => {
-                for (id, _) in fates.iter().filter(|(_, fate)| *fate == Fate::Busy) {
+            What::Replied { outcomes, .. } => {
+                for (id, _) in outcomes
+                    .iter()
+                    .filter(|(_, delivery_outcome)| *delivery_outcome == DeliveryOutcome::Busy)
+                {
                     may_have_run.remove(id);
                 }
             }
--- a/crates/cranehill/tests/told_in_time.rs
+++ b/crates/cranehill/tests/told_in_time.rs
@@ -10,13 +10,13 @@
 use cranehill_daemon::reactor::{Order, Reactor, Setup};
 
 /// A change counts as told so long after discovery had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
-/// Longer than all that a play takes: several times [`TOLD`].
+const NOTIFIED: Duration = Duration::from_secs(6);
+/// Longer than all that a play takes: several times [`NOTIFIED`].
 const STUCK: Duration = Duration::from_secs(40);
 
 /// What becomes of the first calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
+enum DeliveryOutcome {
     /// Accepted, and never answered.
     Silent,
     /// Answered 503 with a wait far beyond what counts.
@@ -28,16 +28,16 @@
 }
 
 /// Discovery that fails its first calls and then has a newer list.
-fn discovery(fate: Fate, failures: usize) -> StandIn {
+fn discovery(outcome: DeliveryOutcome, failures: usize) -> StandIn {
     let newer = list(9, &[]);
-    StandIn::new(move |request, number| match fate {
+    StandIn::new(move |request, number| match outcome {
         _ if request.method == "POST" => Reply::status(204),
         _ if request.path.contains("from=9&") => Reply::Silent,
         _ if number >= failures => Reply::Bytes(http::write_response(200, "OK", &[], &newer)),
-        Fate::Silent => Reply::Silent,
-        Fate::RefusedWithWait => Reply::wait(503, "30"),
-        Fate::Refused => Reply::status(503),
-        Fate::Closed => Reply::Close,
+        DeliveryOutcome::Silent => Reply::Silent,
+        DeliveryOutcome::RefusedWithWait => Reply::wait(503, "30"),
+        DeliveryOutcome::Refused => Reply::status(503),
+        DeliveryOutcome::Closed => Reply::Close,
     })
     .expect("discovery")
 }
@@ -60,8 +60,8 @@
 }
 
 /// Plays one case: with lists pushed or asked for, and from the start or after a SIGHUP that moves discovery.
-fn play(fate: Fate, failures: usize, asked_for: bool, moved: bool) -> Duration {
-    let failing = discovery(fate, failures);
+fn play(outcome: DeliveryOutcome, failures: usize, asked_for: bool, moved: bool) -> Duration {
+    let failing = discovery(outcome, failures);
     let before = StandIn::new(|_, _| Reply::Silent).expect("discovery");
     let first = if moved {
         before.address
@@ -105,19 +105,19 @@
 
 #[test]
 fn a_newer_list_is_here_in_time_after_calls_that_failed_in_whatever_way() {
-    let fates = [
-        (Fate::Silent, 1),
-        (Fate::RefusedWithWait, 1),
-        (Fate::Refused, 2),
-        (Fate::Closed, 3),
+    let outcomes = [
+        (DeliveryOutcome::Silent, 1),
+        (DeliveryOutcome::RefusedWithWait, 1),
+        (DeliveryOutcome::Refused, 2),
+        (DeliveryOutcome::Closed, 3),
     ];
     std::thread::scope(|scope| {
         let mut plays = Vec::new();
-        for (fate, failures) in fates {
+        for (outcome, failures) in outcomes {
             for (asked_for, moved) in [(false, false), (false, true), (true, false), (true, true)] {
-                let played = scope.spawn(move || play(fate, failures, asked_for, moved));
+                let played = scope.spawn(move || play(outcome, failures, asked_for, moved));
                 plays.push((
-                    format!("{fate:?}, asked for: {asked_for}, moved: {moved}"),
+                    format!("{outcome:?}, asked for: {asked_for}, moved: {moved}"),
                     played,
                 ));
             }
@@ -125,7 +125,7 @@
         for (what, played) in plays {
             let taken = played.join().expect("played");
             println!("{what}: {taken:?}");
-            assert!(taken < TOLD, "{what}: {taken:?}");
+            assert!(taken < NOTIFIED, "{what}: {taken:?}");
         }
     });
 }
--- a/crates/cranehill/tests/told_wait.rs
+++ b/crates/cranehill/tests/told_wait.rs
@@ -12,10 +12,10 @@
 
 #[test]
 fn a_call_that_waits_for_its_connection_is_held_back_by_a_told_wait() {
-    let told = Arc::new(AtomicBool::new(false));
-    let tell = told.clone();
+    let notified = Arc::new(AtomicBool::new(false));
+    let notify = notified.clone();
     let first = StandIn::new(move |_, _| {
-        wait_for(&tell);
+        wait_for(&notify);
         Reply::wait(429, "60")
     })
     .expect("partner");
@@ -42,7 +42,7 @@
     // The first endpoint is busy, so this goes to the second, whose connection does not come up yet.
     assert_eq!(client.put("m2", names, b"y"), "+OK");
     std::thread::sleep(Duration::from_millis(100));
-    told.store(true, Ordering::Relaxed);
+    notified.store(true, Ordering::Relaxed);
     std::thread::sleep(Duration::from_millis(100));
     // Once this is answered, the wait, which was written before it, has been read.
     assert_eq!(
--- a/crates/cranehill/tests/webpush.rs
+++ b/crates/cranehill/tests/webpush.rs
@@ -90,11 +90,11 @@
             ("POST", "/subscription/abc")
         );
         assert_eq!(r.body, sealed);
-        let told = |name| header(&r.headers, name);
-        assert_eq!(told("Urgency"), Some("high"));
-        assert_eq!(told("Topic"), Some("show_1"));
-        assert_eq!(told("Content-Encoding"), Some("aes128gcm"));
-        let ttl: u64 = told("TTL").and_then(|t| t.parse().ok()).expect("a TTL");
+        let notified = |name| header(&r.headers, name);
+        assert_eq!(notified("Urgency"), Some("high"));
+        assert_eq!(notified("Topic"), Some("show_1"));
+        assert_eq!(notified("Content-Encoding"), Some("aes128gcm"));
+        let ttl: u64 = notified("TTL").and_then(|t| t.parse().ok()).expect("a TTL");
         assert!(
             (30..=60).contains(&ttl),
             "the time that is left, not more than was given: {ttl}"
@@ -157,13 +157,13 @@
     .expect("stand-in");
     let front = front(service.address, None);
     let first = thread::scope(|s| {
-        let told = s.spawn(|| post(&front, "one", &[("TTL", "15")], b"x"));
+        let notified = s.spawn(|| post(&front, "one", &[("TTL", "15")], b"x"));
         assert!(service.wait_for(1, SOON));
         // Another message for the same service, while the wait lasts.
         thread::sleep(Duration::from_millis(100));
         let other = s.spawn(|| post(&front, "two", &[("TTL", "15")], b"y"));
         assert_eq!(other.join().expect("answered").status, 201);
-        told.join().expect("answered")
+        notified.join().expect("answered")
     });
     assert_eq!(first.status, 201);
     let seen = service.seen();
--- a/crates/daemon/src/clients.rs
+++ b/crates/daemon/src/clients.rs
@@ -7,12 +7,12 @@
 use cranehill_core::{Answer, Message, Origin};
 
 /// The largest body of a message, and room for the words before it.
-const WORD_MOST: usize = 64 * 1024;
-const WORDS_MOST: usize = 16;
+const MAX_ARGUMENT_BYTES: usize = 64 * 1024;
+const MAX_ARGUMENTS: usize = 16;
 /// The longest key of a class that keeps its order; those of the platform have 16 characters.
 const MAX_ORDERING_KEY_BYTES: usize = 64;
 /// The longest request that may be waited for.
-pub const REQUEST_MOST: usize = WORD_MOST + 4096;
+pub const REQUEST_MOST: usize = MAX_ARGUMENT_BYTES + 4096;
 
 #[derive(Debug, PartialEq, Eq)]
 pub enum Request {
@@ -66,25 +66,25 @@
     let Some((head, mut at)) = line(bytes, 0)? else {
         return Ok(None);
     };
-    let words = count(head, b'*', WORDS_MOST)?;
-    let mut parts: Vec<&[u8]> = Vec::with_capacity(words);
+    let arguments = count(head, b'*', MAX_ARGUMENTS)?;
+    let mut parts: Vec<&[u8]> = Vec::with_capacity(arguments);
     let mut total = 0;
-    for _ in 0..words {
+    for _ in 0..arguments {
         let Some((head, next)) = line(bytes, at)? else {
             return Ok(None);
         };
-        let len = count(head, b'$', WORD_MOST)?;
+        let len = count(head, b'$', MAX_ARGUMENT_BYTES)?;
         total += len;
-        if total > WORD_MOST + 2048 {
+        if total > MAX_ARGUMENT_BYTES + 2048 {
             return Err(Broken("the request is too large"));
         }
-        let Some(word) = bytes.get(next..next + len + 2) else {
+        let Some(argument) = bytes.get(next..next + len + 2) else {
             return Ok(None);
         };
-        if &word[len..] != b"\r\n" {
+        if &argument[len..] != b"\r\n" {
             return Err(Broken("a bulk string must end in CR LF"));
         }
-        parts.push(&word[..len]);
+        parts.push(&argument[..len]);
         at = next + len + 2;
     }
     Ok(Some((command(&parts), at)))
--- a/crates/daemon/src/destinations.rs
+++ b/crates/daemon/src/destinations.rs
@@ -31,7 +31,7 @@
 
 /// What an answer says: of each message in the call, in order, and of the destination.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct DestinationResponse {
     pub verdicts: Vec<Verdict>,
     pub wait: Option<Duration>,
     pub report: Option<Report>,
@@ -93,7 +93,7 @@
 }
 
 /// Reads the answer to a call with these messages.
-pub fn read(response: &Response, ids: &[&str], unix_now: Duration) -> Told {
+pub fn read(response: &Response, ids: &[&str], unix_now: Duration) -> DestinationResponse {
     let wait = http::retry_after(&response.headers, unix_now);
     let not_sent = header(&response.headers, "x-no-slot").is_some_and(|v| v == "1");
     let all = match response.status {
@@ -115,14 +115,14 @@
         // 500, and what the page does not name: it may have been executed.
         _ => Verdict::of(Status::Error),
     };
-    Told {
+    DestinationResponse {
         verdicts: vec![all; ids.len()],
         wait,
         report: report(response),
     }
 }
 
-fn states(response: &Response, ids: &[&str], wait: Option<Duration>) -> Told {
+fn states(response: &Response, ids: &[&str], wait: Option<Duration>) -> DestinationResponse {
     let states: Vec<State> = match serde_json::from_slice(&response.body) {
         Ok(states) => states,
         Err(e) => {
@@ -130,7 +130,7 @@
                 "partners: the answer to a call of {} is not readable: {e}",
                 ids.len()
             );
-            return Told {
+            return DestinationResponse {
                 verdicts: vec![Verdict::of(Status::Spoilt); ids.len()],
                 wait,
                 report: None,
@@ -155,7 +155,7 @@
         // `failed`, or not told: it may have been executed.
         _ => Verdict::of(Status::Error),
     };
-    Told {
+    DestinationResponse {
         verdicts: ids.iter().map(verdict).collect(),
         wait,
         report: report(response),
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -44,7 +44,7 @@
 
 /// What an answer of the directory tells.
 #[derive(Debug)]
-pub struct Told {
+pub struct ParsedList {
     pub version: u64,
     /// All endpoints there are; else what has changed.
     pub whole: bool,
@@ -120,7 +120,7 @@
 
 /// The list in an answer. An entry that can't be read is left out and told; a list of which none can be read is an error,
 /// since as a whole list it would leave no endpoint at all.
-pub fn read(response: &http::Response, site: &Site) -> Result<Told, String> {
+pub fn read(response: &http::Response, site: &Site) -> Result<ParsedList, String> {
     if response.status != 200 {
         return Err(format!("the directory answered {}", response.status));
     }
@@ -136,7 +136,7 @@
     }
     match unread.first() {
         Some(why) if list.is_empty() => Err(why.clone()),
-        _ => Ok(Told {
+        _ => Ok(ParsedList {
             version: loose.version,
             whole: loose.full,
             list,
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -118,7 +118,8 @@
 #[serde(untagged)]
 enum Hold {
     For(Span),
-    Word(String),
+    #[serde(rename = "Word")]
+    Text(String),
 }
 
 /// What the file comes to.
@@ -176,9 +177,9 @@
         let hold = match &self.hold {
             None => Some(Duration::from_secs(30)),
             Some(Hold::For(span)) => Some(span.0),
-            Some(Hold::Word(word)) if word == "never" => None,
-            Some(Hold::Word(word)) => {
-                return Err(format!("hold: '{word}' is neither a span nor \"never\""));
+            Some(Hold::Text(text)) if text == "never" => None,
+            Some(Hold::Text(text)) => {
+                return Err(format!("hold: '{text}' is neither a span nor \"never\""));
             }
         };
         let (name, seeds) = (name.to_owned(), self.seeds.clone());
--- a/crates/daemon/src/handover.rs
+++ b/crates/daemon/src/handover.rs
@@ -1,6 +1,6 @@
 //! Two processes over one folder: the lock that says which of them works, and what the old one passes to the new one.
 //!
-//! The new one calls [`take`] before it opens anything; the old one answers with [`Giver`]. Messages are a length, then
+//! The new one calls [`take`] before it opens anything; the old one answers with [`HandoverServer`]. Messages are a length, then
 //! bytes; a descriptor comes with the first byte of the message that speaks of it.
 
 use std::fs::{File, OpenOptions};
@@ -177,15 +177,15 @@
 }
 
 /// The old process's end.
-pub struct Giver {
+pub struct HandoverServer {
     listener: UnixListener,
     /// Who asks for all, once it has said so.
     asking: Option<UnixStream>,
 }
 
-impl Giver {
+impl HandoverServer {
     /// Listens in the folder, in which this process has the lock.
-    pub fn open(dir: &Path) -> io::Result<Giver> {
+    pub fn open(dir: &Path) -> io::Result<HandoverServer> {
         let path = dir.join(SOCKET);
         match std::fs::remove_file(&path) {
             Err(e) if e.kind() != ErrorKind::NotFound => return Err(e),
@@ -193,7 +193,7 @@
         }
         let listener = UnixListener::bind(&path)?;
         listener.set_nonblocking(true)?;
-        Ok(Giver {
+        Ok(HandoverServer {
             listener,
             asking: None,
         })
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -2,7 +2,6 @@
 //! `clients`, `destinations`, `directory`, `final_report` and `webpush` each say how one peer speaks, without I/O.
 #![forbid(unsafe_code)]
 
-mod beside;
 mod by_endpoint;
 pub mod clients;
 pub mod config;
@@ -15,5 +14,6 @@
 pub mod http;
 mod link;
 pub mod reactor;
+mod state_file;
 pub mod watch;
 pub mod webpush;
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -1,12 +1,12 @@
 //! The mio loop: carries out what the core asks for, and tells it what came of it. One thread, no blocking
 //! but in the poll. Everything decided is decided in the core; here are connections, bytes and clocks.
-//! `door` looks after those who hand messages in, `calls` after destinations, `platform` after the directory and
+//! `client_ingress` looks after those who hand messages in, `calls` after destinations, `platform` after the directory and
 //! the final reports, `fleet` after the other senders, `operator` after the operators' calls. `effects` carries
 //! out what the core asks for, `due` keeps the times, `journal` opens the journal and looks after it, `shutdown`
 //! has the steps to the end.
 
 mod calls;
-mod door;
+mod client_ingress;
 mod due;
 mod effects;
 mod fleet;
@@ -29,21 +29,21 @@
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 
-use crate::beside;
 use crate::by_endpoint::ByEndpoint;
 use crate::clients;
 use crate::config::Site;
-use crate::destinations::{self, Told, Verdict};
+use crate::destinations::{self, DestinationResponse, Verdict};
 use crate::directory;
 use crate::final_report::{self, Reports};
 use crate::fleet::Fleet;
 use crate::handover as handover_exchange;
 use crate::http;
 use crate::link::{ANSWER_MOST, Clock, Link, Out, Role, consume};
+use crate::state_file;
 use crate::watch::{Failure, Watch};
 use crate::webpush::{self, Push};
 use cranehill_core as core;
-use cranehill_core::breakage::{self, Breakage};
+use cranehill_core::mutation::{self, Mutation};
 use cranehill_core::{Attempt, AttemptOutcome, Core, Effect, Input, Listing, Origin, Persisted};
 use cranehill_journal::{Folder, Journal, Key, Options, Recovered};
 
@@ -63,7 +63,7 @@
 /// Connections to destinations kept idle besides the calls that may be out.
 const IDLE_SOCKETS: usize = 32;
 
-const TELL_STUCK: Duration = Duration::from_secs(5);
+const COMPACTION_WARNING_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What a running sender is made of.
 pub struct Setup {
@@ -117,7 +117,7 @@
     push: Option<Push>,
     /// The folder that lasts, and when the log may say again that it takes nothing.
     state_dir: Option<PathBuf>,
-    tell_unlearnt: Time,
+    next_unsaved_warning: Time,
     fleet: Option<fleet::End>,
     clients: Option<TcpListener>,
     pushes: Option<TcpListener>,
@@ -126,7 +126,7 @@
     _lock: Option<handover_exchange::Lock>,
     handover: Option<handover::End>,
     /// Since when operators have this sender emptied.
-    lame: Option<Time>,
+    draining_since: Option<Time>,
     links: BTreeMap<usize, Link>,
     by_endpoint: ByEndpoint,
     next_link: usize,
@@ -139,11 +139,11 @@
     /// The largest body of a list that is read.
     list_body_most: usize,
     /// Connections closed unserved since the log last told.
-    turned_away: u64,
-    tell_away: Time,
+    evicted_connections: u64,
+    next_eviction_warning: Time,
     /// Messages refused for want of room in the journal since the log last told.
-    turned_back: u64,
-    tell_back: Time,
+    rejected_messages: u64,
+    next_rejection_warning: Time,
     reread: Option<Reread>,
     /// When to read the configuration again, and until when to try.
     reload: Option<(Time, Time)>,
@@ -153,9 +153,9 @@
     report_at: Time,
     /// When the journal may take its next step of upkeep, and when the log may say again that it can't.
     upkeep_at: Time,
-    tell_stuck: Time,
+    next_compaction_warning: Time,
     wakes: BTreeSet<Time>,
-    /// A breakage's: records that are answered for and not written.
+    /// A mutation's: records that are answered for and not written.
     unwritten: Vec<core::Record>,
     /// Something has come in since the last turn.
     dirty: bool,
@@ -242,10 +242,10 @@
         if let Some(mut state) = state {
             state_dir = Some(state.dir.clone());
             if setup.operator.is_some() {
-                state.disk = state.disk.saturating_sub(beside::DETACHED.disk());
+                state.disk = state.disk.saturating_sub(state_file::DETACHED.disk());
             }
             if remembers {
-                state.disk = state.disk.saturating_sub(beside::LEARNED_STATE.disk());
+                state.disk = state.disk.saturating_sub(state_file::LEARNED_STATE.disk());
             }
             let opened = journal::open_journal(state, millis(clock.now()))?;
             (journal, recovered) = (Some(opened.0), opened.1);
@@ -264,17 +264,17 @@
             fleet_end = Some(fleet::End::open(&fleet, poll.registry(), now)?);
             core.join(fleet.settings, seed.rotate_left(32));
             if let Some(settings) = fleet.zones {
-                core.mind_zones(settings);
+                core.manage_zones(settings);
             }
             if let Some(settings) = fleet.recovery {
                 core.recover(settings);
-                fleet::remembered(state_dir.as_deref(), &mut core, now);
+                fleet::restore_learned_state(state_dir.as_deref(), &mut core, now);
             }
         }
         if let Some(dir) = state_dir.as_deref() {
             operator::detached_before(dir, &mut core);
         }
-        journal::tell_recovered(&recovered);
+        journal::log_recovered(&recovered);
         let found = recovered.records.len();
         let effects = core.step(
             now,
@@ -296,14 +296,14 @@
             journal,
             push,
             state_dir,
-            tell_unlearnt: now,
+            next_unsaved_warning: now,
             fleet: fleet_end,
             clients: None,
             pushes: None,
             operators: None,
             _lock: lock,
             handover: None,
-            lame: None,
+            draining_since: None,
             links: BTreeMap::new(),
             by_endpoint: ByEndpoint::default(),
             next_link: FIRST_LINK,
@@ -312,10 +312,10 @@
             trusted_idle: Duration::MAX,
             unread_most: setup.memory / 8,
             list_body_most: directory::body_most(setup.memory),
-            turned_away: 0,
-            tell_away: now,
-            turned_back: 0,
-            tell_back: now,
+            evicted_connections: 0,
+            next_eviction_warning: now,
+            rejected_messages: 0,
+            next_rejection_warning: now,
             reread: setup.reread,
             reload: None,
             discovery,
@@ -323,7 +323,7 @@
             reports: Reports::default(),
             report_at: now,
             upkeep_at: now,
-            tell_stuck: now,
+            next_compaction_warning: now,
             wakes: BTreeSet::new(),
             unwritten: Vec::new(),
             dirty: true,
@@ -445,9 +445,9 @@
             }
             if self.turn(&mut events)? {
                 let (held, reports) = self.core.outstanding();
-                let breaches = self.core.breaches;
+                let violations = self.core.violations;
                 log::info!(
-                    "stopped: {held} notices and {reports} reports left to the journal; {breaches:?}"
+                    "stopped: {held} notices and {reports} reports left to the journal; {violations:?}"
                 );
                 return Ok(());
             }
@@ -604,7 +604,10 @@
                 ..
             } => {
                 log::debug!("partner {endpoint}: no connection, {why}");
-                self.end_call(out, &Told::all(Verdict::of(Status::NoConnection)));
+                self.end_call(
+                    out,
+                    &DestinationResponse::all(Verdict::of(Status::NoConnection)),
+                );
             }
             Role::Destination {
                 endpoint,
@@ -616,7 +619,7 @@
                     status: Status::NoConnection,
                 });
             }
-            Role::Directory { .. } => self.watch_failed(why, Failure::Unreached),
+            Role::Directory { .. } => self.watch_failed(why, Failure::ConnectFailed),
             Role::FinalReports => self.report_later(),
             Role::Destination { .. }
             | Role::Client { .. }
@@ -627,9 +630,9 @@
     }
 }
 
-impl Told {
-    fn all(verdict: Verdict) -> Told {
-        Told {
+impl DestinationResponse {
+    fn all(verdict: Verdict) -> DestinationResponse {
+        DestinationResponse {
             verdicts: vec![verdict],
             wait: None,
             report: None,
--- a/crates/daemon/src/reactor/calls.rs
+++ b/crates/daemon/src/reactor/calls.rs
@@ -65,7 +65,7 @@
         } else {
             link.output.clear();
         }
-        self.end_call(out, &Told::all(Verdict::of(Status::NotSent)));
+        self.end_call(out, &DestinationResponse::all(Verdict::of(Status::NotSent)));
     }
 
     pub(super) fn close_idle(&mut self, endpoint: &EndpointId) {
@@ -180,7 +180,10 @@
                     Ok(id) => id,
                     Err(e) => {
                         log::info!("partner {endpoint} at {address}: {e}");
-                        return self.end_call(out, &Told::all(Verdict::of(Status::NoConnection)));
+                        return self.end_call(
+                            out,
+                            &DestinationResponse::all(Verdict::of(Status::NoConnection)),
+                        );
                     }
                 }
             }
@@ -224,15 +227,15 @@
     }
 
     /// Tells the core how a call ended.
-    pub(super) fn end_call(&mut self, out: Out, told: &Told) {
+    pub(super) fn end_call(&mut self, out: Out, parsed: &DestinationResponse) {
         let now = self.clock.now();
         let mut ends = Vec::new();
         for attempt in out.attempts {
             let place = out.ids.iter().position(|id| *id == attempt.id).unwrap_or(0);
-            let Verdict { status, over } = told
+            let Verdict { status, over } = parsed
                 .verdicts
                 .get(place)
-                .or(told.verdicts.first())
+                .or(parsed.verdicts.first())
                 .copied()
                 .unwrap_or(Verdict::of(Status::Error));
             log::trace!(
@@ -246,8 +249,8 @@
                 status,
                 over,
                 took: now - out.started,
-                retry_after: told.wait,
-                report: told.report,
+                retry_after: parsed.wait,
+                report: parsed.report,
             });
         }
         self.step(Input::AttemptsFinished(ends));
@@ -298,12 +301,12 @@
             Ok(Some((response, used))) => {
                 let Some(out) = call.take() else { return };
                 let ids: Vec<&str> = out.ids.iter().map(String::as_str).collect();
-                let told = if push {
+                let parsed = if push {
                     webpush::read(&response, unix_now)
                 } else {
                     destinations::read(&response, &ids, unix_now)
                 };
-                if let Some(wait) = told.wait {
+                if let Some(wait) = parsed.wait {
                     log::debug!("partner {endpoint}: told to wait {} ms", wait.as_millis());
                 }
                 if let [
@@ -312,7 +315,7 @@
                         ..
                     },
                     ..,
-                ] = told.verdicts[..]
+                ] = parsed.verdicts[..]
                 {
                     log::error!(
                         "partner {endpoint}: answered {} to {}",
@@ -320,7 +323,7 @@
                         out.ids[0]
                     );
                 }
-                let trailing = link.input.len() > used && !breakage::is(Breakage::ReusesSpoilt);
+                let trailing = link.input.len() > used && !mutation::is(Mutation::ReusesSpoilt);
                 if response.close || ended || !written || trailing {
                     self.drop_link(id);
                 } else {
@@ -333,7 +336,7 @@
                         self.trusted_idle = self.trusted_idle.saturating_mul(51) / 50;
                     }
                 }
-                self.end_call(out, &told);
+                self.end_call(out, &parsed);
             }
             Ok(None) if !ended && !stalled && link.input.len() < ANSWER_MOST => {
                 out.delivered = out.delivers(&link.input);
@@ -389,9 +392,9 @@
         let wait = late.and_then(|(response, _)| http::retry_after(&response.headers, unix_now));
         self.end_call(
             out,
-            &Told {
+            &DestinationResponse {
                 wait,
-                ..Told::all(Verdict {
+                ..DestinationResponse::all(Verdict {
                     status,
                     over: delivered,
                 })
--- a/crates/daemon/src/reactor/door.rs
+++ b/crates/daemon/src/reactor/client_ingress.rs
@@ -133,17 +133,17 @@
         if self.links.values().filter(|l| of_client(l)).count() < self.clients_most {
             return true;
         }
-        self.turned_away += 1;
+        self.evicted_connections += 1;
         let now = self.clock.now();
         // One line a second: a flood must not become a flood of lines.
-        if now >= self.tell_away {
+        if now >= self.next_eviction_warning {
             log::warn!(
                 "accept: all {} places taken; {} closed",
                 self.clients_most,
-                self.turned_away
+                self.evicted_connections
             );
-            self.tell_away = now + Duration::from_secs(1);
-            self.turned_away = 0;
+            self.next_eviction_warning = now + Duration::from_secs(1);
+            self.evicted_connections = 0;
         }
         for _ in 0..CHOICES {
             let idlest = self
@@ -211,10 +211,10 @@
     }
 
     pub(super) fn answer(&mut self, id: usize, bytes: Vec<u8>) {
-        if breakage::is(Breakage::HoldsAnswers) {
+        if mutation::is(Mutation::HoldsAnswers) {
             return;
         }
-        if breakage::is(Breakage::ClosesClients) && breakage::one_in(3) {
+        if mutation::is(Mutation::ClosesClients) && mutation::one_in(3) {
             self.drop_link(id);
             return;
         }
@@ -230,7 +230,7 @@
             _ => return,
         }
         // At the end of the process, and while the sender is emptied, a connection closes between requests.
-        let over = self.clients.is_none() && self.pushes.is_none() || self.lame.is_some();
+        let over = self.clients.is_none() && self.pushes.is_none() || self.draining_since.is_some();
         link.close_after |= over && nothing_unread(link);
         self.say(id, &bytes);
         // Not dealt with here: a client that pipelines what is answered at once would have us call ourselves
@@ -294,7 +294,7 @@
             };
             let link_id = id;
             let wrong = match request {
-                clients::Request::Ping if self.lame.is_some() => {
+                clients::Request::Ping if self.draining_since.is_some() => {
                     // Who asks is told to send others elsewhere; what comes here all the same is served.
                     link.close_after = nothing_unread(link);
                     self.say(id, &clients::error("emptying, for operators"));
@@ -340,13 +340,15 @@
                         Ok(_) => {
                             let most = self.site.settings.max_retry_after;
                             let after = room.err().map(|after| after.min(most));
-                            self.turned_back += 1;
-                            if now >= self.tell_back {
-                                let (refused, stats) =
-                                    (self.turned_back, self.journal.as_mut().map(|j| j.stats()));
+                            self.rejected_messages += 1;
+                            if now >= self.next_rejection_warning {
+                                let (refused, stats) = (
+                                    self.rejected_messages,
+                                    self.journal.as_mut().map(|j| j.stats()),
+                                );
                                 let room = stats.map_or(0, |s| s.room);
                                 log::warn!(refused, room; "journal: full, {room} bytes free; {refused} notices refused");
-                                (self.turned_back, self.tell_back) =
+                                (self.rejected_messages, self.next_rejection_warning) =
                                     (0, now + Duration::from_secs(1));
                             }
                             self.say(id, &clients::answer(core::Answer::Rejected { after }));
--- a/crates/daemon/src/reactor/due.rs
+++ b/crates/daemon/src/reactor/due.rs
@@ -114,7 +114,7 @@
             Role::Directory { .. } => Some(self.watch.overdue()),
             Role::FinalReports if !self.reports.idle() => Some(link.used + final_report::OVERDUE),
             Role::Client { busy: false } | Role::Pusher { busy: None, .. } => {
-                Some(link.since + door::patience(link))
+                Some(link.since + client_ingress::patience(link))
             }
             Role::Ending { until } => Some(*until),
             Role::Operator { .. } => Some(link.since + operator::PATIENCE),
--- a/crates/daemon/src/reactor/effects.rs
+++ b/crates/daemon/src/reactor/effects.rs
@@ -12,7 +12,7 @@
     pub(super) fn carry_out(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Persist(records) if breakage::is(Breakage::AnswersFirst) => {
+                Effect::Persist(records) if mutation::is(Mutation::AnswersFirst) => {
                     self.unwritten.extend(records);
                     let effects = self
                         .core
@@ -21,7 +21,7 @@
                 }
                 Effect::Persist(records) => {
                     let now = millis(self.clock.now());
-                    let forgets = breakage::is(Breakage::ForgetsJournal);
+                    let forgets = mutation::is(Mutation::ForgetsJournal);
                     let journal = self.journal.as_mut().filter(|_| !forgets);
                     let kept = match journal.map_or(Ok(()), |j| j.append(now, &records)) {
                         Ok(()) => Persisted::All,
@@ -60,7 +60,7 @@
                     address,
                     attempts,
                 } => self.call(endpoint, address, attempts),
-                Effect::SendFinalReport { .. } if breakage::is(Breakage::DropsReports) => {}
+                Effect::SendFinalReport { .. } if mutation::is(Mutation::DropsReports) => {}
                 Effect::SendFinalReport { id, final_report } => {
                     log::trace!("notice {id}: to be reported as {final_report:?}");
                     self.reports.add(id, final_report);
@@ -72,7 +72,7 @@
                     self.wakes.insert(at);
                 }
                 Effect::Fleet(effect) => self.on_fleet(effect),
-                Effect::Zone(change) => fleet::tell_zone(&change, &self.site.names.zones),
+                Effect::Zone(change) => fleet::log_zone(&change, &self.site.names.zones),
                 Effect::Detached { by, known, now } => self.detached(by, known, &now),
                 Effect::PersistLearnedState(bytes) => self.remember(&bytes),
                 Effect::RecoveryComplete(took) => {
--- a/crates/daemon/src/reactor/fleet.rs
+++ b/crates/daemon/src/reactor/fleet.rs
@@ -13,7 +13,7 @@
 /// Larger than any that a member sends.
 const PACKET_MOST: usize = 2048;
 /// How often the log says that packets are dropped.
-const TELL_REFUSED: Duration = Duration::from_secs(1);
+const REJECTION_WARNING_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What the reactor keeps of the fleet.
 pub(super) struct End {
@@ -24,7 +24,7 @@
     /// More packets wait.
     pub(super) more: bool,
     dropped: u64,
-    tell_dropped: Time,
+    next_drop_warning: Time,
 }
 
 impl End {
@@ -49,7 +49,7 @@
             due: Some(now),
             more: false,
             dropped: 0,
-            tell_dropped: now,
+            next_drop_warning: now,
         })
     }
 
@@ -63,8 +63,11 @@
 }
 
 /// Tells the core what an earlier process had learned.
-pub(super) fn remembered(dir: Option<&std::path::Path>, core: &mut Core, now: Time) {
-    match dir.map(|dir| beside::LEARNED_STATE.read(dir)).transpose() {
+pub(super) fn restore_learned_state(dir: Option<&std::path::Path>, core: &mut Core, now: Time) {
+    match dir
+        .map(|dir| state_file::LEARNED_STATE.read(dir))
+        .transpose()
+    {
         Ok(bytes) => {
             if let Some(bytes) = bytes.flatten() {
                 core.step(now, core::Input::LearnedStateRestored(bytes));
@@ -92,9 +95,9 @@
 }
 
 /// What changes for a zone; a probe is no news.
-pub(super) fn tell_zone(change: &Change, names: &[String]) {
+pub(super) fn log_zone(change: &Change, names: &[String]) {
     match change {
-        Change::Leave {
+        Change::Evacuate {
             zone,
             fails,
             serves,
@@ -108,7 +111,7 @@
             let zone = zone_name(names, *zone);
             log::info!(event = "zone", zone, state = "returning"; "zones: {zone} serves probes; work returns to it");
         }
-        Change::Free { zone } => {
+        Change::InService { zone } => {
             let zone = zone_name(names, *zone);
             log::info!(event = "zone", zone, state = "free"; "zones: {zone} is as any other again");
         }
@@ -122,12 +125,12 @@
 
 fn zones_shown(states: &[(u32, ZoneState)], names: &[String], now: Time) -> Value {
     let shown = states.iter().map(|(zone, state)| {
-        let (word, since) = match state {
-            ZoneState::Free => ("free", None),
-            ZoneState::Left(since) => ("left", Some(*since)),
+        let (argument, since) = match state {
+            ZoneState::InService => ("free", None),
+            ZoneState::Evacuated(since) => ("left", Some(*since)),
             ZoneState::Returning(since) => ("returning", Some(*since)),
         };
-        json!({"zone": zone_name(names, *zone), "state": word,
+        json!({"zone": zone_name(names, *zone), "state": argument,
             "for_ms": since.map(|since| (now - since).as_millis() as u64)})
     });
     shown.collect()
@@ -143,10 +146,10 @@
     }
 }
 
-fn tell(view: &View, before: Option<State>) {
+fn notify(view: &View, before: Option<State>) {
     let (name, state) = (view.member.name.as_str(), view.state.label());
     let before = before.map_or("unknown", State::label);
-    log::info!(event = "member", member = name, at:% = view.member.at, life = view.member.generation,
+    log::info!(event = "member", member = name, at:% = view.member.at, own_incarnation = view.member.generation,
         incarnation = view.incarnation, state, before;
         "fleet: {name} at {} is {state}, was {before}", view.member.at);
 }
@@ -186,11 +189,13 @@
                 }
             }
             Effect::WakeAt(at) => end.due = Some(at),
-            Effect::Changed { view, before } => tell(&view, before),
+            Effect::Changed { view, before } => notify(&view, before),
             // The core's own.
             Effect::LearnedRequested { .. } | Effect::LearnedReceived { .. } => {}
-            Effect::Rejoined { generation: life } => {
-                log::warn!(event = "rejoined", life; "fleet: the others held us to be down; back under life {life}");
+            Effect::Rejoined {
+                generation: own_incarnation,
+            } => {
+                log::warn!(event = "rejoined", own_incarnation; "fleet: the others held us to be down; back under life {own_incarnation}");
             }
             Effect::Stalled(by) => {
                 log::warn!(event = "held-up", ms = by.as_millis() as u64;
@@ -199,9 +204,9 @@
             Effect::Dropped(why) => {
                 end.dropped += 1;
                 // One line a second: a flood must not become a flood of lines.
-                if now >= end.tell_dropped {
+                if now >= end.next_drop_warning {
                     let dropped = std::mem::take(&mut end.dropped);
-                    end.tell_dropped = now + TELL_REFUSED;
+                    end.next_drop_warning = now + REJECTION_WARNING_INTERVAL;
                     log::warn!(event = "dropped", cause = why.label(), dropped;
                         "fleet: a packet was dropped, {why}; {dropped} since the last such line");
                 }
@@ -216,10 +221,10 @@
     pub(super) fn remember(&mut self, bytes: &[u8]) {
         let Some(dir) = &self.state_dir else { return };
         let now = self.clock.now();
-        if let Err(e) = beside::LEARNED_STATE.write(dir, bytes)
-            && now >= self.tell_unlearnt
+        if let Err(e) = state_file::LEARNED_STATE.write(dir, bytes)
+            && now >= self.next_unsaved_warning
         {
-            self.tell_unlearnt = now + TELL_STUCK;
+            self.next_unsaved_warning = now + COMPACTION_WARNING_INTERVAL;
             log::warn!("recovery: what was learnt can't be written: {e}");
         }
     }
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -1,13 +1,13 @@
 //! A new version beside this one: what this process still does when it is asked to pass on, and what a new one begins with.
 
 use super::*;
-use crate::handover::{Client, Giver, QUIET_MOST};
+use crate::handover::{Client, HandoverServer, QUIET_MOST};
 use mio::unix::SourceFd;
 use std::os::fd::{AsFd, AsRawFd};
 
 /// The end of this process that passes on.
 pub(super) struct End {
-    giver: Giver,
+    server: HandoverServer,
     /// Somebody has come to the socket since it was looked at.
     pub(super) called: bool,
     /// Since when attempts are held back for it.
@@ -17,14 +17,14 @@
 impl End {
     /// Where the system or the folder has no such socket, a new version waits until this process has ended.
     pub(super) fn open(dir: &std::path::Path, registry: &mio::Registry) -> Option<End> {
-        let opened = Giver::open(dir).and_then(|giver| {
+        let opened = HandoverServer::open(dir).and_then(|server| {
             registry.register(
-                &mut SourceFd(&giver.listener().as_raw_fd()),
+                &mut SourceFd(&server.listener().as_raw_fd()),
                 HANDOVER,
                 Interest::READABLE,
             )?;
             Ok(End {
-                giver,
+                server,
                 called: false,
                 quiet: None,
             })
@@ -55,7 +55,7 @@
             return false;
         };
         end.called = false;
-        let asked = end.giver.is_asked();
+        let asked = end.server.is_asked();
         match (asked, end.quiet) {
             (true, None) => {
                 end.quiet = Some(now);
@@ -85,7 +85,7 @@
         log::warn!("hand-over: {why}; this process goes on");
         if let Some(end) = &mut self.handover {
             end.quiet = None;
-            end.giver.given_up();
+            end.server.given_up();
         }
         self.step(Input::Quiesced(false));
     }
@@ -115,13 +115,13 @@
             } else {
                 Status::NoConnection
             };
-            self.end_call(out, &Told::all(Verdict::of(status)));
+            self.end_call(out, &DestinationResponse::all(Verdict::of(status)));
         }
         // All that clients have sent is read, kept and answered first.
         let clients: Vec<usize> = self
             .links
             .iter()
-            .filter(|(_, l)| door::of_client(l))
+            .filter(|(_, l)| client_ingress::of_client(l))
             .map(|(&id, _)| id)
             .collect();
         for &id in &clients {
@@ -130,13 +130,13 @@
         let effects = self.core.step(self.clock.now(), Input::TickEnded);
         self.carry_out(effects);
         let learned_state = self.core.learned_state();
-        let Some(End { giver, .. }) = &mut self.handover else {
+        let Some(End { server, .. }) = &mut self.handover else {
             return Ok(());
         };
-        giver.learned_state(learned_state)?;
+        server.learned_state(learned_state)?;
         for (listener, push) in [(&self.clients, false), (&self.pushes, true)] {
             if let Some(listener) = listener {
-                giver.pass_listener(listener.as_fd(), push)?;
+                server.pass_listener(listener.as_fd(), push)?;
             }
         }
         let mut passed = 0;
@@ -152,14 +152,14 @@
             {
                 continue;
             }
-            giver.pass_client(link.stream.as_fd(), link.input.clone(), link.asked)?;
+            server.pass_client(link.stream.as_fd(), link.input.clone(), link.asked)?;
             // Passed on, it counts there: the two together hold no more than one did.
             if let Some(mut link) = self.links.remove(&id) {
                 let _ = self.poll.registry().deregister(&mut link.stream);
             }
             passed += 1;
         }
-        giver.end()?;
+        server.end()?;
         let (held, reports) = self.core.outstanding();
         log::info!(event = "handed-over", clients = passed, held, reports;
             "hand-over: done, with {passed} client connections; {held} notices and {reports} reports are in the journal");
--- a/crates/daemon/src/reactor/journal.rs
+++ b/crates/daemon/src/reactor/journal.rs
@@ -20,8 +20,8 @@
         };
         self.upkeep_at = now + self.site.settings.tick;
         let step = journal.compact(millis(now));
-        if step.stuck && now >= self.tell_stuck {
-            self.tell_stuck = now + TELL_STUCK;
+        if step.stuck && now >= self.next_compaction_warning {
+            self.next_compaction_warning = now + COMPACTION_WARNING_INTERVAL;
             let stats = journal.stats();
             log::warn!(room = stats.room, bytes = stats.bytes, live = stats.live;
                 "journal: compaction is held up, {} bytes free, {} of {} live; tried again",
@@ -49,10 +49,10 @@
 }
 
 /// What the on-call staff should know of how the folder was found.
-pub(super) fn tell_recovered(recovered: &Recovered) {
-    let (open, final_report, remembered) = recovered.counts;
-    log::info!(open, final_report, remembered, latest_ms = recovered.latest;
-        "journal: {open} notices open, {final_report} reports due, {remembered} ended ids remembered");
+pub(super) fn log_recovered(recovered: &Recovered) {
+    let (open, final_report, completed) = recovered.counts;
+    log::info!(open, final_report, completed, latest_ms = recovered.latest;
+        "journal: {open} notices open, {final_report} reports due, {completed} ended ids remembered");
     if let Some((file, bytes)) = &recovered.torn {
         log::warn!(segment = file.as_str(), bytes = *bytes;
             "journal: {bytes} bytes of a write that was cut off at the end of {file}; nothing in it was promised");
@@ -74,7 +74,7 @@
     for file in recovered
         .foreign
         .iter()
-        .filter(|f| !beside::is_ours(f) && !handover_exchange::NAMES.contains(&f.as_str()))
+        .filter(|f| !state_file::is_ours(f) && !handover_exchange::NAMES.contains(&f.as_str()))
     {
         log::warn!(file = file.as_str(); "journal: {file} is not of this folder; left alone, it takes room");
     }
--- a/crates/daemon/src/reactor/operator.rs
+++ b/crates/daemon/src/reactor/operator.rs
@@ -22,14 +22,14 @@
 enum Call {
     Ready,
     Status,
-    LameDuck(bool),
+    Drain(bool),
     Detach(String),
     Attach(String),
 }
 
 /// Tells the core what an earlier process had detached.
 pub(super) fn detached_before(dir: &std::path::Path, core: &mut Core) {
-    let read = beside::DETACHED
+    let read = state_file::DETACHED
         .read(dir)
         .map(|bytes| bytes.map(|b| serde_json::from_slice(&b)));
     match read
@@ -77,8 +77,8 @@
     let (method, call) = match path {
         "/_ready" => ("GET", Ok(Call::Ready)),
         "/_status" => ("GET", Ok(Call::Status)),
-        "/_lameduck/on" => ("PUT", Ok(Call::LameDuck(true))),
-        "/_lameduck/off" => ("PUT", Ok(Call::LameDuck(false))),
+        "/_lameduck/on" => ("PUT", Ok(Call::Drain(true))),
+        "/_lameduck/off" => ("PUT", Ok(Call::Drain(false))),
         _ => match (
             path.strip_prefix("/_endpoints/detach/"),
             path.strip_prefix("/_endpoints/attach/"),
@@ -183,15 +183,15 @@
                     id,
                     &status(404, "Not Found", &[], "only /_status is here\n"),
                 ),
-                Ok(Call::Ready) if self.stopping.is_none() && self.lame.is_none() => {
+                Ok(Call::Ready) if self.stopping.is_none() && self.draining_since.is_none() => {
                     self.say(id, &yes())
                 }
                 Ok(Call::Ready) => self.say(
                     id,
                     &status(503, "Service Unavailable", &[], "not for clients\n"),
                 ),
-                Ok(Call::LameDuck(on)) => {
-                    self.lame_duck(on);
+                Ok(Call::Drain(on)) => {
+                    self.set_draining(on);
                     self.say(id, &yes());
                 }
                 Ok(Call::Detach(endpoint)) => self.step(Input::Detach {
@@ -219,7 +219,7 @@
     /// What a call to detach or attach came to. What was done is in the folder first, or is answered as not done.
     pub(super) fn detached(&mut self, by: usize, known: bool, now: &core::Detachments) {
         let kept = match (&self.state_dir, known) {
-            (Some(dir), true) => beside::DETACHED.write(dir, json!(now).to_string().as_bytes()),
+            (Some(dir), true) => state_file::DETACHED.write(dir, json!(now).to_string().as_bytes()),
             _ => Ok(()),
         };
         let answer = match (kept, known) {
@@ -244,15 +244,19 @@
         self.say(by, &answer);
     }
 
-    fn lame_duck(&mut self, on: bool) {
-        let clients = self.links.values().filter(|l| door::of_client(l)).count();
-        match (on, self.lame) {
+    fn set_draining(&mut self, on: bool) {
+        let clients = self
+            .links
+            .values()
+            .filter(|l| client_ingress::of_client(l))
+            .count();
+        match (on, self.draining_since) {
             (true, None) => {
-                self.lame = Some(self.clock.now());
+                self.draining_since = Some(self.clock.now());
                 log::info!(event = "lame-duck", clients; "operator: emptying, {clients} client connections");
             }
             (false, Some(_)) => {
-                self.lame = None;
+                self.draining_since = None;
                 log::info!(event = "lame-duck-over", clients; "operator: for clients again");
             }
             _ => {}
@@ -261,27 +265,27 @@
 
     /// When an emptying sender looks through its clients again.
     pub(super) fn empty_due(&self, now: Time) -> Option<Time> {
-        let from = self.lame? + FRONT;
+        let from = self.draining_since? + FRONT;
         if now < from {
             return Some(from);
         }
         self.links
             .values()
-            .any(door::of_client)
+            .any(client_ingress::of_client)
             .then_some(now + LOOK)
     }
 
     /// Ends clients' connections between requests: what has been read is answered first.
     pub(super) fn empty(&mut self) {
         let now = self.clock.now();
-        let Some(since) = self.lame.filter(|since| now >= *since + FRONT) else {
+        let Some(since) = self.draining_since.filter(|since| now >= *since + FRONT) else {
             return;
         };
         let fresh = |l: &Link| !l.asked && now - l.since < FRESH && l.since >= since;
         let ids: Vec<usize> = self
             .links
             .iter()
-            .filter(|(_, l)| door::free(l) && !fresh(l))
+            .filter(|(_, l)| client_ingress::free(l) && !fresh(l))
             .map(|(&id, _)| id)
             .collect();
         ids.into_iter().for_each(|id| self.end_between(id));
@@ -291,7 +295,7 @@
     pub(super) fn end_between(&mut self, id: usize) {
         self.pump(id);
         let over = |l: &Link| {
-            door::free(l) && l.input.is_empty() && !matches!(l.role, Role::Ending { .. })
+            client_ingress::free(l) && l.input.is_empty() && !matches!(l.role, Role::Ending { .. })
         };
         if self.links.get(&id).is_some_and(over) {
             self.end_client(id);
--- a/crates/daemon/src/reactor/operator/tests.rs
+++ b/crates/daemon/src/reactor/operator/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn told(method: &str, path: &str) -> Result<Call, u16> {
+fn parsed(method: &str, path: &str) -> Result<Call, u16> {
     let text = format!("{method} {path} HTTP/1.1\r\nHost: o\r\n\r\n");
     let (request, _) = http::request(text.as_bytes())
         .expect("well formed")
@@ -14,8 +14,8 @@
 fn calls_are_read_and_what_is_none_says_why() {
     for (method, path, expected) in [
         ("GET", "/_ready", Ok(Call::Ready)),
-        ("PUT", "/_lameduck/on", Ok(Call::LameDuck(true))),
-        ("PUT", "/_lameduck/off", Ok(Call::LameDuck(false))),
+        ("PUT", "/_lameduck/on", Ok(Call::Drain(true))),
+        ("PUT", "/_lameduck/off", Ok(Call::Drain(false))),
         (
             "PUT",
             "/_endpoints/detach/s-5be2",
@@ -40,6 +40,6 @@
         ("GET", "/", Err(404)),
         ("PUT", "/_endpoints/retach/a", Err(404)),
     ] {
-        assert_eq!(told(method, path), expected, "{method} {path}");
+        assert_eq!(parsed(method, path), expected, "{method} {path}");
     }
 }
--- a/crates/daemon/src/reactor/platform.rs
+++ b/crates/daemon/src/reactor/platform.rs
@@ -51,12 +51,12 @@
                         (false, _) => {}
                     }
                 } else {
-                    let told = self.reports.answered(response.status);
-                    log::trace!("reports {told:?} are with the platform");
-                    if told.is_empty() {
+                    let retry_after = self.reports.answered(response.status);
+                    log::trace!("reports {retry_after:?} are with the platform");
+                    if retry_after.is_empty() {
                         self.report_at = self.clock.now() + final_report::AGAIN;
                     } else {
-                        self.step(Input::FinalReportsAcknowledged(told));
+                        self.step(Input::FinalReportsAcknowledged(retry_after));
                     }
                 }
             }
@@ -74,7 +74,7 @@
 
     pub(super) fn on_list(&mut self, response: &http::Response) {
         match directory::read(response, &self.site) {
-            Ok(directory::Told {
+            Ok(directory::ParsedList {
                 version,
                 whole,
                 mut list,
@@ -105,8 +105,8 @@
             }
             Err(why) => {
                 let unix_now = Duration::from_nanos(self.clock.now().0);
-                let told = http::retry_after(&response.headers, unix_now);
-                self.watch_failed(&why, Failure::Refused { told });
+                let retry_after = http::retry_after(&response.headers, unix_now);
+                self.watch_failed(&why, Failure::Rejected { retry_after });
             }
         }
     }
@@ -126,7 +126,7 @@
                 &host,
             ) {
                 Ok(id) => id,
-                Err(e) => return self.watch_failed(&e.to_string(), Failure::Unreached),
+                Err(e) => return self.watch_failed(&e.to_string(), Failure::ConnectFailed),
             },
         };
         self.queue(id, bytes);
--- a/crates/daemon/src/reactor/shutdown.rs
+++ b/crates/daemon/src/reactor/shutdown.rs
@@ -37,7 +37,7 @@
         let (held, reports) = self.core.outstanding();
         let over = held == 0 && reports == 0
             || self.sending_stopped && self.core.attempts_out() == 0 && reports == 0;
-        let over = over && !self.links.values().any(door::open);
+        let over = over && !self.links.values().any(client_ingress::open);
         if !over && passed < STOP_ALL {
             return false;
         }
--- a/crates/daemon/src/beside.rs
+++ b/crates/daemon/src/state_file.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 /// One of them. The journal's folder holds it, and the journal leaves it alone.
-pub struct Beside {
+pub struct StateFile {
     name: &'static str,
     /// Its successor while that is written.
     new: &'static str,
@@ -13,13 +13,13 @@
 }
 
 /// What this sender knew of destinations.
-pub const LEARNED_STATE: Beside = Beside {
+pub const LEARNED_STATE: StateFile = StateFile {
     name: "learnt",
     new: "learnt.new",
     most: cranehill_recovery::MAX_LEARNED_STATE_BYTES as u64,
 };
 /// Endpoints that operators have detached, as JSON.
-pub const DETACHED: Beside = Beside {
+pub const DETACHED: StateFile = StateFile {
     name: "detached",
     new: "detached.new",
     most: 12 * 1024,
@@ -32,7 +32,7 @@
         .any(|b| file == b.name || file == b.new)
 }
 
-impl Beside {
+impl StateFile {
     /// Both, as the disk counts them: whole blocks of 512 bytes.
     pub const fn disk(&self) -> u64 {
         2 * (self.most + 512)
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -35,9 +35,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// There was no connection, or it ended or stayed silent: nobody was burdened with the question.
-    Unreached,
+    ConnectFailed,
     /// It was answered with anything but a list, perhaps with a wait: there is too much to answer.
-    Refused { told: Option<Duration> },
+    Rejected { retry_after: Option<Duration> },
 }
 
 /// The watch that this sender keeps on the directory.
@@ -119,16 +119,19 @@
     /// come faster than they can be answered wait until they are worth nothing, and where each is put again soon, nobody
     /// hears of what has changed.
     pub fn failed(&mut self, now: Time, failure: Failure) -> Duration {
-        let (first, told) = match failure {
-            Failure::Unreached => (AGAIN, None),
-            Failure::Refused { told } => ((COST * self.senders.min(SENDERS_MOST)).max(AGAIN), told),
+        let (first, retry_after) = match failure {
+            Failure::ConnectFailed => (AGAIN, None),
+            Failure::Rejected { retry_after } => (
+                (COST * self.senders.min(SENDERS_MOST)).max(AGAIN),
+                retry_after,
+            ),
         };
         let most = BETWEEN_TRIES_MOST
             .saturating_sub(now - self.asked)
             .max(PAUSE_LEFT);
-        let told = told.unwrap_or_default().min(most / 2);
+        let retry_after = retry_after.unwrap_or_default().min(most / 2);
         let mean = first * (1 << self.failed.min(8)).min(PAUSE_MOST);
-        let mean = mean.min((most - told).div_f64(JITTER_MOST));
+        let mean = mean.min((most - retry_after).div_f64(JITTER_MOST));
         self.failed += 1;
         let longest = if self.longest.is_zero() {
             Duration::MAX
@@ -136,7 +139,7 @@
             self.longest.max(AGAIN)
         };
         let jitter = 0.5 + (JITTER_MOST - 0.5) * self.rng.f64();
-        let pause = mean.mul_f64(jitter).min(longest) + told;
+        let pause = mean.mul_f64(jitter).min(longest) + retry_after;
         self.due = Some(now + pause);
         pause
     }
--- a/crates/daemon/src/webpush.rs
+++ b/crates/daemon/src/webpush.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::config::Site;
-use crate::destinations::{Told, Verdict};
+use crate::destinations::{DestinationResponse, Verdict};
 use crate::file;
 use crate::http::{self, Request, Response, header};
 use cranehill_core::{Answer, Attempt, Envelope, Listing, Message, Origin};
@@ -29,7 +29,7 @@
 /// What a message with a TTL of zero has: one attempt, now or not at all.
 const AT_ONCE: Duration = Duration::from_secs(2);
 /// A signed token's life; the most that RFC 8292 allows is a day.
-const TOKEN_LIFE: u64 = 12 * 3600;
+const TOKEN_VALIDITY: u64 = 12 * 3600;
 /// Headers that describe the message and travel with it.
 const CARRIED: [&str; 6] = [
     "Content-Encoding",
@@ -189,11 +189,11 @@
 
     /// The `Authorization` for a push service, signed anew at half its life.
     pub fn authorization(&mut self, origin: &str, unix_now: u64) -> String {
-        let fresh = |t: &&(String, u64)| t.1 > unix_now + TOKEN_LIFE / 2;
+        let fresh = |t: &&(String, u64)| t.1 > unix_now + TOKEN_VALIDITY / 2;
         let token = match self.tokens.get(origin).filter(fresh) {
             Some((token, _)) => token.clone(),
             None => {
-                let expires = unix_now + TOKEN_LIFE;
+                let expires = unix_now + TOKEN_VALIDITY;
                 let claims =
                     serde_json::json!({"aud": origin, "exp": expires, "sub": self.subject});
                 let part = |v: &str| URL_SAFE_NO_PAD.encode(v);
@@ -398,7 +398,7 @@
 }
 
 /// What a push service's answer says.
-pub fn read(response: &Response, unix_now: Duration) -> Told {
+pub fn read(response: &Response, unix_now: Duration) -> DestinationResponse {
     let verdict = match response.status {
         200..300 => Verdict {
             status: Status::Served,
@@ -412,7 +412,7 @@
     };
     let waits = verdict.status == Status::Overloaded;
     let wait = http::retry_after(&response.headers, unix_now).filter(|_| waits);
-    Told {
+    DestinationResponse {
         verdicts: vec![verdict],
         wait,
         report: None,
--- a/crates/daemon/tests/directory.rs
+++ b/crates/daemon/tests/directory.rs
@@ -1,7 +1,7 @@
 //! The directory's list as it is read off the wire.
 
 use cranehill_daemon::config::Site;
-use cranehill_daemon::directory::{ENTRIES_MOST, Told, body_most, read};
+use cranehill_daemon::directory::{ENTRIES_MOST, ParsedList, body_most, read};
 use cranehill_daemon::http;
 use cranehill_scheduler::profile::Profile;
 
@@ -16,7 +16,7 @@
     Site::new(profile.into_settings().expect("settings"), names)
 }
 
-fn told(servers: &str) -> Result<Told, String> {
+fn parsed(servers: &str) -> Result<ParsedList, String> {
     let body = format!(r#"{{"version":4,"full":true,"servers":[{servers}]}}"#);
     let bytes = http::write_response(200, "OK", &[], &body);
     let (response, _) = http::response(&bytes, true)
@@ -36,14 +36,18 @@
         r#"{"id":"b","addr":"x","cell":1,"state":"odd"}"#,
         r#"{"cell":"x"}"#,
     ] {
-        let told = told(&format!("{bad},{GOOD}")).expect("a list");
-        assert_eq!((told.list.len(), told.unread.len()), (1, 1), "{bad}");
-        assert!(told.unread[0].starts_with("entry 0: "), "{:?}", told.unread);
-        assert_eq!(told.list[0].entry.endpoint.0, "a");
+        let parsed = parsed(&format!("{bad},{GOOD}")).expect("a list");
+        assert_eq!((parsed.list.len(), parsed.unread.len()), (1, 1), "{bad}");
+        assert!(
+            parsed.unread[0].starts_with("entry 0: "),
+            "{:?}",
+            parsed.unread
+        );
+        assert_eq!(parsed.list[0].entry.endpoint.0, "a");
     }
     // Nothing that can be read must not become a whole list of nothing; an empty one is one.
-    assert!(told("7,8").is_err());
-    assert!(told("").expect("a list").list.is_empty());
+    assert!(parsed("7,8").is_err());
+    assert!(parsed("").expect("a list").list.is_empty());
 }
 
 #[test]
@@ -58,7 +62,7 @@
     ] {
         let row = GOOD.replace("2.5", weight);
         assert_eq!(
-            told(&row).expect("a list").list[0].entry.rate,
+            parsed(&row).expect("a list").list[0].entry.rate,
             rate,
             "{weight}"
         );
@@ -88,12 +92,12 @@
         .expect("an answer")
         .expect("whole");
     assert_eq!(used, bytes.len());
-    let told = read(&response, &site()).expect("a list");
+    let parsed = read(&response, &site()).expect("a list");
     assert_eq!(
-        (told.list.len(), told.unread.len(), told.excess),
+        (parsed.list.len(), parsed.unread.len(), parsed.excess),
         (57_000, 0, 0)
     );
-    assert_eq!(told.list[56_999].entry.endpoint.0, "s-0000dea7");
+    assert_eq!(parsed.list[56_999].entry.endpoint.0, "s-0000dea7");
     // In chunks as well, and no larger than the bound.
     let chunks = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n",
@@ -123,8 +127,8 @@
         .into_bytes(),
         close: false,
     };
-    let told = read(&response, &site()).expect("a list");
-    assert_eq!((told.list.len(), told.excess), (ENTRIES_MOST, 3));
+    let parsed = read(&response, &site()).expect("a list");
+    assert_eq!((parsed.list.len(), parsed.excess), (ENTRIES_MOST, 3));
 }
 
 #[test]
--- a/crates/daemon/tests/watch.rs
+++ b/crates/daemon/tests/watch.rs
@@ -31,13 +31,13 @@
         assert_eq!(watch.due(), Some(at(0)), "seed {seed}");
         watch.ask(at(0), "d");
         for _ in 0..5 {
-            watch.failed(at(10), Failure::Refused { told: None });
+            watch.failed(at(10), Failure::Rejected { retry_after: None });
         }
         watch.moved(at(20));
         assert_eq!(watch.due(), Some(at(20)), "seed {seed}");
         let question = String::from_utf8(watch.ask(at(20), "d")).expect("text");
         assert!(question.starts_with("GET /v1/endpoints HTTP"), "{question}");
-        let pause = watch.failed(at(30), Failure::Unreached);
+        let pause = watch.failed(at(30), Failure::ConnectFailed);
         assert!(
             pause <= AGAIN * 3 / 2,
             "failures elsewhere are forgotten: {pause:?}, seed {seed}"
@@ -71,7 +71,7 @@
             if ms - asked <= patience {
                 watching += 1;
             } else {
-                watches[sender].failed(at(ms), Failure::Refused { told: None });
+                watches[sender].failed(at(ms), Failure::Rejected { retry_after: None });
             }
         }
     }
@@ -81,11 +81,18 @@
 #[test]
 fn pauses_grow_to_what_one_clock_for_all_calls_allows_and_a_told_wait_is_the_least_inside_it() {
     let mut watch = watch(300, 7);
-    let told = Duration::from_secs(3);
-    assert!(watch.failed(at(0), Failure::Refused { told: Some(told) }) >= told);
-    for told in [None, Some(Duration::from_secs(30))] {
+    let retry_after = Duration::from_secs(3);
+    assert!(
+        watch.failed(
+            at(0),
+            Failure::Rejected {
+                retry_after: Some(retry_after)
+            }
+        ) >= retry_after
+    );
+    for retry_after in [None, Some(Duration::from_secs(30))] {
         let pauses: Vec<Duration> = (0..40)
-            .map(|_| watch.failed(at(0), Failure::Refused { told }))
+            .map(|_| watch.failed(at(0), Failure::Rejected { retry_after }))
             .collect();
         let (least, most) = (pauses.iter().min(), pauses.iter().max());
         assert!(
@@ -97,7 +104,7 @@
     }
     // What could not be put burdened nobody: it is put again while the directory may be back.
     let longest = (0..40)
-        .map(|_| watch.failed(at(0), Failure::Unreached))
+        .map(|_| watch.failed(at(0), Failure::ConnectFailed))
         .max()
         .unwrap_or_default();
     assert!(
@@ -108,13 +115,13 @@
     let must_ask = Duration::from_millis(700);
     let mut watch = Watch::new(7, 300, must_ask, 7, at(0));
     let longest = (0..40)
-        .map(|_| watch.failed(at(0), Failure::Refused { told: None }))
+        .map(|_| watch.failed(at(0), Failure::Rejected { retry_after: None }))
         .max();
     assert_eq!(longest, Some(must_ask));
     // What the settings may say of the senders' number does no harm.
     for senders in [0, u32::MAX] {
         let mut watch = Watch::new(7, senders, Duration::ZERO, 1, at(0));
-        let pause = watch.failed(at(0), Failure::Refused { told: None });
+        let pause = watch.failed(at(0), Failure::Rejected { retry_after: None });
         assert!(
             pause > Duration::ZERO && pause <= COST * SENDERS_MOST * 3 / 2,
             "{pause:?}"
@@ -176,22 +183,22 @@
             "an answer at the end of the wait is awaited"
         );
         assert!(
-            watch.overdue() + Duration::from_millis(400) < at(asked) + TOLD,
+            watch.overdue() + Duration::from_millis(400) < at(asked) + NOTIFIED,
             "whole: {whole}"
         );
     }
 }
 
 /// A change counts as told so long after the directory had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+const NOTIFIED: Duration = Duration::from_secs(6);
 /// Of it, left for the connection, the answer and delays of the machine.
 const MARGIN: Duration = Duration::from_millis(500);
 
 /// What becomes of a question before the directory can be reached, and after which part of the time that it may take.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum WatchOutcome {
     /// No connection, or one that ended.
-    Unreached(f64),
+    ConnectFailed(f64),
     /// An answer that is no list, perhaps with a wait in milliseconds.
     Refused(f64, Option<u64>),
     /// No answer: it is given up.
@@ -202,46 +209,47 @@
     Moved(f64),
 }
 
-fn any_fate() -> impl Strategy<Value = Fate> {
+fn any_outcome() -> impl Strategy<Value = WatchOutcome> {
     let part = || prop_oneof![Just(0.0), Just(1.0), 0.0..1.0];
-    let told = prop_oneof![
+    let retry_after = prop_oneof![
         Just(None),
         (0..100_000_000u64).prop_map(Some),
         (0..8000u64).prop_map(Some)
     ];
     prop_oneof![
-        part().prop_map(Fate::Unreached),
-        (part(), told).prop_map(|(part, told)| Fate::Refused(part, told)),
-        Just(Fate::Silent),
-        (part(), any::<bool>()).prop_map(|(part, read)| Fate::Same(part, read)),
-        part().prop_map(Fate::Moved),
+        part().prop_map(WatchOutcome::ConnectFailed),
+        (part(), retry_after)
+            .prop_map(|(part, retry_after)| WatchOutcome::Refused(part, retry_after)),
+        Just(WatchOutcome::Silent),
+        (part(), any::<bool>()).prop_map(|(part, read)| WatchOutcome::Same(part, read)),
+        part().prop_map(WatchOutcome::Moved),
     ]
 }
 
-/// Puts the question that is due, lets it meet its fate, and tells when it was put and when the next one is due.
-fn meet(watch: &mut Watch, fate: Fate) -> (Time, Time) {
+/// Puts the question that is due, lets it meet its outcome, and tells when it was put and when the next one is due.
+fn meet(watch: &mut Watch, outcome: WatchOutcome) -> (Time, Time) {
     let asked = watch.due().expect("nothing is out");
     watch.ask(asked, "d");
     let longest = watch.overdue() - asked;
     let after = |part: f64| asked + longest.mul_f64(part);
-    match fate {
-        Fate::Unreached(part) => {
-            watch.failed(after(part), Failure::Unreached);
+    match outcome {
+        WatchOutcome::ConnectFailed(part) => {
+            watch.failed(after(part), Failure::ConnectFailed);
         }
-        Fate::Refused(part, told) => {
-            let told = told.map(Duration::from_millis);
-            watch.failed(after(part), Failure::Refused { told });
+        WatchOutcome::Refused(part, retry_after) => {
+            let retry_after = retry_after.map(Duration::from_millis);
+            watch.failed(after(part), Failure::Rejected { retry_after });
         }
-        Fate::Silent => {
-            watch.failed(watch.overdue(), Failure::Unreached);
+        WatchOutcome::Silent => {
+            watch.failed(watch.overdue(), Failure::ConnectFailed);
         }
-        Fate::Same(part, read) => {
+        WatchOutcome::Same(part, read) => {
             watch.answered(after(part), 7);
             if !read {
                 watch.missed();
             }
         }
-        Fate::Moved(part) => watch.moved(after(part)),
+        WatchOutcome::Moved(part) => watch.moved(after(part)),
     }
     (asked, watch.due().expect("the next one is due"))
 }
@@ -254,16 +262,16 @@
     /// that are asked for have the same clock.
     #[test]
     fn a_change_is_asked_for_in_time_whatever_became_of_the_calls_before(
-        fates in prop::collection::vec(any_fate(), 1..40),
+        outcomes in prop::collection::vec(any_outcome(), 1..40),
         senders in prop_oneof![Just(0u32), Just(1), 2..600u32, Just(u32::MAX)],
         longest in prop_oneof![Just(0u64), Just(1), 0..60_000u64, Just(u64::MAX / 1_000_000)],
         seed in any::<u64>(),
     ) {
         let mut watch = Watch::new(7, senders, Duration::from_millis(longest), seed, at(0));
-        for fate in &fates {
-            let (asked, next) = meet(&mut watch, *fate);
+        for outcome in &outcomes {
+            let (asked, next) = meet(&mut watch, *outcome);
             // The directory can be reached from just after a question on that it does not answer.
-            prop_assert!(next - asked <= TOLD - MARGIN, "{fate:?}: {:?}", next - asked);
+            prop_assert!(next - asked <= NOTIFIED - MARGIN, "{outcome:?}: {:?}", next - asked);
         }
     }
 }
--- a/crates/fleet-harness/src/hollow/course.rs
+++ b/crates/fleet-harness/src/hollow/course.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
-use cranehill_simulation::fleet::{Deed, Way};
+use cranehill_simulation::fleet::{MemberAction, Way};
 
 use super::figures::{HollowFigures, Spread};
 use super::observer::{Observation, Observer};
@@ -112,14 +112,16 @@
 
     /// Ends and starts of members that the script asks for.
     fn presence_changes(&self) -> usize {
-        let each = |deed: &Deed| match deed {
-            Deed::Kill { back, .. } | Deed::Term { back, .. } => 1 + usize::from(back.is_some()),
-            Deed::Stop { .. } | Deed::Upgrade { .. } => 0,
+        let each = |action: &MemberAction| match action {
+            MemberAction::Kill { back, .. } | MemberAction::Term { back, .. } => {
+                1 + usize::from(back.is_some())
+            }
+            MemberAction::Stop { .. } | MemberAction::Upgrade { .. } => 0,
         };
         self.script
             .acts
             .iter()
-            .map(|act| act.senders.len() * each(&act.deed))
+            .map(|act| act.senders.len() * each(&act.action))
             .sum()
     }
 
--- a/crates/fleet-harness/src/hollow/engine.rs
+++ b/crates/fleet-harness/src/hollow/engine.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
-use cranehill_simulation::fleet::Deed;
+use cranehill_simulation::fleet::MemberAction;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -18,7 +18,7 @@
 use super::script::Script;
 use super::traffic::Traffic;
 use super::usage;
-use crate::ways::{Fate, fate};
+use crate::ways::{PacketOutcome, outcome};
 
 /// Carries packets between members.
 pub trait Network {
@@ -89,7 +89,7 @@
     Deliver { to: usize, bytes: Vec<u8> },
     Transmit { from: usize, packet: Packet },
     Wake(usize),
-    Act(usize),
+    ScheduledAction(usize),
     Start(usize),
     Resume(usize),
 }
@@ -180,7 +180,7 @@
         self.began = Some(at);
         let acts: Vec<Duration> = self.common.script.acts.iter().map(|act| act.at).collect();
         for (number, after) in acts.into_iter().enumerate() {
-            self.push(at + after, Event::Act(number));
+            self.push(at + after, Event::ScheduledAction(number));
         }
     }
 
@@ -201,7 +201,7 @@
             Event::Deliver { to, bytes } => self.receive(now, to, bytes),
             Event::Transmit { from, packet } => self.put(now, from, packet),
             Event::Wake(member) => self.wake(now, at, member),
-            Event::Act(number) => self.act(now, number),
+            Event::ScheduledAction(number) => self.act(now, number),
             Event::Start(member) => self.start(now, member)?,
             Event::Resume(member) => self.resume(now, member),
         }
@@ -296,21 +296,21 @@
         let act = &script.acts[number];
         let here = self.first..self.first + self.slots.len();
         for &member in act.senders.iter().filter(|member| here.contains(member)) {
-            match act.deed {
-                Deed::Kill { back, .. } => {
+            match act.action {
+                MemberAction::Kill { back, .. } => {
                     self.crash(now, member);
                     self.start_again(now, member, back);
                 }
-                Deed::Term { back, .. } => {
+                MemberAction::Term { back, .. } => {
                     self.end(now, member);
                     self.start_again(now, member, back);
                 }
-                Deed::Stop { lasts } => {
+                MemberAction::Stop { duration } => {
                     self.stop(now, member);
-                    self.push(now + lasts, Event::Resume(member));
+                    self.push(now + duration, Event::Resume(member));
                 }
                 // The next process would take its state over, and there is none.
-                Deed::Upgrade { .. } => {}
+                MemberAction::Upgrade { .. } => {}
             }
         }
     }
@@ -407,9 +407,9 @@
     /// A member sends a packet: it is counted, and lost or held where its way is broken.
     fn transmit(&mut self, now: Time, from: usize, packet: Packet) {
         self.common.traffic.sent(from, packet.bytes.len());
-        match self.fate(now, from, &packet) {
-            Fate::Lost => self.common.traffic.lose(),
-            Fate::Through { at } => match self.began {
+        match self.outcome(now, from, &packet) {
+            PacketOutcome::Lost => self.common.traffic.lose(),
+            PacketOutcome::Through { at } => match self.began {
                 Some(began) if began + at > now => {
                     self.push(began + at, Event::Transmit { from, packet })
                 }
@@ -418,8 +418,8 @@
         }
     }
 
-    fn fate(&mut self, now: Time, from: usize, packet: &Packet) -> Fate {
-        let through = Fate::Through { at: Duration::ZERO };
+    fn outcome(&mut self, now: Time, from: usize, packet: &Packet) -> PacketOutcome {
+        let through = PacketOutcome::Through { at: Duration::ZERO };
         let Some(began) = self.began else {
             return through;
         };
@@ -429,7 +429,7 @@
         if to < self.common.first_hollow || self.common.script.breaks.is_empty() {
             return through;
         }
-        fate(
+        outcome(
             &self.common.script.breaks,
             from,
             to,
--- a/crates/fleet-harness/src/hollow/fleet.rs
+++ b/crates/fleet-harness/src/hollow/fleet.rs
@@ -9,8 +9,8 @@
 
 use cranehill_scenario_runner::Network;
 use cranehill_scheduler::Time;
-use cranehill_simulation::day::Day;
 use cranehill_simulation::fleet::Fleet;
+use cranehill_simulation::scenario::Scenario;
 
 use super::engine::{AddressBook, Common};
 use super::member::Setup;
@@ -53,7 +53,7 @@
     /// Starts the hollow members of a day; the real senders meet each other at `senders`, and each hollow member behind
     /// `between`.
     pub fn start(
-        day: &Day,
+        scenario: &Scenario,
         seed: u64,
         fleet: &Fleet,
         senders: &[SocketAddr],
@@ -61,12 +61,12 @@
     ) -> Result<HollowFleet, HollowError> {
         let timing = timing(fleet);
         timing.check()?;
-        let listen = free_addresses(day.senders, day.hollow)?;
+        let listen = free_addresses(scenario.senders, scenario.hollow)?;
         let mut addresses = senders.to_vec();
         for (index, real) in listen.iter().enumerate() {
-            addresses.push(between.sender_address(day.senders + index, *real)?);
+            addresses.push(between.sender_address(scenario.senders + index, *real)?);
         }
-        let seeds: Vec<SocketAddr> = addresses[day.senders..]
+        let seeds: Vec<SocketAddr> = addresses[scenario.senders..]
             .iter()
             .copied()
             .take(SEEDS_OF_EACH)
@@ -80,23 +80,23 @@
                 .chain(&seeds)
                 .copied()
                 .collect(),
-            fleet_size: day.members(),
+            fleet_size: scenario.members(),
             timing,
         };
-        let setups = (day.senders..day.members()).map(setup).collect();
-        let traffic = Arc::new(Traffic::new(day.members()));
+        let setups = (scenario.senders..scenario.members()).map(setup).collect();
+        let traffic = Arc::new(Traffic::new(scenario.members()));
         let common = Common {
             book: Arc::new(AddressBook::new(&addresses)),
             traffic: Arc::clone(&traffic),
             script: Arc::new(Script {
-                breaks: day.breaks.clone(),
-                acts: day.acts.clone(),
+                breaks: scenario.breaks.clone(),
+                acts: scenario.acts.clone(),
             }),
-            first_hollow: day.senders,
+            first_hollow: scenario.senders,
             seed,
         };
         let running = Running::start(&common, setups, listen, Clock::start())?;
-        let (first, members) = (day.senders, day.hollow);
+        let (first, members) = (scenario.senders, scenario.hollow);
         Ok(HollowFleet {
             running,
             traffic,
--- a/crates/fleet-harness/src/hollow/member.rs
+++ b/crates/fleet-harness/src/hollow/member.rs
@@ -27,7 +27,7 @@
 
 impl Seen {
     /// As it stands in a sender's log.
-    pub fn word(self) -> &'static str {
+    pub fn block(self) -> &'static str {
         match self {
             Seen::Alive => "alive",
             Seen::Suspect => "suspect",
--- a/crates/fleet-harness/src/hollow/plan.rs
+++ b/crates/fleet-harness/src/hollow/plan.rs
@@ -42,7 +42,7 @@
     },
     /// Two halves, drawn by the seed, are cut off from each other.
     Halves {
-        lasts: Duration,
+        duration: Duration,
     },
     /// So many are killed at once, and started again after [`super::RESTART_AFTER`].
     Restarts {
@@ -173,11 +173,11 @@
             Disturbance::Restarts { count } if count == 0 || count as usize >= members => {
                 wrong(format!("{count} restarts: from 1 to {}", members - 1))
             }
-            Disturbance::Halves { lasts } => {
+            Disturbance::Halves { duration } => {
                 let room = self.duration - self.disturbed_after();
-                if lasts.is_zero() || lasts >= room {
+                if duration.is_zero() || duration >= room {
                     return wrong(format!(
-                        "halves for {lasts:?}: above zero and less than {room:?}"
+                        "halves for {duration:?}: above zero and less than {room:?}"
                     ));
                 }
                 Ok(())
--- a/crates/fleet-harness/src/hollow/script.rs
+++ b/crates/fleet-harness/src/hollow/script.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use cranehill_simulation::fleet::{Act, Break, Deed, Folder, Side, Way};
+use cranehill_simulation::fleet::{Break, Folder, MemberAction, ScheduledAction, Side, Way};
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Script {
     pub breaks: Vec<Break>,
-    pub acts: Vec<Act>,
+    pub acts: Vec<ScheduledAction>,
 }
 
 impl Script {
@@ -31,7 +31,7 @@
         let at = plan.disturbed_after();
         match plan.disturbance {
             Disturbance::None => {}
-            Disturbance::Halves { lasts } => script.breaks.push(halves(plan, at, lasts)),
+            Disturbance::Halves { duration } => script.breaks.push(halves(plan, at, duration)),
             Disturbance::Restarts { count } => {
                 let senders = drawn(plan, count as usize);
                 script.acts.push(kill(at, senders, Some(RESTART_AFTER)));
@@ -63,25 +63,25 @@
             .iter()
             .filter(|b| b.way == Way::Cut)
             .map(|b| b.until);
-        let acts = self.acts.iter().map(|act| match act.deed {
-            Deed::Kill {
+        let acts = self.acts.iter().map(|act| match act.action {
+            MemberAction::Kill {
                 back: Some(back), ..
             }
-            | Deed::Term {
+            | MemberAction::Term {
                 back: Some(back), ..
             } => act.at + back,
-            Deed::Stop { lasts } => act.at + lasts,
+            MemberAction::Stop { duration } => act.at + duration,
             _ => act.at,
         });
         cuts.chain(acts).max().unwrap_or_default()
     }
 }
 
-fn kill(at: Duration, senders: BTreeSet<usize>, back: Option<Duration>) -> Act {
-    Act {
+fn kill(at: Duration, senders: BTreeSet<usize>, back: Option<Duration>) -> ScheduledAction {
+    ScheduledAction {
         at,
         senders,
-        deed: Deed::Kill {
+        action: MemberAction::Kill {
             back,
             folder: Folder::Kept,
         },
@@ -97,7 +97,7 @@
     all.into_iter().collect()
 }
 
-fn halves(plan: &HollowPlan, at: Duration, lasts: Duration) -> Break {
+fn halves(plan: &HollowPlan, at: Duration, duration: Duration) -> Break {
     let from = drawn(plan, plan.members / 2);
     let to = Side::Senders(
         (0..plan.members)
@@ -106,7 +106,7 @@
     );
     Break {
         at,
-        until: at + lasts,
+        until: at + duration,
         from,
         to,
         one_way: false,
--- a/crates/fleet-harness/src/hollow/udp.rs
+++ b/crates/fleet-harness/src/hollow/udp.rs
@@ -159,7 +159,7 @@
             }
             self.read_ready(&events);
             while self.engine.run_next(reached, self.clock.now())? {}
-            self.tell();
+            self.notify();
         }
         Ok([self.cpu_at_begin, usage::thread_cpu()])
     }
@@ -178,7 +178,7 @@
         ready.into_iter().for_each(|slot| self.read(slot));
     }
 
-    fn tell(&mut self) {
+    fn notify(&mut self) {
         for observation in self.engine.observations() {
             // Nobody listens any more once the play is over.
             let _ = self.observations.send(observation);
@@ -243,7 +243,7 @@
         listen: Vec<SocketAddr>,
         clock: Clock,
     ) -> Result<Running, HollowError> {
-        let (told, observations) = channel();
+        let (reported, observations) = channel();
         let listen = Arc::new(listen);
         let processors = std::thread::available_parallelism().map_or(1, usize::from);
         let threads = (setups.len() / MEMBERS_PER_THREAD + 1).min(processors);
@@ -269,7 +269,7 @@
                 poll,
                 clock,
                 orders: heard,
-                observations: told.clone(),
+                observations: reported.clone(),
                 cpu_at_begin: Duration::ZERO,
                 more: Vec::new(),
             };
@@ -287,14 +287,14 @@
     pub fn begin(&self, at: Time) {
         self.threads
             .iter()
-            .for_each(|thread| thread.tell(Order::Begin(at)));
+            .for_each(|thread| thread.notify(Order::Begin(at)));
     }
 
     /// Ends all members; tells the processor time of their threads since the script's clock started.
     pub fn end(self) -> Result<Duration, HollowError> {
         self.threads
             .iter()
-            .for_each(|thread| thread.tell(Order::End));
+            .for_each(|thread| thread.notify(Order::End));
         let mut cpu = Duration::ZERO;
         for thread in self.threads {
             let ended = thread
@@ -309,7 +309,7 @@
 }
 
 impl Thread {
-    fn tell(&self, order: Order) {
+    fn notify(&self, order: Order) {
         // One that has ended tells why when it is joined.
         let _ = self.orders.send(order);
         let _ = self.waker.wake();
--- a/crates/fleet-harness/src/lib.rs
+++ b/crates/fleet-harness/src/lib.rs
@@ -30,7 +30,7 @@
 pub use report::{Report, table, write};
 pub use returns::{Peak, Returns};
 pub use scenarios::{SCENARIOS, scenario};
-pub use timeline::{Said, Timeline};
+pub use timeline::{StateChange, Timeline};
 pub use zones::Outage;
 
 /// Milliseconds, up to an hour, to three digits.
--- a/crates/fleet-harness/src/network.rs
+++ b/crates/fleet-harness/src/network.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use cranehill_scenario_runner::{Network, Plan};
-use cranehill_simulation::day::Day;
 use cranehill_simulation::fleet::Fleet;
+use cranehill_simulation::scenario::Scenario;
 
 use crate::hollow::{HollowError, HollowFleet, HollowPassed};
 use crate::relay::Relay;
@@ -25,7 +25,7 @@
 
 /// See the module's text.
 pub struct RigNetwork<'a> {
-    day: &'a Day,
+    scenario: &'a Scenario,
     seed: u64,
     relay: Relay,
     hollow: Option<HollowFleet>,
@@ -33,9 +33,13 @@
 
 impl RigNetwork<'_> {
     pub fn start(plan: &Plan) -> io::Result<RigNetwork<'_>> {
-        let relay = Relay::start(plan.day.members(), plan.day.breaks.clone(), plan.seed)?;
+        let relay = Relay::start(
+            plan.scenario.members(),
+            plan.scenario.breaks.clone(),
+            plan.seed,
+        )?;
         Ok(RigNetwork {
-            day: &plan.day,
+            scenario: &plan.scenario,
             seed: plan.seed,
             relay,
             hollow: None,
@@ -81,10 +85,10 @@
     }
 
     fn join(&mut self, fleet: &Fleet, senders: &[SocketAddr]) -> io::Result<Vec<SocketAddr>> {
-        if self.day.hollow == 0 {
+        if self.scenario.hollow == 0 {
             return Ok(Vec::new());
         }
-        let hollow = HollowFleet::start(self.day, self.seed, fleet, senders, &mut self.relay)
+        let hollow = HollowFleet::start(self.scenario, self.seed, fleet, senders, &mut self.relay)
             .map_err(other)?;
         let seeds = hollow.seeds.clone();
         self.hollow = Some(hollow);
--- a/crates/fleet-harness/src/relay.rs
+++ b/crates/fleet-harness/src/relay.rs
@@ -22,7 +22,7 @@
 use rand_chacha::ChaCha8Rng;
 use socket2::SockRef;
 
-use crate::ways::{Fate, fate};
+use crate::ways::{PacketOutcome, outcome};
 
 const WAKE: Token = Token(0);
 /// What TCP waits at least before it sends a lost segment again (RFC 6298, as Linux has it).
@@ -196,7 +196,7 @@
         to: usize,
         real: SocketAddr,
     },
-    Door {
+    Ingress {
         listener: TcpListener,
         sender: usize,
         zone: usize,
@@ -331,7 +331,7 @@
                     )?;
                     self.ways.insert(
                         token,
-                        Kind::Door {
+                        Kind::Ingress {
                             listener,
                             sender,
                             zone,
@@ -359,7 +359,7 @@
     fn on_event(&mut self, token: usize) {
         match self.ways.get(&token) {
             Some(Kind::Packets { .. }) => self.packets(token),
-            Some(Kind::Door { .. }) => self.accept(token),
+            Some(Kind::Ingress { .. }) => self.accept(token),
             Some(Kind::Pair(_)) => self.pump(token),
             Some(Kind::Other(first)) => self.pump(*first),
             None => {}
@@ -389,15 +389,15 @@
                 passed.packets[from] += 1;
                 passed.bytes[from] += len as u64;
             }
-            match self.packet_fate(from, to) {
-                Fate::Lost => {
+            match self.packet_outcome(from, to) {
+                PacketOutcome::Lost => {
                     self.passed
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
                         .lost += 1
                 }
-                Fate::Through { at } if at.is_zero() => self.deliver(way, &bytes[..len]),
-                Fate::Through { at } => self.park(
+                PacketOutcome::Through { at } if at.is_zero() => self.deliver(way, &bytes[..len]),
+                PacketOutcome::Through { at } => self.park(
                     at,
                     Later::Packet {
                         way,
@@ -408,10 +408,10 @@
         }
     }
 
-    fn packet_fate(&mut self, from: usize, to: usize) -> Fate {
+    fn packet_outcome(&mut self, from: usize, to: usize) -> PacketOutcome {
         match self.now() {
-            Some(now) => fate(&self.breaks, from, to, now, &mut self.rng),
-            None => Fate::Through { at: Duration::ZERO },
+            Some(now) => outcome(&self.breaks, from, to, now, &mut self.rng),
+            None => PacketOutcome::Through { at: Duration::ZERO },
         }
     }
 
@@ -424,14 +424,14 @@
 
     // Between senders and destinations.
 
-    fn accept(&mut self, door: usize) {
+    fn accept(&mut self, client_ingress: usize) {
         loop {
-            let Some(Kind::Door {
+            let Some(Kind::Ingress {
                 listener,
                 sender,
                 zone,
                 real,
-            }) = self.ways.get(&door)
+            }) = self.ways.get(&client_ingress)
             else {
                 return;
             };
@@ -483,9 +483,9 @@
     }
 
     fn cut(&self, sender: usize, zone: usize, now: Duration) -> bool {
-        self.breaks
-            .iter()
-            .any(|b| b.way == Way::Cut && b.lasts_at(now) && b.at_destinations(sender, zone, false))
+        self.breaks.iter().any(|b| {
+            b.way == Way::Cut && b.duration_at(now) && b.at_destinations(sender, zone, false)
+        })
     }
 
     /// Until when a piece is held on its way, in one direction.
@@ -497,7 +497,7 @@
         for b in self
             .breaks
             .iter()
-            .filter(|b| b.lasts_at(now) && b.at_destinations(sender, zone, back))
+            .filter(|b| b.duration_at(now) && b.at_destinations(sender, zone, back))
         {
             match b.way {
                 Way::Cut | Way::Stall => at = at.max(b.until),
@@ -603,7 +603,7 @@
             let Kind::Pair(pair) = kind else { continue };
             let resets = |b: &Break| {
                 b.way == Way::Reset
-                    && b.lasts_at(now)
+                    && b.duration_at(now)
                     && b.at_destinations(pair.sender, pair.zone, false)
             };
             if self.breaks.iter().any(resets) {
