--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -77,19 +77,19 @@
 /// From a crash to the word of it everywhere: some member probes it within 7 periods but for a chance of e^-7, or within
 /// two rounds of all members where many are gone at once; the probe takes one, the suspicion its time, the gossip two.
 fn bound(plan: &Plan) -> Duration {
-    let Some(fleet) = &plan.day.fleet else {
+    let Some(fleet) = &plan.scenario.fleet else {
         return Duration::ZERO;
     };
-    let count = plan.day.members();
-    let most_gone = plan
-        .day
+    let count = plan.scenario.members();
+    let most_removed = plan
+        .scenario
         .acts
         .iter()
         .map(|a| a.senders.len())
         .max()
         .unwrap_or(0)
         .min(count.saturating_sub(1));
-    let rounds = 2.0 * count as f64 / (count - most_gone).max(1) as f64;
+    let rounds = 2.0 * count as f64 / (count - most_removed).max(1) as f64;
     let scale = (count as f64).log10().max(1.0);
     let suspicion = fleet.suspicion.unwrap_or((fleet.period * 4).mul_f64(scale));
     fleet.period.mul_f64(10.0 + rounds) + suspicion
@@ -97,11 +97,11 @@
 
 impl Report {
     pub fn of(plan: &Plan, outcome: &Outcome, passed: &FleetTraffic) -> Report {
-        let (day, count) = (&plan.day, plan.day.members());
+        let (scenario, count) = (&plan.scenario, plan.scenario.members());
         let mut timeline = Timeline::read(&outcome.logs, &outcome.lines, outcome.began);
         let hollow = passed.hollow.as_ref();
         hollow.iter().for_each(|hollow| timeline.add_hollow(hollow));
-        let (bytes, packets) = sent(day.senders, passed);
+        let (bytes, packets) = sent(scenario.senders, passed);
         let bound = bound(plan);
         let detection = histogram();
         let mut report = Report {
@@ -115,8 +115,8 @@
             views_agree: false,
             rejoined: timeline.rejoined.len(),
             parts: Vec::new(),
-            returns: Returns::of(day, &outcome.lines, &timeline, outcome.lasted),
-            outages: outages(day, &outcome.lines, &timeline),
+            returns: Returns::of(scenario, &outcome.lines, &timeline, outcome.lasted),
+            outages: outages(scenario, &outcome.lines, &timeline),
             bytes_a_second: bytes as f64 / secs(outcome.lasted) / count as f64,
             packets_a_second: packets as f64 / secs(outcome.lasted) / count as f64,
             hollow: hollow.map(|hollow| HollowCosts::of(hollow, outcome.lasted)),
@@ -128,7 +128,7 @@
             timeline,
         };
         report.costs(outcome);
-        if day.fleet.is_some() {
+        if scenario.fleet.is_some() {
             report.detections(plan, outcome);
             report.downs(plan);
             report.agreement(plan, outcome);
@@ -137,17 +137,17 @@
             report.shares(plan);
         }
         for (rule, verdict) in &outcome.verdicts {
-            let Verdict::Broken(breaches) = verdict else {
+            let Verdict::Broken(violations) = verdict else {
                 continue;
             };
-            let first = breaches
+            let first = violations
                 .first()
                 .map(ToString::to_string)
                 .unwrap_or_default();
             report.failed.push(format!(
                 "broken {} times: {}; {first}",
-                breaches.len(),
-                rule.says()
+                violations.len(),
+                rule.description()
             ));
         }
         report.failed.extend(
@@ -190,32 +190,38 @@
     fn detections(&mut self, plan: &Plan, outcome: &Outcome) {
         let bound = self.bound;
         let mut downs: BTreeMap<(usize, usize), Vec<Duration>> = BTreeMap::new();
-        for said in self
+        for state_changes in self
             .timeline
-            .said
+            .state_changes
             .iter()
-            .filter(|said| said.state == "down")
+            .filter(|state_changes| state_changes.state == "down")
         {
-            downs.entry((said.by, said.of)).or_default().push(said.at);
+            downs
+                .entry((state_changes.by, state_changes.of))
+                .or_default()
+                .push(state_changes.at);
         }
-        for &(gone, at) in &self.timeline.killed {
+        for &(removed, at) in &self.timeline.killed {
             let back = self
                 .timeline
                 .away
-                .get(&gone)
+                .get(&removed)
                 .and_then(|all| all.iter().find(|a| a.0 >= at)?.1);
             let until = back.unwrap_or(outcome.lasted).min(outcome.lasted);
-            for by in (0..plan.day.members()).filter(|&by| by != gone) {
+            for by in (0..plan.scenario.members()).filter(|&by| by != removed) {
                 if !self.timeline.there(by, at, until.min(at + bound))
-                    || cut_off(&plan.day.breaks, by, gone, at)
+                    || cut_off(&plan.scenario.breaks, by, removed, at)
                 {
                     continue;
                 }
-                let said = downs.get(&(by, gone)).into_iter().flatten();
-                match said.copied().find(|said| (at..=until).contains(said)) {
-                    Some(said) => self
+                let state_changes = downs.get(&(by, removed)).into_iter().flatten();
+                match state_changes
+                    .copied()
+                    .find(|state_changes| (at..=until).contains(state_changes))
+                {
+                    Some(state_changes) => self
                         .detection
-                        .saturating_record((said - at).as_millis() as u64),
+                        .saturating_record((state_changes - at).as_millis() as u64),
                     // It came back, or the day ended, before it had to be known.
                     None if until < at + bound => {}
                     None => self.undetected += 1,
@@ -238,22 +244,30 @@
 
     /// Who was said to be down and was not.
     fn downs(&mut self, plan: &Plan) {
-        for said in self.timeline.said.iter().filter(|s| s.state == "down") {
-            let since = said.at.saturating_sub(self.bound);
-            if !self.timeline.there(said.of, since, said.at) {
+        for state_changes in self
+            .timeline
+            .state_changes
+            .iter()
+            .filter(|s| s.state == "down")
+        {
+            let since = state_changes.at.saturating_sub(self.bound);
+            if !self
+                .timeline
+                .there(state_changes.of, since, state_changes.at)
+            {
                 continue;
             }
             let cut = |b: &Break| {
                 matches!(b.way, Way::Cut | Way::Stall)
                     && b.among_senders()
-                    && b.at <= said.at
+                    && b.at <= state_changes.at
                     && b.until >= since
             };
-            match plan.day.breaks.iter().any(cut) {
+            match plan.scenario.breaks.iter().any(cut) {
                 true => self.explained += 1,
                 false => {
                     self.false_downs += 1;
-                    let (by, of, at) = (said.by, said.of, secs(said.at));
+                    let (by, of, at) = (state_changes.by, state_changes.of, secs(state_changes.at));
                     self.failed.push(format!(
                         "{at:.3} s: sender {by} held {of} to be down, and nothing was broken"
                     ));
@@ -264,16 +278,16 @@
 
     /// When all agreed again after each thing that was done.
     fn agreement(&mut self, plan: &Plan, outcome: &Outcome) {
-        let day = &plan.day;
+        let scenario = &plan.scenario;
         let mut edges: BTreeMap<Duration, String> = BTreeMap::new();
         edges.insert(Duration::ZERO, "start".into());
-        for b in day.breaks.iter().filter(|b| b.among_senders()) {
+        for b in scenario.breaks.iter().filter(|b| b.among_senders()) {
             edges.insert(b.at, String::new());
             edges.insert(b.until, format!("{:?} until {:.1} s", b.way, secs(b.until)));
         }
         for all in self.timeline.away.values() {
-            for &(gone, back) in all {
-                edges.entry(gone).or_default();
+            for &(removed, back) in all {
+                edges.entry(removed).or_default();
                 if let Some(back) = back {
                     edges
                         .entry(back)
@@ -292,11 +306,11 @@
                 .copied()
                 .unwrap_or(outcome.lasted)
                 .min(outcome.lasted);
-            let since = self.timeline.agreed_since(day.members(), *at, until);
-            let broken = day
+            let since = self.timeline.agreed_since(scenario.members(), *at, until);
+            let broken = scenario
                 .breaks
                 .iter()
-                .any(|b| b.lasts_at(*at) && b.among_senders());
+                .any(|b| b.duration_at(*at) && b.among_senders());
             // What is broken again, or ends, before it could heal is no failure.
             if since.is_none() && (broken || until - *at < self.bound) {
                 continue;
@@ -312,12 +326,12 @@
 
     fn last_views(&mut self, plan: &Plan, outcome: &Outcome) {
         let quiet = outcome.lasted.saturating_sub(self.bound);
-        let there: BTreeSet<usize> = (0..plan.day.members())
+        let there: BTreeSet<usize> = (0..plan.scenario.members())
             .filter(|&s| self.timeline.there(s, quiet, outcome.lasted))
             .collect();
         self.views_agree = true;
         for &by in &there {
-            if by >= plan.day.senders {
+            if by >= plan.scenario.senders {
                 let seen = self.timeline.seen_alive(by);
                 self.compare_view(by, &there, &seen);
                 continue;
@@ -354,8 +368,10 @@
     /// What all members together allowed themselves of a shared limit: no more than the limit, and no more than what
     /// evictions allow where somebody was out of sight for longer than the eviction delay.
     fn shares(&mut self, plan: &Plan) {
-        let Some(fleet) = &plan.day.fleet else { return };
-        self.largest_share = largest_share(&self.timeline, plan.day.members());
+        let Some(fleet) = &plan.scenario.fleet else {
+            return;
+        };
+        self.largest_share = largest_share(&self.timeline, plan.scenario.members());
         let most = if out_of_sight_most(plan, &self.timeline) < fleet.hold {
             1.0
         } else {
@@ -372,7 +388,7 @@
     /// What each side of a cut sent to the destinations that share a limit.
     fn limits(&mut self, plan: &Plan, outcome: &Outcome) {
         for cut in plan
-            .day
+            .scenario
             .breaks
             .iter()
             .filter(|b| b.way == Way::Cut && !b.one_way)
@@ -382,7 +398,7 @@
             };
             let length = cut.until - cut.at;
             let before = cut.at.saturating_sub(length.min(cut.at))..cut.at;
-            for (n, member) in plan.day.destinations.iter().enumerate() {
+            for (n, member) in plan.scenario.destinations.iter().enumerate() {
                 let Limit::Rate { per_second, .. } = member.spec.limit else {
                     continue;
                 };
@@ -390,12 +406,12 @@
                     // Hollow members have a part as well, and send nothing.
                     let real = side
                         .iter()
-                        .filter(|&&sender| sender < plan.day.senders)
+                        .filter(|&&sender| sender < plan.scenario.senders)
                         .count();
                     if real == 0 {
                         continue;
                     }
-                    let allowed = per_second * real as f64 / plan.day.members() as f64;
+                    let allowed = per_second * real as f64 / plan.scenario.members() as f64;
                     let part = Part {
                         destination: member.name.clone(),
                         senders: real,
@@ -433,7 +449,7 @@
             })
             .collect();
         json!({
-            "scenario": plan.day.name, "seed": plan.seed, "nodes": plan.day.senders, "hollow": plan.day.hollow, "lasted_ms": ms(outcome.lasted),
+            "scenario": plan.scenario.name, "seed": plan.seed, "nodes": plan.scenario.senders, "hollow": plan.scenario.hollow, "lasted_ms": ms(outcome.lasted),
             "holds": self.holds(), "failed": self.failed,
             "service": {"worth": outcome.worth.0, "asked": outcome.worth.1, "handed": outcome.submitted,
                 "delivered": outcome.delivered},
@@ -453,7 +469,7 @@
 /// The longest time for which a member was away or cut off.
 fn out_of_sight_most(plan: &Plan, timeline: &Timeline) -> Duration {
     let cuts = plan
-        .day
+        .scenario
         .breaks
         .iter()
         .filter(|b| matches!(b.way, Way::Cut | Way::Stall) && b.among_senders());
@@ -462,8 +478,8 @@
         .away
         .values()
         .flatten()
-        .map(|(gone, back)| match back {
-            Some(back) => back.saturating_sub(*gone),
+        .map(|(removed, back)| match back {
+            Some(back) => back.saturating_sub(*removed),
             None => Duration::MAX,
         });
     away.max().unwrap_or_default().max(cut)
@@ -507,9 +523,9 @@
 }
 
 fn fleet_size(plan: &Plan) -> String {
-    match plan.day.hollow {
-        0 => format!("{} senders", plan.day.senders),
-        hollow => format!("{} senders, {hollow} hollow members", plan.day.senders),
+    match plan.scenario.hollow {
+        0 => format!("{} senders", plan.scenario.senders),
+        hollow => format!("{} senders, {hollow} hollow members", plan.scenario.senders),
     }
 }
 
@@ -519,7 +535,7 @@
     let mut lines = vec![
         format!(
             "{} ({}, seed {})",
-            plan.day.name,
+            plan.scenario.name,
             fleet_size(plan),
             plan.seed
         ),
@@ -561,7 +577,7 @@
     }
     lines.extend(report.outages.iter().map(Outage::line));
     lines.extend(
-        day_report::table(&plan.day.name, plan.seed, outcome)
+        day_report::table(&plan.scenario.name, plan.seed, outcome)
             .into_iter()
             .skip(1),
     );
@@ -600,18 +616,27 @@
 /// Others seen alive by each sender, over time.
 fn plot(plan: &Plan, outcome: &Outcome, report: &Report) -> io::Result<String> {
     let other = |e: &dyn std::fmt::Display| io::Error::other(e.to_string());
-    let (end, count, members) = (secs(outcome.lasted), plan.day.senders, plan.day.members());
+    let (end, count, members) = (
+        secs(outcome.lasted),
+        plan.scenario.senders,
+        plan.scenario.members(),
+    );
     let mut seen: Vec<BTreeSet<usize>> = vec![BTreeSet::new(); count];
     let mut curves: Vec<Vec<(f64, f64)>> = vec![vec![(0.0, 0.0)]; count];
-    for said in report.timeline.said.iter().filter(|s| s.by < count) {
-        let before = seen[said.by].len() as f64;
-        match said.state.as_str() {
-            "alive" | "suspect" => seen[said.by].insert(said.of),
-            _ => seen[said.by].remove(&said.of),
+    for state_changes in report
+        .timeline
+        .state_changes
+        .iter()
+        .filter(|s| s.by < count)
+    {
+        let before = seen[state_changes.by].len() as f64;
+        match state_changes.state.as_str() {
+            "alive" | "suspect" => seen[state_changes.by].insert(state_changes.of),
+            _ => seen[state_changes.by].remove(&state_changes.of),
         };
-        curves[said.by].extend([
-            (secs(said.at), before),
-            (secs(said.at), seen[said.by].len() as f64),
+        curves[state_changes.by].extend([
+            (secs(state_changes.at), before),
+            (secs(state_changes.at), seen[state_changes.by].len() as f64),
         ]);
     }
     let mut text = String::new();
--- a/crates/fleet-harness/src/returns.rs
+++ b/crates/fleet-harness/src/returns.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use cranehill_simulation::audit::{Fate, Line, What};
-use cranehill_simulation::day::Day;
+use cranehill_simulation::audit::{DeliveryOutcome, Line, What};
 use cranehill_simulation::fault::State;
 use cranehill_simulation::limit::Limit;
+use cranehill_simulation::scenario::Scenario;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
@@ -44,7 +44,12 @@
 }
 
 impl Returns {
-    pub fn of(day: &Day, lines: &[Line], timeline: &Timeline, lasted: Duration) -> Returns {
+    pub fn of(
+        scenario: &Scenario,
+        lines: &[Line],
+        timeline: &Timeline,
+        lasted: Duration,
+    ) -> Returns {
         let mut full = histogram();
         let first = timeline.killed.iter().map(|k| k.1).min();
         for (at, _, took) in &timeline.full {
@@ -56,10 +61,10 @@
             .away
             .values()
             .flatten()
-            .filter_map(|(gone, back)| Some((*gone, (*back)? + RETURN)))
+            .filter_map(|(removed, back)| Some((*removed, (*back)? + RETURN)))
             .collect();
-        let peaks = (0..day.destinations.len())
-            .map(|n| peak(day, n, lines, &spans))
+        let peaks = (0..scenario.destinations.len())
+            .map(|n| peak(scenario, n, lines, &spans))
             .collect();
         Returns {
             full,
@@ -141,8 +146,13 @@
     }
 }
 
-fn peak(day: &Day, destination: usize, lines: &[Line], spans: &[(Duration, Duration)]) -> Peak {
-    let member = &day.destinations[destination];
+fn peak(
+    scenario: &Scenario,
+    destination: usize,
+    lines: &[Line],
+    spans: &[(Duration, Duration)],
+) -> Peak {
+    let member = &scenario.destinations[destination];
     let limit = match member.spec.limit {
         Limit::None => None,
         Limit::Rate { per_second, burst } => Some(per_second * SPAN.as_secs_f64() + burst),
@@ -186,11 +196,11 @@
             What::Replied {
                 destination,
                 connection,
-                fates,
+                outcomes,
                 ..
             } if *destination == number => {
                 out.remove(connection);
-                if counts && fates.iter().all(|f| f.1 == Fate::Busy) {
+                if counts && outcomes.iter().all(|f| f.1 == DeliveryOutcome::Busy) {
                     peak.refused += 1;
                 }
             }
@@ -209,8 +219,11 @@
 fn served_again(lines: &[Line], at: Duration, lasted: Duration) -> Option<Duration> {
     let mut seconds: BTreeMap<u64, u32> = BTreeMap::new();
     for line in lines {
-        if let What::Replied { fates, .. } = &line.what {
-            let done = fates.iter().filter(|f| f.1 == Fate::Done).count() as u32;
+        if let What::Replied { outcomes, .. } = &line.what {
+            let done = outcomes
+                .iter()
+                .filter(|f| f.1 == DeliveryOutcome::Done)
+                .count() as u32;
             *seconds.entry(line.at.as_secs()).or_default() += done;
         }
     }
--- a/crates/fleet-harness/src/shares.rs
+++ b/crates/fleet-harness/src/shares.rs
@@ -45,14 +45,14 @@
 }
 
 fn changes(timeline: &Timeline, members: usize) -> Vec<(Duration, usize, Change)> {
-    let told = timeline
+    let reported = timeline
         .senders
         .iter()
         .map(|&(at, by, senders)| (at, by, Change::Divides(senders)));
-    let mut changes: Vec<(Duration, usize, Change)> = told.collect();
+    let mut changes: Vec<(Duration, usize, Change)> = reported.collect();
     for (&member, away) in &timeline.away {
-        for &(gone, back) in away {
-            changes.push((gone, member, Change::Leaves));
+        for &(removed, back) in away {
+            changes.push((removed, member, Change::Leaves));
             changes.extend(back.map(|back| (back, member, Change::Returns)));
         }
     }
--- a/crates/fleet-harness/src/sweep/backlog.rs
+++ b/crates/fleet-harness/src/sweep/backlog.rs
@@ -84,9 +84,9 @@
 
 /// A body that does not compress, so that the journal's size is an upper bound for it.
 fn body(number: u64) -> Arc<[u8]> {
-    let words = 0..(BODY / size_of::<u64>()) as u64;
-    words
-        .flat_map(|word| mixed(number ^ word << 40).to_le_bytes())
+    let blocks = 0..(BODY / size_of::<u64>()) as u64;
+    blocks
+        .flat_map(|block| mixed(number ^ block << 40).to_le_bytes())
         .collect()
 }
 
@@ -253,8 +253,8 @@
             break;
         }
     }
-    let told = [HELD_MOST, HELD_MOST * 2, HELD_MOST * 4, holds, fails].map(|s| s as f64);
-    tried.retain(|s| told.contains(&s.size));
+    let reported = [HELD_MOST, HELD_MOST * 2, HELD_MOST * 4, holds, fails].map(|s| s as f64);
+    tried.retain(|s| reported.contains(&s.size));
     tried.sort_by(|a, b| a.size.total_cmp(&b.size));
     tried.dedup_by(|a, b| a.size == b.size);
     let id = "backlog.taken-up";
--- a/crates/fleet-harness/src/sweep/destinations.rs
+++ b/crates/fleet-harness/src/sweep/destinations.rs
@@ -170,8 +170,8 @@
             fails = middle
         }
     }
-    let told = |s: &Sample| [holds as f64, fails as f64, planned as f64].contains(&s.size);
-    tried.retain(told);
+    let reported = |s: &Sample| [holds as f64, fails as f64, planned as f64].contains(&s.size);
+    tried.retain(reported);
     tried.sort_by(|a, b| a.size.total_cmp(&b.size));
     let id = "destinations.list-taken";
     let quantity = catalog::quantity(id).ok_or(SweepError::Unknown(id))?;
--- a/crates/fleet-harness/src/sweep/directory.rs
+++ b/crates/fleet-harness/src/sweep/directory.rs
@@ -215,23 +215,23 @@
 fn serve(mut stream: TcpStream, number: u64, shared: &(Mutex<State>, Condvar)) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut input = Vec::new();
-    let mut told = false;
+    let mut reported = false;
     loop {
         let Some(head) = read_head(&mut stream, &mut input)? else {
             return Ok(());
         };
-        if told {
+        if reported {
             lock(shared).news += head.len() as u64;
         }
         let (from, hold) = (number_in(&head, "from="), number_in(&head, "hold_ms="));
         let Some(answer) = answered(number, from, hold, shared) else {
             return Ok(());
         };
-        told = matches!(answer, Answer::News(_));
+        reported = matches!(answer, Answer::News(_));
         let text = match &answer {
             Answer::News(body) | Answer::Nothing(body) => response(body),
         };
-        if told {
+        if reported {
             // Counted before it is written: whoever has read it may act at once.
             lock(shared).news += text.len() as u64;
         }
--- a/crates/fleet-harness/src/sweep/members.rs
+++ b/crates/fleet-harness/src/sweep/members.rs
@@ -52,7 +52,7 @@
         Scene {
             state: State::Halves,
             disturbance: Disturbance::Halves {
-                lasts: Duration::from_secs(40),
+                duration: Duration::from_secs(40),
             },
             duration: Duration::from_secs(80),
         },
--- a/crates/fleet-harness/src/sweep/reducer.rs
+++ b/crates/fleet-harness/src/sweep/reducer.rs
@@ -9,7 +9,7 @@
 use cranehill_scheduler::profile::Profile;
 
 use crate::hollow::usage::thread_cpu;
-use crate::sweep::sender::{LASTS, settings};
+use crate::sweep::sender::{DURATION, settings};
 
 /// When the clock of a played reducer starts.
 const START: Time = Time(1_764_590_000_000_000_000);
@@ -42,7 +42,7 @@
 
 /// One event of a backlog, accepted at `now` (ns since 1970): half of its time at least is left.
 pub fn event(number: u64, destinations: u64, now: u64, body: &Arc<[u8]>) -> Record {
-    let lasts = LASTS.as_nanos() as u64;
+    let duration = DURATION.as_nanos() as u64;
     Record::Accepted {
         id: format!("{:016x}", mixed(number)),
         class: 0,
@@ -50,7 +50,7 @@
         destination: number % destinations,
         key: Some(format!("{:016x}", mixed(!number))),
         ordering_key: None,
-        deadline: now + lasts / 2 + mixed(number ^ 0x5eed) % (lasts / 2),
+        deadline: now + duration / 2 + mixed(number ^ 0x5eed) % (duration / 2),
         at: now,
         body: body.clone(),
     }
--- a/crates/fleet-harness/src/sweep/sender.rs
+++ b/crates/fleet-harness/src/sweep/sender.rs
@@ -15,7 +15,7 @@
 const LOOK: Duration = Duration::from_millis(20);
 const STILL: Duration = Duration::from_millis(200);
 /// How long an event of a sweep may be delivered: it must not run out while it is measured.
-pub const LASTS: Duration = Duration::from_secs(3600);
+pub const DURATION: Duration = Duration::from_secs(3600);
 /// Far more than any sweep writes.
 const DISK_MB: f64 = 20_000.0;
 
@@ -31,7 +31,7 @@
 
 /// The settings object of a sweep.
 pub fn settings(most_held: u64) -> String {
-    let nanos = LASTS.as_nanos() as u64;
+    let nanos = DURATION.as_nanos() as u64;
     let zones: Vec<String> = (0..6).map(|n| format!("zone-{n}")).collect();
     json!({
         "classes": [{"aim": nanos / 4, "deadline": nanos, "dedupScope": "all", "effect": "keyed", "lateShare": 0.4,
@@ -115,7 +115,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .map_err(failed)?;
-        let (heard, words) = channel();
+        let (heard, blocks) = channel();
         if let Some(stderr) = child.stderr.take() {
             // Read to its end: a full pipe would stop the sender.
             thread::spawn(move || {
@@ -128,21 +128,21 @@
             child,
             ready: Duration::ZERO,
         };
-        sender.listens(&words, begun + most, most)?;
+        sender.listens(&blocks, begun + most, most)?;
         sender.ready = begun.elapsed();
         Ok(sender)
     }
 
     fn listens(
         &self,
-        words: &Receiver<String>,
+        blocks: &Receiver<String>,
         end: Instant,
         most: Duration,
     ) -> Result<(), StartError> {
         let mut last = String::new();
         loop {
             let left = end.saturating_duration_since(Instant::now());
-            match words.recv_timeout(left) {
+            match blocks.recv_timeout(left) {
                 Ok(line) if line.contains("listening for clients at ") => return Ok(()),
                 Ok(line) => last = line,
                 Err(RecvTimeoutError::Disconnected) => return Err(StartError::Ended(last)),
--- a/crates/fleet-harness/src/timeline.rs
+++ b/crates/fleet-harness/src/timeline.rs
@@ -11,18 +11,18 @@
 
 /// One sender's log said that another is so from now on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Said {
+pub struct StateChange {
     pub at: Duration,
     pub by: usize,
     pub of: usize,
     pub state: String,
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// A day, as far as the fleet goes.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
-    pub said: Vec<Said>,
+    pub state_changes: Vec<StateChange>,
     /// By sender: when it was not there, or stopped, and since when it was there again.
     pub away: BTreeMap<usize, Vec<(Duration, Option<Duration>)>>,
     /// Ends that were sudden: killed, when.
@@ -66,13 +66,13 @@
                         continue;
                     };
                     let state = value["state"].as_str().unwrap_or_default().to_owned();
-                    let life = value["life"].as_u64().unwrap_or(0);
-                    timeline.said.push(Said {
+                    let incarnation = value["life"].as_u64().unwrap_or(0);
+                    timeline.state_changes.push(StateChange {
                         at,
                         by: *by,
                         of,
                         state,
-                        life,
+                        incarnation,
                     });
                 }
                 "senders" => {
@@ -92,7 +92,7 @@
                 _ => {}
             }
         }
-        timeline.said.sort_by_key(|s| s.at);
+        timeline.state_changes.sort_by_key(|s| s.at);
         for line in lines {
             let Some(sender) = line.sender else { continue };
             match (&line.what, line.wire.as_str()) {
@@ -114,7 +114,7 @@
         for observation in &hollow.observations {
             self.add_observation(hollow.began, observation);
         }
-        self.said.sort_by_key(|s| s.at);
+        self.state_changes.sort_by_key(|s| s.at);
         self.senders.sort_by_key(|s| s.0);
         self.killed.sort_by_key(|k| k.1);
     }
@@ -128,13 +128,13 @@
                 generation,
                 seen,
             } => {
-                let state = seen.word().to_owned();
-                self.said.push(Said {
+                let state = seen.block().to_owned();
+                self.state_changes.push(StateChange {
                     at,
                     by,
                     of: *member,
                     state,
-                    life: *generation,
+                    incarnation: *generation,
                 });
             }
             Observed::Senders(senders) => self.senders.push((at, by, u64::from(*senders))),
@@ -167,10 +167,14 @@
     /// Others that a member sees alive by its last words.
     pub fn seen_alive(&self, by: usize) -> BTreeSet<usize> {
         let mut alive = BTreeSet::new();
-        for said in self.said.iter().filter(|said| said.by == by) {
-            match said.state.as_str() {
-                "alive" => alive.insert(said.of),
-                _ => alive.remove(&said.of),
+        for state_changes in self
+            .state_changes
+            .iter()
+            .filter(|state_changes| state_changes.by == by)
+        {
+            match state_changes.state.as_str() {
+                "alive" => alive.insert(state_changes.of),
+                _ => alive.remove(&state_changes.of),
             };
         }
         alive
@@ -180,7 +184,7 @@
     pub fn there(&self, sender: usize, from: Duration, to: Duration) -> bool {
         self.away.get(&sender).is_none_or(|all| {
             all.iter()
-                .all(|(gone, back)| *gone > to || back.is_some_and(|back| back <= from))
+                .all(|(removed, back)| *removed > to || back.is_some_and(|back| back <= from))
         })
     }
 
@@ -192,27 +196,33 @@
         // Pairs that do not see each other, kept by each change: a fleet of some hundred has as many changes as pairs.
         let mut missing = present * present.saturating_sub(1);
         let mut since = None;
-        for said in self
-            .said
+        for state_changes in self
+            .state_changes
             .iter()
             .filter(|s| s.at <= until && s.by < count && s.of < count)
         {
-            if there[said.by] && there[said.of] && said.by != said.of {
-                let seen = &mut alive[said.by * count + said.of];
-                let now = said.state == "alive";
+            if there[state_changes.by]
+                && there[state_changes.of]
+                && state_changes.by != state_changes.of
+            {
+                let seen = &mut alive[state_changes.by * count + state_changes.of];
+                let now = state_changes.state == "alive";
                 missing = missing + usize::from(*seen) - usize::from(now);
                 *seen = now;
             }
-            if said.at < from {
+            if state_changes.at < from {
                 continue;
             }
             match (missing > 0, since) {
                 (true, _) => since = None,
-                (false, None) => since = Some(said.at),
+                (false, None) => since = Some(state_changes.at),
                 (false, Some(_)) => {}
             }
         }
-        let always = self.said.iter().all(|s| s.at < from || s.at > until);
+        let always = self
+            .state_changes
+            .iter()
+            .all(|s| s.at < from || s.at > until);
         since.or_else(|| (always && missing == 0).then_some(from))
     }
 }
--- a/crates/fleet-harness/src/ways.rs
+++ b/crates/fleet-harness/src/ways.rs
@@ -8,7 +8,7 @@
 
 /// See the module's text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum PacketOutcome {
     /// It goes on its way then; zero for at once.
     Through {
         at: Duration,
@@ -17,19 +17,25 @@
 }
 
 /// `now` is counted from the start of the breaks' clock.
-pub fn fate(breaks: &[Break], from: usize, to: usize, now: Duration, rng: &mut ChaCha8Rng) -> Fate {
+pub fn outcome(
+    breaks: &[Break],
+    from: usize,
+    to: usize,
+    now: Duration,
+    rng: &mut ChaCha8Rng,
+) -> PacketOutcome {
     let mut at = Duration::ZERO;
     for b in breaks
         .iter()
-        .filter(|b| b.lasts_at(now) && b.between(from, to))
+        .filter(|b| b.duration_at(now) && b.between(from, to))
     {
         match b.way {
-            Way::Cut => return Fate::Lost,
-            Way::Drop { share } if rng.random_bool(share) => return Fate::Lost,
+            Way::Cut => return PacketOutcome::Lost,
+            Way::Drop { share } if rng.random_bool(share) => return PacketOutcome::Lost,
             Way::Delay { by } => at = at.max(now + by),
             Way::Stall => at = at.max(b.until),
             Way::Drop { .. } | Way::Reset => {}
         }
     }
-    Fate::Through { at }
+    PacketOutcome::Through { at }
 }
--- a/crates/fleet-harness/src/zones.rs
+++ b/crates/fleet-harness/src/zones.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::{Line, What};
-use cranehill_simulation::day::Day;
 use cranehill_simulation::limit::Limit;
+use cranehill_simulation::scenario::Scenario;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
@@ -40,11 +40,17 @@
 }
 
 /// The outages that strike most of a zone's endpoints.
-pub fn outages(day: &Day, lines: &[Line], timeline: &Timeline) -> Vec<Outage> {
+pub fn outages(scenario: &Scenario, lines: &[Line], timeline: &Timeline) -> Vec<Outage> {
     let mut found = Vec::new();
-    for (zone, name) in day.zones.iter().enumerate().filter(|_| day.zones.len() > 1) {
+    for (zone, name) in scenario
+        .zones
+        .iter()
+        .enumerate()
+        .filter(|_| scenario.zones.len() > 1)
+    {
         let endpoints = || {
-            day.destinations
+            scenario
+                .destinations
                 .iter()
                 .flat_map(|m| m.faults.iter().zip(&m.zones))
                 .filter(|(_, z)| **z == zone)
@@ -55,9 +61,9 @@
         for fault in endpoints().flatten().filter(|f| f.is_outage()) {
             *spans.entry((fault.start, fault.end())).or_default() += 1;
         }
-        for ((from, until), struck) in spans {
-            if struck * 5 >= count * 4 {
-                found.push(outage(day, lines, timeline, (zone, name), from, until));
+        for ((from, until), affected) in spans {
+            if affected * 5 >= count * 4 {
+                found.push(outage(scenario, lines, timeline, (zone, name), from, until));
             }
         }
     }
@@ -65,7 +71,7 @@
 }
 
 fn outage(
-    day: &Day,
+    scenario: &Scenario,
     lines: &[Line],
     timeline: &Timeline,
     (zone, name): (usize, &String),
@@ -73,7 +79,7 @@
     until: Duration,
 ) -> Outage {
     // Endpoints by the auditor's number: destinations in order, each with its endpoints. Replaced ones are not in these days.
-    let places: Vec<(usize, usize)> = day
+    let places: Vec<(usize, usize)> = scenario
         .destinations
         .iter()
         .enumerate()
@@ -120,7 +126,7 @@
             let times = sliding.entry(destination).or_default();
             times.push(line.at);
             times.retain(|t| line.at.saturating_sub(*t) < SPAN);
-            let spec = &day.destinations[destination].spec;
+            let spec = &scenario.destinations[destination].spec;
             let limit = match spec.limit {
                 Limit::Rate { per_second, burst } => per_second + burst,
                 Limit::Count { calls, span } => f64::from(calls) / span.as_secs_f64(),
@@ -132,7 +138,7 @@
     last.values()
         .for_each(|at| out.last.saturating_record((*at - from).as_millis() as u64));
     out.probes = f64::from(late) / until.saturating_sub(from + SETTLED).as_secs_f64().max(1.0);
-    for sender in 0..day.senders {
+    for sender in 0..scenario.senders {
         let left = timeline
             .zones
             .iter()
@@ -150,7 +156,7 @@
     };
     let usual = rate(from.as_secs().saturating_sub(4), from.as_secs());
     let back = until.as_secs();
-    let day_end = day.lasts.as_secs().saturating_sub(2);
+    let day_end = scenario.duration.as_secs().saturating_sub(2);
     let full = (back..day_end).find(|&s| rate(s, s + 2) >= 0.9 * usual);
     out.full = full.map(|s| Duration::from_secs(s).saturating_sub(until));
     out
--- a/crates/fleet-harness/tests/hollow.rs
+++ b/crates/fleet-harness/tests/hollow.rs
@@ -76,7 +76,7 @@
 fn halves_lose_sight_of_each_other_take_no_more_and_find_each_other_again() {
     let healed = played(&plan(
         Disturbance::Halves {
-            lasts: Duration::from_secs(25),
+            duration: Duration::from_secs(25),
         },
         2,
     ));
@@ -87,7 +87,7 @@
     );
     // It heals a tenth of a second before the end.
     let cut = Disturbance::Halves {
-        lasts: Duration::from_millis(53_900),
+        duration: Duration::from_millis(53_900),
     };
     let timing = Timing {
         eviction_delay: None,
@@ -304,7 +304,7 @@
         ),
         (
             with(Disturbance::Halves {
-                lasts: Duration::MAX,
+                duration: Duration::MAX,
             }),
             "disturbance: halves",
         ),
@@ -349,10 +349,10 @@
     ];
     for (plan, why) in cases {
         let error: HollowError = play(&plan).expect_err(why);
-        let said = error.to_string();
+        let state_changes = error.to_string();
         assert!(
-            said.starts_with(why) && !said.contains('\n'),
-            "{plan:?}: {said}"
+            state_changes.starts_with(why) && !state_changes.contains('\n'),
+            "{plan:?}: {state_changes}"
         );
     }
 }
--- a/crates/journal-tools/src/lib.rs
+++ b/crates/journal-tools/src/lib.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use cranehill_journal::{Key, Lost, Stretch, Why, read, scan};
+use cranehill_journal::{DamagedRange, Key, Lost, Why, read, scan};
 
 pub use row::Row;
 pub use snapshot::{Snapshot, ToolError};
@@ -17,14 +17,14 @@
 /// What is wrong with a folder, and what a start would make of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    pub damage: Vec<Stretch>,
+    pub damage: Vec<DamagedRange>,
     pub lost: Vec<Lost>,
     pub doubted: usize,
     pub torn: Option<(String, u64)>,
     pub foreign: Vec<String>,
     pub open: u64,
     pub final_report: u64,
-    pub remembered: u64,
+    pub completed: u64,
     pub segments: usize,
     pub frames: u64,
 }
@@ -72,7 +72,7 @@
         }
         lines.push(format!(
             "{} segments, {} frames; {} notices open ({} in doubt), {} reports due, {} ended ids remembered",
-            self.segments, self.frames, self.open, self.doubted, self.final_report, self.remembered
+            self.segments, self.frames, self.open, self.doubted, self.final_report, self.completed
         ));
         lines
     }
@@ -83,7 +83,7 @@
     let mut files = snapshot.files.after_death();
     let found =
         read(&mut files, snapshot.key, &Key::default()).map_err(ToolError::open(&snapshot.path))?;
-    let (open, final_report, remembered) = found.index.counts();
+    let (open, final_report, completed) = found.index.counts();
     Ok(Verdict {
         damage: found.recovered.damage,
         lost: found.recovered.lost,
@@ -92,7 +92,7 @@
         foreign: found.recovered.foreign,
         open,
         final_report,
-        remembered,
+        completed,
         segments: found.scan.segments.len(),
         frames: found
             .scan
@@ -126,7 +126,7 @@
     pub bodies: (u64, u64),
     pub open: u64,
     pub final_report: u64,
-    pub remembered: u64,
+    pub completed: u64,
 }
 
 impl Stats {
@@ -154,7 +154,7 @@
         ));
         lines.push(format!(
             "{} open, {} closing, {} remembered",
-            self.open, self.final_report, self.remembered
+            self.open, self.final_report, self.completed
         ));
         lines
     }
@@ -166,7 +166,7 @@
     let found =
         read(&mut files, snapshot.key, &Key::default()).map_err(ToolError::open(&snapshot.path))?;
     let mut stats = Stats::default();
-    (stats.open, stats.final_report, stats.remembered) = found.index.counts();
+    (stats.open, stats.final_report, stats.completed) = found.index.counts();
     stats.segments = found
         .scan
         .segments
--- a/crates/journal/benches/old_ledger.rs
+++ b/crates/journal/benches/old_ledger.rs
@@ -125,8 +125,8 @@
 }
 
 fn decode_one(bytes: &[u8], at: usize) -> Option<(OldRecord, usize)> {
-    let word = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
-    let (len, sum) = (word(at)? as usize, word(at + 4)?);
+    let field = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
+    let (len, sum) = (field(at)? as usize, field(at + 4)?);
     let payload = bytes.get(at + FRAME..at + FRAME + len)?;
     if crc32fast::hash(payload) != sum {
         return None;
--- a/crates/journal/src/compact.rs
+++ b/crates/journal/src/compact.rs
@@ -29,7 +29,7 @@
 
 /// Out of the manifest; its file is still to go.
 #[derive(Debug)]
-pub(crate) struct Doomed {
+pub(crate) struct ObsoleteSegment {
     sequence: u32,
     name: String,
     slots: Vec<u32>,
@@ -51,7 +51,7 @@
     /// Whether [`Journal::compact`] has something to do by now, even if nothing is appended.
     pub fn wants_compaction(&self, now: u64) -> bool {
         self.moving.is_some()
-            || !self.doomed.is_empty()
+            || !self.obsolete.is_empty()
             || self.index.has_expired(now)
             || self.victim().is_some()
     }
@@ -60,7 +60,7 @@
     pub fn compact(&mut self, now: u64) -> Step {
         let mut step = Step::default();
         self.index.expire(now, EXPIRED_MOST);
-        self.remove_doomed(&mut step);
+        self.remove_obsolete(&mut step);
         if self.moving.is_none() {
             self.moving = self.victim().map(|sequence| Moving {
                 sequence,
@@ -86,7 +86,7 @@
         let candidates = || {
             self.sealed
                 .iter()
-                .filter(|(s, _)| !self.doomed.iter().any(|d| d.sequence == **s))
+                .filter(|(s, _)| !self.obsolete.iter().any(|d| d.sequence == **s))
         };
         let lively = |sequence: u32, len: u64| (self.index.live(sequence) * 1000) / len.max(1);
         if let Some((&sequence, _)) = candidates().find(|(s, _)| self.index.live(**s) == 0) {
@@ -108,15 +108,15 @@
         (many || lively(sequence, info.len) < 875).then_some(sequence)
     }
 
-    fn remove_doomed(&mut self, step: &mut Step) {
-        for doomed in std::mem::take(&mut self.doomed) {
-            if self.storage.remove(&doomed.name).is_err() {
+    fn remove_obsolete(&mut self, step: &mut Step) {
+        for obsolete in std::mem::take(&mut self.obsolete) {
+            if self.storage.remove(&obsolete.name).is_err() {
                 step.stuck = true;
-                self.doomed.push(doomed);
+                self.obsolete.push(obsolete);
                 continue;
             }
             // Only now are its frames gone: an end may be forgotten only when nothing could bring its message back.
-            self.index.removed(doomed.sequence, &doomed.slots);
+            self.index.removed(obsolete.sequence, &obsolete.slots);
             self.stats.removed += 1;
             step.removed += 1;
         }
@@ -292,13 +292,13 @@
             return Some(moving);
         }
         if let Some(info) = self.sealed.remove(&moving.sequence) {
-            self.doomed.push(Doomed {
+            self.obsolete.push(ObsoleteSegment {
                 sequence: moving.sequence,
                 name: info.name,
                 slots: moving.slots,
             });
         }
-        self.remove_doomed(step);
+        self.remove_obsolete(step);
         None
     }
 }
--- a/crates/journal/src/index.rs
+++ b/crates/journal/src/index.rs
@@ -110,7 +110,7 @@
     /// It is news.
     New,
     /// The first of a new life of its id; what was known of the older one no longer counts.
-    NewLife,
+    NewIncarnation,
     /// Known already, or of something that is past.
     Dead,
 }
@@ -134,9 +134,9 @@
 impl Index {
     /// Ids come from outside: their hashes depend on the folder's key.
     pub fn new(key: &Key) -> Index {
-        let word = |n: usize| u64::from_le_bytes(std::array::from_fn(|i| key[n * 8 + i]));
+        let field = |n: usize| u64::from_le_bytes(std::array::from_fn(|i| key[n * 8 + i]));
         Index {
-            hasher: RandomState::with_seeds(word(0), word(1), word(2), word(3)),
+            hasher: RandomState::with_seeds(field(0), field(1), field(2), field(3)),
             tables: vec![HashTable::new(); TABLES],
             entries: Slab::default(),
             known: 0,
@@ -252,9 +252,9 @@
         if accepted_lsn < entry.accepted_lsn {
             return Joined::Dead;
         }
-        let new_life = accepted_lsn > entry.accepted_lsn && entry.accepted_lsn > 0;
+        let new_incarnation = accepted_lsn > entry.accepted_lsn && entry.accepted_lsn > 0;
         let reserved_bytes = reservation_for(&entry.id);
-        if new_life {
+        if new_incarnation {
             self.leave(slot);
             self.open += 1;
             self.reserved_bytes += reserved_bytes;
@@ -306,8 +306,8 @@
             (_, Tag::Doubt) => return Joined::Dead,
         }
         *self.live.entry(place.sequence).or_default() += u64::from(place.len);
-        if new_life {
-            Joined::NewLife
+        if new_incarnation {
+            Joined::NewIncarnation
         } else {
             Joined::New
         }
@@ -573,7 +573,7 @@
         let slot = index.join(&id, 7, Tag::Completed, 50, place(1)).0;
         assert_eq!(
             index.join(&id, 20, Tag::Accepted, 0, place(2)),
-            (slot, Joined::NewLife)
+            (slot, Joined::NewIncarnation)
         );
         assert_eq!(
             index.join(&id, 7, Tag::Completed, 50, place(3)).1,
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -61,7 +61,7 @@
     pub live: u64,
     pub open: u64,
     pub final_report: u64,
-    pub remembered: u64,
+    pub completed: u64,
     /// Bytes free in the folder's share.
     pub room: u64,
     /// Since the start: bytes appended, bytes that compaction carried over, segments removed, turns refused.
@@ -143,7 +143,7 @@
     /// To be written with the next turn: what recovery concluded.
     pub(crate) pending: Vec<Record>,
     pub(crate) moving: Option<crate::compact::Moving>,
-    pub(crate) doomed: Vec<crate::compact::Doomed>,
+    pub(crate) obsolete: Vec<crate::compact::ObsoleteSegment>,
     /// Bytes promised to messages that were let in since the last turn.
     promised: u64,
     pub(crate) stats: Stats,
@@ -184,7 +184,7 @@
             next_left: false,
             pending: Vec::new(),
             moving: None,
-            doomed: Vec::new(),
+            obsolete: Vec::new(),
             promised: 0,
             stats: Stats::default(),
             buffer: Vec::new(),
@@ -255,14 +255,14 @@
             .map(|(&s, i)| (s, i.len))
             .chain(head)
             .collect();
-        let (open, final_report, remembered) = self.index.counts();
+        let (open, final_report, completed) = self.index.counts();
         Stats {
             segments: all.len(),
             bytes: all.iter().map(|(_, len)| len).sum(),
             live: all.iter().map(|&(s, _)| self.index.live(s)).sum(),
             open,
             final_report,
-            remembered,
+            completed,
             room: self.storage.room(),
             ..self.stats
         }
@@ -595,12 +595,12 @@
         Ok(())
     }
 
-    /// The one step by which the set of segments changes: the head sealed as `old`, `new` listed, `gone` no more.
+    /// The one step by which the set of segments changes: the head sealed as `old`, `new` listed, `removed` no more.
     pub(crate) fn write_manifest(
         &mut self,
         old: Option<Listed>,
         new: Option<Listed>,
-        gone: Option<u32>,
+        removed: Option<u32>,
     ) -> io::Result<()> {
         let head = match (old, new) {
             (None, None) => self.head.as_ref().map(Head::listed),
@@ -615,7 +615,7 @@
             self.sealed
                 .values()
                 .map(|s| s.listed)
-                .filter(|l| Some(l.sequence) != gone),
+                .filter(|l| Some(l.sequence) != removed),
         );
         segments.extend(old);
         segments.extend(head);
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 use crate::error::OpenError;
-use crate::scan::{Stretch, Why};
+use crate::scan::{DamagedRange, Why};
 use crate::storage::Storage;
 
 /// The file, and the one that was being written to replace it.
@@ -16,13 +16,13 @@
 const FRAME: usize = 8;
 const LONGEST: usize = 256 * 1024;
 /// Ids that ended are remembered for so long from now: the old file did not say.
-pub const REMEMBERED: u64 = 20_000_000_000;
+pub const COMPLETED: u64 = 20_000_000_000;
 
 /// What the old file held.
 #[derive(Debug)]
 pub struct Old {
     pub records: Vec<Record>,
-    pub damage: Vec<Stretch>,
+    pub damage: Vec<DamagedRange>,
 }
 
 #[derive(Deserialize)]
@@ -105,7 +105,7 @@
             break;
         };
         doubt(&mut old.records);
-        old.damage.push(Stretch {
+        old.damage.push(DamagedRange {
             file: NAMES[0].into(),
             offset: at as u64,
             len: (next - at) as u64,
@@ -140,8 +140,8 @@
 }
 
 fn decode_one(bytes: &[u8], at: usize) -> Option<(Record, usize)> {
-    let word = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
-    let (len, sum) = (word(at)? as usize, word(at + 4)?);
+    let field = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
+    let (len, sum) = (field(at)? as usize, field(at + 4)?);
     if len > LONGEST {
         return None;
     }
@@ -167,7 +167,7 @@
             ordering_key: None,
             deadline,
             // It lasted 20 s at most.
-            at: deadline.saturating_sub(REMEMBERED),
+            at: deadline.saturating_sub(COMPLETED),
             body: Arc::from(&payload[split + 1..]),
         },
         Line::Sent {
@@ -200,7 +200,7 @@
         },
         Line::Over { id } => Record::Completed {
             id,
-            until: REMEMBERED,
+            until: COMPLETED,
         },
     };
     Some((record, at + FRAME + len))
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -37,5 +37,5 @@
 pub use key::Key;
 pub use memory::{Change, Crash, Memory};
 pub use recover::{Doubt, Lost, Reading, Recovered, read};
-pub use scan::{At, Scan, Segment, Stretch, Why, scan};
+pub use scan::{At, DamagedRange, Scan, Segment, Why, scan};
 pub use storage::{BLOCK, Folder, Storage, taken_by};
--- a/crates/journal/src/open.rs
+++ b/crates/journal/src/open.rs
@@ -181,13 +181,13 @@
     ) -> Result<(), OpenError> {
         // The old file did not say until when an id that ended is remembered: from now on for as long as a message may
         // last.
-        let until = now.saturating_mul(NANOS).saturating_add(legacy::REMEMBERED);
+        let until = now.saturating_mul(NANOS).saturating_add(legacy::COMPLETED);
         for record in &mut old.records {
             if let Record::Completed {
-                until: remembered, ..
+                until: completed, ..
             } = record
             {
-                *remembered = until;
+                *completed = until;
             }
         }
         for chunk in old.records.chunks(CARRY_OVER) {
--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -10,7 +10,7 @@
 use crate::index::{Index, Joined, Place, State};
 use crate::key::Key;
 use crate::manifest::{self, Manifest};
-use crate::scan::{At, Scan, Stretch, Why, ring, scan};
+use crate::scan::{At, DamagedRange, Scan, Why, ring, scan};
 use crate::storage::Storage;
 
 /// More attempts than any class allows: as good as all of them.
@@ -33,7 +33,7 @@
 pub struct Recovered {
     /// For the reducer: remembered ends, closings, then open messages in the order in which they were accepted.
     pub records: Vec<Record>,
-    pub damage: Vec<Stretch>,
+    pub damage: Vec<DamagedRange>,
     pub lost: Vec<Lost>,
     /// Open messages that count as possibly run because of damage.
     pub doubted: usize,
@@ -61,7 +61,7 @@
 
 /// Facts as records, in the order in which they are found; those that turn out to be dead are dropped in between.
 #[derive(Default)]
-struct Told {
+struct RecordHistory {
     records: Vec<Record>,
     about: Vec<About>,
     /// How many of them are known to be dead.
@@ -78,7 +78,7 @@
     at: At,
 }
 
-impl Told {
+impl RecordHistory {
     fn push(&mut self, record: Record, slot: u32, accepted_lsn: u64, at: At) {
         let which = match &record {
             Record::Accepted { .. } | Record::FinalReportDue { .. } | Record::Completed { .. } => 0,
@@ -167,12 +167,12 @@
     fresh: &Key,
 ) -> Result<Reading, OpenError> {
     let mut index = Index::new(given.as_ref().unwrap_or(fresh));
-    let mut told = Told::default();
+    let mut history = RecordHistory::default();
     // The old manifest tells how much to expect; what it can't tell is found as it comes.
     let expected = expected(storage, given);
     index.reserve(expected);
-    told.records.reserve(expected * 2);
-    told.about.reserve(expected * 2);
+    history.records.reserve(expected * 2);
+    history.about.reserve(expected * 2);
     let mut written: Vec<Doubt> = Vec::new();
     let mut unreadable: Vec<(u64, At)> = Vec::new();
     let on_fact = |at: At, fact: Fact<'_>| {
@@ -222,14 +222,14 @@
                     record,
                     Record::FinalReportDue { .. } | Record::Completed { .. }
                 );
-                told.dead += if ends || joined == Joined::NewLife {
+                history.dead += if ends || joined == Joined::NewIncarnation {
                     3
                 } else {
                     0
                 };
-                told.push(record, slot, accepted_lsn, at);
-                if told.dead > SWEEP_LEAST && told.dead > told.records.len() {
-                    told.sweep(&index);
+                history.push(record, slot, accepted_lsn, at);
+                if history.dead > SWEEP_LEAST && history.dead > history.records.len() {
+                    history.sweep(&index);
                 }
             }
             None => unreadable.push((accepted_lsn, at)),
@@ -237,7 +237,7 @@
     };
     let mut scan = scan(storage, given, on_fact, |_, _| {})?;
     for (accepted_lsn, at) in unreadable {
-        scan.damage.push(Stretch {
+        scan.damage.push(DamagedRange {
             file: scan
                 .segments
                 .get(&at.sequence)
@@ -251,9 +251,9 @@
         });
     }
     let doubts = doubts(&scan, written, &mut index);
-    told.sweep(&index);
-    told.sort();
-    let recovered = put_together(&scan, &index, told, &doubts);
+    history.sweep(&index);
+    history.sort();
+    let recovered = put_together(&scan, &index, history, &doubts);
     Ok(Reading {
         scan,
         index,
@@ -266,12 +266,12 @@
 /// same number, and counts once.
 fn doubts(scan: &Scan, written: Vec<Doubt>, index: &mut Index) -> Vec<Doubt> {
     let mut found: Vec<Doubt> = Vec::new();
-    for stretch in scan.damage.iter().filter(|s| s.attempts > 0) {
-        match found.iter_mut().find(|d| d.before == stretch.before) {
-            Some(known) => known.attempts = known.attempts.saturating_add(stretch.attempts),
+    for damaged_range in scan.damage.iter().filter(|s| s.attempts > 0) {
+        match found.iter_mut().find(|d| d.before == damaged_range.before) {
+            Some(known) => known.attempts = known.attempts.saturating_add(damaged_range.attempts),
             None => found.push(Doubt {
-                before: stretch.before,
-                attempts: stretch.attempts,
+                before: damaged_range.before,
+                attempts: damaged_range.attempts,
                 until: 0,
                 place: None,
             }),
@@ -387,7 +387,7 @@
     })
 }
 
-fn put_together(scan: &Scan, index: &Index, told: Told, doubts: &[Doubt]) -> Recovered {
+fn put_together(scan: &Scan, index: &Index, history: RecordHistory, doubts: &[Doubt]) -> Recovered {
     let mut out = Recovered {
         damage: scan.damage.clone(),
         torn: scan.torn.clone(),
@@ -398,7 +398,7 @@
     };
     // A message of which all is known needs nothing but its records as they stand.
     let whole = doubts.is_empty()
-        && told
+        && history
             .records
             .windows(2)
             .all(|pair| match (&pair[0], &pair[1]) {
@@ -415,15 +415,15 @@
                 _ => true,
             })
         && !matches!(
-            told.records.first(),
+            history.records.first(),
             Some(Record::AttemptStarted { .. } | Record::AttemptFinished { .. })
         );
     if whole {
-        out.records = told.records;
+        out.records = history.records;
         return out;
     }
     let mut message: Vec<Record> = Vec::new();
-    let mut all = told.records.into_iter().zip(told.about).peekable();
+    let mut all = history.records.into_iter().zip(history.about).peekable();
     while let Some((record, about)) = all.next() {
         if matches!(
             record,
--- a/crates/journal/src/scan.rs
+++ b/crates/journal/src/scan.rs
@@ -45,7 +45,7 @@
 
 /// What can't be read, or may be missing.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stretch {
+pub struct DamagedRange {
     pub file: String,
     pub offset: u64,
     pub len: u64,
@@ -81,7 +81,7 @@
     /// There is a file of that name that can't be believed.
     pub manifest_bad: bool,
     pub segments: BTreeMap<u32, Segment>,
-    pub damage: Vec<Stretch>,
+    pub damage: Vec<DamagedRange>,
     /// A write that was cut off at the end of the head: file and bytes. Nothing in it had been promised.
     pub torn: Option<(String, u64)>,
     /// Left behind by a kill: to be removed. All that is live in them is elsewhere.
@@ -350,7 +350,7 @@
             if listed.seal.is_some_and(|s| s.frames == 0) {
                 continue;
             }
-            self.damage.push(Stretch {
+            self.damage.push(DamagedRange {
                 file: segment::name(listed.sequence),
                 offset: 0,
                 len: listed.seal.map_or(0, |s| u64::from(s.len)),
@@ -399,7 +399,7 @@
         let mut torn = None;
         // Facts carried over have later log numbers than those around them had; frames in one file only grow.
         while at < bytes.len() {
-            let stretch = |len: usize, before: u64, attempts: u32, taken: u32| Stretch {
+            let damaged_range = |len: usize, before: u64, attempts: u32, taken: u32| DamagedRange {
                 file: name.clone(),
                 offset: at as u64,
                 len: len as u64,
@@ -427,7 +427,7 @@
                             on_fact(place, fact);
                         }
                         // Written whole, and yet not ours to understand.
-                        None => damage.push(stretch(len, before, 1, 1)),
+                        None => damage.push(damaged_range(len, before, 1, 1)),
                     }
                     at += len;
                 }
@@ -449,7 +449,7 @@
                     } else {
                         (attempts_in(len as u64), attempts_in(len as u64))
                     };
-                    damage.push(stretch(len, upper.unwrap_or(before), attempts, taken));
+                    damage.push(damaged_range(len, upper.unwrap_or(before), attempts, taken));
                     at += len;
                 }
             }
@@ -458,7 +458,7 @@
         if let Some(seal) = found.seal {
             let short = u64::from(seal.len).saturating_sub(bytes.len() as u64);
             if short > 0 {
-                damage.push(Stretch {
+                damage.push(DamagedRange {
                     file: name.clone(),
                     offset: bytes.len() as u64,
                     len: short,
@@ -479,7 +479,7 @@
         found.chain = chain;
         // All frames good, and yet not what was sealed: an older copy, or one with a header of another file.
         if found.seal.is_some_and(|s| s.chain != chain) && damage.is_empty() {
-            damage.push(Stretch {
+            damage.push(DamagedRange {
                 file: name.clone(),
                 offset: 0,
                 len: found.size,
@@ -510,7 +510,7 @@
             return;
         }
         let before = self.next_lsn;
-        self.damage.push(Stretch {
+        self.damage.push(DamagedRange {
             file: manifest::NAME.to_owned(),
             offset: 0,
             len: self.files.get(manifest::NAME).copied().unwrap_or(0),
--- a/crates/journal/src/segment.rs
+++ b/crates/journal/src/segment.rs
@@ -69,7 +69,7 @@
             return Opening::Bad;
         };
         let (signed, signature) = bytes.split_at(SIGNED);
-        let word = |at: usize| -> [u8; 8] { std::array::from_fn(|i| signed[at + i]) };
+        let field = |at: usize| -> [u8; 8] { std::array::from_fn(|i| signed[at + i]) };
         let version = u16::from_le_bytes([signed[8], signed[9]]);
         let signs = |signed: &[u8]| ring.iter().position(|key| mac(key, &[signed]) == signature);
         // A bit flipped in the version of one of ours must not pass for a later format: with the version put right
@@ -89,9 +89,9 @@
         let sequence = u32::from_le_bytes([signed[12], signed[13], signed[14], signed[15]]);
         let header = Header {
             sequence,
-            epoch: u64::from_le_bytes(word(16)),
-            base: u64::from_le_bytes(word(24)),
-            created: u64::from_le_bytes(word(32)),
+            epoch: u64::from_le_bytes(field(16)),
+            base: u64::from_le_bytes(field(24)),
+            created: u64::from_le_bytes(field(32)),
             before,
         };
         Opening::Good(header, place)
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -16,7 +16,7 @@
 pub const MS: u64 = 1_000_000;
 pub const START: u64 = 1_764_590_000_000;
 /// How long a message lasts here.
-pub const LASTS: u64 = 2_000;
+pub const DURATION: u64 = 2_000;
 
 /// Small segments: a day has many switches.
 pub fn options(disk: u64) -> Options {
@@ -204,7 +204,7 @@
 }
 
 /// A day of turns, drawn from a seed.
-pub struct Day {
+pub struct Scenario {
     pub rng: ChaCha8Rng,
     pub now: u64,
     /// Open messages: id, attempts used, one out.
@@ -217,10 +217,10 @@
     pub most: usize,
 }
 
-impl Day {
-    pub fn new(seed: u64) -> Day {
+impl Scenario {
+    pub fn new(seed: u64) -> Scenario {
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        Day {
+        Scenario {
             rng,
             now: START,
             open: Vec::new(),
@@ -250,7 +250,7 @@
     pub fn turn(&mut self) -> Vec<Record> {
         self.now += self.rng.random_range(1..200);
         let (now, mut records) = (self.now, Vec::new());
-        let until = (now + LASTS) * MS;
+        let until = (now + DURATION) * MS;
         for id in std::mem::take(&mut self.final_report) {
             if self.rng.random_bool(0.6) {
                 records.push(Record::Completed { id, until });
@@ -318,7 +318,7 @@
                     .random_bool(0.5)
                     .then(|| format!("k-{}", self.count)),
                 ordering_key: ordering_key(&id),
-                deadline: (now + LASTS) * MS,
+                deadline: (now + DURATION) * MS,
                 at: now * MS,
                 body: Arc::from(body),
             });
--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -21,7 +21,7 @@
 fn play(seed: u64, turns: usize, crash: Option<Crash>) -> (Killed, Memory) {
     let mut files = Memory::new(24 * 1024);
     files.crash = crash;
-    let mut day = Day::new(seed);
+    let mut day = Scenario::new(seed);
     let mut promised = Model::default();
     let killed = |files: &Memory, promised: Model, writing: Vec<Record>, now: u64| {
         (
--- a/crates/journal/tests/fuzz_seeds.rs
+++ b/crates/journal/tests/fuzz_seeds.rs
@@ -31,7 +31,7 @@
 fn write_seeds() {
     for seed in 1..=6u64 {
         let (mut journal, _) = open(Memory::new(64 * 1024), START);
-        let mut day = Day::new(seed);
+        let mut day = Scenario::new(seed);
         for _ in 0..seed * 3 {
             let records = day.turn();
             journal.append(day.now, &records).expect("room");
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -24,7 +24,7 @@
 use std::sync::Arc;
 
 use cranehill_core::{FinalReport, Record};
-use cranehill_journal::{Journal, Lost, Memory, Options, Recovered, Stretch, Why};
+use cranehill_journal::{DamagedRange, Journal, Lost, Memory, Options, Recovered, Why};
 
 /// Unix time in milliseconds of the first record.
 const START_MS: u64 = 1_764_590_000_000;
@@ -353,7 +353,7 @@
 /// What recovery must find.
 struct Expected {
     records: Vec<Record>,
-    damage: Vec<Stretch>,
+    damage: Vec<DamagedRange>,
     lost: Vec<Lost>,
     /// Open messages that damage makes possibly executed.
     possibly_executed: usize,
@@ -403,8 +403,8 @@
 }
 
 /// The record by which [`IDEMPOTENT_ID`] was accepted, between its neighbours in the first segment.
-fn damaged_range() -> Stretch {
-    Stretch {
+fn damaged_range() -> DamagedRange {
+    DamagedRange {
         file: DAMAGED_SEGMENT.into(),
         offset: 114,
         len: 70,
--- a/crates/journal/tests/hard_cases.rs
+++ b/crates/journal/tests/hard_cases.rs
@@ -16,7 +16,7 @@
         destination: 7,
         key: Some("k".into()),
         ordering_key: None,
-        deadline: (START + LASTS) * MS,
+        deadline: (START + DURATION) * MS,
         at: START * MS,
         body: Arc::from(vec![7; size]),
     }
@@ -42,7 +42,7 @@
 fn over(id: &str) -> Record {
     Record::Completed {
         id: id.into(),
-        until: (START + LASTS) * MS,
+        until: (START + DURATION) * MS,
     }
 }
 
@@ -273,7 +273,7 @@
     // They go by their names on disk when they are compacted.
     let ends: Vec<Record> = (0..60).map(|i| over(&format!("m{i:03}"))).collect();
     journal.append(START + 200, &ends).expect("room");
-    compact(&mut journal, 500, START + 100 + LASTS);
+    compact(&mut journal, 500, START + 100 + DURATION);
     assert!(
         !journal.storage().files.contains_key(&all[1])
             && !journal.storage().files.contains_key(&all[4])
@@ -305,13 +305,16 @@
     journal.append(START + 50, &ends).expect("room");
     compact(&mut journal, 500, START + 50);
     let files = journal.storage().after_death();
-    let gone: Vec<String> = segments(&old)
+    let removed: Vec<String> = segments(&old)
         .into_iter()
         .filter(|n| !files.files.contains_key(n))
         .collect();
-    assert!(gone.len() > 3, "compaction has removed most: {gone:?}");
+    assert!(
+        removed.len() > 3,
+        "compaction has removed most: {removed:?}"
+    );
     let mut stale = files.clone();
-    for name in &gone {
+    for name in &removed {
         stale.files.insert(name.clone(), old.files[name].clone());
     }
     let (_, found) = open(stale, START + 100);
@@ -460,13 +463,10 @@
     journal
         .append(START, &ids.iter().map(|id| over(id)).collect::<Vec<_>>())
         .expect("room is kept");
-    compact(&mut journal, 200, START + LASTS);
+    compact(&mut journal, 200, START + DURATION);
     assert!(journal.admit(500).is_ok(), "{:?}", journal.stats());
     let stats = journal.stats();
-    assert_eq!(
-        (stats.open, stats.final_report, stats.remembered),
-        (0, 0, 0)
-    );
+    assert_eq!((stats.open, stats.final_report, stats.completed), (0, 0, 0));
 }
 
 #[test]
@@ -519,7 +519,7 @@
             .sum();
         for disk in [used, used + 512, used + 1024] {
             journal.storage_mut().disk = disk;
-            compact(&mut journal, 20, START + LASTS);
+            compact(&mut journal, 20, START + DURATION);
             let (_, found) = open(journal.storage().after_death(), START);
             assert_eq!(
                 open_ids(&found.records).len(),
@@ -528,7 +528,7 @@
             );
         }
         journal.storage_mut().disk = 64 * 1024;
-        compact(&mut journal, 400, START + LASTS);
+        compact(&mut journal, 400, START + DURATION);
         let (_, found) = open(journal.storage().after_death(), START);
         assert_eq!(
             open_ids(&found.records),
@@ -549,11 +549,11 @@
         .append(START, &[taken("a", 10), sent("a", 0)])
         .expect("room");
     journal.append(START, &[over("a")]).expect("room");
-    compact(&mut journal, 50, START + LASTS - 1);
-    let (mut journal, found) = open(journal.storage().after_death(), START + LASTS - 1);
+    compact(&mut journal, 50, START + DURATION - 1);
+    let (mut journal, found) = open(journal.storage().after_death(), START + DURATION - 1);
     assert_eq!(found.records, [over("a")]);
-    compact(&mut journal, 50, START + LASTS);
-    let (_, found) = open(journal.storage().after_death(), START + LASTS);
+    compact(&mut journal, 50, START + DURATION);
+    let (_, found) = open(journal.storage().after_death(), START + DURATION);
     assert!(found.records.is_empty(), "{:?}", found.records);
     // And if the id comes again then, it is another message.
     journal
@@ -618,7 +618,7 @@
     };
     let (mut real, _) = at(START);
     let (mut memory, _) = open(Memory::new(disk), START);
-    let (mut day, mut model) = (Day::new(5), Model::default());
+    let (mut day, mut model) = (Scenario::new(5), Model::default());
     for turn in 0..300 {
         let records = day.turn();
         assert!(real.append(day.now, &records).is_ok() && memory.append(day.now, &records).is_ok());
@@ -652,7 +652,7 @@
 }
 
 fn old_ledger() -> Vec<Vec<u8>> {
-    let deadline = (START + LASTS) * MS;
+    let deadline = (START + DURATION) * MS;
     let taken = |id: &str| {
         format!(
             r#"{{"taken":{{"id":"{id}","class":0,"station":1,"partner":7,"key":"k","deadline":{deadline}}}}}"#
--- a/crates/journal/tests/property.rs
+++ b/crates/journal/tests/property.rs
@@ -11,7 +11,7 @@
 use proptest::test_runner::RngSeed;
 
 #[derive(Clone, Debug)]
-enum Act {
+enum ScheduledAction {
     Turns(u8),
     Compact(u8),
     /// Killed so many operations from now, so many bytes into it, and started again.
@@ -42,14 +42,14 @@
     Noise { file: u8, at: u16 },
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn act() -> impl Strategy<Value = ScheduledAction> {
     prop_oneof![
-        8 => (1..12u8).prop_map(Act::Turns),
-        4 => (1..12u8).prop_map(Act::Compact),
-        3 => (0..12u8, any::<u8>()).prop_map(|(op, bytes)| Act::Kill(op, bytes)),
-        1 => Just(Act::Restart),
-        1 => (0..40u8).prop_map(Act::Disk),
-        2 => (refusal(), 1..5u8).prop_map(|(what, turns)| Act::Refuse(what, turns)),
+        8 => (1..12u8).prop_map(ScheduledAction::Turns),
+        4 => (1..12u8).prop_map(ScheduledAction::Compact),
+        3 => (0..12u8, any::<u8>()).prop_map(|(op, bytes)| ScheduledAction::Kill(op, bytes)),
+        1 => Just(ScheduledAction::Restart),
+        1 => (0..40u8).prop_map(ScheduledAction::Disk),
+        2 => (refusal(), 1..5u8).prop_map(|(what, turns)| ScheduledAction::Refuse(what, turns)),
     ]
 }
 
@@ -76,7 +76,7 @@
 /// A journal with the model of what it has promised.
 struct Bench {
     journal: Journal<Memory>,
-    day: Day,
+    day: Scenario,
     model: Model,
     disk: u64,
     /// What was being written when the storage died.
@@ -89,7 +89,7 @@
         let (journal, _) = open(Memory::new(disk), START);
         Bench {
             journal,
-            day: Day::new(seed),
+            day: Scenario::new(seed),
             model: Model::default(),
             disk,
             writing: Vec::new(),
@@ -138,15 +138,15 @@
         );
     }
 
-    fn act(&mut self, act: &Act) -> Result<(), TestCaseError> {
+    fn act(&mut self, act: &ScheduledAction) -> Result<(), TestCaseError> {
         match *act {
-            Act::Turns(n) => {
+            ScheduledAction::Turns(n) => {
                 for _ in 0..n {
                     prop_assert!(self.turn());
                 }
             }
-            Act::Compact(n) => compact(&mut self.journal, u32::from(n), self.day.now),
-            Act::Kill(operations, bytes) => {
+            ScheduledAction::Compact(n) => compact(&mut self.journal, u32::from(n), self.day.now),
+            ScheduledAction::Kill(operations, bytes) => {
                 let storage = self.journal.storage_mut();
                 let operation = storage.log.len() as u64 + u64::from(operations);
                 storage.crash = Some(Crash {
@@ -165,7 +165,7 @@
                 }
                 return self.restart_after_kill();
             }
-            Act::Restart => {
+            ScheduledAction::Restart => {
                 let (journal, found) = open(self.journal.storage().after_death(), self.day.now);
                 self.journal = journal;
                 prop_assert_eq!(found.damage.len(), 0);
@@ -173,7 +173,7 @@
                     prop_assert!(false, "{}", e);
                 }
             }
-            Act::Disk(blocks) => {
+            ScheduledAction::Disk(blocks) => {
                 let storage = self.journal.storage_mut();
                 let used: u64 = storage
                     .files
@@ -187,7 +187,7 @@
                 }
                 self.journal.storage_mut().disk = self.disk;
             }
-            Act::Refuse(what, turns) => {
+            ScheduledAction::Refuse(what, turns) => {
                 for _ in 0..turns {
                     let storage = self.journal.storage_mut();
                     match what {
@@ -410,7 +410,7 @@
         for act in &acts {
             bench.act(act)?;
         }
-        bench.act(&Act::Restart)?;
+        bench.act(&ScheduledAction::Restart)?;
     }
 
     /// Damage hides facts: what they may have said counts as said, and no message goes without being counted.
--- a/crates/membership/examples/membership_figures.rs
+++ b/crates/membership/examples/membership_figures.rs
@@ -139,13 +139,13 @@
     fn detection(&self) -> (Vec<u64>, usize) {
         let mut times = Vec::new();
         let mut expected = 0;
-        for (when, gone) in &self.crashes {
-            expected += gone.len() * (self.net.members.len() - gone.len());
+        for (when, removed) in &self.crashes {
+            expected += removed.len() * (self.net.members.len() - removed.len());
             for change in &self.net.changes {
                 let until = *when + self.net.period * 24;
                 let counts =
                     change.time >= *when && (change.time <= until || self.crashes.len() == 1);
-                if counts && change.state == State::Down && gone.contains(&change.of) {
+                if counts && change.state == State::Down && removed.contains(&change.of) {
                     times.push((change.time - *when).as_millis() as u64);
                 }
             }
@@ -184,11 +184,11 @@
         let agreed = self
             .agreed
             .map_or("-".to_owned(), |t| format!("{:.1}", t.as_secs_f64()));
-        let gone: Vec<usize> = self.crashes.iter().flat_map(|c| c.1.clone()).collect();
+        let removed: Vec<usize> = self.crashes.iter().flat_map(|c| c.1.clone()).collect();
         let false_downs = net
             .changes
             .iter()
-            .filter(|c| c.state == State::Down && !gone.contains(&c.of))
+            .filter(|c| c.state == State::Down && !removed.contains(&c.of))
             .count();
         format!(
             "{scenario:8} {n:4} | {both:7.0} {with_headers:7.0} {:7.0} | {:6.0} {:6.0} {:6.0} {:6.0} {:6.0} | {:5.1} {:7.2} | \
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -24,7 +24,7 @@
     /// Tell a member what was learned, in pieces of [`crate::MAX_LEARNED_PIECE`] bytes at most.
     SendLearned {
         to: SocketAddr,
-        pieces: Vec<Vec<u8>>,
+        chunks: Vec<Vec<u8>>,
     },
 }
 
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -253,8 +253,8 @@
                 // Others act on it together: it does not wait for the next round.
                 let _ = self.foca.gossip(&mut self.runtime);
             }
-            Input::SendLearned { to, pieces } => {
-                for piece in pieces {
+            Input::SendLearned { to, chunks } => {
+                for piece in chunks {
                     self.send(Kind::LearnedReply, to, &piece);
                 }
             }
--- a/crates/membership/src/members/agreement.rs
+++ b/crates/membership/src/members/agreement.rs
@@ -103,7 +103,7 @@
         self.views.age(self.now);
         let mine = self.my_hash();
         let mut votes = lock(&self.votes);
-        votes.keep(|voter| voter == mine || self.views.is_told(voter));
+        votes.keep(|voter| voter == mine || self.views.is_announced(voter));
         let named: BTreeSet<ShortHash> = votes
             .iter()
             .filter_map(|(_, vote)| vote.down)
--- a/crates/membership/src/members/exchange.rs
+++ b/crates/membership/src/members/exchange.rs
@@ -11,7 +11,7 @@
 use crate::seal::{DropReason, Kind};
 use crate::settings::MAX_MESSAGE;
 use crate::sync::{self, Entries, Message, PAGE};
-use crate::views::{DOWN_TOLD, MAX_MEMBERS, Row};
+use crate::views::{DOWN_ANNOUNCED, MAX_MEMBERS, Row};
 use crate::{Identity, State};
 
 /// Exchanges a period while there are differences.
@@ -24,7 +24,7 @@
         if self.now >= self.keep_at {
             self.keep_at = self.now + self.set.period;
             self.requested.clear();
-            self.tell_accused();
+            self.notify_accused();
             self.keep_votes();
         }
         self.compare_with_random();
@@ -204,7 +204,7 @@
                     known <= MAX_MEMBERS
                 }
             };
-            if !news || row.state == 2 && swim::down_for(row) >= DOWN_TOLD {
+            if !news || row.state == 2 && swim::down_for(row) >= DOWN_ANNOUNCED {
                 continue;
             }
             let state = match row.state {
@@ -233,7 +233,7 @@
         for row in entries
             .votes
             .iter()
-            .filter(|row| row.voter != mine && self.views.is_told(row.voter))
+            .filter(|row| row.voter != mine && self.views.is_announced(row.voter))
         {
             let Some(vote) = row.vote(&entries.sets) else {
                 continue;
--- a/crates/membership/src/members/swim.rs
+++ b/crates/membership/src/members/swim.rs
@@ -14,7 +14,7 @@
 use crate::{Identity, sync};
 
 /// Members that learn of a suspicion and tell the suspect, on average.
-const TELL_SUSPECT: f64 = 8.0;
+const ANNOUNCE_SUSPECT: f64 = 8.0;
 
 impl Members {
     pub(super) fn receive_swim(&mut self, number: u64, message: &[u8]) -> Result<(), DropReason> {
@@ -31,7 +31,7 @@
         }
         let earlier =
             ours && header.dst.generation != 0 && header.dst.generation < self.me().generation;
-        self.views_stale |= self.may_tell_news(&header, rest);
+        self.views_stale |= self.may_announce_changes(&header, rest);
         let taken = self
             .foca
             .handle_data(message, &mut self.runtime)
@@ -57,7 +57,7 @@
     }
 
     /// Whether a packet may change what we hold of anybody.
-    fn may_tell_news(&self, header: &Header<Identity>, rest: &[u8]) -> bool {
+    fn may_announce_changes(&self, header: &Header<Identity>, rest: &[u8]) -> bool {
         let updates = rest
             .first_chunk::<2>()
             .is_some_and(|tally| *tally != [0, 0]);
@@ -310,9 +310,9 @@
             self.accused.remove(&view.member.at);
             return;
         }
-        let share = TELL_SUSPECT / (self.views.len().max(1) as f64);
+        let share = ANNOUNCE_SUSPECT / (self.views.len().max(1) as f64);
         if self.rng.random_bool(share.min(1.0)) {
-            self.tell_suspect(view.clone());
+            self.announce_suspect(view.clone());
         }
     }
 
@@ -322,17 +322,17 @@
             .iter_membership_state()
             .map(|m| m.id().at)
             .collect();
-        let gone: Vec<_> = self
+        let removed: Vec<_> = self
             .views
             .iter()
             .map(|v| v.member.at)
             .filter(|at| !held.contains(at))
             .collect();
-        gone.iter().for_each(|at| self.views.remove(at));
+        removed.iter().for_each(|at| self.views.remove(at));
     }
 
     /// Tells those whom our own probes missed that they are suspected, as long as they are.
-    pub(super) fn tell_accused(&mut self) {
+    pub(super) fn notify_accused(&mut self) {
         let suspect = |view: &&View| {
             view.state == State::Suspect
                 && self.accused.get(&view.member.at) == Some(&view.incarnation)
@@ -343,10 +343,10 @@
             .retain(|at, _| suspects.iter().any(|v| v.member.at == *at));
         suspects
             .into_iter()
-            .for_each(|view| self.tell_suspect(view));
+            .for_each(|view| self.announce_suspect(view));
     }
 
-    fn tell_suspect(&mut self, view: View) {
+    fn announce_suspect(&mut self, view: View) {
         let to = view.member.at;
         let row = Row {
             member: view.member,
--- a/crates/membership/src/views.rs
+++ b/crates/membership/src/views.rs
@@ -16,7 +16,7 @@
 const MAX_ENDED: usize = 1024;
 /// A member that has been down for longer isn't told to others any more. It is half of the time after which it is forgotten, so
 /// that it isn't learned again by one that has just forgotten it.
-pub const DOWN_TOLD: Duration = Duration::from_secs(1800);
+pub const DOWN_ANNOUNCED: Duration = Duration::from_secs(1800);
 
 /// What a member is in our view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -108,7 +108,7 @@
     name: ShortHash,
     bucket: usize,
     /// What it adds to the digest; `None` once it isn't told any more.
-    told: Option<ShortHash>,
+    announced: Option<ShortHash>,
     /// Since when it is down, by whoever saw it first.
     down_since: Option<Time>,
 }
@@ -138,7 +138,7 @@
     entries: BTreeMap<SocketAddr, Entry>,
     digest: Digest,
     /// The generations that are told to others.
-    told: BTreeSet<ShortHash>,
+    announced: BTreeSet<ShortHash>,
     /// Generations that were followed by later ones, and so are over.
     ended: VecDeque<ShortHash>,
 }
@@ -195,62 +195,64 @@
             view,
             name,
             bucket,
-            told: None,
+            announced: None,
             down_since,
         };
-        entry.told = is_told(now, &entry).then(|| entry.row(now).hash());
+        entry.announced = is_announced(now, &entry).then(|| entry.row(now).hash());
         if let Some(before) = self.entries.remove(&at) {
-            self.untell(&before);
+            self.withdraw_announcement(&before);
         }
-        if let Some(hash) = entry.told {
+        if let Some(hash) = entry.announced {
             self.digest.add(bucket, hash);
-            self.told.insert(name);
+            self.announced.insert(name);
         }
         self.entries.insert(at, entry);
     }
 
-    fn untell(&mut self, entry: &Entry) {
-        if let Some(hash) = entry.told {
+    fn withdraw_announcement(&mut self, entry: &Entry) {
+        if let Some(hash) = entry.announced {
             self.digest.remove(entry.bucket, hash);
-            self.told.remove(&entry.name);
+            self.announced.remove(&entry.name);
         }
     }
 
     pub fn remove(&mut self, at: &SocketAddr) {
         if let Some(entry) = self.entries.remove(at) {
-            self.untell(&entry);
+            self.withdraw_announcement(&entry);
         }
     }
 
     /// Takes those out of the digest that have been down for long.
     pub fn age(&mut self, now: Time) {
         for entry in self.entries.values_mut() {
-            if !is_told(now, entry)
-                && let Some(hash) = entry.told.take()
+            if !is_announced(now, entry)
+                && let Some(hash) = entry.announced.take()
             {
                 self.digest.remove(entry.bucket, hash);
-                self.told.remove(&entry.name);
+                self.announced.remove(&entry.name);
             }
         }
     }
 
     /// Whether this generation is told to others.
-    pub fn is_told(&self, name: ShortHash) -> bool {
-        self.told.contains(&name)
+    pub fn is_announced(&self, name: ShortHash) -> bool {
+        self.announced.contains(&name)
     }
 
     /// The rows of some buckets, with their buckets; bit k of `buckets` stands for bucket k.
     pub fn rows(&self, now: Time, buckets: u64) -> impl Iterator<Item = (usize, Row)> {
-        let told = self
+        let announced = self
             .entries
             .values()
-            .filter(move |e| buckets >> e.bucket & 1 == 1 && e.told.is_some());
-        told.map(move |e| (e.bucket, e.row(now)))
+            .filter(move |e| buckets >> e.bucket & 1 == 1 && e.announced.is_some());
+        announced.map(move |e| (e.bucket, e.row(now)))
     }
 }
 
-fn is_told(now: Time, entry: &Entry) -> bool {
-    entry.down_since.is_none_or(|since| now - since < DOWN_TOLD)
+fn is_announced(now: Time, entry: &Entry) -> bool {
+    entry
+        .down_since
+        .is_none_or(|since| now - since < DOWN_ANNOUNCED)
 }
 
 fn earlier(now: Time, by: Duration) -> Time {
--- a/crates/membership/src/vote.rs
+++ b/crates/membership/src/vote.rs
@@ -83,8 +83,8 @@
             return false;
         }
         self.digest.add(voter_bucket(voter), vote.hash(voter));
-        let said = known.map(|k| k.payload.as_slice()).unwrap_or_default();
-        self.payload_changes += u64::from(said != vote.payload);
+        let payload = known.map(|k| k.payload.as_slice()).unwrap_or_default();
+        self.payload_changes += u64::from(payload != vote.payload);
         if let Some(before) = self.newest.insert(voter, vote) {
             self.digest.remove(voter_bucket(voter), before.hash(voter));
         }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -31,13 +31,13 @@
     let generation = net.members[4].as_ref().expect("it runs").me().generation;
     net.stopped.insert(4);
     net.run(secs(14.0));
-    let said: Vec<State> = net
+    let payload: Vec<State> = net
         .changes
         .iter()
         .filter(|c| c.of == 4 && c.by == 0)
         .map(|c| c.state)
         .collect();
-    assert_eq!(said, [State::Alive, State::Suspect, State::Down]);
+    assert_eq!(payload, [State::Alive, State::Suspect, State::Down]);
     net.go_on(4);
     net.run(secs(12.0));
     assert!(net.agreed(), "{:?}", net.changes);
@@ -200,14 +200,14 @@
         3,
         Input::SendLearned {
             to: address(0),
-            pieces: vec![vec![1; MAX_LEARNED_PIECE], vec![2; 3]],
+            chunks: vec![vec![1; MAX_LEARNED_PIECE], vec![2; 3]],
         },
     );
     net.run(secs(0.1));
-    let mut told = net.learned.clone();
-    told.sort_by_key(|w| w.2.len());
+    let mut announced = net.learned.clone();
+    announced.sort_by_key(|w| w.2.len());
     assert_eq!(
-        told,
+        announced,
         [
             (0, address(3), vec![2; 3]),
             (0, address(3), vec![1; MAX_LEARNED_PIECE])
@@ -224,7 +224,7 @@
     net.step(3, Input::SetPayload(vec![1]));
     net.step(3, Input::SetPayload(vec![2; 200]));
     net.run(secs(2.0));
-    let said = |net: &Net, by: usize| {
+    let payload = |net: &Net, by: usize| {
         let payloads = net.members[by].as_ref().expect("it runs").payloads();
         payloads
             .into_iter()
@@ -232,14 +232,14 @@
             .map(|s| s.1)
     };
     for by in (0..10).filter(|&by| by != 3) {
-        assert_eq!(said(&net, by), Some(vec![2; 200]), "by {by}");
+        assert_eq!(payload(&net, by), Some(vec![2; 200]), "by {by}");
     }
     net.members[3] = None;
     net.run(secs(20.0));
     assert!(
         (0..10)
             .filter(|&by| by != 3)
-            .all(|by| said(&net, by).is_none())
+            .all(|by| payload(&net, by).is_none())
     );
 }
 
@@ -260,9 +260,9 @@
     );
     net.run(secs(10.0));
     net.step(to, Input::Heard(bytes));
-    let said: Vec<DropReason> = net.dropped.iter().map(|r| r.1).collect();
+    let payload: Vec<DropReason> = net.dropped.iter().map(|r| r.1).collect();
     assert_eq!(
-        said,
+        payload,
         [
             DropReason::Replayed,
             DropReason::WrongKey,
--- a/crates/membership/tests/golden/trace.rs
+++ b/crates/membership/tests/golden/trace.rs
@@ -145,11 +145,11 @@
             self.elapsed_ms()
         ));
         if let Effect::LearnedRequested { by } = effect {
-            let pieces = vec![
+            let chunks = vec![
                 format!("first of n{member}").into_bytes(),
                 b"second".to_vec(),
             ];
-            self.step(member, Input::SendLearned { to: *by, pieces });
+            self.step(member, Input::SendLearned { to: *by, chunks });
         }
     }
 
--- a/crates/membership/tests/votes.rs
+++ b/crates/membership/tests/votes.rs
@@ -86,25 +86,25 @@
     /// of the dead, and of those who are not known, count for nothing.
     #[test]
     fn nobody_is_evicted_without_a_majority_of_all_for_the_whole_delay(
-        members in 2usize..40, gone in 1usize..20, voters in 0usize..40, strangers in 0usize..40,
+        members in 2usize..40, removed in 1usize..20, voters in 0usize..40, strangers in 0usize..40,
     ) {
-        let gone = gone.min(members - 1);
-        let mut fleet = Fleet::new(members, gone);
+        let removed = removed.min(members - 1);
+        let mut fleet = Fleet::new(members, removed);
         let mut share = Share::new(members as u32, Some(DELAY));
         share.update(START, &fleet.views, &fleet.votes, &fleet.sets);
         fleet.crash();
         let down = fleet.down.clone();
-        let living = voters.min(members - 1 - gone);
-        (gone..gone + living).for_each(|voter| fleet.vote(voter, 1, &down));
+        let living = voters.min(members - 1 - removed);
+        (removed..removed + living).for_each(|voter| fleet.vote(voter, 1, &down));
         (1000..1000 + strangers).for_each(|voter| fleet.vote(voter, 1, &down));
-        (0..gone).for_each(|voter| fleet.vote(voter, 1, &down));
+        (0..removed).for_each(|voter| fleet.vote(voter, 1, &down));
         let count = |share: &mut Share, fleet: &Fleet, at| {
             share.update(START + at, &fleet.views, &fleet.votes, &fleet.sets) as usize
         };
         prop_assert_eq!(count(&mut share, &fleet, SECOND), members);
         prop_assert_eq!(count(&mut share, &fleet, DELAY), members);
         let majority = (1 + living) * 2 > members;
-        let left = if majority { members - gone } else { members };
+        let left = if majority { members - removed } else { members };
         prop_assert_eq!(count(&mut share, &fleet, SECOND + DELAY), left);
     }
 
--- a/crates/scenario-runner/src/figures.rs
+++ b/crates/scenario-runner/src/figures.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use cranehill_simulation::audit::{Answer, Fate, Line, What};
-use cranehill_simulation::day::Day;
+use cranehill_simulation::audit::{Answer, DeliveryOutcome, Line, What};
 use cranehill_simulation::destination::SimulatedDestination;
+use cranehill_simulation::scenario::Scenario;
 use hdrhistogram::Histogram;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -44,7 +44,7 @@
 }
 
 /// Reads a day's lines.
-pub fn figures(day: &Day, lines: &[Line], lasted: Duration) -> Figures {
+pub fn figures(scenario: &Scenario, lines: &[Line], lasted: Duration) -> Figures {
     let seconds = lasted.as_secs() as usize + 1;
     let mut figures = Figures {
         answered: histogram(),
@@ -52,18 +52,18 @@
         submitted: Vec::new(),
         done: Vec::new(),
         refused: Vec::new(),
-        in_flight: vec![Vec::new(); day.senders],
+        in_flight: vec![Vec::new(); scenario.senders],
         waits: Vec::new(),
         destinations: Vec::new(),
     };
     let mut counts = vec![[0u32; 3]; seconds];
-    let mut sent = vec![vec![0u32; seconds]; day.destinations.len()];
+    let mut sent = vec![vec![0u32; seconds]; scenario.destinations.len()];
     let mut begun: HashMap<&str, Duration> = HashMap::new();
-    let mut out: Vec<BTreeSet<u64>> = vec![BTreeSet::new(); day.senders];
-    let mut told: Vec<(Duration, i32)> = Vec::new();
+    let mut out: Vec<BTreeSet<u64>> = vec![BTreeSet::new(); scenario.senders];
+    let mut notified: Vec<(Duration, i32)> = Vec::new();
     for line in lines {
         let second = (line.at.as_secs() as usize).min(seconds - 1);
-        let sender = line.sender.unwrap_or(0).min(day.senders - 1);
+        let sender = line.sender.unwrap_or(0).min(scenario.senders - 1);
         match &line.what {
             What::Submitted { id, .. } | What::Posted { id, .. } => {
                 counts[second][0] += 1;
@@ -89,20 +89,20 @@
             }
             What::Replied {
                 connection,
-                fates,
+                outcomes,
                 wait,
                 ..
             } => {
                 out[sender].remove(connection);
                 figures.in_flight[sender].push((line.at.as_secs_f64(), out[sender].len() as f64));
-                for (id, _) in fates.iter().filter(|(_, f)| *f == Fate::Done) {
+                for (id, _) in outcomes.iter().filter(|(_, f)| *f == DeliveryOutcome::Done) {
                     counts[second][1] += 1;
                     if let Some(&since) = begun.get(id.as_str()) {
                         note(&mut figures.delivered, line.at.saturating_sub(since));
                     }
                 }
                 if let Some(wait) = wait {
-                    told.extend([(line.at, 1), (line.at + *wait, -1)]);
+                    notified.extend([(line.at, 1), (line.at + *wait, -1)]);
                 }
             }
             What::Closed { connection } | What::Broke { connection, .. }
@@ -122,13 +122,13 @@
             .collect()
     };
     (figures.submitted, figures.done, figures.refused) = (curve(0), curve(1), curve(2));
-    told.sort_unstable();
+    notified.sort_unstable();
     let mut open = 0;
-    for (at, change) in told {
+    for (at, change) in notified {
         open += change;
         figures.waits.push((at.as_secs_f64(), f64::from(open)));
     }
-    for (n, member) in day.destinations.iter().enumerate() {
+    for (n, member) in scenario.destinations.iter().enumerate() {
         let destination = SimulatedDestination::new(
             member.spec.clone(),
             member.faults.clone(),
--- a/crates/scenario-runner/src/lib.rs
+++ b/crates/scenario-runner/src/lib.rs
@@ -5,10 +5,10 @@
 //! clock. Everything binds to 127.0.0.0/8.
 #![forbid(unsafe_code)]
 
-pub mod breakages;
 pub mod figures;
 pub mod journal_damage;
 pub mod measure;
+pub mod mutations;
 mod network;
 pub mod report;
 pub mod report_files;
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::{Line, Rule, Verdict};
-use cranehill_simulation::day::Day;
+use cranehill_simulation::scenario::Scenario;
 
 pub use network::{Direct, Network};
 pub use resource_usage::ResourceUsage;
@@ -48,7 +48,7 @@
     #[error("sender {sender} did not start: {why}")]
     NotReady { sender: usize, why: String },
     #[error("the day that is to be measured: {0}")]
-    Day(String),
+    Scenario(String),
     #[error("sockets: {0}")]
     Io(#[from] std::io::Error),
 }
@@ -56,13 +56,13 @@
 /// What to play, and with what.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    pub day: Day,
+    pub scenario: Scenario,
     pub seed: u64,
     /// The sender's program.
     pub program: PathBuf,
     pub limits: Limits,
-    /// For builds that have some: the breakage to play.
-    pub breakage: Option<String>,
+    /// For builds that have some: the mutation to play.
+    pub mutation: Option<String>,
     /// In place of starting any: a sender that runs already.
     pub against: Option<Against>,
 }
@@ -79,7 +79,7 @@
 /// The configuration that a sender needs for a day if it is started by somebody else.
 pub fn node_config(plan: &Plan, directory: SocketAddr) -> String {
     let config = senders::configuration(
-        &plan.day,
+        &plan.scenario,
         0,
         directory,
         &serde_json::Value::Null,
--- a/crates/scenario-runner/src/measure.rs
+++ b/crates/scenario-runner/src/measure.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::Verdict;
-use cranehill_simulation::day;
+use cranehill_simulation::scenario;
 
 use crate::figures::{Figures, figures};
 use crate::{Limits, Outcome, Plan, RunError, play};
@@ -20,7 +20,7 @@
 /// Beyond this lateness of the rig, 99 of 100 times, nothing can be said of the sender.
 const RIG_LATE: Duration = Duration::from_millis(20);
 /// Messages last so long; what is held longer than a fraction of it shows as a late answer or delivery.
-const LASTS_S: u64 = 8;
+const DURATION_S: u64 = 8;
 /// A search begins here and goes no further than that, in messages a second.
 const FIRST: f64 = 250.0;
 const LAST: f64 = 64_000.0;
@@ -113,7 +113,7 @@
     );
     let _ = write!(
         text,
-        "[[class]]\nname = \"episode-notice\"\naim = \"2 s\"\nlasts = \"{LASTS_S} s\"\n"
+        "[[class]]\nname = \"episode-notice\"\naim = \"2 s\"\nlasts = \"{DURATION_S} s\"\n"
     );
     let _ = write!(
         text,
@@ -125,8 +125,8 @@
 
 /// Plays one rate against this program.
 pub fn step(program: &Path, setup: &Setup, rate: f64) -> Result<Step, RunError> {
-    let day =
-        day::parse(&text(setup, rate), setup.seed).map_err(|e| RunError::Day(e.to_string()))?;
+    let scenario = scenario::parse(&text(setup, rate), setup.seed)
+        .map_err(|e| RunError::Scenario(e.to_string()))?;
     // Room in plenty: neither descriptors, nor the disk, nor the calls that may be out are what is measured.
     let limits = Limits {
         memory_mb: 512.0,
@@ -136,11 +136,11 @@
     };
     let program = program.to_owned();
     let plan = Plan {
-        day,
+        scenario,
         seed: setup.seed,
         program,
         limits,
-        breakage: None,
+        mutation: None,
         against: None,
     };
     let outcome = play(&plan, |_, _| {})?;
@@ -152,7 +152,7 @@
         answered,
         delivered,
         ..
-    } = figures(&plan.day, &outcome.lines, outcome.lasted);
+    } = figures(&plan.scenario, &outcome.lines, outcome.lasted);
     let quantiles =
         |h: &hdrhistogram::Histogram<u64>| [0.5, 0.99, 0.999].map(|q| h.value_at_quantile(q));
     let span = outcome.lasted.as_secs_f64().max(1e-9);
@@ -193,11 +193,11 @@
         .collect();
     all.extend(outcome.void.first().cloned());
     for (_, verdict) in &outcome.verdicts {
-        if let Verdict::Broken(breaches) = verdict {
+        if let Verdict::Broken(violations) = verdict {
             all.extend(
-                breaches
+                violations
                     .first()
-                    .map(|b| format!("{} times: {b}", breaches.len())),
+                    .map(|b| format!("{} times: {b}", violations.len())),
             );
         }
     }
--- a/crates/scenario-runner/src/breakages.rs
+++ b/crates/scenario-runner/src/mutations.rs
@@ -1,4 +1,4 @@
-//! Broken builds: each named breakage with a day on which it shows, and the rules of which one must catch it.
+//! Broken builds: each named mutation with a day on which it shows, and the rules of which one must catch it.
 
 use cranehill_simulation::audit::Rule;
 
@@ -9,90 +9,90 @@
 
 const ORDER: &str = include_str!("../../../rehearsals/days/broken-order.toml");
 
-/// One breakage as a rehearsal plays it.
+/// One mutation as a rehearsal plays it.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub name: &'static str,
     pub rule: Rule,
     /// The day's file.
-    pub day: &'static str,
+    pub scenario: &'static str,
 }
 
-/// All of them, by the names that a build with breakages knows.
+/// All of them, by the names that a build with mutations knows.
 pub const CASES: [Case; 15] = [
     Case {
         name: "ignores-waits",
         rule: Rule::Waits,
-        day: DESTINATIONS,
+        scenario: DESTINATIONS,
     },
     Case {
         name: "sends-to-drained",
         rule: Rule::Drains,
-        day: DESTINATIONS,
+        scenario: DESTINATIONS,
     },
     Case {
         name: "two-copies",
         rule: Rule::SecondCopy,
-        day: DESTINATIONS,
+        scenario: DESTINATIONS,
     },
     Case {
         name: "forgets-journal",
         rule: Rule::OneEnd,
-        day: RESTARTS,
+        scenario: RESTARTS,
     },
     Case {
         name: "answers-first",
         rule: Rule::OneEnd,
-        day: RESTARTS,
+        scenario: RESTARTS,
     },
     Case {
         name: "drops-reports",
         rule: Rule::OneEnd,
-        day: DESTINATIONS,
+        scenario: DESTINATIONS,
     },
     Case {
         name: "floods-cold",
         rule: Rule::Return,
-        day: RETURN,
+        scenario: RETURN,
     },
     Case {
         name: "holds-answers",
         rule: Rule::Answers,
-        day: DESTINATIONS,
+        scenario: DESTINATIONS,
     },
     Case {
         name: "reuses-spoilt",
         rule: Rule::Idle,
-        day: DESTINATIONS,
+        scenario: DESTINATIONS,
     },
     Case {
         name: "repeats-unsafe",
         rule: Rule::Repeats,
-        day: UNSAFE,
+        scenario: UNSAFE,
     },
     Case {
         name: "seventh-attempt",
         rule: Rule::Attempts,
-        day: DESTINATIONS,
+        scenario: DESTINATIONS,
     },
     Case {
         name: "leaks-at-stop",
         rule: Rule::OneEnd,
-        day: RESTARTS,
+        scenario: RESTARTS,
     },
     Case {
         name: "closes-clients",
         rule: Rule::Answers,
-        day: DESTINATIONS,
+        scenario: DESTINATIONS,
     },
     Case {
         name: "ignores-order",
         rule: Rule::Order,
-        day: ORDER,
+        scenario: ORDER,
     },
     Case {
         name: "forgets-order",
         rule: Rule::Order,
-        day: ORDER,
+        scenario: ORDER,
     },
 ];
--- a/crates/scenario-runner/src/report.rs
+++ b/crates/scenario-runner/src/report.rs
@@ -1,4 +1,4 @@
-//! What a day came to, for a person: a short table, and each breach with the lines that prove it.
+//! What a day came to, for a person: a short table, and each violation with the lines that prove it.
 
 use cranehill_simulation::audit::{Rule, Verdict};
 
@@ -27,17 +27,17 @@
         ),
     ];
     for (rule, verdict) in &outcome.verdicts {
-        let said = match verdict {
+        let verdict_text = match verdict {
             Verdict::Kept { cases } => format!("kept ({cases} cases)"),
-            Verdict::Broken(breaches) => format!("BROKEN ({} times)", breaches.len()),
+            Verdict::Broken(violations) => format!("BROKEN ({} times)", violations.len()),
             Verdict::NotJudged { cases } => {
                 format!("not judged: the machine was too busy in {cases} cases")
             }
         };
-        lines.push(format!("  {:<58} {said}", rule.says()));
-        if let Verdict::Broken(breaches) = verdict {
-            for breach in breaches.iter().take(SHOWN) {
-                lines.extend(breach.to_string().lines().map(|l| format!("      {l}")));
+        lines.push(format!("  {:<58} {verdict_text}", rule.description()));
+        if let Verdict::Broken(violations) = verdict {
+            for violation in violations.iter().take(SHOWN) {
+                lines.extend(violation.to_string().lines().map(|l| format!("      {l}")));
             }
         }
     }
--- a/crates/scenario-runner/src/report_files.rs
+++ b/crates/scenario-runner/src/report_files.rs
@@ -30,7 +30,7 @@
 /// Writes `report.json`, `report.html`, `events.parquet` and the same as `events.txt` into a folder, made if need be.
 pub fn write(dir: &Path, plan: &Plan, outcome: &Outcome) -> io::Result<()> {
     std::fs::create_dir_all(dir)?;
-    let figures = figures(&plan.day, &outcome.lines, outcome.lasted);
+    let figures = figures(&plan.scenario, &outcome.lines, outcome.lasted);
     let json = serde_json::to_string_pretty(&report(plan, outcome, &figures))?;
     std::fs::write(dir.join("report.json"), json)?;
     events(&dir.join("events.parquet"), &outcome.lines)?;
@@ -64,23 +64,23 @@
         .verdicts
         .iter()
         .map(|(rule, verdict)| {
-            let (said, cases, breaches) = match verdict {
+            let (verdict_text, cases, violations) = match verdict {
                 Verdict::Kept { cases } => ("kept", *cases, Vec::new()),
                 Verdict::NotJudged { cases } => ("not judged", *cases, Vec::new()),
                 Verdict::Broken(all) => ("broken", all.len() as u64, all.clone()),
             };
-            let breaches: Vec<Value> = breaches
+            let violations: Vec<Value> = violations
                 .iter()
                 .map(|b| {
                     json!({"at_ms": b.at.as_millis() as u64, "notice": b.id, "partner": b.destination, "why": b.why,
                         "wire": b.wire})
                 })
                 .collect();
-            json!({"rule": rule.says(), "verdict": said, "cases": cases, "breaches": breaches})
+            json!({"rule": rule.description(), "verdict": verdict_text, "cases": cases, "breaches": violations})
         })
         .collect();
     json!({
-        "day": plan.day.name, "seed": plan.seed, "senders": plan.day.senders,
+        "day": plan.scenario.name, "seed": plan.seed, "senders": plan.scenario.senders,
         "lasted_ms": outcome.lasted.as_millis() as u64,
         "worth": {"delivered": outcome.worth.0, "asked": outcome.worth.1},
         "handed": outcome.submitted, "delivered": outcome.delivered,
@@ -150,10 +150,10 @@
             connection,
             endpoint,
             destination,
-            fates,
+            outcomes,
             ..
         } => {
-            let ids: Vec<String> = fates.iter().map(|f| f.0.clone()).collect();
+            let ids: Vec<String> = outcomes.iter().map(|f| f.0.clone()).collect();
             (
                 "replied",
                 one(&ids),
@@ -175,7 +175,7 @@
             Some(*endpoint as u64),
             Some(*connection),
         ),
-        What::Told {
+        What::Notified {
             endpoint,
             destination,
             ..
@@ -188,7 +188,7 @@
         ),
         What::Reported { id, .. } => ("reported", Some(id.clone()), None, None, None),
         What::Signalled => ("signalled", None, None, None, None),
-        What::Gone => ("gone", None, None, None, None),
+        What::ProcessExited => ("gone", None, None, None, None),
         What::Lost { only } => ("lost", only.as_deref().and_then(one), None, None, None),
         What::Ready => ("ready", None, None, None, None),
         What::Fell { destination } => ("fell", None, Some(*destination), None, None),
@@ -348,13 +348,13 @@
     };
     body.push_str(&format!(
         "<h1>{}</h1><p><b>{verdict}</b></p>",
-        escape(&plan.day.name)
+        escape(&plan.scenario.name)
     ));
     body.push_str(&format!(
         "<p>Seed {}, {} senders, {:.1} s. Service {share:.3} ({worth:.1} of {asked:.0}). Answered in {} ms (median), \
          {} ms (99%); delivered in {} ms, {} ms, {} ms (99.9%). The rig was late by {:.1} ms at most.</p>",
         plan.seed,
-        plan.day.senders,
+        plan.scenario.senders,
         outcome.lasted.as_secs_f64(),
         ms(&figures.answered, 0.5),
         ms(&figures.answered, 0.99),
@@ -365,7 +365,7 @@
     ));
     body.push_str("<table><tr><th>rule</th><th>verdict</th></tr>");
     for (rule, verdict) in &outcome.verdicts {
-        let said = match verdict {
+        let verdict_text = match verdict {
             Verdict::Kept { cases } => format!("kept ({cases} cases)"),
             Verdict::NotJudged { cases } => format!("not judged ({cases} cases)"),
             Verdict::Broken(all) => {
@@ -378,7 +378,10 @@
                 )
             }
         };
-        body.push_str(&format!("<tr><td>{}</td><td>{said}</td></tr>", rule.says()));
+        body.push_str(&format!(
+            "<tr><td>{}</td><td>{verdict_text}</td></tr>",
+            rule.description()
+        ));
     }
     body.push_str("</table>");
     let load = [
@@ -433,6 +436,6 @@
                  pre{white-space:pre-wrap;font-size:12px}";
     Ok(format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{}</title><style>{style}</style><body>{body}</body></html>",
-        escape(&plan.day.name)
+        escape(&plan.scenario.name)
     ))
 }
--- a/crates/scenario-runner/src/senders.rs
+++ b/crates/scenario-runner/src/senders.rs
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::Duration;
 
-use cranehill_simulation::day::{Day, Effect, Member, MessageClass};
 use cranehill_simulation::fleet::Fleet;
 use cranehill_simulation::limit::Limit;
+use cranehill_simulation::scenario::{Effect, Member, MessageClass, Scenario};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
 
@@ -20,7 +20,7 @@
 use crate::resource_usage::{self, ResourceUsage};
 
 /// What is heard of a sender's process, with the number of its life ([`Process::is_of`]).
-pub type Word = (u32, Heard);
+pub type ProcessEvent = (u32, Heard);
 
 /// What is heard of a sender's process.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
 
 impl Heard {
     /// Whom it is about, if it depends on the life: a line of a log counts whenever it is heard.
-    pub fn of_life(&self) -> Option<usize> {
+    pub fn of_incarnation(&self) -> Option<usize> {
         match self {
             Heard::Ready(sender, _)
             | Heard::Pushes(sender, _)
@@ -109,7 +109,7 @@
     /// It has an operators' address.
     pub operated: bool,
     /// One more with each start and each end.
-    life: u32,
+    incarnation: u32,
     /// Speaks Web Push too.
     push: bool,
     /// Knows the others; every line of its log is kept.
@@ -179,7 +179,7 @@
             child: None,
             old: None,
             operated: false,
-            life: 0,
+            incarnation: 0,
             push: false,
             fleet: false,
             address: None,
@@ -208,12 +208,12 @@
         std::fs::write(self.folder.join("config.json"), config.to_string())
     }
 
-    /// Starts it; a breakage is for builds that have some.
+    /// Starts it; a mutation is for builds that have some.
     pub fn start(
         &mut self,
-        heard: Channel<Word>,
+        heard: Channel<ProcessEvent>,
         waker: Arc<mio::Waker>,
-        breakage: Option<&str>,
+        mutation: Option<&str>,
     ) -> Result<(), RunError> {
         let named = |source| RunError::Sender {
             program: self.program.clone(),
@@ -244,30 +244,30 @@
         if self.fleet {
             command.arg("--fleet").arg(self.folder.join("fleet.toml"));
         }
-        if let Some(breakage) = breakage {
-            command.env("CRANEHILL_BREAK", breakage);
+        if let Some(mutation) = mutation {
+            command.env("CRANEHILL_BREAK", mutation);
         }
         let mut child = command.spawn().map_err(named)?;
         if let Some(stderr) = child.stderr.take() {
-            self.life += 1;
-            let (index, life, keep) = (self.index, self.life, self.fleet);
+            self.incarnation += 1;
+            let (index, incarnation, keep) = (self.index, self.incarnation, self.fleet);
             thread::spawn(move || {
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    let said = Heard::of(index, &line);
+                    let client_answer = Heard::of(index, &line);
                     let line = keep.then_some(Heard::Line(index, line));
-                    if said.is_none() && line.is_none() {
+                    if client_answer.is_none() && line.is_none() {
                         continue;
                     }
-                    if said
+                    if client_answer
                         .into_iter()
                         .chain(line)
-                        .any(|h| heard.send((life, h)).is_err())
+                        .any(|h| heard.send((incarnation, h)).is_err())
                         || waker.wake().is_err()
                     {
                         return;
                     }
                 }
-                let _ = heard.send((life, Heard::Ended(index)));
+                let _ = heard.send((incarnation, Heard::Ended(index)));
                 let _ = waker.wake();
             });
         }
@@ -304,12 +304,12 @@
 
     /// Whether a word is of the present life. What an earlier one said before its end may be heard only after it: taken for
     /// the present one's, its address would send clients to where nobody, or somebody else's sender, listens by then.
-    pub fn is_of(&self, life: u32) -> bool {
-        life == self.life
+    pub fn is_of(&self, incarnation: u32) -> bool {
+        incarnation == self.incarnation
     }
 
     pub fn kill(&mut self) {
-        self.life += 1;
+        self.incarnation += 1;
         for mut child in self
             .child
             .take()
@@ -323,14 +323,14 @@
     }
 
     /// Started once more, beside itself.
-    pub fn start_beside(
+    pub fn start_successor(
         &mut self,
-        heard: Channel<Word>,
+        heard: Channel<ProcessEvent>,
         waker: Arc<mio::Waker>,
-        breakage: Option<&str>,
+        mutation: Option<&str>,
     ) -> Result<(), RunError> {
-        self.old = self.child.take().map(|child| (child, self.life));
-        self.start(heard, waker, breakage)
+        self.old = self.child.take().map(|child| (child, self.incarnation));
+        self.start(heard, waker, mutation)
     }
 
     /// Ends the old one of two by SIGTERM, if it is there still; it has passed all on by then.
@@ -355,7 +355,7 @@
 
     /// Kills the new one of two; false if the old one is gone, so that nobody goes on.
     pub fn kill_new(&mut self) -> bool {
-        let Some((mut old, life)) = self.old.take() else {
+        let Some((mut old, incarnation)) = self.old.take() else {
             return false;
         };
         if !matches!(old.try_wait(), Ok(None)) {
@@ -365,7 +365,7 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        self.life = life;
+        self.incarnation = incarnation;
         true
     }
 
@@ -400,7 +400,7 @@
 
 /// The configuration of one sender: `list` is the directory's list with the addresses that it is to use.
 pub fn configuration(
-    day: &Day,
+    scenario: &Scenario,
     index: usize,
     discovery: SocketAddr,
     list: &Value,
@@ -408,43 +408,48 @@
 ) -> Value {
     let nanos = |d: Duration| d.as_nanos() as u64;
     // The second front brings its own classes.
-    let known = day.load.push.unwrap_or(day.classes.len());
-    let classes: Vec<Value> = day
+    let known = scenario.load.push.unwrap_or(scenario.classes.len());
+    let classes: Vec<Value> = scenario
         .classes
         .iter()
-        .zip(&day.load.classes)
+        .zip(&scenario.load.classes)
         .take(known)
         .map(|(MessageClass { name, effect }, class)| {
             let (effect, window) = match effect {
-                Effect::Safe => ("safe", class.lasts),
+                Effect::Safe => ("safe", class.duration),
                 Effect::Keyed { window } => ("keyed", *window),
-                Effect::Unsafe => ("unsafe", class.lasts),
+                Effect::Unsafe => ("unsafe", class.duration),
             };
             json!({"name": name, "effect": effect, "window": nanos(window), "aim": nanos(class.aim),
                 "byArrival": class.order_keys > 0,
-                "deadline": nanos(class.lasts), "dedupScope": "all", "lateShare": class.late_share, "worth": 1.0})
+                "deadline": nanos(class.duration), "dedupScope": "all", "lateShare": class.late_share, "worth": 1.0})
         })
         .collect();
-    let per_call: Vec<usize> = day
+    let per_call: Vec<usize> = scenario
         .kinds
         .iter()
-        .map(|k| of_kind(day, k).map(|m| m.spec.batch).max().unwrap_or(1))
+        .map(|k| {
+            of_kind(scenario, k)
+                .map(|m| m.spec.batch)
+                .max()
+                .unwrap_or(1)
+        })
         .collect();
-    let apart: Vec<bool> = day
+    let apart: Vec<bool> = scenario
         .kinds
         .iter()
-        .map(|k| of_kind(day, k).all(|m| !m.spec.shared))
+        .map(|k| of_kind(scenario, k).all(|m| !m.spec.shared))
         .collect();
-    let tenants: Vec<Value> = day
+    let tenants: Vec<Value> = scenario
         .tenants
         .iter()
-        .zip(&day.load.tenants)
-        .map(|(name, share)| json!({"name": name, "quotaRps": day.load.rate * share}))
+        .zip(&scenario.load.tenants)
+        .map(|(name, share)| json!({"name": name, "quotaRps": scenario.load.rate * share}))
         .collect();
-    let (slots, held) = sizes(day);
+    let (slots, held) = sizes(scenario);
     let slots = limits.calls_out.unwrap_or(slots);
     let probes = false;
-    let rules = day
+    let rules = scenario
         .destinations
         .first()
         .map(|m| m.spec.back)
@@ -460,8 +465,8 @@
             "classes": classes,
             "familyInfo": {"callsOut": slots, "kindApart": apart, "losesWorth": "halving", "perCall": per_call},
             "membershipMode": "push",
-            "models": day.kinds,
-            "nInstances": day.members(),
+            "models": scenario.kinds,
+            "nInstances": scenario.members(),
             "policyLimits": {"attemptsCap": 6, "connIdle": 15_000_000_000u64, "connectTimeout": 1_500_000_000u64,
                 "maxRetryAfter": 2_000_000_000u64, "mostHeld": held, "probes": probes, "retryAfter": true},
             "rules": {"cold": nanos(rules.warm), "coldFrom": rules.cold, "fall": nanos(rules.fall),
@@ -469,8 +474,8 @@
             "tenants": tenants,
             "tick": 5_000_000,
             "weightKind": "rough",
-            "zone": index % day.zones.len().max(1),
-            "zones": day.zones,
+            "zone": index % scenario.zones.len().max(1),
+            "zones": scenario.zones,
         },
     })
 }
@@ -478,13 +483,13 @@
 /// A push service as one sender reaches it.
 #[derive(Clone, Debug)]
 pub struct PushService {
-    /// Index into [`Day::destinations`].
+    /// Index into [`Scenario::destinations`].
     pub destination: usize,
     pub addresses: Vec<SocketAddr>,
 }
 
 /// The second front of one sender: its push services by their addresses; `None` if the day has none.
-pub fn push_file(day: &Day, services: &[PushService]) -> Option<String> {
+pub fn push_file(scenario: &Scenario, services: &[PushService]) -> Option<String> {
     if services.is_empty() {
         return None;
     }
@@ -494,7 +499,7 @@
         addresses,
     } in services
     {
-        let member = &day.destinations[*destination];
+        let member = &scenario.destinations[*destination];
         text.push_str(&format!(
             "[[upstream]]\nname = \"p{destination}\"\nrate = {:?}\n",
             rough_rate(member)
@@ -510,15 +515,15 @@
     Some(text)
 }
 
-fn of_kind<'a>(day: &'a Day, kind: &'a str) -> impl Iterator<Item = &'a Member> {
-    day.destinations.iter().filter(move |m| m.kind == kind)
+fn of_kind<'a>(scenario: &'a Scenario, kind: &'a str) -> impl Iterator<Item = &'a Member> {
+    scenario.destinations.iter().filter(move |m| m.kind == kind)
 }
 
 /// Slots for calls and places for messages of one sender: twice what its part of the load keeps busy, ten seconds of it.
-fn sizes(day: &Day) -> (usize, usize) {
-    let weight: f64 = day.load.targets.iter().map(|t| t.weight).sum();
-    let pace = |n: usize| day.destinations[n].spec.pace.as_secs_f64();
-    let mean: f64 = day
+fn sizes(scenario: &Scenario) -> (usize, usize) {
+    let weight: f64 = scenario.load.targets.iter().map(|t| t.weight).sum();
+    let pace = |n: usize| scenario.destinations[n].spec.pace.as_secs_f64();
+    let mean: f64 = scenario
         .load
         .targets
         .iter()
@@ -526,7 +531,7 @@
         .map(|(n, t)| t.weight * pace(n))
         .sum::<f64>()
         / weight.max(1e-9);
-    let part = day.load.rate / day.senders as f64;
+    let part = scenario.load.rate / scenario.senders as f64;
     let slots = (part * mean * 2.2).ceil().max(6.0) as usize;
     (
         slots.min(400),
@@ -555,17 +560,20 @@
     fn words_of_an_earlier_life_are_told_apart() {
         let folder = std::env::temp_dir();
         let mut process = Process::new(0, Path::new("/bin/sh"), &folder);
-        let (heard, words) = std::sync::mpsc::channel();
+        let (heard, events) = std::sync::mpsc::channel();
         let poll = mio::Poll::new().expect("a poll");
         let waker = Arc::new(mio::Waker::new(poll.registry(), mio::Token(0)).expect("a waker"));
         process
             .start(heard.clone(), waker.clone(), None)
             .expect("it starts");
         process.kill();
-        let (first, ended) = words.recv().expect("its log ends");
-        assert_eq!((ended.of_life(), process.is_of(first)), (Some(0), false));
+        let (first, ended) = events.recv().expect("its log ends");
+        assert_eq!(
+            (ended.of_incarnation(), process.is_of(first)),
+            (Some(0), false)
+        );
         process.start(heard, waker, None).expect("it starts again");
         assert!(!process.is_of(first));
-        assert!(words.recv().is_ok_and(|(second, _)| process.is_of(second)));
+        assert!(events.recv().is_ok_and(|(second, _)| process.is_of(second)));
     }
 }
--- a/crates/scenario-runner/src/stage.rs
+++ b/crates/scenario-runner/src/stage.rs
@@ -24,15 +24,15 @@
 
 use cranehill_simulation::audit::{Auditor, Class, Figures, What};
 use cranehill_simulation::clients::Clients;
-use cranehill_simulation::day::{Day, Effect};
 use cranehill_simulation::destination::{Reply, SimulatedDestination};
 use cranehill_simulation::directory::{Directory, Listed};
 use cranehill_simulation::fleet::Folder;
+use cranehill_simulation::scenario::{Effect, Scenario};
 use mio::{Events, Poll, Token, Waker};
 use rand_chacha::ChaCha8Rng;
 
 use crate::network::{Direct, Network};
-use crate::senders::{Process, Word};
+use crate::senders::{Process, ProcessEvent};
 use crate::{Outcome, Plan, RunError, resource_usage};
 use connections::{Connection, ConnectionId, Listener};
 use event_log::EventLog;
@@ -84,7 +84,7 @@
 /// All stand-ins and senders of a day, and what the loop knows of them.
 struct Stage<'a> {
     plan: &'a Plan,
-    day: &'a Day,
+    scenario: &'a Scenario,
     poll: Poll,
     waker: Arc<Waker>,
     /// When the day began, as an instant and since 1970.
@@ -111,7 +111,7 @@
     senders: Vec<Sender>,
     /// Whose turn it is to be sent a message by the load balancer.
     next_sender: usize,
-    process_events: (Channel<Word>, Receiver<Word>),
+    process_events: (Channel<ProcessEvent>, Receiver<ProcessEvent>),
     timers: TimerQueue,
     log: EventLog,
     /// Draws where journals are damaged.
@@ -144,7 +144,7 @@
     /// Connections of clients without a request.
     idle: IdleConnections,
     /// The state of each endpoint that the directory has told it.
-    told: BTreeMap<usize, Listed>,
+    notified: BTreeMap<usize, Listed>,
 }
 
 /// What follows the end of a sender's process.
@@ -171,19 +171,19 @@
     /// By then every message has been executed out of time.
     fn latest_end(&self) -> Duration {
         let longest = self
-            .day
+            .scenario
             .load
             .classes
             .iter()
-            .map(|c| c.lasts)
+            .map(|c| c.duration)
             .max()
             .unwrap_or_default();
-        self.day.lasts + longest + SETTLE
+        self.scenario.duration + longest + SETTLE
     }
 
     /// The day's span is over, and every message has ended.
     fn is_settled(&self, now: Duration) -> bool {
-        now >= self.day.lasts && self.pending.is_empty() && self.clients.next().is_none()
+        now >= self.scenario.duration && self.pending.is_empty() && self.clients.next().is_none()
     }
 
     /// Waits until the next timer at most, handles what has come, and then the timers that are due.
@@ -276,7 +276,7 @@
             .collect();
         self.senders.iter_mut().for_each(|s| s.process.kill());
         let classes = self
-            .day
+            .scenario
             .classes
             .iter()
             .map(|c| audited_class(c.effect))
--- a/crates/scenario-runner/src/stage/clients.rs
+++ b/crates/scenario-runner/src/stage/clients.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::{Answer, What};
-use cranehill_simulation::clients::{Said, Submission};
-use cranehill_simulation::day::Effect;
+use cranehill_simulation::clients::{ClientAnswer, Submission};
+use cranehill_simulation::scenario::Effect;
 use mio::net::TcpStream;
 
 use super::Stage;
@@ -68,7 +68,7 @@
         };
         let Some(connection) = chosen.and_then(|sender| self.client_connection(sender, protocol))
         else {
-            let at = self.now() + self.day.load.patience;
+            let at = self.now() + self.scenario.load.patience;
             return self.timers.insert(at, Timer::Unrouted { id: message.id });
         };
         let request = match protocol {
@@ -95,7 +95,7 @@
     }
 
     fn protocol_for(&self, message: &Submission) -> ClientProtocol {
-        let destination = self.day.destinations.get(message.destination as usize);
+        let destination = self.scenario.destinations.get(message.destination as usize);
         if destination.is_some_and(|d| d.push) {
             ClientProtocol::WebPush
         } else {
@@ -154,21 +154,21 @@
             destination,
             ..
         } = message;
-        let lasts = Duration::from_secs(message.lasts.as_secs().max(POST_TTL_LEAST_S));
-        let topic = self.day.classes[*class].effect == Effect::Safe;
+        let duration = Duration::from_secs(message.duration.as_secs().max(POST_TTL_LEAST_S));
+        let topic = self.scenario.classes[*class].effect == Effect::Safe;
         ClientRequest {
-            bytes: wire::post(message, lasts, topic),
-            patience: lasts + POST_GRACE,
+            bytes: wire::post(message, duration, topic),
+            patience: duration + POST_GRACE,
             event: What::Posted {
                 id: id.clone(),
                 class: *class,
                 destination: *destination,
-                lasts,
+                duration,
             },
             line: format!(
                 "POST {}{id} TTL {} topic {topic}",
                 wire::push_path(*destination),
-                lasts.as_secs()
+                duration.as_secs()
             ),
         }
     }
@@ -178,7 +178,7 @@
             id,
             class,
             destination,
-            lasts,
+            duration,
             ordering_key,
             ..
         } = message;
@@ -186,21 +186,21 @@
             id: id.clone(),
             class: *class,
             destination: *destination,
-            lasts: *lasts,
+            duration: *duration,
             ordering_key: ordering_key.clone(),
         };
         let key = ordering_key
             .as_deref()
             .map(|key| format!(" key={key}"))
             .unwrap_or_default();
-        let class_name = &self.day.classes[*class].name;
+        let class_name = &self.scenario.classes[*class].name;
         ClientRequest {
-            bytes: wire::put(message, class_name, &self.day.tenants[message.tenant]),
-            patience: self.day.load.patience,
+            bytes: wire::put(message, class_name, &self.scenario.tenants[message.tenant]),
+            patience: self.scenario.load.patience,
             event,
             line: format!(
                 "MSG.PUT {id} {class_name} dest={destination} d={}{key}",
-                lasts.as_millis()
+                duration.as_millis()
             ),
         }
     }
@@ -217,8 +217,8 @@
         let (answer, length) = match connection.client()?.protocol {
             ClientProtocol::WebPush => wire::posted(&connection.input)?,
             ClientProtocol::Resp => {
-                let (said, length) = wire::said(&connection.input)?;
-                (audited_answer(said), length)
+                let (client_answer, length) = wire::client_answer(&connection.input)?;
+                (audited_answer(client_answer), length)
             }
         };
         let text = String::from_utf8_lossy(&connection.input[..length])
@@ -248,7 +248,7 @@
         if answer == Answer::Accepted {
             self.pending.insert(message.id.clone(), sender);
         }
-        let said = answer_for_client(&answer);
+        let client_answer = answer_for_client(&answer);
         let line = format!("{text} to {}", message.id);
         self.record(
             Some(sender),
@@ -259,7 +259,7 @@
             &line,
         );
         let now = self.now();
-        self.clients.answered(now, &message.id, said);
+        self.clients.answered(now, &message.id, client_answer);
         self.schedule_arrival();
         self.senders[sender].idle.of(protocol).push(id);
     }
@@ -304,23 +304,23 @@
     /// Tells the client that its message has got no answer.
     pub(super) fn client_unanswered(&mut self, id: &str) {
         let now = self.now();
-        self.clients.answered(now, id, Said::Nothing);
+        self.clients.answered(now, id, ClientAnswer::Nothing);
         self.schedule_arrival();
     }
 }
 
-fn audited_answer(said: Said) -> Answer {
-    match said {
-        Said::Accepted => Answer::Accepted,
-        Said::Rejected { after } => Answer::Rejected { after },
-        Said::Error | Said::Nothing => Answer::Error,
+fn audited_answer(client_answer: ClientAnswer) -> Answer {
+    match client_answer {
+        ClientAnswer::Accepted => Answer::Accepted,
+        ClientAnswer::Rejected { after } => Answer::Rejected { after },
+        ClientAnswer::Error | ClientAnswer::Nothing => Answer::Error,
     }
 }
 
-fn answer_for_client(answer: &Answer) -> Said {
+fn answer_for_client(answer: &Answer) -> ClientAnswer {
     match answer {
-        Answer::Accepted | Answer::Delivered => Said::Accepted,
-        Answer::Rejected { after } => Said::Rejected { after: *after },
-        Answer::Failed | Answer::Error => Said::Error,
+        Answer::Accepted | Answer::Delivered => ClientAnswer::Accepted,
+        Answer::Rejected { after } => ClientAnswer::Rejected { after: *after },
+        Answer::Failed | Answer::Error => ClientAnswer::Error,
     }
 }
--- a/crates/scenario-runner/src/stage/destinations.rs
+++ b/crates/scenario-runner/src/stage/destinations.rs
@@ -142,7 +142,7 @@
             RejectedCall { status: 400 }
         })?;
         let destination = self.endpoints[endpoint].destination;
-        let member = &self.day.destinations[destination];
+        let member = &self.scenario.destinations[destination];
         if member.push
             != request
                 .path
@@ -170,7 +170,7 @@
         };
         let (reply, fell) = self.destinations[place.destination].call(now, asked);
         if fell {
-            let name = &self.day.destinations[place.destination].name;
+            let name = &self.scenario.destinations[place.destination].name;
             log::warn!(destination = name.as_str(); "{name} has fallen over");
             let destination = place.destination as u64;
             self.record(None, What::Fell { destination }, "has fallen over");
@@ -234,7 +234,10 @@
             return;
         };
         let spec = self.destinations[destination].spec();
-        let faults = self.day.destinations[destination].faults.iter().flatten();
+        let faults = self.scenario.destinations[destination]
+            .faults
+            .iter()
+            .flatten();
         let outages = faults.filter(|f| f.is_outage() && f.end() <= now);
         let first = outages.map(|f| f.start).min().unwrap_or(since);
         let back = What::Back {
--- a/crates/scenario-runner/src/stage/directory.rs
+++ b/crates/scenario-runner/src/stage/directory.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::{self, FinalReport, What};
-use cranehill_simulation::day::{ListChange, To};
 use cranehill_simulation::directory::{List, Listed, Row, Watch};
+use cranehill_simulation::scenario::{ListChange, To};
 use serde_json::{Value, json};
 
 use super::connections::{CloseMode, ConnectionId, HeldWatch, Role};
@@ -18,7 +18,7 @@
 const WATCH_LEAST: Duration = Duration::from_millis(1);
 
 /// The state of one endpoint in a list that a sender is told.
-struct ToldState {
+struct NotifiedState {
     endpoint: usize,
     destination: u64,
     listed: Listed,
@@ -87,7 +87,7 @@
     fn on_final_report(&mut self, sender: usize, id: &str, final_report: FinalReport) {
         let line = format!("report {id} {final_report:?}");
         let retry_after = match &final_report {
-            FinalReport::Returned { after } => Some(after.unwrap_or(self.day.load.pause)),
+            FinalReport::Returned { after } => Some(after.unwrap_or(self.scenario.load.pause)),
             FinalReport::Failed => None,
         };
         self.record(
@@ -131,7 +131,7 @@
         let now = self.now();
         match self.directory.watch(now, sender, from, asked, hold) {
             Watch::Now(list) => {
-                self.record_told(sender, &list);
+                self.record_notified(sender, &list);
                 let body = self.list_json(&list, sender).to_string();
                 self.hold_watch(id, None);
                 self.send(id, &wire::response(200, &[], &body));
@@ -147,38 +147,42 @@
     }
 
     /// Records the endpoints whose state is new to a sender by this list.
-    fn record_told(&mut self, sender: usize, list: &List) {
-        let mut states: Vec<ToldState> = list.rows.iter().map(|row| self.told_state(row)).collect();
+    fn record_notified(&mut self, sender: usize, list: &List) {
+        let mut states: Vec<NotifiedState> = list
+            .rows
+            .iter()
+            .map(|row| self.notified_state(row))
+            .collect();
         if list.full {
             let named: BTreeSet<usize> = states.iter().map(|state| state.endpoint).collect();
-            let known = self.senders[sender].told.keys();
-            let gone = known.filter(|endpoint| !named.contains(endpoint));
-            states.extend(gone.map(|&endpoint| ToldState {
+            let known = self.senders[sender].notified.keys();
+            let removed = known.filter(|endpoint| !named.contains(endpoint));
+            states.extend(removed.map(|&endpoint| NotifiedState {
                 endpoint,
                 destination: 0,
                 listed: Listed::Removed,
             }));
         }
-        for ToldState {
+        for NotifiedState {
             endpoint,
             destination,
             listed,
         } in states
         {
-            if self.senders[sender].told.insert(endpoint, listed) == Some(listed) {
+            if self.senders[sender].notified.insert(endpoint, listed) == Some(listed) {
                 continue;
             }
-            let told = What::Told {
+            let notified = What::Notified {
                 endpoint,
                 destination: destination,
                 listed: audited_state(listed),
             };
             let line = format!("version {}: endpoint {endpoint} {listed:?}", list.version);
-            self.record(Some(sender), told, &line);
+            self.record(Some(sender), notified, &line);
         }
     }
 
-    fn told_state(&self, row: &Row) -> ToldState {
+    fn notified_state(&self, row: &Row) -> NotifiedState {
         let place = &self.endpoints[row.endpoint];
         // A row of an endpoint that has been replaced since is its predecessor's.
         let endpoint = if place.id == row.id {
@@ -186,7 +190,7 @@
         } else {
             row.endpoint
         };
-        ToldState {
+        NotifiedState {
             endpoint,
             destination: row.destination,
             listed: row.listed,
@@ -205,7 +209,7 @@
 
     fn row_json(&self, row: &Row, sender: usize) -> Value {
         let place = &self.endpoints[row.endpoint];
-        let member = &self.day.destinations[place.destination];
+        let member = &self.scenario.destinations[place.destination];
         let state = match row.listed {
             Listed::Up => "up",
             Listed::Draining => "draining",
@@ -214,7 +218,7 @@
         let started = row
             .started
             .map_or(0, |s| (self.begun_unix + s).as_millis() as u64);
-        let zone = &self.day.zones[member.zones[place.number]];
+        let zone = &self.scenario.zones[member.zones[place.number]];
         json!({"id": row.id, "addr": place.addresses[sender].to_string(), "zone": zone, "kind": member.kind,
             "cell": row.destination, "state": state, "weight": rough_rate(member), "started_ms": started})
     }
@@ -226,7 +230,7 @@
             endpoint: number,
             to,
             ..
-        } = self.day.changes[change];
+        } = self.scenario.changes[change];
         let is_meant = |e: &Endpoint| e.destination == destination && e.number == number;
         let Some(endpoint) = self.endpoints.iter().position(is_meant) else {
             return;
@@ -278,6 +282,6 @@
     match listed {
         Listed::Up => audit::Listed::Up,
         Listed::Draining => audit::Listed::Draining,
-        Listed::Removed => audit::Listed::Gone,
+        Listed::Removed => audit::Listed::Removed,
     }
 }
--- a/crates/scenario-runner/src/stage/fleet.rs
+++ b/crates/scenario-runner/src/stage/fleet.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::What;
-use cranehill_simulation::day::Day;
-use cranehill_simulation::fleet::{Act, Deed, Which};
+use cranehill_simulation::fleet::{MemberAction, ScheduledAction, Which};
+use cranehill_simulation::scenario::Scenario;
 use serde_json::Value;
 
 use super::timers::Timer;
@@ -20,12 +20,15 @@
 const SEEDS: usize = 3;
 
 /// Where each sender's membership packets go, for its configuration; empty on a day without a fleet.
-pub(super) fn addresses(day: &Day, network: &mut dyn Network) -> io::Result<Vec<FleetPlace>> {
-    let Some(fleet) = &day.fleet else {
+pub(super) fn addresses(
+    scenario: &Scenario,
+    network: &mut dyn Network,
+) -> io::Result<Vec<FleetPlace>> {
+    let Some(fleet) = &scenario.fleet else {
         return Ok(Vec::new());
     };
     let mut places = Vec::new();
-    for sender in 0..day.senders {
+    for sender in 0..scenario.senders {
         // No other rig on this machine uses the address, so the port is still free when the sender starts, or starts again.
         let ip = Ipv4Addr::new(127, 1, (std::process::id() % 250) as u8, 1 + sender as u8);
         let listen = UdpSocket::bind((ip, 0))?.local_addr()?;
@@ -47,33 +50,35 @@
 impl Stage<'_> {
     /// Does to senders' processes what the day says.
     pub(super) fn on_fleet_act(&mut self, act: usize) {
-        let Act { senders, deed, .. } = self.day.acts[act].clone();
+        let ScheduledAction {
+            senders, action, ..
+        } = self.scenario.acts[act].clone();
         let now = self.now();
         // Whoever brings hollow members does the same to them.
         for sender in senders
             .into_iter()
-            .filter(|&sender| sender < self.day.senders)
+            .filter(|&sender| sender < self.scenario.senders)
         {
-            match deed {
-                Deed::Stop { lasts } => {
+            match action {
+                MemberAction::Stop { duration } => {
                     self.stop(sender);
-                    self.timers.insert(now + lasts, Timer::Resume { sender });
+                    self.timers.insert(now + duration, Timer::Resume { sender });
                 }
-                Deed::Kill { back, folder } => self.kill(
+                MemberAction::Kill { back, folder } => self.kill(
                     sender,
                     Restart {
                         after: back,
                         folder,
                     },
                 ),
-                Deed::Term { back, folder } => self.terminate(
+                MemberAction::Term { back, folder } => self.terminate(
                     sender,
                     Restart {
                         after: back,
                         folder,
                     },
                 ),
-                Deed::Upgrade { kill } => {
+                MemberAction::Upgrade { kill } => {
                     self.upgrade(sender);
                     if let Some((which, after)) = kill {
                         self.timers
@@ -101,11 +106,11 @@
     /// Starts a second process of a sender beside the first.
     fn upgrade(&mut self, sender: usize) {
         let events = self.process_events.0.clone();
-        let breakage = self.plan.breakage.as_deref();
+        let mutation = self.plan.mutation.as_deref();
         let started =
             self.senders[sender]
                 .process
-                .start_beside(events, self.waker.clone(), breakage);
+                .start_successor(events, self.waker.clone(), mutation);
         if let Err(e) = started {
             self.outcome.warnings.push(format!("sender {sender}: {e}"));
         }
@@ -118,13 +123,21 @@
             // The new one starts as after a kill.
             Which::Old => {
                 if process.kill_old() {
-                    self.record(Some(sender), What::Gone, "the old process was killed");
+                    self.record(
+                        Some(sender),
+                        What::ProcessExited,
+                        "the old process was killed",
+                    );
                 }
             }
             Which::New => {
                 if process.kill_new() {
                     // What it had taken over by then went with it; the old one goes on.
-                    self.record(Some(sender), What::Gone, "the new process was killed");
+                    self.record(
+                        Some(sender),
+                        What::ProcessExited,
+                        "the new process was killed",
+                    );
                     self.record(Some(sender), What::Ready, "the old one goes on");
                 } else {
                     self.kill(sender, Restart::USUAL);
--- a/crates/scenario-runner/src/stage/losses.rs
+++ b/crates/scenario-runner/src/stage/losses.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::What;
-use cranehill_simulation::day::Effect;
+use cranehill_simulation::scenario::Effect;
 
 use super::Stage;
 use crate::journal_damage::Damage;
@@ -67,7 +67,7 @@
     /// has been called is repeated.
     fn repeatable(&self, mut ids: Vec<String>) -> Vec<String> {
         if self
-            .day
+            .scenario
             .classes
             .iter()
             .any(|class| class.effect == Effect::Unsafe)
--- a/crates/scenario-runner/src/stage/processes.rs
+++ b/crates/scenario-runner/src/stage/processes.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::What;
-use cranehill_simulation::day::{ScheduledSignal, Signal};
-use cranehill_simulation::fleet::{Deed, Folder};
+use cranehill_simulation::fleet::{Folder, MemberAction};
+use cranehill_simulation::scenario::{ScheduledSignal, Signal};
 
 use super::timers::Timer;
 use super::{Restart, Stage};
 use crate::RunError;
-use crate::senders::{Heard, Word};
+use crate::senders::{Heard, ProcessEvent};
 
 /// After SIGTERM a sender is killed at this time, if it is still there.
 const KILL_AFTER: Duration = Duration::from_millis(3700);
@@ -34,7 +34,7 @@
 impl Stage<'_> {
     /// Starts a sender, or takes the one that runs already.
     pub(super) fn start(&mut self, sender: usize) -> Result<(), RunError> {
-        let breakage = self.plan.breakage.as_deref();
+        let mutation = self.plan.mutation.as_deref();
         let one = &mut self.senders[sender];
         one.end_expected = false;
         if let Some(against) = &self.plan.against {
@@ -43,12 +43,12 @@
             return Ok(());
         }
         one.process.operated = self
-            .day
+            .scenario
             .acts
             .iter()
-            .any(|a| matches!(a.deed, Deed::Upgrade { .. }));
+            .any(|a| matches!(a.action, MemberAction::Upgrade { .. }));
         one.process
-            .start(self.process_events.0.clone(), self.waker.clone(), breakage)
+            .start(self.process_events.0.clone(), self.waker.clone(), mutation)
     }
 
     /// Starts a sender again, unless another restart has done so already.
@@ -61,14 +61,14 @@
 
     /// Handles what has been heard of processes.
     pub(super) fn on_process_events(&mut self) {
-        while let Ok(word) = self.process_events.1.try_recv() {
-            self.on_process_event(word);
+        while let Ok(event) = self.process_events.1.try_recv() {
+            self.on_process_event(event);
         }
     }
 
-    fn on_process_event(&mut self, (generation, heard): Word) {
+    fn on_process_event(&mut self, (generation, heard): ProcessEvent) {
         let stale = |sender: usize| !self.senders[sender].process.is_of(generation);
-        if heard.of_life().is_some_and(stale) {
+        if heard.of_incarnation().is_some_and(stale) {
             return log::debug!("of an earlier process: {heard:?}");
         }
         match heard {
@@ -116,12 +116,16 @@
         one.routed = false;
         one.process.kill();
         self.outcome.crashed.push(sender);
-        self.record(Some(sender), What::Gone, "ended without being told to");
+        self.record(
+            Some(sender),
+            What::ProcessExited,
+            "ended without being told to",
+        );
     }
 
     /// Sends a signal of the day.
     pub(super) fn on_signal(&mut self, signal: usize) {
-        let ScheduledSignal { sender, signal, .. } = self.day.signals[signal];
+        let ScheduledSignal { sender, signal, .. } = self.scenario.signals[signal];
         match signal {
             Signal::Hup => self.senders[sender].process.signal("HUP"),
             Signal::Kill => self.kill(sender, Restart::USUAL),
@@ -181,8 +185,8 @@
     fn on_exit(&mut self, sender: usize) {
         let now = self.now();
         self.senders[sender].routed = false;
-        self.record(Some(sender), What::Gone, "its process has ended");
-        self.senders[sender].told.clear();
+        self.record(Some(sender), What::ProcessExited, "its process has ended");
+        self.senders[sender].notified.clear();
         let Restart { after, folder } = self.senders[sender].restart;
         if folder == Folder::Wiped {
             self.senders[sender].process.wipe();
--- a/crates/scenario-runner/src/stage/replies.rs
+++ b/crates/scenario-runner/src/stage/replies.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::{self, What};
-use cranehill_simulation::destination::{Fate, Reply, Spoilt};
+use cranehill_simulation::destination::{DeliveryOutcome, Reply, Spoilt};
 
 use super::Stage;
 use super::connections::{AuditNames, Call, CloseMode, ConnectionId};
@@ -14,7 +14,7 @@
 struct WrittenReply {
     bytes: Vec<u8>,
     /// By message, in the order of the call.
-    fates: Vec<Fate>,
+    outcomes: Vec<DeliveryOutcome>,
     retry_after: Option<Duration>,
     spoilt: bool,
 }
@@ -40,10 +40,10 @@
         if state.silent || state.vanished {
             return;
         }
-        let push = self.day.destinations[place.destination].push;
+        let push = self.scenario.destinations[place.destination].push;
         match reply {
             Reply::Answer {
-                fates,
+                outcomes,
                 wait,
                 report,
                 ..
@@ -53,12 +53,12 @@
                     bytes: wire::call_answer(
                         &call.ids,
                         call.batch,
-                        &fates,
+                        &outcomes,
                         retry_after,
                         report,
                         push,
                     ),
-                    fates,
+                    outcomes,
                     retry_after,
                     spoilt: false,
                 });
@@ -101,8 +101,8 @@
         let delivered = call
             .ids
             .iter()
-            .zip(&reply.fates)
-            .filter(|(_, fate)| **fate == Fate::Done);
+            .zip(&reply.outcomes)
+            .filter(|(_, outcome)| **outcome == DeliveryOutcome::Done);
         for (id, _) in delivered {
             self.pending.remove(id);
             self.clients.delivered(now, id);
@@ -152,12 +152,12 @@
 
 /// A good reply with more bytes behind it.
 fn trailing_reply(call: &Call, push: bool) -> WrittenReply {
-    let fates = vec![Fate::Done; call.ids.len()];
-    let mut bytes = wire::call_answer(&call.ids, call.batch, &fates, None, None, push);
+    let outcomes = vec![DeliveryOutcome::Done; call.ids.len()];
+    let mut bytes = wire::call_answer(&call.ids, call.batch, &outcomes, None, None, push);
     bytes.extend_from_slice(b"and more");
     WrittenReply {
         bytes,
-        fates,
+        outcomes,
         retry_after: None,
         spoilt: true,
     }
@@ -165,37 +165,37 @@
 
 fn reply_line(call: &Call, reply: &WrittenReply, names: AuditNames) -> String {
     let shown: Vec<&str> = reply
-        .fates
+        .outcomes
         .iter()
-        .map(|fate| wire::state_of(*fate))
+        .map(|outcome| wire::state_of(*outcome))
         .collect();
-    let (fates, ids) = (shown.join(" "), call.ids.join(" "));
+    let (outcomes, ids) = (shown.join(" "), call.ids.join(" "));
     format!(
-        "{fates} to {ids} on connection {}, wait {:?}",
+        "{outcomes} to {ids} on connection {}, wait {:?}",
         names.connection, reply.retry_after
     )
 }
 
 fn audited_reply(call: Call, reply: WrittenReply, names: AuditNames) -> What {
-    let fates = call
+    let outcomes = call
         .ids
         .into_iter()
-        .zip(reply.fates.into_iter().map(audited_fate))
+        .zip(reply.outcomes.into_iter().map(audited_outcome))
         .collect();
     What::Replied {
         connection: names.connection,
         endpoint: names.endpoint,
         destination: names.destination,
-        fates,
+        outcomes,
         wait: reply.retry_after,
         spoilt: reply.spoilt,
     }
 }
 
-fn audited_fate(fate: Fate) -> audit::Fate {
-    match fate {
-        Fate::Done => audit::Fate::Done,
-        Fate::Failed => audit::Fate::Failed,
-        Fate::Busy => audit::Fate::Busy,
+fn audited_outcome(outcome: DeliveryOutcome) -> audit::DeliveryOutcome {
+    match outcome {
+        DeliveryOutcome::Done => audit::DeliveryOutcome::Done,
+        DeliveryOutcome::Failed => audit::DeliveryOutcome::Failed,
+        DeliveryOutcome::Busy => audit::DeliveryOutcome::Busy,
     }
 }
--- a/crates/scenario-runner/src/stage/setup.rs
+++ b/crates/scenario-runner/src/stage/setup.rs
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use cranehill_simulation::clients::Clients;
-use cranehill_simulation::day::Day;
 use cranehill_simulation::destination::SimulatedDestination;
 use cranehill_simulation::directory::{Directory, Listed, Row};
 use cranehill_simulation::fault::Kind;
+use cranehill_simulation::scenario::Scenario;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token, Waker};
 use rand::SeedableRng;
@@ -59,39 +59,39 @@
         folder: &Path,
         network: &mut dyn Network,
     ) -> Result<Stage<'a>, RunError> {
-        let day = &plan.day;
-        let mut destinations = Destinations::open(day, plan.seed, network)?;
+        let scenario = &plan.scenario;
+        let mut destinations = Destinations::open(scenario, plan.seed, network)?;
         let push_services = std::mem::take(&mut destinations.push_services);
         let mut stage = Stage::new(plan, folder, destinations)?;
-        let fleet = fleet::addresses(day, network)?;
+        let fleet = fleet::addresses(scenario, network)?;
         for (sender, services) in push_services.iter().enumerate() {
             let directory = stage.open_directory(sender)?;
             if plan.against.is_none() {
                 let list = stage.first_list(sender);
-                let config = configuration(day, sender, directory, &list, plan.limits);
-                let push = push_file(day, services);
+                let config = configuration(scenario, sender, directory, &list, plan.limits);
+                let push = push_file(scenario, services);
                 let process = &mut stage.senders[sender].process;
                 process.configure(&config, push.as_deref(), fleet.get(sender))?;
             }
         }
         stage.register_listeners()?;
-        for sender in 0..day.senders {
+        for sender in 0..scenario.senders {
             stage.start(sender)?;
         }
         Ok(stage)
     }
 
     fn new(plan: &'a Plan, folder: &Path, destinations: Destinations) -> io::Result<Stage<'a>> {
-        let day = &plan.day;
+        let scenario = &plan.scenario;
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
         let directory = Directory::new(
-            day.directory.clone(),
-            first_rows(day, &destinations.endpoints),
+            scenario.directory.clone(),
+            first_rows(scenario, &destinations.endpoints),
         );
         Ok(Stage {
             plan,
-            day,
+            scenario,
             poll,
             waker,
             begun: Instant::now(),
@@ -105,10 +105,10 @@
             destinations: destinations.models,
             replies: HashMap::new(),
             directory,
-            clients: Clients::new(day.load.clone(), rng_stream(plan.seed, CLIENT_STREAM)),
+            clients: Clients::new(scenario.load.clone(), rng_stream(plan.seed, CLIENT_STREAM)),
             next_arrival: None,
             pending: BTreeMap::new(),
-            senders: (0..day.senders)
+            senders: (0..scenario.senders)
                 .map(|n| Sender::new(Process::new(n, &plan.program, folder)))
                 .collect(),
             next_sender: 0,
@@ -174,7 +174,7 @@
 
     /// A sender that was started by somebody else is ready once it has asked for its list.
     fn all_ready(&self) -> bool {
-        let asked = self.plan.against.is_none() || !self.senders[0].told.is_empty();
+        let asked = self.plan.against.is_none() || !self.senders[0].notified.is_empty();
         asked && self.senders.iter().all(|s| s.process.is_ready())
     }
 
@@ -201,13 +201,13 @@
         self.begun = Instant::now();
         self.begun_unix = unix_time();
         self.log.clear();
-        for (n, change) in self.day.changes.iter().enumerate() {
+        for (n, change) in self.scenario.changes.iter().enumerate() {
             self.timers.insert(change.at, Timer::ListChange(n));
         }
-        for (n, signal) in self.day.signals.iter().enumerate() {
+        for (n, signal) in self.scenario.signals.iter().enumerate() {
             self.timers.insert(signal.at, Timer::Signal(n));
         }
-        for (n, act) in self.day.acts.iter().enumerate() {
+        for (n, act) in self.scenario.acts.iter().enumerate() {
             self.timers.insert(act.at, Timer::FleetAct(n));
         }
         self.schedule_fault_edges();
@@ -218,7 +218,7 @@
     /// Faults that reset an endpoint's connections, at their beginning and end.
     fn schedule_fault_edges(&mut self) {
         for (endpoint, place) in self.endpoints.iter().enumerate() {
-            let faults = &self.day.destinations[place.destination].faults[place.number];
+            let faults = &self.scenario.destinations[place.destination].faults[place.number];
             for fault in faults
                 .iter()
                 .filter(|f| matches!(f.kind, Kind::Refuse | Kind::Vanish))
@@ -232,7 +232,7 @@
     }
 
     fn schedule_outage_ends(&mut self) {
-        for (destination, member) in self.day.destinations.iter().enumerate() {
+        for (destination, member) in self.scenario.destinations.iter().enumerate() {
             let outages = member.faults.iter().flatten().filter(|f| f.is_outage());
             let ends: BTreeSet<Duration> = outages.map(|f| f.end()).collect();
             for end in ends {
@@ -244,12 +244,12 @@
 
 impl Destinations {
     /// Opens a listener for each endpoint and sender.
-    fn open(day: &Day, seed: u64, network: &mut dyn Network) -> io::Result<Destinations> {
+    fn open(scenario: &Scenario, seed: u64, network: &mut dyn Network) -> io::Result<Destinations> {
         let mut all = Destinations {
-            push_services: vec![Vec::new(); day.senders],
+            push_services: vec![Vec::new(); scenario.senders],
             ..Default::default()
         };
-        for (n, member) in day.destinations.iter().enumerate() {
+        for (n, member) in scenario.destinations.iter().enumerate() {
             let rng = rng_stream(seed, n as u64);
             all.models.push(SimulatedDestination::new(
                 member.spec.clone(),
@@ -257,7 +257,7 @@
                 rng,
             ));
             for number in 0..member.spec.endpoints {
-                let addresses = all.open_endpoint(day, n, number, network)?;
+                let addresses = all.open_endpoint(scenario, n, number, network)?;
                 if member.push {
                     all.add_push_server(n, &addresses);
                 }
@@ -278,15 +278,15 @@
     /// The addresses of the next endpoint, by sender.
     fn open_endpoint(
         &mut self,
-        day: &Day,
+        scenario: &Scenario,
         destination: usize,
         number: usize,
         network: &mut dyn Network,
     ) -> io::Result<Vec<SocketAddr>> {
         let endpoint = self.endpoints.len();
-        let zone = day.destinations[destination].zones[number];
-        let mut addresses = Vec::with_capacity(day.senders);
-        for sender in 0..day.senders {
+        let zone = scenario.destinations[destination].zones[number];
+        let mut addresses = Vec::with_capacity(scenario.senders);
+        for sender in 0..scenario.senders {
             let (socket, address) = bind(sender, ENDPOINT_HOST)?;
             self.listeners.push(Listener {
                 socket,
@@ -322,17 +322,17 @@
             end_expected: false,
             restart: Restart::USUAL,
             idle: IdleConnections::default(),
-            told: BTreeMap::new(),
+            notified: BTreeMap::new(),
         }
     }
 }
 
 /// The directory's rows at the beginning: all endpoints but those of push services.
-fn first_rows(day: &Day, endpoints: &[Endpoint]) -> Vec<Row> {
+fn first_rows(scenario: &Scenario, endpoints: &[Endpoint]) -> Vec<Row> {
     let listed = endpoints
         .iter()
         .enumerate()
-        .filter(|(_, e)| !day.destinations[e.destination].push);
+        .filter(|(_, e)| !scenario.destinations[e.destination].push);
     let row = |(endpoint, place): (usize, &Endpoint)| Row {
         id: place.id.clone(),
         endpoint,
--- a/crates/scenario-runner/src/wire.rs
+++ b/crates/scenario-runner/src/wire.rs
@@ -5,8 +5,8 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use cranehill_simulation::audit::Answer;
-use cranehill_simulation::clients::{Said, Submission};
-use cranehill_simulation::destination::Fate;
+use cranehill_simulation::clients::{ClientAnswer, Submission};
+use cranehill_simulation::destination::DeliveryOutcome;
 
 /// Heads and bodies beyond this are nothing that a sender of ours says.
 const HEAD_MOST: usize = 64 * 1024;
@@ -194,11 +194,11 @@
     (bytes.len() >= whole).then_some((answer, whole))
 }
 
-/// A destination's answer to a call with these fates.
+/// A destination's answer to a call with these outcomes.
 pub fn call_answer(
     ids: &[String],
     batch: bool,
-    fates: &[Fate],
+    outcomes: &[DeliveryOutcome],
     wait: Option<Duration>,
     report: Option<(f64, f64)>,
     push: bool,
@@ -210,11 +210,11 @@
     if let Some(wait) = wait {
         headers.push(("Retry-After", format!("{:.6}", wait.as_secs_f64())));
     }
-    let all = |fate: Fate| fates.iter().all(|f| *f == fate);
-    if all(Fate::Busy) {
+    let all = |outcome: DeliveryOutcome| outcomes.iter().all(|f| *f == outcome);
+    if all(DeliveryOutcome::Busy) {
         return response(if wait.is_some() { 429 } else { 503 }, &headers, "");
     }
-    if all(Fate::Failed) {
+    if all(DeliveryOutcome::Failed) {
         return response(500, &headers, "");
     }
     if !batch {
@@ -222,18 +222,18 @@
     }
     let rows: Vec<serde_json::Value> = ids
         .iter()
-        .zip(fates)
+        .zip(outcomes)
         .map(|(id, f)| serde_json::json!({"id": id, "state": state_of(*f)}))
         .collect();
     response(200, &headers, &serde_json::Value::from(rows).to_string())
 }
 
-/// A fate as a batch's answer has it.
-pub fn state_of(fate: Fate) -> &'static str {
-    match fate {
-        Fate::Done => "done",
-        Fate::Failed => "failed",
-        Fate::Busy => "busy",
+/// A outcome as a batch's answer has it.
+pub fn state_of(outcome: DeliveryOutcome) -> &'static str {
+    match outcome {
+        DeliveryOutcome::Done => "done",
+        DeliveryOutcome::Failed => "failed",
+        DeliveryOutcome::Busy => "busy",
     }
 }
 
@@ -244,7 +244,7 @@
 pub fn put(submission: &Submission, class: &str, tenant: &str) -> Vec<u8> {
     let mut names = format!(
         "c={class},t={tenant},d={},dest={}",
-        submission.lasts.as_millis(),
+        submission.duration.as_millis(),
         submission.destination
     );
     if let Some(key) = &submission.key {
@@ -271,38 +271,38 @@
         .unwrap_or(NO_ORDERING_KEY)
         .as_bytes();
     let mut bytes = b"*5\r\n".to_vec();
-    for word in [
+    for event in [
         b"MSG.PUT" as &[u8],
         ordering_key,
         submission.id.as_bytes(),
         names.as_bytes(),
         &body,
     ] {
-        bytes.extend_from_slice(format!("${}\r\n", word.len()).as_bytes());
-        bytes.extend_from_slice(word);
+        bytes.extend_from_slice(format!("${}\r\n", event.len()).as_bytes());
+        bytes.extend_from_slice(event);
         bytes.extend_from_slice(b"\r\n");
     }
     bytes
 }
 
 /// A sender's answer to a client, and how many bytes it was.
-pub fn said(bytes: &[u8]) -> Option<(Said, usize)> {
+pub fn client_answer(bytes: &[u8]) -> Option<(ClientAnswer, usize)> {
     let end = bytes.windows(2).position(|w| w == b"\r\n")?;
     let line = String::from_utf8_lossy(&bytes[..end]).into_owned();
-    let said = match line.strip_prefix("-BUSY") {
+    let client_answer = match line.strip_prefix("-BUSY") {
         Some(rest) => {
             let after = rest.trim().parse::<u64>().ok().map(Duration::from_millis);
-            Said::Rejected { after }
+            ClientAnswer::Rejected { after }
         }
-        None if line.starts_with('+') => Said::Accepted,
+        None if line.starts_with('+') => ClientAnswer::Accepted,
         None if line.starts_with('$') => {
             let size: usize = line[1..].parse().ok()?;
             return (bytes.len() >= end + 2 + size + 2)
-                .then_some((Said::Accepted, end + 2 + size + 2));
+                .then_some((ClientAnswer::Accepted, end + 2 + size + 2));
         }
-        None => Said::Error,
+        None => ClientAnswer::Error,
     };
-    Some((said, end + 2))
+    Some((client_answer, end + 2))
 }
 
 /// `id` and how it ended, of each line of a final report; an error if one can't be read.
@@ -363,7 +363,7 @@
         let text = String::from_utf8(call_answer(
             &ids,
             true,
-            &[Fate::Done, Fate::Busy],
+            &[DeliveryOutcome::Done, DeliveryOutcome::Busy],
             None,
             None,
             false,
@@ -377,7 +377,7 @@
         let text = String::from_utf8(call_answer(
             &ids,
             true,
-            &[Fate::Busy; 2],
+            &[DeliveryOutcome::Busy; 2],
             wait,
             Some((0.4, 25.0)),
             false,
@@ -414,23 +414,32 @@
 
     #[test]
     fn a_senders_words_are_understood() {
-        assert_eq!(said(b"+OK\r\n+"), Some((Said::Accepted, 5)));
-        assert_eq!(said(b"$2\r\nOK\r\n"), Some((Said::Accepted, 8)));
         assert_eq!(
-            said(b"-BUSY 250\r\n"),
+            client_answer(b"+OK\r\n+"),
+            Some((ClientAnswer::Accepted, 5))
+        );
+        assert_eq!(
+            client_answer(b"$2\r\nOK\r\n"),
+            Some((ClientAnswer::Accepted, 8))
+        );
+        assert_eq!(
+            client_answer(b"-BUSY 250\r\n"),
             Some((
-                Said::Rejected {
+                ClientAnswer::Rejected {
                     after: Some(Duration::from_millis(250))
                 },
                 11
             ))
         );
         assert_eq!(
-            said(b"-BUSY\r\n"),
-            Some((Said::Rejected { after: None }, 7))
+            client_answer(b"-BUSY\r\n"),
+            Some((ClientAnswer::Rejected { after: None }, 7))
+        );
+        assert_eq!(
+            client_answer(b"-ERR no\r\n"),
+            Some((ClientAnswer::Error, 9))
         );
-        assert_eq!(said(b"-ERR no\r\n"), Some((Said::Error, 9)));
-        assert_eq!(said(b"+OK\r"), None);
+        assert_eq!(client_answer(b"+OK\r"), None);
         let lines =
             b"{\"id\":\"a\",\"state\":\"failed\"}\n{\"id\":\"b\",\"state\":\"returned\",\"after_ms\":5}\n";
         let read = reports(lines).expect("good");
--- a/crates/scheduler/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -174,10 +174,10 @@
             9 => events.push(outcome(&format!("m{}", n % 50), 9, Status::Served, 1)),
             10 => events.push(Event::Cancelled(MessageId("unknown".into()))),
             11 => {
-                let (gone, other) = if n % 2 == 0 { ("a", "b") } else { ("b", "a") };
-                w.drained = Some(gone);
+                let (removed, other) = if n % 2 == 0 { ("a", "b") } else { ("b", "a") };
+                w.drained = Some(removed);
                 let news = vec![
-                    entry(gone, 1, Condition::Draining, 0),
+                    entry(removed, 1, Condition::Draining, 0),
                     entry(other, 1, Condition::Ready, 0),
                 ];
                 events.push(Event::List {
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -451,11 +451,11 @@
         sends(&b.at(0, vec![accept("m", 1, None, 9000)]))[0].1,
         "near"
     );
-    let gone = Event::List {
+    let removed = Event::List {
         whole: false,
         entries: vec![entry("near", 1, Condition::Removed, 0)],
     };
-    let mut sent = sends(&b.at(50, vec![gone, outcome("m", 0, Status::Error, 50)]));
+    let mut sent = sends(&b.at(50, vec![removed, outcome("m", 0, Status::Error, 50)]));
     let mut last = vec![];
     for ms in (55..5100).step_by(5) {
         let actions = b.at(ms, vec![Event::Wake]);
--- a/crates/simulation/src/audit/copies.rs
+++ b/crates/simulation/src/audit/copies.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Breach, Class, Fate, Figures, FinalReport, Findings, Line, Rule, What};
+use super::{Class, DeliveryOutcome, Figures, FinalReport, Findings, Line, Rule, Violation, What};
 
 #[derive(Debug, Default)]
 struct Message {
@@ -52,10 +52,12 @@
                 self.on.insert(*connection, ids.clone());
             }
             What::Replied {
-                connection, fates, ..
+                connection,
+                outcomes,
+                ..
             } => {
-                for (id, fate) in fates {
-                    self.settle(id, *connection, *fate != Fate::Busy, line);
+                for (id, outcome) in outcomes {
+                    self.settle(id, *connection, *outcome != DeliveryOutcome::Busy, line);
                 }
                 self.on.remove(connection);
             }
@@ -106,7 +108,7 @@
             let wire = vec![proof.clone(), line.wire.clone()];
             let again = (line.at + after.unwrap_or_default()).saturating_sub(*first);
             let why = "returned as harmless to hand in again".to_owned();
-            let breach = Breach {
+            let violation = Violation {
                 rule: Rule::Repeats,
                 id: Some(id.into()),
                 destination: None,
@@ -114,7 +116,7 @@
                 why,
                 wire,
             };
-            judge_repeat(*class, again, breach, line.late, figures, findings);
+            judge_repeat(*class, again, violation, line.late, figures, findings);
         }
     }
 
@@ -128,7 +130,7 @@
         findings: &mut Findings,
     ) {
         let message = self.messages.entry(id.to_owned()).or_default();
-        let breach = |rule, why: String, wire: Vec<String>| Breach {
+        let violation = |rule, why: String, wire: Vec<String>| Violation {
             rule,
             id: Some(id.to_owned()),
             destination: Some(destination),
@@ -140,7 +142,7 @@
         match &message.out {
             Some((_, first)) => {
                 let wire = vec![first.clone(), line.wire.clone()];
-                findings.broken(breach(
+                findings.broken(violation(
                     Rule::SecondCopy,
                     "a copy while another is out".into(),
                     wire,
@@ -150,16 +152,16 @@
         }
         if message.attempts > figures.attempts {
             let why = format!("attempt {}", message.attempts);
-            findings.broken(breach(Rule::Attempts, why, vec![line.wire.clone()]));
+            findings.broken(violation(Rule::Attempts, why, vec![line.wire.clone()]));
         } else {
             findings.kept(Rule::Attempts);
         }
         let class = message.class.and_then(|c| self.classes.get(c).copied());
         if let (Some((first, proof)), Some(class)) = (&message.executed, class) {
             let wire = vec![proof.clone(), line.wire.clone()];
-            let breach = breach(Rule::Repeats, "sent again".into(), wire);
+            let violation = violation(Rule::Repeats, "sent again".into(), wire);
             let again = line.at.saturating_sub(*first);
-            judge_repeat(class, again, breach, line.late, figures, findings);
+            judge_repeat(class, again, violation, line.late, figures, findings);
         }
         message.out = Some((connection, line.wire.clone()));
     }
@@ -182,18 +184,18 @@
 fn judge_repeat(
     class: Class,
     again: Duration,
-    breach: Breach,
+    violation: Violation,
     late: Duration,
     figures: &Figures,
     findings: &mut Findings,
 ) {
-    let told = |why: String| Breach {
-        why: format!("{}, {why}", breach.why),
-        ..breach.clone()
+    let notified = |why: String| Violation {
+        why: format!("{}, {why}", violation.why),
+        ..violation.clone()
     };
     match class {
         Class::Safe => findings.kept(Rule::Repeats),
-        Class::Unsafe => findings.broken(told(
+        Class::Unsafe => findings.broken(notified(
             "though it may have run and must not be repeated".into(),
         )),
         Class::Keyed { window } => {
@@ -201,7 +203,7 @@
                 .checked_sub(window + figures.slack)
                 .filter(|o| !o.is_zero());
             let why = format!("{} ms after it may have run", again.as_millis());
-            findings.judge(over, late, || told(why), Rule::Repeats);
+            findings.judge(over, late, || notified(why), Rule::Repeats);
         }
     }
 }
--- a/crates/simulation/src/audit/destinations.rs
+++ b/crates/simulation/src/audit/destinations.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Breach, Figures, Findings, Line, Listed, Rule, What};
+use super::{Figures, Findings, Line, Listed, Rule, Violation, What};
 
 #[derive(Debug, Default)]
 pub(super) struct DestinationRules {
@@ -20,7 +20,7 @@
 impl DestinationRules {
     pub(super) fn hear(&mut self, line: &Line, figures: &Figures, findings: &mut Findings) {
         match &line.what {
-            What::Told {
+            What::Notified {
                 endpoint, listed, ..
             } => {
                 let Some(sender) = line.sender else { return };
@@ -28,7 +28,7 @@
                     Listed::Up => {
                         self.leaving.remove(&(sender, *endpoint));
                     }
-                    Listed::Draining | Listed::Gone => {
+                    Listed::Draining | Listed::Removed => {
                         self.leaving.entry((sender, *endpoint)).or_insert_with(|| {
                             // A sender that obeys makes no call, so the telling is the case.
                             findings.kept(Rule::Drains);
@@ -89,7 +89,7 @@
                 }
             }
             // A restart ends a wait.
-            What::Gone => {
+            What::ProcessExited => {
                 if let Some(sender) = line.sender {
                     self.waits.retain(|(s, _), _| *s != sender);
                 }
@@ -107,7 +107,7 @@
         figures: &Figures,
         findings: &mut Findings,
     ) {
-        let breach = |rule, why: String, wire: Vec<String>| Breach {
+        let violation = |rule, why: String, wire: Vec<String>| Violation {
             rule,
             id: None,
             destination: Some(destination),
@@ -115,10 +115,10 @@
             why,
             wire,
         };
-        if let Some((told, late, proof)) =
+        if let Some((notified, late, proof)) =
             line.sender.and_then(|s| self.leaving.get(&(s, endpoint)))
         {
-            let passed = line.at.saturating_sub(*told);
+            let passed = line.at.saturating_sub(*notified);
             let over = passed.checked_sub(figures.drain).filter(|o| !o.is_zero());
             let why = format!(
                 "a call begun {} ms after endpoint {endpoint} was told to leave",
@@ -128,13 +128,13 @@
             findings.judge(
                 over,
                 line.late + *late,
-                || breach(Rule::Drains, why, wire),
+                || violation(Rule::Drains, why, wire),
                 Rule::Drains,
             );
         }
         if let Some(proof) = self.spoilt.get(&connection) {
             let wire = vec![proof.clone(), line.wire.clone()];
-            findings.broken(breach(
+            findings.broken(violation(
                 Rule::Idle,
                 "a call on a connection with more behind its last answer".into(),
                 wire,
@@ -151,7 +151,7 @@
             findings.judge(
                 over,
                 line.late + *late,
-                || breach(Rule::Idle, why, wire),
+                || violation(Rule::Idle, why, wire),
                 Rule::Idle,
             );
         }
@@ -166,7 +166,7 @@
         findings: &mut Findings,
     ) {
         let Some(sender) = line.sender else { return };
-        let Some((told, until, late, proof)) = self.waits.get(&(sender, destination)) else {
+        let Some((notified, until, late, proof)) = self.waits.get(&(sender, destination)) else {
             return;
         };
         if line.at >= *until {
@@ -174,7 +174,7 @@
             self.waits.remove(&(sender, destination));
             return;
         }
-        let passed = line.at.saturating_sub(*told);
+        let passed = line.at.saturating_sub(*notified);
         if passed <= figures.wait_grace {
             return;
         }
@@ -183,9 +183,9 @@
         let why = format!(
             "a call {} ms after a wait of {} ms was told",
             passed.as_millis(),
-            (*until - *told).as_millis()
+            (*until - *notified).as_millis()
         );
-        let breach = || Breach {
+        let violation = || Violation {
             rule: Rule::Waits,
             id: None,
             destination: Some(destination),
@@ -193,6 +193,6 @@
             why,
             wire: vec![proof.clone(), line.wire.clone()],
         };
-        findings.judge(Some(over), line.late + *late, breach, Rule::Waits);
+        findings.judge(Some(over), line.late + *late, violation, Rule::Waits);
     }
 }
--- a/crates/simulation/src/audit/ends.rs
+++ b/crates/simulation/src/audit/ends.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Answer, Breach, Fate, Figures, FinalReport, Findings, Line, Rule, What};
+use super::{Answer, DeliveryOutcome, Figures, FinalReport, Findings, Line, Rule, Violation, What};
 
 #[derive(Debug, Default)]
 struct TrackedMessage {
@@ -11,7 +11,7 @@
     submitted: Duration,
     submitted_late: Duration,
     submitted_wire: String,
-    lasts: Duration,
+    duration: Duration,
     taken: Option<Duration>,
     /// Over Web Push, where the answer is the end.
     posted: bool,
@@ -33,18 +33,18 @@
 impl Ends {
     pub(super) fn hear(&mut self, line: &Line, figures: &Figures, findings: &mut Findings) {
         match &line.what {
-            What::Submitted { id, lasts, .. } => {
+            What::Submitted { id, duration, .. } => {
                 let message = self.messages.entry(id.clone()).or_default();
                 message.sender = line.sender;
-                (message.submitted, message.submitted_late, message.lasts) =
-                    (line.at, line.late, *lasts);
+                (message.submitted, message.submitted_late, message.duration) =
+                    (line.at, line.late, *duration);
                 message.submitted_wire = line.wire.clone();
             }
-            What::Posted { id, lasts, .. } => {
+            What::Posted { id, duration, .. } => {
                 let message = self.messages.entry(id.clone()).or_default();
                 message.sender = line.sender;
-                (message.submitted, message.submitted_late, message.lasts) =
-                    (line.at, line.late, *lasts);
+                (message.submitted, message.submitted_late, message.duration) =
+                    (line.at, line.late, *duration);
                 message.submitted_wire = line.wire.clone();
                 (message.posted, message.taken) = (true, Some(line.at));
             }
@@ -70,7 +70,7 @@
                 findings.judge(
                     over,
                     late,
-                    || breach(Rule::Answers, id, line.at, why, wire),
+                    || violation(Rule::Answers, id, line.at, why, wire),
                     Rule::Answers,
                 );
                 if *answer == Answer::Accepted {
@@ -88,7 +88,7 @@
                     return;
                 }
                 let wire = vec![message.submitted_wire.clone(), line.wire.clone()];
-                findings.broken(breach(
+                findings.broken(violation(
                     Rule::Answers,
                     id,
                     line.at,
@@ -109,12 +109,15 @@
                 findings.judge(
                     Some(figures.slack),
                     late,
-                    || breach(Rule::Answers, id, line.at, why, wire),
+                    || violation(Rule::Answers, id, line.at, why, wire),
                     Rule::Answers,
                 );
             }
-            What::Replied { fates, .. } => {
-                for (id, _) in fates.iter().filter(|(_, fate)| *fate == Fate::Done) {
+            What::Replied { outcomes, .. } => {
+                for (id, _) in outcomes
+                    .iter()
+                    .filter(|(_, outcome)| *outcome == DeliveryOutcome::Done)
+                {
                     if let Some(message) = self.messages.get_mut(id) {
                         message
                             .delivered
@@ -125,7 +128,7 @@
             What::Reported { id, final_report } => {
                 self.reported(id, *final_report, line, figures, findings)
             }
-            What::Signalled | What::Gone => {
+            What::Signalled | What::ProcessExited => {
                 if let Some(sender) = line.sender {
                     let spans = self.excused.entry(sender).or_default();
                     if spans.last().is_none_or(|(_, end)| end.is_some()) {
@@ -167,7 +170,7 @@
     ) {
         let Some(message) = self.messages.get_mut(id) else {
             let why = "a report of a notice that nobody handed in".into();
-            findings.broken(breach(
+            findings.broken(violation(
                 Rule::OneEnd,
                 id,
                 line.at,
@@ -182,7 +185,7 @@
             Some((first, _)) if kind(first) == kind(&final_report) => {}
             Some((_, wire)) => {
                 let wire = vec![wire.clone(), line.wire.clone()];
-                findings.broken(breach(
+                findings.broken(violation(
                     Rule::OneEnd,
                     id,
                     line.at,
@@ -220,15 +223,15 @@
         match (answer, &message.delivered) {
             (Answer::Delivered | Answer::Accepted, None) => {
                 let why = "answered as delivered, and no push service took it".into();
-                findings.broken(breach(Rule::OneEnd, id, line.at, why, wire(None)));
+                findings.broken(violation(Rule::OneEnd, id, line.at, why, wire(None)));
             }
             (Answer::Rejected { .. } | Answer::Error, Some((_, proof))) => {
                 let why = "answered as never run, and it had been delivered".into();
-                findings.broken(breach(Rule::OneEnd, id, line.at, why, wire(Some(proof))));
+                findings.broken(violation(Rule::OneEnd, id, line.at, why, wire(Some(proof))));
             }
             _ => findings.kept(Rule::Answers),
         }
-        let due = message.submitted + message.lasts + figures.overdue;
+        let due = message.submitted + message.duration + figures.overdue;
         let over = line.at.checked_sub(due).filter(|o| !o.is_zero());
         let why = format!(
             "answered {} ms after its time",
@@ -238,7 +241,7 @@
         findings.judge(
             over,
             late,
-            || breach(Rule::InTime, id, line.at, why, wire(None)),
+            || violation(Rule::InTime, id, line.at, why, wire(None)),
             Rule::InTime,
         );
     }
@@ -247,7 +250,7 @@
         let Some(message) = self.messages.get(id) else {
             return;
         };
-        let due = message.submitted + message.lasts + figures.overdue;
+        let due = message.submitted + message.duration + figures.overdue;
         if message
             .sender
             .is_some_and(|s| self.is_excused_since(s, due, line.at))
@@ -264,7 +267,7 @@
         findings.judge(
             over,
             line.late + message.submitted_late,
-            || breach(Rule::InTime, id, line.at, why, wire),
+            || violation(Rule::InTime, id, line.at, why, wire),
             Rule::InTime,
         );
     }
@@ -308,7 +311,7 @@
                 findings.kept(Rule::OneEnd);
                 continue;
             }
-            let due = message.submitted + message.lasts + figures.overdue;
+            let due = message.submitted + message.duration + figures.overdue;
             // A day that ends before its time says nothing about it.
             let over = end.checked_sub(due).filter(|o| !o.is_zero());
             let what = if message.posted { "posted" } else { "taken on" };
@@ -323,7 +326,7 @@
                 findings.judge(
                     over,
                     late,
-                    || breach(Rule::OneEnd, id, end, why, wire),
+                    || violation(Rule::OneEnd, id, end, why, wire),
                     Rule::OneEnd,
                 );
             }
@@ -331,8 +334,8 @@
     }
 }
 
-fn breach(rule: Rule, id: &str, at: Duration, why: String, wire: Vec<String>) -> Breach {
-    Breach {
+fn violation(rule: Rule, id: &str, at: Duration, why: String, wire: Vec<String>) -> Violation {
+    Violation {
         rule,
         id: Some(id.to_owned()),
         destination: None,
--- a/crates/simulation/src/audit/mod.rs
+++ b/crates/simulation/src/audit/mod.rs
@@ -97,7 +97,7 @@
 
 /// What one message of a call came to, as the destination knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum DeliveryOutcome {
     Done,
     Failed,
     Busy,
@@ -108,7 +108,7 @@
 pub enum Listed {
     Up,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// One thing that passed, or that the rig did.
@@ -119,7 +119,7 @@
         id: String,
         class: usize,
         destination: u64,
-        lasts: Duration,
+        duration: Duration,
         /// Within which it keeps its order, where its class keeps one.
         ordering_key: Option<String>,
     },
@@ -128,7 +128,7 @@
         id: String,
         class: usize,
         destination: u64,
-        lasts: Duration,
+        duration: Duration,
     },
     Answered {
         id: String,
@@ -168,7 +168,7 @@
         connection: u64,
         endpoint: usize,
         destination: u64,
-        fates: Vec<(String, Fate)>,
+        outcomes: Vec<(String, DeliveryOutcome)>,
         wait: Option<Duration>,
         spoilt: bool,
     },
@@ -180,7 +180,7 @@
         ids: Vec<String>,
         executed: bool,
     },
-    Told {
+    Notified {
         endpoint: usize,
         destination: u64,
         listed: Listed,
@@ -192,7 +192,7 @@
     /// The sender was asked to end, or was killed.
     Signalled,
     /// Its process is gone.
-    Gone,
+    ProcessExited,
     /// Its lasting folder is lost, or nobody starts it again: it owes nothing any more. With `only`, its journal was cut,
     /// and these alone are gone.
     Lost {
@@ -262,7 +262,7 @@
     ];
 
     /// The rule in a few words, as operators say it.
-    pub fn says(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Rule::OneEnd => "every notice taken on has one end",
             Rule::InTime => "every end comes in time",
@@ -281,13 +281,13 @@
 
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.says())
+        f.write_str(self.description())
     }
 }
 
-/// One breach, with what proves it.
+/// One violation, with what proves it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     pub rule: Rule,
     pub id: Option<String>,
     pub destination: Option<u64>,
@@ -296,7 +296,7 @@
     pub wire: Vec<String>,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -322,7 +322,7 @@
     Kept {
         cases: u64,
     },
-    Broken(Vec<Breach>),
+    Broken(Vec<Violation>),
     /// In so many cases the rig was too late itself to tell.
     NotJudged {
         cases: u64,
@@ -332,7 +332,7 @@
 /// What judges collect.
 #[derive(Debug, Default)]
 pub(crate) struct Findings {
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     cases: std::collections::BTreeMap<Rule, (u64, u64)>,
 }
 
@@ -354,23 +354,23 @@
         &mut self,
         over: Option<Duration>,
         late: Duration,
-        breach: impl FnOnce() -> Breach,
+        violation: impl FnOnce() -> Violation,
         rule: Rule,
     ) {
         match over {
             None => self.kept(rule),
             Some(over) if over <= late => self.unclear(rule),
-            Some(_) => self.broken(breach()),
+            Some(_) => self.broken(violation()),
         }
     }
 
-    pub(crate) fn broken(&mut self, breach: Breach) {
-        self.breaches.push(breach);
+    pub(crate) fn broken(&mut self, violation: Violation) {
+        self.violations.push(violation);
     }
 
     fn verdict(&self, rule: Rule) -> Verdict {
-        let broken: Vec<Breach> = self
-            .breaches
+        let broken: Vec<Violation> = self
+            .violations
             .iter()
             .filter(|b| b.rule == rule)
             .take(PROVEN_MOST)
--- a/crates/simulation/src/audit/order.rs
+++ b/crates/simulation/src/audit/order.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Answer, Breach, Fate, Figures, Findings, Line, Rule, What};
+use super::{Answer, DeliveryOutcome, Figures, Findings, Line, Rule, Violation, What};
 
 /// A message that keeps its order.
 #[derive(Debug)]
@@ -56,12 +56,14 @@
                 self.in_flight.insert(*connection, ids.clone());
             }
             What::Replied {
-                connection, fates, ..
+                connection,
+                outcomes,
+                ..
             } => {
                 self.in_flight.remove(connection);
-                fates
+                outcomes
                     .iter()
-                    .for_each(|(id, fate)| self.settled(id, *fate == Fate::Done));
+                    .for_each(|(id, outcome)| self.settled(id, *outcome == DeliveryOutcome::Done));
             }
             What::Broke { connection, .. } | What::Closed { connection } => {
                 for id in self.in_flight.remove(connection).unwrap_or_default() {
@@ -135,7 +137,7 @@
             };
             self.messages.iter().filter(same)
         };
-        let breach = |why: String| Breach {
+        let violation = |why: String| Violation {
             rule: Rule::Order,
             id: Some(id.to_owned()),
             destination: Some(destination),
@@ -145,17 +147,17 @@
         };
         let key = &message.key;
         if let Some((other, _)) = line_of_key().find(|(_, other)| other.in_flight) {
-            findings.broken(breach(format!(
+            findings.broken(violation(format!(
                 "{other} of the same key {key} is in flight"
             )));
         } else if let Some((other, _)) =
             line_of_key().find(|(_, o)| o.place < message.place && o.accepted && !o.over)
         {
-            findings.broken(breach(format!(
+            findings.broken(violation(format!(
                 "{other} of the same key {key} was handed in before it"
             )));
         } else {
-            self.judge_rest(id, message, line, figures, findings, breach);
+            self.judge_rest(id, message, line, figures, findings, violation);
         }
         if let Some(message) = self.messages.get_mut(id) {
             message.in_flight = true;
@@ -170,7 +172,7 @@
         line: &Line,
         figures: &Figures,
         findings: &mut Findings,
-        breach: impl Fn(String) -> Breach,
+        violation: impl Fn(String) -> Violation,
     ) {
         let rests = self.broken_off.get(&(message.sender, message.key.clone()));
         let Some((since, _)) = rests.filter(|(_, by)| by != id) else {
@@ -182,6 +184,6 @@
             .checked_sub(rested + figures.slack)
             .filter(|short| !short.is_zero());
         let why = format!("its key rested for {} ms", rested.as_millis());
-        findings.judge(over, line.late, || breach(why), Rule::Order);
+        findings.judge(over, line.late, || violation(why), Rule::Order);
     }
 }
--- a/crates/simulation/src/audit/returns.rs
+++ b/crates/simulation/src/audit/returns.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use super::{Breach, Fate, Figures, Findings, Line, Rule, What};
+use super::{DeliveryOutcome, Figures, Findings, Line, Rule, Violation, What};
 
 /// A destination since its last outage.
 #[derive(Debug)]
@@ -37,11 +37,14 @@
             What::Replied {
                 destination,
                 connection,
-                fates,
+                outcomes,
                 ..
             } => {
                 self.unanswered.remove(connection);
-                if fates.iter().any(|(_, fate)| *fate != Fate::Done) {
+                if outcomes
+                    .iter()
+                    .any(|(_, outcome)| *outcome != DeliveryOutcome::Done)
+                {
                     self.note_failure(*destination, line);
                 }
             }
@@ -72,7 +75,7 @@
                     self.note_failure(destination, line);
                 }
             }
-            What::Signalled | What::Gone => self.ending.extend(line.sender),
+            What::Signalled | What::ProcessExited => self.ending.extend(line.sender),
             What::Ready => {
                 line.sender.map(|sender| self.ending.remove(&sender));
             }
@@ -184,7 +187,7 @@
             return;
         }
         back.broken = true;
-        findings.broken(Breach {
+        findings.broken(Violation {
             rule: Rule::Return,
             id: None,
             destination: Some(destination),
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -22,7 +22,7 @@
     /// Wanted within this; worth half as much with each further such span.
     pub aim: Duration,
     /// Given up after this.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Messages carry a key that a repeat is recognised by.
     pub keyed: bool,
     /// Messages keep their order within so many keys; 0 for a class that keeps none.
@@ -103,7 +103,7 @@
     pub ordering_key: Option<String>,
     pub body: usize,
     /// What is left of its time.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// After a refusal, or after a sender that did not answer.
     pub retry: bool,
     pub again: bool,
@@ -111,7 +111,7 @@
 
 /// What the sender said.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum ClientAnswer {
     Accepted,
     Rejected {
         after: Option<Duration>,
@@ -230,7 +230,7 @@
     }
 
     /// The sender's answer to a handing, or that there will be none.
-    pub fn answered(&mut self, now: Duration, id: &str, said: Said) {
+    pub fn answered(&mut self, now: Duration, id: &str, client_answer: ClientAnswer) {
         let Some(out) = self.out.get_mut(id) else {
             return;
         };
@@ -239,23 +239,23 @@
         let Some(out) = self.out.get_mut(id) else {
             return;
         };
-        match said {
-            Said::Accepted => {
+        match client_answer {
+            ClientAnswer::Accepted => {
                 out.accepted = true;
                 if let Some(at) = out.early {
                     self.origins[origin].delivered.get_or_insert(at.max(now));
                 }
             }
-            Said::Rejected { after } => {
+            ClientAnswer::Rejected { after } => {
                 self.out.remove(id);
                 self.come_again(now, origin, after, true);
             }
-            Said::Error => {
+            ClientAnswer::Error => {
                 self.out.remove(id);
                 self.origins[origin].failed = true;
             }
             // Whatever the sender does under this id from now on has no effect.
-            Said::Nothing => {
+            ClientAnswer::Nothing => {
                 self.out.remove(id);
                 self.come_again(now, origin, Some(Duration::ZERO), false);
             }
@@ -312,7 +312,7 @@
         };
         let class = &self.load.classes[origin.class];
         let took = delivered.saturating_sub(origin.at);
-        if took > class.lasts {
+        if took > class.duration {
             return 0.0;
         }
         let late = took.saturating_sub(class.aim).as_secs_f64() / class.aim.as_secs_f64().max(1e-9);
@@ -470,8 +470,8 @@
             again,
         } = this;
         let from = &self.origins[origin];
-        let lasts = self.load.classes[from.class]
-            .lasts
+        let duration = self.load.classes[from.class]
+            .duration
             .checked_sub(at - from.at)
             .filter(|l| !l.is_zero())?;
         if self.waits_behind(this) {
@@ -489,7 +489,7 @@
             key: from.key.clone(),
             ordering_key: from.ordering_key.clone(),
             body: from.body,
-            lasts,
+            duration,
             retry,
             again,
         };
