--- a/crates/simulation/src/destination.rs
+++ b/crates/simulation/src/destination.rs
@@ -33,7 +33,7 @@
     /// Connections that one endpoint takes, idle ones counted.
     pub connections: Option<usize>,
     /// Chance that a refusal tells how long to wait, and between which bounds if the limit does not say.
-    pub tells_wait: f64,
+    pub sends_retry_after: f64,
     pub wait: (Duration, Duration),
     /// Messages that one call may hold, and what each after the first adds to its work.
     pub batch: usize,
@@ -55,7 +55,7 @@
             pace: Duration::from_millis(300),
             spread: 0.4,
             connections: None,
-            tells_wait: 0.8,
+            sends_retry_after: 0.8,
             wait: (Duration::from_millis(640), Duration::from_millis(1500)),
             batch: 1,
             item_cost: 0.1,
@@ -90,7 +90,7 @@
 
 /// What one message of a call came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum DeliveryOutcome {
     Done,
     Failed,
     /// Never ran.
@@ -103,7 +103,7 @@
     /// By message, in their order. `wait` is told with it.
     Answer {
         at: Duration,
-        fates: Vec<Fate>,
+        outcomes: Vec<DeliveryOutcome>,
         wait: Option<Duration>,
         report: Option<(f64, f64)>,
     },
@@ -297,7 +297,13 @@
         }
         if self.rng.random_bool(state.fail.clamp(0.0, 1.0)) {
             let at = quick(&mut self.rng, now);
-            return self.with_report(now, endpoint, at, vec![Fate::Failed; count], None);
+            return self.with_report(
+                now,
+                endpoint,
+                at,
+                vec![DeliveryOutcome::Failed; count],
+                None,
+            );
         }
         let work = self.work(now, endpoint, count, state);
         let at = &mut self.endpoints[endpoint];
@@ -329,7 +335,13 @@
             };
             return Reply::Spoilt { at: done, how };
         }
-        self.with_report(now, endpoint, done, vec![Fate::Done; count], None)
+        self.with_report(
+            now,
+            endpoint,
+            done,
+            vec![DeliveryOutcome::Done; count],
+            None,
+        )
     }
 
     /// How long the call takes once it is begun: log-normal about the mean, longer when slow, cold or with many items.
@@ -348,16 +360,18 @@
         count: usize,
         again: Option<Duration>,
     ) -> Reply {
-        let tells = self.rng.random_bool(self.spec.tells_wait.clamp(0.0, 1.0));
+        let notifies = self
+            .rng
+            .random_bool(self.spec.sends_retry_after.clamp(0.0, 1.0));
         let (least, most) = self.spec.wait;
         let drawn = between(&mut self.rng, least, most);
-        let wait = tells.then(|| {
+        let wait = notifies.then(|| {
             again
                 .map_or(drawn, |t| t.saturating_sub(now))
                 .max(Duration::from_millis(1))
         });
         let at = quick(&mut self.rng, now);
-        self.with_report(now, endpoint, at, vec![Fate::Busy; count], wait)
+        self.with_report(now, endpoint, at, vec![DeliveryOutcome::Busy; count], wait)
     }
 
     fn with_report(
@@ -365,7 +379,7 @@
         now: Duration,
         endpoint: usize,
         at: Duration,
-        fates: Vec<Fate>,
+        outcomes: Vec<DeliveryOutcome>,
         wait: Option<Duration>,
     ) -> Reply {
         let which = if self.spec.shared { 0 } else { endpoint };
@@ -385,7 +399,7 @@
         });
         Reply::Answer {
             at,
-            fates,
+            outcomes,
             wait,
             report,
         }
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -12,7 +12,7 @@
     /// Connections come up and calls are read; nothing is ever answered.
     Silent,
     /// Every call is turned away as full.
-    Shut,
+    Closed,
     /// This share of the calls fails quickly; they may have been executed.
     Fail { share: f64 },
     /// This share of the answers is no proper HTTP.
@@ -45,7 +45,7 @@
     /// Whether the endpoint comes back cold from it: it was down, silent or shut, or most calls failed.
     pub fn is_outage(&self) -> bool {
         match self.kind {
-            Kind::Vanish | Kind::Refuse | Kind::Silent | Kind::Shut => true,
+            Kind::Vanish | Kind::Refuse | Kind::Silent | Kind::Closed => true,
             Kind::Fail { share } => share > 0.5,
             Kind::Spoil { .. }
             | Kind::Slow { .. }
@@ -91,7 +91,7 @@
                 Kind::Vanish => state.vanished = true,
                 Kind::Refuse => state.refusing = true,
                 Kind::Silent => state.silent = true,
-                Kind::Shut => state.blocked_until = state.blocked_until.max(Some(fault.end())),
+                Kind::Closed => state.blocked_until = state.blocked_until.max(Some(fault.end())),
                 Kind::Fail { share } => state.fail = 1.0 - (1.0 - state.fail) * (1.0 - share),
                 Kind::Spoil { share } => state.spoil = 1.0 - (1.0 - state.spoil) * (1.0 - share),
                 Kind::Slow { factor } => state.slow *= factor.max(0.0),
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -76,7 +76,7 @@
         matches!(self.to, Side::Senders(_))
     }
 
-    pub fn lasts_at(&self, now: Duration) -> bool {
+    pub fn duration_at(&self, now: Duration) -> bool {
         self.at <= now && now < self.until
     }
 }
@@ -99,9 +99,9 @@
 
 /// What is done to processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Deed {
+pub enum MemberAction {
     /// SIGSTOP, and SIGCONT at the end.
-    Stop { lasts: Duration },
+    Stop { duration: Duration },
     /// SIGKILL; started again so long after its end, or never.
     Kill {
         back: Option<Duration>,
@@ -118,8 +118,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Act {
+pub struct ScheduledAction {
     pub at: Duration,
     pub senders: BTreeSet<usize>,
-    pub deed: Deed,
+    pub action: MemberAction,
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -7,13 +7,13 @@
 
 pub mod audit;
 pub mod clients;
-pub mod day;
 pub mod destination;
 pub mod directory;
 pub mod fault;
 pub mod fleet;
 pub mod limit;
 pub mod return_guard;
+pub mod scenario;
 
 pub use destination::{Asked, Connect, Reply, SimulatedDestination, Spec};
 pub use fault::{Fault, Kind, State};
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,6 +1,6 @@
 //! Days as files: what a rehearsal or an experiment plays. Checked whole before anything starts; an error names its line.
 //!
-//! Start at [`parse`], which makes a [`Day`] of a file's text. Each part of the file is read by a module of its own.
+//! Start at [`parse`], which makes a [`Scenario`] of a file's text. Each part of the file is read by a module of its own.
 
 mod classes;
 mod destinations;
@@ -22,8 +22,8 @@
 use file::{DirectoryFile, File};
 use source::Source;
 
-pub use source::DayError;
-pub use types::{Day, Effect, ListChange, Member, MessageClass, ScheduledSignal, Signal, To};
+pub use source::ScenarioError;
+pub use types::{Effect, ListChange, Member, MessageClass, Scenario, ScheduledSignal, Signal, To};
 pub use units::{LimitText, Rate, Span};
 
 /// Longer days are for the emulator's own files.
@@ -36,12 +36,12 @@
 const DIRECTORY_HISTORY: usize = 64;
 
 /// Reads a day and draws what it leaves open from the seed.
-pub fn parse(text: &str, seed: u64) -> Result<Day, DayError> {
+pub fn parse(text: &str, seed: u64) -> Result<Scenario, ScenarioError> {
     parse_for(text, seed, None)
 }
 
 /// As [`parse`], with so many senders, whatever the day says.
-pub fn parse_for(text: &str, seed: u64, senders: Option<usize>) -> Result<Day, DayError> {
+pub fn parse_for(text: &str, seed: u64, senders: Option<usize>) -> Result<Scenario, ScenarioError> {
     parse_with_hollow(text, seed, senders, 0)
 }
 
@@ -51,11 +51,11 @@
     seed: u64,
     senders: Option<usize>,
     hollow: usize,
-) -> Result<Day, DayError> {
+) -> Result<Scenario, ScenarioError> {
     let source = Source { text };
     let file = File::read(&source)?;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let lasts = length(&source, &file)?;
+    let duration = length(&source, &file)?;
     let senders = sender_count(&source, &file, senders)?;
     check_hollow(&source, &file, senders, hollow)?;
     let tenants = destinations::tenants(&file);
@@ -68,14 +68,21 @@
         .then(|| classes.add_push_classes());
     destinations::check_total(&destinations)?;
     faults::read(&source, &file, &mut destinations, &zones, &mut rng)?;
-    let mut load = load::read(&source, &file, &destinations, &tenants, classes.load, lasts)?;
+    let mut load = load::read(
+        &source,
+        &file,
+        &destinations,
+        &tenants,
+        classes.load,
+        duration,
+    )?;
     load.push = push;
     let changes = schedule::changes(&source, &file, &destinations)?;
     let signals = schedule::signals(&source, &file, senders)?;
     let broken = fleet::read(&source, &file.breaks, senders + hollow, &zones, &mut rng)?;
-    Ok(Day {
+    Ok(Scenario {
         name: file.name,
-        lasts,
+        duration,
         senders,
         hollow,
         tenants: tenants.into_iter().map(|s| s.name).collect(),
@@ -93,19 +100,19 @@
     })
 }
 
-fn length(source: &Source<'_>, file: &File) -> Result<Duration, DayError> {
-    let lasts = file.lasts.get_ref().0;
-    if lasts.is_zero() || lasts > LONGEST {
-        return Err(source.error(&file.lasts, "a day lasts from 1 ms to 60 min"));
+fn length(source: &Source<'_>, file: &File) -> Result<Duration, ScenarioError> {
+    let duration = file.duration.get_ref().0;
+    if duration.is_zero() || duration > LONGEST {
+        return Err(source.error(&file.duration, "a day lasts from 1 ms to 60 min"));
     }
-    Ok(lasts)
+    Ok(duration)
 }
 
 fn sender_count(
     source: &Source<'_>,
     file: &File,
     wanted: Option<usize>,
-) -> Result<usize, DayError> {
+) -> Result<usize, ScenarioError> {
     let senders = wanted.unwrap_or(*file.senders.get_ref());
     if !(1..=SENDERS_MOST).contains(&senders) {
         let why = format!("a day has 1 to {SENDERS_MOST} senders, not {senders}");
@@ -119,9 +126,9 @@
     file: &File,
     senders: usize,
     hollow: usize,
-) -> Result<(), DayError> {
+) -> Result<(), ScenarioError> {
     if hollow > 0 && file.fleet.is_none() {
-        return Err(DayError {
+        return Err(ScenarioError {
             line: 1,
             why: "hollow members need a [fleet]".into(),
         });
@@ -141,7 +148,7 @@
         outages: file
             .outage
             .iter()
-            .map(|o| (o.at.0, o.at.0 + o.lasts.0))
+            .map(|o| (o.at.0, o.at.0 + o.duration.0))
             .collect(),
         history: DIRECTORY_HISTORY,
     }
--- a/crates/simulation/src/day/classes.rs
+++ b/crates/simulation/src/scenario/classes.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use super::file::{ClassFile, File};
-use super::source::{DayError, Source};
+use super::source::{ScenarioError, Source};
 use super::types::{Effect, MessageClass};
 use crate::clients;
 
 /// The class of a day that names none.
 const DEFAULT_NAME: &str = "episode-notice";
 const DEFAULT_AIM: Duration = Duration::from_secs(4);
-const DEFAULT_LASTS: Duration = Duration::from_secs(20);
+const DEFAULT_DURATION: Duration = Duration::from_secs(20);
 const DEFAULT_LATE_SHARE: f64 = 0.4;
 
 /// The same classes in the same order, for the auditor and for the clients.
@@ -45,13 +45,13 @@
 }
 
 /// The classes of a file; a usual one if it names none.
-pub(super) fn read(source: &Source<'_>, file: &File) -> Result<Classes, DayError> {
+pub(super) fn read(source: &Source<'_>, file: &File) -> Result<Classes, ScenarioError> {
     let mut classes = Classes::default();
     for class in &file.class {
         let effect = effect(source, class)?;
         let load = clients::Class {
             aim: class.aim.0,
-            lasts: class.lasts.get_ref().0,
+            duration: class.duration.get_ref().0,
             keyed: matches!(effect, Effect::Keyed { .. }),
             order_keys: class.order_keys,
             share: class.share,
@@ -62,7 +62,7 @@
     if classes.effects.is_empty() {
         let load = clients::Class {
             aim: DEFAULT_AIM,
-            lasts: DEFAULT_LASTS,
+            duration: DEFAULT_DURATION,
             keyed: true,
             order_keys: 0,
             share: 1.0,
@@ -71,7 +71,7 @@
         classes.add(
             DEFAULT_NAME,
             Effect::Keyed {
-                window: DEFAULT_LASTS,
+                window: DEFAULT_DURATION,
             },
             load,
         );
@@ -79,15 +79,15 @@
     Ok(classes)
 }
 
-fn effect(source: &Source<'_>, class: &ClassFile) -> Result<Effect, DayError> {
-    let lasts = class.lasts.get_ref().0;
-    if lasts.is_zero() {
-        return Err(source.error(&class.lasts, "a notice lasts some time"));
+fn effect(source: &Source<'_>, class: &ClassFile) -> Result<Effect, ScenarioError> {
+    let duration = class.duration.get_ref().0;
+    if duration.is_zero() {
+        return Err(source.error(&class.duration, "a notice lasts some time"));
     }
     match class.effect.get_ref().as_str() {
         "safe" => Ok(Effect::Safe),
         "keyed" => Ok(Effect::Keyed {
-            window: class.window.map_or(lasts, |w| w.0),
+            window: class.window.map_or(duration, |w| w.0),
         }),
         "unsafe" => Ok(Effect::Unsafe),
         other => Err(source.error(
--- a/crates/simulation/src/day/destinations.rs
+++ b/crates/simulation/src/scenario/destinations.rs
@@ -5,7 +5,7 @@
 use toml::Spanned;
 
 use super::file::{DestinationFile, File};
-use super::source::{DayError, Source};
+use super::source::{ScenarioError, Source};
 use super::types::Member;
 use crate::destination::Spec;
 use crate::limit::Limit;
@@ -70,7 +70,7 @@
     file: &File,
     tenants: &[TenantShare],
     zones: &[String],
-) -> Result<Vec<Member>, DayError> {
+) -> Result<Vec<Member>, ScenarioError> {
     let mut members: Vec<Member> = Vec::new();
     let mut names = BTreeSet::new();
     for table in &file.destination {
@@ -92,7 +92,7 @@
         }
     }
     if members.is_empty() {
-        return Err(DayError {
+        return Err(ScenarioError {
             line: 1,
             why: "a day has partners: [[partner]]".into(),
         });
@@ -101,10 +101,10 @@
 }
 
 /// An error if a day has more endpoints than can be played.
-pub(super) fn check_total(destinations: &[Member]) -> Result<(), DayError> {
+pub(super) fn check_total(destinations: &[Member]) -> Result<(), ScenarioError> {
     let total: usize = destinations.iter().map(|m| m.spec.endpoints).sum();
     if total > ENDPOINTS_MOST {
-        return Err(DayError {
+        return Err(ScenarioError {
             line: 1,
             why: format!("{total} endpoints; {ENDPOINTS_MOST} at most"),
         });
@@ -117,7 +117,7 @@
     source: &Source<'_>,
     destinations: &[Member],
     name: &Spanned<String>,
-) -> Result<Vec<usize>, DayError> {
+) -> Result<Vec<usize>, ScenarioError> {
     let wanted = name.get_ref();
     let is = |m: &Member| {
         let number = m
@@ -144,7 +144,7 @@
     table.count.as_ref().map_or(1, |c| *c.get_ref())
 }
 
-fn count(source: &Source<'_>, table: &DestinationFile) -> Result<usize, DayError> {
+fn count(source: &Source<'_>, table: &DestinationFile) -> Result<usize, ScenarioError> {
     let count = table_count(table);
     if let Some(at) = table
         .count
@@ -163,7 +163,7 @@
     index: usize,
     tenants: &[TenantShare],
     zones: &[String],
-) -> Result<Member, DayError> {
+) -> Result<Member, ScenarioError> {
     let tenant = match &table.tenant {
         None => index % tenants.len(),
         Some(name) => tenants
@@ -198,7 +198,7 @@
     })
 }
 
-fn spec(source: &Source<'_>, table: &DestinationFile) -> Result<Spec, DayError> {
+fn spec(source: &Source<'_>, table: &DestinationFile) -> Result<Spec, ScenarioError> {
     let set = Spec::default();
     let endpoints = table.endpoints.as_ref().map_or(1, |e| *e.get_ref());
     if let Some(at) = table
@@ -215,9 +215,9 @@
     if let Some(at) = table.capacity.as_ref().filter(|_| capacity <= 0.0) {
         return Err(source.error(at, "a partner can do something"));
     }
-    let tells_wait = match &table.tells_wait {
+    let sends_retry_after = match &table.sends_retry_after {
         Some(share) => source.share(share, "tells_wait")?,
-        None => set.tells_wait,
+        None => set.sends_retry_after,
     };
     Ok(Spec {
         endpoints,
@@ -229,7 +229,7 @@
         pace: table.pace.map_or(set.pace, |p| p.0),
         spread: table.spread.unwrap_or(set.spread),
         connections: table.connections,
-        tells_wait,
+        sends_retry_after,
         wait: table.wait.map_or(set.wait, |(a, b)| (a.0, b.0)),
         batch: table.batch.unwrap_or(1).clamp(1, BATCH_MOST),
         item_cost: table.item_cost.unwrap_or(set.item_cost),
--- a/crates/simulation/src/day/faults.rs
+++ b/crates/simulation/src/scenario/faults.rs
@@ -7,7 +7,7 @@
 
 use super::destinations::named;
 use super::file::{FaultFile, File};
-use super::source::{DayError, Source};
+use super::source::{ScenarioError, Source};
 use super::types::Member;
 use crate::fault::{Fault, Kind};
 
@@ -21,10 +21,10 @@
     destinations: &mut [Member],
     zones: &[String],
     rng: &mut ChaCha8Rng,
-) -> Result<(), DayError> {
+) -> Result<(), ScenarioError> {
     for table in &file.fault {
         let kind = kind(source, table)?;
-        let struck = affected_destinations(source, table, destinations)?;
+        let affected = affected_destinations(source, table, destinations)?;
         let part = table
             .part
             .as_ref()
@@ -39,9 +39,9 @@
         let fault = Fault {
             kind,
             start: table.at.get_ref().0,
-            length: table.lasts.0,
+            length: table.duration.0,
         };
-        for destination in struck {
+        for destination in affected {
             let Member {
                 faults,
                 zones: places,
@@ -62,7 +62,7 @@
     Ok(())
 }
 
-fn kind(source: &Source<'_>, table: &FaultFile) -> Result<Kind, DayError> {
+fn kind(source: &Source<'_>, table: &FaultFile) -> Result<Kind, ScenarioError> {
     let share = table
         .share
         .as_ref()
@@ -72,7 +72,7 @@
         "vanish" => Ok(Kind::Vanish),
         "refuse" => Ok(Kind::Refuse),
         "silent" => Ok(Kind::Silent),
-        "shut" => Ok(Kind::Shut),
+        "shut" => Ok(Kind::Closed),
         "fail" => Ok(Kind::Fail {
             share: share.unwrap_or(1.0),
         }),
@@ -103,10 +103,10 @@
     source: &Source<'_>,
     table: &FaultFile,
     destinations: &[Member],
-) -> Result<Vec<usize>, DayError> {
-    let mut struck = Vec::new();
+) -> Result<Vec<usize>, ScenarioError> {
+    let mut affected = Vec::new();
     for name in &table.destinations {
-        struck.extend(named(source, destinations, name)?);
+        affected.extend(named(source, destinations, name)?);
     }
     if let Some(kind) = &table.of_kind {
         let of_kind = destinations
@@ -117,12 +117,12 @@
         if found.is_empty() {
             return Err(source.error(kind, format!("no partner is of kind '{}'", kind.get_ref())));
         }
-        struck.extend(found);
+        affected.extend(found);
     }
     if table.destinations.is_empty() && table.of_kind.is_none() {
-        struck.extend(0..destinations.len());
+        affected.extend(0..destinations.len());
     }
-    struck.sort_unstable();
-    struck.dedup();
-    Ok(struck)
+    affected.sort_unstable();
+    affected.dedup();
+    Ok(affected)
 }
--- a/crates/simulation/src/day/file.rs
+++ b/crates/simulation/src/scenario/file.rs
@@ -6,7 +6,7 @@
 use toml::Spanned;
 
 use super::fleet::{BreakFile, FleetFile};
-use super::source::{DayError, Source};
+use super::source::{ScenarioError, Source};
 use super::units::{LimitText, Rate, Span};
 
 #[derive(Debug, Deserialize)]
@@ -14,7 +14,8 @@
 pub(super) struct File {
     pub name: String,
     #[serde(default = "default_length")]
-    pub lasts: Spanned<Span>,
+    #[serde(rename = "lasts")]
+    pub duration: Spanned<Span>,
     #[serde(default = "one_sender")]
     pub senders: Spanned<usize>,
     pub load: LoadFile,
@@ -73,7 +74,8 @@
     #[serde(default)]
     pub window: Option<Span>,
     pub aim: Span,
-    pub lasts: Spanned<Span>,
+    #[serde(rename = "lasts")]
+    pub duration: Spanned<Span>,
     #[serde(default = "whole_share")]
     pub share: f64,
     #[serde(default)]
@@ -114,7 +116,8 @@
     #[serde(default)]
     pub connections: Option<usize>,
     #[serde(default)]
-    pub tells_wait: Option<Spanned<f64>>,
+    #[serde(rename = "tells_wait")]
+    pub sends_retry_after: Option<Spanned<f64>>,
     #[serde(default)]
     pub wait: Option<(Span, Span)>,
     #[serde(default)]
@@ -138,7 +141,8 @@
 pub(super) struct FaultFile {
     pub kind: Spanned<String>,
     pub at: Spanned<Span>,
-    pub lasts: Span,
+    #[serde(rename = "lasts")]
+    pub duration: Span,
     /// One of these says where.
     #[serde(default)]
     #[serde(rename = "partners")]
@@ -169,7 +173,8 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct HotFile {
     pub at: Span,
-    pub lasts: Span,
+    #[serde(rename = "lasts")]
+    pub duration: Span,
     #[serde(rename = "partners")]
     pub destinations: Vec<Spanned<String>>,
     pub share: Spanned<f64>,
@@ -197,7 +202,8 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct OutageFile {
     pub at: Span,
-    pub lasts: Span,
+    #[serde(rename = "lasts")]
+    pub duration: Span,
 }
 
 #[derive(Debug, Deserialize)]
@@ -211,8 +217,8 @@
 
 impl File {
     /// Reads the tables; an unknown or missing field is an error.
-    pub fn read(source: &Source<'_>) -> Result<File, DayError> {
-        toml::from_str(source.text).map_err(|e| DayError {
+    pub fn read(source: &Source<'_>) -> Result<File, ScenarioError> {
+        toml::from_str(source.text).map_err(|e| ScenarioError {
             line: e.span().map_or(1, |span| source.line(span)),
             why: e.message().replace('\n', " "),
         })
--- a/crates/simulation/src/day/fleet.rs
+++ b/crates/simulation/src/scenario/fleet.rs
@@ -8,14 +8,14 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use super::source::{DayError, Source};
+use super::source::{ScenarioError, Source};
 use super::units::Span;
-use crate::fleet::{Act, Break, Deed, Fleet, Folder, Side, Way, Which};
+use crate::fleet::{Break, Fleet, Folder, MemberAction, ScheduledAction, Side, Way, Which};
 
 /// A process is started again this long after its end, where the file does not say.
 const RESTART_AFTER: Duration = Duration::from_millis(600);
 /// A reset is a moment, and a break lasts some time.
-const RESET_LASTS: Duration = Duration::from_millis(1);
+const RESET_DURATION: Duration = Duration::from_millis(1);
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -49,7 +49,8 @@
 pub(super) struct BreakFile {
     kind: Spanned<String>,
     at: Spanned<Span>,
-    lasts: Option<Span>,
+    #[serde(rename = "lasts")]
+    duration: Option<Span>,
     #[serde(alias = "senders")]
     from: Option<Spanned<Who>>,
     to: Option<Spanned<Who>>,
@@ -74,7 +75,8 @@
 enum Who {
     Share(f64),
     Numbers(Vec<usize>),
-    Word(String),
+    #[serde(rename = "Word")]
+    Keyword(String),
 }
 
 /// When a process is started again.
@@ -82,7 +84,8 @@
 #[serde(untagged)]
 enum Back {
     After(Span),
-    Word(String),
+    #[serde(rename = "Word")]
+    Keyword(String),
 }
 
 /// What breaks between senders, and what is done to their processes.
@@ -91,7 +94,7 @@
     /// In the order of the file.
     pub breaks: Vec<Break>,
     /// In the order of time.
-    pub acts: Vec<Act>,
+    pub acts: Vec<ScheduledAction>,
 }
 
 /// All `[[break]]` tables, in the file's order, which is the order in which the seed draws.
@@ -101,7 +104,7 @@
     count: usize,
     zones: &[String],
     rng: &mut ChaCha8Rng,
-) -> Result<Broken, DayError> {
+) -> Result<Broken, ScenarioError> {
     let mut broken = Broken::default();
     for table in tables {
         let at = table.at.get_ref().0;
@@ -109,20 +112,20 @@
             Some(who) => senders(source, who, count, rng)?,
             None => (0..count).collect(),
         };
-        if let Some(deed) = deed(source, table)? {
-            broken.acts.push(Act {
+        if let Some(action) = action(source, table)? {
+            broken.acts.push(ScheduledAction {
                 at,
                 senders: from,
-                deed,
+                action,
             });
             continue;
         }
         let way = way(source, table)?;
         let until = at
             + if way == Way::Reset {
-                RESET_LASTS
+                RESET_DURATION
             } else {
-                lasts(source, table)?
+                duration(source, table)?
             };
         let to = side(source, table, &from, count, zones, rng)?;
         broken.breaks.push(Break {
@@ -139,18 +142,18 @@
 }
 
 /// What is done to processes, if the table's kind is one of these.
-fn deed(source: &Source<'_>, table: &BreakFile) -> Result<Option<Deed>, DayError> {
+fn action(source: &Source<'_>, table: &BreakFile) -> Result<Option<MemberAction>, ScenarioError> {
     let back = back(source, table)?;
     let folder = folder(source, table)?;
     Ok(match table.kind.get_ref().as_str() {
-        "stop" => Some(Deed::Stop {
-            lasts: lasts(source, table)?,
+        "stop" => Some(MemberAction::Stop {
+            duration: duration(source, table)?,
         }),
-        "kill" => Some(Deed::Kill { back, folder }),
-        "term" => Some(Deed::Term { back, folder }),
+        "kill" => Some(MemberAction::Kill { back, folder }),
+        "term" => Some(MemberAction::Term { back, folder }),
         "upgrade" => {
             let after = table.after.map_or(Duration::ZERO, |a| a.0);
-            Some(Deed::Upgrade {
+            Some(MemberAction::Upgrade {
                 kill: killed_process(source, table)?.map(|which| (which, after)),
             })
         }
@@ -158,25 +161,25 @@
     })
 }
 
-fn lasts(source: &Source<'_>, table: &BreakFile) -> Result<Duration, DayError> {
-    let lasts = table.lasts.map(|l| l.0);
-    lasts.ok_or_else(|| source.error(&table.kind, "it says for how long: lasts"))
+fn duration(source: &Source<'_>, table: &BreakFile) -> Result<Duration, ScenarioError> {
+    let duration = table.duration.map(|l| l.0);
+    duration.ok_or_else(|| source.error(&table.kind, "it says for how long: lasts"))
 }
 
-fn back(source: &Source<'_>, table: &BreakFile) -> Result<Option<Duration>, DayError> {
+fn back(source: &Source<'_>, table: &BreakFile) -> Result<Option<Duration>, ScenarioError> {
     let Some(back) = &table.back else {
         return Ok(Some(RESTART_AFTER));
     };
     match back.get_ref() {
         Back::After(span) => Ok(Some(span.0)),
-        Back::Word(word) if word == "never" => Ok(None),
-        Back::Word(word) => {
-            Err(source.error(back, format!("'{word}' is neither a span nor \"never\"")))
+        Back::Keyword(keyword) if keyword == "never" => Ok(None),
+        Back::Keyword(keyword) => {
+            Err(source.error(back, format!("'{keyword}' is neither a span nor \"never\"")))
         }
     }
 }
 
-fn folder(source: &Source<'_>, table: &BreakFile) -> Result<Folder, DayError> {
+fn folder(source: &Source<'_>, table: &BreakFile) -> Result<Folder, ScenarioError> {
     match (table.wipe, table.cut_journal) {
         (true, true) => Err(source.error(&table.kind, "wipe and cut_journal exclude each other")),
         (true, false) => Ok(Folder::Wiped),
@@ -186,7 +189,7 @@
 }
 
 /// Which of the two processes of an upgrade is killed.
-fn killed_process(source: &Source<'_>, table: &BreakFile) -> Result<Option<Which>, DayError> {
+fn killed_process(source: &Source<'_>, table: &BreakFile) -> Result<Option<Which>, ScenarioError> {
     let Some(kill) = &table.kill else {
         return Ok(None);
     };
@@ -198,7 +201,7 @@
 }
 
 /// What happens to a way between senders or to destinations.
-fn way(source: &Source<'_>, table: &BreakFile) -> Result<Way, DayError> {
+fn way(source: &Source<'_>, table: &BreakFile) -> Result<Way, ScenarioError> {
     match table.kind.get_ref().as_str() {
         "cut" => Ok(Way::Cut),
         "stall" => Ok(Way::Stall),
@@ -232,12 +235,12 @@
     count: usize,
     zones: &[String],
     rng: &mut ChaCha8Rng,
-) -> Result<Side, DayError> {
+) -> Result<Side, ScenarioError> {
     let Some(who) = &table.to else {
         return Ok(Side::Senders((0..count).collect()));
     };
     match who.get_ref() {
-        Who::Word(word) if word == "partners" => {
+        Who::Keyword(keyword) if keyword == "partners" => {
             let zone = table
                 .zone
                 .as_ref()
@@ -245,7 +248,7 @@
                 .transpose()?;
             Ok(Side::Destinations(zone))
         }
-        Who::Word(word) if word == "others" => Ok(Side::Senders(
+        Who::Keyword(keyword) if keyword == "others" => Ok(Side::Senders(
             (0..count).filter(|n| !from.contains(n)).collect(),
         )),
         _ => Ok(Side::Senders(senders(source, who, count, rng)?)),
@@ -258,9 +261,9 @@
     who: &Spanned<Who>,
     count: usize,
     rng: &mut ChaCha8Rng,
-) -> Result<BTreeSet<usize>, DayError> {
+) -> Result<BTreeSet<usize>, ScenarioError> {
     match who.get_ref() {
-        Who::Word(word) if word == "all" => Ok((0..count).collect()),
+        Who::Keyword(keyword) if keyword == "all" => Ok((0..count).collect()),
         Who::Numbers(numbers) if numbers.iter().all(|n| *n < count) => {
             Ok(numbers.iter().copied().collect())
         }
@@ -275,9 +278,9 @@
             Ok(all.into_iter().collect())
         }
         Who::Share(share) => Err(source.error(who, format!("{share} is no share from 0 to 1"))),
-        Who::Word(word) => {
+        Who::Keyword(keyword) => {
             let known = "\"all\", numbers such as [0, 1], or a share such as 0.4";
-            Err(source.error(who, format!("'{word}' is not {known}")))
+            Err(source.error(who, format!("'{keyword}' is not {known}")))
         }
     }
 }
--- a/crates/simulation/src/day/load.rs
+++ b/crates/simulation/src/scenario/load.rs
@@ -4,7 +4,7 @@
 
 use super::destinations::{TenantShare, named, table_count};
 use super::file::{File, HotFile};
-use super::source::{DayError, Source};
+use super::source::{ScenarioError, Source};
 use super::types::Member;
 use crate::clients::{self, Hot, Load, Target, zipf};
 use crate::limit::Limit;
@@ -26,8 +26,8 @@
     destinations: &[Member],
     tenants: &[TenantShare],
     classes: Vec<clients::Class>,
-    lasts: Duration,
-) -> Result<Load, DayError> {
+    duration: Duration,
+) -> Result<Load, ScenarioError> {
     let rate = file.load.rate.get_ref().0;
     if rate <= 0.0 {
         return Err(source.error(&file.load.rate, "there is some load"));
@@ -60,7 +60,7 @@
         retries: file.load.retries.unwrap_or(RETRIES),
         pause: PAUSE,
         patience: PATIENCE,
-        until: lasts,
+        until: duration,
     })
 }
 
@@ -109,7 +109,11 @@
     }
 }
 
-fn hot(source: &Source<'_>, table: &HotFile, destinations: &[Member]) -> Result<Hot, DayError> {
+fn hot(
+    source: &Source<'_>,
+    table: &HotFile,
+    destinations: &[Member],
+) -> Result<Hot, ScenarioError> {
     let mut drawn = Vec::new();
     for name in &table.destinations {
         drawn.extend(
@@ -124,7 +128,7 @@
     }
     Ok(Hot {
         start: table.at.0,
-        length: table.lasts.0,
+        length: table.duration.0,
         destinations: drawn,
         share,
     })
--- a/crates/simulation/src/day/schedule.rs
+++ b/crates/simulation/src/scenario/schedule.rs
@@ -1,7 +1,7 @@
 //! What happens at a set time: changes of the directory's list, and signals to senders.
 
 use super::file::{ChangeFile, File, SignalFile};
-use super::source::{DayError, Source};
+use super::source::{ScenarioError, Source};
 use super::types::{ListChange, Member, ScheduledSignal, Signal, To};
 
 /// The changes of the directory's list, in the order of time.
@@ -9,12 +9,12 @@
     source: &Source<'_>,
     file: &File,
     destinations: &[Member],
-) -> Result<Vec<ListChange>, DayError> {
+) -> Result<Vec<ListChange>, ScenarioError> {
     let read = file
         .change
         .iter()
         .map(|table| change(source, table, destinations));
-    let mut changes = read.collect::<Result<Vec<ListChange>, DayError>>()?;
+    let mut changes = read.collect::<Result<Vec<ListChange>, ScenarioError>>()?;
     changes.sort_by_key(|c| (c.at, c.destination, c.endpoint));
     Ok(changes)
 }
@@ -24,12 +24,12 @@
     source: &Source<'_>,
     file: &File,
     senders: usize,
-) -> Result<Vec<ScheduledSignal>, DayError> {
+) -> Result<Vec<ScheduledSignal>, ScenarioError> {
     let read = file
         .signal
         .iter()
         .map(|table| signal(source, file, table, senders));
-    let mut signals = read.collect::<Result<Vec<ScheduledSignal>, DayError>>()?;
+    let mut signals = read.collect::<Result<Vec<ScheduledSignal>, ScenarioError>>()?;
     signals.sort_by_key(|s| (s.at, s.sender));
     Ok(signals)
 }
@@ -38,7 +38,7 @@
     source: &Source<'_>,
     table: &ChangeFile,
     destinations: &[Member],
-) -> Result<ListChange, DayError> {
+) -> Result<ListChange, ScenarioError> {
     let text = table.endpoint.get_ref();
     let wrong = || {
         source.error(
@@ -81,7 +81,7 @@
     file: &File,
     table: &SignalFile,
     senders: usize,
-) -> Result<ScheduledSignal, DayError> {
+) -> Result<ScheduledSignal, ScenarioError> {
     let sender = table.sender.as_ref().map_or(0, |s| *s.get_ref());
     if sender >= senders {
         let at = table.sender.as_ref().unwrap_or(&file.senders);
--- a/crates/simulation/src/day/source.rs
+++ b/crates/simulation/src/scenario/source.rs
@@ -7,13 +7,13 @@
 
 /// What is wrong with a file, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DayError {
+pub struct ScenarioError {
     /// From 1.
     pub line: usize,
     pub why: String,
 }
 
-impl fmt::Display for DayError {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "line {}: {}", self.line, self.why)
     }
@@ -27,15 +27,15 @@
 
 impl Source<'_> {
     /// An error at the place of a value.
-    pub fn error<T>(&self, at: &Spanned<T>, why: impl Into<String>) -> DayError {
-        DayError {
+    pub fn error<T>(&self, at: &Spanned<T>, why: impl Into<String>) -> ScenarioError {
+        ScenarioError {
             line: self.line(at.span()),
             why: why.into(),
         }
     }
 
     /// A value from 0 to 1.
-    pub fn share(&self, value: &Spanned<f64>, what: &str) -> Result<f64, DayError> {
+    pub fn share(&self, value: &Spanned<f64>, what: &str) -> Result<f64, ScenarioError> {
         let share = *value.get_ref();
         if (0.0..=1.0).contains(&share) {
             return Ok(share);
@@ -44,7 +44,7 @@
     }
 
     /// The place of a zone among the day's zones.
-    pub fn zone(&self, zones: &[String], name: &Spanned<String>) -> Result<usize, DayError> {
+    pub fn zone(&self, zones: &[String], name: &Spanned<String>) -> Result<usize, ScenarioError> {
         let found = zones.iter().position(|z| z == name.get_ref());
         found.ok_or_else(|| {
             self.error(
--- a/crates/simulation/src/day/types.rs
+++ b/crates/simulation/src/scenario/types.rs
@@ -6,13 +6,13 @@
 use crate::destination::Spec;
 use crate::directory;
 use crate::fault::Fault;
-use crate::fleet::{Act, Break, Fleet};
+use crate::fleet::{Break, Fleet, ScheduledAction};
 
 /// A day, checked and drawn: the same file and seed give the same.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Day {
+pub struct Scenario {
     pub name: String,
-    pub lasts: Duration,
+    pub duration: Duration,
     pub senders: usize,
     /// Members of the fleet beside the senders that hand nothing on; their numbers follow the senders'.
     pub hollow: usize,
@@ -33,10 +33,10 @@
     /// Ways that break, in the order of the file.
     pub breaks: Vec<Break>,
     /// What is done to processes, in the order of time.
-    pub acts: Vec<Act>,
+    pub acts: Vec<ScheduledAction>,
 }
 
-impl Day {
+impl Scenario {
     /// All members of the fleet.
     pub fn members(&self) -> usize {
         self.senders + self.hollow
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListChange {
     pub at: Duration,
-    /// Index into [`Day::destinations`].
+    /// Index into [`Scenario::destinations`].
     pub destination: usize,
     /// The endpoint's number at its destination.
     pub endpoint: usize,
--- a/crates/simulation/tests/audit.rs
+++ b/crates/simulation/tests/audit.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::{
-    Answer, Auditor, Class, Fate, Figures, FinalReport, Line, Listed, Rule, Verdict, What,
+    Answer, Auditor, Class, DeliveryOutcome, Figures, FinalReport, Line, Listed, Rule, Verdict,
+    What,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -46,7 +47,7 @@
             id: id.into(),
             class,
             destination: 7,
-            lasts: ms(20_000),
+            duration: ms(20_000),
             ordering_key: None,
         };
         self.add(at, submitted).add(
@@ -79,8 +80,15 @@
         )
     }
 
-    fn reply(self, at: u64, connection: u64, id: &str, fate: Fate, wait: Option<u64>) -> Log {
-        let fates = vec![(id.to_owned(), fate)];
+    fn reply(
+        self,
+        at: u64,
+        connection: u64,
+        id: &str,
+        outcome: DeliveryOutcome,
+        wait: Option<u64>,
+    ) -> Log {
+        let outcomes = vec![(id.to_owned(), outcome)];
         let spoilt = false;
         self.add(
             at,
@@ -88,7 +96,7 @@
                 connection,
                 endpoint: 0,
                 destination: 7,
-                fates,
+                outcomes,
                 wait: wait.map(ms),
                 spoilt,
             },
@@ -131,14 +139,14 @@
 
     fn breaks(&self, rule: Rule) {
         let verdict = self.verdict(rule, 60_000);
-        let Verdict::Broken(breaches) = &verdict else {
+        let Verdict::Broken(violations) = &verdict else {
             panic!("{rule}: {verdict:?}")
         };
         assert!(
-            breaches
+            violations
                 .iter()
                 .all(|b| b.rule == rule && !b.wire.is_empty()),
-            "{breaches:?}"
+            "{violations:?}"
         );
     }
 
@@ -162,7 +170,7 @@
     log()
         .taken(0, "a", 0)
         .call(10, 1, &["a"])
-        .reply(300, 1, "a", Fate::Done, None)
+        .reply(300, 1, "a", DeliveryOutcome::Done, None)
         .keeps(Rule::OneEnd);
     log()
         .taken(0, "a", 0)
@@ -182,10 +190,11 @@
         .breaks(Rule::OneEnd);
     log().report(900, "nobody", RETURNED).breaks(Rule::OneEnd);
     // The 200 may never have reached the sender.
-    let delivered = log()
-        .taken(0, "a", 2)
-        .call(10, 1, &["a"])
-        .reply(300, 1, "a", Fate::Done, None);
+    let delivered =
+        log()
+            .taken(0, "a", 2)
+            .call(10, 1, &["a"])
+            .reply(300, 1, "a", DeliveryOutcome::Done, None);
     delivered
         .report(900, "a", FinalReport::Failed)
         .keeps(Rule::OneEnd);
@@ -213,7 +222,7 @@
     let killed = |at| {
         log()
             .taken(0, "a", 0)
-            .add(19_000, What::Gone)
+            .add(19_000, What::ProcessExited)
             .add(21_000, What::Ready)
             .report(at, "a", RETURNED)
     };
@@ -229,7 +238,7 @@
     let first = || log().taken(0, "a", 0).call(10, 1, &["a"]);
     first().call(20, 2, &["a"]).breaks(Rule::SecondCopy);
     first()
-        .reply(19, 1, "a", Fate::Busy, None)
+        .reply(19, 1, "a", DeliveryOutcome::Busy, None)
         .call(20, 2, &["a"])
         .keeps(Rule::SecondCopy);
     // A call that is broken off is no longer out.
@@ -242,10 +251,13 @@
 #[test]
 fn no_repeat_that_the_class_forbids() {
     let failed = |class| {
-        log()
-            .taken(0, "a", class)
-            .call(10, 1, &["a"])
-            .reply(50, 1, "a", Fate::Failed, None)
+        log().taken(0, "a", class).call(10, 1, &["a"]).reply(
+            50,
+            1,
+            "a",
+            DeliveryOutcome::Failed,
+            None,
+        )
     };
     failed(0).call(60, 1, &["a"]).keeps(Rule::Repeats);
     failed(1).call(60, 1, &["a"]).keeps(Rule::Repeats);
@@ -257,10 +269,11 @@
         .is_not_judged(Rule::Repeats);
     failed(2).call(60, 1, &["a"]).breaks(Rule::Repeats);
     // What was turned away was not executed.
-    let busy = log()
-        .taken(0, "a", 2)
-        .call(10, 1, &["a"])
-        .reply(50, 1, "a", Fate::Busy, None);
+    let busy =
+        log()
+            .taken(0, "a", 2)
+            .call(10, 1, &["a"])
+            .reply(50, 1, "a", DeliveryOutcome::Busy, None);
     assert!(matches!(
         busy.call(60, 1, &["a"]).verdict(Rule::Repeats, 60_000),
         Verdict::Kept { .. }
@@ -276,39 +289,39 @@
 /// Who is told `returned` hands the message in again: that is a repeat that the sender asked for.
 #[test]
 fn nothing_is_returned_that_must_not_come_again() {
-    let executed = |class, fate| {
+    let executed = |class, outcome| {
         log()
             .taken(0, "a", class)
             .call(10, 1, &["a"])
-            .reply(50, 1, "a", fate, None)
+            .reply(50, 1, "a", outcome, None)
     };
     let after = |ms: u64| FinalReport::Returned {
         after: Some(Duration::from_millis(ms)),
     };
-    for fate in [Fate::Done, Fate::Failed] {
-        executed(0, fate)
+    for outcome in [DeliveryOutcome::Done, DeliveryOutcome::Failed] {
+        executed(0, outcome)
             .report(900, "a", RETURNED)
             .keeps(Rule::Repeats);
-        executed(1, fate)
+        executed(1, outcome)
             .report(19_000, "a", after(1090))
             .keeps(Rule::Repeats);
-        executed(1, fate)
+        executed(1, outcome)
             .report(19_000, "a", after(1110))
             .breaks(Rule::Repeats);
-        executed(1, fate)
+        executed(1, outcome)
             .report(19_000, "a", after(1110))
             .late(20)
             .is_not_judged(Rule::Repeats);
-        executed(2, fate)
+        executed(2, outcome)
             .report(900, "a", RETURNED)
             .breaks(Rule::Repeats);
         // Resent until it is answered: the same report.
-        executed(1, fate)
+        executed(1, outcome)
             .report(19_000, "a", after(500))
             .report(25_000, "a", after(500))
             .keeps(Rule::Repeats);
     }
-    let busy = executed(2, Fate::Busy).report(900, "a", RETURNED);
+    let busy = executed(2, DeliveryOutcome::Busy).report(900, "a", RETURNED);
     assert_eq!(
         busy.verdict(Rule::Repeats, 60_000),
         Verdict::Kept { cases: 0 }
@@ -319,8 +332,13 @@
 fn six_attempts_at_most() {
     let tried = |count: u64| {
         (0..count).fold(log().taken(0, "a", 0), |log, n| {
-            log.call(n * 100 + 10, 1, &["a"])
-                .reply(n * 100 + 50, 1, "a", Fate::Busy, None)
+            log.call(n * 100 + 10, 1, &["a"]).reply(
+                n * 100 + 50,
+                1,
+                "a",
+                DeliveryOutcome::Busy,
+                None,
+            )
         })
     };
     tried(6).keeps(Rule::Attempts);
@@ -329,30 +347,30 @@
 
 #[test]
 fn nothing_new_to_a_draining_endpoint() {
-    let told = || {
+    let notified = || {
         log().add(
             1000,
-            What::Told {
+            What::Notified {
                 endpoint: 0,
                 destination: 7,
                 listed: Listed::Draining,
             },
         )
     };
-    told().call(1500, 1, &["a"]).keeps(Rule::Drains);
-    told().call(1501, 1, &["a"]).breaks(Rule::Drains);
+    notified().call(1500, 1, &["a"]).keeps(Rule::Drains);
+    notified().call(1501, 1, &["a"]).breaks(Rule::Drains);
     // The first of several tellings counts.
-    let again = told().add(
+    let again = notified().add(
         1400,
-        What::Told {
+        What::Notified {
             endpoint: 0,
             destination: 7,
-            listed: Listed::Gone,
+            listed: Listed::Removed,
         },
     );
     again.call(1600, 1, &["a"]).breaks(Rule::Drains);
     // Only who was told.
-    let other = told()
+    let other = notified()
         .add(
             1600,
             What::Begun {
@@ -366,9 +384,9 @@
         other.verdict(Rule::Drains, 60_000),
         Verdict::Kept { cases: 1 }
     );
-    let up = told().add(
+    let up = notified().add(
         1200,
-        What::Told {
+        What::Notified {
             endpoint: 0,
             destination: 7,
             listed: Listed::Up,
@@ -382,32 +400,38 @@
 
 #[test]
 fn told_waits_are_kept() {
-    let told = || {
-        log()
-            .taken(0, "a", 0)
-            .call(10, 1, &["a"])
-            .reply(1000, 1, "a", Fate::Busy, Some(700))
+    let notified = || {
+        log().taken(0, "a", 0).call(10, 1, &["a"]).reply(
+            1000,
+            1,
+            "a",
+            DeliveryOutcome::Busy,
+            Some(700),
+        )
     };
-    told().call(1700, 1, &["a"]).keeps(Rule::Waits);
-    told().call(1500, 1, &["b"]).breaks(Rule::Waits);
+    notified().call(1700, 1, &["a"]).keeps(Rule::Waits);
+    notified().call(1500, 1, &["b"]).breaks(Rule::Waits);
     // On its way as the wait was told, on another connection.
     assert_eq!(
-        told().call(1100, 2, &["b"]).verdict(Rule::Waits, 60_000),
+        notified()
+            .call(1100, 2, &["b"])
+            .verdict(Rule::Waits, 60_000),
         Verdict::Kept { cases: 0 }
     );
-    told().call(1101, 2, &["b"]).breaks(Rule::Waits);
-    told()
+    notified().call(1101, 2, &["b"]).breaks(Rule::Waits);
+    notified()
         .call(1110, 2, &["b"])
         .late(20)
         .is_not_judged(Rule::Waits);
     // A shorter wait told later does not end a longer one.
-    let shorter = told()
-        .call(1050, 2, &["b"])
-        .reply(1060, 2, "b", Fate::Busy, Some(50));
+    let shorter =
+        notified()
+            .call(1050, 2, &["b"])
+            .reply(1060, 2, "b", DeliveryOutcome::Busy, Some(50));
     shorter.call(1400, 1, &["a"]).breaks(Rule::Waits);
     // A restart ends it.
-    let restarted = told()
-        .add(1200, What::Gone)
+    let restarted = notified()
+        .add(1200, What::ProcessExited)
         .add(1300, What::Ready)
         .call(1400, 3, &["a"]);
     assert_eq!(
@@ -424,7 +448,7 @@
     if saw {
         log = log
             .call(3000, 1, &["x"])
-            .reply(3005, 1, "x", Fate::Busy, None);
+            .reply(3005, 1, "x", DeliveryOutcome::Busy, None);
     }
     let back = What::Back {
         destination: 7,
@@ -473,7 +497,7 @@
     // What fails after its return takes nothing back, however often: a flood is refused in the end.
     let refused = |log: Log| {
         (0..200).fold(log, |log, n| {
-            log.reply(6570 + n / 10, 1, "y", Fate::Busy, None)
+            log.reply(6570 + n / 10, 1, "y", DeliveryOutcome::Busy, None)
         })
     };
     refused(pushed(26, true, 0))
@@ -495,7 +519,7 @@
         Log(all)
     };
     silent(log().call(3000, 1, &["x"])).breaks(Rule::Return);
-    let killed = silent(log().call(3000, 1, &["x"]).add(3050, What::Gone));
+    let killed = silent(log().call(3000, 1, &["x"]).add(3050, What::ProcessExited));
     assert!(matches!(
         killed.verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
@@ -535,12 +559,12 @@
     idle(15_001).breaks(Rule::Idle);
     // More came than an answer: whatever is read there next is anybody's guess.
     let spoilt = |spoilt| {
-        let fates = vec![("a".to_owned(), Fate::Done)];
+        let outcomes = vec![("a".to_owned(), DeliveryOutcome::Done)];
         let replied = What::Replied {
             connection: 1,
             endpoint: 0,
             destination: 7,
-            fates,
+            outcomes,
             wait: None,
             spoilt,
         };
@@ -561,7 +585,7 @@
         id: "b".into(),
         class: 0,
         destination: 7,
-        lasts: ms(20_000),
+        duration: ms(20_000),
         ordering_key: None,
     };
     let lost = || log().taken(0, "a", 0).add(50, What::Lost { only: None });
@@ -599,7 +623,7 @@
                 id: "a".into(),
                 class: 0,
                 destination: 7,
-                lasts: ms(20_000),
+                duration: ms(20_000),
                 ordering_key: None,
             },
         )
@@ -621,7 +645,7 @@
         .breaks(Rule::Answers);
     // A sender that was killed can't answer.
     let killed = submitted()
-        .add(5, What::Gone)
+        .add(5, What::ProcessExited)
         .add(6, What::Dropped { id: "a".into() });
     assert_eq!(
         killed.verdict(Rule::Answers, 60_000),
@@ -638,7 +662,7 @@
                 id: "a".into(),
                 class: 2,
                 destination: 7,
-                lasts: ms(4000),
+                duration: ms(4000),
             },
         )
     };
@@ -654,7 +678,7 @@
     let taken = || {
         posted()
             .call(10, 1, &["a"])
-            .reply(100, 1, "a", Fate::Done, None)
+            .reply(100, 1, "a", DeliveryOutcome::Done, None)
     };
     answered(taken(), 101, Answer::Delivered).keeps(Rule::OneEnd);
     // Answered from thin air, or told to come again although the user has seen it.
@@ -668,11 +692,11 @@
     // What a connection's end tells the poster is no answer, but after it none is owed.
     let dropped = |log: Log| log.add(50, What::Dropped { id: "a".into() });
     dropped(posted()).breaks(Rule::Answers);
-    dropped(posted().add(40, What::Gone)).keeps(Rule::OneEnd);
+    dropped(posted().add(40, What::ProcessExited)).keeps(Rule::OneEnd);
     // Without a topic the user would see it twice.
     let failed = posted()
         .call(10, 1, &["a"])
-        .reply(100, 1, "a", Fate::Failed, None);
+        .reply(100, 1, "a", DeliveryOutcome::Failed, None);
     failed.call(300, 1, &["a"]).breaks(Rule::Repeats);
 }
 
@@ -684,7 +708,7 @@
             id: id.into(),
             class: 2,
             destination: 7,
-            lasts: ms(20_000),
+            duration: ms(20_000),
             ordering_key,
         };
         log.add(at, submitted).add(
@@ -699,7 +723,7 @@
     let first_done = || {
         two()
             .call(20, 1, &["a"])
-            .reply(300, 1, "a", Fate::Done, None)
+            .reply(300, 1, "a", DeliveryOutcome::Done, None)
     };
     first_done().call(301, 1, &["b"]).keeps(Rule::Order);
     two()
@@ -711,7 +735,7 @@
     let refused = || {
         two()
             .call(20, 1, &["a"])
-            .reply(30, 1, "a", Fate::Busy, None)
+            .reply(30, 1, "a", DeliveryOutcome::Busy, None)
     };
     refused().call(40, 1, &["b"]).breaks(Rule::Order);
     refused()
@@ -741,7 +765,7 @@
         id: "d".into(),
         class: 2,
         destination: 7,
-        lasts: ms(20_000),
+        duration: ms(20_000),
         ordering_key: Some("k".into()),
     };
     let elsewhere = two()
--- a/crates/simulation/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -4,11 +4,13 @@
 use std::time::Duration;
 
 use cranehill_simulation::clients::{Class, Hot, Load, Target};
-use cranehill_simulation::day::{
-    self, Day, Effect, ListChange, Member, MessageClass, ScheduledSignal, Signal, To,
-};
 use cranehill_simulation::directory;
-use cranehill_simulation::fleet::{Act, Break, Deed, Fleet, Folder, Side, Way, Which};
+use cranehill_simulation::fleet::{
+    Break, Fleet, Folder, MemberAction, ScheduledAction, Side, Way, Which,
+};
+use cranehill_simulation::scenario::{
+    self, Effect, ListChange, Member, MessageClass, Scenario, ScheduledSignal, Signal, To,
+};
 use cranehill_simulation::{Fault, Kind, Limit, Spec};
 
 const EVERY_KEY: &str = include_str!("golden/every-key.toml");
@@ -21,8 +23,8 @@
 /// The seed decides which endpoints and senders a share strikes.
 const SEED: u64 = 1;
 
-fn read(text: &str) -> Day {
-    day::parse(text, SEED).expect("a scenario")
+fn read(text: &str) -> Scenario {
+    scenario::parse(text, SEED).expect("a scenario")
 }
 
 fn ms(milliseconds: u64) -> Duration {
@@ -51,9 +53,9 @@
 
 #[test]
 fn every_key_of_a_scenario_reads_as_before() {
-    let Day {
+    let Scenario {
         name,
-        lasts,
+        duration,
         senders,
         hollow,
         tenants,
@@ -70,7 +72,7 @@
         acts,
     } = read(EVERY_KEY);
     assert_eq!(name, "Every key");
-    assert_eq!(lasts, secs(60));
+    assert_eq!(duration, secs(60));
     assert_eq!(senders, 4);
     assert_eq!(hollow, 0);
     assert_eq!(tenants, ["north", "south"]);
@@ -116,7 +118,7 @@
         pace: ms(80),
         spread: 0.5,
         connections: Some(9),
-        tells_wait: 0.25,
+        sends_retry_after: 0.25,
         wait: (ms(700), ms(900)),
         batch: 5,
         item_cost: 0.375,
@@ -153,7 +155,7 @@
             pace: ms(300),
             spread: 0.4,
             connections: None,
-            tells_wait: 0.8,
+            sends_retry_after: 0.8,
             wait: (ms(640), ms(1500)),
             batch: 1,
             item_cost: 0.1,
@@ -162,7 +164,7 @@
         },
         push: true,
         faults: vec![vec![
-            fault(Kind::Shut, 4, 5),
+            fault(Kind::Closed, 4, 5),
             fault(Kind::Fail { share: 0.5 }, 5, 6),
             fault(Kind::Spoil { share: 0.25 }, 6, 7),
             fault(Kind::Slow { factor: 3.0 }, 7, 8),
@@ -204,7 +206,7 @@
 fn expected_load() -> Load {
     let class = |aim_s, lasts_s, share| Class {
         aim: secs(aim_s),
-        lasts: secs(lasts_s),
+        duration: secs(lasts_s),
         keyed: false,
         order_keys: 0,
         share,
@@ -361,19 +363,19 @@
     ]
 }
 
-fn expected_acts() -> Vec<Act> {
-    let act = |at_s, senders, deed| Act {
+fn expected_acts() -> Vec<ScheduledAction> {
+    let act = |at_s, senders, action| ScheduledAction {
         at: secs(at_s),
         senders,
-        deed,
+        action,
     };
     vec![
-        act(25, senders([2]), Deed::Stop { lasts: secs(2) }),
+        act(25, senders([2]), MemberAction::Stop { duration: secs(2) }),
         // The seed draws these two of the four.
         act(
             26,
             senders([1, 3]),
-            Deed::Kill {
+            MemberAction::Kill {
                 back: None,
                 folder: Folder::Wiped,
             },
@@ -381,7 +383,7 @@
         act(
             27,
             senders([1]),
-            Deed::Term {
+            MemberAction::Term {
                 back: Some(ms(1500)),
                 folder: Folder::Cut,
             },
@@ -389,14 +391,14 @@
         act(
             28,
             senders([0]),
-            Deed::Upgrade {
+            MemberAction::Upgrade {
                 kill: Some((Which::Old, ms(100))),
             },
         ),
         act(
             29,
             senders([0]),
-            Deed::Upgrade {
+            MemberAction::Upgrade {
                 kill: Some((Which::New, Duration::ZERO)),
             },
         ),
@@ -433,7 +435,7 @@
             .count()
     );
     for (line, text) in variants {
-        let error = day::parse(&text, SEED).expect_err("a key is misspelt");
+        let error = scenario::parse(&text, SEED).expect_err("a key is misspelt");
         assert!(
             error.why.starts_with("unknown field"),
             "line {line}: {error}"
@@ -445,43 +447,55 @@
 
 #[test]
 fn keys_left_out_of_a_scenario_have_their_old_defaults() {
-    let day = read("name = \"Least\"\n[load]\nrate = \"2/s\"\n[[partner]]\nname = \"one\"\n");
-    assert_eq!((day.lasts, day.senders), (secs(30), 1));
-    assert_eq!(day.tenants, ["onda-central"]);
+    let scenario = read("name = \"Least\"\n[load]\nrate = \"2/s\"\n[[partner]]\nname = \"one\"\n");
+    assert_eq!((scenario.duration, scenario.senders), (secs(30), 1));
+    assert_eq!(scenario.tenants, ["onda-central"]);
     let usual = MessageClass {
         name: "episode-notice".into(),
         effect: Effect::Keyed { window: secs(20) },
     };
-    assert_eq!(day.classes, [usual]);
+    assert_eq!(scenario.classes, [usual]);
     let class = Class {
         aim: secs(4),
-        lasts: secs(20),
+        duration: secs(20),
         keyed: true,
         order_keys: 0,
         share: 1.0,
         late_share: 0.4,
     };
-    assert_eq!(day.load.classes, [class]);
-    assert_eq!((day.load.clumps, day.load.clump), (0.1, (1.2, 3.5)));
-    assert_eq!((day.load.body, day.load.retries), ((80, 400), 3));
+    assert_eq!(scenario.load.classes, [class]);
+    assert_eq!(
+        (scenario.load.clumps, scenario.load.clump),
+        (0.1, (1.2, 3.5))
+    );
+    assert_eq!((scenario.load.body, scenario.load.retries), ((80, 400), 3));
     assert_eq!(
         (
-            day.destinations[0].kind.as_str(),
-            day.destinations[0].spec.endpoints
+            scenario.destinations[0].kind.as_str(),
+            scenario.destinations[0].spec.endpoints
         ),
         ("station", 1)
     );
-    assert_eq!((day.kinds, day.zones), (texts(["station"]), texts(["z"])));
-    assert!(day.directory.delays.is_empty() && day.directory.outages.is_empty());
-    assert_eq!((day.fleet, day.breaks, day.acts), (None, vec![], vec![]));
+    assert_eq!(
+        (scenario.kinds, scenario.zones),
+        (texts(["station"]), texts(["z"]))
+    );
+    assert!(scenario.directory.delays.is_empty() && scenario.directory.outages.is_empty());
+    assert_eq!(
+        (scenario.fleet, scenario.breaks, scenario.acts),
+        (None, vec![], vec![])
+    );
 }
 
 #[test]
 fn the_short_window_scenario_reads_as_before() {
-    let day = read(SHORT_WINDOW);
-    assert_eq!(day.name, "Restarts with a window of one second");
-    assert_eq!((day.senders, day.lasts, day.load.rate), (4, secs(11), 40.0));
-    let effects: Vec<Effect> = day.classes.iter().map(|c| c.effect).collect();
+    let scenario = read(SHORT_WINDOW);
+    assert_eq!(scenario.name, "Restarts with a window of one second");
+    assert_eq!(
+        (scenario.senders, scenario.duration, scenario.load.rate),
+        (4, secs(11), 40.0)
+    );
+    let effects: Vec<Effect> = scenario.classes.iter().map(|c| c.effect).collect();
     assert_eq!(
         effects,
         [
@@ -490,22 +504,26 @@
             Effect::Unsafe
         ]
     );
-    let shares: Vec<f64> = day.load.classes.iter().map(|c| c.share).collect();
+    let shares: Vec<f64> = scenario.load.classes.iter().map(|c| c.share).collect();
     assert_eq!(shares, [0.6, 0.2, 0.2]);
-    let names: Vec<&str> = day.destinations.iter().map(|p| p.name.as_str()).collect();
+    let names: Vec<&str> = scenario
+        .destinations
+        .iter()
+        .map(|p| p.name.as_str())
+        .collect();
     assert_eq!(names, ["slow-0", "slow-1", "slow-2", "limited"]);
     assert_eq!(
-        day.destinations[0].faults,
+        scenario.destinations[0].faults,
         [[fault(Kind::Fail { share: 0.3 }, 1, 8)]; 2]
     );
     assert_eq!(
-        day.destinations[3].spec.limit,
+        scenario.destinations[3].spec.limit,
         Limit::Rate {
             per_second: 10.0,
             burst: 3.0
         }
     );
-    let signals: Vec<_> = day
+    let signals: Vec<_> = scenario
         .signals
         .iter()
         .map(|s| (s.at.as_millis(), s.sender, s.signal))
@@ -526,18 +544,18 @@
 
 #[test]
 fn the_upgrade_scenario_reads_as_before() {
-    let day = read(UPGRADE);
+    let scenario = read(UPGRADE);
     assert_eq!(
-        (day.senders, day.lasts, day.load.rate),
+        (scenario.senders, scenario.duration, scenario.load.rate),
         (2, secs(24), 120.0)
     );
-    let upgrade = |at_s, numbers: &[usize], kill| Act {
+    let upgrade = |at_s, numbers: &[usize], kill| ScheduledAction {
         at: secs(at_s),
         senders: numbers.iter().copied().collect(),
-        deed: Deed::Upgrade { kill },
+        action: MemberAction::Upgrade { kill },
     };
     assert_eq!(
-        day.acts,
+        scenario.acts,
         [
             upgrade(3, &[0, 1], None),
             upgrade(6, &[0], Some((Which::Old, ms(100)))),
@@ -551,40 +569,40 @@
 
 #[test]
 fn the_web_push_scenario_reads_as_before() {
-    let day = read(WEB_PUSH);
-    let services: Vec<(&str, bool)> = day
+    let scenario = read(WEB_PUSH);
+    let services: Vec<(&str, bool)> = scenario
         .destinations
         .iter()
         .map(|p| (p.name.as_str(), p.push))
         .collect();
     assert_eq!(services[4..], [("servicio-0", true), ("servicio-1", true)]);
-    assert_eq!(day.load.push, Some(1));
-    let service = &day.destinations[4];
+    assert_eq!(scenario.load.push, Some(1));
+    let service = &scenario.destinations[4];
     assert_eq!(
-        (service.spec.tells_wait, service.spec.wait),
+        (service.spec.sends_retry_after, service.spec.wait),
         (1.0, (secs(1), secs(1)))
     );
-    let shut = fault(Kind::Shut, 4, 3);
+    let shut = fault(Kind::Closed, 4, 3);
     assert_eq!(
         service.faults,
         [vec![shut, fault(Kind::Silent, 11, 2)], vec![shut]]
     );
     assert_eq!(
-        day.destinations[5].faults,
+        scenario.destinations[5].faults,
         [[fault(Kind::Fail { share: 0.4 }, 8, 3)]; 2]
     );
 }
 
 #[test]
 fn the_directory_scenario_reads_as_before() {
-    let day = read(DIRECTORY_DOWN);
+    let scenario = read(DIRECTORY_DOWN);
     assert_eq!(
-        day.tenants,
+        scenario.tenants,
         ["onda-central", "onda-guanacaste", "onda-limon"]
     );
-    assert_eq!(day.load.tenants, [0.35, 0.34, 0.31]);
-    assert_eq!(day.directory.delays, [ms(1500), secs(3)]);
-    assert_eq!(day.directory.outages, [(secs(4), secs(12))]);
+    assert_eq!(scenario.load.tenants, [0.35, 0.34, 0.31]);
+    assert_eq!(scenario.directory.delays, [ms(1500), secs(3)]);
+    assert_eq!(scenario.directory.outages, [(secs(4), secs(12))]);
     let change = |at_s, destination, endpoint, to| ListChange {
         at: secs(at_s),
         destination,
@@ -592,11 +610,11 @@
         to,
     };
     assert_eq!(
-        day.changes,
+        scenario.changes,
         [change(6, 3, 0, To::Draining), change(13, 1, 1, To::Removed)]
     );
     assert_eq!(
-        day.destinations[0].spec.limit,
+        scenario.destinations[0].spec.limit,
         Limit::Count {
             calls: 6,
             span: secs(1)
@@ -606,23 +624,23 @@
 
 #[test]
 fn the_killed_zone_scenario_reads_as_before() {
-    let day = read(ZONE_KILLED);
-    assert_eq!((day.senders, day.zones), (10, texts(["a", "b"])));
-    assert_eq!(day.destinations[4].zones, [0, 1]);
+    let scenario = read(ZONE_KILLED);
+    assert_eq!((scenario.senders, scenario.zones), (10, texts(["a", "b"])));
+    assert_eq!(scenario.destinations[4].zones, [0, 1]);
     let fleet = Fleet {
         period: secs(1),
         round_trip: ms(300),
         hold: secs(30),
         ..Fleet::default()
     };
-    assert_eq!(day.fleet, Some(fleet));
-    let [kill] = day.acts.as_slice() else {
-        panic!("one act: {:?}", day.acts)
+    assert_eq!(scenario.fleet, Some(fleet));
+    let [kill] = scenario.acts.as_slice() else {
+        panic!("one act: {:?}", scenario.acts)
     };
     assert_eq!((kill.at, kill.senders.len()), (secs(10), 2));
     assert_eq!(
-        kill.deed,
-        Deed::Kill {
+        kill.action,
+        MemberAction::Kill {
             back: None,
             folder: Folder::Kept
         }
--- a/crates/simulation/tests/laws.rs
+++ b/crates/simulation/tests/laws.rs
@@ -2,8 +2,10 @@
 
 use std::time::Duration;
 
-use cranehill_simulation::clients::{Class, Clients, Load, Said, Target, zipf};
-use cranehill_simulation::destination::{Asked, Connect, Fate, Reply, SimulatedDestination, Spec};
+use cranehill_simulation::clients::{Class, ClientAnswer, Clients, Load, Target, zipf};
+use cranehill_simulation::destination::{
+    Asked, Connect, DeliveryOutcome, Reply, SimulatedDestination, Spec,
+};
 use cranehill_simulation::fault::{Fault, Kind, State, back_since, outage_before};
 use cranehill_simulation::limit::{Allowance, Limit};
 use proptest::prelude::*;
@@ -29,7 +31,7 @@
         Just(Kind::Vanish),
         Just(Kind::Refuse),
         Just(Kind::Silent),
-        Just(Kind::Shut),
+        Just(Kind::Closed),
         (0.0..1.0).prop_map(|share| Kind::Fail { share }),
         (0.0..1.0).prop_map(|share| Kind::Spoil { share }),
         (1.0..3.0).prop_map(|factor| Kind::Slow { factor }),
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Whatever a destination is asked, answers do not come before the question, have one fate a message, and a destination
+    /// Whatever a destination is asked, answers do not come before the question, have one outcome a message, and a destination
     /// that is silent or vanished says nothing.
     #[test]
     fn a_partner_answers_after_it_is_asked_and_not_at_all_when_silent(
@@ -123,11 +125,11 @@
             if up == Connect::Up { destination.disconnect(endpoint); }
             let (reply, _) = destination.call(now, Asked { endpoint, messages });
             match reply {
-                Reply::Answer { at, fates, wait, .. } => {
-                    prop_assert!(at >= now && fates.len() == messages);
+                Reply::Answer { at, outcomes, wait, .. } => {
+                    prop_assert!(at >= now && outcomes.len() == messages);
                     prop_assert!(!state.vanished && !state.silent && !state.refusing);
                     prop_assert!(wait.is_none_or(|w| w > Duration::ZERO));
-                    if state.blocked_until.is_some() { prop_assert!(fates.iter().all(|f| *f == Fate::Busy)); }
+                    if state.blocked_until.is_some() { prop_assert!(outcomes.iter().all(|f| *f == DeliveryOutcome::Busy)); }
                 }
                 Reply::Nothing => prop_assert!(state.vanished || state.silent),
                 Reply::Spoilt { at, .. } | Reply::Reset { at, .. } => prop_assert!(at >= now),
@@ -143,15 +145,15 @@
             let (mut log, mut n) = (Vec::new(), 0);
             while let Some(at) = clients.next() {
                 for (at, submission) in clients.hand_in(at) {
-                    let said = match answers[n % answers.len()] {
-                        0 => Said::Accepted,
-                        1 => Said::Rejected { after: Some(ms(300)) },
-                        2 => Said::Nothing,
-                        _ => Said::Error,
+                    let client_answer = match answers[n % answers.len()] {
+                        0 => ClientAnswer::Accepted,
+                        1 => ClientAnswer::Rejected { after: Some(ms(300)) },
+                        2 => ClientAnswer::Nothing,
+                        _ => ClientAnswer::Error,
                     };
                     n += 1;
-                    clients.answered(at + ms(5), &submission.id, said);
-                    if said == Said::Accepted { clients.delivered(at + ms(200), &submission.id); }
+                    clients.answered(at + ms(5), &submission.id, client_answer);
+                    if client_answer == ClientAnswer::Accepted { clients.delivered(at + ms(200), &submission.id); }
                     log.push(submission);
                 }
             }
@@ -185,7 +187,7 @@
             .collect(),
         classes: vec![Class {
             aim: ms(4000),
-            lasts: ms(20_000),
+            duration: ms(20_000),
             keyed: true,
             order_keys: 0,
             share: 1.0,
@@ -211,7 +213,7 @@
         let mut last = (Duration::ZERO, u64::MAX);
         while let Some(at) = clients.next() {
             for (at, submission) in clients.hand_in(at) {
-                clients.answered(at, &submission.id, Said::Accepted);
+                clients.answered(at, &submission.id, ClientAnswer::Accepted);
                 count += 1;
                 by_tenant[submission.tenant] += 1;
                 clumped += usize::from(submission.destination == last.1 && at - last.0 < ms(60));
@@ -255,12 +257,12 @@
     assert!((destination.capacity(ms(5000 + 9100)) - 100.0).abs() < 1e-9);
     // 1.5 times what it can do, all the way up, is let through.
     let mut careful = new(2);
-    let mut owed = 0.0;
+    let mut backlog = 0.0;
     for step in 0..9100u64 {
         let now = ms(5000 + step);
-        owed += careful.capacity(now) * 1.45 / 1000.0;
-        while owed >= 1.0 {
-            owed -= 1.0;
+        backlog += careful.capacity(now) * 1.45 / 1000.0;
+        while backlog >= 1.0 {
+            backlog -= 1.0;
             assert!(
                 !careful
                     .call(
@@ -321,7 +323,9 @@
         })
         .collect();
     let done = |r: &Reply| match r {
-        Reply::Answer { at, fates, .. } if fates[0] == Fate::Done => Some(at.as_millis()),
+        Reply::Answer { at, outcomes, .. } if outcomes[0] == DeliveryOutcome::Done => {
+            Some(at.as_millis())
+        }
         _ => None,
     };
     assert_eq!(
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use cranehill_simulation::day::{self, Effect, ListChange, To};
 use cranehill_simulation::directory::{Directory, List, Listed, Row, Spec, Watch};
+use cranehill_simulation::scenario::{self, Effect, ListChange, To};
 
 const DAY: &str = r#"name = "a day"
 senders = 2
@@ -57,7 +57,7 @@
 /// A mistake in a file names its line, so that a person finds it; nothing is played then.
 #[test]
 fn a_mistake_is_told_with_its_line() {
-    assert!(day::parse(DAY, 1).is_ok());
+    assert!(scenario::parse(DAY, 1).is_ok());
     let cases = [
         (r#"lasts = "4 s""#, r#"lasts = "4""#, "no unit"),
         (r#"lasts = "4 s""#, r#"lasts = "2000 min""#, "60 min"),
@@ -116,7 +116,7 @@
     for (good, bad, why) in cases {
         assert!(DAY.contains(good), "{good}");
         let text = DAY.replacen(good, bad, 1);
-        let error = day::parse(&text, 1).expect_err(bad);
+        let error = scenario::parse(&text, 1).expect_err(bad);
         assert!(error.why.contains(why), "{bad}: {error}");
         // The mistake is on the line that was changed, or, with a line more, on one of the two.
         let at = DAY[..DAY.find(good).expect("there")].matches('\n').count() + 1;
@@ -132,57 +132,58 @@
 fn a_partners_name_is_its_own() {
     let twice = DAY.replacen(r#"name = "servicio""#, r#"name = "grande""#, 1);
     assert!(
-        day::parse(&twice, 1)
+        scenario::parse(&twice, 1)
             .expect_err("twice")
             .why
             .contains("two partners 'grande'")
     );
-    assert!(day::parse("name = \"x\"\npartner = []\n[load]\nrate = \"1/s\"\n", 1).is_err());
+    assert!(scenario::parse("name = \"x\"\npartner = []\n[load]\nrate = \"1/s\"\n", 1).is_err());
     for text in ["", "\0", "name = 3", "[load]\nrate = \"1/s\"\n"] {
-        assert!(day::parse(text, 1).is_err(), "{text:?}");
+        assert!(scenario::parse(text, 1).is_err(), "{text:?}");
     }
 }
 
 #[test]
 fn a_day_is_drawn_by_its_seed_alone() {
-    assert_eq!(day::parse(DAY, 7), day::parse(DAY, 7));
+    assert_eq!(scenario::parse(DAY, 7), scenario::parse(DAY, 7));
     let half = DAY
         .replace("share = 0.5\n", "part = 0.5\n")
         .replace("count = 3", "count = 30");
-    let struck = |seed| {
-        let day = day::parse(&half, seed).expect("good");
-        day.destinations
+    let affected = |seed| {
+        let scenario = scenario::parse(&half, seed).expect("good");
+        scenario
+            .destinations
             .iter()
             .map(|m| m.faults.concat().len())
             .collect::<Vec<_>>()
     };
-    assert_eq!(struck(3), struck(3));
-    assert_ne!(struck(3), struck(4), "another seed strikes others");
+    assert_eq!(affected(3), affected(3));
+    assert_ne!(affected(3), affected(4), "another seed strikes others");
 }
 
 /// What the second front makes of posts is judged by classes of their own, which the platform never hears of.
 #[test]
 fn posts_have_classes_of_their_own() {
-    let day = day::parse(DAY, 1).expect("good");
-    let first = day.load.push.expect("a push service");
+    let scenario = scenario::parse(DAY, 1).expect("good");
+    let first = scenario.load.push.expect("a push service");
     assert_eq!(
-        (first, day.classes.len(), day.load.classes.len()),
+        (first, scenario.classes.len(), scenario.load.classes.len()),
         (1, 3, 3)
     );
     assert_eq!(
-        (day.classes[1].effect, day.classes[2].effect),
+        (scenario.classes[1].effect, scenario.classes[2].effect),
         (Effect::Unsafe, Effect::Safe)
     );
-    assert!(!day.kinds.contains(&"push".to_owned()));
+    assert!(!scenario.kinds.contains(&"push".to_owned()));
     let replaced = ListChange {
         at: Duration::from_secs(2),
         destination: 0,
         endpoint: 1,
         to: To::Replaced,
     };
-    assert_eq!(day.changes, vec![replaced]);
+    assert_eq!(scenario.changes, vec![replaced]);
     let without = DAY.replace("push = true\n", "");
-    assert_eq!(day::parse(&without, 1).expect("good").load.push, None);
+    assert_eq!(scenario::parse(&without, 1).expect("good").load.push, None);
 }
 
 fn ms(ms: u64) -> Duration {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -265,12 +265,12 @@
 pub struct Out {
     sender: String,
     #[serde(flatten)]
-    act: Act,
+    act: ScheduledAction,
 }
 
 #[derive(Serialize)]
 #[serde(tag = "msg", rename_all_fields = "camelCase")]
-enum Act {
+enum ScheduledAction {
     Send {
         msg_id: String,
         endpoint: String,
@@ -308,27 +308,27 @@
                 endpoint,
                 timeout,
                 ..
-            } => Act::Send {
+            } => ScheduledAction::Send {
                 msg_id: id.0,
                 endpoint: endpoint.0,
                 patience: span(timeout),
             },
-            Action::Reject { id, after } => Act::SayNo {
+            Action::Reject { id, after } => ScheduledAction::SayNo {
                 msg_id: id.0,
                 stay_away: after.map(span),
             },
-            Action::Fail(id) => Act::FinishError { msg_id: id.0 },
-            Action::Timer(after) => Act::Timer {
+            Action::Fail(id) => ScheduledAction::FinishError { msg_id: id.0 },
+            Action::Timer(after) => ScheduledAction::Timer {
                 span: span(after),
                 name: "wake",
             },
-            Action::CloseIdle(endpoint) => Act::HangUp {
+            Action::CloseIdle(endpoint) => ScheduledAction::HangUp {
                 endpoint: endpoint.0,
             },
-            Action::CheckHealth(endpoint) => Act::AskLoad {
+            Action::CheckHealth(endpoint) => ScheduledAction::AskLoad {
                 endpoint: endpoint.0,
             },
-            Action::Subscribe => Act::Subscribe { on: true },
+            Action::Subscribe => ScheduledAction::Subscribe { on: true },
         };
         Out {
             sender: sender.to_owned(),
--- a/crates/zone-failover/src/evidence.rs
+++ b/crates/zone-failover/src/evidence.rs
@@ -16,9 +16,9 @@
     #[default]
     None,
     /// It is answered.
-    Serves,
+    Serving,
     /// Its calls fail.
-    Fails,
+    Failing,
 }
 
 /// The calls of late.
@@ -55,9 +55,9 @@
             .collect();
         match () {
             () if failed > answered && places.len() >= endpoints.min(2) && failed >= 2 => {
-                View::Fails
+                View::Failing
             }
-            () if answered > 0 && answered >= failed => View::Serves,
+            () if answered > 0 && answered >= failed => View::Serving,
             () => View::None,
         }
     }
--- a/crates/zone-failover/src/zones.rs
+++ b/crates/zone-failover/src/zones.rs
@@ -41,16 +41,16 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
     #[default]
-    Free,
+    InService,
     /// Since then nothing goes there but probes.
-    Left(Time),
+    Evacuated(Time),
     /// Since then it is returned to.
     Returning(Time),
 }
 
 /// What a member says of one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct ZoneAnnouncement {
     pub zone: u32,
     pub state: State,
     pub view: View,
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// Nothing goes to the zone any more. For the log: how many said that it fails, and that it serves.
-    Leave {
+    Evacuate {
         zone: u32,
         fails: usize,
         serves: usize,
@@ -75,7 +75,7 @@
     /// Work returns since then, within the slow start.
     Return { zone: u32, since: Time },
     /// All is as usual.
-    Free { zone: u32 },
+    InService { zone: u32 },
 }
 
 #[derive(Debug, Default)]
@@ -114,7 +114,7 @@
             self.zones.entry(*zone).or_default().endpoints = *count;
         }
         self.zones
-            .retain(|zone, z| endpoints.contains_key(zone) || z.state != State::Free);
+            .retain(|zone, z| endpoints.contains_key(zone) || z.state != State::InService);
     }
 
     /// A call ended: answered in whatever way, or not at all.
@@ -123,7 +123,7 @@
             return;
         };
         zone.evidence.note(now, endpoint, answered);
-        if let State::Left(_) = zone.state {
+        if let State::Evacuated(_) = zone.state {
             zone.served = if answered { zone.served + 1 } else { 0 };
         }
     }
@@ -133,27 +133,32 @@
     }
 
     /// What we say of zones: nothing of one that is as usual and that nobody complains of.
-    pub fn words(&mut self, now: Time, others: &[(SocketAddr, Vec<Word>)]) -> Vec<Word> {
+    pub fn announcements(
+        &mut self,
+        now: Time,
+        others: &[(SocketAddr, Vec<ZoneAnnouncement>)],
+    ) -> Vec<ZoneAnnouncement> {
         let window = self.set.window;
-        let mut words = Vec::new();
+        let mut announcements = Vec::new();
         for (&number, zone) in &mut self.zones {
             let view = zone.evidence.view(now, window, zone.endpoints);
             let doubted = others.iter().flat_map(|o| &o.1).any(|w| {
-                w.zone == number && (w.view == View::Fails || matches!(w.state, State::Left(_)))
+                w.zone == number
+                    && (w.view == View::Failing || matches!(w.state, State::Evacuated(_)))
             });
-            let word = Word {
+            let announcement = ZoneAnnouncement {
                 zone: number,
                 state: zone.state,
                 view,
                 served: zone.served,
             };
-            let usual = zone.state == State::Free
-                && (view == View::None || view == View::Serves && !doubted);
-            if !usual && words.len() < ZONES_MOST {
-                words.push(word);
+            let usual = zone.state == State::InService
+                && (view == View::None || view == View::Serving && !doubted);
+            if !usual && announcements.len() < ZONES_MOST {
+                announcements.push(announcement);
             }
         }
-        words
+        announcements
     }
 
     /// When to look again although nothing came.
@@ -161,7 +166,7 @@
         let unusual = self
             .zones
             .values()
-            .any(|z| z.state != State::Free || z.stands.is_some());
+            .any(|z| z.state != State::InService || z.stands.is_some());
         unusual.then(|| now + Duration::from_millis(50))
     }
 
@@ -170,43 +175,45 @@
         &mut self,
         now: Time,
         me: SocketAddr,
-        others: &[(SocketAddr, Vec<Word>)],
+        others: &[(SocketAddr, Vec<ZoneAnnouncement>)],
     ) -> Vec<Change> {
-        let own = self.words(now, others);
+        let own = self.announcements(now, others);
         let set = self.set;
         let need = quorum(others.len() + 1);
         let mut changes = Vec::new();
         for (&number, zone) in &mut self.zones {
-            let said = || {
+            let statements = || {
                 others
                     .iter()
                     .flat_map(|o| &o.1)
                     .filter(|w| w.zone == number)
             };
-            let all = || said().chain(own.iter().filter(|w| w.zone == number));
+            let all = || statements().chain(own.iter().filter(|w| w.zone == number));
             let count = |view: View| all().filter(|w| w.view == view).count();
-            let (fails, serves) = (count(View::Fails), count(View::Serves));
+            let (fails, serves) = (count(View::Failing), count(View::Serving));
             let stands = fails >= need && fails > serves;
             match zone.state {
-                State::Free | State::Returning(_) => {
-                    let left = said().filter(|w| matches!(w.state, State::Left(_))).count();
+                State::InService | State::Returning(_) => {
+                    let left = statements()
+                        .filter(|w| matches!(w.state, State::Evacuated(_)))
+                        .count();
                     // Who comes later, or missed the words. Who is answered there knows better than one who stayed out.
                     let served = own
                         .iter()
-                        .any(|w| w.zone == number && w.view == View::Serves);
-                    let told = left >= need
-                        && left * 2 >= said().count()
+                        .any(|w| w.zone == number && w.view == View::Serving);
+                    let confirmed = left >= need
+                        && left * 2 >= statements().count()
                         && !served
-                        && zone.state == State::Free;
+                        && zone.state == State::InService;
                     let since = *zone.stands.get_or_insert(now);
                     if !stands {
                         zone.stands = None;
                     }
-                    if told || stands && now - since >= set.settle {
+                    if confirmed || stands && now - since >= set.settle {
                         let again = zone.freed.is_some_and(|at| now - at < set.calm)
                             || matches!(zone.state, State::Returning(_));
                         zone.leave(now, &set, again);
-                        changes.push(Change::Leave {
+                        changes.push(Change::Evacuate {
                             zone: number,
                             fails,
                             serves,
@@ -215,15 +222,15 @@
                     } else if let State::Returning(since) = zone.state
                         && now - since >= set.warm
                     {
-                        (zone.state, zone.freed) = (State::Free, Some(now));
-                        changes.push(Change::Free { zone: number });
+                        (zone.state, zone.freed) = (State::InService, Some(now));
+                        changes.push(Change::InService { zone: number });
                     }
                 }
-                State::Left(since) => {
+                State::Evacuated(since) => {
                     // A word from before it was left tells of nothing that was tried since.
-                    let tried = |w: &&Word| matches!(w.state, State::Left(_));
+                    let tried = |w: &&ZoneAnnouncement| matches!(w.state, State::Evacuated(_));
                     let served: u32 = all().filter(tried).map(|w| w.served).sum();
-                    let back: Vec<Time> = said()
+                    let back: Vec<Time> = statements()
                         .filter_map(|w| {
                             if let State::Returning(at) = w.state {
                                 Some(at)
@@ -233,9 +240,9 @@
                         })
                         .filter(|at| *at > since)
                         .collect();
-                    let told = back.len() >= need.min(others.len()) && !back.is_empty();
-                    if told || served >= SERVED && now - since >= zone.out {
-                        let since = if told {
+                    let confirmed = back.len() >= need.min(others.len()) && !back.is_empty();
+                    if confirmed || served >= SERVED && now - since >= zone.out {
+                        let since = if confirmed {
                             back.into_iter().min().unwrap_or(now)
                         } else {
                             now
@@ -264,7 +271,7 @@
             set.out[0]
         };
         self.give_back();
-        self.state = State::Left(now);
+        self.state = State::Evacuated(now);
     }
 
     /// What was seen until now is of the past.
@@ -280,7 +287,7 @@
         set: &Settings,
         number: u32,
         me: SocketAddr,
-        others: &[(SocketAddr, Vec<Word>)],
+        others: &[(SocketAddr, Vec<ZoneAnnouncement>)],
         changes: &mut Vec<Change>,
     ) {
         let slot = (now.0 as f64 / 1e9 * set.probes) as u64;
--- a/crates/zone-failover/tests/fleets.rs
+++ b/crates/zone-failover/tests/fleets.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
-use cranehill_zone_failover::{Change, Settings, State, Word, Zones};
+use cranehill_zone_failover::{Change, Settings, State, ZoneAnnouncement, Zones};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -29,7 +29,7 @@
     rng: ChaCha8Rng,
     members: Vec<Zones>,
     /// What each has said, as the others hear it one step later.
-    said: Vec<Vec<Word>>,
+    statements: Vec<Vec<ZoneAnnouncement>>,
     probing: Vec<bool>,
     /// When, who, what.
     changes: Vec<(u64, usize, Change)>,
@@ -47,7 +47,7 @@
             ms: 1_700_000_000_000,
             rng: ChaCha8Rng::seed_from_u64(5),
             members: (0..n).map(|_| member()).collect(),
-            said: vec![Vec::new(); n],
+            statements: vec![Vec::new(); n],
             probing: vec![false; n],
             changes: Vec::new(),
             calls: Vec::new(),
@@ -72,19 +72,19 @@
         for _ in 0..ms / STEP {
             self.ms += STEP;
             let now = Time(self.ms * 1_000_000);
-            let said = self.said.clone();
+            let statements = self.statements.clone();
             for n in 0..self.members.len() {
-                let others: Vec<(SocketAddr, Vec<Word>)> = (0..self.members.len())
+                let others: Vec<(SocketAddr, Vec<ZoneAnnouncement>)> = (0..self.members.len())
                     .filter(|&o| o != n && hears(n, o))
-                    .map(|o| (at(o), said[o].clone()))
+                    .map(|o| (at(o), statements[o].clone()))
                     .collect();
                 for change in self.members[n].look(now, at(n), &others) {
                     self.probing[n] = matches!(change, Change::Probe { .. });
                     self.changes.push((self.ms, n, change));
                 }
                 let may = match self.state(n) {
-                    State::Left(_) => std::mem::take(&mut self.probing[n]),
-                    State::Free | State::Returning(_) => {
+                    State::Evacuated(_) => std::mem::take(&mut self.probing[n]),
+                    State::InService | State::Returning(_) => {
                         self.rng.random_bool(2.0 * STEP as f64 / 1000.0)
                     }
                 };
@@ -93,14 +93,14 @@
                     self.members[n].ended(now, ZONE, &endpoint, !fails(n));
                     self.calls.push((self.ms, n));
                 }
-                self.said[n] = self.members[n].words(now, &others);
+                self.statements[n] = self.members[n].announcements(now, &others);
             }
         }
     }
 
     fn left(&self) -> usize {
         (0..self.members.len())
-            .filter(|&n| matches!(self.state(n), State::Left(_)))
+            .filter(|&n| matches!(self.state(n), State::Evacuated(_)))
             .count()
     }
 }
@@ -128,7 +128,7 @@
             "{n}"
         );
         fleet.run(10_000, |_| false, all);
-        assert!((0..n).all(|m| fleet.state(m) == State::Free), "{n}");
+        assert!((0..n).all(|m| fleet.state(m) == State::InService), "{n}");
     }
 }
 
@@ -142,7 +142,7 @@
         let left: Vec<_> = fleet
             .changes
             .iter()
-            .filter(|c| matches!(c.2, Change::Leave { .. }))
+            .filter(|c| matches!(c.2, Change::Evacuate { .. }))
             .collect();
         assert!(left.is_empty(), "{cut}: {left:?}");
     }
@@ -156,7 +156,7 @@
     for k in 0..20 {
         zones.ended(Time(k * 50_000_000), ZONE, "e1", false);
     }
-    assert_eq!(zones.words(Time(1_000_000_000), &[]), []);
+    assert_eq!(zones.announcements(Time(1_000_000_000), &[]), []);
 }
 
 /// Each return that fails doubles the time out; a fleet that is split decides on each side by itself.
@@ -173,7 +173,7 @@
         .iter()
         .filter(|c| c.1 == 0)
         .filter_map(|c| {
-            if let Change::Leave { out, .. } = c.2 {
+            if let Change::Evacuate { out, .. } = c.2 {
                 Some(out.as_secs())
             } else {
                 None
@@ -196,19 +196,19 @@
     assert_eq!(fleet.left(), 10);
     // The larger side sees it back, the smaller one does not.
     fleet.run(15_000, |n| n < 4, sides);
-    assert!((0..4).all(|n| matches!(fleet.state(n), State::Left(_))));
-    assert!((4..10).all(|n| fleet.state(n) == State::Free));
+    assert!((0..4).all(|n| matches!(fleet.state(n), State::Evacuated(_))));
+    assert!((4..10).all(|n| fleet.state(n) == State::InService));
     let from = fleet.changes.len();
     fleet.run(15_000, |_| false, all);
     assert!(
-        (0..10).all(|n| fleet.state(n) == State::Free),
+        (0..10).all(|n| fleet.state(n) == State::InService),
         "{:?}",
         &fleet.changes[from..]
     );
     assert!(
         fleet.changes[from..]
             .iter()
-            .all(|c| !matches!(c.2, Change::Leave { .. }))
+            .all(|c| !matches!(c.2, Change::Evacuate { .. }))
     );
 }
 
@@ -221,7 +221,7 @@
     let mut fresh = Zones::new(SETTINGS);
     fresh.listed(&BTreeMap::from([(ZONE, 10)]));
     fleet.members[4] = fresh;
-    fleet.said[4] = Vec::new();
+    fleet.statements[4] = Vec::new();
     let from = fleet.ms;
     fleet.run(200, |_| true, all);
     assert_eq!(fleet.left(), 5);
