--- a/crates/capacity/tests/fits.rs
+++ b/crates/capacity/tests/fits.rs
@@ -29,7 +29,7 @@
     }
 
     #[test]
-    fn a_quadratic_is_recovered_and_said_not_to_be_straight(
+    fn a_quadratic_fit_is_not_reported_as_linear(
         base in 0.01..10.0f64, slope in 1e-6..1e-4f64, part in 0.5..1.0f64,
     ) {
         // The square makes up half of the largest value or more.
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn wrong_sizes_are_errors_that_tell_their_place() {
+fn wrong_sizes_are_errors_with_their_place() {
     let made = |sizes: &[f64]| {
         let samples = sizes
             .iter()
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -203,8 +203,8 @@
     }
 
     /// How far this sender has come back, where it does so by steps.
-    pub fn stage(&self) -> Option<recovery::Stage> {
-        self.recovery.as_ref().map(Recovery::stage)
+    pub fn phase(&self) -> Option<recovery::Phase> {
+        self.recovery.as_ref().map(Recovery::phase)
     }
 
     pub(crate) fn on_learned_state_restored(&mut self, bytes: &[u8]) {
--- a/crates/core/tests/cold_fleet.rs
+++ b/crates/core/tests/cold_fleet.rs
@@ -129,16 +129,16 @@
 }
 
 #[test]
-fn two_senders_told_of_an_outage_stay_within_the_rule_together() {
+fn two_senders_notified_of_an_outage_stay_within_the_rule() {
     stays_within_the_rule(2);
 }
 
 #[test]
-fn twenty_senders_told_of_an_outage_stay_within_the_rule_together() {
+fn twenty_senders_notified_of_an_outage_stay_within_the_rule() {
     stays_within_the_rule(20);
 }
 
 #[test]
-fn thirty_senders_told_of_an_outage_stay_within_the_rule_together() {
+fn thirty_senders_notified_of_an_outage_stay_within_the_rule() {
     stays_within_the_rule(30);
 }
--- a/crates/core/tests/order.rs
+++ b/crates/core/tests/order.rs
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn messages_of_one_key_go_one_at_a_time_in_the_order_handed_in() {
+fn messages_of_one_ordering_key_go_one_at_a_time_in_submission_order() {
     let config = Config {
         cases: 300,
         failure_persistence: None,
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_notice_and_its_attempt_are_kept_before_the_answer_and_the_call() {
+fn message_and_attempt_are_persisted_before_answer_and_call() {
     let mut b = Bench::new(1);
     b.step(Input::Submitted(message("m", 8000)));
     let (records, effects) = b.turn(5);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_full_journal_spends_no_partner_on_attempts_it_could_not_remember() {
+fn a_full_journal_sends_no_attempt_it_cannot_record() {
     let mut b = Bench::new(1);
     b.step(Input::EndpointsChanged {
         whole: false,
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn more_than_may_be_held_is_refused_at_the_door() {
+fn messages_beyond_the_pending_bound_are_rejected() {
     let mut b = Bench::new(1);
     b.step(Input::EndpointsChanged {
         whole: true,
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn large_notices_do_not_share_a_call_whose_body_would_be_too_large() {
+fn large_messages_do_not_share_an_oversized_call() {
     let mut b = Bench::new(0);
     for n in 0..3 {
         let body = Arc::from(vec![7u8; 20_000]);
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_told_wait_holds_back_what_is_not_written_and_all_new_calls() {
+fn retry_after_cancels_unwritten_calls_and_blocks_new_ones() {
     let mut b = Bench::new(1);
     b.step(Input::Submitted(message("m", 8000)));
     b.turn(5);
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn a_notice_given_up_is_reported_at_once_with_when_to_come_back_until_the_platform_has_it() {
+fn an_expired_message_is_reported_with_retry_after_until_acknowledged() {
     let mut b = Bench::new(1);
     b.step(Input::EndpointsChanged {
         whole: true,
@@ -527,7 +527,7 @@
 }
 
 #[test]
-fn a_partner_is_known_while_its_endpoints_are_replaced_and_their_idle_connections_end() {
+fn a_destination_stays_known_while_its_endpoints_are_replaced() {
     let mut b = Bench::new(1);
     assert!(b.core.knows(7) && !b.core.knows(8));
     let effects = b.step(Input::EndpointsChanged {
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn an_effect_that_is_not_known_is_told_with_its_place() {
+fn an_unknown_effect_is_an_error_with_its_place() {
     let mut settings: Value = serde_json::from_str(SETTINGS).expect("settings");
     *settings.pointer_mut("/classes/1/effect").expect("there") = json!("odd");
     let why = play(settings).expect_err("not known");
--- a/crates/cranehill/src/capacity.rs
+++ b/crates/cranehill/src/capacity.rs
@@ -15,7 +15,7 @@
 
 /// What the command line asks for.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct CapacityArgs {
     pub quick: bool,
     pub json: bool,
     pub out: Option<PathBuf>,
@@ -26,7 +26,7 @@
     pub seed: u64,
 }
 
-impl Order {
+impl CapacityArgs {
     fn run(&self) -> Run {
         if self.quick { Run::Quick } else { Run::Full }
     }
@@ -50,7 +50,7 @@
 }
 
 /// Plays the sweeps and prints what they come to; false if a stated figure is missed.
-pub fn run(order: &Order) -> Result<bool, String> {
+pub fn run(order: &CapacityArgs) -> Result<bool, String> {
     let stated = stated(order)?;
     let usual = if order.quick {
         Sizes::quick()
@@ -60,7 +60,7 @@
     let sweeps = order.sweeps(&usual)?;
     let sizes = sizes(order.sizes.as_deref(), usual, &sweeps)?;
     let program = std::env::current_exe().map_err(|e| format!("this program's own file: {e}"))?;
-    let played = sweep::Order {
+    let played = sweep::SweepArgs {
         program,
         sizes,
         sweeps,
@@ -87,7 +87,7 @@
     Ok(!verdicts.iter().any(Verdict::fails))
 }
 
-fn stated(order: &Order) -> Result<Vec<Stated>, String> {
+fn stated(order: &CapacityArgs) -> Result<Vec<Stated>, String> {
     let Some(path) = &order.page else {
         return page::stated(PAGE, order.run()).map_err(|e| format!("{PAGE_NAME}: {e}"));
     };
@@ -107,7 +107,7 @@
         .map_err(|e| format!("--sizes: {}: {e}", path.display()))
 }
 
-fn print(order: &Order, figures: &[Figure], stated: &[Stated], verdicts: &[Verdict]) {
+fn print(order: &CapacityArgs, figures: &[Figure], stated: &[Stated], verdicts: &[Verdict]) {
     if order.json {
         println!("{:#}", as_json(figures, verdicts));
         return;
--- a/crates/cranehill/src/cli.rs
+++ b/crates/cranehill/src/cli.rs
@@ -8,13 +8,13 @@
 use cranehill_journal::Key;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
+use crate::crash_test::{self, Plan};
 use crate::hollow::HollowArgs;
-use crate::kills::{self, Plan};
 use crate::logging::{self, Format};
-use crate::{capacity, hollow, journal, nginx, rehearse, rig};
+use crate::{capacity, fleet_test, hollow, journal, nginx, rehearse};
 use cranehill_daemon::config::{self, Config};
 use cranehill_daemon::fleet::{self, Fleet};
-use cranehill_daemon::reactor::{self, Order, Reactor, Setup, State};
+use cranehill_daemon::reactor::{self, ControlCommand, Reactor, ReactorOptions, State};
 use cranehill_daemon::webpush;
 use cranehill_scenario_runner::measure;
 
@@ -213,7 +213,7 @@
             mutations,
         } => {
             let jobs = jobs.into();
-            let order = rehearse::Order {
+            let order = rehearse::RehearseArgs {
                 files,
                 seed,
                 repeat,
@@ -246,7 +246,7 @@
             let played = if members.members_only {
                 hollow::run(&members, seed, json)
             } else {
-                rig::run(&rig::Order {
+                fleet_test::run(&fleet_test::FleetTestArgs {
                     scenario,
                     nodes,
                     hollow: members.hollow,
@@ -270,7 +270,7 @@
             rate,
             seed,
         } => {
-            let setup = measure::Setup {
+            let setup = measure::MeasureOptions {
                 endpoints: endpoints.into(),
                 senders: senders.into(),
                 push,
@@ -293,7 +293,7 @@
             update,
             seed,
         } => {
-            let order = capacity::Order {
+            let order = capacity::CapacityArgs {
                 quick,
                 json,
                 out,
@@ -353,14 +353,14 @@
     config: Option<Config>,
     push: Option<webpush::File>,
     key: Option<Key>,
-) -> Result<Setup, String> {
+) -> Result<ReactorOptions, String> {
     let Some(config) = config else {
         let push = push.ok_or("NODE_CONFIG is not set and no --webpush is given")?;
         if push.listen.is_none() {
             return Err("the Web Push file names no address to listen on".into());
         }
-        return Ok(Setup {
-            site: webpush::alone(),
+        return Ok(ReactorOptions {
+            platform_settings: webpush::alone(),
             seed: u64::from(std::process::id()),
             state: None,
             listen: None,
@@ -372,12 +372,12 @@
             operator: None,
             sockets: 1024,
             memory: 192_000_000,
-            reread: None,
+            read_config: None,
         });
     };
 
-    Ok(Setup {
-        site: config.site,
+    Ok(ReactorOptions {
+        platform_settings: config.platform_settings,
         seed: config.seed,
         state: Some(State {
             dir: config.state,
@@ -393,7 +393,7 @@
         operator: config.operator,
         sockets: config.limits.sockets.min(1024),
         memory: (config.limits.memory_mb * 1e6) as usize,
-        reread: Some(Box::new(|| config::directory_now(variable))),
+        read_config: Some(Box::new(|| config::directory_now(variable))),
     })
 }
 
@@ -411,7 +411,7 @@
     })?;
     let file = fleet::parse(&read(path)?).map_err(named)?;
     let key = read_key(&path.parent().unwrap_or(Path::new("")).join(&file.key))?;
-    file.fleet(key, &config.name, &config.site.settings)
+    file.fleet(key, &config.name, &config.platform_settings.settings)
         .map_err(named)
 }
 
@@ -435,7 +435,7 @@
     let fleet = fleet
         .map(|path| fleet_file(path, config.as_ref()))
         .transpose()?;
-    let mut reactor = Reactor::new(Setup {
+    let mut reactor = Reactor::new(ReactorOptions {
         fleet,
         ..setup(config, push, key)?
     })?;
@@ -445,9 +445,9 @@
         .map_err(|e| format!("signals: {e}"))?;
     let order = |signal| {
         if signal == SIGHUP {
-            Order::Reload
+            ControlCommand::Reload
         } else {
-            Order::Stop
+            ControlCommand::Stop
         }
     };
     reactor
@@ -496,7 +496,7 @@
         flip_every,
         disk_mb,
     };
-    let outcome = kills::play(&plan, |done| bar.set_position(u64::from(done)))?;
+    let outcome = crash_test::play(&plan, |done| bar.set_position(u64::from(done)))?;
     bar.finish_and_clear();
     println!("seed {seed}, {disk_mb} MB");
     outcome.lines().iter().for_each(|l| println!("{l}"));
@@ -507,12 +507,12 @@
 fn check(webpush: Option<&Path>, fleet: Option<&Path>) -> Result<(), String> {
     let config = load_config()?;
     if let Some(config) = &config {
-        let site = &config.site;
+        let platform_settings = &config.platform_settings;
         println!(
             "configuration of {}: {} classes, {} stations, {} endpoints known",
             config.name,
-            site.settings.classes.len(),
-            site.names.tenants.len(),
+            platform_settings.settings.classes.len(),
+            platform_settings.names.tenants.len(),
             config.known.len()
         );
     }
--- a/crates/cranehill/src/rig.rs
+++ b/crates/cranehill/src/fleet_test.rs
@@ -10,7 +10,7 @@
 
 /// What the command line asks for.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct FleetTestArgs {
     pub scenario: Option<String>,
     pub nodes: Option<usize>,
     /// Hollow members beside the real senders.
@@ -22,7 +22,7 @@
 }
 
 /// Plays a scenario and prints what came of it; false if anything that was expected did not come.
-pub fn run(order: &Order) -> Result<bool, String> {
+pub fn run(order: &FleetTestArgs) -> Result<bool, String> {
     let Some(name) = &order.scenario else {
         SCENARIOS.iter().for_each(|(name, _)| println!("{name}"));
         return Ok(true);
--- a/crates/cranehill/src/lib.rs
+++ b/crates/cranehill/src/lib.rs
@@ -3,11 +3,11 @@
 
 pub mod capacity;
 pub mod cli;
+pub mod crash_test;
+pub mod fleet_test;
 pub mod hollow;
 pub mod journal;
-pub mod kills;
 pub mod logging;
 pub mod nginx;
 pub mod rehearsal;
 pub mod rehearse;
-pub mod rig;
--- a/crates/cranehill/src/rehearsal.rs
+++ b/crates/cranehill/src/rehearsal.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use cranehill_daemon::http::{self, Request};
-use cranehill_daemon::reactor::{Reactor, Setup};
+use cranehill_daemon::reactor::{Reactor, ReactorOptions};
 use cranehill_daemon::webpush;
 
 /// How a stand-in answers one request.
@@ -403,7 +403,7 @@
 type Ends = Arc<Mutex<BTreeMap<String, (Option<u16>, bool, Duration)>>>;
 
 /// A Web Push sender of its own, before one service at `address`.
-pub fn push_setup(address: SocketAddr, vapid: Option<webpush::VapidFile>) -> Setup {
+pub fn push_setup(address: SocketAddr, vapid: Option<webpush::VapidFile>) -> ReactorOptions {
     let file = webpush::File {
         listen: Some("127.0.0.1:0".into()),
         vapid,
@@ -421,8 +421,8 @@
             to: Some("/subscription/".into()),
         }],
     };
-    Setup {
-        site: webpush::alone(),
+    ReactorOptions {
+        platform_settings: webpush::alone(),
         seed: 1,
         state: None,
         listen: None,
@@ -434,7 +434,7 @@
         push: Some(file),
         sockets: 1024,
         memory: 192_000_000,
-        reread: None,
+        read_config: None,
     }
 }
 
@@ -446,7 +446,7 @@
         .map_err(|e| e.to_string())?;
     let mut reactor = Reactor::new(push_setup(stand_in.address, None))?;
     let address = reactor.addresses().1.ok_or("the sender does not listen")?;
-    let halter = reactor.halter().map_err(|e| e.to_string())?;
+    let stop_handle = reactor.stop_handle().map_err(|e| e.to_string())?;
     let running = thread::spawn(move || reactor.run(Vec::new));
     let ends: Ends = Arc::default();
     let mut report = Report::default();
@@ -513,7 +513,7 @@
             "MISSED: {during_wait} posts came to the service during a told wait"
         ));
     }
-    halter.halt();
+    stop_handle.stop();
     match running.join() {
         Ok(Ok(())) => Ok(report),
         Ok(Err(e)) => Err(format!("the sender stopped: {e}")),
--- a/crates/cranehill/src/rehearse.rs
+++ b/crates/cranehill/src/rehearse.rs
@@ -23,7 +23,7 @@
 
 /// What the command line asks for.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct RehearseArgs {
     /// Days, scripts of pushes, or folders whose days are all played.
     pub files: Vec<PathBuf>,
     pub seed: u64,
@@ -62,7 +62,7 @@
 
 /// Plays all that is asked for; false if a rule is broken or an expectation missed. An error if a file can't be played, or
 /// the machine was too busy to judge.
-pub fn all(order: &Order) -> Result<bool, String> {
+pub fn all(order: &RehearseArgs) -> Result<bool, String> {
     let mut plans = Vec::new();
     let mut scripts = Vec::new();
     let seeds = order.seed..order.seed.saturating_add(order.repeat);
@@ -194,7 +194,7 @@
     })
 }
 
-fn plan(text: &str, seed: u64, order: &Order) -> Result<Plan, String> {
+fn plan(text: &str, seed: u64, order: &RehearseArgs) -> Result<Plan, String> {
     let mut scenario = scenario::parse_for(text, seed, order.senders).map_err(|e| e.to_string())?;
     if scenario.fleet.is_some() || !scenario.breaks.is_empty() {
         return Err("the day breaks ways between senders: play it with `cranehill rig`".into());
@@ -235,7 +235,7 @@
 
 /// Plays each mutation of `broken` on its day: false if one is not caught by its rule, or if this program breaks a rule on
 /// one of these days.
-pub fn mutations(broken: &Path, order: &Order) -> Result<bool, String> {
+pub fn mutations(broken: &Path, order: &RehearseArgs) -> Result<bool, String> {
     let mut scenarios: Vec<&str> = CASES.iter().map(|c| c.scenario).collect();
     scenarios.sort_unstable();
     scenarios.dedup();
@@ -299,7 +299,7 @@
 }
 
 /// Measures and prints a line for each step; false if not even the lowest rate is sustained.
-pub fn measure(setup: &measure::Setup, rate: Option<f64>) -> Result<bool, String> {
+pub fn measure(setup: &measure::MeasureOptions, rate: Option<f64>) -> Result<bool, String> {
     let program = std::env::current_exe().map_err(|e| format!("this program's own file: {e}"))?;
     println!("{}", Step::HEADING);
     let notified = |step: &Step| {
@@ -322,7 +322,7 @@
         "highest sustained rate: {:.0}/s; at half of it, for a longer time:",
         best.rate
     );
-    let longer = measure::Setup {
+    let longer = measure::MeasureOptions {
         span: setup.span * 3,
         ..*setup
     };
--- a/crates/cranehill/tests/common/mod.rs
+++ b/crates/cranehill/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use cranehill::rehearsal::{Reply, StandIn};
 use cranehill_daemon::config::{self, Config};
 use cranehill_daemon::http;
-use cranehill_daemon::reactor::{Halter, Reactor, Setup};
+use cranehill_daemon::reactor::{Reactor, ReactorOptions, StopHandle};
 use socket2::{Domain, Socket, Type};
 
 /// Longer than anything here takes: only a failure waits so long.
@@ -70,13 +70,13 @@
 pub struct Running {
     pub clients: SocketAddr,
     pub operator: Option<SocketAddr>,
-    halter: Halter,
+    stop_handle: StopHandle,
     thread: Option<std::thread::JoinHandle<std::io::Result<()>>>,
 }
 
 impl Drop for Running {
     fn drop(&mut self) {
-        self.halter.halt();
+        self.stop_handle.stop();
         // Its folder is another's from now on.
         drop(self.thread.take().map(std::thread::JoinHandle::join));
     }
@@ -98,10 +98,14 @@
 }
 
 /// With whatever is to be otherwise.
-pub fn prepare(known: &str, platform: &StandIn, change: impl FnOnce(&mut Setup)) -> Prepared {
+pub fn prepare(
+    known: &str,
+    platform: &StandIn,
+    change: impl FnOnce(&mut ReactorOptions),
+) -> Prepared {
     let config = config(known, platform.address);
-    let mut setup = Setup {
-        site: config.site,
+    let mut setup = ReactorOptions {
+        platform_settings: config.platform_settings,
         seed: config.seed,
         state: None,
         listen: Some(config.listen),
@@ -113,7 +117,7 @@
         push: None,
         sockets: 1024,
         memory: 192_000_000,
-        reread: None,
+        read_config: None,
     };
     change(&mut setup);
     let reactor = Reactor::new(setup).expect("the sender starts");
@@ -130,18 +134,22 @@
             mut reactor,
         } = self;
         let operator = reactor.operator_address();
-        let halter = reactor.halter().expect("halter");
+        let stop_handle = reactor.stop_handle().expect("halter");
         let thread = Some(std::thread::spawn(move || reactor.run(Vec::new)));
         Running {
             clients,
             operator,
-            halter,
+            stop_handle,
             thread,
         }
     }
 }
 
-pub fn start_as(known: &str, platform: &StandIn, change: impl FnOnce(&mut Setup)) -> Running {
+pub fn start_as(
+    known: &str,
+    platform: &StandIn,
+    change: impl FnOnce(&mut ReactorOptions),
+) -> Running {
     prepare(known, platform, change).run()
 }
 
--- a/crates/cranehill/tests/kills.rs
+++ b/crates/cranehill/tests/crash_test.rs
@@ -1,6 +1,6 @@
 //! Real processes on loopback, killed at random instants under load. The long runs are `cranehill kills`.
 
-use cranehill::kills::{Plan, play};
+use cranehill::crash_test::{Plan, play};
 
 fn plan(kills: u32, seed: u64, flip_every: u32) -> Plan {
     let program = env!("CARGO_BIN_EXE_cranehill").into();
--- a/crates/cranehill/tests/endings.rs
+++ b/crates/cranehill/tests/endings.rs
@@ -91,7 +91,7 @@
 
 /// Guards a whole answer that leaves one message out or says it failed: the others are delivered, that one goes again.
 #[test]
-fn what_a_batch_answer_does_not_say_of_a_notice_is_not_said_by_the_others() {
+fn a_message_missing_from_a_batch_answer_has_no_outcome_of_the_others() {
     let destination = StandIn::new(|request, number| match number {
         0 => {
             let text = r#"[{"id":"m1","state":"done"},{"id":"m3","state":"done"}]"#;
@@ -122,7 +122,7 @@
 /// Guards what a client leaves behind: a whole request that is there when its client has already gone is accepted and owed;
 /// a part of one is nothing.
 #[test]
-fn a_client_that_is_gone_before_it_is_heard_leaves_what_was_whole_and_nothing_else() {
+fn only_complete_requests_of_a_closed_client_are_accepted() {
     let destination = StandIn::new(|_, _| Reply::status(200)).expect("partner");
     let platform = platform();
     let prepared = prepare(
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -177,7 +177,7 @@
 
 /// Strangers' packets are counted by cause, and the sender goes on; its status answers any call with a bound.
 #[test]
-fn what_strangers_send_is_dropped_and_told() {
+fn packets_of_strangers_are_dropped_and_counted() {
     let folder = tempfile::tempdir().expect("a folder");
     let (listen, view) = (free(2), free(3));
     let fleet = format!("listen = \"{listen}\"\nkey = \"fleet.key\"\nstatus = \"{view}\"\n");
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -88,7 +88,7 @@
 fn fleet_of(text: &str) -> Fleet {
     let config = common::config("null", address("127.0.0.1:1"));
     let file = fleet::parse(text).expect("a fleet file");
-    file.fleet(KEY, &config.name, &config.site.settings)
+    file.fleet(KEY, &config.name, &config.platform_settings.settings)
         .expect("a fleet")
 }
 
--- a/crates/cranehill/tests/late_connections.rs
+++ b/crates/cranehill/tests/late_connections.rs
@@ -57,7 +57,7 @@
     );
     let (platform, change) = changing(list(2, &[a, b]));
     let sender = start_as(&list(1, &[a]), &platform, |setup| {
-        let class = &mut setup.site.settings.classes[0];
+        let class = &mut setup.platform_settings.settings.classes[0];
         // A call is waited for for a quarter of the aim at least: longer than the connection takes.
         (class.window, class.latency_objective) = (window, Duration::from_secs(20));
     });
--- a/crates/cranehill/tests/told_in_time.rs
+++ b/crates/cranehill/tests/notified_in_time.rs
@@ -7,7 +7,7 @@
 use common::*;
 use cranehill::rehearsal::{Reply, Seen, StandIn};
 use cranehill_daemon::http;
-use cranehill_daemon::reactor::{Order, Reactor, Setup};
+use cranehill_daemon::reactor::{ControlCommand, Reactor, ReactorOptions};
 
 /// A change counts as told so long after discovery had it and could be reached.
 const NOTIFIED: Duration = Duration::from_secs(6);
@@ -69,11 +69,14 @@
         failing.address
     };
     let config = config(&list(4, &[]), first);
-    let mut site = config.site;
-    (site.settings.ask_for_list, site.settings.instances) = (asked_for, 300);
+    let mut platform_settings = config.platform_settings;
+    (
+        platform_settings.settings.ask_for_list,
+        platform_settings.settings.instances,
+    ) = (asked_for, 300);
     let now_at = failing.address;
-    let mut reactor = Reactor::new(Setup {
-        site,
+    let mut reactor = Reactor::new(ReactorOptions {
+        platform_settings,
         seed: config.seed,
         state: None,
         listen: Some(config.listen),
@@ -85,19 +88,19 @@
         push: None,
         sockets: 1024,
         memory: 192_000_000,
-        reread: Some(Box::new(move || Ok(now_at))),
+        read_config: Some(Box::new(move || Ok(now_at))),
     })
     .expect("the sender starts");
-    let halter = reactor.halter().expect("halter");
+    let stop_handle = reactor.stop_handle().expect("halter");
     let mut orders = if moved {
-        vec![Order::Reload]
+        vec![ControlCommand::Reload]
     } else {
         Vec::new()
     };
     std::thread::scope(|scope| {
         let running = scope.spawn(move || reactor.run(|| std::mem::take(&mut orders)));
         let taken = taken(&failing, failures);
-        halter.halt();
+        stop_handle.stop();
         running.join().expect("it runs").expect("it ends");
         taken
     })
--- a/crates/cranehill/tests/order.rs
+++ b/crates/cranehill/tests/order.rs
@@ -11,7 +11,7 @@
 use common::*;
 use cranehill::rehearsal::{Reply, StandIn};
 use cranehill_daemon::http;
-use cranehill_daemon::reactor::{Setup, State};
+use cranehill_daemon::reactor::{ReactorOptions, State};
 use cranehill_scheduler::api::Effect;
 
 const NAMES: &str = "c=episode-notice,t=onda-central,d=20000,dest=7";
@@ -39,8 +39,8 @@
 }
 
 /// Its only class keeps its order, and its messages must not take effect twice.
-fn keep_order(setup: &mut Setup) {
-    let settings = &mut setup.site.settings;
+fn keep_order(setup: &mut ReactorOptions) {
+    let settings = &mut setup.platform_settings.settings;
     (settings.classes[0].in_order, settings.classes[0].effect) = (true, Effect::Unsafe);
     settings.rules.key_quiet = KEY_REST;
 }
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use cranehill::{nginx, rehearsal};
-use cranehill_daemon::clients::{self, Request};
-use cranehill_daemon::destinations::{self, Verdict};
+use cranehill_daemon::client_protocol::{self, Request};
+use cranehill_daemon::destination_protocol::{self, Verdict};
 use cranehill_daemon::http::{self, Response};
-use cranehill_daemon::{config, directory, webpush};
+use cranehill_daemon::{config, discovery_protocol, webpush};
 use cranehill_scheduler::api::{Condition, Status};
 
 #[test]
@@ -17,7 +17,7 @@
         common::put("m1", "c=episode-notice,dest=7", b"any\r\nbytes\0"),
         b"*1\r\n$4\r\nping\r\n".to_vec(),
     ];
-    let (first, used) = clients::parse(&bytes.concat())
+    let (first, used) = client_protocol::parse(&bytes.concat())
         .expect("valid")
         .expect("whole");
     assert_eq!(used, bytes[0].len());
@@ -25,11 +25,15 @@
         matches!(&first, Request::Put { id, body, .. } if id == "m1" && body == b"any\r\nbytes\0")
     );
     assert_eq!(
-        clients::parse(&bytes[1]),
+        client_protocol::parse(&bytes[1]),
         Ok(Some((Request::Ping, bytes[1].len())))
     );
     for cut in 0..bytes[0].len() {
-        assert_eq!(clients::parse(&bytes[0][..cut]), Ok(None), "cut at {cut}");
+        assert_eq!(
+            client_protocol::parse(&bytes[0][..cut]),
+            Ok(None),
+            "cut at {cut}"
+        );
     }
 }
 
@@ -47,22 +51,31 @@
         "*00000000000000000000000000000000001",
         "*1\r\n$-1\r\n",
     ] {
-        assert!(clients::parse(bad.as_bytes()).is_err(), "{bad:?}");
+        assert!(client_protocol::parse(bad.as_bytes()).is_err(), "{bad:?}");
     }
     // A body of 64 KiB is taken, one byte more is not.
     let of = |len: usize| common::put("m", "c=episode-notice,dest=7", &vec![b'x'; len]);
-    assert!(matches!(clients::parse(&of(65536)), Ok(Some(_))));
-    assert!(clients::parse(&of(65537)).is_err());
+    assert!(matches!(client_protocol::parse(&of(65536)), Ok(Some(_))));
+    assert!(client_protocol::parse(&of(65537)).is_err());
 }
 
 #[test]
-fn a_notices_names_are_read_and_checked() {
-    let site = common::config(
+fn names_in_a_message_are_validated() {
+    let platform_settings = common::config(
         &common::list(1, &[]),
         "127.0.0.1:1".parse().expect("an address"),
     )
-    .site;
-    let read = |names: &str| clients::message(&site, 1, b"0000", "m".into(), names, Vec::new());
+    .platform_settings;
+    let read = |names: &str| {
+        client_protocol::message(
+            &platform_settings,
+            1,
+            b"0000",
+            "m".into(),
+            names,
+            Vec::new(),
+        )
+    };
     let message =
         read("c=episode-notice,t=onda-central,d=8000,k=5c0f,dest=7,r=1,new=thing").expect("valid");
     assert_eq!(
@@ -165,7 +178,7 @@
         " x0=-3,x1=5",
         " x0=0.5,x1=1e300",
     ] {
-        let notified = destinations::read(&response(&text(bad)), &["a"], Duration::ZERO);
+        let notified = destination_protocol::read(&response(&text(bad)), &["a"], Duration::ZERO);
         assert_eq!(
             (notified.verdicts[0].status, notified.wait),
             (Status::Overloaded, Some(Duration::from_secs(2))),
@@ -174,12 +187,12 @@
         assert!(notified.report.is_none(), "{bad:?}");
     }
     assert!(
-        destinations::read(&response(&text(" x0=0.5,x1=5")), &["a"], Duration::ZERO)
+        destination_protocol::read(&response(&text(" x0=0.5,x1=5")), &["a"], Duration::ZERO)
             .report
             .is_some()
     );
     let batch = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[{";
-    let notified = destinations::read(&response(batch), &["a", "b"], Duration::ZERO);
+    let notified = destination_protocol::read(&response(batch), &["a", "b"], Duration::ZERO);
     assert_eq!(
         notified.verdicts,
         [Verdict::of(Status::Spoilt); 2],
@@ -188,9 +201,9 @@
 }
 
 #[test]
-fn a_partners_answer_tells_of_each_notice_of_the_wait_and_of_the_limit() {
+fn a_response_carries_each_outcome_retry_after_and_limit() {
     let notified =
-        |text: &str, ids: &[&str]| destinations::read(&response(text), ids, Duration::ZERO);
+        |text: &str, ids: &[&str]| destination_protocol::read(&response(text), ids, Duration::ZERO);
     let one = |text: &str| notified(text, &["a"]).verdicts[0];
     assert_eq!(
         one("HTTP/1.1 200 OK\r\n\r\n"),
@@ -281,8 +294,20 @@
     );
     let bad = known.replace("draining", "asleep");
     assert!(config::parse(&common::config_text(&bad), |_| Some("127.0.0.1:1".into())).is_err());
-    assert!(directory::read(&response("HTTP/1.1 503 No\r\n\r\n"), &config.site).is_err());
-    assert!(directory::read(&response("HTTP/1.1 200 OK\r\n\r\n{}"), &config.site).is_err());
+    assert!(
+        discovery_protocol::read(
+            &response("HTTP/1.1 503 No\r\n\r\n"),
+            &config.platform_settings
+        )
+        .is_err()
+    );
+    assert!(
+        discovery_protocol::read(
+            &response("HTTP/1.1 200 OK\r\n\r\n{}"),
+            &config.platform_settings
+        )
+        .is_err()
+    );
 }
 
 const NGINX: &str = r#"
@@ -430,7 +455,7 @@
             }
         }
         let within = |used: usize| assert!(used > 0 && used <= bytes.len());
-        clients::parse(&bytes)
+        client_protocol::parse(&bytes)
             .ok()
             .flatten()
             .into_iter()
--- a/crates/cranehill/tests/rehearse.rs
+++ b/crates/cranehill/tests/rehearse.rs
@@ -168,7 +168,7 @@
 
 /// A mutation that no day plays would never be seen to be caught.
 #[test]
-fn each_breakage_has_a_day() {
+fn each_mutation_has_a_scenario() {
     let known: Vec<&str> = Mutation::ALL.iter().map(|(name, _)| *name).collect();
     let played: Vec<&str> = CASES.iter().map(|case| case.name).collect();
     assert_eq!(known, played);
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -10,7 +10,7 @@
 use common::*;
 use cranehill::rehearsal::{Reply, StandIn};
 use cranehill_daemon::config;
-use cranehill_daemon::reactor::{Order, Reactor, Setup};
+use cranehill_daemon::reactor::{ControlCommand, Reactor, ReactorOptions};
 
 type Answers = Arc<Mutex<VecDeque<Result<SocketAddr, String>>>>;
 
@@ -38,8 +38,8 @@
     description: Answers,
 ) -> (SocketAddr, Arc<AtomicBool>) {
     let config = config(known, platform.address);
-    let mut reactor = Reactor::new(Setup {
-        site: config.site,
+    let mut reactor = Reactor::new(ReactorOptions {
+        platform_settings: config.platform_settings,
         seed: config.seed,
         state: None,
         listen: Some(config.listen),
@@ -51,7 +51,7 @@
         push: None,
         sockets: 1024,
         memory: 192_000_000,
-        reread: Some(Box::new(move || {
+        read_config: Some(Box::new(move || {
             let mut description = description.lock().expect("answers");
             description
                 .pop_front()
@@ -65,7 +65,7 @@
     std::thread::spawn(move || {
         reactor.run(|| {
             if ask.swap(false, Ordering::Relaxed) {
-                vec![Order::Reload]
+                vec![ControlCommand::Reload]
             } else {
                 Vec::new()
             }
--- a/crates/cranehill/tests/restart.rs
+++ b/crates/cranehill/tests/restart.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_notice_taken_on_is_delivered_after_a_kill() {
+fn an_accepted_message_is_delivered_after_sigkill() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
     let (destination, open) = destination();
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_notice_whose_partner_is_out_is_closed_after_a_kill_and_reported_until_taken() {
+fn a_message_to_a_failed_destination_is_reported_after_sigkill_until_acknowledged() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
     // The platform takes the report at the second try only.
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn every_notice_taken_on_ends_however_often_the_process_is_killed() {
+fn every_accepted_message_ends_despite_repeated_sigkill() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
     // Slow enough that each kill finds attempts out and messages held; some answers are errors and refusals.
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn a_sighup_does_not_end_the_process_whatever_the_file_says() {
+fn sighup_with_a_bad_file_does_not_end_the_process() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
     let (destination, open) = destination();
@@ -419,7 +419,7 @@
 
 /// Guards a wait that is told by such an answer: it binds all the same.
 #[test]
-fn a_wait_told_after_the_wait_for_its_answer_has_ended_is_heeded() {
+fn a_retry_after_in_a_late_answer_is_respected() {
     let folder = tempfile::tempdir().expect("a folder");
     let platform = platform();
     let answer = b"HTTP/1.1 429 No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n";
--- a/crates/cranehill/tests/told_wait.rs
+++ b/crates/cranehill/tests/retry_after.rs
@@ -11,7 +11,7 @@
 use cranehill::rehearsal::{Reply, StandIn};
 
 #[test]
-fn a_call_that_waits_for_its_connection_is_held_back_by_a_told_wait() {
+fn an_unwritten_call_is_cancelled_by_a_retry_after() {
     let notified = Arc::new(AtomicBool::new(false));
     let notify = notified.clone();
     let first = StandIn::new(move |_, _| {
--- a/crates/cranehill/tests/spoilt.rs
+++ b/crates/cranehill/tests/spoilt.rs
@@ -25,7 +25,7 @@
     // A call is waited for for a quarter of the aim at least: 5 s, so that what ends sooner did not end by that.
     let known = list(1, &[("a", destination.address, 7, "station")]);
     let sender = start_as(&known, &platform, |setup| {
-        setup.site.settings.classes[0].latency_objective = Duration::from_secs(20)
+        setup.platform_settings.settings.classes[0].latency_objective = Duration::from_secs(20)
     });
     let mut client = Client::new(sender.clients);
     for n in 0..messages {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_first_line_of_200_says_it_all_and_what_follows_costs_the_connection_only() {
+fn a_200_status_line_delivers_and_a_bad_body_only_closes_the_connection() {
     let seen = play(
         &[
             "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx",
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_died_is_no_failure_of_the_partner_and_others_kept_as_long_are_not_used() {
+fn a_dead_idle_connection_is_no_destination_failure_and_equally_old_ones_are_not_reused() {
     let destination = StandIn::new(|_, number| {
         if number == 1 {
             Reply::Close
--- a/crates/cranehill/tests/webpush.rs
+++ b/crates/cranehill/tests/webpush.rs
@@ -12,28 +12,31 @@
 use common::SOON;
 use cranehill::rehearsal::{Reply, StandIn, push_setup};
 use cranehill_daemon::http::{self, Response, header};
-use cranehill_daemon::reactor::{Halter, Reactor, Setup};
+use cranehill_daemon::reactor::{Reactor, ReactorOptions, StopHandle};
 use cranehill_daemon::webpush::VapidFile;
 use p256::ecdsa::signature::Verifier;
 use p256::ecdsa::{Signature, SigningKey, VerifyingKey};
 
 struct Front {
     address: SocketAddr,
-    halter: Halter,
+    stop_handle: StopHandle,
 }
 
 impl Drop for Front {
     fn drop(&mut self) {
-        self.halter.halt();
+        self.stop_handle.stop();
     }
 }
 
 fn front(service: SocketAddr, vapid: Option<VapidFile>) -> Front {
     let mut reactor = Reactor::new(push_setup(service, vapid)).expect("the sender starts");
     let address = reactor.addresses().1.expect("it listens");
-    let halter = reactor.halter().expect("halter");
+    let stop_handle = reactor.stop_handle().expect("halter");
     thread::spawn(move || reactor.run(Vec::new));
-    Front { address, halter }
+    Front {
+        address,
+        stop_handle,
+    }
 }
 
 /// A post of `text`, whose one answer is read on the same connection.
@@ -149,7 +152,7 @@
 }
 
 #[test]
-fn nothing_is_sent_while_the_service_has_told_us_to_wait() {
+fn nothing_is_sent_during_a_retry_after() {
     let service = StandIn::new(|_, number| match number {
         0 => Reply::wait(429, "1.5"),
         _ => Reply::status(201),
@@ -178,7 +181,7 @@
 }
 
 #[test]
-fn a_date_is_a_told_wait_too() {
+fn a_retry_after_date_is_respected() {
     let service = StandIn::new(|_, number| match number {
         0 => {
             let at = std::time::SystemTime::now() + Duration::from_secs(3);
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn a_subscription_that_is_gone_is_never_tried_again_and_does_the_service_no_harm() {
+fn a_removed_subscription_is_not_retried_and_is_no_service_failure() {
     for status in [404, 410] {
         let service = StandIn::new(move |request, _| match request.path.as_str() {
             "/subscription/left" => Reply::status(status),
@@ -277,7 +280,7 @@
 }
 
 #[test]
-fn refused_to_the_last_attempt_it_is_handed_back_with_when_to_come_again() {
+fn a_message_rejected_by_every_attempt_returns_with_retry_after() {
     let service = always(Reply::wait(503, "0.05"));
     let front = front(service.address, None);
     let answer = post(&front, "a", &[("TTL", "0")], b"x");
@@ -389,8 +392,8 @@
     })
     .expect("platform");
     let config = common::config(&common::list(1, &[]), platform.address);
-    let mut reactor = Reactor::new(Setup {
-        site: config.site,
+    let mut reactor = Reactor::new(ReactorOptions {
+        platform_settings: config.platform_settings,
         listen: Some(config.listen),
         discovery: Some(config.discovery),
         known_version: config.known_version,
@@ -399,11 +402,11 @@
     })
     .expect("the sender starts");
     let (clients, pushes) = reactor.addresses();
-    let halter = reactor.halter().expect("halter");
+    let stop_handle = reactor.stop_handle().expect("halter");
     thread::spawn(move || reactor.run(Vec::new));
     let front = Front {
         address: pushes.expect("it listens"),
-        halter,
+        stop_handle,
     };
     // The second watch shows that the new list has been taken.
     assert!(platform.wait_for(2, SOON));
--- a/crates/daemon/src/clients.rs
+++ b/crates/daemon/src/client_protocol.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::config::Site;
+use crate::config::PlatformSettings;
 use cranehill_core::{Answer, Message, Origin};
 
 /// The largest body of a message, and room for the words before it.
@@ -131,7 +131,7 @@
 
 /// Reads a message's list of names and values. `key` is the request's first argument.
 pub fn message(
-    site: &Site,
+    platform_settings: &PlatformSettings,
     from: usize,
     key: &[u8],
     id: String,
@@ -144,8 +144,8 @@
     for pair in names.split(',').filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once('=').ok_or("a name without a value")?;
         match name {
-            "c" => class = Some(site.class(value).ok_or("class not known")?),
-            "t" => tenant = Some(site.tenant(value).ok_or("station not known")?),
+            "c" => class = Some(platform_settings.class(value).ok_or("class not known")?),
+            "t" => tenant = Some(platform_settings.tenant(value).ok_or("station not known")?),
             "d" => left = Some(value.parse::<u64>().map_err(|_| "time left not a number")?),
             "dest" => {
                 destination = Some(
@@ -164,7 +164,7 @@
         }
     }
     let class = class.ok_or("class missing")?;
-    let spec = &site.settings.classes[class];
+    let spec = &platform_settings.settings.classes[class];
     let ordering_key = if spec.in_order {
         ordering_key(first_argument)?
     } else {
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -8,23 +8,27 @@
 use cranehill_scheduler::profile::{Names, Profile};
 use serde::Deserialize;
 
-use crate::directory;
+use crate::discovery_protocol;
 use cranehill_core::Listing;
 
 /// The deployment's settings and the names on its wires.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct PlatformSettings {
     pub settings: Settings,
     pub names: Names,
     classes: HashMap<String, usize>,
     tenants: HashMap<String, usize>,
 }
 
-impl Site {
-    pub fn new(settings: Settings, names: Names) -> Site {
-        let places = |n: &[String]| n.iter().enumerate().map(|(i, n)| (n.clone(), i)).collect();
-        let (classes, tenants) = (places(&names.classes), places(&names.tenants));
-        Site {
+impl PlatformSettings {
+    pub fn new(settings: Settings, names: Names) -> PlatformSettings {
+        let connection_limits =
+            |n: &[String]| n.iter().enumerate().map(|(i, n)| (n.clone(), i)).collect();
+        let (classes, tenants) = (
+            connection_limits(&names.classes),
+            connection_limits(&names.tenants),
+        );
+        PlatformSettings {
             settings,
             names,
             classes,
@@ -73,7 +77,7 @@
     pub state: PathBuf,
     pub seed: u64,
     pub limits: Limits,
-    pub site: Site,
+    pub platform_settings: PlatformSettings,
     pub known_version: u64,
     pub known: Vec<Listing>,
 }
@@ -89,7 +93,7 @@
     seed: serde_json::Value,
     #[serde(default)]
     limits: Limits,
-    known: Option<directory::List>,
+    known: Option<discovery_protocol::List>,
     settings: Profile,
 }
 
@@ -116,13 +120,13 @@
 pub fn parse(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
     let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let names = file.settings.names();
-    let site = Site::new(file.settings.into_settings()?, names);
+    let platform_settings = PlatformSettings::new(file.settings.into_settings()?, names);
     let seed = match &file.seed {
         serde_json::Value::String(s) => u64::from_str_radix(s, 16).unwrap_or(0),
         other => other.as_u64().unwrap_or(0),
     };
     let (known_version, known) = match file.known {
-        Some(list) => (list.version, list.into_listings(&site)?),
+        Some(list) => (list.version, list.into_listings(&platform_settings)?),
         None => (0, Vec::new()),
     };
     let listen = address("listen", var("NODE_LISTEN").or(file.listen))?;
@@ -145,7 +149,7 @@
         state: var("NODE_STATE").ok_or("NODE_STATE: not set")?.into(),
         seed,
         limits: file.limits,
-        site,
+        platform_settings,
         known_version,
         known,
     })
--- a/crates/daemon/src/link.rs
+++ b/crates/daemon/src/connection.rs
@@ -7,7 +7,7 @@
 use cranehill_scheduler::api::EndpointId;
 use mio::net::TcpStream;
 
-use crate::{clients, http};
+use crate::{client_protocol, http};
 use cranehill_core::Attempt;
 
 /// What an answer may take besides its body: the head, and the framing of chunks.
@@ -16,7 +16,7 @@
 pub const ANSWER_MOST: usize = http::BODY_MOST + HEAD_ROOM;
 
 /// A call that is out.
-pub struct Out {
+pub struct InFlightCall {
     pub attempts: Vec<Attempt>,
     pub ids: Vec<String>,
     pub started: Time,
@@ -24,7 +24,7 @@
     pub delivered: bool,
 }
 
-impl Out {
+impl InFlightCall {
     /// When the wait for its answer ends.
     pub fn until(&self) -> Option<Time> {
         self.attempts.iter().map(|a| a.until).min()
@@ -42,7 +42,7 @@
     }
 }
 
-pub enum Role {
+pub enum ConnectionKind {
     Client {
         busy: bool,
     },
@@ -53,7 +53,7 @@
     Destination {
         endpoint: EndpointId,
         address: String,
-        call: Option<Out>,
+        call: Option<InFlightCall>,
         /// A probe, not a call.
         check: Option<Time>,
     },
@@ -72,24 +72,24 @@
     },
 }
 
-impl Role {
+impl ConnectionKind {
     /// For the log.
     pub fn name(&self) -> &'static str {
         match self {
-            Role::Client { .. } => "client",
-            Role::Pusher { .. } => "app partner",
-            Role::Destination { .. } => "partner",
-            Role::Ending { .. } => "ending client",
-            Role::Directory { .. } => "directory",
-            Role::FinalReports => "closing reports",
-            Role::Operator { .. } => "operator",
+            ConnectionKind::Client { .. } => "client",
+            ConnectionKind::Pusher { .. } => "app partner",
+            ConnectionKind::Destination { .. } => "partner",
+            ConnectionKind::Ending { .. } => "ending client",
+            ConnectionKind::Directory { .. } => "directory",
+            ConnectionKind::FinalReports => "closing reports",
+            ConnectionKind::Operator { .. } => "operator",
         }
     }
 }
 
-pub struct Link {
+pub struct Connection {
     pub stream: TcpStream,
-    pub role: Role,
+    pub kind: ConnectionKind,
     pub input: Vec<u8>,
     pub output: Vec<u8>,
     pub written: usize,
@@ -109,11 +109,11 @@
     pub close_after: bool,
 }
 
-impl Link {
+impl Connection {
     pub fn room(&self) -> usize {
-        match self.role {
-            Role::Client { .. } => clients::REQUEST_MOST,
-            Role::Directory { body_most } => body_most + HEAD_ROOM,
+        match self.kind {
+            ConnectionKind::Client { .. } => client_protocol::REQUEST_MOST,
+            ConnectionKind::Directory { body_most } => body_most + HEAD_ROOM,
             _ => ANSWER_MOST,
         }
     }
--- a/crates/daemon/src/by_endpoint.rs
+++ b/crates/daemon/src/connection_index.rs
@@ -4,18 +4,18 @@
 
 use cranehill_scheduler::api::EndpointId;
 
-use crate::link::Role;
+use crate::connection::ConnectionKind;
 
 /// Connections to endpoints, by endpoint.
 #[derive(Debug, Default)]
-pub struct ByEndpoint {
+pub struct ConnectionIndex {
     connections: BTreeMap<EndpointId, BTreeSet<usize>>,
 }
 
-impl ByEndpoint {
+impl ConnectionIndex {
     /// A connection was opened.
-    pub fn add(&mut self, role: &Role, connection: usize) {
-        if let Role::Destination { endpoint, .. } = role {
+    pub fn add(&mut self, kind: &ConnectionKind, connection: usize) {
+        if let ConnectionKind::Destination { endpoint, .. } = kind {
             self.connections
                 .entry(endpoint.clone())
                 .or_default()
@@ -24,8 +24,8 @@
     }
 
     /// A connection is closed.
-    pub fn remove(&mut self, role: &Role, connection: usize) {
-        let Role::Destination { endpoint, .. } = role else {
+    pub fn remove(&mut self, kind: &ConnectionKind, connection: usize) {
+        let ConnectionKind::Destination { endpoint, .. } = kind else {
             return;
         };
         let Some(connections) = self.connections.get_mut(endpoint) else {
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/discovery_protocol.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use crate::config::Site;
+use crate::config::PlatformSettings;
 use crate::http;
 use cranehill_core::Listing;
 
@@ -71,16 +71,19 @@
 }
 
 impl List {
-    pub fn into_listings(self, site: &Site) -> Result<Vec<Listing>, String> {
+    pub fn into_listings(
+        self,
+        platform_settings: &PlatformSettings,
+    ) -> Result<Vec<Listing>, String> {
         self.servers
             .into_iter()
-            .map(|row| row.into_listing(site))
+            .map(|row| row.into_listing(platform_settings))
             .collect()
     }
 }
 
 impl Row {
-    fn into_listing(self, site: &Site) -> Result<Listing, String> {
+    fn into_listing(self, platform_settings: &PlatformSettings) -> Result<Listing, String> {
         let condition = match self.state.as_str() {
             "up" => Condition::Ready,
             "draining" => Condition::Draining,
@@ -93,9 +96,9 @@
                 endpoint: EndpointId(self.id),
                 destination: DestinationId(self.cell),
                 condition,
-                zone: place(&site.names.zones, &self.zone).unwrap_or(0) as u32,
+                zone: place(&platform_settings.names.zones, &self.zone).unwrap_or(0) as u32,
                 // A kind that the settings don't name is taken as one that batches nothing.
-                kind: place(&site.names.kinds, &self.kind).unwrap_or(usize::MAX),
+                kind: place(&platform_settings.names.kinds, &self.kind).unwrap_or(usize::MAX),
                 rate: self
                     .weight
                     .as_f64()
@@ -120,7 +123,10 @@
 
 /// The list in an answer. An entry that can't be read is left out and told; a list of which none can be read is an error,
 /// since as a whole list it would leave no endpoint at all.
-pub fn read(response: &http::Response, site: &Site) -> Result<ParsedList, String> {
+pub fn read(
+    response: &http::Response,
+    platform_settings: &PlatformSettings,
+) -> Result<ParsedList, String> {
     if response.status != 200 {
         return Err(format!("the directory answered {}", response.status));
     }
@@ -129,7 +135,7 @@
     let (mut list, mut unread) = (Vec::new(), Vec::new());
     for (place, entry) in loose.servers.into_iter().take(ENTRIES_MOST).enumerate() {
         let row = serde_json::from_str::<Row>(entry.get()).map_err(|e| e.to_string());
-        match row.and_then(|row| row.into_listing(site)) {
+        match row.and_then(|row| row.into_listing(platform_settings)) {
             Ok(listing) => list.push(listing),
             Err(why) => unread.push(format!("entry {place}: {why}")),
         }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -10,7 +10,7 @@
 use cranehill_zone_failover as zones;
 use serde::Deserialize;
 
-use crate::file::{self, Span};
+use crate::time_span::{self, Span};
 
 /// Shorter periods would be spent on the probes themselves, longer ones find a failure too late to be of use.
 const PERIODS: [Duration; 2] = [Duration::from_millis(50), Duration::from_secs(60)];
@@ -136,7 +136,7 @@
 
 /// Reads the file.
 pub fn parse(text: &str) -> Result<File, String> {
-    file::parse(text)
+    time_span::parse(text)
 }
 
 impl File {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -2,18 +2,18 @@
 //! `clients`, `destinations`, `directory`, `final_report` and `webpush` each say how one peer speaks, without I/O.
 #![forbid(unsafe_code)]
 
-mod by_endpoint;
-pub mod clients;
+pub mod client_protocol;
 pub mod config;
-pub mod destinations;
-pub mod directory;
-mod file;
-pub mod final_report;
+mod connection;
+mod connection_index;
+pub mod destination_protocol;
+pub mod discovery_protocol;
+pub mod final_report_protocol;
 pub mod fleet;
 mod handover;
 pub mod http;
-mod link;
 pub mod reactor;
 mod state_file;
+mod time_span;
 pub mod watch;
 pub mod webpush;
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -5,9 +5,7 @@
 //! out what the core asks for, `due` keeps the times, `journal` opens the journal and looks after it, `shutdown`
 //! has the steps to the end.
 
-mod calls;
 mod client_ingress;
-mod due;
 mod effects;
 mod fleet;
 mod handover;
@@ -15,6 +13,8 @@
 mod operator;
 mod platform;
 mod shutdown;
+mod timers;
+mod upstream;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, ErrorKind};
@@ -29,16 +29,16 @@
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 
-use crate::by_endpoint::ByEndpoint;
-use crate::clients;
-use crate::config::Site;
-use crate::destinations::{self, DestinationResponse, Verdict};
-use crate::directory;
-use crate::final_report::{self, Reports};
+use crate::client_protocol;
+use crate::config::PlatformSettings;
+use crate::connection::{ANSWER_MOST, Clock, Connection, ConnectionKind, InFlightCall, consume};
+use crate::connection_index::ConnectionIndex;
+use crate::destination_protocol::{self, DestinationResponse, Verdict};
+use crate::discovery_protocol;
+use crate::final_report_protocol::{self, Reports};
 use crate::fleet::Fleet;
 use crate::handover as handover_exchange;
 use crate::http;
-use crate::link::{ANSWER_MOST, Clock, Link, Out, Role, consume};
 use crate::state_file;
 use crate::watch::{Failure, Watch};
 use crate::webpush::{self, Push};
@@ -51,23 +51,23 @@
 const PUSHES: Token = Token(1);
 /// For the caller's signals.
 pub const SIGNALS: Token = Token(2);
-const HALT: Token = Token(3);
+const STOP: Token = Token(3);
 const FLEET: Token = Token(4);
 const STATUS: Token = Token(5);
 const OPERATOR: Token = Token(6);
 const HANDOVER: Token = Token(7);
-const FIRST_LINK: usize = 16;
+const FIRST_CONNECTION: usize = 16;
 /// Descriptors that are neither clients' nor destinations': the listeners, the poll, signals, the directory, the
 /// reports, the journal's head and what it reads or writes besides, the fleet and who asks for its view.
-const KEPT_SOCKETS: usize = 24;
+const RESERVED_SOCKETS: usize = 24;
 /// Connections to destinations kept idle besides the calls that may be out.
 const IDLE_SOCKETS: usize = 32;
 
 const COMPACTION_WARNING_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What a running sender is made of.
-pub struct Setup {
-    pub site: Site,
+pub struct ReactorOptions {
+    pub platform_settings: PlatformSettings,
     pub seed: u64,
     /// The folder that lasts.
     pub state: Option<State>,
@@ -84,7 +84,7 @@
     /// Bytes that the process may use.
     pub memory: usize,
     /// Reads the configuration again and tells where the directory is now.
-    pub reread: Option<Reread>,
+    pub read_config: Option<ConfigReader>,
 }
 
 /// The folder that lasts.
@@ -96,12 +96,12 @@
     pub key: Option<Key>,
 }
 
-/// See [`Setup::reread`].
-pub type Reread = Box<dyn FnMut() -> Result<SocketAddr, String> + Send>;
+/// See [`ReactorOptions::read_config`].
+pub type ConfigReader = Box<dyn FnMut() -> Result<SocketAddr, String> + Send>;
 
 /// What the process is told by signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum ControlCommand {
     /// Begin the end, as on SIGTERM.
     Stop,
     /// Read the configuration again, as on SIGHUP.
@@ -111,7 +111,7 @@
 pub struct Reactor {
     poll: Poll,
     clock: Clock,
-    site: Site,
+    platform_settings: PlatformSettings,
     core: Core,
     journal: Option<Journal<Folder>>,
     push: Option<Push>,
@@ -127,9 +127,9 @@
     handover: Option<handover::End>,
     /// Since when operators have this sender emptied.
     draining_since: Option<Time>,
-    links: BTreeMap<usize, Link>,
-    by_endpoint: ByEndpoint,
-    next_link: usize,
+    connections: BTreeMap<usize, Connection>,
+    connection_index: ConnectionIndex,
+    next_connection: usize,
     clients_most: usize,
     max_destination_connections: usize,
     /// A connection to a destination that was idle for longer is not written to.
@@ -144,7 +144,7 @@
     /// Messages refused for want of room in the journal since the log last told.
     rejected_messages: u64,
     next_rejection_warning: Time,
-    reread: Option<Reread>,
+    read_config: Option<ConfigReader>,
     /// When to read the configuration again, and until when to try.
     reload: Option<(Time, Time)>,
     discovery: Option<SocketAddr>,
@@ -165,19 +165,19 @@
     accept_again: Option<Time>,
     /// Connections with more to deal with at the next turn.
     resume: Vec<usize>,
-    halted: Arc<AtomicBool>,
+    stop_requested: Arc<AtomicBool>,
 }
 
-/// See [`Reactor::halter`].
+/// See [`Reactor::stop_handle`].
 #[derive(Clone)]
-pub struct Halter {
-    halted: Arc<AtomicBool>,
+pub struct StopHandle {
+    stop_requested: Arc<AtomicBool>,
     waker: Arc<mio::Waker>,
 }
 
-impl Halter {
-    pub fn halt(&self) {
-        self.halted.store(true, Ordering::Relaxed);
+impl StopHandle {
+    pub fn stop(&self) {
+        self.stop_requested.store(true, Ordering::Relaxed);
         if let Err(e) = self.waker.wake() {
             log::error!("halt: {e}");
         }
@@ -187,8 +187,8 @@
 /// How many connections clients, and destinations, may have. Clients get what the calls that may be out leave, but
 /// always enough for the third of the descriptors that their requests may take and as much again for those
 /// who ask nothing.
-fn places(sockets: usize, slots: usize) -> (usize, usize) {
-    let free = sockets.saturating_sub(KEPT_SOCKETS);
+fn connection_limits(sockets: usize, slots: usize) -> (usize, usize) {
+    let free = sockets.saturating_sub(RESERVED_SOCKETS);
     let clients = free
         .saturating_sub(slots + IDLE_SOCKETS)
         .clamp(sockets * 9 / 20, sockets * 2 / 3);
@@ -212,9 +212,9 @@
 
 impl Reactor {
     /// Takes up what the journal holds, then listens.
-    pub fn new(setup: Setup) -> Result<Reactor, String> {
-        let Setup {
-            mut site,
+    pub fn new(options: ReactorOptions) -> Result<Reactor, String> {
+        let ReactorOptions {
+            mut platform_settings,
             seed,
             state,
             listen,
@@ -223,25 +223,25 @@
             known,
             push,
             ..
-        } = setup;
-        let operators = setup.operator.map_or(0, |_| operator::MOST + 1);
-        let (clients_most, max_destination_connections) = places(
-            setup.sockets.saturating_sub(operators),
-            site.settings.slots as usize,
+        } = options;
+        let operators = options.operator.map_or(0, |_| operator::MOST + 1);
+        let (clients_most, max_destination_connections) = connection_limits(
+            options.sockets.saturating_sub(operators),
+            platform_settings.settings.slots as usize,
         );
         let poll = Poll::new().map_err(|e| format!("poll: {e}"))?;
         let mut clock = Clock::new();
         let (mut journal, mut recovered, mut state_dir) = (None, Recovered::default(), None);
         let (mut lock, mut taken) = (None, handover_exchange::InheritedSockets::default());
         // Only operators start a second process beside this one.
-        if let Some(state) = state.as_ref().filter(|_| setup.operator.is_some()) {
+        if let Some(state) = state.as_ref().filter(|_| options.operator.is_some()) {
             let (own, all) = handover_exchange::take(&state.dir)?;
             (lock, taken) = (Some(own), all);
         }
-        let remembers = setup.fleet.as_ref().is_some_and(|f| f.recovery.is_some());
+        let remembers = options.fleet.as_ref().is_some_and(|f| f.recovery.is_some());
         if let Some(mut state) = state {
             state_dir = Some(state.dir.clone());
-            if setup.operator.is_some() {
+            if options.operator.is_some() {
                 state.disk = state.disk.saturating_sub(state_file::DETACHED.disk());
             }
             if remembers {
@@ -254,13 +254,16 @@
         clock.not_before(Duration::from_millis(recovered.latest));
         let now = clock.now();
         let push_listen = push.as_ref().and_then(webpush::File::listen);
-        let push = push.map(|file| Push::new(file, &mut site)).transpose()?;
-        let mut core = Core::new(site.settings.clone(), seed, now).map_err(|e| e.to_string())?;
+        let push = push
+            .map(|file| Push::new(file, &mut platform_settings))
+            .transpose()?;
+        let mut core =
+            Core::new(platform_settings.settings.clone(), seed, now).map_err(|e| e.to_string())?;
         let mut list = known;
         list.extend(push.iter().flat_map(Push::listings));
         core.step(now, Input::EndpointsChanged { whole: true, list });
         let mut fleet_end = None;
-        if let Some(fleet) = setup.fleet {
+        if let Some(fleet) = options.fleet {
             fleet_end = Some(fleet::End::open(&fleet, poll.registry(), now)?);
             core.join(fleet.settings, seed.rotate_left(32));
             if let Some(settings) = fleet.zones {
@@ -280,7 +283,7 @@
             now,
             Input::Recovered(std::mem::take(&mut recovered.records)),
         );
-        let set = &site.settings;
+        let set = &platform_settings.settings;
         let watch = Watch::new(
             known_version,
             set.instances,
@@ -291,7 +294,7 @@
         let mut reactor = Reactor {
             poll,
             clock,
-            site,
+            platform_settings,
             core,
             journal,
             push,
@@ -304,19 +307,19 @@
             _lock: lock,
             handover: None,
             draining_since: None,
-            links: BTreeMap::new(),
-            by_endpoint: ByEndpoint::default(),
-            next_link: FIRST_LINK,
+            connections: BTreeMap::new(),
+            connection_index: ConnectionIndex::default(),
+            next_connection: FIRST_CONNECTION,
             clients_most,
             max_destination_connections,
             trusted_idle: Duration::MAX,
-            unread_most: setup.memory / 8,
-            list_body_most: directory::body_most(setup.memory),
+            unread_most: options.memory / 8,
+            list_body_most: discovery_protocol::body_most(options.memory),
             evicted_connections: 0,
             next_eviction_warning: now,
             rejected_messages: 0,
             next_rejection_warning: now,
-            reread: setup.reread,
+            read_config: options.read_config,
             reload: None,
             discovery,
             watch,
@@ -332,7 +335,7 @@
             sending_stopped: false,
             accept_again: None,
             resume: Vec::new(),
-            halted: Arc::default(),
+            stop_requested: Arc::default(),
         };
         reactor.carry_out(effects);
         let (held, reports) = reactor.core.outstanding();
@@ -354,7 +357,7 @@
             });
             log::info!("listening for clients at {}", shown(&reactor.clients));
         }
-        if let Some(address) = setup.operator {
+        if let Some(address) = options.operator {
             reactor.operators = Some(reactor.listen(address, OPERATOR)?);
             log::info!("listening for operators at {}", shown(&reactor.operators));
         }
@@ -368,7 +371,7 @@
         if let Some(dir) = reactor
             .state_dir
             .as_deref()
-            .filter(|_| setup.operator.is_some())
+            .filter(|_| options.operator.is_some())
         {
             reactor.handover = handover::End::open(dir, reactor.poll.registry());
         }
@@ -412,10 +415,10 @@
     }
 
     /// A handle that ends [`Reactor::run`] from another thread, at once and without the steps of a SIGTERM.
-    pub fn halter(&self) -> io::Result<Halter> {
-        let waker = mio::Waker::new(self.poll.registry(), HALT)?;
-        Ok(Halter {
-            halted: self.halted.clone(),
+    pub fn stop_handle(&self) -> io::Result<StopHandle> {
+        let waker = mio::Waker::new(self.poll.registry(), STOP)?;
+        Ok(StopHandle {
+            stop_requested: self.stop_requested.clone(),
             waker: Arc::new(waker),
         })
     }
@@ -431,16 +434,16 @@
     }
 
     /// Serves until stopped. `orders` is asked after each wake-up what else to do.
-    pub fn run(&mut self, mut orders: impl FnMut() -> Vec<Order>) -> io::Result<()> {
+    pub fn run(&mut self, mut orders: impl FnMut() -> Vec<ControlCommand>) -> io::Result<()> {
         let mut events = Events::with_capacity(512);
         loop {
             for order in orders() {
                 match order {
-                    Order::Stop => self.stop(),
-                    Order::Reload => self.on_reload(),
+                    ControlCommand::Stop => self.stop(),
+                    ControlCommand::Reload => self.on_reload(),
                 }
             }
-            if self.halted.load(Ordering::Relaxed) {
+            if self.stop_requested.load(Ordering::Relaxed) {
                 return Ok(());
             }
             if self.turn(&mut events)? {
@@ -473,21 +476,21 @@
         for token in tokens {
             match token {
                 CLIENTS | PUSHES => self.accept(token),
-                SIGNALS | HALT => {}
+                SIGNALS | STOP => {}
                 HANDOVER => self.handover.iter_mut().for_each(|end| end.called = true),
                 FLEET => self.hear_fleet(),
                 STATUS | OPERATOR => self.accept_operators(token),
-                Token(link) => self.pump(link),
+                Token(connection) => self.pump(connection),
             }
         }
-        for link in std::mem::take(&mut self.resume) {
-            self.pump(link);
+        for connection in std::mem::take(&mut self.resume) {
+            self.pump(connection);
         }
         self.timers();
         self.empty();
         let now = self.clock.now();
         // The decisions run once a tick, as in the simulator: what comes in together is decided together.
-        if self.dirty && now - self.last_turn >= self.site.settings.tick {
+        if self.dirty && now - self.last_turn >= self.platform_settings.settings.tick {
             self.last_turn = now;
             self.dirty = false;
             let effects = self.core.step(now, Input::TickEnded);
@@ -500,22 +503,27 @@
         Ok(self.pass_on() || self.wind_down())
     }
 
-    fn add_link(&mut self, mut stream: TcpStream, role: Role, up: bool) -> io::Result<usize> {
-        let link = self.next_link;
-        self.next_link += 1;
+    fn add_connection(
+        &mut self,
+        mut stream: TcpStream,
+        kind: ConnectionKind,
+        up: bool,
+    ) -> io::Result<usize> {
+        let connection = self.next_connection;
+        self.next_connection += 1;
         self.poll.registry().register(
             &mut stream,
-            Token(link),
+            Token(connection),
             Interest::READABLE | Interest::WRITABLE,
         )?;
         let now = self.clock.now();
         let _ = stream.set_nodelay(true);
-        self.by_endpoint.add(&role, link);
-        self.links.insert(
-            link,
-            Link {
+        self.connection_index.add(&kind, connection);
+        self.connections.insert(
+            connection,
+            Connection {
                 stream,
-                role,
+                kind,
                 input: Vec::new(),
                 output: Vec::new(),
                 written: 0,
@@ -530,75 +538,80 @@
                 close_after: false,
             },
         );
-        Ok(link)
+        Ok(connection)
     }
 
-    fn drop_link(&mut self, link: usize) -> Option<Link> {
-        let id = link;
-        let mut link = self.links.remove(&link)?;
-        self.by_endpoint.remove(&link.role, id);
+    fn drop_connection(&mut self, connection: usize) -> Option<Connection> {
+        let id = connection;
+        let mut connection = self.connections.remove(&connection)?;
+        self.connection_index.remove(&connection.kind, id);
         log::trace!(
             "connection {id}: {} closed, ended by the other side: {}, {} bytes read, {} not written",
-            link.role.name(),
-            link.ended,
-            link.input.len(),
-            link.output.len() - link.written
+            connection.kind.name(),
+            connection.ended,
+            connection.input.len(),
+            connection.output.len() - connection.written
         );
-        let _ = self.poll.registry().deregister(&mut link.stream);
-        Some(link)
+        let _ = self.poll.registry().deregister(&mut connection.stream);
+        Some(connection)
     }
 
     /// Moves bytes on a connection and deals with what has come.
     fn pump(&mut self, id: usize) {
-        let Some(link) = self.links.get(&id) else {
+        let Some(connection) = self.connections.get(&id) else {
             return;
         };
-        if calls::write_by(link).is_some_and(|t| t <= self.clock.now()) {
+        if upstream::write_by(connection).is_some_and(|t| t <= self.clock.now()) {
             log::debug!("connection {id}: a call is not sent, it may not be repeated any more");
             self.withhold(id);
         }
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        match link.check_up() {
+        match connection.check_up() {
             Ok(true) => {}
             Ok(false) => return,
             Err(e) => return self.broken(id, &e.to_string()),
         }
-        let due = !link.written_out();
-        let flushed = link.flush();
-        if due && link.written_out() && matches!(link.role, Role::Destination { .. }) {
+        let due = !connection.written_out();
+        let flushed = connection.flush();
+        if due
+            && connection.written_out()
+            && matches!(connection.kind, ConnectionKind::Destination { .. })
+        {
             log::trace!("connection {id}: all of the call is written");
         }
-        let before = link.input.len();
-        link.fill();
-        if link.input.len() > before {
+        let before = connection.input.len();
+        connection.fill();
+        if connection.input.len() > before {
             let now = self.clock.now();
-            if !matches!(link.role, Role::Directory { .. }) {
-                link.used = now;
+            if !matches!(connection.kind, ConnectionKind::Directory { .. }) {
+                connection.used = now;
             }
             // A request has begun; the first one's time runs from the connecting.
-            if before == 0 && link.asked && link.written_out() {
-                link.since = now;
+            if before == 0 && connection.asked && connection.written_out() {
+                connection.since = now;
             }
         }
-        match link.role {
-            Role::Client { .. } => self.on_client(id),
-            Role::Pusher { .. } => self.on_pusher(id),
-            Role::Destination { .. } => self.on_destination(id, !flushed),
-            Role::Directory { .. } | Role::FinalReports => self.on_platform(id, !flushed),
-            Role::Operator { .. } => self.on_operator(id),
-            Role::Ending { .. } => self.on_ending(id),
+        match connection.kind {
+            ConnectionKind::Client { .. } => self.on_client(id),
+            ConnectionKind::Pusher { .. } => self.on_pusher(id),
+            ConnectionKind::Destination { .. } => self.on_destination(id, !flushed),
+            ConnectionKind::Directory { .. } | ConnectionKind::FinalReports => {
+                self.on_platform(id, !flushed)
+            }
+            ConnectionKind::Operator { .. } => self.on_operator(id),
+            ConnectionKind::Ending { .. } => self.on_ending(id),
         }
     }
 
     /// The connection never came up.
     fn broken(&mut self, id: usize, why: &str) {
-        let Some(link) = self.drop_link(id) else {
+        let Some(connection) = self.drop_connection(id) else {
             return;
         };
-        match link.role {
-            Role::Destination {
+        match connection.kind {
+            ConnectionKind::Destination {
                 endpoint,
                 call: Some(out),
                 ..
@@ -609,7 +622,7 @@
                     &DestinationResponse::all(Verdict::of(Status::NoConnection)),
                 );
             }
-            Role::Destination {
+            ConnectionKind::Destination {
                 endpoint,
                 check: Some(_),
                 ..
@@ -619,13 +632,13 @@
                     status: Status::NoConnection,
                 });
             }
-            Role::Directory { .. } => self.watch_failed(why, Failure::ConnectFailed),
-            Role::FinalReports => self.report_later(),
-            Role::Destination { .. }
-            | Role::Client { .. }
-            | Role::Pusher { .. }
-            | Role::Ending { .. }
-            | Role::Operator { .. } => {}
+            ConnectionKind::Directory { .. } => self.watch_failed(why, Failure::ConnectFailed),
+            ConnectionKind::FinalReports => self.report_later(),
+            ConnectionKind::Destination { .. }
+            | ConnectionKind::Client { .. }
+            | ConnectionKind::Pusher { .. }
+            | ConnectionKind::Ending { .. }
+            | ConnectionKind::Operator { .. } => {}
         }
     }
 }
--- a/crates/daemon/src/reactor/client_ingress.rs
+++ b/crates/daemon/src/reactor/client_ingress.rs
@@ -24,61 +24,65 @@
 /// A request that has not come whole is much from here on.
 const MUCH: usize = 8 * 1024;
 
-/// How long we wait for a client from [`Link::since`] on.
-pub(super) fn patience(link: &Link) -> Duration {
+/// How long we wait for a client from [`Connection::since`] on.
+pub(super) fn patience(connection: &Connection) -> Duration {
     match () {
-        () if !link.written_out() => SLOW_CLIENT,
-        () if !link.asked => FIRST_REQUEST,
-        () if !link.input.is_empty() => SLOW_CLIENT,
+        () if !connection.written_out() => SLOW_CLIENT,
+        () if !connection.asked => FIRST_REQUEST,
+        () if !connection.input.is_empty() => SLOW_CLIENT,
         () => IDLE_CLIENT,
     }
 }
 
-pub(super) fn of_client(link: &Link) -> bool {
+pub(super) fn of_client(connection: &Connection) -> bool {
     matches!(
-        link.role,
-        Role::Client { .. } | Role::Pusher { .. } | Role::Ending { .. }
+        connection.kind,
+        ConnectionKind::Client { .. }
+            | ConnectionKind::Pusher { .. }
+            | ConnectionKind::Ending { .. }
     )
 }
 
 /// Whether nothing is open on a client's connection, so that it may end at any time.
-pub(super) fn free(link: &Link) -> bool {
+pub(super) fn free(connection: &Connection) -> bool {
     let waits = matches!(
-        link.role,
-        Role::Client { busy: false } | Role::Pusher { busy: None, .. } | Role::Ending { .. }
+        connection.kind,
+        ConnectionKind::Client { busy: false }
+            | ConnectionKind::Pusher { busy: None, .. }
+            | ConnectionKind::Ending { .. }
     );
-    waits && link.written_out()
+    waits && connection.written_out()
 }
 
 /// Whether a client must still hear from us, or we from it, before the process may end. Who waits for a push's end is told
 /// at the end.
-pub(super) fn open(link: &Link) -> bool {
-    match &link.role {
-        Role::Ending { .. } => true,
-        Role::Pusher { busy: Some(_), .. } => false,
-        _ => of_client(link) && !free(link),
+pub(super) fn open(connection: &Connection) -> bool {
+    match &connection.kind {
+        ConnectionKind::Ending { .. } => true,
+        ConnectionKind::Pusher { busy: Some(_), .. } => false,
+        _ => of_client(connection) && !free(connection),
     }
 }
 
 /// Whether a client has sent nothing yet beyond what was dealt with: what is unread must not go with its connection.
-fn nothing_unread(link: &mut Link) -> bool {
-    link.fill();
-    link.input.is_empty()
+fn nothing_unread(connection: &mut Connection) -> bool {
+    connection.fill();
+    connection.input.is_empty()
 }
 
 /// In which order connections without a request end where places run out: those that are ending; those that never asked, once they
 /// had time to; those that may end at any time by the platform's rules; who asked lately; and fresh ones, whose
 /// request is on its way and would fail. When a sender stops, all its clients come to another at once.
-fn spared(link: &Link, now: Time) -> (u8, Time) {
-    let waited = now - link.since;
-    let class = match link.asked {
-        _ if matches!(link.role, Role::Ending { .. }) => 0,
+fn spared(connection: &Connection, now: Time) -> (u8, Time) {
+    let waited = now - connection.since;
+    let class = match connection.asked {
+        _ if matches!(connection.kind, ConnectionKind::Ending { .. }) => 0,
         false if waited >= FRESH => 1,
         true if waited >= SLOW_CLIENT => 2,
         true => 3,
         false => 4,
     };
-    (class, link.since)
+    (class, connection.since)
 }
 
 impl Reactor {
@@ -111,15 +115,15 @@
             if !self.make_place() {
                 continue;
             }
-            let role = match token {
-                CLIENTS => Role::Client { busy: false },
-                _ => Role::Pusher {
+            let kind = match token {
+                CLIENTS => ConnectionKind::Client { busy: false },
+                _ => ConnectionKind::Pusher {
                     busy: None,
                     close: false,
                 },
             };
-            match self.add_link(stream, role, true) {
-                Ok(link) => self.pump(link),
+            match self.add_connection(stream, kind, true) {
+                Ok(connection) => self.pump(connection),
                 Err(e) => log::error!("accept: {e}"),
             }
         }
@@ -130,7 +134,7 @@
     /// Guards the places against those who connect and ask nothing, or ask once and stay: when all are taken,
     /// the connection least likely to be used ends. False if each has a request open.
     fn make_place(&mut self) -> bool {
-        if self.links.values().filter(|l| of_client(l)).count() < self.clients_most {
+        if self.connections.values().filter(|l| of_client(l)).count() < self.clients_most {
             return true;
         }
         self.evicted_connections += 1;
@@ -147,15 +151,15 @@
         }
         for _ in 0..CHOICES {
             let idlest = self
-                .links
+                .connections
                 .iter()
                 .filter(|(_, l)| free(l))
                 .min_by_key(|(_, l)| spared(l, now));
             let Some((&id, _)) = idlest else { return false };
             // A request that has come and was not read yet must not be lost with its connection.
             self.pump(id);
-            if self.links.get(&id).is_none_or(free) {
-                self.drop_link(id);
+            if self.connections.get(&id).is_none_or(free) {
+                self.drop_connection(id);
                 return true;
             }
         }
@@ -164,13 +168,15 @@
 
     /// A client has had its time. One that began a request is told why it ends.
     pub(super) fn out_of_patience(&mut self, id: usize) {
-        if let Some(link) = self
-            .links
+        if let Some(connection) = self
+            .connections
             .get(&id)
             .filter(|l| l.written_out() && !l.input.is_empty())
         {
-            let bytes = match link.role {
-                Role::Client { .. } => clients::error("the request did not come whole in time"),
+            let bytes = match connection.kind {
+                ConnectionKind::Client { .. } => {
+                    client_protocol::error("the request did not come whole in time")
+                }
                 _ => webpush::error(408, "the request did not come whole in time"),
             };
             self.say(id, &bytes);
@@ -182,28 +188,31 @@
     /// over bytes that were not read resets the connection, and takes answers along that are still on their way.
     pub(super) fn end_client(&mut self, id: usize) {
         let until = self.clock.now() + LINGER;
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         // Who has left, or does not read its answers, is not waited for.
-        if link.ended || !link.written_out() || link.stream.shutdown(Shutdown::Write).is_err() {
-            self.drop_link(id);
+        if connection.ended
+            || !connection.written_out()
+            || connection.stream.shutdown(Shutdown::Write).is_err()
+        {
+            self.drop_connection(id);
             return;
         }
-        link.role = Role::Ending { until };
+        connection.kind = ConnectionKind::Ending { until };
         self.pump(id);
     }
 
     pub(super) fn on_ending(&mut self, id: usize) {
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if link.ended {
-            self.drop_link(id);
+        if connection.ended {
+            self.drop_connection(id);
             return;
         }
-        let more = link.input.len() >= link.room();
-        link.input = Vec::new();
+        let more = connection.input.len() >= connection.room();
+        connection.input = Vec::new();
         // No event tells of what did not fit.
         if more {
             self.resume.push(id);
@@ -215,23 +224,23 @@
             return;
         }
         if mutation::is(Mutation::ClosesClients) && mutation::one_in(3) {
-            self.drop_link(id);
+            self.drop_connection(id);
             return;
         }
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        match &mut link.role {
-            Role::Client { busy } => *busy = false,
-            Role::Pusher { busy, close } => {
+        match &mut connection.kind {
+            ConnectionKind::Client { busy } => *busy = false,
+            ConnectionKind::Pusher { busy, close } => {
                 *busy = None;
-                link.close_after |= *close;
+                connection.close_after |= *close;
             }
             _ => return,
         }
         // At the end of the process, and while the sender is emptied, a connection closes between requests.
         let over = self.clients.is_none() && self.pushes.is_none() || self.draining_since.is_some();
-        link.close_after |= over && nothing_unread(link);
+        connection.close_after |= over && nothing_unread(connection);
         self.say(id, &bytes);
         // Not dealt with here: a client that pipelines what is answered at once would have us call ourselves
         // until the stack is full.
@@ -241,76 +250,79 @@
     /// Queues bytes and writes what goes at once.
     pub(super) fn say(&mut self, id: usize, bytes: &[u8]) {
         let now = self.clock.now();
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        if link.written_out() {
-            link.output.clear();
-            link.written = 0;
+        if connection.written_out() {
+            connection.output.clear();
+            connection.written = 0;
         }
-        link.output.extend_from_slice(bytes);
-        (link.used, link.since) = (now, now);
-        if !link.flush() {
+        connection.output.extend_from_slice(bytes);
+        (connection.used, connection.since) = (now, now);
+        if !connection.flush() {
             // Nobody will read it: without this the connection would wait for ever to be written to.
-            link.ended = true;
-            link.output.clear();
-            link.written = 0;
+            connection.ended = true;
+            connection.output.clear();
+            connection.written = 0;
         }
     }
 
     pub(super) fn on_client(&mut self, id: usize) {
         for _ in 0..REQUESTS_A_TURN {
-            let Some(link) = self.links.get_mut(&id) else {
+            let Some(connection) = self.connections.get_mut(&id) else {
                 return;
             };
-            let written = link.written_out();
-            let Role::Client { busy } = &mut link.role else {
+            let written = connection.written_out();
+            let ConnectionKind::Client { busy } = &mut connection.kind else {
                 return;
             };
             if *busy || !written {
                 return;
             }
-            if link.close_after {
+            if connection.close_after {
                 return self.end_client(id);
             }
-            let parsed = clients::parse(&link.input);
+            let parsed = client_protocol::parse(&connection.input);
             let request = match parsed {
                 Ok(Some((request, used))) => {
-                    consume(&mut link.input, used);
-                    link.asked = true;
+                    consume(&mut connection.input, used);
+                    connection.asked = true;
                     request
                 }
-                Ok(None) if link.ended || link.input.len() >= clients::REQUEST_MOST => {
+                Ok(None)
+                    if connection.ended
+                        || connection.input.len() >= client_protocol::REQUEST_MOST =>
+                {
                     return self.end_client(id);
                 }
                 Ok(None) => return self.check_unread(id),
-                Err(clients::Broken(why)) => {
+                Err(client_protocol::Broken(why)) => {
                     log::debug!("client: {why}");
-                    link.close_after = true;
-                    link.input.clear();
-                    self.say(id, &clients::error(why));
+                    connection.close_after = true;
+                    connection.input.clear();
+                    self.say(id, &client_protocol::error(why));
                     continue;
                 }
             };
             let link_id = id;
             let wrong = match request {
-                clients::Request::Ping if self.draining_since.is_some() => {
+                client_protocol::Request::Ping if self.draining_since.is_some() => {
                     // Who asks is told to send others elsewhere; what comes here all the same is served.
-                    link.close_after = nothing_unread(link);
-                    self.say(id, &clients::error("emptying, for operators"));
+                    connection.close_after = nothing_unread(connection);
+                    self.say(id, &client_protocol::error("emptying, for operators"));
                     continue;
                 }
-                clients::Request::Ping => {
+                client_protocol::Request::Ping => {
                     self.say(id, b"+PONG\r\n");
                     None
                 }
-                clients::Request::Quit => {
-                    link.close_after = true;
+                client_protocol::Request::Quit => {
+                    connection.close_after = true;
                     self.say(id, b"+OK\r\n");
                     None
                 }
-                clients::Request::Unknown(why) => Some(why),
-                clients::Request::Put {
+                client_protocol::Request::Unknown(why) => Some(why),
+                client_protocol::Request::Put {
                     key,
                     id: name,
                     names,
@@ -322,7 +334,14 @@
                         .journal
                         .as_mut()
                         .map_or(Ok(()), |j| j.admit(body.len()));
-                    match clients::message(&self.site, id, &key, name, &names, body) {
+                    match client_protocol::message(
+                        &self.platform_settings,
+                        id,
+                        &key,
+                        name,
+                        &names,
+                        body,
+                    ) {
                         // Accepted, it could only be given up: nobody knows where it should go.
                         Ok(message) if !self.core.knows(message.destination) => {
                             Some("destination not known")
@@ -338,7 +357,7 @@
                             None
                         }
                         Ok(_) => {
-                            let most = self.site.settings.max_retry_after;
+                            let most = self.platform_settings.settings.max_retry_after;
                             let after = room.err().map(|after| after.min(most));
                             self.rejected_messages += 1;
                             if now >= self.next_rejection_warning {
@@ -351,7 +370,10 @@
                                 (self.rejected_messages, self.next_rejection_warning) =
                                     (0, now + Duration::from_secs(1));
                             }
-                            self.say(id, &clients::answer(core::Answer::Rejected { after }));
+                            self.say(
+                                id,
+                                &client_protocol::answer(core::Answer::Rejected { after }),
+                            );
                             None
                         }
                         Err(why) => Some(why),
@@ -359,16 +381,16 @@
                 }
             };
             if let Some(why) = wrong {
-                if let Some(link) = self.links.get_mut(&id) {
-                    link.faults += 1;
+                if let Some(connection) = self.connections.get_mut(&id) {
+                    connection.faults += 1;
                     // Who sends nothing else would have us answer at its full speed.
-                    link.close_after |= link.faults >= FAULTS_MOST;
+                    connection.close_after |= connection.faults >= FAULTS_MOST;
                 }
-                self.say(id, &clients::error(why));
+                self.say(id, &client_protocol::error(why));
             }
             // More may have waited for room in the buffer.
-            if let Some(link) = self.links.get_mut(&id) {
-                link.fill();
+            if let Some(connection) = self.connections.get_mut(&id) {
+                connection.fill();
             }
         }
         // The rest waits: one client's stream of requests must not keep the others from their turn.
@@ -377,9 +399,12 @@
 
     /// Guards memory against many clients that each leave a large request unfinished.
     fn check_unread(&mut self, id: usize) {
-        let much = self.links.get(&id).is_some_and(|l| l.input.len() > MUCH);
+        let much = self
+            .connections
+            .get(&id)
+            .is_some_and(|l| l.input.len() > MUCH);
         let unread = || {
-            self.links
+            self.connections
                 .values()
                 .filter(|l| of_client(l))
                 .map(|l| l.input.capacity())
@@ -392,16 +417,16 @@
     }
 
     pub(super) fn on_pusher(&mut self, id: usize) {
-        while let Some(link) = self.links.get_mut(&id) {
-            let written = link.written_out();
-            let Role::Pusher { busy, close } = &mut link.role else {
+        while let Some(connection) = self.connections.get_mut(&id) {
+            let written = connection.written_out();
+            let ConnectionKind::Pusher { busy, close } = &mut connection.kind else {
                 return;
             };
             if let Some(message) = busy {
                 // Whoever waited has left: nobody would hear of the message's end.
-                if link.ended {
+                if connection.ended {
                     let message = std::mem::take(message);
-                    self.drop_link(id);
+                    self.drop_connection(id);
                     self.step(Input::Cancelled(message));
                 }
                 return;
@@ -409,32 +434,32 @@
             if !written {
                 return;
             }
-            if link.close_after {
+            if connection.close_after {
                 return self.end_client(id);
             }
-            let request = match http::request(&link.input) {
+            let request = match http::request(&connection.input) {
                 Ok(Some((request, used))) => {
-                    consume(&mut link.input, used);
-                    link.asked = true;
+                    consume(&mut connection.input, used);
+                    connection.asked = true;
                     request
                 }
-                Ok(None) if link.ended || link.input.len() >= ANSWER_MOST => {
+                Ok(None) if connection.ended || connection.input.len() >= ANSWER_MOST => {
                     return self.end_client(id);
                 }
                 Ok(None) => {
                     // RFC 9110: a client that waits for leave to send its body gets it.
-                    let head = String::from_utf8_lossy(&link.input).to_ascii_lowercase();
+                    let head = String::from_utf8_lossy(&connection.input).to_ascii_lowercase();
                     if head.contains("\r\n\r\n")
                         && head.contains("expect: 100-continue")
-                        && link.output.is_empty()
+                        && connection.output.is_empty()
                     {
                         self.say(id, b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
                     return self.check_unread(id);
                 }
                 Err(wrong) => {
-                    link.close_after = true;
-                    link.input.clear();
+                    connection.close_after = true;
+                    connection.input.clear();
                     let status = if wrong == http::TOO_LARGE { 413 } else { 400 };
                     self.say(id, &webpush::error(status, wrong.0));
                     continue;
@@ -442,14 +467,14 @@
             };
             *close = request.close;
             let Some(push) = &mut self.push else { return };
-            match push.accept(request, id, &self.site, self.clock.now()) {
+            match push.accept(request, id, &self.platform_settings, self.clock.now()) {
                 Ok(message) => {
                     *busy = Some(message.id.clone());
                     self.step(Input::Submitted(message));
                 }
                 Err((status, why)) => {
-                    link.faults += 1;
-                    link.close_after |= *close || link.faults >= FAULTS_MOST;
+                    connection.faults += 1;
+                    connection.close_after |= *close || connection.faults >= FAULTS_MOST;
                     self.say(id, &webpush::error(status, why));
                 }
             }
--- a/crates/daemon/src/reactor/effects.rs
+++ b/crates/daemon/src/reactor/effects.rs
@@ -37,19 +37,19 @@
                     self.carry_out(effects);
                 }
                 Effect::Answer {
-                    to: Origin::Client(link),
+                    to: Origin::Client(connection),
                     id,
                     answer,
                 } => {
-                    log::trace!("notice {id}: client {link} is told {answer:?}");
-                    self.answer(link, clients::answer(answer));
+                    log::trace!("notice {id}: client {connection} is told {answer:?}");
+                    self.answer(connection, client_protocol::answer(answer));
                 }
                 Effect::Answer {
-                    to: Origin::Waiting(link),
+                    to: Origin::Waiting(connection),
                     id,
                     answer,
                 } => {
-                    self.answer(link, webpush::answer(answer, &id));
+                    self.answer(connection, webpush::answer(answer, &id));
                 }
                 Effect::Answer {
                     to: Origin::Restored,
@@ -72,7 +72,9 @@
                     self.wakes.insert(at);
                 }
                 Effect::Fleet(effect) => self.on_fleet(effect),
-                Effect::Zone(change) => fleet::log_zone(&change, &self.site.names.zones),
+                Effect::Zone(change) => {
+                    fleet::log_zone(&change, &self.platform_settings.names.zones)
+                }
                 Effect::Detached { by, known, now } => self.detached(by, known, &now),
                 Effect::PersistLearnedState(bytes) => self.remember(&bytes),
                 Effect::RecoveryComplete(took) => {
--- a/crates/daemon/src/reactor/fleet.rs
+++ b/crates/daemon/src/reactor/fleet.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::fleet::Fleet;
 use cranehill_membership::{Effect, Input, State, View};
-use cranehill_recovery::Stage;
+use cranehill_recovery::Phase;
 use cranehill_zone_failover::{Change, State as ZoneState};
 use mio::net::UdpSocket;
 use serde_json::{Value, json};
@@ -136,11 +136,11 @@
     shown.collect()
 }
 
-fn stage_shown(stage: Stage, now: Time) -> Value {
+fn phase_json(phase: Phase, now: Time) -> Value {
     let ms = |d: Duration| d.as_millis() as u64;
-    match stage {
-        Stage::Recovering { since } => json!({"state": "recovering", "for_ms": ms(now - since)}),
-        Stage::Full { took, since } => {
+    match phase {
+        Phase::Recovering { since } => json!({"state": "recovering", "for_ms": ms(now - since)}),
+        Phase::Full { took, since } => {
             json!({"state": "full", "took_ms": ms(took), "for_ms": ms(now - since)})
         }
     }
@@ -242,8 +242,8 @@
         let (held, reports) = self.core.outstanding();
         let body = json!({"name": me.name, "at": me.at.to_string(), "life": me.generation, "senders": members.share_divisor(),
             "members": views, "refused": refused, "held": held, "reports": reports,
-            "zones": self.core.zone_states().map(|states| zones_shown(&states, &self.site.names.zones, now)),
-            "recovery": self.core.stage().map(|stage| stage_shown(stage, now))});
+            "zones": self.core.zone_states().map(|states| zones_shown(&states, &self.platform_settings.names.zones, now)),
+            "recovery": self.core.phase().map(|phase| phase_json(phase, now))});
         let headers = [
             ("Content-Type", "application/json".to_owned()),
             ("Connection", "close".to_owned()),
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -41,7 +41,7 @@
     /// When the hand-over needs attention though nothing happens.
     pub(super) fn handover_due(&self, now: Time) -> Option<Time> {
         let since = self.handover.as_ref()?.quiet?;
-        Some((now + self.site.settings.tick).min(since + QUIET_MOST))
+        Some((now + self.platform_settings.settings.tick).min(since + QUIET_MOST))
     }
 
     /// Holds back attempts while somebody asks for all; true once everything has been passed on and this process is over.
@@ -92,21 +92,23 @@
 
     fn pass_all(&mut self) -> io::Result<()> {
         // What is still out is broken off, as at an end by signal: it may have been executed, and the journal says so.
-        let out = |l: &Link| matches!(l.role, Role::Destination { call: Some(_), .. });
+        let out =
+            |l: &Connection| matches!(l.kind, ConnectionKind::Destination { call: Some(_), .. });
         let late: Vec<usize> = self
-            .links
+            .connections
             .iter()
             .filter(|(_, l)| out(l))
             .map(|(&id, _)| id)
             .collect();
         for id in late {
-            let Some(Link {
-                role: Role::Destination {
-                    call: Some(out), ..
-                },
+            let Some(Connection {
+                kind:
+                    ConnectionKind::Destination {
+                        call: Some(out), ..
+                    },
                 up,
                 ..
-            }) = self.drop_link(id)
+            }) = self.drop_connection(id)
             else {
                 continue;
             };
@@ -119,7 +121,7 @@
         }
         // All that clients have sent is read, kept and answered first.
         let clients: Vec<usize> = self
-            .links
+            .connections
             .iter()
             .filter(|(_, l)| client_ingress::of_client(l))
             .map(|(&id, _)| id)
@@ -141,21 +143,25 @@
         }
         let mut passed = 0;
         for id in clients {
-            let Some(link) = self.links.get(&id) else {
+            let Some(connection) = self.connections.get(&id) else {
                 continue;
             };
             // Who is in the middle of an answer, or waits for a push's end, can't be moved.
-            if !matches!(link.role, Role::Client { busy: false })
-                || !link.written_out()
-                || link.close_after
-                || link.ended
+            if !matches!(connection.kind, ConnectionKind::Client { busy: false })
+                || !connection.written_out()
+                || connection.close_after
+                || connection.ended
             {
                 continue;
             }
-            server.pass_client(link.stream.as_fd(), link.input.clone(), link.asked)?;
+            server.pass_client(
+                connection.stream.as_fd(),
+                connection.input.clone(),
+                connection.asked,
+            )?;
             // Passed on, it counts there: the two together hold no more than one did.
-            if let Some(mut link) = self.links.remove(&id) {
-                let _ = self.poll.registry().deregister(&mut link.stream);
+            if let Some(mut connection) = self.connections.remove(&id) {
+                let _ = self.poll.registry().deregister(&mut connection.stream);
             }
             passed += 1;
         }
@@ -177,12 +183,13 @@
         let ready = stream
             .set_nonblocking(true)
             .map(|()| TcpStream::from_std(stream));
-        let added =
-            ready.and_then(|stream| self.add_link(stream, Role::Client { busy: false }, true));
+        let added = ready.and_then(|stream| {
+            self.add_connection(stream, ConnectionKind::Client { busy: false }, true)
+        });
         match added {
             Ok(id) => {
-                if let Some(link) = self.links.get_mut(&id) {
-                    (link.input, link.asked) = (input, asked);
+                if let Some(connection) = self.connections.get_mut(&id) {
+                    (connection.input, connection.asked) = (input, asked);
                 }
                 self.resume.push(id);
             }
--- a/crates/daemon/src/reactor/journal.rs
+++ b/crates/daemon/src/reactor/journal.rs
@@ -18,7 +18,7 @@
         let Some(journal) = &mut self.journal else {
             return;
         };
-        self.upkeep_at = now + self.site.settings.tick;
+        self.upkeep_at = now + self.platform_settings.settings.tick;
         let step = journal.compact(millis(now));
         if step.stuck && now >= self.next_compaction_warning {
             self.next_compaction_warning = now + COMPACTION_WARNING_INTERVAL;
--- a/crates/daemon/src/reactor/operator.rs
+++ b/crates/daemon/src/reactor/operator.rs
@@ -104,10 +104,10 @@
     pub(super) fn is_operators(&self, token: Token) -> bool {
         match token {
             OPERATOR | STATUS => true,
-            Token(link) => self
-                .links
-                .get(&link)
-                .is_some_and(|l| matches!(l.role, Role::Operator { .. })),
+            Token(connection) => self
+                .connections
+                .get(&connection)
+                .is_some_and(|l| matches!(l.kind, ConnectionKind::Operator { .. })),
         }
     }
 
@@ -136,44 +136,44 @@
                 }
             };
             // Who holds a place and asks nothing makes room for who comes.
-            let ours = |l: &Link| matches!(l.role, Role::Operator { .. });
+            let ours = |l: &Connection| matches!(l.kind, ConnectionKind::Operator { .. });
             let held: Vec<usize> = self
-                .links
+                .connections
                 .iter()
                 .filter(|(_, l)| ours(l))
                 .map(|(&id, _)| id)
                 .collect();
             if held.len() >= MOST {
-                self.drop_link(held[0]);
+                self.drop_connection(held[0]);
             }
-            match self.add_link(
+            match self.add_connection(
                 stream,
-                Role::Operator {
+                ConnectionKind::Operator {
                     all: token == OPERATOR,
                 },
                 true,
             ) {
-                Ok(link) => self.pump(link),
+                Ok(connection) => self.pump(connection),
                 Err(e) => log::error!("operator: {e}"),
             }
         }
     }
 
     pub(super) fn on_operator(&mut self, id: usize) {
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let Role::Operator { all } = link.role else {
+        let ConnectionKind::Operator { all } = connection.kind else {
             return;
         };
-        if !link.close_after {
-            let call = match http::request(&link.input) {
-                Ok(None) if !link.ended => return,
-                Ok(None) => return drop(self.drop_link(id)),
+        if !connection.close_after {
+            let call = match http::request(&connection.input) {
+                Ok(None) if !connection.ended => return,
+                Ok(None) => return drop(self.drop_connection(id)),
                 Ok(Some((request, _))) => read(&request),
                 Err(http::Malformed(why)) => Err(status(400, "Bad Request", &[], why)),
             };
-            link.close_after = true;
+            connection.close_after = true;
             match call {
                 Ok(Call::Status) => {
                     let answer = self.status();
@@ -208,11 +208,11 @@
             }
         }
         if self
-            .links
+            .connections
             .get(&id)
             .is_some_and(|l| l.close_after && l.written_out() || l.ended)
         {
-            self.drop_link(id);
+            self.drop_connection(id);
         }
     }
 
@@ -246,7 +246,7 @@
 
     fn set_draining(&mut self, on: bool) {
         let clients = self
-            .links
+            .connections
             .values()
             .filter(|l| client_ingress::of_client(l))
             .count();
@@ -269,7 +269,7 @@
         if now < from {
             return Some(from);
         }
-        self.links
+        self.connections
             .values()
             .any(client_ingress::of_client)
             .then_some(now + LOOK)
@@ -281,9 +281,9 @@
         let Some(since) = self.draining_since.filter(|since| now >= *since + FRONT) else {
             return;
         };
-        let fresh = |l: &Link| !l.asked && now - l.since < FRESH && l.since >= since;
+        let fresh = |l: &Connection| !l.asked && now - l.since < FRESH && l.since >= since;
         let ids: Vec<usize> = self
-            .links
+            .connections
             .iter()
             .filter(|(_, l)| client_ingress::free(l) && !fresh(l))
             .map(|(&id, _)| id)
@@ -294,10 +294,12 @@
     /// Ends a client's connection unless something is open on it.
     pub(super) fn end_between(&mut self, id: usize) {
         self.pump(id);
-        let over = |l: &Link| {
-            client_ingress::free(l) && l.input.is_empty() && !matches!(l.role, Role::Ending { .. })
+        let over = |l: &Connection| {
+            client_ingress::free(l)
+                && l.input.is_empty()
+                && !matches!(l.kind, ConnectionKind::Ending { .. })
         };
-        if self.links.get(&id).is_some_and(over) {
+        if self.connections.get(&id).is_some_and(over) {
             self.end_client(id);
         }
     }
--- a/crates/daemon/src/reactor/operator/tests.rs
+++ b/crates/daemon/src/reactor/operator/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn calls_are_read_and_what_is_none_says_why() {
+fn operator_calls_are_parsed_and_bad_ones_name_the_reason() {
     for (method, path, expected) in [
         ("GET", "/_ready", Ok(Call::Ready)),
         ("PUT", "/_lameduck/on", Ok(Call::Drain(true))),
--- a/crates/daemon/src/reactor/platform.rs
+++ b/crates/daemon/src/reactor/platform.rs
@@ -19,42 +19,42 @@
 
     pub(super) fn report_later(&mut self) {
         self.reports.lost();
-        self.report_at = self.clock.now() + final_report::AGAIN;
+        self.report_at = self.clock.now() + final_report_protocol::AGAIN;
     }
 
     pub(super) fn on_platform(&mut self, id: usize, write_broke: bool) {
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let ended = link.ended || write_broke;
-        let watching = matches!(link.role, Role::Directory { .. });
-        let body_most = match link.role {
-            Role::Directory { body_most } => body_most,
+        let ended = connection.ended || write_broke;
+        let watching = matches!(connection.kind, ConnectionKind::Directory { .. });
+        let body_most = match connection.kind {
+            ConnectionKind::Directory { body_most } => body_most,
             _ => http::BODY_MOST,
         };
-        match http::response_within(&link.input, ended, body_most) {
+        match http::response_within(&connection.input, ended, body_most) {
             Ok(Some((response, used))) => {
-                link.input.drain(..used);
+                connection.input.drain(..used);
                 // A watch that was answered with anything but a list is asked anew on a new connection, later:
                 // the old one must not stay behind as a second watch.
                 let refused = watching && response.status != 200;
                 let reuse = !response.close && !ended && !refused;
                 if !reuse {
-                    self.drop_link(id);
+                    self.drop_connection(id);
                 }
                 if watching {
                     self.on_list(&response);
                     let now = self.clock.now();
                     match (reuse, self.watch_due().is_some_and(|due| due <= now)) {
                         (true, true) => self.watch(Some(id)),
-                        (true, false) => drop(self.drop_link(id)),
+                        (true, false) => drop(self.drop_connection(id)),
                         (false, _) => {}
                     }
                 } else {
                     let retry_after = self.reports.answered(response.status);
                     log::trace!("reports {retry_after:?} are with the platform");
                     if retry_after.is_empty() {
-                        self.report_at = self.clock.now() + final_report::AGAIN;
+                        self.report_at = self.clock.now() + final_report_protocol::AGAIN;
                     } else {
                         self.step(Input::FinalReportsAcknowledged(retry_after));
                     }
@@ -73,8 +73,8 @@
     }
 
     pub(super) fn on_list(&mut self, response: &http::Response) {
-        match directory::read(response, &self.site) {
-            Ok(directory::ParsedList {
+        match discovery_protocol::read(response, &self.platform_settings) {
+            Ok(discovery_protocol::ParsedList {
                 version,
                 whole,
                 mut list,
@@ -85,7 +85,7 @@
                     log::error!(entries = unread.len(); "directory: {} entries left out, {why}", unread.len());
                 }
                 if excess > 0 {
-                    log::error!(entries = excess; "directory: {excess} entries left out, beyond {}", directory::ENTRIES_MOST);
+                    log::error!(entries = excess; "directory: {excess} entries left out, beyond {}", discovery_protocol::ENTRIES_MOST);
                 }
                 self.watch.answered(self.clock.now(), version);
                 if !whole && !unread.is_empty() {
@@ -111,16 +111,16 @@
         }
     }
 
-    pub(super) fn watch(&mut self, link: Option<usize>) {
+    pub(super) fn watch(&mut self, connection: Option<usize>) {
         let Some(address) = self.discovery else {
             return;
         };
         let host = address.to_string();
         let bytes = self.watch.ask(self.clock.now(), &host);
-        let id = match link {
+        let id = match connection {
             Some(id) => id,
             None => match self.connect(
-                Role::Directory {
+                ConnectionKind::Directory {
                     body_most: self.list_body_most,
                 },
                 &host,
@@ -135,10 +135,10 @@
     /// Sets a connection's next request; it goes as soon as the connection is up.
     pub(super) fn queue(&mut self, id: usize, bytes: Vec<u8>) {
         let now = self.clock.now();
-        if let Some(link) = self.links.get_mut(&id) {
-            (link.output, link.written, link.used) = (bytes, 0, now);
-            if link.up && !link.flush() {
-                link.ended = true;
+        if let Some(connection) = self.connections.get_mut(&id) {
+            (connection.output, connection.written, connection.used) = (bytes, 0, now);
+            if connection.up && !connection.flush() {
+                connection.ended = true;
             }
         }
     }
@@ -153,13 +153,13 @@
         }
         let host = address.to_string();
         let open = self
-            .links
+            .connections
             .iter()
-            .find(|(_, l)| matches!(l.role, Role::FinalReports) && !l.ended)
+            .find(|(_, l)| matches!(l.kind, ConnectionKind::FinalReports) && !l.ended)
             .map(|(&id, _)| id);
         let id = match open {
             Some(id) => id,
-            None => match self.connect(Role::FinalReports, &host) {
+            None => match self.connect(ConnectionKind::FinalReports, &host) {
                 Ok(id) => id,
                 Err(e) => {
                     log::info!("closing: {e}");
@@ -186,11 +186,11 @@
         let Some((_, until)) = self.reload.take() else {
             return;
         };
-        let Some(reread) = &mut self.reread else {
+        let Some(read_config) = &mut self.read_config else {
             return;
         };
         let now = self.clock.now();
-        match reread() {
+        match read_config() {
             Ok(address) => self.move_platform(address),
             Err(why) if now < until => {
                 log::info!("reload: {why}; read again");
@@ -210,14 +210,20 @@
         }
         log::info!("reload: the directory is at {address} now");
         let now = self.clock.now();
-        let platform = |l: &Link| matches!(l.role, Role::Directory { .. } | Role::FinalReports);
+        let platform = |l: &Connection| {
+            matches!(
+                l.kind,
+                ConnectionKind::Directory { .. } | ConnectionKind::FinalReports
+            )
+        };
         let old: Vec<usize> = self
-            .links
+            .connections
             .iter()
             .filter(|(_, l)| platform(l))
             .map(|(&id, _)| id)
             .collect();
-        old.into_iter().for_each(|id| drop(self.drop_link(id)));
+        old.into_iter()
+            .for_each(|id| drop(self.drop_connection(id)));
         self.reports.lost();
         self.report_at = now;
         self.discovery = Some(address);
--- a/crates/daemon/src/reactor/shutdown.rs
+++ b/crates/daemon/src/reactor/shutdown.rs
@@ -27,7 +27,7 @@
                 let _ = self.poll.registry().deregister(&mut listener);
             }
             // Between requests only: what has been read is answered first.
-            let ids: Vec<usize> = self.links.keys().copied().collect();
+            let ids: Vec<usize> = self.connections.keys().copied().collect();
             ids.into_iter().for_each(|id| self.end_between(id));
         }
         if passed >= STOP_SENDING && !self.sending_stopped {
@@ -37,7 +37,7 @@
         let (held, reports) = self.core.outstanding();
         let over = held == 0 && reports == 0
             || self.sending_stopped && self.core.attempts_out() == 0 && reports == 0;
-        let over = over && !self.links.values().any(client_ingress::open);
+        let over = over && !self.connections.values().any(client_ingress::open);
         if !over && passed < STOP_ALL {
             return false;
         }
@@ -47,9 +47,10 @@
 
     /// Who still waits here for a message's end is told to come back; nothing of it was promised.
     pub(super) fn end_waiting(&mut self) {
-        let waiting = |l: &Link| matches!(&l.role, Role::Pusher { busy: Some(_), .. });
+        let waiting =
+            |l: &Connection| matches!(&l.kind, ConnectionKind::Pusher { busy: Some(_), .. });
         let ids: Vec<usize> = self
-            .links
+            .connections
             .iter()
             .filter(|(_, l)| waiting(l))
             .map(|(&id, _)| id)
--- a/crates/daemon/src/reactor/due.rs
+++ b/crates/daemon/src/reactor/timers.rs
@@ -10,7 +10,7 @@
         let mut next: Option<Time> = None;
         let mut consider = |t: Time| next = Some(next.map_or(t, |n| n.min(t)));
         if self.dirty {
-            consider(self.last_turn + self.site.settings.tick);
+            consider(self.last_turn + self.platform_settings.settings.tick);
         }
         if !self.resume.is_empty() || self.fleet.as_ref().is_some_and(|f| f.more) {
             consider(now);
@@ -35,8 +35,10 @@
         if self.reports.ready() {
             consider(self.report_at);
         }
-        for link in self.links.values() {
-            self.link_due(link).into_iter().for_each(&mut consider);
+        for connection in self.connections.values() {
+            self.connection_due(connection)
+                .into_iter()
+                .for_each(&mut consider);
         }
         self.handover_due(now).into_iter().for_each(&mut consider);
         self.empty_due(now).into_iter().for_each(&mut consider);
@@ -73,9 +75,9 @@
             self.watch(None);
         }
         let due: Vec<usize> = self
-            .links
+            .connections
             .iter()
-            .filter(|(_, l)| self.link_due(l).is_some_and(|t| t <= now))
+            .filter(|(_, l)| self.connection_due(l).is_some_and(|t| t <= now))
             .map(|(&i, _)| i)
             .collect();
         for id in due {
@@ -84,41 +86,47 @@
     }
 
     pub(super) fn idle_limit(&self) -> Duration {
-        let limit = self.site.settings.conn_idle;
+        let limit = self.platform_settings.settings.conn_idle;
         limit.saturating_sub(IDLE_MARGIN).max(limit / 2)
     }
 
     /// When a connection needs attention though nothing happens on it.
-    fn link_due(&self, link: &Link) -> Option<Time> {
-        let set = &self.site.settings;
-        match &link.role {
-            Role::Destination {
+    fn connection_due(&self, connection: &Connection) -> Option<Time> {
+        let set = &self.platform_settings.settings;
+        match &connection.kind {
+            ConnectionKind::Destination {
                 call: Some(call), ..
             } => {
                 let first = call.until();
-                let connect = (!link.up).then(|| call.started + set.connect_timeout);
+                let connect = (!connection.up).then(|| call.started + set.connect_timeout);
                 first
                     .into_iter()
                     .chain(connect)
-                    .chain(calls::stall(link))
-                    .chain(calls::write_by(link))
+                    .chain(upstream::stall(connection))
+                    .chain(upstream::write_by(connection))
                     .min()
             }
-            Role::Destination {
+            ConnectionKind::Destination {
                 check: Some(at), ..
             } => Some(*at + set.connect_timeout),
-            Role::Destination { .. } => Some(link.used + self.idle_limit()),
-            Role::Directory { .. } if !link.up => {
-                Some(self.watch.overdue().min(link.used + set.connect_timeout))
+            ConnectionKind::Destination { .. } => Some(connection.used + self.idle_limit()),
+            ConnectionKind::Directory { .. } if !connection.up => Some(
+                self.watch
+                    .overdue()
+                    .min(connection.used + set.connect_timeout),
+            ),
+            ConnectionKind::Directory { .. } => Some(self.watch.overdue()),
+            ConnectionKind::FinalReports if !self.reports.idle() => {
+                Some(connection.used + final_report_protocol::OVERDUE)
             }
-            Role::Directory { .. } => Some(self.watch.overdue()),
-            Role::FinalReports if !self.reports.idle() => Some(link.used + final_report::OVERDUE),
-            Role::Client { busy: false } | Role::Pusher { busy: None, .. } => {
-                Some(link.since + client_ingress::patience(link))
+            ConnectionKind::Client { busy: false } | ConnectionKind::Pusher { busy: None, .. } => {
+                Some(connection.since + client_ingress::patience(connection))
             }
-            Role::Ending { until } => Some(*until),
-            Role::Operator { .. } => Some(link.since + operator::PATIENCE),
-            Role::Client { .. } | Role::Pusher { .. } | Role::FinalReports => None,
+            ConnectionKind::Ending { until } => Some(*until),
+            ConnectionKind::Operator { .. } => Some(connection.since + operator::PATIENCE),
+            ConnectionKind::Client { .. }
+            | ConnectionKind::Pusher { .. }
+            | ConnectionKind::FinalReports => None,
         }
     }
 
@@ -126,25 +134,32 @@
         // The answer may have come while we were busy.
         self.pump(id);
         let still = self
-            .links
+            .connections
             .get(&id)
-            .is_some_and(|l| self.link_due(l).is_some_and(|t| t <= now));
-        let Some(link) = self.links.get_mut(&id).filter(|_| still) else {
+            .is_some_and(|l| self.connection_due(l).is_some_and(|t| t <= now));
+        let Some(connection) = self.connections.get_mut(&id).filter(|_| still) else {
             return;
         };
-        let sent = link.up && link.written_out();
-        match &link.role {
+        let sent = connection.up && connection.written_out();
+        match &connection.kind {
             // A further attempt must not have this one beside it: the call is broken off, with all that it carries.
-            Role::Destination { call: Some(_), .. } if sent => {
-                self.break_off(id, calls::Cut::OutOfTime)
+            ConnectionKind::Destination { call: Some(_), .. } if sent => {
+                self.break_off(id, upstream::Cut::OutOfTime)
             }
-            Role::Destination { call: Some(_), .. } | Role::Destination { check: Some(_), .. } => {
+            ConnectionKind::Destination { call: Some(_), .. }
+            | ConnectionKind::Destination { check: Some(_), .. } => {
                 self.broken(id, "no answer in time");
             }
-            Role::Directory { .. } | Role::FinalReports => self.broken(id, "no answer in time"),
-            Role::Client { .. } | Role::Pusher { .. } => self.out_of_patience(id),
-            Role::Destination { .. } | Role::Operator { .. } | Role::Ending { .. } => {
-                self.drop_link(id);
+            ConnectionKind::Directory { .. } | ConnectionKind::FinalReports => {
+                self.broken(id, "no answer in time")
+            }
+            ConnectionKind::Client { .. } | ConnectionKind::Pusher { .. } => {
+                self.out_of_patience(id)
+            }
+            ConnectionKind::Destination { .. }
+            | ConnectionKind::Operator { .. }
+            | ConnectionKind::Ending { .. } => {
+                self.drop_connection(id);
             }
         }
     }
--- a/crates/daemon/src/reactor/calls.rs
+++ b/crates/daemon/src/reactor/upstream.rs
@@ -10,17 +10,17 @@
 
 /// When an answer that has begun is held for one that does not end. Guards slots against heads without an end
 /// and lengths that don't fit, which would keep them until the call's time-out.
-pub(super) fn stall(link: &Link) -> Option<Time> {
-    (!link.input.is_empty()).then(|| link.used + STALL)
+pub(super) fn stall(connection: &Connection) -> Option<Time> {
+    (!connection.input.is_empty()).then(|| connection.used + STALL)
 }
 
 /// When a call that is not written whole must not be any more, since a message in it may have been executed before and a repeat
 /// would leave the window of its class. Guards against connections that come up late: the decision was in time.
-pub(super) fn write_by(link: &Link) -> Option<Time> {
-    match &link.role {
-        Role::Destination {
+pub(super) fn write_by(connection: &Connection) -> Option<Time> {
+    match &connection.kind {
+        ConnectionKind::Destination {
             call: Some(out), ..
-        } if !link.written_out() => out.attempts.iter().filter_map(|a| a.write_by).min(),
+        } if !connection.written_out() => out.attempts.iter().filter_map(|a| a.write_by).min(),
         _ => None,
     }
 }
@@ -40,8 +40,8 @@
     /// Ends calls that are not written yet: they would arrive inside a Retry-After wait, or at an endpoint that drains or is
     /// gone.
     pub(super) fn hold_back(&mut self, endpoints: &[EndpointId]) {
-        let waits = |l: &Link| {
-            matches!(l.role, Role::Destination { call: Some(_), .. }) && !l.written_out()
+        let waits = |l: &Connection| {
+            matches!(l.kind, ConnectionKind::Destination { call: Some(_), .. }) && !l.written_out()
         };
         // In the order of the connections, each once, however the endpoints are named.
         let ids: BTreeSet<usize> = endpoints
@@ -53,26 +53,26 @@
 
     /// Ends a call that is not written whole, so that it never runs. Its connection is kept, unless part of it is on it.
     pub(super) fn withhold(&mut self, id: usize) {
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let Role::Destination { call, .. } = &mut link.role else {
+        let ConnectionKind::Destination { call, .. } = &mut connection.kind else {
             return;
         };
         let Some(out) = call.take() else { return };
-        if link.written > 0 {
-            self.drop_link(id);
+        if connection.written > 0 {
+            self.drop_connection(id);
         } else {
-            link.output.clear();
+            connection.output.clear();
         }
         self.end_call(out, &DestinationResponse::all(Verdict::of(Status::NotSent)));
     }
 
     pub(super) fn close_idle(&mut self, endpoint: &EndpointId) {
-        let idle = |l: &Link| {
+        let idle = |l: &Connection| {
             matches!(
-                l.role,
-                Role::Destination {
+                l.kind,
+                ConnectionKind::Destination {
                     call: None,
                     check: None,
                     ..
@@ -80,26 +80,31 @@
             )
         };
         let ids: Vec<usize> = self.connections(endpoint, idle).collect();
-        ids.into_iter().for_each(|id| drop(self.drop_link(id)));
+        ids.into_iter()
+            .for_each(|id| drop(self.drop_connection(id)));
     }
 
     /// The connections to an endpoint of which this holds.
     fn connections(
         &self,
         endpoint: &EndpointId,
-        holds: impl Fn(&Link) -> bool,
+        holds: impl Fn(&Connection) -> bool,
     ) -> impl Iterator<Item = usize> {
-        self.by_endpoint
+        self.connection_index
             .of(endpoint)
-            .filter(move |id| self.links.get(id).is_some_and(&holds))
+            .filter(move |id| self.connections.get(id).is_some_and(&holds))
     }
 
     /// A connection to this endpoint that is free and can be trusted.
-    pub(super) fn free_link(&mut self, endpoint: &EndpointId, address: &str) -> Option<usize> {
+    pub(super) fn free_connection(
+        &mut self,
+        endpoint: &EndpointId,
+        address: &str,
+    ) -> Option<usize> {
         let (now, limit) = (self.clock.now(), self.idle_limit().min(self.trusted_idle));
         loop {
-            let fits = |l: &Link| match &l.role {
-                Role::Destination {
+            let fits = |l: &Connection| match &l.kind {
+                ConnectionKind::Destination {
                     address: a,
                     call: None,
                     check: None,
@@ -109,47 +114,48 @@
             };
             let free = self
                 .connections(endpoint, fits)
-                .filter_map(|id| Some((id, self.links.get(&id)?)));
-            let (id, link) = free.max_by_key(|(_, link)| link.used)?;
+                .filter_map(|id| Some((id, self.connections.get(&id)?)));
+            let (id, connection) = free.max_by_key(|(_, connection)| connection.used)?;
             // One that the other side has closed, or may be about to close, would lose what is written to it.
-            let alive =
-                matches!(link.stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
-            if alive && !link.ended && now - link.used < limit {
+            let alive = matches!(connection.stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
+            if alive && !connection.ended && now - connection.used < limit {
                 return Some(id);
             }
-            self.drop_link(id);
+            self.drop_connection(id);
         }
     }
 
-    pub(super) fn connect(&mut self, role: Role, address: &str) -> io::Result<usize> {
+    pub(super) fn connect(&mut self, kind: ConnectionKind, address: &str) -> io::Result<usize> {
         let address: SocketAddr = address.parse().map_err(|_| ErrorKind::InvalidInput)?;
         // Descriptors are few: an idle connection makes room for one that is needed.
-        if matches!(role, Role::Destination { .. }) {
-            let destinations = |l: &&Link| matches!(l.role, Role::Destination { .. });
-            let idle = |l: &Link| {
+        if matches!(kind, ConnectionKind::Destination { .. }) {
+            let destinations =
+                |l: &&Connection| matches!(l.kind, ConnectionKind::Destination { .. });
+            let idle = |l: &Connection| {
                 matches!(
-                    l.role,
-                    Role::Destination {
+                    l.kind,
+                    ConnectionKind::Destination {
                         call: None,
                         check: None,
                         ..
                     }
                 )
             };
-            if self.links.values().filter(destinations).count() >= self.max_destination_connections
+            if self.connections.values().filter(destinations).count()
+                >= self.max_destination_connections
             {
                 let longest = self
-                    .links
+                    .connections
                     .iter()
                     .filter(|(_, l)| idle(l))
                     .min_by_key(|(_, l)| l.used);
                 longest
                     .map(|(&id, _)| id)
                     .into_iter()
-                    .for_each(|id| drop(self.drop_link(id)));
+                    .for_each(|id| drop(self.drop_connection(id)));
             }
         }
-        self.add_link(TcpStream::connect(address)?, role, false)
+        self.add_connection(TcpStream::connect(address)?, kind, false)
     }
 
     pub(super) fn call(&mut self, endpoint: EndpointId, address: String, attempts: Vec<Attempt>) {
@@ -158,25 +164,25 @@
             (Some(push), Some(first)) if first.envelope.is_some() => {
                 push.call(&address, first, now)
             }
-            _ => destinations::call(&address, &attempts, now),
+            _ => destination_protocol::call(&address, &attempts, now),
         };
         let ids = attempts.iter().map(|a| a.id.clone()).collect();
-        let out = Out {
+        let out = InFlightCall {
             attempts,
             ids,
             started: now,
             delivered: false,
         };
-        let id = match self.free_link(&endpoint, &address) {
+        let id = match self.free_connection(&endpoint, &address) {
             Some(id) => id,
             None => {
-                let role = Role::Destination {
+                let kind = ConnectionKind::Destination {
                     endpoint: endpoint.clone(),
                     address: address.clone(),
                     call: None,
                     check: None,
                 };
-                match self.connect(role, &address) {
+                match self.connect(kind, &address) {
                     Ok(id) => id,
                     Err(e) => {
                         log::info!("partner {endpoint} at {address}: {e}");
@@ -188,35 +194,35 @@
                 }
             }
         };
-        if let Some(link) = self.links.get_mut(&id) {
+        if let Some(connection) = self.connections.get_mut(&id) {
             log::trace!(
                 "notices {:?}: call to {endpoint} on connection {id}, up: {}",
                 out.ids,
-                link.up
+                connection.up
             );
-            if let Role::Destination { call, .. } = &mut link.role {
+            if let ConnectionKind::Destination { call, .. } = &mut connection.kind {
                 *call = Some(out);
             }
-            link.output = bytes;
-            link.written = 0;
-            link.gap = now - link.used;
-            link.used = now;
+            connection.output = bytes;
+            connection.written = 0;
+            connection.gap = now - connection.used;
+            connection.used = now;
         }
         self.pump(id);
     }
 
     pub(super) fn check(&mut self, endpoint: EndpointId, address: String) {
         let now = self.clock.now();
-        let role = Role::Destination {
+        let kind = ConnectionKind::Destination {
             endpoint: endpoint.clone(),
             address: address.clone(),
             call: None,
             check: Some(now),
         };
-        match self.connect(role, &address) {
+        match self.connect(kind, &address) {
             Ok(id) => {
-                if let Some(link) = self.links.get_mut(&id) {
-                    link.output = http::write_request("GET", "/health", &address, &[], b"");
+                if let Some(connection) = self.connections.get_mut(&id) {
+                    connection.output = http::write_request("GET", "/health", &address, &[], b"");
                 }
             }
             Err(_) => self.step(Input::HealthChecked {
@@ -227,7 +233,7 @@
     }
 
     /// Tells the core how a call ended.
-    pub(super) fn end_call(&mut self, out: Out, parsed: &DestinationResponse) {
+    pub(super) fn end_call(&mut self, out: InFlightCall, parsed: &DestinationResponse) {
         let now = self.clock.now();
         let mut ends = Vec::new();
         for attempt in out.attempts {
@@ -258,36 +264,36 @@
 
     pub(super) fn on_destination(&mut self, id: usize, write_broke: bool) {
         let unix_now = Duration::from_nanos(self.clock.now().0);
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let ended = link.ended || write_broke;
-        let written = link.written_out();
-        let stalled = stall(link).is_some_and(|t| t <= self.clock.now());
-        let Role::Destination {
+        let ended = connection.ended || write_broke;
+        let written = connection.written_out();
+        let stalled = stall(connection).is_some_and(|t| t <= self.clock.now());
+        let ConnectionKind::Destination {
             endpoint,
             call,
             check,
             ..
-        } = &mut link.role
+        } = &mut connection.kind
         else {
             return;
         };
         let Some(out) = call else {
             if check.is_some() {
-                let status = match http::response(&link.input, ended) {
+                let status = match http::response(&connection.input, ended) {
                     Ok(Some((r, _))) if r.status == 200 => Status::Served,
                     Ok(Some(_)) => Status::Overloaded,
-                    Ok(None) if !ended && link.input.len() < ANSWER_MOST => return,
+                    Ok(None) if !ended && connection.input.len() < ANSWER_MOST => return,
                     _ => Status::Reset,
                 };
                 let endpoint = endpoint.clone();
-                self.drop_link(id);
+                self.drop_connection(id);
                 return self.step(Input::HealthChecked { endpoint, status });
             }
             // Idle: closed by the other side, or talking out of turn.
-            if ended || !link.input.is_empty() {
-                self.drop_link(id);
+            if ended || !connection.input.is_empty() {
+                self.drop_connection(id);
             }
             return;
         };
@@ -297,14 +303,14 @@
             return self.break_off(id, Cut::OutOfTime);
         }
         let push = out.attempts.iter().any(|a| a.envelope.is_some());
-        match http::response(&link.input, ended) {
+        match http::response(&connection.input, ended) {
             Ok(Some((response, used))) => {
                 let Some(out) = call.take() else { return };
                 let ids: Vec<&str> = out.ids.iter().map(String::as_str).collect();
                 let parsed = if push {
                     webpush::read(&response, unix_now)
                 } else {
-                    destinations::read(&response, &ids, unix_now)
+                    destination_protocol::read(&response, &ids, unix_now)
                 };
                 if let Some(wait) = parsed.wait {
                     log::debug!("partner {endpoint}: told to wait {} ms", wait.as_millis());
@@ -323,23 +329,24 @@
                         out.ids[0]
                     );
                 }
-                let trailing = link.input.len() > used && !mutation::is(Mutation::ReusesSpoilt);
+                let trailing =
+                    connection.input.len() > used && !mutation::is(Mutation::ReusesSpoilt);
                 if response.close || ended || !written || trailing {
-                    self.drop_link(id);
+                    self.drop_connection(id);
                 } else {
-                    link.input.clear();
-                    link.output.clear();
-                    link.written = 0;
-                    link.answered += 1;
-                    let proven = link.answered > 1 && link.gap >= self.trusted_idle / 2;
+                    connection.input.clear();
+                    connection.output.clear();
+                    connection.written = 0;
+                    connection.answered += 1;
+                    let proven = connection.answered > 1 && connection.gap >= self.trusted_idle / 2;
                     if proven {
                         self.trusted_idle = self.trusted_idle.saturating_mul(51) / 50;
                     }
                 }
                 self.end_call(out, &parsed);
             }
-            Ok(None) if !ended && !stalled && link.input.len() < ANSWER_MOST => {
-                out.delivered = out.delivers(&link.input);
+            Ok(None) if !ended && !stalled && connection.input.len() < ANSWER_MOST => {
+                out.delivered = out.delivers(&connection.input);
             }
             result => {
                 let cut = if result.is_err() || stalled || !ended {
@@ -355,17 +362,17 @@
     /// Ends a call whose answer has not come whole, and its connection: an answer that is still on its way must not be
     /// read for the next call's.
     pub(super) fn break_off(&mut self, id: usize, cut: Cut) {
-        let Some(mut link) = self.drop_link(id) else {
+        let Some(mut connection) = self.drop_connection(id) else {
             return;
         };
-        let Role::Destination { endpoint, call, .. } = &mut link.role else {
+        let ConnectionKind::Destination { endpoint, call, .. } = &mut connection.kind else {
             return;
         };
         let Some(out) = call.take() else { return };
-        let (kept, begun) = (link.answered > 0, !link.input.is_empty());
+        let (kept, begun) = (connection.answered > 0, !connection.input.is_empty());
         let delivered = match cut {
             Cut::OutOfTime => out.delivered,
-            Cut::Spoilt | Cut::Ended { .. } => out.delivers(&link.input),
+            Cut::Spoilt | Cut::Ended { .. } => out.delivers(&connection.input),
         };
         let status = match cut {
             _ if delivered => Status::Served,
@@ -383,12 +390,12 @@
         };
         if kept && !begun && matches!(cut, Cut::Ended { .. }) {
             // Those kept as long will be dead, too.
-            self.trusted_idle = self.trusted_idle.min((link.gap / 2).max(TRUST_LEAST));
+            self.trusted_idle = self.trusted_idle.min((connection.gap / 2).max(TRUST_LEAST));
         }
         log::debug!("partner {endpoint}: call broken off, {cut:?}: {status:?}");
         // A wait binds from when it was written, also where its answer came too late to count.
         let unix_now = Duration::from_nanos(self.clock.now().0);
-        let late = http::response(&link.input, false).ok().flatten();
+        let late = http::response(&connection.input, false).ok().flatten();
         let wait = late.and_then(|(response, _)| http::retry_after(&response.headers, unix_now));
         self.end_call(
             out,
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -4,7 +4,7 @@
 
 use cranehill_scheduler::Time;
 
-use crate::directory;
+use crate::discovery_protocol;
 
 /// Between two tries, however the first one fails, there is never more: what the directory has to tell counts as told 6 s after
 /// it had it and could be reached, and half a second is left for the connection, the answer and delays of the machine.
@@ -84,9 +84,9 @@
     pub fn ask(&mut self, now: Time, host: &str) -> Vec<u8> {
         (self.due, self.asked) = (None, now);
         if self.whole {
-            directory::whole(host)
+            discovery_protocol::whole(host)
         } else {
-            directory::watch(host, self.version, HOLD)
+            discovery_protocol::watch(host, self.version, HOLD)
         }
     }
 
--- a/crates/daemon/src/webpush.rs
+++ b/crates/daemon/src/webpush.rs
@@ -18,10 +18,10 @@
 use p256::ecdsa::{Signature, SigningKey};
 use serde::{Deserialize, Serialize};
 
-use crate::config::Site;
-use crate::destinations::{DestinationResponse, Verdict};
-use crate::file;
+use crate::config::PlatformSettings;
+use crate::destination_protocol::{DestinationResponse, Verdict};
 use crate::http::{self, Request, Response, header};
+use crate::time_span;
 use cranehill_core::{Answer, Attempt, Envelope, Listing, Message, Origin};
 
 /// Push services are numbered from here on, out of the way of the platform's destinations.
@@ -93,7 +93,7 @@
 
 /// Reads and checks the file.
 pub fn parse_file(text: &str) -> Result<File, String> {
-    let file: File = file::parse(text)?;
+    let file: File = time_span::parse(text)?;
     file.check()?;
     Ok(file)
 }
@@ -226,10 +226,10 @@
 
 impl Push {
     /// Adds this front's classes and kind to the site.
-    pub fn new(file: File, site: &mut Site) -> Result<Push, String> {
-        let class = site.settings.classes.len();
-        let kind = site.settings.kinds.len();
-        let usual = site
+    pub fn new(file: File, platform_settings: &mut PlatformSettings) -> Result<Push, String> {
+        let class = platform_settings.settings.classes.len();
+        let kind = platform_settings.settings.kinds.len();
+        let usual = platform_settings
             .settings
             .classes
             .first()
@@ -245,8 +245,8 @@
             effect: Effect::Safe,
             ..once.clone()
         };
-        site.settings.classes.extend([once, topic]);
-        site.settings.kinds.push(Kind {
+        platform_settings.settings.classes.extend([once, topic]);
+        platform_settings.settings.kinds.push(Kind {
             per_call: 1,
             apart: false,
         });
@@ -291,7 +291,7 @@
         &mut self,
         request: Request,
         from: usize,
-        site: &Site,
+        platform_settings: &PlatformSettings,
         now: Time,
     ) -> Result<Message, (u16, &'static str)> {
         let fits = |l: &&Location| request.path.starts_with(&l.path);
@@ -329,7 +329,7 @@
             }
         }
         let class = self.class + usize::from(topic.is_some());
-        let deadline = site.settings.classes[class].deadline;
+        let deadline = platform_settings.settings.classes[class].deadline;
         let left = if ttl == 0 {
             AT_ONCE
         } else {
@@ -365,7 +365,7 @@
             body: Arc::from(request.body),
             left,
             spent: if ttl == 0 {
-                site.settings.attempts_cap - 1
+                platform_settings.settings.attempts_cap - 1
             } else {
                 0
             },
@@ -484,7 +484,7 @@
 }
 
 /// The site of a sender that runs without the platform: this front alone.
-pub fn alone() -> Site {
+pub fn alone() -> PlatformSettings {
     let settings = Settings {
         classes: Vec::new(),
         kinds: Vec::new(),
@@ -514,5 +514,5 @@
             grace_to_answer: Duration::from_millis(20),
         },
     };
-    Site::new(settings, Names::default())
+    PlatformSettings::new(settings, Names::default())
 }
--- a/crates/daemon/tests/directory.rs
+++ b/crates/daemon/tests/discovery_protocol.rs
@@ -1,11 +1,11 @@
 //! The directory's list as it is read off the wire.
 
-use cranehill_daemon::config::Site;
-use cranehill_daemon::directory::{ENTRIES_MOST, ParsedList, body_most, read};
+use cranehill_daemon::config::PlatformSettings;
+use cranehill_daemon::discovery_protocol::{ENTRIES_MOST, ParsedList, body_most, read};
 use cranehill_daemon::http;
 use cranehill_scheduler::profile::Profile;
 
-fn site() -> Site {
+fn platform_settings() -> PlatformSettings {
     let profile: Profile = serde_json::from_str(
         r#"{"classes":[{"name":"n","aim":1,"deadline":2,"effect":"safe","worth":1.0}],
         "familyInfo":{"callsOut":4},"membershipMode":"push","nInstances":300,"tick":1,"rules":{},
@@ -13,7 +13,7 @@
     )
     .expect("a profile");
     let names = profile.names();
-    Site::new(profile.into_settings().expect("settings"), names)
+    PlatformSettings::new(profile.into_settings().expect("settings"), names)
 }
 
 fn parsed(servers: &str) -> Result<ParsedList, String> {
@@ -22,7 +22,7 @@
     let (response, _) = http::response(&bytes, true)
         .expect("an answer")
         .expect("whole");
-    read(&response, &site())
+    read(&response, &platform_settings())
 }
 
 const GOOD: &str = r#"{"id":"a","addr":"127.0.0.1:1","cell":1,"state":"up","weight":2.5}"#;
@@ -92,7 +92,7 @@
         .expect("an answer")
         .expect("whole");
     assert_eq!(used, bytes.len());
-    let parsed = read(&response, &site()).expect("a list");
+    let parsed = read(&response, &platform_settings()).expect("a list");
     assert_eq!(
         (parsed.list.len(), parsed.unread.len(), parsed.excess),
         (57_000, 0, 0)
@@ -127,7 +127,7 @@
         .into_bytes(),
         close: false,
     };
-    let parsed = read(&response, &site()).expect("a list");
+    let parsed = read(&response, &platform_settings()).expect("a list");
     assert_eq!((parsed.list.len(), parsed.excess), (ENTRIES_MOST, 3));
 }
 
--- a/crates/daemon/tests/final_report.rs
+++ b/crates/daemon/tests/final_report_protocol.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_core::FinalReport;
-use cranehill_daemon::final_report::{AGAIN, OVERDUE, Reports};
+use cranehill_daemon::final_report_protocol::{AGAIN, OVERDUE, Reports};
 
 fn ids(bytes: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(bytes);
--- a/crates/daemon/tests/golden.rs
+++ b/crates/daemon/tests/golden.rs
@@ -17,7 +17,7 @@
 
 use cranehill_daemon::config;
 use cranehill_daemon::fleet::Fleet;
-use cranehill_daemon::reactor::{Halter, Reactor, Setup, State};
+use cranehill_daemon::reactor::{Reactor, ReactorOptions, State, StopHandle};
 use cranehill_daemon::webpush;
 use cranehill_recovery::{Bounds, pack, unpack};
 use cranehill_scheduler::{LearnedState, Time};
@@ -81,15 +81,15 @@
     }
 }
 
-fn setup(dir: &Path) -> Setup {
+fn options(dir: &Path) -> ReactorOptions {
     let var = |name: &str| match name {
         "NODE_LISTEN" | "NODE_DISCOVERY" => Some(LOCALHOST.to_string()),
         "NODE_STATE" => Some("unused".to_owned()),
         _ => None,
     };
     let config = config::parse(CONFIG, var).expect("configuration");
-    Setup {
-        site: config.site,
+    ReactorOptions {
+        platform_settings: config.platform_settings,
         seed: config.seed,
         state: Some(State {
             dir: dir.to_owned(),
@@ -105,12 +105,12 @@
         operator: Some(LOCALHOST),
         sockets: 1024,
         memory: 192_000_000,
-        reread: None,
+        read_config: None,
     }
 }
 
 /// With a listener for Web Push, and its push service as the only destination.
-fn setup_with_push(dir: &Path) -> Setup {
+fn setup_with_push(dir: &Path) -> ReactorOptions {
     let file = webpush::File {
         listen: Some(LOCALHOST.to_string()),
         vapid: None,
@@ -128,9 +128,9 @@
             to: None,
         }],
     };
-    Setup {
+    ReactorOptions {
         push: Some(file),
-        ..setup(dir)
+        ..options(dir)
     }
 }
 
@@ -139,24 +139,24 @@
     clients: SocketAddr,
     pushes: Option<SocketAddr>,
     operator: SocketAddr,
-    halter: Halter,
+    stop_handle: StopHandle,
     thread: Option<JoinHandle<std::io::Result<()>>>,
 }
 
 impl Running {
-    fn start(setup: Setup) -> Running {
-        let mut reactor = Reactor::new(setup).expect("the program starts");
+    fn start(options: ReactorOptions) -> Running {
+        let mut reactor = Reactor::new(options).expect("the program starts");
         let (clients, pushes) = reactor.addresses();
         let operator = reactor
             .operator_address()
             .expect("a listener for operators");
-        let halter = reactor.halter().expect("a halter");
+        let stop_handle = reactor.stop_handle().expect("a halter");
         let thread = Some(std::thread::spawn(move || reactor.run(Vec::new)));
         Running {
             clients: clients.expect("a listener for clients"),
             pushes,
             operator,
-            halter,
+            stop_handle,
             thread,
         }
     }
@@ -178,7 +178,7 @@
 
 impl Drop for Running {
     fn drop(&mut self) {
-        self.halter.halt();
+        self.stop_handle.stop();
         drop(self.thread.take().map(JoinHandle::join));
     }
 }
@@ -398,8 +398,8 @@
         .map(|_| clients.accept().expect("a client").0)
         .collect();
     let new = std::thread::spawn({
-        let setup = setup_with_push(&folder.0);
-        move || Running::start(setup)
+        let options = setup_with_push(&folder.0);
+        move || Running::start(options)
     });
     let mut stream = accept_in_time(&server);
     stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
@@ -462,7 +462,7 @@
 #[test]
 fn detached_endpoints_file_is_written_unchanged() {
     let folder = StateFolder::new();
-    let program = Running::start(setup(&folder.0));
+    let program = Running::start(options(&folder.0));
     for path in ["detach/b", "detach/a%2F1%20%25", "attach/b"] {
         program.operate(&format!("/_endpoints/{path}"));
     }
@@ -475,14 +475,14 @@
 fn detached_endpoints_file_is_read_unchanged() {
     let folder = StateFolder::new();
     std::fs::write(folder.path("detached"), golden_file::read(DETACHED)).expect("written");
-    let program = Running::start(setup(&folder.0));
+    let program = Running::start(options(&folder.0));
     program.operate("/_endpoints/detach/a%2F1%20%25");
     let written = std::fs::read_to_string(folder.path("detached")).expect("the state file");
     golden_file::assert_unchanged(DETACHED, normalize_time(&written).as_bytes());
 }
 
 /// With the learned state restored from the folder.
-fn setup_with_recovery(dir: &Path) -> Setup {
+fn setup_with_recovery(dir: &Path) -> ReactorOptions {
     let age = Duration::from_secs(10);
     let fleet = Fleet {
         listen: LOCALHOST,
@@ -512,9 +512,9 @@
         }),
         zones: None,
     };
-    Setup {
+    ReactorOptions {
         fleet: Some(fleet),
-        ..setup(dir)
+        ..options(dir)
     }
 }
 
--- a/crates/daemon/tests/watch.rs
+++ b/crates/daemon/tests/watch.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn pauses_grow_to_what_one_clock_for_all_calls_allows_and_a_told_wait_is_the_least_inside_it() {
+fn backoff_is_bounded_by_the_interval_and_respects_retry_after() {
     let mut watch = watch(300, 7);
     let retry_after = Duration::from_secs(3);
     assert!(
@@ -165,7 +165,7 @@
 /// however long the call may wait. A question for the whole list may not wait at all, and a connection to a silent agent was held
 /// for 12 s all the same.
 #[test]
-fn a_question_that_stays_silent_is_put_anew_before_what_it_misses_counts_as_told() {
+fn a_silent_watch_is_reopened_before_its_changes_are_due() {
     let mut watch = watch(2, 7);
     for (asked, whole) in [(0, false), (40_000, true)] {
         if whole {
--- a/crates/fleet-harness/src/sweep/backlog.rs
+++ b/crates/fleet-harness/src/sweep/backlog.rs
@@ -12,7 +12,7 @@
 use crate::sweep::directory::{Directory, FIRST_VERSION};
 use crate::sweep::reducer::{Played, event, mixed};
 use crate::sweep::sender::{Sender, Setting, StartError};
-use crate::sweep::{Gathered, Order, SweepError, milliseconds, seconds};
+use crate::sweep::{Gathered, SweepArgs, SweepError, milliseconds, seconds};
 
 const SWEEP: &str = "backlog";
 /// Destinations that the backlog is for.
@@ -40,7 +40,7 @@
 /// Events that a sender may hold by the settings of the rehearsals: the most that these ever give.
 const HELD_MOST: u64 = 20_000;
 
-pub fn play(order: &Order, progress: &mut impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
+pub fn play(order: &SweepArgs, progress: &mut impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
     let mut gathered = Gathered::new(order.quick);
     let mut before: Option<(u64, f64)> = None;
     for &size in &order.sizes.backlog {
@@ -128,7 +128,11 @@
 }
 
 /// The real process over such a folder; its resident memory, or nothing if it was not ready in time.
-fn process(order: &Order, size: u64, gathered: &mut Gathered) -> Result<Option<f64>, SweepError> {
+fn process(
+    order: &SweepArgs,
+    size: u64,
+    gathered: &mut Gathered,
+) -> Result<Option<f64>, SweepError> {
     let folder = tempfile::tempdir()?;
     let disk = write_folder(&folder.path().join("state"), size)?;
     // Connections are taken by the system, and nobody ever answers: the backlog stays.
@@ -175,7 +179,7 @@
 }
 
 /// The reducer alone: time in steps, and the order of work.
-fn reducer(order: &Order, size: u64, gathered: &mut Gathered) -> Result<(), SweepError> {
+fn reducer(order: &SweepArgs, size: u64, gathered: &mut Gathered) -> Result<(), SweepError> {
     if !order.quick {
         let mut played = Played::new(room_for(size), DESTINATIONS).map_err(|e| failed(size, e))?;
         let step = played.recover(size, DESTINATIONS, &body(0));
--- a/crates/fleet-harness/src/sweep/destinations.rs
+++ b/crates/fleet-harness/src/sweep/destinations.rs
@@ -8,7 +8,7 @@
 use crate::sweep::directory::{self, Directory, FIRST_VERSION, Reception};
 use crate::sweep::reducer::Played;
 use crate::sweep::sender::{Sender, Setting};
-use crate::sweep::{Gathered, Order, SweepError, milliseconds, seconds};
+use crate::sweep::{Gathered, SweepArgs, SweepError, milliseconds, seconds};
 
 const SWEEP: &str = "destinations";
 /// A sender must be ready, and take a change, by then.
@@ -23,7 +23,7 @@
 const AT_ONCE: u64 = 10;
 const MOST_HELD: u64 = 1000;
 
-pub fn play(order: &Order, progress: &mut impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
+pub fn play(order: &SweepArgs, progress: &mut impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
     let mut gathered = Gathered::new(order.quick);
     for &size in &order.sizes.destinations {
         progress(&format!("{size} destinations"));
@@ -63,7 +63,7 @@
     Ok(sender)
 }
 
-fn one(order: &Order, size: u64, gathered: &mut Gathered) -> Result<(), SweepError> {
+fn one(order: &SweepArgs, size: u64, gathered: &mut Gathered) -> Result<(), SweepError> {
     let folder = tempfile::tempdir()?;
     let directory = Directory::new()?;
     let sender = start(&order.program, folder.path(), &directory, size)?;
--- a/crates/fleet-harness/src/sweep/events.rs
+++ b/crates/fleet-harness/src/sweep/events.rs
@@ -3,20 +3,20 @@
 use std::time::Duration;
 
 use cranehill_capacity::Figure;
-use cranehill_scenario_runner::measure::{Setup, step};
+use cranehill_scenario_runner::measure::{MeasureOptions, step};
 
-use crate::sweep::{Gathered, Order, SweepError};
+use crate::sweep::{Gathered, SweepArgs, SweepError};
 
 /// Endpoints of the simulated destinations, two for each.
 const ENDPOINTS: usize = 100;
 /// How long each rate is played.
 const SPAN: Duration = Duration::from_secs(6);
 
-pub fn play(order: &Order, progress: &mut impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
+pub fn play(order: &SweepArgs, progress: &mut impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
     let mut gathered = Gathered::new(order.quick);
     for &size in &order.sizes.events {
         progress(&format!("{size} events a second"));
-        let setup = Setup {
+        let setup = MeasureOptions {
             endpoints: ENDPOINTS,
             senders: 1,
             push: false,
--- a/crates/fleet-harness/src/sweep/members.rs
+++ b/crates/fleet-harness/src/sweep/members.rs
@@ -5,7 +5,7 @@
 use cranehill_capacity::Figure;
 
 use crate::hollow::{self, Disturbance, HollowFigures, HollowPlan, Transport};
-use crate::sweep::{Gathered, Order, SweepError};
+use crate::sweep::{Gathered, SweepArgs, SweepError};
 
 /// Parts of the fleet that fail together.
 const ONE_IN: u32 = 10;
@@ -59,7 +59,7 @@
     ]
 }
 
-pub fn play(order: &Order, progress: &mut impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
+pub fn play(order: &SweepArgs, progress: &mut impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
     let mut gathered = Gathered::new(order.quick);
     for &size in &order.sizes.members {
         for scene in scenes(size) {
@@ -78,7 +78,7 @@
     gathered.figures()
 }
 
-fn one(order: &Order, size: u64, scene: Scene) -> Result<HollowFigures, SweepError> {
+fn one(order: &SweepArgs, size: u64, scene: Scene) -> Result<HollowFigures, SweepError> {
     let plan = HollowPlan {
         members: size as usize,
         duration: scene.duration,
--- a/crates/fleet-harness/src/sweep/mod.rs
+++ b/crates/fleet-harness/src/sweep/mod.rs
@@ -23,7 +23,7 @@
 
 /// What to play.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct SweepArgs {
     /// The sender's program.
     pub program: PathBuf,
     pub sizes: Sizes,
@@ -51,7 +51,7 @@
 }
 
 /// Plays the sweeps one after the other; `progress` hears of each size.
-pub fn play(order: &Order, mut progress: impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
+pub fn play(order: &SweepArgs, mut progress: impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
     let mut figures = Vec::new();
     for &sweep in &order.sweeps {
         let played = match sweep {
--- a/crates/fleet-harness/src/sweep/watchers.rs
+++ b/crates/fleet-harness/src/sweep/watchers.rs
@@ -6,7 +6,7 @@
 
 use crate::sweep::directory::{self, Directory, FIRST_VERSION};
 use crate::sweep::sender::{Sender, Setting};
-use crate::sweep::{Gathered, Order, SweepError, seconds};
+use crate::sweep::{Gathered, SweepArgs, SweepError, seconds};
 
 /// Destinations listed.
 const DESTINATIONS: u64 = 100;
@@ -17,7 +17,7 @@
 /// Changes pushed at once.
 const AT_ONCE: u64 = 10;
 
-pub fn play(order: &Order, progress: &mut impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
+pub fn play(order: &SweepArgs, progress: &mut impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
     let mut gathered = Gathered::new(order.quick);
     for &size in &order.sizes.changes {
         progress(&format!("{size} senders that watch"));
@@ -26,7 +26,7 @@
     gathered.figures()
 }
 
-fn one(order: &Order, size: u64, gathered: &mut Gathered) -> Result<(), SweepError> {
+fn one(order: &SweepArgs, size: u64, gathered: &mut Gathered) -> Result<(), SweepError> {
     let failed = |why: String| SweepError::Failed {
         sweep: "changes",
         size,
--- a/crates/fleet-harness/tests/hollow.rs
+++ b/crates/fleet-harness/tests/hollow.rs
@@ -153,7 +153,7 @@
 /// Guards the judge: a crash that a view misses is undetected, a down without a cause is false, and a limit is divided
 /// among those that are there.
 #[test]
-fn crashes_false_downs_and_shares_are_told() {
+fn a_report_lists_crashes_false_downs_and_quotas() {
     let mut observer = pair();
     note(&mut observer, 2, 0, sees(1, 1, Seen::Down));
     assert_eq!((observer.false_downs(), observer.missing()), (1, 1));
@@ -231,7 +231,7 @@
 
 /// Whatever can't be played is an error before anything starts, on one line.
 #[test]
-fn plans_that_cannot_be_played_are_told() {
+fn unplayable_plans_are_errors() {
     let good = plan(Disturbance::None, 1);
     let with = |disturbance| HollowPlan {
         disturbance,
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -145,7 +145,7 @@
     }
 
     #[test]
-    fn a_cut_is_told_from_damage() {
+    fn a_torn_tail_is_distinguished_from_damage() {
         let (whole, starts) = three();
         for cut in 0..whole.len() {
             let last = starts.iter().rposition(|&s| s <= cut).expect("a frame");
--- a/crates/journal/src/index.rs
+++ b/crates/journal/src/index.rs
@@ -538,7 +538,7 @@
 
     /// An end that goes before the facts that it ends would bring the message back to life.
     #[test]
-    fn an_end_outlasts_all_facts_of_its_notice_and_its_time() {
+    fn a_completed_record_outlasts_the_other_records_of_its_message() {
         let id = Id::new("aa");
         let mut index = Index::new(&[1; 32]);
         let slot = index.join(&id, 7, Tag::Accepted, 0, place(1)).0;
@@ -566,7 +566,7 @@
     }
 
     #[test]
-    fn an_id_that_comes_again_is_another_notice_and_the_older_one_stays_dead() {
+    fn a_reused_id_is_a_new_message() {
         let id = Id::new("aa");
         let mut index = Index::new(&[1; 32]);
         index.join(&id, 7, Tag::Accepted, 0, place(1));
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -76,7 +76,7 @@
 
 /// One message, as plainly as can be.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Owed {
+pub struct Reservation {
     pub order: usize,
     pub taken: Option<Record>,
     pub sent: BTreeMap<u32, Record>,
@@ -85,7 +85,7 @@
     pub over: Option<u64>,
 }
 
-impl Owed {
+impl Reservation {
     pub fn open(&self) -> bool {
         self.taken.is_some() && self.final_report.is_none() && self.over.is_none()
     }
@@ -115,7 +115,7 @@
 /// The reference: everything ever said, in the order in which it was said.
 #[derive(Clone, Debug, Default)]
 pub struct Model {
-    pub messages: BTreeMap<String, Owed>,
+    pub messages: BTreeMap<String, Reservation>,
 }
 
 impl Model {
@@ -125,9 +125,9 @@
             let reserved_bytes = self
                 .messages
                 .entry(record.id().to_owned())
-                .or_insert_with(|| Owed {
+                .or_insert_with(|| Reservation {
                     order,
-                    ..Owed::default()
+                    ..Reservation::default()
                 });
             match record {
                 Record::Accepted { .. } => reserved_bytes.taken = Some(record.clone()),
@@ -149,7 +149,7 @@
 
     /// What a recovery at `now` must tell of open messages and of reports that are due.
     pub fn reserved_bytes(&self) -> Vec<Record> {
-        let mut final_report: Vec<(&String, &Owed)> = self
+        let mut final_report: Vec<(&String, &Reservation)> = self
             .messages
             .iter()
             .filter(|(_, o)| o.over.is_none())
@@ -159,7 +159,7 @@
             .iter()
             .filter_map(|(_, o)| o.final_report.clone())
             .collect();
-        let mut open: Vec<(&String, &Owed)> =
+        let mut open: Vec<(&String, &Reservation)> =
             self.messages.iter().filter(|(_, o)| o.open()).collect();
         open.sort_by_key(|(_, o)| o.order);
         for (id, reserved_bytes) in open {
--- a/crates/journal/tests/hard_cases.rs
+++ b/crates/journal/tests/hard_cases.rs
@@ -170,7 +170,7 @@
 /// A sender that was down for long finds messages whose time is out, concludes them, and may be killed before it has: the
 /// doubt must last that long, or one that may have been executed is told as never run.
 #[test]
-fn a_doubt_outlasts_notices_whose_time_was_out_before_the_start() {
+fn possible_executions_outlast_messages_that_expired_before_the_start() {
     let mut files = filled(30).storage().after_death();
     let name = segments(&files)[1].clone();
     files.files.get_mut(&name).expect("a segment")[200] ^= 1;
@@ -470,7 +470,7 @@
 }
 
 #[test]
-fn a_turn_without_room_keeps_its_ends_and_says_so() {
+fn a_batch_without_room_persists_its_end_records_only() {
     let (mut journal, _) = open(Memory::new(64 * 1024), START);
     journal
         .append(START, &[taken("a", 10), taken("b", 10), sent("a", 0)])
@@ -543,7 +543,7 @@
 }
 
 #[test]
-fn ids_that_ended_are_remembered_for_as_long_as_a_notice_lasts_and_no_longer() {
+fn completed_ids_are_kept_for_the_lifetime_of_a_message() {
     let (mut journal, _) = open(Memory::new(64 * 1024), START);
     journal
         .append(START, &[taken("a", 10), sent("a", 0)])
@@ -677,7 +677,7 @@
 }
 
 #[test]
-fn the_old_ledger_is_carried_over_at_the_first_start_and_then_gone() {
+fn the_old_ledger_is_migrated_at_the_first_start_and_removed() {
     let mut files = Memory::new(64 * 1024);
     files.files.insert("ledger".into(), old_ledger().concat());
     files.files.insert("ledger.new".into(), b"half".to_vec());
--- a/crates/journal/tests/property.rs
+++ b/crates/journal/tests/property.rs
@@ -252,7 +252,7 @@
 }
 
 /// What is found as the sender reads it: by message, its attempts used and whether it may have been executed.
-fn read(records: &[Record]) -> BTreeMap<String, Owed> {
+fn read(records: &[Record]) -> BTreeMap<String, Reservation> {
     let mut model = Model::default();
     model.take(records);
     model.messages
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn members_ask_those_who_are_there_and_are_told() {
+fn members_request_learned_state_from_live_members() {
     let mut net = Net::new(5, 11);
     net.run(secs(5.0));
     net.members[1] = None;
@@ -217,7 +217,7 @@
 
 /// What a member says to all reaches all, the newest of it; and it ends with the member.
 #[test]
-fn what_a_member_says_reaches_all() {
+fn a_member_payload_reaches_all() {
     let mut net = Net::new(10, 12);
     net.run(secs(5.0));
     net.loss = 0.1;
--- a/crates/recovery/src/memory.rs
+++ b/crates/recovery/src/learned_state_cache.rs
@@ -22,7 +22,7 @@
 
 /// See the module's text.
 #[derive(Clone, Debug)]
-pub struct Memory {
+pub struct LearnedStateCache {
     bounds: Bounds,
     kept: BTreeMap<(u64, Option<String>), LearnedState>,
 }
@@ -31,9 +31,9 @@
     value.filter(|v| !v.is_nan() && *v > least)
 }
 
-impl Memory {
-    pub fn new(bounds: Bounds) -> Memory {
-        Memory {
+impl LearnedStateCache {
+    pub fn new(bounds: Bounds) -> LearnedStateCache {
+        LearnedStateCache {
             bounds,
             kept: BTreeMap::new(),
         }
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -4,7 +4,7 @@
 
 use cranehill_scheduler::{LearnedState, Time};
 
-use crate::memory::{Bounds, Memory};
+use crate::learned_state_cache::{Bounds, LearnedStateCache};
 use crate::work_queue::WorkQueue;
 
 /// How a sender comes back.
@@ -21,7 +21,7 @@
 
 /// Where a sender stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum Phase {
     Recovering {
         since: Time,
     },
@@ -36,8 +36,8 @@
 #[derive(Debug)]
 pub struct Recovery {
     set: Settings,
-    stage: Stage,
-    pub memory: Memory,
+    phase: Phase,
+    pub cache: LearnedStateCache,
     pub work_queue: WorkQueue,
     /// Something new in the memory, or new destinations: the decisions should recall.
     restore: bool,
@@ -54,8 +54,8 @@
     pub fn new(set: Settings, now: Time) -> Recovery {
         Recovery {
             set,
-            stage: Stage::Recovering { since: now },
-            memory: Memory::new(set.bounds),
+            phase: Phase::Recovering { since: now },
+            cache: LearnedStateCache::new(set.bounds),
             work_queue: WorkQueue::new(now),
             restore: true,
             ask_at: now,
@@ -66,24 +66,24 @@
         }
     }
 
-    pub fn stage(&self) -> Stage {
-        self.stage
+    pub fn phase(&self) -> Phase {
+        self.phase
     }
 
     pub fn is_recovering(&self) -> bool {
-        matches!(self.stage, Stage::Recovering { .. })
+        matches!(self.phase, Phase::Recovering { .. })
     }
 
     /// What our own earlier process left.
     pub fn restored(&mut self, now: Time, learned_state: Vec<LearnedState>) {
-        self.memory.note(now, learned_state);
+        self.cache.note(now, learned_state);
         self.restore = true;
     }
 
     /// What a member told.
     pub fn peer_replied(&mut self, now: Time, learned_state: Vec<LearnedState>) {
         self.peer_replied = true;
-        self.memory.note(now, learned_state);
+        self.cache.note(now, learned_state);
         self.restore = true;
     }
 
@@ -94,7 +94,7 @@
 
     /// What the decisions should recall now, if anything.
     pub fn restore(&mut self, now: Time) -> Option<Vec<LearnedState>> {
-        (self.is_recovering() && std::mem::take(&mut self.restore)).then(|| self.memory.usable(now))
+        (self.is_recovering() && std::mem::take(&mut self.restore)).then(|| self.cache.usable(now))
     }
 
     /// The last first call may go then.
@@ -104,7 +104,7 @@
 
     /// Whether members should be asked now; `others` is whether there are any.
     pub fn asks(&mut self, now: Time, others: bool) -> bool {
-        let Stage::Recovering { since } = self.stage else {
+        let Phase::Recovering { since } = self.phase else {
             return false;
         };
         if self.peer_replied || !others || now < self.ask_at || now - since >= self.set.alone {
@@ -116,7 +116,7 @@
 
     /// Looks whether all is done; the time that it took, once.
     pub fn look(&mut self, now: Time) -> Option<Duration> {
-        let Stage::Recovering { since } = self.stage else {
+        let Phase::Recovering { since } = self.phase else {
             return None;
         };
         let heard = self.peer_replied || now - since >= self.set.alone;
@@ -124,13 +124,13 @@
             return None;
         }
         let took = now - since;
-        self.stage = Stage::Full { took, since: now };
+        self.phase = Phase::Full { took, since: now };
         Some(took)
     }
 
     /// When to look again, while recovering.
     pub fn due(&self, now: Time) -> Option<Time> {
-        let Stage::Recovering { since } = self.stage else {
+        let Phase::Recovering { since } = self.phase else {
             return None;
         };
         let alone = since + self.set.alone;
--- a/crates/recovery/src/work_queue.rs
+++ b/crates/recovery/src/work_queue.rs
@@ -16,7 +16,7 @@
 const LEFT_LEAST: u32 = 2;
 
 #[derive(Debug, Default)]
-struct Line {
+struct DestinationQueue {
     waiting: BTreeSet<(Time, String)>,
     in_hand: BTreeSet<String>,
     /// All that there were, and those handed over.
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct WorkQueue {
     since: Time,
-    lines: BTreeMap<u64, Line>,
+    lines: BTreeMap<u64, DestinationQueue>,
 }
 
 impl WorkQueue {
--- a/crates/recovery/tests/coming_back.rs
+++ b/crates/recovery/tests/coming_back.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_recovery::{
-    Bounds, Memory, Recovery, Settings, Stage, WorkQueue, decode, encode, pack, unpack,
+    Bounds, LearnedStateCache, Phase, Recovery, Settings, WorkQueue, decode, encode, pack, unpack,
 };
 use cranehill_scheduler::{LearnedState, ObservedHealth, Time};
 use proptest::prelude::*;
@@ -45,8 +45,8 @@
 /// Each piece has an age of its own, beyond which nothing rests on it; a wait has none.
 #[test]
 fn what_is_too_old_is_not_used_and_a_wait_is_kept_to_its_end() {
-    let mut memory = Memory::new(BOUNDS);
-    memory.note(
+    let mut cache = LearnedStateCache::new(BOUNDS);
+    cache.note(
         s(0.0),
         vec![
             LearnedState {
@@ -56,7 +56,7 @@
             piece(2, s(0.0)),
         ],
     );
-    let at = |t: f64| memory.usable(s(t));
+    let at = |t: f64| cache.usable(s(t));
     assert_eq!(at(5.0).len(), 2);
     assert!(
         at(5.5)
@@ -93,22 +93,22 @@
         ..piece(1, s(2.0))
     };
     for order in [[old.clone(), young.clone()], [young, old]] {
-        let mut memory = Memory::new(BOUNDS);
-        memory.note(s(3.0), order.to_vec());
-        let known = memory.usable(s(3.0));
+        let mut cache = LearnedStateCache::new(BOUNDS);
+        cache.note(s(3.0), order.to_vec());
+        let known = cache.usable(s(3.0));
         assert_eq!(
             (known[0].limit, known[0].blocked_until),
             (Some(12.0), Some(s(9.0)))
         );
     }
-    let mut memory = Memory::new(BOUNDS);
+    let mut cache = LearnedStateCache::new(BOUNDS);
     let odd = LearnedState {
         limit: Some(f64::NAN),
         window: Some(-1.0),
         state: None,
         ..piece(2, s(1.0))
     };
-    memory.note(
+    cache.note(
         s(3.0),
         vec![
             piece(1, s(8.1)),
@@ -119,7 +119,7 @@
             },
         ],
     );
-    let known = memory.usable(s(3.0));
+    let known = cache.usable(s(3.0));
     assert_eq!(
         (known.len(), known[0].destination, known[0].blocked_until),
         (1, 3, None),
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn what_is_owed_goes_oldest_deadline_first_two_of_a_partner_at_a_time() {
+fn the_work_queue_releases_oldest_deadlines_first_two_per_destination() {
     let mut work_queue = WorkQueue::new(s(0.0));
     for (id, deadline) in [("c", 14.0), ("a", 10.0), ("d", 16.0), ("b", 12.0)] {
         work_queue.add(1, s(deadline), id.into());
@@ -171,7 +171,7 @@
     assert_eq!(alone.restore(s(0.0)).map(|l| l.len()), Some(0));
     assert!(!alone.asks(s(0.1), false) && alone.look(s(1.9)).is_none());
     assert_eq!(alone.look(s(2.0)), Some(secs(2)));
-    assert!(matches!(alone.stage(), Stage::Full { took, .. } if took == secs(2)));
+    assert!(matches!(alone.phase(), Phase::Full { took, .. } if took == secs(2)));
     let mut peer_replied = start();
     peer_replied.restore(s(0.0));
     assert!(
@@ -225,15 +225,15 @@
 proptest! {
     /// Pieces fit, and hold all but what can't fit by itself; whatever they say, the memory's use of it is bounded.
     #[test]
-    fn pieces_come_back_whole(learned_state in proptest::collection::vec(any_piece(), 0..80)) {
+    fn chunks_round_trip(learned_state in proptest::collection::vec(any_piece(), 0..80)) {
         let chunks = encode(&learned_state, 1024);
         prop_assert!(chunks.iter().all(|p| p.len() <= 1024));
         let back: Vec<LearnedState> = chunks.iter().flat_map(|p| decode(p).expect("ours")).collect();
         let long = learned_state.iter().filter(|l| encode(&[(*l).clone()], 1024).is_empty()).count();
         prop_assert_eq!(back.len() + long, learned_state.len());
-        let mut memory = Memory::new(BOUNDS);
-        memory.note(s(0.0), back);
-        for p in memory.usable(s(0.0)) {
+        let mut cache = LearnedStateCache::new(BOUNDS);
+        cache.note(s(0.0), back);
+        for p in cache.usable(s(0.0)) {
             prop_assert!(p.window.is_none_or(|w| w > 0.0) && p.limit.is_none_or(|l| l > 0.0));
             prop_assert!(p.at <= s(5.0));
         }
@@ -242,7 +242,7 @@
     /// Guards short deadlines: by a fixed time before them a restart's messages were handed over too late for a try. Each is
     /// in the decisions' hands with half of its time left at least, and within five seconds, though none before it moves.
     #[test]
-    fn what_is_owed_is_handed_over_with_half_of_its_time_left(
+    fn the_work_queue_releases_messages_with_half_of_their_time_remaining(
         lefts in proptest::collection::vec((0u64..3, 10u64..30_000), 1..60)
     ) {
         let mut work_queue = WorkQueue::new(s(0.0));
--- a/crates/scenario-runner/src/measure.rs
+++ b/crates/scenario-runner/src/measure.rs
@@ -29,7 +29,7 @@
 
 /// What is measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Setup {
+pub struct MeasureOptions {
     /// Endpoints of all destinations together, two for each.
     pub endpoints: usize,
     pub senders: usize,
@@ -102,7 +102,7 @@
 }
 
 /// The day of one step.
-fn text(setup: &Setup, rate: f64) -> String {
+fn text(setup: &MeasureOptions, rate: f64) -> String {
     let destinations = (setup.endpoints / 2).max(1);
     // Twice what comes, so that no destination is what is measured.
     let capacity = (rate / destinations as f64 * 4.0).max(20.0);
@@ -124,7 +124,7 @@
 }
 
 /// Plays one rate against this program.
-pub fn step(program: &Path, setup: &Setup, rate: f64) -> Result<Step, RunError> {
+pub fn step(program: &Path, setup: &MeasureOptions, rate: f64) -> Result<Step, RunError> {
     let scenario = scenario::parse(&text(setup, rate), setup.seed)
         .map_err(|e| RunError::Scenario(e.to_string()))?;
     // Room in plenty: neither descriptors, nor the disk, nor the calls that may be out are what is measured.
@@ -207,7 +207,7 @@
 /// Looks for the highest rate that is sustained; `each` hears of every step. `None` if not even the first rate is.
 pub fn highest(
     program: &Path,
-    setup: &Setup,
+    setup: &MeasureOptions,
     mut each: impl FnMut(&Step),
 ) -> Result<Option<Step>, RunError> {
     let mut best: Option<Step> = None;
--- a/crates/scenario-runner/src/senders.rs
+++ b/crates/scenario-runner/src/senders.rs
@@ -557,7 +557,7 @@
 
     /// A sender that is killed right after it said where it listens: its words are heard later, and are not its successor's.
     #[test]
-    fn words_of_an_earlier_life_are_told_apart() {
+    fn events_of_an_earlier_process_are_distinguished() {
         let folder = std::env::temp_dir();
         let mut process = Process::new(0, Path::new("/bin/sh"), &folder);
         let (heard, events) = std::sync::mpsc::channel();
--- a/crates/scenario-runner/src/wire.rs
+++ b/crates/scenario-runner/src/wire.rs
@@ -358,7 +358,7 @@
     }
 
     #[test]
-    fn a_batch_with_mixed_ends_says_each() {
+    fn a_batch_answer_lists_each_outcome() {
         let ids = vec!["a".to_owned(), "b".to_owned()];
         let text = String::from_utf8(call_answer(
             &ids,
@@ -413,7 +413,7 @@
     }
 
     #[test]
-    fn a_senders_words_are_understood() {
+    fn sender_log_lines_are_parsed() {
         assert_eq!(
             client_answer(b"+OK\r\n+"),
             Some((ClientAnswer::Accepted, 5))
--- a/crates/scheduler/tests/failures.rs
+++ b/crates/scheduler/tests/failures.rs
@@ -152,7 +152,7 @@
 
 /// The reload day of 1 December: of two endpoints the one that had failed was left out until the day's end.
 #[test]
-fn an_endpoint_that_failed_is_tried_again_beside_one_that_works() {
+fn a_failed_endpoint_is_probed_beside_a_working_one() {
     let mut b = Bench::new(
         settings(),
         vec![
@@ -182,7 +182,7 @@
 
 /// Endpoints that are replaced all day leave no records behind.
 #[test]
-fn endpoints_that_have_gone_are_forgotten() {
+fn removed_endpoints_are_forgotten() {
     let mut b = Bench::new(settings(), vec![entry("e0", 1, Condition::Ready, 0)]);
     for i in 1..500u64 {
         let entries = vec![
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -121,7 +121,7 @@
 /// zone+vast, seed 3: after a zone had been down for 5 s every call went on a connection of its own for a minute, since
 /// each connection refused by the outage was taken for a lack of connections: 12,435 handshakes for 14,262 messages.
 #[test]
-fn connections_refused_in_an_outage_do_not_tell_of_shortage() {
+fn refused_connections_in_an_outage_are_no_connection_shortage() {
     let mut b = Bench::new(
         Settings {
             instances: SENDERS as u32,
@@ -169,7 +169,7 @@
 /// calm+mass, seed 13: an order of endpoints that all shared sent 98% of a destination's calls to one of two, which refused
 /// half of them while two thirds of the destination's limit were left.
 #[test]
-fn senders_with_little_to_send_spread_over_a_partners_endpoints() {
+fn senders_with_little_load_spread_over_endpoints() {
     let set = Settings {
         instances: SENDERS as u32,
         slots: 4,
--- a/crates/scheduler/tests/learned_state.rs
+++ b/crates/scheduler/tests/learned_state.rs
@@ -84,7 +84,7 @@
 
 /// A wait holds whoever was told it, whatever else is forgotten; and to its end, not beyond.
 #[test]
-fn a_recalled_wait_is_kept_to_its_end() {
+fn a_restored_retry_after_is_respected_to_its_end() {
     let mut sender = fresh(1, 1);
     sender.restore(
         ms(0),
@@ -111,7 +111,7 @@
 
 /// A window is never above a new one's, and what a call has shown since is not overwritten.
 #[test]
-fn what_is_recalled_never_allows_more() {
+fn restored_state_never_allows_more() {
     let out = |mut sender: Scheduler, window: f64| -> usize {
         sender.restore(
             ms(0),
@@ -151,7 +151,7 @@
 
 /// A destination that others saw out is tried once, not at once with all that there is.
 #[test]
-fn a_partner_that_was_out_gets_one_trial() {
+fn a_failed_destination_gets_one_probe_call() {
     let mut sender = fresh(1, 1);
     sender.restore(
         ms(0),
@@ -175,7 +175,7 @@
 
 /// What one sender has learned is what another recalls: the two ends agree.
 #[test]
-fn what_is_learnt_is_told_with_its_age() {
+fn learned_state_carries_its_age() {
     let mut sender = fresh(4, 1);
     assert_eq!(sender.learned_state(), [], "nothing was called");
     sender.handle(ms(0), vec![accept("a", 0, None, 9_900)]);
--- a/crates/scheduler/tests/returns.rs
+++ b/crates/scheduler/tests/returns.rs
@@ -132,7 +132,7 @@
 /// Guards a cold destination whose senders were told by a long wait that it is out: a call that was sent before and served all the
 /// same was taken for the return, so that the slow start ran off during the wait and a sender came back with a whole window.
 #[test]
-fn what_was_on_its_way_as_a_long_wait_was_told_ends_no_outage() {
+fn late_successes_during_a_long_retry_after_end_no_outage() {
     let long = Class {
         deadline: std::time::Duration::from_secs(30),
         ..class(Effect::Safe)
--- a/crates/scheduler/tests/routes.rs
+++ b/crates/scheduler/tests/routes.rs
@@ -161,7 +161,7 @@
 /// arenapass, rough-1: a limit of five a second was sent ten for 40 s, and as refused calls use it up nothing was served.
 /// Twice the limit comes here all along; before pauses followed the told limit, 4 of 214 calls were served.
 #[test]
-fn a_told_limit_is_left_again_after_a_burst() {
+fn a_reported_limit_is_lifted_after_a_burst() {
     let limit = 5.0;
     let (mut debt, mut at) = (0.0, 0);
     let calls = fleet(
@@ -240,7 +240,7 @@
 
 /// h1248a3 (main-office), hd16fb1 (arenapass): waits told by a shut destination ended for all senders at once.
 #[test]
-fn senders_told_the_same_end_of_a_wait_do_not_return_together() {
+fn senders_with_the_same_retry_after_do_not_return_together() {
     let opens = 20_000;
     let calls = fleet(
         200,
@@ -299,7 +299,7 @@
 /// Days with 300 senders: an outage of 5 s, then a cold return, at a limit that answers tell. The rule on returning
 /// destinations is counted over all senders: no window of its span gets more than its multiple of what can be done then.
 #[test]
-fn three_hundred_senders_do_not_topple_a_partner_that_returns_cold() {
+fn three_hundred_senders_do_not_overload_a_cold_destination() {
     // As the operators' sites have them.
     let (cold_from, cold, fall_multiple) = (0.23, Duration::from_millis(9_100), 1.5);
     let rules = Rules {
--- a/crates/scheduler/tests/routes_in_use.rs
+++ b/crates/scheduler/tests/routes_in_use.rs
@@ -40,7 +40,7 @@
 
 /// Before, each turn, one every 5 ms where something happens, went over all routes.
 #[test]
-fn a_turn_looks_at_no_lane_that_nothing_has_changed() {
+fn a_tick_visits_only_active_routes() {
     let few = active_routes(&mut listed(10));
     assert_eq!(few, active_routes(&mut listed(57_000)));
     assert_eq!(few.last(), Some(&0), "what is over is idle again: {few:?}");
@@ -52,7 +52,7 @@
 
 /// An idle route saves up no calls beyond its bucket: after a long rest a returning destination still starts slowly.
 #[test]
-fn a_lane_that_was_skipped_starts_no_faster() {
+fn an_inactive_route_accumulates_no_extra_tokens() {
     let mut bench = listed(2);
     let Event::Outcome(served) = outcome("first", 0, Status::Served, 10) else {
         return;
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn an_unsafe_message_that_never_ran_is_tried_again() {
+fn an_unsafe_message_that_was_not_executed_is_retried() {
     let mut b = one();
     b.at(0, vec![accept("m", 2, None, 9000)]);
     let actions = b.at(10, vec![refused("m", 0, 100)]);
@@ -105,7 +105,7 @@
 /// Guards against a message that a destination has and that its client brings again once the destination has forgotten its
 /// key: seen after a restart, where nobody had heard the 200 and the message was crowded out until its deadline.
 #[test]
-fn what_may_have_run_is_handed_back_only_while_it_may_come_again() {
+fn a_possibly_executed_message_is_returned_only_while_repeatable() {
     // The window is 5 s, and the wait that is told 1 s.
     for (sent_ago, class, expected) in [
         (3999, 1, "refuse m"),
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn nothing_new_to_a_draining_or_gone_endpoint() {
+fn nothing_new_goes_to_a_draining_or_removed_endpoint() {
     for condition in [Condition::Draining, Condition::Removed] {
         let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)]);
         let news = Event::List {
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_lapsed_holder_keeps_its_turn_until_its_attempt_is_back() {
+fn a_cancelled_message_blocks_its_ordering_key_until_its_attempt_finishes() {
     let mut b = one();
     b.at(
         0,
@@ -421,7 +421,7 @@
 
 /// A trim once dropped this, and the rule broke at calls that carry many messages.
 #[test]
-fn a_wait_told_with_a_later_message_of_a_call_counts_too() {
+fn a_retry_after_for_a_later_message_of_a_call_counts() {
     let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 1)]);
     assert_eq!(
         sends(&b.at(
@@ -497,7 +497,7 @@
 }
 
 #[test]
-fn what_an_earlier_life_did_binds_this_one() {
+fn prior_attempts_of_an_earlier_process_count() {
     // Attempts used up; an unsafe message that may have been executed; a keyed one inside and outside its window.
     for (event, sent, ended) in [
         (with_past("m", 0, 4, None), 0, vec!["refuse m"]),
@@ -518,7 +518,7 @@
 }
 
 #[test]
-fn who_is_gone_is_refused_once_with_no_time_to_come_back_and_no_mark_on_the_destination() {
+fn a_removed_recipient_is_rejected_without_retry_after_or_health_signal() {
     let mut b = one();
     for n in 0..10u64 {
         let id = format!("m{n}");
--- a/crates/simulation/tests/audit.rs
+++ b/crates/simulation/tests/audit.rs
@@ -166,7 +166,7 @@
 const RETURNED: FinalReport = FinalReport::Returned { after: None };
 
 #[test]
-fn one_end_for_each_notice() {
+fn each_message_has_one_end() {
     log()
         .taken(0, "a", 0)
         .call(10, 1, &["a"])
@@ -399,7 +399,7 @@
 }
 
 #[test]
-fn told_waits_are_kept() {
+fn retry_after_waits_are_respected() {
     let notified = || {
         log().taken(0, "a", 0).call(10, 1, &["a"]).reply(
             1000,
@@ -470,7 +470,7 @@
 
 /// The bound is N + 2 x root of N + 2, over all senders; it is broken if over two thirds came from those that were told.
 #[test]
-fn a_returning_partner_is_not_pushed_over_by_those_who_saw_it_fail() {
+fn senders_that_saw_an_outage_do_not_overload_the_returning_destination() {
     pushed(26, true, 0).keeps(Rule::Return);
     pushed(27, true, 0).breaks(Rule::Return);
     // Of 27 calls 19 are over two thirds, and 18 are not.
--- a/crates/simulation/tests/laws.rs
+++ b/crates/simulation/tests/laws.rs
@@ -57,7 +57,7 @@
 
     /// A rate lets through what it says and a burst more; a count lets through no more than it says in any span.
     #[test]
-    fn a_limit_lets_through_what_it_says(
+    fn a_limit_admits_its_rate(
         per_second in 0.5..20.0f64, burst in 1.0..4.0f64, calls in 1..8u32, span in 200..2000u64,
         gaps in prop::collection::vec(0..400u64, 1..200),
     ) {
@@ -110,7 +110,7 @@
     /// Whatever a destination is asked, answers do not come before the question, have one outcome a message, and a destination
     /// that is silent or vanished says nothing.
     #[test]
-    fn a_partner_answers_after_it_is_asked_and_not_at_all_when_silent(
+    fn a_destination_answers_calls_unless_silent(
         seed in any::<u64>(), faults in prop::collection::vec(fault(), 0..5),
         calls in prop::collection::vec((0..300u64, 0..2usize, 1..6usize), 1..120),
     ) {
@@ -206,7 +206,7 @@
 
 /// The load is what it says, clumps included.
 #[test]
-fn the_load_is_as_heavy_as_asked_and_stations_get_their_shares() {
+fn the_load_has_its_rate_and_tenant_shares() {
     let (mut count, mut by_tenant, mut clumped) = (0, [0; 3], 0);
     for seed in 0..40 {
         let mut clients = Clients::new(load(), rng(seed));
@@ -235,7 +235,7 @@
 
 /// Cold at 23%, warm after 9.1 s, and pushed over by more than half as much again for 3 s, N calls, and 2 x root of N + 2 beyond.
 #[test]
-fn a_partner_comes_back_cold_and_falls_over_if_it_is_pushed() {
+fn a_returning_destination_is_cold_and_fails_when_overloaded() {
     let outage = Fault {
         kind: Kind::Refuse,
         start: ms(1000),
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -56,7 +56,7 @@
 
 /// A mistake in a file names its line, so that a person finds it; nothing is played then.
 #[test]
-fn a_mistake_is_told_with_its_line() {
+fn a_parse_error_names_its_line() {
     assert!(scenario::parse(DAY, 1).is_ok());
     let cases = [
         (r#"lasts = "4 s""#, r#"lasts = "4""#, "no unit"),
@@ -129,7 +129,7 @@
 
 /// Two destinations of one name would share what is judged of each.
 #[test]
-fn a_partners_name_is_its_own() {
+fn destination_names_are_unique() {
     let twice = DAY.replacen(r#"name = "servicio""#, r#"name = "grande""#, 1);
     assert!(
         scenario::parse(&twice, 1)
