--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -251,7 +251,7 @@
                 };
                 match recovery::decode(piece) {
                     Ok(learned_state) => {
-                        log::info!(event = "told", by:%, chunks = learned_state.len();
+                        log::info!(event = "learned-state-received", by:%, chunks = learned_state.len();
                             "recovery: {by} told of {} partners", learned_state.len());
                         recovery.peer_replied(self.now, learned_state);
                     }
--- a/crates/cranehill/src/cli.rs
+++ b/crates/cranehill/src/cli.rs
@@ -21,7 +21,7 @@
 #[derive(Parser)]
 #[command(
     name = "cranehill",
-    about = "Hands episode notices on to partner systems",
+    about = "Delivers messages to destinations within their deadlines, at the rate that each destination takes",
     disable_version_flag = true
 )]
 struct Args {
@@ -87,7 +87,8 @@
         mutations: Option<PathBuf>,
     },
     /// Start many senders that know each other, break ways and processes as a scenario says, and judge what came of it.
-    Rig {
+    #[command(alias = "rig")]
+    FleetTest {
         /// A scenario's name, or a day's file. Without it, the names.
         #[arg(value_name = "SCENARIO")]
         scenario: Option<String>,
@@ -154,7 +155,8 @@
         seed: u64,
     },
     /// Kill a real sender under load again and again, and check that nothing is lost, ended twice or wrongly repeated.
-    Kills {
+    #[command(alias = "kills")]
+    CrashTest {
         #[arg(long, default_value_t = 100, value_parser = clap::value_parser!(u32).range(1..))]
         kills: u32,
         #[arg(long, default_value_t = 1)]
@@ -234,7 +236,7 @@
                 Err(why) => Err(why),
             }
         }
-        Command::Rig {
+        Command::FleetTest {
             scenario,
             nodes,
             seed,
@@ -309,7 +311,7 @@
                 Err(why) => Err(why),
             }
         }
-        Command::Kills {
+        Command::CrashTest {
             kills,
             seed,
             flip_every,
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -417,7 +417,7 @@
         let full = outcome
             .logs
             .iter()
-            .filter(|l| l.0 == sender && l.1.contains("\"event\":\"full\""))
+            .filter(|l| l.0 == sender && l.1.contains("\"event\":\"recovery-complete\""))
             .count();
         // A sender that is killed while it comes back need not have been full between.
         assert!(
@@ -510,7 +510,7 @@
             .map(|z| z.3.as_str())
             .collect();
         assert!(
-            printed.starts_with(&["left", "returning"]),
+            printed.starts_with(&["evacuated", "recovery-ramp"]),
             "{sender}: {printed:?}: {shown}"
         );
         let view = outcome.views[sender]
--- a/crates/cranehill/tests/restart.rs
+++ b/crates/cranehill/tests/restart.rs
@@ -237,7 +237,7 @@
         .find(|l| l.contains("stopped:"))
         .expect("its last line");
     assert!(
-        stopped.contains("second_copy: 0, unknown_notice: 0, unlisted_endpoint: 0"),
+        stopped.contains("second_copy: 0, unknown_message: 0, unlisted_endpoint: 0"),
         "{stopped}"
     );
     assert!(stopped.contains(" 0 notices and 0 reports"), "{stopped}");
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -384,7 +384,7 @@
             .into_iter()
             .for_each(|client| reactor.adopt(client));
         if connections > 0 {
-            log::info!(event = "taken-over", clients = connections; "hand-over: {connections} client connections taken over");
+            log::info!(event = "handover-inherited", clients = connections; "hand-over: {connections} client connections taken over");
         }
         Ok(reactor)
     }
--- a/crates/daemon/src/reactor/effects.rs
+++ b/crates/daemon/src/reactor/effects.rs
@@ -78,7 +78,7 @@
                 Effect::Detached { by, known, now } => self.detached(by, known, &now),
                 Effect::PersistLearnedState(bytes) => self.remember(&bytes),
                 Effect::RecoveryComplete(took) => {
-                    log::info!(event = "full", took_ms = took.as_millis() as u64;
+                    log::info!(event = "recovery-complete", took_ms = took.as_millis() as u64;
                         "recovery: full service {took:?} after the start");
                 }
             }
--- a/crates/daemon/src/reactor/fleet.rs
+++ b/crates/daemon/src/reactor/fleet.rs
@@ -76,7 +76,7 @@
         Err(e) => log::warn!("recovery: what was learnt can't be read: {e}"),
     }
     let (held, _) = core.outstanding();
-    log::info!(event = "recovering", held; "recovery: recovering");
+    log::info!(event = "recovery-started", held; "recovery: recovering");
 }
 
 fn member(view: &View, now: Time) -> Value {
@@ -104,16 +104,16 @@
             out,
         } => {
             let zone = zone_name(names, *zone);
-            log::warn!(event = "zone", zone, state = "left", fails, serves, out_ms = out.as_millis() as u64;
+            log::warn!(event = "zone", zone, state = "evacuated", fails, serves, out_ms = out.as_millis() as u64;
                 "zones: {zone} is left: it fails {fails} members and serves {serves}; for {out:?} at least");
         }
         Change::Return { zone, .. } => {
             let zone = zone_name(names, *zone);
-            log::info!(event = "zone", zone, state = "returning"; "zones: {zone} serves probes; work returns to it");
+            log::info!(event = "zone", zone, state = "recovery-ramp"; "zones: {zone} serves probes; work returns to it");
         }
         Change::InService { zone } => {
             let zone = zone_name(names, *zone);
-            log::info!(event = "zone", zone, state = "free"; "zones: {zone} is as any other again");
+            log::info!(event = "zone", zone, state = "in-service"; "zones: {zone} is as any other again");
         }
         Change::Probe { zone, .. } => {
             let zone = zone_name(names, *zone);
@@ -149,8 +149,8 @@
 fn notify(view: &View, before: Option<State>) {
     let (name, state) = (view.member.name.as_str(), view.state.label());
     let before = before.map_or("unknown", State::label);
-    log::info!(event = "member", member = name, at:% = view.member.at, own_incarnation = view.member.generation,
-        incarnation = view.incarnation, state, before;
+    log::info!(event = "member", member = name, at:% = view.member.at, incarnation = view.member.generation,
+        swim_incarnation = view.incarnation, state, before;
         "fleet: {name} at {} is {state}, was {before}", view.member.at);
 }
 
@@ -195,10 +195,10 @@
             Effect::Rejoined {
                 generation: own_incarnation,
             } => {
-                log::warn!(event = "rejoined", own_incarnation; "fleet: the others held us to be down; back under life {own_incarnation}");
+                log::warn!(event = "rejoined", incarnation = own_incarnation; "fleet: the others held us to be down; back under life {own_incarnation}");
             }
             Effect::Stalled(by) => {
-                log::warn!(event = "held-up", ms = by.as_millis() as u64;
+                log::warn!(event = "process-pause", paused_ms = by.as_millis() as u64;
                     "fleet: this process was held up for {by:?}; it concludes nothing about others from that time");
             }
             Effect::Dropped(why) => {
@@ -207,13 +207,13 @@
                 if now >= end.next_drop_warning {
                     let dropped = std::mem::take(&mut end.dropped);
                     end.next_drop_warning = now + REJECTION_WARNING_INTERVAL;
-                    log::warn!(event = "dropped", cause = why.label(), dropped;
+                    log::warn!(event = "packet-dropped", cause = why.label(), dropped;
                         "fleet: a packet was dropped, {why}; {dropped} since the last such line");
                 }
             }
             Effect::ShareDivisor(senders) => {
                 self.dirty = true;
-                log::info!(event = "senders", senders; "fleet: shared limits are divided by {senders} senders");
+                log::info!(event = "quota-divisor", senders; "fleet: shared limits are divided by {senders} senders");
             }
         }
     }
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -60,7 +60,7 @@
             (true, None) => {
                 end.quiet = Some(now);
                 let (held, out) = (self.core.outstanding().0, self.core.attempts_out());
-                log::info!(event = "hand-over", held, out; "hand-over: asked for; {held} notices held, {out} attempts out");
+                log::info!(event = "handover-requested", held, out; "hand-over: asked for; {held} notices held, {out} attempts out");
                 self.step(Input::Quiesced(true));
                 false
             }
@@ -167,7 +167,7 @@
         }
         server.end()?;
         let (held, reports) = self.core.outstanding();
-        log::info!(event = "handed-over", clients = passed, held, reports;
+        log::info!(event = "handover-complete", clients = passed, held, reports;
             "hand-over: done, with {passed} client connections; {held} notices and {reports} reports are in the journal");
         self.end_waiting();
         Ok(())
--- a/crates/daemon/src/reactor/operator.rs
+++ b/crates/daemon/src/reactor/operator.rs
@@ -253,11 +253,11 @@
         match (on, self.draining_since) {
             (true, None) => {
                 self.draining_since = Some(self.clock.now());
-                log::info!(event = "lame-duck", clients; "operator: emptying, {clients} client connections");
+                log::info!(event = "draining", clients; "operator: emptying, {clients} client connections");
             }
             (false, Some(_)) => {
                 self.draining_since = None;
-                log::info!(event = "lame-duck-over", clients; "operator: for clients again");
+                log::info!(event = "draining-ended", clients; "operator: for clients again");
             }
             _ => {}
         }
--- a/crates/fleet-harness/src/timeline.rs
+++ b/crates/fleet-harness/src/timeline.rs
@@ -66,7 +66,7 @@
                         continue;
                     };
                     let state = value["state"].as_str().unwrap_or_default().to_owned();
-                    let incarnation = value["life"].as_u64().unwrap_or(0);
+                    let incarnation = value["incarnation"].as_u64().unwrap_or(0);
                     timeline.state_changes.push(StateChange {
                         at,
                         by: *by,
@@ -75,12 +75,12 @@
                         incarnation,
                     });
                 }
-                "senders" => {
+                "quota-divisor" => {
                     timeline
                         .senders
                         .push((at, *by, value["senders"].as_u64().unwrap_or(0)))
                 }
-                "full" => {
+                "recovery-complete" => {
                     let took = Duration::from_millis(value["took_ms"].as_u64().unwrap_or(0));
                     timeline.full.push((at, *by, took));
                 }
--- a/crates/fleet-harness/src/zones.rs
+++ b/crates/fleet-harness/src/zones.rs
@@ -139,10 +139,9 @@
         .for_each(|at| out.last.saturating_record((*at - from).as_millis() as u64));
     out.probes = f64::from(late) / until.saturating_sub(from + SETTLED).as_secs_f64().max(1.0);
     for sender in 0..scenario.senders {
-        let left = timeline
-            .zones
-            .iter()
-            .find(|z| z.1 == sender && z.2 == *name && z.3 == "left" && z.0 >= from && z.0 < until);
+        let left = timeline.zones.iter().find(|z| {
+            z.1 == sender && z.2 == *name && z.3 == "evacuated" && z.0 >= from && z.0 < until
+        });
         match left {
             Some(left) => out
                 .left
