--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -151,7 +151,7 @@
 
     fn insert(&mut self, now: Time, id: EndpointId, entry: Entry, address: String) {
         let Entry {
-            destination: destination,
+            destination,
             condition,
             zone,
             kind,
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -102,7 +102,7 @@
     Record::AttemptFinished {
         id: id.into(),
         attempt,
-        not_executed: not_executed,
+        not_executed,
     }
 }
 
--- a/crates/scenario-runner/src/senders.rs
+++ b/crates/scenario-runner/src/senders.rs
@@ -495,7 +495,7 @@
     }
     let mut text = String::from("listen = \"127.0.0.1:0\"\n");
     for PushService {
-        destination: destination,
+        destination,
         addresses,
     } in services
     {
--- a/crates/scenario-runner/src/stage/connections.rs
+++ b/crates/scenario-runner/src/stage/connections.rs
@@ -370,7 +370,7 @@
         What::Opened {
             connection,
             endpoint,
-            destination: destination,
+            destination,
         }
     }
 
@@ -383,7 +383,7 @@
         What::Begun {
             connection,
             endpoint,
-            destination: destination,
+            destination,
         }
     }
 
@@ -396,7 +396,7 @@
         What::Called {
             connection,
             endpoint,
-            destination: destination,
+            destination,
             ids,
         }
     }
@@ -410,7 +410,7 @@
         What::Broke {
             connection,
             endpoint,
-            destination: destination,
+            destination,
             ids,
             executed,
         }
--- a/crates/scenario-runner/src/stage/directory.rs
+++ b/crates/scenario-runner/src/stage/directory.rs
@@ -174,7 +174,7 @@
             }
             let notified = What::Notified {
                 endpoint,
-                destination: destination,
+                destination,
                 listed: audited_state(listed),
             };
             let line = format!("version {}: endpoint {endpoint} {listed:?}", list.version);
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -41,7 +41,7 @@
                 .drain(..)
                 .map(|(id, n)| outcome(&id, n, status, 50))
                 .collect();
-            if (ms + 50 * i as u64) % 10_000 == 0 {
+            if (ms + 50 * i as u64).is_multiple_of(10_000) {
                 events.push(accept(&format!("{i}-{ms}"), 0, None, 9_900));
             }
             events.push(Event::Wake);
--- a/crates/scheduler/tests/returns.rs
+++ b/crates/scheduler/tests/returns.rs
@@ -56,7 +56,7 @@
                 );
                 let gap = (u64::from(senders) * 1000 * 2 / (limit as u64 * 3)).max(25) / 25;
                 let mut events = vec![Event::Wake];
-                if (ms / 25 + n as u64) % gap == 0 {
+                if (ms / 25 + n as u64).is_multiple_of(gap) {
                     events.push(accept(&format!("m{n}-{ms}"), 0, None, 9000));
                 }
                 let mut actions = b.at(ms, events);
--- a/crates/scheduler/tests/routes.rs
+++ b/crates/scheduler/tests/routes.rs
@@ -78,7 +78,7 @@
                     })
                 })
                 .collect();
-            if (ms + i as u64 * every / senders / 50 * 50) % every == 0 {
+            if (ms + i as u64 * every / senders / 50 * 50).is_multiple_of(every) {
                 events.push(accept(&format!("{i}-{ms}"), 0, None, 9_900));
             }
             events.push(Event::Wake);
