--- a/crates/cranehill/tests/cli.rs
+++ b/crates/cranehill/tests/cli.rs
@@ -133,3 +133,50 @@
         assert!(printed.contains(why), "{senders}: {printed}");
     }
 }
+
+/// The names of 0.2 and before stay as aliases of the present ones.
+#[test]
+fn renamed_commands_and_options_accept_their_old_names() {
+    let renamed: [(&[&str], &[&str], i32, &str); 5] = [
+        (&["fleet-test"], &["rig"], 0, "membership"),
+        (
+            &["crash-test", "--kills", "0"],
+            &["kills", "--kills", "0"],
+            2,
+            "0 is not in 1..",
+        ),
+        (
+            &["rehearse", "--mutations", "program", "--senders", "2"],
+            &["rehearse", "--breakages", "program", "--senders", "2"],
+            2,
+            "'--mutations <PROGRAM>' cannot be used with",
+        ),
+        (
+            &[
+                "fleet-test",
+                "--members-only",
+                "--hollow",
+                "9",
+                "--duration",
+                "0",
+            ],
+            &["rig", "--members-only", "--hollow", "9", "--lasts", "0"],
+            2,
+            "duration: ",
+        ),
+        (
+            &["fleet-test", "--members-only", "--cut-duration", "x"],
+            &["rig", "--members-only", "--cut-lasts", "x"],
+            2,
+            "invalid value 'x' for '--cut-duration",
+        ),
+    ];
+    for (present, old, code, shown) in renamed {
+        for arguments in [present, old] {
+            let out = run(arguments);
+            let printed = text(&out.stdout) + &text(&out.stderr);
+            assert_eq!(out.status.code(), Some(code), "{arguments:?}: {printed}");
+            assert!(printed.contains(shown), "{arguments:?}: {printed}");
+        }
+    }
+}
--- a/crates/cranehill/tests/rehearse.rs
+++ b/crates/cranehill/tests/rehearse.rs
@@ -157,7 +157,7 @@
 
 /// Mutations are never in the shipped binary: one that is told to break something does not start.
 #[test]
-fn the_shipped_program_has_no_breakages() {
+fn the_shipped_program_has_no_mutations() {
     let plan = Plan {
         mutation: Some("two-copies".into()),
         ..plan(SHORT, 1)
--- a/crates/fleet-harness/src/hollow/plan.rs
+++ b/crates/fleet-harness/src/hollow/plan.rs
@@ -34,7 +34,7 @@
     Crashes {
         one_in: u32,
     },
-    /// One in [`MEMBERS_PER_RACK`] members is killed at once, and stays away.
+    /// One in `MEMBERS_PER_RACK` members is killed at once, and stays away.
     RackDown,
     /// One zone of so many is killed at once, and stays away.
     ZoneDown {
