--- a/crates/cranehill/src/cli.rs
+++ b/crates/cranehill/src/cli.rs
@@ -420,10 +420,10 @@
 fn serve(webpush: Option<&Path>, key: Option<&Path>, fleet: Option<&Path>) -> Result<(), String> {
     if let Some(name) = variable("CRANEHILL_BREAK") {
         let mutation = Mutation::named(&name)
-            .ok_or_else(|| format!("CRANEHILL_BREAK: no breakage '{name}'"))?;
+            .ok_or_else(|| format!("CRANEHILL_BREAK: no mutation '{name}'"))?;
         if !mutation::choose(mutation) {
             return Err(
-                "CRANEHILL_BREAK: this build has no breakages (feature `breakages`)".into(),
+                "CRANEHILL_BREAK: this build has no mutations (feature `mutations`)".into(),
             );
         }
         log::warn!(mutation = name.as_str(); "this sender breaks a rule on purpose: {name}");
@@ -511,7 +511,7 @@
     if let Some(config) = &config {
         let platform_settings = &config.platform_settings;
         println!(
-            "configuration of {}: {} classes, {} stations, {} endpoints known",
+            "configuration of {}: {} classes, {} tenants, {} endpoints known",
             config.name,
             platform_settings.settings.classes.len(),
             platform_settings.names.tenants.len(),
--- a/crates/cranehill/src/crash_test.rs
+++ b/crates/cranehill/src/crash_test.rs
@@ -84,7 +84,7 @@
                 "{} kills, {} flipped bytes, {} log lines of damage",
                 self.kills, self.flips, self.damage_lines
             ),
-            format!("taken on: {}; refused {}", taken.join(", "), self.refused),
+            format!("accepted: {}; rejected: {}", taken.join(", "), self.refused),
             format!("delivered {}, reported {}", self.delivered, self.reported),
         ];
         for (what, ids) in [
--- a/crates/cranehill/src/rehearsal.rs
+++ b/crates/cranehill/src/rehearsal.rs
@@ -510,7 +510,7 @@
     if during_wait > 0 {
         report.missed += 1;
         report.lines.push(format!(
-            "MISSED: {during_wait} posts came to the service during a told wait"
+            "MISSED: {during_wait} posts reached the service before its Retry-After had passed"
         ));
     }
     stop_handle.stop();
--- a/crates/cranehill/src/rehearse.rs
+++ b/crates/cranehill/src/rehearse.rs
@@ -216,7 +216,7 @@
         }
         if scenario.load.push.is_some() {
             return Err(
-                "the day has push services, which a sender can't be told of while it runs".into(),
+                "the scenario has push services, which a running sender can't be given".into(),
             );
         }
         scenario.senders = 1;
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -354,9 +354,9 @@
     };
     for sender in 0..5 {
         let processes = if sender < 3 { 2 } else { 1 };
-        let full = log(sender, "recovery: full service");
+        let full = log(sender, "\"event\":\"recovery-complete\"");
         assert_eq!(
-            (log(sender, "recovery: recovering"), full),
+            (log(sender, "\"event\":\"recovery-started\""), full),
             (processes, processes),
             "{sender}: {shown}"
         );
--- a/crates/cranehill/tests/journal.rs
+++ b/crates/cranehill/tests/journal.rs
@@ -274,7 +274,7 @@
         l["msg"]
             .as_str()
             .is_some_and(|m| m.starts_with("started: "))
-            && l["held"] == 0
+            && l["pending"] == 0
     })
     .expect("the line of its start, with its values");
     child.kill().expect("killed");
--- a/crates/cranehill/tests/restart.rs
+++ b/crates/cranehill/tests/restart.rs
@@ -240,7 +240,10 @@
         stopped.contains("second_copy: 0, unknown_message: 0, unlisted_endpoint: 0"),
         "{stopped}"
     );
-    assert!(stopped.contains(" 0 notices and 0 reports"), "{stopped}");
+    assert!(
+        stopped.contains(" 0 messages and 0 final reports"),
+        "{stopped}"
+    );
 }
 
 #[test]
@@ -468,7 +471,10 @@
         .iter()
         .find(|l| l.contains("stopped:"))
         .expect("its last line");
-    assert!(stopped.contains(" 1 notices and 1 reports"), "{stopped}");
+    assert!(
+        stopped.contains(" 1 messages and 1 final reports"),
+        "{stopped}"
+    );
     open.store(true, Ordering::Relaxed);
     let before = destination.seen().len();
     let platform = platform();
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -77,11 +77,11 @@
     pub fn name(&self) -> &'static str {
         match self {
             ConnectionKind::Client { .. } => "client",
-            ConnectionKind::Pusher { .. } => "app partner",
-            ConnectionKind::Destination { .. } => "partner",
+            ConnectionKind::Pusher { .. } => "Web Push client",
+            ConnectionKind::Destination { .. } => "destination",
             ConnectionKind::Ending { .. } => "ending client",
-            ConnectionKind::Directory { .. } => "directory",
-            ConnectionKind::FinalReports => "closing reports",
+            ConnectionKind::Directory { .. } => "discovery",
+            ConnectionKind::FinalReports => "final reports",
             ConnectionKind::Operator { .. } => "operator",
         }
     }
--- a/crates/daemon/src/destination_protocol.rs
+++ b/crates/daemon/src/destination_protocol.rs
@@ -127,7 +127,7 @@
         Ok(states) => states,
         Err(e) => {
             log::info!(
-                "partners: the answer to a call of {} is not readable: {e}",
+                "the answer to a call of {} messages is not readable: {e}",
                 ids.len()
             );
             return DestinationResponse {
--- a/crates/daemon/src/final_report_protocol.rs
+++ b/crates/daemon/src/final_report_protocol.rs
@@ -62,7 +62,7 @@
             return self.out.drain(..).map(|(id, _)| id).collect();
         }
         log::error!(
-            "closing: the platform answered {status} to {} reports; sent again",
+            "final reports: the platform answered {status} to {} reports; sent again",
             self.out.len()
         );
         self.lost();
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -338,14 +338,14 @@
             stop_requested: Arc::default(),
         };
         reactor.carry_out(effects);
-        let (held, reports) = reactor.core.outstanding();
-        log::info!(records = found, held, reports;
-            "started: {found} records in the journal, {held} notices held, {reports} reports due");
+        let (pending, reports) = reactor.core.outstanding();
+        log::info!(records = found, pending, reports;
+            "started: {found} records in the journal, {pending} messages pending, {reports} final reports due");
         log::info!(
-            "places: {clients_most} for clients, {max_destination_connections} for partners"
+            "connection limits: {clients_most} for clients, {max_destination_connections} for destinations"
         );
         if let Some(address) = discovery {
-            log::info!("directory: at {address}");
+            log::info!("discovery: at {address}");
         }
         if let Some(status) = reactor.fleet.as_ref().and_then(fleet::End::status_at) {
             log::info!("fleet: status at {status}");
@@ -384,7 +384,7 @@
             .into_iter()
             .for_each(|client| reactor.adopt(client));
         if connections > 0 {
-            log::info!(event = "handover-inherited", clients = connections; "hand-over: {connections} client connections taken over");
+            log::info!(event = "handover-inherited", clients = connections; "hand-over: {connections} client connections inherited");
         }
         Ok(reactor)
     }
@@ -426,8 +426,8 @@
     /// Begins the end: as on SIGTERM.
     pub fn stop(&mut self) {
         if self.stopping.is_none() {
-            let (held, reports) = self.core.outstanding();
-            log::info!("stopping: {held} notices held, {reports} reports due");
+            let (pending, reports) = self.core.outstanding();
+            log::info!("stopping: {pending} messages pending, {reports} final reports due");
             self.stopping = Some(self.clock.now());
             self.step_fleet(cranehill_membership::Input::Leave);
         }
@@ -447,10 +447,10 @@
                 return Ok(());
             }
             if self.turn(&mut events)? {
-                let (held, reports) = self.core.outstanding();
+                let (pending, reports) = self.core.outstanding();
                 let violations = self.core.violations;
                 log::info!(
-                    "stopped: {held} notices and {reports} reports left to the journal; {violations:?}"
+                    "stopped: {pending} messages and {reports} final reports left to the journal; {violations:?}"
                 );
                 return Ok(());
             }
@@ -616,7 +616,7 @@
                 call: Some(out),
                 ..
             } => {
-                log::debug!("partner {endpoint}: no connection, {why}");
+                log::debug!("endpoint {endpoint}: no connection, {why}");
                 self.end_call(
                     out,
                     &DestinationResponse::all(Verdict::of(Status::NoConnection)),
--- a/crates/daemon/src/reactor/client_ingress.rs
+++ b/crates/daemon/src/reactor/client_ingress.rs
@@ -348,7 +348,7 @@
                         }
                         Ok(message) if room.is_ok() => {
                             log::trace!(
-                                "notice {}: handed in on connection {link_id}, {:?} left",
+                                "message {}: submitted on connection {link_id}, {:?} remaining",
                                 message.id,
                                 message.left
                             );
@@ -366,7 +366,7 @@
                                     self.journal.as_mut().map(|j| j.stats()),
                                 );
                                 let room = stats.map_or(0, |s| s.room);
-                                log::warn!(refused, room; "journal: full, {room} bytes free; {refused} notices refused");
+                                log::warn!(refused, room; "journal: full, {room} bytes free; {refused} messages rejected");
                                 (self.rejected_messages, self.next_rejection_warning) =
                                     (0, now + Duration::from_secs(1));
                             }
--- a/crates/daemon/src/reactor/effects.rs
+++ b/crates/daemon/src/reactor/effects.rs
@@ -41,7 +41,7 @@
                     id,
                     answer,
                 } => {
-                    log::trace!("notice {id}: client {connection} is told {answer:?}");
+                    log::trace!("message {id}: client {connection} is answered {answer:?}");
                     self.answer(connection, client_protocol::answer(answer));
                 }
                 Effect::Answer {
@@ -62,7 +62,7 @@
                 } => self.call(endpoint, address, attempts),
                 Effect::SendFinalReport { .. } if mutation::is(Mutation::DropsReports) => {}
                 Effect::SendFinalReport { id, final_report } => {
-                    log::trace!("notice {id}: to be reported as {final_report:?}");
+                    log::trace!("message {id}: final report due, {final_report:?}");
                     self.reports.add(id, final_report);
                 }
                 Effect::CancelUnwritten { endpoints } => self.hold_back(&endpoints),
@@ -79,7 +79,7 @@
                 Effect::PersistLearnedState(bytes) => self.remember(&bytes),
                 Effect::RecoveryComplete(took) => {
                     log::info!(event = "recovery-complete", took_ms = took.as_millis() as u64;
-                        "recovery: full service {took:?} after the start");
+                        "recovery: complete {took:?} after the start");
                 }
             }
         }
--- a/crates/daemon/src/reactor/fleet.rs
+++ b/crates/daemon/src/reactor/fleet.rs
@@ -73,10 +73,10 @@
                 core.step(now, core::Input::LearnedStateRestored(bytes));
             }
         }
-        Err(e) => log::warn!("recovery: what was learnt can't be read: {e}"),
+        Err(e) => log::warn!("recovery: the learned state can't be read: {e}"),
     }
-    let (held, _) = core.outstanding();
-    log::info!(event = "recovery-started", held; "recovery: recovering");
+    let (pending, _) = core.outstanding();
+    log::info!(event = "recovery-started", pending; "recovery: started");
 }
 
 fn member(view: &View, now: Time) -> Value {
@@ -105,19 +105,19 @@
         } => {
             let zone = zone_name(names, *zone);
             log::warn!(event = "zone", zone, state = "evacuated", fails, serves, out_ms = out.as_millis() as u64;
-                "zones: {zone} is left: it fails {fails} members and serves {serves}; for {out:?} at least");
+                "zones: {zone} is evacuated: it fails for {fails} members and serves {serves}; for {out:?} at least");
         }
         Change::Return { zone, .. } => {
             let zone = zone_name(names, *zone);
-            log::info!(event = "zone", zone, state = "recovery-ramp"; "zones: {zone} serves probes; work returns to it");
+            log::info!(event = "zone", zone, state = "recovery-ramp"; "zones: {zone} answers probe calls; the recovery ramp begins");
         }
         Change::InService { zone } => {
             let zone = zone_name(names, *zone);
-            log::info!(event = "zone", zone, state = "in-service"; "zones: {zone} is as any other again");
+            log::info!(event = "zone", zone, state = "in-service"; "zones: {zone} is in service again");
         }
         Change::Probe { zone, .. } => {
             let zone = zone_name(names, *zone);
-            log::debug!(event = "zone", zone, state = "probe"; "zones: a probe may go to {zone}");
+            log::debug!(event = "zone", zone, state = "probe"; "zones: a probe call may go to {zone}");
         }
         Change::ProbeOver { .. } => {}
     }
@@ -195,11 +195,11 @@
             Effect::Rejoined {
                 generation: own_incarnation,
             } => {
-                log::warn!(event = "rejoined", incarnation = own_incarnation; "fleet: the others held us to be down; back under life {own_incarnation}");
+                log::warn!(event = "rejoined", incarnation = own_incarnation; "fleet: the peers took this process for down; it rejoined as incarnation {own_incarnation}");
             }
             Effect::Stalled(by) => {
                 log::warn!(event = "process-pause", paused_ms = by.as_millis() as u64;
-                    "fleet: this process was held up for {by:?}; it concludes nothing about others from that time");
+                    "fleet: this process was paused for {by:?}; it draws no conclusion about its peers from that time");
             }
             Effect::Dropped(why) => {
                 end.dropped += 1;
@@ -208,7 +208,7 @@
                     let dropped = std::mem::take(&mut end.dropped);
                     end.next_drop_warning = now + REJECTION_WARNING_INTERVAL;
                     log::warn!(event = "packet-dropped", cause = why.label(), dropped;
-                        "fleet: a packet was dropped, {why}; {dropped} since the last such line");
+                        "fleet: a packet was dropped: {why}; {dropped} since the last such line");
                 }
             }
             Effect::ShareDivisor(senders) => {
@@ -225,7 +225,7 @@
             && now >= self.next_unsaved_warning
         {
             self.next_unsaved_warning = now + COMPACTION_WARNING_INTERVAL;
-            log::warn!("recovery: what was learnt can't be written: {e}");
+            log::warn!("recovery: the learned state can't be written: {e}");
         }
     }
 
@@ -239,9 +239,9 @@
             .dropped()
             .map(|(why, times)| (why.label(), times))
             .collect();
-        let (held, reports) = self.core.outstanding();
+        let (pending, reports) = self.core.outstanding();
         let body = json!({"name": me.name, "at": me.at.to_string(), "life": me.generation, "senders": members.share_divisor(),
-            "members": views, "refused": refused, "held": held, "reports": reports,
+            "members": views, "refused": refused, "held": pending, "reports": reports,
             "zones": self.core.zone_states().map(|states| zones_shown(&states, &self.platform_settings.names.zones, now)),
             "recovery": self.core.phase().map(|phase| phase_json(phase, now))});
         let headers = [
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -59,13 +59,13 @@
         match (asked, end.quiet) {
             (true, None) => {
                 end.quiet = Some(now);
-                let (held, out) = (self.core.outstanding().0, self.core.attempts_out());
-                log::info!(event = "handover-requested", held, out; "hand-over: asked for; {held} notices held, {out} attempts out");
+                let (pending, out) = (self.core.outstanding().0, self.core.attempts_out());
+                log::info!(event = "handover-requested", pending, out; "hand-over: requested; {pending} messages pending, {out} attempts in flight");
                 self.step(Input::Quiesced(true));
                 false
             }
             (false, Some(_)) => {
-                self.go_on("whoever asked has gone");
+                self.go_on("the requesting process disconnected");
                 false
             }
             (true, Some(since)) if self.core.attempts_out() == 0 || now >= since + QUIET_MOST => {
@@ -166,9 +166,9 @@
             passed += 1;
         }
         server.end()?;
-        let (held, reports) = self.core.outstanding();
-        log::info!(event = "handover-complete", clients = passed, held, reports;
-            "hand-over: done, with {passed} client connections; {held} notices and {reports} reports are in the journal");
+        let (pending, reports) = self.core.outstanding();
+        log::info!(event = "handover-complete", clients = passed, pending, reports;
+            "hand-over: complete, with {passed} client connections; {pending} messages and {reports} final reports are in the journal");
         self.end_waiting();
         Ok(())
     }
--- a/crates/daemon/src/reactor/journal.rs
+++ b/crates/daemon/src/reactor/journal.rs
@@ -52,24 +52,24 @@
 pub(super) fn log_recovered(recovered: &Recovered) {
     let (open, final_report, completed) = recovered.counts;
     log::info!(open, final_report, completed, latest_ms = recovered.latest;
-        "journal: {open} notices open, {final_report} reports due, {completed} ended ids remembered");
+        "journal: {open} messages open, {final_report} final reports due, {completed} completed ids kept");
     if let Some((file, bytes)) = &recovered.torn {
         log::warn!(segment = file.as_str(), bytes = *bytes;
             "journal: {bytes} bytes of a write that was cut off at the end of {file}; nothing in it was promised");
     }
     for d in &recovered.damage {
         log::error!(segment = d.file.as_str(), offset = d.offset, bytes = d.len, why:? = d.why, messages = d.taken;
-            "journal: damage ({:?}) in {} at {}, {} bytes; at most {} notices taken on there are lost",
+            "journal: damage ({:?}) in {} at {}, {} bytes; at most {} messages accepted there are lost",
             d.why, d.file, d.offset, d.len, d.taken);
     }
     for lost in &recovered.lost {
         log::error!(id = lost.id.as_str(), segment = lost.file.as_str(), offset = lost.offset;
-            "journal: the record of {} is gone, an attempt of it is in {} at {}; closed as failed",
+            "journal: the record of {} is lost, an attempt of it is in {} at {}; reported as failed",
             lost.id, lost.file, lost.offset);
     }
     if recovered.doubted > 0 {
         log::error!(messages = recovered.doubted;
-            "journal: {} open notices count as possibly run because of damage", recovered.doubted);
+            "journal: {} open messages count as possibly executed because of damage", recovered.doubted);
     }
     for file in recovered
         .foreign
--- a/crates/daemon/src/reactor/operator.rs
+++ b/crates/daemon/src/reactor/operator.rs
@@ -47,7 +47,7 @@
         }
         Err(e) => {
             log::error!(
-                "operator: what was detached can't be read, so all that is listed is used: {e}"
+                "operator: the detached endpoints can't be read, so all listed endpoints are used: {e}"
             )
         }
     }
@@ -137,14 +137,14 @@
             };
             // Who holds a place and asks nothing makes room for who comes.
             let ours = |l: &Connection| matches!(l.kind, ConnectionKind::Operator { .. });
-            let held: Vec<usize> = self
+            let pending: Vec<usize> = self
                 .connections
                 .iter()
                 .filter(|(_, l)| ours(l))
                 .map(|(&id, _)| id)
                 .collect();
-            if held.len() >= MOST {
-                self.drop_connection(held[0]);
+            if pending.len() >= MOST {
+                self.drop_connection(pending[0]);
             }
             match self.add_connection(
                 stream,
@@ -231,7 +231,7 @@
             (Ok(()), false) => status(404, "Not Found", &[], "nobody holds such an endpoint\n"),
             (Err(e), _) => {
                 log::error!(
-                    "operator: what is detached can't be written, and would be forgotten: {e}"
+                    "operator: the detached endpoints can't be written and would be lost at a restart: {e}"
                 );
                 status(
                     500,
@@ -253,11 +253,11 @@
         match (on, self.draining_since) {
             (true, None) => {
                 self.draining_since = Some(self.clock.now());
-                log::info!(event = "draining", clients; "operator: emptying, {clients} client connections");
+                log::info!(event = "draining", clients; "operator: draining, {clients} client connections");
             }
             (false, Some(_)) => {
                 self.draining_since = None;
-                log::info!(event = "draining-ended", clients; "operator: for clients again");
+                log::info!(event = "draining-ended", clients; "operator: draining ended");
             }
             _ => {}
         }
--- a/crates/daemon/src/reactor/platform.rs
+++ b/crates/daemon/src/reactor/platform.rs
@@ -14,7 +14,7 @@
 
     pub(super) fn watch_failed(&mut self, why: &str, failure: Failure) {
         let pause = self.watch.failed(self.clock.now(), failure);
-        log::info!(pause_ms = pause.as_millis() as u64; "directory: {why}; the last list is kept");
+        log::info!(pause_ms = pause.as_millis() as u64; "discovery: {why}; the last list is kept");
     }
 
     pub(super) fn report_later(&mut self) {
@@ -82,10 +82,10 @@
                 excess,
             }) => {
                 if let Some(why) = unread.first() {
-                    log::error!(entries = unread.len(); "directory: {} entries left out, {why}", unread.len());
+                    log::error!(entries = unread.len(); "discovery: {} entries left out, {why}", unread.len());
                 }
                 if excess > 0 {
-                    log::error!(entries = excess; "directory: {excess} entries left out, beyond {}", discovery_protocol::ENTRIES_MOST);
+                    log::error!(entries = excess; "discovery: {excess} entries left out, beyond {}", discovery_protocol::ENTRIES_MOST);
                 }
                 self.watch.answered(self.clock.now(), version);
                 if !whole && !unread.is_empty() {
@@ -93,7 +93,7 @@
                 }
                 if !list.is_empty() || whole {
                     log::info!(
-                        "directory: version {version}, {} endpoints{}",
+                        "discovery: version {version}, {} endpoints{}",
                         list.len(),
                         if whole { ", all" } else { " changed" }
                     );
@@ -162,7 +162,7 @@
             None => match self.connect(ConnectionKind::FinalReports, &host) {
                 Ok(id) => id,
                 Err(e) => {
-                    log::info!("closing: {e}");
+                    log::info!("final reports: {e}");
                     return self.report_later();
                 }
             },
@@ -205,10 +205,10 @@
     /// versions need not go on from the old one's.
     fn move_platform(&mut self, address: SocketAddr) {
         if self.discovery == Some(address) {
-            log::info!("reload: the directory stays at {address}");
+            log::info!("reload: discovery stays at {address}");
             return;
         }
-        log::info!("reload: the directory is at {address} now");
+        log::info!("reload: discovery is at {address} now");
         let now = self.clock.now();
         let platform = |l: &Connection| {
             matches!(
--- a/crates/daemon/src/reactor/shutdown.rs
+++ b/crates/daemon/src/reactor/shutdown.rs
@@ -34,8 +34,8 @@
             self.sending_stopped = true;
             self.step(Input::Stopping);
         }
-        let (held, reports) = self.core.outstanding();
-        let over = held == 0 && reports == 0
+        let (pending, reports) = self.core.outstanding();
+        let over = pending == 0 && reports == 0
             || self.sending_stopped && self.core.attempts_out() == 0 && reports == 0;
         let over = over && !self.connections.values().any(client_ingress::open);
         if !over && passed < STOP_ALL {
--- a/crates/daemon/src/reactor/upstream.rs
+++ b/crates/daemon/src/reactor/upstream.rs
@@ -185,7 +185,7 @@
                 match self.connect(kind, &address) {
                     Ok(id) => id,
                     Err(e) => {
-                        log::info!("partner {endpoint} at {address}: {e}");
+                        log::info!("endpoint {endpoint} at {address}: {e}");
                         return self.end_call(
                             out,
                             &DestinationResponse::all(Verdict::of(Status::NoConnection)),
@@ -196,7 +196,7 @@
         };
         if let Some(connection) = self.connections.get_mut(&id) {
             log::trace!(
-                "notices {:?}: call to {endpoint} on connection {id}, up: {}",
+                "messages {:?}: call to {endpoint} on connection {id}, established: {}",
                 out.ids,
                 connection.up
             );
@@ -245,7 +245,7 @@
                 .copied()
                 .unwrap_or(Verdict::of(Status::Error));
             log::trace!(
-                "notice {}: attempt {} ended: {status:?}, over: {over}",
+                "message {}: attempt {} finished: {status:?}, completed: {over}",
                 attempt.id,
                 attempt.number
             );
@@ -313,7 +313,10 @@
                     destination_protocol::read(&response, &ids, unix_now)
                 };
                 if let Some(wait) = parsed.wait {
-                    log::debug!("partner {endpoint}: told to wait {} ms", wait.as_millis());
+                    log::debug!(
+                        "endpoint {endpoint}: Retry-After of {} ms",
+                        wait.as_millis()
+                    );
                 }
                 if let [
                     Verdict {
@@ -324,7 +327,7 @@
                 ] = parsed.verdicts[..]
                 {
                     log::error!(
-                        "partner {endpoint}: answered {} to {}",
+                        "endpoint {endpoint}: answered {} to {}",
                         response.status,
                         out.ids[0]
                     );
@@ -392,7 +395,7 @@
             // Those kept as long will be dead, too.
             self.trusted_idle = self.trusted_idle.min((connection.gap / 2).max(TRUST_LEAST));
         }
-        log::debug!("partner {endpoint}: call broken off, {cut:?}: {status:?}");
+        log::debug!("endpoint {endpoint}: call cancelled, {cut:?}: {status:?}");
         // A wait binds from when it was written, also where its answer came too late to count.
         let unix_now = Duration::from_nanos(self.clock.now().0);
         let late = http::response(&connection.input, false).ok().flatten();
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -103,8 +103,8 @@
     /// A list of this version came: the next question goes at once, since within 200 ms it continues this one. Not so
     /// after an empty answer that came too soon: a directory that does not hold a watch would have us ask without end.
     pub fn answered(&mut self, now: Time, version: u64) {
-        let held = self.whole || self.version != version || now - self.asked >= AGAIN;
-        self.due = Some(if held { now } else { now + AGAIN });
+        let pending = self.whole || self.version != version || now - self.asked >= AGAIN;
+        self.due = Some(if pending { now } else { now + AGAIN });
         (self.version, self.whole, self.failed) = (version, false, 0);
     }
 
--- a/crates/daemon/tests/watch.rs
+++ b/crates/daemon/tests/watch.rs
@@ -172,11 +172,11 @@
             watch.moved(at(asked));
         }
         let text = String::from_utf8(watch.ask(at(asked), "d")).expect("text");
-        let held = text
+        let pending = text
             .split_once("hold_ms=")
             .and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
-        assert_eq!(held.is_none(), whole, "{text}");
-        let wait = Duration::from_millis(held.unwrap_or(0));
+        assert_eq!(pending.is_none(), whole, "{text}");
+        let wait = Duration::from_millis(pending.unwrap_or(0));
         // It may have fallen silent as it was asked.
         assert!(
             watch.overdue() > at(asked) + wait,
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -154,7 +154,7 @@
             outcome
                 .crashed
                 .iter()
-                .map(|s| format!("sender {s} ended without being told to")),
+                .map(|s| format!("sender {s} ended without a signal")),
         );
         report
             .failed
@@ -338,7 +338,7 @@
             }
             let Some(view) = outcome.views.get(by).and_then(Option::as_ref) else {
                 self.views_agree = false;
-                self.failed.push(format!("sender {by} told no view"));
+                self.failed.push(format!("sender {by} gave no view"));
                 continue;
             };
             let seen: BTreeSet<usize> = view["members"]
--- a/crates/scenario-runner/src/report.rs
+++ b/crates/scenario-runner/src/report.rs
@@ -17,7 +17,7 @@
             outcome.lasted.as_secs_f64()
         ),
         format!(
-            "  service {share:.3}: {worth:.1} of {asked:.0} notices' worth; {} handings, {} delivered",
+            "  service {share:.3}: {worth:.1} of {asked:.0} messages' priority weight; {} submissions, {} delivered",
             outcome.submitted, outcome.delivered
         ),
         format!(
@@ -42,9 +42,7 @@
         }
     }
     for sender in &outcome.crashed {
-        lines.push(format!(
-            "  CRASHED: sender {sender} ended without being told to"
-        ));
+        lines.push(format!("  CRASHED: sender {sender} ended without a signal"));
     }
     lines.extend(
         outcome
--- a/crates/scenario-runner/src/report_files.rs
+++ b/crates/scenario-runner/src/report_files.rs
@@ -389,7 +389,7 @@
         ("delivered", &figures.done, GREEN_),
         ("refused", &figures.refused, RED_),
     ];
-    body.push_str(&plot("Service: notices a second", "notices/s", &load)?);
+    body.push_str(&plot("Service: messages a second", "messages/s", &load)?);
     let over_time = |of: fn(&(f64, f64)) -> f64| -> Curve {
         outcome
             .worth_over_time
@@ -402,7 +402,7 @@
     let curves = [("asked for", &asked, BLUE_), ("delivered", &worth, GREEN_)];
     body.push_str(&plot(
         "Worth, by the second of the first handing in",
-        "notices' worth",
+        "messages' priority weight",
         &curves,
     )?);
     let colours = [BLUE_, GREEN_, RED_, GREY_];
--- a/crates/scenario-runner/src/stage/destinations.rs
+++ b/crates/scenario-runner/src/stage/destinations.rs
@@ -250,7 +250,7 @@
             item: spec.item_cost,
         };
         let line = format!(
-            "partner {destination} is back since {:.3} s",
+            "destination {destination} is back since {:.3} s",
             since.as_secs_f64()
         );
         self.record(None, back, &line);
--- a/crates/scenario-runner/src/stage/losses.rs
+++ b/crates/scenario-runner/src/stage/losses.rs
@@ -27,7 +27,7 @@
             })) => {
                 let count = lost.len();
                 let line =
-                    format!("{segment} cut at {at} of {size} bytes, {count} notices gone with it");
+                    format!("{segment} cut at {at} of {size} bytes, {count} messages lost with it");
                 self.lose_messages(sender, Some(lost), &line);
             }
             Ok(None) => {}
--- a/crates/scenario-runner/src/stage/processes.rs
+++ b/crates/scenario-runner/src/stage/processes.rs
@@ -116,11 +116,7 @@
         one.routed = false;
         one.process.kill();
         self.outcome.crashed.push(sender);
-        self.record(
-            Some(sender),
-            What::ProcessExited,
-            "ended without being told to",
-        );
+        self.record(Some(sender), What::ProcessExited, "ended without a signal");
     }
 
     /// Sends a signal of the day.
--- a/crates/simulation/src/audit/destinations.rs
+++ b/crates/simulation/src/audit/destinations.rs
@@ -121,7 +121,7 @@
             let passed = line.at.saturating_sub(*notified);
             let over = passed.checked_sub(figures.drain).filter(|o| !o.is_zero());
             let why = format!(
-                "a call begun {} ms after endpoint {endpoint} was told to leave",
+                "a call begun {} ms after endpoint {endpoint} was notified as draining",
                 passed.as_millis()
             );
             let wire = vec![proof.clone(), line.wire.clone()];
@@ -181,7 +181,7 @@
         // Broken by as much as it came after the grace, and by as much as it came before the end.
         let over = (passed - figures.wait_grace).min(*until - line.at);
         let why = format!(
-            "a call {} ms after a wait of {} ms was told",
+            "a call {} ms after a Retry-After of {} ms",
             passed.as_millis(),
             (*until - *notified).as_millis()
         );
--- a/crates/simulation/src/audit/ends.rs
+++ b/crates/simulation/src/audit/ends.rs
@@ -169,7 +169,7 @@
         findings: &mut Findings,
     ) {
         let Some(message) = self.messages.get_mut(id) else {
-            let why = "a report of a notice that nobody handed in".into();
+            let why = "a report of a message that nobody submitted".into();
             findings.broken(violation(
                 Rule::OneEnd,
                 id,
@@ -314,7 +314,7 @@
             let due = message.submitted + message.duration + figures.overdue;
             // A day that ends before its time says nothing about it.
             let over = end.checked_sub(due).filter(|o| !o.is_zero());
-            let what = if message.posted { "posted" } else { "taken on" };
+            let what = if message.posted { "posted" } else { "accepted" };
             let lacks = if message.posted {
                 "never answered"
             } else {
--- a/crates/simulation/src/audit/mod.rs
+++ b/crates/simulation/src/audit/mod.rs
@@ -264,17 +264,17 @@
     /// The rule in a few words, as operators say it.
     pub fn description(self) -> &'static str {
         match self {
-            Rule::OneEnd => "every notice taken on has one end",
+            Rule::OneEnd => "every accepted message has one end",
             Rule::InTime => "every end comes in time",
-            Rule::SecondCopy => "never two attempts of a notice at once",
+            Rule::SecondCopy => "never two attempts of a message at once",
             Rule::Repeats => "no repeat that its class forbids",
             Rule::Attempts => "six attempts at most",
             Rule::Drains => "nothing new to a draining endpoint after 500 ms",
-            Rule::Waits => "told waits are kept",
-            Rule::Return => "no returning partner is pushed over",
+            Rule::Waits => "Retry-After waits are respected",
+            Rule::Return => "no returning destination is overloaded",
             Rule::Idle => "no connection is used that was idle too long, or spoilt",
             Rule::Answers => "every request is answered, in time",
-            Rule::Order => "messages of one key go one at a time, as handed in",
+            Rule::Order => "messages of one ordering key go one at a time, in submission order",
         }
     }
 }
@@ -306,10 +306,10 @@
             self.why
         )?;
         if let Some(id) = &self.id {
-            write!(f, " (notice {id})")?;
+            write!(f, " (message {id})")?;
         }
         if let Some(destination) = self.destination {
-            write!(f, " (partner {destination})")?;
+            write!(f, " (destination {destination})")?;
         }
         self.wire.iter().try_for_each(|w| write!(f, "\n    {w}"))
     }
--- a/crates/simulation/src/audit/order.rs
+++ b/crates/simulation/src/audit/order.rs
@@ -154,7 +154,7 @@
             line_of_key().find(|(_, o)| o.place < message.place && o.accepted && !o.over)
         {
             findings.broken(violation(format!(
-                "{other} of the same key {key} was handed in before it"
+                "{other} of the same key {key} was submitted before it"
             )));
         } else {
             self.judge_rest(id, message, line, figures, findings, violation);
