--- a/crates/core/src/input.rs
+++ b/crates/core/src/input.rs
@@ -39,7 +39,7 @@
     TimerFired,
     /// Everything of this turn is in.
     TickEnded,
-    /// What of the records of [`crate::Effect::Keep`] is in the journal now.
+    /// What of the records of [`crate::Effect::Persist`] is in the journal now.
     Persisted(Persisted),
     /// The platform has these final reports.
     FinalReportsAcknowledged(Vec<String>),
@@ -47,7 +47,7 @@
     Recovered(Vec<Record>),
     /// No new attempts: the process is about to end.
     Stopping,
-    /// What an earlier process had learned of destinations, as [`crate::Effect::Remember`] wrote it.
+    /// What an earlier process had learned of destinations, as [`crate::Effect::PersistLearnedState`] wrote it.
     LearnedStateRestored(Vec<u8>),
     /// No new attempts from now on, or again: another process is about to take over.
     Quiesced(bool),
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -109,7 +109,7 @@
         })
     }
 
-    /// Takes part in the fleet; `membership::Input::Due` is to come at once.
+    /// Takes part in the fleet; `membership::Input::TimerFired` is to come at once.
     pub fn join(&mut self, settings: membership::Settings, seed: u64) {
         self.members = Some(Members::new(settings, seed, self.now));
     }
--- a/crates/journal/src/fact.rs
+++ b/crates/journal/src/fact.rs
@@ -82,7 +82,7 @@
         taken: AcceptedMessage<'a>,
         ordering_key: Packed<'a>,
     },
-    /// As [`Fact::FinalReport`], for a message that keeps its order.
+    /// As [`Fact::FinalReportDue`], for a message that keeps its order.
     FinalReportDueInOrder {
         #[serde(borrow)]
         id: Packed<'a>,
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -120,7 +120,7 @@
 }
 
 impl Members {
-    /// Takes part from the next [`Input::Due`] on, which is to come at once.
+    /// Takes part from the next [`Input::TimerFired`] on, which is to come at once.
     pub fn new(set: Settings, seed: u64, now: Time) -> Members {
         let me = Identity {
             at: set.at,
