--- a/crates/cranehill/src/cli.rs
+++ b/crates/cranehill/src/cli.rs
@@ -9,9 +9,9 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
 use crate::crash_test::{self, Plan};
-use crate::hollow::HollowArgs;
 use crate::logging::{self, Format};
-use crate::{capacity, fleet_test, hollow, journal, nginx, rehearse};
+use crate::simulated::SimulatedMembersArgs;
+use crate::{capacity, fleet_test, journal, nginx, rehearse, simulated};
 use cranehill_daemon::config::{self, Config};
 use cranehill_daemon::fleet::{self, Fleet};
 use cranehill_daemon::reactor::{self, ControlCommand, Reactor, ReactorOptions, State};
@@ -55,7 +55,7 @@
     },
     /// Play days against real senders on loopback and judge every rule; without a file, a short calm day.
     Rehearse {
-        /// Days (.toml) or folders of them, or scripts of pushes (.txt) against one sender and a stand-in push service.
+        /// Days (.toml) or folders of them, or scripts of pushes (.txt) against one sender and a simulated server push service.
         #[arg(value_name = "FILE")]
         files: Vec<PathBuf>,
         #[arg(long, default_value_t = 1)]
@@ -107,7 +107,7 @@
         #[arg(long)]
         alone: bool,
         #[command(flatten)]
-        members: HollowArgs,
+        members: SimulatedMembersArgs,
     },
     /// Play the sweeps of the capacity proof, fit them, and hold them against docs/CAPACITY.md.
     Capacity {
@@ -246,12 +246,12 @@
             members,
         } => {
             let played = if members.members_only {
-                hollow::run(&members, seed, json)
+                simulated::run(&members, seed, json)
             } else {
                 fleet_test::run(&fleet_test::FleetTestArgs {
                     scenario,
                     nodes,
-                    hollow: members.hollow,
+                    simulated: members.simulated,
                     seed,
                     out,
                     json,
--- a/crates/cranehill/src/crash_test.rs
+++ b/crates/cranehill/src/crash_test.rs
@@ -16,7 +16,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::rehearsal::{Reply, StandIn};
+use crate::rehearsal::{Reply, SimulatedServer};
 
 /// How long a message may be delivered. Short, so that the last life need not be long.
 const DURATION: Duration = Duration::from_millis(3000);
@@ -106,7 +106,7 @@
 
 /// What was seen of one message from outside.
 #[derive(Debug, Default)]
-struct Seen {
+struct DeliveryRecord {
     class: usize,
     promised: bool,
     attempts: usize,
@@ -118,12 +118,12 @@
 }
 
 #[derive(Default)]
-struct Book {
-    messages: BTreeMap<String, Seen>,
+struct DeliveryLog {
+    messages: BTreeMap<String, DeliveryRecord>,
     refused: u32,
 }
 
-type Shared = Arc<Mutex<Book>>;
+type Shared = Arc<Mutex<DeliveryLog>>;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
@@ -171,9 +171,9 @@
     Busy,
 }
 
-fn destination(book: Shared, seed: u64) -> std::io::Result<StandIn> {
+fn destination(delivery_log: Shared, seed: u64) -> std::io::Result<SimulatedServer> {
     let rng = Mutex::new(ChaCha8Rng::seed_from_u64(seed));
-    StandIn::new(move |request, _| {
+    SimulatedServer::new(move |request, _| {
         let draw: u32 = lock(&rng).random_range(0..100);
         if draw >= 90 {
             thread::sleep(Duration::from_millis(u64::from(draw - 89) * 3));
@@ -197,7 +197,7 @@
             } else {
                 outcome
             };
-            attempt(&mut lock(&book), id, outcome);
+            attempt(&mut lock(&delivery_log), id, outcome);
             let state = if outcome == DeliveryOutcome::Done {
                 "done"
             } else {
@@ -221,8 +221,8 @@
     })
 }
 
-fn attempt(book: &mut Book, id: &str, outcome: DeliveryOutcome) {
-    let seen = book.messages.entry(id.to_owned()).or_default();
+fn attempt(delivery_log: &mut DeliveryLog, id: &str, outcome: DeliveryOutcome) {
+    let seen = delivery_log.messages.entry(id.to_owned()).or_default();
     seen.attempts += 1;
     seen.repeated |= seen.executed > 0;
     seen.executed += usize::from(outcome != DeliveryOutcome::Busy);
@@ -250,8 +250,8 @@
     ids_in(&request.body)
 }
 
-fn platform(book: Shared) -> std::io::Result<StandIn> {
-    StandIn::new(move |request, number| {
+fn platform(delivery_log: Shared) -> std::io::Result<SimulatedServer> {
+    SimulatedServer::new(move |request, number| {
         if request.method == "GET" {
             return Reply::Silent;
         }
@@ -266,7 +266,7 @@
                 } else {
                     "failed"
                 };
-                lock(&book)
+                lock(&delivery_log)
                     .messages
                     .entry(id)
                     .or_default()
@@ -334,7 +334,7 @@
 /// Hands messages in until told to stop or the sender is gone.
 fn client(
     to: SocketAddr,
-    book: &Mutex<Book>,
+    delivery_log: &Mutex<DeliveryLog>,
     stop: &AtomicBool,
     seed: u64,
     destinations: usize,
@@ -379,17 +379,21 @@
         ));
         let bytes = [request.as_bytes(), &body, b"\r\n"].concat();
         // Known before it is sent: a destination may see it before the answer is here.
-        lock(book).messages.entry(id.clone()).or_default().class = class;
+        lock(delivery_log)
+            .messages
+            .entry(id.clone())
+            .or_default()
+            .class = class;
         if stream.write_all(&bytes).is_err() {
             return;
         }
         match line(&mut stream).as_deref() {
             Some("+OK") => {
-                if let Some(seen) = lock(book).messages.get_mut(&id) {
+                if let Some(seen) = lock(delivery_log).messages.get_mut(&id) {
                     seen.promised = true;
                 }
             }
-            Some(_) => lock(book).refused += 1,
+            Some(_) => lock(delivery_log).refused += 1,
             None => return,
         }
         if rng.random_bool(0.3) {
@@ -430,12 +434,13 @@
 pub fn play(plan: &Plan, mut progress: impl FnMut(u32)) -> Result<Outcome, String> {
     let text = |e: std::io::Error| e.to_string();
     let folder = tempfile::tempdir().map_err(text)?;
-    let book: Shared = Arc::default();
-    let platform = platform(book.clone()).map_err(text)?;
+    let delivery_log: Shared = Arc::default();
+    let platform = platform(delivery_log.clone()).map_err(text)?;
     let mut destinations = Vec::new();
     for n in 0..DESTINATIONS {
-        destinations
-            .push(destination(book.clone(), plan.seed.wrapping_add(n as u64)).map_err(text)?);
+        destinations.push(
+            destination(delivery_log.clone(), plan.seed.wrapping_add(n as u64)).map_err(text)?,
+        );
     }
     let addresses: Vec<SocketAddr> = destinations.iter().map(|p| p.address).collect();
     let config = configuration(platform.address, &addresses, plan.disk_mb);
@@ -448,10 +453,11 @@
         let stop = Arc::new(AtomicBool::new(false));
         let clients: Vec<_> = (0..CLIENTS)
             .map(|n| {
-                let (book, stop, to) = (book.clone(), stop.clone(), process.clients);
+                let (delivery_log, stop, to) =
+                    (delivery_log.clone(), stop.clone(), process.clients);
                 let seed = rng.random();
                 let name = format!("{kill:06x}{n:02x}");
-                thread::spawn(move || client(to, &book, &stop, seed, DESTINATIONS, &name))
+                thread::spawn(move || client(to, &delivery_log, &stop, seed, DESTINATIONS, &name))
             })
             .collect();
         thread::sleep(Duration::from_micros(rng.random_range(1_000..50_000)));
@@ -469,22 +475,23 @@
     // The last life works off all that is owed.
     let process = SenderProcess::begin(&plan.program, folder.path())?;
     let end = Instant::now() + DURATION + GRACE;
-    let outstanding = |book: &Book| {
-        book.messages
+    let outstanding = |delivery_log: &DeliveryLog| {
+        delivery_log
+            .messages
             .values()
             .any(|s| s.promised && !s.delivered && s.reports.is_empty())
     };
-    while Instant::now() < end && outstanding(&lock(&book)) {
+    while Instant::now() < end && outstanding(&lock(&delivery_log)) {
         thread::sleep(Duration::from_millis(20));
     }
     outcome.damage_lines += process.kill();
-    audit(&lock(&book), &mut outcome);
+    audit(&lock(&delivery_log), &mut outcome);
     Ok(outcome)
 }
 
-fn audit(book: &Book, outcome: &mut Outcome) {
-    outcome.refused = book.refused;
-    for (id, seen) in &book.messages {
+fn audit(delivery_log: &DeliveryLog, outcome: &mut Outcome) {
+    outcome.refused = delivery_log.refused;
+    for (id, seen) in &delivery_log.messages {
         if seen.promised {
             outcome.taken[seen.class] += 1;
             outcome.delivered += u32::from(seen.delivered);
--- a/crates/cranehill/src/fleet_test.rs
+++ b/crates/cranehill/src/fleet_test.rs
@@ -13,8 +13,8 @@
 pub struct FleetTestArgs {
     pub scenario: Option<String>,
     pub nodes: Option<usize>,
-    /// Hollow members beside the real senders.
-    pub hollow: usize,
+    /// Simulated members beside the real senders.
+    pub simulated: usize,
     pub seed: u64,
     pub out: Option<PathBuf>,
     pub json: bool,
@@ -37,10 +37,13 @@
             )
         })?,
     };
-    let mut scenario = scenario::parse_with_hollow(&text, order.seed, order.nodes, order.hollow)
-        .map_err(|e| format!("{name}: {e}"))?;
-    if order.alone && order.hollow > 0 {
-        return Err("--hollow: senders that do not know each other have no other members".into());
+    let mut scenario =
+        scenario::parse_with_simulated(&text, order.seed, order.nodes, order.simulated)
+            .map_err(|e| format!("{name}: {e}"))?;
+    if order.alone && order.simulated > 0 {
+        return Err(
+            "--simulated: senders that do not know each other have no other members".into(),
+        );
     }
     if order.alone {
         scenario.fleet = None;
--- a/crates/cranehill/src/rehearsal.rs
+++ b/crates/cranehill/src/rehearsal.rs
@@ -1,5 +1,5 @@
 //! Rehearsals: a script of pushes and of what a push service answers, played against the real sender over
-//! loopback sockets. The stand-in push service is also what the project's own tests use.
+//! loopback sockets. The simulated server push service is also what the project's own tests use.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{Read, Write};
@@ -12,7 +12,7 @@
 use cranehill_daemon::reactor::{Reactor, ReactorOptions};
 use cranehill_daemon::webpush;
 
-/// How a stand-in answers one request.
+/// How a simulated server answers one request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     Bytes(Vec<u8>),
@@ -37,7 +37,7 @@
     }
 }
 
-/// A request that a stand-in has seen.
+/// A request that a simulated server has seen.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub at: Instant,
@@ -47,7 +47,7 @@
 
 /// A loopback HTTP server that answers as it is told and remembers what it was asked.
 #[derive(Clone)]
-pub struct StandIn {
+pub struct SimulatedServer {
     pub address: SocketAddr,
     seen: Arc<Mutex<Vec<Seen>>>,
 }
@@ -56,13 +56,13 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl StandIn {
+impl SimulatedServer {
     /// Listens on a free port; `answer` is called for each request with its number, from 0.
     pub fn new(
         answer: impl Fn(&Request, usize) -> Reply + Send + Sync + 'static,
-    ) -> std::io::Result<StandIn> {
+    ) -> std::io::Result<SimulatedServer> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
-        let stand_in = StandIn {
+        let stand_in = SimulatedServer {
             address: listener.local_addr()?,
             seen: Arc::default(),
         };
@@ -442,7 +442,7 @@
 pub fn play(script: &Script) -> Result<Report, String> {
     let service: Arc<Mutex<Service>> = Arc::default();
     let answering = service.clone();
-    let stand_in = StandIn::new(move |request, _| lock(&answering).answer(request))
+    let stand_in = SimulatedServer::new(move |request, _| lock(&answering).answer(request))
         .map_err(|e| e.to_string())?;
     let mut reactor = Reactor::new(push_setup(stand_in.address, None))?;
     let address = reactor.addresses().1.ok_or("the sender does not listen")?;
@@ -521,7 +521,7 @@
     }
 }
 
-fn attempts_for(stand_in: &StandIn, name: &str) -> usize {
+fn attempts_for(stand_in: &SimulatedServer, name: &str) -> usize {
     stand_in
         .seen()
         .iter()
--- a/crates/cranehill/src/rehearse.rs
+++ b/crates/cranehill/src/rehearse.rs
@@ -196,7 +196,7 @@
 
 fn plan(text: &str, seed: u64, order: &RehearseArgs) -> Result<Plan, String> {
     let mut scenario = scenario::parse_for(text, seed, order.senders).map_err(|e| e.to_string())?;
-    if scenario.fleet.is_some() || !scenario.breaks.is_empty() {
+    if scenario.fleet.is_some() || !scenario.network_faults.is_empty() {
         return Err("the day breaks ways between senders: play it with `cranehill rig`".into());
     }
     let mut against = None;
@@ -208,7 +208,7 @@
                 ));
             }
         }
-        if !scenario.signals.is_empty() || !scenario.acts.is_empty() {
+        if !scenario.signals.is_empty() || !scenario.scheduled_actions.is_empty() {
             return Err(
                 "the day ends or kills senders, which --against does not: drop its [[signal]]"
                     .into(),
--- a/crates/cranehill/src/hollow.rs
+++ b/crates/cranehill/src/simulated.rs
@@ -1,10 +1,10 @@
-//! `cranehill rig --members-only`: a fleet of hollow members alone, and what its membership costs.
+//! `cranehill rig --members-only`: a fleet of simulated members alone, and what its membership costs.
 
 use std::time::Duration;
 
 use clap::ValueEnum;
-use cranehill_fleet_harness::hollow::{
-    Conditions, Disturbance, HollowFigures, HollowPlan, Spread, Transport, play,
+use cranehill_fleet_harness::simulated::{
+    Conditions, Disturbance, SimulatedFleetFigures, SimulatedFleetPlan, Spread, Transport, play,
 };
 use serde_json::{Value, json};
 
@@ -15,11 +15,11 @@
 
 /// What the command line asks for.
 #[derive(Clone, Debug, clap::Args)]
-pub struct HollowArgs {
-    /// Add so many hollow members: many in one process, with real membership and decisions, and without clients.
-    #[arg(long, value_name = "M", default_value_t = 0)]
-    pub hollow: usize,
-    /// Play hollow members alone, without a scenario and without real senders.
+pub struct SimulatedMembersArgs {
+    /// Add so many simulated members: many in one process, with real membership and decisions, and without clients.
+    #[arg(long, alias = "hollow", value_name = "M", default_value_t = 0)]
+    pub simulated: usize,
+    /// Play simulated members alone, without a scenario and without real senders.
     #[arg(long, conflicts_with_all = ["scenario", "nodes", "out", "alone"])]
     pub members_only: bool,
     /// With --members-only: what disturbs the fleet.
@@ -71,8 +71,8 @@
     Restarts,
 }
 
-impl HollowArgs {
-    fn plan(&self, seed: u64) -> HollowPlan {
+impl SimulatedMembersArgs {
+    fn plan(&self, seed: u64) -> SimulatedFleetPlan {
         let duration = Duration::from_secs(self.duration);
         let cut = self
             .cut_duration
@@ -94,8 +94,8 @@
             loss: self.loss,
             ..Conditions::default()
         };
-        HollowPlan {
-            members: self.hollow,
+        SimulatedFleetPlan {
+            members: self.simulated,
             duration,
             disturbance,
             transport,
@@ -107,7 +107,7 @@
 }
 
 /// Plays it and prints what came of it; false if anything that was expected did not come.
-pub fn run(args: &HollowArgs, seed: u64, as_json: bool) -> Result<bool, String> {
+pub fn run(args: &SimulatedMembersArgs, seed: u64, as_json: bool) -> Result<bool, String> {
     let plan = args.plan(seed);
     let figures = play(&plan).map_err(|e| e.to_string())?;
     let failed = figures.failed(share_most(&plan));
@@ -122,14 +122,14 @@
 }
 
 /// A cut that lasts longer than the eviction delay can't be told from deaths.
-fn share_most(plan: &HollowPlan) -> f64 {
+fn share_most(plan: &SimulatedFleetPlan) -> f64 {
     match (plan.disturbance, plan.timing.eviction_delay) {
         (Disturbance::Halves { duration }, Some(delay)) if duration >= delay => SHARE_MOST_EVICTED,
         _ => 1.0,
     }
 }
 
-fn summary(plan: &HollowPlan, figures: &HollowFigures, failed: &[String]) -> Value {
+fn summary(plan: &SimulatedFleetPlan, figures: &SimulatedFleetFigures, failed: &[String]) -> Value {
     let spread = |s: &Spread| json!({"mean": s.mean, "p99": s.p99, "most": s.most});
     let ms = |d: Duration| d.as_millis() as u64;
     let f = figures;
@@ -149,7 +149,11 @@
     })
 }
 
-fn table(plan: &HollowPlan, figures: &HollowFigures, failed: &[String]) -> Vec<String> {
+fn table(
+    plan: &SimulatedFleetPlan,
+    figures: &SimulatedFleetFigures,
+    failed: &[String],
+) -> Vec<String> {
     let f = figures;
     let seconds =
         |d: Option<Duration>| d.map_or("never".into(), |d| format!("{:.2} s", d.as_secs_f64()));
@@ -162,7 +166,7 @@
     });
     let mut lines = vec![
         format!(
-            "{} hollow members, {:?}, {:?}, {} s, seed {}",
+            "{} simulated members, {:?}, {:?}, {} s, seed {}",
             f.members,
             plan.transport,
             plan.disturbance,
--- a/crates/cranehill/tests/cli.rs
+++ b/crates/cranehill/tests/cli.rs
@@ -155,7 +155,7 @@
             &[
                 "fleet-test",
                 "--members-only",
-                "--hollow",
+                "--simulated",
                 "9",
                 "--duration",
                 "0",
--- a/crates/cranehill/tests/clients.rs
+++ b/crates/cranehill/tests/clients.rs
@@ -6,11 +6,11 @@
 use std::thread;
 
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 
 #[test]
 fn a_stream_of_pipelined_requests_neither_overflows_the_stack_nor_starves_the_rest() {
-    let destination = StandIn::new(|_, _| Reply::Silent).expect("partner");
+    let destination = SimulatedServer::new(|_, _| Reply::Silent).expect("partner");
     let platform = platform();
     let sender = start(
         &list(1, &[("a", destination.address, 7, "station")]),
@@ -67,7 +67,7 @@
 
 #[test]
 fn those_who_ask_once_or_nothing_and_stay_do_not_keep_others_out() {
-    let destination = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let platform = platform();
     // So few descriptors as the smallest deployment has.
     let sender = start_with(
@@ -106,7 +106,7 @@
 
 #[test]
 fn what_can_not_be_used_is_never_taken_on_and_its_sender_is_cut_off_in_the_end() {
-    let destination = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let platform = platform();
     let sender = start(
         &list(1, &[("a", destination.address, 7, "station")]),
@@ -172,7 +172,7 @@
 /// reads at once, so that some is unread at the end.
 #[test]
 fn what_comes_behind_our_end_of_a_connection_is_thrown_away_and_resets_nothing() {
-    let destination = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let platform = platform();
     let prepared = prepare(
         &list(1, &[("a", destination.address, 7, "station")]),
--- a/crates/cranehill/tests/common/mod.rs
+++ b/crates/cranehill/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the socket tests share: settings, a stand-in platform, clients.
+//! What the socket tests share: settings, a simulated server platform, clients.
 #![allow(dead_code)]
 
 pub mod process;
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 use cranehill_daemon::config::{self, Config};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::{Reactor, ReactorOptions, StopHandle};
@@ -58,8 +58,8 @@
 }
 
 /// The platform: its watches are held, its final reports are taken.
-pub fn platform() -> StandIn {
-    StandIn::new(|request, _| match request.method.as_str() {
+pub fn platform() -> SimulatedServer {
+    SimulatedServer::new(|request, _| match request.method.as_str() {
         "GET" => Reply::Silent,
         _ => Reply::status(204),
     })
@@ -82,12 +82,12 @@
     }
 }
 
-pub fn start(known: &str, platform: &StandIn) -> Running {
+pub fn start(known: &str, platform: &SimulatedServer) -> Running {
     start_with(known, platform, 1024)
 }
 
 /// With so many descriptors.
-pub fn start_with(known: &str, platform: &StandIn, sockets: usize) -> Running {
+pub fn start_with(known: &str, platform: &SimulatedServer, sockets: usize) -> Running {
     start_as(known, platform, |setup| setup.sockets = sockets)
 }
 
@@ -100,7 +100,7 @@
 /// With whatever is to be otherwise.
 pub fn prepare(
     known: &str,
-    platform: &StandIn,
+    platform: &SimulatedServer,
     change: impl FnOnce(&mut ReactorOptions),
 ) -> Prepared {
     let config = config(known, platform.address);
@@ -147,7 +147,7 @@
 
 pub fn start_as(
     known: &str,
-    platform: &StandIn,
+    platform: &SimulatedServer,
     change: impl FnOnce(&mut ReactorOptions),
 ) -> Running {
     prepare(known, platform, change).run()
@@ -241,7 +241,7 @@
 }
 
 /// What the platform has been told of messages that ended.
-pub fn reports(platform: &StandIn) -> Vec<String> {
+pub fn reports(platform: &SimulatedServer) -> Vec<String> {
     let posts = platform
         .seen()
         .into_iter()
@@ -268,10 +268,10 @@
 }
 
 /// A platform whose list changes to this one when it is told so.
-pub fn changing(to: String) -> (StandIn, Arc<AtomicBool>) {
+pub fn changing(to: String) -> (SimulatedServer, Arc<AtomicBool>) {
     let notified = Arc::new(AtomicBool::new(false));
     let notify = notified.clone();
-    let platform = StandIn::new(move |request, _| match request.path.as_str() {
+    let platform = SimulatedServer::new(move |request, _| match request.path.as_str() {
         "/v1/notices" => Reply::status(204),
         path if path.contains("from=1&") => {
             wait_for(&notified);
--- a/crates/cranehill/tests/descriptors.rs
+++ b/crates/cranehill/tests/descriptors.rs
@@ -10,7 +10,7 @@
 
 use common::process::Process;
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 
 /// Descriptors that the process may open, and that its configuration names.
@@ -45,7 +45,7 @@
 /// Hands one message in for each destination, each over a connection of its own; it must be accepted and delivered.
 fn work(
     sender: &Process,
-    endpoint: &StandIn,
+    endpoint: &SimulatedServer,
     round: &str,
     destinations: impl Iterator<Item = u64>,
 ) {
@@ -70,7 +70,7 @@
 #[test]
 fn discovery_is_reached_again_and_known_work_goes_on_while_idle_clients_fill_the_descriptors() {
     let folder = tempfile::tempdir().expect("a folder");
-    let endpoint = StandIn::new(|_, _| Reply::status(200)).expect("endpoints");
+    let endpoint = SimulatedServer::new(|_, _| Reply::status(200)).expect("endpoints");
     let names: Vec<String> = (0..=DESTINATIONS).map(|d| format!("e{d}")).collect();
     let row = |d: u64| (names[d as usize].as_str(), endpoint.address, d, "station");
     let known = list(4, &(0..DESTINATIONS).map(row).collect::<Vec<_>>());
@@ -79,18 +79,17 @@
         .replace("\"full\":true", "\"full\":false");
     let up = Arc::new(AtomicBool::new(false));
     let is_up = up.clone();
-    let discovery =
-        StandIn::new(
-            move |request, number| match (is_up.load(Ordering::Relaxed), number % 2) {
-                _ if request.method == "POST" => Reply::status(204),
-                _ if request.path.contains("from=9&") => Reply::Silent,
-                (true, _) => Reply::Bytes(http::write_response(200, "OK", &[], &newer)),
-                // Connections that end, and such that stay silent.
-                (false, 0) => Reply::Close,
-                (false, _) => Reply::Silent,
-            },
-        )
-        .expect("discovery");
+    let discovery = SimulatedServer::new(move |request, number| {
+        match (is_up.load(Ordering::Relaxed), number % 2) {
+            _ if request.method == "POST" => Reply::status(204),
+            _ if request.path.contains("from=9&") => Reply::Silent,
+            (true, _) => Reply::Bytes(http::write_response(200, "OK", &[], &newer)),
+            // Connections that end, and such that stay silent.
+            (false, 0) => Reply::Close,
+            (false, _) => Reply::Silent,
+        }
+    })
+    .expect("discovery");
     let config = folder.path().join("config.json");
     let text =
         config_text(&known).replace("\"sockets\":1024", &format!("\"sockets\":{DESCRIPTORS}"));
--- a/crates/cranehill/tests/directory.rs
+++ b/crates/cranehill/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The watch on the directory, before a stand-in that fails.
+//! The watch on the directory, before a simulated server that fails.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 
 const NAMES: &str = "c=episode-notice,d=20000,k=5c0f,dest=7";
 
@@ -22,7 +22,7 @@
 }
 
 /// Waits until the directory has been asked for what is newer than this version.
-fn watches_from(platform: &StandIn, version: u64) -> bool {
+fn watches_from(platform: &SimulatedServer, version: u64) -> bool {
     let question = format!("from={version}&");
     let asked = || {
         platform
@@ -39,13 +39,13 @@
 
 #[test]
 fn while_the_directory_fails_the_last_list_is_kept_and_then_the_new_one_taken() {
-    let old = StandIn::new(|_, _| Reply::status(200)).expect("partner");
-    let new = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let old = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
+    let new = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let next = list(9, &[("b", new.address, 7, "station")]);
     // Errors of several sorts, then the new list once it is let out, then a watch that is held.
     let stage = Arc::new(AtomicUsize::new(0));
     let at = stage.clone();
-    let platform = StandIn::new(move |request, number| {
+    let platform = SimulatedServer::new(move |request, number| {
         if request.method == "POST" {
             return Reply::status(204);
         }
@@ -88,7 +88,7 @@
         "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{same}",
         same.len()
     );
-    let platform = StandIn::new(move |_, number| match number % 2 {
+    let platform = SimulatedServer::new(move |_, number| match number % 2 {
         0 => body(&same),
         _ => Reply::Bytes(final_report.clone().into_bytes()),
     })
@@ -108,7 +108,7 @@
 #[test]
 fn a_list_of_the_planned_size_is_taken_from_the_directory() {
     const LISTED: usize = 57_000;
-    let destination = StandIn::new(|_, _| Reply::status(200)).expect("destination");
+    let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("destination");
     let at = destination.address;
     let ids: Vec<String> = (0..LISTED).map(|n| format!("s-{n:08x}")).collect();
     let rows: Vec<_> = ids
@@ -117,7 +117,7 @@
         .map(|(n, id)| (id.as_str(), at, n as u64, "station"))
         .collect();
     let next = list(9, &rows);
-    let platform = StandIn::new(move |request, _| {
+    let platform = SimulatedServer::new(move |request, _| {
         match (request.method.as_str(), request.path.contains("from=9&")) {
             ("POST", _) => Reply::status(204),
             (_, true) => Reply::Silent,
--- a/crates/cranehill/tests/endings.rs
+++ b/crates/cranehill/tests/endings.rs
@@ -8,11 +8,11 @@
 use std::sync::atomic::Ordering;
 
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 
 const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
-fn seen_bodies(destination: &StandIn) -> Vec<String> {
+fn seen_bodies(destination: &SimulatedServer) -> Vec<String> {
     destination
         .seen()
         .iter()
@@ -28,7 +28,7 @@
 }
 
 /// A sender that finds m1 and m2, of a client each, at once: they share a call where the destination takes several.
-fn two_at_once(known: &str, platform: &StandIn) -> (Running, [Client; 2]) {
+fn two_at_once(known: &str, platform: &SimulatedServer) -> (Running, [Client; 2]) {
     let prepared = prepare(known, platform, |_| {});
     let mut clients = [Client::new(prepared.clients), Client::new(prepared.clients)];
     for (n, client) in clients.iter_mut().enumerate() {
@@ -47,7 +47,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n[{\"id\":\"m1\",\"state\":\"done\"},",
         "HTTP/1.1 200 OK\r\n",
     ] {
-        let destination = StandIn::new(move |request, number| match number {
+        let destination = SimulatedServer::new(move |request, number| match number {
             0 => Reply::Bytes(cut.as_bytes().to_vec()),
             _ if request.path == "/hook/batch" => {
                 let text = states(&request.body, "done");
@@ -92,7 +92,7 @@
 /// Guards a whole answer that leaves one message out or says it failed: the others are delivered, that one goes again.
 #[test]
 fn a_message_missing_from_a_batch_answer_has_no_outcome_of_the_others() {
-    let destination = StandIn::new(|request, number| match number {
+    let destination = SimulatedServer::new(|request, number| match number {
         0 => {
             let text = r#"[{"id":"m1","state":"done"},{"id":"m3","state":"done"}]"#;
             assert_eq!(request.path, "/hook/batch");
@@ -123,7 +123,7 @@
 /// a part of one is nothing.
 #[test]
 fn only_complete_requests_of_a_closed_client_are_accepted() {
-    let destination = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let platform = platform();
     let prepared = prepare(
         &list(1, &[("a", destination.address, 7, "station")]),
@@ -148,7 +148,7 @@
 /// Guards a new endpoint at an old address: it is another, and gets no connection of the old one.
 #[test]
 fn a_new_id_at_an_old_address_gets_a_connection_of_its_own() {
-    let destination = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let (platform, change) = changing(list(2, &[("b", destination.address, 7, "station")]));
     let sender = start(
         &list(1, &[("a", destination.address, 7, "station")]),
@@ -192,8 +192,8 @@
 #[test]
 fn a_first_watch_that_stays_silent_is_put_anew_and_its_late_answer_is_not_heard() {
     let (old, new) = (
-        StandIn::new(|_, _| Reply::status(200)),
-        StandIn::new(|_, _| Reply::status(200)),
+        SimulatedServer::new(|_, _| Reply::status(200)),
+        SimulatedServer::new(|_, _| Reply::status(200)),
     );
     let (old, new) = (old.expect("partner"), new.expect("partner"));
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
--- a/crates/cranehill/tests/exchanges.rs
+++ b/crates/cranehill/tests/exchanges.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 
 fn unescape(text: &str) -> Vec<u8> {
     let (mut bytes, mut chars) = (Vec::new(), text.chars());
@@ -34,13 +34,13 @@
         .map(|l| l.splitn(3, ' ').collect())
         .collect();
     type Answers = Arc<Mutex<VecDeque<Reply>>>;
-    let mut endpoints: BTreeMap<&str, (StandIn, Answers, u64, &str)> = BTreeMap::new();
+    let mut endpoints: BTreeMap<&str, (SimulatedServer, Answers, u64, &str)> = BTreeMap::new();
     for line in &lines {
         if let ["endpoint", id, rest] = line[..] {
             let (destination, kind) = rest.split_once(' ').expect("partner and kind");
             let answers = Answers::default();
             let next = answers.clone();
-            let stand_in = StandIn::new(move |_, _| {
+            let stand_in = SimulatedServer::new(move |_, _| {
                 next.lock()
                     .expect("answers")
                     .pop_front()
--- a/crates/cranehill/tests/handover.rs
+++ b/crates/cranehill/tests/handover.rs
@@ -10,14 +10,14 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::State;
 use cranehill_scenario_runner::{Limits, Plan, play, report};
 use cranehill_simulation::audit::What;
 use cranehill_simulation::scenario;
 
-fn state_file(known: &str, platform: &StandIn, dir: &Path) -> Running {
+fn state_file(known: &str, platform: &SimulatedServer, dir: &Path) -> Running {
     start_as(known, platform, |setup| {
         setup.operator = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
         setup.state = Some(State {
@@ -31,10 +31,10 @@
 type Calls = Receiver<(String, Instant)>;
 
 /// Tells of each call, and answers as `reply` says.
-fn endpoint(reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> (StandIn, Calls) {
+fn endpoint(reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> (SimulatedServer, Calls) {
     let (printed, heard) = channel();
     let printed = std::sync::Mutex::new(printed);
-    let stand_in = StandIn::new(move |request, _| {
+    let stand_in = SimulatedServer::new(move |request, _| {
         let id = http::header(&request.headers, "X-Txn")
             .unwrap_or_default()
             .to_owned();
--- a/crates/cranehill/tests/late_connections.rs
+++ b/crates/cranehill/tests/late_connections.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 
 const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
@@ -43,7 +43,7 @@
 fn a_repeat_whose_connection_comes_up_after_its_window_is_not_written() {
     let fail = Arc::new(AtomicBool::new(false));
     let fails = fail.clone();
-    let first = StandIn::new(move |_, _| {
+    let first = SimulatedServer::new(move |_, _| {
         wait_for(&fails);
         Reply::status(500)
     })
@@ -91,7 +91,7 @@
 fn a_call_whose_endpoint_drains_before_its_connection_is_up_is_not_written() {
     let (late, fill) = full_listener();
     let late_address = late.local_addr().expect("an address");
-    let other = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let other = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let listed = list(
         2,
         &[
--- a/crates/cranehill/tests/notified_in_time.rs
+++ b/crates/cranehill/tests/notified_in_time.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use cranehill::rehearsal::{Reply, Seen, StandIn};
+use cranehill::rehearsal::{Reply, Seen, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::{ControlCommand, Reactor, ReactorOptions};
 
@@ -28,9 +28,9 @@
 }
 
 /// Discovery that fails its first calls and then has a newer list.
-fn discovery(outcome: DeliveryOutcome, failures: usize) -> StandIn {
+fn discovery(outcome: DeliveryOutcome, failures: usize) -> SimulatedServer {
     let newer = list(9, &[]);
-    StandIn::new(move |request, number| match outcome {
+    SimulatedServer::new(move |request, number| match outcome {
         _ if request.method == "POST" => Reply::status(204),
         _ if request.path.contains("from=9&") => Reply::Silent,
         _ if number >= failures => Reply::Bytes(http::write_response(200, "OK", &[], &newer)),
@@ -43,7 +43,7 @@
 }
 
 /// From when the last call that failed arrived until the watch that continues from the newer list does.
-fn taken(discovery: &StandIn, failures: usize) -> Duration {
+fn taken(discovery: &SimulatedServer, failures: usize) -> Duration {
     let end = Instant::now() + STUCK;
     let continues = |seen: &Seen| seen.request.path.contains("from=9&");
     loop {
@@ -62,7 +62,7 @@
 /// Plays one case: with lists pushed or asked for, and from the start or after a SIGHUP that moves discovery.
 fn play(outcome: DeliveryOutcome, failures: usize, asked_for: bool, moved: bool) -> Duration {
     let failing = discovery(outcome, failures);
-    let before = StandIn::new(|_, _| Reply::Silent).expect("discovery");
+    let before = SimulatedServer::new(|_, _| Reply::Silent).expect("discovery");
     let first = if moved {
         before.address
     } else {
--- a/crates/cranehill/tests/operator.rs
+++ b/crates/cranehill/tests/operator.rs
@@ -8,11 +8,11 @@
 use std::sync::mpsc::{Receiver, channel};
 
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::State;
 
-fn operated(known: &str, platform: &StandIn, state: Option<&Path>) -> Running {
+fn operated(known: &str, platform: &SimulatedServer, state: Option<&Path>) -> Running {
     start_as(known, platform, |setup| {
         setup.operator = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
         setup.state = state.map(|dir| State {
@@ -47,11 +47,11 @@
 }
 
 /// Two endpoints of destination 7 that say who was called with what.
-fn destination() -> (StandIn, StandIn, Receiver<(char, String)>) {
+fn destination() -> (SimulatedServer, SimulatedServer, Receiver<(char, String)>) {
     let (printed, heard) = channel();
     let endpoint = |name: char| {
         let printed = printed.clone();
-        StandIn::new(move |request, _| {
+        SimulatedServer::new(move |request, _| {
             let id = http::header(&request.headers, "X-Txn").unwrap_or_default();
             let _ = printed.send((name, id.to_owned()));
             Reply::status(200)
@@ -61,7 +61,7 @@
     (endpoint('a'), endpoint('b'), heard)
 }
 
-fn rows(a: &StandIn, b: &StandIn) -> String {
+fn rows(a: &SimulatedServer, b: &SimulatedServer) -> String {
     list(
         1,
         &[
--- a/crates/cranehill/tests/order.rs
+++ b/crates/cranehill/tests/order.rs
@@ -9,7 +9,7 @@
 
 use common::process::Process;
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::{ReactorOptions, State};
 use cranehill_scheduler::api::Effect;
@@ -62,10 +62,10 @@
 }
 
 /// A destination that answers the first call of `held` when it is told to, with `reply`, and all others at once.
-fn destination(held: &'static str, reply: fn() -> Reply) -> (StandIn, Arc<AtomicBool>) {
+fn destination(held: &'static str, reply: fn() -> Reply) -> (SimulatedServer, Arc<AtomicBool>) {
     let notified = Arc::new(AtomicBool::new(false));
     let notify = notified.clone();
-    let stand_in = StandIn::new(move |request, _| {
+    let stand_in = SimulatedServer::new(move |request, _| {
         if txn(request) == held && !notified.load(Ordering::Relaxed) {
             wait_for(&notified);
             return reply();
@@ -80,7 +80,7 @@
 }
 
 /// The messages that have come, in their order.
-fn came(destination: &StandIn) -> Vec<String> {
+fn came(destination: &SimulatedServer) -> Vec<String> {
     destination
         .seen()
         .iter()
@@ -88,7 +88,7 @@
         .collect()
 }
 
-fn when(destination: &StandIn, id: &str) -> Instant {
+fn when(destination: &SimulatedServer, id: &str) -> Instant {
     let seen = destination.seen();
     seen.iter()
         .find(|s| txn(&s.request) == id)
@@ -96,7 +96,7 @@
         .at
 }
 
-fn known(destination: &StandIn) -> String {
+fn known(destination: &SimulatedServer) -> String {
     list(1, &[("a", destination.address, 7, "station")])
 }
 
@@ -133,7 +133,7 @@
     let (destination, release) = destination("a1", || Reply::Close);
     let answers = Arc::new(AtomicBool::new(false));
     let answered = answers.clone();
-    let platform = StandIn::new(move |request, _| match request.method.as_str() {
+    let platform = SimulatedServer::new(move |request, _| match request.method.as_str() {
         "GET" => Reply::Silent,
         _ if answered.load(Ordering::Relaxed) => Reply::status(204),
         _ => Reply::status(500),
@@ -165,7 +165,7 @@
 }
 
 /// Kills a sender that the destination has answered, before it could write that down: it is stopped while the answer is written.
-fn killed_behind_the_answer(effect: &str) -> (StandIn, StandIn) {
+fn killed_behind_the_answer(effect: &str) -> (SimulatedServer, SimulatedServer) {
     let (destination, release) = destination("a1", || Reply::status(200));
     let (platform, folder) = (platform(), tempfile::tempdir().expect("a folder"));
     let config = config_file(folder.path(), &known(&destination), effect);
@@ -208,7 +208,7 @@
 }
 
 /// Hands over to a new process while the first of a key is in flight, answered meanwhile or cut off, and tells what came.
-fn transferred(answered: bool) -> (Vec<String>, StandIn) {
+fn transferred(answered: bool) -> (Vec<String>, SimulatedServer) {
     let (destination, release) = destination("a1", || Reply::status(200));
     let (platform, folder) = (platform(), tempfile::tempdir().expect("a folder"));
     let state_file = || {
--- a/crates/cranehill/tests/ready.rs
+++ b/crates/cranehill/tests/ready.rs
@@ -8,7 +8,7 @@
 
 use common::process::Process;
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 
 /// Nine in ten restarted processes answer within this on short days; on others within 10 s.
@@ -40,8 +40,8 @@
 }
 
 /// Discovery that restates part of the list, in answers that fit one body each.
-fn discovery() -> StandIn {
-    StandIn::new(|request, _| {
+fn discovery() -> SimulatedServer {
+    SimulatedServer::new(|request, _| {
         let from: Option<u64> = request
             .path
             .split_once("from=")
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -8,15 +8,15 @@
 use std::sync::{Arc, Mutex};
 
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 use cranehill_daemon::config;
 use cranehill_daemon::reactor::{ControlCommand, Reactor, ReactorOptions};
 
 type Answers = Arc<Mutex<VecDeque<Result<SocketAddr, String>>>>;
 
 /// A platform that tells this whole list when asked for it, and holds every watch.
-fn listing(whole: String) -> StandIn {
-    StandIn::new(
+fn listing(whole: String) -> SimulatedServer {
+    SimulatedServer::new(
         move |request, _| match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/v1/endpoints") => Reply::Bytes(cranehill_daemon::http::write_response(
                 200,
@@ -34,7 +34,7 @@
 /// A sender whose configuration, read again, says this; and how to tell it to read.
 fn start_with(
     known: &str,
-    platform: &StandIn,
+    platform: &SimulatedServer,
     description: Answers,
 ) -> (SocketAddr, Arc<AtomicBool>) {
     let config = config(known, platform.address);
@@ -76,10 +76,10 @@
 
 #[test]
 fn a_reload_moves_the_list_and_the_unanswered_reports_again_and_again() {
-    let destination = StandIn::new(|_, _| Reply::status(400)).expect("partner");
-    let other = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let destination = SimulatedServer::new(|_, _| Reply::status(400)).expect("partner");
+    let other = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     // The first platform takes no report: it must go to the second.
-    let first = StandIn::new(|_, _| Reply::Silent).expect("platform");
+    let first = SimulatedServer::new(|_, _| Reply::Silent).expect("platform");
     let second = listing(list(3, &[("b", other.address, 7, "station")]));
     let third = listing(list(2, &[("a", destination.address, 7, "station")]));
     let description = Answers::default();
--- a/crates/cranehill/tests/restart.rs
+++ b/crates/cranehill/tests/restart.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 
 struct Process {
     child: Child,
@@ -38,7 +38,7 @@
     }
 }
 
-fn spawn(folder: &Path, known: &str, platform: &StandIn) -> Process {
+fn spawn(folder: &Path, known: &str, platform: &SimulatedServer) -> Process {
     let config = folder.join("config.json");
     std::fs::write(&config, config_text(known)).expect("configuration");
     let mut child = Command::new(env!("CARGO_BIN_EXE_cranehill"))
@@ -69,7 +69,7 @@
 }
 
 /// A destination that is silent until it is opened.
-fn destination() -> (StandIn, Arc<AtomicBool>) {
+fn destination() -> (SimulatedServer, Arc<AtomicBool>) {
     let open = Arc::new(AtomicBool::new(false));
     let is_open = open.clone();
     let answer = move |_: &_, _| {
@@ -79,12 +79,12 @@
             Reply::Silent
         }
     };
-    (StandIn::new(answer).expect("partner"), open)
+    (SimulatedServer::new(answer).expect("partner"), open)
 }
 
 const NAMES: &str = "c=episode-notice,t=onda-central,d=20000,k=5c0f,dest=7";
 
-fn bodies(destination: &StandIn) -> Vec<Vec<u8>> {
+fn bodies(destination: &SimulatedServer) -> Vec<Vec<u8>> {
     destination
         .seen()
         .into_iter()
@@ -119,7 +119,7 @@
     let folder = folder.path();
     // The platform takes the report at the second try only.
     let tries = AtomicUsize::new(0);
-    let platform = StandIn::new(move |request, _| match request.method.as_str() {
+    let platform = SimulatedServer::new(move |request, _| match request.method.as_str() {
         "GET" => Reply::Silent,
         _ if tries.fetch_add(1, Ordering::Relaxed) == 0 => Reply::status(500),
         _ => Reply::status(204),
@@ -193,7 +193,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
     // Slow enough that each kill finds attempts out and messages held; some answers are errors and refusals.
-    let destination = StandIn::new(|_, number| {
+    let destination = SimulatedServer::new(|_, number| {
         std::thread::sleep(Duration::from_millis(15));
         match number % 7 {
             3 => Reply::status(500),
@@ -302,7 +302,7 @@
 
 #[test]
 fn alone_as_a_push_front_its_end_answers_who_still_waits() {
-    let service = StandIn::new(|_, _| Reply::Silent).expect("service");
+    let service = SimulatedServer::new(|_, _| Reply::Silent).expect("service");
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("webpush.toml");
     let text = format!(
@@ -373,7 +373,11 @@
 
 /// A process whose call for m1 is answered so after the wait for it: it is stopped over the moment, so that it finds the
 /// end of the wait and the answer at once.
-fn answered_late(folder: &Path, platform: &StandIn, answer: &[u8]) -> (Process, TcpListener) {
+fn answered_late(
+    folder: &Path,
+    platform: &SimulatedServer,
+    answer: &[u8],
+) -> (Process, TcpListener) {
     let destination = TcpListener::bind("127.0.0.1:0").expect("bound");
     let known = list(
         1,
@@ -445,8 +449,8 @@
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
     let (destination, open) = destination();
-    let rejects = StandIn::new(|_, _| Reply::status(400)).expect("partner");
-    let silent = StandIn::new(|_, _| Reply::Silent).expect("platform");
+    let rejects = SimulatedServer::new(|_, _| Reply::status(400)).expect("partner");
+    let silent = SimulatedServer::new(|_, _| Reply::Silent).expect("platform");
     let known = list(
         1,
         &[
--- a/crates/cranehill/tests/retry_after.rs
+++ b/crates/cranehill/tests/retry_after.rs
@@ -8,20 +8,20 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 
 #[test]
 fn an_unwritten_call_is_cancelled_by_a_retry_after() {
     let notified = Arc::new(AtomicBool::new(false));
     let notify = notified.clone();
-    let first = StandIn::new(move |_, _| {
+    let first = SimulatedServer::new(move |_, _| {
         wait_for(&notify);
         Reply::wait(429, "60")
     })
     .expect("partner");
     let (second, fill) = full_listener();
     let address = second.local_addr().expect("an address");
-    let third = StandIn::new(|_, _| Reply::status(200)).expect("partner");
+    let third = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let (a, b, c) = (
         ("a", first.address, 7, "station"),
         ("b", address, 7, "station"),
--- a/crates/cranehill/tests/hollow.rs
+++ b/crates/cranehill/tests/simulated_members.rs
@@ -1,10 +1,10 @@
-//! Hollow members and real senders in one fleet, and hollow members over sockets alone.
+//! Simulated members and real senders in one fleet, and simulated members over sockets alone.
 
 use std::process::Command;
 use std::time::Duration;
 
-use cranehill_fleet_harness::hollow::{
-    Disturbance, HollowPlan, Timing, Transport, play as play_hollow,
+use cranehill_fleet_harness::simulated::{
+    Disturbance, SimulatedFleetPlan, Timing, Transport, play as play_simulated,
 };
 use cranehill_fleet_harness::{Report, Timeline, play, table};
 use cranehill_scenario_runner::{Limits, Plan, report};
@@ -12,9 +12,9 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
 
-/// Two real senders are 0 and 1, hollow members 2 to 21. The cut leaves one real sender and some hollow members on each
+/// Two real senders are 0 and 1, simulated members 2 to 21. The cut leaves one real sender and some simulated members on each
 /// side, and lasts longer than a suspicion.
-const DAY: &str = r#"name = "two senders and twenty hollow members"
+const DAY: &str = r#"name = "two senders and twenty simulated members"
 lasts = "32 s"
 senders = 2
 [load]
@@ -50,16 +50,16 @@
 back = "never"
 "#;
 const SENDERS: usize = 2;
-const HOLLOW: usize = 20;
+const SIMULATED: usize = 20;
 const KILLED_REAL: usize = 1;
-const KILLED_HOLLOW: usize = 7;
+const KILLED_SIMULATED: usize = 7;
 
 /// Guards the mixed fleet: both kinds find each other by their seeds, a cut between them takes effect in each of the four
 /// directions, and each kind holds a killed member of the other to be down. What is expected is an order of events, never
 /// a time.
 #[test]
 fn real_senders_and_hollow_members_are_one_fleet() {
-    let scenario = scenario::parse_with_hollow(DAY, 1, None, HOLLOW).expect("a good day");
+    let scenario = scenario::parse_with_simulated(DAY, 1, None, SIMULATED).expect("a good day");
     let plan = Plan {
         scenario,
         seed: 1,
@@ -75,9 +75,12 @@
         outcome.holds() && report::broken(&outcome).is_empty(),
         "{shown}"
     );
-    let hollow = traffic.hollow.as_ref().expect("there are hollow members");
+    let simulated = traffic
+        .simulated
+        .as_ref()
+        .expect("there are simulated members");
     let mut timeline = Timeline::read(&outcome.logs, &outcome.lines, outcome.began);
-    timeline.add_hollow(hollow);
+    timeline.add_simulated(simulated);
     let states = |by: usize, of: usize| -> Vec<&str> {
         let about = timeline
             .state_changes
@@ -85,9 +88,9 @@
             .filter(|printed| printed.by == by && printed.of == of);
         about.map(|printed| printed.state.as_str()).collect()
     };
-    let killed = [KILLED_REAL, KILLED_HOLLOW];
-    for by in (0..SENDERS + HOLLOW).filter(|by| !killed.contains(by)) {
-        for of in (0..SENDERS + HOLLOW).filter(|of| *of != by) {
+    let killed = [KILLED_REAL, KILLED_SIMULATED];
+    for by in (0..SENDERS + SIMULATED).filter(|by| !killed.contains(by)) {
+        for of in (0..SENDERS + SIMULATED).filter(|of| *of != by) {
             let last = if killed.contains(&of) {
                 "down"
             } else {
@@ -105,7 +108,7 @@
             );
         }
     }
-    // Across the cut: real to hollow, hollow to real, hollow to hollow.
+    // Across the cut: real to simulated, simulated to real, simulated to simulated.
     for (by, of) in [(0, 10), (10, 0), (2, 10), (10, 2)] {
         let printed = states(by, of);
         let down = printed.iter().position(|state| *state == "down");
@@ -116,11 +119,15 @@
     }
     assert!(judged.largest_share <= 1.0, "{shown}");
     assert!(
-        hollow.bytes_sent > 0 && hollow.bytes_received > 0 && hollow.lost > 0,
+        simulated.bytes_sent > 0 && simulated.bytes_received > 0 && simulated.lost > 0,
         "{shown}"
     );
     assert!(
-        traffic.packets[0] > 0 && judged.hollow.as_ref().is_some_and(|h| h.members == HOLLOW),
+        traffic.packets[0] > 0
+            && judged
+                .simulated
+                .as_ref()
+                .is_some_and(|h| h.members == SIMULATED),
         "{shown}"
     );
 }
@@ -134,16 +141,16 @@
         suspicion: Some(Duration::from_secs(2)),
         ..Timing::default()
     };
-    let plan = HollowPlan {
+    let plan = SimulatedFleetPlan {
         members: 20,
         duration: Duration::from_secs(20),
         disturbance: Disturbance::Crashes { one_in: 10 },
         transport: Transport::Udp,
         seed: 1,
         timing,
-        ..HollowPlan::default()
+        ..SimulatedFleetPlan::default()
     };
-    let figures = play_hollow(&plan).expect("it plays");
+    let figures = play_simulated(&plan).expect("it plays");
     assert!(
         figures.agreed_at_start.is_some() && figures.agreed_after.is_some(),
         "{figures:?}"
@@ -176,10 +183,10 @@
         ),
         (
             &["rack", "--nodes", "2", "--hollow", "1999"],
-            "1999 hollow members beside 2 senders: 1998 at most",
+            "1999 simulated members beside 2 senders: 1998 at most",
         ),
         (&["rack", "--hollow", "18446744073709551615"], "at most"),
-        (&["rack", "--hollow", "2", "--alone"], "--hollow: "),
+        (&["rack", "--hollow", "2", "--alone"], "--simulated: "),
         (&["--members-only"], "members: 0 is not from 2 to 2000"),
         (
             &["--members-only", "--hollow", "2001"],
--- a/crates/cranehill/tests/spoilt.rs
+++ b/crates/cranehill/tests/spoilt.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use cranehill::rehearsal::{Reply, StandIn};
+use cranehill::rehearsal::{Reply, SimulatedServer};
 
 const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
@@ -16,7 +16,7 @@
     messages: usize,
     requests: usize,
 ) -> Vec<(usize, Duration)> {
-    let destination = StandIn::new(|_, number| match answers.get(number) {
+    let destination = SimulatedServer::new(|_, number| match answers.get(number) {
         Some(text) => Reply::Bytes(text.as_bytes().to_vec()),
         None => Reply::status(200),
     })
@@ -91,7 +91,7 @@
 
 #[test]
 fn a_dead_idle_connection_is_no_destination_failure_and_equally_old_ones_are_not_reused() {
-    let destination = StandIn::new(|_, number| {
+    let destination = SimulatedServer::new(|_, number| {
         if number == 1 {
             Reply::Close
         } else {
--- a/crates/cranehill/tests/webpush.rs
+++ b/crates/cranehill/tests/webpush.rs
@@ -1,4 +1,4 @@
-//! The Web Push front, from an app destination's post to its one answer, before a stand-in push service.
+//! The Web Push front, from an app destination's post to its one answer, before a simulated server push service.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use common::SOON;
-use cranehill::rehearsal::{Reply, StandIn, push_setup};
+use cranehill::rehearsal::{Reply, SimulatedServer, push_setup};
 use cranehill_daemon::http::{self, Response, header};
 use cranehill_daemon::reactor::{Reactor, ReactorOptions, StopHandle};
 use cranehill_daemon::webpush::VapidFile;
@@ -66,8 +66,8 @@
     }
 }
 
-fn always(reply: Reply) -> StandIn {
-    StandIn::new(move |_, _| reply.clone()).expect("stand-in")
+fn always(reply: Reply) -> SimulatedServer {
+    SimulatedServer::new(move |_, _| reply.clone()).expect("stand-in")
 }
 
 #[test]
@@ -153,7 +153,7 @@
 
 #[test]
 fn nothing_is_sent_during_a_retry_after() {
-    let service = StandIn::new(|_, number| match number {
+    let service = SimulatedServer::new(|_, number| match number {
         0 => Reply::wait(429, "1.5"),
         _ => Reply::status(201),
     })
@@ -182,7 +182,7 @@
 
 #[test]
 fn a_retry_after_date_is_respected() {
-    let service = StandIn::new(|_, number| match number {
+    let service = SimulatedServer::new(|_, number| match number {
         0 => {
             let at = std::time::SystemTime::now() + Duration::from_secs(3);
             Reply::wait(503, &httpdate::fmt_http_date(at))
@@ -210,7 +210,7 @@
 #[test]
 fn a_removed_subscription_is_not_retried_and_is_no_service_failure() {
     for status in [404, 410] {
-        let service = StandIn::new(move |request, _| match request.path.as_str() {
+        let service = SimulatedServer::new(move |request, _| match request.path.as_str() {
             "/subscription/left" => Reply::status(status),
             _ => Reply::status(201),
         })
@@ -246,7 +246,7 @@
 fn an_error_is_tried_again_only_where_a_repeat_does_no_harm() {
     for reply in [Reply::status(500), Reply::Close] {
         let first = reply.clone();
-        let service = StandIn::new(move |_, number| {
+        let service = SimulatedServer::new(move |_, number| {
             if number == 0 {
                 first.clone()
             } else {
@@ -262,7 +262,7 @@
             "{reply:?}"
         );
         assert_eq!(service.seen().len(), 1);
-        let service = StandIn::new(move |_, number| {
+        let service = SimulatedServer::new(move |_, number| {
             if number == 0 {
                 reply.clone()
             } else {
@@ -313,7 +313,7 @@
 
 #[test]
 fn who_leaves_before_the_answer_withdraws_the_message() {
-    let service = StandIn::new(|_, number| match number {
+    let service = SimulatedServer::new(|_, number| match number {
         0 => Reply::wait(429, "3"),
         _ => Reply::status(201),
     })
@@ -386,7 +386,7 @@
         whole.len()
     )
     .into_bytes();
-    let platform = StandIn::new(move |request, _| match request.path.contains("from=9&") {
+    let platform = SimulatedServer::new(move |request, _| match request.path.contains("from=9&") {
         true => Reply::Silent,
         false => Reply::Bytes(answer.clone()),
     })
--- a/crates/fleet-harness/src/lib.rs
+++ b/crates/fleet-harness/src/lib.rs
@@ -1,20 +1,20 @@
 //! The rig: a day played by many real senders that know each other, with a relay on every way network them and to the
 //! destinations. What breaks is in the day's file (`[[break]]`), drawn by the seed.
 //!
-//! Start at [`play`] and [`Report`]. The stand-ins, the processes and the auditor are `cranehill_scenario_runner`'s.
+//! Start at [`play`] and [`Report`]. The simulated servers, the processes and the auditor are `cranehill_scenario_runner`'s.
 #![forbid(unsafe_code)]
 
-pub mod hollow;
-mod hollow_costs;
 mod network;
+mod path_faults;
 pub mod relay;
 mod report;
 mod returns;
 mod scenarios;
 mod shares;
+pub mod simulated;
+mod simulated_costs;
 pub mod sweep;
 mod timeline;
-mod ways;
 mod zones;
 
 use std::time::Duration;
@@ -24,12 +24,12 @@
 
 use crate::network::RigNetwork;
 
-pub use hollow_costs::HollowCosts;
 pub use network::FleetTraffic;
 pub use relay::{Passed, Relay};
 pub use report::{Report, table, write};
 pub use returns::{Peak, Returns};
 pub use scenarios::{SCENARIOS, scenario};
+pub use simulated_costs::SimulatedFleetCosts;
 pub use timeline::{StateChange, Timeline};
 pub use zones::Outage;
 
@@ -39,7 +39,7 @@
     Histogram::new_with_bounds(1, 3_600_000, 3).unwrap_or_else(|_| unreachable!("fixed bounds"))
 }
 
-/// Plays a day through relays, with the hollow members that it has beside its senders; `progress` hears of the time that has passed, and of how long the day may last.
+/// Plays a day through relays, with the simulated members that it has beside its senders; `progress` hears of the time that has passed, and of how long the day may last.
 pub fn play(
     plan: &Plan,
     progress: impl FnMut(Duration, Duration),
--- a/crates/fleet-harness/src/network.rs
+++ b/crates/fleet-harness/src/network.rs
@@ -1,4 +1,4 @@
-//! What the rig puts network the senders of a day: the relay, and the hollow members beside them.
+//! What the rig puts network the senders of a day: the relay, and the simulated members beside them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,8 +8,8 @@
 use cranehill_simulation::fleet::Fleet;
 use cranehill_simulation::scenario::Scenario;
 
-use crate::hollow::{HollowError, HollowFleet, HollowPassed};
 use crate::relay::Relay;
+use crate::simulated::{SimulatedFleet, SimulatedFleetError, SimulatedFleetPlay};
 
 /// What passed network the members of a day's fleet.
 #[derive(Clone, Debug, Default)]
@@ -19,8 +19,8 @@
     pub bytes: Vec<u64>,
     /// Packets that were lost on a broken way through the relay.
     pub lost: u64,
-    /// What the hollow members did and saw, on a day with some.
-    pub hollow: Option<HollowPassed>,
+    /// What the simulated members did and saw, on a day with some.
+    pub simulated: Option<SimulatedFleetPlay>,
 }
 
 /// See the module's text.
@@ -28,29 +28,29 @@
     scenario: &'a Scenario,
     seed: u64,
     relay: Relay,
-    hollow: Option<HollowFleet>,
+    simulated: Option<SimulatedFleet>,
 }
 
 impl RigNetwork<'_> {
     pub fn start(plan: &Plan) -> io::Result<RigNetwork<'_>> {
         let relay = Relay::start(
             plan.scenario.members(),
-            plan.scenario.breaks.clone(),
+            plan.scenario.network_faults.clone(),
             plan.seed,
         )?;
         Ok(RigNetwork {
             scenario: &plan.scenario,
             seed: plan.seed,
             relay,
-            hollow: None,
+            simulated: None,
         })
     }
 
     /// What passed by the day's end.
     pub fn end(self) -> io::Result<FleetTraffic> {
-        let hollow = self
-            .hollow
-            .map(HollowFleet::end)
+        let simulated = self
+            .simulated
+            .map(SimulatedFleet::end)
             .transpose()
             .map_err(other)?;
         let passed = self.relay.passed();
@@ -58,15 +58,15 @@
             packets: passed.packets,
             bytes: passed.bytes,
             lost: passed.lost,
-            hollow,
+            simulated,
         })
     }
 }
 
-fn other(error: HollowError) -> io::Error {
+fn other(error: SimulatedFleetError) -> io::Error {
     match error {
-        HollowError::Io(error) => error,
-        error => io::Error::other(format!("hollow members: {error}")),
+        SimulatedFleetError::Io(error) => error,
+        error => io::Error::other(format!("simulated members: {error}")),
     }
 }
 
@@ -85,20 +85,21 @@
     }
 
     fn join(&mut self, fleet: &Fleet, senders: &[SocketAddr]) -> io::Result<Vec<SocketAddr>> {
-        if self.scenario.hollow == 0 {
+        if self.scenario.simulated == 0 {
             return Ok(Vec::new());
         }
-        let hollow = HollowFleet::start(self.scenario, self.seed, fleet, senders, &mut self.relay)
-            .map_err(other)?;
-        let seeds = hollow.seeds.clone();
-        self.hollow = Some(hollow);
+        let simulated =
+            SimulatedFleet::start(self.scenario, self.seed, fleet, senders, &mut self.relay)
+                .map_err(other)?;
+        let seeds = simulated.seeds.clone();
+        self.simulated = Some(simulated);
         Ok(seeds)
     }
 
     fn begin(&mut self, at: Instant) {
         self.relay.begin(at);
-        if let Some(hollow) = &mut self.hollow {
-            hollow.begin(at);
+        if let Some(simulated) = &mut self.simulated {
+            simulated.begin(at);
         }
     }
 }
--- a/crates/fleet-harness/src/ways.rs
+++ b/crates/fleet-harness/src/path_faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranehill_simulation::fleet::{Break, Way};
+use cranehill_simulation::fleet::{NetworkFault, PathFault};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -18,23 +18,23 @@
 
 /// `now` is counted from the start of the breaks' clock.
 pub fn outcome(
-    breaks: &[Break],
+    network_faults: &[NetworkFault],
     from: usize,
     to: usize,
     now: Duration,
     rng: &mut ChaCha8Rng,
 ) -> PacketOutcome {
     let mut at = Duration::ZERO;
-    for b in breaks
+    for b in network_faults
         .iter()
         .filter(|b| b.duration_at(now) && b.between(from, to))
     {
-        match b.way {
-            Way::Cut => return PacketOutcome::Lost,
-            Way::Drop { share } if rng.random_bool(share) => return PacketOutcome::Lost,
-            Way::Delay { by } => at = at.max(now + by),
-            Way::Stall => at = at.max(b.until),
-            Way::Drop { .. } | Way::Reset => {}
+        match b.path_fault {
+            PathFault::Cut => return PacketOutcome::Lost,
+            PathFault::Drop { share } if rng.random_bool(share) => return PacketOutcome::Lost,
+            PathFault::Delay { by } => at = at.max(now + by),
+            PathFault::Stall => at = at.max(b.until),
+            PathFault::Drop { .. } | PathFault::Reset => {}
         }
     }
     PacketOutcome::Through { at }
--- a/crates/fleet-harness/src/relay.rs
+++ b/crates/fleet-harness/src/relay.rs
@@ -15,14 +15,14 @@
 use std::time::{Duration, Instant};
 
 use cranehill_scenario_runner::Network;
-use cranehill_simulation::fleet::{Break, Way};
+use cranehill_simulation::fleet::{NetworkFault, PathFault};
 use mio::net::{TcpListener, TcpStream, UdpSocket};
 use mio::{Events, Interest, Poll, Token, Waker};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use socket2::SockRef;
 
-use crate::ways::{PacketOutcome, outcome};
+use crate::path_faults::{PacketOutcome, outcome};
 
 const WAKE: Token = Token(0);
 /// What TCP waits at least before it sends a lost segment again (RFC 6298, as Linux has it).
@@ -68,7 +68,11 @@
 
 impl Relay {
     /// Starts the thread.
-    pub fn start(senders: usize, breaks: Vec<Break>, seed: u64) -> io::Result<Relay> {
+    pub fn start(
+        senders: usize,
+        network_faults: Vec<NetworkFault>,
+        seed: u64,
+    ) -> io::Result<Relay> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
         let (orders, heard) = channel();
@@ -81,11 +85,11 @@
         let mut works = Works {
             poll,
             orders: heard,
-            breaks,
+            network_faults,
             begun: None,
             rng: ChaCha8Rng::seed_from_u64(seed),
             next: 1,
-            ways: HashMap::new(),
+            path_faults: HashMap::new(),
             by_source: HashMap::new(),
             later: BinaryHeap::new(),
             numbered: 0,
@@ -208,7 +212,7 @@
 }
 
 enum Later {
-    Packet { way: usize, bytes: Vec<u8> },
+    Packet { path_fault: usize, bytes: Vec<u8> },
     Pump(usize),
     Edge,
 }
@@ -216,11 +220,11 @@
 struct Works {
     poll: Poll,
     orders: Receiver<Order>,
-    breaks: Vec<Break>,
+    network_faults: Vec<NetworkFault>,
     begun: Option<Instant>,
     rng: ChaCha8Rng,
     next: usize,
-    ways: HashMap<usize, Kind>,
+    path_faults: HashMap<usize, Kind>,
     by_source: HashMap<SocketAddr, usize>,
     /// By time and number: places in `parked`.
     later: BinaryHeap<Reverse<(Duration, u64, Parked)>>,
@@ -291,7 +295,7 @@
                     break;
                 };
                 match later {
-                    Later::Packet { way, bytes } => self.deliver(way, &bytes),
+                    Later::Packet { path_fault, bytes } => self.deliver(path_fault, &bytes),
                     Later::Pump(pair) => self.pump(pair),
                     Later::Edge => self.edge(now),
                 }
@@ -313,7 +317,8 @@
                         .registry()
                         .register(&mut socket, Token(token), Interest::READABLE)?;
                     self.by_source.insert(real, to);
-                    self.ways.insert(token, Kind::Packets { socket, to, real });
+                    self.path_faults
+                        .insert(token, Kind::Packets { socket, to, real });
                     // It may have come before it was watched.
                     self.on_event(token);
                 }
@@ -329,7 +334,7 @@
                         Token(token),
                         Interest::READABLE,
                     )?;
-                    self.ways.insert(
+                    self.path_faults.insert(
                         token,
                         Kind::Ingress {
                             listener,
@@ -341,8 +346,11 @@
                 }
                 Order::Begin(at) => {
                     self.begun = Some(at);
-                    let edges: Vec<Duration> =
-                        self.breaks.iter().flat_map(|b| [b.at, b.until]).collect();
+                    let edges: Vec<Duration> = self
+                        .network_faults
+                        .iter()
+                        .flat_map(|b| [b.at, b.until])
+                        .collect();
                     edges.into_iter().for_each(|at| self.park(at, Later::Edge));
                 }
                 Order::End => return Ok(false),
@@ -357,7 +365,7 @@
     }
 
     fn on_event(&mut self, token: usize) {
-        match self.ways.get(&token) {
+        match self.path_faults.get(&token) {
             Some(Kind::Packets { .. }) => self.packets(token),
             Some(Kind::Ingress { .. }) => self.accept(token),
             Some(Kind::Pair(_)) => self.pump(token),
@@ -368,10 +376,10 @@
 
     // Between senders.
 
-    fn packets(&mut self, way: usize) {
+    fn packets(&mut self, path_fault: usize) {
         let mut bytes = [0; PACKET_MOST];
         loop {
-            let Some(Kind::Packets { socket, to, .. }) = self.ways.get(&way) else {
+            let Some(Kind::Packets { socket, to, .. }) = self.path_faults.get(&path_fault) else {
                 return;
             };
             let (len, source) = match socket.recv_from(&mut bytes) {
@@ -396,11 +404,13 @@
                         .unwrap_or_else(PoisonError::into_inner)
                         .lost += 1
                 }
-                PacketOutcome::Through { at } if at.is_zero() => self.deliver(way, &bytes[..len]),
+                PacketOutcome::Through { at } if at.is_zero() => {
+                    self.deliver(path_fault, &bytes[..len])
+                }
                 PacketOutcome::Through { at } => self.park(
                     at,
                     Later::Packet {
-                        way,
+                        path_fault,
                         bytes: bytes[..len].to_vec(),
                     },
                 ),
@@ -410,13 +420,13 @@
 
     fn packet_outcome(&mut self, from: usize, to: usize) -> PacketOutcome {
         match self.now() {
-            Some(now) => outcome(&self.breaks, from, to, now, &mut self.rng),
+            Some(now) => outcome(&self.network_faults, from, to, now, &mut self.rng),
             None => PacketOutcome::Through { at: Duration::ZERO },
         }
     }
 
-    fn deliver(&mut self, way: usize, bytes: &[u8]) {
-        if let Some(Kind::Packets { socket, real, .. }) = self.ways.get(&way) {
+    fn deliver(&mut self, path_fault: usize, bytes: &[u8]) {
+        if let Some(Kind::Packets { socket, real, .. }) = self.path_faults.get(&path_fault) {
             // To one that is not there it is lost.
             let _ = socket.send_to(bytes, *real);
         }
@@ -431,7 +441,7 @@
                 sender,
                 zone,
                 real,
-            }) = self.ways.get(&client_ingress)
+            }) = self.path_faults.get(&client_ingress)
             else {
                 return;
             };
@@ -466,7 +476,7 @@
             }
             let cut = self.now().is_some_and(|now| self.cut(sender, zone, now));
             let flows = [Flow::default(), Flow::default()];
-            self.ways.insert(
+            self.path_faults.insert(
                 first,
                 Kind::Pair(Box::new(Pair {
                     sender,
@@ -477,14 +487,16 @@
                     cut,
                 })),
             );
-            self.ways.insert(second, Kind::Other(first));
+            self.path_faults.insert(second, Kind::Other(first));
             self.pump(first);
         }
     }
 
     fn cut(&self, sender: usize, zone: usize, now: Duration) -> bool {
-        self.breaks.iter().any(|b| {
-            b.way == Way::Cut && b.duration_at(now) && b.at_destinations(sender, zone, false)
+        self.network_faults.iter().any(|b| {
+            b.path_fault == PathFault::Cut
+                && b.duration_at(now)
+                && b.at_destinations(sender, zone, false)
         })
     }
 
@@ -495,22 +507,24 @@
         };
         let mut at = Duration::ZERO;
         for b in self
-            .breaks
+            .network_faults
             .iter()
             .filter(|b| b.duration_at(now) && b.at_destinations(sender, zone, back))
         {
-            match b.way {
-                Way::Cut | Way::Stall => at = at.max(b.until),
-                Way::Delay { by } => at = at.max(now + by),
-                Way::Drop { share } if self.rng.random_bool(share) => at = at.max(now + SENT_AGAIN),
-                Way::Drop { .. } | Way::Reset => {}
+            match b.path_fault {
+                PathFault::Cut | PathFault::Stall => at = at.max(b.until),
+                PathFault::Delay { by } => at = at.max(now + by),
+                PathFault::Drop { share } if self.rng.random_bool(share) => {
+                    at = at.max(now + SENT_AGAIN)
+                }
+                PathFault::Drop { .. } | PathFault::Reset => {}
             }
         }
         at
     }
 
     fn pump(&mut self, id: usize) {
-        let Some(Kind::Pair(mut pair)) = self.ways.remove(&id) else {
+        let Some(Kind::Pair(mut pair)) = self.path_faults.remove(&id) else {
             return;
         };
         let now = self.now().unwrap_or_default();
@@ -582,7 +596,7 @@
         if over && !pair.cut {
             return self.end_pair(*pair, false);
         }
-        self.ways.insert(id, Kind::Pair(pair));
+        self.path_faults.insert(id, Kind::Pair(pair));
     }
 
     fn end_pair(&mut self, mut pair: Pair, reset: bool) {
@@ -592,21 +606,21 @@
                 let _ = SockRef::from(&*side).set_linger(Some(Duration::ZERO));
             }
         }
-        self.ways.remove(&pair.second);
+        self.path_faults.remove(&pair.second);
     }
 
     /// A break begins or ends.
     fn edge(&mut self, now: Duration) {
         let mut ended = Vec::new();
         let (mut cut, mut whole) = (Vec::new(), Vec::new());
-        for (&id, kind) in &self.ways {
+        for (&id, kind) in &self.path_faults {
             let Kind::Pair(pair) = kind else { continue };
-            let resets = |b: &Break| {
-                b.way == Way::Reset
+            let resets = |b: &NetworkFault| {
+                b.path_fault == PathFault::Reset
                     && b.duration_at(now)
                     && b.at_destinations(pair.sender, pair.zone, false)
             };
-            if self.breaks.iter().any(resets) {
+            if self.network_faults.iter().any(resets) {
                 ended.push(id);
             } else if self.cut(pair.sender, pair.zone, now) {
                 cut.push(id);
@@ -615,12 +629,12 @@
             }
         }
         for id in cut {
-            if let Some(Kind::Pair(pair)) = self.ways.get_mut(&id) {
+            if let Some(Kind::Pair(pair)) = self.path_faults.get_mut(&id) {
                 pair.cut = true;
             }
         }
         for id in ended.into_iter().chain(whole) {
-            if let Some(Kind::Pair(pair)) = self.ways.remove(&id) {
+            if let Some(Kind::Pair(pair)) = self.path_faults.remove(&id) {
                 self.end_pair(*pair, true);
             }
         }
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -7,17 +7,17 @@
 
 use cranehill_scenario_runner::{Outcome, Plan, report as day_report};
 use cranehill_simulation::audit::{Line, Verdict, What};
-use cranehill_simulation::fleet::{Break, Side, Way};
+use cranehill_simulation::fleet::{NetworkFault, PathFault, Side};
 use cranehill_simulation::limit::Limit;
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
 use serde_json::{Value, json};
 
 use crate::histogram;
-use crate::hollow_costs::HollowCosts;
 use crate::network::FleetTraffic;
 use crate::returns::Returns;
 use crate::shares::largest_share;
+use crate::simulated_costs::SimulatedFleetCosts;
 use crate::timeline::Timeline;
 use crate::zones::{Outage, outages};
 
@@ -58,8 +58,8 @@
     pub bytes_a_second: f64,
     pub packets_a_second: f64,
     pub lost: u64,
-    /// What the hollow members cost, on a day with some.
-    pub hollow: Option<HollowCosts>,
+    /// What the simulated members cost, on a day with some.
+    pub simulated: Option<SimulatedFleetCosts>,
     /// The most that all members that were there allowed themselves of a shared limit, together; 1.0 is the limit.
     pub largest_share: f64,
     /// Milliseconds of processor time a second, by sender that lived through the day; kB.
@@ -83,7 +83,7 @@
     let count = plan.scenario.members();
     let most_removed = plan
         .scenario
-        .acts
+        .scheduled_actions
         .iter()
         .map(|a| a.senders.len())
         .max()
@@ -99,8 +99,10 @@
     pub fn of(plan: &Plan, outcome: &Outcome, passed: &FleetTraffic) -> Report {
         let (scenario, count) = (&plan.scenario, plan.scenario.members());
         let mut timeline = Timeline::read(&outcome.logs, &outcome.lines, outcome.began);
-        let hollow = passed.hollow.as_ref();
-        hollow.iter().for_each(|hollow| timeline.add_hollow(hollow));
+        let simulated = passed.simulated.as_ref();
+        simulated
+            .iter()
+            .for_each(|simulated| timeline.add_simulated(simulated));
         let (bytes, packets) = sent(scenario.senders, passed);
         let bound = bound(plan);
         let detection = histogram();
@@ -119,9 +121,10 @@
             outages: outages(scenario, &outcome.lines, &timeline),
             bytes_a_second: bytes as f64 / secs(outcome.lasted) / count as f64,
             packets_a_second: packets as f64 / secs(outcome.lasted) / count as f64,
-            hollow: hollow.map(|hollow| HollowCosts::of(hollow, outcome.lasted)),
+            simulated: simulated
+                .map(|simulated| SimulatedFleetCosts::of(simulated, outcome.lasted)),
             largest_share: 0.0,
-            lost: passed.lost + hollow.map_or(0, |hollow| hollow.lost),
+            lost: passed.lost + simulated.map_or(0, |simulated| simulated.lost),
             cpu_ms: 0.0,
             memory_kb: (0, 0),
             failed: Vec::new(),
@@ -210,7 +213,7 @@
             let until = back.unwrap_or(outcome.lasted).min(outcome.lasted);
             for by in (0..plan.scenario.members()).filter(|&by| by != removed) {
                 if !self.timeline.there(by, at, until.min(at + bound))
-                    || cut_off(&plan.scenario.breaks, by, removed, at)
+                    || cut_off(&plan.scenario.network_faults, by, removed, at)
                 {
                     continue;
                 }
@@ -257,13 +260,13 @@
             {
                 continue;
             }
-            let cut = |b: &Break| {
-                matches!(b.way, Way::Cut | Way::Stall)
+            let cut = |b: &NetworkFault| {
+                matches!(b.path_fault, PathFault::Cut | PathFault::Stall)
                     && b.among_senders()
                     && b.at <= state_changes.at
                     && b.until >= since
             };
-            match plan.scenario.breaks.iter().any(cut) {
+            match plan.scenario.network_faults.iter().any(cut) {
                 true => self.explained += 1,
                 false => {
                     self.false_downs += 1;
@@ -281,9 +284,12 @@
         let scenario = &plan.scenario;
         let mut edges: BTreeMap<Duration, String> = BTreeMap::new();
         edges.insert(Duration::ZERO, "start".into());
-        for b in scenario.breaks.iter().filter(|b| b.among_senders()) {
+        for b in scenario.network_faults.iter().filter(|b| b.among_senders()) {
             edges.insert(b.at, String::new());
-            edges.insert(b.until, format!("{:?} until {:.1} s", b.way, secs(b.until)));
+            edges.insert(
+                b.until,
+                format!("{:?} until {:.1} s", b.path_fault, secs(b.until)),
+            );
         }
         for all in self.timeline.away.values() {
             for &(removed, back) in all {
@@ -308,7 +314,7 @@
                 .min(outcome.lasted);
             let since = self.timeline.agreed_since(scenario.members(), *at, until);
             let broken = scenario
-                .breaks
+                .network_faults
                 .iter()
                 .any(|b| b.duration_at(*at) && b.among_senders());
             // What is broken again, or ends, before it could heal is no failure.
@@ -389,9 +395,9 @@
     fn limits(&mut self, plan: &Plan, outcome: &Outcome) {
         for cut in plan
             .scenario
-            .breaks
+            .network_faults
             .iter()
-            .filter(|b| b.way == Way::Cut && !b.one_way)
+            .filter(|b| b.path_fault == PathFault::Cut && !b.one_way)
         {
             let Side::Senders(others) = &cut.to else {
                 continue;
@@ -403,7 +409,7 @@
                     continue;
                 };
                 for side in [&cut.from, others] {
-                    // Hollow members have a part as well, and send nothing.
+                    // Simulated members have a part as well, and send nothing.
                     let real = side
                         .iter()
                         .filter(|&&sender| sender < plan.scenario.senders)
@@ -449,7 +455,7 @@
             })
             .collect();
         json!({
-            "scenario": plan.scenario.name, "seed": plan.seed, "nodes": plan.scenario.senders, "hollow": plan.scenario.hollow, "lasted_ms": ms(outcome.lasted),
+            "scenario": plan.scenario.name, "seed": plan.seed, "nodes": plan.scenario.senders, "hollow": plan.scenario.simulated, "lasted_ms": ms(outcome.lasted),
             "holds": self.holds(), "failed": self.failed,
             "service": {"worth": outcome.worth.0, "asked": outcome.worth.1, "handed": outcome.submitted,
                 "delivered": outcome.delivered},
@@ -459,7 +465,7 @@
             "agreed": agreed, "views_agree": self.views_agree, "rejoined": self.rejoined, "parts": parts,
             "returns": self.returns.json(), "zones": self.outages.iter().map(Outage::json).collect::<Vec<_>>(),
             "a_member_a_second": {"bytes": self.bytes_a_second, "packets": self.packets_a_second, "cpu_ms": self.cpu_ms},
-            "largest_share": self.largest_share, "hollow": self.hollow.as_ref().map(HollowCosts::json),
+            "largest_share": self.largest_share, "hollow": self.simulated.as_ref().map(SimulatedFleetCosts::json),
             "packets_lost": self.lost, "memory_kb": {"median": self.memory_kb.0, "most": self.memory_kb.1},
             "rig_late_ms": {"most": ms(outcome.late.0), "p99": ms(outcome.late.1)},
         })
@@ -468,11 +474,10 @@
 
 /// The longest time for which a member was away or cut off.
 fn out_of_sight_most(plan: &Plan, timeline: &Timeline) -> Duration {
-    let cuts = plan
-        .scenario
-        .breaks
-        .iter()
-        .filter(|b| matches!(b.way, Way::Cut | Way::Stall) && b.among_senders());
+    let cuts =
+        plan.scenario.network_faults.iter().filter(|b| {
+            matches!(b.path_fault, PathFault::Cut | PathFault::Stall) && b.among_senders()
+        });
     let cut = cuts.map(|b| b.until - b.at).max().unwrap_or_default();
     let away = timeline
         .away
@@ -488,20 +493,20 @@
 /// Bytes and packets that all members sent. Hollow ones count at their own sockets: the relay sees a part of theirs.
 fn sent(senders: usize, passed: &FleetTraffic) -> (u64, u64) {
     let real = |of: &[u64]| of.iter().take(senders).sum::<u64>();
-    let hollow = passed
-        .hollow
+    let simulated = passed
+        .simulated
         .as_ref()
         .map_or((0, 0), |h| (h.bytes_sent, h.packets_sent));
     (
-        real(&passed.bytes) + hollow.0,
-        real(&passed.packets) + hollow.1,
+        real(&passed.bytes) + simulated.0,
+        real(&passed.packets) + simulated.1,
     )
 }
 
 /// Whether a break lies between the two about that time.
-fn cut_off(breaks: &[Break], one: usize, other: usize, at: Duration) -> bool {
-    let near = |b: &&Break| b.at <= at && at <= b.until;
-    breaks
+fn cut_off(network_faults: &[NetworkFault], one: usize, other: usize, at: Duration) -> bool {
+    let near = |b: &&NetworkFault| b.at <= at && at <= b.until;
+    network_faults
         .iter()
         .filter(near)
         .any(|b| b.between(one, other) || b.between(other, one))
@@ -523,9 +528,12 @@
 }
 
 fn fleet_size(plan: &Plan) -> String {
-    match plan.scenario.hollow {
+    match plan.scenario.simulated {
         0 => format!("{} senders", plan.scenario.senders),
-        hollow => format!("{} senders, {hollow} hollow members", plan.scenario.senders),
+        simulated => format!(
+            "{} senders, {simulated} simulated members",
+            plan.scenario.senders
+        ),
     }
 }
 
@@ -561,7 +569,7 @@
             report.memory_kb.1
         ),
     ];
-    lines.extend(report.hollow.as_ref().map(HollowCosts::line));
+    lines.extend(report.simulated.as_ref().map(SimulatedFleetCosts::line));
     for (what, took) in &report.agreed {
         let took = took.map_or("never".into(), |t| format!("{:.2} s", secs(t)));
         lines.push(format!("  views agreed after {what}: {took}"));
--- a/crates/fleet-harness/src/hollow/course.rs
+++ b/crates/fleet-harness/src/simulated/course.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
-use cranehill_simulation::fleet::{MemberAction, Way};
+use cranehill_simulation::fleet::{MemberAction, PathFault};
 
-use super::figures::{HollowFigures, Spread};
+use super::figures::{SimulatedFleetFigures, Spread};
 use super::observer::{Observation, Observer};
-use super::plan::HollowPlan;
+use super::plan::SimulatedFleetPlan;
 use super::script::Script;
 use super::traffic::{Passed, Traffic};
 
@@ -25,7 +25,7 @@
 /// See the module's text.
 #[derive(Debug)]
 pub struct Course {
-    plan: HollowPlan,
+    plan: SimulatedFleetPlan,
     script: Arc<Script>,
     traffic: Arc<Traffic>,
     observer: Observer,
@@ -44,7 +44,7 @@
 
 impl Course {
     pub fn new(
-        plan: &HollowPlan,
+        plan: &SimulatedFleetPlan,
         script: Arc<Script>,
         traffic: Arc<Traffic>,
         started: Time,
@@ -87,9 +87,9 @@
     pub fn begin(&mut self, at: Time) {
         if let Some(cut) = self
             .script
-            .breaks
+            .network_faults
             .iter()
-            .filter(|b| b.way == Way::Cut)
+            .filter(|b| b.path_fault == PathFault::Cut)
             .map(|b| b.at)
             .min()
         {
@@ -119,14 +119,14 @@
             MemberAction::Stop { .. } | MemberAction::Upgrade { .. } => 0,
         };
         self.script
-            .acts
+            .scheduled_actions
             .iter()
             .map(|act| act.senders.len() * each(&act.action))
             .sum()
     }
 
     /// `used` is what the play has used during its measured duration.
-    pub fn figures(self, used: Usage) -> HollowFigures {
+    pub fn figures(self, used: Usage) -> SimulatedFleetFigures {
         let seconds = self.plan.duration.as_secs_f64();
         let before = self.began.map(|began| began.passed).unwrap_or_default();
         let now = self.traffic.passed();
@@ -147,7 +147,7 @@
             .unwrap_or_default()
         };
         let members = self.plan.members;
-        HollowFigures {
+        SimulatedFleetFigures {
             members,
             agreed_at_start: self.agreed_at_start,
             bytes_sent_per_second: rate(|passed| passed.bytes_sent),
--- a/crates/fleet-harness/src/hollow/engine.rs
+++ b/crates/fleet-harness/src/simulated/engine.rs
@@ -14,11 +14,11 @@
 
 use super::member::{Member, Output, Packet, Report, Setup};
 use super::observer::{Observation, Observed};
-use super::plan::HollowError;
+use super::plan::SimulatedFleetError;
 use super::script::Script;
 use super::traffic::Traffic;
 use super::usage;
-use crate::ways::{PacketOutcome, outcome};
+use crate::path_faults::{PacketOutcome, outcome};
 
 /// Carries packets between members.
 pub trait Network {
@@ -59,7 +59,7 @@
 /// What all engines of a fleet share.
 #[derive(Clone, Debug)]
 pub struct Common {
-    pub book: Arc<AddressBook>,
+    pub delivery_log: Arc<AddressBook>,
     pub traffic: Arc<Traffic>,
     pub script: Arc<Script>,
     /// Members before this one are real processes: ways to them are broken elsewhere.
@@ -161,7 +161,7 @@
     }
 
     /// Starts all members.
-    pub fn start_all(&mut self, now: Time) -> Result<(), HollowError> {
+    pub fn start_all(&mut self, now: Time) -> Result<(), SimulatedFleetError> {
         let members = self.first..self.first + self.slots.len();
         members
             .into_iter()
@@ -178,8 +178,14 @@
     /// The script's clock starts.
     pub fn begin(&mut self, at: Time) {
         self.began = Some(at);
-        let acts: Vec<Duration> = self.common.script.acts.iter().map(|act| act.at).collect();
-        for (number, after) in acts.into_iter().enumerate() {
+        let scheduled_actions: Vec<Duration> = self
+            .common
+            .script
+            .scheduled_actions
+            .iter()
+            .map(|act| act.at)
+            .collect();
+        for (number, after) in scheduled_actions.into_iter().enumerate() {
             self.push(at + after, Event::ScheduledAction(number));
         }
     }
@@ -190,7 +196,7 @@
     }
 
     /// Runs the next event, if it is due by `until`; `now` is that or later.
-    pub fn run_next(&mut self, until: Time, now: Time) -> Result<bool, HollowError> {
+    pub fn run_next(&mut self, until: Time, now: Time) -> Result<bool, SimulatedFleetError> {
         if self.due().is_none_or(|due| due > until) {
             return Ok(false);
         }
@@ -243,7 +249,7 @@
         self.observations.push(Observation { at, by, what });
     }
 
-    fn start(&mut self, now: Time, member: usize) -> Result<(), HollowError> {
+    fn start(&mut self, now: Time, member: usize) -> Result<(), SimulatedFleetError> {
         let slot = &mut self.slots[member - self.first];
         if !matches!(slot.state, State::Absent) {
             return Ok(());
@@ -293,7 +299,7 @@
 
     fn act(&mut self, now: Time, number: usize) {
         let script = Arc::clone(&self.common.script);
-        let act = &script.acts[number];
+        let act = &script.scheduled_actions[number];
         let here = self.first..self.first + self.slots.len();
         for &member in act.senders.iter().filter(|member| here.contains(member)) {
             match act.action {
@@ -393,7 +399,7 @@
                 generation,
                 seen,
             } => Observed::Sees {
-                member: self.common.book.member(&address)?,
+                member: self.common.delivery_log.member(&address)?,
                 generation,
                 seen,
             },
@@ -423,14 +429,14 @@
         let Some(began) = self.began else {
             return through;
         };
-        let Some(to) = self.common.book.member(&packet.to) else {
+        let Some(to) = self.common.delivery_log.member(&packet.to) else {
             return through;
         };
-        if to < self.common.first_hollow || self.common.script.breaks.is_empty() {
+        if to < self.common.first_hollow || self.common.script.network_faults.is_empty() {
             return through;
         }
         outcome(
-            &self.common.script.breaks,
+            &self.common.script.network_faults,
             from,
             to,
             now - began,
@@ -439,7 +445,7 @@
     }
 
     fn put(&mut self, now: Time, from: usize, packet: Packet) {
-        let to = self.common.book.member(&packet.to);
+        let to = self.common.delivery_log.member(&packet.to);
         if let (Some(latency), Some(to)) = (self.network.send(from, to, &packet), to) {
             self.push(
                 now + latency,
--- a/crates/fleet-harness/src/hollow/figures.rs
+++ b/crates/fleet-harness/src/simulated/figures.rs
@@ -28,7 +28,7 @@
 
 /// See the module's text. Rates are those of members that were never away, over the play's duration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HollowFigures {
+pub struct SimulatedFleetFigures {
     pub members: usize,
     /// From the first start to the same view everywhere; `None`: not within [`super::START_MOST`].
     pub agreed_at_start: Option<Duration>,
@@ -59,7 +59,7 @@
     pub lost: u64,
 }
 
-impl HollowFigures {
+impl SimulatedFleetFigures {
     /// One line for each rule that does not hold, whatever the members' cost: all agree at the start and after the
     /// disturbance, none is missing at the end, no crash is unknown, nobody is held to be down without a cause, and no
     /// more of a shared limit is taken than `share_most`.
--- a/crates/fleet-harness/src/hollow/fleet.rs
+++ b/crates/fleet-harness/src/simulated/fleet.rs
@@ -1,7 +1,7 @@
-//! Hollow members beside real senders, in one fleet and under one scenario.
+//! Simulated members beside real senders, in one fleet and under one scenario.
 //!
-//! Between a real sender and a hollow member packets go through the relay in both directions, which breaks ways and counts
-//! as between two real senders. Between two hollow members they go straight, and the engine breaks ways.
+//! Between a real sender and a simulated member packets go through the relay in both directions, which breaks ways and counts
+//! as between two real senders. Between two simulated members they go straight, and the engine breaks ways.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,16 +15,16 @@
 use super::engine::{AddressBook, Common};
 use super::member::Setup;
 use super::observer::Observation;
-use super::plan::{HollowError, Timing};
+use super::plan::{SimulatedFleetError, Timing};
 use super::script::Script;
 use super::traffic::{Passed, Traffic};
 use super::udp::{Clock, Running, free_addresses};
 
-/// Hollow members, and real senders, whom each hollow member asks for the others.
+/// Simulated members, and real senders, whom each simulated member asks for the others.
 const SEEDS_OF_EACH: usize = 2;
 
-/// The hollow members of a day.
-pub struct HollowFleet {
+/// The simulated members of a day.
+pub struct SimulatedFleet {
     running: Running,
     traffic: Arc<Traffic>,
     first: usize,
@@ -34,9 +34,9 @@
     pub seeds: Vec<SocketAddr>,
 }
 
-/// What hollow members did and saw on a day.
+/// What simulated members did and saw on a day.
 #[derive(Clone, Debug)]
-pub struct HollowPassed {
+pub struct SimulatedFleetPlay {
     pub members: usize,
     /// When the day began, on the observations' clock.
     pub began: Time,
@@ -49,8 +49,8 @@
     pub cpu: Duration,
 }
 
-impl HollowFleet {
-    /// Starts the hollow members of a day; the real senders meet each other at `senders`, and each hollow member behind
+impl SimulatedFleet {
+    /// Starts the simulated members of a day; the real senders meet each other at `senders`, and each simulated member behind
     /// `between`.
     pub fn start(
         scenario: &Scenario,
@@ -58,10 +58,10 @@
         fleet: &Fleet,
         senders: &[SocketAddr],
         between: &mut dyn Network,
-    ) -> Result<HollowFleet, HollowError> {
+    ) -> Result<SimulatedFleet, SimulatedFleetError> {
         let timing = timing(fleet);
         timing.check()?;
-        let listen = free_addresses(scenario.senders, scenario.hollow)?;
+        let listen = free_addresses(scenario.senders, scenario.simulated)?;
         let mut addresses = senders.to_vec();
         for (index, real) in listen.iter().enumerate() {
             addresses.push(between.sender_address(scenario.senders + index, *real)?);
@@ -86,18 +86,18 @@
         let setups = (scenario.senders..scenario.members()).map(setup).collect();
         let traffic = Arc::new(Traffic::new(scenario.members()));
         let common = Common {
-            book: Arc::new(AddressBook::new(&addresses)),
+            delivery_log: Arc::new(AddressBook::new(&addresses)),
             traffic: Arc::clone(&traffic),
             script: Arc::new(Script {
-                breaks: scenario.breaks.clone(),
-                acts: scenario.acts.clone(),
+                network_faults: scenario.network_faults.clone(),
+                scheduled_actions: scenario.scheduled_actions.clone(),
             }),
             first_hollow: scenario.senders,
             seed,
         };
         let running = Running::start(&common, setups, listen, Clock::start())?;
-        let (first, members) = (scenario.senders, scenario.hollow);
-        Ok(HollowFleet {
+        let (first, members) = (scenario.senders, scenario.simulated);
+        Ok(SimulatedFleet {
             running,
             traffic,
             first,
@@ -115,7 +115,7 @@
     }
 
     /// Ends all of them.
-    pub fn end(self) -> Result<HollowPassed, HollowError> {
+    pub fn end(self) -> Result<SimulatedFleetPlay, SimulatedFleetError> {
         let now = self.traffic.passed();
         let (began, before) = self
             .began
@@ -128,7 +128,7 @@
             .collect();
         let sum = |of: fn(&Passed) -> u64| passed.iter().map(of).sum();
         let observations = self.running.observations.try_iter().collect();
-        Ok(HollowPassed {
+        Ok(SimulatedFleetPlay {
             members: self.members,
             began,
             observations,
--- a/crates/fleet-harness/src/hollow/member.rs
+++ b/crates/fleet-harness/src/simulated/member.rs
@@ -1,4 +1,4 @@
-//! One hollow member: the real reducer with its real membership, and nothing below it. Whoever drives it brings the
+//! One simulated member: the real reducer with its real membership, and nothing below it. Whoever drives it brings the
 //! packets, the clock and the timers.
 //!
 //! This is the one file here that speaks to the membership.
@@ -11,7 +11,7 @@
 use cranehill_scheduler::profile::Profile;
 use serde_json::json;
 
-use super::plan::{HollowError, Timing, ZONES};
+use super::plan::{SimulatedFleetError, Timing, ZONES};
 
 /// The key of rehearsed fleets, as their real processes have it: nothing secret travels between their members.
 const KEY: membership::Key = *b"rehearse on loopback, rehearse!.";
@@ -101,7 +101,7 @@
     }
 
     /// A sender's settings with one class, one kind and no destination.
-    fn decisions(&self) -> Result<cranehill_scheduler::api::Settings, HollowError> {
+    fn decisions(&self) -> Result<cranehill_scheduler::api::Settings, SimulatedFleetError> {
         let zones: Vec<String> = (1..=ZONES).map(|zone| format!("zone-{zone}")).collect();
         let settings = json!({
             "classes": [{"name": "event", "effect": "keyed", "window": 20_000_000_000u64, "aim": 4_000_000_000u64,
@@ -120,7 +120,7 @@
             "zone": self.index % ZONES,
             "zones": zones,
         });
-        let wrong = |why: String| HollowError::Settings(why);
+        let wrong = |why: String| SimulatedFleetError::Settings(why);
         let profile: Profile =
             serde_json::from_value(settings).map_err(|e| wrong(e.to_string()))?;
         profile.into_settings().map_err(|e| wrong(e.to_string()))
@@ -144,10 +144,10 @@
         seed: u64,
         now: Time,
         output: &mut Output,
-    ) -> Result<Member, HollowError> {
+    ) -> Result<Member, SimulatedFleetError> {
         let settings = setup.decisions()?;
-        let mut core =
-            Core::new(settings, seed, now).map_err(|e| HollowError::Settings(e.to_string()))?;
+        let mut core = Core::new(settings, seed, now)
+            .map_err(|e| SimulatedFleetError::Settings(e.to_string()))?;
         core.join(setup.membership(), seed.rotate_left(32));
         let mut member = Member {
             core,
--- a/crates/fleet-harness/src/hollow/mod.rs
+++ b/crates/fleet-harness/src/simulated/mod.rs
@@ -1,8 +1,8 @@
-//! Hollow members: many in one process, each with the real reducer, real decisions and real membership, and without
+//! Simulated members: many in one process, each with the real reducer, real decisions and real membership, and without
 //! clients, destinations or a journal. What membership costs a sender, and whether it agrees, is measured with as many
 //! members as real processes would not fit on one machine.
 //!
-//! Start at [`play`], [`HollowPlan`] and [`HollowFigures`]. [`member`](self) is the reducer without anything below it, the
+//! Start at [`play`], [`SimulatedFleetPlan`] and [`SimulatedFleetFigures`]. [`member`](self) is the reducer without anything below it, the
 //! engine runs members on a network, which is simulated or made of UDP sockets, and the observer compares what members
 //! report with what was done to them.
 
@@ -20,21 +20,21 @@
 mod virtual_time;
 
 pub use course::START_MOST;
-pub use figures::{HollowFigures, Spread};
-pub use fleet::{HollowFleet, HollowPassed};
+pub use figures::{SimulatedFleetFigures, Spread};
+pub use fleet::{SimulatedFleet, SimulatedFleetPlay};
 pub use member::Seen;
 pub use observer::{Observation, Observed, Observer};
 pub use plan::{
-    Conditions, Disturbance, HollowError, HollowPlan, MEMBERS_LEAST, MEMBERS_MOST, Timing,
-    Transport, ZONES,
+    Conditions, Disturbance, MEMBERS_LEAST, MEMBERS_MOST, SimulatedFleetError, SimulatedFleetPlan,
+    Timing, Transport, ZONES,
 };
 pub use script::RESTART_AFTER;
 
 /// Whom each member asks for the others, as in a rehearsal of real processes.
 const SEEDS: usize = 3;
 
-/// Plays a fleet of hollow members alone.
-pub fn play(plan: &HollowPlan) -> Result<HollowFigures, HollowError> {
+/// Plays a fleet of simulated members alone.
+pub fn play(plan: &SimulatedFleetPlan) -> Result<SimulatedFleetFigures, SimulatedFleetError> {
     plan.check()?;
     match plan.transport {
         Transport::Udp => udp::play(plan),
--- a/crates/fleet-harness/src/hollow/plan.rs
+++ b/crates/fleet-harness/src/simulated/plan.rs
@@ -1,4 +1,4 @@
-//! What to play: how many hollow members, over which network, and what disturbs them.
+//! What to play: how many simulated members, over which network, and what disturbs them.
 
 use std::time::Duration;
 
@@ -97,7 +97,7 @@
 
 /// See the module's text.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HollowPlan {
+pub struct SimulatedFleetPlan {
     pub members: usize,
     /// After the fleet has agreed at the start.
     pub duration: Duration,
@@ -108,9 +108,9 @@
     pub conditions: Conditions,
 }
 
-impl Default for HollowPlan {
-    fn default() -> HollowPlan {
-        HollowPlan {
+impl Default for SimulatedFleetPlan {
+    fn default() -> SimulatedFleetPlan {
+        SimulatedFleetPlan {
             members: 30,
             duration: Duration::from_secs(60),
             disturbance: Disturbance::None,
@@ -122,9 +122,9 @@
     }
 }
 
-/// Why a play of hollow members could not be played.
+/// Why a play of simulated members could not be played.
 #[derive(Debug, thiserror::Error)]
-pub enum HollowError {
+pub enum SimulatedFleetError {
     #[error("members: {0} is not from {MEMBERS_LEAST} to {MEMBERS_MOST}")]
     Members(usize),
     #[error("duration: {0:?} is not from {DURATION_LEAST:?} to {DURATION_MOST:?}")]
@@ -141,27 +141,27 @@
     Io(#[from] std::io::Error),
 }
 
-impl HollowPlan {
+impl SimulatedFleetPlan {
     /// When the disturbance begins, after the start.
     pub fn disturbed_after(&self) -> Duration {
         self.duration / QUIET_PART
     }
 
     /// Checks every value; nothing is started before.
-    pub fn check(&self) -> Result<(), HollowError> {
+    pub fn check(&self) -> Result<(), SimulatedFleetError> {
         if !(MEMBERS_LEAST..=MEMBERS_MOST).contains(&self.members) {
-            return Err(HollowError::Members(self.members));
+            return Err(SimulatedFleetError::Members(self.members));
         }
         if !(DURATION_LEAST..=DURATION_MOST).contains(&self.duration) {
-            return Err(HollowError::Duration(self.duration));
+            return Err(SimulatedFleetError::Duration(self.duration));
         }
         self.timing.check()?;
         self.conditions.check()?;
         self.check_disturbance()
     }
 
-    fn check_disturbance(&self) -> Result<(), HollowError> {
-        let wrong = |why: String| Err(HollowError::Disturbance(why));
+    fn check_disturbance(&self) -> Result<(), SimulatedFleetError> {
+        let wrong = |why: String| Err(SimulatedFleetError::Disturbance(why));
         let members = self.members;
         match self.disturbance {
             Disturbance::Crashes { one_in } if one_in < 2 => {
@@ -189,13 +189,15 @@
 
 impl Timing {
     /// The bounds of the operators' file.
-    pub fn check(&self) -> Result<(), HollowError> {
+    pub fn check(&self) -> Result<(), SimulatedFleetError> {
         let bounds = Duration::from_millis(50)..=Duration::from_secs(60);
         if !bounds.contains(&self.period) {
-            return Err(HollowError::Timing("period is not from 50 ms to 60 s"));
+            return Err(SimulatedFleetError::Timing(
+                "period is not from 50 ms to 60 s",
+            ));
         }
         if self.round_trip.is_zero() || self.round_trip * 2 > self.period {
-            return Err(HollowError::Timing(
+            return Err(SimulatedFleetError::Timing(
                 "round_trip is not above zero and at most half a period",
             ));
         }
@@ -203,24 +205,26 @@
             .suspicion
             .is_some_and(|suspicion| suspicion < self.period)
         {
-            return Err(HollowError::Timing("suspicion is below a period"));
+            return Err(SimulatedFleetError::Timing("suspicion is below a period"));
         }
         if self.late < self.period {
-            return Err(HollowError::Timing("late is below a period"));
+            return Err(SimulatedFleetError::Timing("late is below a period"));
         }
         Ok(())
     }
 }
 
 impl Conditions {
-    fn check(&self) -> Result<(), HollowError> {
+    fn check(&self) -> Result<(), SimulatedFleetError> {
         if self.latency[0] > self.latency[1] {
-            return Err(HollowError::Conditions(
+            return Err(SimulatedFleetError::Conditions(
                 "the least latency is above the most",
             ));
         }
         if !(0.0..1.0).contains(&self.loss) {
-            return Err(HollowError::Conditions("loss is not from 0 to below 1"));
+            return Err(SimulatedFleetError::Conditions(
+                "loss is not from 0 to below 1",
+            ));
         }
         Ok(())
     }
--- a/crates/fleet-harness/src/hollow/script.rs
+++ b/crates/fleet-harness/src/simulated/script.rs
@@ -3,12 +3,14 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use cranehill_simulation::fleet::{Break, Folder, MemberAction, ScheduledAction, Side, Way};
+use cranehill_simulation::fleet::{
+    Folder, MemberAction, NetworkFault, PathFault, ScheduledAction, Side,
+};
 use rand::SeedableRng;
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
-use super::plan::{Disturbance, HollowPlan, MEMBERS_PER_RACK};
+use super::plan::{Disturbance, MEMBERS_PER_RACK, SimulatedFleetPlan};
 
 /// A member that is restarted is away for so long, as a real process in a rehearsal.
 pub const RESTART_AFTER: Duration = Duration::from_millis(600);
@@ -18,31 +20,35 @@
 /// What is broken and done to the members, on a clock that starts with the play.
 #[derive(Clone, Debug, Default)]
 pub struct Script {
-    pub breaks: Vec<Break>,
-    pub acts: Vec<ScheduledAction>,
+    pub network_faults: Vec<NetworkFault>,
+    pub scheduled_actions: Vec<ScheduledAction>,
 }
 
 impl Script {
-    pub fn of(plan: &HollowPlan) -> Script {
+    pub fn of(plan: &SimulatedFleetPlan) -> Script {
         let mut script = Script::default();
         if plan.conditions.loss > 0.0 {
-            script.breaks.push(loss(plan));
+            script.network_faults.push(loss(plan));
         }
         let at = plan.disturbed_after();
         match plan.disturbance {
             Disturbance::None => {}
-            Disturbance::Halves { duration } => script.breaks.push(halves(plan, at, duration)),
+            Disturbance::Halves { duration } => {
+                script.network_faults.push(halves(plan, at, duration))
+            }
             Disturbance::Restarts { count } => {
                 let senders = drawn(plan, count as usize);
-                script.acts.push(kill(at, senders, Some(RESTART_AFTER)));
+                script
+                    .scheduled_actions
+                    .push(kill(at, senders, Some(RESTART_AFTER)));
             }
             Disturbance::Crashes { one_in } => {
                 let senders = drawn(plan, plan.members / one_in as usize);
-                script.acts.push(kill(at, senders, None));
+                script.scheduled_actions.push(kill(at, senders, None));
             }
             Disturbance::RackDown => {
                 let senders = drawn(plan, plan.members / MEMBERS_PER_RACK);
-                script.acts.push(kill(at, senders, None));
+                script.scheduled_actions.push(kill(at, senders, None));
             }
             Disturbance::ZoneDown { zones } => {
                 let zones = zones as usize;
@@ -50,7 +56,7 @@
                 let senders = (0..plan.members)
                     .filter(|member| member % zones == zone)
                     .collect();
-                script.acts.push(kill(at, senders, None));
+                script.scheduled_actions.push(kill(at, senders, None));
             }
         }
         script
@@ -59,11 +65,11 @@
     /// When the last disturbance is over, after the start.
     pub fn over_after(&self) -> Duration {
         let cuts = self
-            .breaks
+            .network_faults
             .iter()
-            .filter(|b| b.way == Way::Cut)
+            .filter(|b| b.path_fault == PathFault::Cut)
             .map(|b| b.until);
-        let acts = self.acts.iter().map(|act| match act.action {
+        let scheduled_actions = self.scheduled_actions.iter().map(|act| match act.action {
             MemberAction::Kill {
                 back: Some(back), ..
             }
@@ -73,7 +79,7 @@
             MemberAction::Stop { duration } => act.at + duration,
             _ => act.at,
         });
-        cuts.chain(acts).max().unwrap_or_default()
+        cuts.chain(scheduled_actions).max().unwrap_or_default()
     }
 }
 
@@ -89,7 +95,7 @@
 }
 
 /// So many members, one at least, drawn by the seed.
-fn drawn(plan: &HollowPlan, count: usize) -> BTreeSet<usize> {
+fn drawn(plan: &SimulatedFleetPlan, count: usize) -> BTreeSet<usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let mut all: Vec<usize> = (0..plan.members).collect();
     all.shuffle(&mut rng);
@@ -97,35 +103,35 @@
     all.into_iter().collect()
 }
 
-fn halves(plan: &HollowPlan, at: Duration, duration: Duration) -> Break {
+fn halves(plan: &SimulatedFleetPlan, at: Duration, duration: Duration) -> NetworkFault {
     let from = drawn(plan, plan.members / 2);
     let to = Side::Senders(
         (0..plan.members)
             .filter(|member| !from.contains(member))
             .collect(),
     );
-    Break {
+    NetworkFault {
         at,
         until: at + duration,
         from,
         to,
         one_way: false,
-        way: Way::Cut,
+        path_fault: PathFault::Cut,
     }
 }
 
-fn loss(plan: &HollowPlan) -> Break {
+fn loss(plan: &SimulatedFleetPlan) -> NetworkFault {
     let all: BTreeSet<usize> = (0..plan.members).collect();
     let (from, to) = (all.clone(), Side::Senders(all));
-    let way = Way::Drop {
+    let path_fault = PathFault::Drop {
         share: plan.conditions.loss,
     };
-    Break {
+    NetworkFault {
         at: Duration::ZERO,
         until: ALWAYS,
         from,
         to,
         one_way: false,
-        way,
+        path_fault,
     }
 }
--- a/crates/fleet-harness/src/hollow/udp.rs
+++ b/crates/fleet-harness/src/simulated/udp.rs
@@ -13,10 +13,10 @@
 
 use super::course::{Course, Usage};
 use super::engine::{AddressBook, Common, Engine, Network};
-use super::figures::HollowFigures;
+use super::figures::SimulatedFleetFigures;
 use super::member::{Packet, Setup};
 use super::observer::Observation;
-use super::plan::{HollowError, HollowPlan};
+use super::plan::{SimulatedFleetError, SimulatedFleetPlan};
 use super::script::Script;
 use super::traffic::Traffic;
 use super::{SEEDS, usage};
@@ -75,10 +75,10 @@
 #[derive(Debug)]
 struct Sockets {
     registry: Registry,
-    /// Index of the first hollow member of the fleet, and of the first here.
+    /// Index of the first simulated member of the fleet, and of the first here.
     first_hollow: usize,
     first: usize,
-    /// Where each hollow member of the fleet listens.
+    /// Where each simulated member of the fleet listens.
     listen: Arc<Vec<SocketAddr>>,
     open: Vec<Option<UdpSocket>>,
 }
@@ -132,7 +132,7 @@
 }
 
 /// Tells the processor time of the thread: at the start of the script, and at the end.
-type ThreadResult = Result<[Duration; 2], HollowError>;
+type ThreadResult = Result<[Duration; 2], SimulatedFleetError>;
 
 struct Shard {
     engine: Engine<Sockets>,
@@ -242,7 +242,7 @@
         setups: Vec<Setup>,
         listen: Vec<SocketAddr>,
         clock: Clock,
-    ) -> Result<Running, HollowError> {
+    ) -> Result<Running, SimulatedFleetError> {
         let (reported, observations) = channel();
         let listen = Arc::new(listen);
         let processors = std::thread::available_parallelism().map_or(1, usize::from);
@@ -291,7 +291,7 @@
     }
 
     /// Ends all members; tells the processor time of their threads since the script's clock started.
-    pub fn end(self) -> Result<Duration, HollowError> {
+    pub fn end(self) -> Result<Duration, SimulatedFleetError> {
         self.threads
             .iter()
             .for_each(|thread| thread.notify(Order::End));
@@ -316,13 +316,13 @@
     }
 }
 
-pub fn play(plan: &HollowPlan) -> Result<HollowFigures, HollowError> {
+pub fn play(plan: &SimulatedFleetPlan) -> Result<SimulatedFleetFigures, SimulatedFleetError> {
     let resident = usage::resident_bytes();
     let listen = free_addresses(0, plan.members)?;
     let traffic = Arc::new(Traffic::new(plan.members));
     let script = Arc::new(Script::of(plan));
     let common = Common {
-        book: Arc::new(AddressBook::new(&listen)),
+        delivery_log: Arc::new(AddressBook::new(&listen)),
         traffic: Arc::clone(&traffic),
         script: Arc::clone(&script),
         first_hollow: 0,
@@ -350,7 +350,7 @@
 }
 
 /// Follows the course to its end.
-fn watch(running: &Running, course: &mut Course) -> Result<(), HollowError> {
+fn watch(running: &Running, course: &mut Course) -> Result<(), SimulatedFleetError> {
     loop {
         let now = running.clock.now();
         let left = course.ends().map_or(LOOK_EVERY, |end| end - now.min(end));
--- a/crates/fleet-harness/src/hollow/virtual_time.rs
+++ b/crates/fleet-harness/src/simulated/virtual_time.rs
@@ -11,9 +11,9 @@
 
 use super::course::{Course, Usage};
 use super::engine::{AddressBook, Common, Engine, Network};
-use super::figures::HollowFigures;
+use super::figures::SimulatedFleetFigures;
 use super::member::{Packet, Setup};
-use super::plan::{Conditions, HollowError, HollowPlan};
+use super::plan::{Conditions, SimulatedFleetError, SimulatedFleetPlan};
 use super::script::Script;
 use super::traffic::Traffic;
 use super::{SEEDS, usage};
@@ -52,13 +52,13 @@
     ))
 }
 
-pub fn play(plan: &HollowPlan) -> Result<HollowFigures, HollowError> {
+pub fn play(plan: &SimulatedFleetPlan) -> Result<SimulatedFleetFigures, SimulatedFleetError> {
     let resident = usage::resident_bytes();
     let addresses: Vec<SocketAddr> = (0..plan.members).map(address).collect();
     let traffic = Arc::new(Traffic::new(plan.members));
     let script = Arc::new(Script::of(plan));
     let common = Common {
-        book: Arc::new(AddressBook::new(&addresses)),
+        delivery_log: Arc::new(AddressBook::new(&addresses)),
         traffic: Arc::clone(&traffic),
         script: Arc::clone(&script),
         first_hollow: 0,
@@ -93,7 +93,7 @@
 fn run(
     engine: &mut Engine<SimulatedNetwork>,
     course: &mut Course,
-) -> Result<Duration, HollowError> {
+) -> Result<Duration, SimulatedFleetError> {
     let mut cpu_before = Duration::ZERO;
     while let Some(now) = engine.due() {
         if course.ends().is_some_and(|end| now > end) {
--- a/crates/fleet-harness/src/hollow_costs.rs
+++ b/crates/fleet-harness/src/simulated_costs.rs
@@ -1,14 +1,14 @@
-//! What hollow members cost on a day with real senders.
+//! What simulated members cost on a day with real senders.
 
 use std::time::Duration;
 
 use serde_json::{Value, json};
 
-use crate::hollow::{HollowPassed, Observed};
+use crate::simulated::{Observed, SimulatedFleetPlay};
 
 /// A member's cost in a second, on average; and what was wrong with the play itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HollowCosts {
+pub struct SimulatedFleetCosts {
     pub members: usize,
     pub bytes_sent: f64,
     pub bytes_received: f64,
@@ -18,21 +18,21 @@
     pub held_up: usize,
 }
 
-impl HollowCosts {
-    pub fn of(hollow: &HollowPassed, lasted: Duration) -> HollowCosts {
-        let member_seconds = lasted.as_secs_f64() * hollow.members as f64;
+impl SimulatedFleetCosts {
+    pub fn of(simulated: &SimulatedFleetPlay, lasted: Duration) -> SimulatedFleetCosts {
+        let member_seconds = lasted.as_secs_f64() * simulated.members as f64;
         let each = |sum: u64| sum as f64 / member_seconds;
-        let held_up = hollow
+        let held_up = simulated
             .observations
             .iter()
             .filter(|seen| seen.what == Observed::HeldUp)
             .count();
-        HollowCosts {
-            members: hollow.members,
-            bytes_sent: each(hollow.bytes_sent),
-            bytes_received: each(hollow.bytes_received),
-            packets_sent: each(hollow.packets_sent),
-            cpu_ms: hollow.cpu.as_secs_f64() * 1e3 / member_seconds,
+        SimulatedFleetCosts {
+            members: simulated.members,
+            bytes_sent: each(simulated.bytes_sent),
+            bytes_received: each(simulated.bytes_received),
+            packets_sent: each(simulated.packets_sent),
+            cpu_ms: simulated.cpu.as_secs_f64() * 1e3 / member_seconds,
             held_up,
         }
     }
@@ -44,7 +44,7 @@
 
     pub fn line(&self) -> String {
         format!(
-            "  a hollow member a second: {:.0} bytes sent, {:.0} received, {:.1} packets sent, {:.2} ms of CPU; {} times \
+            "  a simulated member a second: {:.0} bytes sent, {:.0} received, {:.1} packets sent, {:.2} ms of CPU; {} times \
              held up",
             self.bytes_sent, self.bytes_received, self.packets_sent, self.cpu_ms, self.held_up
         )
--- a/crates/fleet-harness/src/sweep/directory.rs
+++ b/crates/fleet-harness/src/sweep/directory.rs
@@ -1,4 +1,4 @@
-//! A stand-in directory that any number of senders may watch. It counts its bytes and knows which version each has asked
+//! A simulated server directory that any number of senders may watch. It counts its bytes and knows which version each has asked
 //! on from.
 
 use std::collections::BTreeMap;
--- a/crates/fleet-harness/src/sweep/members.rs
+++ b/crates/fleet-harness/src/sweep/members.rs
@@ -4,7 +4,7 @@
 
 use cranehill_capacity::Figure;
 
-use crate::hollow::{self, Disturbance, HollowFigures, HollowPlan, Transport};
+use crate::simulated::{self, Disturbance, SimulatedFleetFigures, SimulatedFleetPlan, Transport};
 use crate::sweep::{Gathered, SweepArgs, SweepError};
 
 /// Parts of the fleet that fail together.
@@ -78,8 +78,8 @@
     gathered.figures()
 }
 
-fn one(order: &SweepArgs, size: u64, scene: Scene) -> Result<HollowFigures, SweepError> {
-    let plan = HollowPlan {
+fn one(order: &SweepArgs, size: u64, scene: Scene) -> Result<SimulatedFleetFigures, SweepError> {
+    let plan = SimulatedFleetPlan {
         members: size as usize,
         duration: scene.duration,
         disturbance: scene.disturbance,
@@ -90,9 +90,9 @@
             Transport::Udp
         },
         seed: order.seed,
-        ..HollowPlan::default()
+        ..SimulatedFleetPlan::default()
     };
-    hollow::play(&plan).map_err(|e| SweepError::Failed {
+    simulated::play(&plan).map_err(|e| SweepError::Failed {
         sweep: "members",
         size,
         why: e.to_string(),
@@ -103,7 +103,7 @@
     gathered: &mut Gathered,
     size: u64,
     state: State,
-    figures: &HollowFigures,
+    figures: &SimulatedFleetFigures,
 ) -> Result<(), SweepError> {
     let bytes = figures.bytes_sent_per_second.mean + figures.bytes_received_per_second.mean;
     let missing = figures.missing_live_members as f64;
--- a/crates/fleet-harness/src/sweep/reducer.rs
+++ b/crates/fleet-harness/src/sweep/reducer.rs
@@ -8,7 +8,7 @@
 use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
 
-use crate::hollow::usage::thread_cpu;
+use crate::simulated::usage::thread_cpu;
 use crate::sweep::sender::{DURATION, settings};
 
 /// When the clock of a played reducer starts.
--- a/crates/fleet-harness/src/timeline.rs
+++ b/crates/fleet-harness/src/timeline.rs
@@ -7,7 +7,7 @@
 use cranehill_simulation::audit::{Line, What};
 use serde_json::Value;
 
-use crate::hollow::{HollowPassed, Observation, Observed};
+use crate::simulated::{Observation, Observed, SimulatedFleetPlay};
 
 /// One sender's log said that another is so from now on.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -109,10 +109,10 @@
         timeline
     }
 
-    /// Adds what hollow members reported; numbers are those of the whole fleet.
-    pub fn add_hollow(&mut self, hollow: &HollowPassed) {
-        for observation in &hollow.observations {
-            self.add_observation(hollow.began, observation);
+    /// Adds what simulated members reported; numbers are those of the whole fleet.
+    pub fn add_simulated(&mut self, simulated: &SimulatedFleetPlay) {
+        for observation in &simulated.observations {
+            self.add_observation(simulated.began, observation);
         }
         self.state_changes.sort_by_key(|s| s.at);
         self.senders.sort_by_key(|s| s.0);
--- a/crates/fleet-harness/tests/relay.rs
+++ b/crates/fleet-harness/tests/relay.rs
@@ -9,20 +9,26 @@
 
 use cranehill_fleet_harness::Relay;
 use cranehill_scenario_runner::Network;
-use cranehill_simulation::fleet::{Break, Side, Way};
+use cranehill_simulation::fleet::{NetworkFault, PathFault, Side};
 
 const LONG: Duration = Duration::from_secs(3600);
 /// Long enough for what is on its way, short enough to wait for nothing.
 const SHORT: Duration = Duration::from_millis(200);
 
-fn broken(from: usize, to: Side, one_way: bool, way: Way, until: Duration) -> Break {
-    Break {
+fn broken(
+    from: usize,
+    to: Side,
+    one_way: bool,
+    path_fault: PathFault,
+    until: Duration,
+) -> NetworkFault {
+    NetworkFault {
         at: Duration::ZERO,
         until,
         from: BTreeSet::from([from]),
         to,
         one_way,
-        way,
+        path_fault,
     }
 }
 
@@ -58,7 +64,7 @@
 
 #[test]
 fn a_cut_to_one_zone_is_silence_there_and_nothing_elsewhere() {
-    let cut = broken(0, Side::Destinations(Some(1)), false, Way::Cut, LONG);
+    let cut = broken(0, Side::Destinations(Some(1)), false, PathFault::Cut, LONG);
     let mut relay = Relay::start(1, vec![cut], 1).expect("it starts");
     let (mut near, mut far) = (echoed(&mut relay, 0), echoed(&mut relay, 1));
     assert_eq!(
@@ -78,25 +84,29 @@
 #[test]
 fn delays_and_stalls_hold_what_passes_and_lose_nothing() {
     let until = Duration::from_millis(600);
-    for way in [Way::Delay { by: until }, Way::Stall] {
-        let held = broken(0, Side::Destinations(None), false, way, until);
+    for path_fault in [PathFault::Delay { by: until }, PathFault::Stall] {
+        let held = broken(0, Side::Destinations(None), false, path_fault, until);
         let mut relay = Relay::start(1, vec![held], 1).expect("it starts");
         let mut stream = echoed(&mut relay, 0);
         let begun = Instant::now();
         relay.begin(begun);
         thread::sleep(Duration::from_millis(100));
-        assert_eq!(through(&mut stream).expect("through"), 7, "{way:?}");
-        assert!(begun.elapsed() >= until, "{way:?}: {:?}", begun.elapsed());
+        assert_eq!(through(&mut stream).expect("through"), 7, "{path_fault:?}");
+        assert!(
+            begun.elapsed() >= until,
+            "{path_fault:?}: {:?}",
+            begun.elapsed()
+        );
     }
 }
 
 #[test]
 fn connections_are_reset_as_a_reset_begins_and_as_a_cut_ends() {
-    for (way, until) in [
-        (Way::Reset, Duration::from_millis(1)),
-        (Way::Cut, Duration::from_millis(300)),
+    for (path_fault, until) in [
+        (PathFault::Reset, Duration::from_millis(1)),
+        (PathFault::Cut, Duration::from_millis(300)),
     ] {
-        let reset = broken(0, Side::Destinations(None), false, way, until);
+        let reset = broken(0, Side::Destinations(None), false, path_fault, until);
         let mut relay = Relay::start(1, vec![reset], 1).expect("it starts");
         let mut stream = echoed(&mut relay, 0);
         assert_eq!(through(&mut stream).expect("through"), 7);
@@ -106,14 +116,20 @@
             Ok(_) => false,
             Err(e) => e.kind() == ErrorKind::ConnectionReset,
         };
-        assert!(ended, "{way:?}");
+        assert!(ended, "{path_fault:?}");
     }
 }
 
 /// Packets are told apart by who sends them: one direction is cut, the other is not, and a third sender's ways are whole.
 #[test]
 fn packets_are_lost_on_the_broken_way_only() {
-    let cut = broken(0, Side::Senders(BTreeSet::from([1])), true, Way::Cut, LONG);
+    let cut = broken(
+        0,
+        Side::Senders(BTreeSet::from([1])),
+        true,
+        PathFault::Cut,
+        LONG,
+    );
     let mut relay = Relay::start(3, vec![cut], 1).expect("it starts");
     let sockets: Vec<UdpSocket> = (0..3)
         .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a socket"))
--- a/crates/fleet-harness/tests/hollow.rs
+++ b/crates/fleet-harness/tests/simulated_members.rs
@@ -1,34 +1,34 @@
-//! Hollow members in virtual time: the seed decides everything, and each disturbance must show in the figures.
+//! Simulated members in virtual time: the seed decides everything, and each disturbance must show in the figures.
 
 use std::time::Duration;
 
-use cranehill_fleet_harness::hollow::{
-    Conditions, Disturbance, HollowError, HollowFigures, HollowPlan, MEMBERS_MOST, Observation,
-    Observed, Observer, Seen, Timing, Transport, play,
+use cranehill_fleet_harness::simulated::{
+    Conditions, Disturbance, MEMBERS_MOST, Observation, Observed, Observer, Seen,
+    SimulatedFleetError, SimulatedFleetFigures, SimulatedFleetPlan, Timing, Transport, play,
 };
 use cranehill_scheduler::Time;
 
 const MEMBERS: usize = 30;
 
-fn plan(disturbance: Disturbance, seed: u64) -> HollowPlan {
+fn plan(disturbance: Disturbance, seed: u64) -> SimulatedFleetPlan {
     let duration = Duration::from_secs(60);
-    HollowPlan {
+    SimulatedFleetPlan {
         members: MEMBERS,
         duration,
         disturbance,
         seed,
-        ..HollowPlan::default()
+        ..SimulatedFleetPlan::default()
     }
 }
 
-fn played(plan: &HollowPlan) -> HollowFigures {
+fn played(plan: &SimulatedFleetPlan) -> SimulatedFleetFigures {
     println!("{plan:?}");
     play(plan).expect("it plays")
 }
 
 /// What the machine measures is no part of what the seed decides.
-fn by_seed(figures: HollowFigures) -> HollowFigures {
-    HollowFigures {
+fn by_seed(figures: SimulatedFleetFigures) -> SimulatedFleetFigures {
+    SimulatedFleetFigures {
         cpu_milliseconds_per_second: 0.0,
         resident_bytes_per_member: 0,
         ..figures
@@ -42,7 +42,7 @@
         loss: 0.05,
         ..Conditions::default()
     };
-    let plan = |seed| HollowPlan {
+    let plan = |seed| SimulatedFleetPlan {
         conditions,
         ..plan(Disturbance::Crashes { one_in: 10 }, seed)
     };
@@ -93,7 +93,7 @@
         eviction_delay: None,
         ..Timing::default()
     };
-    let open = played(&HollowPlan {
+    let open = played(&SimulatedFleetPlan {
         timing,
         ..plan(cut, 2)
     });
@@ -211,7 +211,7 @@
 fn bytes_are_counted_in_both_directions() {
     // What is on its way as the measure begins is received and not sent: it is little beside ten minutes.
     let duration = Duration::from_secs(600);
-    let figures = played(&HollowPlan {
+    let figures = played(&SimulatedFleetPlan {
         duration,
         ..plan(Disturbance::None, 8)
     });
@@ -233,39 +233,39 @@
 #[test]
 fn unplayable_plans_are_errors() {
     let good = plan(Disturbance::None, 1);
-    let with = |disturbance| HollowPlan {
+    let with = |disturbance| SimulatedFleetPlan {
         disturbance,
         ..good.clone()
     };
-    let timed = |timing| HollowPlan {
+    let timed = |timing| SimulatedFleetPlan {
         timing,
         ..good.clone()
     };
     let second = Duration::from_secs(1);
     let cases = [
         (
-            HollowPlan {
+            SimulatedFleetPlan {
                 members: 0,
                 ..good.clone()
             },
             "members: 0 ",
         ),
         (
-            HollowPlan {
+            SimulatedFleetPlan {
                 members: 1,
                 ..good.clone()
             },
             "members: 1 ",
         ),
         (
-            HollowPlan {
+            SimulatedFleetPlan {
                 members: MEMBERS_MOST + 1,
                 ..good.clone()
             },
             "members: 2001 ",
         ),
         (
-            HollowPlan {
+            SimulatedFleetPlan {
                 members: usize::MAX,
                 transport: Transport::Udp,
                 ..good.clone()
@@ -273,14 +273,14 @@
             "members: ",
         ),
         (
-            HollowPlan {
+            SimulatedFleetPlan {
                 duration: Duration::ZERO,
                 ..good.clone()
             },
             "duration: ",
         ),
         (
-            HollowPlan {
+            SimulatedFleetPlan {
                 duration: Duration::MAX,
                 ..good.clone()
             },
@@ -337,7 +337,7 @@
             "timing: late",
         ),
         (
-            HollowPlan {
+            SimulatedFleetPlan {
                 conditions: Conditions {
                     loss: f64::NAN,
                     ..Conditions::default()
@@ -348,7 +348,7 @@
         ),
     ];
     for (plan, why) in cases {
-        let error: HollowError = play(&plan).expect_err(why);
+        let error: SimulatedFleetError = play(&plan).expect_err(why);
         let state_changes = error.to_string();
         assert!(
             state_changes.starts_with(why) && !state_changes.contains('\n'),
--- a/crates/scenario-runner/src/lib.rs
+++ b/crates/scenario-runner/src/lib.rs
@@ -1,7 +1,7 @@
 //! Rehearsals: a whole day on loopback with simulated destinations, directory, platform and clients in one loop, faults by
 //! script, real senders as processes, and the auditor's verdicts.
 //!
-//! Start at [`Plan`] and [`play`]. The behaviour of stand-ins is `cranehill_simulation`'s; here are sockets, processes and the
+//! Start at [`Plan`] and [`play`]. The behaviour of simulated servers is `cranehill_simulation`'s; here are sockets, processes and the
 //! clock. Everything binds to 127.0.0.0/8.
 #![forbid(unsafe_code)]
 
--- a/crates/scenario-runner/src/measure.rs
+++ b/crates/scenario-runner/src/measure.rs
@@ -1,4 +1,4 @@
-//! Measurements: what one sender carries on one core, and what the stand-ins carry themselves.
+//! Measurements: what one sender carries on one core, and what the simulated servers carry themselves.
 //!
 //! A step is a short day of steady load to many destinations that could take more. The load is open, so a sender that can't
 //! keep up shows by refusals, late answers and what is never delivered, and not by a load that slows down with it.
--- a/crates/scenario-runner/src/senders.rs
+++ b/crates/scenario-runner/src/senders.rs
@@ -20,11 +20,11 @@
 use crate::resource_usage::{self, ResourceUsage};
 
 /// What is heard of a sender's process, with the number of its life ([`Process::is_of`]).
-pub type ProcessEvent = (u32, Heard);
+pub type IncarnationEvent = (u32, ProcessEvent);
 
 /// What is heard of a sender's process.
 #[derive(Clone, Debug)]
-pub enum Heard {
+pub enum ProcessEvent {
     /// It listens for clients there.
     Ready(usize, SocketAddr),
     /// It listens for Web Push there.
@@ -39,20 +39,20 @@
     Ended(usize),
 }
 
-impl Heard {
+impl ProcessEvent {
     /// Whom it is about, if it depends on the life: a line of a log counts whenever it is heard.
     pub fn of_incarnation(&self) -> Option<usize> {
         match self {
-            Heard::Ready(sender, _)
-            | Heard::Pushes(sender, _)
-            | Heard::Status(sender, _)
-            | Heard::Ended(sender) => Some(*sender),
-            Heard::Warned(..) | Heard::Line(..) => None,
+            ProcessEvent::Ready(sender, _)
+            | ProcessEvent::Pushes(sender, _)
+            | ProcessEvent::Status(sender, _)
+            | ProcessEvent::Ended(sender) => Some(*sender),
+            ProcessEvent::Warned(..) | ProcessEvent::Line(..) => None,
         }
     }
 
     /// What a line of a log tells us, if anything.
-    fn of(index: usize, line: &str) -> Option<Heard> {
+    fn of(index: usize, line: &str) -> Option<ProcessEvent> {
         let listens = |what: &str| -> Option<SocketAddr> {
             let rest = line.split_once(what)?.1;
             let end = rest
@@ -61,18 +61,18 @@
             rest[..end].parse().ok()
         };
         if let Some(at) = listens("listening for clients at ") {
-            return Some(Heard::Ready(index, at));
+            return Some(ProcessEvent::Ready(index, at));
         }
         if let Some(at) = listens("listening for Web Push at ") {
-            return Some(Heard::Pushes(index, at));
+            return Some(ProcessEvent::Pushes(index, at));
         }
         if let Some(at) = listens("fleet: status at ") {
-            return Some(Heard::Status(index, at));
+            return Some(ProcessEvent::Status(index, at));
         }
         let warns = ["WARN", "ERROR", "panicked"]
             .iter()
             .any(|w| line.contains(w));
-        warns.then(|| Heard::Warned(index, line.to_owned()))
+        warns.then(|| ProcessEvent::Warned(index, line.to_owned()))
     }
 }
 
@@ -211,7 +211,7 @@
     /// Starts it; a mutation is for builds that have some.
     pub fn start(
         &mut self,
-        heard: Channel<ProcessEvent>,
+        heard: Channel<IncarnationEvent>,
         waker: Arc<mio::Waker>,
         mutation: Option<&str>,
     ) -> Result<(), RunError> {
@@ -253,8 +253,8 @@
             let (index, incarnation, keep) = (self.index, self.incarnation, self.fleet);
             thread::spawn(move || {
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    let client_answer = Heard::of(index, &line);
-                    let line = keep.then_some(Heard::Line(index, line));
+                    let client_answer = ProcessEvent::of(index, &line);
+                    let line = keep.then_some(ProcessEvent::Line(index, line));
                     if client_answer.is_none() && line.is_none() {
                         continue;
                     }
@@ -267,7 +267,7 @@
                         return;
                     }
                 }
-                let _ = heard.send((incarnation, Heard::Ended(index)));
+                let _ = heard.send((incarnation, ProcessEvent::Ended(index)));
                 let _ = waker.wake();
             });
         }
@@ -325,7 +325,7 @@
     /// Started once more, beside itself.
     pub fn start_successor(
         &mut self,
-        heard: Channel<ProcessEvent>,
+        heard: Channel<IncarnationEvent>,
         waker: Arc<mio::Waker>,
         mutation: Option<&str>,
     ) -> Result<(), RunError> {
--- a/crates/scenario-runner/src/stage.rs
+++ b/crates/scenario-runner/src/stage.rs
@@ -1,4 +1,4 @@
-//! The event loop of a rehearsal: all stand-ins of a day on one thread, with one clock.
+//! The event loop of a rehearsal: all simulated servers of a day on one thread, with one clock.
 //!
 //! [`play`] starts the senders, waits until they are ready and runs the loop until the day is over. Whatever passes on the
 //! wire is recorded with the time at which it was noticed, and with how late that may have been.
@@ -32,7 +32,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::network::{Direct, Network};
-use crate::senders::{Process, ProcessEvent};
+use crate::senders::{IncarnationEvent, Process};
 use crate::{Outcome, Plan, RunError, resource_usage};
 use connections::{Connection, ConnectionId, Listener};
 use event_log::EventLog;
@@ -56,7 +56,7 @@
     play_through(plan, &mut Direct, progress)
 }
 
-/// As [`play`], over a network that may lie between senders and stand-ins.
+/// As [`play`], over a network that may lie between senders and simulated servers.
 pub fn play_through(
     plan: &Plan,
     network: &mut dyn Network,
@@ -81,7 +81,7 @@
     }
 }
 
-/// All stand-ins and senders of a day, and what the loop knows of them.
+/// All simulated servers and senders of a day, and what the loop knows of them.
 struct Stage<'a> {
     plan: &'a Plan,
     scenario: &'a Scenario,
@@ -111,7 +111,7 @@
     senders: Vec<Sender>,
     /// Whose turn it is to be sent a message by the load balancer.
     next_sender: usize,
-    process_events: (Channel<ProcessEvent>, Receiver<ProcessEvent>),
+    process_events: (Channel<IncarnationEvent>, Receiver<IncarnationEvent>),
     timers: TimerQueue,
     log: EventLog,
     /// Draws where journals are damaged.
--- a/crates/scenario-runner/src/stage/connections.rs
+++ b/crates/scenario-runner/src/stage/connections.rs
@@ -33,7 +33,7 @@
     Directory { sender: usize },
 }
 
-/// A connection between a sender and a stand-in.
+/// A connection between a sender and a simulated server.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub stream: TcpStream,
@@ -45,7 +45,7 @@
     pub used: Duration,
 }
 
-/// Which stand-in has a connection.
+/// Which simulated server has a connection.
 #[derive(Debug)]
 pub(super) enum Role {
     Destination(DestinationRole),
--- a/crates/scenario-runner/src/stage/fleet.rs
+++ b/crates/scenario-runner/src/stage/fleet.rs
@@ -52,9 +52,9 @@
     pub(super) fn on_fleet_act(&mut self, act: usize) {
         let ScheduledAction {
             senders, action, ..
-        } = self.scenario.acts[act].clone();
+        } = self.scenario.scheduled_actions[act].clone();
         let now = self.now();
-        // Whoever brings hollow members does the same to them.
+        // Whoever brings simulated members does the same to them.
         for sender in senders
             .into_iter()
             .filter(|&sender| sender < self.scenario.senders)
--- a/crates/scenario-runner/src/stage/processes.rs
+++ b/crates/scenario-runner/src/stage/processes.rs
@@ -10,7 +10,7 @@
 use super::timers::Timer;
 use super::{Restart, Stage};
 use crate::RunError;
-use crate::senders::{Heard, ProcessEvent};
+use crate::senders::{IncarnationEvent, ProcessEvent};
 
 /// After SIGTERM a sender is killed at this time, if it is still there.
 const KILL_AFTER: Duration = Duration::from_millis(3700);
@@ -44,7 +44,7 @@
         }
         one.process.operated = self
             .scenario
-            .acts
+            .scheduled_actions
             .iter()
             .any(|a| matches!(a.action, MemberAction::Upgrade { .. }));
         one.process
@@ -66,26 +66,28 @@
         }
     }
 
-    fn on_process_event(&mut self, (generation, heard): ProcessEvent) {
+    fn on_process_event(&mut self, (generation, heard): IncarnationEvent) {
         let stale = |sender: usize| !self.senders[sender].process.is_of(generation);
         if heard.of_incarnation().is_some_and(stale) {
             return log::debug!("of an earlier process: {heard:?}");
         }
         match heard {
-            Heard::Ready(sender, address) => {
+            ProcessEvent::Ready(sender, address) => {
                 // In an upgrade the old process is told to end once the new one is ready.
                 self.senders[sender].process.end_old();
                 self.senders[sender].process.address = Some(address);
                 self.on_listening(sender, address);
             }
-            Heard::Pushes(sender, address) => {
+            ProcessEvent::Pushes(sender, address) => {
                 self.senders[sender].process.pushes = Some(address);
                 self.on_listening(sender, address);
             }
-            Heard::Status(sender, address) => self.senders[sender].process.status = Some(address),
-            Heard::Line(sender, line) => self.outcome.logs.push((sender, line)),
-            Heard::Warned(sender, line) => self.keep_warning(sender, &line),
-            Heard::Ended(sender) => self.on_process_ended(sender),
+            ProcessEvent::Status(sender, address) => {
+                self.senders[sender].process.status = Some(address)
+            }
+            ProcessEvent::Line(sender, line) => self.outcome.logs.push((sender, line)),
+            ProcessEvent::Warned(sender, line) => self.keep_warning(sender, &line),
+            ProcessEvent::Ended(sender) => self.on_process_ended(sender),
         }
     }
 
--- a/crates/scenario-runner/src/stage/setup.rs
+++ b/crates/scenario-runner/src/stage/setup.rs
@@ -1,4 +1,4 @@
-//! Before a day begins: stand-ins with their listeners, senders with their configurations, and the day's timers.
+//! Before a day begins: simulated servers with their listeners, senders with their configurations, and the day's timers.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
@@ -207,7 +207,7 @@
         for (n, signal) in self.scenario.signals.iter().enumerate() {
             self.timers.insert(signal.at, Timer::Signal(n));
         }
-        for (n, act) in self.scenario.acts.iter().enumerate() {
+        for (n, act) in self.scenario.scheduled_actions.iter().enumerate() {
             self.timers.insert(act.at, Timer::FleetAct(n));
         }
         self.schedule_fault_edges();
--- a/crates/scenario-runner/src/wire.rs
+++ b/crates/scenario-runner/src/wire.rs
@@ -1,4 +1,4 @@
-//! What stand-ins read and write: requests, answers and lists as the platform's pages have them. Pure.
+//! What simulated servers read and write: requests, answers and lists as the platform's pages have them. Pure.
 
 use std::time::Duration;
 
--- a/crates/simulation/src/audit/mod.rs
+++ b/crates/simulation/src/audit/mod.rs
@@ -1,4 +1,4 @@
-//! The auditor: holds what passed on the stand-ins' sockets against the operators' rules. It shares no code with the
+//! The auditor: holds what passed on the simulated servers' sockets against the operators' rules. It shares no code with the
 //! sender, and knows nothing of it but what it said on the wire.
 //!
 //! Start at [`Auditor`]: it hears [`Line`]s in the order of time and gives a [`Verdict`] for each [`Rule`]. A rule with a
@@ -172,7 +172,7 @@
         wait: Option<Duration>,
         spoilt: bool,
     },
-    /// The stand-in ended the connection without a proper answer: refused, reset or spoilt. It may have been executed if `executed`.
+    /// The simulated server ended the connection without a proper answer: refused, reset or spoilt. It may have been executed if `executed`.
     Broke {
         connection: u64,
         endpoint: usize,
--- a/crates/simulation/src/directory.rs
+++ b/crates/simulation/src/directory.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     pub id: String,
-    /// Which stand-in it is.
+    /// Which simulated server it is.
     pub endpoint: usize,
     pub destination: u64,
     pub listed: Listed,
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -18,7 +18,7 @@
 
 /// What happens to a way.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum PathFault {
     /// Nothing gets through.
     Cut,
     /// So many of the packets are lost; what a connection carries comes late instead.
@@ -41,17 +41,17 @@
 
 /// Ways that are broken for a time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Break {
+pub struct NetworkFault {
     pub at: Duration,
     pub until: Duration,
     pub from: BTreeSet<usize>,
     pub to: Side,
     /// From one side to the other, and not back.
     pub one_way: bool,
-    pub way: Way,
+    pub path_fault: PathFault,
 }
 
-impl Break {
+impl NetworkFault {
     /// Whether it is on the way from one sender to another.
     pub fn between(&self, from: usize, to: usize) -> bool {
         let Side::Senders(others) = &self.to else {
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -30,7 +30,7 @@
 const LONGEST: Duration = Duration::from_secs(3600);
 /// Each sender has an address of its own for each of those that it meets, in 127.0.0.0/8.
 const SENDERS_MOST: usize = 250;
-/// Members of a fleet, at most: senders and hollow members.
+/// Members of a fleet, at most: senders and simulated members.
 const MEMBERS_MOST: usize = 2_000;
 /// Changes of the list that the directory keeps to be told one by one.
 const DIRECTORY_HISTORY: usize = 64;
@@ -42,22 +42,22 @@
 
 /// As [`parse`], with so many senders, whatever the day says.
 pub fn parse_for(text: &str, seed: u64, senders: Option<usize>) -> Result<Scenario, ScenarioError> {
-    parse_with_hollow(text, seed, senders, 0)
+    parse_with_simulated(text, seed, senders, 0)
 }
 
-/// As [`parse_for`], with so many hollow members beside the senders: what breaks, breaks for all of them.
-pub fn parse_with_hollow(
+/// As [`parse_for`], with so many simulated members beside the senders: what breaks, breaks for all of them.
+pub fn parse_with_simulated(
     text: &str,
     seed: u64,
     senders: Option<usize>,
-    hollow: usize,
+    simulated: usize,
 ) -> Result<Scenario, ScenarioError> {
     let source = Source { text };
     let file = File::read(&source)?;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let duration = length(&source, &file)?;
     let senders = sender_count(&source, &file, senders)?;
-    check_hollow(&source, &file, senders, hollow)?;
+    check_simulated(&source, &file, senders, simulated)?;
     let tenants = destinations::tenants(&file);
     let mut classes = classes::read(&source, &file)?;
     let zones = destinations::zones(&file);
@@ -79,12 +79,18 @@
     load.push = push;
     let changes = schedule::changes(&source, &file, &destinations)?;
     let signals = schedule::signals(&source, &file, senders)?;
-    let broken = fleet::read(&source, &file.breaks, senders + hollow, &zones, &mut rng)?;
+    let broken = fleet::read(
+        &source,
+        &file.network_faults,
+        senders + simulated,
+        &zones,
+        &mut rng,
+    )?;
     Ok(Scenario {
         name: file.name,
         duration,
         senders,
-        hollow,
+        simulated,
         tenants: tenants.into_iter().map(|s| s.name).collect(),
         classes: classes.effects,
         kinds: destinations::kinds(&destinations),
@@ -95,8 +101,8 @@
         changes,
         signals,
         fleet: file.fleet.as_ref().map(fleet::FleetFile::fleet),
-        breaks: broken.breaks,
-        acts: broken.acts,
+        network_faults: broken.network_faults,
+        scheduled_actions: broken.scheduled_actions,
     })
 }
 
@@ -121,22 +127,23 @@
     Ok(senders)
 }
 
-fn check_hollow(
+fn check_simulated(
     source: &Source<'_>,
     file: &File,
     senders: usize,
-    hollow: usize,
+    simulated: usize,
 ) -> Result<(), ScenarioError> {
-    if hollow > 0 && file.fleet.is_none() {
+    if simulated > 0 && file.fleet.is_none() {
         return Err(ScenarioError {
             line: 1,
-            why: "hollow members need a [fleet]".into(),
+            why: "simulated members need a [fleet]".into(),
         });
     }
-    let hollow_most = MEMBERS_MOST - senders;
-    if hollow > hollow_most {
-        let why =
-            format!("{hollow} hollow members beside {senders} senders: {hollow_most} at most");
+    let max_simulated = MEMBERS_MOST - senders;
+    if simulated > max_simulated {
+        let why = format!(
+            "{simulated} simulated members beside {senders} senders: {max_simulated} at most"
+        );
         return Err(source.error(&file.senders, why));
     }
     Ok(())
--- a/crates/simulation/src/scenario/file.rs
+++ b/crates/simulation/src/scenario/file.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use super::fleet::{BreakFile, FleetFile};
+use super::fleet::{FleetFile, NetworkFaultFile};
 use super::source::{ScenarioError, Source};
 use super::units::{LimitText, Rate, Span};
 
@@ -39,7 +39,7 @@
     /// The senders know each other.
     pub fleet: Option<FleetFile>,
     #[serde(default, rename = "break")]
-    pub breaks: Vec<BreakFile>,
+    pub network_faults: Vec<NetworkFaultFile>,
 }
 
 #[derive(Debug, Deserialize)]
--- a/crates/simulation/src/scenario/fleet.rs
+++ b/crates/simulation/src/scenario/fleet.rs
@@ -10,7 +10,9 @@
 
 use super::source::{ScenarioError, Source};
 use super::units::Span;
-use crate::fleet::{Break, Fleet, Folder, MemberAction, ScheduledAction, Side, Way, Which};
+use crate::fleet::{
+    Fleet, Folder, MemberAction, NetworkFault, PathFault, ScheduledAction, Side, Which,
+};
 
 /// A process is started again this long after its end, where the file does not say.
 const RESTART_AFTER: Duration = Duration::from_millis(600);
@@ -46,7 +48,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct BreakFile {
+pub(super) struct NetworkFaultFile {
     kind: Spanned<String>,
     at: Spanned<Span>,
     #[serde(rename = "lasts")]
@@ -92,15 +94,15 @@
 #[derive(Debug, Default)]
 pub(super) struct Broken {
     /// In the order of the file.
-    pub breaks: Vec<Break>,
+    pub network_faults: Vec<NetworkFault>,
     /// In the order of time.
-    pub acts: Vec<ScheduledAction>,
+    pub scheduled_actions: Vec<ScheduledAction>,
 }
 
 /// All `[[break]]` tables, in the file's order, which is the order in which the seed draws.
 pub(super) fn read(
     source: &Source<'_>,
-    tables: &[BreakFile],
+    tables: &[NetworkFaultFile],
     count: usize,
     zones: &[String],
     rng: &mut ChaCha8Rng,
@@ -113,36 +115,39 @@
             None => (0..count).collect(),
         };
         if let Some(action) = action(source, table)? {
-            broken.acts.push(ScheduledAction {
+            broken.scheduled_actions.push(ScheduledAction {
                 at,
                 senders: from,
                 action,
             });
             continue;
         }
-        let way = way(source, table)?;
+        let path_fault = path_fault(source, table)?;
         let until = at
-            + if way == Way::Reset {
+            + if path_fault == PathFault::Reset {
                 RESET_DURATION
             } else {
                 duration(source, table)?
             };
         let to = side(source, table, &from, count, zones, rng)?;
-        broken.breaks.push(Break {
+        broken.network_faults.push(NetworkFault {
             at,
             until,
             from,
             to,
             one_way: table.one_way,
-            way,
+            path_fault,
         });
     }
-    broken.acts.sort_by_key(|a| a.at);
+    broken.scheduled_actions.sort_by_key(|a| a.at);
     Ok(broken)
 }
 
 /// What is done to processes, if the table's kind is one of these.
-fn action(source: &Source<'_>, table: &BreakFile) -> Result<Option<MemberAction>, ScenarioError> {
+fn action(
+    source: &Source<'_>,
+    table: &NetworkFaultFile,
+) -> Result<Option<MemberAction>, ScenarioError> {
     let back = back(source, table)?;
     let folder = folder(source, table)?;
     Ok(match table.kind.get_ref().as_str() {
@@ -161,12 +166,12 @@
     })
 }
 
-fn duration(source: &Source<'_>, table: &BreakFile) -> Result<Duration, ScenarioError> {
+fn duration(source: &Source<'_>, table: &NetworkFaultFile) -> Result<Duration, ScenarioError> {
     let duration = table.duration.map(|l| l.0);
     duration.ok_or_else(|| source.error(&table.kind, "it says for how long: lasts"))
 }
 
-fn back(source: &Source<'_>, table: &BreakFile) -> Result<Option<Duration>, ScenarioError> {
+fn back(source: &Source<'_>, table: &NetworkFaultFile) -> Result<Option<Duration>, ScenarioError> {
     let Some(back) = &table.back else {
         return Ok(Some(RESTART_AFTER));
     };
@@ -179,7 +184,7 @@
     }
 }
 
-fn folder(source: &Source<'_>, table: &BreakFile) -> Result<Folder, ScenarioError> {
+fn folder(source: &Source<'_>, table: &NetworkFaultFile) -> Result<Folder, ScenarioError> {
     match (table.wipe, table.cut_journal) {
         (true, true) => Err(source.error(&table.kind, "wipe and cut_journal exclude each other")),
         (true, false) => Ok(Folder::Wiped),
@@ -189,7 +194,10 @@
 }
 
 /// Which of the two processes of an upgrade is killed.
-fn killed_process(source: &Source<'_>, table: &BreakFile) -> Result<Option<Which>, ScenarioError> {
+fn killed_process(
+    source: &Source<'_>,
+    table: &NetworkFaultFile,
+) -> Result<Option<Which>, ScenarioError> {
     let Some(kill) = &table.kill else {
         return Ok(None);
     };
@@ -201,16 +209,16 @@
 }
 
 /// What happens to a way between senders or to destinations.
-fn way(source: &Source<'_>, table: &BreakFile) -> Result<Way, ScenarioError> {
+fn path_fault(source: &Source<'_>, table: &NetworkFaultFile) -> Result<PathFault, ScenarioError> {
     match table.kind.get_ref().as_str() {
-        "cut" => Ok(Way::Cut),
-        "stall" => Ok(Way::Stall),
-        "reset" => Ok(Way::Reset),
+        "cut" => Ok(PathFault::Cut),
+        "stall" => Ok(PathFault::Stall),
+        "reset" => Ok(PathFault::Reset),
         "drop" => {
             let share = table.share.as_ref();
             let share =
                 share.ok_or_else(|| source.error(&table.kind, "it says how many: share"))?;
-            Ok(Way::Drop {
+            Ok(PathFault::Drop {
                 share: source.share(share, "share")?,
             })
         }
@@ -218,7 +226,7 @@
             let by = table
                 .by
                 .ok_or_else(|| source.error(&table.kind, "it says by how much: by"))?;
-            Ok(Way::Delay { by: by.0 })
+            Ok(PathFault::Delay { by: by.0 })
         }
         other => {
             let known = "cut, drop, delay, stall, reset, stop, kill, term or upgrade";
@@ -230,7 +238,7 @@
 /// The other side of a way.
 fn side(
     source: &Source<'_>,
-    table: &BreakFile,
+    table: &NetworkFaultFile,
     from: &BTreeSet<usize>,
     count: usize,
     zones: &[String],
--- a/crates/simulation/src/scenario/types.rs
+++ b/crates/simulation/src/scenario/types.rs
@@ -6,7 +6,7 @@
 use crate::destination::Spec;
 use crate::directory;
 use crate::fault::Fault;
-use crate::fleet::{Break, Fleet, ScheduledAction};
+use crate::fleet::{Fleet, NetworkFault, ScheduledAction};
 
 /// A day, checked and drawn: the same file and seed give the same.
 #[derive(Clone, Debug, PartialEq)]
@@ -15,7 +15,7 @@
     pub duration: Duration,
     pub senders: usize,
     /// Members of the fleet beside the senders that hand nothing on; their numbers follow the senders'.
-    pub hollow: usize,
+    pub simulated: usize,
     pub tenants: Vec<String>,
     pub classes: Vec<MessageClass>,
     /// Destinations by their number, which is what a message is sent to.
@@ -31,15 +31,15 @@
     /// How the senders know each other, if they do.
     pub fleet: Option<Fleet>,
     /// Ways that break, in the order of the file.
-    pub breaks: Vec<Break>,
+    pub network_faults: Vec<NetworkFault>,
     /// What is done to processes, in the order of time.
-    pub acts: Vec<ScheduledAction>,
+    pub scheduled_actions: Vec<ScheduledAction>,
 }
 
 impl Scenario {
     /// All members of the fleet.
     pub fn members(&self) -> usize {
-        self.senders + self.hollow
+        self.senders + self.simulated
     }
 }
 
--- a/crates/simulation/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -6,7 +6,7 @@
 use cranehill_simulation::clients::{Class, Hot, Load, Target};
 use cranehill_simulation::directory;
 use cranehill_simulation::fleet::{
-    Break, Fleet, Folder, MemberAction, ScheduledAction, Side, Way, Which,
+    Fleet, Folder, MemberAction, NetworkFault, PathFault, ScheduledAction, Side, Which,
 };
 use cranehill_simulation::scenario::{
     self, Effect, ListChange, Member, MessageClass, Scenario, ScheduledSignal, Signal, To,
@@ -57,7 +57,7 @@
         name,
         duration,
         senders,
-        hollow,
+        simulated,
         tenants,
         classes,
         destinations,
@@ -68,13 +68,13 @@
         changes,
         signals,
         fleet,
-        breaks,
-        acts,
+        network_faults,
+        scheduled_actions,
     } = read(EVERY_KEY);
     assert_eq!(name, "Every key");
     assert_eq!(duration, secs(60));
     assert_eq!(senders, 4);
-    assert_eq!(hollow, 0);
+    assert_eq!(simulated, 0);
     assert_eq!(tenants, ["north", "south"]);
     assert_eq!(classes, expected_classes());
     assert_eq!(destinations, expected_partners());
@@ -85,8 +85,8 @@
     assert_eq!(changes, expected_changes());
     assert_eq!(signals, expected_signals());
     assert_eq!(fleet, Some(expected_fleet()));
-    assert_eq!(breaks, expected_breaks());
-    assert_eq!(acts, expected_acts());
+    assert_eq!(network_faults, expected_breaks());
+    assert_eq!(scheduled_actions, expected_acts());
 }
 
 fn expected_classes() -> Vec<MessageClass> {
@@ -322,43 +322,43 @@
     }
 }
 
-fn expected_breaks() -> Vec<Break> {
+fn expected_breaks() -> Vec<NetworkFault> {
     let all = senders([0, 1, 2, 3]);
-    let whole = |at_s, from, to, way| Break {
+    let whole = |at_s, from, to, path_fault| NetworkFault {
         at: secs(at_s),
         until: secs(at_s + 2),
         from,
         to,
         one_way: false,
-        way,
+        path_fault,
     };
     vec![
-        Break {
+        NetworkFault {
             one_way: true,
             ..whole(
                 20,
                 senders([0]),
                 Side::Senders(senders([1, 2, 3])),
-                Way::Cut,
+                PathFault::Cut,
             )
         },
         whole(
             21,
             all.clone(),
             Side::Destinations(Some(1)),
-            Way::Drop { share: 0.4 },
+            PathFault::Drop { share: 0.4 },
         ),
         whole(
             22,
             senders([0, 1]),
             Side::Senders(senders([2, 3])),
-            Way::Delay { by: ms(150) },
+            PathFault::Delay { by: ms(150) },
         ),
-        whole(23, all.clone(), Side::Destinations(None), Way::Stall),
+        whole(23, all.clone(), Side::Destinations(None), PathFault::Stall),
         // A reset is a moment.
-        Break {
+        NetworkFault {
             until: ms(24_001),
-            ..whole(24, senders([3]), Side::Senders(all), Way::Reset)
+            ..whole(24, senders([3]), Side::Senders(all), PathFault::Reset)
         },
     ]
 }
@@ -482,7 +482,11 @@
     );
     assert!(scenario.directory.delays.is_empty() && scenario.directory.outages.is_empty());
     assert_eq!(
-        (scenario.fleet, scenario.breaks, scenario.acts),
+        (
+            scenario.fleet,
+            scenario.network_faults,
+            scenario.scheduled_actions
+        ),
         (None, vec![], vec![])
     );
 }
@@ -555,7 +559,7 @@
         action: MemberAction::Upgrade { kill },
     };
     assert_eq!(
-        scenario.acts,
+        scenario.scheduled_actions,
         [
             upgrade(3, &[0, 1], None),
             upgrade(6, &[0], Some((Which::Old, ms(100)))),
@@ -634,8 +638,8 @@
         ..Fleet::default()
     };
     assert_eq!(scenario.fleet, Some(fleet));
-    let [kill] = scenario.acts.as_slice() else {
-        panic!("one act: {:?}", scenario.acts)
+    let [kill] = scenario.scheduled_actions.as_slice() else {
+        panic!("one act: {:?}", scenario.scheduled_actions)
     };
     assert_eq!((kill.at, kill.senders.len()), (secs(10), 2));
     assert_eq!(
