--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -47,7 +47,7 @@
 /// that was accepted has one end by its time and a second.
 fn play(settings: Value) -> Result<(), String> {
     let profile: Profile = serde_json::from_value(settings).map_err(|e| e.to_string())?;
-    let set = profile.into_settings()?;
+    let set = profile.into_settings().map_err(|e| e.to_string())?;
     let classes = set.classes.len();
     let mut core = Core::new(set, 1, Time(START)).map_err(|e| e.to_string())?;
     let entry = |e: &str, zone, kind| Listing {
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -120,7 +120,10 @@
 pub fn parse(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
     let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let names = file.settings.names();
-    let platform_settings = PlatformSettings::new(file.settings.into_settings()?, names);
+    let platform_settings = PlatformSettings::new(
+        file.settings.into_settings().map_err(|e| e.to_string())?,
+        names,
+    );
     let seed = match &file.seed {
         serde_json::Value::String(s) => u64::from_str_radix(s, 16).unwrap_or(0),
         other => other.as_u64().unwrap_or(0),
--- a/crates/fleet-harness/src/sweep/reducer.rs
+++ b/crates/fleet-harness/src/sweep/reducer.rs
@@ -75,7 +75,12 @@
     pub fn new(most_held: u64, destinations: u64) -> Result<Played, String> {
         let profile: Profile =
             serde_json::from_str(&settings(most_held)).map_err(|e| e.to_string())?;
-        let core = Core::new(profile.into_settings()?, 1, START).map_err(|e| e.to_string())?;
+        let core = Core::new(
+            profile.into_settings().map_err(|e| e.to_string())?,
+            1,
+            START,
+        )
+        .map_err(|e| e.to_string())?;
         let mut played = Played { core, now: START };
         played.list(destinations);
         Ok(played)
--- a/crates/scheduler/src/profile.rs
+++ b/crates/scheduler/src/profile.rs
@@ -7,16 +7,36 @@
 use crate::api::{Class, Decay, DedupScope, Effect, Kind, Rules, Settings, Tenant};
 
 /// More senders than this are taken for a mistake: of a limit of a thousand calls a second, each would have less than one
-/// in 100 s, far beyond the life of any message.
-const SENDERS_MOST: u32 = 100_000;
+/// in 100 s, far beyond the deadline of any message.
+const MAX_SENDERS: u32 = 100_000;
 
-fn ns(n: u64) -> Duration {
-    Duration::from_nanos(n)
+/// A settings object that is well formed and yet names something the scheduler does not know.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ProfileError {
+    /// The number of senders is out of its range.
+    #[error("settings.nInstances: {count} senders; it must be 1 to {max}", max = MAX_SENDERS)]
+    SenderCount {
+        /// The number given.
+        count: u32,
+    },
+    /// A class has an effect that is not known.
+    #[error("settings.classes[{class_index}].effect: '{effect}' is not safe, keyed or unsafe")]
+    UnknownEffect {
+        /// Position of the class.
+        class_index: usize,
+        /// The effect given.
+        effect: String,
+    },
 }
 
+/// Reads a span as the settings object has it.
+fn ns(nanoseconds: u64) -> Duration {
+    Duration::from_nanos(nanoseconds)
+}
+
+/// The settings object. Only the keys that are used are read; others are skipped.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-/// The settings object, of which only what is used is read; unknown keys are skipped.
 pub struct Profile {
     classes: Vec<WireClass>,
     family_info: FamilyInfo,
@@ -139,46 +159,31 @@
         }
     }
 
-    /// The settings as the decisions use them.
-    pub fn into_settings(self) -> Result<Settings, String> {
-        if !(1..=SENDERS_MOST).contains(&self.n_instances) {
-            let n = self.n_instances;
-            return Err(format!(
-                "settings.nInstances: {n} senders; it must be 1 to {SENDERS_MOST}"
-            ));
+    /// The settings as the scheduler uses them.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the number of senders is out of its range or a class has an unknown effect.
+    pub fn into_settings(self) -> Result<Settings, ProfileError> {
+        if !(1..=MAX_SENDERS).contains(&self.n_instances) {
+            let count = self.n_instances;
+            return Err(ProfileError::SenderCount { count });
         }
-        let classes = self.classes.into_iter().enumerate().map(|(place, class)| {
-            class
-                .into_class()
-                .map_err(|why| format!("settings.classes[{place}].{why}"))
-        });
-        let classes = classes.collect::<Result<Vec<_>, _>>()?;
-        let family = self.family_info;
-        let count = family.per_call.len().max(family.kind_apart.len());
-        let kinds = (0..count)
-            .map(|i| Kind {
-                per_call: family.per_call.get(i).copied().unwrap_or(1),
-                apart: family.kind_apart.get(i).copied().unwrap_or(false),
-            })
-            .collect();
-        let (limits, rules) = (self.policy_limits, self.rules);
+        let classes = self
+            .classes
+            .into_iter()
+            .enumerate()
+            .map(|(class_index, class)| class.into_class(class_index))
+            .collect::<Result<Vec<_>, _>>()?;
+        let tenants = self.tenants.iter().map(WireTenant::to_tenant).collect();
+        let limits = self.policy_limits;
         Ok(Settings {
             classes,
-            kinds,
-            tenants: self
-                .tenants
-                .iter()
-                .map(|t| Tenant {
-                    quota_rps: t.quota_rps,
-                })
-                .collect(),
+            kinds: self.family_info.kinds(),
+            tenants,
             over_share_worth: self.over_share_worth,
-            decay: if family.loses_worth == "halving" {
-                Decay::Halving
-            } else {
-                Decay::Linear
-            },
-            slots: family.calls_out,
+            decay: self.family_info.decay(),
+            slots: self.family_info.calls_out,
             max_pending: limits.max_pending,
             attempts_cap: limits.attempts_cap,
             connect_timeout: ns(limits.connect_timeout),
@@ -191,36 +196,79 @@
             retry_after: limits.retry_after,
             max_retry_after: ns(limits.max_retry_after),
             tick: ns(self.tick),
-            rules: Rules {
-                cold_from: rules.cold_from,
-                cold: ns(rules.cold),
-                fall_multiple: rules.fall_multiple,
-                fall: ns(rules.fall),
-                key_quiet: ns(rules.key_quiet),
-                must_ask_in: ns(rules.must_ask_in),
-                grace_to_answer: ns(rules.grace_to_answer),
-            },
+            rules: self.rules.into_rules(),
         })
     }
 }
 
+impl FamilyInfo {
+    /// The kinds of destination: as many as the longer of the two lists has, with defaults for the other.
+    fn kinds(&self) -> Vec<Kind> {
+        let count = self.per_call.len().max(self.kind_apart.len());
+        (0..count)
+            .map(|index| Kind {
+                per_call: self.per_call.get(index).copied().unwrap_or(1),
+                apart: self.kind_apart.get(index).copied().unwrap_or(false),
+            })
+            .collect()
+    }
+
+    fn decay(&self) -> Decay {
+        if self.loses_worth == "halving" {
+            Decay::Halving
+        } else {
+            Decay::Linear
+        }
+    }
+}
+
+impl WireTenant {
+    fn to_tenant(&self) -> Tenant {
+        Tenant {
+            quota_rps: self.quota_rps,
+        }
+    }
+}
+
+impl WireRules {
+    fn into_rules(self) -> Rules {
+        Rules {
+            cold_from: self.cold_from,
+            cold: ns(self.cold),
+            fall_multiple: self.fall_multiple,
+            fall: ns(self.fall),
+            key_quiet: ns(self.key_quiet),
+            must_ask_in: ns(self.must_ask_in),
+            grace_to_answer: ns(self.grace_to_answer),
+        }
+    }
+}
+
 impl WireClass {
-    fn into_class(self) -> Result<Class, String> {
+    /// `class_index` is the position in the settings object, for errors.
+    fn into_class(self, class_index: usize) -> Result<Class, ProfileError> {
+        let effect = match self.effect.as_str() {
+            "safe" => Effect::Safe,
+            "keyed" => Effect::Idempotent,
+            "unsafe" => Effect::Unsafe,
+            _ => {
+                return Err(ProfileError::UnknownEffect {
+                    class_index,
+                    effect: self.effect,
+                });
+            }
+        };
+        let dedup = match self.dedup_scope.as_str() {
+            "all" | "" => DedupScope::All,
+            "zone" => DedupScope::Zone,
+            // An unknown scope is read as the narrowest one, which is safe with any of the others.
+            _ => DedupScope::Endpoint,
+        };
         Ok(Class {
             latency_objective: ns(self.latency_objective),
             deadline: ns(self.deadline),
-            effect: match self.effect.as_str() {
-                "safe" => Effect::Safe,
-                "keyed" => Effect::Idempotent,
-                "unsafe" => Effect::Unsafe,
-                e => return Err(format!("effect: '{e}' is not safe, keyed or unsafe")),
-            },
-            dedup: match self.dedup_scope.as_str() {
-                "all" | "" => DedupScope::All,
-                "zone" => DedupScope::Zone,
-                // A scope that is not known is taken for the narrowest, which breaks no other.
-                _ => DedupScope::Endpoint,
-            },
+            effect,
+            dedup,
             window: ns(self.window),
             in_order: self.by_arrival,
             priority_weight: self.priority_weight,
--- a/crates/scheduler/tests/golden_settings.rs
+++ b/crates/scheduler/tests/golden_settings.rs
@@ -36,7 +36,10 @@
 
 fn read(object: Value) -> Result<(Names, Settings), String> {
     let profile: Profile = serde_json::from_value(object).map_err(|e| e.to_string())?;
-    Ok((profile.names(), profile.into_settings()?))
+    Ok((
+        profile.names(),
+        profile.into_settings().map_err(|e| e.to_string())?,
+    ))
 }
 
 fn ms(milliseconds: u64) -> Duration {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -39,7 +39,7 @@
                     rng_seed,
                     profile_data,
                 } => {
-                    let settings = profile_data.into_settings()?;
+                    let settings = profile_data.into_settings().map_err(|e| e.to_string())?;
                     let new = Scheduler::new(settings, rng_seed, now).map_err(|e| e.to_string())?;
                     self.senders.insert(sender.clone(), new);
                     inbox.insert(sender.clone(), Vec::new());
