--- /dev/null
+++ b/crates/scheduler/src/admission.rs
@@ -0,0 +1,125 @@
+//! Admission: the one check of all rules before a message is sent.
+
+use std::time::Duration;
+
+use crate::api::{DedupScope, Effect};
+use crate::endpoints::Endpoint;
+use crate::health::HealthState;
+use crate::messages::Message;
+use crate::routes::Route;
+use crate::state::SchedulerState;
+
+/// A slow route may have this many times the free slots in flight.
+const SLOW_ROUTE_SLOT_MULTIPLE: usize = 2;
+/// An endpoint with an overdue call gets a further one after this many times the overdue time.
+const SUSPECT_RETRY_MULTIPLE: u32 = 4;
+
+impl SchedulerState {
+    /// Whether a message may be sent to an endpoint now: in a call of its own, or (`joins_call`) in a call that this tick
+    /// has opened.
+    pub(crate) fn may_send(
+        &self,
+        number: u64,
+        message: &Message,
+        endpoint_index: usize,
+        joins_call: bool,
+    ) -> bool {
+        let endpoint = &self.endpoints[endpoint_index];
+        let route = &self.routes[endpoint.route];
+        self.may_attempt(message)
+            && self.repeat_is_dropped_at(message, endpoint_index)
+            && endpoint.accepts_calls()
+            && self.now >= route.blocked_until
+            && self.is_next_of_its_key(number, message)
+            && (joins_call || self.may_open_call(message, endpoint_index))
+    }
+
+    /// Never two attempts at once, none after the deadline, before its time or over the cap.
+    fn may_attempt(&self, message: &Message) -> bool {
+        !message.completed
+            && message.in_flight.is_none()
+            && message.deadline > self.now
+            && self.now >= message.not_before
+            && message.may_repeat(&self.settings, self.now)
+    }
+
+    /// Whether the endpoint drops a second execution, where there may be one.
+    fn repeat_is_dropped_at(&self, message: &Message, endpoint_index: usize) -> bool {
+        let class = message.class(&self.settings);
+        let Some(first) = message.possibly_executed else {
+            return true;
+        };
+        if class.effect != Effect::Idempotent {
+            return true;
+        }
+        match class.dedup {
+            DedupScope::All => true,
+            DedupScope::Zone => first.endpoint.is_some_and(|first| {
+                self.endpoints[first].zone == self.endpoints[endpoint_index].zone
+            }),
+            DedupScope::Endpoint => first.endpoint == Some(endpoint_index),
+        }
+    }
+
+    fn is_next_of_its_key(&self, number: u64, message: &Message) -> bool {
+        message
+            .ordering_key
+            .as_ref()
+            .is_none_or(|key| self.ordering.is_next(key, number, self.now))
+    }
+
+    /// Whether a further call to the endpoint may be opened.
+    fn may_open_call(&self, message: &Message, endpoint_index: usize) -> bool {
+        let endpoint = &self.endpoints[endpoint_index];
+        let route = &self.routes[endpoint.route];
+        let repeatable = message.class(&self.settings).effect != Effect::Unsafe;
+        self.has_slot_for(route, endpoint)
+            && self.route_admits_call(route)
+            && !self.is_suspect(endpoint_index, repeatable)
+    }
+
+    /// Whether a slot is free, and the route may take it.
+    fn has_slot_for(&self, route: &Route, endpoint: &Endpoint) -> bool {
+        let free_slots = (self.settings.slots as usize).saturating_sub(self.calls.len());
+        // Nagle's rule (RFC 896): where a call takes many messages, small calls beside it only take scarce slots.
+        let fills_call = route.backlog >= route.kind.per_call as usize;
+        let worth_slot = fills_call || endpoint.in_flight == 0 || free_slots > self.calls.len();
+        // Slots become short together where one destination is slow. It must leave some to the others, so that its backlog
+        // does not starve them (the dynamic threshold of shared buffers).
+        let below_threshold =
+            !route.is_slow() || (route.in_flight as usize) < SLOW_ROUTE_SLOT_MULTIPLE * free_slots;
+        free_slots > 0 && worth_slot && below_threshold
+    }
+
+    /// Whether the route's health, window and token bucket admit a call. In an outage one probe call is sent at a time.
+    fn route_admits_call(&self, route: &Route) -> bool {
+        match route.health.state() {
+            HealthState::Down { next_probe, .. } => self.now >= next_probe && route.in_flight == 0,
+            HealthState::Up | HealthState::WarmingUp { .. } => {
+                route.window.has_room(route.in_flight)
+                    && (route.draw_won || route.window.chance().is_none())
+                    && route.token_bucket.has_token()
+            }
+        }
+    }
+
+    /// Whether a call to the endpoint is overdue with no answer since it was sent. That is evidence of a hang, a silent
+    /// endpoint or a stall before any time-out. No call is added, but for a repeatable one now and then, since one lost
+    /// answer proves little.
+    fn is_suspect(&self, endpoint_index: usize, repeatable: bool) -> bool {
+        let endpoint = &self.endpoints[endpoint_index];
+        let route = &self.routes[endpoint.route];
+        self.calls
+            .values()
+            .filter(|call| call.endpoint == endpoint_index && endpoint.last_answer <= call.sent)
+            .any(|call| {
+                let times = route.call_times(call.class, &self.settings);
+                let overdue = Duration::from_secs_f64(times.overdue);
+                let may_retry = repeatable
+                    && endpoint.last_used.is_none_or(|last_used| {
+                        self.now - last_used > SUSPECT_RETRY_MULTIPLE * overdue
+                    });
+                self.now - call.sent > overdue && !may_retry
+            })
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/dispatch.rs
@@ -0,0 +1,206 @@
+//! Dispatch: sends the messages that may be sent, most urgent first. No other module sends.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crate::api::Action;
+use crate::calls::{Call, CallWait};
+use crate::messages::{Attempt, Message};
+use crate::state::SchedulerState;
+
+/// The lowest rate of messages that a backlog's wait is computed from, in messages a second.
+const MIN_SERVED_RATE: f64 = 0.5;
+/// Bounds of the wait that a message may expect in a backlog, in seconds.
+const MIN_BACKLOG_WAIT: f64 = 0.5;
+const MAX_BACKLOG_WAIT: f64 = 10.0;
+/// Share of the priority weight that counts for urgency even if a wait would lose nothing.
+const BASE_URGENCY: f64 = 0.01;
+/// The shortest usual time of a call that urgency is divided by, in seconds.
+const MIN_USUAL_SECONDS: f64 = 1e-3;
+
+/// The order in which endpoints are preferred: the smallest is best, the first field decides first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct EndpointPreference {
+    /// A call that this tick has opened there can be shared if false.
+    needs_new_call: bool,
+    /// Of several with recent failures, that with the fewest: an outage need not concern all of them.
+    recent_failures: u32,
+    distance: u8,
+    in_flight: u32,
+    rank: u64,
+    index: usize,
+}
+
+/// The calls that this tick has opened, by endpoint index.
+type OpenCalls = BTreeMap<usize, u64>;
+
+impl SchedulerState {
+    /// Sends all messages that may be sent.
+    pub(crate) fn dispatch(&mut self) {
+        self.count_backlogs();
+        for route in self.routes.active_mut() {
+            route.update(self.now, &self.settings, &mut self.rng);
+        }
+        self.routes.settle(self.now);
+        let mut open_calls = OpenCalls::new();
+        for number in self.ready_by_urgency() {
+            if let Some(endpoint_index) = self.choose_endpoint(number, &open_calls) {
+                self.send(number, endpoint_index, &mut open_calls);
+            }
+        }
+    }
+
+    fn count_backlogs(&mut self) {
+        for route in self.routes.active_mut() {
+            route.backlog = 0;
+        }
+        for (_, message) in self.messages.waiting() {
+            self.routes.add_backlog(message.destination);
+        }
+    }
+
+    fn ready_by_urgency(&self) -> Vec<u64> {
+        let mut ready: Vec<(f64, u64)> = self
+            .messages
+            .waiting()
+            .filter(|(_, message)| self.now >= message.not_before)
+            .map(|(number, message)| (self.urgency(message), number))
+            .collect();
+        ready.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+        ready.into_iter().map(|(_, number)| number).collect()
+    }
+
+    /// Priority weight lost, for each second of a slot, if this message waits as long as its route's backlog.
+    fn urgency(&self, message: &Message) -> f64 {
+        // Of separate routes, the one with the shortest time counts.
+        let fastest = self
+            .routes
+            .of_destination(message.destination)
+            .iter()
+            .map(|&index| &self.routes[index])
+            .map(|route| (route.call_times(message.class, &self.settings).usual, route))
+            .min_by(|a, b| a.0.total_cmp(&b.0));
+        let Some((usual, route)) = fastest else {
+            return 0.0;
+        };
+        // A call that carries many messages costs each of them only its part of the slot.
+        let sharing = route.backlog.clamp(1, route.kind.per_call.max(1) as usize);
+        let served = route.demand.rate(self.now).max(MIN_SERVED_RATE);
+        let wait = (route.backlog as f64 / served).clamp(MIN_BACKLOG_WAIT, MAX_BACKLOG_WAIT);
+        let soon = self.now + Duration::from_secs_f64(usual);
+        let later = soon + Duration::from_secs_f64(wait);
+        let weight_soon = message.priority_weight(&self.settings, soon);
+        let weight_later = message.priority_weight(&self.settings, later);
+        (weight_soon - weight_later + BASE_URGENCY * weight_soon) * sharing as f64
+            / usual.max(MIN_USUAL_SECONDS)
+    }
+
+    /// The best endpoint that admits the message.
+    fn choose_endpoint(&self, number: u64, open_calls: &OpenCalls) -> Option<usize> {
+        let message = self.messages.get(number)?;
+        self.routes
+            .of_destination(message.destination)
+            .iter()
+            .flat_map(|&route| self.routes[route].endpoints.iter().copied())
+            .filter(|&index| {
+                let joins_call = self.joins_call(message, index, open_calls);
+                self.may_send(number, message, index, joins_call)
+            })
+            .min_by_key(|&index| self.preference(message, index, open_calls))
+    }
+
+    fn preference(
+        &self,
+        message: &Message,
+        index: usize,
+        open_calls: &OpenCalls,
+    ) -> EndpointPreference {
+        let endpoint = &self.endpoints[index];
+        let recent_failures = if endpoint.is_ejected(self.now) {
+            endpoint.consecutive_failures
+        } else {
+            0
+        };
+        EndpointPreference {
+            needs_new_call: !self.joins_call(message, index, open_calls),
+            recent_failures,
+            distance: endpoint.distance(self.settings.zone),
+            in_flight: endpoint.in_flight,
+            rank: endpoint.rank,
+            index,
+        }
+    }
+
+    /// Whether a message may share the call that this tick has opened to an endpoint, if there is one.
+    fn joins_call(&self, message: &Message, endpoint_index: usize, open_calls: &OpenCalls) -> bool {
+        let open_call = open_calls.get(&endpoint_index);
+        let Some(call) = open_call.and_then(|number| self.calls.get(number)) else {
+            return false;
+        };
+        let route = &self.routes[self.endpoints[endpoint_index].route];
+        let wait = CallWait::new(message, route, &self.settings, self.now);
+        call.can_add(route, &wait)
+    }
+
+    fn send(&mut self, number: u64, endpoint_index: usize, open_calls: &mut OpenCalls) {
+        let new_call = self.next_number();
+        let Some(message) = self.messages.get(number) else {
+            return;
+        };
+        let class = message.class;
+        let route = &self.routes[self.endpoints[endpoint_index].route];
+        let wait = CallWait::new(message, route, &self.settings, self.now);
+        let write_within = message
+            .repeatable_until(&self.settings)
+            .map(|until| until - self.now);
+        let shared_call = open_calls
+            .get(&endpoint_index)
+            .copied()
+            .filter(|_| self.joins_call(message, endpoint_index, open_calls));
+        let call_number = shared_call.unwrap_or(new_call);
+        if let Some(call) = self.calls.get_mut(&call_number) {
+            call.add(&wait);
+        } else {
+            let call = Call::new(endpoint_index, class, self.now, &wait);
+            self.calls.insert(call_number, call);
+            open_calls.insert(endpoint_index, call_number);
+            self.record_call(endpoint_index);
+        }
+        let Some(message) = self.messages.get_mut(number) else {
+            return;
+        };
+        message.in_flight = Some(Attempt {
+            number: message.attempts,
+            endpoint: endpoint_index,
+            call: call_number,
+            sent: self.now,
+        });
+        message.attempts += 1;
+        self.actions.push(Action::Send {
+            id: message.id.clone(),
+            endpoint: self.endpoints[endpoint_index].id.clone(),
+            timeout: wait.timeout,
+            call: call_number,
+            write_within,
+        });
+    }
+
+    /// Counts a new call at its endpoint and route.
+    fn record_call(&mut self, endpoint_index: usize) {
+        let endpoint = &mut self.endpoints[endpoint_index];
+        let route = &mut self.routes[endpoint.route];
+        endpoint.idle_before_call = endpoint.idle_time(self.now);
+        let distrusted = self
+            .idle_connections
+            .is_distrusted(endpoint.idle_before_call);
+        if endpoint.in_flight == 0 && distrusted {
+            self.actions.push(Action::CloseIdle(endpoint.id.clone()));
+            endpoint.idle_before_call = Duration::ZERO;
+        }
+        endpoint.record_call(self.now);
+        route.in_flight += 1;
+        route.draw_won = false;
+        route.used = true;
+        route.token_bucket.take();
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/endpoint_list.rs
@@ -0,0 +1,72 @@
+//! Applies changes of the endpoint list, and forgets removed endpoints.
+
+use std::collections::BTreeSet;
+
+use crate::api::{Condition, Entry, Kind};
+use crate::demand::DemandEstimator;
+use crate::endpoints::Endpoint;
+use crate::routes::Route;
+use crate::state::SchedulerState;
+
+/// What is assumed of a kind that the settings do not have.
+const UNKNOWN_KIND: Kind = Kind {
+    per_call: 1,
+    apart: false,
+};
+
+impl SchedulerState {
+    /// Applies a list; `whole` if it replaces the present one.
+    pub(crate) fn on_endpoint_list(&mut self, whole: bool, entries: Vec<Entry>) {
+        self.discovery_polls.record_success();
+        if whole {
+            self.endpoints.mark_all_removed();
+        }
+        for entry in entries {
+            let known = self.endpoints.update(&entry);
+            if !known && entry.condition != Condition::Removed {
+                self.add_endpoint(entry);
+            }
+        }
+        self.forget_removed();
+    }
+
+    fn add_endpoint(&mut self, entry: Entry) {
+        let route_index = self.route_for(&entry);
+        let route = &mut self.routes[route_index];
+        // The failed endpoint was another one: a new one need not wait for the next probe call.
+        route.health.allow_probe(self.now);
+        if self.settings.rates_listed && entry.rate > 0.0 {
+            route.demand.set_listed_limit(entry.rate);
+        }
+        let endpoint = Endpoint::new(entry, route_index, self.now, self.seed);
+        route.endpoints.push(self.endpoints.insert(endpoint));
+    }
+
+    /// The route of a new endpoint: the destination's one, or a new one.
+    fn route_for(&mut self, entry: &Entry) -> usize {
+        let kinds = &self.settings.kinds;
+        let kind = kinds.get(entry.kind).copied().unwrap_or(UNKNOWN_KIND);
+        let sibling = self.routes.of_destination(entry.destination).first();
+        let demand = match sibling {
+            Some(&sibling) if !kind.apart => return sibling,
+            Some(&sibling) => self.routes[sibling].demand.clone(),
+            None => DemandEstimator::new(self.now),
+        };
+        let route = Route::new(entry.destination, kind, demand, self.now, &self.settings);
+        self.routes.insert(route)
+    }
+
+    /// Forgets removed endpoints that nothing refers to. Else memory would grow with each endpoint that is replaced under a
+    /// new id.
+    fn forget_removed(&mut self) {
+        let first_executed: BTreeSet<usize> = self
+            .messages
+            .values()
+            .filter_map(|message| message.possibly_executed?.endpoint)
+            .collect();
+        for endpoint in self.endpoints.forget_removed(&first_executed) {
+            let route = self.endpoints[endpoint].route;
+            self.routes.remove_endpoint(route, endpoint);
+        }
+    }
+}
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,19 +1,53 @@
-//! The decisions of a relay that hands messages on to destinations which nobody here controls.
+//! The delivery decisions of a sender that forwards messages to destinations outside its control.
 //!
-//! The library is sans-IO: a [`Scheduler`] is handed the time and a batch of [`Event`]s, and returns the
-//! [`Action`]s to carry out. It opens no socket, reads no clock and starts no thread; the same settings,
-//! seed and events always give the same actions. Every decision is in one module, `scheduler`; the types it
-//! speaks in are in [`api`]. `docs/design.md` tells which published design it follows and where it departs.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
+//! The library does no I/O: a [`Scheduler`] is given the time and a batch of [`Event`]s, and returns the [`Action`]s to carry
+//! out. It opens no socket, reads no clock and starts no thread; the same settings, seed and events always give the same
+//! actions. The types of its interface are in [`api`]; `docs/design.md` names the published design that it follows, and where
+//! it departs from it.
+//!
+//! Modules depend only on modules below them:
+//!
+//! - `scheduler` reads events and returns actions;
+//! - `acceptance`, `admission`, `dispatch`, `outcomes`, `expiry`, `wakeup`, `endpoint_list`, `learned_state` and `zones` decide
+//!   by several components of the state;
+//! - `state` holds the components: `endpoints`, `routes`, `messages`, `calls`, `ordering`, `idle_connections`, `tenant_quotas`
+//!   and `discovery_polls`;
+//! - `window`, `round_trip`, `demand`, `token_bucket`, `slow_start` and `health` estimate one route.
 
 pub mod api;
 pub mod profile;
+
+mod acceptance;
+mod admission;
+mod calls;
+mod demand;
+mod discovery_polls;
+mod dispatch;
+mod endpoint_list;
+mod endpoints;
+mod expiry;
+mod health;
+mod idle_connections;
+mod learned_state;
+mod messages;
+mod ordering;
+mod outcomes;
+mod round_trip;
+mod routes;
 mod scheduler;
+mod slots;
+mod slow_start;
 mod state;
+mod tenant_quotas;
+mod token_bucket;
+mod wakeup;
+mod window;
+mod zones;
 
 pub use api::{Action, Event, Settings, SettingsError, Time};
-pub use scheduler::{LearnedState, ObservedHealth, Scheduler, Window};
+pub use learned_state::{LearnedState, ObservedHealth};
+pub use scheduler::Scheduler;
+pub use window::Window;
 
 #[doc = include_str!("../../../README.md")]
 #[cfg(doctest)]
--- /dev/null
+++ b/crates/scheduler/src/outcomes.rs
@@ -0,0 +1,235 @@
+//! Outcomes of attempts and health checks: what they show of endpoint, route and connection, and what they mean for the
+//! message.
+
+use std::time::Duration;
+
+use crate::api::{Action, Outcome, Status};
+use crate::health::{HealthSignal, HealthState, MAX_PROBE_PAUSE, longest_limit_span};
+use crate::messages::Attempt;
+use crate::state::SchedulerState;
+
+/// Backoff before a retry after the first attempt is twice this, in seconds, doubling with each further one.
+const BASE_RETRY_SECONDS: f64 = 0.05;
+/// The backoff before a retry is doubled this often at most.
+const MAX_RETRY_DOUBLINGS: u32 = 5;
+
+impl SchedulerState {
+    /// Records how an attempt ended; ignored unless that attempt is in flight.
+    pub(crate) fn on_outcome(&mut self, outcome: &Outcome) {
+        let Some(number) = self.messages.number_of(&outcome.id) else {
+            return;
+        };
+        let jitter = self.jitter();
+        let Some(message) = self.messages.get_mut(number) else {
+            return;
+        };
+        let class = message.class;
+        let attempt = message
+            .in_flight
+            .take_if(|attempt| attempt.number == outcome.attempt);
+        let Some(attempt) = attempt else {
+            return;
+        };
+        let route = self.endpoints[attempt.endpoint].route;
+        self.detect_connection_shortage(&attempt, outcome.status);
+        let first_of_call = self.end_call(&attempt);
+        self.record_stated_limits(route, outcome);
+        // A time-out before the usual time is due to a close deadline: no evidence about the destination.
+        let overdue = self.routes[route].call_times(class, &self.settings).overdue;
+        let cut_short = outcome.status == Status::TimedOut && outcome.took.as_secs_f64() < overdue;
+        if first_of_call && !cut_short {
+            self.record_call_outcome(&attempt, class, outcome);
+            self.record_idle_loss(attempt.endpoint, outcome.status);
+            self.record_health_signal(attempt.endpoint, outcome.status);
+        }
+        self.detect_outage_by_wait(route, outcome, jitter);
+        self.apply_to_message(number, &attempt, outcome, jitter);
+    }
+
+    /// A route that failed to connect and serves soon after is short of connections: an outage would have lasted.
+    fn detect_connection_shortage(&mut self, attempt: &Attempt, status: Status) {
+        let endpoint = &self.endpoints[attempt.endpoint];
+        let failed_at = self.routes[endpoint.route]
+            .connect_failed_at
+            .take_if(|_| status == Status::Served);
+        if failed_at.is_some_and(|failed_at| self.now - failed_at < MAX_PROBE_PAUSE) {
+            self.idle_connections
+                .record_shortage(endpoint.kind, self.now);
+        }
+    }
+
+    /// Ends a message's part of a call; true for the first message of a call, whose outcome counts for the call.
+    fn end_call(&mut self, attempt: &Attempt) -> bool {
+        let Some(call) = self.calls.get_mut(&attempt.call) else {
+            return false;
+        };
+        call.unanswered -= 1;
+        let first_of_call = !std::mem::replace(&mut call.counted, true);
+        if call.unanswered > 0 {
+            return first_of_call;
+        }
+        let endpoint = &mut self.endpoints[call.endpoint];
+        endpoint.in_flight -= 1;
+        self.routes[endpoint.route].in_flight -= 1;
+        if endpoint.in_flight == 0
+            && !self
+                .idle_connections
+                .is_worth_keeping(endpoint, &self.settings, self.now)
+        {
+            self.actions.push(Action::CloseIdle(endpoint.id.clone()));
+        }
+        self.calls.remove(&attempt.call);
+        first_of_call
+    }
+
+    /// Records a Retry-After wait and a reported limit.
+    fn record_stated_limits(&mut self, route: usize, outcome: &Outcome) {
+        if let Some(wait) = outcome.wait {
+            let until = self.now + wait + self.settings.tick;
+            self.routes[route].block_until(until);
+        }
+        if let Some(report) = outcome.report
+            && report.limit >= 0.0
+            && report.left.is_finite()
+        {
+            self.routes[route]
+                .demand
+                .record_reported_limit(report.limit);
+        }
+    }
+
+    /// Records what a call's outcome shows of round-trip times and connections.
+    fn record_call_outcome(&mut self, attempt: &Attempt, class: usize, outcome: &Outcome) {
+        let endpoint = &mut self.endpoints[attempt.endpoint];
+        match outcome.status {
+            Status::Served
+            | Status::Error
+            | Status::Spoilt
+            | Status::RecipientRemoved
+            | Status::PermanentError => {
+                self.routes[endpoint.route].round_trips[class]
+                    .record_sample(outcome.took.as_secs_f64());
+                endpoint.last_answer = self.now;
+            }
+            Status::NoConnection => {
+                self.routes[endpoint.route].connect_failed_at = Some(self.now);
+            }
+            Status::TimedOut => {
+                self.routes[endpoint.route].round_trips[class]
+                    .record_timeout(attempt.sent, self.now);
+            }
+            Status::Overloaded => {
+                endpoint.last_answer = self.now;
+                // Senders rejected together, or told the same end of a wait, must not return together.
+                let route = &mut self.routes[endpoint.route];
+                route.consecutive_overloads += 1;
+                let resume_at = route.blocked_until.max(self.now);
+                route.token_bucket.pause(resume_at, self.rng.f64());
+            }
+            Status::Reset | Status::Dropped | Status::Cancelled | Status::NotSent => {}
+        }
+    }
+
+    fn record_idle_loss(&mut self, endpoint_index: usize, status: Status) {
+        let endpoint = &self.endpoints[endpoint_index];
+        if self.idle_connections.record_call(endpoint, status) {
+            self.actions.push(Action::CloseIdle(endpoint.id.clone()));
+        }
+    }
+
+    /// Records the outcome of a call or health check for the window (load) and for health (outage).
+    pub(crate) fn record_health_signal(&mut self, endpoint_index: usize, status: Status) {
+        let jitter = self.jitter();
+        let (now, rules) = (self.now, &self.settings.rules);
+        let endpoint = &mut self.endpoints[endpoint_index];
+        let route = &mut self.routes[endpoint.route];
+        // In a Retry-After wait nothing is sent: what is served then was sent before, and ends no outage.
+        let sent_before_wait = now < route.blocked_until && route.health.is_down();
+        let signal = match status {
+            Status::Served if sent_before_wait => return route.window.answered(),
+            Status::Served => HealthSignal::Success,
+            Status::Overloaded => HealthSignal::Overload,
+            Status::Error | Status::TimedOut | Status::NoConnection | Status::Reset => {
+                HealthSignal::Failure
+            }
+            // An answer about one message only, or damaged on its way: no evidence about the destination's health.
+            Status::RecipientRemoved | Status::PermanentError | Status::Spoilt => {
+                return route.window.answered();
+            }
+            Status::Cancelled | Status::Dropped | Status::NotSent => return,
+        };
+        if matches!(status, Status::Served | Status::Error) {
+            route.window.answered();
+        } else {
+            route.window.cut();
+            route.window_cut_at = now;
+        }
+        match signal {
+            HealthSignal::Success => endpoint.consecutive_failures = 0,
+            HealthSignal::Failure => endpoint.consecutive_failures += 1,
+            HealthSignal::Overload => {}
+        }
+        let min_pause = route.demand.slow_start_gap(now, rules);
+        let outage_ended = route.health.record(now, signal, rules, min_pause, jitter);
+        if signal != HealthSignal::Success {
+            return;
+        }
+        route.consecutive_overloads = 0;
+        route.demand.record_served(now);
+        if outage_ended {
+            // Growth by small steps would delay the backlog: the proven window returns at once, and the slow start, not the
+            // window, limits the calls.
+            route.window = route.proven_window.clone();
+            route.token_bucket.drain();
+        } else if route.health.state() == HealthState::Up {
+            route.proven_window = route.window.clone();
+        }
+    }
+
+    /// A Retry-After wait longer than any limit's span means an outage: senders return from it as from one.
+    fn detect_outage_by_wait(&mut self, route: usize, outcome: &Outcome, jitter: f64) {
+        let rules = &self.settings.rules;
+        if outcome
+            .wait
+            .is_some_and(|wait| wait > longest_limit_span(rules))
+        {
+            let route = &mut self.routes[route];
+            let gap = route.demand.slow_start_gap(self.now, rules);
+            let next_probe = route.blocked_until + gap.mul_f64(jitter);
+            route.health.mark_down(next_probe);
+        }
+    }
+
+    /// Completes the message, or leaves it for a retry after a backoff.
+    fn apply_to_message(&mut self, number: u64, attempt: &Attempt, outcome: &Outcome, jitter: f64) {
+        let status = outcome.status;
+        let Some(message) = self.messages.get_mut(number) else {
+            return;
+        };
+        if !status.not_executed() {
+            message.record_possible_execution(attempt);
+        }
+        let may_still_run = matches!(
+            status,
+            Status::TimedOut | Status::Reset | Status::Dropped | Status::Cancelled
+        );
+        if may_still_run && let Some(key) = &message.ordering_key {
+            let until = self.now + self.settings.rules.key_quiet;
+            self.ordering.pause(key, number, until);
+        }
+        if outcome.completed || message.completed || status == Status::Served {
+            return self.complete_message(number);
+        }
+        if matches!(status, Status::RecipientRemoved | Status::PermanentError) {
+            message.verdict = Some(status);
+        }
+        let backoff = match status {
+            Status::Error | Status::Spoilt | Status::Reset | Status::NotSent => {
+                let doublings = message.attempts.min(MAX_RETRY_DOUBLINGS);
+                BASE_RETRY_SECONDS * f64::from(1u32 << doublings)
+            }
+            _ => 0.0,
+        };
+        message.not_before = self.now + Duration::from_secs_f64(backoff * jitter);
+    }
+}
