--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use cranehill_scheduler::{Scheduler, Time};
 use std::time::Duration;
 
-pub fn class(effect: Effect) -> Class {
+pub(crate) fn class(effect: Effect) -> Class {
     Class {
         latency_objective: Duration::from_secs(1),
         deadline: Duration::from_secs(10),
@@ -19,7 +19,7 @@
 }
 
 /// Classes: 0 safe, 1 keyed and in order, 2 unsafe.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         classes: vec![
             class(Effect::Safe),
@@ -71,7 +71,7 @@
     }
 }
 
-pub fn entry(endpoint: &str, destination: u64, condition: Condition, kind: usize) -> Entry {
+pub(crate) fn entry(endpoint: &str, destination: u64, condition: Condition, kind: usize) -> Entry {
     Entry {
         endpoint: EndpointId(endpoint.into()),
         destination: DestinationId(destination),
@@ -82,18 +82,18 @@
     }
 }
 
-pub struct Bench {
-    pub sender: Scheduler,
-    pub ms: u64,
+pub(crate) struct Bench {
+    pub(crate) sender: Scheduler,
+    pub(crate) ms: u64,
 }
 
 impl Bench {
-    pub fn new(settings: Settings, entries: Vec<Entry>) -> Bench {
+    pub(crate) fn new(settings: Settings, entries: Vec<Entry>) -> Bench {
         Bench::seeded(settings, entries, 1)
     }
 
     /// One of several senders, which must not all draw the same.
-    pub fn seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Bench {
+    pub(crate) fn seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Bench {
         let mut sender = Scheduler::new(settings, seed, Time(0)).expect("settings");
         sender.handle(
             Time(0),
@@ -105,13 +105,13 @@
         Bench { sender, ms: 0 }
     }
 
-    pub fn at(&mut self, ms: u64, events: Vec<Event>) -> Vec<Action> {
+    pub(crate) fn at(&mut self, ms: u64, events: Vec<Event>) -> Vec<Action> {
         self.ms = ms;
         self.sender.handle(Time(ms * 1_000_000), events)
     }
 }
 
-pub fn accept(id: &str, class: usize, key: Option<&str>, left_ms: u64) -> Event {
+pub(crate) fn accept(id: &str, class: usize, key: Option<&str>, left_ms: u64) -> Event {
     Event::Accept(AcceptedMessage {
         id: MessageId(id.into()),
         class,
@@ -123,7 +123,7 @@
     })
 }
 
-pub fn outcome(id: &str, attempt: u32, status: Status, took_ms: u64) -> Event {
+pub(crate) fn outcome(id: &str, attempt: u32, status: Status, took_ms: u64) -> Event {
     Event::Outcome(Outcome {
         id: MessageId(id.into()),
         attempt,
@@ -135,7 +135,7 @@
     })
 }
 
-pub fn refused(id: &str, attempt: u32, wait_ms: u64) -> Event {
+pub(crate) fn refused(id: &str, attempt: u32, wait_ms: u64) -> Event {
     match outcome(id, attempt, Status::Overloaded, 10) {
         Event::Outcome(o) => Event::Outcome(Outcome {
             wait: Some(Duration::from_millis(wait_ms)),
@@ -146,7 +146,7 @@
 }
 
 /// The messages sent, with their endpoints.
-pub fn sends(actions: &[Action]) -> Vec<(String, String)> {
+pub(crate) fn sends(actions: &[Action]) -> Vec<(String, String)> {
     actions
         .iter()
         .filter_map(|a| match a {
@@ -156,7 +156,7 @@
         .collect()
 }
 
-pub fn finals(actions: &[Action]) -> Vec<String> {
+pub(crate) fn finals(actions: &[Action]) -> Vec<String> {
     actions
         .iter()
         .filter_map(|a| match a {
--- a/crates/scheduler/tests/failures.rs
+++ b/crates/scheduler/tests/failures.rs
@@ -7,7 +7,7 @@
 
 /// i4a8067: one lost answer froze an endpoint until a whole deadline had passed.
 #[test]
-fn an_overdue_endpoint_still_gets_a_repeatable_trial() {
+fn an_overdue_endpoint_still_gets_a_repeatable_call() {
     let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)]);
     for i in 0..10u64 {
         let id = format!("w{i}");
@@ -84,7 +84,7 @@
 
 /// ib2709c: a destination that had grown slow held most slots.
 #[test]
-fn a_slow_destination_leaves_slots_to_the_rest() {
+fn a_slow_destination_leaves_slots_to_the_others() {
     let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)]);
     for i in 0..20u64 {
         let (id, took) = (format!("w{i}"), if i < 5 { 50 } else { 400 });
@@ -137,7 +137,7 @@
 
 /// i603e33: clients gave up early, and healthy destinations were taken for out.
 #[test]
-fn a_time_out_cut_short_by_the_client_is_no_sign_of_an_outage() {
+fn a_time_out_cut_short_by_the_deadline_is_no_health_signal() {
     let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)]);
     for i in 0..6u64 {
         let id = format!("s{i}");
@@ -214,7 +214,7 @@
 
 /// A destination that is out does not keep a new endpoint waiting for its next trial.
 #[test]
-fn a_new_endpoint_of_a_destination_that_is_out_is_tried_at_once() {
+fn a_new_endpoint_of_a_failed_destination_is_probed_at_once() {
     let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)]);
     for i in 0..3u64 {
         b.at(i * 1000, vec![accept(&format!("m{i}"), 2, None, 9000)]);
@@ -243,7 +243,7 @@
 
 /// What a restart finds again came over seconds, and is no burst of new demand.
 #[test]
-fn recovered_messages_count_over_the_time_in_which_they_came() {
+fn restored_messages_count_as_demand_since_they_were_accepted() {
     let paced = |restored: bool| {
         let start = Time(20_000_000_000);
         let mut sender = Scheduler::new(settings(), 1, start).expect("settings");
@@ -295,7 +295,7 @@
 
 /// The reload day of 1 December: trials of a destination that is out went to the endpoint that had failed most.
 #[test]
-fn a_trial_goes_to_the_endpoint_that_failed_least() {
+fn a_probe_call_is_sent_to_the_endpoint_with_the_fewest_failures() {
     let entries = vec![
         entry("a", 1, Condition::Ready, 0),
         entry("b", 1, Condition::Ready, 0),
@@ -319,7 +319,7 @@
 /// wide+reset+stale, seed 125430522558: kept connections that died under their next call put healthy
 /// destinations out, and then held them to a cold one's budget for nine seconds.
 #[test]
-fn connections_that_died_while_kept_do_not_put_a_destination_out() {
+fn connections_broken_while_idle_mean_no_outage() {
     for (status, stays) in [
         (Status::Dropped, true),
         (Status::Spoilt, true),
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -59,7 +59,7 @@
 /// h9776e7, hf6a5bd, h1f7639: each sender alone kept a budget of one call, all together pushed a destination over
 /// that had just come back.
 #[test]
-fn all_senders_together_push_a_returning_destination_little_more_than_their_fresh_messages() {
+fn senders_send_a_returning_destination_little_more_than_new_messages() {
     for status in [Status::NoConnection, Status::Overloaded] {
         let sent = day(status, 25_000, 40_000);
         let fresh = SENDERS as usize / 10;
@@ -76,17 +76,16 @@
 
 /// erzurum big-1: pauses after refusals grew with the number of senders until messages expired untried.
 #[test]
-fn a_destination_that_serves_again_is_found_by_fresh_messages() {
+fn a_returned_destination_is_found_by_new_messages() {
     let sent = day(Status::Overloaded, 15_000, 40_000);
     let fresh = SENDERS as usize / 10;
     let served: usize = sent[30..].iter().sum();
     assert!(served >= 8 * fresh, "{served} {sent:?}");
 }
 
-/// coop big-1: idle connections of hundreds of senders filled endpoints that take few.
-#[test]
-fn connections_are_given_back_after_use_once_they_are_short() {
-    let mut b = Bench::new(
+/// One of many senders, with two endpoints.
+fn one_sender_with_two_endpoints() -> Bench {
+    Bench::new(
         Settings {
             instances: SENDERS as u32,
             ..settings()
@@ -95,25 +94,32 @@
             entry("a", 1, Condition::Ready, 0),
             entry("b", 1, Condition::Ready, 0),
         ],
-    );
-    let closes = |actions: &[Action]| {
-        actions
-            .iter()
-            .filter(|a| matches!(a, Action::CloseIdle(_)))
-            .count()
-    };
+    )
+}
+
+fn closed_connections(actions: &[Action]) -> usize {
+    actions
+        .iter()
+        .filter(|action| matches!(action, Action::CloseIdle(_)))
+        .count()
+}
+
+/// coop big-1: idle connections of hundreds of senders filled endpoints that take few.
+#[test]
+fn connections_are_closed_after_use_in_a_connection_shortage() {
+    let mut b = one_sender_with_two_endpoints();
     for i in 0..6u64 {
         let id = format!("w{i}");
         b.at(i * 1000, vec![accept(&id, 0, None, 9000)]);
         assert_eq!(
-            closes(&b.at(i * 1000 + 50, vec![outcome(&id, 0, Status::Served, 50)])),
+            closed_connections(&b.at(i * 1000 + 50, vec![outcome(&id, 0, Status::Served, 50)])),
             0
         );
     }
     b.at(6000, vec![accept("m", 0, None, 9000)]);
     b.at(6010, vec![outcome("m", 0, Status::NoConnection, 10)]);
     assert_eq!(
-        closes(&b.at(6060, vec![outcome("m", 1, Status::Served, 50)])),
+        closed_connections(&b.at(6060, vec![outcome("m", 1, Status::Served, 50)])),
         1
     );
 }
@@ -121,23 +127,8 @@
 /// zone+vast, seed 3: after a zone had been down for 5 s every call went on a connection of its own for a minute, since
 /// each connection refused by the outage was taken for a lack of connections: 12,435 handshakes for 14,262 messages.
 #[test]
-fn refused_connections_in_an_outage_are_no_connection_shortage() {
-    let mut b = Bench::new(
-        Settings {
-            instances: SENDERS as u32,
-            ..settings()
-        },
-        vec![
-            entry("a", 1, Condition::Ready, 0),
-            entry("b", 1, Condition::Ready, 0),
-        ],
-    );
-    let closes = |actions: &[Action]| {
-        actions
-            .iter()
-            .filter(|a| matches!(a, Action::CloseIdle(_)))
-            .count()
-    };
+fn refused_connections_in_an_outage_mean_no_connection_shortage() {
+    let mut b = one_sender_with_two_endpoints();
     let mut tries = std::collections::BTreeMap::<String, u32>::new();
     let (mut out, mut closed, mut served) = (Vec::<String>::new(), 0, 0);
     for ms in (0..20_000).step_by(50) {
@@ -157,7 +148,7 @@
             events.push(accept(&format!("w{ms}"), 0, None, 9_000));
         }
         let actions = b.at(ms, events);
-        closed += closes(&actions);
+        closed += closed_connections(&actions);
         out = sends(&actions).into_iter().map(|(id, _)| id).collect();
     }
     assert!(
--- a/crates/scheduler/tests/golden_settings.rs
+++ b/crates/scheduler/tests/golden_settings.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn every_word_of_the_settings_reads_as_before() {
+fn every_enumerated_value_of_the_settings_reads_as_before() {
     let with = |pointer: &str, value: Value| {
         let mut object = golden();
         *object.pointer_mut(pointer).expect("there") = value;
--- a/crates/scheduler/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -93,26 +93,28 @@
     }
 }
 
-fn play(steps: &[Step]) -> Result<usize, TestCaseError> {
-    let entries = vec![
-        entry("a", 1, Condition::Ready, 0),
-        entry("b", 1, Condition::Ready, 0),
-    ];
-    let mut w = World {
-        bench: Bench::new(settings(), entries),
-        cap: settings().attempts_cap,
-        held: BTreeMap::new(),
-        line: Vec::new(),
-        blocked_until: 0,
-        drained: None,
-        sends: 0,
-    };
-    for (i, &(pass, what, n)) in steps.iter().enumerate() {
-        let now = w.bench.ms + pass;
-        while w.bench.ms + 5 < now {
-            let tick = w.bench.ms + 5;
-            // A client withdraws what is out at its deadline; the attempt still gets its outcome.
-            let prior: Vec<(String, u32)> = w
+impl World {
+    fn new() -> World {
+        let entries = vec![
+            entry("a", 1, Condition::Ready, 0),
+            entry("b", 1, Condition::Ready, 0),
+        ];
+        World {
+            bench: Bench::new(settings(), entries),
+            cap: settings().attempts_cap,
+            held: BTreeMap::new(),
+            line: Vec::new(),
+            blocked_until: 0,
+            drained: None,
+            sends: 0,
+        }
+    }
+
+    /// Passes time in ticks. A client withdraws what is out at its deadline; the attempt still gets its outcome.
+    fn pass_until(&mut self, now: u64) -> Result<(), TestCaseError> {
+        while self.bench.ms + 5 < now {
+            let tick = self.bench.ms + 5;
+            let prior: Vec<(String, u32)> = self
                 .held
                 .iter()
                 .filter(|(_, m)| m.deadline <= tick)
@@ -124,67 +126,86 @@
                 events.push(outcome(id, *attempt, Status::TimedOut, 10));
             }
             let ended: Vec<String> = prior.into_iter().map(|(id, _)| id).collect();
-            w.at(tick, events, &ended)?;
+            self.at(tick, events, &ended)?;
         }
-        let busy: Vec<String> = w
+        Ok(())
+    }
+
+    /// A new message, of a class and key by `n`.
+    fn accept(&mut self, now: u64, i: usize, n: u64) -> Event {
+        let (id, class) = (format!("m{i}"), n as usize % 3);
+        let key = (class == 1).then_some(n % 2);
+        self.line.extend(key.map(|key| (key, id.clone())));
+        let event = accept(&id, class, key.map(|k| k.to_string()).as_deref(), 5000);
+        self.held.insert(
+            id,
+            Held {
+                key,
+                deadline: now + 5000,
+                ..Held::default()
+            },
+        );
+        event
+    }
+
+    /// Ends an attempt that is out, chosen by `n`; the message too if it was served.
+    fn end_attempt(&mut self, now: u64, n: u64, ended: &mut Vec<String>) -> Option<Event> {
+        let busy: Vec<String> = self
             .held
             .iter()
             .filter(|(_, m)| m.out.is_some())
             .map(|(id, _)| id.clone())
             .collect();
+        if busy.is_empty() {
+            return None;
+        }
+        let id = &busy[n as usize % busy.len()];
+        let status = STATUSES[n as usize / 7 % STATUSES.len()];
+        let message = self.held.get_mut(id).expect("busy");
+        let attempt = message.out.take().expect("busy");
+        ended.extend((status == Status::Served).then(|| id.clone()));
+        let wait = if status == Status::Overloaded {
+            n % 3 * 300
+        } else {
+            0
+        };
+        if wait == 0 {
+            return Some(outcome(id, attempt, status, 10));
+        }
+        self.blocked_until = self.blocked_until.max(now + wait);
+        Some(refused(id, attempt, wait))
+    }
+
+    /// One endpoint drains, the other is ready again.
+    fn drain(&mut self, n: u64) -> Event {
+        let (removed, other) = if n.is_multiple_of(2) {
+            ("a", "b")
+        } else {
+            ("b", "a")
+        };
+        self.drained = Some(removed);
+        Event::List {
+            whole: false,
+            entries: vec![
+                entry(removed, 1, Condition::Draining, 0),
+                entry(other, 1, Condition::Ready, 0),
+            ],
+        }
+    }
+}
+
+fn play(steps: &[Step]) -> Result<usize, TestCaseError> {
+    let mut w = World::new();
+    for (i, &(pass, what, n)) in steps.iter().enumerate() {
+        let now = w.bench.ms + pass;
+        w.pass_until(now)?;
         let (mut events, mut ended) = (vec![Event::Wake], vec![]);
         match what {
-            0..=3 => {
-                let (id, class) = (format!("m{i}"), n as usize % 3);
-                let key = (class == 1).then_some(n % 2);
-                w.line.extend(key.map(|key| (key, id.clone())));
-                events.push(accept(
-                    &id,
-                    class,
-                    key.map(|k| k.to_string()).as_deref(),
-                    5000,
-                ));
-                w.held.insert(
-                    id,
-                    Held {
-                        key,
-                        deadline: now + 5000,
-                        ..Held::default()
-                    },
-                );
-            }
-            4..=8 if !busy.is_empty() => {
-                let id = &busy[n as usize % busy.len()];
-                let status = STATUSES[n as usize / 7 % STATUSES.len()];
-                let message = w.held.get_mut(id).expect("busy");
-                let attempt = message.out.take().expect("busy");
-                let wait = if status == Status::Overloaded {
-                    n % 3 * 300
-                } else {
-                    0
-                };
-                if wait > 0 {
-                    w.blocked_until = w.blocked_until.max(now + wait);
-                    events.push(refused(id, attempt, wait));
-                } else {
-                    events.push(outcome(id, attempt, status, 10));
-                }
-                ended.extend((status == Status::Served).then(|| id.clone()));
-            }
+            0..=3 => events.push(w.accept(now, i, n)),
+            4..=8 => events.extend(w.end_attempt(now, n, &mut ended)),
             9 => events.push(outcome(&format!("m{}", n % 50), 9, Status::Served, 1)),
             10 => events.push(Event::Cancelled(MessageId("unknown".into()))),
-            11 => {
-                let (removed, other) = if n % 2 == 0 { ("a", "b") } else { ("b", "a") };
-                w.drained = Some(removed);
-                let news = vec![
-                    entry(removed, 1, Condition::Draining, 0),
-                    entry(other, 1, Condition::Ready, 0),
-                ];
-                events.push(Event::List {
-                    whole: false,
-                    entries: news,
-                });
-            }
+            11 => events.push(w.drain(n)),
             _ => {}
         }
         w.at(now, events, &ended)?;
--- a/crates/scheduler/tests/returns.rs
+++ b/crates/scheduler/tests/returns.rs
@@ -6,67 +6,69 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::*;
 
-/// Guards a cold endpoint that comes back at an operator's word: what many senders send there together stays within the rule,
-/// two at once or three hundred, and no sender waits for its first call where few share it.
-#[test]
-fn an_attached_endpoint_is_not_pushed_over_by_all_senders_together() {
-    for (senders, limit) in [(2u32, 60.0), (300, 60.0)] {
-        let mut all: Vec<Bench> = (0..senders)
-            .map(|n| {
-                let set = Settings {
-                    instances: senders,
-                    rates_listed: true,
-                    ..settings()
-                };
-                let ready = Entry {
-                    rate: limit,
-                    ..entry("a", 1, Condition::Ready, 0)
-                };
-                let mut b = Bench::seeded(set, vec![ready.clone()], n.into());
-                b.at(
-                    10,
-                    vec![Event::List {
-                        whole: false,
-                        entries: vec![Entry {
-                            condition: Condition::Draining,
-                            ..ready.clone()
-                        }],
-                    }],
-                );
-                b.sender.bar_endpoint(&ready.endpoint);
-                b.at(
-                    20,
-                    vec![Event::List {
-                        whole: false,
-                        entries: vec![ready],
-                    }],
-                );
-                b
-            })
-            .collect();
-        // Each asks for its part of the limit and half as much again, for as long as the endpoint is cold.
-        let rules = settings().rules;
-        let mut sent: Vec<u64> = Vec::new();
-        for ms in (25..rules.cold.as_millis() as u64).step_by(25) {
-            for (n, b) in all.iter_mut().enumerate() {
-                b.sender.admit_endpoint(
-                    Time(ms * 1_000_000),
-                    &EndpointId("a".into()),
-                    Time(20_000_000),
-                );
-                let gap = (u64::from(senders) * 1000 * 2 / (limit as u64 * 3)).max(25) / 25;
-                let mut events = vec![Event::Wake];
-                if (ms / 25 + n as u64).is_multiple_of(gap) {
-                    events.push(accept(&format!("m{n}-{ms}"), 0, None, 9000));
-                }
-                let mut actions = b.at(ms, events);
-                while let Some((id, _)) = sends(&actions).pop() {
-                    sent.push(ms);
-                    actions = b.at(ms, vec![outcome(&id, 0, Status::Served, 20)]);
-                }
+/// A sender of many whose only endpoint operators have detached and attach again.
+fn sender_that_attaches_again(senders: u32, limit: f64, seed: u64) -> Bench {
+    let set = Settings {
+        instances: senders,
+        rates_listed: true,
+        ..settings()
+    };
+    let ready = Entry {
+        rate: limit,
+        ..entry("a", 1, Condition::Ready, 0)
+    };
+    let draining = Entry {
+        condition: Condition::Draining,
+        ..ready.clone()
+    };
+    let change = |entry: &Entry| Event::List {
+        whole: false,
+        entries: vec![entry.clone()],
+    };
+    let mut b = Bench::seeded(set, vec![ready.clone()], seed);
+    b.at(10, vec![change(&draining)]);
+    b.sender.bar_endpoint(&ready.endpoint);
+    b.at(20, vec![change(&ready)]);
+    b
+}
+
+/// The times of all calls: each sender asks for its part of the limit and half as much again, for as long as the endpoint is
+/// cold.
+fn calls_after_attaching(senders: u32, limit: f64) -> Vec<u64> {
+    let mut all: Vec<Bench> = (0..senders)
+        .map(|n| sender_that_attaches_again(senders, limit, n.into()))
+        .collect();
+    let mut sent: Vec<u64> = Vec::new();
+    for ms in (25..settings().rules.cold.as_millis() as u64).step_by(25) {
+        for (n, b) in all.iter_mut().enumerate() {
+            b.sender.admit_endpoint(
+                Time(ms * 1_000_000),
+                &EndpointId("a".into()),
+                Time(20_000_000),
+            );
+            let gap = (u64::from(senders) * 1000 * 2 / (limit as u64 * 3)).max(25) / 25;
+            let mut events = vec![Event::Wake];
+            if (ms / 25 + n as u64).is_multiple_of(gap) {
+                events.push(accept(&format!("m{n}-{ms}"), 0, None, 9000));
+            }
+            let mut actions = b.at(ms, events);
+            while let Some((id, _)) = sends(&actions).pop() {
+                sent.push(ms);
+                actions = b.at(ms, vec![outcome(&id, 0, Status::Served, 20)]);
             }
         }
-        let fall = rules.fall.as_millis() as u64;
+    }
+    sent
+}
+
+/// Guards a cold endpoint that operators attach again: what many senders send there together stays within the rule, two at
+/// once or three hundred, and no sender waits for its first call where few share it.
+#[test]
+fn senders_together_do_not_overload_an_attached_endpoint() {
+    let rules = settings().rules;
+    let fall = rules.fall.as_millis() as u64;
+    for (senders, limit) in [(2u32, 60.0), (300, 60.0)] {
+        let sent = calls_after_attaching(senders, limit);
         for &from in &sent {
             let within = sent
                 .iter()
@@ -96,7 +98,7 @@
 /// Guards a zone's return by a large fleet with little traffic, in which most members never failed there themselves: in the rig 100
 /// of them had their first call at one moment, five times what a destination takes.
 #[test]
-fn a_fleet_that_returns_to_a_zone_does_not_come_at_one_moment() {
+fn senders_that_return_to_a_zone_are_spread_over_time() {
     let (senders, limit) = (100u32, 20.0);
     let ready = Entry {
         rate: limit,
--- a/crates/scheduler/tests/routes.rs
+++ b/crates/scheduler/tests/routes.rs
@@ -145,7 +145,7 @@
 
 /// peel, quiet day: once every route tosses, trials that follow the demand of the whole destination are 687 here.
 #[test]
-fn a_route_that_is_out_gets_its_own_part_of_the_trials() {
+fn a_failed_route_gets_its_own_part_of_the_probe_calls() {
     let four: Vec<Entry> = ["a", "b", "c", "d"]
         .iter()
         .map(|e| entry(e, 1, Condition::Ready, 2))
@@ -265,7 +265,7 @@
 
 /// Odd values do no harm: a rate of zero or less, a report without a limit, nothing left and more than all.
 #[test]
-fn odd_rates_and_reports_do_no_harm() {
+fn out_of_range_rates_and_reports_do_no_harm() {
     for (rate, left, limit) in [
         (0.0, 0.5, 0.0),
         (-3.0, -1.0, -2.0),
@@ -296,6 +296,30 @@
     }
 }
 
+/// A destination with a limit that its answers report, which cannot be reached in `outage` (ms).
+fn limited_destination(
+    limit: f64,
+    outage: std::ops::Range<u64>,
+) -> impl FnMut(u64, &str) -> (Status, u64, Option<Report>) {
+    let (mut left, mut at) = (limit / 2.0, 0);
+    move |ms, _| {
+        if outage.contains(&ms) {
+            return (Status::NoConnection, 0, None);
+        }
+        left = f64::min(left + limit * (ms - at) as f64 / 1000.0, limit / 2.0);
+        at = ms;
+        let report = Some(Report {
+            left: left / (limit / 2.0),
+            limit,
+        });
+        if left < 1.0 {
+            return (Status::Overloaded, 0, report);
+        }
+        left -= 1.0;
+        (Status::Served, 0, report)
+    }
+}
+
 /// Days with 300 senders: an outage of 5 s, then a cold return, at a limit that answers tell. The rule on returning
 /// destinations is counted over all senders: no window of its span gets more than its multiple of what can be done then.
 #[test]
@@ -315,29 +339,13 @@
     };
     let (limit, capacity) = (120.0, 168.0);
     let (down, back) = (8_000, 13_000);
-    let (mut left, mut at) = (60.0, 0);
     let calls = fleet_of(
         set,
         300,
         &[entry("a", 1, Condition::Ready, 0)],
         2_500,
         40_000,
-        |ms, _| {
-            if (down..back).contains(&ms) {
-                return (Status::NoConnection, 0, None);
-            }
-            left = f64::min(left + limit * (ms - at) as f64 / 1000.0, limit / 2.0);
-            at = ms;
-            let report = Some(Report {
-                left: left / (limit / 2.0),
-                limit,
-            });
-            if left < 1.0 {
-                return (Status::Overloaded, 0, report);
-            }
-            left -= 1.0;
-            (Status::Served, 0, report)
-        },
+        limited_destination(limit, down..back),
     );
     let span = rules.fall.as_millis() as u64;
     for from in (back..back + rules.cold.as_millis() as u64).step_by(50) {
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_held_message_gets_its_answer_before_its_deadline() {
+fn a_pending_message_is_answered_before_its_deadline() {
     let mut b = Bench::new(settings(), vec![]);
     let actions = b.at(0, vec![accept("m", 0, None, 1000)]);
     assert!(finals(&actions).is_empty());
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_unsafe_message_is_never_sent_again_once_it_may_have_run() {
+fn an_unsafe_message_is_never_retried_once_possibly_executed() {
     for status in [
         Status::Error,
         Status::TimedOut,
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_keyed_message_is_not_repeated_outside_its_window() {
+fn an_idempotent_message_is_not_repeated_outside_its_window() {
     let mut b = one();
     b.at(0, vec![accept("m", 1, None, 9500)]);
     let actions = b.at(5000, vec![outcome("m", 0, Status::TimedOut, 5000)]);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn waits_are_heeded_for_every_message_and_endpoint() {
+fn retry_after_blocks_every_message_and_endpoint() {
     let mut b = Bench::new(
         settings(),
         vec![
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_wait_binds_one_route_only_where_routes_are_apart() {
+fn retry_after_blocks_one_route_where_routes_are_apart() {
     let mut b = Bench::new(
         settings(),
         vec![
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn keys_go_in_order_one_at_a_time_and_rest_after_a_time_out() {
+fn ordered_messages_are_sent_one_at_a_time_and_pause_after_a_time_out() {
     let mut b = one();
     let actions = b.at(
         0,
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn an_outage_gets_one_repeatable_trial_at_a_time_and_a_slow_start() {
+fn an_outage_gets_one_probe_call_at_a_time_and_a_slow_start() {
     let mut b = one();
     let ids: Vec<String> = (0..30).map(|i| format!("m{i}")).collect();
     let mut out: Vec<(String, u32)> = Vec::new();
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn a_full_buffer_keeps_room_and_answers_at_once() {
+fn a_full_buffer_keeps_capacity_and_rejects_at_once() {
     let mut b = Bench::new(settings(), vec![]);
     let actions = b.at(
         0,
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn messages_of_one_reply_share_a_call() {
+fn messages_of_one_batch_share_a_call() {
     let mut b = Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 1)]);
     let actions = b.at(
         0,
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn the_list_is_asked_for_at_start_and_after_a_failure() {
+fn the_list_is_polled_at_start_and_after_a_failure() {
     let mut sender = Scheduler::new(
         Settings {
             ask_for_list: true,
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn late_unknown_and_repeated_ids_are_passed_over() {
+fn late_unknown_and_repeated_ids_are_ignored() {
     let mut b = one();
     let actions = b.at(
         0,
@@ -439,7 +439,7 @@
 }
 
 #[test]
-fn a_keyed_repeat_stays_in_the_zone_that_drops_it() {
+fn an_idempotent_repeat_stays_in_the_zone_that_drops_it() {
     let mut set = settings();
     set.classes[1].dedup = DedupScope::Zone;
     let far = Entry {
@@ -470,7 +470,7 @@
 }
 
 #[test]
-fn an_answer_after_a_lapse_is_passed_over() {
+fn an_outcome_after_a_cancellation_is_ignored() {
     let mut b = one();
     b.at(0, vec![accept("m", 0, None, 9000)]);
     b.at(10, vec![Event::Cancelled(MessageId("m".into()))]);
@@ -544,7 +544,7 @@
 }
 
 #[test]
-fn what_a_destination_will_never_take_fails_at_once() {
+fn a_permanent_error_fails_at_once() {
     for class in 0..3 {
         let mut b = one();
         b.at(0, vec![accept("m", class, None, 9000)]);
@@ -560,7 +560,7 @@
 /// customer: up to 10 repeats a day). What may have been executed is told to be written inside its window; what has not run, or may
 /// run twice, at any time.
 #[test]
-fn a_repeat_is_to_be_written_inside_its_window() {
+fn a_repeat_must_be_written_within_its_window() {
     let mut set = settings();
     set.classes[1].window = Duration::from_millis(2000);
     let within = |set: &Settings, class: usize, status: Status| {
--- a/crates/scheduler/tests/shared_calls.rs
+++ b/crates/scheduler/tests/shared_calls.rs
@@ -49,14 +49,14 @@
 /// All wait alike, so who has less time left than a call usually takes (a quarter of the aim of 1 s, before any is
 /// known) would have each such call broken off: it goes alone.
 #[test]
-fn who_has_less_time_left_than_a_call_takes_goes_alone() {
+fn a_message_with_less_time_than_a_call_takes_shares_none() {
     assert_eq!(sent_with(200, 0), 1);
     assert_eq!(sent_with(600, 0), 2);
 }
 
 /// Guards what may not be repeated: broken off by the shorter wait of another, it could only be given up.
 #[test]
-fn an_unsafe_message_never_shares_a_wait_that_is_shorter_than_its_own() {
+fn an_unsafe_message_never_shares_a_shorter_time_out() {
     assert_eq!(sent_with(9000, 2), 1);
 }
 
--- a/crates/scheduler/tests/window.rs
+++ b/crates/scheduler/tests/window.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn never_under_the_floor_nor_over_three_quarters_of_the_slots() {
+fn size_stays_between_the_minimum_and_three_quarters_of_the_slots() {
     let mut w = Window::new(10);
     (0..50).for_each(|_| w.cut());
     assert_eq!(w.size(), 0.5);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn strictly_below() {
+fn calls_in_flight_stay_strictly_below_the_size() {
     let w = Window::new(8);
     assert!(w.has_room(3));
     assert!(!w.has_room(4));
