--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -31,7 +31,7 @@
     },
     /// Final answer: failed; the message may or may not have been executed.
     Fail(MessageId),
-    /// Ask for an [`Event::Wake`] after this time.
+    /// Ask for an [`Event::Wake`](super::Event::Wake) after this time.
     Timer(Duration),
     /// Close this sender's idle connections to an endpoint.
     CloseIdle(EndpointId),
--- a/crates/scheduler/src/api/endpoint_list.rs
+++ b/crates/scheduler/src/api/endpoint_list.rs
@@ -26,7 +26,7 @@
     pub zone: u32,
     /// Its destination's kind.
     pub kind: usize,
-    /// With [`Settings::rates_listed`]: calls a second that the destination, or the route where routes are
+    /// With [`Settings::rates_listed`](super::Settings::rates_listed): calls a second that the destination, or the route where routes are
     /// apart, accepts from all senders together. It may be rough, and is above zero only where it is stated.
     pub rate: f64,
 }
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -62,9 +62,9 @@
 pub struct AcceptedMessage {
     /// Its id.
     pub id: MessageId,
-    /// Position in [`Settings::classes`].
+    /// Position in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// Position in [`Settings::tenants`].
+    /// Position in [`Settings::tenants`](super::Settings::tenants).
     pub tenant: usize,
     /// Its ordering key, for ordered classes.
     pub ordering_key: Option<OrderingKey>,
@@ -132,7 +132,7 @@
         status: Status,
     },
     /// From now on shared limits are divided by this number of senders, this one included; before, by
-    /// [`Settings::instances`].
+    /// [`Settings::instances`](super::Settings::instances).
     SenderCount(u32),
     /// The timer has fired.
     Wake,
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -5,7 +5,8 @@
 
 use crate::api::Action;
 use crate::calls::{Call, CallWait};
-use crate::messages::{Attempt, Message};
+use crate::messages::{Attempt, Message, RankedMessage, sort_highest_first};
+use crate::routes::Route;
 use crate::state::SchedulerState;
 
 /// The lowest rate of messages that a backlog's wait is computed from, in messages a second.
@@ -43,9 +44,9 @@
         }
         self.routes.settle(self.now);
         let mut open_calls = OpenCalls::new();
-        for number in self.ready_by_urgency() {
-            if let Some(endpoint_index) = self.choose_endpoint(number, &open_calls) {
-                self.send(number, endpoint_index, &mut open_calls);
+        for message in self.ready_by_urgency() {
+            if let Some(endpoint_index) = self.choose_endpoint(message.number, &open_calls) {
+                self.send(message.number, endpoint_index, &mut open_calls);
             }
         }
     }
@@ -59,15 +60,19 @@
         }
     }
 
-    fn ready_by_urgency(&self) -> Vec<u64> {
-        let mut ready: Vec<(f64, u64)> = self
+    /// The messages that may be sent now as far as their own backoff allows, most urgent first.
+    fn ready_by_urgency(&self) -> Vec<RankedMessage> {
+        let mut ready: Vec<RankedMessage> = self
             .messages
             .waiting()
             .filter(|(_, message)| self.now >= message.not_before)
-            .map(|(number, message)| (self.urgency(message), number))
+            .map(|(number, message)| RankedMessage {
+                value: self.urgency(message),
+                number,
+            })
             .collect();
-        ready.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        ready.into_iter().map(|(_, number)| number).collect()
+        sort_highest_first(&mut ready);
+        ready
     }
 
     /// Priority weight lost, for each second of a slot, if this message waits as long as its route's backlog.
@@ -78,11 +83,14 @@
             .of_destination(message.destination)
             .iter()
             .map(|&index| &self.routes[index])
-            .map(|route| (route.call_times(message.class, &self.settings).usual, route))
-            .min_by(|a, b| a.0.total_cmp(&b.0));
-        let Some((usual, route)) = fastest else {
+            .min_by(|one, other| {
+                let usual = |route: &Route| route.call_times(message.class, &self.settings).usual;
+                usual(one).total_cmp(&usual(other))
+            });
+        let Some(route) = fastest else {
             return 0.0;
         };
+        let usual = route.call_times(message.class, &self.settings).usual;
         // A call that carries many messages costs each of them only its part of the slot.
         let sharing = route.backlog.clamp(1, route.kind.per_call.max(1) as usize);
         let served = route.demand.rate(self.now).max(MIN_SERVED_RATE);
--- a/crates/scheduler/src/expiry.rs
+++ b/crates/scheduler/src/expiry.rs
@@ -2,6 +2,7 @@
 //! too many are pending.
 
 use crate::api::{Action, DedupScope, Effect, Status};
+use crate::messages::{RankedMessage, sort_highest_first};
 use crate::state::SchedulerState;
 
 /// This part of the settings' bound on pending messages is kept free, as a divisor.
@@ -48,14 +49,17 @@
         if excess == 0 {
             return;
         }
-        let mut by_weight: Vec<(f64, u64)> = self
+        let mut by_weight: Vec<RankedMessage> = self
             .messages
             .waiting()
-            .map(|(number, message)| (message.priority_weight(&self.settings, self.now), number))
+            .map(|(number, message)| RankedMessage {
+                value: message.priority_weight(&self.settings, self.now),
+                number,
+            })
             .collect();
-        by_weight.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
-        for (_, number) in by_weight.into_iter().take(excess) {
-            self.expire(number);
+        sort_highest_first(&mut by_weight);
+        for message in by_weight.into_iter().rev().take(excess) {
+            self.expire(message.number);
         }
     }
 
--- a/crates/scheduler/src/messages.rs
+++ b/crates/scheduler/src/messages.rs
@@ -119,6 +119,22 @@
     }
 }
 
+/// A message with a figure that ranks it among others.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RankedMessage {
+    /// Urgency or priority weight.
+    pub(crate) value: f64,
+    pub(crate) number: u64,
+}
+
+/// Sorts by value, the highest first; of equal ones, the message accepted first.
+pub(crate) fn sort_highest_first(ranked: &mut [RankedMessage]) {
+    ranked.sort_by(|one, other| {
+        let by_value = other.value.total_cmp(&one.value);
+        by_value.then(one.number.cmp(&other.number))
+    });
+}
+
 /// All messages by number: in the order accepted.
 #[derive(Debug, Default)]
 pub(crate) struct MessageTable {
--- a/crates/scheduler/src/ordering.rs
+++ b/crates/scheduler/src/ordering.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Whether a message may be sent as far as its ordering key goes: it is the head of its queue, no report is pending and
+    /// Whether its ordering key lets a message be sent: it is the head of its queue, no report is pending and
     /// no pause holds it back.
     pub(crate) fn is_next(&self, key: &OrderingKey, number: u64, now: Time) -> bool {
         let Some(queue) = self.queues.get(key) else {
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -120,7 +120,7 @@
             }
             Status::Overloaded => {
                 endpoint.last_answer = self.now;
-                // Senders rejected together, or told the same end of a wait, must not return together.
+                // Senders rejected together, or with the same end of a Retry-After wait, must not return together.
                 let route = &mut self.routes[endpoint.route];
                 route.consecutive_overloads += 1;
                 let resume_at = route.blocked_until.max(self.now);
--- a/crates/scheduler/src/profile.rs
+++ b/crates/scheduler/src/profile.rs
@@ -152,8 +152,16 @@
     /// The names of classes, tenants, kinds and zones.
     pub fn names(&self) -> Names {
         Names {
-            classes: self.classes.iter().map(|c| c.name.clone()).collect(),
-            tenants: self.tenants.iter().map(|t| t.name.clone()).collect(),
+            classes: self
+                .classes
+                .iter()
+                .map(|class| class.name.clone())
+                .collect(),
+            tenants: self
+                .tenants
+                .iter()
+                .map(|tenant| tenant.name.clone())
+                .collect(),
             kinds: self.models.clone(),
             zones: self.zones.clone(),
         }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -6,7 +6,9 @@
 use cranehill_scheduler::{Scheduler, Time};
 
 use crate::error::AdapterError;
-use crate::wire::{Batch, Configure, Inventory, Reply, Request, Row, SenderAction, Sync};
+use crate::wire::{
+    Batch, Configure, Inventory, Reply, Request, Row, SenderAction, SenderEvent, Sync,
+};
 
 /// The schedulers hosted by this process, by sender. They share nothing: each owns its state and random source.
 #[derive(Default)]
@@ -68,37 +70,25 @@
         now: Time,
         inbox: &mut Inbox,
     ) -> Result<(), AdapterError> {
-        let (sender, event) = match request {
+        let addressed = match request {
             Request::Inventory(inventory) => return self.store_list(inventory),
             Request::Configure(configure) => return self.configure(*configure, now, inbox),
             Request::Destroy(request) => return self.destroy(&request.sender, inbox),
-            Request::Sync(sync) => {
-                let event = self.list_event(&sync)?;
-                (sync.sender, Some(event))
-            }
-            Request::Accept(accept) => {
-                let (sender, accepted) = accept.into_accepted();
-                (sender, Some(Event::Accept(accepted)))
-            }
-            Request::Returned(returned) => {
-                let (sender, outcome) = returned.into_outcome();
-                (sender, Some(Event::Outcome(outcome)))
-            }
-            Request::Lapsed(lapsed) => {
-                let (sender, id) = lapsed.into_id();
-                (sender, Some(Event::Cancelled(id)))
-            }
-            Request::Wake(request) => (request.sender, Some(Event::Wake)),
-            Request::CheckResult(result) => {
-                let (sender, endpoint, status) = result.into_parts();
-                (sender, Some(Event::HealthChecked { endpoint, status }))
-            }
-            Request::Established(request) | Request::Peer(request) => (request.sender, None),
+            Request::Sync(sync) => self.list_event(sync)?,
+            Request::Accept(accept) => SenderEvent::from(accept),
+            Request::Returned(returned) => SenderEvent::from(returned),
+            Request::Lapsed(lapsed) => SenderEvent::from(lapsed),
+            Request::CheckResult(result) => SenderEvent::from(result),
+            Request::Wake(request) => SenderEvent::new(request.sender, Event::Wake),
+            Request::Established(request) | Request::Peer(request) => SenderEvent {
+                sender: request.sender,
+                event: None,
+            },
         };
-        if !self.schedulers.contains_key(&sender) {
-            return Err(AdapterError::UnknownSender(sender));
+        if !self.schedulers.contains_key(&addressed.sender) {
+            return Err(AdapterError::UnknownSender(addressed.sender));
         }
-        inbox.of(sender).extend(event);
+        inbox.of(addressed.sender).extend(addressed.event);
         Ok(())
     }
 
@@ -133,18 +123,19 @@
         Ok(())
     }
 
-    fn list_event(&self, sync: &Sync) -> Result<Event, AdapterError> {
+    fn list_event(&self, sync: Sync) -> Result<SenderEvent, AdapterError> {
         if sync.has_failed() {
-            return Ok(Event::ListFailed);
+            return Ok(SenderEvent::new(sync.sender, Event::ListFailed));
         }
         let entries = self
             .endpoint_lists
             .get(&sync.list)
             .ok_or(AdapterError::UnknownList(sync.list))?;
-        Ok(Event::List {
+        let event = Event::List {
             whole: sync.is_whole(),
             entries: entries.clone(),
-        })
+        };
+        Ok(SenderEvent::new(sync.sender, event))
     }
 
     /// Hands the events to the schedulers, and collects their actions.
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -4,4 +4,4 @@
 mod requests;
 
 pub(crate) use replies::{Reply, SenderAction};
-pub(crate) use requests::{Batch, Configure, Inventory, Request, Row, Sync};
+pub(crate) use requests::{Batch, Configure, Inventory, Request, Row, SenderEvent, Sync};
--- a/crates/simulator-adapter/src/wire/requests.rs
+++ b/crates/simulator-adapter/src/wire/requests.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use cranehill_scheduler::api::{
-    AcceptedMessage, Condition, DestinationId, EndpointId, Entry, MessageId, OrderingKey, Outcome,
-    PriorAttempts, Report, Status,
+    AcceptedMessage, Condition, DestinationId, EndpointId, Entry, Event, MessageId, OrderingKey,
+    Outcome, PriorAttempts, Report, Status,
 };
 use cranehill_scheduler::profile::Profile;
 use serde::Deserialize;
@@ -53,6 +53,23 @@
     Peer(SenderRequest),
 }
 
+/// What a request means for one sender.
+pub(crate) struct SenderEvent {
+    pub(crate) sender: String,
+    /// None where the scheduler has no use for it.
+    pub(crate) event: Option<Event>,
+}
+
+impl SenderEvent {
+    /// An event of a sender.
+    pub(crate) fn new(sender: String, event: Event) -> SenderEvent {
+        SenderEvent {
+            sender,
+            event: Some(event),
+        }
+    }
+}
+
 /// A request without content that is used.
 #[derive(Deserialize)]
 pub(crate) struct SenderRequest {
@@ -153,19 +170,19 @@
     destination: u64,
 }
 
-impl Accept {
-    /// The sender and the message.
-    pub(crate) fn into_accepted(self) -> (String, AcceptedMessage) {
+impl From<Accept> for SenderEvent {
+    fn from(accept: Accept) -> SenderEvent {
+        let time_left = u64::try_from(accept.time_left).unwrap_or(0);
         let accepted = AcceptedMessage {
-            id: MessageId(self.id),
-            class: self.class,
-            tenant: self.tenant,
-            ordering_key: self.ordering_key.map(OrderingKey),
-            time_left: Duration::from_nanos(u64::try_from(self.time_left).unwrap_or(0)),
-            destination: DestinationId(self.destination),
+            id: MessageId(accept.id),
+            class: accept.class,
+            tenant: accept.tenant,
+            ordering_key: accept.ordering_key.map(OrderingKey),
+            time_left: Duration::from_nanos(time_left),
+            destination: DestinationId(accept.destination),
             prior: PriorAttempts::default(),
         };
-        (self.sender, accepted)
+        SenderEvent::new(accept.sender, Event::Accept(accepted))
     }
 }
 
@@ -189,21 +206,20 @@
     server_stats: Option<ServerStats>,
 }
 
-impl Returned {
-    /// The sender and the outcome.
-    pub(crate) fn into_outcome(self) -> (String, Outcome) {
-        let status = Status::from(self.status);
-        let states_wait = status == Status::Overloaded && self.detail > 0;
+impl From<Returned> for SenderEvent {
+    fn from(returned: Returned) -> SenderEvent {
+        let status = Status::from(returned.status);
+        let states_wait = status == Status::Overloaded && returned.detail > 0;
         let outcome = Outcome {
-            id: MessageId(self.id),
-            attempt: self.attempt,
+            id: MessageId(returned.id),
+            attempt: returned.attempt,
             status,
-            completed: self.completed,
-            took: Duration::from_nanos(self.took),
-            wait: states_wait.then(|| Duration::from_millis(self.detail)),
-            report: self.server_stats.and_then(ServerStats::into_report),
+            completed: returned.completed,
+            took: Duration::from_nanos(returned.took),
+            wait: states_wait.then(|| Duration::from_millis(returned.detail)),
+            report: returned.server_stats.and_then(ServerStats::into_report),
         };
-        (self.sender, outcome)
+        SenderEvent::new(returned.sender, Event::Outcome(outcome))
     }
 }
 
@@ -234,10 +250,9 @@
     id: String,
 }
 
-impl Lapsed {
-    /// The sender and the message.
-    pub(crate) fn into_id(self) -> (String, MessageId) {
-        (self.sender, MessageId(self.id))
+impl From<Lapsed> for SenderEvent {
+    fn from(lapsed: Lapsed) -> SenderEvent {
+        SenderEvent::new(lapsed.sender, Event::Cancelled(MessageId(lapsed.id)))
     }
 }
 
@@ -249,10 +264,13 @@
     status: WireStatus,
 }
 
-impl CheckResult {
-    /// The sender, the endpoint and how the check ended.
-    pub(crate) fn into_parts(self) -> (String, EndpointId, Status) {
-        (self.sender, EndpointId(self.endpoint), self.status.into())
+impl From<CheckResult> for SenderEvent {
+    fn from(result: CheckResult) -> SenderEvent {
+        let event = Event::HealthChecked {
+            endpoint: EndpointId(result.endpoint),
+            status: result.status.into(),
+        };
+        SenderEvent::new(result.sender, event)
     }
 }
 
