--- a/crates/scheduler/src/acceptance.rs
+++ b/crates/scheduler/src/acceptance.rs
@@ -4,6 +4,7 @@
 
 use crate::api::{AcceptedMessage, Condition, DestinationId, PriorAttempts, Time};
 use crate::health::MAX_PROBE_PAUSE;
+use crate::indices::{EndpointIndex, RouteIndex};
 use crate::messages::{Message, PossibleExecution};
 use crate::state::SchedulerState;
 use crate::window::MIN_WINDOW;
@@ -18,7 +19,7 @@
             return;
         }
         let over_quota = self.tenant_quotas.count_message(accepted.tenant);
-        let number = self.next_number();
+        let number = self.next_message_number();
         let class = &self.settings.classes[class_index];
         let age = class.deadline.saturating_sub(accepted.time_left);
         let ordering_key = accepted.ordering_key.filter(|_| class.in_order);
@@ -76,7 +77,7 @@
 
     /// As the paper does with a window of one: where a sender seldom calls, half of its messages are tried as they arrive,
     /// in an outage too. All senders together then send less than their new traffic.
-    fn draw_immediate_call(&mut self, route_index: usize, route_share: f64) {
+    fn draw_immediate_call(&mut self, route_index: RouteIndex, route_share: f64) {
         let route = &mut self.routes[route_index];
         let open = self.now >= route.blocked_until;
         let seldom = is_seldom(route.demand.rate(self.now), MAX_PROBE_PAUSE);
@@ -90,8 +91,9 @@
     }
 
     /// The routes of a destination that have an endpoint in the list.
-    fn listed_routes(&self, destination: DestinationId) -> Vec<usize> {
-        let is_listed = |&index: &usize| self.endpoints[index].condition != Condition::Removed;
+    fn listed_routes(&self, destination: DestinationId) -> Vec<RouteIndex> {
+        let is_listed =
+            |&index: &EndpointIndex| self.endpoints[index].condition != Condition::Removed;
         self.routes
             .of_destination(destination)
             .iter()
--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -5,6 +5,7 @@
 use crate::api::{DedupScope, Effect};
 use crate::endpoints::Endpoint;
 use crate::health::HealthState;
+use crate::indices::{EndpointIndex, MessageNumber};
 use crate::messages::Message;
 use crate::routes::Route;
 use crate::state::SchedulerState;
@@ -19,9 +20,9 @@
     /// has opened.
     pub(crate) fn may_send(
         &self,
-        number: u64,
+        number: MessageNumber,
         message: &Message,
-        endpoint_index: usize,
+        endpoint_index: EndpointIndex,
         joins_call: bool,
     ) -> bool {
         let endpoint = &self.endpoints[endpoint_index];
@@ -44,7 +45,7 @@
     }
 
     /// Whether the endpoint drops a second execution, where there may be one.
-    fn repeat_is_dropped_at(&self, message: &Message, endpoint_index: usize) -> bool {
+    fn repeat_is_dropped_at(&self, message: &Message, endpoint_index: EndpointIndex) -> bool {
         let class = message.class(&self.settings);
         let Some(first) = message.possibly_executed else {
             return true;
@@ -61,7 +62,7 @@
         }
     }
 
-    fn is_next_of_its_key(&self, number: u64, message: &Message) -> bool {
+    fn is_next_of_its_key(&self, number: MessageNumber, message: &Message) -> bool {
         message
             .ordering_key
             .as_ref()
@@ -69,7 +70,7 @@
     }
 
     /// Whether a further call to the endpoint may be opened.
-    fn may_open_call(&self, message: &Message, endpoint_index: usize) -> bool {
+    fn may_open_call(&self, message: &Message, endpoint_index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[endpoint_index];
         let route = &self.routes[endpoint.route];
         let repeatable = message.class(&self.settings).effect != Effect::Unsafe;
@@ -106,7 +107,7 @@
     /// Whether a call to the endpoint is overdue with no answer since it was sent. That is evidence of a hang, a silent
     /// endpoint or a stall before any time-out. No call is added, but for a repeatable one now and then, since one lost
     /// answer proves little.
-    fn is_suspect(&self, endpoint_index: usize, repeatable: bool) -> bool {
+    fn is_suspect(&self, endpoint_index: EndpointIndex, repeatable: bool) -> bool {
         let endpoint = &self.endpoints[endpoint_index];
         let route = &self.routes[endpoint.route];
         self.calls
--- a/crates/scheduler/src/calls.rs
+++ b/crates/scheduler/src/calls.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use crate::api::{Effect, Settings, Time};
+use crate::indices::EndpointIndex;
 use crate::messages::Message;
 use crate::routes::Route;
 
 /// One call in flight; several messages may share it.
 #[derive(Debug)]
 pub(crate) struct Call {
-    /// Index of the endpoint.
-    pub(crate) endpoint: usize,
+    pub(crate) endpoint: EndpointIndex,
     /// Class of its first message.
     pub(crate) class: usize,
     pub(crate) sent: Time,
@@ -27,7 +27,7 @@
 
 impl Call {
     /// A call with one message.
-    pub(crate) fn new(endpoint: usize, class: usize, now: Time, wait: &CallWait) -> Call {
+    pub(crate) fn new(endpoint: EndpointIndex, class: usize, now: Time, wait: &CallWait) -> Call {
         Call {
             endpoint,
             class,
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -5,6 +5,7 @@
 
 use crate::api::Action;
 use crate::calls::{Call, CallWait};
+use crate::indices::{CallNumber, EndpointIndex, MessageNumber};
 use crate::messages::{Attempt, Message, RankedMessage, sort_highest_first};
 use crate::routes::Route;
 use crate::state::SchedulerState;
@@ -29,11 +30,11 @@
     distance: u8,
     in_flight: u32,
     rank: u64,
-    index: usize,
+    index: EndpointIndex,
 }
 
-/// The calls that this tick has opened, by endpoint index.
-type OpenCalls = BTreeMap<usize, u64>;
+/// The calls that this tick has opened, by endpoint.
+type OpenCalls = BTreeMap<EndpointIndex, CallNumber>;
 
 impl SchedulerState {
     /// Sends all messages that may be sent.
@@ -104,7 +105,11 @@
     }
 
     /// The best endpoint that admits the message.
-    fn choose_endpoint(&self, number: u64, open_calls: &OpenCalls) -> Option<usize> {
+    fn choose_endpoint(
+        &self,
+        number: MessageNumber,
+        open_calls: &OpenCalls,
+    ) -> Option<EndpointIndex> {
         let message = self.messages.get(number)?;
         self.routes
             .of_destination(message.destination)
@@ -120,7 +125,7 @@
     fn preference(
         &self,
         message: &Message,
-        index: usize,
+        index: EndpointIndex,
         open_calls: &OpenCalls,
     ) -> EndpointPreference {
         let endpoint = &self.endpoints[index];
@@ -140,7 +145,12 @@
     }
 
     /// Whether a message may share the call that this tick has opened to an endpoint, if there is one.
-    fn joins_call(&self, message: &Message, endpoint_index: usize, open_calls: &OpenCalls) -> bool {
+    fn joins_call(
+        &self,
+        message: &Message,
+        endpoint_index: EndpointIndex,
+        open_calls: &OpenCalls,
+    ) -> bool {
         let open_call = open_calls.get(&endpoint_index);
         let Some(call) = open_call.and_then(|number| self.calls.get(number)) else {
             return false;
@@ -150,8 +160,13 @@
         call.can_add(route, &wait)
     }
 
-    fn send(&mut self, number: u64, endpoint_index: usize, open_calls: &mut OpenCalls) {
-        let new_call = self.next_number();
+    fn send(
+        &mut self,
+        number: MessageNumber,
+        endpoint_index: EndpointIndex,
+        open_calls: &mut OpenCalls,
+    ) {
+        let new_call = self.next_call_number();
         let Some(message) = self.messages.get(number) else {
             return;
         };
@@ -188,13 +203,13 @@
             id: message.id.clone(),
             endpoint: self.endpoints[endpoint_index].id.clone(),
             timeout: wait.timeout,
-            call: call_number,
+            call: call_number.0,
             write_within,
         });
     }
 
     /// Counts a new call at its endpoint and route.
-    fn record_call(&mut self, endpoint_index: usize) {
+    fn record_call(&mut self, endpoint_index: EndpointIndex) {
         let endpoint = &mut self.endpoints[endpoint_index];
         let route = &mut self.routes[endpoint.route];
         endpoint.idle_before_call = endpoint.idle_time(self.now);
--- a/crates/scheduler/src/endpoint_list.rs
+++ b/crates/scheduler/src/endpoint_list.rs
@@ -5,6 +5,7 @@
 use crate::api::{Condition, Entry, Kind};
 use crate::demand::DemandEstimator;
 use crate::endpoints::Endpoint;
+use crate::indices::{EndpointIndex, RouteIndex};
 use crate::routes::Route;
 use crate::state::SchedulerState;
 
@@ -43,7 +44,7 @@
     }
 
     /// The route of a new endpoint: the destination's one, or a new one.
-    fn route_for(&mut self, entry: &Entry) -> usize {
+    fn route_for(&mut self, entry: &Entry) -> RouteIndex {
         let kinds = &self.settings.kinds;
         let kind = kinds.get(entry.kind).copied().unwrap_or(UNKNOWN_KIND);
         let sibling = self.routes.of_destination(entry.destination).first();
@@ -59,7 +60,7 @@
     /// Forgets removed endpoints that nothing refers to. Else memory would grow with each endpoint that is replaced under a
     /// new id.
     fn forget_removed(&mut self) {
-        let first_executed: BTreeSet<usize> = self
+        let first_executed: BTreeSet<EndpointIndex> = self
             .messages
             .values()
             .filter_map(|message| message.possibly_executed?.endpoint)
--- a/crates/scheduler/src/endpoints.rs
+++ b/crates/scheduler/src/endpoints.rs
@@ -7,6 +7,7 @@
 
 use crate::api::{Condition, EndpointId, Entry, Time};
 use crate::health::backoff_pause;
+use crate::indices::{EndpointIndex, RouteIndex};
 use crate::slots::insert_reusing;
 
 /// One endpoint of a destination.
@@ -16,7 +17,7 @@
     pub(crate) zone: u32,
     pub(crate) condition: Condition,
     /// Index of its route.
-    pub(crate) route: usize,
+    pub(crate) route: RouteIndex,
     /// Its position in this sender's own random order. With an order that all senders share, each having one call in
     /// flight, all would use the same endpoint of several and leave the others idle.
     pub(crate) rank: u64,
@@ -39,7 +40,7 @@
 
 impl Endpoint {
     /// A newly listed endpoint. The sender's `seed` decides, with the id, its rank.
-    pub(crate) fn new(entry: Entry, route: usize, now: Time, seed: u64) -> Endpoint {
+    pub(crate) fn new(entry: Entry, route: RouteIndex, now: Time, seed: u64) -> Endpoint {
         let mut hasher = DefaultHasher::new();
         (seed, &entry.endpoint).hash(&mut hasher);
         Endpoint {
@@ -107,9 +108,9 @@
 pub(crate) struct EndpointTable {
     slots: Vec<Endpoint>,
     free: Vec<usize>,
-    by_id: BTreeMap<EndpointId, usize>,
+    by_id: BTreeMap<EndpointId, EndpointIndex>,
     /// Endpoints that were removed from the list and are not forgotten yet.
-    removed: BTreeMap<EndpointId, usize>,
+    removed: BTreeMap<EndpointId, EndpointIndex>,
 }
 
 impl EndpointTable {
@@ -119,12 +120,12 @@
     }
 
     /// The index of an endpoint that is not forgotten.
-    pub(crate) fn index_of(&self, id: &EndpointId) -> Option<usize> {
+    pub(crate) fn index_of(&self, id: &EndpointId) -> Option<EndpointIndex> {
         self.by_id.get(id).copied()
     }
 
     /// Indices of all endpoints that are not forgotten, by id.
-    pub(crate) fn indices(&self) -> impl Iterator<Item = usize> + '_ {
+    pub(crate) fn indices(&self) -> impl Iterator<Item = EndpointIndex> + '_ {
         self.by_id.values().copied()
     }
 
@@ -134,9 +135,9 @@
     }
 
     /// Adds an endpoint and returns its index.
-    pub(crate) fn insert(&mut self, endpoint: Endpoint) -> usize {
+    pub(crate) fn insert(&mut self, endpoint: Endpoint) -> EndpointIndex {
         let id = endpoint.id.clone();
-        let index = insert_reusing(&mut self.slots, &mut self.free, endpoint);
+        let index = EndpointIndex(insert_reusing(&mut self.slots, &mut self.free, endpoint));
         self.by_id.insert(id, index);
         index
     }
@@ -146,7 +147,7 @@
         let Some(&index) = self.by_id.get(&entry.endpoint) else {
             return false;
         };
-        let endpoint = &mut self.slots[index];
+        let endpoint = &mut self.slots[index.0];
         endpoint.condition = entry.condition;
         endpoint.zone = entry.zone;
         match entry.condition {
@@ -169,28 +170,33 @@
     }
 
     /// Forgets removed endpoints with no call in flight, but for those in `referenced`; returns the indices.
-    pub(crate) fn forget_removed(&mut self, referenced: &BTreeSet<usize>) -> Vec<usize> {
+    pub(crate) fn forget_removed(
+        &mut self,
+        referenced: &BTreeSet<EndpointIndex>,
+    ) -> Vec<EndpointIndex> {
         let (kept, forgotten): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.removed)
             .into_iter()
-            .partition(|(_, index)| self.slots[*index].in_flight > 0 || referenced.contains(index));
+            .partition(|(_, index)| {
+                self.slots[index.0].in_flight > 0 || referenced.contains(index)
+            });
         self.removed = kept;
         for (id, index) in &forgotten {
             self.by_id.remove(id);
-            self.free.push(*index);
+            self.free.push(index.0);
         }
         forgotten.into_values().collect()
     }
 }
 
-impl Index<usize> for EndpointTable {
+impl Index<EndpointIndex> for EndpointTable {
     type Output = Endpoint;
-    fn index(&self, index: usize) -> &Endpoint {
-        &self.slots[index]
+    fn index(&self, index: EndpointIndex) -> &Endpoint {
+        &self.slots[index.0]
     }
 }
 
-impl IndexMut<usize> for EndpointTable {
-    fn index_mut(&mut self, index: usize) -> &mut Endpoint {
-        &mut self.slots[index]
+impl IndexMut<EndpointIndex> for EndpointTable {
+    fn index_mut(&mut self, index: EndpointIndex) -> &mut Endpoint {
+        &mut self.slots[index.0]
     }
 }
--- a/crates/scheduler/src/expiry.rs
+++ b/crates/scheduler/src/expiry.rs
@@ -2,6 +2,7 @@
 //! too many are pending.
 
 use crate::api::{Action, DedupScope, Effect, Status};
+use crate::indices::MessageNumber;
 use crate::messages::{RankedMessage, sort_highest_first};
 use crate::state::SchedulerState;
 
@@ -28,7 +29,7 @@
     /// Ends at once what can no longer be delivered.
     pub(crate) fn expire_unreachable(&mut self) {
         let latest = self.now + self.settings.tick * EXPIRY_MARGIN_TICKS;
-        let unreachable: Vec<u64> = self
+        let unreachable: Vec<MessageNumber> = self
             .messages
             .waiting()
             .filter(|(_, message)| {
@@ -64,7 +65,7 @@
     }
 
     /// Gives the final answer of an expired message: rejected where a retry by the client is harmless, else failed.
-    fn expire(&mut self, number: u64) {
+    fn expire(&mut self, number: MessageNumber) {
         let Some(message) = self.messages.get(number) else {
             return;
         };
--- a/crates/scheduler/src/learned_state.rs
+++ b/crates/scheduler/src/learned_state.rs
@@ -9,6 +9,7 @@
 
 use crate::api::{DestinationId, Rules, Time};
 use crate::health::{HealthState, MIN_PROBE_PAUSE};
+use crate::indices::RouteIndex;
 use crate::routes::Route;
 use crate::state::SchedulerState;
 use crate::token_bucket::TokenBucket;
@@ -92,7 +93,7 @@
     fn learned_of_route(
         &self,
         destination: DestinationId,
-        route_index: usize,
+        route_index: RouteIndex,
     ) -> Option<LearnedState> {
         let route = &self.routes[route_index];
         let blocked_until = Some(route.blocked_until).filter(|until| *until > self.now);
@@ -128,7 +129,7 @@
             .iter()
             .map(|learned| (learned.route_key(), learned))
             .collect();
-        let route_indices: Vec<usize> = self.routes.indices().collect();
+        let route_indices: Vec<RouteIndex> = self.routes.indices().collect();
         let mut last_first_call = self.now;
         for route_index in route_indices {
             let learned = learned_by_route.get(&self.route_key(route_index)).copied();
@@ -142,7 +143,7 @@
     /// Restores one route; returns when its first call may be sent, if that is spread.
     fn restore_route(
         &mut self,
-        route_index: usize,
+        route_index: RouteIndex,
         learned: Option<&LearnedState>,
     ) -> Option<Time> {
         let spread_share = self.rng.f64();
@@ -181,7 +182,7 @@
         learned_state: Vec<LearnedState>,
     ) -> Vec<LearnedState> {
         self.advance_to(now);
-        let routes: BTreeMap<RouteKey, usize> = self
+        let routes: BTreeMap<RouteKey, RouteIndex> = self
             .routes
             .indices()
             .map(|index| (self.route_key(index), index))
@@ -197,7 +198,7 @@
         unlisted
     }
 
-    fn inherit_route(&mut self, route_index: usize, learned: &LearnedState) {
+    fn inherit_route(&mut self, route_index: RouteIndex, learned: &LearnedState) {
         let jitter = self.jitter();
         let route = &mut self.routes[route_index];
         route.block_until(learned.blocked_until.unwrap_or_default());
@@ -207,7 +208,7 @@
         route.proven_window = route.window.clone();
     }
 
-    fn route_key(&self, route_index: usize) -> RouteKey {
+    fn route_key(&self, route_index: RouteIndex) -> RouteKey {
         RouteKey {
             destination: self.routes[route_index].destination.0,
             route_id: self.route_id(route_index),
@@ -215,7 +216,7 @@
     }
 
     /// The id of a separate route's endpoint.
-    fn route_id(&self, route_index: usize) -> Option<String> {
+    fn route_id(&self, route_index: RouteIndex) -> Option<String> {
         let route = &self.routes[route_index];
         let endpoint = route.endpoints.first().filter(|_| route.kind.apart)?;
         Some(self.endpoints[*endpoint].id.0.clone())
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -12,7 +12,8 @@
 //!   by several components of the state;
 //! - `state` holds the components: `endpoints`, `routes`, `messages`, `calls`, `ordering`, `idle_connections`, `tenant_quotas`
 //!   and `discovery_polls`;
-//! - `window`, `round_trip`, `demand`, `token_bucket`, `slow_start` and `health` estimate one route.
+//! - `window`, `round_trip`, `demand`, `token_bucket`, `slow_start` and `health` estimate one route;
+//! - `indices` and `slots` are what the tables share.
 
 pub mod api;
 pub mod profile;
@@ -28,6 +29,7 @@
 mod expiry;
 mod health;
 mod idle_connections;
+mod indices;
 mod learned_state;
 mod messages;
 mod ordering;
--- a/crates/scheduler/src/messages.rs
+++ b/crates/scheduler/src/messages.rs
@@ -5,6 +5,7 @@
 use crate::api::{
     Class, Decay, DestinationId, Effect, MessageId, OrderingKey, Settings, Status, Time,
 };
+use crate::indices::{CallNumber, EndpointIndex, MessageNumber};
 use crate::slow_start::MIN_SPAN_SECONDS;
 
 /// Halving decay: the factor for each further latency objective.
@@ -15,10 +16,9 @@
 pub(crate) struct Attempt {
     /// Counted from 0, over all processes of this sender.
     pub(crate) number: u32,
-    /// Index of the endpoint.
-    pub(crate) endpoint: usize,
-    /// Number of the call that carries it.
-    pub(crate) call: u64,
+    pub(crate) endpoint: EndpointIndex,
+    /// The call that carries it.
+    pub(crate) call: CallNumber,
     pub(crate) sent: Time,
 }
 
@@ -26,8 +26,8 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleExecution {
     pub(crate) sent: Time,
-    /// Index of the endpoint; none where it is no longer known.
-    pub(crate) endpoint: Option<usize>,
+    /// None where it is no longer known.
+    pub(crate) endpoint: Option<EndpointIndex>,
 }
 
 /// A message that is pending, or whose attempt is still in flight.
@@ -124,7 +124,7 @@
 pub(crate) struct RankedMessage {
     /// Urgency or priority weight.
     pub(crate) value: f64,
-    pub(crate) number: u64,
+    pub(crate) number: MessageNumber,
 }
 
 /// Sorts by value, the highest first; of equal ones, the message accepted first.
@@ -138,8 +138,8 @@
 /// All messages by number: in the order accepted.
 #[derive(Debug, Default)]
 pub(crate) struct MessageTable {
-    by_number: BTreeMap<u64, Message>,
-    numbers: BTreeMap<MessageId, u64>,
+    by_number: BTreeMap<MessageNumber, Message>,
+    numbers: BTreeMap<MessageId, MessageNumber>,
 }
 
 impl MessageTable {
@@ -149,28 +149,28 @@
     }
 
     /// The number of a message.
-    pub(crate) fn number_of(&self, id: &MessageId) -> Option<u64> {
+    pub(crate) fn number_of(&self, id: &MessageId) -> Option<MessageNumber> {
         self.numbers.get(id).copied()
     }
 
     /// The message with a number.
-    pub(crate) fn get(&self, number: u64) -> Option<&Message> {
+    pub(crate) fn get(&self, number: MessageNumber) -> Option<&Message> {
         self.by_number.get(&number)
     }
 
     /// The message with a number.
-    pub(crate) fn get_mut(&mut self, number: u64) -> Option<&mut Message> {
+    pub(crate) fn get_mut(&mut self, number: MessageNumber) -> Option<&mut Message> {
         self.by_number.get_mut(&number)
     }
 
     /// Adds a message.
-    pub(crate) fn insert(&mut self, number: u64, message: Message) {
+    pub(crate) fn insert(&mut self, number: MessageNumber, message: Message) {
         self.numbers.insert(message.id.clone(), number);
         self.by_number.insert(number, message);
     }
 
     /// Marks a message as completed, and removes it unless its attempt is in flight; returns it if it was removed.
-    pub(crate) fn complete(&mut self, number: u64) -> Option<Message> {
+    pub(crate) fn complete(&mut self, number: MessageNumber) -> Option<Message> {
         let message = self.by_number.get_mut(&number)?;
         message.completed = true;
         if message.in_flight.is_some() {
@@ -187,7 +187,7 @@
     }
 
     /// Messages that have no attempt in flight and no final answer, in the order accepted.
-    pub(crate) fn waiting(&self) -> impl Iterator<Item = (u64, &Message)> {
+    pub(crate) fn waiting(&self) -> impl Iterator<Item = (MessageNumber, &Message)> {
         self.by_number
             .iter()
             .filter(|(_, message)| message.in_flight.is_none() && !message.completed)
--- a/crates/scheduler/src/ordering.rs
+++ b/crates/scheduler/src/ordering.rs
@@ -6,15 +6,16 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::api::{OrderingKey, Time};
+use crate::indices::MessageNumber;
 
 /// Messages that share an ordering key.
 #[derive(Debug, Default)]
 struct OrderedQueue {
     /// Message numbers, in the order accepted.
-    numbers: VecDeque<u64>,
+    numbers: VecDeque<MessageNumber>,
     /// Until then only `paused_by` may be sent: its attempt may still be executed.
     paused_until: Time,
-    paused_by: u64,
+    paused_by: Option<MessageNumber>,
     /// Final reports not acknowledged yet. No message is sent before they are.
     pending_reports: u32,
 }
@@ -68,10 +69,10 @@
     }
 
     /// Pauses a key for all messages but `number`.
-    pub(crate) fn pause(&mut self, key: &OrderingKey, number: u64, until: Time) {
+    pub(crate) fn pause(&mut self, key: &OrderingKey, number: MessageNumber, until: Time) {
         if let Some(queue) = self.queues.get_mut(key) {
             queue.paused_until = until;
-            queue.paused_by = number;
+            queue.paused_by = Some(number);
         }
     }
 
@@ -81,13 +82,13 @@
     }
 
     /// Adds a message at the end of its key's queue.
-    pub(crate) fn push(&mut self, key: &OrderingKey, number: u64) {
+    pub(crate) fn push(&mut self, key: &OrderingKey, number: MessageNumber) {
         let queue = self.queues.entry(key.clone()).or_default();
         queue.numbers.push_back(number);
     }
 
     /// Removes a message from its key's queue.
-    pub(crate) fn remove(&mut self, key: &OrderingKey, number: u64) {
+    pub(crate) fn remove(&mut self, key: &OrderingKey, number: MessageNumber) {
         if let Some(queue) = self.queues.get_mut(key) {
             queue.numbers.retain(|&queued| queued != number);
         }
@@ -95,11 +96,11 @@
 
     /// Whether its ordering key lets a message be sent: it is the head of its queue, no report is pending and
     /// no pause holds it back.
-    pub(crate) fn is_next(&self, key: &OrderingKey, number: u64, now: Time) -> bool {
+    pub(crate) fn is_next(&self, key: &OrderingKey, number: MessageNumber, now: Time) -> bool {
         let Some(queue) = self.queues.get(key) else {
             return true;
         };
-        let resumed = now >= queue.paused_until || queue.paused_by == number;
+        let resumed = now >= queue.paused_until || queue.paused_by == Some(number);
         let resumed = resumed && now >= self.all_paused_until;
         queue.pending_reports == 0 && resumed && queue.numbers.front() == Some(&number)
     }
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -5,6 +5,7 @@
 
 use crate::api::{Action, Outcome, Status};
 use crate::health::{HealthSignal, HealthState, MAX_PROBE_PAUSE, longest_limit_span};
+use crate::indices::{EndpointIndex, MessageNumber, RouteIndex};
 use crate::messages::Attempt;
 use crate::state::SchedulerState;
 
@@ -83,7 +84,7 @@
     }
 
     /// Records a Retry-After wait and a reported limit.
-    fn record_stated_limits(&mut self, route: usize, outcome: &Outcome) {
+    fn record_stated_limits(&mut self, route: RouteIndex, outcome: &Outcome) {
         if let Some(wait) = outcome.wait {
             let until = self.now + wait + self.settings.tick;
             self.routes[route].block_until(until);
@@ -130,7 +131,7 @@
         }
     }
 
-    fn record_idle_loss(&mut self, endpoint_index: usize, status: Status) {
+    fn record_idle_loss(&mut self, endpoint_index: EndpointIndex, status: Status) {
         let endpoint = &self.endpoints[endpoint_index];
         if self.idle_connections.record_call(endpoint, status) {
             self.actions.push(Action::CloseIdle(endpoint.id.clone()));
@@ -138,7 +139,7 @@
     }
 
     /// Records the outcome of a call or health check for the window (load) and for health (outage).
-    pub(crate) fn record_health_signal(&mut self, endpoint_index: usize, status: Status) {
+    pub(crate) fn record_health_signal(&mut self, endpoint_index: EndpointIndex, status: Status) {
         let jitter = self.jitter();
         let (now, rules) = (self.now, &self.settings.rules);
         let endpoint = &mut self.endpoints[endpoint_index];
@@ -187,7 +188,7 @@
     }
 
     /// A Retry-After wait longer than any limit's span means an outage: senders return from it as from one.
-    fn detect_outage_by_wait(&mut self, route: usize, outcome: &Outcome, jitter: f64) {
+    fn detect_outage_by_wait(&mut self, route: RouteIndex, outcome: &Outcome, jitter: f64) {
         let rules = &self.settings.rules;
         if outcome
             .wait
@@ -201,7 +202,13 @@
     }
 
     /// Completes the message, or leaves it for a retry after a backoff.
-    fn apply_to_message(&mut self, number: u64, attempt: &Attempt, outcome: &Outcome, jitter: f64) {
+    fn apply_to_message(
+        &mut self,
+        number: MessageNumber,
+        attempt: &Attempt,
+        outcome: &Outcome,
+        jitter: f64,
+    ) {
         let status = outcome.status;
         let Some(message) = self.messages.get_mut(number) else {
             return;
--- a/crates/scheduler/src/routes.rs
+++ b/crates/scheduler/src/routes.rs
@@ -10,6 +10,7 @@
 use crate::api::{DestinationId, Kind, Rules, Settings, Time};
 use crate::demand::DemandEstimator;
 use crate::health::{Health, HealthState};
+use crate::indices::{EndpointIndex, RouteIndex};
 use crate::round_trip::{CallTimes, RoundTripEstimator};
 use crate::slots::insert_reusing;
 use crate::slow_start::slow_start_rate;
@@ -35,7 +36,7 @@
     pub(crate) destination: DestinationId,
     pub(crate) kind: Kind,
     /// Indices of its endpoints.
-    pub(crate) endpoints: Vec<usize>,
+    pub(crate) endpoints: Vec<EndpointIndex>,
     pub(crate) window: Window,
     /// The window when a call was last served in service; it returns after an outage.
     pub(crate) proven_window: Window,
@@ -176,19 +177,19 @@
 pub(crate) struct RouteTable {
     slots: Vec<Route>,
     free: Vec<usize>,
-    by_destination: BTreeMap<DestinationId, Vec<usize>>,
-    active: BTreeSet<usize>,
+    by_destination: BTreeMap<DestinationId, Vec<RouteIndex>>,
+    active: BTreeSet<RouteIndex>,
     /// Every route with learned state is in here or active.
-    learned: BTreeSet<usize>,
+    learned: BTreeSet<RouteIndex>,
     /// The latest tick: until then, settled routes have had a full token bucket.
     settled_at: Time,
 }
 
 impl RouteTable {
     /// Adds a route to its destination and returns its index.
-    pub(crate) fn insert(&mut self, route: Route) -> usize {
+    pub(crate) fn insert(&mut self, route: Route) -> RouteIndex {
         let destination = route.destination;
-        let index = insert_reusing(&mut self.slots, &mut self.free, route);
+        let index = RouteIndex(insert_reusing(&mut self.slots, &mut self.free, route));
         self.active.insert(index);
         self.by_destination
             .entry(destination)
@@ -198,7 +199,11 @@
     }
 
     /// Removes an endpoint from its route, and a separate route that has no endpoint left.
-    pub(crate) fn remove_endpoint(&mut self, route_index: usize, endpoint_index: usize) {
+    pub(crate) fn remove_endpoint(
+        &mut self,
+        route_index: RouteIndex,
+        endpoint_index: EndpointIndex,
+    ) {
         let route = &mut self[route_index];
         route.endpoints.retain(|&index| index != endpoint_index);
         if !route.endpoints.is_empty() || !route.kind.apart {
@@ -208,7 +213,7 @@
         if let Some(routes) = self.by_destination.get_mut(&destination) {
             routes.retain(|&index| index != route_index);
         }
-        self.free.push(route_index);
+        self.free.push(route_index.0);
     }
 
     /// Slots in use or free.
@@ -222,14 +227,14 @@
     }
 
     /// Indices of a destination's routes.
-    pub(crate) fn of_destination(&self, destination: DestinationId) -> &[usize] {
+    pub(crate) fn of_destination(&self, destination: DestinationId) -> &[RouteIndex] {
         self.by_destination
             .get(&destination)
             .map_or(&[], Vec::as_slice)
     }
 
     /// Indices of all destinations' routes, by destination.
-    pub(crate) fn indices(&self) -> impl Iterator<Item = usize> + '_ {
+    pub(crate) fn indices(&self) -> impl Iterator<Item = RouteIndex> + '_ {
         self.by_destination.values().flatten().copied()
     }
 
@@ -251,9 +256,9 @@
     pub(crate) fn active_mut(&mut self) -> impl Iterator<Item = &mut Route> {
         let (mut rest, mut offset) = (self.slots.as_mut_slice(), 0);
         self.active.iter().filter_map(move |&index| {
-            let (_, tail) = std::mem::take(&mut rest).split_at_mut(index - offset);
+            let (_, tail) = std::mem::take(&mut rest).split_at_mut(index.0 - offset);
             let (route, after) = tail.split_first_mut()?;
-            (rest, offset) = (after, index + 1);
+            (rest, offset) = (after, index.0 + 1);
             Some(route)
         })
     }
@@ -263,20 +268,20 @@
         self.learned
             .iter()
             .chain(&self.active)
-            .map(|&index| self.slots[index].destination)
+            .map(|&index| self.slots[index.0].destination)
             .collect()
     }
 
     /// Ends a tick's update of the active routes: those that a further one would not change become inactive.
     pub(crate) fn settle(&mut self, now: Time) {
         let slots = &self.slots;
-        let has_learned = |index: &usize| {
-            let route = &slots[*index];
+        let has_learned = |index: &RouteIndex| {
+            let route = &slots[index.0];
             route.used || route.blocked_until > now
         };
         self.learned
             .extend(self.active.iter().copied().filter(has_learned));
-        self.active.retain(|&index| !slots[index].is_settled());
+        self.active.retain(|&index| !slots[index.0].is_settled());
         self.settled_at = now;
     }
 }
@@ -284,11 +289,11 @@
 /// Borrows a route mutably and makes it active.
 fn activate<'a>(
     slots: &'a mut [Route],
-    active: &mut BTreeSet<usize>,
+    active: &mut BTreeSet<RouteIndex>,
     settled_at: Time,
-    index: usize,
+    index: RouteIndex,
 ) -> &'a mut Route {
-    let route = &mut slots[index];
+    let route = &mut slots[index.0];
     if active.insert(index) {
         // The ticks that skipped it would have left this.
         route.token_bucket.skip_until(settled_at);
@@ -296,15 +301,15 @@
     route
 }
 
-impl Index<usize> for RouteTable {
+impl Index<RouteIndex> for RouteTable {
     type Output = Route;
-    fn index(&self, index: usize) -> &Route {
-        &self.slots[index]
+    fn index(&self, index: RouteIndex) -> &Route {
+        &self.slots[index.0]
     }
 }
 
-impl IndexMut<usize> for RouteTable {
-    fn index_mut(&mut self, index: usize) -> &mut Route {
+impl IndexMut<RouteIndex> for RouteTable {
+    fn index_mut(&mut self, index: RouteIndex) -> &mut Route {
         activate(&mut self.slots, &mut self.active, self.settled_at, index)
     }
 }
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -7,6 +7,7 @@
 use crate::discovery_polls::DiscoveryPolls;
 use crate::endpoints::EndpointTable;
 use crate::idle_connections::IdleConnections;
+use crate::indices::{CallNumber, MessageNumber};
 use crate::messages::MessageTable;
 use crate::ordering::OrderedQueues;
 use crate::routes::RouteTable;
@@ -31,7 +32,7 @@
     pub(crate) messages: MessageTable,
     pub(crate) ordering: OrderedQueues,
     /// Calls in flight by number.
-    pub(crate) calls: BTreeMap<u64, Call>,
+    pub(crate) calls: BTreeMap<CallNumber, Call>,
     pub(crate) tenant_quotas: TenantQuotas,
     pub(crate) idle_connections: IdleConnections,
     pub(crate) discovery_polls: DiscoveryPolls,
@@ -81,8 +82,17 @@
         self.now = self.now.max(now);
     }
 
-    /// A number for a message or call.
-    pub(crate) fn next_number(&mut self) -> u64 {
+    /// A number for a new message.
+    pub(crate) fn next_message_number(&mut self) -> MessageNumber {
+        MessageNumber(self.next_number())
+    }
+
+    /// A number for a new call.
+    pub(crate) fn next_call_number(&mut self) -> CallNumber {
+        CallNumber(self.next_number())
+    }
+
+    fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
@@ -94,7 +104,7 @@
 
     /// Completes a message: it gets no further attempt. It keeps its place in its key's queue while its attempt is in
     /// flight.
-    pub(crate) fn complete_message(&mut self, number: u64) {
+    pub(crate) fn complete_message(&mut self, number: MessageNumber) {
         let Some(message) = self.messages.complete(number) else {
             return;
         };
--- a/crates/scheduler/src/zones.rs
+++ b/crates/scheduler/src/zones.rs
@@ -8,6 +8,7 @@
 
 use crate::api::{Condition, EndpointId, Time};
 use crate::endpoints::{Endpoint, EndpointTable};
+use crate::indices::{EndpointIndex, RouteIndex};
 use crate::routes::Route;
 use crate::slow_start::{MIN_SPAN_SECONDS, slow_start_rate};
 use crate::state::SchedulerState;
@@ -92,19 +93,19 @@
         self.routes[endpoint.route].health.allow_probe(now);
     }
 
-    fn probe_candidates(&self, zone: u32) -> Vec<usize> {
-        let wanted_routes: BTreeSet<usize> = self
+    fn probe_candidates(&self, zone: u32) -> Vec<EndpointIndex> {
+        let wanted_routes: BTreeSet<RouteIndex> = self
             .messages
             .waiting()
             .flat_map(|(_, message)| self.routes.of_destination(message.destination))
             .copied()
             .collect();
-        let is_ready = |index: &usize| {
+        let is_ready = |index: &EndpointIndex| {
             let endpoint = &self.endpoints[*index];
             endpoint.zone == zone && endpoint.condition == Condition::Ready
         };
-        let ready: Vec<usize> = self.endpoints.indices().filter(is_ready).collect();
-        let wanted: Vec<usize> = ready
+        let ready: Vec<EndpointIndex> = self.endpoints.indices().filter(is_ready).collect();
+        let wanted: Vec<EndpointIndex> = ready
             .iter()
             .copied()
             .filter(|&index| wanted_routes.contains(&self.endpoints[index].route))
@@ -115,7 +116,7 @@
     /// Adds, for the time since the last tick, this sender's quota of what a zone's endpoints may be sent on their return,
     /// which began at `since`.
     pub(crate) fn refill_zone(&mut self, now: Time, zone: u32, since: Time) {
-        let in_zone: Vec<usize> = self
+        let in_zone: Vec<EndpointIndex> = self
             .endpoints
             .indices()
             .filter(|&index| self.endpoints[index].zone == zone)
@@ -133,7 +134,7 @@
         }
     }
 
-    fn refill_gate(&mut self, now: Time, endpoint_index: usize, since: Time) {
+    fn refill_gate(&mut self, now: Time, endpoint_index: EndpointIndex, since: Time) {
         let route = &self.routes[self.endpoints[endpoint_index].route];
         let route_rate = self.return_rate(route, now, now - since);
         let endpoint_rate = route_rate / route.endpoints.len().max(1) as f64;
