--- a/crates/core/src/list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -1,7 +1,8 @@
-//! [`EndpointList`]: the endpoints that the directory lists, indexed by id, destination and zone.
+//! [`EndpointList`]: the endpoints that discovery lists, indexed by id, destination and zone.
 //!
-//! A change costs what it names, and a whole list one merge pass: nothing here walks what has not changed. Destinations whose
-//! last endpoint was removed stay known for [`FORGOTTEN`], since all of their endpoints may be in the middle of being replaced.
+//! The cost of a change is proportional to the entries in it, and that of a whole list is one merge pass. A destination
+//! whose last endpoint is removed stays known for ten minutes, as all of its endpoints may be in the middle of being
+//! replaced.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,7 +12,7 @@
 
 use crate::message::Listing;
 
-/// A destination that is no longer listed is known for so long.
+/// How long a destination without endpoints stays known.
 pub(crate) const FORGOTTEN: Duration = Duration::from_secs(600);
 
 /// An endpoint as it was listed last. Its id is the key in [`EndpointList`].
@@ -25,29 +26,30 @@
     address: String,
 }
 
-/// What an update did.
+/// What an update of the list did.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ListUpdate {
-    /// Endpoints that take no new work from now on: those that a whole list no longer names, in the order of their ids, then
-    /// those that the update names as anything but ready.
+    /// Endpoints that take no new work from now on: those that a whole list no longer names, in the order of their ids,
+    /// then those that the update names as draining or removed.
     pub closed: Vec<EndpointId>,
-    /// Entries examined, of the update and of the list: what it cost.
+    /// Entries examined, of the update and of the list: a measure of its cost.
     pub visited: usize,
 }
 
-/// See the module's text.
+/// The endpoints that discovery lists.
 #[derive(Debug, Default)]
 pub struct EndpointList {
     endpoints: BTreeMap<EndpointId, Listed>,
     by_destination: BTreeSet<(DestinationId, EndpointId)>,
     zones: BTreeMap<u32, usize>,
-    /// Destinations without an endpoint, and since when; the same in the order of these times.
+    /// Destinations without an endpoint, and since when.
     unlisted: BTreeMap<DestinationId, Time>,
+    /// The same in the order of these times.
     unlisted_order: BTreeSet<(Time, DestinationId)>,
 }
 
 impl EndpointList {
-    /// Takes in a whole list, or changes to it. Of several entries for one endpoint the last one counts.
+    /// Replaces the list by a `whole` one, or applies changes to it. Of several entries for one endpoint the last counts.
     pub fn update(&mut self, now: Time, whole: bool, list: Vec<Listing>) -> ListUpdate {
         let mut update = ListUpdate {
             closed: Vec::new(),
@@ -79,7 +81,7 @@
         update
     }
 
-    /// Whether the destination is listed, or was until lately.
+    /// Whether the destination has a listed endpoint, or had one in the last ten minutes.
     pub fn knows(&self, destination: DestinationId) -> bool {
         self.has_endpoints(destination) || self.unlisted.contains_key(&destination)
     }
@@ -103,7 +105,7 @@
         self.endpoints.get(id).map(|listed| listed.zone)
     }
 
-    /// Where an endpoint is reached.
+    /// The address of an endpoint.
     pub fn address(&self, id: &EndpointId) -> Option<&str> {
         self.endpoints.get(id).map(|listed| listed.address.as_str())
     }
@@ -204,7 +206,7 @@
         self.of_destination(destination).next().is_some()
     }
 
-    /// Forgets destinations that have been without an endpoint for too long, the oldest first, and tells how many.
+    /// Forgets destinations that have been without an endpoint for too long, the oldest first. Returns how many.
     fn forget(&mut self, now: Time) -> usize {
         let mut forgotten = 0;
         while let Some(&(since, destination)) = self.unlisted_order.first()
--- /dev/null
+++ b/crates/core/src/fleet.rs
@@ -0,0 +1,156 @@
+//! [`Fleet`]: the other senders, the zones as all of them see these, and the recovery with their help.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use cranehill_membership::{self as membership, Members};
+use cranehill_recovery as recovery;
+use cranehill_scheduler::api::{EndpointId, Event, Status};
+use cranehill_scheduler::{Scheduler, Time};
+use cranehill_zone_failover::{Settings as ZoneSettings, State as ZoneState};
+
+use crate::effect::Effect;
+use crate::recovery::RecoveryProgress;
+use crate::zones::FleetZones;
+
+/// What this sender shares with the others of its fleet.
+#[derive(Debug, Default)]
+pub(crate) struct Fleet {
+    /// Where this sender is a member of a fleet.
+    members: Option<Members>,
+    /// Where the fleet evacuates zones together.
+    zones: Option<FleetZones>,
+    pub(crate) recovery: RecoveryProgress,
+    /// The version of the members' payloads that the zones were last updated for.
+    payloads_version: u64,
+}
+
+impl Fleet {
+    /// Becomes a member.
+    pub(crate) fn join(&mut self, now: Time, settings: membership::Settings, seed: u64) {
+        self.members = Some(Members::new(settings, seed, now));
+    }
+
+    /// The members as this one sees them.
+    pub(crate) fn members(&self) -> Option<&Members> {
+        self.members.as_ref()
+    }
+
+    /// Evacuates zones, and returns to them, together with the other members.
+    pub(crate) fn manage_zones(&mut self, settings: ZoneSettings) {
+        self.zones = Some(FleetZones::new(settings));
+    }
+
+    /// The state of each zone, where the fleet manages them.
+    pub(crate) fn zone_states(&self) -> Option<Vec<(u32, ZoneState)>> {
+        self.zones.as_ref().map(FleetZones::states)
+    }
+
+    /// How many endpoints each zone has.
+    pub(crate) fn set_zone_endpoint_counts(&mut self, endpoints: &BTreeMap<u32, usize>) {
+        if let Some(zones) = &mut self.zones {
+            zones.set_endpoint_counts(endpoints);
+        }
+    }
+
+    /// An attempt to an endpoint has finished; `zone` is that of the endpoint, where it is listed.
+    pub(crate) fn record_attempt(
+        &mut self,
+        now: Time,
+        zone: Option<u32>,
+        endpoint: &EndpointId,
+        status: Status,
+    ) {
+        if let (Some(zones), Some(zone)) = (&mut self.zones, zone) {
+            zones.record_attempt(now, zone, endpoint, status);
+        }
+    }
+
+    /// Passes an input to the membership. Events for the scheduler are added to `events`.
+    pub(crate) fn step(
+        &mut self,
+        now: Time,
+        input: membership::Input,
+        scheduler: &Scheduler,
+        events: &mut Vec<Event>,
+    ) -> Vec<Effect> {
+        let Some(members) = &mut self.members else {
+            return Vec::new();
+        };
+        let mut effects = Vec::new();
+        for effect in members.step(now, input) {
+            match effect {
+                membership::Effect::LearnedRequested { by } => {
+                    effects.extend(self.send_learned_state(now, by, scheduler, events));
+                }
+                membership::Effect::LearnedReceived { by, piece } => {
+                    effects.extend(self.recovery.on_peer_reply(now, by, &piece));
+                }
+                membership::Effect::ShareDivisor(senders) => {
+                    events.push(Event::SenderCount(senders));
+                    effects.push(Effect::Fleet(effect));
+                }
+                other => effects.push(Effect::Fleet(other)),
+            }
+        }
+        if self.zones.is_some() {
+            let version = self.members.as_ref().map_or(0, Members::payloads_version);
+            // The next tick evaluates what members announce of zones.
+            if self.payloads_version != version {
+                self.payloads_version = version;
+                effects.push(Effect::WakeAt(now));
+            }
+        }
+        effects
+    }
+
+    fn send_learned_state(
+        &mut self,
+        now: Time,
+        to: SocketAddr,
+        scheduler: &Scheduler,
+        events: &mut Vec<Event>,
+    ) -> Vec<Effect> {
+        let learned_state = scheduler.learned_state();
+        let chunks = recovery::encode(&learned_state, membership::MAX_LEARNED_PIECE);
+        let input = membership::Input::SendLearned { to, chunks };
+        self.step(now, input, scheduler, events)
+    }
+
+    /// Before the scheduler decides: evaluates what members announce of zones, applies what changes, and announces this
+    /// member's view.
+    pub(crate) fn update_zones(
+        &mut self,
+        now: Time,
+        scheduler: &mut Scheduler,
+        events: &mut Vec<Event>,
+    ) -> Vec<Effect> {
+        let (Some(members), Some(zones)) = (&self.members, &mut self.zones) else {
+            return Vec::new();
+        };
+        let update = zones.update(now, members.me().at, members.payloads(), scheduler);
+        let input = membership::Input::SetPayload(update.payload);
+        let mut effects = self.step(now, input, scheduler, events);
+        effects.extend(update.changes.into_iter().map(Effect::Zone));
+        effects.extend(update.next_update.map(Effect::WakeAt));
+        effects
+    }
+
+    /// Asks other members for their learned state, where that is due.
+    pub(crate) fn ask_for_learned_state(
+        &mut self,
+        now: Time,
+        scheduler: &Scheduler,
+        events: &mut Vec<Event>,
+    ) -> Vec<Effect> {
+        let has_peers = self.members.as_ref().is_some_and(|members| {
+            members
+                .views()
+                .any(|view| view.state == membership::State::Alive)
+        });
+        if !self.recovery.should_ask_peers(now, has_peers) {
+            return Vec::new();
+        }
+        self.step(now, membership::Input::RequestLearned, scheduler, events)
+    }
+}
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,4 +1,4 @@
-//! What is submitted, and how it ends.
+//! [`Message`]: what clients submit, and how it ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,75 +6,92 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::Entry;
 
-/// What a front passes along with a message and the core does not look into.
+/// What a client ingress passes along with a message; the core does not read it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Envelope {
-    /// Where at the destination it goes, if not to the usual place.
+    /// Path at the destination; empty for the usual one.
     pub path: String,
-    /// Headers that travel with it unchanged.
+    /// Headers that are sent unchanged.
     pub headers: Vec<(String, String)>,
-    /// When it is worth nothing to its receiver any more.
+    /// When it is of no use to its recipient any more.
     pub expires: Time,
 }
 
-/// An episode message as a client hands it in.
+/// A message as a client submits it.
 #[derive(Clone, Debug)]
 pub struct Message {
+    /// Its id; a second submission with the same id is the same message.
     pub id: String,
-    /// Position in the settings' classes.
+    /// Position of its class in the settings.
     pub class: usize,
-    /// Position of the tenant in the settings.
+    /// Position of its tenant in the settings.
     pub tenant: usize,
-    /// The destination it is for.
+    /// Where it is sent.
     pub destination: u64,
-    /// What the destination recognises a repeat by.
+    /// Idempotency key: what the destination recognises a repeat by.
     pub key: Option<String>,
-    /// Messages of a class that keeps its order go one at a time within this, in the order submitted.
+    /// Messages with the same ordering key are sent one at a time, in the order of submission.
     pub ordering_key: Option<String>,
+    /// Its body.
     pub body: Arc<[u8]>,
-    /// How long it may still be delivered.
+    /// Time remaining for its delivery.
     pub left: Duration,
-    /// Attempts that it may not use.
+    /// Attempts already used of those that it may have.
     pub spent: u32,
+    /// What the client ingress passes along with it.
     pub envelope: Option<Arc<Envelope>>,
+    /// Who is answered.
     pub from: Origin,
 }
 
-/// Who waits for an answer about a message.
+/// Who is answered about a message. Clients are known by the number of their connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A client that is told when the message is accepted, and of its end through the platform.
+    /// A client that is answered when the message is accepted; the platform is told of its end.
     Client(usize),
-    /// A client whose answer is the message's end; nothing is promised before, so nothing outlasts us.
+    /// A client that waits for the end of the message. It is never accepted, and so not restored after a restart.
     Waiting(usize),
-    /// An earlier process of this sender.
+    /// Nobody: an earlier process of this sender accepted it.
     Restored,
 }
 
-/// The answer to who handed a message in.
+/// The answer to the client that submitted a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
+    /// The message is in the journal.
     Accepted,
+    /// Not executed: submitting it again does no harm.
     Rejected {
+        /// When to submit it again, where that is known.
         after: Option<Duration>,
     },
+    /// Not delivered; it may have been executed, or can't be.
     Failed,
+    /// Delivered.
     Delivered,
+    /// The destination does not know the recipient any more.
     RecipientRemoved,
-    /// Its time is out.
+    /// Its deadline has passed.
     Expired,
 }
 
-/// How a message that was accepted ended without delivery, as the platform is told.
+/// How an accepted message ended without delivery, as the platform is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalReport {
-    Returned { after_ms: u64 },
+    /// Not executed: submitting it again does no harm.
+    Returned {
+        /// When to submit it again, in milliseconds; 0 where that is not known.
+        after_ms: u64,
+    },
+    /// It may have been executed, or can't be.
     Failed,
 }
 
-/// One endpoint as the directory lists it.
+/// One endpoint as discovery lists it.
 #[derive(Clone, Debug)]
 pub struct Listing {
+    /// The endpoint as the scheduler sees it.
     pub entry: Entry,
+    /// The address that it is called at.
     pub address: String,
 }
--- a/crates/core/src/mutation.rs
+++ b/crates/core/src/mutation.rs
@@ -1,42 +1,51 @@
-//! Mutations for rehearsals: a build with the feature `mutations` can be told to break one rule, so that the auditor can be
-//! seen to catch it. Without the feature there is none, and nothing can switch one on.
+//! Mutations: a build with the feature `mutations` can break one rule on purpose, to show that the auditor detects it.
+//! Other builds have no way to switch one on.
+
+use cranehill_scheduler::api::{Condition, Effect, Settings, Status};
+
+use crate::input::AttemptOutcome;
+use crate::message::Listing;
+
+/// More attempts than any settings allow.
+const TOO_MANY_ATTEMPTS: u32 = 9;
 
 /// One way to break a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Told waits are not passed on to the decisions.
+    /// The scheduler does not learn how long destinations ask not to be called.
     IgnoresWaits,
-    /// What the directory says of draining and gone endpoints is not heard.
+    /// Endpoints that discovery lists as draining or removed stay in use.
     SendsToDrained,
-    /// Every call goes out twice.
+    /// Every call is sent twice.
     TwoCopies,
     /// Nothing is written to the journal.
     ForgetsJournal,
-    /// `+OK` goes out as soon as a message comes, and the message is lost if the process dies then.
+    /// `+OK` is sent as soon as a message is received, and the message is lost if the process dies then.
     AnswersFirst,
     /// Final reports are not sent.
     DropsReports,
-    /// Failures are hidden from the decisions: a destination that is back gets all that there is.
+    /// Failures are hidden from the scheduler: a destination that recovers gets the full load at once.
     FloodsCold,
-    /// Answers are held back until the client has left.
+    /// Answers are delayed until the client has disconnected.
     HoldsAnswers,
-    /// A connection with bytes behind an answer is used again.
+    /// A connection with bytes after an answer is used again.
     ReusesSpoilt,
-    /// What may have been executed is sent again whatever its class.
+    /// Messages that may have been executed are sent again whatever their class.
     RepeatsUnsafe,
-    /// Nine attempts.
+    /// Messages get more attempts than allowed.
     SeventhAttempt,
-    /// What is held at SIGTERM is forgotten.
+    /// Pending messages are dropped at SIGTERM.
     LeaksAtStop,
-    /// Some clients are closed without an answer.
+    /// Some clients are disconnected without an answer.
     ClosesClients,
-    /// Keys of classes that keep their order are not heard.
+    /// Ordering keys are ignored.
     IgnoresOrder,
-    /// What is taken up again after a restart has lost its key.
+    /// Messages restored after a restart have lost their ordering keys.
     ForgetsOrder,
 }
 
 impl Mutation {
+    /// All mutations by their names.
     pub const ALL: [(&'static str, Mutation); 15] = [
         ("ignores-waits", Mutation::IgnoresWaits),
         ("sends-to-drained", Mutation::SendsToDrained),
@@ -55,18 +64,19 @@
         ("forgets-order", Mutation::ForgetsOrder),
     ];
 
+    /// The mutation with this name.
     pub fn named(name: &str) -> Option<Mutation> {
         Mutation::ALL
             .iter()
-            .find(|(n, _)| *n == name)
-            .map(|(_, b)| *b)
+            .find(|(known, _)| *known == name)
+            .map(|(_, mutation)| *mutation)
     }
 }
 
 #[cfg(feature = "mutations")]
 static CHOSEN: std::sync::OnceLock<Mutation> = std::sync::OnceLock::new();
 
-/// Switches one on for the rest of the process; false if this build has none.
+/// Switches a mutation on for the rest of the process. False where this build has none, or another one is on.
 pub fn choose(mutation: Mutation) -> bool {
     #[cfg(feature = "mutations")]
     return CHOSEN.set(mutation).is_ok();
@@ -77,7 +87,7 @@
     }
 }
 
-/// Whether this one is on.
+/// Whether a mutation is on.
 pub fn is(mutation: Mutation) -> bool {
     #[cfg(feature = "mutations")]
     return CHOSEN.get() == Some(&mutation);
@@ -88,10 +98,54 @@
     }
 }
 
-/// True for one call in so many, for mutations that show now and then.
+/// True for one of each `calls` calls, for mutations that act now and then.
 pub fn one_in(calls: u64) -> bool {
     static CALLS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
     CALLS
         .fetch_add(1, std::sync::atomic::Ordering::Relaxed)
         .is_multiple_of(calls)
 }
+
+/// Changes the settings, for mutations that need other ones.
+pub(crate) fn apply_to_settings(settings: &mut Settings) {
+    if is(Mutation::RepeatsUnsafe) {
+        for class in &mut settings.classes {
+            class.effect = Effect::Safe;
+        }
+    }
+    if is(Mutation::SeventhAttempt) {
+        settings.attempts_cap = TOO_MANY_ATTEMPTS;
+    }
+}
+
+/// Changes how an attempt finished, for mutations that hide it from the scheduler.
+pub(crate) fn apply_to_outcome(outcome: &mut AttemptOutcome) {
+    if is(Mutation::IgnoresWaits) {
+        outcome.retry_after = None;
+    }
+    let failed = matches!(
+        outcome.status,
+        Status::NoConnection | Status::TimedOut | Status::Overloaded | Status::Reset
+    );
+    let hides_failure = is(Mutation::FloodsCold) && failed;
+    let hides_error = is(Mutation::SeventhAttempt) && outcome.status == Status::Error;
+    if hides_failure || hides_error {
+        outcome.status = Status::NotSent;
+    }
+}
+
+/// Changes an endpoint list, for mutations that hide parts of it from the scheduler. Returns whether it is still a whole
+/// one, as `whole` says it was.
+pub(crate) fn apply_to_endpoint_list(whole: bool, list: &mut Vec<Listing>) -> bool {
+    // Without a rate there is no token bucket that follows from it.
+    if is(Mutation::FloodsCold) {
+        for listing in list.iter_mut() {
+            listing.entry.rate = 0.0;
+        }
+    }
+    if is(Mutation::SendsToDrained) {
+        list.retain(|listing| listing.entry.condition == Condition::Ready);
+        return false;
+    }
+    whole
+}
--- a/crates/core/src/pending.rs
+++ b/crates/core/src/pending.rs
@@ -1,155 +1,168 @@
-//! Messages that are held, and how they are handed to the decisions.
+//! [`PendingMessages`]: all messages that have not ended, and the order in which the scheduler gets them.
+
+use std::collections::{BTreeMap, BTreeSet};
 
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{
-    AcceptedMessage, DestinationId, EndpointId, Event, MessageId, OrderingKey, PriorAttempts,
-};
-
-use crate::effect::Record;
-use crate::message::{Message, Origin};
-use crate::mutation::{self, Mutation};
-use crate::reducer::Core;
-
-/// When, where and as which attempt a message first went out that may have been executed.
-pub(crate) type FirstRun = (Time, EndpointId, u32);
-
-/// What is known of a message that is held.
-#[derive(Debug)]
-pub(crate) struct PendingMessage {
-    /// Grows with each message that is held.
-    pub(crate) sequence: u64,
-    pub(crate) message: Message,
-    pub(crate) deadline: Time,
-    /// When the decisions must have it, for its own sake or for that of one that waits behind it.
-    pub(crate) hand_over_by: Time,
-    pub(crate) attempts: u32,
-    /// The attempt that is out, and where.
-    pub(crate) out: Option<(u32, EndpointId)>,
-    /// First attempt that may have been executed and still counts as such.
-    pub(crate) possibly_executed: Option<FirstRun>,
-    pub(crate) accepted: bool,
-    pub(crate) recipient_removed: bool,
+use cranehill_scheduler::api::{AcceptedMessage, Event, MessageId};
+
+use crate::effect::{Effect, Record};
+use crate::message::{Answer, Message, Origin};
+use crate::pending_message::{PendingMessage, PossibleExecution};
+use crate::submission_order::SubmissionOrder;
+
+/// A message submitted in this tick.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Unacknowledged {
+    sequence: u64,
+    id: MessageId,
 }
 
-impl PendingMessage {
-    pub(crate) fn taken(&self, now: Time) -> Record {
-        let n = &self.message;
-        Record::Accepted {
-            id: n.id.clone(),
-            class: n.class,
-            tenant: n.tenant,
-            destination: n.destination,
-            key: n.key.clone(),
-            ordering_key: n.ordering_key.clone(),
-            deadline: self.deadline.0,
-            at: now.0,
-            body: n.body.clone(),
-        }
-    }
+/// What accepting a message takes: its record, and the answer that waits until the journal has it.
+pub(crate) struct Acceptance {
+    pub(crate) record: Record,
+    pub(crate) answer: Effect,
 }
 
-impl Core {
-    /// Gives a message that is held into the hands of the decisions, after those that it keeps its order with.
-    pub(crate) fn hand_over(&mut self, id: &str) {
-        let in_order = match self.ordering_key_of(id).map(str::to_owned) {
-            Some(key) => self.pending_order.take_through(&key, id),
-            None => vec![id.to_owned()],
-        };
-        for id in in_order {
-            self.events
-                .extend(self.accepted_message(&id).map(Event::Accept));
-        }
+/// All messages that have not ended.
+#[derive(Debug, Default)]
+pub(crate) struct PendingMessages {
+    messages: BTreeMap<MessageId, PendingMessage>,
+    submission_order: SubmissionOrder,
+    /// Submitted in this tick and not answered yet, in the order of submission.
+    unacknowledged: BTreeSet<Unacknowledged>,
+    last_sequence: u64,
+}
+
+impl PendingMessages {
+    /// Adds a message that a client submitted. It is answered at the end of the tick.
+    pub(crate) fn submit(&mut self, message: Message, deadline: Time) {
+        let id = MessageId(message.id.clone());
+        let sequence = self.insert(message, deadline, deadline, None);
+        self.unacknowledged.insert(Unacknowledged { sequence, id });
     }
 
-    /// What a message that is held keeps its order within.
-    pub(crate) fn ordering_key_of(&self, id: &str) -> Option<&str> {
-        self.pending.get(id)?.message.ordering_key.as_deref()
+    /// Adds a message that an earlier process accepted. The scheduler must have it at `hand_over_by`.
+    pub(crate) fn restore(
+        &mut self,
+        message: Message,
+        deadline: Time,
+        hand_over_by: Time,
+        possibly_executed: Option<PossibleExecution>,
+    ) {
+        self.insert(message, deadline, hand_over_by, possibly_executed);
     }
 
-    /// Adds a message that is held to those that wait for room, unless it has ended meanwhile.
-    pub(crate) fn await_room(&mut self, id: String) {
-        if let Some(pending) = self.pending.get(&id) {
-            self.backlog.add(pending.hand_over_by, pending.sequence, id);
+    /// Adds a message behind all others of its ordering key. Returns its sequence number.
+    fn insert(
+        &mut self,
+        message: Message,
+        deadline: Time,
+        hand_over_by: Time,
+        possibly_executed: Option<PossibleExecution>,
+    ) -> u64 {
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        let id = MessageId(message.id.clone());
+        let pending =
+            PendingMessage::new(sequence, message, deadline, hand_over_by, possibly_executed);
+        if let Some(key) = pending.ordering_key() {
+            self.submission_order.add(key, id.clone());
         }
+        self.messages.insert(id, pending);
+        sequence
     }
 
-    /// A message of an earlier process has to be with the decisions by then.
-    pub(crate) fn set_hand_over_by(&mut self, id: &str, by: Time) {
-        if let Some(pending) = self.pending.get_mut(id) {
-            pending.hand_over_by = by;
-        }
+    /// The message with this id.
+    pub(crate) fn get(&self, id: &MessageId) -> Option<&PendingMessage> {
+        self.messages.get(id)
+    }
+
+    /// The message with this id.
+    pub(crate) fn get_mut(&mut self, id: &MessageId) -> Option<&mut PendingMessage> {
+        self.messages.get_mut(id)
+    }
+
+    /// Removes a message: it has ended, or is cancelled.
+    pub(crate) fn remove(&mut self, id: &MessageId) -> Option<PendingMessage> {
+        let pending = self.messages.remove(id)?;
+        self.unacknowledged.remove(&Unacknowledged {
+            sequence: pending.sequence,
+            id: id.clone(),
+        });
+        Some(pending)
+    }
+
+    /// The ids of all messages.
+    pub(crate) fn ids(&self) -> impl Iterator<Item = &MessageId> {
+        self.messages.keys()
     }
 
-    /// A message that is held as the decisions take it, with its ages as of now.
-    pub(crate) fn accepted_message(&self, id: &str) -> Option<AcceptedMessage> {
-        let PendingMessage {
-            message,
-            deadline,
-            possibly_executed,
-            ..
-        } = self.pending.get(id)?;
-        let prior = PriorAttempts {
-            attempts: message.spent,
-            restored: message.from == Origin::Restored,
-            possibly_executed: possibly_executed
-                .as_ref()
-                .map(|(at, endpoint, _)| (self.now - *at, endpoint.clone())),
+    /// Messages that have not ended.
+    pub(crate) fn len(&self) -> usize {
+        self.messages.len()
+    }
+
+    /// Attempts in flight.
+    pub(crate) fn in_flight(&self) -> usize {
+        self.messages
+            .values()
+            .filter(|pending| pending.is_in_flight())
+            .count()
+    }
+
+    /// Whether the message is pending and accepted.
+    pub(crate) fn is_accepted(&self, id: &MessageId) -> bool {
+        self.messages
+            .get(id)
+            .is_some_and(|pending| pending.accepted)
+    }
+
+    /// The message for the scheduler, after all of its ordering key that were submitted before it; nothing if the
+    /// scheduler has it already.
+    pub(crate) fn hand_over(&mut self, now: Time, id: &MessageId) -> Vec<AcceptedMessage> {
+        let ordering_key = self.messages.get(id).and_then(PendingMessage::ordering_key);
+        let in_order = match ordering_key {
+            Some(key) => self.submission_order.take_through(&key, id),
+            None => vec![id.clone()],
         };
-        Some(AcceptedMessage {
-            id: MessageId(message.id.clone()),
-            class: message.class,
-            tenant: message.tenant,
-            ordering_key: message
-                .ordering_key
-                .clone()
-                .filter(|_| !mutation::is(Mutation::IgnoresOrder))
-                .map(OrderingKey),
-            time_left: *deadline - self.now,
-            destination: DestinationId(message.destination),
-            prior,
-        })
+        in_order
+            .iter()
+            .filter_map(|id| self.messages.get(id))
+            .map(|pending| pending.to_scheduler(now))
+            .collect()
     }
 
-    /// The events of this turn. What was handed over since the last one, or before a slow start was done, has grown older: with
-    /// its ages of then a repeat would go out after its window.
-    pub(crate) fn events_of_this_turn(&mut self) -> Vec<Event> {
-        let mut events = std::mem::take(&mut self.events);
-        for event in &mut events {
-            if let Event::Accept(taken) = event
-                && let Some(present) = self.accepted_message(&taken.id.0)
+    /// Brings the ages in events up to date: with those of the time of hand-over, a repeat could be sent after the end
+    /// of its window.
+    pub(crate) fn refresh(&self, now: Time, events: &mut [Event]) {
+        for event in events {
+            if let Event::Accept(accepted) = event
+                && let Some(pending) = self.messages.get(&accepted.id)
             {
-                *taken = present;
+                *accepted = pending.to_scheduler(now);
             }
         }
-        events
     }
 
-    /// Holds a message, behind all others of its key, and tells its place among all that were ever held.
-    pub(crate) fn hold(
-        &mut self,
-        message: Message,
-        deadline: Time,
-        possibly_executed: Option<FirstRun>,
-    ) -> u64 {
-        let (attempts, accepted) = (message.spent, message.from == Origin::Restored);
-        let id = message.id.clone();
-        if let Some(key) = &message.ordering_key {
-            self.pending_order.add(key, id.clone());
+    /// Accepts the messages submitted in this tick that have not ended in it. Those of clients that wait for the end
+    /// are answered only then.
+    pub(crate) fn accept_unacknowledged(&mut self, now: Time) -> Vec<Acceptance> {
+        let mut accepted = Vec::new();
+        for Unacknowledged { id, .. } in std::mem::take(&mut self.unacknowledged) {
+            if let Some(pending) = self.messages.get_mut(&id)
+                && let Origin::Client(_) = pending.message.from
+            {
+                pending.accepted = true;
+                accepted.push(Acceptance {
+                    record: pending.accepted_record(now),
+                    answer: Effect::Answer {
+                        to: pending.message.from,
+                        id: id.0,
+                        answer: Answer::Accepted,
+                    },
+                });
+            }
         }
-        self.sequence += 1;
-        let sequence = self.sequence;
-        let pending = PendingMessage {
-            sequence,
-            message,
-            deadline,
-            hand_over_by: deadline,
-            attempts,
-            out: None,
-            possibly_executed,
-            accepted,
-            recipient_removed: false,
-        };
-        self.pending.insert(id, pending);
-        sequence
+        accepted
     }
 }
--- /dev/null
+++ b/crates/core/src/pending_message.rs
@@ -0,0 +1,213 @@
+//! [`PendingMessage`]: one message that has not ended, with its attempts so far.
+
+use std::time::Duration;
+
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{
+    AcceptedMessage, DestinationId, EndpointId, MessageId, OrderingKey, PriorAttempts, Status,
+};
+
+use crate::effect::{Attempt, Record};
+use crate::message::{Answer, FinalReport, Message, Origin};
+use crate::mutation::{self, Mutation};
+
+/// The scheduler ends a message this many ticks before its deadline at the earliest: nothing can be sent in them.
+const EXPIRY_TICKS: u32 = 2;
+
+/// The first attempt of a message that may have been executed at its destination.
+#[derive(Clone, Debug)]
+pub(crate) struct PossibleExecution {
+    pub(crate) at: Time,
+    pub(crate) endpoint: EndpointId,
+    pub(crate) attempt: u32,
+}
+
+/// The attempt of a message that is in flight.
+#[derive(Debug)]
+pub(crate) struct InFlightAttempt {
+    pub(crate) number: u32,
+    pub(crate) endpoint: EndpointId,
+}
+
+/// An attempt as the scheduler asks for it.
+#[derive(Debug)]
+pub(crate) struct SendRequest {
+    pub(crate) id: MessageId,
+    pub(crate) endpoint: EndpointId,
+    /// Attempts with the same number share a call.
+    pub(crate) call: u64,
+    /// See [`Attempt::until`].
+    pub(crate) until: Time,
+    /// See [`Attempt::write_by`].
+    pub(crate) write_by: Option<Time>,
+}
+
+/// How the scheduler ends a message without delivery.
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum Verdict {
+    /// Not executed: submitting it again does no harm.
+    Rejected { retry_after: Option<Duration> },
+    /// It may have been executed, or can't be.
+    Failed,
+}
+
+impl Verdict {
+    /// The verdict as the platform is told.
+    pub(crate) fn final_report(self) -> FinalReport {
+        match self {
+            Verdict::Rejected { retry_after } => FinalReport::Returned {
+                after_ms: retry_after.map_or(0, |after| after.as_millis() as u64),
+            },
+            Verdict::Failed => FinalReport::Failed,
+        }
+    }
+}
+
+/// A message that has not ended.
+#[derive(Debug)]
+pub(crate) struct PendingMessage {
+    /// Its position among all messages that were ever pending here.
+    pub(crate) sequence: u64,
+    pub(crate) message: Message,
+    pub(crate) deadline: Time,
+    /// When the scheduler must have it, for its own sake or for that of a later one of its ordering key.
+    pub(crate) hand_over_by: Time,
+    /// Attempts started; the next one has this number.
+    attempts: u32,
+    in_flight: Option<InFlightAttempt>,
+    possibly_executed: Option<PossibleExecution>,
+    /// Its client has been told so, or is told as soon as the journal has its record.
+    pub(crate) accepted: bool,
+    recipient_removed: bool,
+}
+
+impl PendingMessage {
+    /// A message as it was submitted or recovered.
+    pub(crate) fn new(
+        sequence: u64,
+        message: Message,
+        deadline: Time,
+        hand_over_by: Time,
+        possibly_executed: Option<PossibleExecution>,
+    ) -> PendingMessage {
+        PendingMessage {
+            sequence,
+            deadline,
+            hand_over_by,
+            attempts: message.spent,
+            in_flight: None,
+            possibly_executed,
+            accepted: message.from == Origin::Restored,
+            recipient_removed: false,
+            message,
+        }
+    }
+
+    /// Where it is sent.
+    pub(crate) fn destination(&self) -> DestinationId {
+        DestinationId(self.message.destination)
+    }
+
+    /// The key that it keeps its order within.
+    pub(crate) fn ordering_key(&self) -> Option<OrderingKey> {
+        self.message.ordering_key.clone().map(OrderingKey)
+    }
+
+    /// Whether an attempt is in flight.
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.in_flight.is_some()
+    }
+
+    /// The journal's record of its acceptance.
+    pub(crate) fn accepted_record(&self, now: Time) -> Record {
+        let message = &self.message;
+        Record::Accepted {
+            id: message.id.clone(),
+            class: message.class,
+            tenant: message.tenant,
+            destination: message.destination,
+            key: message.key.clone(),
+            ordering_key: message.ordering_key.clone(),
+            deadline: self.deadline.0,
+            at: now.0,
+            body: message.body.clone(),
+        }
+    }
+
+    /// The message as the scheduler receives it, with its ages as of now.
+    pub(crate) fn to_scheduler(&self, now: Time) -> AcceptedMessage {
+        let message = &self.message;
+        let prior = PriorAttempts {
+            attempts: message.spent,
+            restored: message.from == Origin::Restored,
+            possibly_executed: self
+                .possibly_executed
+                .as_ref()
+                .map(|first| (now - first.at, first.endpoint.clone())),
+        };
+        let ordering_key = self
+            .ordering_key()
+            .filter(|_| !mutation::is(Mutation::IgnoresOrder));
+        AcceptedMessage {
+            id: MessageId(message.id.clone()),
+            class: message.class,
+            tenant: message.tenant,
+            ordering_key,
+            time_left: self.deadline - now,
+            destination: self.destination(),
+            prior,
+        }
+    }
+
+    /// Starts its next attempt.
+    pub(crate) fn start_attempt(&mut self, now: Time, request: &SendRequest) -> Attempt {
+        let number = self.attempts;
+        self.attempts += 1;
+        self.in_flight = Some(InFlightAttempt {
+            number,
+            endpoint: request.endpoint.clone(),
+        });
+        self.possibly_executed
+            .get_or_insert_with(|| PossibleExecution {
+                at: now,
+                endpoint: request.endpoint.clone(),
+                attempt: number,
+            });
+        Attempt {
+            id: self.message.id.clone(),
+            number,
+            key: self.message.key.clone(),
+            body: self.message.body.clone(),
+            envelope: self.message.envelope.clone(),
+            until: request.until.min(self.deadline),
+            write_by: request.write_by,
+        }
+    }
+
+    /// An attempt has finished. Returns it if it was in flight.
+    pub(crate) fn finish_attempt(
+        &mut self,
+        number: u32,
+        status: Status,
+    ) -> Option<InFlightAttempt> {
+        let finished = self
+            .in_flight
+            .take_if(|in_flight| in_flight.number == number);
+        self.possibly_executed
+            .take_if(|first| status.not_executed() && first.attempt == number);
+        self.recipient_removed |= status == Status::RecipientRemoved;
+        finished
+    }
+
+    /// The answer to a client that waits for the end of this message.
+    pub(crate) fn final_answer(&self, verdict: Verdict, now: Time, tick: Duration) -> Answer {
+        match verdict {
+            Verdict::Rejected { .. } if self.recipient_removed => Answer::RecipientRemoved,
+            Verdict::Rejected { .. } if self.deadline <= now + tick * EXPIRY_TICKS => {
+                Answer::Expired
+            }
+            Verdict::Rejected { retry_after } => Answer::Rejected { after: retry_after },
+            Verdict::Failed => Answer::Failed,
+        }
+    }
+}
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -1,290 +1,528 @@
-//! [`Core`]: all state, and the one place where it changes.
-
-use std::collections::{BTreeMap, BTreeSet};
-use std::time::Duration;
+//! [`Core`]: all state of a sender. [`Core::step`] is the one place where it changes.
 
 use cranehill_membership::{self as membership, Members};
-use cranehill_recovery::Recovery;
-use cranehill_scheduler::api::{DestinationId, Event, MessageId, Settings};
-use cranehill_scheduler::{LearnedState, Scheduler, SettingsError, Time};
-use cranehill_zone_failover::Zones;
+use cranehill_recovery::{self as recovery, Phase};
+use cranehill_scheduler::api::{
+    AcceptedMessage, Action, DestinationId, EndpointId, Entry, Event, MessageId, Settings,
+};
+use cranehill_scheduler::{Scheduler, SettingsError, Time};
+use cranehill_zone_failover as zone_failover;
 
-use crate::backlog::Backlog;
-use crate::detach::Detached;
+use crate::detachments::Detachments;
 use crate::effect::{Effect, Record};
-use crate::ended::Ended;
-use crate::ends::PendingReport;
-use crate::input::Input;
-use crate::list::EndpointList;
-use crate::message::{Answer, Message, Origin};
+use crate::endpoints::{DetachRequest, Endpoints};
+use crate::fleet::Fleet;
+use crate::input::{AttemptOutcome, Input, Persisted};
+use crate::invariant::Violations;
+use crate::message::{Answer, Listing, Message};
+use crate::messages::{Messages, RestoredMessage};
 use crate::mutation::{self, Mutation};
-use crate::order::PendingOrder;
-use crate::pending::PendingMessage;
-
-/// What must hold, counted where it does not. Debug builds stop instead.
-#[derive(Debug, Default, Clone, Copy)]
-pub struct Violations {
-    pub second_copy: u64,
-    pub unknown_message: u64,
-    pub unlisted_endpoint: u64,
-}
+use crate::outbox::Outbox;
+use crate::outgoing_calls::OutgoingCalls;
+use crate::pending_message::{InFlightAttempt, SendRequest, Verdict};
 
+/// All state of a sender.
 #[derive(Debug)]
 pub struct Core {
-    pub(crate) scheduler: Scheduler,
-    pub(crate) set: Settings,
-    pub(crate) now: Time,
-    pub(crate) pending: BTreeMap<String, PendingMessage>,
-    pub(crate) final_report: BTreeMap<String, PendingReport>,
-    pub(crate) list: EndpointList,
-    /// Messages accepted that have ended.
-    pub(crate) ended: Ended,
-    pub(crate) events: Vec<Event>,
-    pub(crate) records: Vec<Record>,
-    /// Ends that the journal had no room for: they go into its next turn again.
-    pub(crate) unpersisted: Vec<Record>,
-    pub(crate) deferred: Vec<Effect>,
-    /// Submitted this turn and not answered yet, in the order in which they came.
-    pub(crate) unacknowledged: BTreeSet<(u64, String)>,
-    /// Messages held so far.
-    pub(crate) sequence: u64,
-    pub(crate) stopping: bool,
-    /// The other senders, where this one takes part in the fleet.
-    pub(crate) members: Option<Members>,
-    /// What an earlier process left, and the decisions have no room for yet.
-    pub(crate) backlog: Backlog,
-    /// What waits to be handed to the decisions and keeps an order.
-    pub(crate) pending_order: PendingOrder,
-    /// The way back to full service, where it goes by steps.
-    pub(crate) recovery: Option<Recovery>,
-    /// Zones as the fleet sees them, where it leaves and returns together.
-    pub(crate) zones: Option<Zones>,
-    pub(crate) detached: Detached,
-    /// No new attempts: another process is about to take over.
-    pub(crate) quiet: bool,
-    /// What the process before this one knew, until the list has what it is about.
-    pub(crate) inherited_state: Vec<LearnedState>,
-    /// The version of the members' payloads that was looked at last.
-    pub(crate) payloads_version: u64,
+    settings: Settings,
+    now: Time,
+    scheduler: Scheduler,
+    /// What the scheduler gets at the end of the tick.
+    events: Vec<Event>,
+    messages: Messages,
+    endpoints: Endpoints,
+    fleet: Fleet,
+    outbox: Outbox,
+    /// The process is about to end: no new attempts.
+    stopping: bool,
+    /// Another process is about to take over: no new attempts.
+    quiesced: bool,
+    /// How often each invariant was violated since the start.
     pub violations: Violations,
 }
 
 impl Core {
-    pub fn new(mut set: Settings, seed: u64, now: Time) -> Result<Core, SettingsError> {
-        if mutation::is(Mutation::RepeatsUnsafe) {
-            set.classes
-                .iter_mut()
-                .for_each(|c| c.effect = cranehill_scheduler::api::Effect::Safe);
-        }
-        if mutation::is(Mutation::SeventhAttempt) {
-            set.attempts_cap = 9;
-        }
-        let mut scheduler = Scheduler::new(set.clone(), seed, now)?;
+    /// A sender without messages and endpoints. `seed` is that of all its random draws.
+    ///
+    /// # Errors
+    ///
+    /// Settings that the scheduler can't work with.
+    pub fn new(mut settings: Settings, seed: u64, now: Time) -> Result<Core, SettingsError> {
+        mutation::apply_to_settings(&mut settings);
+        let mut scheduler = Scheduler::new(settings.clone(), seed, now)?;
         scheduler.confirm_reports();
         Ok(Core {
-            scheduler,
-            set,
             now,
-            pending: BTreeMap::new(),
-            final_report: BTreeMap::new(),
-            list: EndpointList::default(),
-            ended: Ended::default(),
+            scheduler,
             events: Vec::new(),
-            records: Vec::new(),
-            unpersisted: Vec::new(),
-            deferred: Vec::new(),
-            unacknowledged: BTreeSet::new(),
-            sequence: 0,
+            messages: Messages::new(&settings),
+            endpoints: Endpoints::new(settings.rules.cold),
+            fleet: Fleet::default(),
+            outbox: Outbox::default(),
             stopping: false,
-            members: None,
-            backlog: Backlog::default(),
-            pending_order: PendingOrder::default(),
-            recovery: None,
-            zones: None,
-            detached: Detached::default(),
-            quiet: false,
-            inherited_state: Vec::new(),
-            payloads_version: 0,
+            quiesced: false,
             violations: Violations::default(),
+            settings,
         })
     }
 
-    /// Takes part in the fleet; `membership::Input::Due` is to come at once.
+    /// Becomes a member of the fleet; [`membership::Input::Due`] must be passed in at once.
     pub fn join(&mut self, settings: membership::Settings, seed: u64) {
-        self.members = Some(Members::new(settings, seed, self.now));
+        self.fleet.join(self.now, settings, seed);
+    }
+
+    /// Evacuates zones, and returns to them, together with the other members.
+    pub fn manage_zones(&mut self, settings: zone_failover::Settings) {
+        self.fleet.manage_zones(settings);
+        self.count_zone_endpoints();
+    }
+
+    /// Recovers in steps from now on: learned state, first calls and messages of an earlier process are spread over time.
+    pub fn recover(&mut self, settings: recovery::Settings) {
+        self.fleet.recovery.enable(self.now, settings);
     }
 
-    /// The other senders as this one sees them.
+    /// Restores the endpoints that an earlier process had detached.
+    pub fn detached_before(&mut self, before: Detachments) {
+        for entry in self.endpoints.restore_detachments(self.now, before) {
+            self.push_entry(entry);
+        }
+    }
+
+    /// The members of the fleet as this one sees them, where it is a member.
     pub fn members(&self) -> Option<&Members> {
-        self.members.as_ref()
+        self.fleet.members()
     }
 
-    /// Takes one input in and tells what to do.
+    /// The state of each zone, where the fleet manages them.
+    pub fn zone_states(&self) -> Option<Vec<(u32, zone_failover::State)>> {
+        self.fleet.zone_states()
+    }
+
+    /// The phase of the recovery, where it goes in steps.
+    pub fn phase(&self) -> Option<Phase> {
+        self.fleet.recovery.phase()
+    }
+
+    /// The learned state of this sender, for the process that takes over from it.
+    pub fn learned_state(&self) -> Vec<u8> {
+        recovery::pack(&self.scheduler.learned_state())
+    }
+
+    /// Whether discovery lists an endpoint of this destination, or did in the last ten minutes: all of its endpoints may be
+    /// in the middle of being replaced.
+    pub fn knows(&self, destination: u64) -> bool {
+        self.endpoints.list().knows(DestinationId(destination))
+    }
+
+    /// Endpoints that are known here or to the scheduler, whichever are more.
+    pub fn endpoints(&self) -> usize {
+        let listed = self.endpoints.list().len();
+        listed.max(self.scheduler.endpoint_count())
+    }
+
+    /// Attempts in flight.
+    pub fn attempts_out(&self) -> usize {
+        self.messages.in_flight_count()
+    }
+
+    /// Pending messages, and final reports that the platform has not acknowledged.
+    pub fn outstanding(&self) -> (usize, usize) {
+        (self.messages.pending_count(), self.messages.report_count())
+    }
+
+    /// Applies one input. Returns the effects that follow from it, to be carried out in their order.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Effect> {
         self.now = self.now.max(now);
         match input {
-            Input::Submitted(message) => self.on_submitted(message),
-            Input::Cancelled(id) => {
-                if let Some(pending) = self.pending.remove(&id) {
-                    self.unacknowledged.remove(&(pending.sequence, id.clone()));
-                    self.events.push(Event::Cancelled(MessageId(id)));
-                }
-                Vec::new()
+            Input::Submitted(message) => return self.on_submitted(message),
+            Input::Cancelled(id) => self.on_cancelled(MessageId(id)),
+            Input::EndpointsChanged { whole, list } => {
+                return self.on_endpoints_changed(whole, list);
             }
-            Input::EndpointsChanged { whole, list } => self.on_endpoints_changed(whole, list),
-            Input::AttemptsFinished(ends) => self.on_attempts_finished(ends),
+            Input::AttemptsFinished(outcomes) => return self.on_attempts_finished(outcomes),
             Input::HealthChecked { endpoint, status } => {
                 self.events.push(Event::HealthChecked { endpoint, status });
-                Vec::new()
-            }
-            Input::TimerFired => {
-                self.events.push(Event::Wake);
-                Vec::new()
-            }
-            Input::TickEnded => self.on_tick_ended(),
-            Input::Persisted(kept) => self.on_persisted(kept),
-            Input::FinalReportsAcknowledged(ids) => {
-                for id in ids {
-                    if let Some(report) = self.final_report.remove(&id) {
-                        self.end_order(report.ordering_key.as_deref());
-                        let until = self.remember(&id);
-                        self.records.push(Record::Completed { id, until: until.0 });
-                    }
-                }
-                Vec::new()
             }
-            Input::Recovered(records) => self.on_recovered(records),
-            Input::LearnedStateRestored(bytes) => {
-                self.on_learned_state_restored(&bytes);
-                Vec::new()
-            }
-            Input::Fleet(input) => self.on_fleet(input),
-            Input::Quiesced(quiet) => {
-                self.quiet = quiet;
-                if !quiet {
-                    self.scheduler.unbar_all();
-                }
-                Vec::new()
-            }
-            Input::LearnedStateInherited(bytes) => {
-                self.inherit_learned_state(&bytes);
-                Vec::new()
-            }
-            Input::Detach { by, endpoint, back } => self.on_detach(by, endpoint, back),
-            Input::Stopping => {
-                if mutation::is(Mutation::LeaksAtStop) {
-                    let now = self.now.0;
-                    let over = |id: &String| Record::Completed {
-                        id: id.clone(),
-                        until: now,
-                    };
-                    return vec![Effect::Persist(self.pending.keys().map(over).collect())];
-                }
-                self.stopping = true;
-                Vec::new()
+            Input::TimerFired => self.events.push(Event::Wake),
+            Input::TickEnded => return self.on_tick_ended(),
+            Input::Persisted(persisted) => return self.on_persisted(persisted),
+            Input::FinalReportsAcknowledged(ids) => self.on_final_reports_acknowledged(ids),
+            Input::Recovered(records) => return self.on_recovered(records),
+            Input::LearnedStateRestored(bytes) => self.fleet.recovery.on_restored(self.now, &bytes),
+            Input::LearnedStateInherited(bytes) => self.fleet.recovery.on_inherited(&bytes),
+            Input::Fleet(input) => return self.on_fleet(input),
+            Input::Quiesced(quiesced) => self.on_quiesced(quiesced),
+            Input::Detach { by, endpoint, back } => {
+                return self.on_detach(DetachRequest {
+                    by,
+                    endpoint: EndpointId(endpoint),
+                    attach: back,
+                });
             }
+            Input::Stopping => return self.on_stopping(),
         }
+        Vec::new()
     }
 
-    pub(crate) fn on_fleet(&mut self, input: membership::Input) -> Vec<Effect> {
-        let Some(members) = &mut self.members else {
-            return Vec::new();
-        };
+    fn on_submitted(&mut self, message: Message) -> Vec<Effect> {
+        let id = MessageId(message.id.clone());
+        if let Some(answer) = self.messages.answer_to_repeat(&id, message.from) {
+            return vec![Effect::Answer {
+                to: message.from,
+                id: message.id,
+                answer,
+            }];
+        }
+        let accepted = self.messages.submit(self.now, message);
+        self.push_messages(accepted);
+        Vec::new()
+    }
+
+    fn on_cancelled(&mut self, id: MessageId) {
+        if self.messages.cancel(&id) {
+            self.events.push(Event::Cancelled(id));
+        }
+    }
+
+    fn on_endpoints_changed(&mut self, whole: bool, mut list: Vec<Listing>) -> Vec<Effect> {
+        let whole = mutation::apply_to_endpoint_list(whole, &mut list);
+        let update = self.endpoints.update(self.now, whole, list);
+        let entries = update.entries;
+        self.events.push(Event::List { whole, entries });
+        self.count_zone_endpoints();
+        self.fleet.recovery.on_endpoints_changed();
+        update.effects
+    }
+
+    fn count_zone_endpoints(&mut self) {
+        let endpoints = self.endpoints.list().zones();
+        self.fleet.set_zone_endpoint_counts(endpoints);
+    }
+
+    fn on_attempts_finished(&mut self, outcomes: Vec<AttemptOutcome>) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for effect in members.step(self.now, input) {
-            match effect {
-                membership::Effect::LearnedRequested { .. }
-                | membership::Effect::LearnedReceived { .. } => {
-                    effects.extend(self.on_learned_state_message(&effect));
-                }
-                membership::Effect::ShareDivisor(senders) => {
-                    self.events.push(Event::SenderCount(senders));
-                    effects.push(Effect::Fleet(effect));
-                }
-                other => effects.push(Effect::Fleet(other)),
-            }
+        for mut outcome in outcomes {
+            mutation::apply_to_outcome(&mut outcome);
+            effects.extend(self.on_attempt_finished(outcome));
+        }
+        effects
+    }
+
+    fn on_attempt_finished(&mut self, outcome: AttemptOutcome) -> Option<Effect> {
+        let finished = self
+            .messages
+            .finish_attempt(self.now, &outcome, &mut self.outbox);
+        let Some(finished) = finished else {
+            // Cancelled while in flight: the scheduler still needs the outcome.
+            self.events.push(outcome.into_event(true));
+            return None;
+        };
+        let violations = &mut self.violations;
+        must_hold!(
+            violations.unknown_message,
+            finished.in_flight.is_some(),
+            "an attempt of {} has finished that was not in flight",
+            outcome.id
+        );
+        if let Some(InFlightAttempt { endpoint, .. }) = &finished.in_flight {
+            let zone = self.endpoints.list().zone(endpoint);
+            self.fleet
+                .record_attempt(self.now, zone, endpoint, outcome.status);
+        }
+        // A call that is still on its way to its connection would be received before that time.
+        let asked_to_wait = outcome.retry_after.is_some();
+        self.events.push(outcome.into_event(finished.completed));
+        asked_to_wait.then(|| self.endpoints.cancel_unwritten(finished.destination))
+    }
+
+    /// The scheduler has ended a message without delivery.
+    fn on_verdict(&mut self, id: &MessageId, verdict: Verdict) {
+        let ended = self
+            .messages
+            .end(self.now, id.clone(), verdict, &mut self.outbox);
+        let Some(ended) = ended else {
+            return;
+        };
+        self.fleet.recovery.on_sent_or_ended(ended.destination, id);
+        if let Some(key) = ended.released_key {
+            self.scheduler.report_answered(&key);
         }
-        if self.zones.is_some() {
-            let version = self.members.as_ref().map_or(0, Members::payloads_version);
-            // What members say of zones is looked at with the next turn.
-            if self.payloads_version != version {
-                self.payloads_version = version;
-                effects.push(Effect::WakeAt(self.now));
+    }
+
+    fn on_final_reports_acknowledged(&mut self, ids: Vec<String>) {
+        for id in ids.into_iter().map(MessageId) {
+            let released_key = self
+                .messages
+                .acknowledge_report(self.now, id, &mut self.outbox);
+            if let Some(key) = released_key {
+                self.scheduler.report_answered(&key);
             }
         }
-        effects
     }
 
-    /// Whether the directory lists this destination, or did until lately: all of its endpoints may be in the middle
-    /// of being replaced.
-    pub fn knows(&self, destination: u64) -> bool {
-        self.list.knows(DestinationId(destination))
+    fn on_fleet(&mut self, input: membership::Input) -> Vec<Effect> {
+        self.fleet
+            .step(self.now, input, &self.scheduler, &mut self.events)
     }
 
-    /// Endpoints that are kept, here and by the decisions.
-    pub fn endpoints(&self) -> usize {
-        self.list.len().max(self.scheduler.endpoint_count())
+    fn on_quiesced(&mut self, quiesced: bool) {
+        self.quiesced = quiesced;
+        if !quiesced {
+            self.scheduler.unbar_all();
+        }
     }
 
-    /// Calls out just now.
-    pub fn attempts_out(&self) -> usize {
-        self.pending.values().filter(|h| h.out.is_some()).count()
+    fn on_detach(&mut self, request: DetachRequest) -> Vec<Effect> {
+        let result = self
+            .endpoints
+            .detach(self.now, request, &mut self.scheduler);
+        if let Some(entry) = result.entry {
+            self.push_entry(entry);
+        }
+        result.effects
     }
 
-    /// Messages held, and final reports that the platform has yet to take.
-    pub fn outstanding(&self) -> (usize, usize) {
-        (self.pending.len(), self.final_report.len())
+    /// Notifies the scheduler of one changed endpoint.
+    fn push_entry(&mut self, entry: Entry) {
+        self.events.push(Event::List {
+            whole: false,
+            entries: vec![entry],
+        });
     }
 
-    fn on_submitted(&mut self, message: Message) -> Vec<Effect> {
-        // The same id again is the same message: a client resends what it could not know we had read.
-        if let Some(pending) = self.pending.get(&message.id) {
-            if pending.accepted {
-                let (to, id) = (message.from, message.id);
-                return vec![Effect::Answer {
-                    to,
+    fn on_stopping(&mut self) -> Vec<Effect> {
+        if mutation::is(Mutation::LeaksAtStop) {
+            let until = self.now.0;
+            let completed = self.messages.pending_ids().map(|id| Record::Completed {
+                id: id.0.clone(),
+                until,
+            });
+            return vec![Effect::Persist(completed.collect())];
+        }
+        self.stopping = true;
+        Vec::new()
+    }
+
+    /// Hands messages to the scheduler.
+    fn push_messages(&mut self, messages: Vec<AcceptedMessage>) {
+        self.events.extend(messages.into_iter().map(Event::Accept));
+    }
+
+    fn on_recovered(&mut self, records: Vec<Record>) -> Vec<Effect> {
+        if !records.is_empty() {
+            // Attempts that were cut off with the earlier process may still be executed.
+            self.scheduler.rest_keys(self.now);
+        }
+        let classes = &self.settings.classes;
+        let restored = self.messages.restore(self.now, records, classes);
+        for key in self.messages.held_back_keys() {
+            self.scheduler.await_report(key);
+        }
+        for message in restored {
+            self.wait_for_hand_over(message);
+        }
+        self.release_work_queue();
+        self.hand_over_backlog();
+        self.messages.resend_reports()
+    }
+
+    /// Adds a message of an earlier process to the work queue of the recovery, or to the backlog where there is none.
+    fn wait_for_hand_over(&mut self, message: RestoredMessage) {
+        let RestoredMessage {
+            id,
+            destination,
+            hand_over_by,
+        } = message;
+        let recovery = &mut self.fleet.recovery;
+        if !recovery.enqueue(destination, hand_over_by, &id) {
+            self.messages.add_to_backlog(id);
+        }
+    }
+
+    /// Moves what the recovery releases from its work queue to the backlog.
+    fn release_work_queue(&mut self) {
+        for id in self.fleet.recovery.release(self.now) {
+            self.messages.add_to_backlog(id);
+        }
+    }
+
+    /// Hands over as much of the backlog as the scheduler has capacity for. Returns when to try again, if any waits.
+    fn hand_over_backlog(&mut self) -> Option<Time> {
+        let events = self.events.iter();
+        let handed_over = events.filter(|e| matches!(e, Event::Accept(_))).count();
+        let capacity = self.scheduler.capacity().saturating_sub(handed_over);
+        let release = self.messages.release_backlog(self.now, capacity);
+        self.push_messages(release.messages);
+        release.next
+    }
+
+    /// Ends a tick: the scheduler decides on its events, and what follows is recorded and carried out.
+    fn on_tick_ended(&mut self) -> Vec<Effect> {
+        let mut events = std::mem::take(&mut self.events);
+        self.messages.refresh(self.now, &mut events);
+        let zone_effects = self
+            .fleet
+            .update_zones(self.now, &mut self.scheduler, &mut self.events);
+        self.endpoints
+            .admit_warming_up(self.now, &mut self.scheduler);
+        let actions = self.decide(events);
+        let mut calls = self.carry_out(actions);
+        // An answer is sent before the call: a delivery counts only once the client knows that the message is accepted.
+        let outbox = &mut self.outbox;
+        let mut effects = self.messages.accept_unacknowledged(self.now, outbox);
+        self.messages.record_attempts(calls.take_records(), outbox);
+        effects.extend(self.outbox.take_deferred());
+        effects.extend(calls.into_effects());
+        effects.extend(zone_effects);
+        effects.extend(self.hand_over_backlog().map(Effect::WakeAt));
+        effects.extend(self.continue_recovery());
+        self.outbox.flush(effects)
+    }
+
+    fn decide(&mut self, events: Vec<Event>) -> Vec<Action> {
+        if self.quiesced {
+            self.scheduler.bar_all();
+        }
+        let recovery = &mut self.fleet.recovery;
+        let restored = recovery.restore(self.now, &mut self.scheduler, events);
+        let mut actions = restored.actions;
+        actions.extend(self.scheduler.handle(self.now, restored.remaining));
+        let active_routes = self.scheduler.active_routes();
+        log::trace!(active_routes; "tick: {active_routes} routes are active after it");
+        actions
+    }
+
+    fn carry_out(&mut self, actions: Vec<Action>) -> OutgoingCalls {
+        let mut calls = OutgoingCalls::default();
+        let now = self.now;
+        for action in actions {
+            match action {
+                Action::Send { .. } if self.stopping => {}
+                Action::Send {
                     id,
-                    answer: Answer::Accepted,
-                }];
+                    endpoint,
+                    timeout,
+                    call,
+                    write_within,
+                } => {
+                    let request = SendRequest {
+                        id,
+                        endpoint,
+                        call,
+                        until: now + timeout,
+                        write_by: write_within.map(|within| now + within),
+                    };
+                    self.start_attempt(request, &mut calls);
+                }
+                Action::Reject { id, after } => {
+                    self.on_verdict(&id, Verdict::Rejected { retry_after: after });
+                }
+                Action::Fail(id) => self.on_verdict(&id, Verdict::Failed),
+                Action::Timer(after) => self.outbox.defer(Effect::WakeAt(now + after)),
+                Action::CloseIdle(endpoint) => self.outbox.defer(Effect::CloseIdle(endpoint)),
+                Action::CheckHealth(endpoint) => self.check_health(endpoint),
+                // Discovery is watched all the time.
+                Action::Subscribe => {}
             }
-            let refused = Answer::Rejected {
-                after: Some(Duration::from_millis(100)),
-            };
-            return vec![Effect::Answer {
-                to: message.from,
-                id: message.id,
-                answer: refused,
-            }];
         }
-        // So is one that has ended, for as long as a message lasts: nothing goes out twice under one id, nor to
-        // where somebody else under that id would have it go.
-        if self.ended.contains(&message.id) && matches!(message.from, Origin::Client(_)) {
-            return vec![Effect::Answer {
-                to: message.from,
-                id: message.id,
-                answer: Answer::Accepted,
-            }];
+        calls
+    }
+
+    fn start_attempt(&mut self, request: SendRequest, calls: &mut OutgoingCalls) {
+        let SendRequest { id, endpoint, .. } = &request;
+        let violations = &mut self.violations;
+        let Some(pending) = self.messages.pending_mut(id) else {
+            must_hold!(
+                violations.unknown_message,
+                false,
+                "an attempt for {id}, which is not pending"
+            );
+            return;
+        };
+        must_hold!(
+            violations.second_copy,
+            !pending.is_in_flight(),
+            "a second copy of {id}"
+        );
+        let Some(address) = self.endpoints.list().address(endpoint) else {
+            must_hold!(
+                violations.unlisted_endpoint,
+                false,
+                "an attempt to {endpoint}, which is not listed"
+            );
+            return;
+        };
+        let attempt = pending.start_attempt(self.now, &request);
+        let recovery = &mut self.fleet.recovery;
+        recovery.on_sent_or_ended(pending.destination(), id);
+        calls.add(self.now, request, address.to_owned(), attempt);
+    }
+
+    fn check_health(&mut self, endpoint: EndpointId) {
+        if let Some(address) = self.endpoints.list().address(&endpoint) {
+            let address = address.to_owned();
+            self.outbox.defer(Effect::CheckHealth { endpoint, address });
         }
-        let deadline = self.now + message.left;
-        let id = message.id.clone();
-        let sequence = self.hold(message, deadline, None);
-        self.unacknowledged.insert((sequence, id.clone()));
-        self.hand_over(&id);
-        Vec::new()
     }
 
-    /// How long a returning endpoint is cold.
-    pub(crate) fn cold(&self) -> Duration {
-        self.set.rules.cold
+    /// At the end of a tick, where recovery goes in steps: asks other members, goes on with the work queue, persists
+    /// learned state, and checks whether the recovery is complete.
+    fn continue_recovery(&mut self) -> Vec<Effect> {
+        if !self.fleet.recovery.is_enabled() {
+            return Vec::new();
+        }
+        let mut effects =
+            self.fleet
+                .ask_for_learned_state(self.now, &self.scheduler, &mut self.events);
+        let events_before = self.events.len();
+        self.release_work_queue();
+        self.hand_over_backlog();
+        let handed_over = self.events.len() > events_before;
+        let recovery = &mut self.fleet.recovery;
+        effects.extend(recovery.end_tick(self.now, &self.scheduler, handed_over));
+        effects
     }
 
-    /// How long a message lasts at most.
-    pub(crate) fn longest(&self) -> Duration {
-        self.set
-            .classes
-            .iter()
-            .map(|c| c.deadline)
-            .max()
-            .unwrap_or_default()
+    /// The journal has taken the tick's records, or some of them: releases what depends on them.
+    fn on_persisted(&mut self, persisted: Persisted) -> Vec<Effect> {
+        let effects = self.outbox.on_persisted(persisted);
+        if persisted == Persisted::All {
+            return effects;
+        }
+        effects
+            .into_iter()
+            .filter_map(|effect| self.without_record(effect))
+            .collect()
+    }
+
+    /// An effect whose record the journal had no space for: new messages are rejected, and attempts are not sent, as a
+    /// restart would not know of them.
+    fn without_record(&mut self, effect: Effect) -> Option<Effect> {
+        match effect {
+            Effect::Answer {
+                to,
+                id,
+                answer: Answer::Accepted,
+            } => {
+                let id = MessageId(id);
+                self.messages.cancel(&id);
+                self.events.push(Event::Cancelled(id.clone()));
+                let answer = Answer::Rejected {
+                    after: Some(self.settings.max_retry_after),
+                };
+                Some(Effect::Answer {
+                    to,
+                    id: id.0,
+                    answer,
+                })
+            }
+            Effect::Call { attempts, .. } => {
+                let not_sent = attempts.into_iter().map(AttemptOutcome::not_sent);
+                self.on_attempts_finished(not_sent.collect());
+                None
+            }
+            other => Some(other),
+        }
     }
 }
--- a/crates/core/src/zones.rs
+++ b/crates/core/src/zones.rs
@@ -1,107 +1,124 @@
-//! Zones left and returned to by the whole fleet: what calls say of them, what members say, and what follows here.
+//! [`FleetZones`]: applies the fleet's decisions on zones to the scheduler.
 
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use cranehill_membership as membership;
-use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{EndpointId, Status};
+use cranehill_scheduler::{Scheduler, Time};
 use cranehill_zone_failover::{Change, Settings, State, ZoneAnnouncement, Zones};
 
-use crate::effect::Effect;
-use crate::list::EndpointList;
-use crate::reducer::Core;
+/// What an update of the zones leads to.
+pub(crate) struct ZoneUpdate {
+    /// What this member announces to the others; empty for nothing.
+    pub(crate) payload: Vec<u8>,
+    pub(crate) changes: Vec<Change>,
+    /// When to update again, even if nothing is received.
+    pub(crate) next_update: Option<Time>,
+}
 
-/// Notes how a call ended, for the zone that it went to.
-pub(crate) fn note_zone(
-    zones: &mut Zones,
-    list: &EndpointList,
-    now: Time,
-    endpoint: &EndpointId,
-    status: Status,
-) {
-    let answered = match status {
-        Status::TimedOut | Status::NoConnection | Status::Reset => false,
-        // Whoever refuses, errs or rejects is there.
-        Status::Served
-        | Status::Error
-        | Status::Overloaded
-        | Status::RecipientRemoved
-        | Status::PermanentError
-        | Status::Spoilt => true,
-        Status::Dropped | Status::Cancelled | Status::NotSent => return,
-    };
-    if let Some(zone) = list.zone(endpoint) {
-        zones.ended(now, zone, &endpoint.0, answered);
-    }
+/// The zones as the fleet sees them.
+#[derive(Debug)]
+pub(crate) struct FleetZones {
+    zones: Zones,
 }
 
-impl Core {
-    /// Leaves and returns to zones together with the other members.
-    pub fn manage_zones(&mut self, settings: Settings) {
-        self.zones = Some(Zones::new(settings));
-        self.count_zones();
+impl FleetZones {
+    /// No zone yet.
+    pub(crate) fn new(settings: Settings) -> FleetZones {
+        FleetZones {
+            zones: Zones::new(settings),
+        }
     }
 
-    /// The zones as the fleet sees them, where it does.
-    pub fn zone_states(&self) -> Option<Vec<(u32, State)>> {
-        self.zones.as_ref().map(|z| z.states().collect())
+    /// The state of each zone.
+    pub(crate) fn states(&self) -> Vec<(u32, State)> {
+        self.zones.states().collect()
     }
 
-    pub(crate) fn count_zones(&mut self) {
-        let Some(zones) = &mut self.zones else { return };
-        zones.listed(self.list.zones());
+    /// How many endpoints each zone has.
+    pub(crate) fn set_endpoint_counts(&mut self, endpoints: &BTreeMap<u32, usize>) {
+        self.zones.listed(endpoints);
     }
 
-    /// Before the decisions of a turn: reads what members say, says what there is to say, and sets the gates.
-    pub(crate) fn update_zones(&mut self) -> Vec<Effect> {
-        let now = self.now;
-        let Some((me, payloads)) = self.members().map(|m| (m.me().at, m.payloads())) else {
-            return Vec::new();
+    /// An attempt to an endpoint of the zone has finished.
+    pub(crate) fn record_attempt(
+        &mut self,
+        now: Time,
+        zone: u32,
+        endpoint: &EndpointId,
+        status: Status,
+    ) {
+        let answered = match status {
+            Status::TimedOut | Status::NoConnection | Status::Reset => false,
+            // An answer with an error still shows that the zone is reached.
+            Status::Served
+            | Status::Error
+            | Status::Overloaded
+            | Status::RecipientRemoved
+            | Status::PermanentError
+            | Status::Spoilt => true,
+            Status::Dropped | Status::Cancelled | Status::NotSent => return,
         };
-        let Some(zones) = &mut self.zones else {
-            return Vec::new();
-        };
-        let read = |(at, bytes): (SocketAddr, Vec<u8>)| {
-            // What a member of another version says of zones is nothing to go by.
-            (
-                at,
-                postcard::from_bytes::<Vec<ZoneAnnouncement>>(&bytes).unwrap_or_default(),
-            )
-        };
-        let others: Vec<(SocketAddr, Vec<ZoneAnnouncement>)> =
-            payloads.into_iter().map(read).collect();
-        let changes = zones.look(now, me, &others);
-        let announcements = zones.announcements(now, &others);
-        let states: Vec<(u32, State)> = zones.states().collect();
-        let due = zones.due(now);
+        self.zones.ended(now, zone, &endpoint.0, answered);
+    }
+
+    /// Before the scheduler decides: evaluates the payloads of the other members and applies what changes.
+    pub(crate) fn update(
+        &mut self,
+        now: Time,
+        me: SocketAddr,
+        payloads: Vec<(SocketAddr, Vec<u8>)>,
+        scheduler: &mut Scheduler,
+    ) -> ZoneUpdate {
+        let others: Vec<(SocketAddr, Vec<ZoneAnnouncement>)> = payloads
+            .into_iter()
+            .map(|(member, bytes)| (member, decode(&bytes)))
+            .collect();
+        let changes = self.zones.look(now, me, &others);
+        let announcements = self.zones.announcements(now, &others);
         for change in &changes {
-            match change {
-                Change::Evacuate { zone, .. } | Change::ProbeOver { zone } => {
-                    self.scheduler.bar(*zone)
-                }
-                Change::Probe { zone, pick } => self.scheduler.probe(now, *zone, *pick),
-                Change::Return { zone, .. } => self.scheduler.return_to(*zone, false),
-                Change::InService { zone } => self.scheduler.unbar(*zone),
-            }
+            apply_change(now, change, scheduler);
         }
-        for (zone, state) in states {
-            match state {
-                State::InService => {}
-                State::Evacuated(_) => self.scheduler.bar_new(zone),
-                State::Returning(since) => {
-                    self.scheduler.return_to(zone, true);
-                    self.scheduler.admit_returning(now, zone, since);
-                }
-            }
+        for (zone, state) in self.zones.states() {
+            apply_state(now, zone, state, scheduler);
+        }
+        ZoneUpdate {
+            payload: encode(&announcements),
+            changes,
+            next_update: self.zones.due(now),
+        }
+    }
+}
+
+/// Reads a member's payload. What a member of another version announces is ignored.
+fn decode(payload: &[u8]) -> Vec<ZoneAnnouncement> {
+    postcard::from_bytes(payload).unwrap_or_default()
+}
+
+fn encode(announcements: &[ZoneAnnouncement]) -> Vec<u8> {
+    if announcements.is_empty() {
+        return Vec::new();
+    }
+    postcard::to_stdvec(announcements).unwrap_or_default()
+}
+
+fn apply_change(now: Time, change: &Change, scheduler: &mut Scheduler) {
+    match change {
+        Change::Evacuate { zone, .. } | Change::ProbeOver { zone } => scheduler.bar(*zone),
+        Change::Probe { zone, pick } => scheduler.probe(now, *zone, *pick),
+        Change::Return { zone, .. } => scheduler.return_to(*zone, false),
+        Change::InService { zone } => scheduler.unbar(*zone),
+    }
+}
+
+/// Applies a zone's state to endpoints that were listed since it began, and goes on with the ramp of a return.
+fn apply_state(now: Time, zone: u32, state: State, scheduler: &mut Scheduler) {
+    match state {
+        State::InService => {}
+        State::Evacuated(_) => scheduler.bar_new(zone),
+        State::Returning(since) => {
+            scheduler.return_to(zone, true);
+            scheduler.admit_returning(now, zone, since);
         }
-        let description = if announcements.is_empty() {
-            Vec::new()
-        } else {
-            postcard::to_stdvec(&announcements).unwrap_or_default()
-        };
-        let mut effects = self.on_fleet(membership::Input::SetPayload(description));
-        effects.extend(changes.into_iter().map(Effect::Zone));
-        effects.extend(due.map(Effect::WakeAt));
-        effects
     }
 }
