--- a/crates/core/tests/backlog.rs
+++ b/crates/core/tests/backlog.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranehill_core::*;
+use cranehill_core::{Attempt, AttemptOutcome, Core, Effect, Input, Listing, Persisted, Record};
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
@@ -76,6 +76,25 @@
     reported: BTreeMap<String, u64>,
 }
 
+/// When an attempt started now ends, and how: it is served, or unanswered to its time-out.
+fn outcome(now: u64, attempt: Attempt, serves: bool) -> (u64, AttemptOutcome) {
+    let (ended, status) = if serves {
+        (now + SERVED_AFTER_MS, Status::Served)
+    } else {
+        (ms(attempt.until).max(now + 1), Status::TimedOut)
+    };
+    let outcome = AttemptOutcome {
+        id: attempt.id,
+        attempt: attempt.number,
+        status,
+        over: serves,
+        took: Duration::from_millis(ended - now),
+        retry_after: None,
+        report: None,
+    };
+    (ended, outcome)
+}
+
 /// Plays until nothing is owed; every call is served unless `serves` is false, when it stays unanswered to its end.
 fn play(mut core: Core, records: Vec<Record>, serves: bool) -> Ends {
     let mut ends = Ends::default();
@@ -92,7 +111,7 @@
         while let Some(effect) = effects.pop() {
             match effect {
                 Effect::Persist(_) => {
-                    effects.extend(core.step(at(now), Input::Persisted(Persisted::All)))
+                    effects.extend(core.step(at(now), Input::Persisted(Persisted::All)));
                 }
                 Effect::SendFinalReport { id, .. } => {
                     effects.extend(
@@ -106,24 +125,8 @@
                 Effect::Call { attempts, .. } => {
                     for attempt in attempts {
                         ends.called.push((now, attempt.id.clone()));
-                        let ended = if serves {
-                            now + SERVED_AFTER_MS
-                        } else {
-                            ms(attempt.until).max(now + 1)
-                        };
-                        answers.entry(ended).or_default().push(AttemptOutcome {
-                            id: attempt.id,
-                            attempt: attempt.number,
-                            status: if serves {
-                                Status::Served
-                            } else {
-                                Status::TimedOut
-                            },
-                            over: serves,
-                            took: Duration::from_millis(ended - now),
-                            retry_after: None,
-                            report: None,
-                        });
+                        let (ended, outcome) = outcome(now, attempt, serves);
+                        answers.entry(ended).or_default().push(outcome);
                     }
                 }
                 _ => {}
--- a/crates/core/tests/order.rs
+++ b/crates/core/tests/order.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranehill_core::*;
+use cranehill_core::{
+    AttemptOutcome, Core, Effect, Input, Listing, Message, Origin, Persisted, Record,
+};
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -3,7 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranehill_core::*;
+use cranehill_core::{
+    Answer, AttemptOutcome, Core, Effect, FinalReport, Input, Listing, Message, Origin, Persisted,
+    Record,
+};
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
@@ -357,10 +360,8 @@
     assert_eq!(b.core.outstanding(), (0, 0));
 }
 
-#[test]
-fn a_restart_knows_attempts_used_time_left_and_reports_due() {
-    let mut b = Bench::new(1);
-    let taken = |id: &str, left_ms: u64| Record::Accepted {
+fn accepted(id: &str, left_ms: u64) -> Record {
+    Record::Accepted {
         id: id.into(),
         class: 0,
         tenant: 0,
@@ -370,28 +371,39 @@
         deadline: START + left_ms * 1_000_000,
         at: START,
         body: Arc::from(&b"body"[..]),
-    };
-    let sent = |id: &str, attempt| Record::AttemptStarted {
+    }
+}
+
+fn started(id: &str, attempt: u32) -> Record {
+    Record::AttemptStarted {
         id: id.into(),
         attempt,
         endpoint: "a".into(),
         at: START,
-    };
-    let back = |id: &str, attempt| Record::AttemptFinished {
+    }
+}
+
+fn not_executed(id: &str, attempt: u32) -> Record {
+    Record::AttemptFinished {
         id: id.into(),
         attempt,
         not_executed: true,
-    };
+    }
+}
+
+#[test]
+fn a_restart_knows_attempts_used_time_left_and_reports_due() {
+    let mut b = Bench::new(1);
     let mut records = vec![
-        taken("fresh", 9000),
-        taken("late", 0),
-        taken("over", 9000),
-        taken("used", 9000),
+        accepted("fresh", 9000),
+        accepted("late", 0),
+        accepted("over", 9000),
+        accepted("used", 9000),
     ];
-    records.extend((0..6).flat_map(|n| [sent("used", n), back("used", n)]));
+    records.extend((0..6).flat_map(|n| [started("used", n), not_executed("used", n)]));
     records.extend([
-        sent("fresh", 0),
-        back("fresh", 0),
+        started("fresh", 0),
+        not_executed("fresh", 0),
         Record::Completed {
             id: "over".into(),
             until: START + 9_000_000_000,
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -3,7 +3,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranehill_core::*;
+use cranehill_core::{
+    Answer, Attempt, AttemptOutcome, Core, Effect, Input, Listing, Message, Origin, Persisted,
+};
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
@@ -12,16 +14,25 @@
 const SETTINGS: &str = include_str!("settings.json");
 const START: u64 = 1_000_000_000_000;
 
+/// How calls end, by turns.
+const STATUSES: [Status; 5] = [
+    Status::Served,
+    Status::Error,
+    Status::Overloaded,
+    Status::TimedOut,
+    Status::NoConnection,
+];
+
 /// The places of all values in the settings, as JSON pointers.
-fn endpoint_count(value: &Value, at: &str, all: &mut Vec<String>) {
+fn collect_pointers(value: &Value, at: &str, all: &mut Vec<String>) {
     match value {
         Value::Object(map) => map
             .iter()
-            .for_each(|(k, v)| endpoint_count(v, &format!("{at}/{k}"), all)),
+            .for_each(|(k, v)| collect_pointers(v, &format!("{at}/{k}"), all)),
         Value::Array(list) => list
             .iter()
             .enumerate()
-            .for_each(|(i, v)| endpoint_count(v, &format!("{at}/{i}"), all)),
+            .for_each(|(i, v)| collect_pointers(v, &format!("{at}/{i}"), all)),
         _ => {}
     }
     all.push(at.to_owned());
@@ -43,16 +54,10 @@
     }
 }
 
-/// Plays a few seconds: messages of all classes, calls that end in each way, by turns. Nothing may panic, and each message
-/// that was accepted has one end by its time and a second.
-fn play(settings: Value) -> Result<(), String> {
-    let profile: Profile = serde_json::from_value(settings).map_err(|e| e.to_string())?;
-    let set = profile.into_settings()?;
-    let classes = set.classes.len();
-    let mut core = Core::new(set, 1, Time(START)).map_err(|e| e.to_string())?;
-    let entry = |e: &str, zone, kind| Listing {
+fn listing(endpoint: &str, zone: u32, kind: usize) -> Listing {
+    Listing {
         entry: Entry {
-            endpoint: EndpointId(e.into()),
+            endpoint: EndpointId(endpoint.into()),
             destination: DestinationId(7),
             condition: Condition::Ready,
             zone,
@@ -60,21 +65,35 @@
             rate: 0.0,
         },
         address: "127.0.0.1:1".into(),
-    };
+    }
+}
+
+fn outcome(id: String, attempt: u32, status: Status) -> AttemptOutcome {
+    AttemptOutcome {
+        id,
+        attempt,
+        status,
+        over: status == Status::Served,
+        took: Duration::from_millis(50),
+        retry_after: (status == Status::Overloaded).then_some(Duration::from_millis(120)),
+        report: None,
+    }
+}
+
+/// Plays a few seconds: messages of all classes, calls that end in each way, by turns. Nothing may panic, and each message
+/// that was accepted has one end by its time and a second.
+fn play(settings: Value) -> Result<(), String> {
+    let profile: Profile = serde_json::from_value(settings).map_err(|e| e.to_string())?;
+    let set = profile.into_settings()?;
+    let classes = set.classes.len();
+    let mut core = Core::new(set, 1, Time(START)).map_err(|e| e.to_string())?;
     core.step(
         Time(START),
         Input::EndpointsChanged {
             whole: true,
-            list: vec![entry("a", 0, 0), entry("b", 1, 9)],
+            list: vec![listing("a", 0, 0), listing("b", 1, 9)],
         },
     );
-    let ways = [
-        Status::Served,
-        Status::Error,
-        Status::Overloaded,
-        Status::TimedOut,
-        Status::NoConnection,
-    ];
     let (mut out, mut outstanding, mut way) = (Vec::new(), std::collections::BTreeSet::new(), 0);
     for ms in (0..12_000u64).step_by(50) {
         let now = Time(START + ms * 1_000_000);
@@ -87,23 +106,12 @@
         }
         for attempt in std::mem::take(&mut out) {
             let Attempt { id, number, .. }: Attempt = attempt;
-            let status = ways[way % ways.len()];
+            let status = STATUSES[way % STATUSES.len()];
             way += 1;
-            let over = status == Status::Served;
-            if over {
+            if status == Status::Served {
                 outstanding.remove(&id);
             }
-            let retry_after = (status == Status::Overloaded).then_some(Duration::from_millis(120));
-            let took = Duration::from_millis(50);
-            let end = AttemptOutcome {
-                id,
-                attempt: number,
-                status,
-                over,
-                took,
-                retry_after,
-                report: None,
-            };
+            let end = outcome(id, number, status);
             core.step(now, Input::AttemptsFinished(vec![end]));
         }
         core.step(now, Input::TimerFired);
@@ -120,7 +128,7 @@
                     ..
                 } => drop(outstanding.insert(id)),
                 Effect::SendFinalReport { id, .. } => {
-                    assert!(outstanding.remove(&id), "{id} ends twice")
+                    assert!(outstanding.remove(&id), "{id} ends twice");
                 }
                 _ => {}
             }
@@ -140,7 +148,7 @@
 fn any_one_value_that_is_missing_or_absurd_is_an_error_or_does_no_harm() {
     let good: Value = serde_json::from_str(SETTINGS).expect("settings");
     let mut all = Vec::new();
-    endpoint_count(&good, "", &mut all);
+    collect_pointers(&good, "", &mut all);
     all.retain(|place| !place.is_empty());
     assert!(all.len() > 60, "{}", all.len());
     let odd = [
--- a/crates/core/tests/short_window.rs
+++ b/crates/core/tests/short_window.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranehill_core::*;
+use cranehill_core::{AttemptOutcome, Core, Effect, Input, Listing, Persisted, Record};
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
@@ -124,7 +124,7 @@
         while let Some(effect) = effects.pop() {
             match effect {
                 Effect::Persist(_) => {
-                    effects.extend(core.step(at(now), Input::Persisted(Persisted::All)))
+                    effects.extend(core.step(at(now), Input::Persisted(Persisted::All)));
                 }
                 Effect::SendFinalReport { id, .. } => {
                     effects.extend(
--- a/crates/core/tests/virtual_fleet/mod.rs
+++ b/crates/core/tests/virtual_fleet/mod.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranehill_core::*;
+use cranehill_core::{
+    Attempt, AttemptOutcome, Core, Effect, Input, Listing, Message, Origin, Persisted, Record,
+};
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Report, Status};
 use cranehill_scheduler::profile::Profile;
@@ -28,7 +30,7 @@
 
 /// What happens to the destination and the senders.
 #[derive(Clone, Debug)]
-pub struct Scenario {
+pub(crate) struct Scenario {
     pub senders: usize,
     pub seed: u64,
     /// Calls a second that the destination can do when warm, and messages a second submitted for it.
@@ -50,7 +52,7 @@
 
 /// One call that reached the destination.
 #[derive(Clone, Copy, Debug)]
-pub struct Call {
+pub(crate) struct Call {
     pub at: Duration,
     /// The sender, or an earlier process of it, had seen the destination fail in the outage.
     pub notified: bool,
@@ -60,7 +62,7 @@
 
 /// What a run showed.
 #[derive(Debug, Default)]
-pub struct Played {
+pub(crate) struct Played {
     pub calls: Vec<Call>,
     /// Senders, and their processes, that saw the destination fail in the outage.
     notified: BTreeSet<(usize, u32)>,
@@ -112,7 +114,7 @@
 }
 
 /// Plays a scenario to its end.
-pub fn play(scenario: &Scenario) -> Played {
+pub(crate) fn play(scenario: &Scenario) -> Played {
     let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
     let spec = Spec {
         endpoints: scenario.endpoints,
@@ -307,10 +309,10 @@
                     endpoint, attempts, ..
                 } => self.call(sender, &endpoint, attempts),
                 Effect::SendFinalReport { id, .. } => {
-                    self.step(sender, Input::FinalReportsAcknowledged(vec![id]))
+                    self.step(sender, Input::FinalReportsAcknowledged(vec![id]));
                 }
                 Effect::PersistLearnedState(learned_state) => {
-                    self.nodes[sender].completed = Some(learned_state)
+                    self.nodes[sender].completed = Some(learned_state);
                 }
                 Effect::WakeAt(at) => self.wake(sender, at - START),
                 _ => {}
@@ -474,7 +476,7 @@
 }
 
 /// Outages after which a destination is cold.
-pub const OUTAGES: [Kind; 5] = [
+pub(crate) const OUTAGES: [Kind; 5] = [
     Kind::Refuse,
     Kind::Silent,
     Kind::Vanish,
--- a/crates/recovery/tests/common/golden_file.rs
+++ b/crates/recovery/tests/common/golden_file.rs
@@ -10,13 +10,13 @@
 }
 
 /// The committed bytes.
-pub fn read(name: &str) -> Vec<u8> {
+pub(crate) fn read(name: &str) -> Vec<u8> {
     let path = path(name);
     std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
 /// Fails with the file and the first differing offset.
-pub fn assert_unchanged(name: &str, written: &[u8]) {
+pub(crate) fn assert_unchanged(name: &str, written: &[u8]) {
     let expected = read(name);
     let shorter = expected.len().min(written.len());
     let offset = expected
