--- a/crates/core/src/zones.rs
+++ b/crates/core/src/zones.rs
@@ -5,7 +5,9 @@
 
 use cranehill_scheduler::api::{EndpointId, Status};
 use cranehill_scheduler::{Scheduler, Time};
-use cranehill_zone_failover::{Change, Settings, State, ZoneAnnouncement, Zones};
+use cranehill_zone_failover::{
+    Change, MemberAnnouncements, Settings, State, ZoneAnnouncement, Zones,
+};
 
 /// What an update of the zones leads to.
 pub(crate) struct ZoneUpdate {
@@ -37,7 +39,7 @@
 
     /// How many endpoints each zone has.
     pub(crate) fn set_endpoint_counts(&mut self, endpoints: &BTreeMap<u32, usize>) {
-        self.zones.listed(endpoints);
+        self.zones.set_endpoint_counts(endpoints);
     }
 
     /// An attempt to an endpoint of the zone has finished.
@@ -59,7 +61,7 @@
             | Status::Spoilt => true,
             Status::Dropped | Status::Cancelled | Status::NotSent => return,
         };
-        self.zones.ended(now, zone, &endpoint.0, answered);
+        self.zones.record_attempt(now, zone, &endpoint.0, answered);
     }
 
     /// Before the scheduler decides: evaluates the payloads of the other members and applies what changes.
@@ -70,11 +72,14 @@
         payloads: Vec<(SocketAddr, Vec<u8>)>,
         scheduler: &mut Scheduler,
     ) -> ZoneUpdate {
-        let others: Vec<(SocketAddr, Vec<ZoneAnnouncement>)> = payloads
+        let others: Vec<MemberAnnouncements> = payloads
             .into_iter()
-            .map(|(member, bytes)| (member, decode(&bytes)))
+            .map(|(member, bytes)| MemberAnnouncements {
+                member,
+                zones: decode(&bytes),
+            })
             .collect();
-        let changes = self.zones.look(now, me, &others);
+        let changes = self.zones.evaluate(now, me, &others);
         let announcements = self.zones.announcements(now, &others);
         for change in &changes {
             apply_change(now, change, scheduler);
@@ -85,7 +90,7 @@
         ZoneUpdate {
             payload: encode(&announcements),
             changes,
-            next_update: self.zones.due(now),
+            next_update: self.zones.next_evaluation(now),
         }
     }
 }
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -1,11 +1,17 @@
-//! Zones: when the whole fleet leaves one, who tries it, and when it returns. No clock, socket, thread or file.
+//! Zone failover: when a whole fleet evacuates a zone, probes it, and returns to it. No I/O, and no clock.
 //!
-//! Start at [`Zones`]: what calls came to goes in ([`Zones::ended`]), what other members say ([`ZoneAnnouncement`]) with each
-//! [`Zones::look`], which tells what changes here ([`Change`]). `docs/zones.md` has the options and the reasons.
-#![forbid(unsafe_code)]
+//! Start at [`Zones`]: a member passes in how its attempts finish ([`Zones::record_attempt`]) and what the others
+//! announce ([`Zones::evaluate`], which returns each [`Change`]), and announces its own view ([`Zones::announcements`]).
+//! `docs/zones.md` has the options and the reasons.
 
-mod evidence;
+mod announcement;
+mod attempt_history;
+mod settings;
+mod tally;
+mod zone;
 mod zones;
 
-pub use evidence::{Evidence, View};
-pub use zones::{Change, Settings, State, ZoneAnnouncement, Zones};
+pub use announcement::{MemberAnnouncements, State, View, ZoneAnnouncement};
+pub use settings::Settings;
+pub use zone::Change;
+pub use zones::Zones;
--- a/crates/zone-failover/tests/fleets.rs
+++ b/crates/zone-failover/tests/fleets.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
-use cranehill_zone_failover::{Change, Settings, State, ZoneAnnouncement, Zones};
+use cranehill_zone_failover::{
+    Change, MemberAnnouncements, Settings, State, ZoneAnnouncement, Zones,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -40,7 +42,7 @@
     fn new(n: usize) -> Fleet {
         let member = || {
             let mut zones = Zones::new(SETTINGS);
-            zones.listed(&BTreeMap::from([(0, 15), (ZONE, 10)]));
+            zones.set_endpoint_counts(&BTreeMap::from([(0, 15), (ZONE, 10)]));
             zones
         };
         Fleet {
@@ -74,11 +76,14 @@
             let now = Time(self.ms * 1_000_000);
             let statements = self.statements.clone();
             for n in 0..self.members.len() {
-                let others: Vec<(SocketAddr, Vec<ZoneAnnouncement>)> = (0..self.members.len())
+                let others: Vec<MemberAnnouncements> = (0..self.members.len())
                     .filter(|&o| o != n && hears(n, o))
-                    .map(|o| (at(o), statements[o].clone()))
+                    .map(|o| MemberAnnouncements {
+                        member: at(o),
+                        zones: statements[o].clone(),
+                    })
                     .collect();
-                for change in self.members[n].look(now, at(n), &others) {
+                for change in self.members[n].evaluate(now, at(n), &others) {
                     self.probing[n] = matches!(change, Change::Probe { .. });
                     self.changes.push((self.ms, n, change));
                 }
@@ -90,7 +95,7 @@
                 };
                 if may {
                     let endpoint = format!("e{}", self.rng.random_range(0..10));
-                    self.members[n].ended(now, ZONE, &endpoint, !fails(n));
+                    self.members[n].record_attempt(now, ZONE, &endpoint, !fails(n));
                     self.calls.push((self.ms, n));
                 }
                 self.statements[n] = self.members[n].announcements(now, &others);
@@ -152,9 +157,9 @@
 #[test]
 fn one_endpoint_is_no_zone() {
     let mut zones = Zones::new(SETTINGS);
-    zones.listed(&BTreeMap::from([(ZONE, 10)]));
+    zones.set_endpoint_counts(&BTreeMap::from([(ZONE, 10)]));
     for k in 0..20 {
-        zones.ended(Time(k * 50_000_000), ZONE, "e1", false);
+        zones.record_attempt(Time(k * 50_000_000), ZONE, "e1", false);
     }
     assert_eq!(zones.announcements(Time(1_000_000_000), &[]), []);
 }
@@ -219,7 +224,7 @@
     fleet.run(2000, |_| false, all);
     fleet.run(4000, |_| true, all);
     let mut fresh = Zones::new(SETTINGS);
-    fresh.listed(&BTreeMap::from([(ZONE, 10)]));
+    fresh.set_endpoint_counts(&BTreeMap::from([(ZONE, 10)]));
     fleet.members[4] = fresh;
     fleet.statements[4] = Vec::new();
     let from = fleet.ms;
