--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -41,7 +41,7 @@
         match recovery::unpack(bytes) {
             Ok(learned_state) => {
                 log::info!(chunks = learned_state.len(); "recovery: {} partners remembered", learned_state.len());
-                recovery.restored(now, learned_state);
+                recovery.on_persisted_state(now, learned_state);
             }
             Err(error) => log::warn!("recovery: {error}; the persisted state is not used"),
         }
@@ -67,7 +67,7 @@
             Ok(learned_state) => {
                 log::info!(event = "learned-state-received", by:% = member, chunks = learned_state.len();
                     "recovery: {member} sent its learned state of {} destinations", learned_state.len());
-                recovery.peer_replied(now, learned_state);
+                recovery.on_peer_reply(now, learned_state);
             }
             Err(error) => log::warn!("recovery: from {member}: {error}"),
         }
@@ -77,14 +77,14 @@
     /// The endpoint list has changed: it may have destinations that learned state is about.
     pub(crate) fn on_endpoints_changed(&mut self) {
         if let Some(recovery) = &mut self.recovery {
-            recovery.listed();
+            recovery.on_endpoints_changed();
         }
     }
 
     /// A message has been sent, or has ended: the next of its destination may be handed over.
     pub(crate) fn on_sent_or_ended(&mut self, destination: DestinationId, id: &MessageId) {
         if let Some(recovery) = &mut self.recovery {
-            recovery.work_queue.moved(destination.0, &id.0);
+            recovery.work_queue.on_sent_or_ended(destination, id);
         }
     }
 
@@ -100,17 +100,16 @@
         };
         recovery
             .work_queue
-            .add(destination.0, hand_over_by, id.0.clone());
+            .add(destination, hand_over_by, id.clone());
         true
     }
 
     /// Removes and returns the next messages of the work queue.
     pub(crate) fn release(&mut self, now: Time) -> Vec<MessageId> {
-        let Some(recovery) = &mut self.recovery else {
-            return Vec::new();
-        };
-        let released = recovery.work_queue.release(now);
-        released.into_iter().map(MessageId).collect()
+        self.recovery
+            .as_mut()
+            .map(|recovery| recovery.work_queue.release(now))
+            .unwrap_or_default()
     }
 
     /// Restores learned state once the scheduler knows the destinations that it is about: endpoint lists are handled
@@ -139,13 +138,13 @@
         let Some(recovery) = &mut self.recovery else {
             return nothing_restored(events);
         };
-        let Some(learned_state) = recovery.restore(now) else {
+        let Some(learned_state) = recovery.take_state_to_restore(now) else {
             return nothing_restored(events);
         };
         let (lists, remaining) = split_lists(events);
         let actions = scheduler.handle(now, lists);
         let last_first_call = scheduler.restore(now, &learned_state);
-        recovery.spread(last_first_call);
+        recovery.spread_first_calls_until(last_first_call);
         RestoredTick { actions, remaining }
     }
 
@@ -153,7 +152,7 @@
     pub(crate) fn should_ask_peers(&mut self, now: Time, has_peers: bool) -> bool {
         self.recovery
             .as_mut()
-            .is_some_and(|recovery| recovery.asks(now, has_peers))
+            .is_some_and(|recovery| recovery.should_ask_peers(now, has_peers))
     }
 
     /// At the end of a tick: persists learned state where that is due, and checks whether the recovery is complete.
@@ -169,14 +168,14 @@
         };
         let mut effects = Vec::new();
         let learned_state = scheduler.learned_state();
-        if recovery.remembers(now, &learned_state) {
+        if recovery.should_persist(now, &learned_state) {
             effects.push(Effect::PersistLearnedState(recovery::pack(&learned_state)));
         }
-        effects.extend(recovery.look(now).map(Effect::RecoveryComplete));
+        effects.extend(recovery.check_complete(now).map(Effect::RecoveryComplete));
         let next_tick = if handed_over {
             Some(now)
         } else {
-            recovery.due(now)
+            recovery.next_wakeup(now)
         };
         effects.extend(next_tick.map(Effect::WakeAt));
         effects
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Becomes a member of the fleet; [`membership::Input::Due`] must be passed in at once.
+    /// Becomes a member of the fleet; [`membership::Input::TimerFired`] must be passed in at once.
     pub fn join(&mut self, settings: membership::Settings, seed: u64) {
         self.fleet.join(self.now, settings, seed);
     }
--- a/crates/recovery/src/learned_state_cache.rs
+++ b/crates/recovery/src/learned_state_cache.rs
@@ -1,87 +1,120 @@
-//! What was learned of destinations before, by ourselves or by others: the youngest of each, and only while it is young enough.
+//! [`LearnedStateCache`]: what was learned of destinations before the start, by this sender or by others: the latest of
+//! each route, for as long as it is recent enough.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use cranehill_scheduler::api::DestinationId;
 use cranehill_scheduler::{LearnedState, Time};
 
-/// How old a piece may be before no decision rests on it.
+/// The longest `Retry-After` time that is believed; the wire has no longer one.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(86_400);
+/// Routes cached at most, to bound the memory.
+const MAX_CACHED_ROUTES: usize = 4096;
+
+/// Until which age learned state is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
+    /// The age of a window of concurrent calls.
     pub window: Duration,
+    /// The age of a rate limit.
     pub limit: Duration,
+    /// The age of a destination's health.
     pub state: Duration,
-    /// How far in the future a piece may lie: clocks differ.
+    /// How far in the future state may have been learned: the clocks of members differ.
     pub ahead: Duration,
 }
 
-/// The longest wait that is believed; the wire takes no longer one.
-const WAIT_MOST: Duration = Duration::from_secs(86_400);
-/// Destinations and routes remembered, at most.
-const KEPT_MOST: usize = 4096;
+/// Identifies a route.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct RouteKey {
+    destination: DestinationId,
+    /// Where a destination has several routes.
+    route_id: Option<String>,
+}
 
-/// See the module's text.
+impl RouteKey {
+    /// The route that learned state is about.
+    pub(crate) fn of(learned_state: &LearnedState) -> RouteKey {
+        RouteKey {
+            destination: DestinationId(learned_state.destination),
+            route_id: learned_state.route_id.clone(),
+        }
+    }
+}
+
+/// Learned state by route.
 #[derive(Clone, Debug)]
 pub struct LearnedStateCache {
     bounds: Bounds,
-    kept: BTreeMap<(u64, Option<String>), LearnedState>,
-}
-
-fn finite(value: Option<f64>, least: f64) -> Option<f64> {
-    value.filter(|v| !v.is_nan() && *v > least)
+    routes: BTreeMap<RouteKey, LearnedState>,
 }
 
 impl LearnedStateCache {
+    /// An empty cache.
     pub fn new(bounds: Bounds) -> LearnedStateCache {
         LearnedStateCache {
             bounds,
-            kept: BTreeMap::new(),
+            routes: BTreeMap::new(),
         }
     }
 
-    /// Takes pieces in: of two the younger counts, of two waits the one that ends later.
-    pub fn note(&mut self, now: Time, learned_state: Vec<LearnedState>) {
-        for mut piece in learned_state {
-            if piece.at > now + self.bounds.ahead {
-                continue;
-            }
-            piece.window = finite(piece.window, 0.0);
-            piece.limit = finite(piece.limit, 0.0);
-            piece.blocked_until = piece.blocked_until.filter(|t| *t <= now + WAIT_MOST);
-            let key = (piece.destination, piece.route_id.clone());
-            let Some(known) = self.kept.get_mut(&key) else {
-                if self.kept.len() < KEPT_MOST {
-                    self.kept.insert(key, piece);
-                }
+    /// Adds learned state. Of two states of a route the later one counts, and of two `Retry-After` times the one that
+    /// ends later. State from the future and values that make no sense are ignored.
+    pub fn merge(&mut self, now: Time, learned_state: Vec<LearnedState>) {
+        for mut learned in learned_state {
+            if learned.at > now + self.bounds.ahead {
                 continue;
-            };
-            let wait = known.blocked_until.max(piece.blocked_until);
-            if piece.at > known.at {
-                *known = piece;
             }
-            known.blocked_until = wait;
+            learned.window = learned.window.filter(is_positive);
+            learned.limit = learned.limit.filter(is_positive);
+            learned.blocked_until = learned
+                .blocked_until
+                .filter(|until| *until <= now + MAX_RETRY_AFTER);
+            self.merge_route(learned);
         }
     }
 
-    /// What may be used now; each piece without what is too old in it.
-    pub fn usable(&self, now: Time) -> Vec<LearnedState> {
-        let mut all = Vec::new();
-        for piece in self.kept.values() {
-            let age = now - piece.at;
-            let young = |bound: Duration| age <= bound;
-            let mut piece = piece.clone();
-            piece.window = piece.window.filter(|_| young(self.bounds.window));
-            piece.limit = piece.limit.filter(|_| young(self.bounds.limit));
-            piece.state = piece.state.filter(|_| young(self.bounds.state));
-            piece.blocked_until = piece.blocked_until.filter(|t| *t > now);
-            if piece.window.is_some()
-                || piece.limit.is_some()
-                || piece.state.is_some()
-                || piece.blocked_until.is_some()
-            {
-                all.push(piece);
+    fn merge_route(&mut self, learned: LearnedState) {
+        let key = RouteKey::of(&learned);
+        let Some(known) = self.routes.get_mut(&key) else {
+            if self.routes.len() < MAX_CACHED_ROUTES {
+                self.routes.insert(key, learned);
             }
+            return;
+        };
+        let blocked_until = known.blocked_until.max(learned.blocked_until);
+        if learned.at > known.at {
+            *known = learned;
         }
-        all
+        known.blocked_until = blocked_until;
+    }
+
+    /// What is recent enough to be used now. Routes of which nothing is are left out.
+    pub fn usable(&self, now: Time) -> Vec<LearnedState> {
+        self.routes
+            .values()
+            .filter_map(|learned| self.usable_part(now, learned))
+            .collect()
     }
+
+    /// The part of a route's state that is recent enough.
+    fn usable_part(&self, now: Time, learned: &LearnedState) -> Option<LearnedState> {
+        let age = now - learned.at;
+        let mut usable = learned.clone();
+        usable.window = usable.window.filter(|_| age <= self.bounds.window);
+        usable.limit = usable.limit.filter(|_| age <= self.bounds.limit);
+        usable.state = usable.state.filter(|_| age <= self.bounds.state);
+        usable.blocked_until = usable.blocked_until.filter(|until| *until > now);
+        let is_of_use = usable.window.is_some()
+            || usable.limit.is_some()
+            || usable.state.is_some()
+            || usable.blocked_until.is_some();
+        is_of_use.then_some(usable)
+    }
+}
+
+/// False for NaN as well.
+fn is_positive(value: &f64) -> bool {
+    *value > 0.0
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,16 +1,15 @@
-//! Coming back: what a restarted sender may still use, from its own memory and from other members', at what age; in which
-//! order it takes up what it owes; and when it is back in full. No clock, socket, thread or file.
+//! Recovery after a restart: which learned state a sender may still use, its own or that of other members; in which order
+//! it sends the messages of its earlier process; and when it is back in full service. No I/O, and no clock.
 //!
-//! Start at [`Recovery`] (its states), [`LearnedStateCache`] (what is learned, with its age) and [`WorkQueue`] (the order). [`encode`] and
-//! [`decode`] are how what is learned travels and rests.
-#![forbid(unsafe_code)]
+//! Start at [`Recovery`] (the phases), [`LearnedStateCache`] (learned state and its age) and [`WorkQueue`] (the order).
+//! [`encode`] and [`decode`] are for packets between members, [`pack`] and [`unpack`] for the state file.
 
-mod chunks;
+mod encoding;
 mod learned_state_cache;
 mod recovery;
 mod work_queue;
 
-pub use chunks::{MAX_LEARNED_STATE_BYTES, Unreadable, decode, encode, pack, unpack};
+pub use encoding::{DecodeError, MAX_LEARNED_STATE_BYTES, decode, encode, pack, unpack};
 pub use learned_state_cache::{Bounds, LearnedStateCache};
 pub use recovery::{Phase, Recovery, Settings};
 pub use work_queue::WorkQueue;
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -4,160 +4,189 @@
 
 use cranehill_scheduler::{LearnedState, Time};
 
-use crate::learned_state_cache::{Bounds, LearnedStateCache};
+use crate::learned_state_cache::{Bounds, LearnedStateCache, RouteKey};
 use crate::work_queue::WorkQueue;
 
-/// How a sender comes back.
+/// While recovering, the sender wakes no more often than this.
+const MIN_WAKEUP_INTERVAL: Duration = Duration::from_millis(20);
+
+/// How a sender recovers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
+    /// Until which age learned state is used.
     pub bounds: Bounds,
-    /// Members are asked so often what they have learned.
+    /// How often other members are asked for their learned state until one replies.
     pub ask: Duration,
-    /// Without an answer it goes on alone after that.
+    /// Without a reply, recovery goes on after this time.
     pub alone: Duration,
-    /// What is learned is written down so often.
+    /// How often learned state is persisted.
     pub remember: Duration,
 }
 
-/// Where a sender stands.
+/// The phase of a recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
+    /// Recovering.
     Recovering {
+        /// When the sender started.
         since: Time,
     },
+    /// In full service.
     Full {
-        /// How long it took.
+        /// How long the recovery took.
         took: Duration,
+        /// When it was complete.
         since: Time,
     },
 }
 
-/// See the module's text.
+/// A route that is blocked by a `Retry-After` time.
+#[derive(Debug, PartialEq, Eq)]
+struct BlockedRoute {
+    route: RouteKey,
+    until: Time,
+}
+
+impl BlockedRoute {
+    fn of(learned_state: &LearnedState) -> Option<BlockedRoute> {
+        Some(BlockedRoute {
+            route: RouteKey::of(learned_state),
+            until: learned_state.blocked_until?,
+        })
+    }
+}
+
+/// The state of a recovery.
 #[derive(Debug)]
 pub struct Recovery {
-    set: Settings,
+    settings: Settings,
     phase: Phase,
-    pub cache: LearnedStateCache,
+    cache: LearnedStateCache,
+    /// Messages that an earlier process accepted.
     pub work_queue: WorkQueue,
-    /// Something new in the memory, or new destinations: the decisions should recall.
-    restore: bool,
-    ask_at: Time,
+    /// The cache or the list of destinations has changed since learned state was last restored.
+    restore_pending: bool,
+    next_request: Time,
     peer_replied: bool,
-    /// When the first calls' spread is over.
-    spread_until: Time,
-    remember_at: Time,
-    /// The waits that were written down.
-    waits: Vec<(u64, Option<String>, Time)>,
+    /// When the last of the first calls may be sent.
+    last_first_call: Time,
+    next_persist: Time,
+    /// The blocked routes that were persisted last.
+    persisted_blocks: Vec<BlockedRoute>,
 }
 
 impl Recovery {
-    pub fn new(set: Settings, now: Time) -> Recovery {
+    /// The recovery of a sender that starts now.
+    pub fn new(settings: Settings, now: Time) -> Recovery {
         Recovery {
-            set,
+            settings,
             phase: Phase::Recovering { since: now },
-            cache: LearnedStateCache::new(set.bounds),
+            cache: LearnedStateCache::new(settings.bounds),
             work_queue: WorkQueue::new(now),
-            restore: true,
-            ask_at: now,
+            restore_pending: true,
+            next_request: now,
             peer_replied: false,
-            spread_until: now,
-            remember_at: now,
-            waits: Vec::new(),
+            last_first_call: now,
+            next_persist: now,
+            persisted_blocks: Vec::new(),
         }
     }
 
+    /// The phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    pub fn is_recovering(&self) -> bool {
-        matches!(self.phase, Phase::Recovering { .. })
+    /// When the sender started, while it is recovering.
+    fn recovering_since(&self) -> Option<Time> {
+        match self.phase {
+            Phase::Recovering { since } => Some(since),
+            Phase::Full { .. } => None,
+        }
     }
 
-    /// What our own earlier process left.
-    pub fn restored(&mut self, now: Time, learned_state: Vec<LearnedState>) {
-        self.cache.note(now, learned_state);
-        self.restore = true;
+    /// An earlier process of this sender persisted this learned state.
+    pub fn on_persisted_state(&mut self, now: Time, learned_state: Vec<LearnedState>) {
+        self.cache.merge(now, learned_state);
+        self.restore_pending = true;
     }
 
-    /// What a member told.
-    pub fn peer_replied(&mut self, now: Time, learned_state: Vec<LearnedState>) {
+    /// Another member replied with its learned state.
+    pub fn on_peer_reply(&mut self, now: Time, learned_state: Vec<LearnedState>) {
         self.peer_replied = true;
-        self.cache.note(now, learned_state);
-        self.restore = true;
+        self.cache.merge(now, learned_state);
+        self.restore_pending = true;
     }
 
-    /// The list changed: there may be destinations whose first calls are to be spread.
-    pub fn listed(&mut self) {
-        self.restore = true;
+    /// The endpoint list has changed: there may be new destinations, whose first calls are spread.
+    pub fn on_endpoints_changed(&mut self) {
+        self.restore_pending = true;
     }
 
-    /// What the decisions should recall now, if anything.
-    pub fn restore(&mut self, now: Time) -> Option<Vec<LearnedState>> {
-        (self.is_recovering() && std::mem::take(&mut self.restore)).then(|| self.cache.usable(now))
+    /// The learned state that the scheduler should restore now, if that is due.
+    pub fn take_state_to_restore(&mut self, now: Time) -> Option<Vec<LearnedState>> {
+        self.recovering_since()?;
+        std::mem::take(&mut self.restore_pending).then(|| self.cache.usable(now))
     }
 
-    /// The last first call may go then.
-    pub fn spread(&mut self, until: Time) {
-        self.spread_until = self.spread_until.max(until);
+    /// The scheduler has restored learned state, and spreads first calls until then.
+    pub fn spread_first_calls_until(&mut self, until: Time) {
+        self.last_first_call = self.last_first_call.max(until);
     }
 
-    /// Whether members should be asked now; `others` is whether there are any.
-    pub fn asks(&mut self, now: Time, others: bool) -> bool {
-        let Phase::Recovering { since } = self.phase else {
+    /// Whether other members should be asked now; `has_peers` is whether there are any.
+    pub fn should_ask_peers(&mut self, now: Time, has_peers: bool) -> bool {
+        let Some(since) = self.recovering_since() else {
             return false;
         };
-        if self.peer_replied || !others || now < self.ask_at || now - since >= self.set.alone {
+        let goes_alone = now - since >= self.settings.alone;
+        if self.peer_replied || !has_peers || now < self.next_request || goes_alone {
             return false;
         }
-        self.ask_at = now + self.set.ask;
+        self.next_request = now + self.settings.ask;
         true
     }
 
-    /// Looks whether all is done; the time that it took, once.
-    pub fn look(&mut self, now: Time) -> Option<Duration> {
-        let Phase::Recovering { since } = self.phase else {
-            return None;
-        };
-        let heard = self.peer_replied || now - since >= self.set.alone;
-        if !heard || self.restore || now < self.spread_until || self.work_queue.waiting() > 0 {
+    /// Checks whether the recovery is complete. Returns the time that it took, once.
+    pub fn check_complete(&mut self, now: Time) -> Option<Duration> {
+        let since = self.recovering_since()?;
+        let took = now - since;
+        let waits_for_peers = !self.peer_replied && took < self.settings.alone;
+        if waits_for_peers
+            || self.restore_pending
+            || now < self.last_first_call
+            || self.work_queue.waiting() > 0
+        {
             return None;
         }
-        let took = now - since;
         self.phase = Phase::Full { took, since: now };
         Some(took)
     }
 
-    /// When to look again, while recovering.
-    pub fn due(&self, now: Time) -> Option<Time> {
-        let Phase::Recovering { since } = self.phase else {
-            return None;
-        };
-        let alone = since + self.set.alone;
-        let next = if self.peer_replied || now >= alone {
-            self.spread_until
+    /// When to go on, while recovering.
+    pub fn next_wakeup(&self, now: Time) -> Option<Time> {
+        let since = self.recovering_since()?;
+        let goes_alone_at = since + self.settings.alone;
+        let next_step = if self.peer_replied || now >= goes_alone_at {
+            self.last_first_call
         } else {
-            self.ask_at.max(now).min(alone)
+            self.next_request.max(now).min(goes_alone_at)
         };
-        let next = self
-            .work_queue
-            .due()
-            .map_or(next, |work_queue| next.min(work_queue));
-        Some(next.max(now + Duration::from_millis(20)))
+        let next_release = self.work_queue.next_release().unwrap_or(next_step);
+        Some(next_step.min(next_release).max(now + MIN_WAKEUP_INTERVAL))
     }
 
-    /// Whether what is learned should be written down now: at its time, and at once when a wait was told.
-    pub fn remembers(&mut self, now: Time, learned_state: &[LearnedState]) -> bool {
-        let waits: Vec<_> = learned_state
+    /// Whether learned state should be persisted now: that is due regularly, and at once when a route is newly blocked.
+    pub fn should_persist(&mut self, now: Time, learned_state: &[LearnedState]) -> bool {
+        let blocks: Vec<BlockedRoute> = learned_state.iter().filter_map(BlockedRoute::of).collect();
+        let has_new_block = blocks
             .iter()
-            .filter_map(|l| Some((l.destination, l.route_id.clone(), l.blocked_until?)))
-            .collect();
-        let fresh = waits.iter().any(|w| !self.waits.contains(w));
-        if !fresh && now < self.remember_at {
+            .any(|block| !self.persisted_blocks.contains(block));
+        if !has_new_block && now < self.next_persist {
             return false;
         }
-        self.remember_at = now + self.set.remember;
-        self.waits = waits;
+        self.next_persist = now + self.settings.remember;
+        self.persisted_blocks = blocks;
         true
     }
 }
--- a/crates/recovery/src/work_queue.rs
+++ b/crates/recovery/src/work_queue.rs
@@ -1,99 +1,132 @@
-//! What an earlier process took on, in the order in which it is taken up again: by destination, first what can go out for the shortest
-//! time, be that to its deadline or to the end of its window for repeats.
+//! [`WorkQueue`]: messages that an earlier process accepted, in the order in which the scheduler gets them: of each
+//! destination first those that can be sent for the shortest time, be that to the deadline or to the end of the
+//! idempotency window.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{DestinationId, MessageId};
 
-/// Of each destination so many may be in the hands of the decisions and not yet sent: one that goes, and one that follows.
-const IN_HAND: usize = 2;
-/// All are in hand after so long, whatever the decisions do with them: where a destination is asked for more than it takes, they
-/// prefer fresh ones, and what is owed would else wait here until its time is over.
-const ALL_WITHIN: Duration = Duration::from_secs(5);
-/// Whatever the pace, a message is handed over with this part of its time left: where deadlines or windows are short, a fixed time
-/// before them would leave no time for a try, and neither would all of the time above.
-const LEFT_LEAST: u32 = 2;
+/// Messages of one destination that the scheduler may have without having sent them: one to send, and the next one.
+const MAX_RELEASED: usize = 2;
+/// All messages are released within this time, sent or not: where a destination is offered more than it serves, the
+/// scheduler prefers new messages, and those of the queue would wait here until they expire.
+const RELEASE_PERIOD: Duration = Duration::from_secs(5);
+/// A message is released when this part of its time (one half) is left at the latest. A fixed time before the deadline
+/// would be too late for an attempt where deadlines or windows are short, and so would be the release period.
+const MIN_REMAINING_DIVISOR: u32 = 2;
+
+/// A message that waits; the order of the fields is the order of release.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct WaitingMessage {
+    last_chance: Time,
+    id: MessageId,
+}
 
 #[derive(Debug, Default)]
 struct DestinationQueue {
-    waiting: BTreeSet<(Time, String)>,
-    in_hand: BTreeSet<String>,
-    /// All that there were, and those handed over.
-    all: usize,
-    submitted: usize,
+    waiting: BTreeSet<WaitingMessage>,
+    /// Released, and neither sent nor ended.
+    released: BTreeSet<MessageId>,
+    added_count: usize,
+    released_count: usize,
 }
 
-/// See the module's text.
+impl DestinationQueue {
+    /// Whether fewer messages are released than the time that has passed allows for.
+    fn is_behind(&self, passed_fraction: f64) -> bool {
+        (self.released_count as f64) < self.added_count as f64 * passed_fraction
+    }
+
+    /// Removes and returns the next message, if it may be released.
+    fn release_next(
+        &mut self,
+        now: Time,
+        started_at: Time,
+        passed_fraction: f64,
+    ) -> Option<MessageId> {
+        let first = self.waiting.first()?;
+        let may_release = self.released.len() < MAX_RELEASED
+            || self.is_behind(passed_fraction)
+            || now >= latest_release(started_at, first.last_chance);
+        if !may_release {
+            return None;
+        }
+        let WaitingMessage { id, .. } = self.waiting.pop_first()?;
+        self.released_count += 1;
+        self.released.insert(id.clone());
+        Some(id)
+    }
+
+    fn is_finished(&self) -> bool {
+        self.waiting.is_empty() && self.released.is_empty()
+    }
+}
+
+/// Messages that wait to be released, by destination.
 #[derive(Debug)]
 pub struct WorkQueue {
-    since: Time,
-    lines: BTreeMap<u64, DestinationQueue>,
+    started_at: Time,
+    destinations: BTreeMap<DestinationId, DestinationQueue>,
 }
 
 impl WorkQueue {
-    /// Of a sender that came back then.
-    pub fn new(since: Time) -> WorkQueue {
+    /// The empty queue of a sender that started then.
+    pub fn new(started_at: Time) -> WorkQueue {
         WorkQueue {
-            since,
-            lines: BTreeMap::new(),
+            started_at,
+            destinations: BTreeMap::new(),
         }
     }
 
-    /// Adds one that may go out until `last_chance`.
-    pub fn add(&mut self, destination: u64, last_chance: Time, id: String) {
-        let line = self.lines.entry(destination).or_default();
-        line.all += usize::from(line.waiting.insert((last_chance, id)));
+    /// Adds a message that can be sent until `last_chance`.
+    pub fn add(&mut self, destination: DestinationId, last_chance: Time, id: MessageId) {
+        let queue = self.destinations.entry(destination).or_default();
+        if queue.waiting.insert(WaitingMessage { last_chance, id }) {
+            queue.added_count += 1;
+        }
     }
 
-    /// This one has been sent, or has ended: another of its destination's may follow.
-    pub fn moved(&mut self, destination: u64, id: &str) {
-        if let Some(line) = self.lines.get_mut(&destination) {
-            line.in_hand.remove(id);
+    /// A message has been sent, or has ended: another one of its destination may be released.
+    pub fn on_sent_or_ended(&mut self, destination: DestinationId, id: &MessageId) {
+        if let Some(queue) = self.destinations.get_mut(&destination) {
+            queue.released.remove(id);
         }
     }
 
-    /// Those to be handed to the decisions now, in order.
-    pub fn release(&mut self, now: Time) -> Vec<String> {
-        let mut all = Vec::new();
-        let passed = (now - self.since).as_secs_f64() / ALL_WITHIN.as_secs_f64();
-        for line in self.lines.values_mut() {
-            while let Some((last_chance, _)) = line.waiting.first() {
-                let behind = (line.submitted as f64) < line.all as f64 * passed;
-                if line.in_hand.len() >= IN_HAND
-                    && !behind
-                    && now < latest(self.since, *last_chance)
-                {
-                    break;
-                }
-                line.submitted += 1;
-                let Some((_, id)) = line.waiting.pop_first() else {
-                    break;
-                };
-                line.in_hand.insert(id.clone());
-                all.push(id);
+    /// Removes and returns the messages that the scheduler gets now, in their order.
+    pub fn release(&mut self, now: Time) -> Vec<MessageId> {
+        let passed = now - self.started_at;
+        let passed_fraction = passed.as_secs_f64() / RELEASE_PERIOD.as_secs_f64();
+        let mut released = Vec::new();
+        for queue in self.destinations.values_mut() {
+            while let Some(id) = queue.release_next(now, self.started_at, passed_fraction) {
+                released.push(id);
             }
         }
-        self.lines
-            .retain(|_, l| !l.waiting.is_empty() || !l.in_hand.is_empty());
-        all
+        self.destinations.retain(|_, queue| !queue.is_finished());
+        released
     }
 
-    /// When one must be handed over at the latest.
-    pub fn due(&self) -> Option<Time> {
-        let firsts = self.lines.values().filter_map(|l| l.waiting.first());
-        firsts
-            .map(|(last_chance, _)| latest(self.since, *last_chance))
+    /// When the next message must be released at the latest.
+    pub fn next_release(&self) -> Option<Time> {
+        self.destinations
+            .values()
+            .filter_map(|queue| queue.waiting.first())
+            .map(|first| latest_release(self.started_at, first.last_chance))
             .min()
     }
 
-    /// Messages not handed over yet.
+    /// Messages that are not released.
     pub fn waiting(&self) -> usize {
-        self.lines.values().map(|l| l.waiting.len()).sum()
+        let queues = self.destinations.values();
+        queues.map(|queue| queue.waiting.len()).sum()
     }
 }
 
-/// When a message that may go out until then is handed over at the latest, by a sender that came back at `since`.
-fn latest(since: Time, last_chance: Time) -> Time {
-    since + ((last_chance - since) / LEFT_LEAST).min(ALL_WITHIN)
+/// When a message that can be sent until then is released at the latest, by a sender that started at `started_at`.
+fn latest_release(started_at: Time, last_chance: Time) -> Time {
+    let half_of_its_time = (last_chance - started_at) / MIN_REMAINING_DIVISOR;
+    started_at + half_of_its_time.min(RELEASE_PERIOD)
 }
--- a/crates/recovery/tests/coming_back.rs
+++ b/crates/recovery/tests/coming_back.rs
@@ -5,6 +5,7 @@
 use cranehill_recovery::{
     Bounds, LearnedStateCache, Phase, Recovery, Settings, WorkQueue, decode, encode, pack, unpack,
 };
+use cranehill_scheduler::api::{DestinationId, MessageId};
 use cranehill_scheduler::{LearnedState, ObservedHealth, Time};
 use proptest::prelude::*;
 
@@ -16,6 +17,14 @@
     Duration::from_secs(n)
 }
 
+fn id(name: &str) -> MessageId {
+    MessageId(name.to_owned())
+}
+
+fn ids(names: &[&str]) -> Vec<MessageId> {
+    names.iter().map(|name| id(name)).collect()
+}
+
 const BOUNDS: Bounds = Bounds {
     window: Duration::from_secs(10),
     limit: Duration::from_secs(10),
@@ -46,7 +55,7 @@
 #[test]
 fn what_is_too_old_is_not_used_and_a_wait_is_kept_to_its_end() {
     let mut cache = LearnedStateCache::new(BOUNDS);
-    cache.note(
+    cache.merge(
         s(0.0),
         vec![
             LearnedState {
@@ -94,7 +103,7 @@
     };
     for order in [[old.clone(), young.clone()], [young, old]] {
         let mut cache = LearnedStateCache::new(BOUNDS);
-        cache.note(s(3.0), order.to_vec());
+        cache.merge(s(3.0), order.to_vec());
         let known = cache.usable(s(3.0));
         assert_eq!(
             (known[0].limit, known[0].blocked_until),
@@ -108,7 +117,7 @@
         state: None,
         ..piece(2, s(1.0))
     };
-    cache.note(
+    cache.merge(
         s(3.0),
         vec![
             piece(1, s(8.1)),
@@ -130,16 +139,16 @@
 #[test]
 fn the_work_queue_releases_oldest_deadlines_first_two_per_destination() {
     let mut work_queue = WorkQueue::new(s(0.0));
-    for (id, deadline) in [("c", 14.0), ("a", 10.0), ("d", 16.0), ("b", 12.0)] {
-        work_queue.add(1, s(deadline), id.into());
+    for (name, deadline) in [("c", 14.0), ("a", 10.0), ("d", 16.0), ("b", 12.0)] {
+        work_queue.add(DestinationId(1), s(deadline), id(name));
     }
-    work_queue.add(2, s(11.0), "x".into());
-    assert_eq!(work_queue.release(s(0.0)), ["a", "b", "x"]);
-    assert_eq!(work_queue.release(s(1.0)), [""; 0]);
-    work_queue.moved(1, "a");
-    assert_eq!(work_queue.release(s(1.0)), ["c"]);
+    work_queue.add(DestinationId(2), s(11.0), id("x"));
+    assert_eq!(work_queue.release(s(0.0)), ids(&["a", "b", "x"]));
+    assert_eq!(work_queue.release(s(1.0)), []);
+    work_queue.on_sent_or_ended(DestinationId(1), &id("a"));
+    assert_eq!(work_queue.release(s(1.0)), ids(&["c"]));
     // Half of its time is more than the five seconds in which all are in hand.
-    assert_eq!(work_queue.due(), Some(s(5.0)));
+    assert_eq!(work_queue.next_release(), Some(s(5.0)));
     // None has gone, since fresh ones went first: after five seconds all are in hand all the same.
     assert_eq!(
         (work_queue.release(s(3.7)), work_queue.waiting()),
@@ -147,19 +156,19 @@
     );
     assert_eq!(
         (work_queue.release(s(3.8)), work_queue.waiting()),
-        (vec!["d".to_owned()], 0)
+        (ids(&["d"]), 0)
     );
     let mut late = WorkQueue::new(s(15.0));
-    (0..9).for_each(|n| late.add(1, s(20.0), n.to_string()));
-    late.add(1, s(15.4), "soon".into());
-    late.add(1, s(15.45), "too".into());
-    late.add(1, s(15.48), "and this".into());
-    assert_eq!(late.release(s(15.0)), ["soon", "too"]);
+    (0..9).for_each(|n| late.add(DestinationId(1), s(20.0), MessageId(n.to_string())));
+    late.add(DestinationId(1), s(15.4), id("soon"));
+    late.add(DestinationId(1), s(15.45), id("too"));
+    late.add(DestinationId(1), s(15.48), id("and this"));
+    assert_eq!(late.release(s(15.0)), ids(&["soon", "too"]));
     assert_eq!(
-        (late.due(), late.release(s(15.23))),
+        (late.next_release(), late.release(s(15.23))),
         (Some(s(15.24)), vec![])
     );
-    assert_eq!(late.release(s(15.24)), ["and this"]);
+    assert_eq!(late.release(s(15.24)), ids(&["and this"]));
 }
 
 /// Full once members have told, or none did in time; once the first calls' spread is over; once all that is owed has been
@@ -168,30 +177,42 @@
 fn each_step_holds_back_full_service() {
     let start = || Recovery::new(SETTINGS, s(0.0));
     let mut alone = start();
-    assert_eq!(alone.restore(s(0.0)).map(|l| l.len()), Some(0));
-    assert!(!alone.asks(s(0.1), false) && alone.look(s(1.9)).is_none());
-    assert_eq!(alone.look(s(2.0)), Some(secs(2)));
+    assert_eq!(
+        alone.take_state_to_restore(s(0.0)).map(|l| l.len()),
+        Some(0)
+    );
+    assert!(!alone.should_ask_peers(s(0.1), false) && alone.check_complete(s(1.9)).is_none());
+    assert_eq!(alone.check_complete(s(2.0)), Some(secs(2)));
     assert!(matches!(alone.phase(), Phase::Full { took, .. } if took == secs(2)));
     let mut peer_replied = start();
-    peer_replied.restore(s(0.0));
+    peer_replied.take_state_to_restore(s(0.0));
     assert!(
-        peer_replied.asks(s(0.1), true)
-            && !peer_replied.asks(s(0.3), true)
-            && peer_replied.asks(s(0.7), true)
+        peer_replied.should_ask_peers(s(0.1), true)
+            && !peer_replied.should_ask_peers(s(0.3), true)
+            && peer_replied.should_ask_peers(s(0.7), true)
     );
-    peer_replied.peer_replied(s(0.8), vec![piece(1, s(0.5))]);
+    peer_replied.on_peer_reply(s(0.8), vec![piece(1, s(0.5))]);
     assert!(
-        !peer_replied.asks(s(1.4), true) && peer_replied.look(s(0.8)).is_none(),
+        !peer_replied.should_ask_peers(s(1.4), true)
+            && peer_replied.check_complete(s(0.8)).is_none(),
         "what was told is to be recalled first"
     );
-    assert_eq!(peer_replied.restore(s(0.8)).map(|l| l.len()), Some(1));
-    peer_replied.spread(s(1.5));
-    peer_replied.work_queue.add(1, s(20.0), "a".into());
-    assert!(peer_replied.look(s(1.6)).is_none(), "one is owed");
+    assert_eq!(
+        peer_replied.take_state_to_restore(s(0.8)).map(|l| l.len()),
+        Some(1)
+    );
+    peer_replied.spread_first_calls_until(s(1.5));
+    peer_replied
+        .work_queue
+        .add(DestinationId(1), s(20.0), id("a"));
+    assert!(peer_replied.check_complete(s(1.6)).is_none(), "one is owed");
     peer_replied.work_queue.release(s(1.6));
-    assert!(peer_replied.look(s(1.4)).is_none() && peer_replied.look(s(1.6)).is_some());
     assert!(
-        peer_replied.restore(s(2.0)).is_none(),
+        peer_replied.check_complete(s(1.4)).is_none()
+            && peer_replied.check_complete(s(1.6)).is_some()
+    );
+    assert!(
+        peer_replied.take_state_to_restore(s(2.0)).is_none(),
         "full: nothing is recalled any more"
     );
 }
@@ -206,12 +227,15 @@
             ..piece(1, s(0.0))
         }]
     };
-    assert!(recovery.remembers(s(0.0), &[]));
-    assert!(!recovery.remembers(s(0.1), &[piece(1, s(0.1))]));
+    assert!(recovery.should_persist(s(0.0), &[]));
+    assert!(!recovery.should_persist(s(0.1), &[piece(1, s(0.1))]));
+    assert!(
+        recovery.should_persist(s(0.2), &waits(s(3.0)))
+            && !recovery.should_persist(s(0.3), &waits(s(3.0)))
+    );
     assert!(
-        recovery.remembers(s(0.2), &waits(s(3.0))) && !recovery.remembers(s(0.3), &waits(s(3.0)))
+        recovery.should_persist(s(0.4), &waits(s(4.0))) && recovery.should_persist(s(1.5), &[])
     );
-    assert!(recovery.remembers(s(0.4), &waits(s(4.0))) && recovery.remembers(s(1.5), &[]));
 }
 
 prop_compose! {
@@ -232,7 +256,7 @@
         let long = learned_state.iter().filter(|l| encode(&[(*l).clone()], 1024).is_empty()).count();
         prop_assert_eq!(back.len() + long, learned_state.len());
         let mut cache = LearnedStateCache::new(BOUNDS);
-        cache.note(s(0.0), back);
+        cache.merge(s(0.0), back);
         for p in cache.usable(s(0.0)) {
             prop_assert!(p.window.is_none_or(|w| w > 0.0) && p.limit.is_none_or(|l| l > 0.0));
             prop_assert!(p.at <= s(5.0));
@@ -248,17 +272,17 @@
         let mut work_queue = WorkQueue::new(s(0.0));
         let ms = |ms: u64| s(0.0) + Duration::from_millis(ms);
         for (n, (destination, left)) in lefts.iter().enumerate() {
-            work_queue.add(*destination, ms(*left), n.to_string());
+            work_queue.add(DestinationId(*destination), ms(*left), MessageId(n.to_string()));
         }
         let (mut now, mut submitted) = (0, 0);
         while work_queue.waiting() > 0 {
             for id in work_queue.release(ms(now)) {
-                let (_, left) = lefts[id.parse::<usize>().expect("a number")];
+                let (_, left) = lefts[id.0.parse::<usize>().expect("a number")];
                 prop_assert!(now <= (left / 2).min(5000) + 1, "{id} of {left} ms after {now} ms");
                 submitted += 1;
             }
             // As the sender does: it wakes when one is due, and at least each second.
-            let due = work_queue.due().map_or(now + 1000, |t| ((t - s(0.0)).as_millis() as u64 + 1).min(now + 1000));
+            let due = work_queue.next_release().map_or(now + 1000, |t| ((t - s(0.0)).as_millis() as u64 + 1).min(now + 1000));
             now = due.max(now + 1);
         }
         prop_assert_eq!(submitted, lefts.len());
