--- a/crates/core/src/completed.rs
+++ b/crates/core/src/completed.rs
@@ -1,5 +1,5 @@
 //! [`CompletedIds`]: ids of messages that have ended, remembered for as long as a message lasts, so that a repeated
-//! submission is not taken for a new message.
+//! submission does not count as a new message.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -78,6 +78,12 @@
         EndpointsUpdate { entries, effects }
     }
 
+    /// The effect that sends a health check, where the endpoint is listed.
+    pub(crate) fn check_health(&self, endpoint: EndpointId) -> Option<Effect> {
+        let address = self.list.address(&endpoint)?.to_owned();
+        Some(Effect::CheckHealth { endpoint, address })
+    }
+
     /// The effect that cancels calls to a destination of which nothing is written yet.
     pub(crate) fn cancel_unwritten(&self, destination: DestinationId) -> Effect {
         let endpoints = self.list.of_destination(destination);
--- a/crates/core/src/input.rs
+++ b/crates/core/src/input.rs
@@ -82,7 +82,7 @@
     TimerFired,
     /// All inputs of this tick have been passed in.
     TickEnded,
-    /// The journal has taken the records of [`crate::Effect::Persist`], or some of them.
+    /// The journal has written the records of [`crate::Effect::Persist`], or some of them.
     Persisted(Persisted),
     /// The platform has acknowledged the final reports of these messages.
     FinalReportsAcknowledged(Vec<String>),
@@ -109,7 +109,7 @@
     Fleet(membership::Input),
 }
 
-/// Which records of a tick the journal took.
+/// Which records of a tick the journal has written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Persisted {
     /// All of them.
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -47,7 +47,7 @@
 /// Who is answered about a message. Clients are known by the number of their connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A client that is answered when the message is accepted; the platform is told of its end.
+    /// A client that is answered when the message is accepted. The platform gets a final report if it is not delivered.
     Client(usize),
     /// A client that waits for the end of the message. It is never accepted, and so not restored after a restart.
     Waiting(usize),
@@ -75,7 +75,7 @@
     Expired,
 }
 
-/// How an accepted message ended without delivery, as the platform is told.
+/// How an accepted message ended without delivery, as reported to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalReport {
     /// Not executed: submitting it again does no harm.
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -94,9 +94,13 @@
         self.pending.in_flight()
     }
 
-    /// The ids of all pending messages.
-    pub(crate) fn pending_ids(&self) -> impl Iterator<Item = &MessageId> {
-        self.pending.ids()
+    /// Records all pending messages as completed though they are not: only for the mutation that leaks them.
+    pub(crate) fn forget_pending(&self, now: Time) -> Effect {
+        let completed = self.pending.ids().map(|id| Record::Completed {
+            id: id.0.clone(),
+            until: now.0,
+        });
+        Effect::Persist(completed.collect())
     }
 
     /// The pending message with this id.
@@ -233,7 +237,7 @@
         })
     }
 
-    /// The platform is to be told how an accepted message ended.
+    /// Adds the final report of an accepted message.
     fn report_end(
         &mut self,
         now: Time,
--- a/crates/core/src/outbox.rs
+++ b/crates/core/src/outbox.rs
@@ -27,6 +27,11 @@
         self.deferred.push(effect);
     }
 
+    /// Holds several effects back until the journal has the records of this tick.
+    pub(crate) fn defer_all(&mut self, effects: impl IntoIterator<Item = Effect>) {
+        self.deferred.extend(effects);
+    }
+
     /// Holds the answer about a message back until the journal has the records of this tick.
     pub(crate) fn defer_answer(&mut self, to: Origin, id: MessageId, answer: Answer) {
         self.defer(Effect::Answer {
@@ -53,7 +58,7 @@
         vec![Effect::Persist(records)]
     }
 
-    /// The journal has taken the records, or some of them. Returns the effects that waited for them.
+    /// The journal has written the records, or some of them. Returns the effects that waited for them.
     pub(crate) fn on_persisted(&mut self, persisted: Persisted) -> Vec<Effect> {
         let unpersisted = std::mem::take(&mut self.unpersisted);
         // The next process would not know of an end that is not written: it is written with the next tick.
--- a/crates/core/src/pending_message.rs
+++ b/crates/core/src/pending_message.rs
@@ -52,7 +52,7 @@
 }
 
 impl Verdict {
-    /// The verdict as the platform is told.
+    /// The verdict as reported to the platform.
     pub(crate) fn final_report(self) -> FinalReport {
         match self {
             Verdict::Rejected { retry_after } => FinalReport::Returned {
@@ -76,7 +76,7 @@
     attempts: u32,
     in_flight: Option<InFlightAttempt>,
     possibly_executed: Option<PossibleExecution>,
-    /// Its client has been told so, or is told as soon as the journal has its record.
+    /// Its client has been answered so, or is as soon as the journal has its record.
     pub(crate) accepted: bool,
     recipient_removed: bool,
 }
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -99,7 +99,7 @@
         self.fleet.zone_states()
     }
 
-    /// The phase of the recovery, where it goes in steps.
+    /// The phase of the recovery, where it is enabled.
     pub fn phase(&self) -> Option<Phase> {
         self.fleet.recovery.phase()
     }
@@ -293,12 +293,7 @@
 
     fn on_stopping(&mut self) -> Vec<Effect> {
         if mutation::is(Mutation::LeaksAtStop) {
-            let until = self.now.0;
-            let completed = self.messages.pending_ids().map(|id| Record::Completed {
-                id: id.0.clone(),
-                until,
-            });
-            return vec![Effect::Persist(completed.collect())];
+            return vec![self.messages.forget_pending(self.now)];
         }
         self.stopping = true;
         Vec::new()
@@ -421,7 +416,10 @@
                 Action::Fail(id) => self.on_verdict(&id, Verdict::Failed),
                 Action::Timer(after) => self.outbox.defer(Effect::WakeAt(now + after)),
                 Action::CloseIdle(endpoint) => self.outbox.defer(Effect::CloseIdle(endpoint)),
-                Action::CheckHealth(endpoint) => self.check_health(endpoint),
+                Action::CheckHealth(endpoint) => {
+                    let check = self.endpoints.check_health(endpoint);
+                    self.outbox.defer_all(check);
+                }
                 // Discovery is watched all the time.
                 Action::Subscribe => {}
             }
@@ -459,15 +457,8 @@
         calls.add(self.now, request, address.to_owned(), attempt);
     }
 
-    fn check_health(&mut self, endpoint: EndpointId) {
-        if let Some(address) = self.endpoints.list().address(&endpoint) {
-            let address = address.to_owned();
-            self.outbox.defer(Effect::CheckHealth { endpoint, address });
-        }
-    }
-
-    /// At the end of a tick, where recovery goes in steps: asks other members, goes on with the work queue, persists
-    /// learned state, and checks whether the recovery is complete.
+    /// At the end of a tick, where recovery is enabled: asks other members, continues with the work queue, persists learned
+    /// state, and checks whether the recovery is complete.
     fn continue_recovery(&mut self) -> Vec<Effect> {
         if !self.fleet.recovery.is_enabled() {
             return Vec::new();
@@ -484,7 +475,7 @@
         effects
     }
 
-    /// The journal has taken the tick's records, or some of them: releases what depends on them.
+    /// The journal has written the tick's records, or some of them: releases what depends on them.
     fn on_persisted(&mut self, persisted: Persisted) -> Vec<Effect> {
         let effects = self.outbox.on_persisted(persisted);
         if persisted == Persisted::All {
--- a/crates/core/src/zones.rs
+++ b/crates/core/src/zones.rs
@@ -116,7 +116,7 @@
     }
 }
 
-/// Applies a zone's state to endpoints that were listed since it began, and goes on with the ramp of a return.
+/// Applies a zone's state to endpoints that were listed since it began, and continues the ramp of a return.
 fn apply_state(now: Time, zone: u32, state: State, scheduler: &mut Scheduler) {
     match state {
         State::InService => {}
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -17,7 +17,7 @@
     pub bounds: Bounds,
     /// How often other members are asked for their learned state until one replies.
     pub ask: Duration,
-    /// Without a reply, recovery goes on after this time.
+    /// Without a reply, recovery continues after this time.
     pub alone: Duration,
     /// How often learned state is persisted.
     pub remember: Duration,
--- a/crates/zone-failover/src/announcement.rs
+++ b/crates/zone-failover/src/announcement.rs
@@ -8,7 +8,7 @@
 /// A member's view of a zone by its own attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum View {
-    /// It has too few attempts to tell.
+    /// It has too few attempts to judge by.
     #[default]
     None,
     /// Its attempts are answered.
