--- a/crates/core/tests/backlog.rs
+++ b/crates/core/tests/backlog.rs
@@ -146,7 +146,7 @@
 
 /// What exceeded fifteen sixteenths of the bound was reported as returned at the first turn, with no call.
 #[test]
-fn a_backlog_beyond_the_bound_waits_for_room_and_is_delivered_earliest_deadline_first() {
+fn a_backlog_beyond_the_bound_is_delivered_earliest_deadline_first() {
     let records = (0..FOUND)
         .map(|n| found(format!("m{n:04}"), 500_000 - n * 100))
         .collect();
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn what_gets_no_room_is_reported_at_its_deadline_and_not_before() {
+fn messages_without_capacity_are_reported_at_their_deadline() {
     let deadline = |n: u64| 4_000 + n * 20;
     let records = (0..FOUND)
         .map(|n| found(format!("m{n:04}"), deadline(n)))
--- a/crates/core/tests/list.rs
+++ b/crates/core/tests/list.rs
@@ -145,7 +145,7 @@
 
     /// Whole lists, changes, drains, returns, moves and times at random.
     #[test]
-    fn the_list_is_what_walking_all_of_it_finds(updates in prop::collection::vec(any_update(), 1..30)) {
+    fn the_list_matches_a_model_that_visits_every_entry(updates in prop::collection::vec(any_update(), 1..30)) {
         let (mut list, mut model, mut now) = (EndpointList::default(), Model::default(), Time(0));
         for (whole, entries, passed) in updates {
             now = now + Duration::from_secs(passed);
@@ -189,7 +189,7 @@
 /// Before, a change walked the whole list (8 ms of CPU at 57,000 listed), and a whole list walked itself for each of its
 /// entries (6 s).
 #[test]
-fn a_change_costs_the_same_however_many_are_listed_and_a_whole_list_one_pass() {
+fn a_change_visits_its_own_entries_and_a_whole_list_each_entry_once() {
     let (mut few, _) = listed(10);
     let (mut many, first) = listed(57_000);
     assert_eq!(visited_by_changes(&mut few), visited_by_changes(&mut many));
--- a/crates/core/tests/order.rs
+++ b/crates/core/tests/order.rs
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn messages_of_one_ordering_key_go_one_at_a_time_in_submission_order() {
+fn messages_of_one_ordering_key_are_sent_one_at_a_time_in_submission_order() {
     let config = Config {
         cases: 300,
         failure_persistence: None,
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn what_the_journal_cannot_take_is_refused_and_not_sent() {
+fn messages_are_rejected_and_not_sent_while_the_journal_is_full() {
     let mut b = Bench::new(1);
     b.step(Input::Submitted(message("m", 8000)));
     b.ms = 5;
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn an_end_that_found_no_room_is_written_by_a_later_turn() {
+fn unpersisted_end_records_are_written_with_a_later_tick() {
     let mut b = Bench::new(1);
     b.step(Input::Submitted(message("m", 8000)));
     b.turn(5);
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn one_turn_to_one_endpoint_is_one_call_as_far_as_its_kind_allows() {
+fn messages_of_one_tick_share_a_call_up_to_the_limit_of_their_kind() {
     for (kind, expected) in [(0, vec![5, 2]), (1, vec![1; 4])] {
         let mut b = Bench::new(kind);
         for n in 0..7 {
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn an_endpoint_that_drains_or_leaves_the_list_is_held_back() {
+fn draining_and_removed_endpoints_cancel_unwritten_calls() {
     let mut b = Bench::new(1);
     let list = vec![listing("a", Condition::Draining, 1)];
     let effects = b.step(Input::EndpointsChanged { whole: false, list });
@@ -392,7 +392,7 @@
 }
 
 #[test]
-fn a_restart_knows_attempts_used_time_left_and_reports_due() {
+fn attempts_deadlines_and_reports_survive_a_restart() {
     let mut b = Bench::new(1);
     let mut records = vec![
         accepted("fresh", 9000),
@@ -442,7 +442,7 @@
 }
 
 #[test]
-fn a_first_attempt_that_may_have_run_keeps_its_age_over_a_restart() {
+fn the_age_of_a_possible_execution_survives_a_restart() {
     // Keyed repeats are dropped for 20 s: a first send 19.9 s ago leaves no time for another.
     for (ago_ms, may_go) in [(19_900u64, true), (20_100, false)] {
         let mut b = Bench::new(1);
@@ -478,7 +478,7 @@
 }
 
 #[test]
-fn the_end_of_the_process_starts_nothing_new_and_still_hears_of_ends() {
+fn a_stopping_process_starts_no_attempt_and_still_accepts_outcomes() {
     let mut b = Bench::new(1);
     b.step(Input::Submitted(message("m", 8000)));
     b.turn(5);
@@ -492,7 +492,7 @@
 }
 
 #[test]
-fn a_message_withdrawn_while_its_attempt_is_out_is_over_for_good() {
+fn a_message_cancelled_while_in_flight_is_not_sent_again() {
     let mut b = Bench::new(1);
     b.step(Input::Submitted(Message {
         from: Origin::Waiting(3),
@@ -513,7 +513,7 @@
 }
 
 #[test]
-fn an_id_that_has_ended_is_not_taken_on_again_and_is_forgotten_in_time() {
+fn a_completed_id_is_not_accepted_again_until_it_is_forgotten() {
     let mut b = Bench::new(1);
     b.step(Input::Submitted(message("m", 8000)));
     b.turn(5);
@@ -577,7 +577,7 @@
 /// Guards against a call that goes on after one of its messages has been executed out of time: see tests/shared_calls.rs. `short` has
 /// more time left than a call usually takes and less than the others wait, so it shares their call, and ends its wait.
 #[test]
-fn all_in_a_call_wait_until_the_same_moment() {
+fn attempts_of_a_call_share_the_earliest_time_out() {
     let mut b = Bench::new(0);
     for (id, left) in [("m1", 20_000), ("short", 1500), ("m2", 20_000)] {
         b.step(Input::Submitted(message(id, left)));
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -139,13 +139,13 @@
 }
 
 #[test]
-fn settings_as_they_should_be_are_played() {
+fn valid_settings_work() {
     play(serde_json::from_str(SETTINGS).expect("settings")).expect("played");
 }
 
 /// Guards a start on another customer's settings: whatever one value is, there is an error or a sender that works.
 #[test]
-fn any_one_value_that_is_missing_or_absurd_is_an_error_or_does_no_harm() {
+fn a_missing_or_absurd_value_is_an_error_or_harmless() {
     let good: Value = serde_json::from_str(SETTINGS).expect("settings");
     let mut all = Vec::new();
     collect_pointers(&good, "", &mut all);
--- a/crates/core/tests/short_window.rs
+++ b/crates/core/tests/short_window.rs
@@ -173,7 +173,7 @@
 
 /// Restarts 0 to 1.5 s after an attempt that may have been executed, all at once and by steps, before a backlog of what was not tried.
 #[test]
-fn a_repeat_goes_inside_its_window_and_what_was_not_tried_goes_all_the_same() {
+fn repeats_are_sent_inside_their_window_and_first_attempts_regardless() {
     for by_steps in [false, true] {
         for passed in (0..=1500).step_by(25) {
             let back = SENT_MS + passed;
--- a/crates/recovery/tests/coming_back.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -53,7 +53,7 @@
 
 /// Each piece has an age of its own, beyond which nothing rests on it; a wait has none.
 #[test]
-fn what_is_too_old_is_not_used_and_a_wait_is_kept_to_its_end() {
+fn old_state_is_not_used_and_retry_after_is_kept_to_its_end() {
     let mut cache = LearnedStateCache::new(BOUNDS);
     cache.merge(
         s(0.0),
@@ -90,7 +90,7 @@
 /// Peers disagree: the younger counts, whatever came first, but of waits the later end. What lies in the future, or is no
 /// number, is nobody's knowledge.
 #[test]
-fn the_younger_piece_counts_and_the_later_end_of_a_wait() {
+fn the_later_state_and_the_later_retry_after_count() {
     let old = LearnedState {
         limit: Some(48.0),
         blocked_until: Some(s(9.0)),
@@ -174,7 +174,7 @@
 /// Full once members have told, or none did in time; once the first calls' spread is over; once all that is owed has been
 /// taken up. Each by itself holds it back.
 #[test]
-fn each_step_holds_back_full_service() {
+fn each_step_delays_full_service() {
     let start = || Recovery::new(SETTINGS, s(0.0));
     let mut alone = start();
     assert_eq!(
@@ -219,7 +219,7 @@
 
 /// A Retry-After wait is written down at once, all else once a second.
 #[test]
-fn a_wait_is_written_down_at_once() {
+fn a_new_retry_after_is_persisted_at_once() {
     let mut recovery = Recovery::new(SETTINGS, s(0.0));
     let waits = |until| {
         vec![LearnedState {
@@ -290,7 +290,7 @@
 
     /// A file that was cut or changed anywhere is not used, and never stops a start.
     #[test]
-    fn a_changed_file_is_not_believed(learned_state in proptest::collection::vec(any_piece(), 0..20), at: prop::sample::Index,
+    fn a_damaged_state_file_is_rejected(learned_state in proptest::collection::vec(any_piece(), 0..20), at: prop::sample::Index,
         flip in 1..=255u8, noise: Vec<u8>) {
         let bytes = pack(&learned_state);
         prop_assert!(unpack(&bytes).is_ok());
--- a/crates/zone-failover/tests/fleets.rs
+++ b/crates/zone-failover/tests/zone_failover.rs
@@ -116,7 +116,7 @@
 
 /// The whole way: left by all soon, tried at the fleet's budget and no more, returned to by all, and free at the end.
 #[test]
-fn a_zone_that_fails_is_left_tried_and_returned_to_by_all() {
+fn a_failed_zone_is_evacuated_probed_and_returned_to_by_all() {
     for n in [3, 10, 50] {
         let mut fleet = Fleet::new(n);
         fleet.run(3000, |_| false, all);
@@ -155,7 +155,7 @@
 
 /// One endpoint that is down is no zone.
 #[test]
-fn one_endpoint_is_no_zone() {
+fn one_failing_endpoint_does_not_fail_its_zone() {
     let mut zones = Zones::new(SETTINGS);
     zones.set_endpoint_counts(&BTreeMap::from([(ZONE, 10)]));
     for k in 0..20 {
@@ -166,7 +166,7 @@
 
 /// Each return that fails doubles the time out; a fleet that is split decides on each side by itself.
 #[test]
-fn flapping_is_damped() {
+fn each_failed_return_doubles_the_evacuation() {
     let mut fleet = Fleet::new(10);
     fleet.run(2000, |_| false, all);
     for _ in 0..4 {
@@ -193,7 +193,7 @@
 
 /// A side of a partition leaves by its own quorum; after the heal those who return later do not drag the others out again.
 #[test]
-fn a_split_fleet_leaves_on_each_side_and_agrees_after_the_heal() {
+fn a_partitioned_fleet_evacuates_on_each_side_and_agrees_afterwards() {
     let mut fleet = Fleet::new(10);
     let sides = |a: usize, b: usize| (a < 4) == (b < 4);
     fleet.run(2000, |_| false, sides);
@@ -219,7 +219,7 @@
 
 /// One that starts while a zone is left takes that over, and does not try it by itself.
 #[test]
-fn a_newcomer_takes_over_what_the_others_have_left() {
+fn a_new_member_follows_the_evacuations_of_the_others() {
     let mut fleet = Fleet::new(5);
     fleet.run(2000, |_| false, all);
     fleet.run(4000, |_| true, all);
