--- a/crates/core/src/detached_endpoints.rs
+++ b/crates/core/src/detached_endpoints.rs
@@ -8,7 +8,7 @@
 use cranehill_scheduler::{Scheduler, Time};
 
 use crate::detachments::Detachments;
-use crate::endpoint_list::FORGOTTEN;
+use crate::endpoint_list::DESTINATION_RETENTION;
 
 /// Endpoints detached at most: an operator works on a few, and each takes space in the state file.
 const MAX_DETACHED: usize = 64;
@@ -83,7 +83,7 @@
             if is_listed(id) {
                 *last_seen = now;
             }
-            now - *last_seen < FORGOTTEN
+            now - *last_seen < DESTINATION_RETENTION
         });
         self.attached_at.retain(|id, _| is_listed(id));
     }
--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -13,11 +13,11 @@
 use crate::message::Listing;
 
 /// How long a destination without endpoints stays known.
-pub(crate) const FORGOTTEN: Duration = Duration::from_secs(600);
+pub(crate) const DESTINATION_RETENTION: Duration = Duration::from_secs(600);
 
 /// An endpoint as it was listed last. Its id is the key in [`EndpointList`].
 #[derive(Debug)]
-struct Listed {
+struct ListedEndpoint {
     destination: DestinationId,
     condition: Condition,
     zone: u32,
@@ -39,7 +39,7 @@
 /// The endpoints that discovery lists.
 #[derive(Debug, Default)]
 pub struct EndpointList {
-    endpoints: BTreeMap<EndpointId, Listed>,
+    endpoints: BTreeMap<EndpointId, ListedEndpoint>,
     by_destination: BTreeSet<(DestinationId, EndpointId)>,
     zones: BTreeMap<u32, usize>,
     /// Destinations without an endpoint, and since when.
@@ -160,7 +160,7 @@
             rate,
             ..
         } = entry;
-        let listed = Listed {
+        let listed = ListedEndpoint {
             destination,
             condition,
             zone,
@@ -210,7 +210,7 @@
     fn forget(&mut self, now: Time) -> usize {
         let mut forgotten = 0;
         while let Some(&(since, destination)) = self.unlisted_order.first()
-            && now - since >= FORGOTTEN
+            && now - since >= DESTINATION_RETENTION
         {
             self.unlisted_order.pop_first();
             self.unlisted.remove(&destination);
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -40,10 +40,11 @@
         };
         match recovery::unpack(bytes) {
             Ok(learned_state) => {
-                log::info!(chunks = learned_state.len(); "recovery: {} partners remembered", learned_state.len());
+                let routes = learned_state.len();
+                log::info!(routes; "recovery: learned state of {routes} routes restored");
                 recovery.on_persisted_state(now, learned_state);
             }
-            Err(error) => log::warn!("recovery: {error}; the persisted state is not used"),
+            Err(error) => log::warn!("recovery: the persisted state is not used: {error}"),
         }
     }
 
@@ -51,7 +52,7 @@
     pub(crate) fn on_inherited(&mut self, bytes: &[u8]) {
         match recovery::unpack(bytes) {
             Ok(learned_state) => self.inherited = learned_state,
-            Err(error) => log::error!("hand-over: learned state: {error}"),
+            Err(error) => log::error!("hand-over: the inherited state is not used: {error}"),
         }
     }
 
@@ -65,11 +66,12 @@
         let recovery = self.recovery.as_mut()?;
         match recovery::decode(piece) {
             Ok(learned_state) => {
-                log::info!(event = "learned-state-received", by:% = member, chunks = learned_state.len();
-                    "recovery: {member} sent its learned state of {} destinations", learned_state.len());
+                let routes = learned_state.len();
+                log::info!(event = "learned-state-received", member:%, routes;
+                    "recovery: learned state of {routes} routes received from {member}");
                 recovery.on_peer_reply(now, learned_state);
             }
-            Err(error) => log::warn!("recovery: from {member}: {error}"),
+            Err(error) => log::warn!("recovery: learned state from {member} is ignored: {error}"),
         }
         Some(Effect::WakeAt(now))
     }
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -366,7 +366,7 @@
         assert_eq!(view["recovery"]["state"], "full", "{view}");
     }
     // The first lives had nothing; the second ones remember, but for the one without its folder.
-    let completed: Vec<usize> = (0..3).map(|s| log(s, "partners remembered")).collect();
+    let completed: Vec<usize> = (0..3).map(|s| log(s, "routes restored")).collect();
     assert_eq!(completed, [1, 1, 0], "{shown}");
 }
 
