--- a/crates/core/tests/order.rs
+++ b/crates/core/tests/order.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranehill_core::*;
+use cranehill_core::{
+    AttemptOutcome, Core, Effect, Input, Listing, Message, Origin, Persisted, Record,
+};
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
 use cranehill_scheduler::profile::Profile;
@@ -371,7 +373,7 @@
 }
 
 #[test]
-fn messages_of_one_ordering_key_go_one_at_a_time_in_submission_order() {
+fn messages_of_one_ordering_key_are_sent_one_at_a_time_in_submission_order() {
     let config = Config {
         cases: 300,
         failure_persistence: None,
--- a/crates/zone-failover/tests/fleets.rs
+++ b/crates/zone-failover/tests/zone_failover.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
-use cranehill_zone_failover::{Change, Settings, State, ZoneAnnouncement, Zones};
+use cranehill_zone_failover::{
+    Change, MemberAnnouncements, Settings, State, ZoneAnnouncement, Zones,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -40,7 +42,7 @@
     fn new(n: usize) -> Fleet {
         let member = || {
             let mut zones = Zones::new(SETTINGS);
-            zones.listed(&BTreeMap::from([(0, 15), (ZONE, 10)]));
+            zones.set_endpoint_counts(&BTreeMap::from([(0, 15), (ZONE, 10)]));
             zones
         };
         Fleet {
@@ -74,11 +76,14 @@
             let now = Time(self.ms * 1_000_000);
             let statements = self.statements.clone();
             for n in 0..self.members.len() {
-                let others: Vec<(SocketAddr, Vec<ZoneAnnouncement>)> = (0..self.members.len())
+                let others: Vec<MemberAnnouncements> = (0..self.members.len())
                     .filter(|&o| o != n && hears(n, o))
-                    .map(|o| (at(o), statements[o].clone()))
+                    .map(|o| MemberAnnouncements {
+                        member: at(o),
+                        zones: statements[o].clone(),
+                    })
                     .collect();
-                for change in self.members[n].look(now, at(n), &others) {
+                for change in self.members[n].evaluate(now, at(n), &others) {
                     self.probing[n] = matches!(change, Change::Probe { .. });
                     self.changes.push((self.ms, n, change));
                 }
@@ -90,7 +95,7 @@
                 };
                 if may {
                     let endpoint = format!("e{}", self.rng.random_range(0..10));
-                    self.members[n].ended(now, ZONE, &endpoint, !fails(n));
+                    self.members[n].record_attempt(now, ZONE, &endpoint, !fails(n));
                     self.calls.push((self.ms, n));
                 }
                 self.statements[n] = self.members[n].announcements(now, &others);
@@ -111,7 +116,7 @@
 
 /// The whole way: left by all soon, tried at the fleet's budget and no more, returned to by all, and free at the end.
 #[test]
-fn a_zone_that_fails_is_left_tried_and_returned_to_by_all() {
+fn a_failed_zone_is_evacuated_probed_and_returned_to_by_all() {
     for n in [3, 10, 50] {
         let mut fleet = Fleet::new(n);
         fleet.run(3000, |_| false, all);
@@ -150,18 +155,18 @@
 
 /// One endpoint that is down is no zone.
 #[test]
-fn one_endpoint_is_no_zone() {
+fn one_failing_endpoint_does_not_fail_its_zone() {
     let mut zones = Zones::new(SETTINGS);
-    zones.listed(&BTreeMap::from([(ZONE, 10)]));
+    zones.set_endpoint_counts(&BTreeMap::from([(ZONE, 10)]));
     for k in 0..20 {
-        zones.ended(Time(k * 50_000_000), ZONE, "e1", false);
+        zones.record_attempt(Time(k * 50_000_000), ZONE, "e1", false);
     }
     assert_eq!(zones.announcements(Time(1_000_000_000), &[]), []);
 }
 
 /// Each return that fails doubles the time out; a fleet that is split decides on each side by itself.
 #[test]
-fn flapping_is_damped() {
+fn each_failed_return_doubles_the_evacuation() {
     let mut fleet = Fleet::new(10);
     fleet.run(2000, |_| false, all);
     for _ in 0..4 {
@@ -188,7 +193,7 @@
 
 /// A side of a partition leaves by its own quorum; after the heal those who return later do not drag the others out again.
 #[test]
-fn a_split_fleet_leaves_on_each_side_and_agrees_after_the_heal() {
+fn a_partitioned_fleet_evacuates_on_each_side_and_agrees_afterwards() {
     let mut fleet = Fleet::new(10);
     let sides = |a: usize, b: usize| (a < 4) == (b < 4);
     fleet.run(2000, |_| false, sides);
@@ -214,12 +219,12 @@
 
 /// One that starts while a zone is left takes that over, and does not try it by itself.
 #[test]
-fn a_newcomer_takes_over_what_the_others_have_left() {
+fn a_new_member_follows_the_evacuations_of_the_others() {
     let mut fleet = Fleet::new(5);
     fleet.run(2000, |_| false, all);
     fleet.run(4000, |_| true, all);
     let mut fresh = Zones::new(SETTINGS);
-    fresh.listed(&BTreeMap::from([(ZONE, 10)]));
+    fresh.set_endpoint_counts(&BTreeMap::from([(ZONE, 10)]));
     fleet.members[4] = fresh;
     fleet.statements[4] = Vec::new();
     let from = fleet.ms;
