--- a/crates/daemon/src/reactor/fleet.rs
+++ b/crates/daemon/src/reactor/fleet.rs
@@ -82,11 +82,11 @@
 fn member(view: &View, now: Time) -> Value {
     let View {
         member,
-        incarnation,
+        swim_incarnation,
         state,
         since,
     } = view;
-    json!({"name": member.name, "at": member.at.to_string(), "life": member.generation, "incarnation": incarnation,
+    json!({"name": member.name, "at": member.at.to_string(), "life": member.incarnation, "incarnation": swim_incarnation,
         "state": state.label(), "age_ms": (now - *since).as_millis() as u64})
 }
 
@@ -149,8 +149,8 @@
 fn notify(view: &View, before: Option<State>) {
     let (name, state) = (view.member.name.as_str(), view.state.label());
     let before = before.map_or("unknown", State::label);
-    log::info!(event = "member", member = name, at:% = view.member.at, incarnation = view.member.generation,
-        swim_incarnation = view.incarnation, state, before;
+    log::info!(event = "member", member = name, at:% = view.member.at, incarnation = view.member.incarnation,
+        swim_incarnation = view.swim_incarnation, state, before;
         "fleet: {name} at {} is {state}, was {before}", view.member.at);
 }
 
@@ -161,7 +161,7 @@
             let mut packet = [0; PACKET_MOST];
             end.more = false;
             match end.socket.recv_from(&mut packet) {
-                Ok((len, _)) => self.step_fleet(Input::Heard(packet[..len].to_vec())),
+                Ok((len, _)) => self.step_fleet(Input::PacketReceived(packet[..len].to_vec())),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 // Such as the answer of a machine where nobody listens any more to what we sent there.
                 Err(e) => log::debug!("fleet: {e}"),
@@ -193,11 +193,11 @@
             // The core's own.
             Effect::LearnedRequested { .. } | Effect::LearnedReceived { .. } => {}
             Effect::Rejoined {
-                generation: own_incarnation,
+                incarnation: own_incarnation,
             } => {
                 log::warn!(event = "rejoined", incarnation = own_incarnation; "fleet: the others held us to be down; back under life {own_incarnation}");
             }
-            Effect::Stalled(by) => {
+            Effect::ProcessPaused(by) => {
                 log::warn!(event = "process-pause", paused_ms = by.as_millis() as u64;
                     "fleet: this process was held up for {by:?}; it concludes nothing about others from that time");
             }
@@ -240,7 +240,7 @@
             .map(|(why, times)| (why.label(), times))
             .collect();
         let (held, reports) = self.core.outstanding();
-        let body = json!({"name": me.name, "at": me.at.to_string(), "life": me.generation, "senders": members.share_divisor(),
+        let body = json!({"name": me.name, "at": me.at.to_string(), "life": me.incarnation, "senders": members.share_divisor(),
             "members": views, "refused": refused, "held": held, "reports": reports,
             "zones": self.core.zone_states().map(|states| zones_shown(&states, &self.platform_settings.names.zones, now)),
             "recovery": self.core.phase().map(|phase| phase_json(phase, now))});
--- a/crates/fleet-harness/src/hollow/member.rs
+++ b/crates/fleet-harness/src/hollow/member.rs
@@ -171,7 +171,7 @@
 
     /// A packet came.
     pub fn receive(&mut self, now: Time, bytes: Vec<u8>, output: &mut Output) {
-        self.step_membership(now, membership::Input::Heard(bytes), output);
+        self.step_membership(now, membership::Input::PacketReceived(bytes), output);
     }
 
     /// The time of [`Member::due`] has come.
@@ -238,11 +238,11 @@
             membership::Effect::WakeAt(at) => self.membership_due = Some(at),
             membership::Effect::Changed { view, .. } => output.reports.push(Report::Sees {
                 address: view.member.at,
-                generation: view.member.generation,
+                generation: view.member.incarnation,
                 seen: seen(view.state),
             }),
             membership::Effect::Rejoined { .. } => output.reports.push(Report::Rejoined),
-            membership::Effect::Stalled(_) => output.reports.push(Report::HeldUp),
+            membership::Effect::ProcessPaused(_) => output.reports.push(Report::HeldUp),
             membership::Effect::Dropped(_) => output.reports.push(Report::Refused),
             _ => {}
         }
@@ -252,7 +252,7 @@
         let generation = self
             .core
             .members()
-            .map_or(0, |members| members.me().generation);
+            .map_or(0, |members| members.me().incarnation);
         if generation != self.generation {
             self.generation = generation;
             output.reports.push(Report::Generation(generation));
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -32,10 +32,10 @@
     }
 }
 
-/// Names one generation of a member.
+/// Names one incarnation of a member.
 pub fn identity_hash(member: &Identity) -> ShortHash {
     let address = address_bytes(member.at);
-    ShortHash::of(&[&address, &member.generation.to_le_bytes()])
+    ShortHash::of(&[&address, &member.incarnation.to_le_bytes()])
 }
 
 /// The bucket of all entries about an address.
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A packet came. Where from does not matter: what counts is in it.
-    Heard(Vec<u8>),
+    PacketReceived(Vec<u8>),
     /// The time that [`Effect::WakeAt`] named has come.
     TimerFired,
     /// This sender is about to end.
@@ -41,12 +41,12 @@
         view: View,
         before: Option<State>,
     },
-    /// Others held us to be down; we are back under this generation.
+    /// Others held us to be down; we are back under this incarnation.
     Rejoined {
-        generation: u64,
+        incarnation: u64,
     },
     /// We were held up for so long; our timers moved by it.
-    Stalled(Duration),
+    ProcessPaused(Duration),
     /// A member asks for what we have learned.
     LearnedRequested {
         by: SocketAddr,
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,17 +1,17 @@
-//! One generation of one member.
+//! One incarnation of one member.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// A member as the others know it. Its address is what lasts; its generation grows with each start and each return after it was
-/// declared down, so that what is said of an earlier generation does not touch the present one.
+/// A member as the others know it. Its address is what lasts; its incarnation grows with each start and each return after it was
+/// declared down, so that what is said of an earlier incarnation does not touch the present one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// Where the others reach it.
     pub at: SocketAddr,
     /// Milliseconds since 1970 at its start, and one more for each return.
-    pub generation: u64,
+    pub incarnation: u64,
     /// Its name in its configuration, for people.
     pub name: String,
 }
@@ -21,7 +21,7 @@
     pub fn unknown(at: SocketAddr) -> Identity {
         Identity {
             at,
-            generation: 0,
+            incarnation: 0,
             name: String::new(),
         }
     }
@@ -32,7 +32,7 @@
 
     fn renew(&self) -> Option<Identity> {
         Some(Identity {
-            generation: self.generation + 1,
+            incarnation: self.incarnation + 1,
             ..self.clone()
         })
     }
@@ -42,6 +42,6 @@
     }
 
     fn win_addr_conflict(&self, other: &Identity) -> bool {
-        self.generation > other.generation
+        self.incarnation > other.incarnation
     }
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -55,7 +55,7 @@
     runtime: AccumulatingRuntime<Identity>,
     pacer: Pacer,
     /// Our own incarnation, by the latest packet.
-    incarnation: u16,
+    swim_incarnation: u16,
 
     votes: Arc<Mutex<Votes>>,
     sets: DownSets,
@@ -124,7 +124,7 @@
     pub fn new(set: Settings, seed: u64, now: Time) -> Members {
         let me = Identity {
             at: set.at,
-            generation: millis(now),
+            incarnation: millis(now),
             name: set.name.clone(),
         };
         let votes = Arc::default();
@@ -136,7 +136,7 @@
             foca,
             runtime: AccumulatingRuntime::new(),
             pacer: Pacer::new(SENT_BYTES_PER_SECOND, BURST, now),
-            incarnation: 0,
+            swim_incarnation: 0,
             votes,
             sets: DownSets::default(),
             voting: Voting::new(set.period, set.configured_members),
@@ -174,7 +174,7 @@
         members
     }
 
-    /// Ourselves, in our present generation.
+    /// Ourselves, in our present incarnation.
     pub fn me(&self) -> &Identity {
         self.foca.identity()
     }
@@ -232,7 +232,7 @@
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Heard(bytes) => {
+            Input::PacketReceived(bytes) => {
                 if let Err(why) = self.receive(&bytes) {
                     self.drop_packet(why);
                 }
@@ -298,7 +298,7 @@
     ) -> Result<(), DropReason> {
         let ((from, to), body) = postcard::take_from_bytes::<(Identity, SocketAddr)>(message)
             .map_err(|_| DropReason::Unreadable)?;
-        self.replays.accept(from.at, from.generation, number)?;
+        self.replays.accept(from.at, from.incarnation, number)?;
         if to != self.me().at || from.at == to {
             return Err(DropReason::Unreadable);
         }
@@ -365,7 +365,7 @@
                 .into_iter()
                 .map(|((at, n), due)| ((at + stalled, n), due))
                 .collect();
-            self.effects.push(Effect::Stalled(stalled));
+            self.effects.push(Effect::ProcessPaused(stalled));
         }
         while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= self.now) {
             match entry.remove() {
--- a/crates/membership/src/members/agreement.rs
+++ b/crates/membership/src/members/agreement.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Forgets votes and sets that nobody needs any more, and casts ours again if it is of an earlier generation.
+    /// Forgets votes and sets that nobody needs any more, and casts ours again if it is of an earlier incarnation.
     pub(super) fn keep_votes(&mut self) {
         self.views.age(self.now);
         let mine = self.my_hash();
--- a/crates/membership/src/members/exchange.rs
+++ b/crates/membership/src/members/exchange.rs
@@ -70,7 +70,7 @@
     fn own_row(&self) -> Row {
         Row {
             member: self.me().clone(),
-            incarnation: self.incarnation,
+            swim_incarnation: self.swim_incarnation,
             state: 0,
             down_for: 0,
         }
@@ -154,8 +154,8 @@
     fn admit(&mut self, from: &Identity) -> bool {
         let known = self.views.get(&from.at);
         match known {
-            Some(view) if view.member.generation > from.generation => return false,
-            Some(view) if view.member.generation == from.generation => {
+            Some(view) if view.member.incarnation > from.incarnation => return false,
+            Some(view) if view.member.incarnation == from.incarnation => {
                 return view.state.is_active();
             }
             None if self.views.len() >= MAX_MEMBERS => return false,
@@ -192,12 +192,12 @@
         let mut known = self.views.len();
         for row in rows {
             let own = row.member.at == me.at;
-            if own && row.member.generation > me.generation {
-                self.rise_above(row.member.generation);
+            if own && row.member.incarnation > me.incarnation {
+                self.rise_above(row.member.incarnation);
                 continue;
             }
             let news = match self.views.get(&row.member.at) {
-                _ if own => row.member.generation == me.generation && row.state > 0,
+                _ if own => row.member.incarnation == me.incarnation && row.state > 0,
                 Some(view) => Row::of(view).rank() < row.rank(),
                 None => {
                     known += 1;
@@ -213,7 +213,7 @@
                 _ => foca::State::Down,
             };
             self.down_for.insert(row.member.at, swim::down_for(row));
-            members.push(Member::new(row.member.clone(), row.incarnation, state));
+            members.push(Member::new(row.member.clone(), row.swim_incarnation, state));
         }
         if members.is_empty() {
             return;
@@ -293,7 +293,7 @@
         };
         Row {
             member: view.member.clone(),
-            incarnation: view.incarnation,
+            swim_incarnation: view.swim_incarnation,
             state,
             down_for: 0,
         }
--- a/crates/membership/src/members/swim.rs
+++ b/crates/membership/src/members/swim.rs
@@ -21,38 +21,38 @@
         let (header, rest) = postcard::take_from_bytes::<Header<Identity>>(message)
             .map_err(|_| DropReason::Unreadable)?;
         self.replays
-            .accept(header.src.at, header.src.generation, number)?;
+            .accept(header.src.at, header.src.incarnation, number)?;
         self.refuse_beyond_bound(&header.src, rest)?;
         self.last_heard = self.now;
         let me = self.me();
         let ours = header.dst.at == me.at;
-        if ours && header.dst.generation > me.generation {
-            self.rise_above(header.dst.generation);
+        if ours && header.dst.incarnation > me.incarnation {
+            self.rise_above(header.dst.incarnation);
         }
         let earlier =
-            ours && header.dst.generation != 0 && header.dst.generation < self.me().generation;
+            ours && header.dst.incarnation != 0 && header.dst.incarnation < self.me().incarnation;
         self.views_stale |= self.may_announce_changes(&header, rest);
         let taken = self
             .foca
             .handle_data(message, &mut self.runtime)
             .map_err(|_| DropReason::Unreadable);
-        // It speaks to an earlier generation of ours, so it doesn't know this one.
+        // It speaks to an earlier incarnation of ours, so it doesn't know this one.
         if earlier && self.pacer.allows(self.now, Class::Bulk) {
             self.compare_with(header.src.at);
         }
         taken
     }
 
-    /// Our clock was set back between two generations, or our folder is another's: the others would hold what we say for
+    /// Our clock was set back between two incarnations, or our folder is another's: the others would hold what we say for
     /// something of the past.
-    pub(super) fn rise_above(&mut self, generation: u64) {
-        let generation = generation + 1;
+    pub(super) fn rise_above(&mut self, incarnation: u64) {
+        let incarnation = incarnation + 1;
         let risen = Identity {
-            generation,
+            incarnation,
             ..self.me().clone()
         };
         if self.foca.change_identity(risen, &mut self.runtime).is_ok() {
-            self.effects.push(Effect::Rejoined { generation });
+            self.effects.push(Effect::Rejoined { incarnation });
         }
     }
 
@@ -64,7 +64,7 @@
         let known = self.views.get(&header.src.at).is_some_and(|view| {
             view.state == State::Alive
                 && view.member == header.src
-                && view.incarnation >= header.src_incarnation
+                && view.swim_incarnation >= header.src_incarnation
         });
         updates || !known || matches!(header.message, Message::TurnUndead)
     }
@@ -107,11 +107,11 @@
     }
 
     /// A suspicion that was refuted. `foca` 2.0 leaves such a member alive but tells it all the same that it is down, upon
-    /// which it would come back under another generation for nothing.
+    /// which it would come back under another incarnation for nothing.
     fn is_over(&self, timer: &Timer<Identity>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
-            incarnation,
+            incarnation: swim_incarnation,
             ..
         } = timer
         else {
@@ -119,7 +119,7 @@
         };
         !self.foca.iter_membership_state().any(|m| {
             m.id() == member_id
-                && m.incarnation() == *incarnation
+                && m.incarnation() == *swim_incarnation
                 && m.state() == foca::State::Suspect
         })
     }
@@ -191,7 +191,7 @@
         while let Some((to, message)) = self.runtime.to_send() {
             let header = postcard::take_from_bytes::<Header<Identity>>(&message);
             let Ok((header, _)) = header else { continue };
-            self.incarnation = header.src_incarnation;
+            self.swim_incarnation = header.src_incarnation;
             // A list is worth no more than what the exchange brings; whoever asked for it is known to us by now.
             let list = header.message == Message::Feed;
             if !list || self.pacer.allows(self.now, Class::Bulk) {
@@ -201,11 +201,11 @@
         while let Some((after, timer)) = self.runtime.to_schedule() {
             if let Timer::ChangeSuspectToDown {
                 member_id,
-                incarnation,
+                incarnation: swim_incarnation,
                 ..
             } = &timer
             {
-                self.accused.insert(member_id.at, *incarnation);
+                self.accused.insert(member_id.at, *swim_incarnation);
             }
             self.at(self.now + after, Due::Swim(timer));
         }
@@ -213,7 +213,7 @@
             self.views_stale = true;
             if let OwnedNotification::Rejoin(me) = notification {
                 self.effects.push(Effect::Rejoined {
-                    generation: me.generation,
+                    incarnation: me.incarnation,
                 });
             }
         }
@@ -259,11 +259,11 @@
             .iter_membership_state()
             .filter(|m| m.id().at != me)
         {
-            let (id, incarnation) = (member.id(), member.incarnation());
+            let (id, swim_incarnation) = (member.id(), member.incarnation());
             let before = self
                 .views
                 .get(&id.at)
-                .filter(|v| v.member.generation == id.generation);
+                .filter(|v| v.member.incarnation == id.incarnation);
             let left = || {
                 before.is_some_and(|v| v.state == State::Left)
                     || votes
@@ -277,14 +277,16 @@
                 foca::State::Down => State::Down,
             };
             let quiet = before.is_some_and(|v| v.state == state);
-            if before.is_some_and(|v| quiet && v.incarnation == incarnation && v.member == *id) {
+            if before
+                .is_some_and(|v| quiet && v.swim_incarnation == swim_incarnation && v.member == *id)
+            {
                 continue;
             }
             let since = before.filter(|_| quiet).map_or(self.now, |v| v.since);
             changed.push((
                 View {
                     member: id.clone(),
-                    incarnation,
+                    swim_incarnation,
                     state,
                     since,
                 },
@@ -297,7 +299,7 @@
     fn note_change(&mut self, view: &View) {
         let before = self.views.get(&view.member.at);
         let same = before.is_some_and(|b| {
-            b.member.generation == view.member.generation
+            b.member.incarnation == view.member.incarnation
                 && b.state.is_active() == view.state.is_active()
         });
         self.active_changes += u64::from(!same);
@@ -335,7 +337,7 @@
     pub(super) fn notify_accused(&mut self) {
         let suspect = |view: &&View| {
             view.state == State::Suspect
-                && self.accused.get(&view.member.at) == Some(&view.incarnation)
+                && self.accused.get(&view.member.at) == Some(&view.swim_incarnation)
         };
         let accused = self.accused.keys().filter_map(|at| self.views.get(at));
         let suspects: Vec<View> = accused.filter(suspect).cloned().collect();
@@ -350,7 +352,7 @@
         let to = view.member.at;
         let row = Row {
             member: view.member,
-            incarnation: view.incarnation,
+            swim_incarnation: view.swim_incarnation,
             state: 1,
             down_for: 0,
         };
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -43,7 +43,7 @@
     #[error("accepted before")]
     Replayed,
     #[error("of an earlier generation of its sender")]
-    EarlierGeneration,
+    EarlierIncarnation,
     #[error("of another format, so of a member of another version")]
     OtherVersion,
     #[error("longer than any packet of the fleet")]
@@ -63,7 +63,7 @@
             DropReason::WrongKey => "wrong-key",
             DropReason::Old => "old",
             DropReason::Replayed => "replayed",
-            DropReason::EarlierGeneration => "earlier-life",
+            DropReason::EarlierIncarnation => "earlier-life",
             DropReason::OtherVersion => "other-version",
             DropReason::TooLong => "too-long",
             DropReason::TooMany => "too-many",
@@ -162,7 +162,7 @@
 
 #[derive(Debug)]
 struct Window {
-    generation: u64,
+    incarnation: u64,
     highest: u64,
     /// Bit k: the number `highest - k` has come.
     came: u64,
@@ -179,7 +179,7 @@
     pub fn accept(
         &mut self,
         from: SocketAddr,
-        generation: u64,
+        incarnation: u64,
         number: u64,
     ) -> Result<(), DropReason> {
         // Addresses are bounded by who has the key; this bounds them all the same.
@@ -187,17 +187,17 @@
             self.windows.pop_first();
         }
         let fresh = Window {
-            generation,
+            incarnation,
             highest: number,
             came: 0,
         };
         let window = self.windows.entry(from).or_insert(fresh);
-        if generation < window.generation {
-            return Err(DropReason::EarlierGeneration);
+        if incarnation < window.incarnation {
+            return Err(DropReason::EarlierIncarnation);
         }
-        if generation > window.generation {
+        if incarnation > window.incarnation {
             *window = Window {
-                generation,
+                incarnation,
                 highest: number,
                 came: 0,
             };
--- a/crates/membership/src/share.rs
+++ b/crates/membership/src/share.rs
@@ -19,7 +19,7 @@
 
 #[derive(Debug)]
 struct Known {
-    generation: u64,
+    incarnation: u64,
     /// Since when a majority holds it to be down.
     agreed: Option<Time>,
     evicted: bool,
@@ -86,15 +86,15 @@
     }
 
     fn note(&mut self, view: &View) {
-        let (active, generation) = (view.state.is_active(), view.member.generation);
+        let (active, incarnation) = (view.state.is_active(), view.member.incarnation);
         let full = self.known.len() >= MAX_MEMBERS;
         let fresh = Known {
-            generation,
+            incarnation,
             agreed: None,
             evicted: false,
         };
         match self.known.get_mut(&view.member.at) {
-            Some(known) if active || known.generation != generation => *known = fresh,
+            Some(known) if active || known.incarnation != incarnation => *known = fresh,
             Some(_) => {}
             // Down since before we knew it: nothing was ever left to it by us but by the settings.
             None if !active || full => {}
--- a/crates/membership/src/views.rs
+++ b/crates/membership/src/views.rs
@@ -12,7 +12,7 @@
 
 /// Members known, at most, the down ones among them.
 pub const MAX_MEMBERS: usize = 4096;
-/// Ended generations remembered, at most.
+/// Ended incarnations remembered, at most.
 const MAX_ENDED: usize = 1024;
 /// A member that has been down for longer isn't told to others any more. It is half of the time after which it is forgotten, so
 /// that it isn't learned again by one that has just forgotten it.
@@ -57,8 +57,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     pub member: Identity,
-    /// Grows within a generation each time that the member refutes a suspicion.
-    pub incarnation: u16,
+    /// Grows within a incarnation each time that the member refutes a suspicion.
+    pub swim_incarnation: u16,
     pub state: State,
     /// Since when it is in that state, by our view.
     pub since: Time,
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     pub member: Identity,
-    pub incarnation: u16,
+    pub swim_incarnation: u16,
     /// 0 alive, 1 suspect, 2 down.
     pub state: u8,
     /// Seconds that it has been down for.
@@ -76,26 +76,26 @@
 }
 
 impl Row {
-    /// Of two rows about one address the higher one is newer, as in SWIM: down is for the whole of a generation, and a
+    /// Of two rows about one address the higher one is newer, as in SWIM: down is for the whole of a incarnation, and a
     /// suspicion stands until a higher incarnation refutes it.
     pub(crate) fn rank(&self) -> (u64, bool, u16, u8) {
         let down = self.state >= 2;
         (
-            self.member.generation,
+            self.member.incarnation,
             down,
-            if down { 0 } else { self.incarnation },
+            if down { 0 } else { self.swim_incarnation },
             self.state.min(2),
         )
     }
 
     pub(crate) fn hash(&self) -> ShortHash {
-        let (generation, _, incarnation, state) = self.rank();
+        let (incarnation, _, swim_incarnation, state) = self.rank();
         let name = self.member.name.as_bytes();
         let at = identity_hash(&self.member);
         ShortHash::of(&[
             at.as_bytes(),
-            &generation.to_le_bytes(),
             &incarnation.to_le_bytes(),
+            &swim_incarnation.to_le_bytes(),
             &[state],
             name,
         ])
@@ -117,7 +117,7 @@
     fn row(&self, now: Time) -> Row {
         let View {
             member,
-            incarnation,
+            swim_incarnation,
             state,
             ..
         } = &self.view;
@@ -125,7 +125,7 @@
         let down_for = u16::try_from(down_for).unwrap_or(u16::MAX);
         Row {
             member: member.clone(),
-            incarnation: *incarnation,
+            swim_incarnation: *swim_incarnation,
             state: state.rank(),
             down_for,
         }
@@ -137,7 +137,7 @@
 pub struct Views {
     entries: BTreeMap<SocketAddr, Entry>,
     digest: Digest,
-    /// The generations that are told to others.
+    /// The incarnations that are told to others.
     announced: BTreeSet<ShortHash>,
     /// Generations that were followed by later ones, and so are over.
     ended: VecDeque<ShortHash>,
@@ -148,7 +148,7 @@
         self.entries.values().map(|e| &e.view)
     }
 
-    /// With the name of each generation.
+    /// With the name of each incarnation.
     pub fn named(&self) -> impl Iterator<Item = (ShortHash, &View)> {
         self.entries.values().map(|e| (e.name, &e.view))
     }
@@ -169,7 +169,7 @@
         &self.digest
     }
 
-    /// Whether a later generation has followed this one in our view.
+    /// Whether a later incarnation has followed this one in our view.
     pub fn has_ended(&self, name: ShortHash) -> bool {
         self.ended.contains(&name)
     }
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Whether this generation is told to others.
+    /// Whether this incarnation is told to others.
     pub fn is_announced(&self, name: ShortHash) -> bool {
         self.announced.contains(&name)
     }
--- a/crates/membership/src/vote.rs
+++ b/crates/membership/src/vote.rs
@@ -24,7 +24,7 @@
 /// One member's vote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Vote {
-    /// Grows with each vote of a generation.
+    /// Grows with each vote of a incarnation.
     pub number: u32,
     /// The voter is about to end by itself.
     pub leaves: bool,
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -130,7 +130,7 @@
         let Some(member) = &mut self.members[i] else {
             return;
         };
-        if let (Some(traffic), Input::Heard(bytes)) = (&mut self.traffic, &input) {
+        if let (Some(traffic), Input::PacketReceived(bytes)) = (&mut self.traffic, &input) {
             traffic.received(self.now, i, bytes.len());
         }
         let begun = Instant::now();
@@ -152,7 +152,7 @@
                 Effect::Dropped(why) => self.dropped.push((i, why)),
                 Effect::LearnedRequested { by } => self.learned.push((i, by, Vec::new())),
                 Effect::LearnedReceived { by, piece } => self.learned.push((i, by, piece)),
-                Effect::Rejoined { .. } | Effect::Stalled(_) | Effect::ShareDivisor(_) => {}
+                Effect::Rejoined { .. } | Effect::ProcessPaused(_) | Effect::ShareDivisor(_) => {}
             }
         }
     }
@@ -188,7 +188,7 @@
                 };
                 match self.stopped.contains(&to) {
                     true => self.backlog.entry(to).or_default().push(bytes),
-                    false => self.step(to, Input::Heard(bytes)),
+                    false => self.step(to, Input::PacketReceived(bytes)),
                 }
             } else if let Some((_, i)) = wake {
                 self.set_wake(i, None);
@@ -225,7 +225,7 @@
     pub fn go_on(&mut self, i: usize) {
         self.stopped.remove(&i);
         for bytes in self.backlog.remove(&i).unwrap_or_default() {
-            self.step(i, Input::Heard(bytes));
+            self.step(i, Input::PacketReceived(bytes));
         }
     }
 
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -28,7 +28,7 @@
 fn one_that_was_stopped_is_suspected_then_down_then_back_and_accuses_nobody() {
     let mut net = Net::new(5, 2);
     net.run(secs(5.0));
-    let generation = net.members[4].as_ref().expect("it runs").me().generation;
+    let incarnation = net.members[4].as_ref().expect("it runs").me().incarnation;
     net.stopped.insert(4);
     net.run(secs(14.0));
     let payload: Vec<State> = net
@@ -42,7 +42,7 @@
     net.run(secs(12.0));
     assert!(net.agreed(), "{:?}", net.changes);
     assert!(
-        net.members[4].as_ref().expect("it runs").me().generation > generation,
+        net.members[4].as_ref().expect("it runs").me().incarnation > incarnation,
         "back under a higher generation"
     );
     assert!(
@@ -60,19 +60,19 @@
     for seed in 100..160 {
         let mut net = Net::new(5, seed);
         net.run(secs(5.0));
-        let generations = |net: &Net| -> Vec<u64> {
+        let incarnations = |net: &Net| -> Vec<u64> {
             net.members
                 .iter()
                 .flatten()
-                .map(|m| m.me().generation)
+                .map(|m| m.me().incarnation)
                 .collect()
         };
-        let before = generations(&net);
+        let before = incarnations(&net);
         net.loss = 0.1;
         net.run(secs(60.0));
         assert_eq!(net.downs(), 0, "seed {seed}: {:?}", net.changes);
         assert_eq!(
-            generations(&net),
+            incarnations(&net),
             before,
             "seed {seed}: whoever refutes a suspicion keeps its generation"
         );
@@ -173,7 +173,7 @@
     assert!(net.agreed() && (0..5).all(|i| net.share_divisor(i) == 5));
 }
 
-/// Guards against generations that run backwards: a folder lost together with a clock set back by a day.
+/// Guards against incarnations that run backwards: a folder lost together with a clock set back by a day.
 #[test]
 fn one_that_comes_back_with_an_older_clock_is_let_in() {
     let mut net = Net::new(4, 7);
@@ -251,15 +251,15 @@
     let (to, bytes) = net.kept.take().expect("something was sent");
     net.run(secs(1.0));
     net.dropped.clear();
-    net.step(to, Input::Heard(bytes.clone()));
-    net.step(to, Input::Heard(bytes[..bytes.len() - 1].to_vec()));
-    net.step(to, Input::Heard(bytes[..10].to_vec()));
+    net.step(to, Input::PacketReceived(bytes.clone()));
+    net.step(to, Input::PacketReceived(bytes[..bytes.len() - 1].to_vec()));
+    net.step(to, Input::PacketReceived(bytes[..10].to_vec()));
     net.step(
         to,
-        Input::Heard(b"GET / HTTP/1.1\r\nHost: somewhere.example\r\n\r\n".to_vec()),
+        Input::PacketReceived(b"GET / HTTP/1.1\r\nHost: somewhere.example\r\n\r\n".to_vec()),
     );
     net.run(secs(10.0));
-    net.step(to, Input::Heard(bytes));
+    net.step(to, Input::PacketReceived(bytes));
     let payload: Vec<DropReason> = net.dropped.iter().map(|r| r.1).collect();
     assert_eq!(
         payload,
@@ -293,8 +293,8 @@
         let now = net.now.0 / 1_000_000;
         let kind = [Kind::Swim, Kind::LearnedRequest, Kind::LearnedReply, Kind::Exchange][kind];
         let bytes = if signed { seal(&KEY, now, number, kind, &text) } else { text };
-        net.step(0, Input::Heard(bytes));
-        net.step(1, Input::Heard(sent));
+        net.step(0, Input::PacketReceived(bytes));
+        net.step(1, Input::PacketReceived(sent));
         net.run(secs(3.0));
         proptest::prop_assert!(net.state(1, 0).is_some());
     }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -126,7 +126,7 @@
 /// What n0, which knows nobody, reports and sends after one packet, and what it holds then.
 fn reaction(packet: Vec<u8>) -> Vec<String> {
     let mut member = Members::new(settings(0), 1, START);
-    let effects = member.step(Time(SENT_MS * 1_000_000), Input::Heard(packet));
+    let effects = member.step(Time(SENT_MS * 1_000_000), Input::PacketReceived(packet));
     let mut lines: Vec<String> = effects.iter().filter_map(describe).collect();
     lines.extend(views_of(&member));
     lines
@@ -158,7 +158,7 @@
     for (place, (member, state)) in members.into_iter().enumerate() {
         let view = View {
             member,
-            incarnation: place as u16,
+            swim_incarnation: place as u16,
             state,
             since: START,
         };
--- a/crates/membership/tests/golden/samples.rs
+++ b/crates/membership/tests/golden/samples.rs
@@ -15,8 +15,8 @@
 pub const KEY: Key = [7; 32];
 /// When all samples are sent, in milliseconds since 1970.
 pub const SENT_MS: u64 = 1_700_000_001_000;
-/// The generation of members in samples.
-const GENERATION: u64 = 1_700_000_000_000;
+/// The incarnation of members in samples.
+const INCARNATION: u64 = 1_700_000_000_000;
 const FIRST_PORT: u16 = 7000;
 
 pub fn address(member: usize) -> SocketAddr {
@@ -30,7 +30,7 @@
 pub fn identity(member: usize) -> Identity {
     Identity {
         at: address(member),
-        generation: GENERATION,
+        incarnation: INCARNATION,
         name: format!("n{member}"),
     }
 }
@@ -40,7 +40,7 @@
     let at = "[2001:db8::7]:65535".parse().expect("an address");
     Identity {
         at,
-        generation: u64::MAX,
+        incarnation: u64::MAX,
         name: "Kranichhügel".to_owned(),
     }
 }
@@ -180,9 +180,9 @@
 
 /// Entries with a member in each state and a vote of each form.
 pub fn entries() -> Entries {
-    let row = |member, incarnation, state, down_for| Row {
+    let row = |member, swim_incarnation, state, down_for| Row {
         member,
-        incarnation,
+        swim_incarnation,
         state,
         down_for,
     };
--- a/crates/membership/tests/golden/trace.rs
+++ b/crates/membership/tests/golden/trace.rs
@@ -60,11 +60,11 @@
                 "{} {} incarnation {} was {before}",
                 view.member.name,
                 state_name(view.state),
-                view.incarnation
+                view.swim_incarnation
             )
         }
-        Effect::Rejoined { generation } => format!("rejoined as {generation}"),
-        Effect::Stalled(pause) => format!("paused for {} ms", pause.as_millis()),
+        Effect::Rejoined { incarnation } => format!("rejoined as {incarnation}"),
+        Effect::ProcessPaused(pause) => format!("paused for {} ms", pause.as_millis()),
         Effect::LearnedRequested { by } => {
             format!("learned state requested by n{}", member_at(*by))
         }
@@ -175,7 +175,7 @@
                     let Some((_, (to, bytes))) = self.in_flight.pop_first() else {
                         break;
                     };
-                    self.step(to, Input::Heard(bytes));
+                    self.step(to, Input::PacketReceived(bytes));
                 }
                 (_, Some((time, member))) => {
                     self.now = self.now.max(time);
@@ -223,11 +223,11 @@
             .map(|payload| String::from_utf8_lossy(payload))
             .unwrap_or_default();
         let identity = &view.member;
-        let generation = identity.generation;
+        let incarnation = identity.incarnation;
         let state = state_name(view.state);
         format!(
-            "{} {} {generation} {state} {} [{payload}]",
-            identity.name, identity.at, view.incarnation
+            "{} {} {incarnation} {state} {} [{payload}]",
+            identity.name, identity.at, view.swim_incarnation
         )
     };
     member.views().map(line).collect()
--- a/crates/membership/tests/scale.rs
+++ b/crates/membership/tests/scale.rs
@@ -111,7 +111,7 @@
     for _ in 0..60 {
         let (_, mut packet) = net.kept.clone().expect("something was sent");
         packet[2] = 1;
-        (0..4).for_each(|to| net.step(to, Input::Heard(packet.clone())));
+        (0..4).for_each(|to| net.step(to, Input::PacketReceived(packet.clone())));
         net.run(secs(1.0));
     }
     let other_version = |i: usize| {
@@ -124,7 +124,7 @@
     assert_eq!((0..4).map(other_version).collect::<Vec<_>>(), [Some(60); 4]);
     assert_eq!(divisors(&net), [5]);
     let packet = vec![b'C'; 1401];
-    net.step(0, Input::Heard(packet));
+    net.step(0, Input::PacketReceived(packet));
     assert_eq!(net.dropped.last(), Some(&(0, DropReason::TooLong)));
     net.start(4, net.now, KEY);
     net.run(secs(5.0));
--- a/crates/membership/tests/votes.rs
+++ b/crates/membership/tests/votes.rs
@@ -20,7 +20,7 @@
 fn member(n: usize) -> Identity {
     Identity {
         at: address(n),
-        generation: 1,
+        incarnation: 1,
         name: format!("n{n}"),
     }
 }
@@ -32,7 +32,7 @@
 fn see(views: &mut Views, n: usize, state: State) {
     let view = View {
         member: member(n),
-        incarnation: 0,
+        swim_incarnation: 0,
         state,
         since: START,
     };
@@ -222,7 +222,7 @@
     );
 }
 
-/// A member that adopts a set may have seen an earlier generation of one of its members end.
+/// A member that adopts a set may have seen an earlier incarnation of one of its members end.
 #[test]
 fn a_set_with_a_generation_that_is_over_can_be_adopted() {
     let mut fleet = Fleet::new(6, 2);
@@ -230,10 +230,10 @@
     fleet.vote(3, 1, &[0, 1]);
     let returned = View {
         member: Identity {
-            generation: 2,
+            incarnation: 2,
             ..member(1)
         },
-        incarnation: 0,
+        swim_incarnation: 0,
         state: State::Alive,
         since: START,
     };
