--- a/crates/membership/examples/membership_figures.rs
+++ b/crates/membership/examples/membership_figures.rs
@@ -198,7 +198,7 @@
             of(Content::Updates),
             of(Content::Broadcasts),
             of(Content::Lists),
-            of(Content::Sync),
+            of(Content::AntiEntropy),
             rate(traffic.packets),
             self.cpu().as_secs_f64() * 1000.0 / span,
             at(0.5),
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -18,11 +18,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::digest::{BUCKETS, Digest, ShortHash};
-use crate::views::{Row, Views};
+use crate::member_table::{MemberEntry, MemberTable};
 use crate::vote::{DownSets, Vote, Votes, voter_bucket};
 
 /// Members of a set in one page: it must fit into a packet.
-pub const PAGE: usize = 128;
+pub const MAX_PAGE_MEMBERS: usize = 128;
 /// Different sets that the votes of one message name, at most.
 const MAX_NAMED_SETS: usize = 32;
 
@@ -53,8 +53,8 @@
 /// Part of a member's state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entries {
-    pub rows: Vec<Row>,
-    pub votes: Vec<VoteRow>,
+    pub members: Vec<MemberEntry>,
+    pub votes: Vec<VoteEntry>,
     /// The sets that the votes name.
     pub sets: Vec<ShortHash>,
     /// Buckets (of members, of votes) that are here whole, and that the sender wants the other's newer entries of.
@@ -63,7 +63,7 @@
 
 /// A vote as it travels.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VoteRow {
+pub struct VoteEntry {
     pub voter: ShortHash,
     pub number: u32,
     pub leaves: bool,
@@ -72,7 +72,7 @@
     pub payload: Vec<u8>,
 }
 
-impl VoteRow {
+impl VoteEntry {
     /// The vote; `None` if it names a set that isn't there.
     pub fn vote(&self, sets: &[ShortHash]) -> Option<Vote> {
         let down = match self.set {
@@ -92,9 +92,9 @@
 pub struct State<'a> {
     pub now: Time,
     /// Ourselves.
-    pub own: &'a Row,
+    pub own: &'a MemberEntry,
     pub own_bucket: usize,
-    pub views: &'a Views,
+    pub views: &'a MemberTable,
     pub votes: &'a Votes,
     pub sets: &'a DownSets,
 }
@@ -160,11 +160,14 @@
 
     /// The answer to [`Entries`]: what we hold in the wanted buckets that is newer, or that the other lacks.
     pub fn pull(&self, theirs: &Entries, room: usize) -> Option<Entries> {
-        let rows: BTreeMap<SocketAddr, &Row> =
-            theirs.rows.iter().map(|row| (row.member.at, row)).collect();
+        let rows: BTreeMap<SocketAddr, &MemberEntry> = theirs
+            .members
+            .iter()
+            .map(|row| (row.member.at, row))
+            .collect();
         let votes: BTreeMap<ShortHash, u32> =
             theirs.votes.iter().map(|v| (v.voter, v.number)).collect();
-        let newer_row = |row: &Row| {
+        let newer_row = |row: &MemberEntry| {
             rows.get(&row.member.at)
                 .is_none_or(|t| t.rank() < row.rank())
         };
@@ -178,15 +181,15 @@
         for voters in self.voters(theirs.wanted[1]).into_values() {
             packet.add_votes(voters.into_iter().filter(newer_vote).collect());
         }
-        let some = !packet.entries.rows.is_empty() || !packet.entries.votes.is_empty();
+        let some = !packet.entries.members.is_empty() || !packet.entries.votes.is_empty();
         some.then_some(packet.entries)
     }
 
-    fn rows(&self, buckets: u64) -> Buckets<Row> {
-        let mut rows: Buckets<Row> = BTreeMap::new();
+    fn rows(&self, buckets: u64) -> Buckets<MemberEntry> {
+        let mut rows: Buckets<MemberEntry> = BTreeMap::new();
         let own =
             (buckets >> self.own_bucket & 1 == 1).then(|| (self.own_bucket, self.own.clone()));
-        for (bucket, row) in self.views.rows(self.now, buckets).chain(own) {
+        for (bucket, row) in self.views.entries(self.now, buckets).chain(own) {
             rows.entry(bucket).or_default().push(row);
         }
         rows
@@ -235,12 +238,12 @@
     }
 
     /// False if not all had room.
-    fn add_rows(&mut self, rows: Vec<Row>) -> bool {
-        for row in rows {
+    fn add_rows(&mut self, members: Vec<MemberEntry>) -> bool {
+        for row in members {
             if !self.take(encoded_len(&row)) {
                 return false;
             }
-            self.entries.rows.push(row);
+            self.entries.members.push(row);
         }
         true
     }
@@ -253,7 +256,7 @@
                 Some(Some((place, added))) => (place, added),
                 Some(None) => return false,
             };
-            let row = VoteRow {
+            let row = VoteEntry {
                 voter,
                 number: vote.number,
                 leaves: vote.leaves,
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -5,8 +5,8 @@
 
 use cranehill_scheduler::Time;
 
+use crate::member_table::{State, View};
 use crate::seal::DropReason;
-use crate::views::{State, View};
 
 /// What [`crate::Members`] is told.
 #[derive(Clone, Debug)]
--- a/crates/membership/src/views.rs
+++ b/crates/membership/src/member_table.rs
@@ -66,7 +66,7 @@
 
 /// What is known of a member, as it travels between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct MemberEntry {
     pub member: Identity,
     pub swim_incarnation: u16,
     /// 0 alive, 1 suspect, 2 down.
@@ -75,7 +75,7 @@
     pub down_for: u16,
 }
 
-impl Row {
+impl MemberEntry {
     /// Of two rows about one address the higher one is newer, as in SWIM: down is for the whole of a incarnation, and a
     /// suspicion stands until a higher incarnation refutes it.
     pub(crate) fn rank(&self) -> (u64, bool, u16, u8) {
@@ -114,7 +114,7 @@
 }
 
 impl Entry {
-    fn row(&self, now: Time) -> Row {
+    fn row(&self, now: Time) -> MemberEntry {
         let View {
             member,
             swim_incarnation,
@@ -123,7 +123,7 @@
         } = &self.view;
         let down_for = self.down_since.map_or(0, |since| (now - since).as_secs());
         let down_for = u16::try_from(down_for).unwrap_or(u16::MAX);
-        Row {
+        MemberEntry {
             member: member.clone(),
             swim_incarnation: *swim_incarnation,
             state: state.rank(),
@@ -134,7 +134,7 @@
 
 /// The others, by address.
 #[derive(Debug, Default)]
-pub struct Views {
+pub struct MemberTable {
     entries: BTreeMap<SocketAddr, Entry>,
     digest: Digest,
     /// The incarnations that are told to others.
@@ -143,7 +143,7 @@
     ended: VecDeque<ShortHash>,
 }
 
-impl Views {
+impl MemberTable {
     pub fn iter(&self) -> impl Iterator<Item = &View> {
         self.entries.values().map(|e| &e.view)
     }
@@ -240,7 +240,7 @@
     }
 
     /// The rows of some buckets, with their buckets; bit k of `buckets` stands for bucket k.
-    pub fn rows(&self, now: Time, buckets: u64) -> impl Iterator<Item = (usize, Row)> {
+    pub fn entries(&self, now: Time, buckets: u64) -> impl Iterator<Item = (usize, MemberEntry)> {
         let announced = self
             .entries
             .values()
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,7 +1,7 @@
 //! [`Members`]: `foca` and what goes round it, driven by packets and timers.
 
-mod agreement;
-mod exchange;
+mod anti_entropy;
+mod quorum;
 mod swim;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,11 +17,11 @@
 
 use crate::digest::ShortHash;
 use crate::event::{Effect, Input};
-use crate::pacer::Pacer;
+use crate::member_table::{MemberTable, View};
+use crate::quota::QuotaDivisor;
 use crate::seal::{self, DropReason, Kind, MAX_PACKET, ReplayFilter};
 use crate::settings::{FANOUT, GOSSIPS_PER_PERIOD, Settings};
-use crate::share::Share;
-use crate::views::{View, Views};
+use crate::token_bucket::TokenBucket;
 use crate::vote::{DownSets, MAX_PAYLOAD, VoteHandler, Votes};
 use crate::voting::Voting;
 use crate::{Identity, digest};
@@ -44,7 +44,7 @@
     Swim(Timer<Identity>),
     Call,
     Gossip,
-    Exchange,
+    AntiEntropy,
     Vote,
 }
 
@@ -53,7 +53,7 @@
     set: Settings,
     foca: Foca<Identity, PostcardCodec, ChaCha8Rng, VoteHandler>,
     runtime: AccumulatingRuntime<Identity>,
-    pacer: Pacer,
+    token_bucket: TokenBucket,
     /// Our own incarnation, by the latest packet.
     swim_incarnation: u16,
 
@@ -65,14 +65,14 @@
     vote_at: Option<Time>,
     payload: Vec<u8>,
 
-    views: Views,
+    views: MemberTable,
     /// Something may have changed in what `foca` holds of the others.
     views_stale: bool,
     /// For how long members that we were told of had been down.
     down_for: BTreeMap<SocketAddr, Duration>,
     /// Members that our own probes missed, with the incarnation that is suspected.
     accused: BTreeMap<SocketAddr, u16>,
-    share: Share,
+    share: QuotaDivisor,
     share_divisor: u32,
     /// Changes of votes that the share has taken in.
     votes_counted: u64,
@@ -135,7 +135,7 @@
         let mut members = Members {
             foca,
             runtime: AccumulatingRuntime::new(),
-            pacer: Pacer::new(SENT_BYTES_PER_SECOND, BURST, now),
+            token_bucket: TokenBucket::new(SENT_BYTES_PER_SECOND, BURST, now),
             swim_incarnation: 0,
             votes,
             sets: DownSets::default(),
@@ -143,11 +143,11 @@
             vote_number: 0,
             vote_at: None,
             payload: Vec::new(),
-            views: Views::default(),
+            views: MemberTable::default(),
             views_stale: false,
             down_for: BTreeMap::new(),
             accused: BTreeMap::new(),
-            share: Share::new(set.configured_members, set.eviction_delay),
+            share: QuotaDivisor::new(set.configured_members, set.eviction_delay),
             share_divisor: set.configured_members.max(1),
             votes_counted: 0,
             active_changes: 0,
@@ -169,7 +169,7 @@
             set,
         };
         members.at(now, Due::Call);
-        members.at(now + members.set.period, Due::Exchange);
+        members.at(now + members.set.period, Due::AntiEntropy);
         members.at(now + members.set.period / GOSSIPS_PER_PERIOD, Due::Gossip);
         members
     }
@@ -304,7 +304,7 @@
         }
         self.last_heard = self.now;
         match kind {
-            Kind::Exchange => return self.receive_exchange(from, body),
+            Kind::AntiEntropy => return self.receive_exchange(from, body),
             Kind::LearnedReply => {
                 self.effects.push(Effect::LearnedReceived {
                     by: from.at,
@@ -348,7 +348,7 @@
             message,
         );
         self.packet_number += 1;
-        self.pacer.charge(self.now, bytes.len());
+        self.token_bucket.charge(self.now, bytes.len());
         self.effects.push(Effect::Send { to, bytes });
     }
 
@@ -372,7 +372,7 @@
                 Due::Swim(timer) => self.swim_due(timer),
                 Due::Call => self.contact_absent(),
                 Due::Gossip => self.gossip_due(),
-                Due::Exchange => self.exchange_due(),
+                Due::AntiEntropy => self.exchange_due(),
                 Due::Vote => self.vote_due(),
             }
         }
--- a/crates/membership/src/members/exchange.rs
+++ b/crates/membership/src/members/anti_entropy.rs
@@ -6,12 +6,12 @@
 use rand::RngExt;
 
 use super::{Due, Members, lock, swim};
+use crate::anti_entropy::{self, Entries, MAX_PAGE_MEMBERS, Message};
 use crate::digest::{BUCKETS, ShortHash, bucket_of};
-use crate::pacer::Class;
+use crate::member_table::{DOWN_ANNOUNCED, MAX_MEMBERS, MemberEntry};
 use crate::seal::{DropReason, Kind};
 use crate::settings::MAX_MESSAGE;
-use crate::sync::{self, Entries, Message, PAGE};
-use crate::views::{DOWN_ANNOUNCED, MAX_MEMBERS, Row};
+use crate::token_bucket::TrafficClass;
 use crate::{Identity, State};
 
 /// Exchanges a period while there are differences.
@@ -30,11 +30,11 @@
         self.compare_with_random();
         let differed = std::mem::take(&mut self.differed);
         let pause = self.set.period / if differed { EXCHANGES_PER_PERIOD } else { 1 };
-        self.after(pause, Due::Exchange);
+        self.after(pause, Due::AntiEntropy);
     }
 
     pub(super) fn compare_with_random(&mut self) {
-        if self.pacer.allows(self.now, Class::Bulk)
+        if self.token_bucket.allows(self.now, TrafficClass::Bulk)
             && let Some(peer) = self.random_peer()
         {
             self.compare_with(peer);
@@ -53,11 +53,11 @@
     }
 
     /// Our state as an exchange reads it.
-    fn with_state<T>(&self, read: impl FnOnce(sync::State<'_>) -> T) -> T {
+    fn with_state<T>(&self, read: impl FnOnce(anti_entropy::State<'_>) -> T) -> T {
         let own = self.own_row();
         let votes = lock(&self.votes);
         let own_bucket = bucket_of(own.member.at);
-        read(sync::State {
+        read(anti_entropy::State {
             now: self.now,
             own: &own,
             own_bucket,
@@ -67,8 +67,8 @@
         })
     }
 
-    fn own_row(&self) -> Row {
-        Row {
+    fn own_row(&self) -> MemberEntry {
+        MemberEntry {
             member: self.me().clone(),
             swim_incarnation: self.swim_incarnation,
             state: 0,
@@ -78,7 +78,7 @@
 
     pub(super) fn send_exchange(&mut self, to: SocketAddr, message: &Message) {
         if let Ok(body) = postcard::to_stdvec(message) {
-            self.send(Kind::Exchange, to, &body);
+            self.send(Kind::AntiEntropy, to, &body);
         }
     }
 
@@ -105,7 +105,8 @@
         match message {
             Message::Compare { members, votes } => {
                 let differs = self.with_state(|state| state.differs(members, votes));
-                if let Some(differs) = differs.filter(|_| self.pacer.allows(self.now, Class::Bulk))
+                if let Some(differs) =
+                    differs.filter(|_| self.token_bucket.allows(self.now, TrafficClass::Bulk))
                 {
                     self.differed = true;
                     self.send_exchange(from.at, &differs);
@@ -116,16 +117,16 @@
                 let entries = self.with_state(|state| state.push(&members, &votes, start, room));
                 let entries = entries.ok_or(DropReason::Unreadable)?;
                 self.differed = true;
-                if self.pacer.allows(self.now, Class::Bulk) {
+                if self.token_bucket.allows(self.now, TrafficClass::Bulk) {
                     self.send_exchange(from.at, &Message::Entries(entries));
                 }
             }
             Message::Entries(entries) => self.receive_entries(from.at, &entries)?,
             Message::WantSet { set, from: place } => {
-                let page = self.sets.page(set, place, PAGE);
+                let page = self.sets.page(set, place, MAX_PAGE_MEMBERS);
                 let page = page.filter(|(_, members)| !members.is_empty());
                 if let Some((total, members)) =
-                    page.filter(|_| self.pacer.allows(self.now, Class::Gossip))
+                    page.filter(|_| self.token_bucket.allows(self.now, TrafficClass::Gossip))
                 {
                     self.send_exchange(
                         from.at,
@@ -169,7 +170,7 @@
     }
 
     fn receive_entries(&mut self, from: SocketAddr, entries: &Entries) -> Result<(), DropReason> {
-        if entries.rows.iter().any(|row| row.state > 2) {
+        if entries.members.iter().any(|row| row.state > 2) {
             return Err(DropReason::Unreadable);
         }
         // What is newer here is looked up first: afterwards nothing differs.
@@ -178,15 +179,17 @@
             [0, 0] => None,
             _ => self.with_state(|state| state.pull(entries, room)),
         };
-        self.apply_rows(&entries.rows);
+        self.apply_rows(&entries.members);
         self.apply_votes(from, entries);
-        if let Some(answer) = answer.filter(|_| self.pacer.allows(self.now, Class::Bulk)) {
+        if let Some(answer) =
+            answer.filter(|_| self.token_bucket.allows(self.now, TrafficClass::Bulk))
+        {
             self.send_exchange(from, &Message::Entries(answer));
         }
         Ok(())
     }
 
-    fn apply_rows(&mut self, rows: &[Row]) {
+    fn apply_rows(&mut self, rows: &[MemberEntry]) {
         let me = self.me().clone();
         let mut members = Vec::new();
         let mut known = self.views.len();
@@ -198,7 +201,7 @@
             }
             let news = match self.views.get(&row.member.at) {
                 _ if own => row.member.incarnation == me.incarnation && row.state > 0,
-                Some(view) => Row::of(view).rank() < row.rank(),
+                Some(view) => MemberEntry::of(view).rank() < row.rank(),
                 None => {
                     known += 1;
                     known <= MAX_MEMBERS
@@ -238,7 +241,7 @@
             let Some(vote) = row.vote(&entries.sets) else {
                 continue;
             };
-            if votes.note(row.voter, vote.clone()) {
+            if votes.insert(row.voter, vote.clone()) {
                 wanted.extend(vote.down);
             }
         }
@@ -272,10 +275,10 @@
         let named = lock(&self.votes)
             .iter()
             .any(|(_, vote)| vote.down == Some(set));
-        if !named || page.len() > PAGE {
+        if !named || page.len() > MAX_PAGE_MEMBERS {
             return;
         }
-        if self.sets.take_page(set, total, place, page) {
+        if self.sets.add_page(set, total, place, page) {
             self.recount();
         } else if self.sets.next_page(set).is_some_and(|next| next > place) {
             self.requested.remove(&set);
@@ -284,14 +287,14 @@
     }
 }
 
-impl Row {
-    fn of(view: &crate::View) -> Row {
+impl MemberEntry {
+    fn of(view: &crate::View) -> MemberEntry {
         let state = match view.state {
             State::Alive => 0,
             State::Suspect => 1,
             State::Down | State::Left => 2,
         };
-        Row {
+        MemberEntry {
             member: view.member.clone(),
             swim_incarnation: view.swim_incarnation,
             state,
--- a/crates/membership/src/members/agreement.rs
+++ b/crates/membership/src/members/quorum.rs
@@ -10,7 +10,7 @@
 use crate::digest::ShortHash;
 use crate::event::Effect;
 use crate::vote::{Broadcast, Vote};
-use crate::voting::Choice;
+use crate::voting::VoteDecision;
 
 /// Members besides the voters of a set that are asked for it, as if so many of them had voted for it.
 const OTHER_HOLDERS: usize = 8;
@@ -20,7 +20,7 @@
     pub(super) fn cast_vote(&mut self, leaves: bool) {
         self.vote_number += 1;
         let (number, down, payload) = (self.vote_number, self.voting.voted(), self.payload.clone());
-        lock(&self.votes).note(
+        lock(&self.votes).insert(
             self.my_hash(),
             Vote {
                 number,
@@ -76,16 +76,16 @@
         let votes = std::sync::Arc::clone(&self.votes);
         let choice =
             self.voting
-                .choose(self.now, &self.views, &lock(&votes), &mut self.sets, chance);
+                .decide(self.now, &self.views, &lock(&votes), &mut self.sets, chance);
         match choice {
-            Choice::Keep => {}
-            Choice::Vote(_) => {
+            VoteDecision::Keep => {}
+            VoteDecision::Vote(_) => {
                 self.cast_vote(false);
                 self.recount();
                 self.compare_with_few();
             }
             // Somebody else's set may come before.
-            Choice::Wait(until) => {
+            VoteDecision::WaitUntil(until) => {
                 let soon = self.now + self.set.period / 4;
                 self.look_again(until.min(soon).max(self.now + self.set.period / 20));
             }
--- a/crates/membership/src/members/swim.rs
+++ b/crates/membership/src/members/swim.rs
@@ -7,11 +7,11 @@
 
 use super::{CALL_PERIODS, DEAF_SUSPICIONS, Due, Members};
 use crate::event::Effect;
-use crate::pacer::Class;
+use crate::member_table::{MAX_MEMBERS, MemberEntry, State, View};
 use crate::seal::{DropReason, Kind};
 use crate::settings::{FANOUT, GOSSIPS_PER_PERIOD};
-use crate::views::{MAX_MEMBERS, Row, State, View};
-use crate::{Identity, sync};
+use crate::token_bucket::TrafficClass;
+use crate::{Identity, anti_entropy};
 
 /// Members that learn of a suspicion and tell the suspect, on average.
 const ANNOUNCE_SUSPECT: f64 = 8.0;
@@ -37,7 +37,7 @@
             .handle_data(message, &mut self.runtime)
             .map_err(|_| DropReason::Unreadable);
         // It speaks to an earlier incarnation of ours, so it doesn't know this one.
-        if earlier && self.pacer.allows(self.now, Class::Bulk) {
+        if earlier && self.token_bucket.allows(self.now, TrafficClass::Bulk) {
             self.compare_with(header.src.at);
         }
         taken
@@ -132,7 +132,7 @@
 
     pub(super) fn gossip_due(&mut self) {
         let some = self.foca.updates_backlog() + self.foca.custom_broadcast_backlog() > 0;
-        if some && self.pacer.allows(self.now, Class::Gossip) {
+        if some && self.token_bucket.allows(self.now, TrafficClass::Gossip) {
             let _ = self.foca.gossip(&mut self.runtime);
             self.drain_runtime();
         }
@@ -194,7 +194,7 @@
             self.swim_incarnation = header.src_incarnation;
             // A list is worth no more than what the exchange brings; whoever asked for it is known to us by now.
             let list = header.message == Message::Feed;
-            if !list || self.pacer.allows(self.now, Class::Bulk) {
+            if !list || self.token_bucket.allows(self.now, TrafficClass::Bulk) {
                 self.seal(Kind::Swim, to.at, &message);
             }
         }
@@ -350,21 +350,21 @@
 
     fn announce_suspect(&mut self, view: View) {
         let to = view.member.at;
-        let row = Row {
+        let row = MemberEntry {
             member: view.member,
             swim_incarnation: view.swim_incarnation,
             state: 1,
             down_for: 0,
         };
-        let entries = sync::Entries {
-            rows: vec![row],
+        let entries = anti_entropy::Entries {
+            members: vec![row],
             ..Default::default()
         };
-        self.send_exchange(to, &sync::Message::Entries(entries));
+        self.send_exchange(to, &anti_entropy::Message::Entries(entries));
     }
 }
 
 /// How long a row's member has been down.
-pub(super) fn down_for(row: &Row) -> Duration {
+pub(super) fn down_for(row: &MemberEntry) -> Duration {
     Duration::from_secs(u64::from(row.down_for))
 }
--- a/crates/membership/src/share.rs
+++ b/crates/membership/src/quota.rs
@@ -11,7 +11,7 @@
 use cranehill_scheduler::Time;
 
 use crate::digest::ShortHash;
-use crate::views::{MAX_MEMBERS, State, View, Views};
+use crate::member_table::{MAX_MEMBERS, MemberTable, State, View};
 use crate::vote::{DownSets, Votes};
 
 /// After SIGTERM a sender ends within 3.4 s; half a second is for the message to spread.
@@ -27,17 +27,17 @@
 
 /// See the module's text.
 #[derive(Debug)]
-pub struct Share {
+pub struct QuotaDivisor {
     configured: u32,
     eviction_delay: Option<Duration>,
     known: BTreeMap<SocketAddr, Known>,
 }
 
-impl Share {
+impl QuotaDivisor {
     /// `configured`: the number of members by the settings. `eviction_delay`: how long a majority must agree; `None` for
     /// ever.
-    pub fn new(configured: u32, eviction_delay: Option<Duration>) -> Share {
-        Share {
+    pub fn new(configured: u32, eviction_delay: Option<Duration>) -> QuotaDivisor {
+        QuotaDivisor {
             configured: configured.max(1),
             eviction_delay,
             known: BTreeMap::new(),
@@ -46,8 +46,14 @@
 
     /// Takes in the present view of the others, and tells the number of senders to leave room for, ourselves included.
     /// It must be called whenever a view or a vote has changed.
-    pub fn update(&mut self, now: Time, views: &Views, votes: &Votes, sets: &DownSets) -> u32 {
-        views.iter().for_each(|view| self.note(view));
+    pub fn update(
+        &mut self,
+        now: Time,
+        views: &MemberTable,
+        votes: &Votes,
+        sets: &DownSets,
+    ) -> u32 {
+        views.iter().for_each(|view| self.track(view));
         let down = || views.named().filter(|(_, view)| !view.state.is_active());
         let undecided =
             down().any(|(_, v)| self.known.get(&v.member.at).is_some_and(|k| !k.evicted));
@@ -85,7 +91,7 @@
         self.configured.saturating_sub(evicted).max(present)
     }
 
-    fn note(&mut self, view: &View) {
+    fn track(&mut self, view: &View) {
         let (active, incarnation) = (view.state.is_active(), view.member.incarnation);
         let full = self.known.len() >= MAX_MEMBERS;
         let fresh = Known {
@@ -128,7 +134,7 @@
 }
 
 impl<'a> Tally<'a> {
-    fn of(views: &Views, votes: &Votes, sets: &'a DownSets) -> Tally<'a> {
+    fn of(views: &MemberTable, votes: &Votes, sets: &'a DownSets) -> Tally<'a> {
         let mut counts: BTreeMap<ShortHash, usize> = BTreeMap::new();
         for (name, _) in views.named().filter(|(_, view)| view.state.is_active()) {
             if let Some(set) = votes.get(name).and_then(|vote| vote.down) {
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -80,8 +80,8 @@
     LearnedRequest,
     /// Tells it.
     LearnedReply,
-    /// Part of an exchange of state ([`crate::sync`]).
-    Exchange,
+    /// Part of an exchange of state ([`crate::anti_entropy`]).
+    AntiEntropy,
 }
 
 impl Kind {
@@ -90,7 +90,7 @@
             Kind::Swim,
             Kind::LearnedRequest,
             Kind::LearnedReply,
-            Kind::Exchange,
+            Kind::AntiEntropy,
         ]
         .into_iter()
         .find(|k| *k as u8 == byte)
--- a/crates/membership/src/pacer.rs
+++ b/crates/membership/src/token_bucket.rs
@@ -6,7 +6,7 @@
 
 /// What a packet is for, as far as its pace goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Class {
+pub enum TrafficClass {
     /// Probes, their answers, refutations, messages to suspects and of leaving: never held back, always charged.
     Urgent,
     /// Gossip.
@@ -17,7 +17,7 @@
 
 /// Tokens are bytes.
 #[derive(Debug)]
-pub struct Pacer {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
@@ -27,12 +27,12 @@
 /// Share of the burst that bulk leaves to gossip.
 const RESERVE: f64 = 0.25;
 
-impl Pacer {
+impl TokenBucket {
     /// `rate`: bytes a second; `burst`: how long may be saved up.
-    pub fn new(rate: u32, burst: Duration, now: Time) -> Pacer {
+    pub fn new(rate: u32, burst: Duration, now: Time) -> TokenBucket {
         let rate = f64::from(rate);
         let burst = rate * burst.as_secs_f64();
-        Pacer {
+        TokenBucket {
             rate,
             burst,
             tokens: burst,
@@ -47,12 +47,12 @@
     }
 
     /// Whether packets of a class may be made now.
-    pub fn allows(&mut self, now: Time, class: Class) -> bool {
+    pub fn allows(&mut self, now: Time, class: TrafficClass) -> bool {
         self.fill(now);
         match class {
-            Class::Urgent => true,
-            Class::Gossip => self.tokens > 0.0,
-            Class::Bulk => self.tokens > self.burst * RESERVE,
+            TrafficClass::Urgent => true,
+            TrafficClass::Gossip => self.tokens > 0.0,
+            TrafficClass::Bulk => self.tokens > self.burst * RESERVE,
         }
     }
 
--- a/crates/membership/src/vote.rs
+++ b/crates/membership/src/vote.rs
@@ -73,7 +73,7 @@
 
 impl Votes {
     /// False if it tells nothing new.
-    pub fn note(&mut self, voter: ShortHash, vote: Vote) -> bool {
+    pub fn insert(&mut self, voter: ShortHash, vote: Vote) -> bool {
         let known = self.newest.get(&voter);
         let newer = known.is_none_or(|k| k.rank(voter) < vote.rank(voter));
         if !newer
@@ -187,7 +187,7 @@
     }
 
     /// Takes a page of a set. True once the set is whole and is what its name says.
-    pub fn take_page(
+    pub fn add_page(
         &mut self,
         name: ShortHash,
         total: u32,
@@ -276,6 +276,6 @@
             payload,
         };
         let mut votes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        Ok(votes.note(voter, vote).then_some(VoterKey(voter)))
+        Ok(votes.insert(voter, vote).then_some(VoterKey(voter)))
     }
 }
--- a/crates/membership/src/voting.rs
+++ b/crates/membership/src/voting.rs
@@ -7,7 +7,7 @@
 use cranehill_scheduler::Time;
 
 use crate::digest::ShortHash;
-use crate::views::Views;
+use crate::member_table::MemberTable;
 use crate::vote::{DownSets, Votes};
 
 /// Members at which the waits reach one period each; smaller fleets wait less, larger ones more.
@@ -17,13 +17,13 @@
 
 /// What a look at the down members came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum VoteDecision {
     /// The present vote stands.
     Keep,
     /// Vote for this set.
     Vote(Option<ShortHash>),
     /// Look again then.
-    Wait(Time),
+    WaitUntil(Time),
 }
 
 /// Our own vote on who is down.
@@ -55,14 +55,14 @@
     }
 
     /// Looks at the down members; `chance`, from 0 to 1, draws the wait.
-    pub fn choose(
+    pub fn decide(
         &mut self,
         now: Time,
-        views: &Views,
+        views: &MemberTable,
         votes: &Votes,
         sets: &mut DownSets,
         chance: f64,
-    ) -> Choice {
+    ) -> VoteDecision {
         let present = self.voted.and_then(|set| sets.get(set));
         let unnamed = |name: &ShortHash| present.is_none_or(|set| !set.contains(name));
         let down = || views.named().filter(|(_, view)| !view.state.is_active());
@@ -71,10 +71,10 @@
             .map(|(_, view)| view.since + self.settle);
         let Some(settled_at) = unsettled.min() else {
             self.make_at = None;
-            return Choice::Keep;
+            return VoteDecision::Keep;
         };
         if settled_at > now {
-            return Choice::Wait(settled_at);
+            return VoteDecision::WaitUntil(settled_at);
         }
         let settled: BTreeSet<ShortHash> = down()
             .filter(|(_, v)| v.since + self.settle <= now)
@@ -88,25 +88,25 @@
             .make_at
             .get_or_insert_with(|| now + self.spread.mul_f64(chance));
         if make_at > now {
-            return Choice::Wait(make_at);
+            return VoteDecision::WaitUntil(make_at);
         }
         match sets.insert(all) {
             Some(set) => self.vote(set),
             // No room for another set: there will be once others have moved on.
-            None => Choice::Wait(now + self.settle),
+            None => VoteDecision::WaitUntil(now + self.settle),
         }
     }
 
-    fn vote(&mut self, set: ShortHash) -> Choice {
+    fn vote(&mut self, set: ShortHash) -> VoteDecision {
         self.make_at = None;
         self.voted = Some(set);
-        Choice::Vote(self.voted)
+        VoteDecision::Vote(self.voted)
     }
 }
 
 /// The most supported set that names all who have settled, and nobody whom our own view doesn't hold to be down or over.
 fn adoptable(
-    views: &Views,
+    views: &MemberTable,
     votes: &Votes,
     sets: &DownSets,
     settled: &BTreeSet<ShortHash>,
--- a/crates/membership/tests/common/traffic.rs
+++ b/crates/membership/tests/common/traffic.rs
@@ -24,7 +24,7 @@
     /// Lists of members for one that asked.
     Lists,
     /// Exchanges of state by digest.
-    Sync,
+    AntiEntropy,
 }
 
 /// What was sent and received, by member and second.
@@ -88,7 +88,7 @@
         return Vec::new();
     };
     if opened.kind != Kind::Swim {
-        return vec![(Content::Sync, bytes.len())];
+        return vec![(Content::AntiEntropy, bytes.len())];
     }
     let Ok((header, rest)) = postcard::take_from_bytes::<Header<Identity>>(opened.message) else {
         return Vec::new();
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -291,7 +291,7 @@
         let mut text = sent[20..sent.len().min(20 + cut)].to_vec();
         text.extend(message);
         let now = net.now.0 / 1_000_000;
-        let kind = [Kind::Swim, Kind::LearnedRequest, Kind::LearnedReply, Kind::Exchange][kind];
+        let kind = [Kind::Swim, Kind::LearnedRequest, Kind::LearnedReply, Kind::AntiEntropy][kind];
         let bytes = if signed { seal(&KEY, now, number, kind, &text) } else { text };
         net.step(0, Input::PacketReceived(bytes));
         net.step(1, Input::PacketReceived(sent));
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -23,9 +23,11 @@
 use std::time::Duration;
 
 use cranehill_membership::digest::{Digest, ShortHash, identity_hash};
-use cranehill_membership::views::Views;
+use cranehill_membership::member_table::MemberTable;
 use cranehill_membership::vote::{DownSets, Vote, Votes};
-use cranehill_membership::{DropReason, Identity, Input, Key, Members, State, View, seal, sync};
+use cranehill_membership::{
+    DropReason, Identity, Input, Key, Members, State, View, anti_entropy, seal,
+};
 use cranehill_scheduler::Time;
 use fixture::{Entry, assert_matches_file, assert_matches_text, bytes_of, load};
 use message::Content;
@@ -149,7 +151,7 @@
 
 /// The digests over members in each state and over votes of each form.
 fn digests() -> [(&'static str, Digest); 2] {
-    let (mut views, mut votes) = (Views::default(), Votes::default());
+    let (mut views, mut votes) = (MemberTable::default(), Votes::default());
     let members = [
         (identity(1), State::Alive),
         (identity(2), State::Suspect),
@@ -165,7 +167,7 @@
         views.set(START, view, Duration::from_secs(place as u64));
     }
     let down = Some(DownSets::name(&samples::down_set()));
-    votes.note(
+    votes.insert(
         samples::hash(1),
         Vote {
             number: 300,
@@ -174,7 +176,7 @@
             payload: b"payload".to_vec(),
         },
     );
-    votes.note(
+    votes.insert(
         samples::hash(2),
         Vote {
             number: 1,
@@ -295,8 +297,8 @@
                 names_down_set: vote.down.is_some(),
                 has_payload: !vote.payload.is_empty(),
             })),
-            Content::Exchange {
-                message: sync::Message::Entries(entries),
+            Content::AntiEntropy {
+                message: anti_entropy::Message::Entries(entries),
                 ..
             } => {
                 exchanged.extend(entries.votes.iter().map(|vote| VoteForm {
--- a/crates/membership/tests/golden/message.rs
+++ b/crates/membership/tests/golden/message.rs
@@ -4,7 +4,7 @@
 
 use cranehill_membership::digest::ShortHash;
 use cranehill_membership::seal::Kind;
-use cranehill_membership::{Identity, sync};
+use cranehill_membership::{Identity, anti_entropy};
 use foca::{Header, Member, Message};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -36,10 +36,10 @@
         to: SocketAddr,
         piece: Vec<u8>,
     },
-    Exchange {
+    AntiEntropy {
         from: Identity,
         to: SocketAddr,
-        message: sync::Message,
+        message: anti_entropy::Message,
     },
 }
 
@@ -71,7 +71,7 @@
             Content::Swim { .. } => Kind::Swim,
             Content::LearnedRequest { .. } => Kind::LearnedRequest,
             Content::LearnedReply { .. } => Kind::LearnedReply,
-            Content::Exchange { .. } => Kind::Exchange,
+            Content::AntiEntropy { .. } => Kind::AntiEntropy,
         }
     }
 
@@ -81,7 +81,7 @@
             Content::Swim { header, .. } => swim_name(&header.message),
             Content::LearnedRequest { .. } => "learned-request",
             Content::LearnedReply { .. } => "learned-reply",
-            Content::Exchange { message, .. } => exchange_name(message),
+            Content::AntiEntropy { message, .. } => anti_entropy_name(message),
         }
     }
 
@@ -96,7 +96,7 @@
             Content::LearnedReply { from, to, piece } => {
                 [to_postcard(&(from, to)), piece.clone()].concat()
             }
-            Content::Exchange { from, to, message } => {
+            Content::AntiEntropy { from, to, message } => {
                 [to_postcard(&(from, to)), to_postcard(message)].concat()
             }
         }
@@ -120,7 +120,7 @@
                     rest.is_empty(),
                     "an exchange's message ends with its packet"
                 );
-                Content::Exchange { from, to, message }
+                Content::AntiEntropy { from, to, message }
             }
         }
     }
@@ -142,13 +142,13 @@
     }
 }
 
-fn exchange_name(message: &sync::Message) -> &'static str {
+fn anti_entropy_name(message: &anti_entropy::Message) -> &'static str {
     match message {
-        sync::Message::Compare { .. } => "exchange-compare",
-        sync::Message::Differs { .. } => "exchange-differs",
-        sync::Message::Entries(_) => "exchange-entries",
-        sync::Message::WantSet { .. } => "exchange-want-set",
-        sync::Message::SetPage { .. } => "exchange-set-page",
+        anti_entropy::Message::Compare { .. } => "exchange-compare",
+        anti_entropy::Message::Differs { .. } => "exchange-differs",
+        anti_entropy::Message::Entries(_) => "exchange-entries",
+        anti_entropy::Message::WantSet { .. } => "exchange-want-set",
+        anti_entropy::Message::SetPage { .. } => "exchange-set-page",
     }
 }
 
--- a/crates/membership/tests/golden/samples.rs
+++ b/crates/membership/tests/golden/samples.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
+use cranehill_membership::anti_entropy::{Entries, Message as AntiEntropyMessage, VoteEntry};
 use cranehill_membership::digest::{BUCKETS, ShortHash, identity_hash};
-use cranehill_membership::sync::{Entries, Message as ExchangeMessage, VoteRow};
-use cranehill_membership::views::Row;
+use cranehill_membership::member_table::MemberEntry;
 use cranehill_membership::vote::DownSets;
 use cranehill_membership::{Identity, Key, seal};
 use foca::{Header, Member, Message, State};
@@ -180,13 +180,13 @@
 
 /// Entries with a member in each state and a vote of each form.
 pub fn entries() -> Entries {
-    let row = |member, swim_incarnation, state, down_for| Row {
+    let member_entry = |member, swim_incarnation, state, down_for| MemberEntry {
         member,
         swim_incarnation,
         state,
         down_for,
     };
-    let vote = |voter, number, leaves, set, payload: &[u8]| VoteRow {
+    let vote = |voter, number, leaves, set, payload: &[u8]| VoteEntry {
         voter: hash(voter),
         number,
         leaves,
@@ -194,11 +194,11 @@
         payload: payload.to_vec(),
     };
     Entries {
-        rows: vec![
-            row(identity(1), 300, 0, 0),
-            row(identity(2), 0, 1, 0),
-            row(identity(3), 0, 2, 30),
-            row(identity_v6(), u16::MAX, 2, u16::MAX),
+        members: vec![
+            member_entry(identity(1), 300, 0, 0),
+            member_entry(identity(2), 0, 1, 0),
+            member_entry(identity(3), 0, 2, 30),
+            member_entry(identity_v6(), u16::MAX, 2, u16::MAX),
         ],
         votes: vec![
             vote(1, 5, false, 1, b"payload of n1"),
@@ -209,7 +209,7 @@
     }
 }
 
-fn exchange_messages() -> Vec<ExchangeMessage> {
+fn anti_entropy_messages() -> Vec<AntiEntropyMessage> {
     let set = DownSets::name(&down_set());
     let sums = |first: u8| {
         (0..BUCKETS as u8)
@@ -217,17 +217,17 @@
             .collect()
     };
     vec![
-        ExchangeMessage::Compare {
+        AntiEntropyMessage::Compare {
             members: hash(1),
             votes: hash(2),
         },
-        ExchangeMessage::Differs {
+        AntiEntropyMessage::Differs {
             members: sums(1),
             votes: sums(2),
         },
-        ExchangeMessage::Entries(entries()),
-        ExchangeMessage::WantSet { set, from: 128 },
-        ExchangeMessage::SetPage {
+        AntiEntropyMessage::Entries(entries()),
+        AntiEntropyMessage::WantSet { set, from: 128 },
+        AntiEntropyMessage::SetPage {
             set,
             total: 2,
             from: 0,
@@ -239,7 +239,7 @@
 /// All samples by name. They go from n1 to n0.
 pub fn all() -> Vec<(&'static str, Content)> {
     let (from, to) = (identity(1), address(0));
-    let exchange = |message| Content::Exchange {
+    let exchange = |message| Content::AntiEntropy {
         from: from.clone(),
         to,
         message,
@@ -262,7 +262,7 @@
         },
     ));
     samples.extend(
-        exchange_messages()
+        anti_entropy_messages()
             .into_iter()
             .map(exchange)
             .map(|content| (content.name(), content)),
--- a/crates/membership/tests/votes.rs
+++ b/crates/membership/tests/votes.rs
@@ -7,10 +7,10 @@
 
 use common::{START, address};
 use cranehill_membership::digest::{ShortHash, identity_hash};
-use cranehill_membership::share::Share;
-use cranehill_membership::views::Views;
+use cranehill_membership::member_table::MemberTable;
+use cranehill_membership::quota::QuotaDivisor;
 use cranehill_membership::vote::{DownSets, MAX_DOWN, Vote, Votes};
-use cranehill_membership::voting::{Choice, Voting};
+use cranehill_membership::voting::{VoteDecision, Voting};
 use cranehill_membership::{Identity, State, View};
 use proptest::prelude::*;
 
@@ -29,7 +29,7 @@
     identity_hash(&member(n))
 }
 
-fn see(views: &mut Views, n: usize, state: State) {
+fn see(views: &mut MemberTable, n: usize, state: State) {
     let view = View {
         member: member(n),
         swim_incarnation: 0,
@@ -45,7 +45,7 @@
 
 /// A fleet of which we are the last: some of the others are down in our view, and some of the rest say so too.
 struct Fleet {
-    views: Views,
+    views: MemberTable,
     votes: Votes,
     sets: DownSets,
     down: Vec<usize>,
@@ -53,7 +53,7 @@
 
 impl Fleet {
     fn new(members: usize, down: usize) -> Fleet {
-        let (mut views, down) = (Views::default(), (0..down).collect::<Vec<_>>());
+        let (mut views, down) = (MemberTable::default(), (0..down).collect::<Vec<_>>());
         (0..members - 1).for_each(|n| see(&mut views, n, State::Alive));
         Fleet {
             views,
@@ -77,7 +77,7 @@
             down,
             payload: Vec::new(),
         };
-        self.votes.note(hash(voter), vote);
+        self.votes.insert(hash(voter), vote);
     }
 }
 
@@ -90,7 +90,7 @@
     ) {
         let removed = removed.min(members - 1);
         let mut fleet = Fleet::new(members, removed);
-        let mut share = Share::new(members as u32, Some(DELAY));
+        let mut share = QuotaDivisor::new(members as u32, Some(DELAY));
         share.update(START, &fleet.views, &fleet.votes, &fleet.sets);
         fleet.crash();
         let down = fleet.down.clone();
@@ -98,7 +98,7 @@
         (removed..removed + living).for_each(|voter| fleet.vote(voter, 1, &down));
         (1000..1000 + strangers).for_each(|voter| fleet.vote(voter, 1, &down));
         (0..removed).for_each(|voter| fleet.vote(voter, 1, &down));
-        let count = |share: &mut Share, fleet: &Fleet, at| {
+        let count = |share: &mut QuotaDivisor, fleet: &Fleet, at| {
             share.update(START + at, &fleet.views, &fleet.votes, &fleet.sets) as usize
         };
         prop_assert_eq!(count(&mut share, &fleet, SECOND), members);
@@ -112,8 +112,8 @@
     #[test]
     fn a_vote_withdrawn_starts_the_delay_anew(at in 2u64..30) {
         let mut fleet = Fleet::new(5, 1);
-        let mut share = Share::new(5, Some(DELAY));
-        let count = |share: &mut Share, fleet: &Fleet, at: u64| {
+        let mut share = QuotaDivisor::new(5, Some(DELAY));
+        let count = |share: &mut QuotaDivisor, fleet: &Fleet, at: u64| {
             share.update(START + SECOND * at as u32, &fleet.views, &fleet.votes, &fleet.sets)
         };
         count(&mut share, &fleet, 0);
@@ -140,11 +140,11 @@
             (hash(voter), Vote { number, leaves, down, payload: vec![set as u8] })
         }).collect();
         let (mut one, mut other) = (Votes::default(), Votes::default());
-        all.iter().for_each(|(voter, vote)| { one.note(*voter, vote.clone()); });
+        all.iter().for_each(|(voter, vote)| { one.insert(*voter, vote.clone()); });
         let mut shuffled: Vec<_> = all.iter().chain(&all).cloned().collect();
         let len = shuffled.len();
         (0..len).for_each(|i| shuffled.swap(i, (order as usize).wrapping_mul(i * 31 + 7) % len));
-        shuffled.into_iter().for_each(|(voter, vote)| { other.note(voter, vote); });
+        shuffled.into_iter().for_each(|(voter, vote)| { other.insert(voter, vote); });
         prop_assert_eq!(one.digest().root(), other.digest().root());
         prop_assert!(one.iter().eq(other.iter()));
         one.keep(|_| false);
@@ -169,11 +169,11 @@
                 2 if spoil => part.reverse(),
                 _ => {}
             }
-            ours.take_page(name, total + u32::from(spoil && change == 1), from, &part);
+            ours.add_page(name, total + u32::from(spoil && change == 1), from, &part);
         }
         while let Some(from) = ours.next_page(name).filter(|_| !spoil) {
             let (total, part) = theirs.page(name, from, 128).expect("it is there");
-            ours.take_page(name, total, from, &part);
+            ours.add_page(name, total, from, &part);
         }
         prop_assert!(ours.get(name).is_none_or(|set| Some(set) == theirs.get(name)));
         prop_assert!(spoil || ours.get(name).is_some());
@@ -194,7 +194,7 @@
         let mut voted = None;
         for tenth in 0..40 {
             let now = START + SECOND / 10 * tenth;
-            if let Choice::Vote(set) = voting.choose(now, &fleet.views, &fleet.votes, &mut fleet.sets, 0.5) {
+            if let VoteDecision::Vote(set) = voting.decide(now, &fleet.views, &fleet.votes, &mut fleet.sets, 0.5) {
                 voted = set;
             }
         }
@@ -211,7 +211,7 @@
         .map(|n| ShortHash::of(&[&n.to_le_bytes()]))
         .collect();
     assert_eq!(sets.insert(too_many), None);
-    assert!(!sets.take_page(hash(1), MAX_DOWN as u32 + 1, 0, &[hash(2)]));
+    assert!(!sets.add_page(hash(1), MAX_DOWN as u32 + 1, 0, &[hash(2)]));
     let kept = (0..1000)
         .filter(|n| sets.insert(names(&[*n])).is_some())
         .count();
@@ -239,12 +239,15 @@
     };
     fleet.views.set(START, returned, Duration::ZERO);
     let mut voting = Voting::new(SECOND, 6);
-    let choice = voting.choose(
+    let choice = voting.decide(
         START + SECOND,
         &fleet.views,
         &fleet.votes,
         &mut fleet.sets,
         1.0,
     );
-    assert_eq!(choice, Choice::Vote(Some(DownSets::name(&names(&[0, 1])))));
+    assert_eq!(
+        choice,
+        VoteDecision::Vote(Some(DownSets::name(&names(&[0, 1]))))
+    );
 }
