--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,63 +1,75 @@
-//! What [`crate::Members`] is told, and what it asks for.
+//! What goes into [`crate::Members`] and what comes out of it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
 
-use crate::member_table::{State, View};
 use crate::seal::DropReason;
+use crate::view::{State, View};
 
-/// What [`crate::Members`] is told.
+/// An input of [`crate::Members::step`].
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A packet came. Where from does not matter: what counts is in it.
+    /// A packet arrived. Its source address is not needed: the sender is authenticated by the packet itself.
     PacketReceived(Vec<u8>),
-    /// The time that [`Effect::WakeAt`] named has come.
+    /// The time of the latest [`Effect::WakeAt`] has come.
     TimerFired,
-    /// This sender is about to end.
+    /// This sender is about to end: say so to the others and take part no longer.
     Leave,
-    /// Tell all members this payload in place of the one before; [`crate::vote::MAX_PAYLOAD`] bytes at most, a longer one is not sent.
+    /// Replace the payload that is gossiped to all members. At most [`crate::vote::MAX_PAYLOAD`] bytes; a longer one is ignored.
     SetPayload(Vec<u8>),
-    /// Ask a few members for what they have learned of destinations.
+    /// Ask a few live members for their learned state of destinations.
     RequestLearned,
-    /// Tell a member what was learned, in pieces of [`crate::MAX_LEARNED_PIECE`] bytes at most.
+    /// Send learned state to a member.
     SendLearned {
+        /// The member's address.
         to: SocketAddr,
+        /// The learned state in pieces of at most [`crate::MAX_LEARNED_PIECE`] bytes, one packet each.
         chunks: Vec<Vec<u8>>,
     },
 }
 
-/// What [`crate::Members`] asks for and tells.
+/// An effect that [`crate::Members::step`] asks the caller to carry out, or an event that it reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// Send a packet.
     Send {
+        /// The destination's UDP address.
         to: SocketAddr,
+        /// The sealed packet.
         bytes: Vec<u8>,
     },
+    /// Pass in [`Input::TimerFired`] at this time. Replaces an earlier request.
     WakeAt(Time),
-    /// A member is new, or not what it was.
+    /// A member is new, or its state has changed.
     Changed {
+        /// The member as we see it now.
         view: View,
+        /// Its state before; `None` for a member that was unknown.
         before: Option<State>,
     },
-    /// Others held us to be down; we are back under this incarnation.
+    /// The others had declared us down; we have rejoined.
     Rejoined {
+        /// Our new incarnation.
         incarnation: u64,
     },
-    /// We were held up for so long; our timers moved by it.
+    /// This process was paused for so long; all timers were postponed by it.
     ProcessPaused(Duration),
-    /// A member asks for what we have learned.
+    /// A member requests our learned state.
     LearnedRequested {
+        /// The member's address.
         by: SocketAddr,
     },
-    /// A member told a piece of what it has learned.
+    /// A member sent a piece of its learned state.
     LearnedReceived {
+        /// The member's address.
         by: SocketAddr,
+        /// The piece, as passed to [`Input::SendLearned`].
         piece: Vec<u8>,
     },
     /// A packet was dropped.
     Dropped(DropReason),
-    /// Leave room for so many senders in all, ourselves included.
+    /// Divide shared limits by this number of senders, ourselves included.
     ShareDivisor(u32),
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,27 +1,30 @@
-//! One incarnation of one member.
+//! The identity of a member: its address and incarnation.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// A member as the others know it. Its address is what lasts; its incarnation grows with each start and each return after it was
-/// declared down, so that what is said of an earlier incarnation does not touch the present one.
+/// The incarnation of a member of which only the address is known. No running member has it.
+pub(crate) const UNKNOWN_INCARNATION: u64 = 0;
+
+/// A member as the others know it. The address identifies the member. The incarnation grows with each start, and each time that
+/// the member rejoins after it was declared down, so that statements about an earlier incarnation don't affect the present one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Where the others reach it.
+    /// The UDP address that the member receives packets at.
     pub at: SocketAddr,
-    /// Milliseconds since 1970 at its start, and one more for each return.
+    /// Milliseconds since 1970 at the member's start, and one more for each time that it rejoined.
     pub incarnation: u64,
-    /// Its name in its configuration, for people.
+    /// The member's name in its configuration, for people.
     pub name: String,
 }
 
 impl Identity {
-    /// Whoever listens there: enough to ask to be let in.
+    /// Whoever listens at an address: enough to announce ourselves there.
     pub fn unknown(at: SocketAddr) -> Identity {
         Identity {
             at,
-            incarnation: 0,
+            incarnation: UNKNOWN_INCARNATION,
             name: String::new(),
         }
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,27 +1,38 @@
-//! Who else sends: the members of the fleet, and how many of them a sender must leave room for.
+//! Which senders there are, and by how many of them a shared limit must be divided.
 //!
-//! Start at [`Members`]: packets and due timers in ([`Input`]), packets, timers and changes out ([`Effect`]). It knows no
-//! clock, socket, thread or file. SWIM itself is `foca`'s; here is what goes round it: sealed packets ([`seal`]), the exchange
-//! of state by digest ([`anti_entropy`]), votes on who is down ([`vote`], [`voting`]), the bound on bytes ([`token_bucket`]), and the part of a
-//! shared limit that is safe to take ([`quota`]).
-#![forbid(unsafe_code)]
+//! Start at [`Members`]: packets and fired timers go in as [`Input`]; packets, timers and changes come out as [`Effect`]. The
+//! crate uses no clock, socket, thread or file.
+//!
+//! Failure detection and gossip are SWIM's, implemented by the crate `foca`. This crate adds
+//!
+//! - authenticated packets with replay protection ([`seal`]),
+//! - anti-entropy by digest ([`anti_entropy`], [`digest`]) over the [`member_table`] and the votes,
+//! - votes on which members are down ([`vote`], [`down_sets`], [`voting`]),
+//! - the number of senders that a shared limit is safely divided by ([`quota`]),
+//! - a limit on the bytes that a member sends.
 
 pub mod anti_entropy;
 pub mod digest;
+pub mod down_sets;
 mod event;
 mod identity;
+pub mod member_entry;
 pub mod member_table;
 mod members;
 pub mod quota;
+mod replay;
 pub mod seal;
 mod settings;
-pub mod token_bucket;
+mod timers;
+mod token_bucket;
+mod view;
 pub mod vote;
+mod vote_broadcast;
 pub mod voting;
 
 pub use event::{Effect, Input};
 pub use identity::Identity;
-pub use member_table::{State, View};
 pub use members::{MAX_LEARNED_PIECE, Members};
-pub use seal::DropReason;
-pub use settings::{Key, Settings};
+pub use seal::{DropReason, Key};
+pub use settings::Settings;
+pub use view::{State, View};
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,260 +1,192 @@
-//! What a member holds of the others: their states, since when, and the digest over them.
+//! The table of the other members: their states, since when, and the digest over them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
-use serde::{Deserialize, Serialize};
 
-use crate::Identity;
-use crate::digest::{Digest, ShortHash, bucket_of, identity_hash};
+use crate::digest::{BucketSet, Digest, ShortHash, bucket_of, identity_hash};
+use crate::member_entry::MemberEntry;
+use crate::view::View;
 
-/// Members known, at most, the down ones among them.
+/// Members in the table, down ones included. Bounds memory against a faulty member that invents others; eight times the planned
+/// 490 members.
 pub const MAX_MEMBERS: usize = 4096;
-/// Ended incarnations remembered, at most.
+/// Ended incarnations that are remembered. Bounds memory; votes name an ended incarnation only for a short time.
 const MAX_ENDED: usize = 1024;
-/// A member that has been down for longer isn't told to others any more. It is half of the time after which it is forgotten, so
-/// that it isn't learned again by one that has just forgotten it.
-pub const DOWN_ANNOUNCED: Duration = Duration::from_secs(1800);
-
-/// What a member is in our view.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
-    Alive,
-    /// A probe failed; it may refute that.
-    Suspect,
-    Down,
-    /// It said that it leaves, and is gone.
-    Left,
-}
-
-impl State {
-    pub fn label(self) -> &'static str {
-        match self {
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Down => "down",
-            State::Left => "left",
-        }
-    }
-
-    /// Whether it counts as present.
-    pub fn is_active(self) -> bool {
-        matches!(self, State::Alive | State::Suspect)
-    }
-
-    fn rank(self) -> u8 {
-        match self {
-            State::Alive => 0,
-            State::Suspect => 1,
-            State::Down | State::Left => 2,
-        }
-    }
-}
-
-/// One other member as we see it.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct View {
-    pub member: Identity,
-    /// Grows within a incarnation each time that the member refutes a suspicion.
-    pub swim_incarnation: u16,
-    pub state: State,
-    /// Since when it is in that state, by our view.
-    pub since: Time,
-}
-
-/// What is known of a member, as it travels between members.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MemberEntry {
-    pub member: Identity,
-    pub swim_incarnation: u16,
-    /// 0 alive, 1 suspect, 2 down.
-    pub state: u8,
-    /// Seconds that it has been down for.
-    pub down_for: u16,
-}
-
-impl MemberEntry {
-    /// Of two rows about one address the higher one is newer, as in SWIM: down is for the whole of a incarnation, and a
-    /// suspicion stands until a higher incarnation refutes it.
-    pub(crate) fn rank(&self) -> (u64, bool, u16, u8) {
-        let down = self.state >= 2;
-        (
-            self.member.incarnation,
-            down,
-            if down { 0 } else { self.swim_incarnation },
-            self.state.min(2),
-        )
-    }
-
-    pub(crate) fn hash(&self) -> ShortHash {
-        let (incarnation, _, swim_incarnation, state) = self.rank();
-        let name = self.member.name.as_bytes();
-        let at = identity_hash(&self.member);
-        ShortHash::of(&[
-            at.as_bytes(),
-            &incarnation.to_le_bytes(),
-            &swim_incarnation.to_le_bytes(),
-            &[state],
-            name,
-        ])
-    }
-}
+/// A member that has been down for longer isn't announced to others. Half of the time after which it is forgotten, so that
+/// a member that has just forgotten it doesn't learn it again.
+pub const MAX_DOWN_ANNOUNCEMENT: Duration = Duration::from_secs(1800);
 
 #[derive(Clone, Debug)]
-struct Entry {
+struct Row {
     view: View,
-    name: ShortHash,
+    hash: ShortHash,
     bucket: usize,
-    /// What it adds to the digest; `None` once it isn't told any more.
+    /// What the row adds to the digest; `None` once the member is no longer announced.
     announced: Option<ShortHash>,
-    /// Since when it is down, by whoever saw it first.
+    /// When the member went down, by the first member that saw it.
     down_since: Option<Time>,
 }
 
-impl Entry {
-    fn row(&self, now: Time) -> MemberEntry {
-        let View {
-            member,
-            swim_incarnation,
-            state,
-            ..
-        } = &self.view;
-        let down_for = self.down_since.map_or(0, |since| (now - since).as_secs());
-        let down_for = u16::try_from(down_for).unwrap_or(u16::MAX);
-        MemberEntry {
-            member: member.clone(),
-            swim_incarnation: *swim_incarnation,
-            state: state.rank(),
-            down_for,
-        }
+impl Row {
+    fn entry(&self, now: Time) -> MemberEntry {
+        let down_for = self.down_since.map(|since| now - since);
+        MemberEntry::of(&self.view, down_for.unwrap_or_default())
+    }
+
+    fn may_be_announced(&self, now: Time) -> bool {
+        self.down_since
+            .is_none_or(|since| now - since < MAX_DOWN_ANNOUNCEMENT)
     }
 }
 
-/// The others, by address.
+/// The other members, by address.
 #[derive(Debug, Default)]
 pub struct MemberTable {
-    entries: BTreeMap<SocketAddr, Entry>,
+    rows: BTreeMap<SocketAddr, Row>,
     digest: Digest,
-    /// The incarnations that are told to others.
+    /// The incarnations that are announced to others.
     announced: BTreeSet<ShortHash>,
-    /// Generations that were followed by later ones, and so are over.
+    /// Incarnations that were followed by later ones, oldest first.
     ended: VecDeque<ShortHash>,
 }
 
 impl MemberTable {
+    /// All members, by address.
     pub fn iter(&self) -> impl Iterator<Item = &View> {
-        self.entries.values().map(|e| &e.view)
+        self.rows.values().map(|row| &row.view)
+    }
+
+    fn iter_with_hashes(&self) -> impl Iterator<Item = (ShortHash, &View)> {
+        self.rows.values().map(|row| (row.hash, &row.view))
     }
 
-    /// With the name of each incarnation.
-    pub fn named(&self) -> impl Iterator<Item = (ShortHash, &View)> {
-        self.entries.values().map(|e| (e.name, &e.view))
+    /// The members that count as present, with the hashes of their incarnations.
+    pub fn active(&self) -> impl Iterator<Item = (ShortHash, &View)> {
+        self.iter_with_hashes()
+            .filter(|(_, view)| view.state.is_active())
     }
 
-    pub fn get(&self, at: &SocketAddr) -> Option<&View> {
-        self.entries.get(at).map(|e| &e.view)
+    /// The members that are down or have left, with the hashes of their incarnations.
+    pub fn down(&self) -> impl Iterator<Item = (ShortHash, &View)> {
+        self.iter_with_hashes()
+            .filter(|(_, view)| !view.state.is_active())
     }
 
+    /// The member at an address.
+    pub fn get(&self, address: &SocketAddr) -> Option<&View> {
+        self.rows.get(address).map(|row| &row.view)
+    }
+
+    /// The number of members.
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.rows.len()
     }
 
+    /// Whether no other member is known.
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.rows.is_empty()
     }
 
+    /// The digest over all announced members.
     pub fn digest(&self) -> &Digest {
         &self.digest
     }
 
     /// Whether a later incarnation has followed this one in our view.
-    pub fn has_ended(&self, name: ShortHash) -> bool {
-        self.ended.contains(&name)
+    pub fn has_ended(&self, incarnation: ShortHash) -> bool {
+        self.ended.contains(&incarnation)
     }
 
-    /// Puts a view in place of the one before. `down_for`: how long it had been down already for whoever told us.
-    pub fn set(&mut self, now: Time, view: View, down_for: Duration) {
-        let at = view.member.at;
-        let before = self.entries.get(&at);
-        let name = identity_hash(&view.member);
-        let same = before.filter(|b| b.name == name);
-        let down = !view.state.is_active();
-        let down_since = same
-            .and_then(|b| b.down_since)
-            .or_else(|| down.then(|| earlier(now, down_for)));
-        if let Some(b) = before.filter(|b| b.name != name) {
-            self.ended.push_back(b.name);
-        }
-        if self.ended.len() > MAX_ENDED {
-            self.ended.pop_front();
+    /// Whether this incarnation is announced to others.
+    pub fn is_announced(&self, incarnation: ShortHash) -> bool {
+        self.announced.contains(&incarnation)
+    }
+
+    /// Replaces the view of a member. `down_for` is how long the member had been down already by whoever reported it.
+    pub fn update(&mut self, now: Time, view: View, down_for: Duration) {
+        let address = view.member.at;
+        let hash = identity_hash(&view.member);
+        let previous = self.rows.remove(&address);
+        if let Some(previous) = &previous {
+            self.withdraw_announcement(previous);
+            if previous.hash != hash {
+                self.remember_ended(previous.hash);
+            }
         }
-        let bucket = bucket_of(at);
-        let mut entry = Entry {
+        let same_incarnation = previous.filter(|row| row.hash == hash);
+        let is_down = !view.state.is_active();
+        let down_since = same_incarnation
+            .and_then(|row| row.down_since)
+            .or_else(|| is_down.then(|| earlier(now, down_for)));
+        let row = Row {
             view,
-            name,
-            bucket,
+            hash,
+            bucket: bucket_of(address),
             announced: None,
             down_since,
         };
-        entry.announced = is_announced(now, &entry).then(|| entry.row(now).hash());
-        if let Some(before) = self.entries.remove(&at) {
-            self.withdraw_announcement(&before);
+        self.insert(now, address, row);
+    }
+
+    fn insert(&mut self, now: Time, address: SocketAddr, mut row: Row) {
+        if row.may_be_announced(now) {
+            let entry_hash = row.entry(now).hash();
+            row.announced = Some(entry_hash);
+            self.digest.add(row.bucket, entry_hash);
+            self.announced.insert(row.hash);
         }
-        if let Some(hash) = entry.announced {
-            self.digest.add(bucket, hash);
-            self.announced.insert(name);
+        self.rows.insert(address, row);
+    }
+
+    fn remember_ended(&mut self, incarnation: ShortHash) {
+        self.ended.push_back(incarnation);
+        if self.ended.len() > MAX_ENDED {
+            self.ended.pop_front();
         }
-        self.entries.insert(at, entry);
     }
 
-    fn withdraw_announcement(&mut self, entry: &Entry) {
-        if let Some(hash) = entry.announced {
-            self.digest.remove(entry.bucket, hash);
-            self.announced.remove(&entry.name);
+    fn withdraw_announcement(&mut self, row: &Row) {
+        if let Some(entry_hash) = row.announced {
+            self.digest.remove(row.bucket, entry_hash);
+            self.announced.remove(&row.hash);
         }
     }
 
-    pub fn remove(&mut self, at: &SocketAddr) {
-        if let Some(entry) = self.entries.remove(at) {
-            self.withdraw_announcement(&entry);
+    /// Removes a member.
+    pub fn remove(&mut self, address: &SocketAddr) {
+        if let Some(row) = self.rows.remove(address) {
+            self.withdraw_announcement(&row);
         }
     }
 
-    /// Takes those out of the digest that have been down for long.
-    pub fn age(&mut self, now: Time) {
-        for entry in self.entries.values_mut() {
-            if !is_announced(now, entry)
-                && let Some(hash) = entry.announced.take()
+    /// Stops announcing members that have been down for longer than [`MAX_DOWN_ANNOUNCEMENT`].
+    pub fn expire_announcements(&mut self, now: Time) {
+        for row in self.rows.values_mut() {
+            if !row.may_be_announced(now)
+                && let Some(entry_hash) = row.announced.take()
             {
-                self.digest.remove(entry.bucket, hash);
-                self.announced.remove(&entry.name);
+                self.digest.remove(row.bucket, entry_hash);
+                self.announced.remove(&row.hash);
             }
         }
     }
 
-    /// Whether this incarnation is told to others.
-    pub fn is_announced(&self, name: ShortHash) -> bool {
-        self.announced.contains(&name)
-    }
-
-    /// The rows of some buckets, with their buckets; bit k of `buckets` stands for bucket k.
-    pub fn entries(&self, now: Time, buckets: u64) -> impl Iterator<Item = (usize, MemberEntry)> {
-        let announced = self
-            .entries
+    /// The announced members of some buckets, each with its bucket.
+    pub fn entries(
+        &self,
+        now: Time,
+        buckets: BucketSet,
+    ) -> impl Iterator<Item = (usize, MemberEntry)> {
+        self.rows
             .values()
-            .filter(move |e| buckets >> e.bucket & 1 == 1 && e.announced.is_some());
-        announced.map(move |e| (e.bucket, e.row(now)))
+            .filter(move |row| buckets.contains(row.bucket) && row.announced.is_some())
+            .map(move |row| (row.bucket, row.entry(now)))
     }
 }
 
-fn is_announced(now: Time, entry: &Entry) -> bool {
-    entry
-        .down_since
-        .is_none_or(|since| now - since < DOWN_ANNOUNCED)
-}
-
 fn earlier(now: Time, by: Duration) -> Time {
     Time(now.0.saturating_sub(by.as_nanos() as u64))
 }
--- /dev/null
+++ b/crates/membership/src/members/accusations.rs
@@ -0,0 +1,40 @@
+//! The members that our own probes missed.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use crate::member_table::MemberTable;
+use crate::view::{State, View};
+
+/// The members that our own probes missed, with the SWIM incarnations that are suspected.
+#[derive(Debug, Default)]
+pub(super) struct Accusations {
+    suspected: BTreeMap<SocketAddr, u16>,
+}
+
+impl Accusations {
+    pub(super) fn add(&mut self, address: SocketAddr, swim_incarnation: u16) {
+        self.suspected.insert(address, swim_incarnation);
+    }
+
+    pub(super) fn remove(&mut self, address: &SocketAddr) {
+        self.suspected.remove(address);
+    }
+
+    /// The accused members that are still suspect in the accused SWIM incarnation; the other accusations are removed.
+    pub(super) fn retain_pending(&mut self, table: &MemberTable) -> Vec<View> {
+        let pending: Vec<View> = self
+            .suspected
+            .iter()
+            .filter_map(|(address, swim_incarnation)| {
+                let view = table.get(address)?;
+                let is_pending =
+                    view.state == State::Suspect && view.swim_incarnation == *swim_incarnation;
+                is_pending.then(|| view.clone())
+            })
+            .collect();
+        self.suspected
+            .retain(|address, _| pending.iter().any(|view| view.member.at == *address));
+        pending
+    }
+}
--- a/crates/membership/src/members/quorum.rs
+++ b/crates/membership/src/members/quorum.rs
@@ -1,175 +1,197 @@
-//! The part of [`Members`] that votes on who is down, and counts.
+//! The votes on which members are down, and the quota divisor that follows from them.
 
 use std::collections::BTreeSet;
-use std::net::SocketAddr;
+use std::sync::MutexGuard;
 
 use cranehill_scheduler::Time;
 use rand::RngExt;
 
-use super::{Due, Members, lock};
+use super::context::{Context, Timer};
 use crate::digest::ShortHash;
+use crate::down_sets::{DownSets, SetPage};
 use crate::event::Effect;
-use crate::vote::{Broadcast, Vote};
-use crate::voting::VoteDecision;
+use crate::member_table::MemberTable;
+use crate::quota::QuotaDivisor;
+use crate::settings::Settings;
+use crate::vote::{Vote, Votes};
+use crate::vote_broadcast::{SharedVotes, VoteBroadcast};
+use crate::voting::{VoteDecision, Voting};
 
-/// Members besides the voters of a set that are asked for it, as if so many of them had voted for it.
-const OTHER_HOLDERS: usize = 8;
+/// The least time between two decisions is a period divided by this.
+const MAX_DECISIONS_PER_PERIOD: u32 = 20;
+/// The greatest time until the next decision is a period divided by this: another member's set may arrive before the time that
+/// was waited for.
+const MIN_DECISIONS_PER_PERIOD: u32 = 4;
 
-impl Members {
-    /// Puts our vote into the table, from where the exchange takes it.
-    pub(super) fn cast_vote(&mut self, leaves: bool) {
+/// See the module's text.
+pub(super) struct Quorum {
+    votes: SharedVotes,
+    sets: DownSets,
+    voting: Voting,
+    vote_number: u32,
+    /// When the next decision on our vote is due.
+    decide_at: Option<Time>,
+    payload: Vec<u8>,
+    quota: QuotaDivisor,
+    divisor: u32,
+    /// [`Votes::changes`] when the divisor was computed.
+    counted_changes: u64,
+}
+
+impl Quorum {
+    pub(super) fn new(settings: &Settings) -> Quorum {
+        Quorum {
+            votes: SharedVotes::default(),
+            sets: DownSets::default(),
+            voting: Voting::new(settings.period, settings.configured_members),
+            vote_number: 0,
+            decide_at: None,
+            payload: Vec::new(),
+            quota: QuotaDivisor::new(settings.configured_members, settings.eviction_delay),
+            divisor: settings.configured_members.max(1),
+            counted_changes: 0,
+        }
+    }
+
+    pub(super) fn shared_votes(&self) -> SharedVotes {
+        self.votes.clone()
+    }
+
+    pub(super) fn votes(&self) -> MutexGuard<'_, Votes> {
+        self.votes.lock()
+    }
+
+    pub(super) fn sets(&self) -> &DownSets {
+        &self.sets
+    }
+
+    pub(super) fn divisor(&self) -> u32 {
+        self.divisor
+    }
+
+    pub(super) fn payload(&self) -> &[u8] {
+        &self.payload
+    }
+
+    pub(super) fn set_payload(&mut self, payload: Vec<u8>) {
+        self.payload = payload;
+    }
+
+    /// Adds our vote to the votes, from which anti-entropy sends it.
+    pub(super) fn cast_vote(&mut self, me: ShortHash, leaves: bool) {
         self.vote_number += 1;
-        let (number, down, payload) = (self.vote_number, self.voting.voted(), self.payload.clone());
-        lock(&self.votes).insert(
-            self.my_hash(),
-            Vote {
-                number,
-                leaves,
-                down,
-                payload,
-            },
-        );
-        self.differed = true;
-    }
-
-    /// Has our vote spread with the gossip as well.
-    pub(super) fn broadcast_vote(&mut self) {
-        let voter = self.my_hash();
-        let Some(Vote {
-            number,
+        let vote = Vote {
+            number: self.vote_number,
             leaves,
-            down,
-            payload,
-        }) = lock(&self.votes).get(voter).cloned()
-        else {
-            return;
+            down: self.voting.voted(),
+            payload: self.payload.clone(),
         };
-        // Taken in anew by the handler, which passes on only what is newer.
-        self.vote_number = number + 1;
-        let number = self.vote_number;
-        if let Ok(bytes) = postcard::to_stdvec(&Broadcast {
-            voter,
-            number,
-            leaves,
-            down,
-            payload,
-        }) {
-            let _ = self.foca.add_broadcast(&bytes);
-        }
+        self.votes().insert(me, vote);
     }
 
-    /// Has the down members looked at once they have settled.
-    pub(super) fn look_at_down(&mut self) {
-        if self.vote_at.is_none() && self.views.iter().any(|v| !v.state.is_active()) {
-            self.look_again(self.now);
+    /// Our vote, encoded for broadcast; `None` if there is none.
+    pub(super) fn encode_broadcast(&mut self, me: ShortHash) -> Option<Vec<u8>> {
+        let mut vote = self.votes().get(me).cloned()?;
+        // A new number: the broadcast handler stores the vote again, and passes on only newer ones.
+        vote.number += 1;
+        self.vote_number = vote.number;
+        postcard::to_stdvec(&VoteBroadcast { voter: me, vote }).ok()
+    }
+
+    /// Schedules a decision on our vote if there are down members.
+    pub(super) fn schedule_decision(&mut self, context: &mut Context, table: &MemberTable) {
+        if self.decide_at.is_none() && table.down().next().is_some() {
+            self.schedule_decision_at(context, context.now);
         }
     }
 
-    fn look_again(&mut self, at: Time) {
-        self.vote_at = Some(at);
-        self.at(at, Due::Vote);
+    fn schedule_decision_at(&mut self, context: &mut Context, at: Time) {
+        self.decide_at = Some(at);
+        context.timers.schedule(at, Timer::Vote);
     }
 
-    pub(super) fn vote_due(&mut self) {
-        self.vote_at = None;
-        let chance = self.rng.random_range(0.0..1.0);
-        let votes = std::sync::Arc::clone(&self.votes);
-        let choice =
-            self.voting
-                .decide(self.now, &self.views, &lock(&votes), &mut self.sets, chance);
-        match choice {
-            VoteDecision::Keep => {}
+    /// Decides on our vote. True if a new one was cast.
+    pub(super) fn on_vote_timer(
+        &mut self,
+        context: &mut Context,
+        table: &MemberTable,
+        me: ShortHash,
+    ) -> bool {
+        self.decide_at = None;
+        let fraction = context.rng.random_range(0.0..1.0);
+        let votes = self.votes.lock();
+        let decision = self
+            .voting
+            .decide(context.now, table, &votes, &mut self.sets, fraction);
+        drop(votes);
+        match decision {
+            VoteDecision::Keep => false,
             VoteDecision::Vote(_) => {
-                self.cast_vote(false);
-                self.recount();
-                self.compare_with_few();
+                self.cast_vote(me, false);
+                self.recount(context, table);
+                true
             }
-            // Somebody else's set may come before.
-            VoteDecision::WaitUntil(until) => {
-                let soon = self.now + self.set.period / 4;
-                self.look_again(until.min(soon).max(self.now + self.set.period / 20));
+            VoteDecision::WaitUntil(time) => {
+                let period = context.settings.period;
+                let earliest = context.now + period / MAX_DECISIONS_PER_PERIOD;
+                let latest = context.now + period / MIN_DECISIONS_PER_PERIOD;
+                self.schedule_decision_at(context, time.min(latest).max(earliest));
+                false
             }
         }
     }
 
-    fn compare_with_few(&mut self) {
-        for _ in 0..crate::settings::FANOUT.get() {
-            self.compare_with_random();
-        }
-    }
-
-    /// Forgets votes and sets that nobody needs any more, and casts ours again if it is of an earlier incarnation.
-    pub(super) fn keep_votes(&mut self) {
-        self.views.age(self.now);
-        let mine = self.my_hash();
-        let mut votes = lock(&self.votes);
-        votes.keep(|voter| voter == mine || self.views.is_announced(voter));
+    /// Removes votes of unknown members and sets that no vote names. Returns the hashes of the named sets.
+    pub(super) fn remove_unused(
+        &mut self,
+        table: &MemberTable,
+        me: ShortHash,
+    ) -> BTreeSet<ShortHash> {
+        let mut votes = self.votes.lock();
+        votes.retain(|voter| voter == me || table.is_announced(voter));
         let named: BTreeSet<ShortHash> = votes
             .iter()
             .filter_map(|(_, vote)| vote.down)
             .chain(self.voting.voted())
             .collect();
-        let silent = votes.get(mine).is_none();
         drop(votes);
-        self.sets.keep(|set| named.contains(&set));
-        if silent && (self.voting.voted().is_some() || !self.payload.is_empty()) {
-            self.cast_vote(false);
-        }
-        self.fetch_missing(&named);
-        self.recount();
+        self.sets.retain(|set| named.contains(&set));
+        named
     }
 
-    /// Asks for sets that votes name and that aren't known here, in random order: there may be more of them than a period's
-    /// requests, and none may wait for ever behind others that nobody answers.
-    fn fetch_missing(&mut self, named: &BTreeSet<ShortHash>) {
-        let mut missing: Vec<ShortHash> = named
-            .iter()
-            .copied()
-            .filter(|set| self.sets.next_page(*set).is_some())
-            .collect();
-        self.holders.retain(|set, _| missing.contains(set));
-        while !missing.is_empty() {
-            let set = missing.swap_remove(self.rng.random_range(0..missing.len()));
-            let teller = self.holders.remove(&set);
-            if let Some(peer) = teller.or_else(|| self.likely_holder(set)) {
-                self.want_set(peer, set);
-            }
-        }
+    /// Whether our vote must be cast again because it was an earlier incarnation's.
+    pub(super) fn lacks_own_vote(&self, me: ShortHash) -> bool {
+        let has_content = self.voting.voted().is_some() || !self.payload.is_empty();
+        has_content && self.votes().get(me).is_none()
     }
 
-    /// One of those who voted for a set, or one of a few others: they may hold it too, and a set with a single voter would be
-    /// asked of that one by all.
-    fn likely_holder(&mut self, set: ShortHash) -> Option<SocketAddr> {
-        let votes = lock(&self.votes);
-        let active = self
-            .views
-            .named()
-            .filter(|(_, view)| view.state.is_active());
-        let voters: Vec<SocketAddr> = active
-            .filter(|(name, _)| votes.get(*name).is_some_and(|vote| vote.down == Some(set)))
-            .map(|(_, view)| view.member.at)
-            .collect();
-        drop(votes);
-        let place = self.rng.random_range(0..voters.len() + OTHER_HOLDERS);
-        voters.get(place).copied().or_else(|| self.random_peer())
+    /// Whether any vote names a set.
+    pub(super) fn is_named(&self, set: ShortHash) -> bool {
+        self.votes().iter().any(|(_, vote)| vote.down == Some(set))
+    }
+
+    /// Adds a page of a set. True once the set is complete.
+    pub(super) fn add_page(&mut self, page: &SetPage) -> bool {
+        self.sets.add_page(page)
     }
 
-    /// Takes changed votes into account.
-    pub(super) fn count_votes(&mut self) {
-        let changes = lock(&self.votes).changes();
-        if changes != self.votes_counted {
-            self.recount();
+    /// Computes the divisor anew if votes have changed.
+    pub(super) fn recount_if_changed(&mut self, context: &mut Context, table: &MemberTable) {
+        let changes = self.votes().changes();
+        if changes != self.counted_changes {
+            self.recount(context, table);
         }
     }
 
-    /// Tells the number of senders to leave room for, if it is another.
-    pub(super) fn recount(&mut self) {
-        let votes = lock(&self.votes);
-        self.votes_counted = votes.changes();
-        let divisor = self.share.update(self.now, &self.views, &votes, &self.sets);
+    /// Computes the divisor anew, and reports it if it has changed.
+    pub(super) fn recount(&mut self, context: &mut Context, table: &MemberTable) {
+        let votes = self.votes.lock();
+        self.counted_changes = votes.changes();
+        let divisor = self.quota.update(context.now, table, &votes, &self.sets);
         drop(votes);
-        if divisor != std::mem::replace(&mut self.share_divisor, divisor) {
-            self.effects.push(Effect::ShareDivisor(divisor));
+        if divisor != self.divisor {
+            self.divisor = divisor;
+            context.report(Effect::ShareDivisor(divisor));
         }
     }
 }
--- a/crates/membership/src/members/swim.rs
+++ b/crates/membership/src/members/swim.rs
@@ -1,370 +1,490 @@
-//! The part of [`Members`] that drives `foca`: probes, suspicions and gossip.
+//! Failure detection and gossip: drives `foca` and keeps the member table up to date with it.
 
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
 use std::time::Duration;
 
-use foca::{Header, Member, Message, OwnedNotification, Timer};
+use cranehill_scheduler::Time;
+use foca::{
+    AccumulatingRuntime, Foca, Header, Member, Message, OwnedNotification, PostcardCodec, Timer,
+};
 use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
 
-use super::{CALL_PERIODS, DEAF_SUSPICIONS, Due, Members};
+use super::accusations::Accusations;
+use super::context::{self, Context};
+use super::view_changes::{ViewChange, changed_view};
+use crate::anti_entropy;
 use crate::event::Effect;
-use crate::member_table::{MAX_MEMBERS, MemberEntry, State, View};
+use crate::identity::{Identity, UNKNOWN_INCARNATION};
+use crate::member_entry::MemberEntry;
+use crate::member_table::{MAX_DOWN_ANNOUNCEMENT, MAX_MEMBERS, MemberTable};
 use crate::seal::{DropReason, Kind};
-use crate::settings::{FANOUT, GOSSIPS_PER_PERIOD};
+use crate::settings::{FANOUT, GOSSIP_ROUNDS_PER_PERIOD};
 use crate::token_bucket::TrafficClass;
-use crate::{Identity, anti_entropy};
-
-/// Members that learn of a suspicion and tell the suspect, on average.
-const ANNOUNCE_SUSPECT: f64 = 8.0;
-
-impl Members {
-    pub(super) fn receive_swim(&mut self, number: u64, message: &[u8]) -> Result<(), DropReason> {
-        let (header, rest) = postcard::take_from_bytes::<Header<Identity>>(message)
-            .map_err(|_| DropReason::Unreadable)?;
-        self.replays
-            .accept(header.src.at, header.src.incarnation, number)?;
-        self.refuse_beyond_bound(&header.src, rest)?;
-        self.last_heard = self.now;
-        let me = self.me();
-        let ours = header.dst.at == me.at;
-        if ours && header.dst.incarnation > me.incarnation {
-            self.rise_above(header.dst.incarnation);
+use crate::view::{State, View};
+use crate::vote::Votes;
+use crate::vote_broadcast::{SharedVotes, VoteHandler};
+
+/// Members, on average, that notify a suspect of a suspicion that they learn of.
+const SUSPECT_NOTIFIERS: f64 = 8.0;
+/// Periods between two announcements to members that should be present and aren't.
+const CONTACT_PERIODS: u32 = 2;
+/// A member that has received nothing for this many periods may be cut off itself.
+const MAX_SILENT_PERIODS: u32 = 2;
+/// A member that may be cut off itself declares nobody down until it has received nothing for this many suspicion timeouts:
+/// then it is alone and nobody receives its packets either, or the others have ended.
+const CUT_OFF_SUSPICIONS: u32 = 4;
+/// More updates than any packet contains.
+const MAX_UPDATES_PER_PACKET: usize = 1000;
+
+/// See the module's text.
+pub(super) struct Swim {
+    foca: Foca<Identity, PostcardCodec, ChaCha8Rng, VoteHandler>,
+    runtime: AccumulatingRuntime<Identity>,
+    /// Our own SWIM incarnation, as of the latest packet.
+    swim_incarnation: u16,
+    table: MemberTable,
+    /// `foca`'s state of the others may have changed since the table was refreshed.
+    table_is_stale: bool,
+    /// How long members had been down by those who reported them, until the table is refreshed.
+    reported_down: BTreeMap<SocketAddr, Duration>,
+    accusations: Accusations,
+    /// When a packet of the fleet arrived last.
+    last_received: Time,
+    /// Changes of which members are active.
+    active_changes: u64,
+}
+
+impl Swim {
+    pub(super) fn new(context: &Context, rng: ChaCha8Rng, votes: SharedVotes) -> Swim {
+        let settings = &context.settings;
+        let identity = Identity {
+            at: settings.at,
+            incarnation: context.now_ms(),
+            name: settings.name.clone(),
+        };
+        let config = settings.foca_config();
+        let handler = VoteHandler(votes);
+        Swim {
+            foca: Foca::with_custom_broadcast(identity, config, rng, PostcardCodec, handler),
+            runtime: AccumulatingRuntime::new(),
+            swim_incarnation: 0,
+            table: MemberTable::default(),
+            table_is_stale: false,
+            reported_down: BTreeMap::new(),
+            accusations: Accusations::default(),
+            last_received: context.now,
+            active_changes: 0,
         }
-        let earlier =
-            ours && header.dst.incarnation != 0 && header.dst.incarnation < self.me().incarnation;
-        self.views_stale |= self.may_announce_changes(&header, rest);
-        let taken = self
-            .foca
-            .handle_data(message, &mut self.runtime)
-            .map_err(|_| DropReason::Unreadable);
-        // It speaks to an earlier incarnation of ours, so it doesn't know this one.
-        if earlier && self.token_bucket.allows(self.now, TrafficClass::Bulk) {
-            self.compare_with(header.src.at);
+    }
+
+    /// Ourselves, in our present incarnation.
+    pub(super) fn identity(&self) -> &Identity {
+        self.foca.identity()
+    }
+
+    pub(super) fn own_entry(&self) -> MemberEntry {
+        MemberEntry::alive(self.identity().clone(), self.swim_incarnation)
+    }
+
+    pub(super) fn table(&self) -> &MemberTable {
+        &self.table
+    }
+
+    pub(super) fn expire_announcements(&mut self, now: Time) {
+        self.table.expire_announcements(now);
+    }
+
+    /// A counter that grows with each change of which members are active.
+    pub(super) fn active_changes(&self) -> u64 {
+        self.active_changes
+    }
+
+    pub(super) fn random_peer(&self, rng: &mut ChaCha8Rng) -> Option<SocketAddr> {
+        let members = self.foca.num_members();
+        if members == 0 {
+            return None;
         }
-        taken
+        let index = rng.random_range(0..members);
+        let member = self.foca.iter_members().nth(index);
+        member.map(|member| member.id().at)
+    }
+
+    /// A packet of the fleet arrived.
+    pub(super) fn note_received(&mut self, now: Time) {
+        self.last_received = now;
     }
 
-    /// Our clock was set back between two incarnations, or our folder is another's: the others would hold what we say for
-    /// something of the past.
-    pub(super) fn rise_above(&mut self, incarnation: u64) {
+    /// Checks which incarnation of ours a packet is for. True if its sender doesn't know the present one yet.
+    pub(super) fn is_for_earlier_incarnation(
+        &mut self,
+        context: &mut Context,
+        destination: &Identity,
+    ) -> bool {
+        if destination.at != self.identity().at {
+            return false;
+        }
+        if destination.incarnation > self.identity().incarnation {
+            self.rise_above(context, destination.incarnation);
+        }
+        destination.incarnation != UNKNOWN_INCARNATION
+            && destination.incarnation < self.identity().incarnation
+    }
+
+    /// Takes an incarnation above one that others know of us. Our clock was set back between two starts, or our state folder is
+    /// another member's: the others would ignore our packets as those of an earlier incarnation.
+    fn rise_above(&mut self, context: &mut Context, incarnation: u64) {
         let incarnation = incarnation + 1;
         let risen = Identity {
             incarnation,
-            ..self.me().clone()
+            ..self.identity().clone()
         };
         if self.foca.change_identity(risen, &mut self.runtime).is_ok() {
-            self.effects.push(Effect::Rejoined { incarnation });
+            context.report(Effect::Rejoined { incarnation });
         }
     }
 
-    /// Whether a packet may change what we hold of anybody.
-    fn may_announce_changes(&self, header: &Header<Identity>, rest: &[u8]) -> bool {
-        let updates = rest
-            .first_chunk::<2>()
-            .is_some_and(|tally| *tally != [0, 0]);
-        let known = self.views.get(&header.src.at).is_some_and(|view| {
+    /// Has `foca` handle a packet's message, of which `rest` follows the header.
+    pub(super) fn handle_message(
+        &mut self,
+        header: &Header<Identity>,
+        rest: &[u8],
+        message: &[u8],
+    ) -> Result<(), DropReason> {
+        self.table_is_stale |= self.may_change_table(header, rest);
+        self.foca
+            .handle_data(message, &mut self.runtime)
+            .map_err(|_| DropReason::Unreadable)
+    }
+
+    /// Whether a packet may change our view of any member.
+    fn may_change_table(&self, header: &Header<Identity>, rest: &[u8]) -> bool {
+        let update_count = rest.first_chunk::<2>();
+        let has_updates = update_count.is_some_and(|count| *count != [0, 0]);
+        let is_known = self.table.get(&header.src.at).is_some_and(|view| {
             view.state == State::Alive
                 && view.member == header.src
                 && view.swim_incarnation >= header.src_incarnation
         });
-        updates || !known || matches!(header.message, Message::TurnUndead)
+        has_updates || !is_known || matches!(header.message, Message::TurnUndead)
     }
 
-    /// Drops a packet that would have us know more than the bound.
-    fn refuse_beyond_bound(&self, source: &Identity, rest: &[u8]) -> Result<(), DropReason> {
-        let held = self.foca.iter_membership_state().len();
-        // No packet tells of more than a thousand members.
-        if held + 1000 < MAX_MEMBERS {
+    /// Rejects a packet that would exceed the bound on known members.
+    pub(super) fn check_member_bound(
+        &self,
+        source: &Identity,
+        rest: &[u8],
+    ) -> Result<(), DropReason> {
+        let stored = self.foca.iter_membership_state().len();
+        if stored + MAX_UPDATES_PER_PACKET < MAX_MEMBERS {
             return Ok(());
         }
-        let Some((tally, mut rest)) = rest.split_first_chunk::<2>() else {
+        let Some((update_count, mut rest)) = rest.split_first_chunk::<2>() else {
             return Ok(());
         };
-        let mut unknown = usize::from(self.views.get(&source.at).is_none());
-        for _ in 0..u16::from_be_bytes(*tally) {
-            let (member, after) = postcard::take_from_bytes::<Member<Identity>>(rest)
+        let is_unknown = |member: &Identity| self.table.get(&member.at).is_none();
+        let mut unknown = usize::from(is_unknown(source));
+        for _ in 0..u16::from_be_bytes(*update_count) {
+            let (update, after) = postcard::take_from_bytes::<Member<Identity>>(rest)
                 .map_err(|_| DropReason::Unreadable)?;
-            unknown += usize::from(self.views.get(&member.id().at).is_none());
+            unknown += usize::from(is_unknown(update.id()));
             rest = after;
         }
-        if held + unknown > MAX_MEMBERS && unknown > 0 {
-            Err(DropReason::TooMany)
-        } else {
-            Ok(())
+        if unknown > 0 && stored + unknown > MAX_MEMBERS {
+            return Err(DropReason::TooMany);
+        }
+        Ok(())
+    }
+
+    /// Whether to answer a member's anti-entropy messages. One that isn't known yet is added.
+    pub(super) fn admit(&mut self, from: &Identity) -> bool {
+        match self.table.get(&from.at) {
+            Some(view) if view.member.incarnation > from.incarnation => return false,
+            Some(view) if view.member.incarnation == from.incarnation => {
+                return view.state.is_active();
+            }
+            None if self.table.len() >= MAX_MEMBERS => return false,
+            Some(_) | None => {}
         }
+        self.table_is_stale = true;
+        let member = Member::alive(from.clone());
+        self.foca
+            .apply_many(std::iter::once(member), true, &mut self.runtime)
+            .is_ok()
     }
 
-    pub(super) fn swim_due(&mut self, timer: Timer<Identity>) {
-        if self.is_over(&timer) {
+    /// Applies the newer ones of another member's entries. True if there are any: the table must be refreshed.
+    pub(super) fn apply_entries(&mut self, context: &mut Context, entries: &[MemberEntry]) -> bool {
+        let me = self.identity().clone();
+        let mut updates = Vec::new();
+        let mut known = self.table.len();
+        for entry in entries {
+            if entry.member.at == me.at && entry.member.incarnation > me.incarnation {
+                self.rise_above(context, entry.member.incarnation);
+                continue;
+            }
+            if !self.is_news(entry, &me, &mut known)
+                || entry.is_down() && entry.down_for() >= MAX_DOWN_ANNOUNCEMENT
+            {
+                continue;
+            }
+            self.reported_down.insert(entry.member.at, entry.down_for());
+            updates.push(entry.to_foca());
+        }
+        if updates.is_empty() {
+            return false;
+        }
+        self.table_is_stale = true;
+        // Not gossiped: members that lack an update find out by their own comparisons.
+        let _ = self
+            .foca
+            .apply_many(updates.into_iter(), false, &mut self.runtime);
+        self.drain(context);
+        true
+    }
+
+    /// Whether an entry is newer than our view; `known` counts the members that would be known with it.
+    fn is_news(&self, entry: &MemberEntry, me: &Identity, known: &mut usize) -> bool {
+        if entry.member.at == me.at {
+            return entry.member.incarnation == me.incarnation && !entry.is_alive();
+        }
+        if let Some(view) = self.table.get(&entry.member.at) {
+            return MemberEntry::of(view, Duration::ZERO).rank() < entry.rank();
+        }
+        *known += 1;
+        *known <= MAX_MEMBERS
+    }
+
+    pub(super) fn on_timer(&mut self, context: &mut Context, timer: Timer<Identity>) {
+        if self.is_refuted(&timer) {
             return;
         }
-        if matches!(timer, Timer::ChangeSuspectToDown { .. }) && self.is_deaf() {
-            return self.at(self.now + self.set.period, Due::Swim(timer));
+        if matches!(timer, Timer::ChangeSuspectToDown { .. }) && self.may_be_cut_off(context) {
+            let retry_at = context.now + context.settings.period;
+            context
+                .timers
+                .schedule(retry_at, context::Timer::Swim(timer));
+            return;
         }
-        self.views_stale |= !matches!(timer, Timer::SendIndirectProbe { .. });
-        // Its errors tell of timers out of order, from which it recovers by itself.
+        self.table_is_stale |= !matches!(timer, Timer::SendIndirectProbe { .. });
+        // Its errors report timers out of order, from which it recovers by itself.
         let _ = self.foca.handle_timer(timer, &mut self.runtime);
-        self.drain_runtime();
+        self.drain(context);
     }
 
-    /// A suspicion that was refuted. `foca` 2.0 leaves such a member alive but tells it all the same that it is down, upon
-    /// which it would come back under another incarnation for nothing.
-    fn is_over(&self, timer: &Timer<Identity>) -> bool {
+    /// Whether a timer is for a suspicion that was refuted. `foca` 2.0 leaves such a member alive but notifies it all the same
+    /// that it is down, so that it would rejoin in another incarnation for nothing.
+    fn is_refuted(&self, timer: &Timer<Identity>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
-            incarnation: swim_incarnation,
+            incarnation,
             ..
         } = timer
         else {
             return false;
         };
-        !self.foca.iter_membership_state().any(|m| {
-            m.id() == member_id
-                && m.incarnation() == *swim_incarnation
-                && m.state() == foca::State::Suspect
-        })
+        let is_suspect = self.foca.iter_membership_state().any(|member| {
+            member.id() == member_id
+                && member.incarnation() == *incarnation
+                && member.state() == foca::State::Suspect
+        });
+        !is_suspect
     }
 
-    /// Whether it may well be us who are cut off. One whose ears alone are cut would else have its accusations believed.
-    fn is_deaf(&self) -> bool {
-        let silence = self.now - self.last_heard;
-        silence > self.set.period * 2 && silence < self.set.suspicion() * DEAF_SUSPICIONS
+    /// Whether it may be us who are cut off. The others would believe a member that can send but not receive.
+    fn may_be_cut_off(&self, context: &Context) -> bool {
+        let silence = context.now - self.last_received;
+        let settings = &context.settings;
+        silence > settings.period * MAX_SILENT_PERIODS
+            && silence < settings.suspicion() * CUT_OFF_SUSPICIONS
     }
 
-    pub(super) fn gossip_due(&mut self) {
-        let some = self.foca.updates_backlog() + self.foca.custom_broadcast_backlog() > 0;
-        if some && self.token_bucket.allows(self.now, TrafficClass::Gossip) {
-            let _ = self.foca.gossip(&mut self.runtime);
-            self.drain_runtime();
+    /// Sends a round of gossip if there are updates, and schedules the next one.
+    pub(super) fn on_gossip_timer(&mut self, context: &mut Context) {
+        let backlog = self.foca.updates_backlog() + self.foca.custom_broadcast_backlog();
+        if backlog > 0 && context.may_send(TrafficClass::Gossip) {
+            self.gossip();
+            self.drain(context);
         }
-        self.at(self.now + self.set.period / GOSSIPS_PER_PERIOD, Due::Gossip);
+        let next = context.now + context.settings.period / GOSSIP_ROUNDS_PER_PERIOD;
+        context.timers.schedule(next, context::Timer::Gossip);
     }
 
-    /// Speaks to one who should be there and is not: a seed not met yet, or a member that is down and may be back, or was
-    /// only out of sight.
-    pub(super) fn contact_absent(&mut self) {
-        let me = self.me().at;
-        let down = self
-            .views
-            .iter()
-            .filter(|v| !v.state.is_active())
-            .map(|v| v.member.clone());
-        let seeds = self
-            .set
+    /// Prepares a round of gossip, whatever the byte limit; [`Swim::drain`] sends it.
+    pub(super) fn gossip(&mut self) {
+        // Fails only if our own identity could not be encoded.
+        let _ = self.foca.gossip(&mut self.runtime);
+    }
+
+    /// Has a vote spread with the gossip.
+    pub(super) fn broadcast(&mut self, vote: &[u8]) {
+        // Fails only if the vote is too long for a packet, which its bounds exclude.
+        let _ = self.foca.add_broadcast(vote);
+    }
+
+    /// Announces ourselves to members that should be present and aren't: seeds that we haven't met yet, and down members, which
+    /// may have returned or were only out of reach.
+    pub(super) fn on_contact_timer(&mut self, context: &mut Context) {
+        let mut absent = self.absent_members(context);
+        // A member that is alone contacts several, and more often.
+        let is_alone = self.foca.num_members() == 0;
+        let (contacts, periods) = if is_alone {
+            (FANOUT.get(), 1)
+        } else {
+            (1, CONTACT_PERIODS)
+        };
+        for _ in 0..contacts.min(absent.len()) {
+            let member = absent.swap_remove(context.rng.random_range(0..absent.len()));
+            // Fails only if our own identity could not be encoded.
+            let _ = self.foca.announce(member, &mut self.runtime);
+        }
+        // With jitter: after a mass restart all members would contact the seeds at once.
+        let delay = context.settings.period * periods;
+        context.schedule_with_jitter(delay, context::Timer::ContactAbsent);
+    }
+
+    fn absent_members(&self, context: &Context) -> Vec<Identity> {
+        let own_address = self.identity().at;
+        let down = self.table.down().map(|(_, view)| view.member.clone());
+        let unknown_seeds = context
+            .settings
             .seeds
             .iter()
-            .filter(|at| self.views.get(at).is_none());
-        let mut absent: Vec<Identity> =
-            down.chain(seeds.map(|at| Identity::unknown(*at))).collect();
-        absent.retain(|m| m.at != me);
-        // Alone, it is worth asking more of them.
-        let alone = self.foca.num_members() == 0;
-        for _ in 0..if alone { FANOUT.get() } else { 1 } {
-            if absent.is_empty() {
-                break;
-            }
-            let one = absent.swap_remove(self.rng.random_range(0..absent.len()));
-            // Fails only if we could not be written down ourselves.
-            let _ = self.foca.announce(one, &mut self.runtime);
-        }
-        // Not all at the same moment: after a mass restart the seeds would be asked by everybody at once.
-        self.after(
-            self.set.period * if alone { 1 } else { CALL_PERIODS },
-            Due::Call,
-        );
+            .filter(|seed| self.table.get(seed).is_none())
+            .map(|seed| Identity::unknown(*seed));
+        down.chain(unknown_seeds)
+            .filter(|member| member.at != own_address)
+            .collect()
     }
 
-    pub(super) fn leave(&mut self) {
-        self.cast_vote(true);
-        self.broadcast_vote();
-        // Each goes to three members chosen anew: all must be lost for our end to look like a failure.
+    /// Announces our end.
+    pub(super) fn leave(&mut self, context: &mut Context) {
+        // Each round goes to newly chosen members: all must be lost for our end to look like a failure.
         for _ in 0..FANOUT.get() {
-            let _ = self.foca.gossip(&mut self.runtime);
+            self.gossip();
         }
         let _ = self.foca.leave_cluster(&mut self.runtime);
-        self.drain_runtime();
-        self.left = true;
-        self.timers.clear();
+        self.drain(context);
     }
 
-    /// Takes what `foca` asked for.
-    pub(super) fn drain_runtime(&mut self) {
+    /// Carries out what `foca` requested: packets, timers and notifications.
+    pub(super) fn drain(&mut self, context: &mut Context) {
         while let Some((to, message)) = self.runtime.to_send() {
             let header = postcard::take_from_bytes::<Header<Identity>>(&message);
             let Ok((header, _)) = header else { continue };
             self.swim_incarnation = header.src_incarnation;
-            // A list is worth no more than what the exchange brings; whoever asked for it is known to us by now.
-            let list = header.message == Message::Feed;
-            if !list || self.token_bucket.allows(self.now, TrafficClass::Bulk) {
-                self.seal(Kind::Swim, to.at, &message);
+            // A list of members may be left out: its receiver is known to us by now, and gets the same by anti-entropy.
+            let is_list = header.message == Message::Feed;
+            if !is_list || context.may_send(TrafficClass::Bulk) {
+                context.send(Kind::Swim, to.at, &message);
             }
         }
-        while let Some((after, timer)) = self.runtime.to_schedule() {
+        while let Some((delay, timer)) = self.runtime.to_schedule() {
             if let Timer::ChangeSuspectToDown {
                 member_id,
-                incarnation: swim_incarnation,
+                incarnation,
                 ..
             } = &timer
             {
-                self.accused.insert(member_id.at, *swim_incarnation);
+                self.accusations.add(member_id.at, *incarnation);
             }
-            self.at(self.now + after, Due::Swim(timer));
+            let at = context.now + delay;
+            context.timers.schedule(at, context::Timer::Swim(timer));
         }
         while let Some(notification) = self.runtime.to_notify() {
-            self.views_stale = true;
+            self.table_is_stale = true;
             if let OwnedNotification::Rejoin(me) = notification {
-                self.effects.push(Effect::Rejoined {
+                context.report(Effect::Rejoined {
                     incarnation: me.incarnation,
                 });
             }
         }
     }
 
-    /// Compares the views with what `foca` holds, if that may have changed.
-    pub(super) fn refresh_views(&mut self) {
-        if !std::mem::take(&mut self.views_stale) {
-            return;
-        }
-        let changed = self.changed_views();
-        let forgotten = self.foca.iter_membership_state().len() < self.views.len();
-        if changed.is_empty() && !forgotten {
-            self.down_for.clear();
-            return;
+    /// Updates the table from `foca`'s state, if that may have changed. True if the table has changed.
+    pub(super) fn refresh_table(&mut self, context: &mut Context, votes: &Votes) -> bool {
+        if !std::mem::take(&mut self.table_is_stale) {
+            return false;
         }
-        for (view, quiet) in changed {
-            let down_for = self
-                .down_for
-                .get(&view.member.at)
-                .copied()
-                .unwrap_or_default();
-            if !quiet {
-                self.note_change(&view);
+        let reported_down = std::mem::take(&mut self.reported_down);
+        let changes = self.changed_views(context.now, votes);
+        let has_forgotten = self.foca.iter_membership_state().len() < self.table.len();
+        for ViewChange { view, is_news } in changes.iter().cloned() {
+            if is_news {
+                self.report_change(context, &view);
             }
-            self.views.set(self.now, view, down_for);
+            let down_for = reported_down.get(&view.member.at).copied();
+            self.table
+                .update(context.now, view, down_for.unwrap_or_default());
         }
-        self.down_for.clear();
-        if forgotten {
-            self.forget_removed();
+        if has_forgotten {
+            self.remove_forgotten();
         }
-        self.recount();
-        self.look_at_down();
+        has_forgotten || !changes.is_empty()
     }
 
-    /// Views that are no longer what `foca` holds; true where only the incarnation differs.
-    fn changed_views(&self) -> Vec<(View, bool)> {
-        let votes = super::lock(&self.votes);
-        let me = self.me().at;
-        let mut changed = Vec::new();
-        for member in self
-            .foca
+    fn changed_views(&self, now: Time, votes: &Votes) -> Vec<ViewChange> {
+        let own_address = self.identity().at;
+        self.foca
             .iter_membership_state()
-            .filter(|m| m.id().at != me)
-        {
-            let (id, swim_incarnation) = (member.id(), member.incarnation());
-            let before = self
-                .views
-                .get(&id.at)
-                .filter(|v| v.member.incarnation == id.incarnation);
-            let left = || {
-                before.is_some_and(|v| v.state == State::Left)
-                    || votes
-                        .get(crate::digest::identity_hash(id))
-                        .is_some_and(|vote| vote.leaves)
-            };
-            let state = match member.state() {
-                foca::State::Alive => State::Alive,
-                foca::State::Suspect => State::Suspect,
-                foca::State::Down if left() => State::Left,
-                foca::State::Down => State::Down,
-            };
-            let quiet = before.is_some_and(|v| v.state == state);
-            if before
-                .is_some_and(|v| quiet && v.swim_incarnation == swim_incarnation && v.member == *id)
-            {
-                continue;
-            }
-            let since = before.filter(|_| quiet).map_or(self.now, |v| v.since);
-            changed.push((
-                View {
-                    member: id.clone(),
-                    swim_incarnation,
-                    state,
-                    since,
-                },
-                quiet,
-            ));
-        }
-        changed
+            .filter(|member| member.id().at != own_address)
+            .filter_map(|member| changed_view(now, &self.table, votes, member))
+            .collect()
     }
 
-    fn note_change(&mut self, view: &View) {
-        let before = self.views.get(&view.member.at);
-        let same = before.is_some_and(|b| {
-            b.member.incarnation == view.member.incarnation
-                && b.state.is_active() == view.state.is_active()
+    fn report_change(&mut self, context: &mut Context, view: &View) {
+        let previous = self.table.get(&view.member.at);
+        let is_same = previous.is_some_and(|previous| {
+            previous.member.incarnation == view.member.incarnation
+                && previous.state.is_active() == view.state.is_active()
         });
-        self.active_changes += u64::from(!same);
-        let before = before.map(|v| v.state);
-        self.effects.push(Effect::Changed {
+        self.active_changes += u64::from(!is_same);
+        context.report(Effect::Changed {
             view: view.clone(),
-            before,
+            before: previous.map(|previous| previous.state),
         });
         if view.state != State::Suspect {
-            self.accused.remove(&view.member.at);
+            self.accusations.remove(&view.member.at);
             return;
         }
-        let share = ANNOUNCE_SUSPECT / (self.views.len().max(1) as f64);
-        if self.rng.random_bool(share.min(1.0)) {
-            self.announce_suspect(view.clone());
+        let probability = SUSPECT_NOTIFIERS / (self.table.len().max(1) as f64);
+        if context.rng.random_bool(probability.min(1.0)) {
+            self.notify_suspect(context, view);
         }
     }
 
-    fn forget_removed(&mut self) {
-        let held: std::collections::BTreeSet<_> = self
+    fn remove_forgotten(&mut self) {
+        let stored: BTreeSet<SocketAddr> = self
             .foca
             .iter_membership_state()
-            .map(|m| m.id().at)
+            .map(|member| member.id().at)
             .collect();
-        let removed: Vec<_> = self
-            .views
+        let forgotten: Vec<SocketAddr> = self
+            .table
             .iter()
-            .map(|v| v.member.at)
-            .filter(|at| !held.contains(at))
+            .map(|view| view.member.at)
+            .filter(|address| !stored.contains(address))
             .collect();
-        removed.iter().for_each(|at| self.views.remove(at));
+        for address in &forgotten {
+            self.table.remove(address);
+        }
     }
 
-    /// Tells those whom our own probes missed that they are suspected, as long as they are.
-    pub(super) fn notify_accused(&mut self) {
-        let suspect = |view: &&View| {
-            view.state == State::Suspect
-                && self.accused.get(&view.member.at) == Some(&view.swim_incarnation)
-        };
-        let accused = self.accused.keys().filter_map(|at| self.views.get(at));
-        let suspects: Vec<View> = accused.filter(suspect).cloned().collect();
-        self.accused
-            .retain(|at, _| suspects.iter().any(|v| v.member.at == *at));
-        suspects
-            .into_iter()
-            .for_each(|view| self.announce_suspect(view));
-    }
-
-    fn announce_suspect(&mut self, view: View) {
-        let to = view.member.at;
-        let row = MemberEntry {
-            member: view.member,
-            swim_incarnation: view.swim_incarnation,
-            state: 1,
-            down_for: 0,
-        };
+    /// Notifies those whom our own probes missed of the suspicion, as long as they are suspects.
+    pub(super) fn notify_accused(&mut self, context: &mut Context) {
+        for view in self.accusations.retain_pending(&self.table) {
+            self.notify_suspect(context, &view);
+        }
+    }
+
+    /// Sends a suspect its own entry, so that it can refute the suspicion.
+    fn notify_suspect(&self, context: &mut Context, view: &View) {
         let entries = anti_entropy::Entries {
-            members: vec![row],
-            ..Default::default()
+            members: vec![MemberEntry::of(view, Duration::ZERO)],
+            ..anti_entropy::Entries::default()
         };
-        self.send_exchange(to, &anti_entropy::Message::Entries(entries));
+        let message = anti_entropy::Message::Entries(entries);
+        context.send_anti_entropy(self.identity(), view.member.at, &message);
     }
 }
-
-/// How long a row's member has been down.
-pub(super) fn down_for(row: &MemberEntry) -> Duration {
-    Duration::from_secs(u64::from(row.down_for))
-}
--- a/crates/membership/src/quota.rs
+++ b/crates/membership/src/quota.rs
@@ -1,8 +1,9 @@
-//! How many senders a shared limit must be divided by. Safety first: nobody takes more because others are out of sight.
+//! By how many senders a shared limit must be divided. The division errs on the safe side: a sender's quota doesn't grow because
+//! other senders are out of reach.
 //!
-//! A member frees its part only once it is *evicted*: held to be down by a majority of all known members, without a
-//! break for the whole eviction delay. The dead count in the whole and have no vote, so a minority that is cut off evicts
-//! nobody.
+//! A member's quota becomes free only once the member is *evicted*: held to be down by a majority of all known members, without
+//! interruption for the whole eviction delay. Down members count in the total and have no vote, so a minority that is cut off
+//! evicts nobody.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,149 +12,168 @@
 use cranehill_scheduler::Time;
 
 use crate::digest::ShortHash;
-use crate::member_table::{MAX_MEMBERS, MemberTable, State, View};
-use crate::vote::{DownSets, Votes};
+use crate::down_sets::DownSets;
+use crate::member_table::{MAX_MEMBERS, MemberTable};
+use crate::view::{State, View};
+use crate::vote::Votes;
 
-/// After SIGTERM a sender ends within 3.4 s; half a second is for the message to spread.
-pub const LEAVE_EVICTION_DELAY: Duration = Duration::from_secs(4);
+/// The greatest eviction delay of a member that announced its end. It ends within 3.4 s after SIGTERM; half a second is for the
+/// announcement to spread.
+pub const MAX_LEAVE_EVICTION_DELAY: Duration = Duration::from_secs(4);
 
 #[derive(Debug)]
-struct Known {
+struct TrackedMember {
     incarnation: u64,
-    /// Since when a majority holds it to be down.
-    agreed: Option<Time>,
+    /// Since when a majority has held the member to be down.
+    majority_since: Option<Time>,
     evicted: bool,
 }
 
-/// See the module's text.
+/// Computes the quota divisor from the member table and the votes.
 #[derive(Debug)]
 pub struct QuotaDivisor {
     configured: u32,
     eviction_delay: Option<Duration>,
-    known: BTreeMap<SocketAddr, Known>,
+    /// The members that have a quota in our view, evicted ones included.
+    tracked: BTreeMap<SocketAddr, TrackedMember>,
 }
 
 impl QuotaDivisor {
-    /// `configured`: the number of members by the settings. `eviction_delay`: how long a majority must agree; `None` for
+    /// `configured` is the number of members by the settings; `eviction_delay` is how long a majority must agree, `None` for
     /// ever.
     pub fn new(configured: u32, eviction_delay: Option<Duration>) -> QuotaDivisor {
         QuotaDivisor {
             configured: configured.max(1),
             eviction_delay,
-            known: BTreeMap::new(),
+            tracked: BTreeMap::new(),
         }
     }
 
-    /// Takes in the present view of the others, and tells the number of senders to leave room for, ourselves included.
-    /// It must be called whenever a view or a vote has changed.
+    /// The number of senders to divide shared limits by, ourselves included. Call it whenever the table or a vote has changed.
     pub fn update(
         &mut self,
         now: Time,
-        views: &MemberTable,
+        table: &MemberTable,
         votes: &Votes,
         sets: &DownSets,
     ) -> u32 {
-        views.iter().for_each(|view| self.track(view));
-        let down = || views.named().filter(|(_, view)| !view.state.is_active());
-        let undecided =
-            down().any(|(_, v)| self.known.get(&v.member.at).is_some_and(|k| !k.evicted));
-        // Counting is for those alone whose part is not free yet.
-        let tally = if undecided {
-            Tally::of(views, votes, sets)
-        } else {
-            Tally::default()
-        };
-        let whole = self.whole();
-        for (name, view) in down() {
-            let Some(known) = self.known.get_mut(&view.member.at).filter(|k| !k.evicted) else {
-                continue;
-            };
-            if !is_majority(1 + tally.votes_against(name), whole) {
-                known.agreed = None;
-                continue;
-            }
-            let since = *known.agreed.get_or_insert(now);
-            let delay = match view.state {
-                State::Left => Some(
-                    self.eviction_delay
-                        .unwrap_or(LEAVE_EVICTION_DELAY)
-                        .min(LEAVE_EVICTION_DELAY),
-                ),
-                _ => self.eviction_delay,
-            };
-            known.evicted = delay.is_some_and(|delay| now - since >= delay);
+        for view in table.iter() {
+            self.track(view);
         }
-        // Whom nobody speaks of any more: a part that was freed falls back to the settings.
-        self.known
-            .retain(|at, known| !known.evicted || views.get(at).is_some());
+        self.evict(now, table, votes, sets);
+        // An evicted member that is no longer in the table is covered by the configured number again.
+        self.tracked
+            .retain(|address, tracked| !tracked.evicted || table.get(address).is_some());
         let evicted = self.evicted() as u32;
-        let present = 1 + self.known.len() as u32 - evicted;
+        let present = 1 + self.tracked.len() as u32 - evicted;
         self.configured.saturating_sub(evicted).max(present)
     }
 
     fn track(&mut self, view: &View) {
-        let (active, incarnation) = (view.state.is_active(), view.member.incarnation);
-        let full = self.known.len() >= MAX_MEMBERS;
-        let fresh = Known {
+        let is_active = view.state.is_active();
+        let incarnation = view.member.incarnation;
+        let is_full = self.tracked.len() >= MAX_MEMBERS;
+        let unevicted = TrackedMember {
             incarnation,
-            agreed: None,
+            majority_since: None,
             evicted: false,
         };
-        match self.known.get_mut(&view.member.at) {
-            Some(known) if active || known.incarnation != incarnation => *known = fresh,
+        match self.tracked.get_mut(&view.member.at) {
+            Some(tracked) if is_active || tracked.incarnation != incarnation => {
+                *tracked = unevicted;
+            }
             Some(_) => {}
-            // Down since before we knew it: nothing was ever left to it by us but by the settings.
-            None if !active || full => {}
+            // A member that was down before we knew it has no quota besides the configured ones.
+            None if !is_active || is_full => {}
             None => {
-                self.known.insert(view.member.at, fresh);
+                self.tracked.insert(view.member.at, unevicted);
+            }
+        }
+    }
+
+    /// Evicts the members that a majority has held to be down for the whole delay.
+    fn evict(&mut self, now: Time, table: &MemberTable, votes: &Votes, sets: &DownSets) {
+        let is_undecided = |view: &View| {
+            let tracked = self.tracked.get(&view.member.at);
+            tracked.is_some_and(|tracked| !tracked.evicted)
+        };
+        if !table.down().any(|(_, view)| is_undecided(view)) {
+            return;
+        }
+        let tally = Tally::of(table, votes, sets);
+        let electorate = self.electorate();
+        for (hash, view) in table.down() {
+            let delay = self.eviction_delay_of(view.state);
+            let Some(tracked) = self.tracked.get_mut(&view.member.at) else {
+                continue;
+            };
+            if tracked.evicted {
+                continue;
+            }
+            // Our own vote counts in addition to the others'.
+            if !is_majority(1 + tally.votes_against(hash), electorate) {
+                tracked.majority_since = None;
+                continue;
+            }
+            let since = *tracked.majority_since.get_or_insert(now);
+            tracked.evicted = delay.is_some_and(|delay| now - since >= delay);
+        }
+    }
+
+    fn eviction_delay_of(&self, state: State) -> Option<Duration> {
+        match state {
+            State::Left => {
+                let delay = self.eviction_delay.unwrap_or(MAX_LEAVE_EVICTION_DELAY);
+                Some(delay.min(MAX_LEAVE_EVICTION_DELAY))
             }
+            State::Alive | State::Suspect | State::Down => self.eviction_delay,
         }
     }
 
     fn evicted(&self) -> usize {
-        self.known.values().filter(|k| k.evicted).count()
+        self.tracked
+            .values()
+            .filter(|tracked| tracked.evicted)
+            .count()
     }
 
-    /// All members of whom a majority is needed. One that has just started knows few: a majority of these may be a
-    /// minority of the fleet.
-    fn whole(&self) -> usize {
+    /// The number of members of which a majority is needed. A member that has just started knows few others, and a majority of
+    /// these may be a minority of the fleet; so the number is at least the configured one.
+    fn electorate(&self) -> usize {
         let evicted = self.evicted();
-        (1 + self.known.len() - evicted).max((self.configured as usize).saturating_sub(evicted))
+        let known = 1 + self.tracked.len() - evicted;
+        known.max((self.configured as usize).saturating_sub(evicted))
     }
 }
 
-/// More than half of all, of those who have no vote too.
-fn is_majority(votes: usize, whole: usize) -> bool {
-    votes * 2 > whole
+fn is_majority(votes: usize, electorate: usize) -> bool {
+    votes * 2 > electorate
 }
 
-/// How many active members named each set.
-#[derive(Default)]
+/// How many active members voted for each set.
 struct Tally<'a> {
     sets: Vec<(&'a BTreeSet<ShortHash>, usize)>,
 }
 
 impl<'a> Tally<'a> {
-    fn of(views: &MemberTable, votes: &Votes, sets: &'a DownSets) -> Tally<'a> {
+    fn of(table: &MemberTable, votes: &Votes, sets: &'a DownSets) -> Tally<'a> {
         let mut counts: BTreeMap<ShortHash, usize> = BTreeMap::new();
-        for (name, _) in views.named().filter(|(_, view)| view.state.is_active()) {
-            if let Some(set) = votes.get(name).and_then(|vote| vote.down) {
+        for (hash, _) in table.active() {
+            if let Some(set) = votes.get(hash).and_then(|vote| vote.down) {
                 *counts.entry(set).or_default() += 1;
             }
         }
+        let stored = |(set, count)| Some((sets.get(set)?, count));
         Tally {
-            sets: counts
-                .into_iter()
-                .filter_map(|(set, n)| Some((sets.get(set)?, n)))
-                .collect(),
+            sets: counts.into_iter().filter_map(stored).collect(),
         }
     }
 
-    fn votes_against(&self, name: ShortHash) -> usize {
+    fn votes_against(&self, member: ShortHash) -> usize {
         self.sets
             .iter()
-            .filter(|(set, _)| set.contains(&name))
-            .map(|(_, n)| n)
+            .filter(|(set, _)| set.contains(&member))
+            .map(|(_, count)| count)
             .sum()
     }
 }
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -1,61 +1,71 @@
-//! Packets as they travel. Each is signed under the fleet's key, says when it was sent, and is accepted once.
+//! The format of packets. Each packet is authenticated with the fleet's key, has its time of sending, and is accepted once
+//! (`replay.rs`).
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 2 | `CM` |
 //! | 1 | format, 2 |
-//! | 8 | sent at, milliseconds since 1970, little-endian |
-//! | 8 | number, one more with each packet of a process, little-endian |
-//! | 1 | kind: 0 SWIM, 1 a request for what is learned, 2 its reply, 3 an exchange of state |
+//! | 8 | time of sending, milliseconds since 1970, little-endian |
+//! | 8 | packet number, one more with each packet of a process, little-endian |
+//! | 1 | kind: 0 SWIM, 1 a request for learned state, 2 its reply, 3 anti-entropy |
 //! | n | the message |
-//! | 16 | the first half of the BLAKE3 keyed hash of all that stands before |
+//! | 16 | the first half of the BLAKE3 keyed hash of all bytes before |
 
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
+/// The fleet's key: a process that has it is a member.
+pub type Key = [u8; 32];
 
-use crate::Key;
-
-/// Grows with each change of what packets say; members of different formats don't hear each other.
+/// Grows with each change of the packets' contents; members ignore packets of other formats.
 pub const FORMAT: u8 = 2;
 const MAGIC: [u8; 3] = [b'C', b'M', FORMAT];
-const HEADER_BYTES: usize = MAGIC.len() + 17;
-const TAG: usize = 16;
-/// Bytes of a packet, at most: no network in use splits it (RFC 8085, section 3.2).
+const SENT_AT: usize = MAGIC.len();
+const NUMBER_AT: usize = SENT_AT + size_of::<u64>();
+const KIND_AT: usize = NUMBER_AT + size_of::<u64>();
+const HEADER_BYTES: usize = KIND_AT + 1;
+const TAG_BYTES: usize = 16;
+/// Bytes of a packet: no network in use fragments it (RFC 8085, section 3.2).
 pub const MAX_PACKET: usize = 1400;
-/// What sealing adds to a message.
-pub const OVERHEAD: usize = HEADER_BYTES + TAG;
-/// Numbers below the highest seen of which it is known whether they came (as in RFC 6347, section 4.1.2.6).
-const REPLAY_WINDOW: u64 = 64;
-/// Senders whose numbers are kept, at most.
-const MAX_MEMBERS: usize = 4096;
+/// Bytes that sealing adds to a message.
+pub const OVERHEAD: usize = HEADER_BYTES + TAG_BYTES;
+/// Bytes of a message, so that it fits into a packet.
+pub(crate) const MAX_MESSAGE: usize = MAX_PACKET - OVERHEAD;
 
 /// Why a packet was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DropReason {
+    /// Shorter than the frame of a packet.
     #[error("too short for a packet of the fleet")]
     Short,
+    /// It doesn't begin like a packet of the fleet.
     #[error("not a packet of the fleet")]
     Foreign,
-    #[error("signed under another key, or changed on its way")]
+    /// Its authentication tag is wrong.
+    #[error("authenticated with another key, or changed on its way")]
     WrongKey,
+    /// Its time of sending differs too much from our clock.
     #[error("sent too long ago, or by a clock that differs too much")]
     Old,
+    /// A packet of this number was accepted before, or the number is too old to know.
     #[error("accepted before")]
     Replayed,
-    #[error("of an earlier generation of its sender")]
+    /// Its sender has been heard in a later incarnation.
+    #[error("of an earlier incarnation of its sender")]
     EarlierIncarnation,
+    /// It has another [`FORMAT`].
     #[error("of another format, so of a member of another version")]
     OtherVersion,
+    /// Longer than [`MAX_PACKET`].
     #[error("longer than any packet of the fleet")]
     TooLong,
-    #[error("of more members than are kept")]
+    /// It would exceed the bound on known members.
+    #[error("of more members than the member table may hold")]
     TooMany,
-    #[error("signed well, but not readable: a member of another version?")]
+    /// Authentic, but its message can't be decoded or has invalid values.
+    #[error("authentic, but not readable: a member of another version?")]
     Unreadable,
 }
 
 impl DropReason {
-    /// Its label in counters and logs.
+    /// The reason's name in counters and logs.
     pub fn label(self) -> &'static str {
         match self {
             DropReason::Short => "short",
@@ -72,45 +82,48 @@
     }
 }
 
-/// What a packet is for.
+/// The kind of a packet's message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    Swim,
-    /// Asks a member for what it has learned of destinations.
-    LearnedRequest,
-    /// Tells it.
-    LearnedReply,
-    /// Part of an exchange of state ([`crate::anti_entropy`]).
-    AntiEntropy,
+    /// A message of SWIM, encoded by `foca`.
+    Swim = 0,
+    /// A request for learned state of destinations.
+    LearnedRequest = 1,
+    /// A piece of learned state.
+    LearnedReply = 2,
+    /// A message of [`crate::anti_entropy`].
+    AntiEntropy = 3,
 }
 
 impl Kind {
-    fn of(byte: u8) -> Option<Kind> {
-        [
-            Kind::Swim,
-            Kind::LearnedRequest,
-            Kind::LearnedReply,
-            Kind::AntiEntropy,
-        ]
-        .into_iter()
-        .find(|k| *k as u8 == byte)
+    fn from_byte(byte: u8) -> Option<Kind> {
+        match byte {
+            0 => Some(Kind::Swim),
+            1 => Some(Kind::LearnedRequest),
+            2 => Some(Kind::LearnedReply),
+            3 => Some(Kind::AntiEntropy),
+            _ => None,
+        }
     }
 }
 
 /// An opened packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Opened<'a> {
+    /// The packet's number.
     pub number: u64,
+    /// The kind of its message.
     pub kind: Kind,
+    /// The encoded message.
     pub message: &'a [u8],
 }
 
-fn tag(key: &Key, bytes: &[u8]) -> [u8; TAG] {
+fn authentication_tag(key: &Key, bytes: &[u8]) -> [u8; TAG_BYTES] {
     let hash = blake3::keyed_hash(key, bytes);
     std::array::from_fn(|i| hash.as_bytes()[i])
 }
 
-/// Signs a message.
+/// Encodes and authenticates a packet; `sent_ms` is in milliseconds since 1970.
 pub fn seal(key: &Key, sent_ms: u64, number: u64, kind: Kind, message: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(message.len() + OVERHEAD);
     bytes.extend_from_slice(&MAGIC);
@@ -118,16 +131,16 @@
     bytes.extend_from_slice(&number.to_le_bytes());
     bytes.push(kind as u8);
     bytes.extend_from_slice(message);
-    let tag = tag(key, &bytes);
+    let tag = authentication_tag(key, &bytes);
     bytes.extend_from_slice(&tag);
     bytes
 }
 
-/// Checks a packet; `late_ms` is how far its time of sending may lie from `now_ms`, in either direction.
+/// Authenticates and decodes a packet. Its time of sending may differ from `now_ms` by `max_age_ms` in either direction.
 pub fn open<'a>(
     key: &Key,
     now_ms: u64,
-    late_ms: u64,
+    max_age_ms: u64,
     bytes: &'a [u8],
 ) -> Result<Opened<'a>, DropReason> {
     if bytes.len() < OVERHEAD {
@@ -139,83 +152,31 @@
     if bytes[2] != FORMAT {
         return Err(DropReason::OtherVersion);
     }
-    let (signed, theirs) = bytes.split_at(bytes.len() - TAG);
-    // Compared as hashes, which takes the same time wherever they differ.
-    let mut full = [0; 32];
-    full[..TAG].copy_from_slice(theirs);
-    let mut ours = [0; 32];
-    ours[..TAG].copy_from_slice(&tag(key, signed));
-    if blake3::Hash::from_bytes(full) != blake3::Hash::from_bytes(ours) {
+    let (signed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
+    if !is_same_tag(tag, &authentication_tag(key, signed)) {
         return Err(DropReason::WrongKey);
     }
-    let number = |at: usize| u64::from_le_bytes(std::array::from_fn(|i| signed[at + i]));
-    if number(MAGIC.len()).abs_diff(now_ms) > late_ms {
+    if read_u64(signed, SENT_AT).abs_diff(now_ms) > max_age_ms {
         return Err(DropReason::Old);
     }
-    let kind = Kind::of(signed[HEADER_BYTES - 1]).ok_or(DropReason::Unreadable)?;
+    let kind = Kind::from_byte(signed[KIND_AT]).ok_or(DropReason::Unreadable)?;
     Ok(Opened {
-        number: number(MAGIC.len() + 8),
+        number: read_u64(signed, NUMBER_AT),
         kind,
         message: &signed[HEADER_BYTES..],
     })
 }
 
-#[derive(Debug)]
-struct Window {
-    incarnation: u64,
-    highest: u64,
-    /// Bit k: the number `highest - k` has come.
-    came: u64,
+/// Compares tags in constant time, as BLAKE3 hashes are.
+fn is_same_tag(theirs: &[u8], ours: &[u8; TAG_BYTES]) -> bool {
+    let as_hash = |tag: &[u8]| {
+        let mut bytes = [0; 32];
+        bytes[..TAG_BYTES].copy_from_slice(tag);
+        blake3::Hash::from_bytes(bytes)
+    };
+    as_hash(theirs) == as_hash(ours)
 }
 
-/// Which packets have been accepted, by their senders' addresses.
-#[derive(Debug, Default)]
-pub struct ReplayFilter {
-    windows: BTreeMap<SocketAddr, Window>,
-}
-
-impl ReplayFilter {
-    /// Accepts a packet, once.
-    pub fn accept(
-        &mut self,
-        from: SocketAddr,
-        incarnation: u64,
-        number: u64,
-    ) -> Result<(), DropReason> {
-        // Addresses are bounded by who has the key; this bounds them all the same.
-        if !self.windows.contains_key(&from) && self.windows.len() >= MAX_MEMBERS {
-            self.windows.pop_first();
-        }
-        let fresh = Window {
-            incarnation,
-            highest: number,
-            came: 0,
-        };
-        let window = self.windows.entry(from).or_insert(fresh);
-        if incarnation < window.incarnation {
-            return Err(DropReason::EarlierIncarnation);
-        }
-        if incarnation > window.incarnation {
-            *window = Window {
-                incarnation,
-                highest: number,
-                came: 0,
-            };
-        }
-        if number > window.highest {
-            let ahead = number - window.highest;
-            window.came = if ahead < REPLAY_WINDOW {
-                window.came << ahead
-            } else {
-                0
-            };
-            window.highest = number;
-        }
-        let behind = window.highest - number;
-        if behind >= REPLAY_WINDOW || window.came & (1 << behind) != 0 {
-            return Err(DropReason::Replayed);
-        }
-        window.came |= 1 << behind;
-        Ok(())
-    }
+fn read_u64(bytes: &[u8], position: usize) -> u64 {
+    u64::from_le_bytes(std::array::from_fn(|i| bytes[position + i]))
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,67 +1,68 @@
-//! How a sender takes part, and what `foca` is told of it.
+//! How a sender takes part in the fleet, and `foca`'s configuration derived from it.
 
 use std::net::SocketAddr;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-use crate::seal::{MAX_PACKET, OVERHEAD};
+use crate::seal::{Key, MAX_MESSAGE};
 
-/// The fleet's key: who has it is a member.
-pub type Key = [u8; 32];
-
-/// What fits into a packet.
-pub(crate) const MAX_MESSAGE: usize = MAX_PACKET - OVERHEAD;
-/// Others that are asked to probe for us, and that a piece of gossip goes to. SWIM's paper gives 3 for most uses.
+/// Members that an indirect probe, a round of gossip or a request goes to. SWIM's paper gives 3 for most uses.
 pub(crate) const FANOUT: NonZeroUsize = NonZeroUsize::new(3).unwrap();
-/// Gossip goes out so many times a period while there is some: five rounds reach 3^5 members within one period.
-pub(crate) const GOSSIPS_PER_PERIOD: u32 = 5;
-/// A member that is down is kept for so long.
+/// Rounds of gossip in a period while there are updates: five rounds reach 3^5 members within one period.
+pub(crate) const GOSSIP_ROUNDS_PER_PERIOD: u32 = 5;
+/// How long `foca` keeps a member that is down.
 const DOWN_RETENTION: Duration = Duration::from_secs(3600);
-/// How often an update goes out from each member that has it, at most and at least. Of n members that each send it k times to
-/// random others, a share of e^-k misses it. In a small fleet that must not happen to a suspect (twelve times: e^-12); in a large
-/// one the exchange by digest repairs it, and k times n updates are what costs most.
-const TRANSMISSIONS: [u32; 2] = [12, 4];
-/// Transmissions times members, between these two.
-const TRANSMISSIONS_OF_ALL: u32 = 600;
+/// Times that a member passes on an update, at most. Of n members that each send an update k times to random others, a fraction
+/// of e^-k misses it. In a small fleet that must not happen to a suspect: e^-12.
+const MAX_TRANSMISSIONS: u32 = 12;
+/// Times that a member passes on an update, at least. In a large fleet anti-entropy repairs what was missed, and k times n
+/// transmissions are what costs most.
+const MIN_TRANSMISSIONS: u32 = 4;
+/// Transmissions of one update by all members together, between the two bounds above.
+const FLEET_TRANSMISSIONS: u32 = 600;
+/// The suspicion timeout in periods, before it is scaled by the size of the fleet.
+const SUSPICION_PERIODS: u32 = 4;
 
-/// How this sender takes part.
+/// How this sender takes part in the fleet.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// This member's name, for people.
     pub name: String,
-    /// Where the others reach us.
+    /// The UDP address that the other members reach us at.
     pub at: SocketAddr,
-    /// Whom to ask for the others.
+    /// Addresses of members to announce ourselves to.
     pub seeds: Vec<SocketAddr>,
+    /// The key that all packets of the fleet are authenticated with.
     pub key: Key,
-    /// Each period one other is probed.
+    /// The probe period: in each one, one other member is probed.
     pub period: Duration,
-    /// An answer that takes longer is asked for through others. Less than a period.
+    /// Without an answer for this long, a probe is repeated through other members. Less than a period.
     pub round_trip: Duration,
-    /// A suspected member has so long to refute it; `None` for four periods, and more from ten senders on.
+    /// How long a suspected member may refute the suspicion; `None` for the default of [`Settings::suspicion`].
     pub suspicion: Option<Duration>,
-    /// A majority must agree for so long before a member's part of a limit is free; `None` for ever.
+    /// How long a majority must agree that a member is down before it is evicted and its quota is free; `None` for never.
     pub eviction_delay: Option<Duration>,
-    /// A packet is dropped whose time of sending differs by more from ours.
+    /// A packet is dropped whose time of sending differs from our clock by more than this.
     pub max_packet_age: Duration,
-    /// Senders by the deployment's settings.
+    /// The number of senders by the deployment's settings, ourselves included.
     pub configured_members: u32,
 }
 
 impl Settings {
-    /// [`Settings::suspicion`], or what holds in its place: 4 log10(n) periods as in memberlist, four at least.
+    /// The suspicion timeout: as set, or 4 log10(n) periods as in memberlist, with at least four.
     pub fn suspicion(&self) -> Duration {
         let scale = f64::from(self.configured_members.max(1)).log10().max(1.0);
         self.suspicion
-            .unwrap_or_else(|| (self.period * 4).mul_f64(scale))
+            .unwrap_or_else(|| (self.period * SUSPICION_PERIODS).mul_f64(scale))
     }
 
     fn transmissions(&self) -> NonZeroU8 {
-        let [most, least] = TRANSMISSIONS;
-        let times = (TRANSMISSIONS_OF_ALL / self.configured_members.max(1)).clamp(least, most);
-        NonZeroU8::new(times as u8).unwrap_or(NonZeroU8::MIN)
+        let each = FLEET_TRANSMISSIONS / self.configured_members.max(1);
+        let each = each.clamp(MIN_TRANSMISSIONS, MAX_TRANSMISSIONS);
+        NonZeroU8::new(each as u8).unwrap_or(NonZeroU8::MIN)
     }
 
-    pub(crate) fn config(&self) -> foca::Config {
+    pub(crate) fn foca_config(&self) -> foca::Config {
         foca::Config {
             probe_period: self.period,
             probe_rtt: self.round_trip,
@@ -71,11 +72,11 @@
             remove_down_after: Some(DOWN_RETENTION),
             max_packet_size: NonZeroUsize::new(MAX_MESSAGE).unwrap_or(NonZeroUsize::MAX),
             notify_down_members: true,
-            // Ours: the exchange by digest.
+            // Replaced by anti-entropy.
             periodic_announce: None,
-            // Ours, since foca's rests while it knows of nobody alive.
+            // Replaced by `Swim::contact_absent`: foca's stops while no member is known to be alive.
             periodic_announce_to_down_members: None,
-            // Ours, at a bounded pace.
+            // Replaced by `Swim::gossip`, which keeps to the byte limit.
             periodic_gossip: None,
         }
     }
--- a/crates/membership/src/token_bucket.rs
+++ b/crates/membership/src/token_bucket.rs
@@ -1,64 +1,62 @@
-//! The bound on bytes that a member sends: a token bucket with a reserve for what can't wait.
+//! The limit on the bytes that a member sends: a token bucket with a reserve.
 
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
 
-/// What a packet is for, as far as its pace goes.
+/// The fraction of the burst that bulk traffic leaves to gossip.
+const BULK_RESERVE: f64 = 0.25;
+
+/// The priority of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TrafficClass {
-    /// Probes, their answers, refutations, messages to suspects and of leaving: never held back, always charged.
-    Urgent,
-    /// Gossip.
+pub(crate) enum TrafficClass {
+    /// Gossip: sent while there are tokens.
     Gossip,
-    /// Exchanges of state and lists of members: only while there is more than the reserve.
+    /// Anti-entropy and lists of members: sent while there are more tokens than the reserve.
     Bulk,
 }
 
-/// Tokens are bytes.
+/// A token bucket whose tokens are bytes. Probes, their answers, refutations, notifications of suspects and leaves are charged
+/// without being limited, so the bucket may be overdrawn.
 #[derive(Debug)]
-pub struct TokenBucket {
-    rate: f64,
+pub(crate) struct TokenBucket {
+    bytes_per_second: f64,
     burst: f64,
     tokens: f64,
-    filled: Time,
+    refilled_at: Time,
 }
 
-/// Share of the burst that bulk leaves to gossip.
-const RESERVE: f64 = 0.25;
-
 impl TokenBucket {
-    /// `rate`: bytes a second; `burst`: how long may be saved up.
-    pub fn new(rate: u32, burst: Duration, now: Time) -> TokenBucket {
-        let rate = f64::from(rate);
-        let burst = rate * burst.as_secs_f64();
+    /// A full bucket; `burst` is how long unused tokens add up.
+    pub(crate) fn new(bytes_per_second: u32, burst: Duration, now: Time) -> TokenBucket {
+        let bytes_per_second = f64::from(bytes_per_second);
+        let burst = bytes_per_second * burst.as_secs_f64();
         TokenBucket {
-            rate,
+            bytes_per_second,
             burst,
             tokens: burst,
-            filled: now,
+            refilled_at: now,
         }
     }
 
-    fn fill(&mut self, now: Time) {
-        let gained = self.rate * (now - self.filled).as_secs_f64();
-        self.tokens = (self.tokens + gained).min(self.burst);
-        self.filled = self.filled.max(now);
-    }
-
-    /// Whether packets of a class may be made now.
-    pub fn allows(&mut self, now: Time, class: TrafficClass) -> bool {
-        self.fill(now);
+    /// Whether a packet of a class may be sent now.
+    pub(crate) fn allows(&mut self, now: Time, class: TrafficClass) -> bool {
+        self.refill(now);
         match class {
-            TrafficClass::Urgent => true,
             TrafficClass::Gossip => self.tokens > 0.0,
-            TrafficClass::Bulk => self.tokens > self.burst * RESERVE,
+            TrafficClass::Bulk => self.tokens > self.burst * BULK_RESERVE,
         }
     }
 
-    /// A packet was sent. What urgent ones overdraw is paid back, up to one burst.
-    pub fn charge(&mut self, now: Time, bytes: usize) {
-        self.fill(now);
+    /// Charges a packet that was sent. The bucket is overdrawn by at most one burst.
+    pub(crate) fn charge(&mut self, now: Time, bytes: usize) {
+        self.refill(now);
         self.tokens = (self.tokens - bytes as f64).max(-self.burst);
     }
+
+    fn refill(&mut self, now: Time) {
+        let gained = self.bytes_per_second * (now - self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + gained).min(self.burst);
+        self.refilled_at = self.refilled_at.max(now);
+    }
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //! measures what membership costs.
 #![allow(dead_code)]
 
-pub mod traffic;
+pub(crate) mod traffic;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,66 +14,66 @@
 use rand_chacha::ChaCha8Rng;
 use traffic::Traffic;
 
-pub const KEY: Key = [7; 32];
-pub const START: Time = Time(1_700_000_000_000_000_000);
+pub(crate) const KEY: Key = [7; 32];
+pub(crate) const START: Time = Time(1_700_000_000_000_000_000);
 const FIRST_PORT: u16 = 7000;
 
-pub fn address(member: usize) -> SocketAddr {
+pub(crate) fn address(member: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + member as u16))
 }
 
-pub fn member_at(address: SocketAddr) -> usize {
+pub(crate) fn member_at(address: SocketAddr) -> usize {
     usize::from(address.port() - FIRST_PORT)
 }
 
-pub fn secs(s: f64) -> Duration {
+pub(crate) fn secs(s: f64) -> Duration {
     Duration::from_secs_f64(s)
 }
 
 /// A member's state changed in another's view.
 #[derive(Clone, Copy, Debug)]
-pub struct Change {
-    pub time: Time,
-    pub by: usize,
-    pub of: usize,
-    pub state: State,
+pub(crate) struct Change {
+    pub(crate) time: Time,
+    pub(crate) by: usize,
+    pub(crate) of: usize,
+    pub(crate) state: State,
 }
 
 /// The members and the network between them.
-pub struct Net {
-    pub now: Time,
+pub(crate) struct Net {
+    pub(crate) now: Time,
     rng: ChaCha8Rng,
-    pub members: Vec<Option<Members>>,
-    pub period: Duration,
-    pub eviction_delay: Option<Duration>,
+    pub(crate) members: Vec<Option<Members>>,
+    pub(crate) period: Duration,
+    pub(crate) eviction_delay: Option<Duration>,
     wakes: BTreeSet<(Time, usize)>,
     wake_of: Vec<Option<Time>>,
-    pub stopped: BTreeSet<usize>,
+    pub(crate) stopped: BTreeSet<usize>,
     /// Packets that a stopped member finds when it goes on.
     backlog: BTreeMap<usize, Vec<Vec<u8>>>,
     in_flight: BTreeMap<(Time, u64), (usize, Vec<u8>)>,
     sent: u64,
-    pub loss: f64,
+    pub(crate) loss: f64,
     /// From one to another: nothing gets through.
-    pub cut: BTreeSet<(usize, usize)>,
-    pub changes: Vec<Change>,
-    pub dropped: Vec<(usize, DropReason)>,
+    pub(crate) cut: BTreeSet<(usize, usize)>,
+    pub(crate) changes: Vec<Change>,
+    pub(crate) dropped: Vec<(usize, DropReason)>,
     /// Requests and replies about what is learned: who got it, from whom, what.
-    pub learned: Vec<(usize, SocketAddr, Vec<u8>)>,
+    pub(crate) learned: Vec<(usize, SocketAddr, Vec<u8>)>,
     /// The latest packet sent, to put in again later.
-    pub kept: Option<(usize, Vec<u8>)>,
-    pub traffic: Option<Traffic>,
+    pub(crate) kept: Option<(usize, Vec<u8>)>,
+    pub(crate) traffic: Option<Traffic>,
     /// Time spent in [`Members::step`].
-    pub cpu: Duration,
+    pub(crate) cpu: Duration,
 }
 
 impl Net {
-    pub fn new(n: usize, seed: u64) -> Net {
+    pub(crate) fn new(n: usize, seed: u64) -> Net {
         Net::with(n, seed, secs(1.0), 20)
     }
 
     /// The eviction delay is told in periods.
-    pub fn with(n: usize, seed: u64, period: Duration, eviction_delay: u32) -> Net {
+    pub(crate) fn with(n: usize, seed: u64, period: Duration, eviction_delay: u32) -> Net {
         println!("seed {seed}");
         let mut net = Net {
             now: START,
@@ -101,7 +101,7 @@
     }
 
     /// `clock` is what the member holds for the present time.
-    pub fn start(&mut self, i: usize, clock: Time, key: Key) {
+    pub(crate) fn start(&mut self, i: usize, clock: Time, key: Key) {
         let settings = Settings {
             name: format!("n{i}"),
             at: address(i),
@@ -126,7 +126,7 @@
         self.wakes.extend(wake.map(|time| (time, i)));
     }
 
-    pub fn step(&mut self, i: usize, input: Input) {
+    pub(crate) fn step(&mut self, i: usize, input: Input) {
         let Some(member) = &mut self.members[i] else {
             return;
         };
@@ -170,7 +170,7 @@
         self.in_flight.insert((arrives, self.sent), (to, bytes));
     }
 
-    pub fn run(&mut self, span: Duration) {
+    pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
             let due = |i: usize| !self.stopped.contains(&i) && self.members[i].is_some();
@@ -198,7 +198,11 @@
     }
 
     /// Runs until the condition holds, looking twice a period; `None` if it doesn't within `limit`.
-    pub fn run_until(&mut self, limit: Duration, holds: impl Fn(&Net) -> bool) -> Option<Duration> {
+    pub(crate) fn run_until(
+        &mut self,
+        limit: Duration,
+        holds: impl Fn(&Net) -> bool,
+    ) -> Option<Duration> {
         let begun = self.now;
         while !holds(self) {
             if self.now - begun >= limit {
@@ -209,34 +213,34 @@
         Some(self.now - begun)
     }
 
-    pub fn kill(&mut self, members: impl IntoIterator<Item = usize>) {
+    pub(crate) fn kill(&mut self, members: impl IntoIterator<Item = usize>) {
         for i in members {
             self.members[i] = None;
             self.set_wake(i, None);
         }
     }
 
-    pub fn restart(&mut self, members: impl IntoIterator<Item = usize>) {
+    pub(crate) fn restart(&mut self, members: impl IntoIterator<Item = usize>) {
         members
             .into_iter()
             .for_each(|i| self.start(i, self.now, KEY));
     }
 
-    pub fn go_on(&mut self, i: usize) {
+    pub(crate) fn go_on(&mut self, i: usize) {
         self.stopped.remove(&i);
         for bytes in self.backlog.remove(&i).unwrap_or_default() {
             self.step(i, Input::PacketReceived(bytes));
         }
     }
 
-    pub fn split(&mut self, one: &[usize], other: &[usize]) {
+    pub(crate) fn split(&mut self, one: &[usize], other: &[usize]) {
         for &a in one {
             self.cut
                 .extend(other.iter().flat_map(|&b| [(a, b), (b, a)]));
         }
     }
 
-    pub fn state(&self, of: usize, by: usize) -> Option<State> {
+    pub(crate) fn state(&self, of: usize, by: usize) -> Option<State> {
         let member = self.members[by].as_ref()?;
         member
             .views()
@@ -244,18 +248,18 @@
             .map(|v| v.state)
     }
 
-    pub fn share_divisor(&self, i: usize) -> u32 {
+    pub(crate) fn share_divisor(&self, i: usize) -> u32 {
         self.members[i].as_ref().map_or(0, Members::share_divisor)
     }
 
-    pub fn running(&self) -> Vec<usize> {
+    pub(crate) fn running(&self) -> Vec<usize> {
         (0..self.members.len())
             .filter(|&i| self.members[i].is_some())
             .collect()
     }
 
     /// Pairs of running members of which the one doesn't see the other as alive.
-    pub fn unseen(&self) -> usize {
+    pub(crate) fn unseen(&self) -> usize {
         let running = self.running();
         let alive = |by: &usize| {
             let views = self.members[*by].iter().flat_map(Members::views);
@@ -271,11 +275,11 @@
     }
 
     /// Everybody that runs sees everybody that runs as alive.
-    pub fn agreed(&self) -> bool {
+    pub(crate) fn agreed(&self) -> bool {
         self.unseen() == 0
     }
 
-    pub fn downs(&self) -> usize {
+    pub(crate) fn downs(&self) -> usize {
         self.changes
             .iter()
             .filter(|c| c.state == State::Down)
--- a/crates/membership/tests/common/traffic.rs
+++ b/crates/membership/tests/common/traffic.rs
@@ -10,11 +10,11 @@
 use super::KEY;
 
 /// What an IPv4 and a UDP header add to a packet; counted apart.
-pub const IP_UDP_HEADERS: u64 = 28;
+pub(crate) const IP_UDP_HEADERS: u64 = 28;
 
 /// What bytes carry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Content {
+pub(crate) enum Content {
     /// Probes, their answers, and the frames of all packets.
     Probes,
     /// Updates of members, spread with probes and gossip.
@@ -29,11 +29,11 @@
 
 /// What was sent and received, by member and second.
 #[derive(Default)]
-pub struct Traffic {
-    pub packets: u64,
-    pub by_content: BTreeMap<Content, u64>,
-    pub out: BTreeMap<(usize, u64), u64>,
-    pub received: BTreeMap<(usize, u64), u64>,
+pub(crate) struct Traffic {
+    pub(crate) packets: u64,
+    pub(crate) by_content: BTreeMap<Content, u64>,
+    pub(crate) out: BTreeMap<(usize, u64), u64>,
+    pub(crate) received: BTreeMap<(usize, u64), u64>,
 }
 
 fn second(time: Time) -> u64 {
@@ -41,7 +41,7 @@
 }
 
 impl Traffic {
-    pub fn sent(&mut self, now: Time, from: usize, bytes: &[u8]) {
+    pub(crate) fn sent(&mut self, now: Time, from: usize, bytes: &[u8]) {
         self.packets += 1;
         *self.out.entry((from, second(now))).or_default() += bytes.len() as u64;
         let mut rest = bytes.len();
@@ -52,20 +52,20 @@
         *self.by_content.entry(Content::Probes).or_default() += rest as u64;
     }
 
-    pub fn received(&mut self, now: Time, by: usize, len: usize) {
+    pub(crate) fn received(&mut self, now: Time, by: usize, len: usize) {
         *self.received.entry((by, second(now))).or_default() += len as u64;
     }
 
-    pub fn bytes_out(&self) -> u64 {
+    pub(crate) fn bytes_out(&self) -> u64 {
         self.out.values().sum()
     }
 
-    pub fn bytes_in(&self) -> u64 {
+    pub(crate) fn bytes_in(&self) -> u64 {
         self.received.values().sum()
     }
 
     /// Most bytes a second, both directions, of any member over any `span` seconds.
-    pub fn most(&self, members: usize, span: u64) -> f64 {
+    pub(crate) fn most(&self, members: usize, span: u64) -> f64 {
         let seconds = self.out.keys().chain(self.received.keys()).map(|k| k.1);
         let Some((first, last)) = seconds.clone().min().zip(seconds.max()) else {
             return 0.0;
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -23,8 +23,9 @@
 use std::time::Duration;
 
 use cranehill_membership::digest::{Digest, ShortHash, identity_hash};
+use cranehill_membership::down_sets::DownSets;
 use cranehill_membership::member_table::MemberTable;
-use cranehill_membership::vote::{DownSets, Vote, Votes};
+use cranehill_membership::vote::{Vote, Votes};
 use cranehill_membership::{
     DropReason, Identity, Input, Key, Members, State, View, anti_entropy, seal,
 };
@@ -151,7 +152,7 @@
 
 /// The digests over members in each state and over votes of each form.
 fn digests() -> [(&'static str, Digest); 2] {
-    let (mut views, mut votes) = (MemberTable::default(), Votes::default());
+    let (mut table, mut votes) = (MemberTable::default(), Votes::default());
     let members = [
         (identity(1), State::Alive),
         (identity(2), State::Suspect),
@@ -164,9 +165,9 @@
             state,
             since: START,
         };
-        views.set(START, view, Duration::from_secs(place as u64));
+        table.update(START, view, Duration::from_secs(place as u64));
     }
-    let down = Some(DownSets::name(&samples::down_set()));
+    let down = Some(DownSets::hash_of(&samples::down_set()));
     votes.insert(
         samples::hash(1),
         Vote {
@@ -186,7 +187,7 @@
         },
     );
     [
-        ("members", views.digest().clone()),
+        ("members", table.digest().clone()),
         ("votes", votes.digest().clone()),
     ]
 }
@@ -203,7 +204,7 @@
     let mut entries: Vec<Entry> = identities().into_iter().map(hash).collect();
     entries.push(Entry::new(
         "hash down-set",
-        bytes_of_hash(DownSets::name(&samples::down_set())),
+        bytes_of_hash(DownSets::hash_of(&samples::down_set())),
     ));
     for (name, digest) in digests() {
         entries.push(Entry::new(
--- a/crates/membership/tests/golden/fixture.rs
+++ b/crates/membership/tests/golden/fixture.rs
@@ -5,13 +5,13 @@
 
 /// A named byte string of a golden file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
-    pub name: String,
-    pub bytes: Vec<u8>,
+pub(crate) struct Entry {
+    pub(crate) name: String,
+    pub(crate) bytes: Vec<u8>,
 }
 
 impl Entry {
-    pub fn new(name: impl Into<String>, bytes: Vec<u8>) -> Entry {
+    pub(crate) fn new(name: impl Into<String>, bytes: Vec<u8>) -> Entry {
         Entry {
             name: name.into(),
             bytes,
@@ -38,13 +38,13 @@
 }
 
 /// The entries of a golden file.
-pub fn load(file: &str) -> Vec<Entry> {
+pub(crate) fn load(file: &str) -> Vec<Entry> {
     let text = fs::read_to_string(path(file)).expect("the golden file is committed");
     text.lines().map(Entry::parse).collect()
 }
 
 /// The bytes of one entry.
-pub fn bytes_of(entries: &[Entry], name: &str) -> Vec<u8> {
+pub(crate) fn bytes_of(entries: &[Entry], name: &str) -> Vec<u8> {
     let entry = entries.iter().find(|entry| entry.name == name);
     entry
         .unwrap_or_else(|| panic!("{name} is missing from the golden file"))
@@ -53,7 +53,7 @@
 }
 
 /// Compares what the present code produces with a golden file, byte for byte.
-pub fn assert_matches_file(file: &str, produced: &[Entry]) {
+pub(crate) fn assert_matches_file(file: &str, produced: &[Entry]) {
     let golden = load(file);
     let mut differences: Vec<String> = golden
         .iter()
@@ -76,7 +76,7 @@
 }
 
 /// Compares lines of text with a golden file.
-pub fn assert_matches_text(file: &str, produced: &[String]) {
+pub(crate) fn assert_matches_text(file: &str, produced: &[String]) {
     let text = fs::read_to_string(path(file)).expect("the golden file is committed");
     let golden: Vec<&str> = text.lines().collect();
     for (number, (golden, ours)) in golden.iter().zip(produced).enumerate() {
--- a/crates/membership/tests/golden/message.rs
+++ b/crates/membership/tests/golden/message.rs
@@ -11,17 +11,17 @@
 
 /// A vote as it is broadcast with SWIM's packets. The package keeps its own type of it private.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BroadcastVote {
-    pub voter: ShortHash,
-    pub number: u32,
-    pub leaves: bool,
-    pub down: Option<ShortHash>,
-    pub payload: Vec<u8>,
+pub(crate) struct BroadcastVote {
+    pub(crate) voter: ShortHash,
+    pub(crate) number: u32,
+    pub(crate) leaves: bool,
+    pub(crate) down: Option<ShortHash>,
+    pub(crate) payload: Vec<u8>,
 }
 
 /// What a sealed packet contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Content {
+pub(crate) enum Content {
     Swim {
         header: Header<Identity>,
         updates: Vec<Member<Identity>>,
@@ -66,7 +66,7 @@
 }
 
 impl Content {
-    pub fn kind(&self) -> Kind {
+    pub(crate) fn kind(&self) -> Kind {
         match self {
             Content::Swim { .. } => Kind::Swim,
             Content::LearnedRequest { .. } => Kind::LearnedRequest,
@@ -76,7 +76,7 @@
     }
 
     /// The names stand in the golden files, so they stay as they are when the code is renamed.
-    pub fn name(&self) -> &'static str {
+    pub(crate) fn name(&self) -> &'static str {
         match self {
             Content::Swim { header, .. } => swim_name(&header.message),
             Content::LearnedRequest { .. } => "learned-request",
@@ -85,7 +85,7 @@
         }
     }
 
-    pub fn encode(&self) -> Vec<u8> {
+    pub(crate) fn encode(&self) -> Vec<u8> {
         match self {
             Content::Swim {
                 header,
@@ -102,7 +102,7 @@
         }
     }
 
-    pub fn decode(kind: Kind, bytes: &[u8]) -> Content {
+    pub(crate) fn decode(kind: Kind, bytes: &[u8]) -> Content {
         if kind == Kind::Swim {
             return decode_swim(bytes);
         }
--- a/crates/membership/tests/golden/reactions.rs
+++ b/crates/membership/tests/golden/reactions.rs
@@ -1,7 +1,7 @@
 //! What a member that knows nobody does with each sample packet: its effects in their order, then the views it holds.
 
 /// The reactions by the sample's name, in the order of [`super::samples::all`].
-pub const REACTIONS: [(&str, &[&str]); 19] = [
+pub(crate) const REACTIONS: [(&str, &[&str]); 19] = [
     (
         "swim-ping",
         &[
--- a/crates/membership/tests/golden/samples.rs
+++ b/crates/membership/tests/golden/samples.rs
@@ -3,31 +3,33 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use cranehill_membership::anti_entropy::{Entries, Message as AntiEntropyMessage, VoteEntry};
-use cranehill_membership::digest::{BUCKETS, ShortHash, identity_hash};
-use cranehill_membership::member_table::MemberEntry;
-use cranehill_membership::vote::DownSets;
+use cranehill_membership::anti_entropy::{
+    Entries, Message as AntiEntropyMessage, VoteEntry, WantedBuckets,
+};
+use cranehill_membership::digest::{BUCKETS, BucketSet, ShortHash, identity_hash};
+use cranehill_membership::down_sets::{DownSets, SetPage};
+use cranehill_membership::member_entry::MemberEntry;
 use cranehill_membership::{Identity, Key, seal};
 use foca::{Header, Member, Message, State};
 
 use super::message::{BroadcastVote, Content};
 
-pub const KEY: Key = [7; 32];
+pub(crate) const KEY: Key = [7; 32];
 /// When all samples are sent, in milliseconds since 1970.
-pub const SENT_MS: u64 = 1_700_000_001_000;
+pub(crate) const SENT_MS: u64 = 1_700_000_001_000;
 /// The incarnation of members in samples.
 const INCARNATION: u64 = 1_700_000_000_000;
 const FIRST_PORT: u16 = 7000;
 
-pub fn address(member: usize) -> SocketAddr {
+pub(crate) fn address(member: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + member as u16))
 }
 
-pub fn member_at(address: SocketAddr) -> usize {
+pub(crate) fn member_at(address: SocketAddr) -> usize {
     usize::from(address.port() - FIRST_PORT)
 }
 
-pub fn identity(member: usize) -> Identity {
+pub(crate) fn identity(member: usize) -> Identity {
     Identity {
         at: address(member),
         incarnation: INCARNATION,
@@ -36,7 +38,7 @@
 }
 
 /// An identity at the bounds of its fields.
-pub fn identity_v6() -> Identity {
+pub(crate) fn identity_v6() -> Identity {
     let at = "[2001:db8::7]:65535".parse().expect("an address");
     Identity {
         at,
@@ -45,12 +47,12 @@
     }
 }
 
-pub fn hash(member: usize) -> ShortHash {
+pub(crate) fn hash(member: usize) -> ShortHash {
     identity_hash(&identity(member))
 }
 
 /// The set of down members that the samples name: n3 and the IPv6 one.
-pub fn down_set() -> BTreeSet<ShortHash> {
+pub(crate) fn down_set() -> BTreeSet<ShortHash> {
     BTreeSet::from([hash(3), identity_hash(&identity_v6())])
 }
 
@@ -106,7 +108,7 @@
 }
 
 fn votes() -> Vec<BroadcastVote> {
-    let down = Some(DownSets::name(&down_set()));
+    let down = Some(DownSets::hash_of(&down_set()));
     vec![
         BroadcastVote {
             number: 300,
@@ -179,12 +181,12 @@
 }
 
 /// Entries with a member in each state and a vote of each form.
-pub fn entries() -> Entries {
-    let member_entry = |member, swim_incarnation, state, down_for| MemberEntry {
+pub(crate) fn entries() -> Entries {
+    let member_entry = |member, swim_incarnation, state, down_seconds| MemberEntry {
         member,
         swim_incarnation,
         state,
-        down_for,
+        down_seconds,
     };
     let vote = |voter, number, leaves, set, payload: &[u8]| VoteEntry {
         voter: hash(voter),
@@ -204,13 +206,16 @@
             vote(1, 5, false, 1, b"payload of n1"),
             vote(2, u32::MAX, true, 0, b""),
         ],
-        sets: vec![DownSets::name(&down_set())],
-        wanted: [1, u64::MAX],
+        sets: vec![DownSets::hash_of(&down_set())],
+        wanted: WantedBuckets {
+            members: BucketSet::from_bits(1),
+            votes: BucketSet::from_bits(u64::MAX),
+        },
     }
 }
 
 fn anti_entropy_messages() -> Vec<AntiEntropyMessage> {
-    let set = DownSets::name(&down_set());
+    let set = DownSets::hash_of(&down_set());
     let sums = |first: u8| {
         (0..BUCKETS as u8)
             .map(|bucket| [first, bucket, 0, 255])
@@ -226,18 +231,18 @@
             votes: sums(2),
         },
         AntiEntropyMessage::Entries(entries()),
-        AntiEntropyMessage::WantSet { set, from: 128 },
-        AntiEntropyMessage::SetPage {
+        AntiEntropyMessage::WantSet { set, offset: 128 },
+        AntiEntropyMessage::SetPage(SetPage {
             set,
             total: 2,
-            from: 0,
+            offset: 0,
             members: down_set().into_iter().collect(),
-        },
+        }),
     ]
 }
 
 /// All samples by name. They go from n1 to n0.
-pub fn all() -> Vec<(&'static str, Content)> {
+pub(crate) fn all() -> Vec<(&'static str, Content)> {
     let (from, to) = (identity(1), address(0));
     let exchange = |message| Content::AntiEntropy {
         from: from.clone(),
@@ -271,11 +276,11 @@
 }
 
 /// The number of a sample's packet: it takes more than one byte.
-pub fn packet_number(place: usize) -> u64 {
+pub(crate) fn packet_number(place: usize) -> u64 {
     0x1_0000 + place as u64
 }
 
-pub fn sealed(place: usize, content: &Content) -> Vec<u8> {
+pub(crate) fn sealed(place: usize, content: &Content) -> Vec<u8> {
     seal::seal(
         &KEY,
         SENT_MS,
--- a/crates/membership/tests/golden/trace.rs
+++ b/crates/membership/tests/golden/trace.rs
@@ -11,13 +11,13 @@
 use super::message::Content;
 use super::samples::{KEY, address, member_at};
 
-pub const START: Time = Time(1_700_000_000_000_000_000);
-pub const PERIOD: Duration = Duration::from_secs(1);
+pub(crate) const START: Time = Time(1_700_000_000_000_000_000);
+pub(crate) const PERIOD: Duration = Duration::from_secs(1);
 const MEMBERS: usize = 4;
 const PACKET_DELAY: Duration = Duration::from_millis(3);
 const FIRST_SEED: u64 = 20;
 
-pub fn settings(member: usize) -> Settings {
+pub(crate) fn settings(member: usize) -> Settings {
     Settings {
         name: format!("n{member}"),
         at: address(member),
@@ -33,12 +33,12 @@
 }
 
 /// The kind and values of a sealed packet.
-pub fn content_of(bytes: &[u8]) -> Content {
+pub(crate) fn content_of(bytes: &[u8]) -> Content {
     let opened = seal::open(&KEY, 0, u64::MAX, bytes).expect("a packet of the fleet");
     Content::decode(opened.kind, opened.message)
 }
 
-pub fn state_name(state: State) -> &'static str {
+pub(crate) fn state_name(state: State) -> &'static str {
     match state {
         State::Alive => "alive",
         State::Suspect => "suspect",
@@ -48,7 +48,7 @@
 }
 
 /// An effect as a line of text; `None` for timers.
-pub fn describe(effect: &Effect) -> Option<String> {
+pub(crate) fn describe(effect: &Effect) -> Option<String> {
     Some(match effect {
         Effect::WakeAt(_) => return None,
         Effect::Send { to, bytes } => {
@@ -81,16 +81,16 @@
 }
 
 /// The members and the packets between them.
-pub struct Fleet {
+pub(crate) struct Fleet {
     now: Time,
     members: Vec<Members>,
     wakes: Vec<Option<Time>>,
     in_flight: BTreeMap<(Time, usize), (usize, Vec<u8>)>,
     /// From one to another: packets are lost.
     cut: BTreeSet<(usize, usize)>,
-    pub packets: Vec<Entry>,
+    pub(crate) packets: Vec<Entry>,
     /// What the members reported, besides packets and timers.
-    pub events: Vec<String>,
+    pub(crate) events: Vec<String>,
 }
 
 impl Fleet {
@@ -107,7 +107,7 @@
         }
     }
 
-    pub fn member(&self, member: usize) -> &Members {
+    pub(crate) fn member(&self, member: usize) -> &Members {
         &self.members[member]
     }
 
@@ -194,7 +194,7 @@
 }
 
 /// Start, payloads, learned state, indirect probes, a member that is cut off, evicted and back, and a leave.
-pub fn play() -> Fleet {
+pub(crate) fn play() -> Fleet {
     let mut fleet = Fleet::new();
     fleet.run(PERIOD * 3);
     fleet.step(1, Input::SetPayload(b"payload of n1".to_vec()));
@@ -215,7 +215,7 @@
 }
 
 /// What a member holds of the others, as lines of text.
-pub fn views_of(member: &Members) -> Vec<String> {
+pub(crate) fn views_of(member: &Members) -> Vec<String> {
     let payloads: BTreeMap<_, _> = member.payloads().into_iter().collect();
     let line = |view: &cranehill_membership::View| {
         let payload = payloads
--- a/crates/membership/tests/votes.rs
+++ b/crates/membership/tests/votes.rs
@@ -7,9 +7,10 @@
 
 use common::{START, address};
 use cranehill_membership::digest::{ShortHash, identity_hash};
+use cranehill_membership::down_sets::{DownSets, MAX_DOWN, MAX_SETS, SetPage};
 use cranehill_membership::member_table::MemberTable;
 use cranehill_membership::quota::QuotaDivisor;
-use cranehill_membership::vote::{DownSets, MAX_DOWN, Vote, Votes};
+use cranehill_membership::vote::{Vote, Votes};
 use cranehill_membership::voting::{VoteDecision, Voting};
 use cranehill_membership::{Identity, State, View};
 use proptest::prelude::*;
@@ -36,7 +37,7 @@
         state,
         since: START,
     };
-    views.set(START, view, Duration::ZERO);
+    views.update(START, view, Duration::ZERO);
 }
 
 fn names(members: &[usize]) -> BTreeSet<ShortHash> {
@@ -147,7 +148,7 @@
         shuffled.into_iter().for_each(|(voter, vote)| { other.insert(voter, vote); });
         prop_assert_eq!(one.digest().root(), other.digest().root());
         prop_assert!(one.iter().eq(other.iter()));
-        one.keep(|_| false);
+        one.retain(|_| false);
         let none = Votes::default();
         prop_assert_eq!(one.digest(), none.digest());
     }
@@ -159,24 +160,24 @@
     ) {
         let members: Vec<usize> = (0..size).collect();
         let mut theirs = DownSets::default();
-        let name = theirs.insert(names(&members)).expect("there is room");
+        let set = theirs.insert(names(&members)).expect("there is room");
         let mut ours = DownSets::default();
-        for (page, change) in pages {
-            let from = page * 128;
-            let Some((total, mut part)) = theirs.page(name, from, 128) else { continue };
+        for (number, change) in pages {
+            let Some(mut page) = theirs.page(set, number * 128, 128) else { continue };
             match change {
-                1 => part.truncate(part.len() / 2),
-                2 if spoil => part.reverse(),
+                1 => page.members.truncate(page.members.len() / 2),
+                2 if spoil => page.members.reverse(),
                 _ => {}
             }
-            ours.add_page(name, total + u32::from(spoil && change == 1), from, &part);
+            page.total += u32::from(spoil && change == 1);
+            ours.add_page(&page);
         }
-        while let Some(from) = ours.next_page(name).filter(|_| !spoil) {
-            let (total, part) = theirs.page(name, from, 128).expect("it is there");
-            ours.add_page(name, total, from, &part);
+        while let Some(offset) = ours.next_offset(set).filter(|_| !spoil) {
+            let page = theirs.page(set, offset, 128).expect("it is there");
+            ours.add_page(&page);
         }
-        prop_assert!(ours.get(name).is_none_or(|set| Some(set) == theirs.get(name)));
-        prop_assert!(spoil || ours.get(name).is_some());
+        prop_assert!(ours.get(set).is_none_or(|members| Some(members) == theirs.get(set)));
+        prop_assert!(spoil || ours.get(set).is_some());
     }
 
     /// A member votes for nobody that its own view doesn't hold to be down, whatever others name; and for all whom it does.
@@ -195,7 +196,7 @@
         for tenth in 0..40 {
             let now = START + SECOND / 10 * tenth;
             if let VoteDecision::Vote(set) = voting.decide(now, &fleet.views, &fleet.votes, &mut fleet.sets, 0.5) {
-                voted = set;
+                voted = Some(set);
             }
         }
         let expected = names(&down.iter().copied().collect::<Vec<_>>());
@@ -211,11 +212,16 @@
         .map(|n| ShortHash::of(&[&n.to_le_bytes()]))
         .collect();
     assert_eq!(sets.insert(too_many), None);
-    assert!(!sets.add_page(hash(1), MAX_DOWN as u32 + 1, 0, &[hash(2)]));
+    assert!(!sets.add_page(&SetPage {
+        set: hash(1),
+        total: MAX_DOWN as u32 + 1,
+        offset: 0,
+        members: vec![hash(2)]
+    }));
     let kept = (0..1000)
         .filter(|n| sets.insert(names(&[*n])).is_some())
         .count();
-    assert_eq!(kept, cranehill_membership::vote::MAX_SETS);
+    assert_eq!(kept, MAX_SETS);
     assert!(
         sets.insert(names(&[0])).is_some(),
         "one that is kept is found again"
@@ -237,7 +243,7 @@
         state: State::Alive,
         since: START,
     };
-    fleet.views.set(START, returned, Duration::ZERO);
+    fleet.views.update(START, returned, Duration::ZERO);
     let mut voting = Voting::new(SECOND, 6);
     let choice = voting.decide(
         START + SECOND,
@@ -248,6 +254,6 @@
     );
     assert_eq!(
         choice,
-        VoteDecision::Vote(Some(DownSets::name(&names(&[0, 1]))))
+        VoteDecision::Vote(DownSets::hash_of(&names(&[0, 1])))
     );
 }
