--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -3,6 +3,7 @@
 mod accusations;
 mod anti_entropy;
 mod context;
+mod fleet_view;
 mod quorum;
 mod replica;
 mod set_requests;
--- a/crates/membership/src/members/anti_entropy.rs
+++ b/crates/membership/src/members/anti_entropy.rs
@@ -11,6 +11,7 @@
 use crate::anti_entropy::{Entries, MAX_PAGE_MEMBERS, Message};
 use crate::digest::{BUCKETS, BucketSum, ShortHash};
 use crate::identity::Identity;
+use crate::member_entry::MemberEntry;
 use crate::seal::DropReason;
 use crate::settings::FANOUT;
 use crate::token_bucket::TrafficClass;
@@ -157,7 +158,7 @@
         peer: SocketAddr,
         entries: &Entries,
     ) -> Result<(), DropReason> {
-        if !entries.members.iter().all(|entry| entry.has_known_state()) {
+        if !entries.members.iter().all(MemberEntry::has_known_state) {
             return Err(DropReason::Unreadable);
         }
         // The answer is computed first: once the entries are applied, nothing differs.
--- /dev/null
+++ b/crates/membership/src/members/fleet_view.rs
@@ -0,0 +1,163 @@
+//! Our view of the fleet: keeps the member table up to date with `foca`'s state, and notifies suspects.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use cranehill_scheduler::Time;
+use foca::Member;
+use rand::RngExt;
+
+use super::accusations::Accusations;
+use super::context::Context;
+use super::view_changes::{ViewChange, changed_view};
+use crate::anti_entropy::{Entries, Message};
+use crate::event::Effect;
+use crate::identity::Identity;
+use crate::member_entry::MemberEntry;
+use crate::member_table::{MAX_MEMBERS, MemberTable};
+use crate::view::{State, View};
+use crate::vote::Votes;
+
+/// Members, on average, that notify a suspect of a suspicion that they learn of.
+const SUSPECT_NOTIFIERS: f64 = 8.0;
+
+/// See the module's text.
+#[derive(Default)]
+pub(super) struct FleetView {
+    table: MemberTable,
+    /// `foca`'s state of the others may have changed since the table was refreshed.
+    is_stale: bool,
+    /// How long members had been down by those who reported them, until the table is refreshed.
+    down_for: BTreeMap<SocketAddr, Duration>,
+    accusations: Accusations,
+    /// Changes of which members are active.
+    active_changes: u64,
+}
+
+impl FleetView {
+    pub(super) fn table(&self) -> &MemberTable {
+        &self.table
+    }
+
+    /// A counter that grows with each change of which members are active.
+    pub(super) fn active_changes(&self) -> u64 {
+        self.active_changes
+    }
+
+    pub(super) fn expire_announcements(&mut self, now: Time) {
+        self.table.expire_announcements(now);
+    }
+
+    /// The table must be refreshed if `foca`'s state may have changed.
+    pub(super) fn mark_stale_if(&mut self, may_have_changed: bool) {
+        self.is_stale |= may_have_changed;
+    }
+
+    /// Whether the table must be refreshed; from now on it counts as fresh.
+    pub(super) fn take_stale(&mut self) -> bool {
+        std::mem::take(&mut self.is_stale)
+    }
+
+    /// How long a member has been down by another's report, for the next refresh.
+    pub(super) fn note_down_for(&mut self, address: SocketAddr, down_for: Duration) {
+        self.down_for.insert(address, down_for);
+    }
+
+    /// Our own probes missed a member.
+    pub(super) fn accuse(&mut self, address: SocketAddr, swim_incarnation: u16) {
+        self.accusations.add(address, swim_incarnation);
+    }
+
+    /// Whether an entry is newer than our view; `known` counts the members that would be known with it.
+    pub(super) fn is_news(&self, entry: &MemberEntry, me: &Identity, known: &mut usize) -> bool {
+        if entry.member.at == me.at {
+            return entry.member.incarnation == me.incarnation && !entry.is_alive();
+        }
+        if let Some(view) = self.table.get(&entry.member.at) {
+            return MemberEntry::of(view, Duration::ZERO).rank() < entry.rank();
+        }
+        *known += 1;
+        *known <= MAX_MEMBERS
+    }
+
+    /// Updates the table from `foca`'s members. True if it has changed.
+    pub(super) fn refresh(
+        &mut self,
+        context: &mut Context,
+        me: &Identity,
+        members: &[&Member<Identity>],
+        votes: &Votes,
+    ) -> bool {
+        let reported_down = std::mem::take(&mut self.down_for);
+        let changes: Vec<ViewChange> = members
+            .iter()
+            .filter(|member| member.id().at != me.at)
+            .filter_map(|member| changed_view(context.now, &self.table, votes, member))
+            .collect();
+        let has_forgotten = members.len() < self.table.len();
+        let has_changed = has_forgotten || !changes.is_empty();
+        for ViewChange { view, is_news } in changes {
+            if is_news {
+                self.report_change(context, me, &view);
+            }
+            let down_for = reported_down.get(&view.member.at).copied();
+            self.table
+                .update(context.now, view, down_for.unwrap_or_default());
+        }
+        if has_forgotten {
+            self.remove_forgotten(members);
+        }
+        has_changed
+    }
+
+    fn report_change(&mut self, context: &mut Context, me: &Identity, view: &View) {
+        let previous = self.table.get(&view.member.at);
+        let is_same = previous.is_some_and(|previous| {
+            previous.member.incarnation == view.member.incarnation
+                && previous.state.is_active() == view.state.is_active()
+        });
+        self.active_changes += u64::from(!is_same);
+        context.report(Effect::Changed {
+            view: view.clone(),
+            before: previous.map(|previous| previous.state),
+        });
+        if view.state != State::Suspect {
+            self.accusations.remove(&view.member.at);
+            return;
+        }
+        let probability = SUSPECT_NOTIFIERS / (self.table.len().max(1) as f64);
+        if context.rng.random_bool(probability.min(1.0)) {
+            notify_suspect(context, me, view);
+        }
+    }
+
+    fn remove_forgotten(&mut self, members: &[&Member<Identity>]) {
+        let stored: BTreeSet<SocketAddr> = members.iter().map(|member| member.id().at).collect();
+        let forgotten: Vec<SocketAddr> = self
+            .table
+            .iter()
+            .map(|view| view.member.at)
+            .filter(|address| !stored.contains(address))
+            .collect();
+        for address in &forgotten {
+            self.table.remove(address);
+        }
+    }
+
+    /// Notifies those whom our own probes missed of the suspicion, as long as they are suspects.
+    pub(super) fn notify_accused(&mut self, context: &mut Context, me: &Identity) {
+        for view in self.accusations.retain_pending(&self.table) {
+            notify_suspect(context, me, &view);
+        }
+    }
+}
+
+/// Sends a suspect its own entry, so that it can refute the suspicion.
+fn notify_suspect(context: &mut Context, me: &Identity, view: &View) {
+    let entries = Entries {
+        members: vec![MemberEntry::of(view, Duration::ZERO)],
+        ..Entries::default()
+    };
+    context.send_anti_entropy(me, view.member.at, &Message::Entries(entries));
+}
--- a/crates/membership/src/members/swim.rs
+++ b/crates/membership/src/members/swim.rs
@@ -1,8 +1,6 @@
-//! Failure detection and gossip: drives `foca` and keeps the member table up to date with it.
+//! Failure detection and gossip: drives `foca`.
 
-use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use std::time::Duration;
 
 use cranehill_scheduler::Time;
 use foca::{
@@ -11,10 +9,8 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use super::accusations::Accusations;
 use super::context::{self, Context};
-use super::view_changes::{ViewChange, changed_view};
-use crate::anti_entropy;
+use super::fleet_view::FleetView;
 use crate::event::Effect;
 use crate::identity::{Identity, UNKNOWN_INCARNATION};
 use crate::member_entry::MemberEntry;
@@ -22,12 +18,10 @@
 use crate::seal::{DropReason, Kind};
 use crate::settings::{FANOUT, GOSSIP_ROUNDS_PER_PERIOD};
 use crate::token_bucket::TrafficClass;
-use crate::view::{State, View};
+use crate::view::State;
 use crate::vote::Votes;
 use crate::vote_broadcast::{SharedVotes, VoteHandler};
 
-/// Members, on average, that notify a suspect of a suspicion that they learn of.
-const SUSPECT_NOTIFIERS: f64 = 8.0;
 /// Periods between two announcements to members that should be present and aren't.
 const CONTACT_PERIODS: u32 = 2;
 /// A member that has received nothing for this many periods may be cut off itself.
@@ -44,16 +38,9 @@
     runtime: AccumulatingRuntime<Identity>,
     /// Our own SWIM incarnation, as of the latest packet.
     swim_incarnation: u16,
-    table: MemberTable,
-    /// `foca`'s state of the others may have changed since the table was refreshed.
-    table_is_stale: bool,
-    /// How long members had been down by those who reported them, until the table is refreshed.
-    reported_down: BTreeMap<SocketAddr, Duration>,
-    accusations: Accusations,
+    view: FleetView,
     /// When a packet of the fleet arrived last.
     last_received: Time,
-    /// Changes of which members are active.
-    active_changes: u64,
 }
 
 impl Swim {
@@ -70,12 +57,8 @@
             foca: Foca::with_custom_broadcast(identity, config, rng, PostcardCodec, handler),
             runtime: AccumulatingRuntime::new(),
             swim_incarnation: 0,
-            table: MemberTable::default(),
-            table_is_stale: false,
-            reported_down: BTreeMap::new(),
-            accusations: Accusations::default(),
+            view: FleetView::default(),
             last_received: context.now,
-            active_changes: 0,
         }
     }
 
@@ -89,16 +72,16 @@
     }
 
     pub(super) fn table(&self) -> &MemberTable {
-        &self.table
+        self.view.table()
     }
 
     pub(super) fn expire_announcements(&mut self, now: Time) {
-        self.table.expire_announcements(now);
+        self.view.expire_announcements(now);
     }
 
     /// A counter that grows with each change of which members are active.
     pub(super) fn active_changes(&self) -> u64 {
-        self.active_changes
+        self.view.active_changes()
     }
 
     pub(super) fn random_peer(&self, rng: &mut ChaCha8Rng) -> Option<SocketAddr> {
@@ -152,7 +135,8 @@
         rest: &[u8],
         message: &[u8],
     ) -> Result<(), DropReason> {
-        self.table_is_stale |= self.may_change_table(header, rest);
+        let may_change_table = self.may_change_table(header, rest);
+        self.view.mark_stale_if(may_change_table);
         self.foca
             .handle_data(message, &mut self.runtime)
             .map_err(|_| DropReason::Unreadable)
@@ -162,7 +146,7 @@
     fn may_change_table(&self, header: &Header<Identity>, rest: &[u8]) -> bool {
         let update_count = rest.first_chunk::<2>();
         let has_updates = update_count.is_some_and(|count| *count != [0, 0]);
-        let is_known = self.table.get(&header.src.at).is_some_and(|view| {
+        let is_known = self.table().get(&header.src.at).is_some_and(|view| {
             view.state == State::Alive
                 && view.member == header.src
                 && view.swim_incarnation >= header.src_incarnation
@@ -183,7 +167,7 @@
         let Some((update_count, mut rest)) = rest.split_first_chunk::<2>() else {
             return Ok(());
         };
-        let is_unknown = |member: &Identity| self.table.get(&member.at).is_none();
+        let is_unknown = |member: &Identity| self.table().get(&member.at).is_none();
         let mut unknown = usize::from(is_unknown(source));
         for _ in 0..u16::from_be_bytes(*update_count) {
             let (update, after) = postcard::take_from_bytes::<Member<Identity>>(rest)
@@ -199,15 +183,15 @@
 
     /// Whether to answer a member's anti-entropy messages. One that isn't known yet is added.
     pub(super) fn admit(&mut self, from: &Identity) -> bool {
-        match self.table.get(&from.at) {
+        match self.table().get(&from.at) {
             Some(view) if view.member.incarnation > from.incarnation => return false,
             Some(view) if view.member.incarnation == from.incarnation => {
                 return view.state.is_active();
             }
-            None if self.table.len() >= MAX_MEMBERS => return false,
+            None if self.table().len() >= MAX_MEMBERS => return false,
             Some(_) | None => {}
         }
-        self.table_is_stale = true;
+        self.view.mark_stale_if(true);
         let member = Member::alive(from.clone());
         self.foca
             .apply_many(std::iter::once(member), true, &mut self.runtime)
@@ -218,24 +202,24 @@
     pub(super) fn apply_entries(&mut self, context: &mut Context, entries: &[MemberEntry]) -> bool {
         let me = self.identity().clone();
         let mut updates = Vec::new();
-        let mut known = self.table.len();
+        let mut known = self.table().len();
         for entry in entries {
             if entry.member.at == me.at && entry.member.incarnation > me.incarnation {
                 self.rise_above(context, entry.member.incarnation);
                 continue;
             }
-            if !self.is_news(entry, &me, &mut known)
+            if !self.view.is_news(entry, &me, &mut known)
                 || entry.is_down() && entry.down_for() >= MAX_DOWN_ANNOUNCEMENT
             {
                 continue;
             }
-            self.reported_down.insert(entry.member.at, entry.down_for());
+            self.view.note_down_for(entry.member.at, entry.down_for());
             updates.push(entry.to_foca());
         }
         if updates.is_empty() {
             return false;
         }
-        self.table_is_stale = true;
+        self.view.mark_stale_if(true);
         // Not gossiped: members that lack an update find out by their own comparisons.
         let _ = self
             .foca
@@ -244,18 +228,6 @@
         true
     }
 
-    /// Whether an entry is newer than our view; `known` counts the members that would be known with it.
-    fn is_news(&self, entry: &MemberEntry, me: &Identity, known: &mut usize) -> bool {
-        if entry.member.at == me.at {
-            return entry.member.incarnation == me.incarnation && !entry.is_alive();
-        }
-        if let Some(view) = self.table.get(&entry.member.at) {
-            return MemberEntry::of(view, Duration::ZERO).rank() < entry.rank();
-        }
-        *known += 1;
-        *known <= MAX_MEMBERS
-    }
-
     pub(super) fn on_timer(&mut self, context: &mut Context, timer: Timer<Identity>) {
         if self.is_refuted(&timer) {
             return;
@@ -267,7 +239,8 @@
                 .schedule(retry_at, context::Timer::Swim(timer));
             return;
         }
-        self.table_is_stale |= !matches!(timer, Timer::SendIndirectProbe { .. });
+        let may_change_table = !matches!(timer, Timer::SendIndirectProbe { .. });
+        self.view.mark_stale_if(may_change_table);
         // Its errors report timers out of order, from which it recovers by itself.
         let _ = self.foca.handle_timer(timer, &mut self.runtime);
         self.drain(context);
@@ -346,12 +319,12 @@
 
     fn absent_members(&self, context: &Context) -> Vec<Identity> {
         let own_address = self.identity().at;
-        let down = self.table.down().map(|(_, view)| view.member.clone());
+        let down = self.table().down().map(|(_, view)| view.member.clone());
         let unknown_seeds = context
             .settings
             .seeds
             .iter()
-            .filter(|seed| self.table.get(seed).is_none())
+            .filter(|seed| self.table().get(seed).is_none())
             .map(|seed| Identity::unknown(*seed));
         down.chain(unknown_seeds)
             .filter(|member| member.at != own_address)
@@ -387,13 +360,13 @@
                 ..
             } = &timer
             {
-                self.accusations.add(member_id.at, *incarnation);
+                self.view.accuse(member_id.at, *incarnation);
             }
             let at = context.now + delay;
             context.timers.schedule(at, context::Timer::Swim(timer));
         }
         while let Some(notification) = self.runtime.to_notify() {
-            self.table_is_stale = true;
+            self.view.mark_stale_if(true);
             if let OwnedNotification::Rejoin(me) = notification {
                 context.report(Effect::Rejoined {
                     incarnation: me.incarnation,
@@ -404,87 +377,17 @@
 
     /// Updates the table from `foca`'s state, if that may have changed. True if the table has changed.
     pub(super) fn refresh_table(&mut self, context: &mut Context, votes: &Votes) -> bool {
-        if !std::mem::take(&mut self.table_is_stale) {
+        if !self.view.take_stale() {
             return false;
         }
-        let reported_down = std::mem::take(&mut self.reported_down);
-        let changes = self.changed_views(context.now, votes);
-        let has_forgotten = self.foca.iter_membership_state().len() < self.table.len();
-        for ViewChange { view, is_news } in changes.iter().cloned() {
-            if is_news {
-                self.report_change(context, &view);
-            }
-            let down_for = reported_down.get(&view.member.at).copied();
-            self.table
-                .update(context.now, view, down_for.unwrap_or_default());
-        }
-        if has_forgotten {
-            self.remove_forgotten();
-        }
-        has_forgotten || !changes.is_empty()
-    }
-
-    fn changed_views(&self, now: Time, votes: &Votes) -> Vec<ViewChange> {
-        let own_address = self.identity().at;
-        self.foca
-            .iter_membership_state()
-            .filter(|member| member.id().at != own_address)
-            .filter_map(|member| changed_view(now, &self.table, votes, member))
-            .collect()
-    }
-
-    fn report_change(&mut self, context: &mut Context, view: &View) {
-        let previous = self.table.get(&view.member.at);
-        let is_same = previous.is_some_and(|previous| {
-            previous.member.incarnation == view.member.incarnation
-                && previous.state.is_active() == view.state.is_active()
-        });
-        self.active_changes += u64::from(!is_same);
-        context.report(Effect::Changed {
-            view: view.clone(),
-            before: previous.map(|previous| previous.state),
-        });
-        if view.state != State::Suspect {
-            self.accusations.remove(&view.member.at);
-            return;
-        }
-        let probability = SUSPECT_NOTIFIERS / (self.table.len().max(1) as f64);
-        if context.rng.random_bool(probability.min(1.0)) {
-            self.notify_suspect(context, view);
-        }
-    }
-
-    fn remove_forgotten(&mut self) {
-        let stored: BTreeSet<SocketAddr> = self
-            .foca
-            .iter_membership_state()
-            .map(|member| member.id().at)
-            .collect();
-        let forgotten: Vec<SocketAddr> = self
-            .table
-            .iter()
-            .map(|view| view.member.at)
-            .filter(|address| !stored.contains(address))
-            .collect();
-        for address in &forgotten {
-            self.table.remove(address);
-        }
+        let members: Vec<&Member<Identity>> = self.foca.iter_membership_state().collect();
+        let me = self.foca.identity();
+        self.view.refresh(context, me, &members, votes)
     }
 
     /// Notifies those whom our own probes missed of the suspicion, as long as they are suspects.
     pub(super) fn notify_accused(&mut self, context: &mut Context) {
-        for view in self.accusations.retain_pending(&self.table) {
-            self.notify_suspect(context, &view);
-        }
-    }
-
-    /// Sends a suspect its own entry, so that it can refute the suspicion.
-    fn notify_suspect(&self, context: &mut Context, view: &View) {
-        let entries = anti_entropy::Entries {
-            members: vec![MemberEntry::of(view, Duration::ZERO)],
-            ..anti_entropy::Entries::default()
-        };
-        let message = anti_entropy::Message::Entries(entries);
-        context.send_anti_entropy(self.identity(), view.member.at, &message);
+        let me = self.foca.identity();
+        self.view.notify_accused(context, me);
     }
 }
