--- a/crates/membership/examples/membership_figures.rs
+++ b/crates/membership/examples/membership_figures.rs
@@ -1,4 +1,4 @@
-//! What membership costs by the size of the fleet, in virtual time.
+//! The costs of membership by the size of the fleet, in virtual time.
 //!
 //! `cargo run --release -p cranehill-membership --example membership_figures -- [SCENARIO,..] [SIZE,..] [PERIOD_MS] [SEED]`
 //!
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use common::traffic::{Content, IP_UDP_HEADERS, Traffic};
-use common::{Net, secs};
+use common::{Network, secs};
 use cranehill_membership::State;
 use cranehill_scheduler::Time;
 
@@ -23,7 +23,7 @@
 /// Seconds over which the most of a member is taken.
 const WINDOW: u64 = 10;
 
-/// Processor time of this thread, where the system tells it.
+/// Processor time of this thread, where the system reports it.
 fn thread_time() -> Option<Duration> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
     text.split_whitespace()
@@ -33,116 +33,134 @@
         .map(Duration::from_nanos)
 }
 
-struct Play {
-    net: Net,
+struct ScenarioRun {
+    network: Network,
     thread_time: Option<Duration>,
-    begun: Time,
+    started_at: Time,
     crashes: Vec<(Time, Vec<usize>)>,
     agreed: Option<Duration>,
 }
 
-impl Play {
-    fn start(members: usize, period: Duration, seed: u64) -> Play {
-        let mut net = Net::with(members, seed, period, 30);
-        net.traffic = Some(Traffic::default());
-        let begun = net.now;
-        Play {
-            net,
+impl ScenarioRun {
+    fn start(members: usize, period: Duration, seed: u64) -> ScenarioRun {
+        let mut network = Network::with_settings(members, seed, period, 30);
+        network.traffic = Some(Traffic::default());
+        let started_at = network.now;
+        ScenarioRun {
+            network,
             thread_time: thread_time(),
-            begun,
+            started_at,
             crashes: Vec::new(),
             agreed: None,
         }
     }
 
-    /// Lets all get to know each other, uncounted.
+    /// Runs until all members see each other; not counted.
     fn settle(&mut self) {
-        let limit = self.net.period * 900;
-        if self.net.run_until(limit, Net::agreed).is_none() {
+        let limit = self.network.period * 900;
+        if self.network.run_until(limit, Network::has_converged).is_none() {
             eprintln!(
                 "not agreed {limit:?} after the start: {} pairs unseen",
-                self.net.unseen()
+                self.network.unseen_pairs()
             );
         }
         self.run(30);
-        self.net.traffic = Some(Traffic::default());
-        self.net.cpu = Duration::ZERO;
+        self.network.traffic = Some(Traffic::default());
+        self.network.cpu = Duration::ZERO;
         self.thread_time = thread_time();
-        self.net.changes.clear();
-        self.begun = self.net.now;
+        self.network.changes.clear();
+        self.started_at = self.network.now;
     }
 
     fn run(&mut self, periods: u32) {
-        self.net.run(self.net.period * periods);
+        self.network.run(self.network.period * periods);
     }
 
     fn crash(&mut self, members: Vec<usize>) {
-        self.net.kill(members.iter().copied());
-        self.crashes.push((self.net.now, members));
+        self.network.crash(members.iter().copied());
+        self.crashes.push((self.network.now, members));
     }
 
-    /// Runs on for so many periods, and notes when all agreed.
+    /// Runs for a number of periods, and records when all views had converged.
     fn agree(&mut self, periods: u32) {
-        let limit = self.net.period * periods;
-        let begun = self.net.now;
-        self.agreed = self.net.run_until(limit, Net::agreed);
-        let left = limit.saturating_sub(self.net.now - begun);
-        self.net.run(left);
+        let limit = self.network.period * periods;
+        let started_at = self.network.now;
+        self.agreed = self.network.run_until(limit, Network::has_converged);
+        let left = limit.saturating_sub(self.network.now - started_at);
+        self.network.run(left);
     }
 
     fn play(&mut self, scenario: &str) {
-        let n = self.net.members.len();
-        match scenario {
-            "start" => return self.agree(60),
-            _ => self.settle(),
+        if scenario == "start" {
+            return self.agree(60);
         }
+        self.settle();
         match scenario {
-            "crashes" => {
-                for round in 0..3 {
-                    let few: Vec<usize> = (0..n).filter(|i| i % 10 == 2 + round).collect();
-                    self.crash(few.clone());
-                    self.run(24);
-                    self.net.restart(few);
-                    if round < 2 {
-                        self.run(14);
-                    }
-                }
-                self.agree(14);
-            }
+            "crashes" => self.play_crashes(),
             "zone" => {
-                self.crash((0..n).filter(|i| i % 6 == 3).collect());
+                self.crash_those(|i| i % 6 == 3);
                 self.run(60);
             }
             "region" => {
-                self.crash((0..n).filter(|i| i % 2 == 1).collect());
-                self.run(60);
-            }
-            "halves" => {
-                let side = |odd| (0..n).filter(|i| i % 2 == odd).collect::<Vec<_>>();
-                self.net.split(&side(0), &side(1));
+                self.crash_those(|i| i % 2 == 1);
                 self.run(60);
-                self.net.cut.clear();
-                self.agree(60);
-            }
-            "restart" => {
-                let most: Vec<usize> = (0..n).filter(|i| i % 10 > 2).collect();
-                self.net.kill(most.iter().copied());
-                self.run(1);
-                self.net.restart(most);
-                self.agree(60);
             }
+            "halves" => self.play_halves(),
+            "restart" => self.play_restart(),
             _ => self.agree(60),
         }
     }
 
+    fn those(&self, is_chosen: impl Fn(usize) -> bool) -> Vec<usize> {
+        let members = 0..self.network.members.len();
+        members.filter(|i| is_chosen(*i)).collect()
+    }
+
+    fn crash_those(&mut self, is_chosen: impl Fn(usize) -> bool) {
+        self.crash(self.those(is_chosen));
+    }
+
+    /// One in ten members crashes and restarts, three times.
+    fn play_crashes(&mut self) {
+        const ROUNDS: usize = 3;
+        for round in 0..ROUNDS {
+            let few = self.those(|i| i % 10 == 2 + round);
+            self.crash(few.clone());
+            self.run(24);
+            self.network.restart(few);
+            if round + 1 < ROUNDS {
+                self.run(14);
+            }
+        }
+        self.agree(14);
+    }
+
+    /// The fleet is partitioned into halves for a minute.
+    fn play_halves(&mut self) {
+        let (even, odd) = (self.those(|i| i % 2 == 0), self.those(|i| i % 2 == 1));
+        self.network.split(&even, &odd);
+        self.run(60);
+        self.network.blocked.clear();
+        self.agree(60);
+    }
+
+    /// Seven in ten members restart at once.
+    fn play_restart(&mut self) {
+        let most = self.those(|i| i % 10 > 2);
+        self.network.crash(most.iter().copied());
+        self.run(1);
+        self.network.restart(most);
+        self.agree(60);
+    }
+
     /// Milliseconds from each crash to `down` in each view that was running, sorted; and views that never came to it.
     fn detection(&self) -> (Vec<u64>, usize) {
         let mut times = Vec::new();
         let mut expected = 0;
         for (when, removed) in &self.crashes {
-            expected += removed.len() * (self.net.members.len() - removed.len());
-            for change in &self.net.changes {
-                let until = *when + self.net.period * 24;
+            expected += removed.len() * (self.network.members.len() - removed.len());
+            for change in &self.network.changes {
+                let until = *when + self.network.period * 24;
                 let counts =
                     change.time >= *when && (change.time <= until || self.crashes.len() == 1);
                 if counts && change.state == State::Down && removed.contains(&change.of) {
@@ -160,14 +178,14 @@
         let whole = thread_time()
             .zip(self.thread_time)
             .map(|(now, then)| now.saturating_sub(then));
-        whole.map_or(self.net.cpu, |whole| whole.min(self.net.cpu))
+        whole.map_or(self.network.cpu, |whole| whole.min(self.network.cpu))
     }
 
     fn row(&self, scenario: &str) -> String {
-        let net = &self.net;
-        let n = net.members.len();
-        let span = (net.now - self.begun).as_secs_f64() * n as f64;
-        let Some(traffic) = &net.traffic else {
+        let network = &self.network;
+        let n = network.members.len();
+        let span = (network.now - self.started_at).as_secs_f64() * n as f64;
+        let Some(traffic) = &network.traffic else {
             return String::new();
         };
         let rate = |bytes: u64| bytes as f64 / span;
@@ -185,7 +203,7 @@
             .agreed
             .map_or("-".to_owned(), |t| format!("{:.1}", t.as_secs_f64()));
         let removed: Vec<usize> = self.crashes.iter().flat_map(|c| c.1.clone()).collect();
-        let false_downs = net
+        let false_downs = network
             .changes
             .iter()
             .filter(|c| c.state == State::Down && !removed.contains(&c.of))
@@ -204,7 +222,7 @@
             at(0.5),
             at(0.99),
             at(1.0),
-            net.unseen(),
+            network.unseen_pairs(),
         )
     }
 }
@@ -233,7 +251,7 @@
     );
     for scenario in &scenarios {
         for &n in &sizes {
-            let mut play = Play::start(n, period, seed);
+            let mut play = ScenarioRun::start(n, period, seed);
             play.play(scenario);
             println!("{}", play.row(scenario));
         }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: members, and a network that loses, delays and cuts. Used by tests and by the example that
-//! measures what membership costs.
+//! A fleet in virtual time: members, and a network that loses, delays and blocks packets. Used by tests and by the example that
+//! measures the costs of membership.
 #![allow(dead_code)]
 
 pub(crate) mod traffic;
@@ -40,67 +40,72 @@
 }
 
 /// The members and the network between them.
-pub(crate) struct Net {
+pub(crate) struct Network {
     pub(crate) now: Time,
     rng: ChaCha8Rng,
     pub(crate) members: Vec<Option<Members>>,
     pub(crate) period: Duration,
     pub(crate) eviction_delay: Option<Duration>,
-    wakes: BTreeSet<(Time, usize)>,
-    wake_of: Vec<Option<Time>>,
-    pub(crate) stopped: BTreeSet<usize>,
-    /// Packets that a stopped member finds when it goes on.
+    wakeups: BTreeSet<(Time, usize)>,
+    wakeup_of: Vec<Option<Time>>,
+    pub(crate) paused: BTreeSet<usize>,
+    /// Packets that a stopped member finds when it resumes.
     backlog: BTreeMap<usize, Vec<Vec<u8>>>,
     in_flight: BTreeMap<(Time, u64), (usize, Vec<u8>)>,
     sent: u64,
     pub(crate) loss: f64,
-    /// From one to another: nothing gets through.
-    pub(crate) cut: BTreeSet<(usize, usize)>,
+    /// Senders and receivers between which all packets are lost.
+    pub(crate) blocked: BTreeSet<(usize, usize)>,
     pub(crate) changes: Vec<Change>,
     pub(crate) dropped: Vec<(usize, DropReason)>,
     /// Requests and replies about what is learned: who got it, from whom, what.
     pub(crate) learned: Vec<(usize, SocketAddr, Vec<u8>)>,
-    /// The latest packet sent, to put in again later.
-    pub(crate) kept: Option<(usize, Vec<u8>)>,
+    /// The receiver and bytes of the latest packet, to be sent again later.
+    pub(crate) last_sent: Option<(usize, Vec<u8>)>,
     pub(crate) traffic: Option<Traffic>,
     /// Time spent in [`Members::step`].
     pub(crate) cpu: Duration,
 }
 
-impl Net {
-    pub(crate) fn new(n: usize, seed: u64) -> Net {
-        Net::with(n, seed, secs(1.0), 20)
+impl Network {
+    pub(crate) fn new(n: usize, seed: u64) -> Network {
+        Network::with_settings(n, seed, secs(1.0), 20)
     }
 
-    /// The eviction delay is told in periods.
-    pub(crate) fn with(n: usize, seed: u64, period: Duration, eviction_delay: u32) -> Net {
+    /// The eviction delay is in periods.
+    pub(crate) fn with_settings(
+        n: usize,
+        seed: u64,
+        period: Duration,
+        eviction_delay: u32,
+    ) -> Network {
         println!("seed {seed}");
-        let mut net = Net {
+        let mut network = Network {
             now: START,
             rng: ChaCha8Rng::seed_from_u64(seed),
             members: (0..n).map(|_| None).collect(),
             period,
             eviction_delay: Some(period * eviction_delay),
-            wakes: BTreeSet::new(),
-            wake_of: vec![None; n],
-            stopped: BTreeSet::new(),
+            wakeups: BTreeSet::new(),
+            wakeup_of: vec![None; n],
+            paused: BTreeSet::new(),
             backlog: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             sent: 0,
             loss: 0.0,
-            cut: BTreeSet::new(),
+            blocked: BTreeSet::new(),
             changes: Vec::new(),
             dropped: Vec::new(),
             learned: Vec::new(),
-            kept: None,
+            last_sent: None,
             traffic: None,
             cpu: Duration::ZERO,
         };
-        (0..n).for_each(|i| net.start(i, net.now, KEY));
-        net
+        (0..n).for_each(|i| network.start(i, network.now, KEY));
+        network
     }
 
-    /// `clock` is what the member holds for the present time.
+    /// `clock` is the present time by the member's clock.
     pub(crate) fn start(&mut self, i: usize, clock: Time, key: Key) {
         let settings = Settings {
             name: format!("n{i}"),
@@ -116,14 +121,14 @@
         };
         let seed = self.rng.random();
         self.members[i] = Some(Members::new(settings, seed, clock));
-        self.set_wake(i, Some(self.now));
+        self.set_wakeup(i, Some(self.now));
     }
 
-    fn set_wake(&mut self, i: usize, wake: Option<Time>) {
-        if let Some(before) = std::mem::replace(&mut self.wake_of[i], wake) {
-            self.wakes.remove(&(before, i));
+    fn set_wakeup(&mut self, i: usize, wakeup: Option<Time>) {
+        if let Some(before) = std::mem::replace(&mut self.wakeup_of[i], wakeup) {
+            self.wakeups.remove(&(before, i));
         }
-        self.wakes.extend(wake.map(|time| (time, i)));
+        self.wakeups.extend(wakeup.map(|time| (time, i)));
     }
 
     pub(crate) fn step(&mut self, i: usize, input: Input) {
@@ -139,7 +144,7 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, bytes } => self.send(i, member_at(to), bytes),
-                Effect::WakeAt(at) => self.set_wake(i, Some(at)),
+                Effect::WakeAt(at) => self.set_wakeup(i, Some(at)),
                 Effect::Changed { view, .. } => {
                     let of = member_at(view.member.at);
                     self.changes.push(Change {
@@ -161,8 +166,8 @@
         if let Some(traffic) = &mut self.traffic {
             traffic.sent(self.now, from, &bytes);
         }
-        self.kept = Some((to, bytes.clone()));
-        if self.cut.contains(&(from, to)) || self.rng.random_bool(self.loss) {
+        self.last_sent = Some((to, bytes.clone()));
+        if self.blocked.contains(&(from, to)) || self.rng.random_bool(self.loss) {
             return;
         }
         let arrives = self.now + Duration::from_micros(self.rng.random_range(200..20_000));
@@ -173,10 +178,10 @@
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
-            let due = |i: usize| !self.stopped.contains(&i) && self.members[i].is_some();
-            let wake = self.wakes.iter().find(|(_, i)| due(*i)).copied();
+            let due = |i: usize| !self.paused.contains(&i) && self.members[i].is_some();
+            let wakeup = self.wakeups.iter().find(|(_, i)| due(*i)).copied();
             let packet = self.in_flight.first_key_value().map(|(&(t, _), _)| t);
-            let next = [wake.map(|w| w.0), packet].into_iter().flatten().min();
+            let next = [wakeup.map(|w| w.0), packet].into_iter().flatten().min();
             let Some(next) = next.filter(|t| *t <= end) else {
                 self.now = end;
                 return;
@@ -186,22 +191,23 @@
                 let Some((_, (to, bytes))) = self.in_flight.pop_first() else {
                     return;
                 };
-                match self.stopped.contains(&to) {
-                    true => self.backlog.entry(to).or_default().push(bytes),
-                    false => self.step(to, Input::PacketReceived(bytes)),
+                if self.paused.contains(&to) {
+                    self.backlog.entry(to).or_default().push(bytes);
+                } else {
+                    self.step(to, Input::PacketReceived(bytes));
                 }
-            } else if let Some((_, i)) = wake {
-                self.set_wake(i, None);
+            } else if let Some((_, i)) = wakeup {
+                self.set_wakeup(i, None);
                 self.step(i, Input::TimerFired);
             }
         }
     }
 
-    /// Runs until the condition holds, looking twice a period; `None` if it doesn't within `limit`.
+    /// Runs until the condition holds, checked twice a period; `None` if it doesn't within `limit`.
     pub(crate) fn run_until(
         &mut self,
         limit: Duration,
-        holds: impl Fn(&Net) -> bool,
+        holds: impl Fn(&Network) -> bool,
     ) -> Option<Duration> {
         let begun = self.now;
         while !holds(self) {
@@ -213,10 +219,10 @@
         Some(self.now - begun)
     }
 
-    pub(crate) fn kill(&mut self, members: impl IntoIterator<Item = usize>) {
+    pub(crate) fn crash(&mut self, members: impl IntoIterator<Item = usize>) {
         for i in members {
             self.members[i] = None;
-            self.set_wake(i, None);
+            self.set_wakeup(i, None);
         }
     }
 
@@ -226,8 +232,8 @@
             .for_each(|i| self.start(i, self.now, KEY));
     }
 
-    pub(crate) fn go_on(&mut self, i: usize) {
-        self.stopped.remove(&i);
+    pub(crate) fn resume(&mut self, i: usize) {
+        self.paused.remove(&i);
         for bytes in self.backlog.remove(&i).unwrap_or_default() {
             self.step(i, Input::PacketReceived(bytes));
         }
@@ -235,7 +241,7 @@
 
     pub(crate) fn split(&mut self, one: &[usize], other: &[usize]) {
         for &a in one {
-            self.cut
+            self.blocked
                 .extend(other.iter().flat_map(|&b| [(a, b), (b, a)]));
         }
     }
@@ -259,7 +265,7 @@
     }
 
     /// Pairs of running members of which the one doesn't see the other as alive.
-    pub(crate) fn unseen(&self) -> usize {
+    pub(crate) fn unseen_pairs(&self) -> usize {
         let running = self.running();
         let alive = |by: &usize| {
             let views = self.members[*by].iter().flat_map(Members::views);
@@ -275,11 +281,11 @@
     }
 
     /// Everybody that runs sees everybody that runs as alive.
-    pub(crate) fn agreed(&self) -> bool {
-        self.unseen() == 0
+    pub(crate) fn has_converged(&self) -> bool {
+        self.unseen_pairs() == 0
     }
 
-    pub(crate) fn downs(&self) -> usize {
+    pub(crate) fn down_changes(&self) -> usize {
         self.changes
             .iter()
             .filter(|c| c.state == State::Down)
--- a/crates/membership/tests/votes.rs
+++ b/crates/membership/tests/votes.rs
@@ -1,4 +1,4 @@
-//! Votes, their sets and what may be concluded from them, whatever comes in whatever order.
+//! Votes, their sets and evictions: properties for any votes and pages in any order.
 
 mod common;
 
@@ -30,14 +30,14 @@
     identity_hash(&member(n))
 }
 
-fn see(views: &mut MemberTable, n: usize, state: State) {
+fn see(table: &mut MemberTable, n: usize, state: State) {
     let view = View {
         member: member(n),
         swim_incarnation: 0,
         state,
         since: START,
     };
-    views.update(START, view, Duration::ZERO);
+    table.update(START, view, Duration::ZERO);
 }
 
 fn names(members: &[usize]) -> BTreeSet<ShortHash> {
@@ -46,7 +46,7 @@
 
 /// A fleet of which we are the last: some of the others are down in our view, and some of the rest say so too.
 struct Fleet {
-    views: MemberTable,
+    table: MemberTable,
     votes: Votes,
     sets: DownSets,
     down: Vec<usize>,
@@ -54,10 +54,10 @@
 
 impl Fleet {
     fn new(members: usize, down: usize) -> Fleet {
-        let (mut views, down) = (MemberTable::default(), (0..down).collect::<Vec<_>>());
-        (0..members - 1).for_each(|n| see(&mut views, n, State::Alive));
+        let (mut table, down) = (MemberTable::default(), (0..down).collect::<Vec<_>>());
+        (0..members - 1).for_each(|n| see(&mut table, n, State::Alive));
         Fleet {
-            views,
+            table,
             votes: Votes::default(),
             sets: DownSets::default(),
             down,
@@ -67,7 +67,7 @@
     fn crash(&mut self) {
         self.down
             .iter()
-            .for_each(|n| see(&mut self.views, *n, State::Down));
+            .for_each(|n| see(&mut self.table, *n, State::Down));
     }
 
     fn vote(&mut self, voter: usize, number: u32, named: &[usize]) {
@@ -83,51 +83,51 @@
 }
 
 proptest! {
-    /// Guards the shared limits: a part is free after the whole delay, and only if more than half of all agree. The votes
+    /// Guards the shared limits: a quota is free after the whole delay, and only if more than half of all agree. The votes
     /// of the dead, and of those who are not known, count for nothing.
     #[test]
-    fn nobody_is_evicted_without_a_majority_of_all_for_the_whole_delay(
+    fn eviction_needs_a_majority_for_the_whole_delay(
         members in 2usize..40, removed in 1usize..20, voters in 0usize..40, strangers in 0usize..40,
     ) {
         let removed = removed.min(members - 1);
         let mut fleet = Fleet::new(members, removed);
-        let mut share = QuotaDivisor::new(members as u32, Some(DELAY));
-        share.update(START, &fleet.views, &fleet.votes, &fleet.sets);
+        let mut quota = QuotaDivisor::new(members as u32, Some(DELAY));
+        quota.update(START, &fleet.table, &fleet.votes, &fleet.sets);
         fleet.crash();
         let down = fleet.down.clone();
         let living = voters.min(members - 1 - removed);
         (removed..removed + living).for_each(|voter| fleet.vote(voter, 1, &down));
         (1000..1000 + strangers).for_each(|voter| fleet.vote(voter, 1, &down));
         (0..removed).for_each(|voter| fleet.vote(voter, 1, &down));
-        let count = |share: &mut QuotaDivisor, fleet: &Fleet, at| {
-            share.update(START + at, &fleet.views, &fleet.votes, &fleet.sets) as usize
+        let count = |quota: &mut QuotaDivisor, fleet: &Fleet, at| {
+            quota.update(START + at, &fleet.table, &fleet.votes, &fleet.sets) as usize
         };
-        prop_assert_eq!(count(&mut share, &fleet, SECOND), members);
-        prop_assert_eq!(count(&mut share, &fleet, DELAY), members);
+        prop_assert_eq!(count(&mut quota, &fleet, SECOND), members);
+        prop_assert_eq!(count(&mut quota, &fleet, DELAY), members);
         let majority = (1 + living) * 2 > members;
         let left = if majority { members - removed } else { members };
-        prop_assert_eq!(count(&mut share, &fleet, SECOND + DELAY), left);
+        prop_assert_eq!(count(&mut quota, &fleet, SECOND + DELAY), left);
     }
 
     /// A majority that breaks, however shortly, starts the delay anew.
     #[test]
-    fn a_vote_withdrawn_starts_the_delay_anew(at in 2u64..30) {
+    fn withdrawn_vote_restarts_the_delay(at in 2u64..30) {
         let mut fleet = Fleet::new(5, 1);
-        let mut share = QuotaDivisor::new(5, Some(DELAY));
-        let count = |share: &mut QuotaDivisor, fleet: &Fleet, at: u64| {
-            share.update(START + SECOND * at as u32, &fleet.views, &fleet.votes, &fleet.sets)
+        let mut quota = QuotaDivisor::new(5, Some(DELAY));
+        let count = |quota: &mut QuotaDivisor, fleet: &Fleet, at: u64| {
+            quota.update(START + SECOND * at as u32, &fleet.table, &fleet.votes, &fleet.sets)
         };
-        count(&mut share, &fleet, 0);
+        count(&mut quota, &fleet, 0);
         fleet.crash();
         fleet.vote(1, 1, &[0]);
         fleet.vote(2, 1, &[0]);
-        prop_assert_eq!(count(&mut share, &fleet, 1), 5);
+        prop_assert_eq!(count(&mut quota, &fleet, 1), 5);
         fleet.vote(2, 2, &[]);
-        prop_assert_eq!(count(&mut share, &fleet, at), 5);
+        prop_assert_eq!(count(&mut quota, &fleet, at), 5);
         fleet.vote(2, 3, &[0]);
-        prop_assert_eq!(count(&mut share, &fleet, at), 5);
-        prop_assert_eq!(count(&mut share, &fleet, at + 29), 5);
-        prop_assert_eq!(count(&mut share, &fleet, at + 30), 4);
+        prop_assert_eq!(count(&mut quota, &fleet, at), 5);
+        prop_assert_eq!(count(&mut quota, &fleet, at + 29), 5);
+        prop_assert_eq!(count(&mut quota, &fleet, at + 30), 4);
     }
 
     /// Votes come to the same table in any order, each once or often.
@@ -155,7 +155,7 @@
 
     /// Pages of a set come in any order, twice, of another length or spoilt: the set is whole only as what its name says.
     #[test]
-    fn a_set_is_whole_or_not_there(
+    fn down_set_is_complete_or_absent(
         size in 1usize..600, pages in prop::collection::vec((0u32..5, 0usize..3), 1..40), spoil in any::<bool>(),
     ) {
         let members: Vec<usize> = (0..size).collect();
@@ -182,12 +182,12 @@
 
     /// A member votes for nobody that its own view doesn't hold to be down, whatever others name; and for all whom it does.
     #[test]
-    fn a_vote_names_whom_the_voter_holds_to_be_down(
+    fn vote_names_exactly_the_members_down_in_the_own_view(
         down in prop::collection::btree_set(0usize..12, 0..8),
         named in prop::collection::vec(prop::collection::btree_set(0usize..12, 1..8), 0..6),
     ) {
         let mut fleet = Fleet::new(13, 0);
-        down.iter().for_each(|n| see(&mut fleet.views, *n, State::Down));
+        down.iter().for_each(|n| see(&mut fleet.table, *n, State::Down));
         for (voter, set) in named.iter().enumerate() {
             fleet.vote(voter, 1, &set.iter().copied().collect::<Vec<_>>());
         }
@@ -195,7 +195,7 @@
         let mut voted = None;
         for tenth in 0..40 {
             let now = START + SECOND / 10 * tenth;
-            if let VoteDecision::Vote(set) = voting.decide(now, &fleet.views, &fleet.votes, &mut fleet.sets, 0.5) {
+            if let VoteDecision::Vote(set) = voting.decide(now, &fleet.table, &fleet.votes, &mut fleet.sets, 0.5) {
                 voted = Some(set);
             }
         }
@@ -230,7 +230,7 @@
 
 /// A member that adopts a set may have seen an earlier incarnation of one of its members end.
 #[test]
-fn a_set_with_a_generation_that_is_over_can_be_adopted() {
+fn set_with_an_ended_incarnation_can_be_adopted() {
     let mut fleet = Fleet::new(6, 2);
     fleet.crash();
     fleet.vote(3, 1, &[0, 1]);
@@ -243,11 +243,11 @@
         state: State::Alive,
         since: START,
     };
-    fleet.views.update(START, returned, Duration::ZERO);
+    fleet.table.update(START, returned, Duration::ZERO);
     let mut voting = Voting::new(SECOND, 6);
     let choice = voting.decide(
         START + SECOND,
-        &fleet.views,
+        &fleet.table,
         &fleet.votes,
         &mut fleet.sets,
         1.0,
