--- a/crates/membership/examples/membership_figures.rs
+++ b/crates/membership/examples/membership_figures.rs
@@ -58,7 +58,11 @@
     /// Runs until all members see each other; not counted.
     fn settle(&mut self) {
         let limit = self.network.period * 900;
-        if self.network.run_until(limit, Network::has_converged).is_none() {
+        if self
+            .network
+            .run_until(limit, Network::has_converged)
+            .is_none()
+        {
             eprintln!(
                 "not agreed {limit:?} after the start: {} pairs unseen",
                 self.network.unseen_pairs()
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into [`crate::Members`] and what comes out of it.
+//! The inputs and effects of [`crate::Members`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -4,6 +4,7 @@
 mod anti_entropy;
 mod context;
 mod fleet_view;
+mod packet_checks;
 mod quorum;
 mod replica;
 mod set_requests;
--- a/crates/membership/src/members/anti_entropy.rs
+++ b/crates/membership/src/members/anti_entropy.rs
@@ -19,7 +19,7 @@
 /// Comparisons in a period while there are differences.
 const COMPARISONS_PER_PERIOD: u32 = 3;
 
-/// See the module's text.
+/// Compares our state with other members' and requests what is missing.
 #[derive(Debug)]
 pub(super) struct AntiEntropy {
     /// Whether a difference was found, or caused, since the latest comparison.
@@ -67,7 +67,7 @@
             .schedule_with_jitter(delay, Timer::AntiEntropy);
     }
 
-    /// Once a period: repeats what may have been lost, and removes what is no longer used.
+    /// Once a period: repeats notifications and requests that may have been lost, and removes unused votes and sets.
     fn maintain(&mut self, replica: &mut Replica) {
         self.set_requests.start_period();
         replica.swim.notify_accused(&mut replica.context);
--- a/crates/membership/src/members/context.rs
+++ b/crates/membership/src/members/context.rs
@@ -39,7 +39,7 @@
     Vote,
 }
 
-/// See the module's text.
+/// The settings, clock, random numbers, timers and outgoing packets of a member.
 pub(super) struct Context {
     pub(super) settings: Settings,
     pub(super) now: Time,
--- a/crates/membership/src/members/fleet_view.rs
+++ b/crates/membership/src/members/fleet_view.rs
@@ -22,7 +22,7 @@
 /// Members, on average, that notify a suspect of a suspicion that they learn of.
 const SUSPECT_NOTIFIERS: f64 = 8.0;
 
-/// See the module's text.
+/// The member table, with what is needed to refresh it and to notify suspects.
 #[derive(Default)]
 pub(super) struct FleetView {
     table: MemberTable,
--- a/crates/membership/src/members/quorum.rs
+++ b/crates/membership/src/members/quorum.rs
@@ -23,7 +23,7 @@
 /// was waited for.
 const MIN_DECISIONS_PER_PERIOD: u32 = 4;
 
-/// See the module's text.
+/// All votes and their sets, our own vote, and the quota divisor.
 pub(super) struct Quorum {
     votes: SharedVotes,
     sets: DownSets,
--- a/crates/membership/src/members/replica.rs
+++ b/crates/membership/src/members/replica.rs
@@ -1,4 +1,4 @@
-//! This member's replica of the fleet's state: the member table and the votes, with what is needed to send them.
+//! This member's replica of the fleet's state: the member table and the votes.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
 use crate::token_bucket::TrafficClass;
 use crate::view::State;
 
-/// See the module's text.
+/// The member table and the votes. Its parts don't know each other; what takes several of them is here.
 pub(super) struct Replica {
     pub(super) context: Context,
     pub(super) swim: Swim,
--- a/crates/membership/src/members/set_requests.rs
+++ b/crates/membership/src/members/set_requests.rs
@@ -12,10 +12,11 @@
 
 /// Sets that are requested in one period. Bounds the traffic after many votes have changed at once.
 const MAX_REQUESTED_SETS: usize = 4;
-/// How many others a set is requested of besides its voters, as if so many of them had voted for it.
+/// The weight of all other members against one voter when choosing whom to request a set of: as if this many of them had
+/// voted for it.
 const OTHER_HOLDERS: usize = 8;
 
-/// See the module's text.
+/// The requests of the present period, and whom to send the next ones to.
 #[derive(Debug, Default)]
 pub(super) struct SetRequests {
     /// Sets requested in this period.
@@ -89,8 +90,8 @@
     }
 }
 
-/// One of the voters of a set, or a few others that may hold it too: a set with a single voter would otherwise be requested of that one by
-/// all members.
+/// One of the voters of a set, or another member, which may hold it too: a set with a single voter would otherwise be requested
+/// of that one by all members.
 fn likely_holder(replica: &mut Replica, set: ShortHash) -> Option<SocketAddr> {
     let votes = replica.quorum.votes();
     let votes_for_set = |voter| {
--- a/crates/membership/src/members/swim.rs
+++ b/crates/membership/src/members/swim.rs
@@ -11,6 +11,7 @@
 
 use super::context::{self, Context};
 use super::fleet_view::FleetView;
+use super::packet_checks;
 use crate::event::Effect;
 use crate::identity::{Identity, UNKNOWN_INCARNATION};
 use crate::member_entry::MemberEntry;
@@ -18,7 +19,6 @@
 use crate::seal::{DropReason, Kind};
 use crate::settings::{FANOUT, GOSSIP_ROUNDS_PER_PERIOD};
 use crate::token_bucket::TrafficClass;
-use crate::view::State;
 use crate::vote::Votes;
 use crate::vote_broadcast::{SharedVotes, VoteHandler};
 
@@ -29,10 +29,8 @@
 /// A member that may be cut off itself declares nobody down until it has received nothing for this many suspicion timeouts:
 /// then it is alone and nobody receives its packets either, or the others have ended.
 const CUT_OFF_SUSPICIONS: u32 = 4;
-/// More updates than any packet contains.
-const MAX_UPDATES_PER_PACKET: usize = 1000;
 
-/// See the module's text.
+/// `foca`, with its requests and our view of the fleet.
 pub(super) struct Swim {
     foca: Foca<Identity, PostcardCodec, ChaCha8Rng, VoteHandler>,
     runtime: AccumulatingRuntime<Identity>,
@@ -135,25 +133,13 @@
         rest: &[u8],
         message: &[u8],
     ) -> Result<(), DropReason> {
-        let may_change_table = self.may_change_table(header, rest);
+        let may_change_table = packet_checks::may_change_table(self.table(), header, rest);
         self.view.mark_stale_if(may_change_table);
         self.foca
             .handle_data(message, &mut self.runtime)
             .map_err(|_| DropReason::Unreadable)
     }
 
-    /// Whether a packet may change our view of any member.
-    fn may_change_table(&self, header: &Header<Identity>, rest: &[u8]) -> bool {
-        let update_count = rest.first_chunk::<2>();
-        let has_updates = update_count.is_some_and(|count| *count != [0, 0]);
-        let is_known = self.table().get(&header.src.at).is_some_and(|view| {
-            view.state == State::Alive
-                && view.member == header.src
-                && view.swim_incarnation >= header.src_incarnation
-        });
-        has_updates || !is_known || matches!(header.message, Message::TurnUndead)
-    }
-
     /// Rejects a packet that would exceed the bound on known members.
     pub(super) fn check_member_bound(
         &self,
@@ -161,24 +147,7 @@
         rest: &[u8],
     ) -> Result<(), DropReason> {
         let stored = self.foca.iter_membership_state().len();
-        if stored + MAX_UPDATES_PER_PACKET < MAX_MEMBERS {
-            return Ok(());
-        }
-        let Some((update_count, mut rest)) = rest.split_first_chunk::<2>() else {
-            return Ok(());
-        };
-        let is_unknown = |member: &Identity| self.table().get(&member.at).is_none();
-        let mut unknown = usize::from(is_unknown(source));
-        for _ in 0..u16::from_be_bytes(*update_count) {
-            let (update, after) = postcard::take_from_bytes::<Member<Identity>>(rest)
-                .map_err(|_| DropReason::Unreadable)?;
-            unknown += usize::from(is_unknown(update.id()));
-            rest = after;
-        }
-        if unknown > 0 && stored + unknown > MAX_MEMBERS {
-            return Err(DropReason::TooMany);
-        }
-        Ok(())
+        packet_checks::check_member_bound(self.table(), stored, source, rest)
     }
 
     /// Whether to answer a member's anti-entropy messages. One that isn't known yet is added.
@@ -333,7 +302,7 @@
 
     /// Announces our end.
     pub(super) fn leave(&mut self, context: &mut Context) {
-        // Each round goes to newly chosen members: all must be lost for our end to look like a failure.
+        // Each round goes to newly chosen members: only if all are lost, our end looks like a failure.
         for _ in 0..FANOUT.get() {
             self.gossip();
         }
--- a/crates/membership/src/quota.rs
+++ b/crates/membership/src/quota.rs
@@ -1,8 +1,8 @@
 //! By how many senders a shared limit must be divided. The division errs on the safe side: a sender's quota doesn't grow because
 //! other senders are out of reach.
 //!
-//! A member's quota becomes free only once the member is *evicted*: held to be down by a majority of all known members, without
-//! interruption for the whole eviction delay. Down members count in the total and have no vote, so a minority that is cut off
+//! A member's quota becomes free only once the member is *evicted*: a majority of all known members has voted it down, without
+//! interruption, for the whole eviction delay. Down members count in the total and have no vote, so a minority that is cut off
 //! evicts nobody.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 struct TrackedMember {
     incarnation: u64,
-    /// Since when a majority has held the member to be down.
+    /// Since when a majority has voted the member down.
     majority_since: Option<Time>,
     evicted: bool,
 }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Evicts the members that a majority has held to be down for the whole delay.
+    /// Evicts the members that a majority has voted down for the whole delay.
     fn evict(&mut self, now: Time, table: &MemberTable, votes: &Votes, sets: &DownSets) {
         let is_undecided = |view: &View| {
             let tracked = self.tracked.get(&view.member.at);
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -47,7 +47,7 @@
     /// A packet of this number was accepted before, or the number is too old to know.
     #[error("accepted before")]
     Replayed,
-    /// Its sender has been heard in a later incarnation.
+    /// A packet of a later incarnation of its sender was accepted before.
     #[error("of an earlier incarnation of its sender")]
     EarlierIncarnation,
     /// It has another [`FORMAT`].
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -6,7 +6,7 @@
 
 use crate::seal::{Key, MAX_MESSAGE};
 
-/// Members that an indirect probe, a round of gossip or a request goes to. SWIM's paper gives 3 for most uses.
+/// The number of members that receive an indirect probe, a round of gossip or a request. SWIM's paper gives 3 for most uses.
 pub(crate) const FANOUT: NonZeroUsize = NonZeroUsize::new(3).unwrap();
 /// Rounds of gossip in a period while there are updates: five rounds reach 3^5 members within one period.
 pub(crate) const GOSSIP_ROUNDS_PER_PERIOD: u32 = 5;
--- a/crates/membership/src/vote.rs
+++ b/crates/membership/src/vote.rs
@@ -1,4 +1,4 @@
-//! Votes: which members each member holds to be down. The newest vote of each member counts. A vote names its set of down
+//! Votes: which members each member considers down. The newest vote of each member counts. A vote names its set of down
 //! members by a hash; the sets are stored once each, in [`crate::down_sets::DownSets`].
 
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
     pub number: u32,
     /// The voter is about to end, of its own accord.
     pub leaves: bool,
-    /// The hash of the set of members that the voter holds to be down; `None` for the empty set.
+    /// The hash of the set of members that the voter considers down; `None` for the empty set.
     pub down: Option<ShortHash>,
     /// The voter's payload for all members; opaque to this crate.
     pub payload: Vec<u8>,
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -58,7 +58,7 @@
     pub(crate) blocked: BTreeSet<(usize, usize)>,
     pub(crate) changes: Vec<Change>,
     pub(crate) dropped: Vec<(usize, DropReason)>,
-    /// Requests and replies about what is learned: who got it, from whom, what.
+    /// Requests and replies about learned state: the receiver, the sender, and the piece.
     pub(crate) learned: Vec<(usize, SocketAddr, Vec<u8>)>,
     /// The receiver and bytes of the latest packet, to be sent again later.
     pub(crate) last_sent: Option<(usize, Vec<u8>)>,
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -20,7 +20,7 @@
     for by in (0..10).filter(|&by| by != 3) {
         assert_eq!(network.state(3, by), Some(State::Down), "by {by}");
     }
-    assert_eq!(network.down_changes(), 9, "nobody else is held to be down");
+    assert_eq!(network.down_changes(), 9, "nobody else is declared down");
 }
 
 /// Guards against a process that was stopped and takes its own silence for the others'.
@@ -64,7 +64,7 @@
     );
 }
 
-/// Guards against false deaths under loss, and against a suspicion that its subject never hears of: 60 seeds of a minute.
+/// Guards against false deaths under loss, and against a suspicion that its subject isn't notified of: 60 seeds of a minute.
 #[test]
 fn ten_percent_packet_loss_declares_nobody_down() {
     for seed in 100..160 {
