--- /dev/null
+++ b/crates/membership/src/members/anti_entropy.rs
@@ -0,0 +1,241 @@
+//! Compares states with one random member at a time, and answers the comparisons of others.
+
+use std::net::SocketAddr;
+
+use cranehill_scheduler::Time;
+use rand::RngExt;
+
+use super::context::Timer;
+use super::replica::Replica;
+use super::set_requests::SetRequests;
+use crate::anti_entropy::{Entries, MAX_PAGE_MEMBERS, Message};
+use crate::digest::{BUCKETS, BucketSum, ShortHash};
+use crate::identity::Identity;
+use crate::member_entry::MemberEntry;
+use crate::seal::DropReason;
+use crate::settings::FANOUT;
+use crate::token_bucket::TrafficClass;
+
+/// Comparisons in a period while there are differences.
+const COMPARISONS_PER_PERIOD: u32 = 3;
+
+/// Compares our state with other members' and requests what is missing.
+#[derive(Debug)]
+pub(super) struct AntiEntropy {
+    /// Whether a difference was found, or caused, since the latest comparison.
+    found_difference: bool,
+    next_maintenance: Time,
+    set_requests: SetRequests,
+}
+
+impl AntiEntropy {
+    pub(super) fn new(now: Time) -> AntiEntropy {
+        AntiEntropy {
+            found_difference: false,
+            next_maintenance: now,
+            set_requests: SetRequests::default(),
+        }
+    }
+
+    /// Our state has changed, so the next comparisons will find a difference.
+    pub(super) fn expect_difference(&mut self) {
+        self.found_difference = true;
+    }
+
+    /// Casts our vote, by which our state differs from the others'.
+    pub(super) fn cast_vote(&mut self, replica: &mut Replica, leaves: bool) {
+        replica.cast_vote(leaves);
+        self.found_difference = true;
+    }
+
+    /// Compares with a random member, and schedules the next comparison.
+    pub(super) fn on_timer(&mut self, replica: &mut Replica) {
+        let period = replica.context.settings.period;
+        if replica.context.now >= self.next_maintenance {
+            self.next_maintenance = replica.context.now + period;
+            self.maintain(replica);
+        }
+        compare_with_random(replica);
+        let has_differed = std::mem::take(&mut self.found_difference);
+        let delay = if has_differed {
+            period / COMPARISONS_PER_PERIOD
+        } else {
+            period
+        };
+        replica
+            .context
+            .schedule_with_jitter(delay, Timer::AntiEntropy);
+    }
+
+    /// Once a period: repeats notifications and requests that may have been lost, and removes unused votes and sets.
+    fn maintain(&mut self, replica: &mut Replica) {
+        self.set_requests.start_period();
+        replica.swim.notify_accused(&mut replica.context);
+        replica.swim.expire_announcements(replica.context.now);
+        let me = replica.own_hash();
+        let named = replica.quorum.remove_unused(replica.swim.table(), me);
+        if replica.quorum.lacks_own_vote(me) {
+            self.cast_vote(replica, false);
+        }
+        self.set_requests.request_missing(replica, &named);
+        replica.recount();
+    }
+
+    /// Handles a message. Messages of a member that is down here are ignored: SWIM's own packets notify it.
+    pub(super) fn receive(
+        &mut self,
+        replica: &mut Replica,
+        from: &Identity,
+        body: &[u8],
+    ) -> Result<(), DropReason> {
+        let (message, rest) =
+            postcard::take_from_bytes::<Message>(body).map_err(|_| DropReason::Unreadable)?;
+        if !rest.is_empty() {
+            return Err(DropReason::Unreadable);
+        }
+        if !replica.swim.admit(from) {
+            return Ok(());
+        }
+        let peer = from.at;
+        match message {
+            Message::Compare { members, votes } => {
+                self.on_compare(replica, peer, members, votes);
+                Ok(())
+            }
+            Message::Differs { members, votes } => self.on_differs(replica, peer, &members, &votes),
+            Message::Entries(entries) => self.on_entries(replica, peer, &entries),
+            Message::WantSet { set, offset } => {
+                send_page(replica, peer, set, offset);
+                Ok(())
+            }
+            Message::SetPage(page) => {
+                self.set_requests.receive_page(replica, peer, &page);
+                Ok(())
+            }
+        }
+    }
+
+    fn on_compare(
+        &mut self,
+        replica: &mut Replica,
+        peer: SocketAddr,
+        members: ShortHash,
+        votes: ShortHash,
+    ) {
+        let differs = replica.with_local_state(|state| state.differs(members, votes));
+        if let Some(differs) = differs
+            && replica.may_send(TrafficClass::Bulk)
+        {
+            self.found_difference = true;
+            replica.send_anti_entropy(peer, &differs);
+        }
+    }
+
+    fn on_differs(
+        &mut self,
+        replica: &mut Replica,
+        peer: SocketAddr,
+        members: &[BucketSum],
+        votes: &[BucketSum],
+    ) -> Result<(), DropReason> {
+        let first_bucket = replica.context.rng.random_range(0..BUCKETS);
+        let max_bytes = replica.max_body();
+        let entries = replica
+            .with_local_state(|state| {
+                state.entries_to_push(members, votes, first_bucket, max_bytes)
+            })
+            .ok_or(DropReason::Unreadable)?;
+        self.found_difference = true;
+        if replica.may_send(TrafficClass::Bulk) {
+            replica.send_anti_entropy(peer, &Message::Entries(entries));
+        }
+        Ok(())
+    }
+
+    fn on_entries(
+        &mut self,
+        replica: &mut Replica,
+        peer: SocketAddr,
+        entries: &Entries,
+    ) -> Result<(), DropReason> {
+        if !entries.members.iter().all(MemberEntry::has_known_state) {
+            return Err(DropReason::Unreadable);
+        }
+        // The answer is computed first: once the entries are applied, nothing differs.
+        let answer = if entries.wanted.is_empty() {
+            None
+        } else {
+            let max_bytes = replica.max_body();
+            replica.with_local_state(|state| state.entries_to_pull(entries, max_bytes))
+        };
+        replica.apply_member_entries(&entries.members);
+        self.apply_votes(replica, peer, entries);
+        if let Some(answer) = answer
+            && replica.may_send(TrafficClass::Bulk)
+        {
+            replica.send_anti_entropy(peer, &Message::Entries(answer));
+        }
+        Ok(())
+    }
+
+    fn apply_votes(&mut self, replica: &mut Replica, peer: SocketAddr, entries: &Entries) {
+        for set in store_votes(replica, entries) {
+            if replica.quorum.sets().next_offset(set).is_some() {
+                self.set_requests.request_from_holder(replica, peer, set);
+            }
+        }
+    }
+}
+
+/// Stores the votes of known members; returns the sets that new votes name.
+fn store_votes(replica: &Replica, entries: &Entries) -> Vec<ShortHash> {
+    let me = replica.own_hash();
+    let table = replica.swim.table();
+    let mut votes = replica.quorum.votes();
+    let mut named = Vec::new();
+    for entry in &entries.votes {
+        if entry.voter == me || !table.is_announced(entry.voter) {
+            continue;
+        }
+        let Some(vote) = entry.vote(&entries.sets) else {
+            continue;
+        };
+        let down = vote.down;
+        if votes.insert(entry.voter, vote) {
+            named.extend(down);
+        }
+    }
+    named
+}
+
+/// Sends a page of a set, if the set is known here and has members at the offset.
+fn send_page(replica: &mut Replica, peer: SocketAddr, set: ShortHash, offset: u32) {
+    let page = replica.quorum.sets().page(set, offset, MAX_PAGE_MEMBERS);
+    if let Some(page) = page
+        && !page.members.is_empty()
+        && replica.may_send(TrafficClass::Gossip)
+    {
+        replica.send_anti_entropy(peer, &Message::SetPage(page));
+    }
+}
+
+/// Starts a comparison with a member.
+pub(super) fn compare_with(replica: &mut Replica, peer: SocketAddr) {
+    let compare = replica.with_local_state(|state| state.compare());
+    replica.send_anti_entropy(peer, &compare);
+}
+
+fn compare_with_random(replica: &mut Replica) {
+    if replica.may_send(TrafficClass::Bulk)
+        && let Some(peer) = replica.random_peer()
+    {
+        compare_with(replica, peer);
+    }
+}
+
+/// Starts comparisons with a few random members, so that a change spreads at once.
+pub(super) fn compare_with_few(replica: &mut Replica) {
+    for _ in 0..FANOUT.get() {
+        compare_with_random(replica);
+    }
+}
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! A fleet in virtual time: members, and a network that loses, delays and cuts. Used by tests and by the example that
-//! measures what membership costs.
+//! A fleet in virtual time: members, and a network that loses, delays and blocks packets. Used by tests and by the example that
+//! measures the costs of membership.
 #![allow(dead_code)]
 
-pub mod traffic;
+pub(crate) mod traffic;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,94 +14,99 @@
 use rand_chacha::ChaCha8Rng;
 use traffic::Traffic;
 
-pub const KEY: Key = [7; 32];
-pub const START: Time = Time(1_700_000_000_000_000_000);
+pub(crate) const KEY: Key = [7; 32];
+pub(crate) const START: Time = Time(1_700_000_000_000_000_000);
 const FIRST_PORT: u16 = 7000;
 
-pub fn address(member: usize) -> SocketAddr {
+pub(crate) fn address(member: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + member as u16))
 }
 
-pub fn member_at(address: SocketAddr) -> usize {
+pub(crate) fn member_at(address: SocketAddr) -> usize {
     usize::from(address.port() - FIRST_PORT)
 }
 
-pub fn secs(s: f64) -> Duration {
+pub(crate) fn secs(s: f64) -> Duration {
     Duration::from_secs_f64(s)
 }
 
 /// A member's state changed in another's view.
 #[derive(Clone, Copy, Debug)]
-pub struct Change {
-    pub time: Time,
-    pub by: usize,
-    pub of: usize,
-    pub state: State,
+pub(crate) struct Change {
+    pub(crate) time: Time,
+    pub(crate) by: usize,
+    pub(crate) of: usize,
+    pub(crate) state: State,
 }
 
 /// The members and the network between them.
-pub struct Net {
-    pub now: Time,
+pub(crate) struct Network {
+    pub(crate) now: Time,
     rng: ChaCha8Rng,
-    pub members: Vec<Option<Members>>,
-    pub period: Duration,
-    pub eviction_delay: Option<Duration>,
-    wakes: BTreeSet<(Time, usize)>,
-    wake_of: Vec<Option<Time>>,
-    pub stopped: BTreeSet<usize>,
-    /// Packets that a stopped member finds when it goes on.
+    pub(crate) members: Vec<Option<Members>>,
+    pub(crate) period: Duration,
+    pub(crate) eviction_delay: Option<Duration>,
+    wakeups: BTreeSet<(Time, usize)>,
+    wakeup_of: Vec<Option<Time>>,
+    pub(crate) paused: BTreeSet<usize>,
+    /// Packets that a stopped member finds when it resumes.
     backlog: BTreeMap<usize, Vec<Vec<u8>>>,
     in_flight: BTreeMap<(Time, u64), (usize, Vec<u8>)>,
     sent: u64,
-    pub loss: f64,
-    /// From one to another: nothing gets through.
-    pub cut: BTreeSet<(usize, usize)>,
-    pub changes: Vec<Change>,
-    pub dropped: Vec<(usize, DropReason)>,
-    /// Requests and replies about what is learned: who got it, from whom, what.
-    pub learned: Vec<(usize, SocketAddr, Vec<u8>)>,
-    /// The latest packet sent, to put in again later.
-    pub kept: Option<(usize, Vec<u8>)>,
-    pub traffic: Option<Traffic>,
+    pub(crate) loss: f64,
+    /// Senders and receivers between which all packets are lost.
+    pub(crate) blocked: BTreeSet<(usize, usize)>,
+    pub(crate) changes: Vec<Change>,
+    pub(crate) dropped: Vec<(usize, DropReason)>,
+    /// Requests and replies about learned state: the receiver, the sender, and the piece.
+    pub(crate) learned: Vec<(usize, SocketAddr, Vec<u8>)>,
+    /// The receiver and bytes of the latest packet, to be sent again later.
+    pub(crate) last_sent: Option<(usize, Vec<u8>)>,
+    pub(crate) traffic: Option<Traffic>,
     /// Time spent in [`Members::step`].
-    pub cpu: Duration,
+    pub(crate) cpu: Duration,
 }
 
-impl Net {
-    pub fn new(n: usize, seed: u64) -> Net {
-        Net::with(n, seed, secs(1.0), 20)
+impl Network {
+    pub(crate) fn new(n: usize, seed: u64) -> Network {
+        Network::with_settings(n, seed, secs(1.0), 20)
     }
 
-    /// The eviction delay is told in periods.
-    pub fn with(n: usize, seed: u64, period: Duration, eviction_delay: u32) -> Net {
+    /// The eviction delay is in periods.
+    pub(crate) fn with_settings(
+        n: usize,
+        seed: u64,
+        period: Duration,
+        eviction_delay: u32,
+    ) -> Network {
         println!("seed {seed}");
-        let mut net = Net {
+        let mut network = Network {
             now: START,
             rng: ChaCha8Rng::seed_from_u64(seed),
             members: (0..n).map(|_| None).collect(),
             period,
             eviction_delay: Some(period * eviction_delay),
-            wakes: BTreeSet::new(),
-            wake_of: vec![None; n],
-            stopped: BTreeSet::new(),
+            wakeups: BTreeSet::new(),
+            wakeup_of: vec![None; n],
+            paused: BTreeSet::new(),
             backlog: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             sent: 0,
             loss: 0.0,
-            cut: BTreeSet::new(),
+            blocked: BTreeSet::new(),
             changes: Vec::new(),
             dropped: Vec::new(),
             learned: Vec::new(),
-            kept: None,
+            last_sent: None,
             traffic: None,
             cpu: Duration::ZERO,
         };
-        (0..n).for_each(|i| net.start(i, net.now, KEY));
-        net
+        (0..n).for_each(|i| network.start(i, network.now, KEY));
+        network
     }
 
-    /// `clock` is what the member holds for the present time.
-    pub fn start(&mut self, i: usize, clock: Time, key: Key) {
+    /// `clock` is the present time by the member's clock.
+    pub(crate) fn start(&mut self, i: usize, clock: Time, key: Key) {
         let settings = Settings {
             name: format!("n{i}"),
             at: address(i),
@@ -116,21 +121,21 @@
         };
         let seed = self.rng.random();
         self.members[i] = Some(Members::new(settings, seed, clock));
-        self.set_wake(i, Some(self.now));
+        self.set_wakeup(i, Some(self.now));
     }
 
-    fn set_wake(&mut self, i: usize, wake: Option<Time>) {
-        if let Some(before) = std::mem::replace(&mut self.wake_of[i], wake) {
-            self.wakes.remove(&(before, i));
+    fn set_wakeup(&mut self, i: usize, wakeup: Option<Time>) {
+        if let Some(before) = std::mem::replace(&mut self.wakeup_of[i], wakeup) {
+            self.wakeups.remove(&(before, i));
         }
-        self.wakes.extend(wake.map(|time| (time, i)));
+        self.wakeups.extend(wakeup.map(|time| (time, i)));
     }
 
-    pub fn step(&mut self, i: usize, input: Input) {
+    pub(crate) fn step(&mut self, i: usize, input: Input) {
         let Some(member) = &mut self.members[i] else {
             return;
         };
-        if let (Some(traffic), Input::Heard(bytes)) = (&mut self.traffic, &input) {
+        if let (Some(traffic), Input::PacketReceived(bytes)) = (&mut self.traffic, &input) {
             traffic.received(self.now, i, bytes.len());
         }
         let begun = Instant::now();
@@ -139,7 +144,7 @@
         for effect in effects {
             match effect {
                 Effect::Send { to, bytes } => self.send(i, member_at(to), bytes),
-                Effect::WakeAt(at) => self.set_wake(i, Some(at)),
+                Effect::WakeAt(at) => self.set_wakeup(i, Some(at)),
                 Effect::Changed { view, .. } => {
                     let of = member_at(view.member.at);
                     self.changes.push(Change {
@@ -152,7 +157,7 @@
                 Effect::Dropped(why) => self.dropped.push((i, why)),
                 Effect::LearnedRequested { by } => self.learned.push((i, by, Vec::new())),
                 Effect::LearnedReceived { by, piece } => self.learned.push((i, by, piece)),
-                Effect::Rejoined { .. } | Effect::Stalled(_) | Effect::ShareDivisor(_) => {}
+                Effect::Rejoined { .. } | Effect::ProcessPaused(_) | Effect::ShareDivisor(_) => {}
             }
         }
     }
@@ -161,8 +166,8 @@
         if let Some(traffic) = &mut self.traffic {
             traffic.sent(self.now, from, &bytes);
         }
-        self.kept = Some((to, bytes.clone()));
-        if self.cut.contains(&(from, to)) || self.rng.random_bool(self.loss) {
+        self.last_sent = Some((to, bytes.clone()));
+        if self.blocked.contains(&(from, to)) || self.rng.random_bool(self.loss) {
             return;
         }
         let arrives = self.now + Duration::from_micros(self.rng.random_range(200..20_000));
@@ -170,13 +175,13 @@
         self.in_flight.insert((arrives, self.sent), (to, bytes));
     }
 
-    pub fn run(&mut self, span: Duration) {
+    pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
-            let due = |i: usize| !self.stopped.contains(&i) && self.members[i].is_some();
-            let wake = self.wakes.iter().find(|(_, i)| due(*i)).copied();
+            let due = |i: usize| !self.paused.contains(&i) && self.members[i].is_some();
+            let wakeup = self.wakeups.iter().find(|(_, i)| due(*i)).copied();
             let packet = self.in_flight.first_key_value().map(|(&(t, _), _)| t);
-            let next = [wake.map(|w| w.0), packet].into_iter().flatten().min();
+            let next = [wakeup.map(|w| w.0), packet].into_iter().flatten().min();
             let Some(next) = next.filter(|t| *t <= end) else {
                 self.now = end;
                 return;
@@ -186,19 +191,24 @@
                 let Some((_, (to, bytes))) = self.in_flight.pop_first() else {
                     return;
                 };
-                match self.stopped.contains(&to) {
-                    true => self.backlog.entry(to).or_default().push(bytes),
-                    false => self.step(to, Input::Heard(bytes)),
+                if self.paused.contains(&to) {
+                    self.backlog.entry(to).or_default().push(bytes);
+                } else {
+                    self.step(to, Input::PacketReceived(bytes));
                 }
-            } else if let Some((_, i)) = wake {
-                self.set_wake(i, None);
+            } else if let Some((_, i)) = wakeup {
+                self.set_wakeup(i, None);
                 self.step(i, Input::TimerFired);
             }
         }
     }
 
-    /// Runs until the condition holds, looking twice a period; `None` if it doesn't within `limit`.
-    pub fn run_until(&mut self, limit: Duration, holds: impl Fn(&Net) -> bool) -> Option<Duration> {
+    /// Runs until the condition holds, checked twice a period; `None` if it doesn't within `limit`.
+    pub(crate) fn run_until(
+        &mut self,
+        limit: Duration,
+        holds: impl Fn(&Network) -> bool,
+    ) -> Option<Duration> {
         let begun = self.now;
         while !holds(self) {
             if self.now - begun >= limit {
@@ -209,34 +219,34 @@
         Some(self.now - begun)
     }
 
-    pub fn kill(&mut self, members: impl IntoIterator<Item = usize>) {
+    pub(crate) fn crash(&mut self, members: impl IntoIterator<Item = usize>) {
         for i in members {
             self.members[i] = None;
-            self.set_wake(i, None);
+            self.set_wakeup(i, None);
         }
     }
 
-    pub fn restart(&mut self, members: impl IntoIterator<Item = usize>) {
+    pub(crate) fn restart(&mut self, members: impl IntoIterator<Item = usize>) {
         members
             .into_iter()
             .for_each(|i| self.start(i, self.now, KEY));
     }
 
-    pub fn go_on(&mut self, i: usize) {
-        self.stopped.remove(&i);
+    pub(crate) fn resume(&mut self, i: usize) {
+        self.paused.remove(&i);
         for bytes in self.backlog.remove(&i).unwrap_or_default() {
-            self.step(i, Input::Heard(bytes));
+            self.step(i, Input::PacketReceived(bytes));
         }
     }
 
-    pub fn split(&mut self, one: &[usize], other: &[usize]) {
+    pub(crate) fn split(&mut self, one: &[usize], other: &[usize]) {
         for &a in one {
-            self.cut
+            self.blocked
                 .extend(other.iter().flat_map(|&b| [(a, b), (b, a)]));
         }
     }
 
-    pub fn state(&self, of: usize, by: usize) -> Option<State> {
+    pub(crate) fn state(&self, of: usize, by: usize) -> Option<State> {
         let member = self.members[by].as_ref()?;
         member
             .views()
@@ -244,18 +254,18 @@
             .map(|v| v.state)
     }
 
-    pub fn share_divisor(&self, i: usize) -> u32 {
+    pub(crate) fn share_divisor(&self, i: usize) -> u32 {
         self.members[i].as_ref().map_or(0, Members::share_divisor)
     }
 
-    pub fn running(&self) -> Vec<usize> {
+    pub(crate) fn running(&self) -> Vec<usize> {
         (0..self.members.len())
             .filter(|&i| self.members[i].is_some())
             .collect()
     }
 
     /// Pairs of running members of which the one doesn't see the other as alive.
-    pub fn unseen(&self) -> usize {
+    pub(crate) fn unseen_pairs(&self) -> usize {
         let running = self.running();
         let alive = |by: &usize| {
             let views = self.members[*by].iter().flat_map(Members::views);
@@ -271,11 +281,11 @@
     }
 
     /// Everybody that runs sees everybody that runs as alive.
-    pub fn agreed(&self) -> bool {
-        self.unseen() == 0
+    pub(crate) fn has_converged(&self) -> bool {
+        self.unseen_pairs() == 0
     }
 
-    pub fn downs(&self) -> usize {
+    pub(crate) fn down_changes(&self) -> usize {
         self.changes
             .iter()
             .filter(|c| c.state == State::Down)
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -23,9 +23,12 @@
 use std::time::Duration;
 
 use cranehill_membership::digest::{Digest, ShortHash, identity_hash};
-use cranehill_membership::views::Views;
-use cranehill_membership::vote::{DownSets, Vote, Votes};
-use cranehill_membership::{DropReason, Identity, Input, Key, Members, State, View, seal, sync};
+use cranehill_membership::down_sets::DownSets;
+use cranehill_membership::member_table::MemberTable;
+use cranehill_membership::vote::{Vote, Votes};
+use cranehill_membership::{
+    DropReason, Identity, Input, Key, Members, State, View, anti_entropy, seal,
+};
 use cranehill_scheduler::Time;
 use fixture::{Entry, assert_matches_file, assert_matches_text, bytes_of, load};
 use message::Content;
@@ -126,7 +129,7 @@
 /// What n0, which knows nobody, reports and sends after one packet, and what it holds then.
 fn reaction(packet: Vec<u8>) -> Vec<String> {
     let mut member = Members::new(settings(0), 1, START);
-    let effects = member.step(Time(SENT_MS * 1_000_000), Input::Heard(packet));
+    let effects = member.step(Time(SENT_MS * 1_000_000), Input::PacketReceived(packet));
     let mut lines: Vec<String> = effects.iter().filter_map(describe).collect();
     lines.extend(views_of(&member));
     lines
@@ -149,7 +152,7 @@
 
 /// The digests over members in each state and over votes of each form.
 fn digests() -> [(&'static str, Digest); 2] {
-    let (mut views, mut votes) = (Views::default(), Votes::default());
+    let (mut table, mut votes) = (MemberTable::default(), Votes::default());
     let members = [
         (identity(1), State::Alive),
         (identity(2), State::Suspect),
@@ -158,14 +161,14 @@
     for (place, (member, state)) in members.into_iter().enumerate() {
         let view = View {
             member,
-            incarnation: place as u16,
+            swim_incarnation: place as u16,
             state,
             since: START,
         };
-        views.set(START, view, Duration::from_secs(place as u64));
+        table.update(START, view, Duration::from_secs(place as u64));
     }
-    let down = Some(DownSets::name(&samples::down_set()));
-    votes.note(
+    let down = Some(DownSets::hash_of(&samples::down_set()));
+    votes.insert(
         samples::hash(1),
         Vote {
             number: 300,
@@ -174,7 +177,7 @@
             payload: b"payload".to_vec(),
         },
     );
-    votes.note(
+    votes.insert(
         samples::hash(2),
         Vote {
             number: 1,
@@ -184,7 +187,7 @@
         },
     );
     [
-        ("members", views.digest().clone()),
+        ("members", table.digest().clone()),
         ("votes", votes.digest().clone()),
     ]
 }
@@ -201,7 +204,7 @@
     let mut entries: Vec<Entry> = identities().into_iter().map(hash).collect();
     entries.push(Entry::new(
         "hash down-set",
-        bytes_of_hash(DownSets::name(&samples::down_set())),
+        bytes_of_hash(DownSets::hash_of(&samples::down_set())),
     ));
     for (name, digest) in digests() {
         entries.push(Entry::new(
@@ -295,8 +298,8 @@
                 names_down_set: vote.down.is_some(),
                 has_payload: !vote.payload.is_empty(),
             })),
-            Content::Exchange {
-                message: sync::Message::Entries(entries),
+            Content::AntiEntropy {
+                message: anti_entropy::Message::Entries(entries),
                 ..
             } => {
                 exchanged.extend(entries.votes.iter().map(|vote| VoteForm {
--- a/crates/membership/tests/golden/message.rs
+++ b/crates/membership/tests/golden/message.rs
@@ -4,24 +4,24 @@
 
 use cranehill_membership::digest::ShortHash;
 use cranehill_membership::seal::Kind;
-use cranehill_membership::{Identity, sync};
+use cranehill_membership::{Identity, anti_entropy};
 use foca::{Header, Member, Message};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
 /// A vote as it is broadcast with SWIM's packets. The package keeps its own type of it private.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BroadcastVote {
-    pub voter: ShortHash,
-    pub number: u32,
-    pub leaves: bool,
-    pub down: Option<ShortHash>,
-    pub payload: Vec<u8>,
+pub(crate) struct BroadcastVote {
+    pub(crate) voter: ShortHash,
+    pub(crate) number: u32,
+    pub(crate) leaves: bool,
+    pub(crate) down: Option<ShortHash>,
+    pub(crate) payload: Vec<u8>,
 }
 
 /// What a sealed packet contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Content {
+pub(crate) enum Content {
     Swim {
         header: Header<Identity>,
         updates: Vec<Member<Identity>>,
@@ -36,10 +36,10 @@
         to: SocketAddr,
         piece: Vec<u8>,
     },
-    Exchange {
+    AntiEntropy {
         from: Identity,
         to: SocketAddr,
-        message: sync::Message,
+        message: anti_entropy::Message,
     },
 }
 
@@ -66,26 +66,26 @@
 }
 
 impl Content {
-    pub fn kind(&self) -> Kind {
+    pub(crate) fn kind(&self) -> Kind {
         match self {
             Content::Swim { .. } => Kind::Swim,
             Content::LearnedRequest { .. } => Kind::LearnedRequest,
             Content::LearnedReply { .. } => Kind::LearnedReply,
-            Content::Exchange { .. } => Kind::Exchange,
+            Content::AntiEntropy { .. } => Kind::AntiEntropy,
         }
     }
 
     /// The names stand in the golden files, so they stay as they are when the code is renamed.
-    pub fn name(&self) -> &'static str {
+    pub(crate) fn name(&self) -> &'static str {
         match self {
             Content::Swim { header, .. } => swim_name(&header.message),
             Content::LearnedRequest { .. } => "learned-request",
             Content::LearnedReply { .. } => "learned-reply",
-            Content::Exchange { message, .. } => exchange_name(message),
+            Content::AntiEntropy { message, .. } => anti_entropy_name(message),
         }
     }
 
-    pub fn encode(&self) -> Vec<u8> {
+    pub(crate) fn encode(&self) -> Vec<u8> {
         match self {
             Content::Swim {
                 header,
@@ -96,13 +96,13 @@
             Content::LearnedReply { from, to, piece } => {
                 [to_postcard(&(from, to)), piece.clone()].concat()
             }
-            Content::Exchange { from, to, message } => {
+            Content::AntiEntropy { from, to, message } => {
                 [to_postcard(&(from, to)), to_postcard(message)].concat()
             }
         }
     }
 
-    pub fn decode(kind: Kind, bytes: &[u8]) -> Content {
+    pub(crate) fn decode(kind: Kind, bytes: &[u8]) -> Content {
         if kind == Kind::Swim {
             return decode_swim(bytes);
         }
@@ -120,7 +120,7 @@
                     rest.is_empty(),
                     "an exchange's message ends with its packet"
                 );
-                Content::Exchange { from, to, message }
+                Content::AntiEntropy { from, to, message }
             }
         }
     }
@@ -142,13 +142,13 @@
     }
 }
 
-fn exchange_name(message: &sync::Message) -> &'static str {
+fn anti_entropy_name(message: &anti_entropy::Message) -> &'static str {
     match message {
-        sync::Message::Compare { .. } => "exchange-compare",
-        sync::Message::Differs { .. } => "exchange-differs",
-        sync::Message::Entries(_) => "exchange-entries",
-        sync::Message::WantSet { .. } => "exchange-want-set",
-        sync::Message::SetPage { .. } => "exchange-set-page",
+        anti_entropy::Message::Compare { .. } => "exchange-compare",
+        anti_entropy::Message::Differs { .. } => "exchange-differs",
+        anti_entropy::Message::Entries(_) => "exchange-entries",
+        anti_entropy::Message::WantSet { .. } => "exchange-want-set",
+        anti_entropy::Message::SetPage { .. } => "exchange-set-page",
     }
 }
 
