--- a/crates/journal-tools/src/lib.rs
+++ b/crates/journal-tools/src/lib.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use cranehill_journal::{DamagedRange, Key, Lost, Why, read, scan};
+use cranehill_journal::{DamageCause, DamagedRange, Key, LostMessage, read, scan};
 
 pub use row::Row;
 pub use snapshot::{Snapshot, ToolError};
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
     pub damage: Vec<DamagedRange>,
-    pub lost: Vec<Lost>,
+    pub lost: Vec<LostMessage>,
     pub doubted: usize,
     pub torn: Option<(String, u64)>,
     pub foreign: Vec<String>,
@@ -40,11 +40,11 @@
         let mut lines = Vec::new();
         for d in &self.damage {
             let why = match d.why {
-                Why::Damaged => "no frame can be read",
-                Why::Short => "the file ends too early",
-                Why::Altered => "not what was sealed: an older or altered copy",
-                Why::Missing => "the file is missing",
-                Why::Unlisted => "the manifest can't be read: nobody knows what is missing",
+                DamageCause::Damaged => "no frame can be read",
+                DamageCause::Short => "the file ends too early",
+                DamageCause::Altered => "not what was sealed: an older or altered copy",
+                DamageCause::Missing => "the file is missing",
+                DamageCause::Unlisted => "the manifest can't be read: nobody knows what is missing",
             };
             let most = if d.taken > 1_000_000 {
                 "any number of".into()
@@ -213,7 +213,7 @@
 
 fn each(
     snapshot: &Snapshot,
-    mut on: impl FnMut(cranehill_journal::At, &cranehill_journal::Fact<'_>),
+    mut on: impl FnMut(cranehill_journal::RecordLocation, &cranehill_journal::JournalRecord<'_>),
 ) -> Result<(), ToolError> {
     let mut files = snapshot.files.after_death();
     scan(
--- a/crates/journal-tools/src/row.rs
+++ b/crates/journal-tools/src/row.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use cranehill_journal::{AcceptedMessage, At, Fact, Id, unpack};
+use cranehill_journal::{AcceptedMessage, JournalRecord, PackedId, RecordLocation, unpack};
 use serde::Serialize;
 
 /// A fact with its place. Times are Unix time in milliseconds; what a kind of fact does not have is left out.
@@ -65,8 +65,8 @@
 }
 
 impl Row {
-    pub fn new(at: At, fact: &Fact<'_>) -> Row {
-        let text = |packed: &[u8]| Id::from_packed(packed).map(|id| id.text());
+    pub fn new(at: RecordLocation, fact: &JournalRecord<'_>) -> Row {
+        let text = |packed: &[u8]| PackedId::from_packed(packed).map(|id| id.text());
         let place = Row {
             segment: at.sequence,
             offset: at.offset,
@@ -85,19 +85,19 @@
             ..row
         };
         match *fact {
-            Fact::Accepted(taken) | Fact::AcceptedInOrder { taken, .. } => {
+            JournalRecord::Accepted(taken) | JournalRecord::AcceptedInOrder { taken, .. } => {
                 let AcceptedMessage {
                     class,
                     tenant,
                     destination,
                     key,
                     deadline,
-                    lifetime,
-                    packed_from,
+                    lifetime_ms,
+                    uncompressed_len,
                     body,
                     ..
                 } = taken;
-                let body = unpack(packed_from, body).map(|b| b.into_owned());
+                let body = unpack(uncompressed_len, body).map(|b| b.into_owned());
                 Row {
                     kind: "taken",
                     class: Some(class),
@@ -105,13 +105,13 @@
                     destination: Some(destination),
                     key: key.and_then(|k| text(k)),
                     deadline: Some(deadline),
-                    at: Some(deadline.saturating_sub(u64::from(lifetime))),
+                    at: Some(deadline.saturating_sub(u64::from(lifetime_ms))),
                     body_bytes: body.as_ref().map(|b| b.len() as u32),
                     body,
                     ..row
                 }
             }
-            Fact::AttemptStarted {
+            JournalRecord::AttemptStarted {
                 attempt,
                 endpoint,
                 at,
@@ -123,7 +123,7 @@
                 at: Some(at),
                 ..row
             },
-            Fact::AttemptFinished {
+            JournalRecord::AttemptFinished {
                 attempt,
                 not_executed,
                 ..
@@ -133,17 +133,18 @@
                 not_executed: Some(not_executed),
                 ..row
             },
-            Fact::FinalReportDue { after, .. } | Fact::FinalReportDueInOrder { after, .. } => Row {
+            JournalRecord::FinalReportDue { after, .. }
+            | JournalRecord::FinalReportDueInOrder { after, .. } => Row {
                 kind: "closing",
                 after_ms: after,
                 ..row
             },
-            Fact::Completed { until, .. } => Row {
+            JournalRecord::Completed { until, .. } => Row {
                 kind: "over",
                 until: Some(until),
                 ..row
             },
-            Fact::Doubt {
+            JournalRecord::PossiblyExecuted {
                 before,
                 attempts,
                 until,
--- a/crates/journal/src/compact.rs
+++ b/crates/journal/src/compact.rs
@@ -1,26 +1,26 @@
 //! Compaction in slices: each turn carries a bounded number of bytes of the emptiest segment over to the head; when
 //! all that is live in it has been, the manifest is replaced, and then the file goes.
 
-use crate::fact::{self, Fact};
-use crate::frame::{self, Found};
-use crate::id::Id;
-use crate::index::Place;
+use crate::fact::{self, JournalRecord};
+use crate::frame::{self, DecodedFrame};
+use crate::id::PackedId;
+use crate::index::StoredFrame;
 use crate::journal::Journal;
-use crate::segment::HEADER;
+use crate::segment::HEADER_BYTES;
 use crate::storage::Storage;
 
 /// Bytes read in one step: a step of this size takes some tens of microseconds.
-const SLICE: usize = 16 * 1024;
+const SLICE_BYTES: usize = 16 * 1024;
 /// Of ends that are due, so many are forgotten in one step.
-const EXPIRED_MOST: usize = 256;
+const MAX_EXPIRED_PER_STEP: usize = 256;
 /// More segments than these are made fewer, even if none is empty: each takes a place in the manifest.
-const SEGMENTS_MOST: usize = 48;
+const MAX_SEGMENTS: usize = 48;
 /// A doubt is kept for so long after the last message that it concerns.
 const DOUBT_GRACE: u64 = 60_000;
 
 /// The segment being carried over.
 #[derive(Debug)]
-pub(crate) struct Moving {
+pub(crate) struct Relocation {
     sequence: u32,
     offset: u64,
     /// One for each frame of a message passed so far: what goes with the file.
@@ -37,7 +37,7 @@
 
 /// What one step did.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Step {
+pub struct CompactionStep {
     /// Bytes read, and written to the head.
     pub read: u64,
     pub carried: u64,
@@ -50,34 +50,34 @@
 impl<S: Storage> Journal<S> {
     /// Whether [`Journal::compact`] has something to do by now, even if nothing is appended.
     pub fn wants_compaction(&self, now: u64) -> bool {
-        self.moving.is_some()
+        self.relocation.is_some()
             || !self.obsolete.is_empty()
             || self.index.has_expired(now)
             || self.victim().is_some()
     }
 
     /// One bounded step of upkeep, to be taken once a turn. `now` in ms since 1970.
-    pub fn compact(&mut self, now: u64) -> Step {
-        let mut step = Step::default();
-        self.index.expire(now, EXPIRED_MOST);
+    pub fn compact(&mut self, now: u64) -> CompactionStep {
+        let mut step = CompactionStep::default();
+        self.index.expire(now, MAX_EXPIRED_PER_STEP);
         self.remove_obsolete(&mut step);
-        if self.moving.is_none() {
-            self.moving = self.victim().map(|sequence| Moving {
+        if self.relocation.is_none() {
+            self.relocation = self.victim().map(|sequence| Relocation {
                 sequence,
-                offset: HEADER as u64,
+                offset: HEADER_BYTES as u64,
                 slots: Vec::new(),
             });
         }
-        let Some(moving) = self.moving.take() else {
+        let Some(relocation) = self.relocation.take() else {
             return step;
         };
         // Above two thirds the need is greater than the wish for short turns.
         let slice = if self.storage.room() < self.disk / 3 {
-            SLICE * 2
+            SLICE_BYTES * 2
         } else {
-            SLICE
+            SLICE_BYTES
         };
-        self.moving = self.carry(now, moving, slice, &mut step);
+        self.relocation = self.carry(now, relocation, slice, &mut step);
         step
     }
 
@@ -93,12 +93,12 @@
             return Some(sequence);
         }
         // What was found damaged goes once its doubt is written down.
-        if self.doubts.iter().all(|d| d.place.is_some())
+        if self.possible_executions.iter().all(|d| d.place.is_some())
             && let Some((&sequence, _)) = candidates().find(|(_, i)| i.damaged)
         {
             return Some(sequence);
         }
-        let many = self.sealed.len() > SEGMENTS_MOST;
+        let many = self.sealed.len() > MAX_SEGMENTS;
         let used: u64 = self.sealed.values().map(|s| s.len).sum();
         if !many && used < self.disk / 3 {
             return None;
@@ -108,7 +108,7 @@
         (many || lively(sequence, info.len) < 875).then_some(sequence)
     }
 
-    fn remove_obsolete(&mut self, step: &mut Step) {
+    fn remove_obsolete(&mut self, step: &mut CompactionStep) {
         for obsolete in std::mem::take(&mut self.obsolete) {
             if self.storage.remove(&obsolete.name).is_err() {
                 step.stuck = true;
@@ -125,70 +125,72 @@
     fn carry(
         &mut self,
         now: u64,
-        mut moving: Moving,
+        mut relocation: Relocation,
         slice: usize,
-        step: &mut Step,
-    ) -> Option<Moving> {
+        step: &mut CompactionStep,
+    ) -> Option<Relocation> {
         let (name, salt, len) = {
-            let info = self.sealed.get(&moving.sequence)?;
+            let info = self.sealed.get(&relocation.sequence)?;
             (info.name.clone(), info.salt, info.len)
         };
-        let left = len.saturating_sub(moving.offset) as usize;
-        let mut bytes = match self.storage.read(&name, moving.offset, slice.min(left)) {
+        let left = len.saturating_sub(relocation.offset) as usize;
+        let mut bytes = match self.storage.read(&name, relocation.offset, slice.min(left)) {
             Ok(bytes) => bytes,
             Err(e) => {
-                log::warn!(segment = name.as_str(), offset = moving.offset; "journal: can't read: {e}");
+                log::warn!(segment = name.as_str(), offset = relocation.offset; "journal: can't read: {e}");
                 step.stuck = true;
-                return Some(moving);
+                return Some(relocation);
             }
         };
         // A frame larger than a slice, or damage: all that is left is looked at.
-        if bytes.len() < left && !matches!(frame::read(salt, &bytes, 0), Found::Frame(_)) {
+        if bytes.len() < left && !matches!(frame::read(salt, &bytes, 0), DecodedFrame::Frame(_)) {
             bytes = self
                 .storage
-                .read(&name, moving.offset, left)
+                .read(&name, relocation.offset, left)
                 .unwrap_or(bytes);
         }
         step.read += bytes.len() as u64;
         if left > 0 && bytes.is_empty() {
             // Shorter than it was sealed: recovery has dealt with that, or nobody can.
-            return self.finish(now, moving, step);
+            return self.finish(now, relocation, step);
         }
         // What is live is found first, since a frame's salt depends on the segment that it is written to.
         let mut live: Vec<(std::ops::Range<usize>, u32)> = Vec::new();
         let (mut at, mut slots, mut most) = (0, Vec::new(), 0u64);
         while at < bytes.len() && (at < slice || live.is_empty()) {
             match frame::read(salt, &bytes, at) {
-                Found::Frame(payload) => {
-                    let end = at + frame::HEAD + payload.len();
+                DecodedFrame::Frame(payload) => {
+                    let end = at + frame::HEADER_BYTES + payload.len();
                     if let Some((_, fact)) = fact::read(payload) {
-                        let doubt = self.doubts.iter().position(|d| {
-                            matches!(fact, Fact::Doubt { before, .. } if d.before == before
-                                && d.place.is_some_and(|p| p.sequence == moving.sequence))
+                        let doubt = self.possible_executions.iter().position(|d| {
+                            matches!(fact, JournalRecord::PossiblyExecuted { before, .. } if d.before == before
+                                && d.place.is_some_and(|p| p.sequence == relocation.sequence))
                         });
                         let slot = fact
                             .subject()
-                            .and_then(|(id, _)| self.index.slot(&Id::from_packed(id)?));
+                            .and_then(|(id, _)| self.index.slot(&PackedId::from_packed(id)?));
                         if let (Some(slot), Some((_, accepted_lsn))) = (slot, fact.subject()) {
-                            if !matches!(fact, Fact::Completed { .. }) {
+                            if !matches!(fact, JournalRecord::Completed { .. }) {
                                 slots.push(slot);
                             }
-                            if self
-                                .index
-                                .is_live(slot, accepted_lsn, fact.tag(), moving.sequence)
-                            {
-                                live.push((at + frame::HEAD..end, slot));
+                            if self.index.is_live(
+                                slot,
+                                accepted_lsn,
+                                fact.tag(),
+                                relocation.sequence,
+                            ) {
+                                live.push((at + frame::HEADER_BYTES..end, slot));
                                 most += (end - at + 16) as u64;
                             }
                         } else if let Some(doubt) = doubt {
-                            live.push((at + frame::HEAD..end, doubt as u32));
+                            live.push((at + frame::HEADER_BYTES..end, doubt as u32));
                             most += (end - at + 16) as u64;
                         }
                     }
                     at = end;
                 }
-                Found::Cut if bytes.len() < left => break,
-                Found::Cut | Found::Bad => {
+                DecodedFrame::Cut if bytes.len() < left => break,
+                DecodedFrame::Cut | DecodedFrame::Bad => {
                     at = frame::next_good(salt, &bytes, at).unwrap_or(bytes.len())
                 }
             }
@@ -196,30 +198,30 @@
         if !live.is_empty() {
             if self.storage.room() < most + 1024 {
                 step.stuck = true;
-                return Some(moving);
+                return Some(relocation);
             }
-            match self.write_again(now, &moving, &bytes, &live, most) {
+            match self.write_again(now, &relocation, &bytes, &live, most) {
                 Ok(carried) => step.carried += carried,
                 Err(e) => {
                     log::debug!(segment = name.as_str(); "journal: not carried over: {e}");
                     step.stuck = true;
-                    return Some(moving);
+                    return Some(relocation);
                 }
             }
         }
-        moving.slots.append(&mut slots);
-        moving.offset += at as u64;
-        if moving.offset >= len {
-            self.finish(now, moving, step)
+        relocation.slots.append(&mut slots);
+        relocation.offset += at as u64;
+        if relocation.offset >= len {
+            self.finish(now, relocation, step)
         } else {
-            Some(moving)
+            Some(relocation)
         }
     }
 
     fn write_again(
         &mut self,
         now: u64,
-        moving: &Moving,
+        relocation: &Relocation,
         bytes: &[u8],
         live: &[(std::ops::Range<usize>, u32)],
         most: u64,
@@ -232,10 +234,10 @@
             let Some((_, mut fact)) = bytes.get(range.clone()).and_then(fact::read) else {
                 continue;
             };
-            if let Fact::Doubt { until, .. } = &mut fact {
+            if let JournalRecord::PossiblyExecuted { until, .. } = &mut fact {
                 // A later life may have taken up again what it concerns, and knows better.
                 *until = self
-                    .doubts
+                    .possible_executions
                     .get(*slot as usize)
                     .map_or(*until, |d| d.until.max(*until));
                 if until.saturating_add(DOUBT_GRACE) < now {
@@ -258,10 +260,10 @@
         self.next_lsn = lsn;
         let mut past = Vec::new();
         for (fact, slot, len) in moved {
-            let place = Place { sequence, len };
+            let place = StoredFrame { sequence, len };
             match fact {
-                Fact::Doubt { before, .. } => {
-                    let Some(doubt) = self.doubts.get_mut(slot as usize) else {
+                JournalRecord::PossiblyExecuted { before, .. } => {
+                    let Some(doubt) = self.possible_executions.get_mut(slot as usize) else {
                         continue;
                     };
                     if let Some(old) = doubt.place {
@@ -274,28 +276,36 @@
                         self.index.add_live(place);
                     }
                 }
-                _ => self.index.moved(slot, fact.tag(), moving.sequence, place),
+                _ => self
+                    .index
+                    .moved(slot, fact.tag(), relocation.sequence, place),
             }
         }
-        self.doubts.retain(|d| !past.contains(&d.before));
+        self.possible_executions
+            .retain(|d| !past.contains(&d.before));
         self.stats.carried += out.len() as u64;
         Ok(out.len() as u64)
     }
 
     /// All that was live has been carried over: the switch, and then the file goes.
-    fn finish(&mut self, _now: u64, moving: Moving, step: &mut Step) -> Option<Moving> {
+    fn finish(
+        &mut self,
+        _now: u64,
+        relocation: Relocation,
+        step: &mut CompactionStep,
+    ) -> Option<Relocation> {
         if self
-            .write_manifest(None, None, Some(moving.sequence))
+            .write_manifest(None, None, Some(relocation.sequence))
             .is_err()
         {
             step.stuck = true;
-            return Some(moving);
+            return Some(relocation);
         }
-        if let Some(info) = self.sealed.remove(&moving.sequence) {
+        if let Some(info) = self.sealed.remove(&relocation.sequence) {
             self.obsolete.push(ObsoleteSegment {
-                sequence: moving.sequence,
+                sequence: relocation.sequence,
                 name: info.name,
-                slots: moving.slots,
+                slots: relocation.slots,
             });
         }
         self.remove_obsolete(step);
--- a/crates/journal/src/fact.rs
+++ b/crates/journal/src/fact.rs
@@ -7,31 +7,31 @@
 use crate::id::is_packed;
 
 /// Bodies shorter than this are not worth a try at compressing.
-const PACK_FROM: usize = 256;
+const MIN_COMPRESSIBLE_BYTES: usize = 256;
 /// A body is never larger when unpacked: what says so is damaged.
-const BODY_MOST: usize = 128 * 1024;
+const MAX_BODY_BYTES: usize = 128 * 1024;
 
 /// An id in its packed form, as it stands in a frame.
-pub type Packed<'a> = &'a serde_bytes::Bytes;
+pub type RawBytes<'a> = &'a serde_bytes::Bytes;
 
 /// A message as it was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedMessage<'a> {
     #[serde(borrow)]
-    pub id: Packed<'a>,
+    pub id: RawBytes<'a>,
     /// 0 for the log number of this very frame.
     pub accepted_lsn: u64,
     pub class: u32,
     pub tenant: u32,
     pub destination: u64,
-    pub key: Option<Packed<'a>>,
+    pub key: Option<RawBytes<'a>>,
     /// Unix time in milliseconds, like all times here.
     pub deadline: u64,
     /// Milliseconds from when it was taken to the deadline.
-    pub lifetime: u32,
+    pub lifetime_ms: u32,
     /// Size before packing, if it is packed.
-    pub packed_from: Option<u32>,
-    pub body: Packed<'a>,
+    pub uncompressed_len: Option<u32>,
+    pub body: RawBytes<'a>,
 }
 
 /// One fact, borrowed from its frame. `accepted_lsn` is the log number under which the message was taken: an id that comes
@@ -39,12 +39,12 @@
 ///
 /// The place of a variant is its number on disk: new ones go to the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fact<'a> {
+pub enum JournalRecord<'a> {
     #[serde(borrow)]
     Accepted(AcceptedMessage<'a>),
     AttemptStarted {
         #[serde(borrow)]
-        id: Packed<'a>,
+        id: RawBytes<'a>,
         accepted_lsn: u64,
         attempt: u32,
         endpoint: &'a str,
@@ -52,7 +52,7 @@
     },
     AttemptFinished {
         #[serde(borrow)]
-        id: Packed<'a>,
+        id: RawBytes<'a>,
         accepted_lsn: u64,
         attempt: u32,
         not_executed: bool,
@@ -60,18 +60,18 @@
     /// `after` milliseconds the client may try again; `None` if it failed.
     FinalReportDue {
         #[serde(borrow)]
-        id: Packed<'a>,
+        id: RawBytes<'a>,
         accepted_lsn: u64,
         after: Option<u64>,
     },
     Completed {
         #[serde(borrow)]
-        id: Packed<'a>,
+        id: RawBytes<'a>,
         accepted_lsn: u64,
         until: u64,
     },
     /// A message born before that number may have had so many more attempts; all of these have ended by `until`.
-    Doubt {
+    PossiblyExecuted {
         before: u64,
         attempts: u32,
         until: u64,
@@ -80,73 +80,76 @@
     AcceptedInOrder {
         #[serde(borrow)]
         taken: AcceptedMessage<'a>,
-        ordering_key: Packed<'a>,
+        ordering_key: RawBytes<'a>,
     },
-    /// As [`Fact::FinalReport`], for a message that keeps its order.
+    /// As [`JournalRecord::FinalReport`], for a message that keeps its order.
     FinalReportDueInOrder {
         #[serde(borrow)]
-        id: Packed<'a>,
+        id: RawBytes<'a>,
         accepted_lsn: u64,
         after: Option<u64>,
-        ordering_key: Packed<'a>,
+        ordering_key: RawBytes<'a>,
     },
 }
 
 /// The least that a fact of an attempt takes on disk: bounds how many a damaged stretch may have held.
-pub const SENT_LEAST: usize = crate::frame::HEAD + 10;
+pub const MIN_ATTEMPT_FRAME_BYTES: usize = crate::frame::HEADER_BYTES + 10;
 
-impl<'a> Fact<'a> {
+impl<'a> JournalRecord<'a> {
     /// The message that it is about, and its life.
     pub fn subject(&self) -> Option<(&'a [u8], u64)> {
         match *self {
-            Fact::Accepted(AcceptedMessage {
+            JournalRecord::Accepted(AcceptedMessage {
                 id, accepted_lsn, ..
             })
-            | Fact::AcceptedInOrder {
+            | JournalRecord::AcceptedInOrder {
                 taken: AcceptedMessage {
                     id, accepted_lsn, ..
                 },
                 ..
             }
-            | Fact::FinalReportDueInOrder {
+            | JournalRecord::FinalReportDueInOrder {
                 id, accepted_lsn, ..
             }
-            | Fact::AttemptStarted {
+            | JournalRecord::AttemptStarted {
                 id, accepted_lsn, ..
             }
-            | Fact::AttemptFinished {
+            | JournalRecord::AttemptFinished {
                 id, accepted_lsn, ..
             }
-            | Fact::FinalReportDue {
+            | JournalRecord::FinalReportDue {
                 id, accepted_lsn, ..
             }
-            | Fact::Completed {
+            | JournalRecord::Completed {
                 id, accepted_lsn, ..
             } => Some((id, accepted_lsn)),
-            Fact::Doubt { .. } => None,
+            JournalRecord::PossiblyExecuted { .. } => None,
         }
     }
 
     /// The message that it says was accepted, if it says that.
     pub fn taken(&self) -> Option<&AcceptedMessage<'a>> {
         match self {
-            Fact::Accepted(taken) | Fact::AcceptedInOrder { taken, .. } => Some(taken),
+            JournalRecord::Accepted(taken) | JournalRecord::AcceptedInOrder { taken, .. } => {
+                Some(taken)
+            }
             _ => None,
         }
     }
 
     /// What its message keeps its order within, where the fact tells.
-    pub fn ordering_key(&self) -> Option<Packed<'a>> {
+    pub fn ordering_key(&self) -> Option<RawBytes<'a>> {
         match self {
-            Fact::AcceptedInOrder { ordering_key, .. }
-            | Fact::FinalReportDueInOrder { ordering_key, .. } => Some(ordering_key),
+            JournalRecord::AcceptedInOrder { ordering_key, .. }
+            | JournalRecord::FinalReportDueInOrder { ordering_key, .. } => Some(ordering_key),
             _ => None,
         }
     }
 
     /// The same with `accepted_lsn` filled in, for a frame with this log number.
-    pub fn resolved(mut self, lsn: u64) -> Fact<'a> {
-        if let Fact::Accepted(taken) | Fact::AcceptedInOrder { taken, .. } = &mut self
+    pub fn resolved(mut self, lsn: u64) -> JournalRecord<'a> {
+        if let JournalRecord::Accepted(taken) | JournalRecord::AcceptedInOrder { taken, .. } =
+            &mut self
             && taken.accepted_lsn == 0
         {
             taken.accepted_lsn = lsn;
@@ -155,30 +158,34 @@
     }
 
     /// Which of its message's facts it is: the same tag twice is the same fact twice.
-    pub fn tag(&self) -> Tag {
+    pub fn tag(&self) -> RecordKind {
         match *self {
-            Fact::Accepted(_) | Fact::AcceptedInOrder { .. } => Tag::Accepted,
-            Fact::AttemptStarted { attempt, .. } => Tag::AttemptStarted(attempt),
-            Fact::AttemptFinished { attempt, .. } => Tag::AttemptFinished(attempt),
-            Fact::FinalReportDue { .. } | Fact::FinalReportDueInOrder { .. } => Tag::FinalReportDue,
-            Fact::Completed { .. } => Tag::Completed,
-            Fact::Doubt { .. } => Tag::Doubt,
+            JournalRecord::Accepted(_) | JournalRecord::AcceptedInOrder { .. } => {
+                RecordKind::Accepted
+            }
+            JournalRecord::AttemptStarted { attempt, .. } => RecordKind::AttemptStarted(attempt),
+            JournalRecord::AttemptFinished { attempt, .. } => RecordKind::AttemptFinished(attempt),
+            JournalRecord::FinalReportDue { .. } | JournalRecord::FinalReportDueInOrder { .. } => {
+                RecordKind::FinalReportDue
+            }
+            JournalRecord::Completed { .. } => RecordKind::Completed,
+            JournalRecord::PossiblyExecuted { .. } => RecordKind::PossiblyExecuted,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tag {
+pub enum RecordKind {
     Accepted,
     AttemptStarted(u32),
     AttemptFinished(u32),
     FinalReportDue,
     Completed,
-    Doubt,
+    PossiblyExecuted,
 }
 
 /// Appends a payload.
-pub fn write(lsn: u64, fact: &Fact<'_>, into: &mut Vec<u8>) {
+pub fn write(lsn: u64, fact: &JournalRecord<'_>, into: &mut Vec<u8>) {
     // Neither a number nor bytes can fail to be written into a vector.
     let written =
         postcard::to_io(&lsn, &mut *into).is_ok() && postcard::to_io(fact, &mut *into).is_ok();
@@ -186,9 +193,9 @@
 }
 
 /// Reads a payload; `None` if it is none, or has ids that no message has.
-pub fn read(payload: &[u8]) -> Option<(u64, Fact<'_>)> {
+pub fn read(payload: &[u8]) -> Option<(u64, JournalRecord<'_>)> {
     let (lsn, rest) = postcard::take_from_bytes::<u64>(payload).ok()?;
-    let (fact, rest) = postcard::take_from_bytes::<Fact<'_>>(rest).ok()?;
+    let (fact, rest) = postcard::take_from_bytes::<JournalRecord<'_>>(rest).ok()?;
     let ids = [
         fact.subject().map(|(id, _)| id),
         fact.taken().and_then(|t| t.key).map(|key| &**key),
@@ -204,7 +211,7 @@
 
 /// The body packed, with its size before, if that is worth it.
 pub fn pack(body: &[u8]) -> (Option<u32>, Cow<'_, [u8]>) {
-    if body.len() >= PACK_FROM {
+    if body.len() >= MIN_COMPRESSIBLE_BYTES {
         let packed = lz4_flex::block::compress(body);
         // A sixteenth at least, or unpacking is work for nothing.
         if packed.len() + body.len() / 16 < body.len() {
@@ -215,11 +222,13 @@
 }
 
 /// The body as it came; `None` if it can't be unpacked.
-pub fn unpack(packed_from: Option<u32>, body: &[u8]) -> Option<Cow<'_, [u8]>> {
-    let Some(size) = packed_from else {
+pub fn unpack(uncompressed_len: Option<u32>, body: &[u8]) -> Option<Cow<'_, [u8]>> {
+    let Some(size) = uncompressed_len else {
         return Some(Cow::Borrowed(body));
     };
-    let size = usize::try_from(size).ok().filter(|&s| s <= BODY_MOST)?;
+    let size = usize::try_from(size)
+        .ok()
+        .filter(|&s| s <= MAX_BODY_BYTES)?;
     let unpacked = lz4_flex::block::decompress(body, size).ok()?;
     (unpacked.len() == size).then_some(Cow::Owned(unpacked))
 }
@@ -227,12 +236,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::id::Id;
+    use crate::id::PackedId;
     use serde_bytes::Bytes;
 
     #[test]
     fn facts_are_read_as_written_and_never_from_other_bytes() {
-        let id = Id::new("9b1f03aa5c7e2d41");
+        let id = PackedId::new("9b1f03aa5c7e2d41");
         let id = Bytes::new(id.packed());
         let taken = AcceptedMessage {
             id,
@@ -242,46 +251,46 @@
             destination: 300,
             key: Some(id),
             deadline: 1_764_590_000_000,
-            lifetime: 20_000,
-            packed_from: None,
+            lifetime_ms: 20_000,
+            uncompressed_len: None,
             body: Bytes::new(b"\0body"),
         };
         let facts = [
-            Fact::Accepted(taken),
-            Fact::AcceptedInOrder {
+            JournalRecord::Accepted(taken),
+            JournalRecord::AcceptedInOrder {
                 taken,
                 ordering_key: id,
             },
-            Fact::FinalReportDueInOrder {
+            JournalRecord::FinalReportDueInOrder {
                 id,
                 accepted_lsn: 5,
                 after: None,
                 ordering_key: id,
             },
-            Fact::AttemptStarted {
+            JournalRecord::AttemptStarted {
                 id,
                 accepted_lsn: 5,
                 attempt: 3,
                 endpoint: "s-5be2a07c",
                 at: 1_764_590_000_000,
             },
-            Fact::AttemptFinished {
+            JournalRecord::AttemptFinished {
                 id,
                 accepted_lsn: 5,
                 attempt: 3,
                 not_executed: true,
             },
-            Fact::FinalReportDue {
+            JournalRecord::FinalReportDue {
                 id,
                 accepted_lsn: 5,
                 after: Some(500),
             },
-            Fact::Completed {
+            JournalRecord::Completed {
                 id,
                 accepted_lsn: 5,
                 until: 9,
             },
-            Fact::Doubt {
+            JournalRecord::PossiblyExecuted {
                 before: 77,
                 attempts: 2,
                 until: 8,
--- a/crates/journal/src/frame.rs
+++ b/crates/journal/src/frame.rs
@@ -2,18 +2,18 @@
 
 use crate::key::Salt;
 
-pub const HEAD: usize = 8;
+pub const HEADER_BYTES: usize = 8;
 /// Longer than any fact. A body is 64 KiB at most.
-pub const PAYLOAD_MOST: usize = 256 * 1024;
+pub const MAX_PAYLOAD_BYTES: usize = 256 * 1024;
 
 /// Appends a frame whose payload `write` appends.
 pub fn write(salt: Salt, into: &mut Vec<u8>, write: impl FnOnce(&mut Vec<u8>)) {
     let at = into.len();
-    into.extend_from_slice(&[0; HEAD]);
+    into.extend_from_slice(&[0; HEADER_BYTES]);
     write(into);
-    let payload = &into[at + HEAD..];
+    let payload = &into[at + HEADER_BYTES..];
     debug_assert!(
-        payload.len() <= PAYLOAD_MOST,
+        payload.len() <= MAX_PAYLOAD_BYTES,
         "a fact of {} bytes",
         payload.len()
     );
@@ -21,7 +21,7 @@
     let sum = checksum(salt, payload).to_le_bytes();
     into[at..at + 3].copy_from_slice(&length[..3]);
     into[at + 3] = check(salt, [length[0], length[1], length[2]]);
-    into[at + 4..at + HEAD].copy_from_slice(&sum);
+    into[at + 4..at + HEADER_BYTES].copy_from_slice(&sum);
 }
 
 /// Any one changed byte of the length changes this.
@@ -37,34 +37,34 @@
 
 /// What there is at one place of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found<'a> {
+pub enum DecodedFrame<'a> {
     Frame(&'a [u8]),
     /// A good head with too little behind it, or too little for a head: cut off there.
     Cut,
     Bad,
 }
 
-pub fn read(salt: Salt, bytes: &[u8], at: usize) -> Found<'_> {
+pub fn read(salt: Salt, bytes: &[u8], at: usize) -> DecodedFrame<'_> {
     let rest = bytes.get(at..).unwrap_or_default();
-    let Some(head) = rest.get(..HEAD) else {
+    let Some(head) = rest.get(..HEADER_BYTES) else {
         // Three bytes and their check can still tell damage from a cut.
         return match rest {
-            [a, b, c, d, ..] if !plausible(salt, [*a, *b, *c], *d) => Found::Bad,
-            _ => Found::Cut,
+            [a, b, c, d, ..] if !plausible(salt, [*a, *b, *c], *d) => DecodedFrame::Bad,
+            _ => DecodedFrame::Cut,
         };
     };
     let length = [head[0], head[1], head[2]];
     if !plausible(salt, length, head[3]) {
-        return Found::Bad;
+        return DecodedFrame::Bad;
     }
     let size = size(length);
-    let Some(payload) = rest.get(HEAD..HEAD + size) else {
-        return Found::Cut;
+    let Some(payload) = rest.get(HEADER_BYTES..HEADER_BYTES + size) else {
+        return DecodedFrame::Cut;
     };
     if checksum(salt, payload).to_le_bytes() != head[4..] {
-        return Found::Bad;
+        return DecodedFrame::Bad;
     }
-    Found::Frame(payload)
+    DecodedFrame::Frame(payload)
 }
 
 fn size(length: [u8; 3]) -> usize {
@@ -72,14 +72,14 @@
 }
 
 fn plausible(salt: Salt, length: [u8; 3], checked: u8) -> bool {
-    check(salt, length) == checked && (1..=PAYLOAD_MOST).contains(&size(length))
+    check(salt, length) == checked && (1..=MAX_PAYLOAD_BYTES).contains(&size(length))
 }
 
 /// Where the frame at `at` ends, if its head is good and it does not reach beyond the bytes.
 pub fn spans(salt: Salt, bytes: &[u8], at: usize) -> Option<usize> {
-    let head = bytes.get(at..at + HEAD)?;
+    let head = bytes.get(at..at + HEADER_BYTES)?;
     let length = [head[0], head[1], head[2]];
-    let end = at + HEAD + size(length);
+    let end = at + HEADER_BYTES + size(length);
     (plausible(salt, length, head[3]) && end <= bytes.len()).then_some(end)
 }
 
@@ -87,11 +87,11 @@
 /// `None` if there is no good one. The frame's own head is tried first: it
 /// mostly is the payload that was hit.
 pub fn next_good(salt: Salt, bytes: &[u8], bad: usize) -> Option<usize> {
-    let good = |at: usize| matches!(read(salt, bytes, at), Found::Frame(_));
+    let good = |at: usize| matches!(read(salt, bytes, at), DecodedFrame::Frame(_));
     if let Some(next) = spans(salt, bytes, bad).filter(|&next| next == bytes.len() || good(next)) {
         return Some(next);
     }
-    (bad + 1..bytes.len().saturating_sub(HEAD)).find(|&at| good(at))
+    (bad + 1..bytes.len().saturating_sub(HEADER_BYTES)).find(|&at| good(at))
 }
 
 #[cfg(test)]
@@ -124,14 +124,14 @@
                 for (n, &start) in starts.iter().enumerate() {
                     let found = read(SALT, &bytes, start);
                     assert_eq!(
-                        matches!(found, Found::Frame(_)),
+                        matches!(found, DecodedFrame::Frame(_)),
                         n != hit,
                         "byte {at}, frame {n}"
                     );
                 }
                 assert_eq!(
                     read(SALT, &bytes, starts[hit]),
-                    Found::Bad,
+                    DecodedFrame::Bad,
                     "byte {at} is no cut"
                 );
                 // Of the last one only a good head tells where it ended.
@@ -151,7 +151,7 @@
             let last = starts.iter().rposition(|&s| s <= cut).expect("a frame");
             assert_eq!(
                 read(SALT, &whole[..cut], starts[last]),
-                Found::Cut,
+                DecodedFrame::Cut,
                 "cut at {cut}"
             );
         }
--- a/crates/journal/src/fuzzing.rs
+++ b/crates/journal/src/fuzzing.rs
@@ -5,7 +5,7 @@
 
 use cranehill_core::Record;
 
-use crate::frame::{self, Found};
+use crate::frame::{self, DecodedFrame};
 use crate::journal::{Journal, Options};
 use crate::key::{Key, Salt, write_key};
 use crate::manifest::{self, Manifest};
@@ -23,15 +23,15 @@
     let ring = [KEY, [1; 32]];
     let _ = Header::read(data, &ring);
     let _ = Manifest::read(data, &ring);
-    let _ = id::Id::from_packed(data).map(|id| assert_eq!(id.packed(), data));
+    let _ = id::PackedId::from_packed(data).map(|id| assert_eq!(id.packed(), data));
     let _ = legacy::decode(data);
     let _ = crate::key::read_key(data);
     let salt = Salt::new(&KEY, 1);
     if let Some(next) = frame::next_good(salt, data, 0) {
         assert!(next > 0 && next <= data.len());
     }
-    if let Found::Frame(payload) = frame::read(salt, data, 0) {
-        assert!(payload.len() + frame::HEAD <= data.len());
+    if let DecodedFrame::Frame(payload) = frame::read(salt, data, 0) {
+        assert!(payload.len() + frame::HEADER_BYTES <= data.len());
     }
     if let Some((lsn, read)) = fact::read(data) {
         // What is read can be written, and is the same again.
@@ -195,9 +195,9 @@
         let Some(sequence) = segment::sequence(name) else {
             continue;
         };
-        let (salt, mut at) = (Salt::new(key, sequence), segment::HEADER);
-        while let Found::Frame(payload) = frame::read(salt, bytes, at) {
-            at += frame::HEAD + payload.len();
+        let (salt, mut at) = (Salt::new(key, sequence), segment::HEADER_BYTES);
+        while let DecodedFrame::Frame(payload) = frame::read(salt, bytes, at) {
+            at += frame::HEADER_BYTES + payload.len();
             all.push(payload.to_vec());
         }
     }
--- a/crates/journal/src/id.rs
+++ b/crates/journal/src/id.rs
@@ -19,17 +19,17 @@
 
 /// A message's id. Equal texts have equal packed forms.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Id(Packed);
+pub struct PackedId(Representation);
 
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Packed {
+enum Representation {
     /// The bytes, then zeros; the last one says how many.
     Short([u8; SHORT + 1]),
     Long(Box<[u8]>),
 }
 
-impl Id {
-    pub fn new(text: &str) -> Id {
+impl PackedId {
+    pub fn new(text: &str) -> PackedId {
         let bytes = text.as_bytes();
         if bytes.len() <= 2 * (SHORT - 1) && !bytes.is_empty() && bytes.len().is_multiple_of(2) {
             let mut short = [0; SHORT + 1];
@@ -41,7 +41,7 @@
             }
             if all {
                 short[SHORT] = (bytes.len() / 2 + 1) as u8;
-                return Id(Packed::Short(short));
+                return PackedId(Representation::Short(short));
             }
         }
         if !bytes.is_empty()
@@ -51,30 +51,30 @@
             let pairs = bytes
                 .chunks_exact(2)
                 .map(|p| digit(p[0]) << 4 | digit(p[1]));
-            return Id::of(&std::iter::once(HEX).chain(pairs).collect::<Vec<u8>>());
+            return PackedId::of(&std::iter::once(HEX).chain(pairs).collect::<Vec<u8>>());
         }
-        Id::of(&[&[TEXT], bytes].concat())
+        PackedId::of(&[&[TEXT], bytes].concat())
     }
 
-    fn of(packed: &[u8]) -> Id {
+    fn of(packed: &[u8]) -> PackedId {
         if packed.len() > SHORT {
-            return Id(Packed::Long(packed.into()));
+            return PackedId(Representation::Long(packed.into()));
         }
         let mut short = [0; SHORT + 1];
         short[..packed.len()].copy_from_slice(packed);
         short[SHORT] = packed.len() as u8;
-        Id(Packed::Short(short))
+        PackedId(Representation::Short(short))
     }
 
-    /// From the packed form; `None` if it is not one that [`Id::new`] makes.
-    pub fn from_packed(packed: &[u8]) -> Option<Id> {
-        is_packed(packed).then(|| Id::of(packed))
+    /// From the packed form; `None` if it is not one that [`PackedId::new`] makes.
+    pub fn from_packed(packed: &[u8]) -> Option<PackedId> {
+        is_packed(packed).then(|| PackedId::of(packed))
     }
 
     pub fn packed(&self) -> &[u8] {
         match &self.0 {
-            Packed::Short(short) => &short[..usize::from(short[SHORT]).min(SHORT)],
-            Packed::Long(long) => long,
+            Representation::Short(short) => &short[..usize::from(short[SHORT]).min(SHORT)],
+            Representation::Long(long) => long,
         }
     }
 
@@ -118,13 +118,13 @@
     values
 };
 
-impl fmt::Display for Id {
+impl fmt::Display for PackedId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.text())
     }
 }
 
-impl fmt::Debug for Id {
+impl fmt::Debug for PackedId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Id({})", self.text())
     }
@@ -155,12 +155,12 @@
             (&LONG_HEX[..30], 16),
             (&LONG_HEX[..31], 32),
         ]) {
-            let id = Id::new(text);
+            let id = PackedId::new(text);
             assert_eq!((id.text().as_str(), id.packed().len()), (text, size));
-            assert_eq!(Id::from_packed(id.packed()), Some(id));
+            assert_eq!(PackedId::from_packed(id.packed()), Some(id));
         }
         for bad in [&b""[..], &[0], &[2, 3], &[1, 0xff]] {
-            assert_eq!(Id::from_packed(bad), None);
+            assert_eq!(PackedId::from_packed(bad), None);
         }
     }
 }
--- a/crates/journal/src/index.rs
+++ b/crates/journal/src/index.rs
@@ -6,36 +6,36 @@
 use hashbrown::HashTable;
 use smallvec::SmallVec;
 
-use crate::fact::Tag;
-use crate::frame::HEAD;
-use crate::id::Id;
+use crate::fact::RecordKind;
+use crate::frame::HEADER_BYTES;
+use crate::id::PackedId;
 use crate::key::Key;
 
 /// Facts that an open message may still need room for: six attempts with their ends, its closing and its end.
-const FACTS_MOST: u64 = 14;
+const MAX_RECORDS_PER_MESSAGE: u64 = 14;
 /// Bytes of such a fact besides the id.
-const FACT_MOST: u64 = (HEAD + 56) as u64;
+const MAX_RECORD_BYTES: u64 = (HEADER_BYTES + 56) as u64;
 
 /// Tables of slots by id: each grows by itself, so that no single step has to move all of them.
 const TABLES: usize = 64;
 /// Entries are held in blocks of so many, for the same reason.
-const BLOCK: usize = 1024;
+const BLOCK_ENTRIES: usize = 1024;
 
 /// A frame on disk: in which segment, and how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct StoredFrame {
     pub sequence: u32,
     pub len: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum State {
-    /// Held; without a [`Tag::Accepted`] among these its own record is gone.
-    Open(SmallVec<[(Tag, Place); 2]>),
-    FinalReportDue(Place),
+pub enum EntryState {
+    /// Held; without a [`RecordKind::Accepted`] among these its own record is gone.
+    Open(SmallVec<[(RecordKind, StoredFrame); 2]>),
+    FinalReportDue(StoredFrame),
     Completed {
         until: u64,
-        place: Place,
+        place: StoredFrame,
         /// Kept only because older facts of it are still on disk; its frame no longer counts as live bytes, so
         /// that a segment with nothing else in it goes.
         expired: bool,
@@ -44,9 +44,9 @@
 
 #[derive(Clone, Debug)]
 pub struct Entry {
-    pub id: Id,
+    pub id: PackedId,
     pub accepted_lsn: u64,
-    pub state: State,
+    pub state: EntryState,
     /// Frames about this id on disk, live or dead, but for ends. While there are any, its end must stay.
     copies: u32,
 }
@@ -61,33 +61,33 @@
 impl Slab {
     fn get(&self, slot: u32) -> Option<&Entry> {
         self.blocks
-            .get(slot as usize / BLOCK)?
-            .get(slot as usize % BLOCK)?
+            .get(slot as usize / BLOCK_ENTRIES)?
+            .get(slot as usize % BLOCK_ENTRIES)?
             .as_ref()
     }
 
     fn get_mut(&mut self, slot: u32) -> Option<&mut Entry> {
         self.blocks
-            .get_mut(slot as usize / BLOCK)?
-            .get_mut(slot as usize % BLOCK)?
+            .get_mut(slot as usize / BLOCK_ENTRIES)?
+            .get_mut(slot as usize % BLOCK_ENTRIES)?
             .as_mut()
     }
 
     fn insert(&mut self, entry: Entry) -> u32 {
         if let Some(slot) = self.free.pop() {
-            self.blocks[slot as usize / BLOCK][slot as usize % BLOCK] = Some(entry);
+            self.blocks[slot as usize / BLOCK_ENTRIES][slot as usize % BLOCK_ENTRIES] = Some(entry);
             return slot;
         }
-        if self.blocks.last().is_none_or(|b| b.len() == BLOCK) {
-            self.blocks.push(Vec::with_capacity(BLOCK));
+        if self.blocks.last().is_none_or(|b| b.len() == BLOCK_ENTRIES) {
+            self.blocks.push(Vec::with_capacity(BLOCK_ENTRIES));
         }
         let last = self.blocks.len() - 1;
         self.blocks[last].push(Some(entry));
-        (last * BLOCK + self.blocks[last].len() - 1) as u32
+        (last * BLOCK_ENTRIES + self.blocks[last].len() - 1) as u32
     }
 
     fn remove(&mut self, slot: u32) {
-        if self.blocks[slot as usize / BLOCK][slot as usize % BLOCK]
+        if self.blocks[slot as usize / BLOCK_ENTRIES][slot as usize % BLOCK_ENTRIES]
             .take()
             .is_some()
         {
@@ -148,11 +148,11 @@
         }
     }
 
-    pub fn slot(&self, id: &Id) -> Option<u32> {
+    pub fn slot(&self, id: &PackedId) -> Option<u32> {
         self.find(id, self.hasher.hash_one(id))
     }
 
-    fn find(&self, id: &Id, hash: u64) -> Option<u32> {
+    fn find(&self, id: &PackedId, hash: u64) -> Option<u32> {
         let same = |&slot: &u32| self.entry(slot).is_some_and(|e| e.id == *id);
         self.tables[table_of(hash)].find(hash, same).copied()
     }
@@ -172,7 +172,7 @@
     }
 
     /// The slot of an id, made if there is none.
-    fn slot_for(&mut self, id: &Id) -> u32 {
+    fn slot_for(&mut self, id: &PackedId) -> u32 {
         let hash = self.hasher.hash_one(id);
         if let Some(slot) = self.find(id, hash) {
             return slot;
@@ -180,7 +180,7 @@
         let entry = Entry {
             id: id.clone(),
             accepted_lsn: 0,
-            state: State::Open(SmallVec::new()),
+            state: EntryState::Open(SmallVec::new()),
             copies: 0,
         };
         let slot = self.entries.insert(entry);
@@ -193,7 +193,7 @@
         slot
     }
 
-    pub fn get(&self, id: &Id) -> Option<&Entry> {
+    pub fn get(&self, id: &PackedId) -> Option<&Entry> {
         self.entry(self.slot(id)?)
     }
 
@@ -224,11 +224,11 @@
     /// Takes in a fact that stands at `place`, and tells its message's slot. `until` matters for ends only.
     pub fn join(
         &mut self,
-        id: &Id,
+        id: &PackedId,
         accepted_lsn: u64,
-        tag: Tag,
+        tag: RecordKind,
         until: u64,
-        place: Place,
+        place: StoredFrame,
     ) -> (u32, Joined) {
         let slot = self.slot_for(id);
         (slot, self.join_at(slot, accepted_lsn, tag, until, place))
@@ -239,14 +239,14 @@
         &mut self,
         slot: u32,
         accepted_lsn: u64,
-        tag: Tag,
+        tag: RecordKind,
         until: u64,
-        place: Place,
+        place: StoredFrame,
     ) -> Joined {
         let Some(entry) = self.entries.get_mut(slot) else {
             return Joined::Dead;
         };
-        if tag != Tag::Completed {
+        if tag != RecordKind::Completed {
             entry.copies += 1;
         }
         if accepted_lsn < entry.accepted_lsn {
@@ -264,35 +264,37 @@
         };
         entry.accepted_lsn = accepted_lsn;
         match (&mut entry.state, tag) {
-            (State::Completed { .. }, _)
+            (EntryState::Completed { .. }, _)
             | (
-                State::FinalReportDue(_),
-                Tag::Accepted
-                | Tag::AttemptStarted(_)
-                | Tag::AttemptFinished(_)
-                | Tag::FinalReportDue,
+                EntryState::FinalReportDue(_),
+                RecordKind::Accepted
+                | RecordKind::AttemptStarted(_)
+                | RecordKind::AttemptFinished(_)
+                | RecordKind::FinalReportDue,
             ) => {
                 return Joined::Dead;
             }
             (
-                State::Open(places),
-                Tag::Accepted | Tag::AttemptStarted(_) | Tag::AttemptFinished(_),
+                EntryState::Open(places),
+                RecordKind::Accepted
+                | RecordKind::AttemptStarted(_)
+                | RecordKind::AttemptFinished(_),
             ) => {
                 if places.iter().any(|(t, _)| *t == tag) {
                     return Joined::Dead;
                 }
                 places.push((tag, place));
             }
-            (_, Tag::FinalReportDue | Tag::Completed) => {
+            (_, RecordKind::FinalReportDue | RecordKind::Completed) => {
                 self.leave(slot);
                 let state = match tag {
-                    Tag::FinalReportDue => {
+                    RecordKind::FinalReportDue => {
                         self.final_report += 1;
-                        State::FinalReportDue(place)
+                        EntryState::FinalReportDue(place)
                     }
                     _ => {
                         self.expiring.insert((until, slot));
-                        State::Completed {
+                        EntryState::Completed {
                             until,
                             place,
                             expired: false,
@@ -303,7 +305,7 @@
                     entry.state = state;
                 }
             }
-            (_, Tag::Doubt) => return Joined::Dead,
+            (_, RecordKind::PossiblyExecuted) => return Joined::Dead,
         }
         *self.live.entry(place.sequence).or_default() += u64::from(place.len);
         if new_incarnation {
@@ -318,19 +320,19 @@
         let Some(entry) = self.entries.get_mut(slot) else {
             return;
         };
-        match std::mem::replace(&mut entry.state, State::Open(SmallVec::new())) {
-            State::Open(places) => {
+        match std::mem::replace(&mut entry.state, EntryState::Open(SmallVec::new())) {
+            EntryState::Open(places) => {
                 self.open -= 1;
                 self.reserved_bytes -= reservation_for(&entry.id);
                 for (_, place) in places {
                     drop_live(&mut self.live, place);
                 }
             }
-            State::FinalReportDue(place) => {
+            EntryState::FinalReportDue(place) => {
                 self.final_report -= 1;
                 drop_live(&mut self.live, place);
             }
-            State::Completed {
+            EntryState::Completed {
                 until,
                 place,
                 expired,
@@ -344,15 +346,15 @@
     }
 
     /// Whether the frame of this fact in this segment is the one that counts.
-    pub fn is_live(&self, slot: u32, accepted_lsn: u64, tag: Tag, sequence: u32) -> bool {
+    pub fn is_live(&self, slot: u32, accepted_lsn: u64, tag: RecordKind, sequence: u32) -> bool {
         let Some(entry) = self.entry(slot).filter(|e| e.accepted_lsn == accepted_lsn) else {
             return false;
         };
-        let there = |place: &Place| place.sequence == sequence;
+        let there = |place: &StoredFrame| place.sequence == sequence;
         match (&entry.state, tag) {
-            (State::Open(places), _) => places.iter().any(|(t, p)| *t == tag && there(p)),
-            (State::FinalReportDue(place), Tag::FinalReportDue) => there(place),
-            (State::Completed { place, expired, .. }, Tag::Completed) => {
+            (EntryState::Open(places), _) => places.iter().any(|(t, p)| *t == tag && there(p)),
+            (EntryState::FinalReportDue(place), RecordKind::FinalReportDue) => there(place),
+            (EntryState::Completed { place, expired, .. }, RecordKind::Completed) => {
                 there(place) && !(*expired && entry.copies == 0)
             }
             _ => false,
@@ -360,20 +362,20 @@
     }
 
     /// A live frame has been written again at `to`.
-    pub fn moved(&mut self, slot: u32, tag: Tag, from: u32, to: Place) {
+    pub fn moved(&mut self, slot: u32, tag: RecordKind, from: u32, to: StoredFrame) {
         let Some(entry) = self.entries.get_mut(slot) else {
             return;
         };
-        if tag != Tag::Completed {
+        if tag != RecordKind::Completed {
             entry.copies += 1;
         }
         let place = match &mut entry.state {
-            State::Open(places) => places
+            EntryState::Open(places) => places
                 .iter_mut()
                 .find(|(t, p)| *t == tag && p.sequence == from)
                 .map(|(_, p)| p),
-            State::FinalReportDue(place) => Some(place),
-            State::Completed {
+            EntryState::FinalReportDue(place) => Some(place),
+            EntryState::Completed {
                 place,
                 expired: true,
                 ..
@@ -381,7 +383,7 @@
                 *place = to;
                 None
             }
-            State::Completed { place, .. } => Some(place),
+            EntryState::Completed { place, .. } => Some(place),
         };
         let Some(place) = place else { return };
         drop_live(&mut self.live, *place);
@@ -414,7 +416,7 @@
             };
             self.expiring.remove(&(until, slot));
             if let Some(Entry {
-                state: State::Completed { expired, place, .. },
+                state: EntryState::Completed { expired, place, .. },
                 ..
             }) = self.entries.get_mut(slot)
             {
@@ -435,7 +437,7 @@
         let Some(entry) = self.entry(slot) else {
             return;
         };
-        let State::Completed { expired: true, .. } = entry.state else {
+        let EntryState::Completed { expired: true, .. } = entry.state else {
             return;
         };
         if entry.copies > 0 {
@@ -450,11 +452,11 @@
     }
 
     /// Counts live bytes that are no message's.
-    pub fn add_live(&mut self, place: Place) {
+    pub fn add_live(&mut self, place: StoredFrame) {
         *self.live.entry(place.sequence).or_default() += u64::from(place.len);
     }
 
-    pub fn drop_live(&mut self, place: Place) {
+    pub fn drop_live(&mut self, place: StoredFrame) {
         drop_live(&mut self.live, place);
     }
 }
@@ -464,38 +466,38 @@
     (hash >> 32) as usize % TABLES
 }
 
-fn drop_live(live: &mut BTreeMap<u32, u64>, place: Place) {
+fn drop_live(live: &mut BTreeMap<u32, u64>, place: StoredFrame) {
     if let Some(bytes) = live.get_mut(&place.sequence) {
         *bytes = bytes.saturating_sub(u64::from(place.len));
     }
 }
 
-fn reservation_for(id: &Id) -> u64 {
-    FACTS_MOST * (FACT_MOST + id.packed().len() as u64)
+fn reservation_for(id: &PackedId) -> u64 {
+    MAX_RECORDS_PER_MESSAGE * (MAX_RECORD_BYTES + id.packed().len() as u64)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn place(sequence: u32) -> Place {
-        Place { sequence, len: 100 }
+    fn place(sequence: u32) -> StoredFrame {
+        StoredFrame { sequence, len: 100 }
     }
 
-    fn facts() -> [(Tag, u32); 5] {
+    fn facts() -> [(RecordKind, u32); 5] {
         [
-            (Tag::Accepted, 1),
-            (Tag::AttemptStarted(0), 2),
-            (Tag::AttemptFinished(0), 3),
-            (Tag::FinalReportDue, 4),
-            (Tag::Completed, 5),
+            (RecordKind::Accepted, 1),
+            (RecordKind::AttemptStarted(0), 2),
+            (RecordKind::AttemptFinished(0), 3),
+            (RecordKind::FinalReportDue, 4),
+            (RecordKind::Completed, 5),
         ]
     }
 
     /// Compaction changes the order of facts and may leave one twice: neither must matter.
     #[test]
     fn any_order_of_facts_and_any_repeat_give_the_same_state() {
-        let id = Id::new("aa");
+        let id = PackedId::new("aa");
         // All orders of five facts.
         for n in 0..120usize {
             let (mut left, mut order, mut rest) = (facts().to_vec(), Vec::new(), n);
@@ -509,22 +511,22 @@
                 for &(tag, sequence) in order[..many].iter().chain(&order[..many]) {
                     index.join(&id, 7, tag, 50, place(sequence));
                     expected = expected.max(match tag {
-                        Tag::Completed => 2,
-                        Tag::FinalReportDue => 1,
+                        RecordKind::Completed => 2,
+                        RecordKind::FinalReportDue => 1,
                         _ => 0,
                     });
                 }
                 let state = &index.get(&id).expect("an entry").state;
                 let found = match state {
-                    State::Open(places) => {
+                    EntryState::Open(places) => {
                         assert_eq!(places.len(), many);
                         0
                     }
-                    State::FinalReportDue(place) => {
+                    EntryState::FinalReportDue(place) => {
                         assert_eq!(place.sequence, 4);
                         1
                     }
-                    State::Completed { place, .. } => {
+                    EntryState::Completed { place, .. } => {
                         assert_eq!(place.sequence, 5);
                         2
                     }
@@ -539,26 +541,26 @@
     /// An end that goes before the facts that it ends would bring the message back to life.
     #[test]
     fn a_completed_record_outlasts_the_other_records_of_its_message() {
-        let id = Id::new("aa");
+        let id = PackedId::new("aa");
         let mut index = Index::new(&[1; 32]);
-        let slot = index.join(&id, 7, Tag::Accepted, 0, place(1)).0;
-        index.join(&id, 7, Tag::AttemptStarted(0), 0, place(2));
-        index.join(&id, 7, Tag::Completed, 50, place(3));
+        let slot = index.join(&id, 7, RecordKind::Accepted, 0, place(1)).0;
+        index.join(&id, 7, RecordKind::AttemptStarted(0), 0, place(2));
+        index.join(&id, 7, RecordKind::Completed, 50, place(3));
         index.removed(1, &[slot]);
         index.expire(60, 10);
         assert!(
-            index.is_live(slot, 7, Tag::Completed, 3),
+            index.is_live(slot, 7, RecordKind::Completed, 3),
             "the attempt's record is still there"
         );
-        index.moved(slot, Tag::Completed, 3, place(4));
+        index.moved(slot, RecordKind::Completed, 3, place(4));
         index.removed(2, &[slot]);
         assert!(index.get(&id).is_none() && index.live(4) == 0);
         // The other way round: the facts go first, then the time is out.
-        let slot = index.join(&id, 9, Tag::Accepted, 0, place(5)).0;
-        index.join(&id, 9, Tag::Completed, 80, place(6));
+        let slot = index.join(&id, 9, RecordKind::Accepted, 0, place(5)).0;
+        index.join(&id, 9, RecordKind::Completed, 80, place(6));
         index.removed(5, &[slot]);
         index.expire(79, 10);
-        assert!(index.is_live(slot, 9, Tag::Completed, 6));
+        assert!(index.is_live(slot, 9, RecordKind::Completed, 6));
         index.expire(80, 10);
         assert!(
             index.get(&id).is_none() && index.counts() == (0, 0, 0) && index.reserved_room() == 0
@@ -567,20 +569,22 @@
 
     #[test]
     fn a_reused_id_is_a_new_message() {
-        let id = Id::new("aa");
+        let id = PackedId::new("aa");
         let mut index = Index::new(&[1; 32]);
-        index.join(&id, 7, Tag::Accepted, 0, place(1));
-        let slot = index.join(&id, 7, Tag::Completed, 50, place(1)).0;
+        index.join(&id, 7, RecordKind::Accepted, 0, place(1));
+        let slot = index.join(&id, 7, RecordKind::Completed, 50, place(1)).0;
         assert_eq!(
-            index.join(&id, 20, Tag::Accepted, 0, place(2)),
+            index.join(&id, 20, RecordKind::Accepted, 0, place(2)),
             (slot, Joined::NewIncarnation)
         );
         assert_eq!(
-            index.join(&id, 7, Tag::Completed, 50, place(3)).1,
+            index.join(&id, 7, RecordKind::Completed, 50, place(3)).1,
             Joined::Dead
         );
         assert_eq!(
-            index.join(&id, 7, Tag::AttemptStarted(0), 0, place(3)).1,
+            index
+                .join(&id, 7, RecordKind::AttemptStarted(0), 0, place(3))
+                .1,
             Joined::Dead
         );
         assert_eq!(
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -6,30 +6,30 @@
 use cranehill_core::{FinalReport, Persisted, Record};
 use serde_bytes::Bytes;
 
-use crate::fact::{self, AcceptedMessage, Fact, Tag, pack};
+use crate::fact::{self, AcceptedMessage, JournalRecord, RecordKind, pack};
 use crate::frame;
-use crate::id::Id;
-use crate::index::{Index, Place, State};
+use crate::id::PackedId;
+use crate::index::{EntryState, Index, StoredFrame};
 use crate::key::{Key, Mac, Salt, cut};
-use crate::manifest::{self, Listed, Manifest, Seal};
-use crate::recover::{Doubt, tag};
+use crate::manifest::{self, Manifest, ManifestEntry, Seal};
+use crate::recover::{PossibleExecutions, tag};
 use crate::segment::{self, Header};
-use crate::storage::{BLOCK, Storage};
+use crate::storage::{BLOCK_BYTES, Storage};
 
-const NANOS: u64 = 1_000_000;
+const NANOS_PER_MS: u64 = 1_000_000;
 /// Bounds of a segment's size. Small ones make compaction's steps small, large ones the manifest.
-const SEGMENT_LEAST: u64 = 16 * 1024;
-const SEGMENT_MOST: u64 = 1024 * 1024;
+const MIN_SEGMENT_BYTES: u64 = 16 * 1024;
+const MAX_SEGMENT_BYTES: u64 = 1024 * 1024;
 /// The largest frame that compaction may have to carry over.
-const FRAME_MOST: u64 = 72 * 1024;
+const MAX_FRAME_BYTES: u64 = 72 * 1024;
 /// Bytes of the head that are hashed at once: some microseconds.
-const HASH_AT_ONCE: usize = 16 * 1024;
+const HASH_CHUNK_BYTES: usize = 16 * 1024;
 /// What a manifest takes besides its segments, and for each.
-const MANIFEST_LEAST: u64 = 2 * BLOCK;
+const MANIFEST_LEAST: u64 = 2 * BLOCK_BYTES;
 const MANIFEST_EACH: u64 = 64;
 /// When to come back if there are dead bytes to be freed, and if there are none.
-const BACK_SOON: Duration = Duration::from_millis(250);
-const BACK_LATER: Duration = Duration::from_secs(2);
+const RETRY_SOON: Duration = Duration::from_millis(250);
+const RETRY_LATER: Duration = Duration::from_secs(2);
 
 /// How a journal is kept.
 #[derive(Clone, Copy, Debug)]
@@ -73,10 +73,10 @@
 
 /// A segment that is no longer written to.
 #[derive(Debug)]
-pub(crate) struct Sealed {
+pub(crate) struct SealedSegment {
     pub name: String,
     pub salt: Salt,
-    pub listed: Listed,
+    pub listed: ManifestEntry,
     pub len: u64,
     /// It holds a stretch that can't be read: the sooner it goes the better.
     pub damaged: bool,
@@ -84,7 +84,7 @@
 
 /// The segment that is written to.
 #[derive(Debug)]
-pub(crate) struct Head {
+pub(crate) struct HeadSegment {
     pub sequence: u32,
     pub name: String,
     pub salt: Salt,
@@ -100,9 +100,9 @@
     pub torn: bool,
 }
 
-impl Head {
-    fn listed(&self) -> Listed {
-        Listed {
+impl HeadSegment {
+    fn listed(&self) -> ManifestEntry {
+        ManifestEntry {
             sequence: self.sequence,
             base: self.base,
             before: self.before,
@@ -132,17 +132,17 @@
     pub(crate) epoch: u64,
     pub(crate) next_sequence: u32,
     pub(crate) next_lsn: u64,
-    pub(crate) sealed: std::collections::BTreeMap<u32, Sealed>,
-    pub(crate) head: Option<Head>,
+    pub(crate) sealed: std::collections::BTreeMap<u32, SealedSegment>,
+    pub(crate) head: Option<HeadSegment>,
     /// Listed and missing: kept in the manifest until the doubt that they give rise to is written down.
-    pub(crate) missing: Vec<Listed>,
+    pub(crate) missing: Vec<ManifestEntry>,
     pub(crate) index: Index,
-    pub(crate) doubts: Vec<Doubt>,
+    pub(crate) possible_executions: Vec<PossibleExecutions>,
     /// A file that a failed try at a manifest has left.
     next_left: bool,
     /// To be written with the next turn: what recovery concluded.
     pub(crate) pending: Vec<Record>,
-    pub(crate) moving: Option<crate::compact::Moving>,
+    pub(crate) relocation: Option<crate::compact::Relocation>,
     pub(crate) obsolete: Vec<crate::compact::ObsoleteSegment>,
     /// Bytes promised to messages that were let in since the last turn.
     promised: u64,
@@ -152,14 +152,14 @@
 }
 
 /// A fact that is in the buffer and goes into the index once it is on disk.
-struct Written {
-    id: Id,
+struct BatchRecord {
+    id: PackedId,
     /// Its message's slot, if that was known before this turn.
     slot: Option<u32>,
     /// Which record of this turn first spoke of it, if it was not.
     first: usize,
     accepted_lsn: u64,
-    tag: Tag,
+    tag: RecordKind,
     until: u64,
     len: u32,
 }
@@ -172,7 +172,7 @@
             disk: options.disk,
             segment_size: options
                 .segment
-                .unwrap_or_else(|| (options.disk / 32).clamp(SEGMENT_LEAST, SEGMENT_MOST)),
+                .unwrap_or_else(|| (options.disk / 32).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES)),
             epoch: 0,
             next_sequence: 1,
             next_lsn: 1,
@@ -180,10 +180,10 @@
             head: None,
             missing: Vec::new(),
             index,
-            doubts: Vec::new(),
+            possible_executions: Vec::new(),
             next_left: false,
             pending: Vec::new(),
-            moving: None,
+            relocation: None,
             obsolete: Vec::new(),
             promised: 0,
             stats: Stats::default(),
@@ -241,9 +241,9 @@
             .map(|(&s, i)| i.len.saturating_sub(self.index.live(s)))
             .sum();
         Err(if dead > self.segment_size {
-            BACK_SOON
+            RETRY_SOON
         } else {
-            BACK_LATER
+            RETRY_LATER
         })
     }
 
@@ -286,7 +286,7 @@
     pub(crate) fn carry_reserve(&self) -> u64 {
         let segments = self.sealed.len() as u64 + 2;
         let manifest = MANIFEST_LEAST + MANIFEST_EACH * segments;
-        (self.segment_size.max(FRAME_MOST) + manifest).min(self.disk / 4)
+        (self.segment_size.max(MAX_FRAME_BYTES) + manifest).min(self.disk / 4)
     }
 
     /// Appends those records that `which` wants, all or none.
@@ -317,7 +317,7 @@
             .filter(|r| which(r))
             .map(|r| 96 + size_of_record(r))
             .sum();
-        if expected == 0 && self.doubts.iter().all(|d| d.place.is_some()) {
+        if expected == 0 && self.possible_executions.iter().all(|d| d.place.is_some()) {
             return Ok(());
         }
         // What has ended is tried whatever the room: it may fit in what is left of the head's last block.
@@ -335,12 +335,16 @@
         let salt = self.ready_head(now, expected)?;
         let first = self.next_lsn;
         let mut lsn = first;
-        let mut written: Vec<Written> = Vec::with_capacity(records.len());
-        let doubts = std::mem::take(&mut self.doubts);
+        let mut written: Vec<BatchRecord> = Vec::with_capacity(records.len());
+        let possible_executions = std::mem::take(&mut self.possible_executions);
         let mut doubts_written = Vec::new();
-        for (n, doubt) in doubts.iter().enumerate().filter(|(_, d)| d.place.is_none()) {
+        for (n, doubt) in possible_executions
+            .iter()
+            .enumerate()
+            .filter(|(_, d)| d.place.is_none())
+        {
             let at = buffer.len();
-            let Doubt {
+            let PossibleExecutions {
                 before,
                 attempts,
                 until,
@@ -349,7 +353,7 @@
             frame::write(salt, buffer, |b| {
                 fact::write(
                     lsn,
-                    &Fact::Doubt {
+                    &JournalRecord::PossiblyExecuted {
                         before,
                         attempts,
                         until,
@@ -360,10 +364,10 @@
             lsn += 1;
             doubts_written.push((n, (buffer.len() - at) as u32));
         }
-        self.doubts = doubts;
+        self.possible_executions = possible_executions;
         let mut taken = 0;
         for record in records.iter().filter(|r| which(r)) {
-            let id = Id::new(record.id());
+            let id = PackedId::new(record.id());
             let Some((accepted_lsn, slot, first)) = self.accepted_lsn(&id, record, lsn, &written)
             else {
                 continue;
@@ -374,12 +378,12 @@
             });
             taken += u32::from(matches!(record, Record::Accepted { .. }));
             let until = if let Record::Completed { until, .. } = record {
-                until / NANOS
+                until / NANOS_PER_MS
             } else {
                 0
             };
             let first = first.unwrap_or(written.len());
-            written.push(Written {
+            written.push(BatchRecord {
                 id,
                 slot,
                 first,
@@ -397,8 +401,8 @@
         self.next_lsn = lsn;
         self.stats.appended += buffer.len() as u64;
         for (n, len) in doubts_written {
-            let place = Place { sequence, len };
-            if let Some(doubt) = self.doubts.get_mut(n) {
+            let place = StoredFrame { sequence, len };
+            if let Some(doubt) = self.possible_executions.get_mut(n) {
                 doubt.place = Some(place);
                 self.index.add_live(place);
             }
@@ -406,7 +410,7 @@
         for n in 0..written.len() {
             let slot = written[n].slot.or(written[written[n].first].slot);
             let w = &written[n];
-            let place = Place {
+            let place = StoredFrame {
                 sequence,
                 len: w.len,
             };
@@ -424,7 +428,7 @@
                 }
             }
         }
-        if !self.missing.is_empty() && self.doubts.iter().all(|d| d.place.is_some()) {
+        if !self.missing.is_empty() && self.possible_executions.iter().all(|d| d.place.is_some()) {
             self.missing.clear();
         }
         Ok(())
@@ -434,10 +438,10 @@
     /// spoke of it first; `None` if the record says nothing that counts.
     fn accepted_lsn(
         &self,
-        id: &Id,
+        id: &PackedId,
         record: &Record,
         lsn: u64,
-        written: &[Written],
+        written: &[BatchRecord],
     ) -> Option<(u64, Option<u32>, Option<usize>)> {
         let slot = self.index.slot(id);
         // What this very turn says comes first.
@@ -446,13 +450,13 @@
         let (accepted_lsn, over, final_report) = match (here, known) {
             (Some(w), _) => (
                 w.accepted_lsn,
-                w.tag == Tag::Completed,
-                w.tag == Tag::FinalReportDue,
+                w.tag == RecordKind::Completed,
+                w.tag == RecordKind::FinalReportDue,
             ),
             (None, Some(e)) => (
                 e.accepted_lsn,
-                matches!(e.state, State::Completed { .. }),
-                matches!(e.state, State::FinalReportDue(_)),
+                matches!(e.state, EntryState::Completed { .. }),
+                matches!(e.state, EntryState::FinalReportDue(_)),
             ),
             (None, None) => (0, true, true),
         };
@@ -483,7 +487,7 @@
         head.frames += frames;
         head.taken += taken;
         head.unhashed.extend_from_slice(bytes);
-        if head.unhashed.len() >= HASH_AT_ONCE {
+        if head.unhashed.len() >= HASH_CHUNK_BYTES {
             head.hasher.update(&head.unhashed);
             head.unhashed.clear();
         }
@@ -495,7 +499,8 @@
         if let Some(head) = self.head.as_mut().filter(|h| h.torn) {
             head.torn = self.storage.truncate(&head.name, head.len).is_err();
         }
-        let fits = |h: &Head| !h.torn && (h.frames == 0 || h.len + bytes <= self.segment_size);
+        let fits =
+            |h: &HeadSegment| !h.torn && (h.frames == 0 || h.len + bytes <= self.segment_size);
         if !self.head.as_ref().is_some_and(fits) {
             self.roll(now)?;
         }
@@ -541,13 +546,13 @@
         let frames = first(salt, &mut lsn);
         bytes.extend_from_slice(&frames);
         let result = self.storage.append(&name, &bytes).and_then(|()| {
-            let old = self.head.as_ref().map(|h| Listed {
+            let old = self.head.as_ref().map(|h| ManifestEntry {
                 seal: Some(h.seal()),
                 ..h.listed()
             });
             self.write_manifest(
                 old,
-                Some(Listed {
+                Some(ManifestEntry {
                     sequence,
                     base,
                     before,
@@ -564,7 +569,7 @@
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(&before);
         hasher.update(&frames);
-        let head = Head {
+        let head = HeadSegment {
             sequence,
             name,
             salt,
@@ -579,11 +584,11 @@
         };
         self.next_lsn = lsn;
         if let Some(old) = self.head.replace(head) {
-            let listed = Listed {
+            let listed = ManifestEntry {
                 seal: Some(old.seal()),
                 ..old.listed()
             };
-            let sealed = Sealed {
+            let sealed = SealedSegment {
                 name: old.name,
                 salt: old.salt,
                 listed,
@@ -598,19 +603,19 @@
     /// The one step by which the set of segments changes: the head sealed as `old`, `new` listed, `removed` no more.
     pub(crate) fn write_manifest(
         &mut self,
-        old: Option<Listed>,
-        new: Option<Listed>,
+        old: Option<ManifestEntry>,
+        new: Option<ManifestEntry>,
         removed: Option<u32>,
     ) -> io::Result<()> {
         let head = match (old, new) {
-            (None, None) => self.head.as_ref().map(Head::listed),
+            (None, None) => self.head.as_ref().map(HeadSegment::listed),
             (old, new) => old
                 .into_iter()
                 .chain(new)
                 .next_back()
                 .filter(|_| new.is_some()),
         };
-        let mut segments: Vec<Listed> = self.missing.clone();
+        let mut segments: Vec<ManifestEntry> = self.missing.clone();
         segments.extend(
             self.sealed
                 .values()
@@ -663,7 +668,7 @@
     (record.id().len() + more) as u64
 }
 
-fn write_record(lsn: u64, accepted_lsn: u64, id: &Id, record: &Record, into: &mut Vec<u8>) {
+fn write_record(lsn: u64, accepted_lsn: u64, id: &PackedId, record: &Record, into: &mut Vec<u8>) {
     let id = Bytes::new(id.packed());
     let fact = match record {
         Record::Accepted {
@@ -678,10 +683,10 @@
             ..
         } => {
             let (key, ordering_key) = (
-                key.as_deref().map(Id::new),
-                ordering_key.as_deref().map(Id::new),
+                key.as_deref().map(PackedId::new),
+                ordering_key.as_deref().map(PackedId::new),
             );
-            let (packed_from, body) = pack(body);
+            let (uncompressed_len, body) = pack(body);
             let taken = AcceptedMessage {
                 id,
                 accepted_lsn: if accepted_lsn == lsn { 0 } else { accepted_lsn },
@@ -689,17 +694,18 @@
                 tenant: *tenant as u32,
                 destination: *destination,
                 key: key.as_ref().map(|k| Bytes::new(k.packed())),
-                deadline: deadline / NANOS,
-                lifetime: u32::try_from(deadline.saturating_sub(*at) / NANOS).unwrap_or(u32::MAX),
-                packed_from,
+                deadline: deadline / NANOS_PER_MS,
+                lifetime_ms: u32::try_from(deadline.saturating_sub(*at) / NANOS_PER_MS)
+                    .unwrap_or(u32::MAX),
+                uncompressed_len,
                 body: Bytes::new(&body),
             };
             let fact = match &ordering_key {
-                Some(key) => Fact::AcceptedInOrder {
+                Some(key) => JournalRecord::AcceptedInOrder {
                     taken,
                     ordering_key: Bytes::new(key.packed()),
                 },
-                None => Fact::Accepted(taken),
+                None => JournalRecord::Accepted(taken),
             };
             return fact::write(lsn, &fact, into);
         }
@@ -708,18 +714,18 @@
             endpoint,
             at,
             ..
-        } => Fact::AttemptStarted {
+        } => JournalRecord::AttemptStarted {
             id,
             accepted_lsn,
             attempt: *attempt,
             endpoint,
-            at: at / NANOS,
+            at: at / NANOS_PER_MS,
         },
         Record::AttemptFinished {
             attempt,
             not_executed,
             ..
-        } => Fact::AttemptFinished {
+        } => JournalRecord::AttemptFinished {
             id,
             accepted_lsn,
             attempt: *attempt,
@@ -734,10 +740,10 @@
                 FinalReport::Returned { after_ms } => Some(*after_ms),
                 FinalReport::Failed => None,
             };
-            let Some(key) = ordering_key.as_deref().map(Id::new) else {
+            let Some(key) = ordering_key.as_deref().map(PackedId::new) else {
                 return fact::write(
                     lsn,
-                    &Fact::FinalReportDue {
+                    &JournalRecord::FinalReportDue {
                         id,
                         accepted_lsn,
                         after,
@@ -748,7 +754,7 @@
             let ordering_key = Bytes::new(key.packed());
             return fact::write(
                 lsn,
-                &Fact::FinalReportDueInOrder {
+                &JournalRecord::FinalReportDueInOrder {
                     id,
                     accepted_lsn,
                     after,
@@ -757,10 +763,10 @@
                 into,
             );
         }
-        Record::Completed { until, .. } => Fact::Completed {
+        Record::Completed { until, .. } => JournalRecord::Completed {
             id,
             accepted_lsn,
-            until: until / NANOS,
+            until: until / NANOS_PER_MS,
         },
     };
     fact::write(lsn, &fact, into);
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -8,26 +8,26 @@
 use serde::Deserialize;
 
 use crate::error::OpenError;
-use crate::scan::{DamagedRange, Why};
+use crate::scan::{DamageCause, DamagedRange};
 use crate::storage::Storage;
 
 /// The file, and the one that was being written to replace it.
 pub const NAMES: [&str; 2] = ["ledger", "ledger.new"];
-const FRAME: usize = 8;
-const LONGEST: usize = 256 * 1024;
+const FRAME_HEADER_BYTES: usize = 8;
+const MAX_PAYLOAD_BYTES: usize = 256 * 1024;
 /// Ids that ended are remembered for so long from now: the old file did not say.
 pub const COMPLETED: u64 = 20_000_000_000;
 
 /// What the old file held.
 #[derive(Debug)]
-pub struct Old {
+pub struct LegacyLedger {
     pub records: Vec<Record>,
     pub damage: Vec<DamagedRange>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Line {
+enum LegacyRecord {
     #[serde(rename = "taken")]
     Accepted {
         id: String,
@@ -56,7 +56,7 @@
     FinalReport {
         id: String,
         #[serde(rename = "closing")]
-        final_report: End,
+        final_report: LegacyFinalReport,
     },
     Over {
         id: String,
@@ -65,7 +65,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum End {
+enum LegacyFinalReport {
     Returned { after_ms: u64 },
     Failed,
 }
@@ -74,7 +74,7 @@
 pub fn read<S: Storage>(
     storage: &mut S,
     files: &BTreeMap<String, u64>,
-) -> Result<Option<Old>, OpenError> {
+) -> Result<Option<LegacyLedger>, OpenError> {
     let Some(&size) = files.get(NAMES[0]) else {
         return Ok(None);
     };
@@ -86,8 +86,8 @@
 
 /// All readable records. A message open before a damaged stretch may have been tried in it: it counts as possibly run
 /// with all attempts used, since the old frames have no numbers to tell which it can concern.
-pub fn decode(bytes: &[u8]) -> Old {
-    let mut old = Old {
+pub fn decode(bytes: &[u8]) -> LegacyLedger {
+    let mut old = LegacyLedger {
         records: Vec::new(),
         damage: Vec::new(),
     };
@@ -112,7 +112,7 @@
             before: 0,
             attempts: 64,
             taken: 64,
-            why: Why::Damaged,
+            why: DamageCause::Damaged,
         });
         at = next;
     }
@@ -142,16 +142,16 @@
 fn decode_one(bytes: &[u8], at: usize) -> Option<(Record, usize)> {
     let field = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
     let (len, sum) = (field(at)? as usize, field(at + 4)?);
-    if len > LONGEST {
+    if len > MAX_PAYLOAD_BYTES {
         return None;
     }
-    let payload = bytes.get(at + FRAME..at + FRAME + len)?;
+    let payload = bytes.get(at + FRAME_HEADER_BYTES..at + FRAME_HEADER_BYTES + len)?;
     if crc32fast::hash(payload) != sum {
         return None;
     }
     let split = payload.iter().position(|&b| b == b'\n')?;
     let record = match serde_json::from_slice(&payload[..split]).ok()? {
-        Line::Accepted {
+        LegacyRecord::Accepted {
             id,
             class,
             tenant,
@@ -170,7 +170,7 @@
             at: deadline.saturating_sub(COMPLETED),
             body: Arc::from(&payload[split + 1..]),
         },
-        Line::Sent {
+        LegacyRecord::Sent {
             id,
             attempt,
             endpoint,
@@ -181,7 +181,7 @@
             endpoint,
             at,
         },
-        Line::AttemptFinished {
+        LegacyRecord::AttemptFinished {
             id,
             attempt,
             not_executed,
@@ -190,18 +190,18 @@
             attempt,
             not_executed,
         },
-        Line::FinalReport { id, final_report } => Record::FinalReportDue {
+        LegacyRecord::FinalReport { id, final_report } => Record::FinalReportDue {
             id,
             final_report: match final_report {
-                End::Returned { after_ms } => FinalReport::Returned { after_ms },
-                End::Failed => FinalReport::Failed,
+                LegacyFinalReport::Returned { after_ms } => FinalReport::Returned { after_ms },
+                LegacyFinalReport::Failed => FinalReport::Failed,
             },
             ordering_key: None,
         },
-        Line::Over { id } => Record::Completed {
+        LegacyRecord::Over { id } => Record::Completed {
             id,
             until: COMPLETED,
         },
     };
-    Some((record, at + FRAME + len))
+    Some((record, at + FRAME_HEADER_BYTES + len))
 }
--- a/crates/journal/src/manifest.rs
+++ b/crates/journal/src/manifest.rs
@@ -11,7 +11,7 @@
 const HEAD: usize = 14;
 const SIGNATURE: usize = 16;
 /// No folder has so many segments.
-const PAYLOAD_MOST: usize = 1024 * 1024;
+const MAX_PAYLOAD_BYTES: usize = 1024 * 1024;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
@@ -21,11 +21,11 @@
     /// No frame written later has a lower log number.
     pub next_lsn: u64,
     /// By sequence number.
-    pub segments: Vec<Listed>,
+    pub segments: Vec<ManifestEntry>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ManifestEntry {
     pub sequence: u32,
     pub base: u64,
     /// Chained hash of the one sealed before it, as in its header.
@@ -47,7 +47,7 @@
 
 /// What the file `manifest` is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum DecodedManifest {
     Good(Manifest),
     Newer(u16),
     Bad,
@@ -66,25 +66,25 @@
         bytes
     }
 
-    pub fn read(bytes: &[u8], ring: &[Key]) -> Reading {
+    pub fn read(bytes: &[u8], ring: &[Key]) -> DecodedManifest {
         let Some(head) = bytes.get(..HEAD).filter(|b| b.starts_with(MAGIC)) else {
-            return Reading::Bad;
+            return DecodedManifest::Bad;
         };
         let version = u16::from_le_bytes([head[8], head[9]]);
         let later = version > VERSION && version < VERSION + 64;
         let size = u32::from_le_bytes([head[10], head[11], head[12], head[13]]) as usize;
         let (signed, signature) = bytes.split_at(bytes.len().saturating_sub(SIGNATURE).max(HEAD));
-        let whole = size <= PAYLOAD_MOST && signed.len() == HEAD + size;
+        let whole = size <= MAX_PAYLOAD_BYTES && signed.len() == HEAD + size;
         // As with a segment's header, a damaged version is put right.
         let parts = [&signed[..8], &VERSION.to_le_bytes(), &signed[10..]];
         if !whole || !ring.iter().any(|key| mac(key, &parts) == signature) {
             return if later {
-                Reading::Newer(version)
+                DecodedManifest::Newer(version)
             } else {
-                Reading::Bad
+                DecodedManifest::Bad
             };
         }
-        postcard::from_bytes(&signed[HEAD..]).map_or(Reading::Bad, Reading::Good)
+        postcard::from_bytes(&signed[HEAD..]).map_or(DecodedManifest::Bad, DecodedManifest::Good)
     }
 }
 
@@ -106,13 +106,13 @@
             next_sequence: 6,
             next_lsn: 900,
             segments: vec![
-                Listed {
+                ManifestEntry {
                     sequence: 4,
                     base: 100,
                     before: [1; 16],
                     seal: Some(seal),
                 },
-                Listed {
+                ManifestEntry {
                     sequence: 5,
                     base: 800,
                     before: [7; 16],
@@ -123,27 +123,27 @@
         let bytes = manifest.write(&key);
         assert_eq!(
             Manifest::read(&bytes, &[[1; 32], key]),
-            Reading::Good(manifest.clone())
+            DecodedManifest::Good(manifest.clone())
         );
-        assert_eq!(Manifest::read(&bytes, &[[1; 32]]), Reading::Bad);
+        assert_eq!(Manifest::read(&bytes, &[[1; 32]]), DecodedManifest::Bad);
         for at in 0..bytes.len() {
             assert_eq!(
                 Manifest::read(&bytes[..at], &[key]),
-                Reading::Bad,
+                DecodedManifest::Bad,
                 "cut at {at}"
             );
             let mut bytes = bytes.clone();
             bytes[at] ^= 0x80;
             let righted = if at == 8 || at == 9 {
-                Reading::Good(manifest.clone())
+                DecodedManifest::Good(manifest.clone())
             } else {
-                Reading::Bad
+                DecodedManifest::Bad
             };
             assert_eq!(Manifest::read(&bytes, &[key]), righted, "byte {at}");
         }
         let mut newer = bytes;
         newer[8] = 2;
         newer[20] ^= 1;
-        assert_eq!(Manifest::read(&newer, &[key]), Reading::Newer(2));
+        assert_eq!(Manifest::read(&newer, &[key]), DecodedManifest::Newer(2));
     }
 }
--- a/crates/journal/src/memory.rs
+++ b/crates/journal/src/memory.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 
-use crate::storage::{Storage, taken_by};
+use crate::storage::{Storage, disk_usage};
 
 /// When the storage dies, as a process that is killed does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +64,10 @@
     }
 
     fn used(&self) -> u64 {
-        self.files.values().map(|f| taken_by(f.len() as u64)).sum()
+        self.files
+            .values()
+            .map(|f| disk_usage(f.len() as u64))
+            .sum()
     }
 
     /// Counts the operation; an error if it is the last, before or (`Ok(true)`) after it is done.
@@ -108,10 +111,10 @@
         let before = self.files.get(name).map_or(0, Vec::len) as u64;
         let free = self
             .disk
-            .saturating_sub(self.used() - taken_by(before) + before);
+            .saturating_sub(self.used() - disk_usage(before) + before);
         // A file may fill its last block even if no further block is free.
-        let free =
-            free / crate::storage::BLOCK * crate::storage::BLOCK + (taken_by(before) - before);
+        let free = free / crate::storage::BLOCK_BYTES * crate::storage::BLOCK_BYTES
+            + (disk_usage(before) - before);
         let fits = bytes.len().min(most).min(free as usize);
         self.files
             .entry(name.to_owned())
--- a/crates/journal/src/open.rs
+++ b/crates/journal/src/open.rs
@@ -3,21 +3,21 @@
 use cranehill_core::{FinalReport, Record};
 
 use crate::error::OpenError;
-use crate::fact::{self, Fact};
+use crate::fact::{self, JournalRecord};
 use crate::frame;
-use crate::index::Place;
-use crate::journal::{Journal, Options, Sealed};
+use crate::index::StoredFrame;
+use crate::journal::{Journal, Options, SealedSegment};
 use crate::key::{Salt, write_key};
 use crate::legacy;
-use crate::manifest::{self, Listed, Seal};
-use crate::recover::{Reading, Recovered, read};
-use crate::scan::{KEY, Why};
-use crate::segment::HEADER;
+use crate::manifest::{self, ManifestEntry, Seal};
+use crate::recover::{FolderContents, Recovered, read};
+use crate::scan::{DamageCause, KEY};
+use crate::segment::HEADER_BYTES;
 use crate::storage::Storage;
 
 /// Records of the old ledger that are written at once.
 const CARRY_OVER: usize = 256;
-const NANOS: u64 = 1_000_000;
+const NANOS_PER_MS: u64 = 1_000_000;
 
 impl<S: Storage> Journal<S> {
     /// Opens the folder, with what is owed by it. `now` in ms since 1970.
@@ -26,10 +26,10 @@
         options: &Options,
         now: u64,
     ) -> Result<(Journal<S>, Recovered), OpenError> {
-        let Reading {
+        let FolderContents {
             scan,
             index,
-            mut doubts,
+            mut possible_executions,
             mut recovered,
         } = read(&mut storage, options.key, &options.fresh_key)?;
         let legacy = legacy::read(&mut storage, &scan.files)?;
@@ -59,24 +59,24 @@
                 taken: found.taken,
                 chain: found.chain,
             };
-            let listed = Listed {
+            let listed = ManifestEntry {
                 sequence: found.sequence,
                 base: found.base,
                 before: found.before,
                 seal: Some(found.seal.unwrap_or(as_found)),
             };
             let signed = scan.ring.0.get(found.key).copied().unwrap_or(key);
-            let sealed = Sealed {
+            let sealed = SealedSegment {
                 name: found.name.clone(),
                 salt: Salt::new(&signed, found.sequence),
                 listed,
-                len: found.len.max(HEADER as u64),
+                len: found.len.max(HEADER_BYTES as u64),
                 damaged: scan.damage.iter().any(|d| d.file == found.name) || found.header.is_none(),
             };
             journal.sealed.insert(found.sequence, sealed);
         }
         if let Some(manifest) = &scan.manifest {
-            let missing = |l: &&Listed| !scan.segments.contains_key(&l.sequence);
+            let missing = |l: &&ManifestEntry| !scan.segments.contains_key(&l.sequence);
             journal.missing = manifest.segments.iter().filter(missing).copied().collect();
         }
         journal.next_sequence = scan.next_sequence;
@@ -84,20 +84,22 @@
         // A doubt concerns messages that are open now: where there are none, nothing is in doubt.
         let deadline = |r: &Record| {
             if let Record::Accepted { deadline, .. } = r {
-                Some(deadline / NANOS)
+                Some(deadline / NANOS_PER_MS)
             } else {
                 None
             }
         };
         let latest = recovered.records.iter().filter_map(deadline).max();
         if latest.is_none() {
-            doubts.retain(|d| d.place.is_some());
+            possible_executions.retain(|d| d.place.is_some());
             journal.missing.clear();
         }
         // Those whose time is out already are still to be concluded by this life.
         let until = latest.unwrap_or(0).max(now);
-        doubts.iter_mut().for_each(|d| d.until = d.until.max(until));
-        journal.doubts = doubts;
+        possible_executions
+            .iter_mut()
+            .for_each(|d| d.until = d.until.max(until));
+        journal.possible_executions = possible_executions;
         for lost in &recovered.lost {
             journal.pending.push(Record::FinalReportDue {
                 id: lost.id.clone(),
@@ -105,7 +107,10 @@
                 ordering_key: None,
             });
         }
-        journal.first_head(now, scan.damage.iter().any(|d| d.why == Why::Unlisted));
+        journal.first_head(
+            now,
+            scan.damage.iter().any(|d| d.why == DamageCause::Unlisted),
+        );
         let missed = !journal.missing.is_empty();
         journal.write_pending(now);
         if missed && journal.missing.is_empty() && journal.write_manifest(None, None, None).is_err()
@@ -116,9 +121,9 @@
             journal.carry_over(now, old, &mut recovered)?;
         }
         // An end whose time is out is there only because older facts still are.
-        recovered
-            .records
-            .retain(|r| !matches!(r, Record::Completed { until, .. } if until / NANOS <= now));
+        recovered.records.retain(
+            |r| !matches!(r, Record::Completed { until, .. } if until / NANOS_PER_MS <= now),
+        );
         recovered.counts = journal.index.counts();
         Ok((journal, recovered))
     }
@@ -126,8 +131,8 @@
     /// The first segment of this life. If there is no room the journal starts without one, and tries at each turn.
     fn first_head(&mut self, now: u64, unlisted: bool) {
         // A doubt that hangs on the lack of a manifest must be on disk before there is one again.
-        let doubts: Vec<_> = self
-            .doubts
+        let possible_executions: Vec<_> = self
+            .possible_executions
             .iter()
             .filter(|d| unlisted && d.place.is_none())
             .copied()
@@ -135,9 +140,9 @@
         let mut lens = Vec::new();
         let rolled = self.roll_with(now, |salt, lsn| {
             let mut bytes = Vec::new();
-            for d in &doubts {
+            for d in &possible_executions {
                 let at = bytes.len();
-                let fact = Fact::Doubt {
+                let fact = JournalRecord::PossiblyExecuted {
                     before: d.before,
                     attempts: d.attempts,
                     until: d.until,
@@ -151,9 +156,12 @@
         match rolled {
             Ok(()) => {
                 let sequence = self.head.as_ref().map_or(0, |h| h.sequence);
-                for (written, len) in doubts.iter().zip(lens) {
-                    let place = Place { sequence, len };
-                    if let Some(doubt) = self.doubts.iter_mut().find(|d| d.before == written.before)
+                for (written, len) in possible_executions.iter().zip(lens) {
+                    let place = StoredFrame { sequence, len };
+                    if let Some(doubt) = self
+                        .possible_executions
+                        .iter_mut()
+                        .find(|d| d.before == written.before)
                     {
                         doubt.place = Some(place);
                         self.index.add_live(place);
@@ -176,12 +184,14 @@
     fn carry_over(
         &mut self,
         now: u64,
-        mut old: legacy::Old,
+        mut old: legacy::LegacyLedger,
         recovered: &mut Recovered,
     ) -> Result<(), OpenError> {
         // The old file did not say until when an id that ended is remembered: from now on for as long as a message may
         // last.
-        let until = now.saturating_mul(NANOS).saturating_add(legacy::COMPLETED);
+        let until = now
+            .saturating_mul(NANOS_PER_MS)
+            .saturating_add(legacy::COMPLETED);
         for record in &mut old.records {
             if let Record::Completed {
                 until: completed, ..
@@ -200,7 +210,7 @@
             self.storage.remove(name).map_err(OpenError::io(name))?;
         }
         // What it comes to is read as from any other folder.
-        let Reading {
+        let FolderContents {
             recovered: again, ..
         } = read(&mut self.storage, Some(self.key), &self.key)?;
         let before = std::mem::replace(recovered, again);
--- a/crates/journal/src/recover.rs
+++ b/crates/journal/src/recover.rs
@@ -5,23 +5,25 @@
 use cranehill_core::{FinalReport, Record};
 
 use crate::error::OpenError;
-use crate::fact::{AcceptedMessage, Fact, Packed, SENT_LEAST, Tag, unpack};
-use crate::id::Id;
-use crate::index::{Index, Joined, Place, State};
+use crate::fact::{
+    AcceptedMessage, JournalRecord, MIN_ATTEMPT_FRAME_BYTES, RawBytes, RecordKind, unpack,
+};
+use crate::id::PackedId;
+use crate::index::{EntryState, Index, Joined, StoredFrame};
 use crate::key::Key;
 use crate::manifest::{self, Manifest};
-use crate::scan::{At, DamagedRange, Scan, Why, ring, scan};
+use crate::scan::{DamageCause, DamagedRange, RecordLocation, Scan, ring, scan};
 use crate::storage::Storage;
 
 /// More attempts than any class allows: as good as all of them.
-const ATTEMPTS_MOST: u32 = 64;
-const NANOS: u64 = 1_000_000;
+const MAX_ATTEMPTS: u32 = 64;
+const NANOS_PER_MS: u64 = 1_000_000;
 /// Dead records are dropped once there are more than these.
-const SWEEP_LEAST: usize = 4096;
+const MIN_DEAD_RECORDS_TO_SWEEP: usize = 4096;
 
 /// A message whose own record is gone: known only by its attempts, and concluded as failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lost {
+pub struct LostMessage {
     pub id: String,
     /// Where an attempt of it stands.
     pub file: String,
@@ -34,7 +36,7 @@
     /// For the reducer: remembered ends, closings, then open messages in the order in which they were accepted.
     pub records: Vec<Record>,
     pub damage: Vec<DamagedRange>,
-    pub lost: Vec<Lost>,
+    pub lost: Vec<LostMessage>,
     /// Open messages that count as possibly run because of damage.
     pub doubted: usize,
     /// A cut-off write at the end: file and bytes.
@@ -49,44 +51,44 @@
     pub carried_over: usize,
 }
 
-/// One doubt: see [`Fact::Doubt`].
+/// One doubt: see [`JournalRecord::PossibleExecutions`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Doubt {
+pub struct PossibleExecutions {
     pub before: u64,
     pub attempts: u32,
     pub until: u64,
     /// Where it is written down, once it is.
-    pub place: Option<Place>,
+    pub place: Option<StoredFrame>,
 }
 
 /// Facts as records, in the order in which they are found; those that turn out to be dead are dropped in between.
 #[derive(Default)]
-struct RecordHistory {
+struct CollectedRecords {
     records: Vec<Record>,
-    about: Vec<About>,
+    about: Vec<RecordOrigin>,
     /// How many of them are known to be dead.
     dead: usize,
 }
 
 /// Whose record it is, and which.
 #[derive(Clone, Copy)]
-struct About {
+struct RecordOrigin {
     slot: u32,
     accepted_lsn: u64,
     /// Orders the records of one message: accepted, then each attempt and its end.
     which: u64,
-    at: At,
+    at: RecordLocation,
 }
 
-impl RecordHistory {
-    fn push(&mut self, record: Record, slot: u32, accepted_lsn: u64, at: At) {
+impl CollectedRecords {
+    fn push(&mut self, record: Record, slot: u32, accepted_lsn: u64, at: RecordLocation) {
         let which = match &record {
             Record::Accepted { .. } | Record::FinalReportDue { .. } | Record::Completed { .. } => 0,
             Record::AttemptStarted { attempt, .. } => 1 + 2 * u64::from(*attempt),
             Record::AttemptFinished { attempt, .. } => 2 + 2 * u64::from(*attempt),
         };
         self.records.push(record);
-        self.about.push(About {
+        self.about.push(RecordOrigin {
             slot,
             accepted_lsn,
             which,
@@ -97,7 +99,7 @@
     /// Drops what no longer counts, so that ended messages do not fill the memory.
     fn sweep(&mut self, index: &Index) {
         self.dead = 0;
-        let counts = |record: &Record, about: &About| {
+        let counts = |record: &Record, about: &RecordOrigin| {
             let state = index
                 .entry(about.slot)
                 .filter(|e| e.accepted_lsn == about.accepted_lsn)
@@ -105,14 +107,14 @@
             matches!(
                 (state, record),
                 (
-                    Some(State::Open(_)),
+                    Some(EntryState::Open(_)),
                     Record::Accepted { .. }
                         | Record::AttemptStarted { .. }
                         | Record::AttemptFinished { .. }
                 ) | (
-                    Some(State::FinalReportDue(_)),
+                    Some(EntryState::FinalReportDue(_)),
                     Record::FinalReportDue { .. }
-                ) | (Some(State::Completed { .. }), Record::Completed { .. })
+                ) | (Some(EntryState::Completed { .. }), Record::Completed { .. })
             )
         };
         let mut kept = 0;
@@ -131,7 +133,7 @@
 
     /// Ends by their time, reports due, then open messages in the order in which they were accepted.
     fn sort(&mut self) {
-        let key = |record: &Record, about: &About| match record {
+        let key = |record: &Record, about: &RecordOrigin| match record {
             Record::Completed { until, .. } => (0u8, *until, u64::from(about.slot)),
             Record::FinalReportDue { .. } => (1, about.accepted_lsn, 0),
             _ => (2, about.accepted_lsn, about.which),
@@ -153,10 +155,10 @@
 }
 
 /// A folder read and understood; nothing in it has been changed.
-pub struct Reading {
+pub struct FolderContents {
     pub scan: Scan,
     pub index: Index,
-    pub doubts: Vec<Doubt>,
+    pub possible_executions: Vec<PossibleExecutions>,
     pub recovered: Recovered,
 }
 
@@ -165,22 +167,22 @@
     storage: &mut S,
     given: Option<Key>,
     fresh: &Key,
-) -> Result<Reading, OpenError> {
+) -> Result<FolderContents, OpenError> {
     let mut index = Index::new(given.as_ref().unwrap_or(fresh));
-    let mut history = RecordHistory::default();
+    let mut history = CollectedRecords::default();
     // The old manifest tells how much to expect; what it can't tell is found as it comes.
     let expected = expected(storage, given);
     index.reserve(expected);
     history.records.reserve(expected * 2);
     history.about.reserve(expected * 2);
-    let mut written: Vec<Doubt> = Vec::new();
-    let mut unreadable: Vec<(u64, At)> = Vec::new();
-    let on_fact = |at: At, fact: Fact<'_>| {
-        let place = Place {
+    let mut written: Vec<PossibleExecutions> = Vec::new();
+    let mut unreadable: Vec<(u64, RecordLocation)> = Vec::new();
+    let on_fact = |at: RecordLocation, fact: JournalRecord<'_>| {
+        let place = StoredFrame {
             sequence: at.sequence,
             len: at.len,
         };
-        if let Fact::Doubt {
+        if let JournalRecord::PossiblyExecuted {
             before,
             attempts,
             until,
@@ -190,7 +192,7 @@
                 Some(known) => known.attempts = known.attempts.max(attempts),
                 None => {
                     index.add_live(place);
-                    written.push(Doubt {
+                    written.push(PossibleExecutions {
                         before,
                         attempts,
                         until,
@@ -203,10 +205,10 @@
         let Some((packed, accepted_lsn)) = fact.subject() else {
             return;
         };
-        let Some(id) = Id::from_packed(packed) else {
+        let Some(id) = PackedId::from_packed(packed) else {
             return;
         };
-        let until = if let Fact::Completed { until, .. } = fact {
+        let until = if let JournalRecord::Completed { until, .. } = fact {
             until
         } else {
             0
@@ -228,7 +230,8 @@
                     0
                 };
                 history.push(record, slot, accepted_lsn, at);
-                if history.dead > SWEEP_LEAST && history.dead > history.records.len() {
+                if history.dead > MIN_DEAD_RECORDS_TO_SWEEP && history.dead > history.records.len()
+                {
                     history.sweep(&index);
                 }
             }
@@ -247,29 +250,33 @@
             before: accepted_lsn + 1,
             attempts: 0,
             taken: 1,
-            why: Why::Damaged,
+            why: DamageCause::Damaged,
         });
     }
-    let doubts = doubts(&scan, written, &mut index);
+    let possible_executions = possible_executions(&scan, written, &mut index);
     history.sweep(&index);
     history.sort();
-    let recovered = put_together(&scan, &index, history, &doubts);
-    Ok(Reading {
+    let recovered = put_together(&scan, &index, history, &possible_executions);
+    Ok(FolderContents {
         scan,
         index,
-        doubts,
+        possible_executions,
         recovered,
     })
 }
 
 /// What earlier processes wrote down, and what is found now. Damage that is still there when it is found again yields the
 /// same number, and counts once.
-fn doubts(scan: &Scan, written: Vec<Doubt>, index: &mut Index) -> Vec<Doubt> {
-    let mut found: Vec<Doubt> = Vec::new();
+fn possible_executions(
+    scan: &Scan,
+    written: Vec<PossibleExecutions>,
+    index: &mut Index,
+) -> Vec<PossibleExecutions> {
+    let mut found: Vec<PossibleExecutions> = Vec::new();
     for damaged_range in scan.damage.iter().filter(|s| s.attempts > 0) {
         match found.iter_mut().find(|d| d.before == damaged_range.before) {
             Some(known) => known.attempts = known.attempts.saturating_add(damaged_range.attempts),
-            None => found.push(Doubt {
+            None => found.push(PossibleExecutions {
                 before: damaged_range.before,
                 attempts: damaged_range.attempts,
                 until: 0,
@@ -303,11 +310,11 @@
     let Ok(bytes) = storage.read(manifest::NAME, 0, 2 * 1024 * 1024) else {
         return 0;
     };
-    let manifest::Reading::Good(manifest) = Manifest::read(&bytes, &ring.0) else {
+    let manifest::DecodedManifest::Good(manifest) = Manifest::read(&bytes, &ring.0) else {
         return 0;
     };
     // Each takes some tens of bytes on disk: more than that it can't be, whatever the manifest says.
-    let most: u64 = files.values().sum::<u64>() / SENT_LEAST as u64;
+    let most: u64 = files.values().sum::<u64>() / MIN_ATTEMPT_FRAME_BYTES as u64;
     let taken: u64 = manifest
         .segments
         .iter()
@@ -318,20 +325,20 @@
 }
 
 /// A fact as the reducer knows it; `None` if its body can't be unpacked.
-fn record(id: &Id, fact: Fact<'_>) -> Option<Record> {
+fn record(id: &PackedId, fact: JournalRecord<'_>) -> Option<Record> {
     let id = id.text();
-    let text = |packed: Packed<'_>| Id::from_packed(packed).map(|key| key.text());
+    let text = |packed: RawBytes<'_>| PackedId::from_packed(packed).map(|key| key.text());
     let ordering_key = fact.ordering_key().and_then(text);
     Some(match fact {
-        Fact::Accepted(taken) | Fact::AcceptedInOrder { taken, .. } => {
+        JournalRecord::Accepted(taken) | JournalRecord::AcceptedInOrder { taken, .. } => {
             let AcceptedMessage {
                 class,
                 tenant,
                 destination,
                 key,
                 deadline,
-                lifetime,
-                packed_from,
+                lifetime_ms,
+                uncompressed_len,
                 body,
                 ..
             } = taken;
@@ -342,14 +349,14 @@
                 destination,
                 key: key.and_then(text),
                 ordering_key,
-                deadline: deadline.saturating_mul(NANOS),
+                deadline: deadline.saturating_mul(NANOS_PER_MS),
                 at: deadline
-                    .saturating_sub(u64::from(lifetime))
-                    .saturating_mul(NANOS),
-                body: Arc::from(unpack(packed_from, body)?.as_ref()),
+                    .saturating_sub(u64::from(lifetime_ms))
+                    .saturating_mul(NANOS_PER_MS),
+                body: Arc::from(unpack(uncompressed_len, body)?.as_ref()),
             }
         }
-        Fact::AttemptStarted {
+        JournalRecord::AttemptStarted {
             attempt,
             endpoint,
             at,
@@ -358,9 +365,9 @@
             id,
             attempt,
             endpoint: endpoint.to_owned(),
-            at: at.saturating_mul(NANOS),
+            at: at.saturating_mul(NANOS_PER_MS),
         },
-        Fact::AttemptFinished {
+        JournalRecord::AttemptFinished {
             attempt,
             not_executed,
             ..
@@ -369,7 +376,8 @@
             attempt,
             not_executed,
         },
-        Fact::FinalReportDue { after, .. } | Fact::FinalReportDueInOrder { after, .. } => {
+        JournalRecord::FinalReportDue { after, .. }
+        | JournalRecord::FinalReportDueInOrder { after, .. } => {
             let final_report = after.map_or(FinalReport::Failed, |after_ms| {
                 FinalReport::Returned { after_ms }
             });
@@ -379,15 +387,20 @@
                 ordering_key,
             }
         }
-        Fact::Completed { until, .. } => Record::Completed {
+        JournalRecord::Completed { until, .. } => Record::Completed {
             id,
-            until: until.saturating_mul(NANOS),
+            until: until.saturating_mul(NANOS_PER_MS),
         },
-        Fact::Doubt { .. } => return None,
+        JournalRecord::PossiblyExecuted { .. } => return None,
     })
 }
 
-fn put_together(scan: &Scan, index: &Index, history: RecordHistory, doubts: &[Doubt]) -> Recovered {
+fn put_together(
+    scan: &Scan,
+    index: &Index,
+    history: CollectedRecords,
+    possible_executions: &[PossibleExecutions],
+) -> Recovered {
     let mut out = Recovered {
         damage: scan.damage.clone(),
         torn: scan.torn.clone(),
@@ -397,7 +410,7 @@
         ..Recovered::default()
     };
     // A message of which all is known needs nothing but its records as they stand.
-    let whole = doubts.is_empty()
+    let whole = possible_executions.is_empty()
         && history
             .records
             .windows(2)
@@ -436,7 +449,7 @@
         while let Some((record, _)) = all.next_if(|(_, next)| next.slot == about.slot) {
             message.push(record);
         }
-        one(scan, &mut message, about, doubts, &mut out);
+        one(scan, &mut message, about, possible_executions, &mut out);
     }
     out
 }
@@ -445,8 +458,8 @@
 fn one(
     scan: &Scan,
     message: &mut Vec<Record>,
-    about: About,
-    doubts: &[Doubt],
+    about: RecordOrigin,
+    possible_executions: &[PossibleExecutions],
     out: &mut Recovered,
 ) {
     let Some(Record::Accepted { id, at, .. }) = message.first() else {
@@ -463,7 +476,7 @@
                 final_report,
                 ordering_key,
             });
-            out.lost.push(Lost {
+            out.lost.push(LostMessage {
                 id,
                 file: file.clone(),
                 offset: about.at.offset,
@@ -490,19 +503,19 @@
     let used = numbers.iter().max().map_or(0, |n| n.saturating_add(1));
     let mut rest = message.drain(..);
     out.records.extend(rest.next());
-    let doubted: u32 = doubts
+    let doubted: u32 = possible_executions
         .iter()
         .filter(|d| d.before > about.accepted_lsn)
-        .map(|d| d.attempts.min(ATTEMPTS_MOST))
+        .map(|d| d.attempts.min(MAX_ATTEMPTS))
         .sum();
     if doubted > 0 {
         out.doubted += 1;
         // Numbers that are missing below the last known one may be those that are in doubt.
-        let missing: Vec<u32> = (0..used.min(ATTEMPTS_MOST))
+        let missing: Vec<u32> = (0..used.min(MAX_ATTEMPTS))
             .filter(|n| !numbers.contains(n))
             .collect();
         let extra = doubted
-            .min(ATTEMPTS_MOST)
+            .min(MAX_ATTEMPTS)
             .saturating_sub(missing.len() as u32);
         let beyond = (extra > 0).then(|| used.saturating_add(extra) - 1);
         // First, so that it counts as run from the earliest moment on at which it can have been; and under numbers
@@ -525,12 +538,12 @@
 }
 
 /// The tag of a record, as the index knows it.
-pub(crate) fn tag(record: &Record) -> Tag {
+pub(crate) fn tag(record: &Record) -> RecordKind {
     match record {
-        Record::Accepted { .. } => Tag::Accepted,
-        Record::AttemptStarted { attempt, .. } => Tag::AttemptStarted(*attempt),
-        Record::AttemptFinished { attempt, .. } => Tag::AttemptFinished(*attempt),
-        Record::FinalReportDue { .. } => Tag::FinalReportDue,
-        Record::Completed { .. } => Tag::Completed,
+        Record::Accepted { .. } => RecordKind::Accepted,
+        Record::AttemptStarted { attempt, .. } => RecordKind::AttemptStarted(*attempt),
+        Record::AttemptFinished { attempt, .. } => RecordKind::AttemptFinished(*attempt),
+        Record::FinalReportDue { .. } => RecordKind::FinalReportDue,
+        Record::Completed { .. } => RecordKind::Completed,
     }
 }
--- a/crates/journal/src/scan.rs
+++ b/crates/journal/src/scan.rs
@@ -5,22 +5,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::error::OpenError;
-use crate::fact::{self, Fact, SENT_LEAST};
-use crate::frame::{self, Found};
+use crate::fact::{self, JournalRecord, MIN_ATTEMPT_FRAME_BYTES};
+use crate::frame::{self, DecodedFrame};
 use crate::key::{Key, Mac, Salt, mac, read_key};
-use crate::manifest::{self, Manifest, Reading, Seal};
-use crate::segment::{self, HEADER, Header, Opening, VERSION};
+use crate::manifest::{self, DecodedManifest, Manifest, Seal};
+use crate::segment::{self, DecodedHeader, HEADER_BYTES, Header, VERSION};
 use crate::storage::Storage;
 
 pub const KEY: &str = "key";
 
 /// The keys under which a folder's files may be signed: an operator's, then the folder's own.
 #[derive(Clone, Debug, Default)]
-pub struct Ring(pub Vec<Key>);
+pub struct KeyRing(pub Vec<Key>);
 
 /// One segment as it was found.
 #[derive(Clone, Debug)]
-pub struct Segment {
+pub struct ScannedSegment {
     pub sequence: u32,
     pub name: String,
     pub header: Option<Header>,
@@ -55,11 +55,11 @@
     pub attempts: u32,
     /// Messages accepted that it may have held, at most.
     pub taken: u32,
-    pub why: Why,
+    pub why: DamageCause,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum DamageCause {
     /// Bytes that are no frame.
     Damaged,
     /// The file is shorter than when it was sealed.
@@ -75,12 +75,12 @@
 /// What a folder holds.
 #[derive(Debug, Default)]
 pub struct Scan {
-    pub ring: Ring,
+    pub ring: KeyRing,
     /// The manifest, if it can be believed.
     pub manifest: Option<Manifest>,
     /// There is a file of that name that can't be believed.
     pub manifest_bad: bool,
-    pub segments: BTreeMap<u32, Segment>,
+    pub segments: BTreeMap<u32, ScannedSegment>,
     pub damage: Vec<DamagedRange>,
     /// A write that was cut off at the end of the head: file and bytes. Nothing in it had been promised.
     pub torn: Option<(String, u64)>,
@@ -97,7 +97,7 @@
 
 /// Where a fact stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct At {
+pub struct RecordLocation {
     pub sequence: u32,
     pub offset: u64,
     /// Of its whole frame.
@@ -110,7 +110,7 @@
     storage: &mut S,
     given: Option<Key>,
     files: &BTreeMap<String, u64>,
-) -> Result<Ring, OpenError> {
+) -> Result<KeyRing, OpenError> {
     let mut ring: Vec<Key> = given.into_iter().collect();
     if files.contains_key(KEY) {
         let bytes = storage.read(KEY, 0, 4096).map_err(OpenError::io(KEY))?;
@@ -124,14 +124,14 @@
             None => return Err(OpenError::KeyLost),
         }
     }
-    Ok(Ring(ring))
+    Ok(KeyRing(ring))
 }
 
 /// Reads everything; `on_fact` hears of every fact, segment by segment in their order.
 pub fn scan<S: Storage>(
     storage: &mut S,
     given: Option<Key>,
-    mut on_fact: impl FnMut(At, Fact<'_>),
+    mut on_fact: impl FnMut(RecordLocation, JournalRecord<'_>),
     mut progress: impl FnMut(u64, u64),
 ) -> Result<Scan, OpenError> {
     let files = storage.list().map_err(OpenError::io("the folder"))?;
@@ -179,9 +179,9 @@
             .read(manifest::NAME, 0, 2 * 1024 * 1024)
             .map_err(OpenError::io(manifest::NAME))?;
         match Manifest::read(&bytes, &self.ring.0) {
-            Reading::Good(manifest) => self.manifest = Some(manifest),
-            Reading::Newer(version) => return Err(newer(manifest::NAME, version)),
-            Reading::Bad => self.manifest_bad = true,
+            DecodedManifest::Good(manifest) => self.manifest = Some(manifest),
+            DecodedManifest::Newer(version) => return Err(newer(manifest::NAME, version)),
+            DecodedManifest::Bad => self.manifest_bad = true,
         }
         Ok(())
     }
@@ -189,23 +189,25 @@
     fn read_headers<S: Storage>(
         &self,
         storage: &mut S,
-    ) -> Result<BTreeMap<String, Opening>, OpenError> {
+    ) -> Result<BTreeMap<String, DecodedHeader>, OpenError> {
         let mut headers = BTreeMap::new();
         for name in self.files.keys().filter(|n| segment::sequence(n).is_some()) {
-            let bytes = storage.read(name, 0, HEADER).map_err(OpenError::io(name))?;
+            let bytes = storage
+                .read(name, 0, HEADER_BYTES)
+                .map_err(OpenError::io(name))?;
             let opening = Header::read(&bytes, &self.ring.0);
-            if let Opening::Newer(version) = opening {
+            if let DecodedHeader::Newer(version) = opening {
                 return Err(newer(name, version));
             }
             headers.insert(name.clone(), opening);
         }
-        let ours = |o: &Opening| matches!(o, Opening::Good(..));
+        let ours = |o: &DecodedHeader| matches!(o, DecodedHeader::Good(..));
         if self.manifest.is_none() && !headers.is_empty() && !headers.values().any(ours) {
             // One headerless file is what a kill leaves of the very first start.
-            let begun = headers.values().all(|o| *o == Opening::Bad) && !self.manifest_bad;
+            let begun = headers.values().all(|o| *o == DecodedHeader::Bad) && !self.manifest_bad;
             let short = headers
                 .keys()
-                .all(|n| self.files.get(n).is_some_and(|&s| s < HEADER as u64));
+                .all(|n| self.files.get(n).is_some_and(|&s| s < HEADER_BYTES as u64));
             if !(begun && short) {
                 return Err(OpenError::WrongKey);
             }
@@ -214,7 +216,7 @@
     }
 
     /// Decides which files are segments of ours, which are left over and which are somebody else's.
-    fn choose(&mut self, headers: BTreeMap<String, Opening>) -> Result<(), OpenError> {
+    fn choose(&mut self, headers: BTreeMap<String, DecodedHeader>) -> Result<(), OpenError> {
         // A manifest older than a segment with something in it was put back, or is not of this folder's last life.
         let epoch = self.manifest.as_ref().map(|m| m.epoch);
         let listed: BTreeSet<u32> = self
@@ -222,9 +224,13 @@
             .iter()
             .flat_map(|m| m.segments.iter().map(|s| s.sequence))
             .collect();
-        let has_frames = |name: &String| self.files.get(name).is_some_and(|&s| s > HEADER as u64);
+        let has_frames = |name: &String| {
+            self.files
+                .get(name)
+                .is_some_and(|&s| s > HEADER_BYTES as u64)
+        };
         let stale = headers.iter().any(|(name, opening)| {
-            matches!(opening, Opening::Good(h, _)
+            matches!(opening, DecodedHeader::Good(h, _)
                 if !listed.contains(&h.sequence) && epoch.is_some_and(|e| h.epoch > e) && has_frames(name))
         });
         if stale {
@@ -236,16 +242,20 @@
         let mut by_name: Vec<(&String, u32, Signed)> = Vec::new();
         for (name, opening) in &headers {
             match *opening {
-                Opening::Good(header, key) => {
+                DecodedHeader::Good(header, key) => {
                     by_name.push((name, header.sequence, Some((header, key))))
                 }
                 _ => {
                     let sequence = segment::sequence(name).unwrap_or_default();
                     if listed.contains(&sequence) && self.manifest.is_some() {
                         by_name.push((name, sequence, None));
-                    } else if self.files.get(name).is_some_and(|&s| s <= HEADER as u64) {
+                    } else if self
+                        .files
+                        .get(name)
+                        .is_some_and(|&s| s <= HEADER_BYTES as u64)
+                    {
                         self.strays.push(name.clone());
-                    } else if *opening == Opening::Foreign || self.manifest.is_some() {
+                    } else if *opening == DecodedHeader::Foreign || self.manifest.is_some() {
                         self.foreign.push(name.clone());
                     } else {
                         // No manifest to say whether it is ours; its frames will, by their salt.
@@ -269,7 +279,7 @@
                 .map(|h| h.0.base)
                 .or(listing.map(|l| l.base))
                 .unwrap_or(0);
-            let found = Segment {
+            let found = ScannedSegment {
                 sequence,
                 name: name.clone(),
                 header: header.map(|h| h.0),
@@ -279,7 +289,7 @@
                     .map(|h| h.0.before)
                     .or(listing.map(|l| l.before))
                     .unwrap_or_default(),
-                len: HEADER as u64,
+                len: HEADER_BYTES as u64,
                 size,
                 frames: 0,
                 taken: 0,
@@ -289,7 +299,7 @@
                 last: base,
             };
             // Of two copies the one under its right name, and with a header, is the one.
-            let better = |old: &Segment| {
+            let better = |old: &ScannedSegment| {
                 found.header.is_some() && segment::name(sequence) == *name
                     || old.header.is_none() && found.header.is_some()
             };
@@ -357,7 +367,7 @@
                 before: self.base_after(listed.sequence),
                 attempts: attempts_in(held),
                 taken: listed.seal.map_or(u32::MAX, |s| s.taken),
-                why: Why::Missing,
+                why: DamageCause::Missing,
             });
         }
     }
@@ -366,7 +376,7 @@
         &mut self,
         storage: &mut S,
         sequence: u32,
-        on_fact: &mut impl FnMut(At, Fact<'_>),
+        on_fact: &mut impl FnMut(RecordLocation, JournalRecord<'_>),
     ) -> Result<(), OpenError> {
         let is_head = !self.segments.range(sequence + 1..).any(|_| true);
         let before = self.base_after(sequence);
@@ -386,8 +396,8 @@
             // Its signature can't tell under which key it is: its first frame can.
             let reads = |key: &Key| {
                 matches!(
-                    frame::read(Salt::new(key, sequence), &bytes, HEADER),
-                    Found::Frame(_)
+                    frame::read(Salt::new(key, sequence), &bytes, HEADER_BYTES),
+                    DecodedFrame::Frame(_)
                 )
             };
             found.key = self.ring.0.iter().position(reads).unwrap_or(0);
@@ -395,7 +405,7 @@
         let key = self.ring.0.get(found.key).copied().unwrap_or_default();
         let salt = Salt::new(&key, sequence);
         let mut damage = Vec::new();
-        let mut at = HEADER.min(bytes.len());
+        let mut at = HEADER_BYTES.min(bytes.len());
         let mut torn = None;
         // Facts carried over have later log numbers than those around them had; frames in one file only grow.
         while at < bytes.len() {
@@ -406,14 +416,14 @@
                 before,
                 attempts,
                 taken,
-                why: Why::Damaged,
+                why: DamageCause::Damaged,
             };
             match frame::read(salt, &bytes, at) {
-                Found::Frame(payload) => {
-                    let len = frame::HEAD + payload.len();
+                DecodedFrame::Frame(payload) => {
+                    let len = frame::HEADER_BYTES + payload.len();
                     match fact::read(payload) {
                         Some((lsn, fact)) => {
-                            let place = At {
+                            let place = RecordLocation {
                                 sequence,
                                 offset: at as u64,
                                 len: len as u32,
@@ -431,15 +441,15 @@
                     }
                     at += len;
                 }
-                Found::Cut if is_head && found.seal.is_none() => {
+                DecodedFrame::Cut if is_head && found.seal.is_none() => {
                     torn = Some((bytes.len() - at) as u64);
                     break;
                 }
-                Found::Cut | Found::Bad => {
+                DecodedFrame::Cut | DecodedFrame::Bad => {
                     let next = frame::next_good(salt, &bytes, at);
                     let len = next.unwrap_or(bytes.len()) - at;
                     let upper = next.and_then(|n| match frame::read(salt, &bytes, n) {
-                        Found::Frame(payload) => fact::read(payload).map(|(lsn, _)| lsn),
+                        DecodedFrame::Frame(payload) => fact::read(payload).map(|(lsn, _)| lsn),
                         _ => None,
                     });
                     // A good head says that it was one frame.
@@ -465,7 +475,7 @@
                     before,
                     attempts: attempts_in(short),
                     taken: seal.taken.saturating_sub(found.taken),
-                    why: Why::Short,
+                    why: DamageCause::Short,
                 });
             }
         }
@@ -473,7 +483,7 @@
             &key,
             &[
                 &found.before,
-                &bytes[HEADER.min(bytes.len())..found.len as usize],
+                &bytes[HEADER_BYTES.min(bytes.len())..found.len as usize],
             ],
         );
         found.chain = chain;
@@ -488,12 +498,15 @@
                 taken: found
                     .seal
                     .map_or(0, |s| s.taken.saturating_sub(found.taken)),
-                why: Why::Altered,
+                why: DamageCause::Altered,
             });
         }
         let last = found.last;
         // Log numbers that a damaged stretch took are not given out again.
-        let lost: u64 = damage.iter().map(|d| d.len / SENT_LEAST as u64 + 1).sum();
+        let lost: u64 = damage
+            .iter()
+            .map(|d| d.len / MIN_ATTEMPT_FRAME_BYTES as u64 + 1)
+            .sum();
         self.next_lsn = self.next_lsn.max(last + 1 + lost);
         self.damage.extend(damage);
         if let Some(bytes) = torn {
@@ -505,7 +518,7 @@
     /// Without a manifest nobody knows what is missing, but at a first start that was killed before its first
     /// manifest: that has nothing but headers of segments begun before any frame was written.
     fn unlisted(&mut self) {
-        let first = |s: &Segment| s.frames == 0 && s.header.is_some_and(|h| h.base == 0);
+        let first = |s: &ScannedSegment| s.frames == 0 && s.header.is_some_and(|h| h.base == 0);
         if !self.manifest_bad && self.segments.values().all(first) {
             return;
         }
@@ -517,14 +530,14 @@
             before,
             attempts: attempts_in(u64::MAX),
             taken: u32::MAX,
-            why: Why::Unlisted,
+            why: DamageCause::Unlisted,
         });
     }
 }
 
 /// How many attempts of one message fit in so many bytes. More than any class allows means all.
 fn attempts_in(bytes: u64) -> u32 {
-    (bytes.div_ceil(SENT_LEAST as u64)).clamp(1, 32) as u32
+    (bytes.div_ceil(MIN_ATTEMPT_FRAME_BYTES as u64)).clamp(1, 32) as u32
 }
 
 fn newer(file: &str, version: u16) -> OpenError {
@@ -536,12 +549,12 @@
 }
 
 /// The Unix time in ms that a fact proves to have been reached.
-fn time_of(fact: &Fact<'_>) -> u64 {
+fn time_of(fact: &JournalRecord<'_>) -> u64 {
     match *fact {
-        Fact::Accepted(taken) | Fact::AcceptedInOrder { taken, .. } => {
-            taken.deadline.saturating_sub(u64::from(taken.lifetime))
+        JournalRecord::Accepted(taken) | JournalRecord::AcceptedInOrder { taken, .. } => {
+            taken.deadline.saturating_sub(u64::from(taken.lifetime_ms))
         }
-        Fact::AttemptStarted { at, .. } => at,
+        JournalRecord::AttemptStarted { at, .. } => at,
         _ => 0,
     }
 }
--- a/crates/journal/src/segment.rs
+++ b/crates/journal/src/segment.rs
@@ -5,7 +5,7 @@
 pub const MAGIC: &[u8; 8] = b"cranehsg";
 /// The newest format that is understood, of segments and of the manifest.
 pub const VERSION: u16 = 1;
-pub const HEADER: usize = 72;
+pub const HEADER_BYTES: usize = 72;
 const SIGNED: usize = 56;
 
 /// What a segment says of itself. See `docs/journal-format.md`.
@@ -24,7 +24,7 @@
 
 /// What the first bytes of a file are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Opening {
+pub enum DecodedHeader {
     /// Of this folder: signed under the key with this place in the ring.
     Good(Header, usize),
     /// Signed under none of the keys.
@@ -49,7 +49,7 @@
 
 impl Header {
     pub fn write(&self, key: &Key) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(HEADER);
+        let mut bytes = Vec::with_capacity(HEADER_BYTES);
         bytes.extend_from_slice(MAGIC);
         bytes.extend_from_slice(&VERSION.to_le_bytes());
         bytes.extend_from_slice(&[0, 0]);
@@ -64,9 +64,9 @@
     }
 
     /// Reads the first bytes of a file under a ring of keys.
-    pub fn read(bytes: &[u8], ring: &[Key]) -> Opening {
-        let Some(bytes) = bytes.get(..HEADER).filter(|b| b.starts_with(MAGIC)) else {
-            return Opening::Bad;
+    pub fn read(bytes: &[u8], ring: &[Key]) -> DecodedHeader {
+        let Some(bytes) = bytes.get(..HEADER_BYTES).filter(|b| b.starts_with(MAGIC)) else {
+            return DecodedHeader::Bad;
         };
         let (signed, signature) = bytes.split_at(SIGNED);
         let field = |at: usize| -> [u8; 8] { std::array::from_fn(|i| signed[at + i]) };
@@ -79,9 +79,9 @@
         let Some(place) = signs(&righted) else {
             let later = version > VERSION && version < VERSION + 64 && signed[10..12] == [0, 0];
             return if later {
-                Opening::Newer(version)
+                DecodedHeader::Newer(version)
             } else {
-                Opening::Foreign
+                DecodedHeader::Foreign
             };
         };
         let mut before = Mac::default();
@@ -94,7 +94,7 @@
             created: u64::from_le_bytes(field(32)),
             before,
         };
-        Opening::Good(header, place)
+        DecodedHeader::Good(header, place)
     }
 }
 
@@ -114,22 +114,25 @@
     fn a_header_is_known_by_its_key_and_any_changed_byte() {
         let (ours, other) = ([1; 32], [2; 32]);
         let bytes = HEAD.write(&ours);
-        assert_eq!(bytes.len(), HEADER);
-        assert_eq!(Header::read(&bytes, &[other, ours]), Opening::Good(HEAD, 1));
-        assert_eq!(Header::read(&bytes, &[other]), Opening::Foreign);
-        for at in 0..HEADER {
+        assert_eq!(bytes.len(), HEADER_BYTES);
+        assert_eq!(
+            Header::read(&bytes, &[other, ours]),
+            DecodedHeader::Good(HEAD, 1)
+        );
+        assert_eq!(Header::read(&bytes, &[other]), DecodedHeader::Foreign);
+        for at in 0..HEADER_BYTES {
             let mut bytes = bytes.clone();
             bytes[at] ^= 0x40;
             let found = Header::read(&bytes, &[ours]);
             // A damaged version of ours is no later format.
             let righted = at == 8 || at == 9;
             assert_eq!(
-                matches!(found, Opening::Good(HEAD, 0)),
+                matches!(found, DecodedHeader::Good(HEAD, 0)),
                 righted,
                 "byte {at}"
             );
-            assert!(!matches!(found, Opening::Newer(_)), "byte {at}");
-            assert_eq!(Header::read(&bytes[..at], &[ours]), Opening::Bad);
+            assert!(!matches!(found, DecodedHeader::Newer(_)), "byte {at}");
+            assert_eq!(Header::read(&bytes[..at], &[ours]), DecodedHeader::Bad);
         }
     }
 
@@ -139,7 +142,7 @@
         let mut bytes = HEAD.write(&key);
         bytes[8] = 2;
         bytes[60] ^= 1;
-        assert_eq!(Header::read(&bytes, &[key]), Opening::Newer(2));
+        assert_eq!(Header::read(&bytes, &[key]), DecodedHeader::Newer(2));
     }
 
     #[test]
--- a/crates/journal/src/storage.rs
+++ b/crates/journal/src/storage.rs
@@ -6,11 +6,11 @@
 use std::path::{Path, PathBuf};
 
 /// Files count in whole blocks of this many bytes.
-pub const BLOCK: u64 = 512;
+pub const BLOCK_BYTES: u64 = 512;
 
 /// What a file of `size` bytes takes of the folder's share.
-pub fn taken_by(size: u64) -> u64 {
-    size.div_ceil(BLOCK) * BLOCK
+pub fn disk_usage(size: u64) -> u64 {
+    size.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
 
 /// A flat folder of files. Names have no separators.
@@ -58,7 +58,7 @@
             open: None,
         };
         folder.sizes = folder.list()?;
-        folder.used = folder.sizes.values().map(|&s| taken_by(s)).sum();
+        folder.used = folder.sizes.values().map(|&s| disk_usage(s)).sum();
         Ok(folder)
     }
 
@@ -77,7 +77,7 @@
             (None, Some(size)) => self.sizes.insert(name.to_owned(), size).unwrap_or(0),
             (_, None) => self.sizes.remove(name).unwrap_or(0),
         };
-        self.used = self.used + size.map_or(0, taken_by) - taken_by(before);
+        self.used = self.used + size.map_or(0, disk_usage) - disk_usage(before);
     }
 
     /// The size may be anything after an error: it is looked up.
@@ -90,7 +90,7 @@
 impl Storage for Folder {
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let before = self.sizes.get(name).copied().unwrap_or(0);
-        let more = taken_by(before + bytes.len() as u64) - taken_by(before);
+        let more = disk_usage(before + bytes.len() as u64) - disk_usage(before);
         if more > self.room() {
             return Err(io::Error::new(
                 ErrorKind::StorageFull,
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -24,7 +24,9 @@
 use std::sync::Arc;
 
 use cranehill_core::{FinalReport, Record};
-use cranehill_journal::{DamagedRange, Journal, Lost, Memory, Options, Recovered, Why};
+use cranehill_journal::{
+    DamageCause, DamagedRange, Journal, LostMessage, Memory, Options, Recovered,
+};
 
 /// Unix time in milliseconds of the first record.
 const START_MS: u64 = 1_764_590_000_000;
@@ -354,7 +356,7 @@
 struct Expected {
     records: Vec<Record>,
     damage: Vec<DamagedRange>,
-    lost: Vec<Lost>,
+    lost: Vec<LostMessage>,
     /// Open messages that damage makes possibly executed.
     possibly_executed: usize,
     /// Messages pending, with a final report due, and completed.
@@ -411,7 +413,7 @@
         before: 3,
         attempts: 1,
         taken: 1,
-        why: Why::Damaged,
+        why: DamageCause::Damaged,
     }
 }
 
@@ -444,7 +446,7 @@
         records,
         damage: vec![damaged_range()],
         // Its first attempt is the earliest record left of it.
-        lost: vec![Lost {
+        lost: vec![LostMessage {
             id: IDEMPOTENT_ID.into(),
             file: DAMAGED_SEGMENT.into(),
             offset: 223,
--- a/crates/journal/tests/hard_cases.rs
+++ b/crates/journal/tests/hard_cases.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use cranehill_core::{FinalReport, Persisted, Record};
-use cranehill_journal::{Folder, Journal, Memory, OpenError, Options, Storage, Why};
+use cranehill_journal::{DamageCause, Folder, Journal, Memory, OpenError, Options, Storage};
 
 fn taken(id: &str, size: usize) -> Record {
     Record::Accepted {
@@ -102,7 +102,7 @@
         assert_eq!(found.damage.len(), 1);
         assert_eq!(
             (found.damage[0].file.as_str(), found.damage[0].why),
-            (middle.as_str(), Why::Damaged)
+            (middle.as_str(), DamageCause::Damaged)
         );
         let known = open_ids(&found.records).len() + found.lost.len();
         assert!(known >= 59, "byte {at}: {known} of 60");
@@ -226,7 +226,7 @@
         let (journal, found) = open(files, START + 100);
         assert_eq!(open_ids(&found.records).len(), 60);
         // A version that is put right is no damage; else nobody knows what is missing.
-        let unlisted = found.damage.iter().any(|d| d.why == Why::Unlisted);
+        let unlisted = found.damage.iter().any(|d| d.why == DamageCause::Unlisted);
         assert_eq!(
             (unlisted, found.doubted),
             (at != 8 && at != 9, if unlisted { 60 } else { 0 }),
@@ -248,7 +248,10 @@
     let mut without = files.clone();
     without.files.remove(&all[3]);
     let (journal, found) = open(without, START + 100);
-    assert_eq!((found.damage.len(), found.damage[0].why), (1, Why::Missing));
+    assert_eq!(
+        (found.damage.len(), found.damage[0].why),
+        (1, DamageCause::Missing)
+    );
     let known = open_ids(&found.records).len();
     assert!(known < 60 && known + found.damage[0].taken as usize >= 60);
     assert!(
@@ -326,7 +329,7 @@
         .insert("manifest".into(), old.files["manifest"].clone());
     let (_, found) = open(stale, START + 100);
     assert!(
-        found.damage.iter().any(|d| d.why == Why::Unlisted),
+        found.damage.iter().any(|d| d.why == DamageCause::Unlisted),
         "{:?}",
         found.damage
     );
@@ -369,7 +372,10 @@
     assert!(segments(&files).last() != Some(&head));
     files.files.insert(head.clone(), early.files[&head].clone());
     let (_, found) = open(files, START + 100);
-    assert_eq!((found.damage.len(), found.damage[0].why), (1, Why::Short));
+    assert_eq!(
+        (found.damage.len(), found.damage[0].why),
+        (1, DamageCause::Short)
+    );
     assert!(found.doubted > 0);
 }
 
@@ -479,7 +485,7 @@
     let used: u64 = storage
         .files
         .values()
-        .map(|f| cranehill_journal::taken_by(f.len() as u64))
+        .map(|f| cranehill_journal::disk_usage(f.len() as u64))
         .sum();
     storage.disk = used + 2048;
     let refused = journal
@@ -515,7 +521,7 @@
         let used: u64 = storage
             .files
             .values()
-            .map(|f| cranehill_journal::taken_by(f.len() as u64))
+            .map(|f| cranehill_journal::disk_usage(f.len() as u64))
             .sum();
         for disk in [used, used + 512, used + 1024] {
             journal.storage_mut().disk = disk;
--- a/crates/journal/tests/property.rs
+++ b/crates/journal/tests/property.rs
@@ -178,7 +178,7 @@
                 let used: u64 = storage
                     .files
                     .values()
-                    .map(|f| cranehill_journal::taken_by(f.len() as u64))
+                    .map(|f| cranehill_journal::disk_usage(f.len() as u64))
                     .sum();
                 storage.disk = used + u64::from(blocks) * 512;
                 self.turn();
@@ -200,7 +200,7 @@
                     let used: u64 = storage
                         .files
                         .values()
-                        .map(|f| cranehill_journal::taken_by(f.len() as u64))
+                        .map(|f| cranehill_journal::disk_usage(f.len() as u64))
                         .sum();
                     storage.disk = used + 512;
                     for _ in 0..4 {
