--- a/crates/journal-tools/src/export.rs
+++ b/crates/journal-tools/src/export.rs
@@ -1,4 +1,4 @@
-//! Facts as JSON lines, and as a Parquet table of the same columns.
+//! Records as JSON lines, and as a Parquet table of the same columns.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -13,10 +13,13 @@
 
 use crate::row::Row;
 
-/// Rows of one group: bounds what is held in memory, and what a reader must take at once.
-pub const GROUP: usize = 8192;
+/// Rows of one group: bounds what is held in memory, and what a reader must hold at once.
+const ROWS_PER_GROUP: usize = 8192;
 
 /// One object a line.
+///
+/// # Errors
+/// If `to` fails.
 pub fn json_lines(rows: &[Row], to: &mut impl Write) -> std::io::Result<()> {
     for row in rows {
         serde_json::to_writer(&mut *to, row)?;
@@ -25,44 +28,47 @@
     Ok(())
 }
 
-/// A table with a column for each field, in groups of [`GROUP`] rows; `progress` hears of rows written.
+/// A table with a column for each field, in groups of 8192 rows; `progress` is called with the rows written.
+///
+/// # Errors
+/// If a row can't be encoded, or `to` fails.
 pub fn parquet(
     rows: &[Row],
     to: impl Write + Send,
     mut progress: impl FnMut(u64),
 ) -> Result<(), ParquetError> {
     let schema = batch(&[])?.schema();
-    let set = WriterProperties::builder()
+    let properties = WriterProperties::builder()
         .set_compression(Compression::SNAPPY)
         .build();
-    let mut writer = ArrowWriter::try_new(to, schema, Some(set))?;
-    for (n, chunk) in rows.chunks(GROUP).enumerate() {
+    let mut writer = ArrowWriter::try_new(to, schema, Some(properties))?;
+    for (n, chunk) in rows.chunks(ROWS_PER_GROUP).enumerate() {
         writer.write(&batch(chunk)?)?;
-        progress((n * GROUP + chunk.len()) as u64);
+        progress((n * ROWS_PER_GROUP + chunk.len()) as u64);
     }
     writer.close()?;
     Ok(())
 }
 
 fn batch(rows: &[Row]) -> Result<RecordBatch, ParquetError> {
-    let narrow = |f: fn(&Row) -> Option<u32>| {
+    let u32s = |f: fn(&Row) -> Option<u32>| {
         Arc::new(rows.iter().map(f).collect::<UInt32Array>()) as ArrayRef
     };
-    let wide = |f: fn(&Row) -> Option<u64>| {
+    let u64s = |f: fn(&Row) -> Option<u64>| {
         Arc::new(rows.iter().map(f).collect::<UInt64Array>()) as ArrayRef
     };
-    let text = |f: fn(&Row) -> Option<&str>| {
+    let texts = |f: fn(&Row) -> Option<&str>| {
         Arc::new(rows.iter().map(f).collect::<StringArray>()) as ArrayRef
     };
     let columns = [
-        ("segment", narrow(|r| Some(r.segment))),
-        ("offset", wide(|r| Some(r.offset))),
-        ("bytes", narrow(|r| Some(r.bytes))),
-        ("lsn", wide(|r| Some(r.lsn))),
-        ("kind", text(|r| Some(r.kind))),
-        ("id", text(|r| r.id.as_deref())),
-        ("born", wide(|r| r.accepted_lsn)),
-        ("attempt", narrow(|r| r.attempt)),
+        ("segment", u32s(|r| Some(r.segment))),
+        ("offset", u64s(|r| Some(r.offset))),
+        ("bytes", u32s(|r| Some(r.bytes))),
+        ("lsn", u64s(|r| Some(r.lsn))),
+        ("kind", texts(|r| Some(r.kind))),
+        ("id", texts(|r| r.id.as_deref())),
+        ("born", u64s(|r| r.accepted_lsn)),
+        ("attempt", u32s(|r| r.attempt)),
         (
             "never_ran",
             Arc::new(
@@ -71,17 +77,17 @@
                     .collect::<BooleanArray>(),
             ),
         ),
-        ("endpoint", text(|r| r.endpoint.as_deref())),
-        ("at", wide(|r| r.at)),
-        ("class", narrow(|r| r.class)),
-        ("station", narrow(|r| r.tenant)),
-        ("partner", wide(|r| r.destination)),
-        ("key", text(|r| r.key.as_deref())),
-        ("deadline", wide(|r| r.deadline)),
-        ("after_ms", wide(|r| r.after_ms)),
-        ("until", wide(|r| r.until)),
-        ("before", wide(|r| r.before)),
-        ("body_bytes", narrow(|r| r.body_bytes)),
+        ("endpoint", texts(|r| r.endpoint.as_deref())),
+        ("at", u64s(|r| r.at)),
+        ("class", u32s(|r| r.class)),
+        ("station", u32s(|r| r.tenant)),
+        ("partner", u64s(|r| r.destination)),
+        ("key", texts(|r| r.key.as_deref())),
+        ("deadline", u64s(|r| r.deadline)),
+        ("after_ms", u64s(|r| r.after_ms)),
+        ("until", u64s(|r| r.until)),
+        ("before", u64s(|r| r.before)),
+        ("body_bytes", u32s(|r| r.body_bytes)),
         (
             "body",
             Arc::new(
@@ -90,8 +96,8 @@
                     .collect::<BinaryArray>(),
             ),
         ),
-        // Newer columns go to the end: readers may go by place.
-        ("order_key", text(|r| r.ordering_key.as_deref())),
+        // Newer columns are added at the end: readers may rely on positions.
+        ("order_key", texts(|r| r.ordering_key.as_deref())),
     ];
     let columns = columns.map(|(name, column)| (name, column, true));
     Ok(RecordBatch::try_from_iter_with_nullable(columns)?)
--- a/crates/journal-tools/src/row.rs
+++ b/crates/journal-tools/src/row.rs
@@ -1,163 +1,196 @@
-//! One fact as a person or a table reads it.
+//! One record as a person or a table reads it. Keys, columns and kinds keep the names that they had first, since other
+//! programs read them.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
-use cranehill_journal::{AcceptedMessage, JournalRecord, PackedId, RecordLocation, unpack};
+use cranehill_journal::{
+    AcceptedMessage, JournalRecord, PackedId, RecordLocation, decompress_body, scan,
+};
 use serde::Serialize;
 
-/// A fact with its place. Times are Unix time in milliseconds; what a kind of fact does not have is left out.
+use crate::error::ToolError;
+use crate::snapshot::Snapshot;
+
+/// A record with its location. Times are Unix time in milliseconds; what a kind of record does not have is left out.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Row {
+    /// The segment's sequence number.
     pub segment: u32,
+    /// Offset of the record's frame, in bytes.
     pub offset: u64,
     /// Bytes of its frame.
     pub bytes: u32,
+    /// Its log number.
     pub lsn: u64,
+    /// The kind of the record: `taken`, `sent`, `back`, `closing`, `over` or `doubt`.
     pub kind: &'static str,
+    /// The message's id.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
+    /// Log number under which the message was accepted.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "born")]
     pub accepted_lsn: Option<u64>,
+    /// The attempt's number, from 0; of a doubt, how many attempts may be hidden.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub attempt: Option<u32>,
+    /// It is known that the destination did not execute the attempt.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "never_ran")]
     pub not_executed: Option<bool>,
+    /// The endpoint that the attempt was submitted to.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<String>,
-    /// When it was accepted or sent.
+    /// When the message was accepted, or the attempt started.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub at: Option<u64>,
+    /// Index of the message's class.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub class: Option<u32>,
+    /// Index of the message's tenant.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "station")]
     pub tenant: Option<u32>,
+    /// The message's destination.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "partner")]
     pub destination: Option<u64>,
+    /// The message's idempotency key.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// What its message keeps its order within.
+    /// The message's ordering key.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "order_key")]
     pub ordering_key: Option<String>,
+    /// The message's deadline.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline: Option<u64>,
-    /// A closing's wait; a closing without one failed.
+    /// Milliseconds after which the client may submit the message again; without it, its final report says that it
+    /// failed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub after_ms: Option<u64>,
-    /// Until when an ended id, or a doubt, is remembered.
+    /// Until when a completed id is remembered, or attempts that are hidden count.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub until: Option<u64>,
-    /// A doubt's: messages born before that number are concerned.
+    /// Of a doubt: messages accepted under this log number or a later one are not affected.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub before: Option<u64>,
+    /// Size of the body.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub body_bytes: Option<u32>,
+    /// The body as it was accepted.
     #[serde(skip_serializing_if = "Option::is_none", serialize_with = "base64")]
     pub body: Option<Vec<u8>>,
 }
 
-fn base64<S: serde::Serializer>(body: &Option<Vec<u8>>, s: S) -> Result<S::Ok, S::Error> {
-    s.serialize_str(&STANDARD.encode(body.as_deref().unwrap_or_default()))
+fn base64<S: serde::Serializer>(body: &Option<Vec<u8>>, serializer: S) -> Result<S::Ok, S::Error> {
+    serializer.serialize_str(&STANDARD.encode(body.as_deref().unwrap_or_default()))
+}
+
+fn text_of(packed: &[u8]) -> Option<String> {
+    PackedId::from_bytes(packed).map(|id| id.text())
+}
+
+fn kind_name(record: &JournalRecord<'_>) -> &'static str {
+    match record {
+        JournalRecord::Accepted(_) | JournalRecord::AcceptedInOrder { .. } => "taken",
+        JournalRecord::AttemptStarted { .. } => "sent",
+        JournalRecord::AttemptFinished { .. } => "back",
+        JournalRecord::FinalReportDue { .. } | JournalRecord::FinalReportDueInOrder { .. } => {
+            "closing"
+        }
+        JournalRecord::Completed { .. } => "over",
+        JournalRecord::PossiblyExecuted { .. } => "doubt",
+    }
 }
 
 impl Row {
-    pub fn new(at: RecordLocation, fact: &JournalRecord<'_>) -> Row {
-        let text = |packed: &[u8]| PackedId::from_packed(packed).map(|id| id.text());
-        let place = Row {
-            segment: at.sequence,
-            offset: at.offset,
-            bytes: at.len,
-            lsn: at.lsn,
-            ..Row::default()
-        };
-        let subject = fact.subject();
-        let row = Row {
-            id: subject.and_then(|s| text(s.0)),
-            accepted_lsn: subject.map(|s| s.1),
-            ..place
-        };
+    /// The row of a record.
+    pub fn new(location: RecordLocation, record: &JournalRecord<'_>) -> Row {
+        let message = record.message();
         let row = Row {
-            ordering_key: fact.ordering_key().and_then(|key| text(key)),
-            ..row
+            segment: location.sequence,
+            offset: location.offset,
+            bytes: location.len,
+            lsn: location.lsn,
+            kind: kind_name(record),
+            id: message.and_then(|message| text_of(message.id)),
+            accepted_lsn: message.map(|message| message.accepted_lsn),
+            ordering_key: record.ordering_key().and_then(|key| text_of(key)),
+            ..Row::default()
         };
-        match *fact {
-            JournalRecord::Accepted(taken) | JournalRecord::AcceptedInOrder { taken, .. } => {
-                let AcceptedMessage {
-                    class,
-                    tenant,
-                    destination,
-                    key,
-                    deadline,
-                    lifetime_ms,
-                    uncompressed_len,
-                    body,
-                    ..
-                } = taken;
-                let body = unpack(uncompressed_len, body).map(|b| b.into_owned());
-                Row {
-                    kind: "taken",
-                    class: Some(class),
-                    tenant: Some(tenant),
-                    destination: Some(destination),
-                    key: key.and_then(|k| text(k)),
-                    deadline: Some(deadline),
-                    at: Some(deadline.saturating_sub(u64::from(lifetime_ms))),
-                    body_bytes: body.as_ref().map(|b| b.len() as u32),
-                    body,
-                    ..row
-                }
+        row.with_details(record)
+    }
+
+    /// Adds what only this kind of record has.
+    fn with_details(self, record: &JournalRecord<'_>) -> Row {
+        match *record {
+            JournalRecord::Accepted(message) | JournalRecord::AcceptedInOrder { message, .. } => {
+                self.with_message(message)
             }
             JournalRecord::AttemptStarted {
                 attempt,
                 endpoint,
-                at,
+                started_ms,
                 ..
             } => Row {
-                kind: "sent",
                 attempt: Some(attempt),
                 endpoint: Some(endpoint.to_owned()),
-                at: Some(at),
-                ..row
+                at: Some(started_ms),
+                ..self
             },
             JournalRecord::AttemptFinished {
                 attempt,
                 not_executed,
                 ..
             } => Row {
-                kind: "back",
                 attempt: Some(attempt),
                 not_executed: Some(not_executed),
-                ..row
+                ..self
             },
-            JournalRecord::FinalReportDue { after, .. }
-            | JournalRecord::FinalReportDueInOrder { after, .. } => Row {
-                kind: "closing",
-                after_ms: after,
-                ..row
+            JournalRecord::FinalReportDue { retry_after_ms, .. }
+            | JournalRecord::FinalReportDueInOrder { retry_after_ms, .. } => Row {
+                after_ms: retry_after_ms,
+                ..self
             },
-            JournalRecord::Completed { until, .. } => Row {
-                kind: "over",
-                until: Some(until),
-                ..row
+            JournalRecord::Completed {
+                remember_until_ms, ..
+            } => Row {
+                until: Some(remember_until_ms),
+                ..self
             },
             JournalRecord::PossiblyExecuted {
-                before,
+                accepted_before,
                 attempts,
-                until,
+                until_ms,
             } => Row {
-                kind: "doubt",
-                before: Some(before),
+                before: Some(accepted_before),
                 attempt: Some(attempts),
-                until: Some(until),
-                ..row
+                until: Some(until_ms),
+                ..self
             },
         }
     }
 
+    fn with_message(self, message: AcceptedMessage<'_>) -> Row {
+        let accepted_ms = message
+            .deadline_ms
+            .saturating_sub(u64::from(message.lifetime_ms));
+        let body = decompress_body(message.uncompressed_len, message.body);
+        let body = body.map(std::borrow::Cow::into_owned);
+        Row {
+            class: Some(message.class),
+            tenant: Some(message.tenant),
+            destination: Some(message.destination),
+            key: message.key.and_then(|key| text_of(key)),
+            deadline: Some(message.deadline_ms),
+            at: Some(accepted_ms),
+            body_bytes: body.as_ref().map(|body| body.len() as u32),
+            body,
+            ..self
+        }
+    }
+
     /// One line for a person; bodies by their size only.
     pub fn line(&self) -> String {
         let mut line = format!(
@@ -188,3 +221,23 @@
         line
     }
 }
+
+/// All readable records in the order of the segments; `progress` is called with bytes read so far and of how many.
+///
+/// # Errors
+/// If the files are no journal that can be read at all.
+pub fn rows(
+    snapshot: &Snapshot,
+    mut progress: impl FnMut(u64, u64),
+) -> Result<Vec<Row>, ToolError> {
+    let mut rows = Vec::new();
+    let mut files = snapshot.files.after_death();
+    scan(
+        &mut files,
+        snapshot.key,
+        |location, record| rows.push(Row::new(location, &record)),
+        &mut progress,
+    )
+    .map_err(ToolError::open(&snapshot.path))?;
+    Ok(rows)
+}
--- a/crates/journal-tools/src/snapshot.rs
+++ b/crates/journal-tools/src/snapshot.rs
@@ -3,52 +3,21 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use cranehill_journal::{Folder, Key, Memory, OpenError, Storage};
+use cranehill_journal::{Folder, FolderContents, Key, Memory, Storage, read_folder};
 
-/// Readings that a live folder may spoil before we give up: each change of its manifest spoils one.
-const TRIES: u32 = 20;
-const MANIFEST: &str = "manifest";
-
-/// Why a folder can't be read.
-#[derive(Debug, thiserror::Error)]
-pub enum ToolError {
-    #[error("{path}: {source}")]
-    Io {
-        path: PathBuf,
-        source: std::io::Error,
-    },
-    #[error("{path}: {source}")]
-    Open { path: PathBuf, source: OpenError },
-    #[error(
-        "{path}: it changed {TRIES} times while it was read: try again when there is less traffic"
-    )]
-    Busy { path: PathBuf },
-    #[error("{path}: no file of a journal is there")]
-    NoJournal { path: PathBuf },
-    #[error("parquet: {0}")]
-    Parquet(#[from] parquet::errors::ParquetError),
-}
-
-impl ToolError {
-    pub(crate) fn io(path: &Path) -> impl FnOnce(std::io::Error) -> ToolError {
-        move |source| ToolError::Io {
-            path: path.to_owned(),
-            source,
-        }
-    }
+use crate::error::ToolError;
+use crate::limits::MAX_ATTEMPTS;
 
-    pub(crate) fn open(path: &Path) -> impl FnOnce(OpenError) -> ToolError {
-        move |source| ToolError::Open {
-            path: path.to_owned(),
-            source,
-        }
-    }
-}
+const MANIFEST: &str = "manifest";
+const LEDGER: &str = "ledger";
+const SEGMENT_SUFFIX: &str = ".seg";
 
 /// All files of a folder, as they were between two equal readings of its manifest.
 #[derive(Debug)]
 pub struct Snapshot {
+    /// The folder.
     pub path: PathBuf,
+    /// Its files.
     pub files: Memory,
     /// An operator's key, if one is given.
     pub key: Option<Key>,
@@ -56,23 +25,13 @@
 
 impl Snapshot {
     /// Reads the folder; it is never written to. A journal is small, so its files are held in memory.
+    ///
+    /// # Errors
+    /// If the folder can't be read, has no journal, or changes all the time.
     pub fn take(path: &Path, key: Option<Key>) -> Result<Snapshot, ToolError> {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let mut folder = Folder::existing(path, u64::MAX).map_err(ToolError::io(path))?;
-            let before = folder.read(MANIFEST, 0, usize::MAX).ok();
-            let listed = folder.list().map_err(ToolError::io(path))?;
-            if !listed
-                .keys()
-                .any(|n| n == MANIFEST || n == "ledger" || n.ends_with(".seg"))
-            {
-                return Err(ToolError::NoJournal {
-                    path: path.to_owned(),
-                });
-            }
-            let Some(files) = read_all(&mut folder, &listed) else {
-                continue;
-            };
-            if folder.read(MANIFEST, 0, usize::MAX).ok() == before {
+            if let Some(files) = read_unchanged(&mut folder, path)? {
                 let mut memory = Memory::new(u64::MAX);
                 memory.files = files;
                 return Ok(Snapshot {
@@ -86,13 +45,32 @@
             path: path.to_owned(),
         })
     }
+
+    /// What a start would make of the folder.
+    pub(crate) fn contents(&self) -> Result<FolderContents, ToolError> {
+        // The last key only seeds a hash.
+        read_folder(&mut self.files.after_death(), self.key, &Key::default())
+            .map_err(ToolError::open(&self.path))
+    }
 }
 
-/// `None` if one of them went in between.
-fn read_all(
+/// All files; `None` if the folder changed while they were read.
+fn read_unchanged(
     folder: &mut Folder,
-    listed: &BTreeMap<String, u64>,
-) -> Option<BTreeMap<String, Vec<u8>>> {
+    path: &Path,
+) -> Result<Option<BTreeMap<String, Vec<u8>>>, ToolError> {
+    let before = folder.read(MANIFEST, 0, usize::MAX).ok();
+    let listed = folder.list().map_err(ToolError::io(path))?;
+    let is_journal =
+        |name: &String| name == MANIFEST || name == LEDGER || name.ends_with(SEGMENT_SUFFIX);
+    if !listed.keys().any(is_journal) {
+        return Err(ToolError::NoJournal {
+            path: path.to_owned(),
+        });
+    }
     let read = |name: &String| Some((name.clone(), folder.read(name, 0, usize::MAX).ok()?));
-    listed.keys().map(read).collect()
+    // `None` if one of them was removed in between.
+    let files: Option<BTreeMap<String, Vec<u8>>> = listed.keys().map(read).collect();
+    let after = folder.read(MANIFEST, 0, usize::MAX).ok();
+    Ok(files.filter(|_| after == before))
 }
--- /dev/null
+++ b/crates/journal-tools/src/verdict.rs
@@ -0,0 +1,112 @@
+//! What is wrong with a folder.
+
+use cranehill_journal::{DamageCause, DamagedRange, LostMessage};
+
+use crate::error::ToolError;
+use crate::snapshot::Snapshot;
+
+/// A greater number of messages in a damaged range is no estimate.
+const MAX_ESTIMATED_MESSAGES: u32 = 1_000_000;
+
+/// What is wrong with a folder, and what a start would make of it.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Verdict {
+    /// What can't be read or is missing.
+    pub damage: Vec<DamagedRange>,
+    /// Messages whose own record is lost.
+    pub lost: Vec<LostMessage>,
+    /// Pending messages that count as possibly executed because of damage.
+    pub possibly_executed: usize,
+    /// A write that was cut off at the end: file and bytes.
+    pub torn: Option<(String, u64)>,
+    /// Files signed under another key.
+    pub foreign: Vec<String>,
+    /// Pending messages.
+    pub open: u64,
+    /// Messages whose final report is due.
+    pub final_report: u64,
+    /// Completed messages that are remembered.
+    pub completed: u64,
+    /// Segments in the folder.
+    pub segments: usize,
+    /// Readable frames in them.
+    pub frames: u64,
+}
+
+impl Verdict {
+    /// Whether all that was acknowledged is there. A write that was cut off at the end is no damage.
+    pub fn sound(&self) -> bool {
+        self.damage.is_empty() && self.lost.is_empty()
+    }
+
+    /// One line for each fault, then a summary.
+    pub fn lines(&self) -> Vec<String> {
+        let mut lines: Vec<String> = self.damage.iter().map(damage_line).collect();
+        lines.extend(self.lost.iter().map(|lost| {
+            format!(
+                "{} at {}: an attempt of {}, whose own record is gone",
+                lost.file, lost.offset, lost.id
+            )
+        }));
+        lines.extend(self.torn.iter().map(|(file, bytes)| {
+            format!("{file}: {bytes} bytes of a write that was cut off; nothing in it was promised")
+        }));
+        lines.extend(
+            self.foreign
+                .iter()
+                .map(|file| format!("{file}: not of this folder; left alone")),
+        );
+        lines.push(format!(
+            "{} segments, {} frames; {} notices open ({} in doubt), {} reports due, {} ended ids remembered",
+            self.segments,
+            self.frames,
+            self.open,
+            self.possibly_executed,
+            self.final_report,
+            self.completed
+        ));
+        lines
+    }
+}
+
+fn damage_line(range: &DamagedRange) -> String {
+    let cause = match range.why {
+        DamageCause::Damaged => "no frame can be read",
+        DamageCause::Short => "the file ends too early",
+        DamageCause::Altered => "not what was sealed: an older or altered copy",
+        DamageCause::Missing => "the file is missing",
+        DamageCause::Unlisted => "the manifest can't be read: nobody knows what is missing",
+    };
+    let messages = if range.taken > MAX_ESTIMATED_MESSAGES {
+        "any number of".into()
+    } else {
+        format!("up to {}", range.taken)
+    };
+    format!(
+        "{} at {}, {} bytes: {cause}; {messages} notices taken on there",
+        range.file, range.offset, range.len
+    )
+}
+
+/// Reads every byte and reports what is wrong.
+///
+/// # Errors
+/// If the files are no journal that can be read at all.
+pub fn verify(snapshot: &Snapshot) -> Result<Verdict, ToolError> {
+    let contents = snapshot.contents()?;
+    let segments = &contents.scan.segments;
+    let recovered = contents.recovered;
+    let (open, final_report, completed) = recovered.counts;
+    Ok(Verdict {
+        damage: recovered.damage,
+        lost: recovered.lost,
+        possibly_executed: recovered.doubted,
+        torn: recovered.torn,
+        foreign: recovered.foreign,
+        open,
+        final_report,
+        completed,
+        segments: segments.len(),
+        frames: segments.values().map(|s| u64::from(s.frames)).sum(),
+    })
+}
--- a/crates/journal/src/fuzzing.rs
+++ b/crates/journal/src/fuzzing.rs
@@ -1,102 +1,138 @@
-//! What the fuzz targets and the test of their seeds call. Not for anybody else.
+//! Entry points of the fuzz targets and of the test of their seeds. Not for other callers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use cranehill_core::Record;
 
-use crate::frame::{self, DecodedFrame};
-use crate::journal::{Journal, Options};
-use crate::key::{Key, Salt, write_key};
-use crate::manifest::{self, Manifest};
+use crate::format::body;
+use crate::format::frame::{self, DecodedFrame};
+use crate::format::key::{self, Key, Salt};
+use crate::format::manifest::{self, Manifest};
+use crate::format::packed_id::PackedId;
+use crate::format::record;
+use crate::format::segment::{self, Header};
+use crate::journal::Journal;
+use crate::legacy_ledger;
 use crate::memory::Memory;
-use crate::segment::{self, Header};
-use crate::{fact, id, legacy};
+use crate::options::Options;
 
 const KEY: Key = [0x77; 32];
-const DISK: u64 = 1 << 20;
-const NOW: u64 = 1_764_590_000_000;
-const LATER: u64 = NOW + 3_600_000;
+const OTHER_KEY: Key = [1; 32];
+const DISK_BYTES: u64 = 1 << 20;
+const SEGMENT_BYTES: u64 = 2048;
+/// Unix time in milliseconds.
+const NOW_MS: u64 = 1_764_590_000_000;
+const DEADLINE_MS: u64 = NOW_MS + 3_600_000;
+const NANOS_PER_MS: u64 = 1_000_000;
+const COMPACTION_STEPS: u64 = 40;
+/// The id of the message that [`recover`] appends.
+const NEW_ID: &str = "00000000000000ff0000ff";
 
-/// Every decoder on any bytes: none may panic, nor take memory that the bytes only claim to need.
+/// Runs every decoder on any bytes: none may panic, nor take memory that the bytes only claim to need.
 pub fn decode(data: &[u8]) {
-    let ring = [KEY, [1; 32]];
-    let _ = Header::read(data, &ring);
-    let _ = Manifest::read(data, &ring);
-    let _ = id::PackedId::from_packed(data).map(|id| assert_eq!(id.packed(), data));
-    let _ = legacy::decode(data);
-    let _ = crate::key::read_key(data);
+    let keys = [KEY, OTHER_KEY];
+    let _ = Header::decode(data, &keys);
+    let _ = Manifest::decode(data, &keys);
+    let _ = legacy_ledger::decode(data);
+    let _ = key::decode_file(data);
+    if let Some(id) = PackedId::from_bytes(data) {
+        assert_eq!(id.as_bytes(), data);
+    }
+    decode_frames(data);
+    decode_record(data);
+    decode_body(data);
+}
+
+fn decode_frames(data: &[u8]) {
     let salt = Salt::new(&KEY, 1);
-    if let Some(next) = frame::next_good(salt, data, 0) {
+    if let Some(next) = frame::next_valid(salt, data, 0) {
         assert!(next > 0 && next <= data.len());
     }
-    if let DecodedFrame::Frame(payload) = frame::read(salt, data, 0) {
+    if let DecodedFrame::Valid(payload) = frame::decode(salt, data, 0) {
         assert!(payload.len() + frame::HEADER_BYTES <= data.len());
     }
-    if let Some((lsn, read)) = fact::read(data) {
-        // What is read can be written, and is the same again.
+}
+
+/// What is read can be written, and is the same when it is read again.
+fn decode_record(data: &[u8]) {
+    if let Some(decoded) = record::decode(data) {
         let mut bytes = Vec::new();
-        fact::write(lsn, &read, &mut bytes);
-        assert_eq!(fact::read(&bytes), Some((lsn, read)));
+        record::encode(decoded.lsn, &decoded.record, &mut bytes);
+        assert_eq!(record::decode(&bytes), Some(decoded));
     }
-    if let [a, b, c, rest @ ..] = data {
-        let _ = fact::unpack(Some(u32::from_le_bytes([*a, *b, *c, 0])), rest);
-        if let Some(body) = fact::unpack(None, rest) {
-            let (from, packed) = fact::pack(&body);
-            assert_eq!(fact::unpack(from, &packed).as_deref(), Some(&body[..]));
-        }
+}
+
+fn decode_body(data: &[u8]) {
+    let [a, b, c, rest @ ..] = data else {
+        return;
+    };
+    let _ = body::decompress(Some(u32::from_le_bytes([*a, *b, *c, 0])), rest);
+    if let Some(whole) = body::decompress(None, rest) {
+        let stored = body::compress(&whole);
+        let again = body::decompress(stored.uncompressed_len, &stored.bytes);
+        assert_eq!(again.as_deref(), Some(&whole[..]));
     }
 }
 
-/// A folder put together from the data: frames with any payload, raw bytes, further segments, flips. It is opened,
-/// used and opened again; what was found first must not be known less of afterwards.
+/// Opens a folder put together from the data (frames with any payload, raw bytes, further segments, flipped bytes),
+/// uses it and opens it again: no less may be known of a message than before.
 pub fn recover(data: &[u8]) {
     let options = Options {
-        disk: DISK,
+        disk: DISK_BYTES,
         key: None,
         fresh_key: KEY,
-        segment: Some(2048),
+        segment: Some(SEGMENT_BYTES),
     };
-    let Ok((mut journal, found)) = Journal::open(folder(data), &options, NOW) else {
+    let Ok((mut journal, found)) = Journal::open(folder(data), &options, NOW_MS) else {
         return;
     };
-    for step in 0..40 {
-        journal.compact(NOW + step);
+    for step in 0..COMPACTION_STEPS {
+        journal.compact(NOW_MS + step);
     }
     let before = open_messages(&found.records);
-    let new = "00000000000000ff0000ff";
-    let taken = Record::Accepted {
-        id: new.into(),
-        class: 0,
-        tenant: 0,
-        destination: 1,
-        key: None,
-        ordering_key: None,
-        deadline: LATER * 1_000_000,
-        at: NOW * 1_000_000,
-        body: Arc::from(&b"new"[..]),
-    };
-    let kept = journal.append(NOW, &[taken]).is_ok();
-    let (_, again) = Journal::open(journal.storage().after_death(), &options, NOW)
+    let persisted = journal.append(NOW_MS, &[new_message()]).is_ok();
+    let (_, again) = Journal::open(journal.storage().after_death(), &options, NOW_MS)
         .expect("it was opened before");
     let after = open_messages(&again.records);
     assert!(
-        !kept || before.contains_key(new) || after.contains_key(new),
-        "what is taken on stays"
+        !persisted || before.contains_key(NEW_ID) || after.contains_key(NEW_ID),
+        "an accepted message stays"
     );
-    for (id, (attempts, executed)) in before {
-        let Some((more, still)) = after.get(&id) else {
+    for (id, known) in before {
+        let Some(now) = after.get(&id) else {
             panic!("{id} was open")
         };
         assert!(
-            *more >= attempts && (*still || !executed),
-            "{id}: {attempts} {executed}, then {more} {still}"
+            now.attempts >= known.attempts && (now.possibly_executed || !known.possibly_executed),
+            "{id}: {known:?}, then {now:?}"
         );
     }
 }
 
-/// Attempts used, and whether one may have been executed, by open message: as the reducer reads it.
-fn open_messages(records: &[Record]) -> BTreeMap<String, (u32, bool)> {
+fn new_message() -> Record {
+    Record::Accepted {
+        id: NEW_ID.into(),
+        class: 0,
+        tenant: 0,
+        destination: 1,
+        key: None,
+        ordering_key: None,
+        deadline: DEADLINE_MS * NANOS_PER_MS,
+        at: NOW_MS * NANOS_PER_MS,
+        body: Arc::from(&b"new"[..]),
+    }
+}
+
+/// What is known of a pending message.
+#[derive(Clone, Copy, Debug)]
+struct OpenMessage {
+    attempts: u32,
+    possibly_executed: bool,
+}
+
+/// Pending messages as the core reads them.
+fn open_messages(records: &[Record]) -> BTreeMap<String, OpenMessage> {
     let mut open: BTreeMap<String, (u32, Option<u32>)> = BTreeMap::new();
     for record in records {
         match record {
@@ -104,8 +140,8 @@
                 open.insert(id.clone(), (0, None));
             }
             Record::AttemptStarted { id, attempt, .. } => {
-                if let Some((used, executed)) = open.get_mut(id) {
-                    *used = (*used).max(attempt.saturating_add(1));
+                if let Some((attempts, executed)) = open.get_mut(id) {
+                    *attempts = (*attempts).max(attempt.saturating_add(1));
                     executed.get_or_insert(*attempt);
                 }
             }
@@ -123,81 +159,91 @@
             }
         }
     }
+    let known = |(attempts, executed): (u32, Option<u32>)| OpenMessage {
+        attempts,
+        possibly_executed: executed.is_some(),
+    };
     open.into_iter()
-        .map(|(id, (used, executed))| (id, (used, executed.is_some())))
+        .map(|(id, state)| (id, known(state)))
         .collect()
 }
 
+/// A header for a segment of the folder.
+fn header(sequence: u32, base_lsn: u64) -> Vec<u8> {
+    let header = Header {
+        sequence,
+        epoch: u64::from(sequence),
+        base_lsn,
+        created_ms: NOW_MS,
+        previous_chain: [0; 16],
+    };
+    header.encode(&KEY)
+}
+
+/// Puts a folder together: each step has an operation, a length, and as many bytes.
 fn folder(data: &[u8]) -> Memory {
-    let mut files = Memory::new(DISK);
-    files.files.insert("key".into(), write_key(&KEY));
+    let mut memory = Memory::new(DISK_BYTES);
+    let files = &mut memory.files;
+    files.insert(key::FILE_NAME.into(), key::encode_file(&KEY));
     let (mut sequence, mut rest) = (1, data);
-    let begin = |sequence: u32, base: u64| {
-        Header {
-            sequence,
-            epoch: u64::from(sequence),
-            base,
-            created: NOW,
-            before: [0; 16],
-        }
-        .write(&KEY)
-    };
-    let mut segment = begin(sequence, 0);
-    while let [op, len, more @ ..] = rest {
+    let mut segment = header(sequence, 0);
+    while let [operation, len, more @ ..] = rest {
         let (part, after) = more.split_at(usize::from(*len).min(more.len()));
         rest = after;
-        match op % 6 {
-            0 | 1 => frame::write(Salt::new(&KEY, sequence), &mut segment, |b| {
+        match operation % 6 {
+            0 | 1 => frame::encode(Salt::new(&KEY, sequence), &mut segment, |b| {
                 b.extend_from_slice(part);
                 // A frame has at least one byte.
                 b.extend_from_slice(if part.is_empty() { &[0] } else { &[] });
             }),
             2 => segment.extend_from_slice(part),
             3 => {
-                files
-                    .files
-                    .insert(segment::name(sequence), std::mem::take(&mut segment));
+                files.insert(segment::file_name(sequence), std::mem::take(&mut segment));
                 sequence += 1 + u32::from(*len % 3);
-                segment = begin(sequence, u64::from(*len) * 8);
-            }
-            4 => {
-                for pair in part.chunks_exact(2) {
-                    let at = usize::from(pair[0]) * 7 % segment.len().max(1);
-                    if let Some(byte) = segment.get_mut(at) {
-                        *byte ^= pair[1];
-                    }
-                }
+                segment = header(sequence, u64::from(*len) * 8);
             }
+            4 => flip(&mut segment, part),
             _ => {
-                let name = ["ledger", manifest::NAME, manifest::NEXT][usize::from(*len) % 3];
-                files.files.insert(name.into(), part.to_vec());
+                let names = ["ledger", manifest::FILE_NAME, manifest::NEXT_FILE_NAME];
+                let name = names[usize::from(*len) % names.len()];
+                files.insert(name.into(), part.to_vec());
             }
         }
     }
-    files.files.insert(segment::name(sequence), segment);
-    files
+    files.insert(segment::file_name(sequence), segment);
+    memory
+}
+
+/// Flips bits: each pair has a place and a mask.
+fn flip(segment: &mut [u8], pairs: &[u8]) {
+    for pair in pairs.chunks_exact(2) {
+        let at = usize::from(pair[0]) * 7 % segment.len().max(1);
+        if let Some(byte) = segment.get_mut(at) {
+            *byte ^= pair[1];
+        }
+    }
 }
 
-/// Data for [`recover`] that holds these facts' frames as a real folder has them: seeds for the fuzzer.
+/// Data for [`recover`] that has frames with these payloads as a real folder has them: seeds for the fuzzer.
 pub fn seed_of(payloads: &[Vec<u8>]) -> Vec<u8> {
     let mut data = Vec::new();
-    for payload in payloads.iter().filter(|p| p.len() < 256) {
+    for payload in payloads.iter().filter(|payload| payload.len() < 256) {
         data.extend_from_slice(&[0, payload.len() as u8]);
         data.extend_from_slice(payload);
     }
     data
 }
 
-/// The payloads of all frames in a folder in memory that was written under `fresh_key`.
+/// The payloads of all frames in a folder in memory whose key is `key`.
 pub fn payloads(files: &Memory, key: &Key) -> Vec<Vec<u8>> {
     let mut all = Vec::new();
     for (name, bytes) in &files.files {
-        let Some(sequence) = segment::sequence(name) else {
+        let Some(sequence) = segment::sequence_of(name) else {
             continue;
         };
-        let (salt, mut at) = (Salt::new(key, sequence), segment::HEADER_BYTES);
-        while let DecodedFrame::Frame(payload) = frame::read(salt, bytes, at) {
-            at += frame::HEADER_BYTES + payload.len();
+        let (salt, mut offset) = (Salt::new(key, sequence), segment::HEADER_BYTES);
+        while let DecodedFrame::Valid(payload) = frame::decode(salt, bytes, offset) {
+            offset += frame::HEADER_BYTES + payload.len();
             all.push(payload.to_vec());
         }
     }
--- /dev/null
+++ b/crates/journal/src/index/accounting.rs
@@ -0,0 +1,67 @@
+//! Live bytes by segment, messages by state, and the room that pending messages may still need.
+
+use std::collections::BTreeMap;
+
+use super::entry::StoredFrame;
+use crate::format::frame;
+use crate::format::packed_id::PackedId;
+
+/// Records that a pending message may still need room for: six attempts with their ends, its final report and its
+/// completion.
+const MAX_RECORDS_PER_MESSAGE: u64 = 14;
+/// Bytes of such a record besides the id.
+const MAX_RECORD_BYTES: u64 = (frame::HEADER_BYTES + 56) as u64;
+
+/// Bytes of live frames, by segment.
+#[derive(Debug, Default)]
+pub(super) struct LiveBytes(BTreeMap<u32, u64>);
+
+impl LiveBytes {
+    pub(super) fn of(&self, sequence: u32) -> u64 {
+        self.0.get(&sequence).copied().unwrap_or(0)
+    }
+
+    pub(super) fn add(&mut self, frame: StoredFrame) {
+        *self.0.entry(frame.sequence).or_default() += u64::from(frame.len);
+    }
+
+    pub(super) fn subtract(&mut self, frame: StoredFrame) {
+        if let Some(bytes) = self.0.get_mut(&frame.sequence) {
+            *bytes = bytes.saturating_sub(u64::from(frame.len));
+        }
+    }
+
+    pub(super) fn forget_segment(&mut self, sequence: u32) {
+        self.0.remove(&sequence);
+    }
+}
+
+/// Entries by state.
+#[derive(Debug, Default)]
+pub(super) struct Totals {
+    pub(super) known: u64,
+    pub(super) open: u64,
+    pub(super) final_report_due: u64,
+    /// Room for what open messages may still need.
+    pub(super) reserved_bytes: u64,
+}
+
+impl Totals {
+    pub(super) fn add_open(&mut self, id: &PackedId) {
+        self.open += 1;
+        self.reserved_bytes += reservation_for(id);
+    }
+
+    pub(super) fn remove_open(&mut self, id: &PackedId) {
+        self.open -= 1;
+        self.reserved_bytes -= reservation_for(id);
+    }
+
+    pub(super) fn completed(&self) -> u64 {
+        self.known - self.open - self.final_report_due
+    }
+}
+
+fn reservation_for(id: &PackedId) -> u64 {
+    MAX_RECORDS_PER_MESSAGE * (MAX_RECORD_BYTES + id.as_bytes().len() as u64)
+}
--- /dev/null
+++ b/crates/journal/src/journal/migration.rs
@@ -0,0 +1,52 @@
+//! Migration: the records of the single file of releases before 0.2 are appended, and the file is removed.
+
+use cranehill_core::Record;
+
+use super::state::Journal;
+use crate::error::OpenError;
+use crate::legacy_ledger::{FILE_NAMES, LEGACY_LIFETIME_NANOS, LegacyLedger};
+use crate::record_conversion::MAX_FIXED_BYTES;
+use crate::recovery::{FolderContents, Recovered, read_folder};
+use crate::storage::Storage;
+use crate::time::nanos;
+
+/// Records that are appended at once.
+const RECORDS_PER_BATCH: usize = 256;
+
+impl<S: Storage> Journal<S> {
+    /// Appends the ledger's records, removes its files, and recovers all again.
+    pub(super) fn migrate(
+        &mut self,
+        now_ms: u64,
+        mut ledger: LegacyLedger,
+        recovered: &mut Recovered,
+    ) -> Result<(), OpenError> {
+        // The ledger does not say until when a completed id is remembered: from now on for as long as a message may
+        // last.
+        let remember_until = nanos(now_ms).saturating_add(LEGACY_LIFETIME_NANOS);
+        for record in &mut ledger.records {
+            if let Record::Completed { until, .. } = record {
+                *until = remember_until;
+            }
+        }
+        for batch in ledger.records.chunks(RECORDS_PER_BATCH) {
+            if self.append(now_ms, batch).is_err() {
+                let size = |record: &Record| MAX_FIXED_BYTES + record.id().len() as u64;
+                let needed = ledger.records.iter().map(size).sum();
+                return Err(OpenError::NoRoom { needed });
+            }
+        }
+        for name in FILE_NAMES {
+            self.storage.remove(name).map_err(OpenError::io(name))?;
+        }
+        let FolderContents {
+            recovered: again, ..
+        } = read_folder(&mut self.storage, Some(self.key), &self.key)?;
+        let before = std::mem::replace(recovered, again);
+        recovered.damage = before.damage;
+        recovered.damage.extend(ledger.damage);
+        recovered.lost.extend(before.lost);
+        recovered.carried_over = ledger.records.len();
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/journal/src/legacy_ledger.rs
@@ -0,0 +1,220 @@
+//! The ledger of releases before 0.2: one file of frames, `[length u32][crc32 u32][record JSON, newline, body]`.
+//! It is read once, and damage in it is skipped as in a segment.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use cranehill_core::{FinalReport, Record};
+use serde::Deserialize;
+
+use crate::error::OpenError;
+use crate::scan::{DamageCause, DamagedRange};
+use crate::storage::Storage;
+
+/// The file, and the one that was being written to replace it.
+pub(crate) const FILE_NAMES: [&str; 2] = ["ledger", "ledger.new"];
+/// How long a message of those releases lasts at most, and so how long a completed id is remembered.
+pub(crate) const LEGACY_LIFETIME_NANOS: u64 = 20_000_000_000;
+
+const FRAME_HEADER_BYTES: usize = 8;
+/// Longer than any record.
+const MAX_PAYLOAD_BYTES: usize = 256 * 1024;
+/// Attempts of a message that a damaged range may hide: more than any class allowed.
+const MAX_ATTEMPTS: u32 = 64;
+/// Messages that a damaged range may hide.
+const MAX_MESSAGES: u32 = 64;
+
+/// The ledger's contents.
+#[derive(Debug)]
+pub(crate) struct LegacyLedger {
+    pub(crate) records: Vec<Record>,
+    pub(crate) damage: Vec<DamagedRange>,
+}
+
+#[derive(Deserialize)]
+#[serde(rename_all = "snake_case")]
+enum LegacyRecord {
+    #[serde(rename = "taken")]
+    Accepted {
+        id: String,
+        class: usize,
+        #[serde(rename = "station")]
+        tenant: usize,
+        #[serde(rename = "partner")]
+        destination: u64,
+        key: Option<String>,
+        deadline: u64,
+    },
+    #[serde(rename = "sent")]
+    AttemptStarted {
+        id: String,
+        attempt: u32,
+        endpoint: String,
+        at: u64,
+    },
+    #[serde(rename = "back")]
+    AttemptFinished {
+        id: String,
+        attempt: u32,
+        #[serde(rename = "never_ran")]
+        not_executed: bool,
+    },
+    #[serde(rename = "closing")]
+    FinalReportDue {
+        id: String,
+        #[serde(rename = "closing")]
+        final_report: LegacyFinalReport,
+    },
+    #[serde(rename = "over")]
+    Completed { id: String },
+}
+
+#[derive(Deserialize)]
+#[serde(rename_all = "snake_case")]
+enum LegacyFinalReport {
+    Returned { after_ms: u64 },
+    Failed,
+}
+
+/// Reads the ledger, if there is one. Its unfinished successor never was in use.
+pub(crate) fn read<S: Storage>(
+    storage: &mut S,
+    files: &BTreeMap<String, u64>,
+) -> Result<Option<LegacyLedger>, OpenError> {
+    let name = FILE_NAMES[0];
+    let Some(&size) = files.get(name) else {
+        return Ok(None);
+    };
+    let bytes = storage
+        .read(name, 0, size as usize)
+        .map_err(OpenError::io(name))?;
+    Ok(Some(decode(&bytes)))
+}
+
+/// All readable records. A message pending before a damaged range may have been attempted in it: it counts as possibly
+/// executed with all attempts used, since the frames have no log numbers to narrow that down.
+pub(crate) fn decode(bytes: &[u8]) -> LegacyLedger {
+    let mut ledger = LegacyLedger {
+        records: Vec::new(),
+        damage: Vec::new(),
+    };
+    let mut offset = 0;
+    while offset < bytes.len() {
+        if let Some((record, end)) = decode_frame(bytes, offset) {
+            ledger.records.push(record);
+            offset = end;
+            continue;
+        }
+        let next = (offset + 1..bytes.len()).find(|&n| decode_frame(bytes, n).is_some());
+        let Some(next) = next else {
+            // Without a valid frame behind it, damage can't be distinguished from a last write that was cut off.
+            log::warn!(file = FILE_NAMES[0], offset, bytes = bytes.len() - offset;
+                "journal: {} bytes at the end of the old ledger are left out", bytes.len() - offset);
+            break;
+        };
+        add_possible_attempts(&mut ledger.records);
+        ledger.damage.push(DamagedRange {
+            file: FILE_NAMES[0].into(),
+            offset: offset as u64,
+            len: (next - offset) as u64,
+            before: 0,
+            attempts: MAX_ATTEMPTS,
+            taken: MAX_MESSAGES,
+            why: DamageCause::Damaged,
+        });
+        offset = next;
+    }
+    ledger
+}
+
+/// Adds the last possible attempt of every message accepted so far.
+fn add_possible_attempts(records: &mut Vec<Record>) {
+    let attempts: Vec<Record> = records
+        .iter()
+        .filter_map(|record| match record {
+            Record::Accepted { id, at, .. } => Some(Record::AttemptStarted {
+                id: id.clone(),
+                attempt: MAX_ATTEMPTS - 1,
+                endpoint: String::new(),
+                at: *at,
+            }),
+            _ => None,
+        })
+        .collect();
+    records.extend(attempts);
+}
+
+/// The record of the frame at `offset`, and where the frame ends; `None` if there is no valid one.
+fn decode_frame(bytes: &[u8], offset: usize) -> Option<(Record, usize)> {
+    let field = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
+    let (len, checksum) = (field(offset)? as usize, field(offset + 4)?);
+    if len > MAX_PAYLOAD_BYTES {
+        return None;
+    }
+    let start = offset + FRAME_HEADER_BYTES;
+    let payload = bytes.get(start..start + len)?;
+    if crc32fast::hash(payload) != checksum {
+        return None;
+    }
+    let newline = payload.iter().position(|&b| b == b'\n')?;
+    let record: LegacyRecord = serde_json::from_slice(&payload[..newline]).ok()?;
+    Some((record.into_core(&payload[newline + 1..]), start + len))
+}
+
+impl LegacyRecord {
+    fn into_core(self, body: &[u8]) -> Record {
+        match self {
+            LegacyRecord::Accepted {
+                id,
+                class,
+                tenant,
+                destination,
+                key,
+                deadline,
+            } => Record::Accepted {
+                id,
+                class,
+                tenant,
+                destination,
+                key,
+                ordering_key: None,
+                deadline,
+                at: deadline.saturating_sub(LEGACY_LIFETIME_NANOS),
+                body: Arc::from(body),
+            },
+            LegacyRecord::AttemptStarted {
+                id,
+                attempt,
+                endpoint,
+                at,
+            } => Record::AttemptStarted {
+                id,
+                attempt,
+                endpoint,
+                at,
+            },
+            LegacyRecord::AttemptFinished {
+                id,
+                attempt,
+                not_executed,
+            } => Record::AttemptFinished {
+                id,
+                attempt,
+                not_executed,
+            },
+            LegacyRecord::FinalReportDue { id, final_report } => Record::FinalReportDue {
+                id,
+                final_report: match final_report {
+                    LegacyFinalReport::Returned { after_ms } => FinalReport::Returned { after_ms },
+                    LegacyFinalReport::Failed => FinalReport::Failed,
+                },
+                ordering_key: None,
+            },
+            // The time is set when the ledger is migrated.
+            LegacyRecord::Completed { id } => Record::Completed {
+                id,
+                until: LEGACY_LIFETIME_NANOS,
+            },
+        }
+    }
+}
--- a/crates/journal/src/memory.rs
+++ b/crates/journal/src/memory.rs
@@ -1,41 +1,50 @@
-//! Files in memory that fail as they are told to: full, cut short, refusing, dead at a given operation.
+//! Files in memory, for tests and tools: every operation can be made to fail, or to be the last one.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 
-use crate::storage::{Storage, disk_usage};
+use crate::storage::{BLOCK_BYTES, Storage, disk_usage};
 
-/// When the storage dies, as a process that is killed does.
+/// When the storage fails for good, as for a process that is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
     /// The operation that changes files, counted from 0, in which it happens.
     pub operation: u64,
-    /// Bytes of an append that get through before; for other operations, 0 is before and anything else after.
+    /// Bytes of an append that are written before; for other operations, 0 is before and anything else after.
     pub bytes: usize,
 }
 
-/// One operation that changed files, as [`Memory::log`] keeps it.
+/// One operation that changed files, as [`Memory::log`] holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// With the number of bytes.
     Append(usize),
+    /// A file was cut.
     Truncate,
+    /// A file was renamed.
     Rename,
+    /// A file was removed.
     Remove,
 }
 
 /// A folder in memory.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
+    /// Contents by name.
     pub files: BTreeMap<String, Vec<u8>>,
     /// Bytes that it may hold, files counted in whole blocks; a write beyond is cut short there.
     pub disk: u64,
-    /// Operations that change files fail from here on, having changed nothing, while these are set.
+    /// Appends fail, having changed nothing, while this is set.
     pub no_appends: bool,
+    /// Truncations fail, having changed nothing, while this is set.
     pub no_truncates: bool,
+    /// Renames fail, having changed nothing, while this is set.
     pub no_renames: bool,
+    /// Removals fail, having changed nothing, while this is set.
     pub no_removes: bool,
+    /// When all operations begin to fail.
     pub crash: Option<Crash>,
+    /// All operations so far that change files.
     pub log: Vec<Change>,
     /// Bytes appended so far.
     pub written: u64,
@@ -43,6 +52,7 @@
 }
 
 impl Memory {
+    /// An empty folder that may hold `disk` bytes.
     pub fn new(disk: u64) -> Memory {
         Memory {
             disk,
@@ -59,6 +69,7 @@
         }
     }
 
+    /// Whether the crash has happened.
     pub fn is_dead(&self) -> bool {
         self.dead
     }
@@ -66,11 +77,20 @@
     fn used(&self) -> u64 {
         self.files
             .values()
-            .map(|f| disk_usage(f.len() as u64))
+            .map(|file| disk_usage(file.len() as u64))
             .sum()
     }
 
-    /// Counts the operation; an error if it is the last, before or (`Ok(true)`) after it is done.
+    /// Bytes that an append to a file of `size` bytes may add. A file may fill its last block even if no further
+    /// block is free.
+    fn free_for(&self, size: u64) -> u64 {
+        let free = self
+            .disk
+            .saturating_sub(self.used() - disk_usage(size) + size);
+        free / BLOCK_BYTES * BLOCK_BYTES + (disk_usage(size) - size)
+    }
+
+    /// Counts an operation that changes files. An error if the crash is before it; `Ok(true)` if it is after it.
     fn begin(&mut self, change: Change) -> io::Result<bool> {
         if self.dead {
             return Err(killed());
@@ -85,15 +105,20 @@
     }
 }
 
+/// The result of an operation that has been done: an error if the process was killed after it.
+fn done(last: bool) -> io::Result<()> {
+    if last { Err(killed()) } else { Ok(()) }
+}
+
 fn killed() -> io::Error {
     io::Error::other("killed")
 }
 
-fn refused(what: &str) -> io::Error {
-    io::Error::new(ErrorKind::PermissionDenied, format!("{what} refused"))
+fn denied(operation: &str) -> io::Error {
+    io::Error::new(ErrorKind::PermissionDenied, format!("{operation} denied"))
 }
 
-fn missing(name: &str) -> io::Error {
+fn not_found(name: &str) -> io::Error {
     io::Error::new(ErrorKind::NotFound, format!("{name}: no such file"))
 }
 
@@ -101,30 +126,19 @@
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let last = self.begin(Change::Append(bytes.len()))?;
         if self.no_appends {
-            return Err(refused("append"));
+            return Err(denied("append"));
         }
-        let most = if last {
-            self.crash.map_or(0, |c| c.bytes)
-        } else {
-            usize::MAX
-        };
-        let before = self.files.get(name).map_or(0, Vec::len) as u64;
-        let free = self
-            .disk
-            .saturating_sub(self.used() - disk_usage(before) + before);
-        // A file may fill its last block even if no further block is free.
-        let free = free / crate::storage::BLOCK_BYTES * crate::storage::BLOCK_BYTES
-            + (disk_usage(before) - before);
-        let fits = bytes.len().min(most).min(free as usize);
+        let before_crash = self.crash.filter(|_| last).map_or(usize::MAX, |c| c.bytes);
+        let size = self.files.get(name).map_or(0, Vec::len) as u64;
+        let free = self.free_for(size) as usize;
+        let written = bytes.len().min(before_crash).min(free);
         self.files
             .entry(name.to_owned())
             .or_default()
-            .extend_from_slice(&bytes[..fits]);
-        self.written += fits as u64;
-        if last {
-            return Err(killed());
-        }
-        if fits < bytes.len() {
+            .extend_from_slice(&bytes[..written]);
+        self.written += written as u64;
+        done(last)?;
+        if written < bytes.len() {
             return Err(io::Error::new(ErrorKind::StorageFull, "no room"));
         }
         Ok(())
@@ -134,40 +148,40 @@
         if self.dead {
             return Err(killed());
         }
-        let file = self.files.get(name).ok_or_else(|| missing(name))?;
-        let from = (offset as usize).min(file.len());
-        Ok(file[from..from.saturating_add(len).min(file.len())].to_vec())
+        let file = self.files.get(name).ok_or_else(|| not_found(name))?;
+        let start = (offset as usize).min(file.len());
+        Ok(file[start..start.saturating_add(len).min(file.len())].to_vec())
     }
 
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()> {
         let last = self.begin(Change::Truncate)?;
         if self.no_truncates {
-            return Err(refused("truncate"));
+            return Err(denied("truncate"));
         }
         self.files
             .get_mut(name)
-            .ok_or_else(|| missing(name))?
+            .ok_or_else(|| not_found(name))?
             .resize(size as usize, 0);
-        if last { Err(killed()) } else { Ok(()) }
+        done(last)
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let last = self.begin(Change::Rename)?;
         if self.no_renames {
-            return Err(refused("rename"));
+            return Err(denied("rename"));
         }
-        let file = self.files.remove(from).ok_or_else(|| missing(from))?;
+        let file = self.files.remove(from).ok_or_else(|| not_found(from))?;
         self.files.insert(to.to_owned(), file);
-        if last { Err(killed()) } else { Ok(()) }
+        done(last)
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let last = self.begin(Change::Remove)?;
         if self.no_removes {
-            return Err(refused("remove"));
+            return Err(denied("remove"));
         }
         self.files.remove(name);
-        if last { Err(killed()) } else { Ok(()) }
+        done(last)
     }
 
     fn list(&mut self) -> io::Result<BTreeMap<String, u64>> {
--- /dev/null
+++ b/crates/journal/src/scan/missing.rs
@@ -0,0 +1,54 @@
+//! Damage by absence: segments that the manifest lists and that are not there, and a manifest that can't be used.
+
+use super::contents::Scan;
+use super::damage::{DamageCause, DamagedRange, max_attempts_in};
+use crate::format::{manifest, segment};
+
+/// Adds the listed segments that are missing to the damage.
+pub(super) fn add_missing_segments(scan: &mut Scan) {
+    let Some(manifest) = &scan.manifest else {
+        return;
+    };
+    let mut damage = Vec::new();
+    for entry in &manifest.segments {
+        // A segment sealed without frames is the head of a first start that was killed before anything was written.
+        let held_nothing = entry.seal.is_some_and(|seal| seal.frames == 0);
+        if held_nothing || scan.segments.contains_key(&entry.sequence) {
+            continue;
+        }
+        let len = entry.seal.map(|seal| u64::from(seal.len));
+        damage.push(DamagedRange {
+            file: segment::file_name(entry.sequence),
+            offset: 0,
+            len: len.unwrap_or(0),
+            before: scan.lowest_lsn_after(entry.sequence),
+            attempts: max_attempts_in(len.unwrap_or(u64::MAX)),
+            taken: entry.seal.map_or(u32::MAX, |seal| seal.accepted),
+            why: DamageCause::Missing,
+        });
+    }
+    scan.damage.extend(damage);
+}
+
+/// Adds an unusable manifest to the damage: it is not known what is missing. The exception is a first start that was
+/// killed before its first manifest; it has nothing but headers of segments begun before any frame was written.
+pub(super) fn add_unlisted(scan: &mut Scan) {
+    if scan.manifest.is_some() {
+        return;
+    }
+    let is_first_start = scan.segments.values().all(|segment| {
+        segment.frames == 0 && segment.header.is_some_and(|header| header.base_lsn == 0)
+    });
+    if !scan.manifest_invalid && is_first_start {
+        return;
+    }
+    scan.damage.push(DamagedRange {
+        file: manifest::FILE_NAME.to_owned(),
+        offset: 0,
+        len: scan.files.get(manifest::FILE_NAME).copied().unwrap_or(0),
+        before: scan.next_lsn,
+        attempts: max_attempts_in(u64::MAX),
+        taken: u32::MAX,
+        why: DamageCause::Unlisted,
+    });
+}
