--- /dev/null
+++ b/crates/journal/tests/common/messages.rs
@@ -0,0 +1,90 @@
+//! Records and folders that several tests use.
+
+use std::sync::Arc;
+
+use cranehill_core::Record;
+use cranehill_journal::{Journal, Memory};
+
+use super::{DURATION, MS, START, open};
+
+pub(crate) fn accepted(id: &str, size: usize) -> Record {
+    Record::Accepted {
+        id: id.into(),
+        class: 0,
+        tenant: 1,
+        destination: 7,
+        key: Some("k".into()),
+        ordering_key: None,
+        deadline: (START + DURATION) * MS,
+        at: START * MS,
+        body: Arc::from(vec![7; size]),
+    }
+}
+
+pub(crate) fn attempt_started(id: &str, attempt: u32) -> Record {
+    Record::AttemptStarted {
+        id: id.into(),
+        attempt,
+        endpoint: "e".into(),
+        at: (START + 5) * MS,
+    }
+}
+
+pub(crate) fn attempt_finished(id: &str, attempt: u32) -> Record {
+    Record::AttemptFinished {
+        id: id.into(),
+        attempt,
+        not_executed: true,
+    }
+}
+
+pub(crate) fn completed(id: &str) -> Record {
+    Record::Completed {
+        id: id.into(),
+        until: (START + DURATION) * MS,
+    }
+}
+
+pub(crate) fn open_ids(records: &[Record]) -> Vec<&str> {
+    records
+        .iter()
+        .filter(|r| matches!(r, Record::Accepted { .. }))
+        .map(Record::id)
+        .collect()
+}
+
+pub(crate) fn segments(files: &Memory) -> Vec<String> {
+    files
+        .files
+        .keys()
+        .filter(|n| n.ends_with(".seg"))
+        .cloned()
+        .collect()
+}
+
+/// Bytes that do not compress.
+pub(crate) fn noise(n: usize, size: usize) -> Arc<[u8]> {
+    let mut state = (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    (0..size)
+        .map(|_| {
+            state = state
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1_442_695_040_888_963_407);
+            (state >> 33) as u8
+        })
+        .collect()
+}
+
+/// A journal with `n` open messages in many segments, one batch each.
+pub(crate) fn filled(n: usize) -> Journal<Memory> {
+    let (mut journal, _) = open(Memory::new(256 * 1024), START);
+    for i in 0..n {
+        let id = format!("m{i:03}");
+        let mut records = vec![accepted(&id, 0), attempt_started(&id, 0)];
+        if let Record::Accepted { body, .. } = &mut records[0] {
+            *body = noise(i, 100);
+        }
+        journal.append(START + i as u64, &records).expect("room");
+    }
+    journal
+}
--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -1,33 +1,33 @@
-//! Every operation of a scripted day, and every byte of its writes, as the point of a kill.
+//! Every operation of a scenario, and every byte of its writes, as the point of a kill.
 //!
-//! The journal is killed, a next process reads the folder, and what it finds must be what was promised, or that and a
-//! first part of what was being written. A failure prints seed, operation and byte: [`replay`] plays just that.
+//! The journal is killed, a next process reads the folder, and what it finds must be what was acknowledged, or that and a
+//! first part of what was being written. A failure prints seed, operation and byte: [`replay`] repeats just that.
 
 mod common;
 
-use common::*;
+use common::{Mismatch, Model, START, Scenario, SharedStorage, compact, open, options};
 use cranehill_core::Record;
-use cranehill_journal::{Change, Crash, Journal, Memory, Recovered};
+use cranehill_journal::{Change, Crash, DamagedRange, Journal, Memory, OpenError, Recovered};
 
-/// What a kill interrupted: the folder as it was left, what was promised before, and what was being written.
+/// What a kill interrupted: the folder as it was left, what was acknowledged before, and what was being written.
 struct Killed {
     files: Memory,
-    promised: Model,
+    acknowledged: Model,
     writing: Vec<Record>,
     now: u64,
 }
 
-/// Plays a day of so many turns, until the storage dies or the day ends.
-fn play(seed: u64, turns: usize, crash: Option<Crash>) -> (Killed, Memory) {
+/// Plays a scenario of so many ticks, until the storage dies or the scenario ends.
+fn play(seed: u64, ticks: usize, crash: Option<Crash>) -> (Killed, Memory) {
     let mut files = Memory::new(24 * 1024);
     files.crash = crash;
-    let mut day = Scenario::new(seed);
-    let mut promised = Model::default();
-    let killed = |files: &Memory, promised: Model, writing: Vec<Record>, now: u64| {
+    let mut scenario = Scenario::new(seed);
+    let mut acknowledged = Model::default();
+    let killed = |files: &Memory, acknowledged: Model, writing: Vec<Record>, now: u64| {
         (
             Killed {
                 files: files.after_death(),
-                promised,
+                acknowledged,
                 writing,
                 now,
             },
@@ -40,38 +40,38 @@
         // Killed in its first start: the storage went with it, so the same start is played on one that is kept.
         Err(_) => return first_start(begun),
     };
-    for _ in 0..turns {
-        let records = day.turn();
-        let kept = journal.append(day.now, &records).is_ok();
+    for _ in 0..ticks {
+        let records = scenario.tick();
+        let kept = journal.append(scenario.now, &records).is_ok();
         if journal.storage().is_dead() {
-            // What went in whole before the death may have been promised or not.
+            // What went in whole before the death may have been acknowledged or not.
             let writing = if kept { Vec::new() } else { records.clone() };
             if kept {
-                promised.take(&records);
+                acknowledged.append(&records);
             }
-            return killed(journal.storage(), promised, writing, day.now);
+            return killed(journal.storage(), acknowledged, writing, scenario.now);
         }
-        assert!(kept, "seed {seed}: a turn found no room");
-        promised.take(&records);
+        assert!(kept, "seed {seed}: a tick found no room");
+        acknowledged.append(&records);
         for _ in 0..3 {
-            journal.compact(day.now);
+            journal.compact(scenario.now);
         }
         if journal.storage().is_dead() {
-            return killed(journal.storage(), promised, Vec::new(), day.now);
+            return killed(journal.storage(), acknowledged, Vec::new(), scenario.now);
         }
     }
-    killed(journal.storage(), promised, Vec::new(), day.now)
+    killed(journal.storage(), acknowledged, Vec::new(), scenario.now)
 }
 
 /// The files after a start that was killed.
 fn first_start(files: Memory) -> (Killed, Memory) {
-    let shared = Shared::new(files);
+    let shared = SharedStorage::new(files);
     let _ = Journal::open(shared.clone(), &options(24 * 1024), START);
     let files = shared.0.borrow().clone();
     (
         Killed {
             files: files.after_death(),
-            promised: Model::default(),
+            acknowledged: Model::default(),
             writing: Vec::new(),
             now: START,
         },
@@ -79,28 +79,39 @@
     )
 }
 
-/// What is found is what was promised, and any first part of what was being written.
-fn check(killed: &Killed, found: &Recovered) -> Result<(), String> {
+/// Why a recovery after a kill is wrong.
+#[derive(Debug, thiserror::Error)]
+enum RecoveryFault {
+    #[error("a kill passes for damage: {0:?}")]
+    Damage(Vec<DamagedRange>),
+    #[error(transparent)]
+    Mismatch(#[from] Mismatch),
+    #[error(transparent)]
+    Open(#[from] OpenError),
+}
+
+/// What is found is what was acknowledged, and any first part of what was being written.
+fn check(killed: &Killed, found: &Recovered) -> Result<(), RecoveryFault> {
     if !found.damage.is_empty() || found.doubted > 0 || !found.lost.is_empty() {
-        return Err(format!("a kill passes for damage: {:?}", found.damage));
+        return Err(RecoveryFault::Damage(found.damage.clone()));
     }
-    let mut why = String::new();
+    let mut last = Ok(());
     for part in 0..=killed.writing.len() {
-        let mut model = killed.promised.clone();
-        model.take(&killed.writing[..part]);
-        match model.agrees(found, killed.now) {
-            Ok(()) => return Ok(()),
-            Err(e) => why = e,
+        let mut model = killed.acknowledged.clone();
+        model.append(&killed.writing[..part]);
+        last = model.check(found, killed.now);
+        if last.is_ok() {
+            return Ok(());
         }
     }
-    Err(why)
+    Ok(last?)
 }
 
 /// All crash points of one operation: the folders that a kill at each byte of it leaves.
-fn images(seed: u64, turns: usize, operation: u64, len: usize) -> Vec<(Crash, Killed)> {
+fn images(seed: u64, ticks: usize, operation: u64, len: usize) -> Vec<(Crash, Killed)> {
     let at = |bytes| Crash { operation, bytes };
-    let (before, _) = play(seed, turns, Some(at(0)));
-    let (after, _) = play(seed, turns, Some(at(len.max(1))));
+    let (before, _) = play(seed, ticks, Some(at(0)));
+    let (after, _) = play(seed, ticks, Some(at(len.max(1))));
     let grown = |name: &str| before.files.files.get(name).map_or(0, Vec::len);
     let name = after
         .files
@@ -119,12 +130,12 @@
                 .get_mut(&name)
                 .expect("the file")
                 .truncate(old + bytes);
-            let (promised, writing) = (before.promised.clone(), before.writing.clone());
+            let (acknowledged, writing) = (before.acknowledged.clone(), before.writing.clone());
             all.push((
                 at(bytes),
                 Killed {
                     files,
-                    promised,
+                    acknowledged,
                     writing,
                     now: before.now,
                 },
@@ -137,46 +148,45 @@
 }
 
 /// Plays one crash point, as a failure prints it.
-fn replay(seed: u64, turns: usize, crash: Crash) -> Result<(), String> {
-    let (killed, _) = play(seed, turns, Some(crash));
+fn replay(seed: u64, ticks: usize, crash: Crash) -> Result<(), RecoveryFault> {
+    let (killed, _) = play(seed, ticks, Some(crash));
     recover(&killed)
 }
 
-fn recover(killed: &Killed) -> Result<(), String> {
+fn recover(killed: &Killed) -> Result<(), RecoveryFault> {
     let (_, found) = Journal::open(
         killed.files.clone(),
         &options(killed.files.disk),
         killed.now,
-    )
-    .map_err(|e| e.to_string())?;
+    )?;
     check(killed, &found)
 }
 
-/// The operators' fear: a crash during compaction forgets that a message may already have taken effect.
+/// A crash during compaction must not forget that a message may already have been executed.
 #[test]
-fn after_a_kill_at_any_byte_of_a_day_all_that_was_promised_is_there_and_nothing_else() {
-    const TURNS: usize = 60;
+fn a_kill_at_any_byte_loses_nothing_acknowledged_and_adds_nothing() {
+    const TICKS: usize = 60;
     let mut tried = 0;
     for seed in [1, 2] {
-        let (whole, files) = play(seed, TURNS, None);
+        let (whole, files) = play(seed, TICKS, None);
         let removed = files.log.iter().filter(|c| **c == Change::Remove).count();
         assert!(
             removed > 8,
-            "seed {seed}: the day has too little compaction, {removed}"
+            "seed {seed}: the scenario has too little compaction, {removed}"
         );
-        assert!(whole.promised.messages.len() > 20);
+        assert!(whole.acknowledged.messages.len() > 20);
         for (operation, change) in files.log.iter().enumerate() {
             let len = if let Change::Append(len) = change {
                 *len
             } else {
                 1
             };
-            for (crash, killed) in images(seed, TURNS, operation as u64, len) {
+            for (crash, killed) in images(seed, TICKS, operation as u64, len) {
                 tried += 1;
                 if let Err(e) = recover(&killed) {
                     panic!(
                         "seed {seed}, {crash:?}, replayed: {:?}\n{e}",
-                        replay(seed, TURNS, crash)
+                        replay(seed, TICKS, crash)
                     );
                 }
             }
@@ -186,16 +196,16 @@
     println!("{tried} crash points");
 }
 
-/// A machine that goes on dying while it starts must not lose more each time.
+/// A process that is killed again and again while it starts must not lose more each time.
 #[test]
 fn recovery_that_is_itself_killed_again_and_again_loses_nothing() {
-    const TURNS: usize = 60;
-    let (_, files) = play(7, TURNS, None);
+    const TICKS: usize = 60;
+    let (_, files) = play(7, TICKS, None);
     let last = files.log.len() as u64;
     for operation in (4..last).step_by(5) {
         let (killed, _) = play(
             7,
-            TURNS,
+            TICKS,
             Some(Crash {
                 operation,
                 bytes: 30,
@@ -213,7 +223,7 @@
                             operation: op,
                             bytes,
                         });
-                        let shared = Shared::new(files);
+                        let shared = SharedStorage::new(files);
                         if let Ok((mut journal, _)) =
                             Journal::open(shared.clone(), &options(folder.disk), killed.now)
                         {
@@ -230,7 +240,7 @@
                     }
                 }
             }
-            // Some of them go on.
+            // Some of them are continued.
             folders = next.into_iter().step_by(11).take(2).collect();
         }
     }
--- /dev/null
+++ b/crates/journal/tests/damage.rs
@@ -0,0 +1,354 @@
+//! Damage to files at rest: what is lost, what counts as possibly executed, and what is refused.
+
+mod common;
+
+use common::{
+    DURATION, MS, START, SharedStorage, accepted, attempt_started, compact, completed, filled,
+    noise, open, open_ids, options, segments,
+};
+use cranehill_core::{FinalReport, Record};
+use cranehill_journal::{DamageCause, Journal, Memory, OpenError, Options, Storage};
+
+#[test]
+fn a_flipped_byte_loses_one_record_and_makes_earlier_messages_possibly_executed() {
+    let files = filled(60).storage().after_death();
+    let all = segments(&files);
+    let middle = &all[all.len() / 2];
+    for at in (80..files.files[middle].len()).step_by(13) {
+        let mut files = files.clone();
+        files.files.get_mut(middle).expect("a segment")[at] ^= 0x20;
+        let (_, found) = open(files, START + 100);
+        assert_eq!(found.damage.len(), 1);
+        assert_eq!(
+            (found.damage[0].file.as_str(), found.damage[0].why),
+            (middle.as_str(), DamageCause::Damaged)
+        );
+        let known = open_ids(&found.records).len() + found.lost.len();
+        assert!(known >= 59, "byte {at}: {known} of 60");
+        // What was accepted later can't be concerned.
+        assert!(
+            found.doubted >= 20 && found.doubted < 60,
+            "byte {at}: {} possibly executed",
+            found.doubted
+        );
+        for lost in &found.lost {
+            let end = Record::FinalReportDue {
+                id: lost.id.clone(),
+                final_report: FinalReport::Failed,
+                ordering_key: None,
+            };
+            assert!(
+                found.records.contains(&end),
+                "a message without its record is concluded"
+            );
+        }
+    }
+}
+
+/// The sender must not execute a message again whose attempt was recorded in the damaged range.
+#[test]
+fn an_attempt_whose_record_was_hit_still_counts() {
+    let (mut journal, _) = open(Memory::new(64 * 1024), START);
+    journal.append(START, &[accepted("a", 30)]).expect("room");
+    journal
+        .append(START, &[attempt_started("a", 0)])
+        .expect("room");
+    journal.append(START, &[accepted("b", 30)]).expect("room");
+    let files = journal.storage().after_death();
+    let name = segments(&files).pop().expect("a segment");
+    let whole = &files.files[&name];
+    // The attempt's record is the one that ends before the second message's.
+    let at = whole
+        .windows(2)
+        .rposition(|w| w == [1, b'b'])
+        .expect("the second message")
+        - 14;
+    let mut hit = files.clone();
+    hit.files.get_mut(&name).expect("a segment")[at] ^= 1;
+    let (journal, found) = open(hit, START + 10);
+    let first: Vec<&Record> = found.records.iter().filter(|r| r.id() == "a").collect();
+    assert!(
+        matches!(first[..], [Record::Accepted { .. }, Record::AttemptStarted { attempt: 0, at, .. }] if *at == START * MS),
+        "{first:?}"
+    );
+    assert_eq!(
+        found.records.iter().filter(|r| r.id() == "b").count(),
+        1,
+        "accepted after the damaged range"
+    );
+    // Found again it counts once, and also when the damaged segment is removed.
+    let (mut journal, again) = open(journal.storage().after_death(), START + 20);
+    assert_eq!(again.records, found.records);
+    compact(&mut journal, 50, START + 20);
+    assert!(
+        !journal.storage().files.contains_key(&name),
+        "the damaged segment goes first"
+    );
+    let (_, last) = open(journal.storage().after_death(), START + 30);
+    assert_eq!((last.damage.len(), &last.records), (0, &found.records));
+}
+
+/// A sender that was down for long finds messages whose deadline has passed, concludes them, and may be killed before it
+/// has: possible executions must last that long, or a message that may have been executed is reported as not executed.
+#[test]
+fn possible_executions_outlast_messages_that_expired_before_the_start() {
+    let mut files = filled(30).storage().after_death();
+    let name = segments(&files)[1].clone();
+    files.files.get_mut(&name).expect("a segment")[200] ^= 1;
+    let later = START + 3_600_000;
+    // So small that what is live is more than a third of it, and segments with little live in them go.
+    files.disk = 64 * 1024;
+    let (mut journal, found) = open(files, later);
+    assert!(found.doubted > 0);
+    let first = journal.head().expect("a head").to_owned();
+    // All but one end, and others come: the segment with the possible executions has the fewest live bytes then.
+    let until = (later + 10) * MS;
+    let ends: Vec<Record> = (1..30)
+        .map(|i| Record::Completed {
+            id: format!("m{i:03}"),
+            until,
+        })
+        .collect();
+    journal.append(later + 20, &ends).expect("room");
+    for i in 0..80 {
+        let mut record = accepted(&format!("later{i}"), 0);
+        if let Record::Accepted { body, .. } = &mut record {
+            *body = noise(i, 300);
+        }
+        journal.append(later + 20, &[record]).expect("room");
+        compact(&mut journal, 3, later + 50);
+    }
+    let files = &journal.storage().files;
+    assert!(
+        !files.contains_key(&name) && !files.contains_key(&first),
+        "{name} {first} {:?}",
+        files.keys()
+    );
+    let (_, again) = open(journal.storage().after_death(), later + 60);
+    assert_eq!((open_ids(&again.records)[0], again.doubted), ("m000", 1));
+}
+
+#[test]
+fn damaged_headers_and_manifests_are_recovered() {
+    let files = filled(60).storage().after_death();
+    let all = segments(&files);
+    for name in [&all[0], &all[2], all.last().expect("a head")] {
+        for at in [0, 9, 13, 20, 45, 60] {
+            let mut files = files.clone();
+            files.files.get_mut(name).expect("a segment")[at] ^= 0x02;
+            let (_, found) = open(files, START + 100);
+            assert_eq!(open_ids(&found.records).len(), 60, "{name}, byte {at}");
+            assert_eq!(found.doubted, 0, "the manifest has what the header says");
+        }
+    }
+    for at in [0, 8, 9, 12, 30, 100] {
+        let mut files = files.clone();
+        files.files.get_mut("manifest").expect("a manifest")[at] ^= 0x02;
+        let (journal, found) = open(files, START + 100);
+        assert_eq!(open_ids(&found.records).len(), 60);
+        // A version that is put right is no damage; else it is not known what is missing.
+        let unlisted = found.damage.iter().any(|d| d.why == DamageCause::Unlisted);
+        assert_eq!(
+            (unlisted, found.doubted),
+            (at != 8 && at != 9, if unlisted { 60 } else { 0 }),
+            "byte {at}"
+        );
+        let (_, again) = open(journal.storage().after_death(), START + 110);
+        assert_eq!(
+            (again.damage.len(), again.doubted),
+            (0, found.doubted),
+            "possible executions are recorded"
+        );
+    }
+}
+
+#[test]
+fn a_missing_segment_is_noticed_with_what_it_may_have_held() {
+    let files = filled(60).storage().after_death();
+    let all = segments(&files);
+    let mut without = files.clone();
+    without.files.remove(&all[3]);
+    let (journal, found) = open(without, START + 100);
+    assert_eq!(
+        (found.damage.len(), found.damage[0].why),
+        (1, DamageCause::Missing)
+    );
+    let known = open_ids(&found.records).len();
+    assert!(known < 60 && known + found.damage[0].taken as usize >= 60);
+    assert!(
+        found.doubted > 0 && found.doubted < known,
+        "only what was accepted before its end"
+    );
+    let (_, again) = open(journal.storage().after_death(), START + 110);
+    assert_eq!((again.damage.len(), again.doubted), (0, found.doubted));
+}
+
+#[test]
+fn swapped_and_duplicated_segments_keep_their_records() {
+    let files = filled(60).storage().after_death();
+    let all = segments(&files);
+    let expected = open(files.clone(), START + 100).1.records;
+    let mut swapped = files.clone();
+    let (a, b) = (files.files[&all[1]].clone(), files.files[&all[4]].clone());
+    swapped.files.insert(all[1].clone(), b);
+    swapped.files.insert(all[4].clone(), a);
+    let (mut journal, found) = open(swapped, START + 100);
+    assert_eq!((found.damage.len(), &found.records), (0, &expected));
+    // They go by their names on disk when they are compacted.
+    let ends: Vec<Record> = (0..60).map(|i| completed(&format!("m{i:03}"))).collect();
+    journal.append(START + 200, &ends).expect("room");
+    compact(&mut journal, 500, START + 100 + DURATION);
+    assert!(
+        !journal.storage().files.contains_key(&all[1])
+            && !journal.storage().files.contains_key(&all[4])
+    );
+    assert!(
+        open(journal.storage().after_death(), START + 3000)
+            .1
+            .records
+            .is_empty()
+    );
+
+    let mut copied = files.clone();
+    copied
+        .files
+        .insert("0000ffff.seg".into(), files.files[&all[1]].clone());
+    let (_, found) = open(copied, START + 100);
+    assert_eq!(
+        (found.records, found.foreign),
+        (expected, vec!["0000ffff.seg".to_owned()])
+    );
+}
+
+/// An operator puts a backup's file in place: it must not bring back what has ended since.
+#[test]
+fn stale_and_foreign_segments_are_recognised() {
+    let mut journal = filled(30);
+    let old = journal.storage().after_death();
+    let ends: Vec<Record> = (0..30).map(|i| completed(&format!("m{i:03}"))).collect();
+    journal.append(START + 50, &ends).expect("room");
+    compact(&mut journal, 500, START + 50);
+    let files = journal.storage().after_death();
+    let removed: Vec<String> = segments(&old)
+        .into_iter()
+        .filter(|n| !files.files.contains_key(n))
+        .collect();
+    assert!(
+        removed.len() > 3,
+        "compaction has removed most: {removed:?}"
+    );
+    let mut stale = files.clone();
+    for name in &removed {
+        stale.files.insert(name.clone(), old.files[name].clone());
+    }
+    let (_, found) = open(stale, START + 100);
+    assert!(open_ids(&found.records).is_empty() && found.damage.is_empty());
+    // The whole older manifest as well: then it is not believed.
+    let mut stale = files.clone();
+    stale
+        .files
+        .insert("manifest".into(), old.files["manifest"].clone());
+    let (_, found) = open(stale, START + 100);
+    assert!(
+        found.damage.iter().any(|d| d.why == DamageCause::Unlisted),
+        "{:?}",
+        found.damage
+    );
+    assert!(open_ids(&found.records).is_empty());
+    // Somebody else's.
+    let mut other = Memory::new(64 * 1024);
+    other.append("0000fffe.seg", &[1; 500]).expect("room");
+    let (mut foreign, _) = Journal::open(
+        Memory::new(64 * 1024),
+        &Options {
+            fresh_key: [9; 32],
+            ..options(64 * 1024)
+        },
+        START,
+    )
+    .expect("opens");
+    foreign.append(START, &[accepted("x", 10)]).expect("room");
+    let theirs = foreign.storage().after_death();
+    let mut mixed = files.clone();
+    mixed.files.insert(
+        "0000fffe.seg".into(),
+        theirs.files[&segments(&theirs)[0]].clone(),
+    );
+    let (_, found) = open(mixed, START + 100);
+    assert_eq!(found.foreign, ["0000fffe.seg"]);
+    assert!(open_ids(&found.records).is_empty());
+}
+
+#[test]
+fn an_older_copy_of_a_finished_segment_is_noticed() {
+    let mut journal = filled(4);
+    let early = journal.storage().after_death();
+    let head = segments(&early).pop().expect("a head");
+    for i in 4..40 {
+        journal
+            .append(START, &[accepted(&format!("m{i:03}"), 100)])
+            .expect("room");
+    }
+    let mut files = journal.storage().after_death();
+    assert!(segments(&files).last() != Some(&head));
+    files.files.insert(head.clone(), early.files[&head].clone());
+    let (_, found) = open(files, START + 100);
+    assert_eq!(
+        (found.damage.len(), found.damage[0].why),
+        (1, DamageCause::Short)
+    );
+    assert!(found.doubted > 0);
+}
+
+#[test]
+fn a_newer_format_is_rejected_and_nothing_changed() {
+    let files = filled(10).storage().after_death();
+    for (name, bytes) in [("manifest", [8, 20]), ("00000001.seg", [8, 60])] {
+        let mut newer = files.clone();
+        let file = newer.files.get_mut(name).expect("a file");
+        // A later version, and a signature that this one can't check.
+        file[bytes[0]] = 2;
+        file[bytes[1]] ^= 1;
+        let before = newer.files.clone();
+        let shared = SharedStorage::new(newer);
+        let error = Journal::open(shared.clone(), &options(64 * 1024), START)
+            .map(|_| ())
+            .expect_err("refused");
+        assert!(
+            matches!(&error, OpenError::Newer { file, version: 2, .. } if file == name),
+            "{error}"
+        );
+        assert_eq!(error.to_string().lines().count(), 1);
+        assert_eq!(shared.0.borrow().files, before);
+    }
+}
+
+#[test]
+fn a_wrong_or_lost_key_is_rejected_and_an_operators_key_replaces_the_folders() {
+    let files = filled(10).storage().after_death();
+    let own = Options {
+        key: Some([8; 32]),
+        ..options(files.disk)
+    };
+    // The folder's own key is still there: both are tried, and from now on the operator's signs.
+    let (journal, found) = Journal::open(files.clone(), &own, START + 50).expect("opens");
+    assert_eq!(open_ids(&found.records).len(), 10);
+    let (_, found) =
+        Journal::open(journal.storage().after_death(), &own, START + 60).expect("opens");
+    assert_eq!(
+        (open_ids(&found.records).len(), found.damage.len()),
+        (10, 0)
+    );
+    let mut keyless = files.clone();
+    keyless.files.remove("key");
+    let refused = Journal::open(keyless, &own, START)
+        .map(|_| ())
+        .expect_err("refused");
+    assert!(matches!(refused, OpenError::WrongKey), "{refused}");
+    let mut lost = files;
+    lost.files.insert("key".into(), vec![0; 108]);
+    let refused = Journal::open(lost, &options(64 * 1024), START)
+        .map(|_| ())
+        .expect_err("refused");
+    assert!(matches!(refused, OpenError::KeyLost), "{refused}");
+}
--- a/crates/journal/tests/fuzz_seeds.rs
+++ b/crates/journal/tests/fuzz_seeds.rs
@@ -1,10 +1,10 @@
-//! The fuzz targets' seeds, run by an ordinary test; `JOURNAL_SEEDS=write` makes those anew that come from a day.
+//! The fuzz targets' seeds, run by an ordinary test; `JOURNAL_SEEDS=write` makes those anew that come from a scenario.
 
 mod common;
 
 use std::path::{Path, PathBuf};
 
-use common::*;
+use common::{KEY, START, Scenario, open};
 use cranehill_journal::{Memory, fuzzing};
 
 fn seeds(target: &str) -> PathBuf {
@@ -31,10 +31,10 @@
 fn write_seeds() {
     for seed in 1..=6u64 {
         let (mut journal, _) = open(Memory::new(64 * 1024), START);
-        let mut day = Scenario::new(seed);
+        let mut scenario = Scenario::new(seed);
         for _ in 0..seed * 3 {
-            let records = day.turn();
-            journal.append(day.now, &records).expect("room");
+            let records = scenario.tick();
+            journal.append(scenario.now, &records).expect("room");
         }
         let files = journal.storage().after_death();
         let payloads = fuzzing::payloads(&files, &KEY);
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -129,6 +129,7 @@
 }
 
 /// What is appended to `intact`: one list for each call, with its time behind the start.
+#[expect(clippy::too_many_lines, reason = "a list of data")]
 fn append_calls() -> Vec<(u64, Vec<Record>)> {
     vec![
         (
--- /dev/null
+++ b/crates/journal/tests/lifecycle.rs
@@ -0,0 +1,115 @@
+//! A journal over its lifetime: completed ids, times, empty and real folders.
+
+mod common;
+
+use std::sync::Arc;
+
+use common::{
+    DURATION, MS, Model, START, Scenario, accepted, attempt_started, compact, completed, filled,
+    open, open_ids, options, segments,
+};
+use cranehill_core::Record;
+use cranehill_journal::{Folder, Journal, Memory, Options, Storage};
+
+#[test]
+fn completed_ids_are_kept_for_the_lifetime_of_a_message() {
+    let (mut journal, _) = open(Memory::new(64 * 1024), START);
+    journal
+        .append(START, &[accepted("a", 10), attempt_started("a", 0)])
+        .expect("room");
+    journal.append(START, &[completed("a")]).expect("room");
+    compact(&mut journal, 50, START + DURATION - 1);
+    let (mut journal, found) = open(journal.storage().after_death(), START + DURATION - 1);
+    assert_eq!(found.records, [completed("a")]);
+    compact(&mut journal, 50, START + DURATION);
+    let (_, found) = open(journal.storage().after_death(), START + DURATION);
+    assert!(found.records.is_empty(), "{:?}", found.records);
+    // And if the id comes again then, it is another message.
+    journal
+        .append(START + 5000, &[accepted("a", 20)])
+        .expect("room");
+    let (_, found) = open(journal.storage().after_death(), START + 5000);
+    assert_eq!(open_ids(&found.records), ["a"]);
+}
+
+#[test]
+fn the_latest_time_is_recovered_so_that_a_clock_set_back_extends_no_deadline() {
+    let (mut journal, _) = open(Memory::new(64 * 1024), START);
+    journal.append(START, &[accepted("a", 10)]).expect("room");
+    let late = Record::AttemptStarted {
+        id: "a".into(),
+        attempt: 0,
+        endpoint: "e".into(),
+        at: (START + 900) * MS,
+    };
+    journal.append(START + 900, &[late]).expect("room");
+    let (_, found) = open(journal.storage().after_death(), START - 3_600_000);
+    assert_eq!(found.latest, START + 900);
+}
+
+#[test]
+fn an_empty_folder_is_a_new_journal_and_a_body_that_holds_a_frame_is_a_body() {
+    let key = Options {
+        fresh_key: [3; 32],
+        ..options(64 * 1024)
+    };
+    let (mut journal, found) = Journal::open(Memory::new(64 * 1024), &key, START).expect("opens");
+    assert!(
+        found.records.is_empty() && found.damage.is_empty() && !journal.wants_compaction(START)
+    );
+    // Any bytes, also what looks like our own segment.
+    let ours = filled(3).storage().after_death();
+    let name = segments(&ours).pop().expect("a segment");
+    let body: Arc<[u8]> = Arc::from(ours.files[&name].clone());
+    let mut record = accepted("outer", 0);
+    if let Record::Accepted { body: b, .. } = &mut record {
+        *b = body.clone();
+    }
+    journal
+        .append(START, &[record, accepted("next", 5)])
+        .expect("room");
+    let mut files = journal.storage().after_death();
+    let head = segments(&files).pop().expect("a head");
+    // Its frame's head is hit: reading goes on inside the body.
+    let bytes = files.files.get_mut(&head).expect("a head");
+    bytes[72] ^= 0xff;
+    let (_, found) = open(files, START);
+    assert_eq!(open_ids(&found.records), ["next"]);
+}
+
+#[test]
+fn a_real_folder_behaves_as_the_one_in_memory() {
+    let dir = tempfile::tempdir().expect("a folder");
+    let disk = 64 * 1024;
+    let at = |now| {
+        let folder = Folder::new(dir.path(), disk).expect("a folder");
+        Journal::open(folder, &options(disk), now).expect("opens")
+    };
+    let (mut real, _) = at(START);
+    let (mut memory, _) = open(Memory::new(disk), START);
+    let (mut scenario, mut model) = (Scenario::new(5), Model::default());
+    for tick in 0..300 {
+        let records = scenario.tick();
+        assert!(
+            real.append(scenario.now, &records).is_ok()
+                && memory.append(scenario.now, &records).is_ok()
+        );
+        model.append(&records);
+        assert_eq!(real.compact(scenario.now), memory.compact(scenario.now));
+        if tick % 60 == 59 {
+            let (again, found) = at(scenario.now);
+            model.check(&found, scenario.now).expect("the model's");
+            assert_eq!(
+                found.records,
+                open(memory.storage().after_death(), scenario.now).1.records
+            );
+            (real, memory) = (again, open(memory.storage().after_death(), scenario.now).0);
+        }
+    }
+    let files: u64 = Folder::existing(dir.path(), disk)
+        .and_then(|mut f| f.list())
+        .expect("a list")
+        .values()
+        .sum();
+    assert!(files < disk);
+}
--- a/crates/journal/tests/property.rs
+++ b/crates/journal/tests/property.rs
@@ -4,15 +4,15 @@
 
 use std::collections::BTreeMap;
 
-use common::*;
+use common::{MS, MessageModel, Model, START, Scenario, compact, open, options};
 use cranehill_core::{FinalReport, Persisted, Record};
-use cranehill_journal::{Crash, Journal, Memory, Recovered};
+use cranehill_journal::{BLOCK_BYTES, Crash, DamagedRange, Journal, Memory, Recovered, disk_usage};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 #[derive(Clone, Debug)]
-enum ScheduledAction {
-    Turns(u8),
+enum Action {
+    Ticks(u8),
     Compact(u8),
     /// Killed so many operations from now, so many bytes into it, and started again.
     Kill(u8, u8),
@@ -20,11 +20,12 @@
     Restart,
     /// The disk holds so many blocks more than are used.
     Disk(u8),
-    Refuse(Refusal, u8),
+    /// An operation fails for so many ticks.
+    Deny(DeniedOperation, u8),
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Refusal {
+enum DeniedOperation {
     Appends,
     Truncates,
     Renames,
@@ -42,23 +43,23 @@
     Noise { file: u8, at: u16 },
 }
 
-fn act() -> impl Strategy<Value = ScheduledAction> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        8 => (1..12u8).prop_map(ScheduledAction::Turns),
-        4 => (1..12u8).prop_map(ScheduledAction::Compact),
-        3 => (0..12u8, any::<u8>()).prop_map(|(op, bytes)| ScheduledAction::Kill(op, bytes)),
-        1 => Just(ScheduledAction::Restart),
-        1 => (0..40u8).prop_map(ScheduledAction::Disk),
-        2 => (refusal(), 1..5u8).prop_map(|(what, turns)| ScheduledAction::Refuse(what, turns)),
+        8 => (1..12u8).prop_map(Action::Ticks),
+        4 => (1..12u8).prop_map(Action::Compact),
+        3 => (0..12u8, any::<u8>()).prop_map(|(op, bytes)| Action::Kill(op, bytes)),
+        1 => Just(Action::Restart),
+        1 => (0..40u8).prop_map(Action::Disk),
+        2 => (denied_operation(), 1..5u8).prop_map(|(operation, ticks)| Action::Deny(operation, ticks)),
     ]
 }
 
-fn refusal() -> impl Strategy<Value = Refusal> {
+fn denied_operation() -> impl Strategy<Value = DeniedOperation> {
     prop_oneof![
-        Just(Refusal::Appends),
-        Just(Refusal::Truncates),
-        Just(Refusal::Renames),
-        Just(Refusal::Removes)
+        Just(DeniedOperation::Appends),
+        Just(DeniedOperation::Truncates),
+        Just(DeniedOperation::Renames),
+        Just(DeniedOperation::Removes)
     ]
 }
 
@@ -73,38 +74,38 @@
     ]
 }
 
-/// A journal with the model of what it has promised.
-struct Bench {
+/// A journal with the model of what it has acknowledged.
+struct Harness {
     journal: Journal<Memory>,
-    day: Scenario,
+    scenario: Scenario,
     model: Model,
     disk: u64,
     /// What was being written when the storage died.
     writing: Vec<Record>,
 }
 
-impl Bench {
-    fn new(seed: u64) -> Bench {
+impl Harness {
+    fn new(seed: u64) -> Harness {
         let disk = 32 * 1024;
         let (journal, _) = open(Memory::new(disk), START);
-        Bench {
+        Harness {
             journal,
-            day: Scenario::new(seed),
+            scenario: Scenario::new(seed),
             model: Model::default(),
             disk,
             writing: Vec::new(),
         }
     }
 
-    /// One turn; false if the storage died in it.
-    fn turn(&mut self) -> bool {
-        let records = self.day.turn();
-        // What came of it is what the sender would believe: ends that were not kept are given again.
+    /// One tick; false if the storage died in it.
+    fn tick(&mut self) -> bool {
+        let records = self.scenario.tick();
+        // The model follows what a sender knows: ends that were not persisted are appended again.
         let mut left = records;
         for _ in 0..3 {
-            match self.journal.append(self.day.now, &left) {
+            match self.journal.append(self.scenario.now, &left) {
                 Ok(()) => {
-                    self.model.take(&left);
+                    self.model.append(&left);
                     return true;
                 }
                 Err(_) if self.journal.storage().is_dead() => {
@@ -115,111 +116,119 @@
                     let (ends, rest): (Vec<Record>, Vec<Record>) =
                         left.into_iter().partition(Record::is_end);
                     if e.kept == Persisted::EndsOnly {
-                        self.model.take(&ends);
+                        self.model.append(&ends);
                     }
-                    // New messages and attempts are taken back by the sender; the day goes on as if they had been
-                    // kept, so they are submitted again here once there is room.
+                    // A sender rejects the new messages and attempts; the scenario continues as if they had been
+                    // persisted, so they are appended again here once there is room.
                     left = if e.kept == Persisted::EndsOnly {
                         rest
                     } else {
                         ends.into_iter().chain(rest).collect()
                     };
-                    let storage = self.journal.storage_mut();
-                    storage.disk = self.disk;
-                    (storage.no_appends, storage.no_truncates) = (false, false);
-                    (storage.no_renames, storage.no_removes) = (false, false);
-                    compact(&mut self.journal, 40, self.day.now);
+                    self.restore_storage();
+                    compact(&mut self.journal, 40, self.scenario.now);
                 }
             }
         }
         panic!(
-            "no room for a turn, though the disk is large: {:?}",
+            "no room for a tick, though the disk is large: {:?}",
             self.journal.stats()
         );
     }
 
-    fn act(&mut self, act: &ScheduledAction) -> Result<(), TestCaseError> {
-        match *act {
-            ScheduledAction::Turns(n) => {
+    fn perform(&mut self, action: &Action) -> Result<(), TestCaseError> {
+        match *action {
+            Action::Ticks(n) => {
                 for _ in 0..n {
-                    prop_assert!(self.turn());
+                    prop_assert!(self.tick());
                 }
             }
-            ScheduledAction::Compact(n) => compact(&mut self.journal, u32::from(n), self.day.now),
-            ScheduledAction::Kill(operations, bytes) => {
-                let storage = self.journal.storage_mut();
-                let operation = storage.log.len() as u64 + u64::from(operations);
-                storage.crash = Some(Crash {
-                    operation,
-                    bytes: usize::from(bytes),
-                });
-                // Until it dies.
-                for _ in 0..200 {
-                    if !self.turn() {
-                        break;
-                    }
-                    self.journal.compact(self.day.now);
-                    if self.journal.storage().is_dead() {
-                        break;
-                    }
-                }
+            Action::Compact(n) => {
+                compact(&mut self.journal, u32::from(n), self.scenario.now);
+            }
+            Action::Kill(operations, bytes) => {
+                self.run_until_killed(u64::from(operations), usize::from(bytes));
                 return self.restart_after_kill();
             }
-            ScheduledAction::Restart => {
-                let (journal, found) = open(self.journal.storage().after_death(), self.day.now);
-                self.journal = journal;
-                prop_assert_eq!(found.damage.len(), 0);
-                if let Err(e) = self.model.agrees(&found, self.day.now) {
-                    prop_assert!(false, "{}", e);
+            Action::Restart => return self.restart(),
+            Action::Disk(blocks) => self.run_with_room(u64::from(blocks)),
+            Action::Deny(operation, ticks) => {
+                for _ in 0..ticks {
+                    self.run_with_denied(operation);
                 }
+                self.restore_storage();
             }
-            ScheduledAction::Disk(blocks) => {
-                let storage = self.journal.storage_mut();
-                let used: u64 = storage
-                    .files
-                    .values()
-                    .map(|f| cranehill_journal::disk_usage(f.len() as u64))
-                    .sum();
-                storage.disk = used + u64::from(blocks) * 512;
-                self.turn();
-                for _ in 0..20 {
-                    self.journal.compact(self.day.now);
-                }
-                self.journal.storage_mut().disk = self.disk;
+        }
+        Ok(())
+    }
+
+    fn run_until_killed(&mut self, operations: u64, bytes: usize) {
+        let storage = self.journal.storage_mut();
+        let operation = storage.log.len() as u64 + operations;
+        storage.crash = Some(Crash { operation, bytes });
+        for _ in 0..200 {
+            if !self.tick() {
+                break;
             }
-            ScheduledAction::Refuse(what, turns) => {
-                for _ in 0..turns {
-                    let storage = self.journal.storage_mut();
-                    match what {
-                        Refusal::Appends => storage.no_appends = true,
-                        Refusal::Truncates => storage.no_truncates = true,
-                        Refusal::Renames => storage.no_renames = true,
-                        Refusal::Removes => storage.no_removes = true,
-                    }
-                    // With short writes besides.
-                    let used: u64 = storage
-                        .files
-                        .values()
-                        .map(|f| cranehill_journal::disk_usage(f.len() as u64))
-                        .sum();
-                    storage.disk = used + 512;
-                    for _ in 0..4 {
-                        self.journal.compact(self.day.now);
-                    }
-                    self.turn();
-                }
-                let storage = self.journal.storage_mut();
-                storage.disk = self.disk;
-                (storage.no_appends, storage.no_truncates) = (false, false);
-                (storage.no_renames, storage.no_removes) = (false, false);
+            self.journal.compact(self.scenario.now);
+            if self.journal.storage().is_dead() {
+                break;
             }
         }
+    }
+
+    fn restart(&mut self) -> Result<(), TestCaseError> {
+        let (journal, found) = open(self.journal.storage().after_death(), self.scenario.now);
+        self.journal = journal;
+        prop_assert_eq!(found.damage.len(), 0);
+        if let Err(e) = self.model.check(&found, self.scenario.now) {
+            prop_assert!(false, "{}", e);
+        }
         Ok(())
     }
 
-    /// After a kill the folder has what was promised, and perhaps a first part of what was being written.
+    /// One tick and some compaction with this many free blocks.
+    fn run_with_room(&mut self, blocks: u64) {
+        self.limit_disk(blocks);
+        self.tick();
+        compact(&mut self.journal, 20, self.scenario.now);
+        self.journal.storage_mut().disk = self.disk;
+    }
+
+    /// Some compaction and one tick while an operation fails, and appends are cut short.
+    fn run_with_denied(&mut self, operation: DeniedOperation) {
+        let storage = self.journal.storage_mut();
+        match operation {
+            DeniedOperation::Appends => storage.no_appends = true,
+            DeniedOperation::Truncates => storage.no_truncates = true,
+            DeniedOperation::Renames => storage.no_renames = true,
+            DeniedOperation::Removes => storage.no_removes = true,
+        }
+        self.limit_disk(1);
+        compact(&mut self.journal, 4, self.scenario.now);
+        self.tick();
+    }
+
+    fn limit_disk(&mut self, free_blocks: u64) {
+        let storage = self.journal.storage_mut();
+        let used: u64 = storage
+            .files
+            .values()
+            .map(|file| disk_usage(file.len() as u64))
+            .sum();
+        storage.disk = used + free_blocks * BLOCK_BYTES;
+    }
+
+    fn restore_storage(&mut self) {
+        let storage = self.journal.storage_mut();
+        storage.disk = self.disk;
+        (storage.no_appends, storage.no_truncates) = (false, false);
+        (storage.no_renames, storage.no_removes) = (false, false);
+    }
+
+    /// After a kill the folder has what was acknowledged, and perhaps a first part of what was being written.
     fn restart_after_kill(&mut self) -> Result<(), TestCaseError> {
-        let (journal, found) = open(self.journal.storage().after_death(), self.day.now);
+        let (journal, found) = open(self.journal.storage().after_death(), self.scenario.now);
         self.journal = journal;
         prop_assert!(
             found.damage.is_empty() && found.lost.is_empty(),
@@ -233,92 +242,141 @@
                 .map(|n| records[..n].to_vec())
                 .collect::<Vec<_>>()
         };
-        let mut why = String::new();
+        let mut last = Ok(());
         for part in parts(&writing).into_iter().chain(parts(&ends)) {
             let mut model = self.model.clone();
-            model.take(&part);
-            match model.agrees(&found, self.day.now) {
-                Ok(()) => {
-                    self.model = model;
-                    self.day.resume(&found.records);
-                    return Ok(());
-                }
-                Err(e) => why = e,
+            model.append(&part);
+            last = model.check(&found, self.scenario.now);
+            if last.is_ok() {
+                self.model = model;
+                self.scenario.resume(&found.records);
+                return Ok(());
             }
         }
-        prop_assert!(false, "{}", why);
+        prop_assert!(false, "{:?}", last);
         Ok(())
     }
 }
 
 /// What is found as the sender reads it: by message, its attempts used and whether it may have been executed.
-fn read(records: &[Record]) -> BTreeMap<String, Reservation> {
+fn read(records: &[Record]) -> BTreeMap<String, MessageModel> {
     let mut model = Model::default();
-    model.take(records);
+    model.append(records);
     model.messages
 }
 
-/// The promises, weaker than equality: also with damage.
-fn holds(promised: &Model, found: &Recovered, now: u64) -> Result<(), String> {
+/// A guarantee that a recovery breaks.
+#[derive(Debug, thiserror::Error)]
+enum BrokenGuarantee {
+    #[error("{id} ended, and is open again")]
+    Reopened { id: String },
+    #[error("{id}: {found} attempts known of {expected}")]
+    AttemptsForgotten {
+        id: String,
+        found: u32,
+        expected: u32,
+    },
+    #[error("{id} may have been executed, and that is not known")]
+    ExecutionForgotten { id: String },
+    #[error("{id} is open, and found as ended")]
+    Ended { id: String },
+    #[error("the final report of {id} is not due any more")]
+    FinalReportForgotten { id: String },
+    #[error("{id} is not remembered")]
+    NotRemembered { id: String },
+    #[error("{lost} messages are lost and {counted} counted: {damage:?}")]
+    LossNotCounted {
+        lost: u64,
+        counted: u64,
+        damage: Vec<DamagedRange>,
+    },
+}
+
+/// The guarantees, weaker than equality: also with damage.
+fn check_guarantees(model: &Model, found: &Recovered, now: u64) -> Result<(), BrokenGuarantee> {
     let messages = read(&found.records);
-    let damaged = !found.damage.is_empty();
     let mut lost = 0;
-    for (id, reserved_bytes) in &promised.messages {
-        let there = messages.get(id);
-        let ended = reserved_bytes.final_report.is_some() || reserved_bytes.over.is_some();
-        match there {
-            // Damage may have hidden its end; then it must not go out as if it had never run.
-            Some(there) if there.open() && ended && !(damaged && there.may_have_run()) => {
-                return Err(format!("{id} ended, and is open again"));
-            }
-            Some(there) if there.open() && ended => {}
-            Some(there) if there.open() => {
-                if there.attempts() < reserved_bytes.attempts() {
-                    return Err(format!(
-                        "{id}: {} attempts known of {}",
-                        there.attempts(),
-                        reserved_bytes.attempts()
-                    ));
-                }
-                if reserved_bytes.may_have_run() && !there.may_have_run() {
-                    return Err(format!("{id} may have run, and that is not known"));
-                }
-            }
-            Some(there) if reserved_bytes.open() => {
-                let failed = matches!(
-                    there.final_report,
-                    Some(Record::FinalReportDue {
-                        final_report: FinalReport::Failed,
-                        ..
-                    })
-                );
-                if !(damaged && failed && found.lost.iter().any(|l| l.id == *id)) {
-                    return Err(format!("{id} is open, and found as ended"));
-                }
-            }
-            None if reserved_bytes.open() => lost += 1,
-            None if reserved_bytes.final_report.is_some()
-                && reserved_bytes.over.is_none()
-                && !damaged =>
-            {
-                return Err(format!("the report of {id} is not owed any more"));
-            }
-            None if reserved_bytes.over.is_some_and(|until| until > now * MS) && !damaged => {
-                return Err(format!("{id} is not remembered"));
-            }
-            _ => {}
+    for (id, expected) in &model.messages {
+        match messages.get(id) {
+            Some(message) => check_found(id, expected, message, found)?,
+            None if expected.is_open() => lost += 1,
+            None => check_forgotten(id, expected, found, now)?,
         }
     }
     let counted: u64 = found.damage.iter().map(|d| u64::from(d.taken)).sum();
     if lost > counted {
-        return Err(format!(
-            "{lost} notices are gone and {counted} counted: {:?}",
-            found.damage
-        ));
+        let damage = found.damage.clone();
+        return Err(BrokenGuarantee::LossNotCounted {
+            lost,
+            counted,
+            damage,
+        });
+    }
+    Ok(())
+}
+
+fn check_found(
+    id: &str,
+    expected: &MessageModel,
+    message: &MessageModel,
+    found: &Recovered,
+) -> Result<(), BrokenGuarantee> {
+    let id = id.to_owned();
+    let damaged = !found.damage.is_empty();
+    if message.is_open() && expected.has_ended() {
+        // Damage may have hidden its end; then it must not be attempted as if it had never been executed.
+        return if damaged && message.is_possibly_executed() {
+            Ok(())
+        } else {
+            Err(BrokenGuarantee::Reopened { id })
+        };
+    }
+    if message.is_open() {
+        if message.attempts() < expected.attempts() {
+            return Err(BrokenGuarantee::AttemptsForgotten {
+                id,
+                found: message.attempts(),
+                expected: expected.attempts(),
+            });
+        }
+        if expected.is_possibly_executed() && !message.is_possibly_executed() {
+            return Err(BrokenGuarantee::ExecutionForgotten { id });
+        }
+        return Ok(());
+    }
+    let failed = matches!(
+        message.final_report,
+        Some(Record::FinalReportDue {
+            final_report: FinalReport::Failed,
+            ..
+        })
+    );
+    let concluded = damaged && failed && found.lost.iter().any(|lost| lost.id == id);
+    if expected.is_open() && !concluded {
+        return Err(BrokenGuarantee::Ended { id });
     }
     Ok(())
 }
 
+fn check_forgotten(
+    id: &str,
+    expected: &MessageModel,
+    found: &Recovered,
+    now: u64,
+) -> Result<(), BrokenGuarantee> {
+    let id = id.to_owned();
+    if !found.damage.is_empty() {
+        return Ok(());
+    }
+    match expected.completed_until {
+        Some(until) if until > now * MS => Err(BrokenGuarantee::NotRemembered { id }),
+        None if expected.final_report.is_some() => {
+            Err(BrokenGuarantee::FinalReportForgotten { id })
+        }
+        _ => Ok(()),
+    }
+}
+
 fn pick(files: &Memory, n: u8) -> String {
     let names: Vec<&String> = files.files.keys().collect();
     names[usize::from(n) % names.len()].clone()
@@ -403,55 +461,55 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Whatever fails in between, what is found again is what was promised.
+    /// Whatever fails in between, what is found again is what was acknowledged.
     #[test]
-    fn without_damage_the_journal_agrees_with_the_model(seed in any::<u64>(), acts in prop::collection::vec(act(), 1..25)) {
-        let mut bench = Bench::new(seed);
-        for act in &acts {
-            bench.act(act)?;
+    fn without_damage_the_journal_agrees_with_the_model(seed in any::<u64>(), actions in prop::collection::vec(action(), 1..25)) {
+        let mut harness = Harness::new(seed);
+        for action in &actions {
+            harness.perform(action)?;
         }
-        bench.act(&ScheduledAction::Restart)?;
+        harness.perform(&Action::Restart)?;
     }
 
-    /// Damage hides facts: what they may have said counts as said, and no message goes without being counted.
+    /// Damage hides records: what they may have recorded counts as recorded, and every lost message is counted.
     #[test]
-    fn with_damage_nothing_runs_as_if_for_the_first_time_and_every_loss_is_counted(
+    fn with_damage_possible_executions_are_known_and_every_loss_is_counted(
         seed in any::<u64>(),
-        acts in prop::collection::vec(act(), 4..20),
-        wounds in prop::collection::vec(damage(), 1..4),
+        actions in prop::collection::vec(action(), 4..20),
+        damages in prop::collection::vec(damage(), 1..4),
     ) {
-        let mut bench = Bench::new(seed);
-        for act in &acts {
-            bench.act(act)?;
+        let mut harness = Harness::new(seed);
+        for action in &actions {
+            harness.perform(action)?;
         }
-        let mut files = bench.journal.storage().after_death();
-        let mut head = bench.journal.head().map(str::to_owned);
-        for wound in &wounds {
-            inflict(&mut files, wound, &mut head);
+        let mut files = harness.journal.storage().after_death();
+        let mut head = harness.journal.head().map(str::to_owned);
+        for damage in &damages {
+            inflict(&mut files, damage, &mut head);
         }
         if !files.files.keys().any(|n| n == "manifest" || n.ends_with(".seg")) {
             // Nothing is left that could tell that there ever was anything.
             return Ok(());
         }
-        let now = bench.day.now;
+        let now = harness.scenario.now;
         let options = options(files.disk);
         let Ok((mut journal, found)) = Journal::open(files, &options, now) else {
             // Every file that could prove the folder ours is hit: refused, and nothing touched.
             return Ok(());
         };
-        let verdict = holds(&bench.model, &found, now);
-        prop_assert!(verdict.is_ok(), "{:?}\n{:?}\n{:?}", verdict, found.damage, wounds);
-        // The doubt outlives the damaged files: nothing that was in doubt is free of it after compaction and a restart.
+        let verdict = check_guarantees(&harness.model, &found, now);
+        prop_assert!(verdict.is_ok(), "{:?}\n{:?}\n{:?}", verdict, found.damage, damages);
+        // Possible executions outlive the damaged files: they are known after compaction and a restart too.
         for _ in 0..200 {
             journal.compact(now);
         }
         let (again, later) = open(journal.storage().after_death(), now);
         let (first, second) = (read(&found.records), read(&later.records));
-        for (id, reserved_bytes) in first.iter().filter(|(_, o)| o.open()) {
-            let there = second.get(id).expect("an open notice stays");
-            prop_assert!(there.open(), "{} is open", id);
-            prop_assert!(there.attempts() >= reserved_bytes.attempts(), "{}: attempts", id);
-            prop_assert!(there.may_have_run() || !reserved_bytes.may_have_run(), "{}: doubt", id);
+        for (id, message) in first.iter().filter(|(_, message)| message.is_open()) {
+            let there = second.get(id).expect("an open message stays");
+            prop_assert!(there.is_open(), "{} is open", id);
+            prop_assert!(there.attempts() >= message.attempts(), "{}: attempts", id);
+            prop_assert!(there.is_possibly_executed() || !message.is_possibly_executed(), "{}: possibly executed", id);
         }
         drop(again);
     }
