--- /dev/null
+++ b/crates/journal/benches/journal/compaction.rs
@@ -0,0 +1,145 @@
+//! What compaction writes, and for how long a step takes.
+
+use std::time::{Duration, Instant};
+
+use cranehill_core::Record;
+use cranehill_journal::{Folder, Journal, Memory};
+
+use crate::baselines::to_legacy;
+use crate::fixtures::{
+    MS, NOW, accepted, attempt_started, body, id, median, open_journal, options, temporary_folder,
+};
+use crate::legacy_ledger::{LegacyLedger, LegacyRecord};
+
+/// Pending messages while steps are measured.
+const OPEN: u64 = 100_000;
+
+/// A folder of 0.5 MB in which messages are accepted and completed.
+pub(crate) fn amplification() {
+    const DISK: u64 = 500_000;
+    const TICKS: u64 = 20_000;
+    println!(
+        "\nwrite amplification in a folder of 0.5 MB, {TICKS} batches of one message accepted and one completed"
+    );
+    for pending in [50u64, 200, 400] {
+        let b = temporary_folder();
+        let (mut journal, _) =
+            Journal::open(Memory::new(DISK), &options(DISK), NOW).expect("opens");
+        let (mut ledger, _) = LegacyLedger::open(b.path(), DISK).expect("opens");
+        let (mut appended, mut rejected, mut rewrites) = (0, 0, 0);
+        for n in 0..TICKS {
+            let now = NOW + n * 50;
+            let mut records = vec![accepted(n, body(n, 212, false)), attempt_started(n, 0)];
+            if n >= pending {
+                // Some stay longer.
+                let until = (now + 20_000) * MS;
+                let ends = [n - pending, n - pending / 2].into_iter().zip([0, 1]);
+                let due = ends.filter(|(older, soon)| (older % 7 == 0) == (*soon == 0));
+                records.extend(due.map(|(older, _)| Record::Completed {
+                    id: id(older),
+                    until,
+                }));
+            }
+            rejected += u64::from(journal.append(now, &records).is_err());
+            journal.compact(now);
+            let legacy_records: Vec<LegacyRecord> = records.iter().map(to_legacy).collect();
+            let before = ledger.written;
+            ledger.append(&legacy_records).expect("room");
+            appended += ledger.written - before;
+            if ledger.wants_rewrite() {
+                let live: Vec<LegacyRecord> = (n.saturating_sub(pending)..=n)
+                    .flat_map(|n| [accepted(n, body(n, 212, false)), attempt_started(n, 0)])
+                    .map(|r| to_legacy(&r))
+                    .collect();
+                ledger.rewrite(&live).expect("room");
+                rewrites += 1;
+            }
+        }
+        let stats = journal.stats();
+        let written = journal.storage().written;
+        println!(
+            "  {pending} pending: {:.2} ({} of {} bytes, {} segments removed, {rejected} batches rejected); old {:.2} ({rewrites} rewrites)",
+            written as f64 / stats.appended as f64,
+            written,
+            stats.appended,
+            stats.removed,
+            ledger.written as f64 / appended as f64
+        );
+    }
+}
+
+/// The longest time for which a tick waits for the journal, with 100,000 open messages.
+pub(crate) fn longest_step() {
+    let (a, b) = (temporary_folder(), temporary_folder());
+    let disk = 96 << 20;
+    let mut journal = open_journal(a.path(), disk);
+    let (mut ledger, _) = LegacyLedger::open(b.path(), disk).expect("opens");
+    let mut live = Vec::new();
+    for n in (0..OPEN).step_by(16) {
+        let records: Vec<Record> = (n..n + 16)
+            .flat_map(|n| [accepted(n, body(n, 212, false)), attempt_started(n, 0)])
+            .collect();
+        journal.append(NOW, &records).expect("room");
+        live.extend(records.iter().map(to_legacy));
+    }
+    ledger.append(&live).expect("room");
+    let steps = measure_steps(&mut journal);
+    let mut rewritten = Vec::new();
+    for _ in 0..5 {
+        let t = Instant::now();
+        ledger.rewrite(&live).expect("room");
+        rewritten.push(t.elapsed());
+    }
+    print_steps(&mut journal, &steps);
+    println!("  old: rewriting {:.0} us, median of 5", median(rewritten));
+}
+
+/// Steps of a tick: the time of its append, and of its compaction.
+fn measure_steps(journal: &mut Journal<Folder>) -> Vec<(Duration, Duration)> {
+    let mut all = Vec::new();
+    // Every second message is completed, and new ones are accepted: compaction always has work.
+    for n in 0..6000u64 {
+        let now = NOW + n * 5;
+        let mut records = Vec::new();
+        for k in 0..8 {
+            let new = OPEN + n * 8 + k;
+            records.push(accepted(new, body(new, 212, false)));
+            records.push(attempt_started(new, 0));
+            records.push(Record::Completed {
+                id: id((n * 8 + k) * 2 % OPEN),
+                until: (now + 20_000) * MS,
+            });
+        }
+        let t = Instant::now();
+        journal.append(now, &records).expect("room");
+        let appended = t.elapsed();
+        let t = Instant::now();
+        journal.compact(now);
+        all.push((appended, t.elapsed()));
+    }
+    all
+}
+
+fn print_steps(journal: &mut Journal<Folder>, steps: &[(Duration, Duration)]) {
+    let most =
+        |f: fn(&(Duration, Duration)) -> Duration| steps.iter().map(f).max().unwrap_or_default();
+    let at = |f: fn(&(Duration, Duration)) -> Duration, share: f64| {
+        let mut times: Vec<Duration> = steps.iter().map(f).collect();
+        times.sort_unstable();
+        times[((times.len() - 1) as f64 * share) as usize]
+    };
+    let stats = journal.stats();
+    println!(
+        "\nlongest step with {} pending messages, {} batches of 24 records, {} segments removed",
+        stats.open,
+        steps.len(),
+        stats.removed
+    );
+    println!(
+        "  append: {:?}, 99.9% {:?}; compaction: {:?}, 99.9% {:?}",
+        most(|s| s.0),
+        at(|s| s.0, 0.999),
+        most(|s| s.1),
+        at(|s| s.1, 0.999)
+    );
+}
--- a/crates/journal/benches/old_ledger.rs
+++ b/crates/journal/benches/journal/legacy_ledger.rs
@@ -7,11 +7,11 @@
 
 use serde::{Deserialize, Serialize};
 
-const FRAME: usize = 8;
+const FRAME_HEADER_BYTES: usize = 8;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OldRecord {
+pub(crate) enum LegacyRecord {
     #[serde(rename = "taken")]
     Accepted {
         id: String,
@@ -25,7 +25,8 @@
         #[serde(skip)]
         body: Arc<[u8]>,
     },
-    Sent {
+    #[serde(rename = "sent")]
+    AttemptStarted {
         id: String,
         attempt: u32,
         endpoint: String,
@@ -38,34 +39,33 @@
         #[serde(rename = "never_ran")]
         not_executed: bool,
     },
-    Over {
-        id: String,
-    },
+    #[serde(rename = "over")]
+    Completed { id: String },
 }
 
-pub struct OldLedger {
+pub(crate) struct LegacyLedger {
     dir: PathBuf,
     file: File,
-    pub size: u64,
-    most: u64,
+    pub(crate) size: u64,
+    max_bytes: u64,
     rewrite_at: u64,
     /// Bytes written, rewriting included.
-    pub written: u64,
+    pub(crate) written: u64,
 }
 
-impl OldLedger {
-    pub fn open(dir: &Path, disk: u64) -> io::Result<(OldLedger, Vec<OldRecord>)> {
+impl LegacyLedger {
+    pub(crate) fn open(dir: &Path, disk: u64) -> io::Result<(LegacyLedger, Vec<LegacyRecord>)> {
         let path = dir.join("ledger");
         let bytes = fs::read(&path).unwrap_or_default();
         let records = decode(&bytes);
         let file = OpenOptions::new().create(true).append(true).open(&path)?;
-        let (size, most) = (bytes.len() as u64, disk * 2 / 5);
+        let (size, max_bytes) = (bytes.len() as u64, disk * 2 / 5);
         Ok((
-            OldLedger {
+            LegacyLedger {
                 dir: dir.to_owned(),
                 file,
                 size,
-                most,
+                max_bytes,
                 rewrite_at: disk / 4,
                 written: 0,
             },
@@ -73,7 +73,7 @@
         ))
     }
 
-    pub fn append(&mut self, records: &[OldRecord]) -> io::Result<()> {
+    pub(crate) fn append(&mut self, records: &[LegacyRecord]) -> io::Result<()> {
         let mut bytes = Vec::new();
         records.iter().for_each(|r| encode(r, &mut bytes));
         self.file.write_all(&bytes)?;
@@ -82,11 +82,11 @@
         Ok(())
     }
 
-    pub fn wants_rewrite(&self) -> bool {
+    pub(crate) fn wants_rewrite(&self) -> bool {
         self.size > self.rewrite_at
     }
 
-    pub fn rewrite(&mut self, records: &[OldRecord]) -> io::Result<()> {
+    pub(crate) fn rewrite(&mut self, records: &[LegacyRecord]) -> io::Result<()> {
         let mut bytes = Vec::new();
         records.iter().for_each(|r| encode(r, &mut bytes));
         let swap = self.dir.join("ledger.new");
@@ -97,17 +97,17 @@
         self.file = file;
         self.size = bytes.len() as u64;
         self.written += self.size;
-        self.rewrite_at = (self.most * 5 / 8)
-            .max(self.size + self.most / 8)
-            .min(self.most * 9 / 10);
+        self.rewrite_at = (self.max_bytes * 5 / 8)
+            .max(self.size + self.max_bytes / 8)
+            .min(self.max_bytes * 9 / 10);
         Ok(())
     }
 }
 
-fn encode(record: &OldRecord, into: &mut Vec<u8>) {
+fn encode(record: &LegacyRecord, into: &mut Vec<u8>) {
     let mut payload = serde_json::to_vec(record).unwrap_or_default();
     payload.push(b'\n');
-    if let OldRecord::Accepted { body, .. } = record {
+    if let LegacyRecord::Accepted { body, .. } = record {
         payload.extend_from_slice(body);
     }
     into.extend_from_slice(&(payload.len() as u32).to_le_bytes());
@@ -115,7 +115,7 @@
     into.extend_from_slice(&payload);
 }
 
-fn decode(bytes: &[u8]) -> Vec<OldRecord> {
+fn decode(bytes: &[u8]) -> Vec<LegacyRecord> {
     let (mut records, mut at) = (Vec::new(), 0);
     while let Some((record, next)) = decode_one(bytes, at) {
         records.push(record);
@@ -124,17 +124,17 @@
     records
 }
 
-fn decode_one(bytes: &[u8], at: usize) -> Option<(OldRecord, usize)> {
+fn decode_one(bytes: &[u8], at: usize) -> Option<(LegacyRecord, usize)> {
     let field = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
     let (len, sum) = (field(at)? as usize, field(at + 4)?);
-    let payload = bytes.get(at + FRAME..at + FRAME + len)?;
+    let payload = bytes.get(at + FRAME_HEADER_BYTES..at + FRAME_HEADER_BYTES + len)?;
     if crc32fast::hash(payload) != sum {
         return None;
     }
     let split = payload.iter().position(|&b| b == b'\n')?;
-    let mut record: OldRecord = serde_json::from_slice(&payload[..split]).ok()?;
-    if let OldRecord::Accepted { body, .. } = &mut record {
+    let mut record: LegacyRecord = serde_json::from_slice(&payload[..split]).ok()?;
+    if let LegacyRecord::Accepted { body, .. } = &mut record {
         *body = Arc::from(&payload[split + 1..]);
     }
-    Some((record, at + FRAME + len))
+    Some((record, at + FRAME_HEADER_BYTES + len))
 }
