--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -35,10 +35,9 @@
         )
     };
     let begun = files.clone();
-    let mut journal = match Journal::open(files, &options(begun.disk), START) {
-        Ok((journal, _)) => journal,
-        // Killed in its first start: the storage went with it, so the same start is played on one that is kept.
-        Err(_) => return first_start(begun),
+    let Ok((mut journal, _)) = Journal::open(files, &options(begun.disk), START) else {
+        // Killed in its first start: the storage is lost with it, so the same start is repeated on one that is kept.
+        return first_start(begun);
     };
     for _ in 0..ticks {
         let records = scenario.tick();
--- a/crates/journal/tests/migration.rs
+++ b/crates/journal/tests/migration.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{DURATION, MS, START, SharedStorage, accepted, open, open_ids, options};
+use common::{DURATION, MS, START, SharedStorage, open, open_ids, options};
 use cranehill_core::{FinalReport, Record};
 use cranehill_journal::{Crash, Journal, Memory};
 
