--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -251,7 +251,7 @@
             (journal, recovered) = (Some(opened.0), opened.1);
         }
         // A clock that was set back must not give messages more time than they had.
-        clock.not_before(Duration::from_millis(recovered.latest));
+        clock.not_before(Duration::from_millis(recovered.latest_ms));
         let now = clock.now();
         let push_listen = push.as_ref().and_then(webpush::File::listen);
         let push = push
--- a/crates/daemon/src/reactor/effects.rs
+++ b/crates/daemon/src/reactor/effects.rs
@@ -26,9 +26,9 @@
                     let kept = match journal.map_or(Ok(()), |j| j.append(now, &records)) {
                         Ok(()) => Persisted::All,
                         Err(e) => {
-                            log::error!(records = records.len(), kept:? = e.kept;
-                                "journal: of {} records kept: {:?}: {e}", records.len(), e.kept);
-                            e.kept
+                            log::error!(records = records.len(), kept:? = e.persisted;
+                                "journal: of {} records kept: {:?}: {e}", records.len(), e.persisted);
+                            e.persisted
                         }
                     };
                     // What could not be kept has ended in the core: another turn must take that in.
--- a/crates/daemon/src/reactor/journal.rs
+++ b/crates/daemon/src/reactor/journal.rs
@@ -1,5 +1,7 @@
 //! The journal: opened at the start, what it was found with, and its upkeep.
 
+use cranehill_journal::TornWrite;
+
 use super::*;
 
 /// How long compaction rests when it can't go on, and how often the log says so.
@@ -50,26 +52,27 @@
 
 /// What the on-call staff should know of how the folder was found.
 pub(super) fn log_recovered(recovered: &Recovered) {
-    let (open, final_report, completed) = recovered.counts;
-    log::info!(open, final_report, completed, latest_ms = recovered.latest;
+    let counts = recovered.counts;
+    let (open, final_report, completed) = (counts.open, counts.final_report_due, counts.completed);
+    log::info!(open, final_report, completed, latest_ms = recovered.latest_ms;
         "journal: {open} notices open, {final_report} reports due, {completed} ended ids remembered");
-    if let Some((file, bytes)) = &recovered.torn {
+    if let Some(TornWrite { file, bytes }) = &recovered.torn {
         log::warn!(segment = file.as_str(), bytes = *bytes;
             "journal: {bytes} bytes of a write that was cut off at the end of {file}; nothing in it was promised");
     }
     for d in &recovered.damage {
-        log::error!(segment = d.file.as_str(), offset = d.offset, bytes = d.len, why:? = d.why, messages = d.taken;
+        log::error!(segment = d.file.as_str(), offset = d.offset, bytes = d.len, why:? = d.cause, messages = d.max_messages;
             "journal: damage ({:?}) in {} at {}, {} bytes; at most {} notices taken on there are lost",
-            d.why, d.file, d.offset, d.len, d.taken);
+            d.cause, d.file, d.offset, d.len, d.max_messages);
     }
     for lost in &recovered.lost {
         log::error!(id = lost.id.as_str(), segment = lost.file.as_str(), offset = lost.offset;
             "journal: the record of {} is gone, an attempt of it is in {} at {}; closed as failed",
             lost.id, lost.file, lost.offset);
     }
-    if recovered.doubted > 0 {
-        log::error!(messages = recovered.doubted;
-            "journal: {} open notices count as possibly run because of damage", recovered.doubted);
+    if recovered.possibly_executed > 0 {
+        log::error!(messages = recovered.possibly_executed;
+            "journal: {} open notices count as possibly run because of damage", recovered.possibly_executed);
     }
     for file in recovered
         .foreign
@@ -78,8 +81,8 @@
     {
         log::warn!(file = file.as_str(); "journal: {file} is not of this folder; left alone, it takes room");
     }
-    if recovered.carried_over > 0 {
-        log::info!(records = recovered.carried_over;
-            "journal: {} records carried over from the old ledger", recovered.carried_over);
+    if recovered.migrated > 0 {
+        log::info!(records = recovered.migrated;
+            "journal: {} records carried over from the old ledger", recovered.migrated);
     }
 }
--- a/crates/journal-tools/src/stats.rs
+++ b/crates/journal-tools/src/stats.rs
@@ -106,7 +106,7 @@
 /// If the files are no journal that can be read at all.
 pub fn stats(snapshot: &Snapshot) -> Result<Stats, ToolError> {
     let contents = snapshot.contents()?;
-    let (open, final_report, completed) = contents.recovered.counts;
+    let counts = contents.recovered.counts;
     let segments = contents
         .scan
         .segments
@@ -124,9 +124,9 @@
         .collect();
     let mut stats = Stats {
         segments,
-        open,
-        final_report,
-        completed,
+        open: counts.open,
+        final_report: counts.final_report_due,
+        completed: counts.completed,
         ..Stats::default()
     };
     let mut files = snapshot.files.after_death();
--- a/crates/journal-tools/src/verdict.rs
+++ b/crates/journal-tools/src/verdict.rs
@@ -1,6 +1,6 @@
 //! What is wrong with a folder.
 
-use cranehill_journal::{DamageCause, DamagedRange, LostMessage};
+use cranehill_journal::{DamageCause, DamagedRange, LostMessage, TornWrite};
 
 use crate::error::ToolError;
 use crate::snapshot::Snapshot;
@@ -17,8 +17,8 @@
     pub lost: Vec<LostMessage>,
     /// Pending messages that count as possibly executed because of damage.
     pub possibly_executed: usize,
-    /// A write that was cut off at the end: file and bytes.
-    pub torn: Option<(String, u64)>,
+    /// A write that was cut off at the end of the head.
+    pub torn: Option<TornWrite>,
     /// Files signed under another key.
     pub foreign: Vec<String>,
     /// Pending messages.
@@ -48,7 +48,7 @@
                 lost.file, lost.offset, lost.id
             )
         }));
-        lines.extend(self.torn.iter().map(|(file, bytes)| {
+        lines.extend(self.torn.iter().map(|TornWrite { file, bytes }| {
             format!("{file}: {bytes} bytes of a write that was cut off; nothing in it was promised")
         }));
         lines.extend(
@@ -70,17 +70,17 @@
 }
 
 fn damage_line(range: &DamagedRange) -> String {
-    let cause = match range.why {
+    let cause = match range.cause {
         DamageCause::Damaged => "no frame can be read",
         DamageCause::Short => "the file ends too early",
         DamageCause::Altered => "not what was sealed: an older or altered copy",
         DamageCause::Missing => "the file is missing",
         DamageCause::Unlisted => "the manifest can't be read: nobody knows what is missing",
     };
-    let messages = if range.taken > MAX_ESTIMATED_MESSAGES {
+    let messages = if range.max_messages > MAX_ESTIMATED_MESSAGES {
         "any number of".into()
     } else {
-        format!("up to {}", range.taken)
+        format!("up to {}", range.max_messages)
     };
     format!(
         "{} at {}, {} bytes: {cause}; {messages} notices taken on there",
@@ -96,16 +96,16 @@
     let contents = snapshot.contents()?;
     let segments = &contents.scan.segments;
     let recovered = contents.recovered;
-    let (open, final_report, completed) = recovered.counts;
+    let counts = recovered.counts;
     Ok(Verdict {
         damage: recovered.damage,
         lost: recovered.lost,
-        possibly_executed: recovered.doubted,
+        possibly_executed: recovered.possibly_executed,
         torn: recovered.torn,
         foreign: recovered.foreign,
-        open,
-        final_report,
-        completed,
+        open: counts.open,
+        final_report: counts.final_report_due,
+        completed: counts.completed,
         segments: segments.len(),
         frames: segments.values().map(|s| u64::from(s.frames)).sum(),
     })
--- a/crates/journal/benches/journal/recovery.rs
+++ b/crates/journal/benches/journal/recovery.rs
@@ -38,7 +38,7 @@
         let folder = Folder::new(a.path(), LARGE).expect("a folder");
         let (journal, found) = Journal::open(folder, &options(LARGE), NOW).expect("opens");
         new.push(t.elapsed());
-        assert_eq!(found.counts.0, OPEN);
+        assert_eq!(found.counts.open, OPEN);
         drop(black_box((journal, found)));
         let t = Instant::now();
         let (ledger, found) = LegacyLedger::open(b.path(), LARGE).expect("opens");
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -64,7 +64,7 @@
 #[error("{source}")]
 pub struct AppendError {
     /// Which of the batch's records are persisted all the same.
-    pub kept: Persisted,
+    pub persisted: Persisted,
     /// The error of the file system, or that there is no room.
     pub source: io::Error,
 }
--- a/crates/journal/src/format/frame.rs
+++ b/crates/journal/src/format/frame.rs
@@ -39,7 +39,7 @@
     hasher.finalize()
 }
 
-/// What stands at an offset of a segment.
+/// What is found at an offset of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DecodedFrame<'a> {
     /// A whole frame, by its payload.
--- a/crates/journal/src/format/packed_id.rs
+++ b/crates/journal/src/format/packed_id.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// First byte of a packed form: what follows stands for two hexadecimal digits a byte.
+/// First byte of a packed form: what follows has two hexadecimal digits in each byte.
 const HEX_TAG: u8 = 0;
 /// First byte of a packed form: what follows is the text itself.
 const TEXT_TAG: u8 = 1;
--- a/crates/journal/src/index.rs
+++ b/crates/journal/src/index.rs
@@ -16,6 +16,7 @@
 use crate::format::packed_id::PackedId;
 use crate::format::record::RecordKind;
 
+pub use self::accounting::MessageCounts;
 pub(crate) use self::entry::{Entry, EntryState, StoredFrame};
 
 /// What a record changed in the index.
@@ -37,7 +38,7 @@
     pub(crate) kind: RecordKind,
     /// For a completion only: Unix time in milliseconds until which the id is remembered.
     pub(crate) remember_until_ms: u64,
-    /// Where it stands.
+    /// Where it is on disk.
     pub(crate) frame: StoredFrame,
 }
 
@@ -79,10 +80,9 @@
         self.entries.get(slot)
     }
 
-    /// Messages that are pending, have a final report due, and are completed and remembered.
-    pub(crate) fn counts(&self) -> (u64, u64, u64) {
-        let totals = &self.totals;
-        (totals.open, totals.final_report_due, totals.completed())
+    /// Messages by state.
+    pub(crate) fn counts(&self) -> MessageCounts {
+        self.totals.counts()
     }
 
     /// Bytes that must stay free, so that every pending message can be recorded to its end.
--- a/crates/journal/src/index/accounting.rs
+++ b/crates/journal/src/index/accounting.rs
@@ -36,6 +36,17 @@
     }
 }
 
+/// Messages by state.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct MessageCounts {
+    /// Pending messages.
+    pub open: u64,
+    /// Messages whose final report is due.
+    pub final_report_due: u64,
+    /// Completed messages that are remembered.
+    pub completed: u64,
+}
+
 /// Entries by state.
 #[derive(Debug, Default)]
 pub(super) struct Totals {
@@ -57,8 +68,12 @@
         self.reserved_bytes -= reservation_for(id);
     }
 
-    pub(super) fn completed(&self) -> u64 {
-        self.known - self.open - self.final_report_due
+    pub(super) fn counts(&self) -> MessageCounts {
+        MessageCounts {
+            open: self.open,
+            final_report_due: self.final_report_due,
+            completed: self.known - self.open - self.final_report_due,
+        }
     }
 }
 
--- a/crates/journal/src/index/tests.rs
+++ b/crates/journal/src/index/tests.rs
@@ -1,4 +1,4 @@
-use super::{Entry, EntryState, Index, Joined, RecordEntry, StoredFrame};
+use super::{Entry, EntryState, Index, Joined, MessageCounts, RecordEntry, StoredFrame};
 use crate::format::packed_id::PackedId;
 use crate::format::record::RecordKind;
 
@@ -114,7 +114,10 @@
     assert!(index.is_live(slot, 9, RecordKind::Completed, 6));
     index.expire(80, 10);
     assert!(entry(&index, &id).is_none());
-    assert_eq!((index.counts(), index.reserved_bytes()), ((0, 0, 0), 0));
+    assert_eq!(
+        (index.counts(), index.reserved_bytes()),
+        (MessageCounts::default(), 0)
+    );
 }
 
 #[test]
@@ -137,8 +140,12 @@
             .1,
         Joined::Dead
     );
+    let one_open = MessageCounts {
+        open: 1,
+        ..MessageCounts::default()
+    };
     assert_eq!(
         (index.counts(), index.live_bytes(1), index.live_bytes(2)),
-        ((1, 0, 0), 0, u64::from(FRAME_BYTES))
+        (one_open, 0, u64::from(FRAME_BYTES))
     );
 }
--- a/crates/journal/src/journal/append.rs
+++ b/crates/journal/src/journal/append.rs
@@ -32,12 +32,12 @@
         self.concluded = all;
         self.counters.rejected_batches += 1;
         let has_ends = records.iter().any(Record::is_end);
-        let kept = if has_ends && self.write(now, records, Record::is_end).is_err() {
+        let persisted = if has_ends && self.write(now, records, Record::is_end).is_err() {
             Persisted::Nothing
         } else {
             Persisted::EndsOnly
         };
-        Err(AppendError { kept, source })
+        Err(AppendError { persisted, source })
     }
 
     /// Appends the records that `is_selected`, all or none.
--- a/crates/journal/src/journal/migration.rs
+++ b/crates/journal/src/journal/migration.rs
@@ -46,7 +46,7 @@
         recovered.damage = before.damage;
         recovered.damage.extend(ledger.damage);
         recovered.lost.extend(before.lost);
-        recovered.carried_over = ledger.records.len();
+        recovered.migrated = ledger.records.len();
         Ok(())
     }
 }
--- a/crates/journal/src/journal/open.rs
+++ b/crates/journal/src/journal/open.rs
@@ -43,7 +43,7 @@
         let manifest_unusable = scan
             .damage
             .iter()
-            .any(|range| range.why == DamageCause::Unlisted);
+            .any(|range| range.cause == DamageCause::Unlisted);
         journal.begin_first_segment(now, manifest_unusable);
         journal.persist_conclusions(now);
         if let Some(ledger) = ledger {
--- a/crates/journal/src/journal/relocation.rs
+++ b/crates/journal/src/journal/relocation.rs
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Debug)]
 struct LiveFrame {
-    /// Where its payload stands in the slice.
+    /// Its payload in the slice.
     payload: Range<usize>,
     owner: FrameOwner,
 }
--- a/crates/journal/src/journal/stats.rs
+++ b/crates/journal/src/journal/stats.rs
@@ -54,14 +54,14 @@
             bytes += len;
             live += self.index.live_bytes(sequence);
         }
-        let (open, final_report, completed) = self.index.counts();
+        let counts = self.index.counts();
         Stats {
             segments,
             bytes,
             live,
-            open,
-            final_report,
-            completed,
+            open: counts.open,
+            final_report: counts.final_report_due,
+            completed: counts.completed,
             room: self.storage.room(),
             appended: self.counters.appended_bytes,
             relocated: self.counters.relocated_bytes,
--- a/crates/journal/src/legacy_ledger.rs
+++ b/crates/journal/src/legacy_ledger.rs
@@ -117,10 +117,10 @@
             file: FILE_NAMES[0].into(),
             offset: offset as u64,
             len: (next - offset) as u64,
-            before: 0,
-            attempts: MAX_ATTEMPTS,
-            taken: MAX_MESSAGES,
-            why: DamageCause::Damaged,
+            accepted_before: 0,
+            max_attempts: MAX_ATTEMPTS,
+            max_messages: MAX_MESSAGES,
+            cause: DamageCause::Damaged,
         });
         offset = next;
     }
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -49,7 +49,7 @@
         damage: scan.damage.clone(),
         torn: scan.torn.clone(),
         foreign: scan.foreign.clone(),
-        latest: scan.latest_ms,
+        latest_ms: scan.latest_ms,
         counts: index.counts(),
         ..Recovered::default()
     };
--- a/crates/journal/src/recovery/collector.rs
+++ b/crates/journal/src/recovery/collector.rs
@@ -108,10 +108,10 @@
                 file: scan.file_name(message.location.sequence),
                 offset: message.location.offset,
                 len: u64::from(message.location.len),
-                before: message.accepted_lsn + 1,
-                attempts: 0,
-                taken: 1,
-                why: DamageCause::Damaged,
+                accepted_before: message.accepted_lsn + 1,
+                max_attempts: 0,
+                max_messages: 1,
+                cause: DamageCause::Damaged,
             })
             .collect()
     }
--- a/crates/journal/src/recovery/conclude.rs
+++ b/crates/journal/src/recovery/conclude.rs
@@ -54,7 +54,7 @@
             .all(|pair| follows_its_message(&pair[0], &pair[1]))
 }
 
-/// Whether a record stands behind one that it needs.
+/// Whether a record follows one that it depends on.
 fn follows_its_message(previous: &Record, record: &Record) -> bool {
     match (previous, record) {
         (_, Record::AttemptStarted { .. }) => !is_end(previous) && previous.id() == record.id(),
@@ -119,7 +119,7 @@
     let mut records = message.drain(..);
     recovered.records.extend(records.next());
     if hidden > 0 {
-        recovered.doubted += 1;
+        recovered.possibly_executed += 1;
         // First, so that the message counts as executed from the earliest moment on at which it can have been; and
         // under numbers that no known end of an attempt has.
         recovered.records.extend(possible.into_iter().map(&started));
--- a/crates/journal/src/recovery/live_records.rs
+++ b/crates/journal/src/recovery/live_records.rs
@@ -19,7 +19,7 @@
     pub(super) accepted_lsn: u64,
     /// Orders the records of one message: its acceptance, then each attempt and its end.
     rank: u64,
-    /// Where the record stands.
+    /// Where the record is on disk.
     pub(super) location: RecordLocation,
 }
 
--- a/crates/journal/src/recovery/possible_executions.rs
+++ b/crates/journal/src/recovery/possible_executions.rs
@@ -70,12 +70,12 @@
 /// What damage may hide, with the attempts of all ranges that affect the same messages added up.
 fn by_log_number(damage: &[DamagedRange]) -> Vec<PossibleExecutions> {
     let mut all: Vec<PossibleExecutions> = Vec::new();
-    for range in damage.iter().filter(|range| range.attempts > 0) {
-        match find(&mut all, range.before) {
-            Some(known) => known.attempts = known.attempts.saturating_add(range.attempts),
+    for range in damage.iter().filter(|range| range.max_attempts > 0) {
+        match find(&mut all, range.accepted_before) {
+            Some(known) => known.attempts = known.attempts.saturating_add(range.max_attempts),
             None => all.push(PossibleExecutions {
-                accepted_before: range.before,
-                attempts: range.attempts,
+                accepted_before: range.accepted_before,
+                attempts: range.max_attempts,
                 until_ms: 0,
                 frame: None,
             }),
--- a/crates/journal/src/recovery/recovered.rs
+++ b/crates/journal/src/recovery/recovered.rs
@@ -3,8 +3,8 @@
 use cranehill_core::Record;
 
 use super::possible_executions::PossibleExecutions;
-use crate::index::Index;
-use crate::scan::{DamagedRange, Scan};
+use crate::index::{Index, MessageCounts};
+use crate::scan::{DamagedRange, Scan, TornWrite};
 
 /// A message whose own record is lost: known only by its attempts, and concluded as failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,17 +28,17 @@
     /// Messages whose own record is lost.
     pub lost: Vec<LostMessage>,
     /// Pending messages that count as possibly executed because of damage.
-    pub doubted: usize,
-    /// A write that was cut off at the end: file and bytes.
-    pub torn: Option<(String, u64)>,
+    pub possibly_executed: usize,
+    /// A write that was cut off at the end of the head.
+    pub torn: Option<TornWrite>,
     /// Files signed under another key, left alone.
     pub foreign: Vec<String>,
     /// The latest Unix time known to have been reached, in milliseconds. The process's clock must start no earlier.
-    pub latest: u64,
-    /// Messages that are pending, have a final report due, and are completed and remembered.
-    pub counts: (u64, u64, u64),
+    pub latest_ms: u64,
+    /// Messages by state.
+    pub counts: MessageCounts,
     /// Records migrated from the single file of releases before 0.2.
-    pub carried_over: usize,
+    pub migrated: usize,
 }
 
 /// A folder as it was read; nothing in it has been changed.
--- a/crates/journal/src/scan.rs
+++ b/crates/journal/src/scan.rs
@@ -14,7 +14,7 @@
 use crate::format::record::JournalRecord;
 use crate::storage::Storage;
 
-pub use self::contents::{Scan, ScannedSegment};
+pub use self::contents::{Scan, ScannedSegment, TornWrite};
 pub use self::damage::{DamageCause, DamagedRange};
 pub use self::frame_walk::RecordLocation;
 pub(crate) use self::key_ring::KeyRing;
@@ -57,7 +57,7 @@
     missing::add_unlisted(&mut scan);
     // Messages accepted from here on can't be affected.
     for range in &mut scan.damage {
-        range.before = range.before.min(scan.next_lsn);
+        range.accepted_before = range.accepted_before.min(scan.next_lsn);
     }
     Ok(scan)
 }
--- a/crates/journal/src/scan/contents.rs
+++ b/crates/journal/src/scan/contents.rs
@@ -48,6 +48,15 @@
     }
 }
 
+/// A write that was cut off at the end of the head. Nothing in it had been acknowledged.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct TornWrite {
+    /// The file's name.
+    pub file: String,
+    /// Bytes of it that are there.
+    pub bytes: u64,
+}
+
 /// What a folder holds.
 #[derive(Debug, Default)]
 pub struct Scan {
@@ -59,8 +68,8 @@
     /// There is a file of that name that can't be used.
     pub(crate) manifest_invalid: bool,
     pub(crate) damage: Vec<DamagedRange>,
-    /// A write that was cut off at the end of the head: file and bytes. Nothing in it had been acknowledged.
-    pub(crate) torn: Option<(String, u64)>,
+    /// A write that was cut off at the end of the head.
+    pub(crate) torn: Option<TornWrite>,
     /// Segments left behind by a kill, to be removed: all that is live in them is elsewhere.
     pub(crate) leftovers: Vec<String>,
     /// Segments signed under none of the keys.
--- a/crates/journal/src/scan/damage.rs
+++ b/crates/journal/src/scan/damage.rs
@@ -15,13 +15,13 @@
     /// Its length in bytes.
     pub len: u64,
     /// Messages accepted under this log number or a later one are not affected.
-    pub before: u64,
+    pub accepted_before: u64,
     /// Attempts of one message that it may have held, at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Records of accepted messages that it may have held, at most.
-    pub taken: u32,
+    pub max_messages: u32,
     /// How it was recognised.
-    pub why: DamageCause,
+    pub cause: DamageCause,
 }
 
 /// How damage was recognised.
--- a/crates/journal/src/scan/frame_walk.rs
+++ b/crates/journal/src/scan/frame_walk.rs
@@ -1,6 +1,6 @@
 //! Reads one segment, frame by frame, also behind damage.
 
-use super::contents::{Scan, ScannedSegment};
+use super::contents::{Scan, ScannedSegment, TornWrite};
 use super::damage::{DamageCause, DamagedRange, max_attempts_in};
 use crate::error::OpenError;
 use crate::format::frame::{self, DecodedFrame};
@@ -9,7 +9,7 @@
 use crate::format::segment::HEADER_BYTES;
 use crate::storage::Storage;
 
-/// Where a record stands.
+/// Where a record is on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordLocation {
     /// The segment's sequence number.
@@ -78,7 +78,10 @@
     scan.latest_ms = latest_ms;
     scan.damage.extend(damage);
     if torn_bytes > 0 {
-        scan.torn = Some((segment.name.clone(), torn_bytes));
+        scan.torn = Some(TornWrite {
+            file: segment.name.clone(),
+            bytes: torn_bytes,
+        });
     }
     Ok(())
 }
@@ -90,10 +93,10 @@
         file: segment.name.clone(),
         offset: 0,
         len: segment.size,
-        before: lowest_lsn_after,
-        attempts: max_attempts_in(segment.size),
-        taken: seal.accepted.saturating_sub(segment.accepted),
-        why: DamageCause::Altered,
+        accepted_before: lowest_lsn_after,
+        max_attempts: max_attempts_in(segment.size),
+        max_messages: seal.accepted.saturating_sub(segment.accepted),
+        cause: DamageCause::Altered,
     })
 }
 
@@ -165,7 +168,7 @@
         let next = frame::next_valid(self.salt, self.bytes, offset);
         let len = next.unwrap_or(self.bytes.len()) - offset;
         // Log numbers only grow within a file: what was lost had a lower one than the next record.
-        let before = next
+        let accepted_before = next
             .and_then(|next| self.lsn_at(next))
             .unwrap_or(self.lowest_lsn_after);
         let is_one_frame =
@@ -175,7 +178,7 @@
         } else {
             max_attempts_in(len as u64)
         };
-        self.add_damage(offset, len, before, records);
+        self.add_damage(offset, len, accepted_before, records);
         len
     }
 
@@ -186,15 +189,15 @@
         }
     }
 
-    fn add_damage(&mut self, offset: usize, len: usize, before: u64, max_records: u32) {
+    fn add_damage(&mut self, offset: usize, len: usize, accepted_before: u64, max_records: u32) {
         self.damage.push(DamagedRange {
             file: self.segment.name.clone(),
             offset: offset as u64,
             len: len as u64,
-            before,
-            attempts: max_records,
-            taken: max_records,
-            why: DamageCause::Damaged,
+            accepted_before,
+            max_attempts: max_records,
+            max_messages: max_records,
+            cause: DamageCause::Damaged,
         });
     }
 
@@ -210,10 +213,10 @@
                 file: self.segment.name.clone(),
                 offset: found,
                 len: missing,
-                before: self.lowest_lsn_after,
-                attempts: max_attempts_in(missing),
-                taken: seal.accepted.saturating_sub(self.segment.accepted),
-                why: DamageCause::Short,
+                accepted_before: self.lowest_lsn_after,
+                max_attempts: max_attempts_in(missing),
+                max_messages: seal.accepted.saturating_sub(self.segment.accepted),
+                cause: DamageCause::Short,
             });
         }
     }
--- a/crates/journal/src/scan/missing.rs
+++ b/crates/journal/src/scan/missing.rs
@@ -21,10 +21,10 @@
             file: segment::file_name(entry.sequence),
             offset: 0,
             len: len.unwrap_or(0),
-            before: scan.lowest_lsn_after(entry.sequence),
-            attempts: max_attempts_in(len.unwrap_or(u64::MAX)),
-            taken: entry.seal.map_or(u32::MAX, |seal| seal.accepted),
-            why: DamageCause::Missing,
+            accepted_before: scan.lowest_lsn_after(entry.sequence),
+            max_attempts: max_attempts_in(len.unwrap_or(u64::MAX)),
+            max_messages: entry.seal.map_or(u32::MAX, |seal| seal.accepted),
+            cause: DamageCause::Missing,
         });
     }
     scan.damage.extend(damage);
@@ -46,9 +46,9 @@
         file: manifest::FILE_NAME.to_owned(),
         offset: 0,
         len: scan.files.get(manifest::FILE_NAME).copied().unwrap_or(0),
-        before: scan.next_lsn,
-        attempts: max_attempts_in(u64::MAX),
-        taken: u32::MAX,
-        why: DamageCause::Unlisted,
+        accepted_before: scan.next_lsn,
+        max_attempts: max_attempts_in(u64::MAX),
+        max_messages: u32::MAX,
+        cause: DamageCause::Unlisted,
     });
 }
--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -91,7 +91,7 @@
 
 /// What is found is what was acknowledged, and any first part of what was being written.
 fn check(killed: &Killed, found: &Recovered) -> Result<(), RecoveryFault> {
-    if !found.damage.is_empty() || found.doubted > 0 || !found.lost.is_empty() {
+    if !found.damage.is_empty() || found.possibly_executed > 0 || !found.lost.is_empty() {
         return Err(RecoveryFault::Damage(found.damage.clone()));
     }
     let mut last = Ok(());
--- a/crates/journal/tests/damage.rs
+++ b/crates/journal/tests/damage.rs
@@ -20,16 +20,16 @@
         let (_, found) = open(files, START + 100);
         assert_eq!(found.damage.len(), 1);
         assert_eq!(
-            (found.damage[0].file.as_str(), found.damage[0].why),
+            (found.damage[0].file.as_str(), found.damage[0].cause),
             (middle.as_str(), DamageCause::Damaged)
         );
         let known = open_ids(&found.records).len() + found.lost.len();
         assert!(known >= 59, "byte {at}: {known} of 60");
         // What was accepted later can't be concerned.
         assert!(
-            found.doubted >= 20 && found.doubted < 60,
+            found.possibly_executed >= 20 && found.possibly_executed < 60,
             "byte {at}: {} possibly executed",
-            found.doubted
+            found.possibly_executed
         );
         for lost in &found.lost {
             let end = Record::FinalReportDue {
@@ -99,7 +99,7 @@
     // So small that what is live is more than a third of it, and segments with little live in them go.
     files.disk = 64 * 1024;
     let (mut journal, found) = open(files, later);
-    assert!(found.doubted > 0);
+    assert!(found.possibly_executed > 0);
     let first = journal.head().expect("a head").to_owned();
     // All but one end, and others come: the segment with the possible executions has the fewest live bytes then.
     let until = (later + 10) * MS;
@@ -125,7 +125,10 @@
         files.keys()
     );
     let (_, again) = open(journal.storage().after_death(), later + 60);
-    assert_eq!((open_ids(&again.records)[0], again.doubted), ("m000", 1));
+    assert_eq!(
+        (open_ids(&again.records)[0], again.possibly_executed),
+        ("m000", 1)
+    );
 }
 
 #[test]
@@ -138,7 +141,10 @@
             files.files.get_mut(name).expect("a segment")[at] ^= 0x02;
             let (_, found) = open(files, START + 100);
             assert_eq!(open_ids(&found.records).len(), 60, "{name}, byte {at}");
-            assert_eq!(found.doubted, 0, "the manifest has what the header says");
+            assert_eq!(
+                found.possibly_executed, 0,
+                "the manifest has what the header says"
+            );
         }
     }
     for at in [0, 8, 9, 12, 30, 100] {
@@ -147,16 +153,19 @@
         let (journal, found) = open(files, START + 100);
         assert_eq!(open_ids(&found.records).len(), 60);
         // A version that is put right is no damage; else it is not known what is missing.
-        let unlisted = found.damage.iter().any(|d| d.why == DamageCause::Unlisted);
+        let unlisted = found
+            .damage
+            .iter()
+            .any(|d| d.cause == DamageCause::Unlisted);
         assert_eq!(
-            (unlisted, found.doubted),
+            (unlisted, found.possibly_executed),
             (at != 8 && at != 9, if unlisted { 60 } else { 0 }),
             "byte {at}"
         );
         let (_, again) = open(journal.storage().after_death(), START + 110);
         assert_eq!(
-            (again.damage.len(), again.doubted),
-            (0, found.doubted),
+            (again.damage.len(), again.possibly_executed),
+            (0, found.possibly_executed),
             "possible executions are recorded"
         );
     }
@@ -170,17 +179,20 @@
     without.files.remove(&all[3]);
     let (journal, found) = open(without, START + 100);
     assert_eq!(
-        (found.damage.len(), found.damage[0].why),
+        (found.damage.len(), found.damage[0].cause),
         (1, DamageCause::Missing)
     );
     let known = open_ids(&found.records).len();
-    assert!(known < 60 && known + found.damage[0].taken as usize >= 60);
+    assert!(known < 60 && known + found.damage[0].max_messages as usize >= 60);
     assert!(
-        found.doubted > 0 && found.doubted < known,
+        found.possibly_executed > 0 && found.possibly_executed < known,
         "only what was accepted before its end"
     );
     let (_, again) = open(journal.storage().after_death(), START + 110);
-    assert_eq!((again.damage.len(), again.doubted), (0, found.doubted));
+    assert_eq!(
+        (again.damage.len(), again.possibly_executed),
+        (0, found.possibly_executed)
+    );
 }
 
 #[test]
@@ -250,7 +262,10 @@
         .insert("manifest".into(), old.files["manifest"].clone());
     let (_, found) = open(stale, START + 100);
     assert!(
-        found.damage.iter().any(|d| d.why == DamageCause::Unlisted),
+        found
+            .damage
+            .iter()
+            .any(|d| d.cause == DamageCause::Unlisted),
         "{:?}",
         found.damage
     );
@@ -294,10 +309,10 @@
     files.files.insert(head.clone(), early.files[&head].clone());
     let (_, found) = open(files, START + 100);
     assert_eq!(
-        (found.damage.len(), found.damage[0].why),
+        (found.damage.len(), found.damage[0].cause),
         (1, DamageCause::Short)
     );
-    assert!(found.doubted > 0);
+    assert!(found.possibly_executed > 0);
 }
 
 #[test]
--- a/crates/journal/tests/disk_budget.rs
+++ b/crates/journal/tests/disk_budget.rs
@@ -87,12 +87,12 @@
             &[completed("a"), accepted("c", 10), attempt_started("c", 0)],
         )
         .expect_err("no room");
-    assert_eq!(refused.kept, Persisted::EndsOnly);
+    assert_eq!(refused.persisted, Persisted::EndsOnly);
     journal.storage_mut().no_appends = true;
     let refused = journal
         .append(START, &[completed("b"), accepted("d", 10)])
         .expect_err("no file takes anything");
-    assert_eq!(refused.kept, Persisted::Nothing);
+    assert_eq!(refused.persisted, Persisted::Nothing);
     let (_, found) = open(journal.storage().after_death(), START);
     assert_eq!(open_ids(&found.records), ["b"]);
 }
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -25,7 +25,7 @@
 
 use cranehill_core::{FinalReport, Record};
 use cranehill_journal::{
-    DamageCause, DamagedRange, Journal, LostMessage, Memory, Options, Recovered,
+    DamageCause, DamagedRange, Journal, LostMessage, Memory, MessageCounts, Options, Recovered,
 };
 
 /// Unix time in milliseconds of the first record.
@@ -338,6 +338,14 @@
     );
 }
 
+fn counts(open: u64, final_report_due: u64, completed: u64) -> MessageCounts {
+    MessageCounts {
+        open,
+        final_report_due,
+        completed,
+    }
+}
+
 fn assert_recovered(recovered: &Recovered, expected: &Expected) {
     for (n, (actual, wanted)) in recovered.records.iter().zip(&expected.records).enumerate() {
         assert_eq!(actual, wanted, "record {n}");
@@ -345,12 +353,12 @@
     assert_eq!(recovered.records.len(), expected.records.len());
     assert_eq!(recovered.damage, expected.damage);
     assert_eq!(recovered.lost, expected.lost);
-    assert_eq!(recovered.doubted, expected.possibly_executed);
+    assert_eq!(recovered.possibly_executed, expected.possibly_executed);
     assert_eq!(recovered.counts, expected.counts);
-    assert_eq!(recovered.latest, expected.latest_ms);
+    assert_eq!(recovered.latest_ms, expected.latest_ms);
     assert_eq!(recovered.torn, None);
     assert_eq!(recovered.foreign, Vec::<String>::new());
-    assert_eq!(recovered.carried_over, 0);
+    assert_eq!(recovered.migrated, 0);
 }
 
 /// What recovery must find.
@@ -361,7 +369,7 @@
     /// Open messages that damage makes possibly executed.
     possibly_executed: usize,
     /// Messages pending, with a final report due, and completed.
-    counts: (u64, u64, u64),
+    counts: MessageCounts,
     latest_ms: u64,
 }
 
@@ -400,7 +408,7 @@
         damage: Vec::new(),
         lost: Vec::new(),
         possibly_executed: 0,
-        counts: (4, 4, 2),
+        counts: counts(4, 4, 2),
         latest_ms: START_MS + 110,
     }
 }
@@ -411,10 +419,10 @@
         file: DAMAGED_SEGMENT.into(),
         offset: 114,
         len: 70,
-        before: 3,
-        attempts: 1,
-        taken: 1,
-        why: DamageCause::Damaged,
+        accepted_before: 3,
+        max_attempts: 1,
+        max_messages: 1,
+        cause: DamageCause::Damaged,
     }
 }
 
@@ -453,7 +461,7 @@
             offset: 223,
         }],
         possibly_executed: 1,
-        counts: (3, 5, 2),
+        counts: counts(3, 5, 2),
         ..intact
     }
 }
--- a/crates/journal/tests/lifecycle.rs
+++ b/crates/journal/tests/lifecycle.rs
@@ -44,7 +44,7 @@
     };
     journal.append(START + 900, &[late]).expect("room");
     let (_, found) = open(journal.storage().after_death(), START - 3_600_000);
-    assert_eq!(found.latest, START + 900);
+    assert_eq!(found.latest_ms, START + 900);
 }
 
 #[test]
--- a/crates/journal/tests/property.rs
+++ b/crates/journal/tests/property/main.rs
@@ -1,12 +1,15 @@
 //! The journal against the reference model, with kills, full disks, refusing files and damage mixed in.
 
+#[path = "../common/mod.rs"]
 mod common;
+mod file_damage;
+mod guarantees;
 
-use std::collections::BTreeMap;
-
-use common::{MS, MessageModel, Model, START, Scenario, compact, open, options};
-use cranehill_core::{FinalReport, Persisted, Record};
-use cranehill_journal::{BLOCK_BYTES, Crash, DamagedRange, Journal, Memory, Recovered, disk_usage};
+use common::{Model, START, Scenario, compact, open, options};
+use cranehill_core::{Persisted, Record};
+use cranehill_journal::{BLOCK_BYTES, Crash, Journal, Memory, disk_usage};
+use file_damage::{damage, inflict};
+use guarantees::{check_guarantees, read};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -32,17 +35,6 @@
     Removes,
 }
 
-/// Damage to files at rest: the journal is started again after it.
-#[derive(Clone, Debug)]
-enum Damage {
-    Flip { file: u8, at: u16, mask: u8 },
-    Remove { file: u8 },
-    Swap { a: u8, b: u8 },
-    Duplicate { from: u8, to: u8 },
-    Cut { file: u8, by: u16 },
-    Noise { file: u8, at: u16 },
-}
-
 fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
         8 => (1..12u8).prop_map(Action::Ticks),
@@ -63,17 +55,6 @@
     ]
 }
 
-fn damage() -> impl Strategy<Value = Damage> {
-    prop_oneof![
-        6 => (any::<u8>(), any::<u16>(), 1..=255u8).prop_map(|(file, at, mask)| Damage::Flip { file, at, mask }),
-        1 => any::<u8>().prop_map(|file| Damage::Remove { file }),
-        1 => (any::<u8>(), any::<u8>()).prop_map(|(a, b)| Damage::Swap { a, b }),
-        1 => (any::<u8>(), any::<u8>()).prop_map(|(from, to)| Damage::Duplicate { from, to }),
-        1 => (any::<u8>(), 1..200u16).prop_map(|(file, by)| Damage::Cut { file, by }),
-        1 => (any::<u8>(), any::<u16>()).prop_map(|(file, at)| Damage::Noise { file, at }),
-    ]
-}
-
 /// A journal with the model of what it has acknowledged.
 struct Harness {
     journal: Journal<Memory>,
@@ -115,12 +96,12 @@
                 Err(e) => {
                     let (ends, rest): (Vec<Record>, Vec<Record>) =
                         left.into_iter().partition(Record::is_end);
-                    if e.kept == Persisted::EndsOnly {
+                    if e.persisted == Persisted::EndsOnly {
                         self.model.append(&ends);
                     }
                     // A sender rejects the new messages and attempts; the scenario continues as if they had been
                     // persisted, so they are appended again here once there is room.
-                    left = if e.kept == Persisted::EndsOnly {
+                    left = if e.persisted == Persisted::EndsOnly {
                         rest
                     } else {
                         ends.into_iter().chain(rest).collect()
@@ -258,192 +239,6 @@
     }
 }
 
-/// What is found as the sender reads it: by message, its attempts used and whether it may have been executed.
-fn read(records: &[Record]) -> BTreeMap<String, MessageModel> {
-    let mut model = Model::default();
-    model.append(records);
-    model.messages
-}
-
-/// A guarantee that a recovery breaks.
-#[derive(Debug, thiserror::Error)]
-enum BrokenGuarantee {
-    #[error("{id} ended, and is open again")]
-    Reopened { id: String },
-    #[error("{id}: {found} attempts known of {expected}")]
-    AttemptsForgotten {
-        id: String,
-        found: u32,
-        expected: u32,
-    },
-    #[error("{id} may have been executed, and that is not known")]
-    ExecutionForgotten { id: String },
-    #[error("{id} is open, and found as ended")]
-    Ended { id: String },
-    #[error("the final report of {id} is not due any more")]
-    FinalReportForgotten { id: String },
-    #[error("{id} is not remembered")]
-    NotRemembered { id: String },
-    #[error("{lost} messages are lost and {counted} counted: {damage:?}")]
-    LossNotCounted {
-        lost: u64,
-        counted: u64,
-        damage: Vec<DamagedRange>,
-    },
-}
-
-/// The guarantees, weaker than equality: also with damage.
-fn check_guarantees(model: &Model, found: &Recovered, now: u64) -> Result<(), BrokenGuarantee> {
-    let messages = read(&found.records);
-    let mut lost = 0;
-    for (id, expected) in &model.messages {
-        match messages.get(id) {
-            Some(message) => check_found(id, expected, message, found)?,
-            None if expected.is_open() => lost += 1,
-            None => check_forgotten(id, expected, found, now)?,
-        }
-    }
-    let counted: u64 = found.damage.iter().map(|d| u64::from(d.taken)).sum();
-    if lost > counted {
-        let damage = found.damage.clone();
-        return Err(BrokenGuarantee::LossNotCounted {
-            lost,
-            counted,
-            damage,
-        });
-    }
-    Ok(())
-}
-
-fn check_found(
-    id: &str,
-    expected: &MessageModel,
-    message: &MessageModel,
-    found: &Recovered,
-) -> Result<(), BrokenGuarantee> {
-    let id = id.to_owned();
-    let damaged = !found.damage.is_empty();
-    if message.is_open() && expected.has_ended() {
-        // Damage may have hidden its end; then it must not be attempted as if it had never been executed.
-        return if damaged && message.is_possibly_executed() {
-            Ok(())
-        } else {
-            Err(BrokenGuarantee::Reopened { id })
-        };
-    }
-    if message.is_open() {
-        if message.attempts() < expected.attempts() {
-            return Err(BrokenGuarantee::AttemptsForgotten {
-                id,
-                found: message.attempts(),
-                expected: expected.attempts(),
-            });
-        }
-        if expected.is_possibly_executed() && !message.is_possibly_executed() {
-            return Err(BrokenGuarantee::ExecutionForgotten { id });
-        }
-        return Ok(());
-    }
-    let failed = matches!(
-        message.final_report,
-        Some(Record::FinalReportDue {
-            final_report: FinalReport::Failed,
-            ..
-        })
-    );
-    let concluded = damaged && failed && found.lost.iter().any(|lost| lost.id == id);
-    if expected.is_open() && !concluded {
-        return Err(BrokenGuarantee::Ended { id });
-    }
-    Ok(())
-}
-
-fn check_forgotten(
-    id: &str,
-    expected: &MessageModel,
-    found: &Recovered,
-    now: u64,
-) -> Result<(), BrokenGuarantee> {
-    let id = id.to_owned();
-    if !found.damage.is_empty() {
-        return Ok(());
-    }
-    match expected.completed_until {
-        Some(until) if until > now * MS => Err(BrokenGuarantee::NotRemembered { id }),
-        None if expected.final_report.is_some() => {
-            Err(BrokenGuarantee::FinalReportForgotten { id })
-        }
-        _ => Ok(()),
-    }
-}
-
-fn pick(files: &Memory, n: u8) -> String {
-    let names: Vec<&String> = files.files.keys().collect();
-    names[usize::from(n) % names.len()].clone()
-}
-
-fn inflict(files: &mut Memory, damage: &Damage, head: &mut Option<String>) {
-    match *damage {
-        Damage::Flip { file, at, mask } => {
-            let name = pick(files, file);
-            if let Some(bytes) = files.files.get_mut(&name).filter(|b| !b.is_empty()) {
-                let at = usize::from(at) % bytes.len();
-                bytes[at] ^= mask;
-            }
-        }
-        Damage::Remove { file } => {
-            let name = pick(files, file);
-            // Without its key a folder can't be read; that it says so has a test of its own.
-            if name != "key" {
-                files.files.remove(&name);
-            }
-        }
-        Damage::Swap { a, b } => {
-            let (a, b) = (pick(files, a), pick(files, b));
-            let segments = |n: &String| n.ends_with(".seg");
-            if segments(&a) && segments(&b) && a != b {
-                let (x, y) = (files.files[&a].clone(), files.files[&b].clone());
-                *head = match head.take() {
-                    Some(h) if h == a => Some(b.clone()),
-                    Some(h) if h == b => Some(a.clone()),
-                    other => other,
-                };
-                files.files.insert(a, y);
-                files.files.insert(b, x);
-            }
-        }
-        Damage::Duplicate { from, to } => {
-            let (from, to) = (pick(files, from), pick(files, to));
-            if from.ends_with(".seg") && to.ends_with(".seg") {
-                let bytes = files.files[&from].clone();
-                files.files.insert(to, bytes);
-            }
-        }
-        Damage::Cut { file, by } => {
-            let name = pick(files, file);
-            // The head's end may always be a kill's doing.
-            if let Some(bytes) = files
-                .files
-                .get_mut(&name)
-                .filter(|_| name != "key" && Some(&name) != head.as_ref())
-            {
-                bytes.truncate(bytes.len().saturating_sub(usize::from(by)));
-            }
-        }
-        Damage::Noise { file, at } => {
-            let name = pick(files, file);
-            if let Some(bytes) = files.files.get_mut(&name).filter(|_| name != "key") {
-                let at = usize::from(at) % bytes.len().max(1);
-                let end = (at + 60).min(bytes.len());
-                bytes[at..end]
-                    .iter_mut()
-                    .enumerate()
-                    .for_each(|(i, b)| *b ^= (i as u8).wrapping_mul(31) | 1);
-            }
-        }
-    }
-}
-
 /// The same cases at every run; `PROPTEST_CASES` and `PROPTEST_RNG_SEED` bring others. A failure prints the whole case.
 fn config() -> ProptestConfig {
     let set = ProptestConfig::default();
--- a/crates/scenario-runner/src/journal_damage.rs
+++ b/crates/scenario-runner/src/journal_damage.rs
@@ -153,19 +153,23 @@
             let left = taken(&read(folder.path()).expect("read"));
             assert_eq!(left.len() + cut.lost.len(), 20, "seed {seed}: {cut:?}");
             let (_, found) = open().unwrap_or_else(|e| panic!("seed {seed}: {cut:?}: {e}"));
-            assert_eq!(found.counts.0 as usize, left.len(), "seed {seed}: {cut:?}");
+            assert_eq!(
+                found.counts.open as usize,
+                left.len(),
+                "seed {seed}: {cut:?}"
+            );
             if cut.at > cut.size {
                 torn += 1;
                 assert!(
-                    cut.lost.is_empty() && found.doubted == 0 && found.torn.is_some(),
+                    cut.lost.is_empty() && found.possibly_executed == 0 && found.torn.is_some(),
                     "seed {seed}: {cut:?}"
                 );
             } else {
                 // What stands in the later segment is of a later time than the damage.
                 assert!(
-                    found.doubted >= 10 - cut.lost.len(),
+                    found.possibly_executed >= 10 - cut.lost.len(),
                     "seed {seed}: {cut:?}: {}",
-                    found.doubted
+                    found.possibly_executed
                 );
             }
             lost.insert(cut.lost.len());
