--- /dev/null
+++ b/crates/simulation/src/audit/rules/drains.rs
@@ -0,0 +1,99 @@
+//! [`Rule::Drains`]: a draining or removed endpoint gets no new calls after a grace period.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crate::audit::findings::{Findings, Violation, excess};
+use crate::audit::observation::{Observation, RuleAuditor};
+use crate::audit::record::{Line, Listed, What};
+use crate::audit::rule::Rule;
+
+/// The first notification that an endpoint drains or is removed.
+#[derive(Debug)]
+struct DrainNotification {
+    at: Duration,
+    recording_delay: Duration,
+    wire: String,
+}
+
+/// Judges [`Rule::Drains`].
+#[derive(Debug, Default)]
+pub(super) struct Drains {
+    /// By sender and endpoint.
+    notified: BTreeMap<(usize, usize), DrainNotification>,
+}
+
+impl RuleAuditor for Drains {
+    fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
+        let record = observed.record;
+        let Some(sender) = record.sender else { return };
+        match &record.what {
+            What::Notified {
+                endpoint, listed, ..
+            } => self.listed(sender, *endpoint, *listed, record, findings),
+            What::Begun {
+                endpoint,
+                destination,
+                ..
+            } => self.call_begun(sender, *endpoint, *destination, observed, findings),
+            _ => {}
+        }
+    }
+}
+
+impl Drains {
+    fn listed(
+        &mut self,
+        sender: usize,
+        endpoint: usize,
+        listed: Listed,
+        record: &Line,
+        findings: &mut Findings,
+    ) {
+        match listed {
+            Listed::Up => {
+                self.notified.remove(&(sender, endpoint));
+            }
+            Listed::Draining | Listed::Removed => {
+                self.notified.entry((sender, endpoint)).or_insert_with(|| {
+                    // A sender that obeys makes no call, so each first notification is a case.
+                    findings.kept(Rule::Drains);
+                    DrainNotification {
+                        at: record.at,
+                        recording_delay: record.late,
+                        wire: record.wire.clone(),
+                    }
+                });
+            }
+        }
+    }
+
+    fn call_begun(
+        &self,
+        sender: usize,
+        endpoint: usize,
+        destination: u64,
+        observed: &Observation<'_>,
+        findings: &mut Findings,
+    ) {
+        let record = observed.record;
+        let Some(notification) = self.notified.get(&(sender, endpoint)) else {
+            return;
+        };
+        let elapsed = record.at.saturating_sub(notification.at);
+        let violation = || Violation {
+            rule: Rule::Drains,
+            id: None,
+            destination: Some(destination),
+            at: record.at,
+            why: format!(
+                "a call begun {} ms after endpoint {endpoint} was notified as draining",
+                elapsed.as_millis()
+            ),
+            wire: vec![notification.wire.clone(), record.wire.clone()],
+        };
+        let overrun = excess(elapsed, observed.limits.drain_grace);
+        let recording_delay = record.late + notification.recording_delay;
+        findings.judge(Rule::Drains, overrun, recording_delay, violation);
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/audit/rules/retry_after.rs
@@ -0,0 +1,102 @@
+//! [`Rule::Waits`]: no call to a destination before the `Retry-After` that it stated has passed.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crate::audit::findings::{Findings, Violation};
+use crate::audit::observation::{Observation, RuleAuditor};
+use crate::audit::record::{Line, What};
+use crate::audit::rule::Rule;
+
+/// A stated wait that has not passed, as far as calls have shown.
+#[derive(Debug)]
+struct StatedWait {
+    stated_at: Duration,
+    until: Duration,
+    recording_delay: Duration,
+    wire: String,
+}
+
+/// Judges [`Rule::Waits`].
+#[derive(Debug, Default)]
+pub(super) struct RetryAfter {
+    /// By sender and destination: the wait that ends last.
+    waits: BTreeMap<(usize, u64), StatedWait>,
+}
+
+impl RuleAuditor for RetryAfter {
+    fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
+        let record = observed.record;
+        let Some(sender) = record.sender else { return };
+        match &record.what {
+            // A call counts once its last byte has arrived.
+            What::Called { destination, .. } => {
+                self.called(sender, *destination, observed, findings);
+            }
+            What::Replied {
+                destination,
+                wait: Some(wait),
+                ..
+            } => self.stated(sender, *destination, *wait, record),
+            // Waits do not outlive the process.
+            What::ProcessExited => self.waits.retain(|(s, _), _| *s != sender),
+            _ => {}
+        }
+    }
+}
+
+impl RetryAfter {
+    fn stated(&mut self, sender: usize, destination: u64, wait: Duration, record: &Line) {
+        let until = record.at + wait;
+        let known = self.waits.get(&(sender, destination));
+        if known.is_some_and(|known| known.until >= until) {
+            return;
+        }
+        let stated = StatedWait {
+            stated_at: record.at,
+            until,
+            recording_delay: record.late,
+            wire: record.wire.clone(),
+        };
+        self.waits.insert((sender, destination), stated);
+    }
+
+    fn called(
+        &mut self,
+        sender: usize,
+        destination: u64,
+        observed: &Observation<'_>,
+        findings: &mut Findings,
+    ) {
+        let record = observed.record;
+        let Some(wait) = self.waits.get(&(sender, destination)) else {
+            return;
+        };
+        if record.at >= wait.until {
+            findings.kept(Rule::Waits);
+            self.waits.remove(&(sender, destination));
+            return;
+        }
+        let elapsed = record.at.saturating_sub(wait.stated_at);
+        let grace = observed.limits.retry_after_grace;
+        if elapsed <= grace {
+            return;
+        }
+        // A call just after the grace period or just before the end of the wait is a small excess.
+        let excess = (elapsed - grace).min(wait.until - record.at);
+        let violation = || Violation {
+            rule: Rule::Waits,
+            id: None,
+            destination: Some(destination),
+            at: record.at,
+            why: format!(
+                "a call {} ms after a Retry-After of {} ms",
+                elapsed.as_millis(),
+                (wait.until - wait.stated_at).as_millis()
+            ),
+            wire: vec![wait.wire.clone(), record.wire.clone()],
+        };
+        let recording_delay = record.late + wait.recording_delay;
+        findings.judge(Rule::Waits, Some(excess), recording_delay, violation);
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/audit/rules/slow_start.rs
@@ -0,0 +1,238 @@
+//! [`Rule::Return`]: senders that saw a destination fail do not overload it while it warms up.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
+
+use crate::audit::findings::{Findings, Violation};
+use crate::audit::observation::{Observation, RuleAuditor};
+use crate::audit::record::{DeliveryOutcome, Line, What};
+use crate::audit::rule::Rule;
+use crate::return_guard::{Return, call_weight};
+
+/// Calls that a violation lists as its proof, the latest first.
+const MAX_PROOF_CALLS: usize = 8;
+
+#[derive(Debug)]
+struct Call {
+    at: Duration,
+    sender: usize,
+    weight: f64,
+    wire: String,
+}
+
+/// A destination since the end of its last outage.
+#[derive(Debug)]
+struct Recovery {
+    since: Duration,
+    /// Calls a second when warm.
+    capacity: f64,
+    ramp: Return,
+    /// What each message of a call after the first costs, in calls.
+    item_cost: f64,
+    /// Senders that saw it fail during the outage.
+    informed: BTreeSet<usize>,
+    /// Calls within the latest overload window.
+    calls: VecDeque<Call>,
+    /// A violation was found; one for each outage is enough.
+    violated: bool,
+}
+
+/// Judges [`Rule::Return`].
+#[derive(Debug, Default)]
+pub(super) struct SlowStart {
+    /// By destination and sender: when a call or connection last failed or was rejected.
+    last_failure: BTreeMap<(u64, usize), Duration>,
+    /// By connection: the destination of the call that waits for its reply.
+    unanswered: BTreeMap<u64, u64>,
+    /// Senders that are ending or down: the connections that they close say nothing of a destination.
+    ending: BTreeSet<usize>,
+    recoveries: BTreeMap<u64, Recovery>,
+}
+
+impl RuleAuditor for SlowStart {
+    fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
+        let record = observed.record;
+        match &record.what {
+            What::Replied {
+                destination,
+                connection,
+                outcomes,
+                ..
+            } => {
+                self.unanswered.remove(connection);
+                let is_done = |(_, outcome): &_| *outcome == DeliveryOutcome::Done;
+                if !outcomes.iter().all(is_done) {
+                    self.failed(*destination, record);
+                }
+            }
+            What::Broke {
+                destination,
+                connection,
+                ..
+            } => {
+                self.unanswered.remove(connection);
+                self.failed(*destination, record);
+            }
+            What::Called {
+                destination,
+                connection,
+                ids,
+                ..
+            } => {
+                self.unanswered.insert(*connection, *destination);
+                self.called(*destination, ids.len(), observed, findings);
+            }
+            What::Closed { connection } => self.closed(*connection, record),
+            What::Signalled | What::ProcessExited => self.ending.extend(record.sender),
+            What::Ready => {
+                if let Some(sender) = record.sender {
+                    self.ending.remove(&sender);
+                }
+            }
+            What::Fell { destination } => {
+                self.judge_overload(*destination, "it fell", observed, findings);
+            }
+            What::Back { .. } => self.recovered(observed),
+            _ => {}
+        }
+    }
+}
+
+impl SlowStart {
+    fn failed(&mut self, destination: u64, record: &Line) {
+        if let Some(sender) = record.sender {
+            self.last_failure.insert((destination, sender), record.at);
+        }
+    }
+
+    /// A sender that closes a connection before the reply has seen a silent destination fail.
+    fn closed(&mut self, connection: u64, record: &Line) {
+        let destination = self.unanswered.remove(&connection);
+        let ending = record.sender.is_none_or(|s| self.ending.contains(&s));
+        if let Some(destination) = destination.filter(|_| !ending) {
+            self.failed(destination, record);
+        }
+    }
+
+    fn recovered(&mut self, observed: &Observation<'_>) {
+        let What::Back {
+            destination,
+            since,
+            down,
+            capacity,
+            cold,
+            warm,
+            item,
+        } = observed.record.what
+        else {
+            return;
+        };
+        let recovery = Recovery {
+            since,
+            capacity,
+            ramp: Return {
+                cold,
+                warm,
+                multiple: observed.limits.overload_factor,
+                fall: observed.limits.overload_window,
+                slack: observed.limits.chance_margin,
+            },
+            item_cost: item,
+            informed: self.failed_since(destination, since.saturating_sub(down)),
+            calls: VecDeque::new(),
+            violated: false,
+        };
+        self.recoveries.insert(destination, recovery);
+    }
+
+    /// Senders that have seen a destination fail since `begin`.
+    fn failed_since(&self, destination: u64, begin: Duration) -> BTreeSet<usize> {
+        let of_destination = (destination, usize::MIN)..=(destination, usize::MAX);
+        self.last_failure
+            .range(of_destination)
+            .filter(|(_, at)| **at >= begin)
+            .map(|((_, sender), _)| *sender)
+            .collect()
+    }
+
+    fn called(
+        &mut self,
+        destination: u64,
+        messages: usize,
+        observed: &Observation<'_>,
+        findings: &mut Findings,
+    ) {
+        let record = observed.record;
+        let Some(sender) = record.sender else { return };
+        let Some(recovery) = self.recoveries.get_mut(&destination) else {
+            return;
+        };
+        let elapsed = record.at.saturating_sub(recovery.since);
+        if record.at < recovery.since || elapsed >= recovery.ramp.warm {
+            return;
+        }
+        recovery.calls.push_back(Call {
+            at: record.at,
+            sender,
+            weight: call_weight(messages, recovery.item_cost),
+            wire: record.wire.clone(),
+        });
+        let window = observed.limits.overload_window;
+        let is_old = |call: &Call| record.at.saturating_sub(call.at) >= window;
+        while recovery.calls.front().is_some_and(is_old) {
+            recovery.calls.pop_front();
+        }
+        let budget = recovery.ramp.budget(elapsed, recovery.capacity);
+        if recovery.total_weight() <= budget {
+            findings.kept(Rule::Return);
+            return;
+        }
+        let why = format!("it could take {budget:.1}");
+        self.judge_overload(destination, &why, observed, findings);
+    }
+
+    /// An overload breaks the rule if most of it came from senders that had seen the outage.
+    fn judge_overload(
+        &mut self,
+        destination: u64,
+        why: &str,
+        observed: &Observation<'_>,
+        findings: &mut Findings,
+    ) {
+        let Some(recovery) = self.recoveries.get_mut(&destination) else {
+            return;
+        };
+        let total = recovery.total_weight();
+        let informed = recovery.informed_weight();
+        if recovery.violated || informed <= total * observed.limits.informed_share {
+            return;
+        }
+        recovery.violated = true;
+        let latest = recovery.calls.iter().rev().take(MAX_PROOF_CALLS);
+        findings.broken(Violation {
+            rule: Rule::Return,
+            id: None,
+            destination: Some(destination),
+            at: observed.record.at,
+            why: format!(
+                "{total:.1} calls in {:.1} s, {informed:.1} of them from senders that saw it fail; {why}",
+                observed.limits.overload_window.as_secs_f64()
+            ),
+            wire: latest.map(|call| call.wire.clone()).collect(),
+        });
+    }
+}
+
+impl Recovery {
+    fn total_weight(&self) -> f64 {
+        self.calls.iter().map(|call| call.weight).sum()
+    }
+
+    fn informed_weight(&self) -> f64 {
+        let informed = self
+            .calls
+            .iter()
+            .filter(|call| self.informed.contains(&call.sender));
+        informed.map(|call| call.weight).sum()
+    }
+}
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -1,125 +1,160 @@
-//! How senders know each other, and what breaks between and under them.
+//! The fleet of a scenario: how senders know each other, and faults between and under them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How the senders look after each other. Spans that are not given are the sender's own.
+/// How the senders know each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fleet {
+    /// Membership's protocol period.
     pub period: Duration,
+    /// Membership's bound on a round trip between members.
     pub round_trip: Duration,
+    /// How long a silent member is suspected; the sender's default if `None`.
     pub suspicion: Option<Duration>,
+    /// Eviction delay.
     pub hold: Duration,
-    /// They come back by steps after a restart.
+    /// Senders recover in phases after a restart.
     pub recovery: bool,
-    /// They leave zones, and return to them, together.
+    /// Senders evacuate zones, and return to them, together.
     pub zones: bool,
 }
 
-/// What happens to a way.
+/// A fault of a network path.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PathFault {
-    /// Nothing gets through.
+    /// Nothing passes.
     Cut,
-    /// So many of the packets are lost; what a connection carries comes late instead.
-    Drop { share: f64 },
-    /// All is late by that.
-    Delay { by: Duration },
-    /// All is held, and comes at the end.
+    /// Some packets are lost; on a connection they are delayed instead.
+    Drop {
+        /// Share of the packets, 0 to 1.
+        share: f64,
+    },
+    /// Everything is delayed.
+    Delay {
+        /// By this much.
+        by: Duration,
+    },
+    /// Everything is held back until the end of the fault.
     Stall,
-    /// Connections are reset as it begins.
+    /// Connections are reset at the beginning of the fault.
     Reset,
 }
 
-/// The other side of a way.
+/// The other side of a network path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Side {
+    /// These senders.
     Senders(BTreeSet<usize>),
     /// All endpoints, or those of one zone.
     Destinations(Option<usize>),
 }
 
-/// Ways that are broken for a time.
+/// A fault of the network paths between two sides. Times are since the start of the scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkFault {
+    /// When it begins.
     pub at: Duration,
+    /// When it is over.
     pub until: Duration,
+    /// The senders on one side.
     pub from: BTreeSet<usize>,
+    /// The other side.
     pub to: Side,
-    /// From one side to the other, and not back.
+    /// It affects only what is sent from `from` to `to`.
     pub one_way: bool,
+    /// What is wrong.
     pub path_fault: PathFault,
 }
 
 impl NetworkFault {
-    /// Whether it is on the way from one sender to another.
+    /// Whether it affects what one sender sends to another.
     pub fn between(&self, from: usize, to: usize) -> bool {
         let Side::Senders(others) = &self.to else {
             return false;
         };
-        self.from.contains(&from) && others.contains(&to)
-            || !self.one_way && self.from.contains(&to) && others.contains(&from)
+        let forward = self.from.contains(&from) && others.contains(&to);
+        let backward = self.from.contains(&to) && others.contains(&from);
+        forward || (!self.one_way && backward)
     }
 
-    /// Whether it is on the way from a sender to the endpoints of a zone, or back.
+    /// Whether it affects what a sender sends to the endpoints of a zone, or what comes `back` from them.
     pub fn at_destinations(&self, sender: usize, zone: usize, back: bool) -> bool {
         let Side::Destinations(only) = self.to else {
             return false;
         };
-        only.is_none_or(|only| only == zone)
-            && self.from.contains(&sender)
-            && !(back && self.one_way)
+        let affects_zone = only.is_none_or(|only| only == zone);
+        let affects_direction = !(back && self.one_way);
+        affects_zone && affects_direction && self.from.contains(&sender)
     }
 
-    /// Whether it lies between senders.
+    /// Whether it is a fault between senders.
     pub fn among_senders(&self) -> bool {
         matches!(self.to, Side::Senders(_))
     }
 
+    /// Whether it is on at `now`.
     pub fn duration_at(&self, now: Duration) -> bool {
         self.at <= now && now < self.until
     }
 }
 
-/// What becomes of the folder that lasts, once its process has ended.
+/// What becomes of a sender's state folder once its process has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Folder {
+    /// It stays.
     Kept,
+    /// It is lost.
     Wiped,
-    /// One of the journal's segments ends at a place that the seed draws.
+    /// One of the journal's segments is truncated at a place that the seed draws.
     Cut,
 }
 
-/// Of two processes of one sender.
+/// One of the two processes of a sender during an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Which {
+    /// The process that was running.
     Old,
+    /// The process that takes over.
     New,
 }
 
-/// What is done to processes.
+/// What is done to a sender's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberAction {
-    /// SIGSTOP, and SIGCONT at the end.
-    Stop { duration: Duration },
-    /// SIGKILL; started again so long after its end, or never.
+    /// SIGSTOP, and later SIGCONT.
+    Stop {
+        /// Time between the two.
+        duration: Duration,
+    },
+    /// SIGKILL.
     Kill {
+        /// How long after its end it is started again; `None` for never.
         back: Option<Duration>,
+        /// What becomes of its state folder.
         folder: Folder,
     },
-    /// SIGTERM; as before.
+    /// SIGTERM.
     Term {
+        /// How long after its end it is started again; `None` for never.
         back: Option<Duration>,
+        /// What becomes of its state folder.
         folder: Folder,
     },
-    /// Started a second time beside itself, over the same folder, as for a new version; one of the two may be killed so
-    /// long after that.
-    Upgrade { kill: Option<(Which, Duration)> },
+    /// A second process is started over the same state folder, as for a new version.
+    Upgrade {
+        /// Which of the two is killed, and how long after the start of the second one.
+        kill: Option<(Which, Duration)>,
+    },
 }
 
+/// An action on the processes of some senders.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledAction {
+    /// When, since the start of the scenario.
     pub at: Duration,
+    /// To whose processes.
     pub senders: BTreeSet<usize>,
+    /// What is done.
     pub action: MemberAction,
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,9 +1,12 @@
-//! What a sender meets, as models: no clock, socket, thread or file. Time is the span since the day began.
+//! Models of what a sender meets: destinations, clients, discovery and faults; scenarios that combine them; and the
+//! auditor that judges a recorded run against the operators' rules.
 //!
-//! Start at [`SimulatedDestination`]: it is asked at an instant and tells what comes back and when. [`fault`] says what may go wrong
-//! and how overlapping faults compose; [`limit`] holds what a destination allows. The same code is driven by sockets (the
-//! rehearsal kit) and by virtual time.
-#![forbid(unsafe_code)]
+//! Nothing here has a clock, socket, thread or file. Time is a [`Duration`](std::time::Duration) since the start of the
+//! scenario, so that the same models are driven by sockets (`cranehill-scenario-runner`) and by virtual time
+//! (`cranehill-core`'s tests).
+//!
+//! Start at [`SimulatedDestination`]: it is given a call at an instant and returns the reply and when it is due. [`fault`]
+//! says what may go wrong and how overlapping faults combine; [`limit`] is what a destination admits.
 
 pub mod audit;
 pub mod clients;
@@ -14,6 +17,7 @@
 pub mod limit;
 pub mod return_guard;
 pub mod scenario;
+mod time;
 
 pub use destination::{Asked, Connect, Reply, SimulatedDestination, Spec};
 pub use fault::{Fault, Kind, State};
--- a/crates/simulation/src/limit.rs
+++ b/crates/simulation/src/limit.rs
@@ -1,38 +1,52 @@
-//! What a destination takes from all senders together: a plain rate, a count in each span, or no limit of its own.
+//! Limits of a destination on the calls of all senders together: a rate, a count in each span, or none.
 
 use std::time::Duration;
 
+use crate::time::seconds;
+
 /// A limit as a destination's operator would state it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Limit {
-    /// Only its capacity.
+    /// No limit but the destination's capacity.
     None,
-    /// So many calls a second, evenly: the next is allowed a period after the last, with this many saved up at most.
-    Rate { per_second: f64, burst: f64 },
-    /// So many calls in each span; spans follow one another from the day's beginning.
-    Count { calls: u32, span: Duration },
+    /// A token bucket.
+    Rate {
+        /// Calls a second.
+        per_second: f64,
+        /// Calls that can be saved up.
+        burst: f64,
+    },
+    /// A count in fixed spans that follow one another from the start of the scenario.
+    Count {
+        /// Calls in each span.
+        calls: u32,
+        /// Length of a span.
+        span: Duration,
+    },
 }
 
 /// A limit in use.
 #[derive(Clone, Debug)]
 pub struct Allowance {
-    /// As stated, and as it is now.
-    stated: Limit,
+    /// The limit without faults.
+    nominal: Limit,
+    /// The limit as it is now.
     limit: Limit,
     /// Calls saved up, for a rate; calls used in the present span, for a count.
     level: f64,
-    /// When `level` was true.
-    at: Duration,
+    /// When `level` was last updated.
+    updated_at: Duration,
 }
 
-/// A refusal by the limit.
+/// A call was rejected by the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Full {
-    /// When there is room again, if nobody else takes it.
+    /// When a call is admitted again, if there is no other one before.
     pub again: Duration,
 }
 
 impl Allowance {
+    /// A limit that is not used up.
     pub fn new(limit: Limit) -> Allowance {
         let level = if let Limit::Rate { burst, .. } = limit {
             burst
@@ -40,17 +54,17 @@
             0.0
         };
         Allowance {
-            stated: limit,
+            nominal: limit,
             limit,
             level,
-            at: Duration::ZERO,
+            updated_at: Duration::ZERO,
         }
     }
 
-    /// From `now` on it is so much of what was stated; a count is one call at least.
+    /// Sets the limit to a part of the nominal one from `now` on; a count is at least one call.
     pub fn lower(&mut self, now: Duration, factor: f64) {
         self.advance(now);
-        self.limit = match self.stated {
+        self.limit = match self.nominal {
             Limit::None => Limit::None,
             Limit::Rate { per_second, burst } => Limit::Rate {
                 per_second: per_second * factor,
@@ -63,7 +77,10 @@
         };
     }
 
-    /// Uses one call at `now` if there is room. With `charge_refused`, a refused call uses the limit up all the same.
+    /// Admits or rejects a call at `now`. With `charge_refused`, rejected calls use the limit up too.
+    ///
+    /// # Errors
+    /// [`Full`] if the limit is used up.
     pub fn take(&mut self, now: Duration, charge_refused: bool) -> Result<(), Full> {
         self.advance(now);
         match self.limit {
@@ -74,7 +91,7 @@
                     return Ok(());
                 }
                 if charge_refused {
-                    // It can't sink without end: a whole burst below nothing at most.
+                    // At most one whole burst below 0, so that the limit recovers in bounded time.
                     self.level = (self.level - 1.0).max(-burst);
                 }
                 let missing = (1.0 - self.level) / per_second.max(f64::MIN_POSITIVE);
@@ -98,8 +115,7 @@
         }
     }
 
-    /// Share of the limit that is left (0 to 1) and the limit in calls a second, as a report tells them; zeros if
-    /// there is none.
+    /// A load report: the part of the limit that is left (0 to 1) and the limit in calls a second; zeros if there is none.
     pub fn reading(&mut self, now: Duration) -> (f64, f64) {
         self.advance(now);
         match self.limit {
@@ -121,24 +137,21 @@
         match self.limit {
             Limit::None => {}
             Limit::Rate { per_second, burst } => {
-                let passed = now.saturating_sub(self.at).as_secs_f64();
+                let passed = now.saturating_sub(self.updated_at).as_secs_f64();
                 self.level = (self.level + passed * per_second).min(burst);
             }
             Limit::Count { span, .. } => {
-                if span_start(now, span) > span_start(self.at, span) {
+                if span_start(now, span) > span_start(self.updated_at, span) {
                     self.level = 0.0;
                 }
             }
         }
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 }
 
+/// The start of the span that contains `at`.
 fn span_start(at: Duration, span: Duration) -> Duration {
     let span = span.as_nanos().max(1);
     Duration::from_nanos((at.as_nanos() / span * span) as u64)
 }
-
-pub(crate) fn seconds(seconds: f64) -> Duration {
-    Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX / 4)
-}
--- a/crates/simulation/src/return_guard.rs
+++ b/crates/simulation/src/return_guard.rs
@@ -1,19 +1,20 @@
-//! A destination that comes back cold: what it can do then, and when it is pushed over.
+//! Slow start of a destination after an outage: its reduced capacity, and the overload at which it fails.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The figures of the rule.
+/// How a destination warms up after an outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Return {
-    /// Share of its capacity with which it comes back.
+    /// The part of its capacity that it has at the end of the outage, 0 to 1.
     pub cold: f64,
-    /// How long it takes to be warm.
+    /// Time until it has its whole capacity.
     pub warm: Duration,
-    /// More than so many times what it can do, for so long, and it falls over.
+    /// It fails at more than this many times its present capacity.
     pub multiple: f64,
+    /// Over how long the overload is measured.
     pub fall: Duration,
-    /// Beyond the expected count N, `slack` times the root of N and `slack` more are put down to chance.
+    /// Of N expected calls, this many times the root of N, and this many more, are put down to chance.
     pub slack: f64,
 }
 
@@ -30,60 +31,76 @@
 }
 
 impl Return {
-    /// Share of the capacity that is there so long after the outage: it rises evenly.
+    /// The part of the capacity that is there this long after the outage: it rises linearly to 1.
     pub fn share(&self, since: Duration) -> f64 {
         let warm = self.warm.as_secs_f64().max(1e-9);
         (self.cold + (1.0 - self.cold) * since.as_secs_f64() / warm).min(1.0)
     }
 
-    /// What may be sent in the span that ends so long after the outage, at so many messages a second when warm.
+    /// The calls that are tolerated in the window that ends this long after the outage, given the calls a second when warm.
     pub fn budget(&self, since: Duration, capacity: f64) -> f64 {
         let expected = self.multiple * self.share(since) * capacity * self.fall.as_secs_f64();
         expected + self.slack * expected.sqrt() + self.slack
     }
 }
 
-/// Counts what is sent to one destination that has come back.
+/// What a call costs, in calls of one message: each message after the first adds `item_cost`.
+pub(crate) fn call_weight(messages: usize, item_cost: f64) -> f64 {
+    1.0 + item_cost * (messages as f64 - 1.0)
+}
+
+#[derive(Clone, Copy, Debug)]
+struct WeightedCall {
+    at: Duration,
+    weight: f64,
+}
+
+/// Measures the load on one warming destination, and decides when it fails.
 #[derive(Clone, Debug, Default)]
 pub struct Guard {
-    /// The end of the outage that is being watched.
-    back: Option<Duration>,
-    sent: VecDeque<(Duration, f64)>,
-    total: f64,
+    /// The end of the outage whose slow start is measured.
+    recovered_at: Option<Duration>,
+    /// Calls within the latest window.
+    calls: VecDeque<WeightedCall>,
+    total_weight: f64,
     fallen: bool,
 }
 
 impl Guard {
-    /// Notes so many messages sent at `now` to a destination that is back since then; true if that pushes it over.
+    /// Counts a call of this weight at `now` to a destination that has recovered at `recovered_at`, if it has; true if the
+    /// call makes the destination fail.
     pub fn sent(
         &mut self,
-        set: &Return,
+        ramp: &Return,
         now: Duration,
-        back: Option<Duration>,
-        messages: f64,
+        recovered_at: Option<Duration>,
+        weight: f64,
         capacity: f64,
     ) -> bool {
-        if self.back != back {
-            (self.back, self.total) = (back, 0.0);
-            self.sent.clear();
+        if self.recovered_at != recovered_at {
+            self.recovered_at = recovered_at;
+            self.total_weight = 0.0;
+            self.calls.clear();
         }
-        let Some(back) = back.filter(|&b| now.saturating_sub(b) < set.warm) else {
+        let is_warming = |at: &Duration| now.saturating_sub(*at) < ramp.warm;
+        let Some(recovered_at) = recovered_at.filter(is_warming) else {
             return false;
         };
-        self.sent.push_back((now, messages));
-        self.total += messages;
-        while let Some(&(at, old)) = self.sent.front()
-            && now.saturating_sub(at) >= set.fall
+        self.calls.push_back(WeightedCall { at: now, weight });
+        self.total_weight += weight;
+        while let Some(&call) = self.calls.front()
+            && now.saturating_sub(call.at) >= ramp.fall
         {
-            self.sent.pop_front();
-            self.total -= old;
+            self.calls.pop_front();
+            self.total_weight -= call.weight;
         }
-        let over = self.total > set.budget(now - back, capacity);
-        let first = over && !self.fallen;
-        self.fallen |= over;
-        first
+        let overloaded = self.total_weight > ramp.budget(now - recovered_at, capacity);
+        let falls = overloaded && !self.fallen;
+        self.fallen |= overloaded;
+        falls
     }
 
+    /// Whether the destination has failed under overload; it stays so.
     pub fn fallen(&self) -> bool {
         self.fallen
     }
--- a/crates/simulation/src/scenario/classes.rs
+++ b/crates/simulation/src/scenario/classes.rs
@@ -2,36 +2,38 @@
 
 use std::time::Duration;
 
+use super::error::{ScenarioError, ScenarioProblem};
 use super::file::{ClassFile, File};
-use super::source::{ScenarioError, Source};
+use super::source::Source;
 use super::types::{Effect, MessageClass};
 use crate::clients;
 
-/// The class of a day that names none.
+/// The class of a scenario that names none.
 const DEFAULT_NAME: &str = "episode-notice";
-const DEFAULT_AIM: Duration = Duration::from_secs(4);
-const DEFAULT_DURATION: Duration = Duration::from_secs(20);
+const DEFAULT_LATENCY_OBJECTIVE: Duration = Duration::from_secs(4);
+const DEFAULT_TIME_TO_LIVE: Duration = Duration::from_secs(20);
 const DEFAULT_LATE_SHARE: f64 = 0.4;
 
 /// The same classes in the same order, for the auditor and for the clients.
 #[derive(Default)]
 pub(super) struct Classes {
-    pub effects: Vec<MessageClass>,
-    pub load: Vec<clients::Class>,
+    pub(super) effects: Vec<MessageClass>,
+    pub(super) load: Vec<clients::Class>,
 }
 
 impl Classes {
-    /// Adds the classes of Web Push posts, and tells the index of the first. A post without a topic must not be shown twice.
-    pub fn add_push_classes(&mut self) -> usize {
+    /// Adds the classes of Web Push posts and returns the index of the first one. A post without a topic must not be shown
+    /// twice.
+    pub(super) fn add_push_classes(&mut self) -> usize {
         let first = self.effects.len();
-        let usual = clients::Class {
+        let class = clients::Class {
             keyed: false,
             order_keys: 0,
             share: 0.0,
             ..self.load[0].clone()
         };
-        self.add("push", Effect::Unsafe, usual.clone());
-        self.add("push-topic", Effect::Safe, usual);
+        self.add("push", Effect::Unsafe, class.clone());
+        self.add("push-topic", Effect::Safe, class);
         first
     }
 
@@ -44,7 +46,7 @@
     }
 }
 
-/// The classes of a file; a usual one if it names none.
+/// The classes of a file; a default one if it names none.
 pub(super) fn read(source: &Source<'_>, file: &File) -> Result<Classes, ScenarioError> {
     let mut classes = Classes::default();
     for class in &file.class {
@@ -60,39 +62,40 @@
         classes.add(&class.name, effect, load);
     }
     if classes.effects.is_empty() {
-        let load = clients::Class {
-            aim: DEFAULT_AIM,
-            duration: DEFAULT_DURATION,
-            keyed: true,
-            order_keys: 0,
-            share: 1.0,
-            late_share: DEFAULT_LATE_SHARE,
-        };
-        classes.add(
-            DEFAULT_NAME,
-            Effect::Keyed {
-                window: DEFAULT_DURATION,
-            },
-            load,
-        );
+        add_default(&mut classes);
     }
     Ok(classes)
 }
 
+fn add_default(classes: &mut Classes) {
+    let effect = Effect::Keyed {
+        window: DEFAULT_TIME_TO_LIVE,
+    };
+    let load = clients::Class {
+        aim: DEFAULT_LATENCY_OBJECTIVE,
+        duration: DEFAULT_TIME_TO_LIVE,
+        keyed: true,
+        order_keys: 0,
+        share: 1.0,
+        late_share: DEFAULT_LATE_SHARE,
+    };
+    classes.add(DEFAULT_NAME, effect, load);
+}
+
 fn effect(source: &Source<'_>, class: &ClassFile) -> Result<Effect, ScenarioError> {
-    let duration = class.duration.get_ref().0;
-    if duration.is_zero() {
-        return Err(source.error(&class.duration, "a notice lasts some time"));
+    let time_to_live = class.duration.get_ref().0;
+    if time_to_live.is_zero() {
+        return Err(source.error(&class.duration, ScenarioProblem::TimeToLive));
     }
     match class.effect.get_ref().as_str() {
         "safe" => Ok(Effect::Safe),
         "keyed" => Ok(Effect::Keyed {
-            window: class.window.map_or(duration, |w| w.0),
+            window: class.window.map_or(time_to_live, |w| w.0),
         }),
         "unsafe" => Ok(Effect::Unsafe),
-        other => Err(source.error(
-            &class.effect,
-            format!("'{other}' is not safe, keyed or unsafe"),
-        )),
+        other => {
+            let effect = other.to_owned();
+            Err(source.error(&class.effect, ScenarioProblem::Effect { effect }))
+        }
     }
 }
--- a/crates/simulation/src/scenario/destinations.rs
+++ b/crates/simulation/src/scenario/destinations.rs
@@ -4,26 +4,21 @@
 
 use toml::Spanned;
 
-use super::file::{DestinationFile, File};
-use super::source::{ScenarioError, Source};
+use super::bounds::{MAX_CALL_MESSAGES, MAX_DESTINATION_ENDPOINTS, MAX_ENDPOINTS};
+use super::error::{ScenarioError, ScenarioProblem};
+use super::file::{DestinationFile, File, Tenant};
+use super::source::Source;
 use super::types::Member;
 use crate::destination::Spec;
 use crate::limit::Limit;
 
-/// Endpoints of all destinations together, and destinations that one table makes.
-const ENDPOINTS_MOST: usize = 100_000;
-/// Endpoints of one destination.
-const MAX_DESTINATION_ENDPOINTS: usize = 64;
-/// Messages that one call may hold.
-const BATCH_MOST: usize = 64;
-
 /// A tenant, and its share of the load.
 pub(super) struct TenantShare {
-    pub name: String,
-    pub share: f64,
+    pub(super) name: String,
+    pub(super) share: f64,
 }
 
-/// The file's tenants; one of them if it names none.
+/// The file's tenants; a default one if it names none.
 pub(super) fn tenants(file: &File) -> Vec<TenantShare> {
     if file.tenant.is_empty() {
         return vec![TenantShare {
@@ -31,14 +26,14 @@
             share: 1.0,
         }];
     }
-    let tenant = |s: &super::file::Tenant| TenantShare {
+    let tenant = |s: &Tenant| TenantShare {
         name: s.name.get_ref().clone(),
         share: s.share,
     };
     file.tenant.iter().map(tenant).collect()
 }
 
-/// The names of the day's zones, in the order in which destinations name them.
+/// The names of the zones, in the order in which destinations name them.
 pub(super) fn zones(file: &File) -> Vec<String> {
     let mut zones: Vec<String> = Vec::new();
     for name in file.destination.iter().flat_map(|p| &p.zones) {
@@ -53,7 +48,7 @@
     }
 }
 
-/// The kinds of destinations that the directory lists.
+/// The kinds of the destinations that discovery lists.
 pub(super) fn kinds(destinations: &[Member]) -> Vec<String> {
     let mut kinds: Vec<String> = Vec::new();
     for member in destinations {
@@ -83,7 +78,8 @@
                 base.clone()
             };
             if !names.insert(name.clone()) {
-                return Err(source.error(&table.name, format!("there are two partners '{name}'")));
+                let problem = ScenarioProblem::DuplicateDestination { name };
+                return Err(source.error(&table.name, problem));
             }
             members.push(Member {
                 name,
@@ -92,34 +88,29 @@
         }
     }
     if members.is_empty() {
-        return Err(ScenarioError {
-            line: 1,
-            why: "a day has partners: [[partner]]".into(),
-        });
+        return Err(ScenarioError::in_file(ScenarioProblem::NoDestinations));
     }
     Ok(members)
 }
 
-/// An error if a day has more endpoints than can be played.
+/// An error if there are more endpoints than can be simulated.
 pub(super) fn check_total(destinations: &[Member]) -> Result<(), ScenarioError> {
     let total: usize = destinations.iter().map(|m| m.spec.endpoints).sum();
-    if total > ENDPOINTS_MOST {
-        return Err(ScenarioError {
-            line: 1,
-            why: format!("{total} endpoints; {ENDPOINTS_MOST} at most"),
-        });
+    if total > MAX_ENDPOINTS {
+        let problem = ScenarioProblem::TotalEndpoints { total };
+        return Err(ScenarioError::in_file(problem));
     }
     Ok(())
 }
 
-/// The destinations of that name, or of that name with a number behind.
+/// The indexes of the destinations of this name, or of this name with a number added.
 pub(super) fn named(
     source: &Source<'_>,
     destinations: &[Member],
     name: &Spanned<String>,
 ) -> Result<Vec<usize>, ScenarioError> {
     let wanted = name.get_ref();
-    let is = |m: &Member| {
+    let matches = |m: &Member| {
         let number = m
             .name
             .strip_prefix(wanted.as_str())
@@ -130,11 +121,13 @@
     let found: Vec<usize> = destinations
         .iter()
         .enumerate()
-        .filter(|(_, m)| is(m))
+        .filter(|(_, m)| matches(m))
         .map(|(n, _)| n)
         .collect();
     if found.is_empty() {
-        return Err(source.error(name, format!("no partner '{wanted}'")));
+        let wanted = wanted.clone();
+        let problem = ScenarioProblem::UnknownDestination { name: wanted };
+        return Err(source.error(name, problem));
     }
     Ok(found)
 }
@@ -146,17 +139,15 @@
 
 fn count(source: &Source<'_>, table: &DestinationFile) -> Result<usize, ScenarioError> {
     let count = table_count(table);
-    if let Some(at) = table
-        .count
-        .as_ref()
-        .filter(|_| !(1..=ENDPOINTS_MOST).contains(&count))
-    {
-        return Err(source.error(at, format!("count is from 1 to {ENDPOINTS_MOST}")));
+    match &table.count {
+        Some(place) if !(1..=MAX_ENDPOINTS).contains(&count) => {
+            Err(source.error(place, ScenarioProblem::DestinationCount))
+        }
+        _ => Ok(count),
     }
-    Ok(count)
 }
 
-/// What the destinations of one table have in common. Their tenants go round unless one is named.
+/// What the destinations of one table have in common. Unless one is named, tables are assigned to the tenants in turn.
 fn member(
     source: &Source<'_>,
     table: &DestinationFile,
@@ -166,30 +157,23 @@
 ) -> Result<Member, ScenarioError> {
     let tenant = match &table.tenant {
         None => index % tenants.len(),
-        Some(name) => tenants
-            .iter()
-            .position(|s| s.name == *name.get_ref())
-            .ok_or_else(|| source.error(name, format!("no station '{}'", name.get_ref())))?,
+        Some(name) => named_tenant(source, tenants, name)?,
     };
     let spec = spec(source, table)?;
-    let push = table.push.as_ref().is_some_and(|p| *p.get_ref());
-    if let Some(at) = table
-        .push
-        .as_ref()
-        .filter(|_| push && (spec.batch > 1 || !spec.shared))
+    let push = table.push.as_ref().filter(|push| *push.get_ref());
+    if let Some(place) = push
+        && (spec.batch > 1 || !spec.shared)
     {
-        return Err(source.error(
-            at,
-            "a push service takes no batches, and its endpoints share its limit",
-        ));
+        return Err(source.error(place, ScenarioProblem::PushService));
     }
-    let usual_kind = if push { "push" } else { "station" };
+    let push = push.is_some();
+    let default_kind = if push { "push" } else { "station" };
     Ok(Member {
         name: table.name.get_ref().clone(),
         kind: table
             .kind
             .as_ref()
-            .map_or_else(|| usual_kind.into(), |k| k.get_ref().clone()),
+            .map_or_else(|| default_kind.into(), |k| k.get_ref().clone()),
         tenant,
         push,
         faults: vec![Vec::new(); spec.endpoints],
@@ -198,26 +182,31 @@
     })
 }
 
+fn named_tenant(
+    source: &Source<'_>,
+    tenants: &[TenantShare],
+    name: &Spanned<String>,
+) -> Result<usize, ScenarioError> {
+    let index = tenants.iter().position(|t| t.name == *name.get_ref());
+    index.ok_or_else(|| {
+        let wanted = name.get_ref().clone();
+        source.error(name, ScenarioProblem::UnknownTenant { name: wanted })
+    })
+}
+
 fn spec(source: &Source<'_>, table: &DestinationFile) -> Result<Spec, ScenarioError> {
-    let set = Spec::default();
-    let endpoints = table.endpoints.as_ref().map_or(1, |e| *e.get_ref());
-    if let Some(at) = table
-        .endpoints
-        .as_ref()
-        .filter(|_| !(1..=MAX_DESTINATION_ENDPOINTS).contains(&endpoints))
-    {
-        return Err(source.error(at, "a partner has 1 to 64 endpoints"));
-    }
-    let capacity = table
-        .capacity
-        .as_ref()
-        .map_or(set.capacity, |c| c.get_ref().0);
-    if let Some(at) = table.capacity.as_ref().filter(|_| capacity <= 0.0) {
-        return Err(source.error(at, "a partner can do something"));
-    }
+    let default = Spec::default();
+    let endpoints = endpoint_count(source, table)?;
+    let capacity = match &table.capacity {
+        Some(capacity) if capacity.get_ref().0 <= 0.0 => {
+            return Err(source.error(capacity, ScenarioProblem::Capacity));
+        }
+        Some(capacity) => capacity.get_ref().0,
+        None => default.capacity,
+    };
     let sends_retry_after = match &table.sends_retry_after {
         Some(share) => source.share(share, "tells_wait")?,
-        None => set.sends_retry_after,
+        None => default.sends_retry_after,
     };
     Ok(Spec {
         endpoints,
@@ -225,19 +214,30 @@
         limit: table.limit.map_or(Limit::None, |l| l.0),
         charge_refused: table.charge_refused,
         capacity,
-        queue: table.queue.unwrap_or(set.queue),
-        pace: table.pace.map_or(set.pace, |p| p.0),
-        spread: table.spread.unwrap_or(set.spread),
+        queue: table.queue.unwrap_or(default.queue),
+        pace: table.pace.map_or(default.pace, |p| p.0),
+        spread: table.spread.unwrap_or(default.spread),
         connections: table.connections,
         sends_retry_after,
-        wait: table.wait.map_or(set.wait, |(a, b)| (a.0, b.0)),
-        batch: table.batch.unwrap_or(1).clamp(1, BATCH_MOST),
-        item_cost: table.item_cost.unwrap_or(set.item_cost),
+        wait: table.wait.map_or(default.wait, |(a, b)| (a.0, b.0)),
+        batch: table.batch.unwrap_or(1).clamp(1, MAX_CALL_MESSAGES),
+        item_cost: table.item_cost.unwrap_or(default.item_cost),
         reports: table.reports.map(|r| r.0),
-        back: set.back,
+        back: default.back,
     })
 }
 
+fn endpoint_count(source: &Source<'_>, table: &DestinationFile) -> Result<usize, ScenarioError> {
+    let Some(place) = &table.endpoints else {
+        return Ok(1);
+    };
+    let endpoints = *place.get_ref();
+    if !(1..=MAX_DESTINATION_ENDPOINTS).contains(&endpoints) {
+        return Err(source.error(place, ScenarioProblem::EndpointCount));
+    }
+    Ok(endpoints)
+}
+
 /// The zone of each endpoint: those that the table names, in turn.
 fn endpoint_zones(table: &DestinationFile, endpoints: usize, zones: &[String]) -> Vec<usize> {
     let named = (0..endpoints).map(|e| table.zones.get(e % table.zones.len().max(1)));
--- a/crates/simulation/src/scenario/faults.rs
+++ b/crates/simulation/src/scenario/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: what goes wrong at which endpoints.
+//! Faults of endpoints.
 
 use std::time::Duration;
 
@@ -6,15 +6,17 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::destinations::named;
+use super::error::{ScenarioError, ScenarioProblem};
 use super::file::{FaultFile, File};
-use super::source::{ScenarioError, Source};
+use super::source::Source;
 use super::types::Member;
 use crate::fault::{Fault, Kind};
 
-/// After how long an idle connection is closed, where the file does not say.
-const CLOSE_IDLE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(3));
+/// The shortest and the longest time after which an idle connection is closed, where the file does not say.
+const DEFAULT_CLOSE_IDLE: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_secs(3));
 
-/// Gives the destinations' endpoints their faults, in the file's order, which is the order in which the seed draws.
+/// Adds the faults to the destinations' endpoints in the order of the file, which is the order in which the seed draws.
 pub(super) fn read(
     source: &Source<'_>,
     file: &File,
@@ -42,18 +44,12 @@
             length: table.duration.0,
         };
         for destination in affected {
-            let Member {
-                faults,
-                zones: places,
-                ..
-            } = &mut destinations[destination];
-            for (endpoint, faults) in faults.iter_mut().enumerate() {
-                let meant = table
-                    .endpoints
-                    .as_ref()
-                    .is_none_or(|e| e.contains(&endpoint))
-                    && of_zone.is_none_or(|zone| places[endpoint] == zone);
-                if meant && (part >= 1.0 || rng.random_bool(part)) {
+            let member = &mut destinations[destination];
+            for (endpoint, faults) in member.faults.iter_mut().enumerate() {
+                let numbers = table.endpoints.as_ref();
+                let in_numbers = numbers.is_none_or(|numbers| numbers.contains(&endpoint));
+                let in_zone = of_zone.is_none_or(|zone| member.zones[endpoint] == zone);
+                if in_numbers && in_zone && (part >= 1.0 || rng.random_bool(part)) {
                     faults.push(fault);
                 }
             }
@@ -88,17 +84,17 @@
         "close-idle" => {
             let (least, most) = table
                 .after
-                .map_or(CLOSE_IDLE, |(least, most)| (least.0, most.0));
+                .map_or(DEFAULT_CLOSE_IDLE, |(least, most)| (least.0, most.0));
             Ok(Kind::CloseIdle { least, most })
         }
         other => {
-            let known = "vanish, refuse, silent, shut, fail, spoil, slow, lower or close-idle";
-            Err(source.error(&table.kind, format!("'{other}' is not {known}")))
+            let kind = other.to_owned();
+            Err(source.error(&table.kind, ScenarioProblem::FaultKind { kind }))
         }
     }
 }
 
-/// The destinations that a fault strikes: those named, those of a kind, or all if it says neither. Each once.
+/// The destinations that a fault affects, each once: those named and those of a kind, or all if the file says neither.
 fn affected_destinations(
     source: &Source<'_>,
     table: &FaultFile,
@@ -115,7 +111,8 @@
             .filter(|(_, m)| m.kind == *kind.get_ref());
         let found: Vec<usize> = of_kind.map(|(n, _)| n).collect();
         if found.is_empty() {
-            return Err(source.error(kind, format!("no partner is of kind '{}'", kind.get_ref())));
+            let name = kind.get_ref().clone();
+            return Err(source.error(kind, ScenarioProblem::UnknownKind { kind: name }));
         }
         affected.extend(found);
     }
--- a/crates/simulation/src/scenario/file.rs
+++ b/crates/simulation/src/scenario/file.rs
@@ -1,231 +1,240 @@
-//! The tables of a day's file, as they are written.
+//! The tables of a scenario file, as they are written.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 use toml::Spanned;
 
-use super::fleet::{FleetFile, NetworkFaultFile};
-use super::source::{ScenarioError, Source};
+use super::error::{ScenarioError, ScenarioProblem};
+use super::fleet_tables::{FleetFile, NetworkFaultFile};
+use super::source::Source;
 use super::units::{LimitText, Rate, Span};
 
+/// A whole file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct File {
-    pub name: String,
-    #[serde(default = "default_length")]
-    #[serde(rename = "lasts")]
-    pub duration: Spanned<Span>,
+    pub(super) name: String,
+    #[serde(default = "default_duration", rename = "lasts")]
+    pub(super) duration: Spanned<Span>,
     #[serde(default = "one_sender")]
-    pub senders: Spanned<usize>,
-    pub load: LoadFile,
-    #[serde(default)]
-    #[serde(rename = "station")]
-    pub tenant: Vec<Tenant>,
+    pub(super) senders: Spanned<usize>,
+    pub(super) load: LoadFile,
+    #[serde(default, rename = "station")]
+    pub(super) tenant: Vec<Tenant>,
     #[serde(default)]
-    pub class: Vec<ClassFile>,
+    pub(super) class: Vec<ClassFile>,
     #[serde(rename = "partner")]
-    pub destination: Vec<DestinationFile>,
+    pub(super) destination: Vec<DestinationFile>,
     #[serde(default)]
-    pub fault: Vec<FaultFile>,
+    pub(super) fault: Vec<FaultFile>,
     #[serde(default)]
-    pub hot: Vec<HotFile>,
+    pub(super) hot: Vec<HotFile>,
     #[serde(default)]
-    pub change: Vec<ChangeFile>,
+    pub(super) change: Vec<ChangeFile>,
     #[serde(default)]
-    pub directory: DirectoryFile,
+    pub(super) directory: DirectoryFile,
     #[serde(default)]
-    pub signal: Vec<SignalFile>,
-    /// The senders know each other.
-    pub fleet: Option<FleetFile>,
+    pub(super) signal: Vec<SignalFile>,
+    /// How the senders know each other.
+    pub(super) fleet: Option<FleetFile>,
     #[serde(default, rename = "break")]
-    pub network_faults: Vec<NetworkFaultFile>,
+    pub(super) network_faults: Vec<NetworkFaultFile>,
 }
 
+/// `[load]`
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct LoadFile {
-    pub rate: Spanned<Rate>,
+    pub(super) rate: Spanned<Rate>,
     #[serde(default)]
-    pub clumps: Option<Spanned<f64>>,
+    pub(super) clumps: Option<Spanned<f64>>,
     #[serde(default)]
-    pub clump: Option<(Span, Span)>,
+    pub(super) clump: Option<(Span, Span)>,
     #[serde(default)]
-    pub zipf: Option<f64>,
+    pub(super) zipf: Option<f64>,
     #[serde(default)]
-    pub retries: Option<u32>,
+    pub(super) retries: Option<u32>,
     #[serde(default)]
-    pub body: Option<(usize, usize)>,
+    pub(super) body: Option<(usize, usize)>,
 }
 
+/// `[[station]]`
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Tenant {
-    pub name: Spanned<String>,
-    pub share: f64,
+    pub(super) name: Spanned<String>,
+    pub(super) share: f64,
 }
 
+/// `[[class]]`
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ClassFile {
-    pub name: String,
+    pub(super) name: String,
     #[serde(default = "effect_keyed")]
-    pub effect: Spanned<String>,
+    pub(super) effect: Spanned<String>,
     #[serde(default)]
-    pub window: Option<Span>,
-    pub aim: Span,
+    pub(super) window: Option<Span>,
+    pub(super) aim: Span,
     #[serde(rename = "lasts")]
-    pub duration: Spanned<Span>,
+    pub(super) duration: Spanned<Span>,
     #[serde(default = "whole_share")]
-    pub share: f64,
+    pub(super) share: f64,
     #[serde(default)]
-    pub late_share: Option<f64>,
-    /// Its messages keep their order within each of so many keys.
+    pub(super) late_share: Option<f64>,
+    /// Number of ordering keys over which its messages are spread.
     #[serde(default)]
-    pub order_keys: u32,
+    pub(super) order_keys: u32,
 }
 
+/// `[[partner]]`
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DestinationFile {
-    pub name: Spanned<String>,
-    #[serde(default)]
-    #[serde(rename = "station")]
-    pub tenant: Option<Spanned<String>>,
+    pub(super) name: Spanned<String>,
+    #[serde(default, rename = "station")]
+    pub(super) tenant: Option<Spanned<String>>,
     #[serde(default)]
-    pub kind: Option<Spanned<String>>,
-    /// So many destinations alike, named with a number behind.
+    pub(super) kind: Option<Spanned<String>>,
+    /// Number of like destinations; a number is added to their names.
     #[serde(default)]
-    pub count: Option<Spanned<usize>>,
+    pub(super) count: Option<Spanned<usize>>,
     #[serde(default)]
-    pub endpoints: Option<Spanned<usize>>,
+    pub(super) endpoints: Option<Spanned<usize>>,
     #[serde(default)]
-    pub shared: Option<bool>,
+    pub(super) shared: Option<bool>,
     #[serde(default)]
-    pub limit: Option<LimitText>,
+    pub(super) limit: Option<LimitText>,
     #[serde(default)]
-    pub charge_refused: bool,
+    pub(super) charge_refused: bool,
     #[serde(default)]
-    pub capacity: Option<Spanned<Rate>>,
+    pub(super) capacity: Option<Spanned<Rate>>,
     #[serde(default)]
-    pub queue: Option<usize>,
+    pub(super) queue: Option<usize>,
     #[serde(default)]
-    pub pace: Option<Span>,
+    pub(super) pace: Option<Span>,
     #[serde(default)]
-    pub spread: Option<f64>,
+    pub(super) spread: Option<f64>,
     #[serde(default)]
-    pub connections: Option<usize>,
+    pub(super) connections: Option<usize>,
+    #[serde(default, rename = "tells_wait")]
+    pub(super) sends_retry_after: Option<Spanned<f64>>,
     #[serde(default)]
-    #[serde(rename = "tells_wait")]
-    pub sends_retry_after: Option<Spanned<f64>>,
+    pub(super) wait: Option<(Span, Span)>,
     #[serde(default)]
-    pub wait: Option<(Span, Span)>,
+    pub(super) batch: Option<usize>,
     #[serde(default)]
-    pub batch: Option<usize>,
+    pub(super) item_cost: Option<f64>,
     #[serde(default)]
-    pub item_cost: Option<f64>,
+    pub(super) reports: Option<Span>,
     #[serde(default)]
-    pub reports: Option<Span>,
-    #[serde(default)]
-    pub weight: Option<f64>,
+    pub(super) weight: Option<f64>,
     /// The zones of its endpoints, in turn.
     #[serde(default)]
-    pub zones: Vec<String>,
-    /// A push service: posts for it come over Web Push, and the directory does not know it.
+    pub(super) zones: Vec<String>,
+    /// A push service: posts for it arrive over Web Push, and discovery does not list it.
     #[serde(default)]
-    pub push: Option<Spanned<bool>>,
+    pub(super) push: Option<Spanned<bool>>,
 }
 
+/// `[[fault]]`
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FaultFile {
-    pub kind: Spanned<String>,
-    pub at: Spanned<Span>,
+    pub(super) kind: Spanned<String>,
+    pub(super) at: Spanned<Span>,
     #[serde(rename = "lasts")]
-    pub duration: Span,
-    /// One of these says where.
-    #[serde(default)]
-    #[serde(rename = "partners")]
-    pub destinations: Vec<Spanned<String>>,
+    pub(super) duration: Span,
+    /// Without this and `of_kind`: all destinations.
+    #[serde(default, rename = "partners")]
+    pub(super) destinations: Vec<Spanned<String>>,
     #[serde(default)]
-    pub of_kind: Option<Spanned<String>>,
+    pub(super) of_kind: Option<Spanned<String>>,
     /// Only endpoints of this zone.
     #[serde(default)]
-    pub of_zone: Option<Spanned<String>>,
+    pub(super) of_zone: Option<Spanned<String>>,
     /// Only these endpoints of each destination, from 0.
     #[serde(default)]
-    pub endpoints: Option<Vec<usize>>,
-    /// Share of the endpoints that it strikes, drawn by the seed.
+    pub(super) endpoints: Option<Vec<usize>>,
+    /// Share of the endpoints that it affects, drawn by the seed.
     #[serde(default)]
-    pub part: Option<Spanned<f64>>,
+    pub(super) part: Option<Spanned<f64>>,
     /// For `fail` and `spoil`: share of the calls.
     #[serde(default)]
-    pub share: Option<Spanned<f64>>,
-    /// For `slow`, and for `lower`: the share of the limit that is left.
+    pub(super) share: Option<Spanned<f64>>,
+    /// For `slow`: how many times as long; for `lower`: the part of the limit that remains.
     #[serde(default)]
-    pub factor: Option<f64>,
+    pub(super) factor: Option<f64>,
     /// For `close-idle`.
     #[serde(default)]
-    pub after: Option<(Span, Span)>,
+    pub(super) after: Option<(Span, Span)>,
 }
 
+/// `[[hot]]`
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct HotFile {
-    pub at: Span,
+    pub(super) at: Span,
     #[serde(rename = "lasts")]
-    pub duration: Span,
+    pub(super) duration: Span,
     #[serde(rename = "partners")]
-    pub destinations: Vec<Spanned<String>>,
-    pub share: Spanned<f64>,
+    pub(super) destinations: Vec<Spanned<String>>,
+    pub(super) share: Spanned<f64>,
 }
 
+/// `[[change]]`
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ChangeFile {
-    pub at: Spanned<Span>,
+    pub(super) at: Spanned<Span>,
     /// A destination's name and the number of its endpoint: `onda-1/0`.
-    pub endpoint: Spanned<String>,
-    pub to: Spanned<String>,
+    pub(super) endpoint: Spanned<String>,
+    pub(super) to: Spanned<String>,
 }
 
+/// `[directory]`
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DirectoryFile {
     #[serde(default)]
-    pub delays: Vec<Span>,
+    pub(super) delays: Vec<Span>,
     #[serde(default)]
-    pub outage: Vec<OutageFile>,
+    pub(super) outage: Vec<OutageFile>,
 }
 
+/// `[[directory.outage]]`
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct OutageFile {
-    pub at: Span,
+    pub(super) at: Span,
     #[serde(rename = "lasts")]
-    pub duration: Span,
+    pub(super) duration: Span,
 }
 
+/// `[[signal]]`
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct SignalFile {
-    pub at: Spanned<Span>,
+    pub(super) at: Spanned<Span>,
     #[serde(default)]
-    pub sender: Option<Spanned<usize>>,
-    pub send: Spanned<String>,
+    pub(super) sender: Option<Spanned<usize>>,
+    pub(super) send: Spanned<String>,
 }
 
 impl File {
-    /// Reads the tables; an unknown or missing field is an error.
-    pub fn read(source: &Source<'_>) -> Result<File, ScenarioError> {
+    /// Reads the tables; an unknown or missing key is an error.
+    pub(super) fn read(source: &Source<'_>) -> Result<File, ScenarioError> {
         toml::from_str(source.text).map_err(|e| ScenarioError {
             line: e.span().map_or(1, |span| source.line(span)),
-            why: e.message().replace('\n', " "),
+            problem: ScenarioProblem::Syntax {
+                message: e.message().replace('\n', " "),
+            },
         })
     }
 }
 
-fn default_length() -> Spanned<Span> {
+fn default_duration() -> Spanned<Span> {
     Spanned::new(0..0, Span(Duration::from_secs(30)))
 }
 
--- a/crates/simulation/src/scenario/load.rs
+++ b/crates/simulation/src/scenario/load.rs
@@ -1,36 +1,43 @@
-//! The load: how many messages come, for whom, and when more.
+//! The load: how many messages arrive, for which destinations, and when more of them.
 
 use std::time::Duration;
 
 use super::destinations::{TenantShare, named, table_count};
+use super::error::{ScenarioError, ScenarioProblem};
 use super::file::{File, HotFile};
-use super::source::{ScenarioError, Source};
+use super::source::Source;
 use super::types::Member;
 use crate::clients::{self, Hot, Load, Target, zipf};
 use crate::limit::Limit;
 
-/// What a file's `[load]` leaves open.
-const CLUMPS: f64 = 0.1;
-const CLUMP: (Duration, Duration) = (Duration::from_millis(1200), Duration::from_millis(3500));
-const ZIPF: f64 = 1.0;
-const BODY: (usize, usize) = (80, 400);
-const RETRIES: u32 = 3;
-/// How clients behave on every day: their wait after a refusal without one, and how long they wait for an answer.
-const PAUSE: Duration = Duration::from_millis(500);
-const PATIENCE: Duration = Duration::from_millis(400);
+/// Share of the messages in clumps, where the file does not say.
+const DEFAULT_CLUMPS: f64 = 0.1;
+/// The least and the largest size of a clump.
+const DEFAULT_CLUMP: (Duration, Duration) =
+    (Duration::from_millis(1200), Duration::from_millis(3500));
+/// Exponent of the weights of a tenant's destinations.
+const DEFAULT_ZIPF: f64 = 1.0;
+/// The least and the largest size of a body, in bytes.
+const DEFAULT_BODY: (usize, usize) = (80, 400);
+/// Resubmissions of a message, at most.
+const DEFAULT_RETRIES: u32 = 3;
+/// How long clients wait after a rejection that does not say.
+const RESUBMISSION_DELAY: Duration = Duration::from_millis(500);
+/// How long clients wait for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The load of a day that lasts so long.
+/// The load; `push` is the index of the first class of Web Push posts.
 pub(super) fn read(
     source: &Source<'_>,
     file: &File,
     destinations: &[Member],
     tenants: &[TenantShare],
     classes: Vec<clients::Class>,
-    duration: Duration,
+    push: Option<usize>,
 ) -> Result<Load, ScenarioError> {
     let rate = file.load.rate.get_ref().0;
     if rate <= 0.0 {
-        return Err(source.error(&file.load.rate, "there is some load"));
+        return Err(source.error(&file.load.rate, ScenarioProblem::NoLoad));
     }
     let hot = file
         .hot
@@ -46,21 +53,21 @@
     let clump = file
         .load
         .clump
-        .map_or(CLUMP, |(least, most)| (least.0, most.0));
+        .map_or(DEFAULT_CLUMP, |(least, most)| (least.0, most.0));
     Ok(Load {
         rate,
         tenants: tenants.iter().map(|s| s.share).collect(),
         targets: targets(file, destinations, tenants.len()),
         classes,
-        push: None,
-        clumps: clumps.unwrap_or(CLUMPS),
+        push,
+        clumps: clumps.unwrap_or(DEFAULT_CLUMPS),
         clump: (clump.0.as_secs_f64(), clump.1.as_secs_f64()),
         hot,
-        body: file.load.body.unwrap_or(BODY),
-        retries: file.load.retries.unwrap_or(RETRIES),
-        pause: PAUSE,
-        patience: PATIENCE,
-        until: duration,
+        body: file.load.body.unwrap_or(DEFAULT_BODY),
+        retries: file.load.retries.unwrap_or(DEFAULT_RETRIES),
+        pause: RESUBMISSION_DELAY,
+        patience: ANSWER_TIMEOUT,
+        until: file.duration.get_ref().0,
     })
 }
 
@@ -76,7 +83,7 @@
     destinations.iter().enumerate().map(target).collect()
 }
 
-/// Within a tenant the first destination takes most, by Zipf's law, unless the file gives weights.
+/// The weights of all destinations: those in the file, or else by Zipf's law within each tenant.
 fn weights(file: &File, destinations: &[Member], tenants: usize) -> Vec<f64> {
     let mut given: Vec<Option<f64>> = Vec::new();
     for table in &file.destination {
@@ -84,20 +91,19 @@
     }
     let mut weights = vec![0.0; destinations.len()];
     for tenant in 0..tenants {
-        let of: Vec<usize> = (0..destinations.len())
+        let of_tenant: Vec<usize> = (0..destinations.len())
             .filter(|&n| destinations[n].tenant == tenant)
             .collect();
-        for (&destination, weight) in of
-            .iter()
-            .zip(zipf(of.len(), file.load.zipf.unwrap_or(ZIPF)))
-        {
+        let exponent = file.load.zipf.unwrap_or(DEFAULT_ZIPF);
+        let by_rank = zipf(of_tenant.len(), exponent);
+        for (&destination, weight) in of_tenant.iter().zip(by_rank) {
             weights[destination] = given[destination].unwrap_or(weight);
         }
     }
     weights
 }
 
-/// Messages a second that a destination takes.
+/// Messages a second that a destination can take.
 fn rate_taken(member: &Member) -> f64 {
     let capacity = member.spec.capacity;
     match member.spec.limit {
@@ -114,22 +120,19 @@
     table: &HotFile,
     destinations: &[Member],
 ) -> Result<Hot, ScenarioError> {
-    let mut drawn = Vec::new();
+    let mut numbers = Vec::new();
     for name in &table.destinations {
-        drawn.extend(
-            named(source, destinations, name)?
-                .into_iter()
-                .map(|n| n as u64),
-        );
+        let indexes = named(source, destinations, name)?;
+        numbers.extend(indexes.into_iter().map(|n| n as u64));
     }
     let share = source.share(&table.share, "share")?;
-    if drawn.is_empty() {
-        return Err(source.error(&table.share, "partners are named for it"));
+    if numbers.is_empty() {
+        return Err(source.error(&table.share, ScenarioProblem::HotDestinations));
     }
     Ok(Hot {
         start: table.at.0,
         length: table.duration.0,
-        destinations: drawn,
+        destinations: numbers,
         share,
     })
 }
--- /dev/null
+++ b/crates/simulation/src/scenario/mod.rs
@@ -0,0 +1,154 @@
+//! Scenarios as files: what a test run or an experiment plays. A file is checked whole before anything starts, and an
+//! error names its line.
+//!
+//! Start at [`parse`], which makes a [`Scenario`] of a file's text. Each part of a file is read by a module of its own.
+
+mod bounds;
+mod classes;
+mod destinations;
+mod error;
+mod faults;
+mod file;
+mod fleet_tables;
+mod load;
+mod network_faults;
+mod process_actions;
+mod schedule;
+mod source;
+mod types;
+mod units;
+
+use std::time::Duration;
+
+use rand::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+
+use crate::directory;
+use bounds::{MAX_DURATION, MAX_MEMBERS, MAX_SENDERS};
+use file::{DirectoryFile, File};
+use source::Source;
+
+pub use error::{ScenarioError, ScenarioProblem};
+pub use types::{Effect, ListChange, Member, MessageClass, Scenario, ScheduledSignal, Signal, To};
+
+/// Changes that simulated discovery keeps: more than a scenario makes within a watch, fewer than a long one makes in all.
+const DISCOVERY_HISTORY: usize = 64;
+
+/// Reads a scenario, and draws what it leaves open from the seed.
+///
+/// # Errors
+/// The first problem in the file, with its line.
+pub fn parse(text: &str, seed: u64) -> Result<Scenario, ScenarioError> {
+    parse_for(text, seed, None)
+}
+
+/// As [`parse`], with this number of senders instead of the file's.
+///
+/// # Errors
+/// As [`parse`]; or the number of senders is out of bounds.
+pub fn parse_for(text: &str, seed: u64, senders: Option<usize>) -> Result<Scenario, ScenarioError> {
+    parse_with_simulated(text, seed, senders, 0)
+}
+
+/// As [`parse_for`], with simulated members besides the senders: faults may affect all of them.
+///
+/// # Errors
+/// As [`parse_for`]; or there are too many simulated members, or no fleet.
+pub fn parse_with_simulated(
+    text: &str,
+    seed: u64,
+    senders: Option<usize>,
+    simulated: usize,
+) -> Result<Scenario, ScenarioError> {
+    let source = Source { text };
+    let file = File::read(&source)?;
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let duration = duration(&source, &file)?;
+    let senders = sender_count(&source, &file, senders)?;
+    check_simulated(&source, &file, senders, simulated)?;
+    let tenants = destinations::tenants(&file);
+    let mut classes = classes::read(&source, &file)?;
+    let zones = destinations::zones(&file);
+    let mut destinations = destinations::read(&source, &file, &tenants, &zones)?;
+    let has_push = destinations.iter().any(|m| m.push);
+    let push = has_push.then(|| classes.add_push_classes());
+    destinations::check_total(&destinations)?;
+    faults::read(&source, &file, &mut destinations, &zones, &mut rng)?;
+    let load = load::read(&source, &file, &destinations, &tenants, classes.load, push)?;
+    let changes = schedule::changes(&source, &file, &destinations)?;
+    let signals = schedule::signals(&source, &file, senders)?;
+    let members = senders + simulated;
+    let tables = &file.network_faults;
+    let fleet_faults = network_faults::read(&source, tables, members, &zones, &mut rng)?;
+    Ok(Scenario {
+        name: file.name,
+        duration,
+        senders,
+        simulated,
+        tenants: tenants.into_iter().map(|t| t.name).collect(),
+        classes: classes.effects,
+        kinds: destinations::kinds(&destinations),
+        destinations,
+        zones,
+        load,
+        directory: discovery(&file.directory),
+        changes,
+        signals,
+        fleet: file.fleet.as_ref().map(fleet_tables::FleetFile::fleet),
+        network_faults: fleet_faults.network_faults,
+        scheduled_actions: fleet_faults.scheduled_actions,
+    })
+}
+
+fn duration(source: &Source<'_>, file: &File) -> Result<Duration, ScenarioError> {
+    let duration = file.duration.get_ref().0;
+    if duration.is_zero() || duration > MAX_DURATION {
+        return Err(source.error(&file.duration, ScenarioProblem::Duration));
+    }
+    Ok(duration)
+}
+
+fn sender_count(
+    source: &Source<'_>,
+    file: &File,
+    wanted: Option<usize>,
+) -> Result<usize, ScenarioError> {
+    let senders = wanted.unwrap_or(*file.senders.get_ref());
+    if !(1..=MAX_SENDERS).contains(&senders) {
+        return Err(source.error(&file.senders, ScenarioProblem::SenderCount { senders }));
+    }
+    Ok(senders)
+}
+
+fn check_simulated(
+    source: &Source<'_>,
+    file: &File,
+    senders: usize,
+    simulated: usize,
+) -> Result<(), ScenarioError> {
+    if simulated > 0 && file.fleet.is_none() {
+        return Err(ScenarioError::in_file(ScenarioProblem::FleetMissing));
+    }
+    let max = MAX_MEMBERS - senders;
+    if simulated > max {
+        let problem = ScenarioProblem::SimulatedCount {
+            simulated,
+            senders,
+            max,
+        };
+        return Err(source.error(&file.senders, problem));
+    }
+    Ok(())
+}
+
+fn discovery(file: &DirectoryFile) -> directory::Spec {
+    directory::Spec {
+        delays: file.delays.iter().map(|d| d.0).collect(),
+        outages: file
+            .outage
+            .iter()
+            .map(|o| (o.at.0, o.at.0 + o.duration.0))
+            .collect(),
+        history: DISCOVERY_HISTORY,
+    }
+}
--- a/crates/simulation/src/scenario/schedule.rs
+++ b/crates/simulation/src/scenario/schedule.rs
@@ -1,10 +1,11 @@
-//! What happens at a set time: changes of the directory's list, and signals to senders.
+//! Events at a set time: changes of discovery's endpoint list, and signals to senders.
 
+use super::error::{ScenarioError, ScenarioProblem};
 use super::file::{ChangeFile, File, SignalFile};
-use super::source::{ScenarioError, Source};
+use super::source::Source;
 use super::types::{ListChange, Member, ScheduledSignal, Signal, To};
 
-/// The changes of the directory's list, in the order of time.
+/// The changes of the endpoint list, in the order of time.
 pub(super) fn changes(
     source: &Source<'_>,
     file: &File,
@@ -40,42 +41,40 @@
     destinations: &[Member],
 ) -> Result<ListChange, ScenarioError> {
     let text = table.endpoint.get_ref();
-    let wrong = || {
-        source.error(
-            &table.endpoint,
-            format!("'{text}' is not an endpoint such as \"onda-1/0\""),
-        )
+    let unknown = || {
+        let text = text.clone();
+        source.error(&table.endpoint, ScenarioProblem::UnknownEndpoint { text })
     };
-    let (name, number) = text.rsplit_once('/').ok_or_else(wrong)?;
-    let endpoint: usize = number.parse().map_err(|_| wrong())?;
+    let (name, number) = text.rsplit_once('/').ok_or_else(unknown)?;
+    let endpoint: usize = number.parse().map_err(|_| unknown())?;
     let destination = destinations.iter().position(|m| m.name == name);
     let destination = destination
-        .filter(|&p| endpoint < destinations[p].spec.endpoints)
-        .ok_or_else(wrong)?;
+        .filter(|&index| endpoint < destinations[index].spec.endpoints)
+        .ok_or_else(unknown)?;
     if destinations[destination].push {
-        return Err(source.error(
-            &table.endpoint,
-            "a push service is not in the directory's list",
-        ));
+        return Err(source.error(&table.endpoint, ScenarioProblem::PushServiceListed));
     }
-    let to = match table.to.get_ref().as_str() {
-        "up" => To::Up,
-        "draining" => To::Draining,
-        "removed" => To::Removed,
-        "replaced" => To::Replaced,
-        other => {
-            let why = format!("'{other}' is not up, draining, removed or replaced");
-            return Err(source.error(&table.to, why));
-        }
-    };
     Ok(ListChange {
         at: table.at.get_ref().0,
         destination,
         endpoint,
-        to,
+        to: listed_state(source, table)?,
     })
 }
 
+fn listed_state(source: &Source<'_>, table: &ChangeFile) -> Result<To, ScenarioError> {
+    match table.to.get_ref().as_str() {
+        "up" => Ok(To::Up),
+        "draining" => Ok(To::Draining),
+        "removed" => Ok(To::Removed),
+        "replaced" => Ok(To::Replaced),
+        other => {
+            let state = other.to_owned();
+            Err(source.error(&table.to, ScenarioProblem::ListedState { state }))
+        }
+    }
+}
+
 fn signal(
     source: &Source<'_>,
     file: &File,
@@ -84,15 +83,17 @@
 ) -> Result<ScheduledSignal, ScenarioError> {
     let sender = table.sender.as_ref().map_or(0, |s| *s.get_ref());
     if sender >= senders {
-        let at = table.sender.as_ref().unwrap_or(&file.senders);
-        return Err(source.error(at, format!("sender {sender}: there are {senders}, from 0")));
+        let place = table.sender.as_ref().unwrap_or(&file.senders);
+        let problem = ScenarioProblem::UnknownSender { sender, senders };
+        return Err(source.error(place, problem));
     }
     let signal = match table.send.get_ref().as_str() {
         "TERM" => Signal::Term,
         "KILL" => Signal::Kill,
         "HUP" => Signal::Hup,
         other => {
-            return Err(source.error(&table.send, format!("'{other}' is not TERM, KILL or HUP")));
+            let signal = other.to_owned();
+            return Err(source.error(&table.send, ScenarioProblem::UnknownSignal { signal }));
         }
     };
     Ok(ScheduledSignal {
--- a/crates/simulation/src/scenario/units.rs
+++ b/crates/simulation/src/scenario/units.rs
@@ -1,4 +1,4 @@
-//! Units in a day's file: spans of time, rates and limits, each written as text.
+//! Units in a scenario file: spans of time, rates and limits, each written as text.
 
 use std::time::Duration;
 
@@ -6,17 +6,38 @@
 
 use crate::limit::Limit;
 
+/// Why a text is not what its unit asks for.
+#[derive(Debug, thiserror::Error)]
+enum UnitError {
+    #[error("'{text}' has no unit (ms, s, min)")]
+    TimeUnitMissing { text: String },
+    #[error("'{unit}' is no unit of time (ms, s, min)")]
+    TimeUnit { unit: String },
+    #[error("'{text}' is not a time such as \"6.5 s\"")]
+    Time { text: String },
+    #[error("'{text}' is too long")]
+    TooLong { text: String },
+    #[error("'{text}' is not a rate such as \"26/s\"")]
+    Rate { text: String },
+    #[error("'{unit}' is not s or min")]
+    RateUnit { unit: String },
+    #[error("'{text}' is not a count")]
+    Count { text: String },
+    #[error("'{text}' takes nothing")]
+    AdmitsNothing { text: String },
+}
+
 /// A span of time with its unit: `400 ms`, `6.5 s`, `2 min`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Span(pub Duration);
+pub(super) struct Span(pub(super) Duration);
 
-/// So many a second: `26/s`, `90/min`.
+/// A rate, as a number a second: `26/s`, `90/min`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Rate(pub f64);
+pub(super) struct Rate(pub(super) f64);
 
 /// `none`, `4/s`, `4/s burst 2` or `5 in 1 s`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitText(pub Limit);
+pub(super) struct LimitText(pub(super) Limit);
 
 macro_rules! from_text {
     ($name:ident, $parse:ident) => {
@@ -33,70 +54,85 @@
 from_text!(Rate, rate);
 from_text!(LimitText, limit);
 
+/// A finite number that is not negative.
 fn number(text: &str) -> Option<f64> {
-    text.trim()
-        .parse::<f64>()
-        .ok()
-        .filter(|n| n.is_finite() && *n >= 0.0)
+    let number = text.trim().parse::<f64>().ok();
+    number.filter(|n| n.is_finite() && *n >= 0.0)
 }
 
-fn span(text: &str) -> Result<Duration, String> {
-    let at = text
+fn span(text: &str) -> Result<Duration, UnitError> {
+    let owned = || text.to_owned();
+    let unit_start = text
         .find(|c: char| c.is_ascii_alphabetic())
-        .ok_or_else(|| format!("'{text}' has no unit (ms, s, min)"))?;
-    let (value, unit) = text.split_at(at);
-    let factor = match unit.trim() {
+        .ok_or_else(|| UnitError::TimeUnitMissing { text: owned() })?;
+    let (value, unit) = text.split_at(unit_start);
+    let seconds_per_unit = match unit.trim() {
         "ms" => 1e-3,
         "s" => 1.0,
         "min" => 60.0,
-        other => return Err(format!("'{other}' is no unit of time (ms, s, min)")),
+        other => {
+            let unit = other.to_owned();
+            return Err(UnitError::TimeUnit { unit });
+        }
     };
-    let value = number(value).ok_or_else(|| format!("'{text}' is not a time such as \"6.5 s\""))?;
-    Duration::try_from_secs_f64(value * factor).map_err(|_| format!("'{text}' is too long"))
+    let value = number(value).ok_or_else(|| UnitError::Time { text: owned() })?;
+    Duration::try_from_secs_f64(value * seconds_per_unit)
+        .map_err(|_| UnitError::TooLong { text: owned() })
 }
 
-fn rate(text: &str) -> Result<f64, String> {
-    let (count, unit) = text
-        .split_once('/')
-        .ok_or_else(|| format!("'{text}' is not a rate such as \"26/s\""))?;
-    let per = match unit.trim() {
+fn rate(text: &str) -> Result<f64, UnitError> {
+    let not_a_rate = || UnitError::Rate {
+        text: text.to_owned(),
+    };
+    let (count, unit) = text.split_once('/').ok_or_else(not_a_rate)?;
+    let seconds_per_unit = match unit.trim() {
         "s" => 1.0,
         "min" => 60.0,
-        other => return Err(format!("'{other}' is not s or min")),
+        other => {
+            let unit = other.to_owned();
+            return Err(UnitError::RateUnit { unit });
+        }
     };
-    number(count)
-        .map(|n| n / per)
-        .ok_or_else(|| format!("'{text}' is not a rate such as \"26/s\""))
+    let count = number(count).ok_or_else(not_a_rate)?;
+    Ok(count / seconds_per_unit)
 }
 
-fn limit(text: &str) -> Result<Limit, String> {
+fn limit(text: &str) -> Result<Limit, UnitError> {
     let text = text.trim();
     if text == "none" {
         return Ok(Limit::None);
     }
-    if let Some((calls, length)) = text.split_once(" in ") {
-        let calls = calls
-            .trim()
-            .parse()
-            .map_err(|_| format!("'{calls}' is not a count"))?;
-        let length = span(length)?;
-        if length.is_zero() || calls == 0 {
-            return Err(format!("'{text}' takes nothing"));
-        }
-        return Ok(Limit::Count {
-            calls,
-            span: length,
-        });
+    match text.split_once(" in ") {
+        Some((calls, length)) => count_limit(text, calls, length),
+        None => rate_limit(text),
     }
+}
+
+fn count_limit(text: &str, calls: &str, length: &str) -> Result<Limit, UnitError> {
+    let calls = calls.trim().parse().map_err(|_| UnitError::Count {
+        text: calls.to_owned(),
+    })?;
+    let span = span(length)?;
+    if span.is_zero() || calls == 0 {
+        let text = text.to_owned();
+        return Err(UnitError::AdmitsNothing { text });
+    }
+    Ok(Limit::Count { calls, span })
+}
+
+fn rate_limit(text: &str) -> Result<Limit, UnitError> {
     let (per_second, burst) = match text.split_once(" burst ") {
-        Some((r, b)) => (
-            rate(r)?,
-            number(b).ok_or_else(|| format!("'{b}' is not a count"))?,
-        ),
         None => (rate(text)?, 1.0),
+        Some((per_second, burst)) => {
+            let not_a_count = || UnitError::Count {
+                text: burst.to_owned(),
+            };
+            (rate(per_second)?, number(burst).ok_or_else(not_a_count)?)
+        }
     };
     if per_second <= 0.0 || burst < 1.0 {
-        return Err(format!("'{text}' takes nothing"));
+        let text = text.to_owned();
+        return Err(UnitError::AdmitsNothing { text });
     }
     Ok(Limit::Rate { per_second, burst })
 }
--- a/crates/simulation/tests/audit.rs
+++ b/crates/simulation/tests/audit.rs
@@ -137,7 +137,7 @@
         );
     }
 
-    fn network_faults(&self, rule: Rule) {
+    fn violates(&self, rule: Rule) {
         let verdict = self.verdict(rule, 60_000);
         let Verdict::Broken(violations) = &verdict else {
             panic!("{rule}: {verdict:?}")
@@ -182,15 +182,13 @@
         .report(900, "a", RETURNED)
         .report(1200, "a", RETURNED)
         .keeps(Rule::OneEnd);
-    log().taken(0, "a", 0).network_faults(Rule::OneEnd);
+    log().taken(0, "a", 0).violates(Rule::OneEnd);
     log()
         .taken(0, "a", 0)
         .report(900, "a", RETURNED)
         .report(1200, "a", FinalReport::Failed)
-        .network_faults(Rule::OneEnd);
-    log()
-        .report(900, "nobody", RETURNED)
-        .network_faults(Rule::OneEnd);
+        .violates(Rule::OneEnd);
+    log().report(900, "nobody", RETURNED).violates(Rule::OneEnd);
     // The 200 may never have reached the sender.
     let delivered =
         log()
@@ -214,7 +212,7 @@
     log()
         .taken(0, "a", 0)
         .report(20_301, "a", FinalReport::Failed)
-        .network_faults(Rule::InTime);
+        .violates(Rule::InTime);
     log()
         .taken(0, "a", 0)
         .report(20_310, "a", FinalReport::Failed)
@@ -232,13 +230,13 @@
         killed(22_400).verdict(Rule::InTime, 60_000),
         Verdict::Kept { cases: 0 }
     );
-    killed(22_600).network_faults(Rule::InTime);
+    killed(22_600).violates(Rule::InTime);
 }
 
 #[test]
 fn never_two_copies_at_once() {
     let first = || log().taken(0, "a", 0).call(10, 1, &["a"]);
-    first().call(20, 2, &["a"]).network_faults(Rule::SecondCopy);
+    first().call(20, 2, &["a"]).violates(Rule::SecondCopy);
     first()
         .reply(19, 1, "a", DeliveryOutcome::Busy, None)
         .call(20, 2, &["a"])
@@ -264,14 +262,12 @@
     failed(0).call(60, 1, &["a"]).keeps(Rule::Repeats);
     failed(1).call(60, 1, &["a"]).keeps(Rule::Repeats);
     failed(1).call(20_090, 1, &["a"]).keeps(Rule::Repeats);
-    failed(1)
-        .call(20_110, 1, &["a"])
-        .network_faults(Rule::Repeats);
+    failed(1).call(20_110, 1, &["a"]).violates(Rule::Repeats);
     failed(1)
         .call(20_110, 1, &["a"])
         .late(20)
         .is_not_judged(Rule::Repeats);
-    failed(2).call(60, 1, &["a"]).network_faults(Rule::Repeats);
+    failed(2).call(60, 1, &["a"]).violates(Rule::Repeats);
     // What was turned away was not executed.
     let busy =
         log()
@@ -287,7 +283,7 @@
         .taken(0, "a", 2)
         .call(10, 1, &["a"])
         .add(3000, What::Closed { connection: 1 });
-    given_up.call(3100, 2, &["a"]).network_faults(Rule::Repeats);
+    given_up.call(3100, 2, &["a"]).violates(Rule::Repeats);
 }
 
 /// Who is told `returned` hands the message in again: that is a repeat that the sender asked for.
@@ -311,14 +307,14 @@
             .keeps(Rule::Repeats);
         executed(1, outcome)
             .report(19_000, "a", after(1110))
-            .network_faults(Rule::Repeats);
+            .violates(Rule::Repeats);
         executed(1, outcome)
             .report(19_000, "a", after(1110))
             .late(20)
             .is_not_judged(Rule::Repeats);
         executed(2, outcome)
             .report(900, "a", RETURNED)
-            .network_faults(Rule::Repeats);
+            .violates(Rule::Repeats);
         // Resent until it is answered: the same report.
         executed(1, outcome)
             .report(19_000, "a", after(500))
@@ -346,7 +342,7 @@
         })
     };
     tried(6).keeps(Rule::Attempts);
-    tried(7).network_faults(Rule::Attempts);
+    tried(7).violates(Rule::Attempts);
 }
 
 #[test]
@@ -362,9 +358,7 @@
         )
     };
     notified().call(1500, 1, &["a"]).keeps(Rule::Drains);
-    notified()
-        .call(1501, 1, &["a"])
-        .network_faults(Rule::Drains);
+    notified().call(1501, 1, &["a"]).violates(Rule::Drains);
     // The first of several tellings counts.
     let again = notified().add(
         1400,
@@ -374,7 +368,7 @@
             listed: Listed::Removed,
         },
     );
-    again.call(1600, 1, &["a"]).network_faults(Rule::Drains);
+    again.call(1600, 1, &["a"]).violates(Rule::Drains);
     // Only who was told.
     let other = notified()
         .add(
@@ -416,7 +410,7 @@
         )
     };
     notified().call(1700, 1, &["a"]).keeps(Rule::Waits);
-    notified().call(1500, 1, &["b"]).network_faults(Rule::Waits);
+    notified().call(1500, 1, &["b"]).violates(Rule::Waits);
     // On its way as the wait was told, on another connection.
     assert_eq!(
         notified()
@@ -424,7 +418,7 @@
             .verdict(Rule::Waits, 60_000),
         Verdict::Kept { cases: 0 }
     );
-    notified().call(1101, 2, &["b"]).network_faults(Rule::Waits);
+    notified().call(1101, 2, &["b"]).violates(Rule::Waits);
     notified()
         .call(1110, 2, &["b"])
         .late(20)
@@ -434,7 +428,7 @@
         notified()
             .call(1050, 2, &["b"])
             .reply(1060, 2, "b", DeliveryOutcome::Busy, Some(50));
-    shorter.call(1400, 1, &["a"]).network_faults(Rule::Waits);
+    shorter.call(1400, 1, &["a"]).violates(Rule::Waits);
     // A restart ends it.
     let restarted = notified()
         .add(1200, What::ProcessExited)
@@ -478,9 +472,9 @@
 #[test]
 fn senders_that_saw_an_outage_do_not_overload_the_returning_destination() {
     pushed(26, true, 0).keeps(Rule::Return);
-    pushed(27, true, 0).network_faults(Rule::Return);
+    pushed(27, true, 0).violates(Rule::Return);
     // Of 27 calls 19 are over two thirds, and 18 are not.
-    pushed(27, true, 8).network_faults(Rule::Return);
+    pushed(27, true, 8).violates(Rule::Return);
     assert!(matches!(
         pushed(27, true, 9).verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
@@ -491,7 +485,7 @@
     ));
     // One that falls tells so itself, in the very call that would be one too many.
     let fallen = |saw, others| pushed(26, saw, others).add(6600, What::Fell { destination: 7 });
-    fallen(true, 0).network_faults(Rule::Return);
+    fallen(true, 0).violates(Rule::Return);
     assert!(matches!(
         fallen(false, 0).verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
@@ -508,7 +502,7 @@
     };
     refused(pushed(26, true, 0))
         .add(6600, What::Fell { destination: 7 })
-        .network_faults(Rule::Return);
+        .violates(Rule::Return);
     // And a sender that sees it fail only after its return was not told of the outage.
     let later = refused(pushed(26, false, 0)).add(6600, What::Fell { destination: 7 });
     assert!(matches!(
@@ -524,13 +518,17 @@
         all.extend(pushed(27, false, 0).0);
         Log(all)
     };
-    silent(log().call(3000, 1, &["x"])).network_faults(Rule::Return);
+    silent(log().call(3000, 1, &["x"])).violates(Rule::Return);
     let killed = silent(log().call(3000, 1, &["x"]).add(3050, What::ProcessExited));
     assert!(matches!(
         killed.verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
     ));
-    // Twelve calls of five messages weigh 16.8, and not 60.
+}
+
+/// Each message of a call after the first weighs a tenth of a call: twelve calls of five messages weigh 16.8, and not 60.
+#[test]
+fn messages_of_one_call_weigh_less_than_calls() {
     let batched = |calls: u64| {
         let back = pushed(0, true, 0).0;
         (0..calls).fold(Log(back), |log, n| {
@@ -544,7 +542,7 @@
             .any(|l| matches!(l.what, What::Back { .. }))
     );
     batched(9).keeps(Rule::Return);
-    batched(20).network_faults(Rule::Return);
+    batched(20).violates(Rule::Return);
 }
 
 #[test]
@@ -562,7 +560,7 @@
             .call(at, 1, &["a"])
     };
     idle(15_000).keeps(Rule::Idle);
-    idle(15_001).network_faults(Rule::Idle);
+    idle(15_001).violates(Rule::Idle);
     // More came than an answer: whatever is read there next is anybody's guess.
     let spoilt = |spoilt| {
         let outcomes = vec![("a".to_owned(), DeliveryOutcome::Done)];
@@ -576,7 +574,7 @@
         };
         log().taken(0, "a", 0).call(10, 1, &["a"]).add(300, replied)
     };
-    spoilt(true).call(400, 1, &["b"]).network_faults(Rule::Idle);
+    spoilt(true).call(400, 1, &["b"]).violates(Rule::Idle);
     spoilt(false).call(400, 1, &["b"]).keeps(Rule::Idle);
     spoilt(true)
         .add(310, What::Closed { connection: 1 })
@@ -606,7 +604,7 @@
     lost()
         .add(100, other)
         .add(110, taken)
-        .network_faults(Rule::OneEnd);
+        .violates(Rule::OneEnd);
     // A journal that was cut: what it still had is owed.
     let cut = |id: &str| {
         log().taken(0, "a", 0).add(
@@ -620,7 +618,7 @@
         cut("a").verdict(Rule::OneEnd, 60_000),
         Verdict::Kept { cases: 0 }
     );
-    cut("b").network_faults(Rule::OneEnd);
+    cut("b").violates(Rule::OneEnd);
 }
 
 #[test]
@@ -647,11 +645,11 @@
         )
     };
     refused(400).keeps(Rule::Answers);
-    refused(401).network_faults(Rule::Answers);
+    refused(401).violates(Rule::Answers);
     refused(410).late(20).is_not_judged(Rule::Answers);
     submitted()
         .add(10, What::Dropped { id: "a".into() })
-        .network_faults(Rule::Answers);
+        .violates(Rule::Answers);
     // A sender that was killed can't answer.
     let killed = submitted()
         .add(5, What::ProcessExited)
@@ -691,44 +689,48 @@
     };
     answered(taken(), 101, Answer::Delivered).keeps(Rule::OneEnd);
     // Answered from thin air, or told to come again although the user has seen it.
-    answered(posted(), 101, Answer::Delivered).network_faults(Rule::OneEnd);
-    answered(taken(), 101, Answer::Rejected { after: None }).network_faults(Rule::OneEnd);
+    answered(posted(), 101, Answer::Delivered).violates(Rule::OneEnd);
+    answered(taken(), 101, Answer::Rejected { after: None }).violates(Rule::OneEnd);
     // A 201 of the service that never reached the sender.
     answered(taken(), 4200, Answer::Failed).keeps(Rule::OneEnd);
     answered(posted(), 4300, Answer::Failed).keeps(Rule::InTime);
-    answered(posted(), 4301, Answer::Failed).network_faults(Rule::InTime);
-    posted().network_faults(Rule::OneEnd);
+    answered(posted(), 4301, Answer::Failed).violates(Rule::InTime);
+    posted().violates(Rule::OneEnd);
     // What a connection's end tells the poster is no answer, but after it none is owed.
     let dropped = |log: Log| log.add(50, What::Dropped { id: "a".into() });
-    dropped(posted()).network_faults(Rule::Answers);
+    dropped(posted()).violates(Rule::Answers);
     dropped(posted().add(40, What::ProcessExited)).keeps(Rule::OneEnd);
     // Without a topic the user would see it twice.
     let failed = posted()
         .call(10, 1, &["a"])
         .reply(100, 1, "a", DeliveryOutcome::Failed, None);
-    failed.call(300, 1, &["a"]).network_faults(Rule::Repeats);
+    failed.call(300, 1, &["a"]).violates(Rule::Repeats);
+}
+
+/// Submitted at `at` with an ordering key and accepted 5 ms later.
+fn ordered(log: Log, at: u64, id: &str, key: &str) -> Log {
+    let ordering_key = Some(key.to_owned());
+    let submitted = What::Submitted {
+        id: id.into(),
+        class: 2,
+        destination: 7,
+        duration: ms(20_000),
+        ordering_key,
+    };
+    let answered = What::Answered {
+        id: id.into(),
+        answer: Answer::Accepted,
+    };
+    log.add(at, submitted).add(at + 5, answered)
+}
+
+/// Two messages of one ordering key.
+fn two() -> Log {
+    ordered(ordered(log(), 0, "a", "k"), 10, "b", "k")
 }
 
 #[test]
 fn messages_of_one_key_in_turn() {
-    let in_order = |log: Log, at: u64, id: &str, key: &str| {
-        let ordering_key = Some(key.to_owned());
-        let submitted = What::Submitted {
-            id: id.into(),
-            class: 2,
-            destination: 7,
-            duration: ms(20_000),
-            ordering_key,
-        };
-        log.add(at, submitted).add(
-            at + 5,
-            What::Answered {
-                id: id.into(),
-                answer: Answer::Accepted,
-            },
-        )
-    };
-    let two = || in_order(in_order(log(), 0, "a", "k"), 10, "b", "k");
     let first_done = || {
         two()
             .call(20, 1, &["a"])
@@ -738,15 +740,15 @@
     two()
         .call(20, 1, &["a"])
         .call(200, 2, &["b"])
-        .network_faults(Rule::Order);
-    two().call(20, 1, &["b"]).network_faults(Rule::Order);
+        .violates(Rule::Order);
+    two().call(20, 1, &["b"]).violates(Rule::Order);
     // Refused is not over; reported is.
     let refused = || {
         two()
             .call(20, 1, &["a"])
             .reply(30, 1, "a", DeliveryOutcome::Busy, None)
     };
-    refused().call(40, 1, &["b"]).network_faults(Rule::Order);
+    refused().call(40, 1, &["b"]).violates(Rule::Order);
     refused()
         .report(900, "a", RETURNED)
         .call(901, 1, &["b"])
@@ -758,15 +760,19 @@
             .add(500, What::Closed { connection: 1 })
     };
     let reported = || cut().report(510, "a", FinalReport::Failed);
-    reported().call(549, 2, &["b"]).network_faults(Rule::Order);
+    reported().call(549, 2, &["b"]).violates(Rule::Order);
     reported().call(550, 2, &["b"]).keeps(Rule::Order);
     reported()
         .call(540, 2, &["b"])
         .late(20)
         .is_not_judged(Rule::Order);
     cut().call(501, 2, &["a"]).keeps(Rule::Order);
-    // Another key, and the same key at another sender, are lines of their own.
-    in_order(two(), 20, "c", "other")
+}
+
+/// Another key, and the same key at another sender, are lines of their own.
+#[test]
+fn ordering_keys_are_independent_of_other_keys_and_senders() {
+    ordered(two(), 20, "c", "other")
         .call(20, 1, &["a"])
         .call(30, 2, &["c"])
         .keeps(Rule::Order);
--- a/crates/simulation/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -104,8 +104,8 @@
     ]
 }
 
-fn expected_partners() -> Vec<Member> {
-    let bulk = Spec {
+fn bulk_spec() -> Spec {
+    Spec {
         endpoints: 3,
         shared: false,
         limit: Limit::Count {
@@ -124,20 +124,11 @@
         item_cost: 0.375,
         reports: Some(ms(400)),
         ..Spec::default()
-    };
-    let vanished = fault(Kind::Vanish, 1, 2);
-    let refusing = fault(Kind::Refuse, 2, 3);
-    let silent = fault(Kind::Silent, 3, 4);
-    let member = |name: &str, faults| Member {
-        name: name.into(),
-        kind: "bulk-directory".into(),
-        tenant: 1,
-        spec: bulk.clone(),
-        push: false,
-        faults,
-        zones: vec![0, 1, 0],
-    };
-    let web = Member {
+    }
+}
+
+fn web_push_service() -> Member {
+    Member {
         name: "web".into(),
         kind: "push".into(),
         tenant: 0,
@@ -179,7 +170,24 @@
             ),
         ]],
         zones: vec![0],
+    }
+}
+
+fn expected_partners() -> Vec<Member> {
+    let bulk = bulk_spec();
+    let vanished = fault(Kind::Vanish, 1, 2);
+    let refusing = fault(Kind::Refuse, 2, 3);
+    let silent = fault(Kind::Silent, 3, 4);
+    let member = |name: &str, faults| Member {
+        name: name.into(),
+        kind: "bulk-directory".into(),
+        tenant: 1,
+        spec: bulk.clone(),
+        push: false,
+        faults,
+        zones: vec![0, 1, 0],
     };
+    let web = web_push_service();
     let plain = Member {
         name: "plain".into(),
         kind: "station".into(),
@@ -203,7 +211,7 @@
     ]
 }
 
-fn expected_load() -> Load {
+fn expected_load_classes() -> Vec<Class> {
     let class = |aim_s, lasts_s, share| Class {
         aim: secs(aim_s),
         duration: secs(lasts_s),
@@ -222,6 +230,16 @@
         late_share: 0.125,
         ..class(2, 8, 0.0)
     };
+    vec![
+        ordered,
+        class(1, 4, 1.0),
+        class(1, 5, 1.0),
+        web_push.clone(),
+        web_push,
+    ]
+}
+
+fn expected_load() -> Load {
     let bulk = |destination| Target {
         destination,
         tenant: 1,
@@ -250,13 +268,7 @@
                 push: false,
             },
         ],
-        classes: vec![
-            ordered,
-            class(1, 4, 1.0),
-            class(1, 5, 1.0),
-            web_push.clone(),
-            web_push,
-        ],
+        classes: expected_load_classes(),
         push: Some(3),
         clumps: 0.25,
         clump: (1.0, 2.5),
@@ -436,11 +448,9 @@
     );
     for (line, text) in variants {
         let error = scenario::parse(&text, SEED).expect_err("a key is misspelt");
-        assert!(
-            error.why.starts_with("unknown field"),
-            "line {line}: {error}"
-        );
-        assert!(error.why.contains("-misspelt"), "line {line}: {error}");
+        let problem = error.problem.to_string();
+        assert!(problem.starts_with("unknown field"), "line {line}: {error}");
+        assert!(problem.contains("-misspelt"), "line {line}: {error}");
         assert_eq!(error.line, line, "{error}");
     }
 }
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -54,70 +54,72 @@
 back = "never"
 "#;
 
+/// What stands in [`DAY`], a mistake in its place, and a part of the error.
+const MISTAKES: [(&str, &str, &str); 25] = [
+    (r#"lasts = "4 s""#, r#"lasts = "4""#, "no unit"),
+    (r#"lasts = "4 s""#, r#"lasts = "2000 min""#, "60 min"),
+    ("senders = 2", "senders = 0", "1 to 250 senders"),
+    ("senders = 2", "senders = 2\nsender = 2", "unknown field"),
+    (r#"rate = "20/s""#, r#"rate = "20""#, "not a rate"),
+    (r#"rate = "20/s""#, r#"rate = "0/s""#, "some load"),
+    ("endpoints = 2", "endpoints = 65", "64 endpoints"),
+    (
+        r#"limit = "4/s burst 2""#,
+        r#"limit = "0 in 1 s""#,
+        "takes nothing",
+    ),
+    (
+        r#"limit = "4/s burst 2""#,
+        r#"limit = "4 a day""#,
+        "not a rate",
+    ),
+    (
+        r#"station = "onda""#,
+        r#"station = "otra""#,
+        "no station 'otra'",
+    ),
+    ("push = true", "push = true\nbatch = 4", "no batches"),
+    (
+        r#"kind = "fail""#,
+        r#"kind = "explode""#,
+        "'explode' is not",
+    ),
+    ("share = 0.5", "share = 1.5", "0 to 1"),
+    (
+        r#"partners = ["chica"]"#,
+        r#"partners = ["nadie"]"#,
+        "no partner 'nadie'",
+    ),
+    (
+        r#"endpoint = "grande/1""#,
+        r#"endpoint = "grande/2""#,
+        "not an endpoint",
+    ),
+    (
+        r#"endpoint = "grande/1""#,
+        r#"endpoint = "servicio/0""#,
+        "not in the directory",
+    ),
+    (r#"to = "replaced""#, r#"to = "gone""#, "'gone' is not"),
+    ("sender = 1", "sender = 2", "sender 2"),
+    (r#"send = "TERM""#, r#"send = "STOP""#, "'STOP' is not"),
+    (r#"kind = "drop""#, r#"kind = "drip""#, "'drip' is not cut"),
+    (r#"kind = "drop""#, r#"kind = "delay""#, "by how much"),
+    ("share = 0.25", "share = 2.5", "0 to 1"),
+    ("from = [0, 1]", "from = [0, 2]", "there are 2"),
+    (r#"to = "others""#, r#"to = "some""#, "'some' is not"),
+    (r#"back = "never""#, r#"back = "ever""#, "'ever' is neither"),
+];
+
 /// A mistake in a file names its line, so that a person finds it; nothing is played then.
 #[test]
 fn a_parse_error_names_its_line() {
     assert!(scenario::parse(DAY, 1).is_ok());
-    let cases = [
-        (r#"lasts = "4 s""#, r#"lasts = "4""#, "no unit"),
-        (r#"lasts = "4 s""#, r#"lasts = "2000 min""#, "60 min"),
-        ("senders = 2", "senders = 0", "1 to 250 senders"),
-        ("senders = 2", "senders = 2\nsender = 2", "unknown field"),
-        (r#"rate = "20/s""#, r#"rate = "20""#, "not a rate"),
-        (r#"rate = "20/s""#, r#"rate = "0/s""#, "some load"),
-        ("endpoints = 2", "endpoints = 65", "64 endpoints"),
-        (
-            r#"limit = "4/s burst 2""#,
-            r#"limit = "0 in 1 s""#,
-            "takes nothing",
-        ),
-        (
-            r#"limit = "4/s burst 2""#,
-            r#"limit = "4 a day""#,
-            "not a rate",
-        ),
-        (
-            r#"station = "onda""#,
-            r#"station = "otra""#,
-            "no station 'otra'",
-        ),
-        ("push = true", "push = true\nbatch = 4", "no batches"),
-        (
-            r#"kind = "fail""#,
-            r#"kind = "explode""#,
-            "'explode' is not",
-        ),
-        ("share = 0.5", "share = 1.5", "0 to 1"),
-        (
-            r#"partners = ["chica"]"#,
-            r#"partners = ["nadie"]"#,
-            "no partner 'nadie'",
-        ),
-        (
-            r#"endpoint = "grande/1""#,
-            r#"endpoint = "grande/2""#,
-            "not an endpoint",
-        ),
-        (
-            r#"endpoint = "grande/1""#,
-            r#"endpoint = "servicio/0""#,
-            "not in the directory",
-        ),
-        (r#"to = "replaced""#, r#"to = "gone""#, "'gone' is not"),
-        ("sender = 1", "sender = 2", "sender 2"),
-        (r#"send = "TERM""#, r#"send = "STOP""#, "'STOP' is not"),
-        (r#"kind = "drop""#, r#"kind = "drip""#, "'drip' is not cut"),
-        (r#"kind = "drop""#, r#"kind = "delay""#, "by how much"),
-        ("share = 0.25", "share = 2.5", "0 to 1"),
-        ("from = [0, 1]", "from = [0, 2]", "there are 2"),
-        (r#"to = "others""#, r#"to = "some""#, "'some' is not"),
-        (r#"back = "never""#, r#"back = "ever""#, "'ever' is neither"),
-    ];
-    for (good, bad, why) in cases {
+    for (good, bad, why) in MISTAKES {
         assert!(DAY.contains(good), "{good}");
         let text = DAY.replacen(good, bad, 1);
         let error = scenario::parse(&text, 1).expect_err(bad);
-        assert!(error.why.contains(why), "{bad}: {error}");
+        assert!(error.problem.to_string().contains(why), "{bad}: {error}");
         // The mistake is on the line that was changed, or, with a line more, on one of the two.
         let at = DAY[..DAY.find(good).expect("there")].matches('\n').count() + 1;
         assert!(
@@ -134,7 +136,8 @@
     assert!(
         scenario::parse(&twice, 1)
             .expect_err("twice")
-            .why
+            .problem
+            .to_string()
             .contains("two partners 'grande'")
     );
     assert!(scenario::parse("name = \"x\"\npartner = []\n[load]\nrate = \"1/s\"\n", 1).is_err());
