--- a/crates/capacity/src/catalog.rs
+++ b/crates/capacity/src/catalog.rs
@@ -1,207 +1,17 @@
-//! Every quantity that a sweep measures: what it is, for which role, by which size, and which budget bounds it.
+//! All quantities that sweeps measure.
 
-use serde::Serialize;
+use crate::plan;
+use crate::quantity::{Axis, Breaks, Direction, Kind, Quantity, Role, Sweep, Unit};
 
-use crate::plan::{self, Budget};
-
-/// Who pays.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Role {
-    Sender,
-    Member,
-    Discovery,
-    Journal,
-    Client,
-    Destination,
-}
-
-/// By what a sweep varies the size.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Axis {
-    Destinations,
-    /// Events held by one sender.
-    Backlog,
-    Members,
-    /// Of one sender.
-    EventsPerSecond,
-    /// Real processes that watch one discovery.
-    Watchers,
-}
-
-/// A group of measurements that is played together.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Sweep {
-    Destinations,
-    Backlog,
-    Members,
-    Events,
-    Changes,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Unit {
-    Bytes,
-    #[serde(rename = "B/s")]
-    BytesPerSecond,
-    #[serde(rename = "packets/s")]
-    PacketsPerSecond,
-    #[serde(rename = "s")]
-    Seconds,
-    #[serde(rename = "ms")]
-    Milliseconds,
-    /// Processor time in milliseconds a second.
-    #[serde(rename = "ms/s")]
-    MillisecondsPerSecond,
-    #[serde(rename = "cores")]
-    Cores,
-    #[serde(rename = "count")]
-    Count,
-    /// A part of a whole, 1 being all.
-    #[serde(rename = "part")]
-    Part,
-}
-
-/// What a figure depends on besides the program: what `--quick` may judge and what it may not.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Kind {
-    /// The same in every run, but for bounded noise of the allocator.
-    CountOrBytes,
-    /// Depends on the machine and its load.
-    Time,
-}
-
-/// Whether a larger value is worse or better.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Direction {
-    Cost,
-    Benefit,
-}
-
-/// What a quantity beyond its budget breaks, the gravest first.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Breaks {
-    /// A rule, or something is lost.
-    Rule,
-    /// A budget of the operators.
-    Budget,
-}
-
-/// One measured quantity.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Quantity {
-    /// Names the row on the page, for ever.
-    pub id: &'static str,
-    pub sweep: Sweep,
-    pub role: Role,
-    pub axis: Axis,
-    pub unit: Unit,
-    pub kind: Kind,
-    pub direction: Direction,
-    pub what: &'static str,
-    pub budget: Option<Budget>,
-    pub breaks: Breaks,
-    /// No value can lie above this, whatever a fit says.
-    pub ceiling: f64,
-    /// By how much a later run may be worse than the stated figure, as a part of it.
-    pub bound: f64,
-}
-
-impl Axis {
-    /// The planned size.
-    pub fn planned(self) -> f64 {
-        match self {
-            Axis::Destinations => plan::DESTINATIONS,
-            Axis::Backlog => plan::BACKLOG_OF_A_SENDER,
-            Axis::Members | Axis::Watchers => plan::SENDERS,
-            Axis::EventsPerSecond => plan::EVENTS_PER_SECOND_OF_A_SENDER,
-        }
-    }
-
-    pub fn name(self) -> &'static str {
-        match self {
-            Axis::Destinations => "destinations listed",
-            Axis::Backlog => "events held by one sender",
-            Axis::Members => "members",
-            Axis::EventsPerSecond => "events a second of one sender",
-            Axis::Watchers => "senders that watch",
-        }
-    }
-}
-
-impl Sweep {
-    pub const ALL: [Sweep; 5] = [
-        Sweep::Destinations,
-        Sweep::Backlog,
-        Sweep::Members,
-        Sweep::Events,
-        Sweep::Changes,
-    ];
-
-    pub fn name(self) -> &'static str {
-        match self {
-            Sweep::Destinations => "destinations",
-            Sweep::Backlog => "backlog",
-            Sweep::Members => "members",
-            Sweep::Events => "events",
-            Sweep::Changes => "changes",
-        }
-    }
-
-    pub fn named(name: &str) -> Option<Sweep> {
-        Sweep::ALL.into_iter().find(|s| s.name() == name)
-    }
-}
-
-impl Role {
-    pub fn name(self) -> &'static str {
-        match self {
-            Role::Sender => "sender",
-            Role::Member => "member",
-            Role::Discovery => "discovery",
-            Role::Journal => "journal",
-            Role::Client => "client side",
-            Role::Destination => "destination",
-        }
-    }
-}
-
-impl Breaks {
-    pub fn name(self) -> &'static str {
-        match self {
-            Breaks::Rule => "a rule, or a loss",
-            Breaks::Budget => "a budget",
-        }
-    }
-}
-
-impl Unit {
-    pub fn name(self) -> &'static str {
-        match self {
-            Unit::Bytes => "B",
-            Unit::BytesPerSecond => "B/s",
-            Unit::PacketsPerSecond => "packets/s",
-            Unit::Seconds => "s",
-            Unit::Milliseconds => "ms",
-            Unit::MillisecondsPerSecond => "ms/s",
-            Unit::Cores => "cores",
-            Unit::Count => "",
-            Unit::Part => "of 1",
-        }
-    }
-}
-
-/// How far a count or an exact size of a message may move.
-const EXACT: f64 = 0.02;
+/// How far a count or the exact size of a message may move between runs.
+const EXACT_BOUND: f64 = 0.02;
 /// How far memory may move: allocators and page sizes differ.
-const MEMORY: f64 = 0.25;
+const MEMORY_BOUND: f64 = 0.25;
 /// How far a time may move on the same machine.
-const TIME: f64 = 1.0;
+const TIME_BOUND: f64 = 1.0;
+
+/// How far the traffic of membership may move: its gossip is random.
+const MEMBERSHIP_BOUND: f64 = 0.2;
 
 /// What most quantities have in common.
 const BASE: Quantity = Quantity {
@@ -216,12 +26,12 @@
     budget: None,
     breaks: Breaks::Budget,
     ceiling: f64::INFINITY,
-    bound: EXACT,
+    bound: EXACT_BOUND,
 };
 const TIMED: Quantity = Quantity {
     kind: Kind::Time,
     unit: Unit::Seconds,
-    bound: TIME,
+    bound: TIME_BOUND,
     ..BASE
 };
 const BACKLOG: Quantity = Quantity {
@@ -238,7 +48,7 @@
     sweep: Sweep::Members,
     axis: Axis::Members,
     role: Role::Member,
-    bound: 0.2,
+    bound: MEMBERSHIP_BOUND,
     ..BASE
 };
 const MEMBERS_TIMED: Quantity = Quantity {
@@ -248,13 +58,13 @@
     ..TIMED
 };
 
-/// Every quantity, in the order of the page.
+/// All quantities, in the order of the page.
 pub const QUANTITIES: &[Quantity] = &[
     Quantity {
         id: "destinations.resident",
         what: "resident memory of an idle sender",
         budget: Some(plan::CONTROL_MEMORY),
-        bound: MEMORY,
+        bound: MEMORY_BOUND,
         ..BASE
     },
     Quantity {
@@ -310,7 +120,7 @@
         id: "backlog.resident",
         what: "peak resident memory of a sender that takes the backlog up again",
         budget: Some(plan::SENDER_MEMORY),
-        bound: MEMORY,
+        bound: MEMORY_BOUND,
         ..BACKLOG
     },
     Quantity {
@@ -393,7 +203,7 @@
         id: "members.quiet.resident",
         what: "resident memory of one member's state",
         budget: Some(plan::CONTROL_MEMORY),
-        bound: MEMORY,
+        bound: MEMORY_BOUND,
         ..MEMBERS
     },
     Quantity {
@@ -528,7 +338,7 @@
         axis: Axis::EventsPerSecond,
         what: "resident memory of a sender",
         budget: Some(plan::SENDER_MEMORY),
-        bound: MEMORY,
+        bound: MEMORY_BOUND,
         ..BASE
     },
     Quantity {
@@ -561,7 +371,7 @@
     },
 ];
 
-/// The quantity of this row.
+/// The quantity of this id.
 pub fn quantity(id: &str) -> Option<&'static Quantity> {
     QUANTITIES.iter().find(|q| q.id == id)
 }
--- a/crates/capacity/src/compare.rs
+++ b/crates/capacity/src/compare.rs
@@ -1,36 +1,49 @@
-//! A fresh run against the figures that the page states.
+//! Comparison of a fresh run with the figures that the page states.
 
 use std::fmt;
 
-use crate::catalog::{Direction, Kind};
 use crate::figure::Figure;
-use crate::page::{Run, Stated};
+use crate::quantity::{Direction, Kind};
+use crate::stated::{Run, Stated};
 use crate::table::number;
 
-/// What a fresh run shows of a stated figure.
+/// A difference between a fresh figure and a stated one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// Worse by more than the stated bound.
     Missed {
+        /// The quantity.
         id: &'static str,
+        /// The value on the page.
         stated: f64,
+        /// The measured value.
         fresh: f64,
+        /// By how much it may be worse, as a part of the stated value.
         bound: f64,
     },
     /// The page says that the budget holds, and it does not.
     BudgetLost {
+        /// The quantity.
         id: &'static str,
+        /// Its budget.
         budget: f64,
+        /// The measured value.
         fresh: f64,
     },
     /// Better by more than the bound: the page should be brought up to date.
     Better {
+        /// The quantity.
         id: &'static str,
+        /// The value on the page.
         stated: f64,
+        /// The measured value.
         fresh: f64,
     },
     /// Measured and not on the page.
-    Unstated { id: &'static str },
+    Unstated {
+        /// The quantity.
+        id: &'static str,
+    },
 }
 
 impl Verdict {
@@ -77,7 +90,7 @@
     }
 }
 
-/// Holds fresh figures against the page. A quick run judges counts and bytes alone.
+/// Compares fresh figures with the page. A quick run compares only counts and bytes.
 pub fn compare(run: Run, figures: &[Figure], stated: &[Stated]) -> Vec<Verdict> {
     let judged = figures
         .iter()
--- a/crates/capacity/src/derived.rs
+++ b/crates/capacity/src/derived.rs
@@ -1,17 +1,34 @@
-//! What follows from several figures together, worked out at the planned size.
+//! Figures that are derived from several measured ones, at the planned size.
 
 use crate::figure::Figure;
-use crate::page::Stated;
 use crate::plan;
+use crate::stated::Stated;
 use crate::table::number;
 
-/// A discovery holds a watch that tells nothing for so long, in seconds.
-const WATCH_HELD: f64 = 3.0;
+/// How long discovery holds a watch without a change, in seconds.
+const WATCH_HOLD: f64 = 3.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
+/// Changes of configuration a second.
+const CHANGES_PER_SECOND: f64 = plan::CHANGES_PER_DAY / SECONDS_PER_DAY;
 
-/// One row: what it is, from what it is worked out, and the value.
+/// States of the fleet in which a sender's control bytes are derived: the row's label, and a part of the ids of the
+/// figures of membership.
+const FLEET_STATES: [(&str, &str); 6] = [
+    ("control bytes of a sender, quiet", "quiet"),
+    ("control bytes of a sender, one in ten crashed", "crashes"),
+    ("control bytes of a sender, a zone of six gone", "zone"),
+    ("control bytes of a sender, one in thirty gone", "rack"),
+    (
+        "control bytes of a sender, one in sixteen restarted",
+        "restarts",
+    ),
+    ("control bytes of a sender, halves cut", "halves"),
+];
+
+/// A derived figure.
 struct Derived {
-    what: &'static str,
+    label: &'static str,
+    /// What it is derived from.
     from: &'static str,
     value: f64,
     unit: &'static str,
@@ -19,139 +36,149 @@
 }
 
 impl Derived {
-    fn line(&self) -> String {
-        let budget = self
-            .budget
-            .map_or("-".into(), |b| format!("{} {}", number(b), self.unit));
-        let left = self.budget.map_or("-".into(), |b| number(b / self.value));
-        format!(
-            "| {} | {} | {} {} | {budget} | {left} |",
-            self.what,
-            self.from,
-            number(self.value),
-            self.unit
-        )
+    /// The figure as a Markdown row.
+    fn row(&self) -> String {
+        let (value, unit) = (number(self.value), self.unit);
+        let (budget, factor_left) = match self.budget {
+            Some(budget) => (
+                format!("{} {unit}", number(budget)),
+                number(budget / self.value),
+            ),
+            None => ("-".to_owned(), "-".to_owned()),
+        };
+        let (label, from) = (self.label, self.from);
+        format!("| {label} | {from} | {value} {unit} | {budget} | {factor_left} |")
     }
 }
 
-/// What can be worked out from the figures of a run, as Markdown with its head.
+/// What can be derived from the figures of a run, as a Markdown table.
 pub fn of_run(figures: &[Figure]) -> Vec<String> {
     rows(&|id| {
-        figures
-            .iter()
-            .find(|f| f.quantity.id == id)
-            .map(Figure::planned)
+        let figure = figures.iter().find(|f| f.quantity.id == id);
+        figure.map(Figure::planned)
     })
 }
 
-/// What can be worked out from the figures that a page states.
+/// What can be derived from the figures that a page states, as a Markdown table.
 pub fn of_page(stated: &[Stated]) -> Vec<String> {
     rows(&|id| {
-        stated
-            .iter()
-            .find(|s| s.quantity.id == id)
-            .map(|s| s.planned)
+        let stated = stated.iter().find(|s| s.quantity.id == id);
+        stated.map(|s| s.planned)
     })
 }
 
-fn rows(value: &dyn Fn(&str) -> Option<f64>) -> Vec<String> {
+/// A measured figure at the planned size, by its id.
+type Measured<'a> = &'a dyn Fn(&str) -> Option<f64>;
+
+fn rows(measured: Measured<'_>) -> Vec<String> {
     let head = [
         "| worked out | from | at the planned size | budget | factor left |",
         "| --- | --- | --- | --- | --- |",
     ];
-    let rows = all(value).into_iter().flatten().map(|d| d.line());
+    let derived = FLEET_STATES
+        .iter()
+        .map(|(label, state)| control_bytes(measured, label, state))
+        .chain([control_processor(measured), control_memory(measured)])
+        .chain(discovery_loads(measured))
+        .chain([journals(measured)])
+        .chain(event_rates().map(Some));
+    let rows = derived.flatten().map(|derived| derived.row());
     head.into_iter().map(str::to_owned).chain(rows).collect()
 }
 
-fn all(value: &dyn Fn(&str) -> Option<f64>) -> Vec<Option<Derived>> {
-    let changes = plan::CHANGES_PER_DAY / SECONDS_PER_DAY;
-    // A watch that tells nothing is answered by a list without rows, shorter than one with a change.
-    let discovery = || Some(value("destinations.change-bytes")? * (changes + 1.0 / WATCH_HELD));
-    let control = |state: &str| Some(value(&format!("members.{state}.bytes"))? + discovery()?);
-    let bytes = |what, state: &str| {
-        Some(Derived {
-            what,
-            from: "membership, a held watch each 3 s, 820 changes a day",
-            value: control(state)?,
-            unit: "B/s",
-            budget: Some(plan::CONTROL_BYTES.most),
-        })
-    };
-    vec![
-        bytes("control bytes of a sender, quiet", "quiet"),
-        bytes("control bytes of a sender, one in ten crashed", "crashes"),
-        bytes("control bytes of a sender, a zone of six gone", "zone"),
-        bytes("control bytes of a sender, one in thirty gone", "rack"),
-        bytes(
-            "control bytes of a sender, one in sixteen restarted",
-            "restarts",
-        ),
-        bytes("control bytes of a sender, halves cut", "halves"),
-        processor(value, changes),
-        memory(value),
-        discovery().map(|each| Derived {
-            what: "what all senders ask of discovery",
-            from: "490 times a held watch each 3 s and 820 changes a day",
-            value: each * plan::SENDERS,
-            unit: "B/s",
-            budget: None,
-        }),
-        value("destinations.list-bytes").map(|list| Derived {
-            what: "a whole list at a sender's control budget",
-            from: "`destinations.list-bytes` over 13 KB/s",
-            value: list / plan::CONTROL_BYTES.most,
-            unit: "s",
-            budget: Some(plan::CHANGE_IN_FORCE.most),
-        }),
-        value("destinations.list-bytes").map(|list| Derived {
-            what: "whole lists for a zone that starts again within 10 s, of discovery",
-            from: "490 / 6 lists over 10 s",
-            value: list * plan::SENDERS / plan::ZONES / plan::READY.most,
-            unit: "B/s",
-            budget: None,
-        }),
-        value("backlog.disk").map(|disk| Derived {
-            what: "journals of all senders",
-            from: "490 times `backlog.disk`",
-            value: disk * plan::SENDERS,
-            unit: "B",
-            budget: None,
-        }),
-        Some(Derived {
-            what: "events a second to a destination, from all senders",
-            from: "59,000 over 57,000 destinations",
-            value: plan::EVENTS_PER_SECOND / plan::DESTINATIONS,
-            unit: "/s",
-            budget: None,
-        }),
-        Some(Derived {
-            what: "events a second of one sender to one destination",
-            from: "the same over 490 senders",
-            value: plan::EVENTS_PER_SECOND / plan::DESTINATIONS / plan::SENDERS,
-            unit: "/s",
-            budget: None,
-        }),
-    ]
+/// Bytes a second between a sender and discovery. A watch without a change is answered by a list without rows, which is
+/// shorter than one with a change.
+fn discovery_bytes(measured: Measured<'_>) -> Option<f64> {
+    let watches = CHANGES_PER_SECOND + 1.0 / WATCH_HOLD;
+    Some(measured("destinations.change-bytes")? * watches)
+}
+
+fn control_bytes(measured: Measured<'_>, label: &'static str, state: &str) -> Option<Derived> {
+    let membership = measured(&format!("members.{state}.bytes"))?;
+    Some(Derived {
+        label,
+        from: "membership, a held watch each 3 s, 820 changes a day",
+        value: membership + discovery_bytes(measured)?,
+        unit: "B/s",
+        budget: Some(plan::CONTROL_BYTES.most),
+    })
 }
 
-fn processor(value: &dyn Fn(&str) -> Option<f64>, changes: f64) -> Option<Derived> {
-    let members = value("members.quiet.processor")?;
-    let changes = value("destinations.change-processor")? * changes;
+fn control_processor(measured: Measured<'_>) -> Option<Derived> {
+    let membership = measured("members.quiet.processor")?;
+    let changes = measured("destinations.change-processor")? * CHANGES_PER_SECOND;
     Some(Derived {
-        what: "control processor time of a sender, quiet",
+        label: "control processor time of a sender, quiet",
         from: "membership, 820 changes a day",
-        value: members + changes,
+        value: membership + changes,
         unit: "ms/s",
         budget: Some(plan::CONTROL_PROCESSOR.most),
     })
 }
 
-fn memory(value: &dyn Fn(&str) -> Option<f64>) -> Option<Derived> {
+fn control_memory(measured: Measured<'_>) -> Option<Derived> {
     Some(Derived {
-        what: "control memory of a sender",
+        label: "control memory of a sender",
         from: "an idle sender with the whole list, and membership",
-        value: value("destinations.resident")? + value("members.quiet.resident")?,
+        value: measured("destinations.resident")? + measured("members.quiet.resident")?,
         unit: "B",
         budget: Some(plan::CONTROL_MEMORY.most),
     })
 }
+
+fn discovery_loads(measured: Measured<'_>) -> [Option<Derived>; 3] {
+    let list_bytes = measured("destinations.list-bytes");
+    let all_senders = discovery_bytes(measured).map(|each| Derived {
+        label: "what all senders ask of discovery",
+        from: "490 times a held watch each 3 s and 820 changes a day",
+        value: each * plan::SENDERS,
+        unit: "B/s",
+        budget: None,
+    });
+    let list_time = list_bytes.map(|list| Derived {
+        label: "a whole list at a sender's control budget",
+        from: "`destinations.list-bytes` over 13 KB/s",
+        value: list / plan::CONTROL_BYTES.most,
+        unit: "s",
+        budget: Some(plan::CHANGE_IN_FORCE.most),
+    });
+    let zone_start = list_bytes.map(|list| Derived {
+        label: "whole lists for a zone that starts again within 10 s, of discovery",
+        from: "490 / 6 lists over 10 s",
+        value: list * plan::SENDERS / plan::ZONES / plan::READY.most,
+        unit: "B/s",
+        budget: None,
+    });
+    [all_senders, list_time, zone_start]
+}
+
+fn journals(measured: Measured<'_>) -> Option<Derived> {
+    measured("backlog.disk").map(|disk| Derived {
+        label: "journals of all senders",
+        from: "490 times `backlog.disk`",
+        value: disk * plan::SENDERS,
+        unit: "B",
+        budget: None,
+    })
+}
+
+/// What follows from the plan alone.
+fn event_rates() -> [Derived; 2] {
+    let to_destination = plan::EVENTS_PER_SECOND / plan::DESTINATIONS;
+    [
+        Derived {
+            label: "events a second to a destination, from all senders",
+            from: "59,000 over 57,000 destinations",
+            value: to_destination,
+            unit: "/s",
+            budget: None,
+        },
+        Derived {
+            label: "events a second of one sender to one destination",
+            from: "the same over 490 senders",
+            value: to_destination / plan::SENDERS,
+            unit: "/s",
+            budget: None,
+        },
+    ]
+}
--- a/crates/capacity/src/earliest_failures.rs
+++ b/crates/capacity/src/earliest_failures.rs
@@ -1,31 +1,27 @@
-//! What fails first: by what it breaks, then by the smallest part of the planned size at which it does.
+//! The figures whose budget does not hold at the planned size: by what they break, then by the size at which they fail.
 
-use crate::page::Stated;
+use crate::stated::Stated;
 use crate::table::number;
 
-/// The figures whose budget does not hold at the planned size, the gravest first, as Markdown with its head.
-pub fn of_page(stated: &[Stated]) -> Vec<String> {
+/// The failing figures, the gravest first, as a Markdown table.
+pub(crate) fn of_page(stated: &[Stated]) -> Vec<String> {
     let mut failing: Vec<(&Stated, f64)> = stated
         .iter()
         .filter_map(|s| Some((s, s.fails_at?)))
         .collect();
     failing.sort_by(|(a, a_part), (b, b_part)| {
-        a.quantity
-            .breaks
-            .cmp(&b.quantity.breaks)
-            .then(a_part.total_cmp(b_part))
+        let by_consequence = a.quantity.breaks.cmp(&b.quantity.breaks);
+        by_consequence.then(a_part.total_cmp(b_part))
     });
     let head = [
         "| fails at | of | breaks | figure | what |",
         "| --- | --- | --- | --- | --- |",
     ];
-    head.into_iter()
-        .map(str::to_owned)
-        .chain(failing.into_iter().map(row))
-        .collect()
+    let rows = failing.into_iter().map(|(stated, part)| row(stated, part));
+    head.into_iter().map(str::to_owned).chain(rows).collect()
 }
 
-fn row((stated, part): (&Stated, f64)) -> String {
+fn row(stated: &Stated, part: f64) -> String {
     let quantity = stated.quantity;
     let planned = quantity.axis.planned();
     format!(
--- a/crates/capacity/src/figure.rs
+++ b/crates/capacity/src/figure.rs
@@ -2,25 +2,36 @@
 
 use serde::Serialize;
 
-use crate::catalog::{Direction, Quantity};
 use crate::fit::{Fit, FitError, fit};
-use crate::sample::Samples;
+use crate::quantity::{Direction, Quantity};
+use crate::sample::{Sample, Samples};
 
-/// What the samples say.
+/// Halvings after which an interval of sizes is below the precision of its ends.
+const BISECTION_STEPS: u32 = 64;
+
+/// What follows from the samples of a quantity.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(tag = "finding", rename_all = "kebab-case")]
 pub enum Finding {
     /// A cost that grows with the size.
     Fitted(Fit),
     /// It works up to this size, and fails at `fails` where that was reached.
-    Limit { holds: f64, fails: Option<f64> },
+    Limit {
+        /// The largest size that works.
+        holds: f64,
+        /// The smallest size that fails.
+        fails: Option<f64>,
+    },
 }
 
 /// One row of the page.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Figure {
+    /// What it is a figure of.
     pub quantity: &'static Quantity,
+    /// What was measured.
     pub samples: Samples,
+    /// What follows from that.
     pub finding: Finding,
     /// What a reader must know of the measurement: sizes that were not played, or not as they should have been.
     pub remark: Option<String>,
@@ -28,6 +39,9 @@
 
 impl Figure {
     /// A figure whose value at the planned size is read off a fit.
+    ///
+    /// # Errors
+    /// There are too few samples for a fit.
     pub fn fitted(quantity: &'static Quantity, samples: Samples) -> Result<Figure, FitError> {
         let finding = Finding::Fitted(fit(&samples)?);
         Ok(Figure {
@@ -38,7 +52,7 @@
         })
     }
 
-    /// A size up to which something works.
+    /// A figure of the size up to which something works.
     pub fn limit(
         quantity: &'static Quantity,
         samples: Samples,
@@ -53,34 +67,32 @@
         }
     }
 
-    /// The value at the planned size; of a limit, the largest size that works. A sample at the planned size itself goes
-    /// before the fit.
+    /// The value at the planned size: of a limit, the largest size that works; otherwise the sample at that size, or
+    /// else the fit.
     pub fn planned(&self) -> f64 {
         let planned = self.quantity.axis.planned();
         match self.finding {
             Finding::Limit { holds, .. } => holds,
-            Finding::Fitted(fit) => {
-                let there = self
-                    .samples
-                    .as_slice()
-                    .iter()
-                    .find(|s| (s.size - planned).abs() < 0.5);
-                there.map_or(fit.shape.at(planned).min(self.quantity.ceiling), |s| {
-                    s.value
-                })
-            }
+            Finding::Fitted(fit) => match self.planned_sample() {
+                Some(sample) => sample.value,
+                None => fit.shape.at(planned).min(self.quantity.ceiling),
+            },
         }
     }
 
     /// Whether the value at the planned size was measured there.
     pub fn is_measured(&self) -> bool {
-        self.samples
-            .as_slice()
-            .iter()
-            .any(|s| (s.size - self.quantity.axis.planned()).abs() < 0.5)
+        self.planned_sample().is_some()
+    }
+
+    /// The sample at the planned size, to the nearest whole number.
+    fn planned_sample(&self) -> Option<&Sample> {
+        let planned = self.quantity.axis.planned();
+        let mut samples = self.samples.as_slice().iter();
+        samples.find(|s| (s.size - planned).abs() < 0.5)
     }
 
-    /// What bounds it: the budget, or for a limit the planned size.
+    /// The budget; for a limit, the planned size.
     pub fn budget(&self) -> Option<f64> {
         match self.finding {
             Finding::Limit { .. } => Some(self.quantity.axis.planned()),
@@ -88,7 +100,7 @@
         }
     }
 
-    /// Whether the budget holds at the planned size.
+    /// Whether the budget holds at the planned size; `None` without a budget.
     pub fn holds(&self) -> Option<bool> {
         Some(match self.quantity.direction {
             Direction::Cost => self.planned() <= self.budget()?,
@@ -137,19 +149,19 @@
                 let part = (budget - pair[0].value) / (pair[1].value - pair[0].value);
                 Some(below + part * (above - below))
             }
-            _ => Some(halved(below, above, |size| fit.shape.at(size) > budget)),
+            _ => Some(bisect(below, above, |size| fit.shape.at(size) > budget)),
         }
     }
 }
 
-/// The size between these two from which on `over` holds.
-fn halved(mut below: f64, mut above: f64, over: impl Fn(f64) -> bool) -> f64 {
-    for _ in 0..64 {
+/// The size between these two from which on `over` holds, by bisection.
+fn bisect(mut below: f64, mut above: f64, over: impl Fn(f64) -> bool) -> f64 {
+    for _ in 0..BISECTION_STEPS {
         let middle = (below + above) / 2.0;
         if over(middle) {
-            above = middle
+            above = middle;
         } else {
-            below = middle
+            below = middle;
         }
     }
     above
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -10,20 +10,20 @@
 /// Samples that a fit needs.
 pub const STRAIGHT_LEAST: usize = 3;
 /// Samples that a quadratic needs: one more than it has coefficients.
-const QUADRATIC_LEAST: usize = 4;
+const MIN_QUADRATIC_SAMPLES: usize = 4;
 /// Samples that a step needs: two more than a straight line with a step of known place has coefficients, the place being
 /// a choice of its own.
-const STEP_LEAST: usize = 5;
+const MIN_STEP_SAMPLES: usize = 5;
 /// A value below this part of the largest one is weighted as if it were this large.
 const WEIGHT_FLOOR: f64 = 0.01;
-/// A straight line with a relative residual up to this is straight.
-const STRAIGHT_RESIDUAL: f64 = 0.05;
-/// With more than this the samples follow none of the shapes closely.
-const ROUGH_RESIDUAL: f64 = 0.15;
-/// A bent shape must have at most this part of the straight line's residual.
-const BETTER: f64 = 0.5;
-/// A bend or step that makes up less than this part of the largest value is none.
-const SHARE_LEAST: f64 = 0.1;
+/// Up to this relative residual a straight line explains the samples.
+const MAX_STRAIGHT_RESIDUAL: f64 = 0.05;
+/// Beyond this relative residual a shape says little of other sizes.
+const MAX_CLOSE_RESIDUAL: f64 = 0.15;
+/// A bent shape is preferred if its residual is at most this part of the straight line's.
+const MAX_BENT_RESIDUAL_SHARE: f64 = 0.5;
+/// A bend or step that makes up less than this part of the largest value is taken for noise.
+const MIN_BEND_SHARE: f64 = 0.1;
 
 /// Why nothing was fitted.
 pub type FitError = SampleError;
@@ -33,14 +33,30 @@
 #[serde(tag = "shape", rename_all = "kebab-case")]
 pub enum Shape {
     /// `base + slope * size`
-    Straight { base: f64, slope: f64 },
+    Straight {
+        /// Value at size 0.
+        base: f64,
+        /// Growth for each unit of the size.
+        slope: f64,
+    },
     /// `base + slope * size + square * size^2`
-    Quadratic { base: f64, slope: f64, square: f64 },
+    Quadratic {
+        /// Value at size 0.
+        base: f64,
+        /// Coefficient of the size.
+        slope: f64,
+        /// Coefficient of the size's square.
+        square: f64,
+    },
     /// `base + slope * size`, and `step` more from `from` on.
     Step {
+        /// Value at size 0.
         base: f64,
+        /// Growth for each unit of the size.
         slope: f64,
+        /// Height of the step.
         step: f64,
+        /// Size of the step.
         from: f64,
     },
 }
@@ -48,9 +64,10 @@
 /// A shape and how far the samples lie from it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
+    /// The shape.
     #[serde(flatten)]
     pub shape: Shape,
-    /// Root mean square of the relative distances.
+    /// Root mean square of the relative distances of the samples.
     pub residual: f64,
 }
 
@@ -73,6 +90,7 @@
         }
     }
 
+    /// Whether it is a straight line.
     pub fn is_straight(&self) -> bool {
         matches!(self, Shape::Straight { .. })
     }
@@ -81,11 +99,14 @@
 impl Fit {
     /// Whether the samples lie so far off that the shape says little of other sizes.
     pub fn is_rough(&self) -> bool {
-        self.residual > ROUGH_RESIDUAL
+        self.residual > MAX_CLOSE_RESIDUAL
     }
 }
 
 /// Fits the simplest shape that explains the samples.
+///
+/// # Errors
+/// There are too few samples.
 pub fn fit(samples: &Samples) -> Result<Fit, FitError> {
     let given = samples.as_slice().len();
     if given < STRAIGHT_LEAST {
@@ -96,7 +117,7 @@
     }
     let weighted = Weighted::new(samples);
     let straight = weighted.straight();
-    if straight.residual <= STRAIGHT_RESIDUAL {
+    if straight.residual <= MAX_STRAIGHT_RESIDUAL {
         return Ok(straight);
     }
     let bent = [weighted.quadratic(), weighted.step()];
@@ -105,7 +126,7 @@
         .flatten()
         .min_by(|a, b| a.residual.total_cmp(&b.residual));
     Ok(best
-        .filter(|b| b.residual <= straight.residual * BETTER)
+        .filter(|b| b.residual <= straight.residual * MAX_BENT_RESIDUAL_SHARE)
         .unwrap_or(straight))
 }
 
@@ -147,12 +168,12 @@
     }
 
     fn quadratic(&self) -> Option<Fit> {
-        if self.samples.len() < QUADRATIC_LEAST {
+        if self.samples.len() < MIN_QUADRATIC_SAMPLES {
             return None;
         }
         let scaled = |s: &Sample| s.size / self.largest_size;
         let [base, slope, square] = self.solve(|s| [1.0, scaled(s), scaled(s) * scaled(s)])?;
-        if square < self.largest_value * SHARE_LEAST {
+        if square < self.largest_value * MIN_BEND_SHARE {
             return None;
         }
         let (slope, square) = (
@@ -167,7 +188,7 @@
     }
 
     fn step(&self) -> Option<Fit> {
-        if self.samples.len() < STEP_LEAST {
+        if self.samples.len() < MIN_STEP_SAMPLES {
             return None;
         }
         // A step at the first or the last sample can't be told from noise of that sample.
@@ -179,7 +200,7 @@
     fn step_from(&self, from: f64) -> Option<Fit> {
         let above = |s: &Sample| if s.size >= from { 1.0 } else { 0.0 };
         let [base, slope, step] = self.solve(|s| [1.0, s.size / self.largest_size, above(s)])?;
-        if step.abs() < self.largest_value * SHARE_LEAST {
+        if step.abs() < self.largest_value * MIN_BEND_SHARE {
             return None;
         }
         Some(self.judged(Shape::Step {
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -1,10 +1,11 @@
 //! The planned size and the budgets, as the operators give them.
 
-/// A budget with where it is given.
+/// A budget and its source.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// In the unit of the quantity that it bounds.
     pub most: f64,
+    /// Where the operators give it.
     pub source: &'static str,
 }
 
@@ -25,15 +26,17 @@
 pub const BACKLOG: f64 = 1.5e9;
 /// Events of backlog of one sender, on average.
 pub const BACKLOG_OF_A_SENDER: f64 = BACKLOG / SENDERS;
-/// Regions and zones.
+/// Regions.
 pub const REGIONS: f64 = 2.0;
+/// Zones over all regions.
 pub const ZONES: f64 = 6.0;
 /// Changes of configuration a day.
 pub const CHANGES_PER_DAY: f64 = 820.0;
 /// Machines set aside for control.
 pub const CONTROL_MACHINES: f64 = 5.0;
-/// Machines that fail, and senders that are restarted or replaced, a day.
+/// Machines that fail a day.
 pub const MACHINE_FAILURES_PER_DAY: f64 = 3.0;
+/// Senders that are restarted or replaced a day.
 pub const RESTARTS_PER_DAY: f64 = 30.0;
 
 /// Seconds until a change of configuration is in force everywhere.
--- a/crates/capacity/src/plot.rs
+++ b/crates/capacity/src/plot.rs
@@ -1,81 +1,79 @@
-//! Each figure of a sweep over its size, as SVG.
+//! The figures of a sweep over its size, as SVG.
 
 use plotters::prelude::*;
 
 use crate::figure::{Figure, Finding};
+use crate::fit::Fit;
 
 const WIDTH: u32 = 900;
+/// Height of one figure.
 const HEIGHT: u32 = 320;
-const SAMPLES: RGBColor = RGBColor(31, 90, 180);
-const FIT: RGBColor = RGBColor(110, 110, 110);
-const BUDGET: RGBColor = RGBColor(190, 50, 40);
-/// Points of a fitted curve.
-const POINTS: u32 = 120;
+const SAMPLE_COLOR: RGBColor = RGBColor(31, 90, 180);
+const FIT_COLOR: RGBColor = RGBColor(110, 110, 110);
+const BUDGET_COLOR: RGBColor = RGBColor(190, 50, 40);
+/// Segments of a fitted curve.
+const CURVE_SEGMENTS: u32 = 120;
+/// The range of values where none is positive.
+const DEFAULT_RANGE: (f64, f64) = (0.1, 10.0);
+
+/// An error of the drawing library.
+pub type DrawError = DrawingAreaErrorKind<std::io::Error>;
 
 /// Why nothing was drawn.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("plot of {id}: {why}")]
-pub struct PlotError {
-    id: String,
-    why: String,
+#[derive(Debug, thiserror::Error)]
+pub enum PlotError {
+    /// The background of the image.
+    #[error("plot of background: {0}")]
+    Background(#[source] DrawError),
+    /// One figure.
+    #[error("plot of {id}: {source}")]
+    Figure {
+        /// The figure's quantity.
+        id: &'static str,
+        /// Why.
+        source: DrawError,
+    },
+    /// The end of the image.
+    #[error("plot of page: {0}")]
+    Page(#[source] DrawError),
 }
 
-/// The fitted figures, one below the other; both axes are logarithmic, since sizes lie decades apart.
+/// The fitted figures, one below the other. Both axes are logarithmic, since sizes lie decades apart.
+///
+/// # Errors
+/// The drawing library failed.
 pub fn svg(figures: &[&Figure]) -> Result<String, PlotError> {
-    let drawn: Vec<&&Figure> = figures
+    let fitted: Vec<(&Figure, Fit)> = figures
         .iter()
-        .filter(|f| matches!(f.finding, Finding::Fitted(_)))
+        .filter_map(|figure| match figure.finding {
+            Finding::Fitted(fit) => Some((*figure, fit)),
+            Finding::Limit { .. } => None,
+        })
         .collect();
+    let rows = fitted.len().max(1);
     let mut text = String::new();
     {
-        let size = (WIDTH, HEIGHT * drawn.len().max(1) as u32);
+        let size = (WIDTH, HEIGHT * rows as u32);
         let root = SVGBackend::with_string(&mut text, size).into_drawing_area();
-        let failed = |id: &str, why: &dyn std::fmt::Display| PlotError {
-            id: id.into(),
-            why: why.to_string(),
-        };
-        root.fill(&WHITE).map_err(|e| failed("background", &e))?;
-        for (area, figure) in root
-            .split_evenly((drawn.len().max(1), 1))
-            .iter()
-            .zip(&drawn)
-        {
-            draw(area, figure).map_err(|e| failed(figure.quantity.id, &e))?;
+        root.fill(&WHITE).map_err(PlotError::Background)?;
+        for (area, (figure, fit)) in root.split_evenly((rows, 1)).iter().zip(&fitted) {
+            let id = figure.quantity.id;
+            draw(area, figure, fit).map_err(|source| PlotError::Figure { id, source })?;
         }
-        root.present().map_err(|e| failed("page", &e))?;
+        root.present().map_err(PlotError::Page)?;
     }
     Ok(text)
 }
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
-fn draw(area: &Area<'_>, figure: &Figure) -> Result<(), Box<dyn std::error::Error>> {
-    let Finding::Fitted(fit) = figure.finding else {
-        return Ok(());
-    };
+fn draw(area: &Area<'_>, figure: &Figure, fit: &Fit) -> Result<(), DrawError> {
     let quantity = figure.quantity;
     let samples = figure.samples.as_slice();
     let first = samples.first().map_or(1.0, |s| s.size);
     let last = figure.samples.largest_size().max(quantity.axis.planned());
-    let curve: Vec<(f64, f64)> = (0..=POINTS)
-        .map(|n| first * (last / first).powf(f64::from(n) / f64::from(POINTS)))
-        .map(|size| (size, fit.shape.at(size)))
-        .collect();
-    let values = samples
-        .iter()
-        .map(|s| s.value)
-        .chain(curve.iter().map(|p| p.1))
-        .chain(figure.budget());
-    let positive: Vec<f64> = values.filter(|v| *v > 0.0).collect();
-    let least = positive.iter().copied().fold(f64::INFINITY, f64::min);
-    let (low, high) = if least.is_finite() {
-        (
-            least / 2.0,
-            positive.iter().copied().fold(0.0, f64::max) * 2.0,
-        )
-    } else {
-        (0.1, 10.0)
-    };
+    let curve = curve(fit, first, last);
+    let (low, high) = value_range(figure, &curve);
     let mut chart = ChartBuilder::on(area)
         .margin(12)
         .caption(
@@ -93,15 +91,38 @@
     let shown = |(size, value): &(f64, f64)| (*size, value.max(low));
     chart.draw_series(LineSeries::new(
         curve.iter().map(shown),
-        FIT.stroke_width(1),
+        FIT_COLOR.stroke_width(1),
     ))?;
     if let Some(budget) = figure.budget().filter(|b| *b > 0.0) {
         let line = [(first, budget), (last, budget)];
-        chart.draw_series(LineSeries::new(line, BUDGET.stroke_width(1)))?;
+        chart.draw_series(LineSeries::new(line, BUDGET_COLOR.stroke_width(1)))?;
     }
     let points = samples
         .iter()
-        .map(|s| Circle::new((s.size, s.value.max(low)), 4, SAMPLES.filled()));
+        .map(|s| Circle::new((s.size, s.value.max(low)), 4, SAMPLE_COLOR.filled()));
     chart.draw_series(points)?;
     Ok(())
 }
+
+/// Points of the fitted curve, evenly spaced on a logarithmic axis.
+fn curve(fit: &Fit, first: f64, last: f64) -> Vec<(f64, f64)> {
+    (0..=CURVE_SEGMENTS)
+        .map(|n| first * (last / first).powf(f64::from(n) / f64::from(CURVE_SEGMENTS)))
+        .map(|size| (size, fit.shape.at(size)))
+        .collect()
+}
+
+/// The range of all positive values, with some margin.
+fn value_range(figure: &Figure, curve: &[(f64, f64)]) -> (f64, f64) {
+    let samples = figure.samples.as_slice().iter().map(|s| s.value);
+    let values = samples
+        .chain(curve.iter().map(|(_, value)| *value))
+        .chain(figure.budget());
+    let positive: Vec<f64> = values.filter(|v| *v > 0.0).collect();
+    let least = positive.iter().copied().fold(f64::INFINITY, f64::min);
+    if !least.is_finite() {
+        return DEFAULT_RANGE;
+    }
+    let most = positive.iter().copied().fold(0.0, f64::max);
+    (least / 2.0, most * 2.0)
+}
--- a/crates/capacity/src/sizes.rs
+++ b/crates/capacity/src/sizes.rs
@@ -1,51 +1,80 @@
-//! The sizes that sweeps play: the usual ones, or those of an operator's file.
+//! The sizes that sweeps play: the default ones, or those of an operator's file.
 
 use std::ops::Range;
 
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::catalog::Sweep;
 use crate::fit::STRAIGHT_LEAST;
+use crate::quantity::Sweep;
 
 /// Sizes of each sweep, ascending.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sizes {
+    /// Destinations in the endpoint list.
     pub destinations: Vec<u64>,
+    /// Pending messages of one sender.
     pub backlog: Vec<u64>,
+    /// Members of the fleet.
     pub members: Vec<u64>,
+    /// Messages a second of one sender.
     pub events: Vec<u64>,
+    /// Senders that watch for changes.
     pub changes: Vec<u64>,
 }
 
-/// Why a file of sizes can't be used.
+/// Why a file of sizes can't be used. Lines count from 1.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SizesError {
+    /// Not TOML, an unknown key, or a value of the wrong form; the text names the line.
     #[error("{0}")]
     Syntax(String),
+    /// A size of 0.
     #[error("line {line}: {sweep}: the size 0 measures nothing")]
-    Zero { line: usize, sweep: &'static str },
+    Zero {
+        /// Where.
+        line: usize,
+        /// Of which sweep.
+        sweep: &'static str,
+    },
+    /// A size beyond what one machine can play.
     #[error("line {line}: {sweep}: the size {size} is absurd; at most {most}")]
     Absurd {
+        /// Where.
         line: usize,
+        /// Of which sweep.
         sweep: &'static str,
+        /// The size.
         size: u64,
+        /// The sweep's largest size.
         most: u64,
     },
+    /// A size that is not above the one before it.
     #[error("line {line}: {sweep}: {size} is not above the size before it")]
     NotAscending {
+        /// Where.
         line: usize,
+        /// Of which sweep.
         sweep: &'static str,
+        /// The size.
         size: u64,
     },
+    /// Too few sizes for a fit.
     #[error("line {line}: {sweep}: {given} sizes; a fit needs at least {STRAIGHT_LEAST}")]
     TooFew {
+        /// Where.
         line: usize,
+        /// Of which sweep.
         sweep: &'static str,
+        /// Number of sizes.
         given: usize,
     },
+    /// A sweep that is to be played has no sizes.
     #[error("{sweep}: no sizes")]
-    Missing { sweep: &'static str },
+    Missing {
+        /// Which sweep.
+        sweep: &'static str,
+    },
 }
 
 /// A file of sizes, with the place of each value.
@@ -60,7 +89,7 @@
 }
 
 impl Sizes {
-    /// A decade apart, up to the planned size where the machine allows.
+    /// Sizes about a decade apart, up to the planned size where one machine can play it.
     pub fn full() -> Sizes {
         Sizes {
             destinations: vec![10, 100, 1_000, 10_000, 57_000],
@@ -71,7 +100,7 @@
         }
     }
 
-    /// Sizes whose counts and bytes are known within two minutes.
+    /// Sizes whose counts and bytes are measured within two minutes.
     pub fn quick() -> Sizes {
         Sizes {
             destinations: vec![10, 100, 1_000, 10_000],
@@ -82,6 +111,7 @@
         }
     }
 
+    /// The sizes of a sweep.
     pub fn of(&self, sweep: Sweep) -> &[u64] {
         match sweep {
             Sweep::Destinations => &self.destinations,
@@ -92,7 +122,10 @@
         }
     }
 
-    /// Reads a file that gives the sizes of each sweep in `played`; those that it does not name stay as they are here.
+    /// Reads a file of sizes; sweeps that it does not name keep the sizes that they have here.
+    ///
+    /// # Errors
+    /// The first thing that is wrong in the file, or a sweep of `played` without sizes.
     pub fn read(self, text: &str, played: &[Sweep]) -> Result<Sizes, SizesError> {
         let syntax = |e: toml::de::Error| {
             let line = e.span().map_or(1, |span| line_of(text, span));
@@ -120,8 +153,8 @@
     }
 }
 
-/// Sizes beyond these are not played on one machine.
-fn most(sweep: Sweep) -> u64 {
+/// The largest size that one machine can play.
+fn max_size(sweep: Sweep) -> u64 {
     match sweep {
         Sweep::Destinations => 200_000,
         Sweep::Backlog => 10_000_000,
@@ -131,18 +164,22 @@
     }
 }
 
+/// The sizes of a sweep as the file gives them, or the default ones.
 fn checked(
     text: &str,
     sweep: Sweep,
     given: Option<Spanned<Vec<Spanned<u64>>>>,
-    usual: Vec<u64>,
+    default: Vec<u64>,
 ) -> Result<Vec<u64>, SizesError> {
-    let Some(given) = given else { return Ok(usual) };
-    let (all, most, sweep) = (line_of(text, given.span()), most(sweep), sweep.name());
+    let Some(given) = given else {
+        return Ok(default);
+    };
+    let first_line = line_of(text, given.span());
+    let (most, sweep) = (max_size(sweep), sweep.name());
     let mut sizes: Vec<u64> = Vec::new();
-    for place in given.into_inner() {
-        let line = line_of(text, place.span());
-        let size = place.into_inner();
+    for size in given.into_inner() {
+        let line = line_of(text, size.span());
+        let size = size.into_inner();
         if size == 0 {
             return Err(SizesError::Zero { line, sweep });
         }
@@ -162,7 +199,7 @@
     match sizes.len() {
         0 => Err(SizesError::Missing { sweep }),
         given if given < STRAIGHT_LEAST => Err(SizesError::TooFew {
-            line: all,
+            line: first_line,
             sweep,
             given,
         }),
@@ -170,6 +207,7 @@
     }
 }
 
+/// The line, from 1, on which a span begins.
 fn line_of(text: &str, span: Range<usize>) -> usize {
     text.get(..span.start)
         .map_or(1, |before| before.matches('\n').count() + 1)
--- a/crates/capacity/src/table.rs
+++ b/crates/capacity/src/table.rs
@@ -1,14 +1,13 @@
-//! Rows of the page and of the command's output.
+//! Figures as rows of the page, of the command's output and of JSON.
 
 use serde::Serialize;
 
-use crate::catalog::{Kind, Unit};
 use crate::figure::{Figure, Finding};
 use crate::fit::{Fit, Shape};
+use crate::quantity::{Kind, Unit};
 use crate::sample::Sample;
 
-/// The page's columns. [`crate::page`] reads `id`, `at the planned size`, `holds`, `fails at`
-/// and `bound`.
+/// The page's columns. [`crate::page::stated`] reads `id`, `at the planned size`, `holds`, `fails at` and `bound`.
 pub const COLUMNS: [&str; 12] = [
     "id",
     "role",
@@ -27,28 +26,47 @@
 /// A figure as it is written to JSON.
 #[derive(Debug, Serialize)]
 pub struct Row<'a> {
+    /// The quantity.
     pub id: &'a str,
+    /// The sweep that measures it.
     pub sweep: &'a str,
+    /// Who pays for it.
     pub role: &'a str,
+    /// What it is.
     pub what: &'a str,
+    /// Its unit.
     pub unit: Unit,
+    /// Whether it depends on the machine.
     pub kind: Kind,
+    /// The size that it depends on.
     pub axis: &'a str,
+    /// What was measured.
     pub samples: &'a [Sample],
+    /// What follows from the samples.
     #[serde(flatten)]
     pub finding: Finding,
+    /// The planned size.
     pub planned_size: f64,
+    /// The value at the planned size.
     pub planned: f64,
+    /// Whether that value was measured there.
     pub measured_at_planned_size: bool,
+    /// The budget, in the same unit.
     pub budget: Option<f64>,
+    /// Where the budget is given.
     pub budget_source: Option<&'a str>,
+    /// How many times the cost fits into the budget, if it is finite.
     pub factor_left: Option<f64>,
+    /// Whether the budget holds.
     pub holds: Option<bool>,
+    /// The smallest part of the planned size at which it does not hold.
     pub fails_at_part_of_plan: Option<f64>,
+    /// What a reader must know of the measurement.
     pub remark: Option<&'a str>,
 }
 
 impl<'a> Row<'a> {
+    /// The row of a figure.
     pub fn of(figure: &'a Figure) -> Row<'a> {
         let quantity = figure.quantity;
         Row {
@@ -123,7 +141,7 @@
     format!("| {} |", cells.join(" | "))
 }
 
-/// As it stands in the column `holds`.
+/// The cell in the column `holds`.
 pub fn holds(holds: Option<bool>) -> &'static str {
     match holds {
         Some(true) => "yes",
@@ -193,11 +211,11 @@
 }
 
 /// Whole numbers below this are written to their last digit.
-const EXACT_MOST: f64 = 1e9;
+const MAX_EXACT: f64 = 1e9;
 
 /// Four significant digits, or all of a whole number; thousands are set apart.
 pub fn number(value: f64) -> String {
-    if value.fract() == 0.0 && value.abs() < EXACT_MOST {
+    if value.fract() == 0.0 && value.abs() < MAX_EXACT {
         return grouped(&format!("{value:.0}"), "");
     }
     let magnitude = value.abs().log10().floor() as i32;
@@ -213,6 +231,7 @@
     grouped(whole, part)
 }
 
+/// Digits with thousands set apart, and decimals.
 fn grouped(whole: &str, part: &str) -> String {
     let (sign, digits) = whole.strip_prefix('-').map_or(("", whole), |d| ("-", d));
     let mut grouped = String::new();
