--- a/crates/capacity/src/catalog.rs
+++ b/crates/capacity/src/catalog.rs
@@ -1,7 +1,7 @@
 //! All quantities that sweeps measure.
 
 use crate::plan;
-use crate::quantity::{Axis, Breaks, Direction, Kind, Quantity, Role, Sweep, Unit};
+use crate::quantity::{Axis, Consequence, Direction, Kind, Quantity, Role, Sweep, Unit};
 
 /// How far a count or the exact size of a message may move between runs.
 const EXACT_BOUND: f64 = 0.02;
@@ -22,9 +22,9 @@
     unit: Unit::Bytes,
     kind: Kind::CountOrBytes,
     direction: Direction::Cost,
-    what: "",
+    description: "",
     budget: None,
-    breaks: Breaks::Budget,
+    consequence: Consequence::Budget,
     ceiling: f64::INFINITY,
     bound: EXACT_BOUND,
 };
@@ -62,63 +62,63 @@
 pub const QUANTITIES: &[Quantity] = &[
     Quantity {
         id: "destinations.resident",
-        what: "resident memory of an idle sender",
+        description: "resident memory of an idle sender",
         budget: Some(plan::CONTROL_MEMORY),
         bound: MEMORY_BOUND,
         ..BASE
     },
     Quantity {
         id: "destinations.ready",
-        breaks: Breaks::Rule,
-        what: "start of the process to its ingress listening, the list being in the configuration",
+        consequence: Consequence::Rule,
+        description: "start of the process to its ingress listening, the list being in the configuration",
         budget: Some(plan::READY),
         ..TIMED
     },
     Quantity {
         id: "destinations.list-taken",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         role: Role::Discovery,
         unit: Unit::Count,
         direction: Direction::Benefit,
-        what: "most destinations of a whole list that a sender takes from discovery",
+        description: "most destinations of a whole list that a sender takes from discovery",
         ..BASE
     },
     Quantity {
         id: "destinations.list-bytes",
         role: Role::Discovery,
-        what: "a whole list, head and body",
+        description: "a whole list, head and body",
         ..BASE
     },
     Quantity {
         id: "destinations.list-step",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Seconds,
-        what: "processor time in the reducer of a whole list in which nothing has changed",
+        description: "processor time in the reducer of a whole list in which nothing has changed",
         budget: Some(plan::TURN),
         ..TIMED
     },
     Quantity {
         id: "destinations.change-bytes",
         role: Role::Discovery,
-        what: "one pushed change: its answer and the next question",
+        description: "one pushed change: its answer and the next question",
         ..BASE
     },
     Quantity {
         id: "destinations.change-processor",
         unit: Unit::Milliseconds,
-        what: "processor time of one pushed change",
+        description: "processor time of one pushed change",
         ..TIMED
     },
     Quantity {
         id: "destinations.change-in-force",
-        breaks: Breaks::Rule,
-        what: "ten changes at once, told to the sender's next question",
+        consequence: Consequence::Rule,
+        description: "ten changes at once, told to the sender's next question",
         budget: Some(plan::CHANGE_IN_FORCE),
         ..TIMED
     },
     Quantity {
         id: "backlog.resident",
-        what: "peak resident memory of a sender that takes the backlog up again",
+        description: "peak resident memory of a sender that takes the backlog up again",
         budget: Some(plan::SENDER_MEMORY),
         bound: MEMORY_BOUND,
         ..BACKLOG
@@ -126,191 +126,191 @@
     Quantity {
         id: "backlog.disk",
         role: Role::Journal,
-        what: "the journal's folder",
+        description: "the journal's folder",
         ..BACKLOG
     },
     Quantity {
         id: "backlog.ready",
-        breaks: Breaks::Rule,
-        what: "start of the process to its ingress listening",
+        consequence: Consequence::Rule,
+        description: "start of the process to its ingress listening",
         budget: Some(plan::READY),
         ..BACKLOG_TIMED
     },
     Quantity {
         id: "backlog.recover-step",
-        breaks: Breaks::Rule,
-        what: "processor time in the reducer until what the journal told is held",
+        consequence: Consequence::Rule,
+        description: "processor time in the reducer until what the journal told is held",
         budget: Some(plan::READY),
         ..BACKLOG_TIMED
     },
     Quantity {
         id: "backlog.first-turn",
-        breaks: Breaks::Rule,
-        what: "processor time of the first turn after a restart",
+        consequence: Consequence::Rule,
+        description: "processor time of the first turn after a restart",
         budget: Some(plan::TURN),
         ..BACKLOG_TIMED
     },
     Quantity {
         id: "backlog.turn",
-        breaks: Breaks::Rule,
-        what: "processor time of a later turn that sends nothing",
+        consequence: Consequence::Rule,
+        description: "processor time of a later turn that sends nothing",
         budget: Some(plan::TURN),
         ..BACKLOG_TIMED
     },
     Quantity {
         id: "backlog.waiting-processor",
         unit: Unit::MillisecondsPerSecond,
-        what: "processor time of a sender that waits with its backlog, no destination answering",
+        description: "processor time of a sender that waits with its backlog, no destination answering",
         budget: Some(plan::WAITING_PROCESSOR),
         ..BACKLOG_TIMED
     },
     Quantity {
         id: "backlog.taken-up",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
         direction: Direction::Benefit,
-        what: "largest backlog of which a restart gives up at most half with no call, the settings' bound on held events being 20,000",
+        description: "largest backlog of which a restart gives up at most half with no call, the settings' bound on held events being 20,000",
         ..BACKLOG
     },
     Quantity {
         id: "backlog.out-of-order",
         unit: Unit::Part,
-        what: "part of the first 1,000 sent that is not among the 1,000 with the earliest deadlines",
+        description: "part of the first 1,000 sent that is not among the 1,000 with the earliest deadlines",
         ceiling: 1.0,
         ..BACKLOG
     },
     Quantity {
         id: "members.quiet.bytes",
         unit: Unit::BytesPerSecond,
-        what: "sent and received by one member",
+        description: "sent and received by one member",
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
     Quantity {
         id: "members.quiet.packets",
         unit: Unit::PacketsPerSecond,
-        what: "sent by one member",
+        description: "sent by one member",
         ..MEMBERS
     },
     Quantity {
         id: "members.quiet.processor",
         unit: Unit::MillisecondsPerSecond,
-        what: "processor time of one member",
+        description: "processor time of one member",
         budget: Some(plan::CONTROL_PROCESSOR),
         ..MEMBERS_TIMED
     },
     Quantity {
         id: "members.quiet.resident",
-        what: "resident memory of one member's state",
+        description: "resident memory of one member's state",
         budget: Some(plan::CONTROL_MEMORY),
         bound: MEMORY_BOUND,
         ..MEMBERS
     },
     Quantity {
         id: "members.quiet.missing",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
-        what: "pairs of live members of which one does not see the other alive, at the end",
+        description: "pairs of live members of which one does not see the other alive, at the end",
         budget: Some(plan::MISSING_MEMBERS),
         ..MEMBERS
     },
     Quantity {
         id: "members.crashes.bytes",
         unit: Unit::BytesPerSecond,
-        what: "sent and received by one member, one in ten having crashed",
+        description: "sent and received by one member, one in ten having crashed",
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
     Quantity {
         id: "members.crashes.processor",
         unit: Unit::MillisecondsPerSecond,
-        what: "processor time of one member, one in ten having crashed",
+        description: "processor time of one member, one in ten having crashed",
         budget: Some(plan::CONTROL_PROCESSOR),
         ..MEMBERS_TIMED
     },
     Quantity {
         id: "members.crashes.detection",
-        what: "crash to down in 99 of 100 live views",
+        description: "crash to down in 99 of 100 live views",
         ..MEMBERS_TIMED
     },
     Quantity {
         id: "members.crashes.missing",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
-        what: "as in the quiet state, one in ten having crashed",
+        description: "as in the quiet state, one in ten having crashed",
         budget: Some(plan::MISSING_MEMBERS),
         ..MEMBERS
     },
     Quantity {
         id: "members.zone.bytes",
         unit: Unit::BytesPerSecond,
-        what: "sent and received by one member, a zone of six being gone",
+        description: "sent and received by one member, a zone of six being gone",
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
     Quantity {
         id: "members.zone.missing",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
-        what: "as in the quiet state, a zone of six being gone",
+        description: "as in the quiet state, a zone of six being gone",
         budget: Some(plan::MISSING_MEMBERS),
         ..MEMBERS
     },
     Quantity {
         id: "members.rack.bytes",
         unit: Unit::BytesPerSecond,
-        what: "sent and received by one member, one in thirty being gone",
+        description: "sent and received by one member, one in thirty being gone",
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
     Quantity {
         id: "members.rack.missing",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
-        what: "as in the quiet state, one in thirty being gone",
+        description: "as in the quiet state, one in thirty being gone",
         budget: Some(plan::MISSING_MEMBERS),
         ..MEMBERS
     },
     Quantity {
         id: "members.restarts.bytes",
         unit: Unit::BytesPerSecond,
-        what: "sent and received by one member, one in sixteen having restarted at once",
+        description: "sent and received by one member, one in sixteen having restarted at once",
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
     Quantity {
         id: "members.restarts.missing",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
-        what: "as in the quiet state, one in sixteen having restarted at once",
+        description: "as in the quiet state, one in sixteen having restarted at once",
         budget: Some(plan::MISSING_MEMBERS),
         ..MEMBERS
     },
     Quantity {
         id: "members.halves.bytes",
         unit: Unit::BytesPerSecond,
-        what: "sent and received by one member, two halves being cut from each other",
+        description: "sent and received by one member, two halves being cut from each other",
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
     Quantity {
         id: "members.halves.agreed",
-        what: "end of the cut to one view everywhere",
+        description: "end of the cut to one view everywhere",
         ..MEMBERS_TIMED
     },
     Quantity {
         id: "members.halves.missing",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
-        what: "as in the quiet state, after the cut",
+        description: "as in the quiet state, after the cut",
         budget: Some(plan::MISSING_MEMBERS),
         ..MEMBERS
     },
     Quantity {
         id: "members.halves.share",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Part,
-        what: "most that all took together of a shared limit",
+        description: "most that all took together of a shared limit",
         budget: Some(plan::SHARE),
         ..MEMBERS
     },
@@ -319,7 +319,7 @@
         sweep: Sweep::Events,
         axis: Axis::EventsPerSecond,
         unit: Unit::Cores,
-        what: "processor time of a sender",
+        description: "processor time of a sender",
         budget: Some(plan::SENDER_CORES),
         ..TIMED
     },
@@ -329,35 +329,35 @@
         axis: Axis::EventsPerSecond,
         role: Role::Client,
         unit: Unit::Milliseconds,
-        what: "handing in to the answer, 99 of 100",
+        description: "handing in to the answer, 99 of 100",
         ..TIMED
     },
     Quantity {
         id: "events.resident",
         sweep: Sweep::Events,
         axis: Axis::EventsPerSecond,
-        what: "resident memory of a sender",
+        description: "resident memory of a sender",
         budget: Some(plan::SENDER_MEMORY),
         bound: MEMORY_BOUND,
         ..BASE
     },
     Quantity {
         id: "changes.one-in-force",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         sweep: Sweep::Changes,
         axis: Axis::Watchers,
         role: Role::Discovery,
-        what: "one change, until the last real sender has asked on from it",
+        description: "one change, until the last real sender has asked on from it",
         budget: Some(plan::CHANGE_IN_FORCE),
         ..TIMED
     },
     Quantity {
         id: "changes.ten-in-force",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         sweep: Sweep::Changes,
         axis: Axis::Watchers,
         role: Role::Discovery,
-        what: "ten changes at once, until the last real sender has asked on from them",
+        description: "ten changes at once, until the last real sender has asked on from them",
         budget: Some(plan::CHANGE_IN_FORCE),
         ..TIMED
     },
@@ -366,7 +366,7 @@
         sweep: Sweep::Changes,
         axis: Axis::Watchers,
         role: Role::Discovery,
-        what: "of one change, read and written by discovery for all senders",
+        description: "of one change, read and written by discovery for all senders",
         ..BASE
     },
 ];
--- a/crates/capacity/src/derived.rs
+++ b/crates/capacity/src/derived.rs
@@ -100,7 +100,7 @@
         from: "membership, a held watch each 3 s, 820 changes a day",
         value: membership + discovery_bytes(measured)?,
         unit: "B/s",
-        budget: Some(plan::CONTROL_BYTES.most),
+        budget: Some(plan::CONTROL_BYTES.max),
     })
 }
 
@@ -112,7 +112,7 @@
         from: "membership, 820 changes a day",
         value: membership + changes,
         unit: "ms/s",
-        budget: Some(plan::CONTROL_PROCESSOR.most),
+        budget: Some(plan::CONTROL_PROCESSOR.max),
     })
 }
 
@@ -122,7 +122,7 @@
         from: "an idle sender with the whole list, and membership",
         value: measured("destinations.resident")? + measured("members.quiet.resident")?,
         unit: "B",
-        budget: Some(plan::CONTROL_MEMORY.most),
+        budget: Some(plan::CONTROL_MEMORY.max),
     })
 }
 
@@ -138,14 +138,14 @@
     let list_time = list_bytes.map(|list| Derived {
         label: "a whole list at a sender's control budget",
         from: "`destinations.list-bytes` over 13 KB/s",
-        value: list / plan::CONTROL_BYTES.most,
+        value: list / plan::CONTROL_BYTES.max,
         unit: "s",
-        budget: Some(plan::CHANGE_IN_FORCE.most),
+        budget: Some(plan::CHANGE_IN_FORCE.max),
     });
     let zone_start = list_bytes.map(|list| Derived {
         label: "whole lists for a zone that starts again within 10 s, of discovery",
         from: "490 / 6 lists over 10 s",
-        value: list * plan::SENDERS / plan::ZONES / plan::READY.most,
+        value: list * plan::SENDERS / plan::ZONES / plan::READY.max,
         unit: "B/s",
         budget: None,
     });
--- a/crates/capacity/src/earliest_failures.rs
+++ b/crates/capacity/src/earliest_failures.rs
@@ -10,7 +10,7 @@
         .filter_map(|s| Some((s, s.fails_at?)))
         .collect();
     failing.sort_by(|(a, a_part), (b, b_part)| {
-        let by_consequence = a.quantity.breaks.cmp(&b.quantity.breaks);
+        let by_consequence = a.quantity.consequence.cmp(&b.quantity.consequence);
         by_consequence.then(a_part.total_cmp(b_part))
     });
     let head = [
@@ -30,8 +30,8 @@
         number((part * planned).round()),
         number(planned.round()),
         quantity.axis.name(),
-        quantity.breaks.name(),
+        quantity.consequence.name(),
         quantity.id,
-        quantity.what
+        quantity.description
     )
 }
--- a/crates/capacity/src/figure.rs
+++ b/crates/capacity/src/figure.rs
@@ -96,7 +96,7 @@
     pub fn budget(&self) -> Option<f64> {
         match self.finding {
             Finding::Limit { .. } => Some(self.quantity.axis.planned()),
-            Finding::Fitted(_) => self.quantity.budget.map(|b| b.most),
+            Finding::Fitted(_) => self.quantity.budget.map(|b| b.max),
         }
     }
 
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -21,5 +21,5 @@
 
 pub use figure::{Figure, Finding};
 pub use fit::{Fit, FitError, STRAIGHT_LEAST, Shape, fit};
-pub use quantity::{Axis, Breaks, Direction, Kind, Quantity, Role, Sweep, Unit};
+pub use quantity::{Axis, Consequence, Direction, Kind, Quantity, Role, Sweep, Unit};
 pub use sample::{Sample, SampleError, Samples};
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     /// In the unit of the quantity that it bounds.
-    pub most: f64,
+    pub max: f64,
     /// Where the operators give it.
     pub source: &'static str,
 }
@@ -41,57 +41,57 @@
 
 /// Seconds until a change of configuration is in force everywhere.
 pub const CHANGE_IN_FORCE: Budget = Budget {
-    most: 7.0,
+    max: 7.0,
     source: PLAN,
 };
 /// Processor time of a sender for control: milliseconds a second.
 pub const CONTROL_PROCESSOR: Budget = Budget {
-    most: 13.0,
+    max: 13.0,
     source: PLAN,
 };
 /// Memory of a sender for control, in bytes.
 pub const CONTROL_MEMORY: Budget = Budget {
-    most: 32e6,
+    max: 32e6,
     source: PLAN,
 };
 /// Bytes a second of a sender for control; taken as both directions together.
 pub const CONTROL_BYTES: Budget = Budget {
-    most: 13_000.0,
+    max: 13_000.0,
     source: PLAN,
 };
 /// Seconds from the start of a process until it is ready.
 pub const READY: Budget = Budget {
-    most: 10.0,
+    max: 10.0,
     source: RULES,
 };
 /// Seconds that one turn of the loop may take: new work at a draining endpoint must end within this time.
 pub const TURN: Budget = Budget {
-    most: 0.5,
+    max: 0.5,
     source: RULES,
 };
 /// Memory of a whole sender, in bytes: the top of the range that configurations give.
 pub const SENDER_MEMORY: Budget = Budget {
-    most: 192e6,
+    max: 192e6,
     source: "bounds of a sender's configuration",
 };
 /// Processor time of a sender that only waits, in milliseconds a second: one core, of which deliveries need a part.
 pub const WAITING_PROCESSOR: Budget = Budget {
-    most: 1_000.0,
+    max: 1_000.0,
     source: "bounds of a sender's configuration",
 };
 /// What all live senders may take together of a shared limit, in times the limit, while a cut lasts; a thousandth is
 /// left for rounding.
 pub const SHARE: Budget = Budget {
-    most: 1.001,
+    max: 1.001,
     source: "rules: no share is raised by a cut",
 };
 /// Live members that a member does not see as alive once a disturbance is over.
 pub const MISSING_MEMBERS: Budget = Budget {
-    most: 0.0,
+    max: 0.0,
     source: "membership: views agree after a disturbance",
 };
 /// Cores of a whole sender.
 pub const SENDER_CORES: Budget = Budget {
-    most: 1.0,
+    max: 1.0,
     source: "bounds of a sender's configuration",
 };
--- a/crates/capacity/src/plot.rs
+++ b/crates/capacity/src/plot.rs
@@ -77,7 +77,7 @@
     let mut chart = ChartBuilder::on(area)
         .margin(12)
         .caption(
-            format!("{}: {}", quantity.id, quantity.what),
+            format!("{}: {}", quantity.id, quantity.description),
             ("sans-serif", 15),
         )
         .x_label_area_size(34)
@@ -123,6 +123,6 @@
     if !least.is_finite() {
         return DEFAULT_RANGE;
     }
-    let most = positive.iter().copied().fold(0.0, f64::max);
-    (least / 2.0, most * 2.0)
+    let max = positive.iter().copied().fold(0.0, f64::max);
+    (least / 2.0, max * 2.0)
 }
--- a/crates/capacity/src/quantity.rs
+++ b/crates/capacity/src/quantity.rs
@@ -108,7 +108,7 @@
 /// What is broken by a quantity beyond its budget, the gravest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Breaks {
+pub enum Consequence {
     /// A rule; or messages are lost.
     Rule,
     /// Only the budget itself.
@@ -133,11 +133,11 @@
     /// Whether a larger value is worse or better.
     pub direction: Direction,
     /// What it is, in one phrase.
-    pub what: &'static str,
+    pub description: &'static str,
     /// What bounds it, if anything does.
     pub budget: Option<Budget>,
     /// What is broken beyond the budget.
-    pub breaks: Breaks,
+    pub consequence: Consequence,
     /// No value is above this, whatever a fit says.
     pub ceiling: f64,
     /// By how much a later run may be worse than the stated figure, as a part of that figure.
@@ -208,12 +208,12 @@
     }
 }
 
-impl Breaks {
+impl Consequence {
     /// As on the page.
     pub fn name(self) -> &'static str {
         match self {
-            Breaks::Rule => "a rule, or a loss",
-            Breaks::Budget => "a budget",
+            Consequence::Rule => "a rule, or a loss",
+            Consequence::Budget => "a budget",
         }
     }
 }
--- a/crates/capacity/src/sample.rs
+++ b/crates/capacity/src/sample.rs
@@ -23,14 +23,14 @@
         size: f64,
     },
     /// A size that no sweep reaches.
-    #[error("sample {place}: size {size} is above {most}, which no sweep reaches")]
+    #[error("sample {place}: size {size} is above {max}, which no sweep reaches")]
     Absurd {
         /// Which sample.
         place: usize,
         /// Its size.
         size: f64,
         /// The largest size.
-        most: f64,
+        max: f64,
     },
     /// A size that is not above the one before it.
     #[error("sample {place}: size {size} is not above the one before it, {before}")]
@@ -86,7 +86,7 @@
                 return Err(SampleError::Absurd {
                     place,
                     size,
-                    most: MAX_SIZE,
+                    max: MAX_SIZE,
                 });
             }
             if size <= before {
--- a/crates/capacity/src/sizes.rs
+++ b/crates/capacity/src/sizes.rs
@@ -38,7 +38,7 @@
         sweep: &'static str,
     },
     /// A size beyond what one machine can play.
-    #[error("line {line}: {sweep}: the size {size} is absurd; at most {most}")]
+    #[error("line {line}: {sweep}: the size {size} is absurd; at most {max}")]
     Absurd {
         /// Where.
         line: usize,
@@ -47,7 +47,7 @@
         /// The size.
         size: u64,
         /// The sweep's largest size.
-        most: u64,
+        max: u64,
     },
     /// A size that is not above the one before it.
     #[error("line {line}: {sweep}: {size} is not above the size before it")]
@@ -175,7 +175,7 @@
         return Ok(default);
     };
     let first_line = line_of(text, given.span());
-    let (most, sweep) = (max_size(sweep), sweep.name());
+    let (max, sweep) = (max_size(sweep), sweep.name());
     let mut sizes: Vec<u64> = Vec::new();
     for size in given.into_inner() {
         let line = line_of(text, size.span());
@@ -183,12 +183,12 @@
         if size == 0 {
             return Err(SizesError::Zero { line, sweep });
         }
-        if size > most {
+        if size > max {
             return Err(SizesError::Absurd {
                 line,
                 sweep,
                 size,
-                most,
+                max,
             });
         }
         if sizes.last().is_some_and(|before| *before >= size) {
--- a/crates/capacity/src/table.rs
+++ b/crates/capacity/src/table.rs
@@ -33,7 +33,8 @@
     /// Who pays for it.
     pub role: &'a str,
     /// What it is.
-    pub what: &'a str,
+    #[serde(rename = "what")]
+    pub description: &'a str,
     /// Its unit.
     pub unit: Unit,
     /// Whether it depends on the machine.
@@ -73,7 +74,7 @@
             id: quantity.id,
             sweep: quantity.sweep.name(),
             role: quantity.role.name(),
-            what: quantity.what,
+            description: quantity.description,
             unit: quantity.unit,
             kind: quantity.kind,
             axis: quantity.axis.name(),
@@ -125,7 +126,7 @@
     let cells = [
         format!("`{}`", quantity.id),
         quantity.role.name().to_owned(),
-        format!("{}, by {}", quantity.what, quantity.axis.name()),
+        format!("{}, by {}", quantity.description, quantity.axis.name()),
         measured,
         fit,
         residual,
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_is_written_to_the_page_is_read_back_and_held_against_fresh_runs() {
+fn updated_figures_are_read_back_and_compared_with_fresh_runs() {
     let page = updated(EMPTY, Run::Full, &[memory(300.0), list_taken(500.0)]).expect("updated");
     assert_eq!(
         verdicts(&page, Run::Full, &[memory(300.0), list_taken(500.0)]),
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_page_that_cant_be_read_tells_the_line() {
+fn page_errors_name_the_line() {
     let page = updated(EMPTY, Run::Full, &[memory(300.0), list_taken(500.0)]).expect("updated");
     let read = |page: &str| stated(page, Run::Full).expect_err("not to be read");
     assert!(matches!(
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn what_fails_first_is_told_as_a_part_of_the_plan() {
+fn fails_at_is_a_part_of_the_planned_size() {
     assert_eq!(list_taken(570.0).fails_at(), Some(0.01));
     assert_eq!(memory(300.0).fails_at(), None);
     let part = memory(1_000.0)
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn sizes_that_measure_nothing_are_refused_with_their_line() {
+fn invalid_sizes_are_rejected_with_their_line() {
     let read = |text: &str| Sizes::full().read(text, &[Sweep::Destinations]);
     let sizes = read("# trial\ndestinations = [1, 20, 300]\n").expect("sizes");
     assert_eq!(
@@ -164,7 +164,7 @@
         line: 3,
         sweep: "backlog",
         size: 99_999_999_999,
-        most: 10_000_000,
+        max: 10_000_000,
     };
     assert_eq!(absurd, Err(expected));
     assert_eq!(
--- a/crates/simulation/src/destination/simulated.rs
+++ b/crates/simulation/src/destination/simulated.rs
@@ -10,9 +10,9 @@
 use super::endpoint::Endpoint;
 use super::reply::{Asked, Connect, DeliveryOutcome, Fell, Reply, Spoilt};
 use super::spec::Spec;
-use crate::fault::{Fault, State, back_since};
-use crate::limit::Allowance;
-use crate::return_guard::{Guard, call_weight};
+use crate::fault::{Fault, State, latest_recovery};
+use crate::limit::CallLimiter;
+use crate::return_guard::{OverloadGuard, call_weight};
 use crate::time::seconds;
 
 /// Failures and rejections take no work, and are sent within this.
@@ -33,8 +33,8 @@
     spec: Spec,
     endpoints: Vec<Endpoint>,
     /// One for all endpoints, or one for each.
-    allowances: Vec<Allowance>,
-    guard: Guard,
+    limiters: Vec<CallLimiter>,
+    guard: OverloadGuard,
     /// By index of the allowance.
     reports: BTreeMap<usize, CachedReport>,
     rng: ChaCha8Rng,
@@ -51,12 +51,12 @@
         let endpoints = (0..count)
             .map(|_| Endpoint::new(faults.next().unwrap_or_default(), workers))
             .collect();
-        let allowances = vec![Allowance::new(spec.limit); if spec.shared { 1 } else { count }];
+        let limiters = vec![CallLimiter::new(spec.limit); if spec.shared { 1 } else { count }];
         SimulatedDestination {
             spec,
             endpoints,
-            allowances,
-            guard: Guard::default(),
+            limiters,
+            guard: OverloadGuard::default(),
             reports: BTreeMap::new(),
             rng,
         }
@@ -86,7 +86,7 @@
 
     /// The part of its capacity that an endpoint has while it warms up.
     fn warm_share(&self, endpoint: &Endpoint, now: Duration) -> f64 {
-        let recovered_at = back_since(&endpoint.faults, now);
+        let recovered_at = latest_recovery(&endpoint.faults, now);
         recovered_at.map_or(1.0, |at| self.spec.back.share(now - at))
     }
 
@@ -94,7 +94,7 @@
     pub fn back(&self, now: Duration) -> Option<Duration> {
         let mut latest = None;
         for endpoint in &self.endpoints {
-            latest = latest.max(Some(back_since(&endpoint.faults, now)?));
+            latest = latest.max(Some(latest_recovery(&endpoint.faults, now)?));
         }
         latest
     }
@@ -161,7 +161,10 @@
         let weight = call_weight(messages, self.spec.item_cost);
         let ramp = &self.spec.back;
         let capacity = self.spec.capacity;
-        if self.guard.sent(ramp, now, recovered_at, weight, capacity) {
+        if self
+            .guard
+            .record_call(ramp, now, recovered_at, weight, capacity)
+        {
             return (reset, true);
         }
         (self.reply(now, asked.endpoint, messages, &state), false)
@@ -171,11 +174,11 @@
         if let Some(until) = state.blocked_until {
             return self.rejection(now, endpoint, messages, Some(until));
         }
-        let allowance = self.allowance_index(endpoint);
-        let allowance = &mut self.allowances[allowance];
-        allowance.lower(now, state.lower);
-        if let Err(full) = allowance.take(now, self.spec.charge_refused) {
-            return self.rejection(now, endpoint, messages, Some(full.again));
+        let limiter = self.limiter_index(endpoint);
+        let limiter = &mut self.limiters[limiter];
+        limiter.lower(now, state.lower);
+        if let Err(full) = limiter.admit(now, self.spec.charge_refused) {
+            return self.rejection(now, endpoint, messages, Some(full.retry_at));
         }
         if self.rng.random_bool(state.fail.clamp(0.0, 1.0)) {
             let at = quick_reply_at(&mut self.rng, now);
@@ -251,20 +254,20 @@
 
     /// The load report of an endpoint, read again once it is as old as `refresh`.
     fn load_report(&mut self, now: Duration, endpoint: usize, refresh: Duration) -> (f64, f64) {
-        let allowance = self.allowance_index(endpoint);
-        if let Some(cached) = self.reports.get(&allowance)
+        let limiter = self.limiter_index(endpoint);
+        if let Some(cached) = self.reports.get(&limiter)
             && now.saturating_sub(cached.read_at) < refresh
         {
             return cached.report;
         }
-        let report = self.allowances[allowance].reading(now);
+        let report = self.limiters[limiter].load_report(now);
         let read_at = now;
         self.reports
-            .insert(allowance, CachedReport { read_at, report });
+            .insert(limiter, CachedReport { read_at, report });
         report
     }
 
-    fn allowance_index(&self, endpoint: usize) -> usize {
+    fn limiter_index(&self, endpoint: usize) -> usize {
         if self.spec.shared { 0 } else { endpoint }
     }
 }
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -162,7 +162,7 @@
 
 /// When the latest outage that has ended by `now` ended; `None` during one, or if there was none. Faults that overlap or
 /// touch are one outage.
-pub fn back_since(faults: &[Fault], now: Duration) -> Option<Duration> {
+pub fn latest_recovery(faults: &[Fault], now: Duration) -> Option<Duration> {
     if outages(faults).any(|f| f.is_on(now)) {
         return None;
     }
@@ -171,7 +171,7 @@
 }
 
 /// The outage that is on at `now`, or the latest one before: from the first fault's start to the last one's end.
-pub fn outage_before(faults: &[Fault], now: Duration) -> Option<(Duration, Duration)> {
+pub fn latest_outage(faults: &[Fault], now: Duration) -> Option<(Duration, Duration)> {
     let begun = outages(faults).filter(|f| f.start <= now);
     let mut spans: Vec<(Duration, Duration)> = begun.map(|f| (f.start, f.end())).collect();
     spans.sort_unstable();
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -21,4 +21,4 @@
 
 pub use destination::{Asked, Connect, Reply, SimulatedDestination, Spec};
 pub use fault::{Fault, Kind, State};
-pub use limit::{Allowance, Limit};
+pub use limit::{CallLimiter, Limit};
--- a/crates/simulation/src/limit.rs
+++ b/crates/simulation/src/limit.rs
@@ -27,7 +27,7 @@
 
 /// A limit in use.
 #[derive(Clone, Debug)]
-pub struct Allowance {
+pub struct CallLimiter {
     /// The limit without faults.
     nominal: Limit,
     /// The limit as it is now.
@@ -40,20 +40,20 @@
 
 /// A call was rejected by the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full {
+pub struct LimitReached {
     /// When a call is admitted again, if there is no other one before.
-    pub again: Duration,
+    pub retry_at: Duration,
 }
 
-impl Allowance {
+impl CallLimiter {
     /// A limit that is not used up.
-    pub fn new(limit: Limit) -> Allowance {
+    pub fn new(limit: Limit) -> CallLimiter {
         let level = if let Limit::Rate { burst, .. } = limit {
             burst
         } else {
             0.0
         };
-        Allowance {
+        CallLimiter {
             nominal: limit,
             limit,
             level,
@@ -80,8 +80,8 @@
     /// Admits or rejects a call at `now`. With `charge_refused`, rejected calls use the limit up too.
     ///
     /// # Errors
-    /// [`Full`] if the limit is used up.
-    pub fn take(&mut self, now: Duration, charge_refused: bool) -> Result<(), Full> {
+    /// [`LimitReached`] if the limit is used up.
+    pub fn admit(&mut self, now: Duration, charge_refused: bool) -> Result<(), LimitReached> {
         self.advance(now);
         match self.limit {
             Limit::None => Ok(()),
@@ -95,8 +95,8 @@
                     self.level = (self.level - 1.0).max(-burst);
                 }
                 let missing = (1.0 - self.level) / per_second.max(f64::MIN_POSITIVE);
-                Err(Full {
-                    again: now + seconds(missing),
+                Err(LimitReached {
+                    retry_at: now + seconds(missing),
                 })
             }
             Limit::Count { calls, span } => {
@@ -107,8 +107,8 @@
                 if fits {
                     Ok(())
                 } else {
-                    Err(Full {
-                        again: span_start(now, span) + span,
+                    Err(LimitReached {
+                        retry_at: span_start(now, span) + span,
                     })
                 }
             }
@@ -116,7 +116,7 @@
     }
 
     /// A load report: the part of the limit that is left (0 to 1) and the limit in calls a second; zeros if there is none.
-    pub fn reading(&mut self, now: Duration) -> (f64, f64) {
+    pub fn load_report(&mut self, now: Duration) -> (f64, f64) {
         self.advance(now);
         match self.limit {
             Limit::None => (0.0, 0.0),
--- a/crates/simulation/src/return_guard.rs
+++ b/crates/simulation/src/return_guard.rs
@@ -57,7 +57,7 @@
 
 /// Measures the load on one warming destination, and decides when it fails.
 #[derive(Clone, Debug, Default)]
-pub struct Guard {
+pub struct OverloadGuard {
     /// The end of the outage whose slow start is measured.
     recovered_at: Option<Duration>,
     /// Calls within the latest window.
@@ -66,10 +66,10 @@
     fallen: bool,
 }
 
-impl Guard {
+impl OverloadGuard {
     /// Counts a call of this weight at `now` to a destination that has recovered at `recovered_at`, if it has; true if the
     /// call makes the destination fail.
-    pub fn sent(
+    pub fn record_call(
         &mut self,
         ramp: &Return,
         now: Duration,
--- a/crates/simulation/tests/audit.rs
+++ b/crates/simulation/tests/audit.rs
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn every_end_in_time() {
+fn every_message_ends_in_time() {
     log()
         .taken(0, "a", 0)
         .report(20_300, "a", FinalReport::Failed)
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn never_two_copies_at_once() {
+fn at_most_one_attempt_is_in_flight() {
     let first = || log().taken(0, "a", 0).call(10, 1, &["a"]);
     first().call(20, 2, &["a"]).violates(Rule::SecondCopy);
     first()
@@ -288,7 +288,7 @@
 
 /// Who is told `returned` hands the message in again: that is a repeat that the sender asked for.
 #[test]
-fn nothing_is_returned_that_must_not_come_again() {
+fn no_message_is_returned_that_must_not_be_repeated() {
     let executed = |class, outcome| {
         log()
             .taken(0, "a", class)
@@ -546,7 +546,7 @@
 }
 
 #[test]
-fn nothing_on_a_connection_idle_too_long() {
+fn no_call_on_a_connection_idle_too_long() {
     let idle = |at| {
         log()
             .add(
@@ -584,7 +584,7 @@
 
 /// A sender that is gone for good owes nothing more; the others owe what they owed.
 #[test]
-fn what_a_lost_folder_held_is_nobodys() {
+fn messages_of_a_lost_state_folder_are_not_judged() {
     let other = What::Submitted {
         id: "b".into(),
         class: 0,
@@ -730,7 +730,7 @@
 }
 
 #[test]
-fn messages_of_one_key_in_turn() {
+fn messages_of_one_ordering_key_are_delivered_in_order() {
     let first_done = || {
         two()
             .call(20, 1, &["a"])
--- a/crates/simulation/tests/invariants.rs
+++ b/crates/simulation/tests/invariants.rs
@@ -6,8 +6,8 @@
 use cranehill_simulation::destination::{
     Asked, Connect, DeliveryOutcome, Reply, SimulatedDestination, Spec,
 };
-use cranehill_simulation::fault::{Fault, Kind, State, back_since, outage_before};
-use cranehill_simulation::limit::{Allowance, Limit};
+use cranehill_simulation::fault::{Fault, Kind, State, latest_outage, latest_recovery};
+use cranehill_simulation::limit::{CallLimiter, Limit};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::SeedableRng;
@@ -61,25 +61,25 @@
         per_second in 0.5..20.0f64, burst in 1.0..4.0f64, calls in 1..8u32, span in 200..2000u64,
         gaps in prop::collection::vec(0..400u64, 1..200),
     ) {
-        let mut rate = Allowance::new(Limit::Rate { per_second, burst });
-        let mut count = Allowance::new(Limit::Count { calls, span: ms(span) });
+        let mut rate = CallLimiter::new(Limit::Rate { per_second, burst });
+        let mut count = CallLimiter::new(Limit::Count { calls, span: ms(span) });
         let (mut now, mut by_rate, mut by_span) = (0u64, 0u32, std::collections::BTreeMap::<u64, u32>::new());
         for gap in gaps {
             now += gap;
-            match rate.take(ms(now), false) {
+            match rate.admit(ms(now), false) {
                 Ok(()) => by_rate += 1,
                 // At the end of a wait there is room, unless others have taken it.
-                Err(full) => prop_assert!(rate.clone().take(full.again + Duration::from_nanos(10), false).is_ok()),
+                Err(full) => prop_assert!(rate.clone().admit(full.retry_at + Duration::from_nanos(10), false).is_ok()),
             }
             prop_assert!(f64::from(by_rate) <= per_second * now as f64 / 1000.0 + burst + 1e-6);
-            match count.take(ms(now), false) {
+            match count.admit(ms(now), false) {
                 Ok(()) => *by_span.entry(now / span).or_default() += 1,
                 Err(full) => {
-                    prop_assert!(full.again > ms(now) && full.again <= ms(now + span));
-                    prop_assert!(count.clone().take(full.again, false).is_ok());
+                    prop_assert!(full.retry_at > ms(now) && full.retry_at <= ms(now + span));
+                    prop_assert!(count.clone().admit(full.retry_at, false).is_ok());
                 }
             }
-            let (left, _) = count.reading(ms(now));
+            let (left, _) = count.load_report(ms(now));
             prop_assert!((0.0..=1.0).contains(&left));
         }
         prop_assert!(by_span.values().all(|&n| n <= calls));
@@ -100,9 +100,9 @@
         let worse = State::of(&with, now);
         prop_assert!(worse.fail >= state.fail - 1e-9 && worse.slow >= state.slow - 1e-9 && (!state.is_down() || worse.is_down()));
         // Back means: no outage is on, and one has ended.
-        if let Some(back) = back_since(&faults, now) {
+        if let Some(back) = latest_recovery(&faults, now) {
             prop_assert!(back <= now && !faults.iter().any(|f| f.is_outage() && f.is_on(now)));
-            let (start, end) = outage_before(&faults, now).expect("an outage");
+            let (start, end) = latest_outage(&faults, now).expect("an outage");
             prop_assert!(start < end && end == back);
         }
     }
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -5,7 +5,7 @@
 use cranehill_simulation::directory::{Directory, List, Listed, Row, Spec, Watch};
 use cranehill_simulation::scenario::{self, Effect, ListChange, To};
 
-const DAY: &str = r#"name = "a day"
+const SCENARIO: &str = r#"name = "a day"
 senders = 2
 lasts = "4 s"
 [load]
@@ -54,7 +54,7 @@
 back = "never"
 "#;
 
-/// What stands in [`DAY`], a mistake in its place, and a part of the error.
+/// What stands in [`SCENARIO`], a mistake in its place, and a part of the error.
 const MISTAKES: [(&str, &str, &str); 25] = [
     (r#"lasts = "4 s""#, r#"lasts = "4""#, "no unit"),
     (r#"lasts = "4 s""#, r#"lasts = "2000 min""#, "60 min"),
@@ -114,14 +114,17 @@
 /// A mistake in a file names its line, so that a person finds it; nothing is played then.
 #[test]
 fn a_parse_error_names_its_line() {
-    assert!(scenario::parse(DAY, 1).is_ok());
+    assert!(scenario::parse(SCENARIO, 1).is_ok());
     for (good, bad, why) in MISTAKES {
-        assert!(DAY.contains(good), "{good}");
-        let text = DAY.replacen(good, bad, 1);
+        assert!(SCENARIO.contains(good), "{good}");
+        let text = SCENARIO.replacen(good, bad, 1);
         let error = scenario::parse(&text, 1).expect_err(bad);
         assert!(error.problem.to_string().contains(why), "{bad}: {error}");
         // The mistake is on the line that was changed, or, with a line more, on one of the two.
-        let at = DAY[..DAY.find(good).expect("there")].matches('\n').count() + 1;
+        let at = SCENARIO[..SCENARIO.find(good).expect("there")]
+            .matches('\n')
+            .count()
+            + 1;
         assert!(
             (at..=at + bad.matches('\n').count()).contains(&error.line),
             "{bad}: {error}"
@@ -132,7 +135,7 @@
 /// Two destinations of one name would share what is judged of each.
 #[test]
 fn destination_names_are_unique() {
-    let twice = DAY.replacen(r#"name = "servicio""#, r#"name = "grande""#, 1);
+    let twice = SCENARIO.replacen(r#"name = "servicio""#, r#"name = "grande""#, 1);
     assert!(
         scenario::parse(&twice, 1)
             .expect_err("twice")
@@ -147,9 +150,9 @@
 }
 
 #[test]
-fn a_day_is_drawn_by_its_seed_alone() {
-    assert_eq!(scenario::parse(DAY, 7), scenario::parse(DAY, 7));
-    let half = DAY
+fn a_scenario_is_determined_by_its_seed() {
+    assert_eq!(scenario::parse(SCENARIO, 7), scenario::parse(SCENARIO, 7));
+    let half = SCENARIO
         .replace("share = 0.5\n", "part = 0.5\n")
         .replace("count = 3", "count = 30");
     let affected = |seed| {
@@ -166,8 +169,8 @@
 
 /// What the second front makes of posts is judged by classes of their own, which the platform never hears of.
 #[test]
-fn posts_have_classes_of_their_own() {
-    let scenario = scenario::parse(DAY, 1).expect("good");
+fn push_classes_are_added_for_posts() {
+    let scenario = scenario::parse(SCENARIO, 1).expect("good");
     let first = scenario.load.push.expect("a push service");
     assert_eq!(
         (first, scenario.classes.len(), scenario.load.classes.len()),
@@ -185,7 +188,7 @@
         to: To::Replaced,
     };
     assert_eq!(scenario.changes, vec![replaced]);
-    let without = DAY.replace("push = true\n", "");
+    let without = SCENARIO.replace("push = true\n", "");
     assert_eq!(scenario::parse(&without, 1).expect("good").load.push, None);
 }
 
@@ -212,7 +215,7 @@
 
 /// Each sender knows what the delay lets it know, whether it asks for changes or for the whole list.
 #[test]
-fn senders_hear_of_changes_late_and_of_none_too_soon() {
+fn senders_learn_of_changes_after_their_delay() {
     let spec = Spec {
         delays: vec![ms(0), ms(500)],
         outages: vec![(ms(5000), ms(6000))],
