--- a/crates/cranehill/tests/cold_fleet.rs
+++ b/crates/cranehill/tests/cold_fleet.rs
@@ -5,7 +5,7 @@
 
 use cranehill_fleet_harness::scenario;
 use cranehill_scenario_runner::{Limits, Outcome, Plan, play, report};
-use cranehill_simulation::audit::{Rule, Verdict, What};
+use cranehill_simulation::audit::{AuditEvent, Rule, Verdict};
 use cranehill_simulation::scenario;
 
 const SEED: u64 = 1;
@@ -32,12 +32,12 @@
 fn returned(outcome: &Outcome) -> (BTreeSet<usize>, BTreeSet<usize>) {
     let (mut back, mut after, mut notified) = (false, BTreeSet::new(), BTreeSet::new());
     for line in &outcome.lines {
-        match &line.what {
-            What::Back { .. } => back = true,
-            What::Broke {
+        match &line.event {
+            AuditEvent::Back { .. } => back = true,
+            AuditEvent::Broke {
                 destination: COLD, ..
             } if !back => notified.extend(line.sender),
-            What::Called {
+            AuditEvent::Called {
                 destination: COLD, ..
             } if back => after.extend(line.sender),
             _ => {}
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -11,7 +11,7 @@
 use cranehill_fleet_harness::{Report, Timeline, play, table};
 use cranehill_membership::seal::{Kind, seal};
 use cranehill_scenario_runner::{Limits, Plan, node_config, report};
-use cranehill_simulation::audit::What;
+use cranehill_simulation::audit::AuditEvent;
 use cranehill_simulation::scenario;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
@@ -405,7 +405,7 @@
     );
     let cut = |sender| {
         let of = outcome.lines.iter().filter(|l| l.sender == Some(sender));
-        of.filter(|l| matches!(&l.what, What::Lost { only: Some(_) }))
+        of.filter(|l| matches!(&l.event, AuditEvent::Lost { only: Some(_) }))
             .count()
     };
     assert_eq!(
--- a/crates/cranehill/tests/handover.rs
+++ b/crates/cranehill/tests/handover.rs
@@ -14,7 +14,7 @@
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::State;
 use cranehill_scenario_runner::{Limits, Plan, play, report};
-use cranehill_simulation::audit::What;
+use cranehill_simulation::audit::AuditEvent;
 use cranehill_simulation::scenario;
 
 fn state_file(known: &str, platform: &SimulatedServer, dir: &Path) -> Running {
@@ -191,8 +191,8 @@
         outcome.warnings
     );
     for sender in 0..2 {
-        let ready = |l: &&cranehill_simulation::audit::Line| {
-            l.sender == Some(sender) && l.what == What::Ready
+        let ready = |l: &&cranehill_simulation::audit::AuditRecord| {
+            l.sender == Some(sender) && l.event == AuditEvent::Ready
         };
         let processes = outcome.lines.iter().filter(ready).count();
         assert!(
--- a/crates/cranehill/tests/short_window.rs
+++ b/crates/cranehill/tests/short_window.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cranehill_scenario_runner::{Limits, Outcome, Plan, play, report};
-use cranehill_simulation::audit::{Answer, DeliveryOutcome, Rule, Verdict, What};
+use cranehill_simulation::audit::{Answer, AuditEvent, DeliveryOutcome, Rule, Verdict};
 use cranehill_simulation::fleet::Fleet;
 use cranehill_simulation::scenario;
 
@@ -59,8 +59,8 @@
         (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
     let mut lost = Lost::default();
     for line in &outcome.lines {
-        match &line.what {
-            What::Submitted {
+        match &line.event {
+            AuditEvent::Submitted {
                 id,
                 class,
                 duration,
@@ -70,14 +70,14 @@
                     .entry(id.clone())
                     .or_insert((line.at + *duration, *class));
             }
-            What::Answered {
+            AuditEvent::Answered {
                 id,
                 answer: Answer::Accepted,
             } => {
                 accepted.insert(id.clone());
             }
-            What::Called { ids, .. } => may_have_run.extend(ids.iter().cloned()),
-            What::Replied { outcomes, .. } => {
+            AuditEvent::Called { ids, .. } => may_have_run.extend(ids.iter().cloned()),
+            AuditEvent::Replied { outcomes, .. } => {
                 for (id, _) in outcomes
                     .iter()
                     .filter(|(_, delivery_outcome)| *delivery_outcome == DeliveryOutcome::Busy)
@@ -85,7 +85,7 @@
                     may_have_run.remove(id);
                 }
             }
-            What::Reported { id, .. } if accepted.contains(id) => {
+            AuditEvent::Reported { id, .. } if accepted.contains(id) => {
                 let Some((over, class)) = times
                     .get(id)
                     .filter(|(over, _)| line.at + SOON_OVER < *over)
--- a/crates/fleet-harness/src/path_faults.rs
+++ b/crates/fleet-harness/src/path_faults.rs
@@ -27,7 +27,7 @@
     let mut at = Duration::ZERO;
     for b in network_faults
         .iter()
-        .filter(|b| b.duration_at(now) && b.between(from, to))
+        .filter(|b| b.is_on(now) && b.between(from, to))
     {
         match b.path_fault {
             PathFault::Cut => return PacketOutcome::Lost,
--- a/crates/fleet-harness/src/relay.rs
+++ b/crates/fleet-harness/src/relay.rs
@@ -494,9 +494,7 @@
 
     fn cut(&self, sender: usize, zone: usize, now: Duration) -> bool {
         self.network_faults.iter().any(|b| {
-            b.path_fault == PathFault::Cut
-                && b.duration_at(now)
-                && b.at_destinations(sender, zone, false)
+            b.path_fault == PathFault::Cut && b.is_on(now) && b.at_destinations(sender, zone, false)
         })
     }
 
@@ -509,7 +507,7 @@
         for b in self
             .network_faults
             .iter()
-            .filter(|b| b.duration_at(now) && b.at_destinations(sender, zone, back))
+            .filter(|b| b.is_on(now) && b.at_destinations(sender, zone, back))
         {
             match b.path_fault {
                 PathFault::Cut | PathFault::Stall => at = at.max(b.until),
@@ -617,7 +615,7 @@
             let Kind::Pair(pair) = kind else { continue };
             let resets = |b: &NetworkFault| {
                 b.path_fault == PathFault::Reset
-                    && b.duration_at(now)
+                    && b.is_on(now)
                     && b.at_destinations(pair.sender, pair.zone, false)
             };
             if self.network_faults.iter().any(resets) {
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cranehill_scenario_runner::{Outcome, Plan, report as day_report};
-use cranehill_simulation::audit::{Line, Verdict, What};
+use cranehill_simulation::audit::{AuditEvent, AuditRecord, Verdict};
 use cranehill_simulation::fleet::{NetworkFault, PathFault, Side};
 use cranehill_simulation::limit::Limit;
 use hdrhistogram::Histogram;
@@ -316,7 +316,7 @@
             let broken = scenario
                 .network_faults
                 .iter()
-                .any(|b| b.duration_at(*at) && b.among_senders());
+                .any(|b| b.is_on(*at) && b.among_senders());
             // What is broken again, or ends, before it could heal is no failure.
             if since.is_none() && (broken || until - *at < self.bound) {
                 continue;
@@ -513,7 +513,7 @@
 }
 
 fn calls(
-    lines: &[Line],
+    lines: &[AuditRecord],
     destination: usize,
     by: &BTreeSet<usize>,
     span: &std::ops::Range<Duration>,
@@ -522,7 +522,7 @@
         .iter()
         .filter(|l| span.contains(&l.at) && l.sender.is_some_and(|s| by.contains(&s)));
     let to = called.filter(
-        |l| matches!(l.what, What::Called { destination: p, .. } if p == destination as u64),
+        |l| matches!(l.event, AuditEvent::Called { destination: p, .. } if p == destination as u64),
     );
     to.count() as f64 / secs(span.end - span.start).max(1e-9)
 }
--- a/crates/fleet-harness/src/returns.rs
+++ b/crates/fleet-harness/src/returns.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use cranehill_simulation::audit::{DeliveryOutcome, Line, What};
+use cranehill_simulation::audit::{AuditEvent, AuditRecord, DeliveryOutcome};
 use cranehill_simulation::fault::State;
 use cranehill_simulation::limit::Limit;
 use cranehill_simulation::scenario::Scenario;
@@ -46,7 +46,7 @@
 impl Returns {
     pub fn of(
         scenario: &Scenario,
-        lines: &[Line],
+        lines: &[AuditRecord],
         timeline: &Timeline,
         lasted: Duration,
     ) -> Returns {
@@ -149,7 +149,7 @@
 fn peak(
     scenario: &Scenario,
     destination: usize,
-    lines: &[Line],
+    lines: &[AuditRecord],
     spans: &[(Duration, Duration)],
 ) -> Peak {
     let member = &scenario.destinations[destination];
@@ -172,8 +172,8 @@
         let counts = spans
             .iter()
             .any(|(from, to)| *from <= line.at && line.at < *to);
-        match &line.what {
-            What::Called {
+        match &line.event {
+            AuditEvent::Called {
                 destination,
                 connection,
                 ..
@@ -190,10 +190,10 @@
                     peak.out = peak.out.max(out.len());
                 }
             }
-            What::Opened { destination, .. } if *destination == number && counts => {
+            AuditEvent::Opened { destination, .. } if *destination == number && counts => {
                 opened.add(line.at);
             }
-            What::Replied {
+            AuditEvent::Replied {
                 destination,
                 connection,
                 outcomes,
@@ -204,7 +204,7 @@
                     peak.refused += 1;
                 }
             }
-            What::Closed { connection } | What::Broke { connection, .. } => {
+            AuditEvent::Closed { connection } | AuditEvent::Broke { connection, .. } => {
                 out.remove(connection);
             }
             _ => {}
@@ -216,10 +216,10 @@
 
 /// How long after `at` as much was delivered, over three seconds, as nine tenths of what was before it. What is lost meanwhile is
 /// not counted as missing later.
-fn served_again(lines: &[Line], at: Duration, lasted: Duration) -> Option<Duration> {
+fn served_again(lines: &[AuditRecord], at: Duration, lasted: Duration) -> Option<Duration> {
     let mut seconds: BTreeMap<u64, u32> = BTreeMap::new();
     for line in lines {
-        if let What::Replied { outcomes, .. } = &line.what {
+        if let AuditEvent::Replied { outcomes, .. } = &line.event {
             let done = outcomes
                 .iter()
                 .filter(|f| f.1 == DeliveryOutcome::Done)
--- a/crates/fleet-harness/src/timeline.rs
+++ b/crates/fleet-harness/src/timeline.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, UNIX_EPOCH};
 
 use cranehill_scheduler::Time;
-use cranehill_simulation::audit::{Line, What};
+use cranehill_simulation::audit::{AuditEvent, AuditRecord};
 use serde_json::Value;
 
 use crate::simulated::{Observation, Observed, SimulatedFleetPlay};
@@ -44,7 +44,7 @@
 
 impl Timeline {
     /// `began`: when the day began, since 1970. Lines that are no JSON are passed over: a panic's, for one.
-    pub fn read(logs: &[(usize, String)], lines: &[Line], began: Duration) -> Timeline {
+    pub fn read(logs: &[(usize, String)], lines: &[AuditRecord], began: Duration) -> Timeline {
         let mut timeline = Timeline::default();
         for (by, line) in logs {
             let Ok(value) = serde_json::from_str::<Value>(line) else {
@@ -95,9 +95,9 @@
         timeline.state_changes.sort_by_key(|s| s.at);
         for line in lines {
             let Some(sender) = line.sender else { continue };
-            match (&line.what, line.wire.as_str()) {
-                (What::Ready, _) => timeline.come_back(sender, line.at),
-                (What::Signalled, signal) => {
+            match (&line.event, line.wire.as_str()) {
+                (AuditEvent::Ready, _) => timeline.come_back(sender, line.at),
+                (AuditEvent::Signalled, signal) => {
                     timeline.leave(sender, line.at);
                     if signal == "SIGKILL" {
                         timeline.killed.push((sender, line.at));
--- a/crates/fleet-harness/src/zones.rs
+++ b/crates/fleet-harness/src/zones.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use cranehill_simulation::audit::{Line, What};
+use cranehill_simulation::audit::{AuditEvent, AuditRecord};
 use cranehill_simulation::limit::Limit;
 use cranehill_simulation::scenario::Scenario;
 use hdrhistogram::Histogram;
@@ -40,7 +40,7 @@
 }
 
 /// The outages that strike most of a zone's endpoints.
-pub fn outages(scenario: &Scenario, lines: &[Line], timeline: &Timeline) -> Vec<Outage> {
+pub fn outages(scenario: &Scenario, lines: &[AuditRecord], timeline: &Timeline) -> Vec<Outage> {
     let mut found = Vec::new();
     for (zone, name) in scenario
         .zones
@@ -72,7 +72,7 @@
 
 fn outage(
     scenario: &Scenario,
-    lines: &[Line],
+    lines: &[AuditRecord],
     timeline: &Timeline,
     (zone, name): (usize, &String),
     from: Duration,
@@ -102,10 +102,10 @@
     let mut late = 0u32;
     let mut sliding: BTreeMap<usize, Vec<Duration>> = BTreeMap::new();
     for line in lines {
-        let endpoint = match &line.what {
-            What::Called { endpoint, .. } => *endpoint,
+        let endpoint = match &line.event {
+            AuditEvent::Called { endpoint, .. } => *endpoint,
             // A connection that was refused.
-            What::Broke {
+            AuditEvent::Broke {
                 endpoint,
                 ids,
                 executed: false,
--- a/crates/scenario-runner/src/figures.rs
+++ b/crates/scenario-runner/src/figures.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use cranehill_simulation::audit::{Answer, DeliveryOutcome, Line, What};
+use cranehill_simulation::audit::{Answer, AuditEvent, AuditRecord, DeliveryOutcome};
 use cranehill_simulation::destination::SimulatedDestination;
 use cranehill_simulation::scenario::Scenario;
 use hdrhistogram::Histogram;
@@ -44,7 +44,7 @@
 }
 
 /// Reads a day's lines.
-pub fn figures(scenario: &Scenario, lines: &[Line], lasted: Duration) -> Figures {
+pub fn figures(scenario: &Scenario, lines: &[AuditRecord], lasted: Duration) -> Figures {
     let seconds = lasted.as_secs() as usize + 1;
     let mut figures = Figures {
         answered: histogram(),
@@ -64,18 +64,18 @@
     for line in lines {
         let second = (line.at.as_secs() as usize).min(seconds - 1);
         let sender = line.sender.unwrap_or(0).min(scenario.senders - 1);
-        match &line.what {
-            What::Submitted { id, .. } | What::Posted { id, .. } => {
+        match &line.event {
+            AuditEvent::Submitted { id, .. } | AuditEvent::Posted { id, .. } => {
                 counts[second][0] += 1;
                 begun.insert(id, line.at);
             }
-            What::Answered { id, answer } => {
+            AuditEvent::Answered { id, answer } => {
                 if let Some(&since) = begun.get(id.as_str()) {
                     note(&mut figures.answered, line.at.saturating_sub(since));
                 }
                 counts[second][2] += u32::from(matches!(answer, Answer::Rejected { .. }));
             }
-            What::Called {
+            AuditEvent::Called {
                 connection,
                 destination,
                 ids,
@@ -87,7 +87,7 @@
                     row[second] += ids.len() as u32;
                 }
             }
-            What::Replied {
+            AuditEvent::Replied {
                 connection,
                 outcomes,
                 wait,
@@ -105,7 +105,7 @@
                     notified.extend([(line.at, 1), (line.at + *wait, -1)]);
                 }
             }
-            What::Closed { connection } | What::Broke { connection, .. }
+            AuditEvent::Closed { connection } | AuditEvent::Broke { connection, .. }
                 if out[sender].contains(connection) =>
             {
                 out[sender].remove(connection);
--- a/crates/scenario-runner/src/lib.rs
+++ b/crates/scenario-runner/src/lib.rs
@@ -21,7 +21,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use cranehill_simulation::audit::{Line, Rule, Verdict};
+use cranehill_simulation::audit::{AuditRecord, Rule, Verdict};
 use cranehill_simulation::scenario::Scenario;
 
 pub use network::{Direct, Network};
@@ -93,7 +93,7 @@
 pub struct Outcome {
     pub verdicts: Vec<(Rule, Verdict)>,
     /// Everything that passed.
-    pub lines: Vec<Line>,
+    pub lines: Vec<AuditRecord>,
     /// Worth delivered and asked for.
     pub worth: (f64, f64),
     /// The same by the second in which a message was first submitted.
--- a/crates/scenario-runner/src/report_files.rs
+++ b/crates/scenario-runner/src/report_files.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use arrow_array::{ArrayRef, RecordBatch, StringArray, UInt32Array, UInt64Array};
-use cranehill_simulation::audit::{Line, Verdict, What};
+use cranehill_simulation::audit::{AuditEvent, AuditRecord, Verdict};
 use parquet::arrow::ArrowWriter;
 use parquet::basic::Compression;
 use parquet::file::properties::WriterProperties;
@@ -37,7 +37,7 @@
     let mut text = BufWriter::new(File::create(dir.join("events.txt"))?);
     for line in &outcome.lines {
         let sender = line.sender.map_or_else(|| "-".into(), |s| s.to_string());
-        let (kind, ..) = columns(&line.what);
+        let (kind, ..) = columns(&line.event);
         writeln!(
             text,
             "{:>9.3} {sender:>2} {kind:<9} {}",
@@ -92,7 +92,7 @@
 
 /// One row of the events' table: kind, message, destination, endpoint, connection.
 fn columns(
-    what: &What,
+    what: &AuditEvent,
 ) -> (
     &'static str,
     Option<String>,
@@ -102,16 +102,16 @@
 ) {
     let one = |ids: &[String]| Some(ids.join(" ")).filter(|i| !i.is_empty());
     match what {
-        What::Submitted {
+        AuditEvent::Submitted {
             id, destination, ..
         } => ("handed", Some(id.clone()), Some(*destination), None, None),
-        What::Posted {
+        AuditEvent::Posted {
             id, destination, ..
         } => ("posted", Some(id.clone()), Some(*destination), None, None),
-        What::Answered { id, .. } => ("answered", Some(id.clone()), None, None, None),
-        What::Dropped { id } => ("dropped", Some(id.clone()), None, None, None),
-        What::Abandoned { id } => ("abandoned", Some(id.clone()), None, None, None),
-        What::Opened {
+        AuditEvent::Answered { id, .. } => ("answered", Some(id.clone()), None, None, None),
+        AuditEvent::Dropped { id } => ("dropped", Some(id.clone()), None, None, None),
+        AuditEvent::Abandoned { id } => ("abandoned", Some(id.clone()), None, None, None),
+        AuditEvent::Opened {
             connection,
             endpoint,
             destination,
@@ -122,8 +122,8 @@
             Some(*endpoint as u64),
             Some(*connection),
         ),
-        What::Closed { connection } => ("closed", None, None, None, Some(*connection)),
-        What::Begun {
+        AuditEvent::Closed { connection } => ("closed", None, None, None, Some(*connection)),
+        AuditEvent::Begun {
             connection,
             endpoint,
             destination,
@@ -134,7 +134,7 @@
             Some(*endpoint as u64),
             Some(*connection),
         ),
-        What::Called {
+        AuditEvent::Called {
             connection,
             endpoint,
             destination,
@@ -146,7 +146,7 @@
             Some(*endpoint as u64),
             Some(*connection),
         ),
-        What::Replied {
+        AuditEvent::Replied {
             connection,
             endpoint,
             destination,
@@ -162,7 +162,7 @@
                 Some(*connection),
             )
         }
-        What::Broke {
+        AuditEvent::Broke {
             connection,
             endpoint,
             destination,
@@ -175,7 +175,7 @@
             Some(*endpoint as u64),
             Some(*connection),
         ),
-        What::Notified {
+        AuditEvent::Notified {
             endpoint,
             destination,
             ..
@@ -186,17 +186,17 @@
             Some(*endpoint as u64),
             None,
         ),
-        What::Reported { id, .. } => ("reported", Some(id.clone()), None, None, None),
-        What::Signalled => ("signalled", None, None, None, None),
-        What::ProcessExited => ("gone", None, None, None, None),
-        What::Lost { only } => ("lost", only.as_deref().and_then(one), None, None, None),
-        What::Ready => ("ready", None, None, None, None),
-        What::Fell { destination } => ("fell", None, Some(*destination), None, None),
-        What::Back { destination, .. } => ("back", None, Some(*destination), None, None),
+        AuditEvent::Reported { id, .. } => ("reported", Some(id.clone()), None, None, None),
+        AuditEvent::Signalled => ("signalled", None, None, None, None),
+        AuditEvent::ProcessExited => ("gone", None, None, None, None),
+        AuditEvent::Lost { only } => ("lost", only.as_deref().and_then(one), None, None, None),
+        AuditEvent::Ready => ("ready", None, None, None, None),
+        AuditEvent::Fell { destination } => ("fell", None, Some(*destination), None, None),
+        AuditEvent::Back { destination, .. } => ("back", None, Some(*destination), None, None),
     }
 }
 
-fn events(path: &Path, lines: &[Line]) -> io::Result<()> {
+fn events(path: &Path, lines: &[AuditRecord]) -> io::Result<()> {
     let schema = batch(&[])?.schema();
     let set = WriterProperties::builder()
         .set_compression(Compression::SNAPPY)
@@ -210,8 +210,8 @@
     Ok(())
 }
 
-fn batch(lines: &[Line]) -> io::Result<RecordBatch> {
-    let rows: Vec<_> = lines.iter().map(|l| columns(&l.what)).collect();
+fn batch(lines: &[AuditRecord]) -> io::Result<RecordBatch> {
+    let rows: Vec<_> = lines.iter().map(|l| columns(&l.event)).collect();
     let micros = |d: std::time::Duration| Some(d.as_micros() as u64);
     let columns: [(&str, ArrayRef, bool); 9] = [
         (
@@ -224,7 +224,7 @@
             Arc::new(
                 lines
                     .iter()
-                    .map(|l| micros(l.late))
+                    .map(|l| micros(l.recording_delay))
                     .collect::<UInt64Array>(),
             ),
             true,
--- a/crates/scenario-runner/src/stage.rs
+++ b/crates/scenario-runner/src/stage.rs
@@ -22,7 +22,7 @@
 use std::sync::mpsc::{Receiver, Sender as Channel};
 use std::time::{Duration, Instant};
 
-use cranehill_simulation::audit::{Auditor, Class, Figures, What};
+use cranehill_simulation::audit::{AuditEvent, Auditor, Class, Figures};
 use cranehill_simulation::clients::Clients;
 use cranehill_simulation::destination::{Reply, SimulatedDestination};
 use cranehill_simulation::directory::{Directory, Listed};
@@ -252,7 +252,7 @@
         Ok(())
     }
 
-    fn record(&mut self, sender: Option<usize>, what: What, wire: &str) {
+    fn record(&mut self, sender: Option<usize>, what: AuditEvent, wire: &str) {
         let now = self.now();
         self.log.record(now, sender, what, wire);
     }
--- a/crates/scenario-runner/src/stage/clients.rs
+++ b/crates/scenario-runner/src/stage/clients.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranehill_simulation::audit::{Answer, What};
+use cranehill_simulation::audit::{Answer, AuditEvent};
 use cranehill_simulation::clients::{ClientAnswer, Submission};
 use cranehill_simulation::scenario::Effect;
 use mio::net::TcpStream;
@@ -22,7 +22,7 @@
     bytes: Vec<u8>,
     /// How long the client waits for the answer.
     patience: Duration,
-    event: What,
+    event: AuditEvent,
     line: String,
 }
 
@@ -159,7 +159,7 @@
         ClientRequest {
             bytes: wire::post(message, duration, topic),
             patience: duration + POST_GRACE,
-            event: What::Posted {
+            event: AuditEvent::Posted {
                 id: id.clone(),
                 class: *class,
                 destination: *destination,
@@ -182,7 +182,7 @@
             ordering_key,
             ..
         } = message;
-        let event = What::Submitted {
+        let event = AuditEvent::Submitted {
             id: id.clone(),
             class: *class,
             destination: *destination,
@@ -252,7 +252,7 @@
         let line = format!("{text} to {}", message.id);
         self.record(
             Some(sender),
-            What::Answered {
+            AuditEvent::Answered {
                 id: message.id.clone(),
                 answer,
             },
@@ -275,7 +275,7 @@
         }
         let id = message.id;
         self.pending.remove(&id);
-        let dropped = What::Dropped { id: id.clone() };
+        let dropped = AuditEvent::Dropped { id: id.clone() };
         self.record(
             Some(sender),
             dropped,
@@ -296,7 +296,7 @@
         let sender = found.sender;
         self.remove_connection(connection);
         self.pending.remove(id);
-        let abandoned = What::Abandoned { id: id.to_owned() };
+        let abandoned = AuditEvent::Abandoned { id: id.to_owned() };
         self.record(Some(sender), abandoned, &format!("no answer to {id}"));
         self.client_unanswered(id);
     }
--- a/crates/scenario-runner/src/stage/connections.rs
+++ b/crates/scenario-runner/src/stage/connections.rs
@@ -3,7 +3,7 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::time::Duration;
 
-use cranehill_simulation::audit::What;
+use cranehill_simulation::audit::AuditEvent;
 use cranehill_simulation::clients::Submission;
 use cranehill_simulation::destination::Connect;
 use mio::net::{TcpListener, TcpStream};
@@ -361,39 +361,39 @@
 }
 
 impl AuditNames {
-    pub fn opened(self) -> What {
+    pub fn opened(self) -> AuditEvent {
         let AuditNames {
             connection,
             endpoint,
             destination,
         } = self;
-        What::Opened {
+        AuditEvent::Opened {
             connection,
             endpoint,
             destination,
         }
     }
 
-    pub fn begun(self) -> What {
+    pub fn begun(self) -> AuditEvent {
         let AuditNames {
             connection,
             endpoint,
             destination,
         } = self;
-        What::Begun {
+        AuditEvent::Begun {
             connection,
             endpoint,
             destination,
         }
     }
 
-    pub fn called(self, ids: Vec<String>) -> What {
+    pub fn called(self, ids: Vec<String>) -> AuditEvent {
         let AuditNames {
             connection,
             endpoint,
             destination,
         } = self;
-        What::Called {
+        AuditEvent::Called {
             connection,
             endpoint,
             destination,
@@ -401,13 +401,13 @@
         }
     }
 
-    pub fn broke(self, ids: Vec<String>, executed: bool) -> What {
+    pub fn broke(self, ids: Vec<String>, executed: bool) -> AuditEvent {
         let AuditNames {
             connection,
             endpoint,
             destination,
         } = self;
-        What::Broke {
+        AuditEvent::Broke {
             connection,
             endpoint,
             destination,
@@ -416,8 +416,8 @@
         }
     }
 
-    pub fn closed(self) -> What {
-        What::Closed {
+    pub fn closed(self) -> AuditEvent {
+        AuditEvent::Closed {
             connection: self.connection,
         }
     }
--- a/crates/scenario-runner/src/stage/destinations.rs
+++ b/crates/scenario-runner/src/stage/destinations.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranehill_simulation::audit::What;
+use cranehill_simulation::audit::AuditEvent;
 use cranehill_simulation::destination::{Asked, Reply};
 
 use super::Stage;
@@ -173,7 +173,7 @@
             let name = &self.scenario.destinations[place.destination].name;
             log::warn!(destination = name.as_str(); "{name} has fallen over");
             let destination = place.destination as u64;
-            self.record(None, What::Fell { destination }, "has fallen over");
+            self.record(None, AuditEvent::Fell { destination }, "has fallen over");
         }
         reply
     }
@@ -240,7 +240,7 @@
             .flatten();
         let outages = faults.filter(|f| f.is_outage() && f.end() <= now);
         let first = outages.map(|f| f.start).min().unwrap_or(since);
-        let back = What::Back {
+        let back = AuditEvent::Back {
             destination: destination as u64,
             since,
             down: since.saturating_sub(first),
--- a/crates/scenario-runner/src/stage/directory.rs
+++ b/crates/scenario-runner/src/stage/directory.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use cranehill_simulation::audit::{self, FinalReport, What};
+use cranehill_simulation::audit::{self, AuditEvent, FinalReport};
 use cranehill_simulation::directory::{List, Listed, Row, Watch};
 use cranehill_simulation::scenario::{ListChange, To};
 use serde_json::{Value, json};
@@ -92,7 +92,7 @@
         };
         self.record(
             Some(sender),
-            What::Reported {
+            AuditEvent::Reported {
                 id: id.to_owned(),
                 final_report,
             },
@@ -172,7 +172,7 @@
             if self.senders[sender].notified.insert(endpoint, listed) == Some(listed) {
                 continue;
             }
-            let notified = What::Notified {
+            let notified = AuditEvent::Notified {
                 endpoint,
                 destination,
                 listed: audited_state(listed),
--- a/crates/scenario-runner/src/stage/event_log.rs
+++ b/crates/scenario-runner/src/stage/event_log.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranehill_simulation::audit::{Line, What};
+use cranehill_simulation::audit::{AuditEvent, AuditRecord};
 
 /// Characters of the wire that a line keeps.
 const WIRE_MOST: usize = 120;
@@ -10,7 +10,7 @@
 /// What has passed, in order, for the auditor.
 #[derive(Debug, Default)]
 pub(super) struct EventLog {
-    pub lines: Vec<Line>,
+    pub lines: Vec<AuditRecord>,
     /// How late the event that is being handled may have been noticed.
     pub late: Duration,
     lateness: Vec<Duration>,
@@ -26,17 +26,17 @@
 
 impl EventLog {
     /// Records an event that is noticed now.
-    pub fn record(&mut self, now: Duration, sender: Option<usize>, what: What, wire: &str) {
+    pub fn record(&mut self, now: Duration, sender: Option<usize>, event: AuditEvent, wire: &str) {
         let wire: String = wire
             .chars()
             .filter(|c| !c.is_control())
             .take(WIRE_MOST)
             .collect();
-        self.lines.push(Line {
+        self.lines.push(AuditRecord {
             at: now,
-            late: self.late,
+            recording_delay: self.late,
             sender,
-            what,
+            event,
             wire,
         });
     }
--- a/crates/scenario-runner/src/stage/fleet.rs
+++ b/crates/scenario-runner/src/stage/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::time::Duration;
 
-use cranehill_simulation::audit::What;
+use cranehill_simulation::audit::AuditEvent;
 use cranehill_simulation::fleet::{MemberAction, ScheduledAction, Which};
 use cranehill_simulation::scenario::Scenario;
 use serde_json::Value;
@@ -90,14 +90,14 @@
     }
 
     fn stop(&mut self, sender: usize) {
-        self.record(Some(sender), What::Signalled, "SIGSTOP");
+        self.record(Some(sender), AuditEvent::Signalled, "SIGSTOP");
         self.senders[sender].process.signal("STOP");
         // The load balancer messages that nobody answers.
         self.senders[sender].routed = false;
     }
 
     pub(super) fn resume(&mut self, sender: usize) {
-        self.record(Some(sender), What::Ready, "SIGCONT");
+        self.record(Some(sender), AuditEvent::Ready, "SIGCONT");
         let one = &mut self.senders[sender];
         one.process.signal("CONT");
         one.routed = one.process.is_ready();
@@ -125,7 +125,7 @@
                 if process.kill_old() {
                     self.record(
                         Some(sender),
-                        What::ProcessExited,
+                        AuditEvent::ProcessExited,
                         "the old process was killed",
                     );
                 }
@@ -135,10 +135,10 @@
                     // What it had taken over by then went with it; the old one goes on.
                     self.record(
                         Some(sender),
-                        What::ProcessExited,
+                        AuditEvent::ProcessExited,
                         "the new process was killed",
                     );
-                    self.record(Some(sender), What::Ready, "the old one goes on");
+                    self.record(Some(sender), AuditEvent::Ready, "the old one goes on");
                 } else {
                     self.kill(sender, Restart::USUAL);
                 }
--- a/crates/scenario-runner/src/stage/losses.rs
+++ b/crates/scenario-runner/src/stage/losses.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use cranehill_simulation::audit::What;
+use cranehill_simulation::audit::AuditEvent;
 use cranehill_simulation::scenario::Effect;
 
 use super::Stage;
@@ -52,7 +52,7 @@
         let lost: Vec<String> = held.map(|(id, _)| id.clone()).collect();
         self.pending.retain(|id, by| *by != sender || !is_lost(id));
         let resubmitted = self.repeatable(lost);
-        let event = What::Lost {
+        let event = AuditEvent::Lost {
             only: only.map(|ids| ids.into_iter().collect()),
         };
         self.record(Some(sender), event, why);
@@ -80,8 +80,8 @@
 
     /// All messages of which an attempt has been made.
     fn called_messages(&self) -> BTreeSet<&str> {
-        let calls = self.log.lines.iter().filter_map(|line| match &line.what {
-            What::Called { ids, .. } => Some(ids),
+        let calls = self.log.lines.iter().filter_map(|line| match &line.event {
+            AuditEvent::Called { ids, .. } => Some(ids),
             _ => None,
         });
         calls.flatten().map(String::as_str).collect()
--- a/crates/scenario-runner/src/stage/processes.rs
+++ b/crates/scenario-runner/src/stage/processes.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cranehill_simulation::audit::What;
+use cranehill_simulation::audit::AuditEvent;
 use cranehill_simulation::fleet::{Folder, MemberAction};
 use cranehill_simulation::scenario::{ScheduledSignal, Signal};
 
@@ -95,7 +95,11 @@
     fn on_listening(&mut self, sender: usize, address: SocketAddr) {
         if self.senders[sender].process.is_ready() {
             self.senders[sender].routed = true;
-            self.record(Some(sender), What::Ready, &format!("listens at {address}"));
+            self.record(
+                Some(sender),
+                AuditEvent::Ready,
+                &format!("listens at {address}"),
+            );
         }
     }
 
@@ -118,7 +122,11 @@
         one.routed = false;
         one.process.kill();
         self.outcome.crashed.push(sender);
-        self.record(Some(sender), What::ProcessExited, "ended without a signal");
+        self.record(
+            Some(sender),
+            AuditEvent::ProcessExited,
+            "ended without a signal",
+        );
     }
 
     /// Sends a signal of the day.
@@ -135,7 +143,7 @@
     pub(super) fn kill(&mut self, sender: usize, restart: Restart) {
         self.senders[sender].end_expected = true;
         self.senders[sender].restart = restart;
-        self.record(Some(sender), What::Signalled, "SIGKILL");
+        self.record(Some(sender), AuditEvent::Signalled, "SIGKILL");
         self.senders[sender].process.kill();
         self.on_exit(sender);
     }
@@ -145,7 +153,7 @@
         let now = self.now();
         self.senders[sender].end_expected = true;
         self.senders[sender].restart = restart;
-        self.record(Some(sender), What::Signalled, "SIGTERM");
+        self.record(Some(sender), AuditEvent::Signalled, "SIGTERM");
         self.senders[sender].process.signal("TERM");
         self.timers
             .insert(now + ROUTED_AFTER_TERM, Timer::StopRouting { sender });
@@ -183,7 +191,11 @@
     fn on_exit(&mut self, sender: usize) {
         let now = self.now();
         self.senders[sender].routed = false;
-        self.record(Some(sender), What::ProcessExited, "its process has ended");
+        self.record(
+            Some(sender),
+            AuditEvent::ProcessExited,
+            "its process has ended",
+        );
         self.senders[sender].notified.clear();
         let Restart { after, folder } = self.senders[sender].restart;
         if folder == Folder::Wiped {
--- a/crates/scenario-runner/src/stage/replies.rs
+++ b/crates/scenario-runner/src/stage/replies.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cranehill_simulation::audit::{self, What};
+use cranehill_simulation::audit::{self, AuditEvent};
 use cranehill_simulation::destination::{DeliveryOutcome, Reply, Spoilt};
 
 use super::Stage;
@@ -176,13 +176,13 @@
     )
 }
 
-fn audited_reply(call: Call, reply: WrittenReply, names: AuditNames) -> What {
+fn audited_reply(call: Call, reply: WrittenReply, names: AuditNames) -> AuditEvent {
     let outcomes = call
         .ids
         .into_iter()
         .zip(reply.outcomes.into_iter().map(audited_outcome))
         .collect();
-    What::Replied {
+    AuditEvent::Replied {
         connection: names.connection,
         endpoint: names.endpoint,
         destination: names.destination,
--- a/crates/simulation/src/audit/auditor.rs
+++ b/crates/simulation/src/audit/auditor.rs
@@ -6,7 +6,7 @@
 use super::limits::{Class, Figures};
 use super::messages::MessageLog;
 use super::observation::{Observation, RuleAuditor, RunEnd};
-use super::record::Line;
+use super::record::AuditRecord;
 use super::rule::Rule;
 use super::rules;
 
@@ -31,7 +31,7 @@
     }
 
     /// Reads the next record. Records are in the order of time.
-    pub fn hear(&mut self, line: &Line) {
+    pub fn hear(&mut self, line: &AuditRecord) {
         let observed = Observation {
             record: line,
             limits: &self.limits,
--- a/crates/simulation/src/audit/calls.rs
+++ b/crates/simulation/src/audit/calls.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::record::{DeliveryOutcome, What};
+use super::record::{AuditEvent, DeliveryOutcome};
 
 /// An attempt that has ended.
 #[derive(Debug)]
@@ -26,15 +26,15 @@
 
 impl CallsInFlight {
     /// Follows an event; returns the call that it ends, if any.
-    pub(super) fn observe(&mut self, event: &What) -> Option<EndedCall> {
+    pub(super) fn observe(&mut self, event: &AuditEvent) -> Option<EndedCall> {
         let (connection, attempts) = match event {
-            What::Called {
+            AuditEvent::Called {
                 connection, ids, ..
             } => {
                 self.ids.insert(*connection, ids.clone());
                 return None;
             }
-            What::Replied {
+            AuditEvent::Replied {
                 connection,
                 outcomes,
                 ..
@@ -46,7 +46,7 @@
                 };
                 (connection, outcomes.iter().map(attempt).collect())
             }
-            What::Broke {
+            AuditEvent::Broke {
                 connection,
                 ids,
                 executed,
@@ -56,7 +56,7 @@
                 (connection, ended(ids.clone(), *executed))
             }
             // The sender closed the connection before the reply: the call may be executed all the same.
-            What::Closed { connection } => {
+            AuditEvent::Closed { connection } => {
                 let ids = self.ids.remove(connection).unwrap_or_default();
                 (connection, ended(ids, true))
             }
--- a/crates/simulation/src/audit/messages.rs
+++ b/crates/simulation/src/audit/messages.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::limits::Figures;
-use super::record::{Answer, DeliveryOutcome, FinalReport, Line, What};
+use super::record::{Answer, AuditEvent, AuditRecord, DeliveryOutcome, FinalReport};
 
 /// A final report as it was first sent.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     }
 
     /// Its submission and this record, as a proof.
-    pub(super) fn proof(&self, record: &Line) -> Vec<String> {
+    pub(super) fn proof(&self, record: &AuditRecord) -> Vec<String> {
         vec![self.submission_wire.clone(), record.wire.clone()]
     }
 
@@ -99,23 +99,23 @@
     }
 
     /// Takes in a record.
-    pub(super) fn observe(&mut self, record: &Line, limits: &Figures) {
-        match &record.what {
-            What::Submitted { id, duration, .. } => {
+    pub(super) fn observe(&mut self, record: &AuditRecord, limits: &Figures) {
+        match &record.event {
+            AuditEvent::Submitted { id, duration, .. } => {
                 self.submitted(id, *duration, record);
             }
-            What::Posted { id, duration, .. } => {
+            AuditEvent::Posted { id, duration, .. } => {
                 let message = self.submitted(id, *duration, record);
                 message.posted = true;
                 message.accepted = Some(record.at);
             }
-            What::Answered { id, answer } => self.answered(id, answer, record.at),
-            What::Dropped { id } => self.dropped(id),
-            What::Replied { outcomes, .. } => self.replied(outcomes, record),
-            What::Reported { id, final_report } => self.reported(id, *final_report, record),
-            What::Signalled | What::ProcessExited => self.sender_down(record),
-            What::Ready => self.sender_ready(record, limits),
-            What::Lost { only } => self.lost(record.sender, only.as_deref()),
+            AuditEvent::Answered { id, answer } => self.answered(id, answer, record.at),
+            AuditEvent::Dropped { id } => self.dropped(id),
+            AuditEvent::Replied { outcomes, .. } => self.replied(outcomes, record),
+            AuditEvent::Reported { id, final_report } => self.reported(id, *final_report, record),
+            AuditEvent::Signalled | AuditEvent::ProcessExited => self.sender_down(record),
+            AuditEvent::Ready => self.sender_ready(record, limits),
+            AuditEvent::Lost { only } => self.lost(record.sender, only.as_deref()),
             _ => {}
         }
     }
@@ -124,12 +124,12 @@
         &mut self,
         id: &str,
         time_to_live: Duration,
-        record: &Line,
+        record: &AuditRecord,
     ) -> &mut TrackedMessage {
         let message = self.messages.entry(id.to_owned()).or_default();
         message.sender = record.sender;
         message.submitted = record.at;
-        message.submission_delay = record.late;
+        message.submission_delay = record.recording_delay;
         message.submission_wire.clone_from(&record.wire);
         message.time_to_live = time_to_live;
         message
@@ -152,7 +152,7 @@
         }
     }
 
-    fn replied(&mut self, outcomes: &[(String, DeliveryOutcome)], record: &Line) {
+    fn replied(&mut self, outcomes: &[(String, DeliveryOutcome)], record: &AuditRecord) {
         for (id, outcome) in outcomes {
             if *outcome != DeliveryOutcome::Done {
                 continue;
@@ -165,7 +165,7 @@
         }
     }
 
-    fn reported(&mut self, id: &str, final_report: FinalReport, record: &Line) {
+    fn reported(&mut self, id: &str, final_report: FinalReport, record: &AuditRecord) {
         if let Some(message) = self.messages.get_mut(id) {
             message.answered = true;
             message.final_report.get_or_insert_with(|| FirstReport {
@@ -175,7 +175,7 @@
         }
     }
 
-    fn sender_down(&mut self, record: &Line) {
+    fn sender_down(&mut self, record: &AuditRecord) {
         let Some(sender) = record.sender else { return };
         let downtimes = self.downtimes.entry(sender).or_default();
         if downtimes.last().is_none_or(|last| last.until.is_some()) {
@@ -186,7 +186,7 @@
         }
     }
 
-    fn sender_ready(&mut self, record: &Line, limits: &Figures) {
+    fn sender_ready(&mut self, record: &AuditRecord, limits: &Figures) {
         let downtimes = record.sender.and_then(|s| self.downtimes.get_mut(&s));
         if let Some(last) = downtimes.and_then(|downtimes| downtimes.last_mut()) {
             last.until.get_or_insert(record.at + limits.restart_grace);
--- a/crates/simulation/src/audit/observation.rs
+++ b/crates/simulation/src/audit/observation.rs
@@ -6,12 +6,12 @@
 use super::findings::Findings;
 use super::limits::Figures;
 use super::messages::MessageLog;
-use super::record::Line;
+use super::record::AuditRecord;
 
 /// A record as a rule sees it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Observation<'a> {
-    pub(super) record: &'a Line,
+    pub(super) record: &'a AuditRecord,
     pub(super) limits: &'a Figures,
     /// The messages as they were before this record.
     pub(super) messages: &'a MessageLog,
--- a/crates/simulation/src/audit/record.rs
+++ b/crates/simulation/src/audit/record.rs
@@ -58,7 +58,7 @@
 ///
 /// A `connection`, an `endpoint` and a `destination` are the numbers that the harness gave them.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum AuditEvent {
     /// The last byte of a submission was written to the sender.
     Submitted {
         /// Message id.
@@ -215,15 +215,15 @@
 
 /// One recorded event, of one sender or of none.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct AuditRecord {
     /// When the harness noticed it, since the start of the scenario.
     pub at: Duration,
     /// The event may have been this much earlier than it was noticed.
-    pub late: Duration,
+    pub recording_delay: Duration,
     /// The number of the sender that it is about.
     pub sender: Option<usize>,
     /// The event.
-    pub what: What,
+    pub event: AuditEvent,
     /// Bytes from the wire, or a sentence, that proves it.
     pub wire: String,
 }
--- a/crates/simulation/src/audit/rules/answers.rs
+++ b/crates/simulation/src/audit/rules/answers.rs
@@ -5,7 +5,7 @@
 use crate::audit::findings::{Findings, Violation, excess};
 use crate::audit::messages::TrackedMessage;
 use crate::audit::observation::{Observation, RuleAuditor};
-use crate::audit::record::{Answer, What};
+use crate::audit::record::{Answer, AuditEvent};
 use crate::audit::rule::Rule;
 
 /// Judges [`Rule::Answers`].
@@ -14,15 +14,15 @@
 
 impl RuleAuditor for Answers {
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
-        match &observed.record.what {
-            What::Answered { id, answer } => judge_answer(id, answer, observed, findings),
-            What::Dropped { id } => {
+        match &observed.record.event {
+            AuditEvent::Answered { id, answer } => judge_answer(id, answer, observed, findings),
+            AuditEvent::Dropped { id } => {
                 if let Some(message) = unanswered(id, observed) {
                     let why = "closed without an answer".to_owned();
                     findings.broken(violation(id, message, why, observed));
                 }
             }
-            What::Abandoned { id } => {
+            AuditEvent::Abandoned { id } => {
                 if let Some(message) = unanswered(id, observed) {
                     judge_abandoned(id, message, observed, findings);
                 }
@@ -81,7 +81,7 @@
     observed: &Observation<'_>,
     findings: &mut Findings,
 ) {
-    let recording_delay = observed.record.late + message.submission_delay;
+    let recording_delay = observed.record.recording_delay + message.submission_delay;
     let violation = || violation(id, message, why, observed);
     findings.judge(Rule::Answers, overdue, recording_delay, violation);
 }
--- a/crates/simulation/src/audit/rules/attempts.rs
+++ b/crates/simulation/src/audit/rules/attempts.rs
@@ -4,7 +4,7 @@
 
 use crate::audit::findings::{Findings, Violation};
 use crate::audit::observation::{Observation, RuleAuditor};
-use crate::audit::record::What;
+use crate::audit::record::AuditEvent;
 use crate::audit::rule::Rule;
 
 /// Judges [`Rule::Attempts`].
@@ -16,9 +16,9 @@
 impl RuleAuditor for Attempts {
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
         let record = observed.record;
-        let What::Called {
+        let AuditEvent::Called {
             destination, ids, ..
-        } = &record.what
+        } = &record.event
         else {
             return;
         };
--- a/crates/simulation/src/audit/rules/drains.rs
+++ b/crates/simulation/src/audit/rules/drains.rs
@@ -5,7 +5,7 @@
 
 use crate::audit::findings::{Findings, Violation, excess};
 use crate::audit::observation::{Observation, RuleAuditor};
-use crate::audit::record::{Line, Listed, What};
+use crate::audit::record::{AuditEvent, AuditRecord, Listed};
 use crate::audit::rule::Rule;
 
 /// The first notification that an endpoint drains or is removed.
@@ -27,11 +27,11 @@
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
         let record = observed.record;
         let Some(sender) = record.sender else { return };
-        match &record.what {
-            What::Notified {
+        match &record.event {
+            AuditEvent::Notified {
                 endpoint, listed, ..
             } => self.listed(sender, *endpoint, *listed, record, findings),
-            What::Begun {
+            AuditEvent::Begun {
                 endpoint,
                 destination,
                 ..
@@ -47,7 +47,7 @@
         sender: usize,
         endpoint: usize,
         listed: Listed,
-        record: &Line,
+        record: &AuditRecord,
         findings: &mut Findings,
     ) {
         match listed {
@@ -60,7 +60,7 @@
                     findings.kept(Rule::Drains);
                     DrainNotification {
                         at: record.at,
-                        recording_delay: record.late,
+                        recording_delay: record.recording_delay,
                         wire: record.wire.clone(),
                     }
                 });
@@ -93,7 +93,7 @@
             wire: vec![notification.wire.clone(), record.wire.clone()],
         };
         let overrun = excess(elapsed, observed.limits.drain_grace);
-        let recording_delay = record.late + notification.recording_delay;
+        let recording_delay = record.recording_delay + notification.recording_delay;
         findings.judge(Rule::Drains, overrun, recording_delay, violation);
     }
 }
--- a/crates/simulation/src/audit/rules/idle_connections.rs
+++ b/crates/simulation/src/audit/rules/idle_connections.rs
@@ -5,7 +5,7 @@
 
 use crate::audit::findings::{Findings, Violation, excess};
 use crate::audit::observation::{Observation, RuleAuditor};
-use crate::audit::record::{Line, What};
+use crate::audit::record::{AuditEvent, AuditRecord};
 use crate::audit::rule::Rule;
 
 /// When something last passed on a connection.
@@ -26,11 +26,11 @@
 impl RuleAuditor for IdleConnections {
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
         let record = observed.record;
-        match &record.what {
-            What::Opened { connection, .. } | What::Called { connection, .. } => {
+        match &record.event {
+            AuditEvent::Opened { connection, .. } | AuditEvent::Called { connection, .. } => {
                 self.used(*connection, record);
             }
-            What::Replied {
+            AuditEvent::Replied {
                 connection, spoilt, ..
             } => {
                 if *spoilt {
@@ -38,11 +38,11 @@
                 }
                 self.used(*connection, record);
             }
-            What::Closed { connection } | What::Broke { connection, .. } => {
+            AuditEvent::Closed { connection } | AuditEvent::Broke { connection, .. } => {
                 self.last_use.remove(connection);
                 self.spoilt.remove(connection);
             }
-            What::Begun {
+            AuditEvent::Begun {
                 connection,
                 destination,
                 ..
@@ -53,10 +53,10 @@
 }
 
 impl IdleConnections {
-    fn used(&mut self, connection: u64, record: &Line) {
+    fn used(&mut self, connection: u64, record: &AuditRecord) {
         let last_use = LastUse {
             at: record.at,
-            recording_delay: record.late,
+            recording_delay: record.recording_delay,
         };
         self.last_use.insert(connection, last_use);
     }
@@ -87,7 +87,7 @@
             let why = format!("a call on a connection that was idle for {idle_ms} ms");
             let violation = || violation(why, vec![record.wire.clone()]);
             let overrun = excess(idle, observed.limits.max_idle);
-            let recording_delay = record.late + last_use.recording_delay;
+            let recording_delay = record.recording_delay + last_use.recording_delay;
             findings.judge(Rule::Idle, overrun, recording_delay, violation);
         }
     }
--- a/crates/simulation/src/audit/rules/in_time.rs
+++ b/crates/simulation/src/audit/rules/in_time.rs
@@ -5,7 +5,7 @@
 use crate::audit::findings::{Findings, Violation, excess};
 use crate::audit::messages::TrackedMessage;
 use crate::audit::observation::{Observation, RuleAuditor};
-use crate::audit::record::What;
+use crate::audit::record::AuditEvent;
 use crate::audit::rule::Rule;
 
 /// Judges [`Rule::InTime`].
@@ -15,15 +15,15 @@
 impl RuleAuditor for InTime {
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
         let record = observed.record;
-        match &record.what {
-            What::Answered { id, .. } => {
+        match &record.event {
+            AuditEvent::Answered { id, .. } => {
                 if let Some(message) = observed.messages.get(id).filter(|m| m.posted) {
                     let why =
                         |late: Duration| format!("answered {} ms after its time", late.as_millis());
                     judge(id, message, why, observed, findings);
                 }
             }
-            What::Reported { id, .. } => {
+            AuditEvent::Reported { id, .. } => {
                 let Some(message) = observed.messages.get(id) else {
                     return;
                 };
@@ -58,6 +58,6 @@
         why: why(overdue.unwrap_or_default()),
         wire: message.proof(record),
     };
-    let recording_delay = record.late + message.submission_delay;
+    let recording_delay = record.recording_delay + message.submission_delay;
     findings.judge(Rule::InTime, overdue, recording_delay, violation);
 }
--- a/crates/simulation/src/audit/rules/one_end.rs
+++ b/crates/simulation/src/audit/rules/one_end.rs
@@ -3,7 +3,7 @@
 use crate::audit::findings::{Findings, Violation, excess};
 use crate::audit::messages::{FalseAnswer, TrackedMessage};
 use crate::audit::observation::{Observation, RuleAuditor, RunEnd};
-use crate::audit::record::{Answer, FinalReport, What};
+use crate::audit::record::{Answer, AuditEvent, FinalReport};
 use crate::audit::rule::Rule;
 
 /// Judges [`Rule::OneEnd`].
@@ -12,9 +12,11 @@
 
 impl RuleAuditor for OneEnd {
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
-        match &observed.record.what {
-            What::Answered { id, answer } => judge_post_answer(id, answer, observed, findings),
-            What::Reported { id, final_report } => {
+        match &observed.record.event {
+            AuditEvent::Answered { id, answer } => {
+                judge_post_answer(id, answer, observed, findings)
+            }
+            AuditEvent::Reported { id, final_report } => {
                 judge_report(id, *final_report, observed, findings);
             }
             _ => {}
--- a/crates/simulation/src/audit/rules/ordering.rs
+++ b/crates/simulation/src/audit/rules/ordering.rs
@@ -5,7 +5,7 @@
 
 use crate::audit::findings::{Findings, Violation, excess};
 use crate::audit::observation::{Observation, RuleAuditor};
-use crate::audit::record::{Answer, DeliveryOutcome, Line, What};
+use crate::audit::record::{Answer, AuditEvent, AuditRecord, DeliveryOutcome};
 use crate::audit::rule::Rule;
 
 /// A message with an ordering key.
@@ -43,18 +43,18 @@
 impl RuleAuditor for Ordering {
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
         let record = observed.record;
-        match &record.what {
-            What::Submitted {
+        match &record.event {
+            AuditEvent::Submitted {
                 id,
                 ordering_key: Some(key),
                 ..
             } => self.submitted(id, key, record),
-            What::Answered { id, answer } => self.answered(id, answer),
+            AuditEvent::Answered { id, answer } => self.answered(id, answer),
             // Whether the sender has the message is not known, so it neither blocks others nor is blocked.
-            What::Dropped { id } | What::Abandoned { id } => {
+            AuditEvent::Dropped { id } | AuditEvent::Abandoned { id } => {
                 self.messages.remove(id);
             }
-            What::Called {
+            AuditEvent::Called {
                 connection,
                 ids,
                 destination,
@@ -65,7 +65,7 @@
                 }
                 self.in_flight.insert(*connection, ids.clone());
             }
-            What::Replied {
+            AuditEvent::Replied {
                 connection,
                 outcomes,
                 ..
@@ -75,22 +75,22 @@
                     self.attempt_ended(id, *outcome == DeliveryOutcome::Done);
                 }
             }
-            What::Broke { connection, .. } | What::Closed { connection } => {
+            AuditEvent::Broke { connection, .. } | AuditEvent::Closed { connection } => {
                 self.call_broken(*connection, record);
             }
-            What::Reported { id, .. } => {
+            AuditEvent::Reported { id, .. } => {
                 if let Some(message) = self.messages.get_mut(id) {
                     message.completed = true;
                 }
             }
-            What::Lost { only } => self.lost(record.sender, only.as_deref()),
+            AuditEvent::Lost { only } => self.lost(record.sender, only.as_deref()),
             _ => {}
         }
     }
 }
 
 impl Ordering {
-    fn submitted(&mut self, id: &str, key: &str, record: &Line) {
+    fn submitted(&mut self, id: &str, key: &str, record: &AuditRecord) {
         let Some(sender) = record.sender else { return };
         self.messages
             .retain(|_, message| !message.completed || message.in_flight);
@@ -120,7 +120,7 @@
         }
     }
 
-    fn call_broken(&mut self, connection: u64, record: &Line) {
+    fn call_broken(&mut self, connection: u64, record: &AuditRecord) {
         for id in self.in_flight.remove(&connection).unwrap_or_default() {
             self.attempt_ended(&id, false);
             if let Some(message) = self.messages.get(&id) {
@@ -209,6 +209,11 @@
         let missing = excess(limits.key_rest, rested + limits.socket_slack);
         let why = format!("its key rested for {} ms", rested.as_millis());
         let violation = || violation(why);
-        findings.judge(Rule::Order, missing, observed.record.late, violation);
+        findings.judge(
+            Rule::Order,
+            missing,
+            observed.record.recording_delay,
+            violation,
+        );
     }
 }
--- a/crates/simulation/src/audit/rules/repeats.rs
+++ b/crates/simulation/src/audit/rules/repeats.rs
@@ -8,7 +8,7 @@
 use crate::audit::findings::{Findings, Violation, excess};
 use crate::audit::limits::Class;
 use crate::audit::observation::{Observation, RuleAuditor};
-use crate::audit::record::{FinalReport, Line, What};
+use crate::audit::record::{AuditEvent, AuditRecord, FinalReport};
 use crate::audit::rule::Rule;
 
 /// The first attempt that was possibly executed. It is dated by its end, which is what the sender can know.
@@ -49,23 +49,23 @@
 impl RuleAuditor for Repeats {
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
         let record = observed.record;
-        match &record.what {
-            What::Submitted { id, class, .. } | What::Posted { id, class, .. } => {
+        match &record.event {
+            AuditEvent::Submitted { id, class, .. } | AuditEvent::Posted { id, class, .. } => {
                 self.messages.entry(id.clone()).or_default().class = Some(*class);
             }
-            What::Called {
+            AuditEvent::Called {
                 destination, ids, ..
             } => {
                 for id in ids {
                     self.called(id, *destination, observed, findings);
                 }
             }
-            What::Reported { id, final_report } => {
+            AuditEvent::Reported { id, final_report } => {
                 self.reported(id, *final_report, observed, findings);
             }
             _ => {}
         }
-        let Some(ended) = self.calls.observe(&record.what) else {
+        let Some(ended) = self.calls.observe(&record.event) else {
             return;
         };
         for attempt in ended.attempts {
@@ -139,7 +139,7 @@
         }
     }
 
-    fn executed(&mut self, id: &str, record: &Line) {
+    fn executed(&mut self, id: &str, record: &AuditRecord) {
         if let Some(message) = self.messages.get_mut(id) {
             message.first_execution.get_or_insert_with(|| Execution {
                 at: record.at,
@@ -169,7 +169,12 @@
             let beyond_window = excess(elapsed, window + observed.limits.socket_slack);
             let reason = format!("{} ms after it may have run", elapsed.as_millis());
             let violation = || violation(&reason);
-            findings.judge(Rule::Repeats, beyond_window, record.late, violation);
+            findings.judge(
+                Rule::Repeats,
+                beyond_window,
+                record.recording_delay,
+                violation,
+            );
         }
     }
 }
--- a/crates/simulation/src/audit/rules/retry_after.rs
+++ b/crates/simulation/src/audit/rules/retry_after.rs
@@ -5,7 +5,7 @@
 
 use crate::audit::findings::{Findings, Violation};
 use crate::audit::observation::{Observation, RuleAuditor};
-use crate::audit::record::{Line, What};
+use crate::audit::record::{AuditEvent, AuditRecord};
 use crate::audit::rule::Rule;
 
 /// A stated wait that has not passed, as far as calls have shown.
@@ -28,25 +28,25 @@
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
         let record = observed.record;
         let Some(sender) = record.sender else { return };
-        match &record.what {
+        match &record.event {
             // A call counts once its last byte has arrived.
-            What::Called { destination, .. } => {
+            AuditEvent::Called { destination, .. } => {
                 self.called(sender, *destination, observed, findings);
             }
-            What::Replied {
+            AuditEvent::Replied {
                 destination,
                 wait: Some(wait),
                 ..
             } => self.stated(sender, *destination, *wait, record),
             // Waits do not outlive the process.
-            What::ProcessExited => self.waits.retain(|(s, _), _| *s != sender),
+            AuditEvent::ProcessExited => self.waits.retain(|(s, _), _| *s != sender),
             _ => {}
         }
     }
 }
 
 impl RetryAfter {
-    fn stated(&mut self, sender: usize, destination: u64, wait: Duration, record: &Line) {
+    fn stated(&mut self, sender: usize, destination: u64, wait: Duration, record: &AuditRecord) {
         let until = record.at + wait;
         let known = self.waits.get(&(sender, destination));
         if known.is_some_and(|known| known.until >= until) {
@@ -55,7 +55,7 @@
         let stated = StatedWait {
             stated_at: record.at,
             until,
-            recording_delay: record.late,
+            recording_delay: record.recording_delay,
             wire: record.wire.clone(),
         };
         self.waits.insert((sender, destination), stated);
@@ -96,7 +96,7 @@
             ),
             wire: vec![wait.wire.clone(), record.wire.clone()],
         };
-        let recording_delay = record.late + wait.recording_delay;
+        let recording_delay = record.recording_delay + wait.recording_delay;
         findings.judge(Rule::Waits, Some(excess), recording_delay, violation);
     }
 }
--- a/crates/simulation/src/audit/rules/second_copy.rs
+++ b/crates/simulation/src/audit/rules/second_copy.rs
@@ -5,7 +5,7 @@
 use crate::audit::calls::CallsInFlight;
 use crate::audit::findings::{Findings, Violation};
 use crate::audit::observation::{Observation, RuleAuditor};
-use crate::audit::record::What;
+use crate::audit::record::AuditEvent;
 use crate::audit::rule::Rule;
 
 #[derive(Debug)]
@@ -25,12 +25,12 @@
 impl RuleAuditor for SecondCopy {
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
         let record = observed.record;
-        if let What::Called {
+        if let AuditEvent::Called {
             connection,
             destination,
             ids,
             ..
-        } = &record.what
+        } = &record.event
         {
             for id in ids {
                 let attempt = Attempt {
@@ -50,7 +50,7 @@
                 }
             }
         }
-        let Some(ended) = self.calls.observe(&record.what) else {
+        let Some(ended) = self.calls.observe(&record.event) else {
             return;
         };
         for attempt in ended.attempts {
--- a/crates/simulation/src/audit/rules/slow_start.rs
+++ b/crates/simulation/src/audit/rules/slow_start.rs
@@ -5,7 +5,7 @@
 
 use crate::audit::findings::{Findings, Violation};
 use crate::audit::observation::{Observation, RuleAuditor};
-use crate::audit::record::{DeliveryOutcome, Line, What};
+use crate::audit::record::{AuditEvent, AuditRecord, DeliveryOutcome};
 use crate::audit::rule::Rule;
 use crate::return_guard::{Return, call_weight};
 
@@ -52,8 +52,8 @@
 impl RuleAuditor for SlowStart {
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
         let record = observed.record;
-        match &record.what {
-            What::Replied {
+        match &record.event {
+            AuditEvent::Replied {
                 destination,
                 connection,
                 outcomes,
@@ -65,7 +65,7 @@
                     self.failed(*destination, record);
                 }
             }
-            What::Broke {
+            AuditEvent::Broke {
                 destination,
                 connection,
                 ..
@@ -73,7 +73,7 @@
                 self.unanswered.remove(connection);
                 self.failed(*destination, record);
             }
-            What::Called {
+            AuditEvent::Called {
                 destination,
                 connection,
                 ids,
@@ -82,31 +82,31 @@
                 self.unanswered.insert(*connection, *destination);
                 self.called(*destination, ids.len(), observed, findings);
             }
-            What::Closed { connection } => self.closed(*connection, record),
-            What::Signalled | What::ProcessExited => self.ending.extend(record.sender),
-            What::Ready => {
+            AuditEvent::Closed { connection } => self.closed(*connection, record),
+            AuditEvent::Signalled | AuditEvent::ProcessExited => self.ending.extend(record.sender),
+            AuditEvent::Ready => {
                 if let Some(sender) = record.sender {
                     self.ending.remove(&sender);
                 }
             }
-            What::Fell { destination } => {
+            AuditEvent::Fell { destination } => {
                 self.judge_overload(*destination, "it fell", observed, findings);
             }
-            What::Back { .. } => self.recovered(observed),
+            AuditEvent::Back { .. } => self.recovered(observed),
             _ => {}
         }
     }
 }
 
 impl SlowStart {
-    fn failed(&mut self, destination: u64, record: &Line) {
+    fn failed(&mut self, destination: u64, record: &AuditRecord) {
         if let Some(sender) = record.sender {
             self.last_failure.insert((destination, sender), record.at);
         }
     }
 
     /// A sender that closes a connection before the reply has seen a silent destination fail.
-    fn closed(&mut self, connection: u64, record: &Line) {
+    fn closed(&mut self, connection: u64, record: &AuditRecord) {
         let destination = self.unanswered.remove(&connection);
         let ending = record.sender.is_none_or(|s| self.ending.contains(&s));
         if let Some(destination) = destination.filter(|_| !ending) {
@@ -115,7 +115,7 @@
     }
 
     fn recovered(&mut self, observed: &Observation<'_>) {
-        let What::Back {
+        let AuditEvent::Back {
             destination,
             since,
             down,
@@ -123,7 +123,7 @@
             cold,
             warm,
             item,
-        } = observed.record.what
+        } = observed.record.event
         else {
             return;
         };
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -94,7 +94,7 @@
     }
 
     /// Whether it is on at `now`.
-    pub fn duration_at(&self, now: Duration) -> bool {
+    pub fn is_on(&self, now: Duration) -> bool {
         self.at <= now && now < self.until
     }
 }
--- a/crates/simulation/tests/audit.rs
+++ b/crates/simulation/tests/audit.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::{
-    Answer, Auditor, Class, DeliveryOutcome, Figures, FinalReport, Line, Listed, Rule, Verdict,
-    What,
+    Answer, AuditEvent, AuditRecord, Auditor, Class, DeliveryOutcome, Figures, FinalReport, Listed,
+    Rule, Verdict,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -12,16 +12,16 @@
 }
 
 /// A log in the making.
-struct Log(Vec<Line>);
+struct Log(Vec<AuditRecord>);
 
 impl Log {
-    fn add(mut self, at: u64, what: What) -> Log {
-        let wire = format!("{at} {what:?}");
-        self.0.push(Line {
+    fn add(mut self, at: u64, event: AuditEvent) -> Log {
+        let wire = format!("{at} {event:?}");
+        self.0.push(AuditRecord {
             at: ms(at),
-            late: Duration::ZERO,
+            recording_delay: Duration::ZERO,
             sender: Some(0),
-            what,
+            event,
             wire,
         });
         self
@@ -36,14 +36,14 @@
 
     fn late(mut self, late: u64) -> Log {
         if let Some(line) = self.0.last_mut() {
-            line.late = ms(late);
+            line.recording_delay = ms(late);
         }
         self
     }
 
     /// Submitted at `at` and accepted 5 ms later.
     fn taken(self, at: u64, id: &str, class: usize) -> Log {
-        let submitted = What::Submitted {
+        let submitted = AuditEvent::Submitted {
             id: id.into(),
             class,
             destination: 7,
@@ -52,7 +52,7 @@
         };
         self.add(at, submitted).add(
             at + 5,
-            What::Answered {
+            AuditEvent::Answered {
                 id: id.into(),
                 answer: Answer::Accepted,
             },
@@ -63,7 +63,7 @@
         let ids = ids.iter().map(|i| (*i).to_owned()).collect();
         self.add(
             at,
-            What::Begun {
+            AuditEvent::Begun {
                 connection,
                 endpoint: 0,
                 destination: 7,
@@ -71,7 +71,7 @@
         )
         .add(
             at,
-            What::Called {
+            AuditEvent::Called {
                 connection,
                 endpoint: 0,
                 destination: 7,
@@ -92,7 +92,7 @@
         let spoilt = false;
         self.add(
             at,
-            What::Replied {
+            AuditEvent::Replied {
                 connection,
                 endpoint: 0,
                 destination: 7,
@@ -106,7 +106,7 @@
     fn report(self, at: u64, id: &str, final_report: FinalReport) -> Log {
         self.add(
             at,
-            What::Reported {
+            AuditEvent::Reported {
                 id: id.into(),
                 final_report,
             },
@@ -222,8 +222,8 @@
     let killed = |at| {
         log()
             .taken(0, "a", 0)
-            .add(19_000, What::ProcessExited)
-            .add(21_000, What::Ready)
+            .add(19_000, AuditEvent::ProcessExited)
+            .add(21_000, AuditEvent::Ready)
             .report(at, "a", RETURNED)
     };
     assert_eq!(
@@ -243,7 +243,7 @@
         .keeps(Rule::SecondCopy);
     // A call that is broken off is no longer out.
     first()
-        .add(19, What::Closed { connection: 1 })
+        .add(19, AuditEvent::Closed { connection: 1 })
         .call(20, 2, &["a"])
         .keeps(Rule::SecondCopy);
 }
@@ -282,7 +282,7 @@
     let given_up = log()
         .taken(0, "a", 2)
         .call(10, 1, &["a"])
-        .add(3000, What::Closed { connection: 1 });
+        .add(3000, AuditEvent::Closed { connection: 1 });
     given_up.call(3100, 2, &["a"]).violates(Rule::Repeats);
 }
 
@@ -350,7 +350,7 @@
     let notified = || {
         log().add(
             1000,
-            What::Notified {
+            AuditEvent::Notified {
                 endpoint: 0,
                 destination: 7,
                 listed: Listed::Draining,
@@ -362,7 +362,7 @@
     // The first of several tellings counts.
     let again = notified().add(
         1400,
-        What::Notified {
+        AuditEvent::Notified {
             endpoint: 0,
             destination: 7,
             listed: Listed::Removed,
@@ -373,7 +373,7 @@
     let other = notified()
         .add(
             1600,
-            What::Begun {
+            AuditEvent::Begun {
                 connection: 1,
                 endpoint: 0,
                 destination: 7,
@@ -386,7 +386,7 @@
     );
     let up = notified().add(
         1200,
-        What::Notified {
+        AuditEvent::Notified {
             endpoint: 0,
             destination: 7,
             listed: Listed::Up,
@@ -431,8 +431,8 @@
     shorter.call(1400, 1, &["a"]).violates(Rule::Waits);
     // A restart ends it.
     let restarted = notified()
-        .add(1200, What::ProcessExited)
-        .add(1300, What::Ready)
+        .add(1200, AuditEvent::ProcessExited)
+        .add(1300, AuditEvent::Ready)
         .call(1400, 3, &["a"]);
     assert_eq!(
         restarted.verdict(Rule::Waits, 60_000),
@@ -450,7 +450,7 @@
             .call(3000, 1, &["x"])
             .reply(3005, 1, "x", DeliveryOutcome::Busy, None);
     }
-    let back = What::Back {
+    let back = AuditEvent::Back {
         destination: 7,
         since: ms(5000),
         down: ms(4000),
@@ -484,7 +484,8 @@
         Verdict::Kept { .. }
     ));
     // One that falls tells so itself, in the very call that would be one too many.
-    let fallen = |saw, others| pushed(26, saw, others).add(6600, What::Fell { destination: 7 });
+    let fallen =
+        |saw, others| pushed(26, saw, others).add(6600, AuditEvent::Fell { destination: 7 });
     fallen(true, 0).violates(Rule::Return);
     assert!(matches!(
         fallen(false, 0).verdict(Rule::Return, 60_000),
@@ -501,10 +502,10 @@
         })
     };
     refused(pushed(26, true, 0))
-        .add(6600, What::Fell { destination: 7 })
+        .add(6600, AuditEvent::Fell { destination: 7 })
         .violates(Rule::Return);
     // And a sender that sees it fail only after its return was not told of the outage.
-    let later = refused(pushed(26, false, 0)).add(6600, What::Fell { destination: 7 });
+    let later = refused(pushed(26, false, 0)).add(6600, AuditEvent::Fell { destination: 7 });
     assert!(matches!(
         later.verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
@@ -512,14 +513,18 @@
     // A destination that is silent fails by calls that are given up, but not by those that a sender's own end cuts off.
     let silent = |given_up: Log| {
         let mut all = given_up
-            .add(3100, What::Closed { connection: 1 })
-            .add(3200, What::Ready)
+            .add(3100, AuditEvent::Closed { connection: 1 })
+            .add(3200, AuditEvent::Ready)
             .0;
         all.extend(pushed(27, false, 0).0);
         Log(all)
     };
     silent(log().call(3000, 1, &["x"])).violates(Rule::Return);
-    let killed = silent(log().call(3000, 1, &["x"]).add(3050, What::ProcessExited));
+    let killed = silent(
+        log()
+            .call(3000, 1, &["x"])
+            .add(3050, AuditEvent::ProcessExited),
+    );
     assert!(matches!(
         killed.verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
@@ -539,7 +544,7 @@
         batched(1)
             .0
             .iter()
-            .any(|l| matches!(l.what, What::Back { .. }))
+            .any(|l| matches!(l.event, AuditEvent::Back { .. }))
     );
     batched(9).keeps(Rule::Return);
     batched(20).violates(Rule::Return);
@@ -551,7 +556,7 @@
         log()
             .add(
                 0,
-                What::Opened {
+                AuditEvent::Opened {
                     connection: 1,
                     endpoint: 0,
                     destination: 7,
@@ -564,7 +569,7 @@
     // More came than an answer: whatever is read there next is anybody's guess.
     let spoilt = |spoilt| {
         let outcomes = vec![("a".to_owned(), DeliveryOutcome::Done)];
-        let replied = What::Replied {
+        let replied = AuditEvent::Replied {
             connection: 1,
             endpoint: 0,
             destination: 7,
@@ -577,7 +582,7 @@
     spoilt(true).call(400, 1, &["b"]).violates(Rule::Idle);
     spoilt(false).call(400, 1, &["b"]).keeps(Rule::Idle);
     spoilt(true)
-        .add(310, What::Closed { connection: 1 })
+        .add(310, AuditEvent::Closed { connection: 1 })
         .call(400, 2, &["b"])
         .keeps(Rule::SecondCopy);
 }
@@ -585,19 +590,23 @@
 /// A sender that is gone for good owes nothing more; the others owe what they owed.
 #[test]
 fn messages_of_a_lost_state_folder_are_not_judged() {
-    let other = What::Submitted {
+    let other = AuditEvent::Submitted {
         id: "b".into(),
         class: 0,
         destination: 7,
         duration: ms(20_000),
         ordering_key: None,
     };
-    let lost = || log().taken(0, "a", 0).add(50, What::Lost { only: None });
+    let lost = || {
+        log()
+            .taken(0, "a", 0)
+            .add(50, AuditEvent::Lost { only: None })
+    };
     assert_eq!(
         lost().verdict(Rule::OneEnd, 60_000),
         Verdict::Kept { cases: 0 }
     );
-    let taken = What::Answered {
+    let taken = AuditEvent::Answered {
         id: "b".into(),
         answer: Answer::Accepted,
     };
@@ -609,7 +618,7 @@
     let cut = |id: &str| {
         log().taken(0, "a", 0).add(
             50,
-            What::Lost {
+            AuditEvent::Lost {
                 only: Some(vec![id.into()]),
             },
         )
@@ -626,7 +635,7 @@
     let submitted = || {
         log().add(
             0,
-            What::Submitted {
+            AuditEvent::Submitted {
                 id: "a".into(),
                 class: 0,
                 destination: 7,
@@ -638,7 +647,7 @@
     let refused = |at| {
         submitted().add(
             at,
-            What::Answered {
+            AuditEvent::Answered {
                 id: "a".into(),
                 answer: Answer::Rejected { after: None },
             },
@@ -648,12 +657,12 @@
     refused(401).violates(Rule::Answers);
     refused(410).late(20).is_not_judged(Rule::Answers);
     submitted()
-        .add(10, What::Dropped { id: "a".into() })
+        .add(10, AuditEvent::Dropped { id: "a".into() })
         .violates(Rule::Answers);
     // A sender that was killed can't answer.
     let killed = submitted()
-        .add(5, What::ProcessExited)
-        .add(6, What::Dropped { id: "a".into() });
+        .add(5, AuditEvent::ProcessExited)
+        .add(6, AuditEvent::Dropped { id: "a".into() });
     assert_eq!(
         killed.verdict(Rule::Answers, 60_000),
         Verdict::Kept { cases: 0 }
@@ -665,7 +674,7 @@
     let posted = || {
         log().add(
             0,
-            What::Posted {
+            AuditEvent::Posted {
                 id: "a".into(),
                 class: 2,
                 destination: 7,
@@ -676,7 +685,7 @@
     let answered = |log: Log, at, answer| {
         log.add(
             at,
-            What::Answered {
+            AuditEvent::Answered {
                 id: "a".into(),
                 answer,
             },
@@ -697,9 +706,9 @@
     answered(posted(), 4301, Answer::Failed).violates(Rule::InTime);
     posted().violates(Rule::OneEnd);
     // What a connection's end tells the poster is no answer, but after it none is owed.
-    let dropped = |log: Log| log.add(50, What::Dropped { id: "a".into() });
+    let dropped = |log: Log| log.add(50, AuditEvent::Dropped { id: "a".into() });
     dropped(posted()).violates(Rule::Answers);
-    dropped(posted().add(40, What::ProcessExited)).keeps(Rule::OneEnd);
+    dropped(posted().add(40, AuditEvent::ProcessExited)).keeps(Rule::OneEnd);
     // Without a topic the user would see it twice.
     let failed = posted()
         .call(10, 1, &["a"])
@@ -710,14 +719,14 @@
 /// Submitted at `at` with an ordering key and accepted 5 ms later.
 fn ordered(log: Log, at: u64, id: &str, key: &str) -> Log {
     let ordering_key = Some(key.to_owned());
-    let submitted = What::Submitted {
+    let submitted = AuditEvent::Submitted {
         id: id.into(),
         class: 2,
         destination: 7,
         duration: ms(20_000),
         ordering_key,
     };
-    let answered = What::Answered {
+    let answered = AuditEvent::Answered {
         id: id.into(),
         answer: Answer::Accepted,
     };
@@ -757,7 +766,7 @@
     let cut = || {
         two()
             .call(20, 1, &["a"])
-            .add(500, What::Closed { connection: 1 })
+            .add(500, AuditEvent::Closed { connection: 1 })
     };
     let reported = || cut().report(510, "a", FinalReport::Failed);
     reported().call(549, 2, &["b"]).violates(Rule::Order);
@@ -776,7 +785,7 @@
         .call(20, 1, &["a"])
         .call(30, 2, &["c"])
         .keeps(Rule::Order);
-    let elsewhere = What::Submitted {
+    let elsewhere = AuditEvent::Submitted {
         id: "d".into(),
         class: 2,
         destination: 7,
@@ -791,7 +800,7 @@
         .from(1);
     elsewhere.keeps(Rule::Order);
     // Whether a sender has what its client gave up is not known.
-    let abandoned = two().add(15, What::Abandoned { id: "a".into() });
+    let abandoned = two().add(15, AuditEvent::Abandoned { id: "a".into() });
     abandoned.call(20, 1, &["b"]).keeps(Rule::Order);
     // Messages without a key have no order.
     let plain = log()
