--- a/crates/capacity/src/catalog.rs
+++ b/crates/capacity/src/catalog.rs
@@ -1,207 +1,17 @@
-//! Every quantity that a sweep measures: what it is, for which role, by which size, and which budget bounds it.
+//! All quantities that sweeps measure.
 
-use serde::Serialize;
+use crate::plan;
+use crate::quantity::{Axis, Consequence, Direction, Kind, Quantity, Role, Sweep, Unit};
 
-use crate::plan::{self, Budget};
-
-/// Who pays.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Role {
-    Sender,
-    Member,
-    Discovery,
-    Journal,
-    Client,
-    Destination,
-}
-
-/// By what a sweep varies the size.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Axis {
-    Destinations,
-    /// Events held by one sender.
-    Backlog,
-    Members,
-    /// Of one sender.
-    EventsPerSecond,
-    /// Real processes that watch one discovery.
-    Watchers,
-}
-
-/// A group of measurements that is played together.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Sweep {
-    Destinations,
-    Backlog,
-    Members,
-    Events,
-    Changes,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Unit {
-    Bytes,
-    #[serde(rename = "B/s")]
-    BytesPerSecond,
-    #[serde(rename = "packets/s")]
-    PacketsPerSecond,
-    #[serde(rename = "s")]
-    Seconds,
-    #[serde(rename = "ms")]
-    Milliseconds,
-    /// Processor time in milliseconds a second.
-    #[serde(rename = "ms/s")]
-    MillisecondsPerSecond,
-    #[serde(rename = "cores")]
-    Cores,
-    #[serde(rename = "count")]
-    Count,
-    /// A part of a whole, 1 being all.
-    #[serde(rename = "part")]
-    Part,
-}
-
-/// What a figure depends on besides the program: what `--quick` may judge and what it may not.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Kind {
-    /// The same in every run, but for bounded noise of the allocator.
-    CountOrBytes,
-    /// Depends on the machine and its load.
-    Time,
-}
-
-/// Whether a larger value is worse or better.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Direction {
-    Cost,
-    Benefit,
-}
-
-/// What a quantity beyond its budget breaks, the gravest first.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum Breaks {
-    /// A rule, or something is lost.
-    Rule,
-    /// A budget of the operators.
-    Budget,
-}
-
-/// One measured quantity.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Quantity {
-    /// Names the row on the page, for ever.
-    pub id: &'static str,
-    pub sweep: Sweep,
-    pub role: Role,
-    pub axis: Axis,
-    pub unit: Unit,
-    pub kind: Kind,
-    pub direction: Direction,
-    pub what: &'static str,
-    pub budget: Option<Budget>,
-    pub breaks: Breaks,
-    /// No value can lie above this, whatever a fit says.
-    pub ceiling: f64,
-    /// By how much a later run may be worse than the stated figure, as a part of it.
-    pub bound: f64,
-}
-
-impl Axis {
-    /// The planned size.
-    pub fn planned(self) -> f64 {
-        match self {
-            Axis::Destinations => plan::DESTINATIONS,
-            Axis::Backlog => plan::BACKLOG_OF_A_SENDER,
-            Axis::Members | Axis::Watchers => plan::SENDERS,
-            Axis::EventsPerSecond => plan::EVENTS_PER_SECOND_OF_A_SENDER,
-        }
-    }
-
-    pub fn name(self) -> &'static str {
-        match self {
-            Axis::Destinations => "destinations listed",
-            Axis::Backlog => "events held by one sender",
-            Axis::Members => "members",
-            Axis::EventsPerSecond => "events a second of one sender",
-            Axis::Watchers => "senders that watch",
-        }
-    }
-}
-
-impl Sweep {
-    pub const ALL: [Sweep; 5] = [
-        Sweep::Destinations,
-        Sweep::Backlog,
-        Sweep::Members,
-        Sweep::Events,
-        Sweep::Changes,
-    ];
-
-    pub fn name(self) -> &'static str {
-        match self {
-            Sweep::Destinations => "destinations",
-            Sweep::Backlog => "backlog",
-            Sweep::Members => "members",
-            Sweep::Events => "events",
-            Sweep::Changes => "changes",
-        }
-    }
-
-    pub fn named(name: &str) -> Option<Sweep> {
-        Sweep::ALL.into_iter().find(|s| s.name() == name)
-    }
-}
-
-impl Role {
-    pub fn name(self) -> &'static str {
-        match self {
-            Role::Sender => "sender",
-            Role::Member => "member",
-            Role::Discovery => "discovery",
-            Role::Journal => "journal",
-            Role::Client => "client side",
-            Role::Destination => "destination",
-        }
-    }
-}
-
-impl Breaks {
-    pub fn name(self) -> &'static str {
-        match self {
-            Breaks::Rule => "a rule, or a loss",
-            Breaks::Budget => "a budget",
-        }
-    }
-}
-
-impl Unit {
-    pub fn name(self) -> &'static str {
-        match self {
-            Unit::Bytes => "B",
-            Unit::BytesPerSecond => "B/s",
-            Unit::PacketsPerSecond => "packets/s",
-            Unit::Seconds => "s",
-            Unit::Milliseconds => "ms",
-            Unit::MillisecondsPerSecond => "ms/s",
-            Unit::Cores => "cores",
-            Unit::Count => "",
-            Unit::Part => "of 1",
-        }
-    }
-}
-
-/// How far a count or an exact size of a message may move.
-const EXACT: f64 = 0.02;
+/// How far a count or the exact size of a message may move between runs.
+const EXACT_BOUND: f64 = 0.02;
 /// How far memory may move: allocators and page sizes differ.
-const MEMORY: f64 = 0.25;
+const MEMORY_BOUND: f64 = 0.25;
 /// How far a time may move on the same machine.
-const TIME: f64 = 1.0;
+const TIME_BOUND: f64 = 1.0;
+
+/// How far the traffic of membership may move: its gossip is random.
+const MEMBERSHIP_BOUND: f64 = 0.2;
 
 /// What most quantities have in common.
 const BASE: Quantity = Quantity {
@@ -212,16 +22,16 @@
     unit: Unit::Bytes,
     kind: Kind::CountOrBytes,
     direction: Direction::Cost,
-    what: "",
+    description: "",
     budget: None,
-    breaks: Breaks::Budget,
+    consequence: Consequence::Budget,
     ceiling: f64::INFINITY,
-    bound: EXACT,
+    bound: EXACT_BOUND,
 };
 const TIMED: Quantity = Quantity {
     kind: Kind::Time,
     unit: Unit::Seconds,
-    bound: TIME,
+    bound: TIME_BOUND,
     ..BASE
 };
 const BACKLOG: Quantity = Quantity {
@@ -238,7 +48,7 @@
     sweep: Sweep::Members,
     axis: Axis::Members,
     role: Role::Member,
-    bound: 0.2,
+    bound: MEMBERSHIP_BOUND,
     ..BASE
 };
 const MEMBERS_TIMED: Quantity = Quantity {
@@ -248,259 +58,259 @@
     ..TIMED
 };
 
-/// Every quantity, in the order of the page.
+/// All quantities, in the order of the page.
 pub const QUANTITIES: &[Quantity] = &[
     Quantity {
         id: "destinations.resident",
-        what: "resident memory of an idle sender",
+        description: "resident memory of an idle sender",
         budget: Some(plan::CONTROL_MEMORY),
-        bound: MEMORY,
+        bound: MEMORY_BOUND,
         ..BASE
     },
     Quantity {
         id: "destinations.ready",
-        breaks: Breaks::Rule,
-        what: "start of the process to its ingress listening, the list being in the configuration",
+        consequence: Consequence::Rule,
+        description: "start of the process to its ingress listening, the list being in the configuration",
         budget: Some(plan::READY),
         ..TIMED
     },
     Quantity {
         id: "destinations.list-taken",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         role: Role::Discovery,
         unit: Unit::Count,
         direction: Direction::Benefit,
-        what: "most destinations of a whole list that a sender takes from discovery",
+        description: "most destinations of a whole list that a sender takes from discovery",
         ..BASE
     },
     Quantity {
         id: "destinations.list-bytes",
         role: Role::Discovery,
-        what: "a whole list, head and body",
+        description: "a whole list, head and body",
         ..BASE
     },
     Quantity {
         id: "destinations.list-step",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Seconds,
-        what: "processor time in the reducer of a whole list in which nothing has changed",
+        description: "processor time in the reducer of a whole list in which nothing has changed",
         budget: Some(plan::TURN),
         ..TIMED
     },
     Quantity {
         id: "destinations.change-bytes",
         role: Role::Discovery,
-        what: "one pushed change: its answer and the next question",
+        description: "one pushed change: its answer and the next question",
         ..BASE
     },
     Quantity {
         id: "destinations.change-processor",
         unit: Unit::Milliseconds,
-        what: "processor time of one pushed change",
+        description: "processor time of one pushed change",
         ..TIMED
     },
     Quantity {
         id: "destinations.change-in-force",
-        breaks: Breaks::Rule,
-        what: "ten changes at once, told to the sender's next question",
+        consequence: Consequence::Rule,
+        description: "ten changes at once, told to the sender's next question",
         budget: Some(plan::CHANGE_IN_FORCE),
         ..TIMED
     },
     Quantity {
         id: "backlog.resident",
-        what: "peak resident memory of a sender that takes the backlog up again",
+        description: "peak resident memory of a sender that takes the backlog up again",
         budget: Some(plan::SENDER_MEMORY),
-        bound: MEMORY,
+        bound: MEMORY_BOUND,
         ..BACKLOG
     },
     Quantity {
         id: "backlog.disk",
         role: Role::Journal,
-        what: "the journal's folder",
+        description: "the journal's folder",
         ..BACKLOG
     },
     Quantity {
         id: "backlog.ready",
-        breaks: Breaks::Rule,
-        what: "start of the process to its ingress listening",
+        consequence: Consequence::Rule,
+        description: "start of the process to its ingress listening",
         budget: Some(plan::READY),
         ..BACKLOG_TIMED
     },
     Quantity {
         id: "backlog.recover-step",
-        breaks: Breaks::Rule,
-        what: "processor time in the reducer until what the journal told is held",
+        consequence: Consequence::Rule,
+        description: "processor time in the reducer until what the journal told is held",
         budget: Some(plan::READY),
         ..BACKLOG_TIMED
     },
     Quantity {
         id: "backlog.first-turn",
-        breaks: Breaks::Rule,
-        what: "processor time of the first turn after a restart",
+        consequence: Consequence::Rule,
+        description: "processor time of the first turn after a restart",
         budget: Some(plan::TURN),
         ..BACKLOG_TIMED
     },
     Quantity {
         id: "backlog.turn",
-        breaks: Breaks::Rule,
-        what: "processor time of a later turn that sends nothing",
+        consequence: Consequence::Rule,
+        description: "processor time of a later turn that sends nothing",
         budget: Some(plan::TURN),
         ..BACKLOG_TIMED
     },
     Quantity {
         id: "backlog.waiting-processor",
         unit: Unit::MillisecondsPerSecond,
-        what: "processor time of a sender that waits with its backlog, no destination answering",
+        description: "processor time of a sender that waits with its backlog, no destination answering",
         budget: Some(plan::WAITING_PROCESSOR),
         ..BACKLOG_TIMED
     },
     Quantity {
         id: "backlog.taken-up",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
         direction: Direction::Benefit,
-        what: "largest backlog of which a restart gives up at most half with no call, the settings' bound on held events being 20,000",
+        description: "largest backlog of which a restart gives up at most half with no call, the settings' bound on held events being 20,000",
         ..BACKLOG
     },
     Quantity {
         id: "backlog.out-of-order",
         unit: Unit::Part,
-        what: "part of the first 1,000 sent that is not among the 1,000 with the earliest deadlines",
+        description: "part of the first 1,000 sent that is not among the 1,000 with the earliest deadlines",
         ceiling: 1.0,
         ..BACKLOG
     },
     Quantity {
         id: "members.quiet.bytes",
         unit: Unit::BytesPerSecond,
-        what: "sent and received by one member",
+        description: "sent and received by one member",
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
     Quantity {
         id: "members.quiet.packets",
         unit: Unit::PacketsPerSecond,
-        what: "sent by one member",
+        description: "sent by one member",
         ..MEMBERS
     },
     Quantity {
         id: "members.quiet.processor",
         unit: Unit::MillisecondsPerSecond,
-        what: "processor time of one member",
+        description: "processor time of one member",
         budget: Some(plan::CONTROL_PROCESSOR),
         ..MEMBERS_TIMED
     },
     Quantity {
         id: "members.quiet.resident",
-        what: "resident memory of one member's state",
+        description: "resident memory of one member's state",
         budget: Some(plan::CONTROL_MEMORY),
-        bound: MEMORY,
+        bound: MEMORY_BOUND,
         ..MEMBERS
     },
     Quantity {
         id: "members.quiet.missing",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
-        what: "pairs of live members of which one does not see the other alive, at the end",
+        description: "pairs of live members of which one does not see the other alive, at the end",
         budget: Some(plan::MISSING_MEMBERS),
         ..MEMBERS
     },
     Quantity {
         id: "members.crashes.bytes",
         unit: Unit::BytesPerSecond,
-        what: "sent and received by one member, one in ten having crashed",
+        description: "sent and received by one member, one in ten having crashed",
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
     Quantity {
         id: "members.crashes.processor",
         unit: Unit::MillisecondsPerSecond,
-        what: "processor time of one member, one in ten having crashed",
+        description: "processor time of one member, one in ten having crashed",
         budget: Some(plan::CONTROL_PROCESSOR),
         ..MEMBERS_TIMED
     },
     Quantity {
         id: "members.crashes.detection",
-        what: "crash to down in 99 of 100 live views",
+        description: "crash to down in 99 of 100 live views",
         ..MEMBERS_TIMED
     },
     Quantity {
         id: "members.crashes.missing",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
-        what: "as in the quiet state, one in ten having crashed",
+        description: "as in the quiet state, one in ten having crashed",
         budget: Some(plan::MISSING_MEMBERS),
         ..MEMBERS
     },
     Quantity {
         id: "members.zone.bytes",
         unit: Unit::BytesPerSecond,
-        what: "sent and received by one member, a zone of six being gone",
+        description: "sent and received by one member, a zone of six being gone",
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
     Quantity {
         id: "members.zone.missing",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
-        what: "as in the quiet state, a zone of six being gone",
+        description: "as in the quiet state, a zone of six being gone",
         budget: Some(plan::MISSING_MEMBERS),
         ..MEMBERS
     },
     Quantity {
         id: "members.rack.bytes",
         unit: Unit::BytesPerSecond,
-        what: "sent and received by one member, one in thirty being gone",
+        description: "sent and received by one member, one in thirty being gone",
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
     Quantity {
         id: "members.rack.missing",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
-        what: "as in the quiet state, one in thirty being gone",
+        description: "as in the quiet state, one in thirty being gone",
         budget: Some(plan::MISSING_MEMBERS),
         ..MEMBERS
     },
     Quantity {
         id: "members.restarts.bytes",
         unit: Unit::BytesPerSecond,
-        what: "sent and received by one member, one in sixteen having restarted at once",
+        description: "sent and received by one member, one in sixteen having restarted at once",
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
     Quantity {
         id: "members.restarts.missing",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
-        what: "as in the quiet state, one in sixteen having restarted at once",
+        description: "as in the quiet state, one in sixteen having restarted at once",
         budget: Some(plan::MISSING_MEMBERS),
         ..MEMBERS
     },
     Quantity {
         id: "members.halves.bytes",
         unit: Unit::BytesPerSecond,
-        what: "sent and received by one member, two halves being cut from each other",
+        description: "sent and received by one member, two halves being cut from each other",
         budget: Some(plan::CONTROL_BYTES),
         ..MEMBERS
     },
     Quantity {
         id: "members.halves.agreed",
-        what: "end of the cut to one view everywhere",
+        description: "end of the cut to one view everywhere",
         ..MEMBERS_TIMED
     },
     Quantity {
         id: "members.halves.missing",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Count,
-        what: "as in the quiet state, after the cut",
+        description: "as in the quiet state, after the cut",
         budget: Some(plan::MISSING_MEMBERS),
         ..MEMBERS
     },
     Quantity {
         id: "members.halves.share",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         unit: Unit::Part,
-        what: "most that all took together of a shared limit",
+        description: "most that all took together of a shared limit",
         budget: Some(plan::SHARE),
         ..MEMBERS
     },
@@ -509,7 +319,7 @@
         sweep: Sweep::Events,
         axis: Axis::EventsPerSecond,
         unit: Unit::Cores,
-        what: "processor time of a sender",
+        description: "processor time of a sender",
         budget: Some(plan::SENDER_CORES),
         ..TIMED
     },
@@ -519,35 +329,35 @@
         axis: Axis::EventsPerSecond,
         role: Role::Client,
         unit: Unit::Milliseconds,
-        what: "handing in to the answer, 99 of 100",
+        description: "handing in to the answer, 99 of 100",
         ..TIMED
     },
     Quantity {
         id: "events.resident",
         sweep: Sweep::Events,
         axis: Axis::EventsPerSecond,
-        what: "resident memory of a sender",
+        description: "resident memory of a sender",
         budget: Some(plan::SENDER_MEMORY),
-        bound: MEMORY,
+        bound: MEMORY_BOUND,
         ..BASE
     },
     Quantity {
         id: "changes.one-in-force",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         sweep: Sweep::Changes,
         axis: Axis::Watchers,
         role: Role::Discovery,
-        what: "one change, until the last real sender has asked on from it",
+        description: "one change, until the last real sender has asked on from it",
         budget: Some(plan::CHANGE_IN_FORCE),
         ..TIMED
     },
     Quantity {
         id: "changes.ten-in-force",
-        breaks: Breaks::Rule,
+        consequence: Consequence::Rule,
         sweep: Sweep::Changes,
         axis: Axis::Watchers,
         role: Role::Discovery,
-        what: "ten changes at once, until the last real sender has asked on from them",
+        description: "ten changes at once, until the last real sender has asked on from them",
         budget: Some(plan::CHANGE_IN_FORCE),
         ..TIMED
     },
@@ -556,12 +366,12 @@
         sweep: Sweep::Changes,
         axis: Axis::Watchers,
         role: Role::Discovery,
-        what: "of one change, read and written by discovery for all senders",
+        description: "of one change, read and written by discovery for all senders",
         ..BASE
     },
 ];
 
-/// The quantity of this row.
+/// The quantity of this id.
 pub fn quantity(id: &str) -> Option<&'static Quantity> {
     QUANTITIES.iter().find(|q| q.id == id)
 }
--- a/crates/simulation/tests/audit.rs
+++ b/crates/simulation/tests/audit.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::{
-    Answer, Auditor, Class, DeliveryOutcome, Figures, FinalReport, Line, Listed, Rule, Verdict,
-    What,
+    Answer, AuditEvent, AuditRecord, Auditor, Class, DeliveryOutcome, Figures, FinalReport, Listed,
+    Rule, Verdict,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -12,16 +12,16 @@
 }
 
 /// A log in the making.
-struct Log(Vec<Line>);
+struct Log(Vec<AuditRecord>);
 
 impl Log {
-    fn add(mut self, at: u64, what: What) -> Log {
-        let wire = format!("{at} {what:?}");
-        self.0.push(Line {
+    fn add(mut self, at: u64, event: AuditEvent) -> Log {
+        let wire = format!("{at} {event:?}");
+        self.0.push(AuditRecord {
             at: ms(at),
-            late: Duration::ZERO,
+            recording_delay: Duration::ZERO,
             sender: Some(0),
-            what,
+            event,
             wire,
         });
         self
@@ -36,14 +36,14 @@
 
     fn late(mut self, late: u64) -> Log {
         if let Some(line) = self.0.last_mut() {
-            line.late = ms(late);
+            line.recording_delay = ms(late);
         }
         self
     }
 
     /// Submitted at `at` and accepted 5 ms later.
     fn taken(self, at: u64, id: &str, class: usize) -> Log {
-        let submitted = What::Submitted {
+        let submitted = AuditEvent::Submitted {
             id: id.into(),
             class,
             destination: 7,
@@ -52,7 +52,7 @@
         };
         self.add(at, submitted).add(
             at + 5,
-            What::Answered {
+            AuditEvent::Answered {
                 id: id.into(),
                 answer: Answer::Accepted,
             },
@@ -63,7 +63,7 @@
         let ids = ids.iter().map(|i| (*i).to_owned()).collect();
         self.add(
             at,
-            What::Begun {
+            AuditEvent::Begun {
                 connection,
                 endpoint: 0,
                 destination: 7,
@@ -71,7 +71,7 @@
         )
         .add(
             at,
-            What::Called {
+            AuditEvent::Called {
                 connection,
                 endpoint: 0,
                 destination: 7,
@@ -92,7 +92,7 @@
         let spoilt = false;
         self.add(
             at,
-            What::Replied {
+            AuditEvent::Replied {
                 connection,
                 endpoint: 0,
                 destination: 7,
@@ -106,7 +106,7 @@
     fn report(self, at: u64, id: &str, final_report: FinalReport) -> Log {
         self.add(
             at,
-            What::Reported {
+            AuditEvent::Reported {
                 id: id.into(),
                 final_report,
             },
@@ -137,7 +137,7 @@
         );
     }
 
-    fn network_faults(&self, rule: Rule) {
+    fn violates(&self, rule: Rule) {
         let verdict = self.verdict(rule, 60_000);
         let Verdict::Broken(violations) = &verdict else {
             panic!("{rule}: {verdict:?}")
@@ -182,15 +182,13 @@
         .report(900, "a", RETURNED)
         .report(1200, "a", RETURNED)
         .keeps(Rule::OneEnd);
-    log().taken(0, "a", 0).network_faults(Rule::OneEnd);
+    log().taken(0, "a", 0).violates(Rule::OneEnd);
     log()
         .taken(0, "a", 0)
         .report(900, "a", RETURNED)
         .report(1200, "a", FinalReport::Failed)
-        .network_faults(Rule::OneEnd);
-    log()
-        .report(900, "nobody", RETURNED)
-        .network_faults(Rule::OneEnd);
+        .violates(Rule::OneEnd);
+    log().report(900, "nobody", RETURNED).violates(Rule::OneEnd);
     // The 200 may never have reached the sender.
     let delivered =
         log()
@@ -206,7 +204,7 @@
 }
 
 #[test]
-fn every_end_in_time() {
+fn every_message_ends_in_time() {
     log()
         .taken(0, "a", 0)
         .report(20_300, "a", FinalReport::Failed)
@@ -214,7 +212,7 @@
     log()
         .taken(0, "a", 0)
         .report(20_301, "a", FinalReport::Failed)
-        .network_faults(Rule::InTime);
+        .violates(Rule::InTime);
     log()
         .taken(0, "a", 0)
         .report(20_310, "a", FinalReport::Failed)
@@ -224,28 +222,28 @@
     let killed = |at| {
         log()
             .taken(0, "a", 0)
-            .add(19_000, What::ProcessExited)
-            .add(21_000, What::Ready)
+            .add(19_000, AuditEvent::ProcessExited)
+            .add(21_000, AuditEvent::Ready)
             .report(at, "a", RETURNED)
     };
     assert_eq!(
         killed(22_400).verdict(Rule::InTime, 60_000),
         Verdict::Kept { cases: 0 }
     );
-    killed(22_600).network_faults(Rule::InTime);
+    killed(22_600).violates(Rule::InTime);
 }
 
 #[test]
-fn never_two_copies_at_once() {
+fn at_most_one_attempt_is_in_flight() {
     let first = || log().taken(0, "a", 0).call(10, 1, &["a"]);
-    first().call(20, 2, &["a"]).network_faults(Rule::SecondCopy);
+    first().call(20, 2, &["a"]).violates(Rule::SecondCopy);
     first()
         .reply(19, 1, "a", DeliveryOutcome::Busy, None)
         .call(20, 2, &["a"])
         .keeps(Rule::SecondCopy);
     // A call that is broken off is no longer out.
     first()
-        .add(19, What::Closed { connection: 1 })
+        .add(19, AuditEvent::Closed { connection: 1 })
         .call(20, 2, &["a"])
         .keeps(Rule::SecondCopy);
 }
@@ -264,14 +262,12 @@
     failed(0).call(60, 1, &["a"]).keeps(Rule::Repeats);
     failed(1).call(60, 1, &["a"]).keeps(Rule::Repeats);
     failed(1).call(20_090, 1, &["a"]).keeps(Rule::Repeats);
-    failed(1)
-        .call(20_110, 1, &["a"])
-        .network_faults(Rule::Repeats);
+    failed(1).call(20_110, 1, &["a"]).violates(Rule::Repeats);
     failed(1)
         .call(20_110, 1, &["a"])
         .late(20)
         .is_not_judged(Rule::Repeats);
-    failed(2).call(60, 1, &["a"]).network_faults(Rule::Repeats);
+    failed(2).call(60, 1, &["a"]).violates(Rule::Repeats);
     // What was turned away was not executed.
     let busy =
         log()
@@ -286,13 +282,13 @@
     let given_up = log()
         .taken(0, "a", 2)
         .call(10, 1, &["a"])
-        .add(3000, What::Closed { connection: 1 });
-    given_up.call(3100, 2, &["a"]).network_faults(Rule::Repeats);
+        .add(3000, AuditEvent::Closed { connection: 1 });
+    given_up.call(3100, 2, &["a"]).violates(Rule::Repeats);
 }
 
 /// Who is told `returned` hands the message in again: that is a repeat that the sender asked for.
 #[test]
-fn nothing_is_returned_that_must_not_come_again() {
+fn no_message_is_returned_that_must_not_be_repeated() {
     let executed = |class, outcome| {
         log()
             .taken(0, "a", class)
@@ -311,14 +307,14 @@
             .keeps(Rule::Repeats);
         executed(1, outcome)
             .report(19_000, "a", after(1110))
-            .network_faults(Rule::Repeats);
+            .violates(Rule::Repeats);
         executed(1, outcome)
             .report(19_000, "a", after(1110))
             .late(20)
             .is_not_judged(Rule::Repeats);
         executed(2, outcome)
             .report(900, "a", RETURNED)
-            .network_faults(Rule::Repeats);
+            .violates(Rule::Repeats);
         // Resent until it is answered: the same report.
         executed(1, outcome)
             .report(19_000, "a", after(500))
@@ -346,7 +342,7 @@
         })
     };
     tried(6).keeps(Rule::Attempts);
-    tried(7).network_faults(Rule::Attempts);
+    tried(7).violates(Rule::Attempts);
 }
 
 #[test]
@@ -354,7 +350,7 @@
     let notified = || {
         log().add(
             1000,
-            What::Notified {
+            AuditEvent::Notified {
                 endpoint: 0,
                 destination: 7,
                 listed: Listed::Draining,
@@ -362,24 +358,22 @@
         )
     };
     notified().call(1500, 1, &["a"]).keeps(Rule::Drains);
-    notified()
-        .call(1501, 1, &["a"])
-        .network_faults(Rule::Drains);
+    notified().call(1501, 1, &["a"]).violates(Rule::Drains);
     // The first of several tellings counts.
     let again = notified().add(
         1400,
-        What::Notified {
+        AuditEvent::Notified {
             endpoint: 0,
             destination: 7,
             listed: Listed::Removed,
         },
     );
-    again.call(1600, 1, &["a"]).network_faults(Rule::Drains);
+    again.call(1600, 1, &["a"]).violates(Rule::Drains);
     // Only who was told.
     let other = notified()
         .add(
             1600,
-            What::Begun {
+            AuditEvent::Begun {
                 connection: 1,
                 endpoint: 0,
                 destination: 7,
@@ -392,7 +386,7 @@
     );
     let up = notified().add(
         1200,
-        What::Notified {
+        AuditEvent::Notified {
             endpoint: 0,
             destination: 7,
             listed: Listed::Up,
@@ -416,7 +410,7 @@
         )
     };
     notified().call(1700, 1, &["a"]).keeps(Rule::Waits);
-    notified().call(1500, 1, &["b"]).network_faults(Rule::Waits);
+    notified().call(1500, 1, &["b"]).violates(Rule::Waits);
     // On its way as the wait was told, on another connection.
     assert_eq!(
         notified()
@@ -424,7 +418,7 @@
             .verdict(Rule::Waits, 60_000),
         Verdict::Kept { cases: 0 }
     );
-    notified().call(1101, 2, &["b"]).network_faults(Rule::Waits);
+    notified().call(1101, 2, &["b"]).violates(Rule::Waits);
     notified()
         .call(1110, 2, &["b"])
         .late(20)
@@ -434,11 +428,11 @@
         notified()
             .call(1050, 2, &["b"])
             .reply(1060, 2, "b", DeliveryOutcome::Busy, Some(50));
-    shorter.call(1400, 1, &["a"]).network_faults(Rule::Waits);
+    shorter.call(1400, 1, &["a"]).violates(Rule::Waits);
     // A restart ends it.
     let restarted = notified()
-        .add(1200, What::ProcessExited)
-        .add(1300, What::Ready)
+        .add(1200, AuditEvent::ProcessExited)
+        .add(1300, AuditEvent::Ready)
         .call(1400, 3, &["a"]);
     assert_eq!(
         restarted.verdict(Rule::Waits, 60_000),
@@ -456,7 +450,7 @@
             .call(3000, 1, &["x"])
             .reply(3005, 1, "x", DeliveryOutcome::Busy, None);
     }
-    let back = What::Back {
+    let back = AuditEvent::Back {
         destination: 7,
         since: ms(5000),
         down: ms(4000),
@@ -478,9 +472,9 @@
 #[test]
 fn senders_that_saw_an_outage_do_not_overload_the_returning_destination() {
     pushed(26, true, 0).keeps(Rule::Return);
-    pushed(27, true, 0).network_faults(Rule::Return);
+    pushed(27, true, 0).violates(Rule::Return);
     // Of 27 calls 19 are over two thirds, and 18 are not.
-    pushed(27, true, 8).network_faults(Rule::Return);
+    pushed(27, true, 8).violates(Rule::Return);
     assert!(matches!(
         pushed(27, true, 9).verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
@@ -490,8 +484,9 @@
         Verdict::Kept { .. }
     ));
     // One that falls tells so itself, in the very call that would be one too many.
-    let fallen = |saw, others| pushed(26, saw, others).add(6600, What::Fell { destination: 7 });
-    fallen(true, 0).network_faults(Rule::Return);
+    let fallen =
+        |saw, others| pushed(26, saw, others).add(6600, AuditEvent::Fell { destination: 7 });
+    fallen(true, 0).violates(Rule::Return);
     assert!(matches!(
         fallen(false, 0).verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
@@ -507,10 +502,10 @@
         })
     };
     refused(pushed(26, true, 0))
-        .add(6600, What::Fell { destination: 7 })
-        .network_faults(Rule::Return);
+        .add(6600, AuditEvent::Fell { destination: 7 })
+        .violates(Rule::Return);
     // And a sender that sees it fail only after its return was not told of the outage.
-    let later = refused(pushed(26, false, 0)).add(6600, What::Fell { destination: 7 });
+    let later = refused(pushed(26, false, 0)).add(6600, AuditEvent::Fell { destination: 7 });
     assert!(matches!(
         later.verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
@@ -518,19 +513,27 @@
     // A destination that is silent fails by calls that are given up, but not by those that a sender's own end cuts off.
     let silent = |given_up: Log| {
         let mut all = given_up
-            .add(3100, What::Closed { connection: 1 })
-            .add(3200, What::Ready)
+            .add(3100, AuditEvent::Closed { connection: 1 })
+            .add(3200, AuditEvent::Ready)
             .0;
         all.extend(pushed(27, false, 0).0);
         Log(all)
     };
-    silent(log().call(3000, 1, &["x"])).network_faults(Rule::Return);
-    let killed = silent(log().call(3000, 1, &["x"]).add(3050, What::ProcessExited));
+    silent(log().call(3000, 1, &["x"])).violates(Rule::Return);
+    let killed = silent(
+        log()
+            .call(3000, 1, &["x"])
+            .add(3050, AuditEvent::ProcessExited),
+    );
     assert!(matches!(
         killed.verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
     ));
-    // Twelve calls of five messages weigh 16.8, and not 60.
+}
+
+/// Each message of a call after the first weighs a tenth of a call: twelve calls of five messages weigh 16.8, and not 60.
+#[test]
+fn messages_of_one_call_weigh_less_than_calls() {
     let batched = |calls: u64| {
         let back = pushed(0, true, 0).0;
         (0..calls).fold(Log(back), |log, n| {
@@ -541,19 +544,19 @@
         batched(1)
             .0
             .iter()
-            .any(|l| matches!(l.what, What::Back { .. }))
+            .any(|l| matches!(l.event, AuditEvent::Back { .. }))
     );
     batched(9).keeps(Rule::Return);
-    batched(20).network_faults(Rule::Return);
+    batched(20).violates(Rule::Return);
 }
 
 #[test]
-fn nothing_on_a_connection_idle_too_long() {
+fn no_call_on_a_connection_idle_too_long() {
     let idle = |at| {
         log()
             .add(
                 0,
-                What::Opened {
+                AuditEvent::Opened {
                     connection: 1,
                     endpoint: 0,
                     destination: 7,
@@ -562,11 +565,11 @@
             .call(at, 1, &["a"])
     };
     idle(15_000).keeps(Rule::Idle);
-    idle(15_001).network_faults(Rule::Idle);
+    idle(15_001).violates(Rule::Idle);
     // More came than an answer: whatever is read there next is anybody's guess.
     let spoilt = |spoilt| {
         let outcomes = vec![("a".to_owned(), DeliveryOutcome::Done)];
-        let replied = What::Replied {
+        let replied = AuditEvent::Replied {
             connection: 1,
             endpoint: 0,
             destination: 7,
@@ -576,42 +579,46 @@
         };
         log().taken(0, "a", 0).call(10, 1, &["a"]).add(300, replied)
     };
-    spoilt(true).call(400, 1, &["b"]).network_faults(Rule::Idle);
+    spoilt(true).call(400, 1, &["b"]).violates(Rule::Idle);
     spoilt(false).call(400, 1, &["b"]).keeps(Rule::Idle);
     spoilt(true)
-        .add(310, What::Closed { connection: 1 })
+        .add(310, AuditEvent::Closed { connection: 1 })
         .call(400, 2, &["b"])
         .keeps(Rule::SecondCopy);
 }
 
 /// A sender that is gone for good owes nothing more; the others owe what they owed.
 #[test]
-fn what_a_lost_folder_held_is_nobodys() {
-    let other = What::Submitted {
+fn messages_of_a_lost_state_folder_are_not_judged() {
+    let other = AuditEvent::Submitted {
         id: "b".into(),
         class: 0,
         destination: 7,
         duration: ms(20_000),
         ordering_key: None,
     };
-    let lost = || log().taken(0, "a", 0).add(50, What::Lost { only: None });
+    let lost = || {
+        log()
+            .taken(0, "a", 0)
+            .add(50, AuditEvent::Lost { only: None })
+    };
     assert_eq!(
         lost().verdict(Rule::OneEnd, 60_000),
         Verdict::Kept { cases: 0 }
     );
-    let taken = What::Answered {
+    let taken = AuditEvent::Answered {
         id: "b".into(),
         answer: Answer::Accepted,
     };
     lost()
         .add(100, other)
         .add(110, taken)
-        .network_faults(Rule::OneEnd);
+        .violates(Rule::OneEnd);
     // A journal that was cut: what it still had is owed.
     let cut = |id: &str| {
         log().taken(0, "a", 0).add(
             50,
-            What::Lost {
+            AuditEvent::Lost {
                 only: Some(vec![id.into()]),
             },
         )
@@ -620,7 +627,7 @@
         cut("a").verdict(Rule::OneEnd, 60_000),
         Verdict::Kept { cases: 0 }
     );
-    cut("b").network_faults(Rule::OneEnd);
+    cut("b").violates(Rule::OneEnd);
 }
 
 #[test]
@@ -628,7 +635,7 @@
     let submitted = || {
         log().add(
             0,
-            What::Submitted {
+            AuditEvent::Submitted {
                 id: "a".into(),
                 class: 0,
                 destination: 7,
@@ -640,22 +647,22 @@
     let refused = |at| {
         submitted().add(
             at,
-            What::Answered {
+            AuditEvent::Answered {
                 id: "a".into(),
                 answer: Answer::Rejected { after: None },
             },
         )
     };
     refused(400).keeps(Rule::Answers);
-    refused(401).network_faults(Rule::Answers);
+    refused(401).violates(Rule::Answers);
     refused(410).late(20).is_not_judged(Rule::Answers);
     submitted()
-        .add(10, What::Dropped { id: "a".into() })
-        .network_faults(Rule::Answers);
+        .add(10, AuditEvent::Dropped { id: "a".into() })
+        .violates(Rule::Answers);
     // A sender that was killed can't answer.
     let killed = submitted()
-        .add(5, What::ProcessExited)
-        .add(6, What::Dropped { id: "a".into() });
+        .add(5, AuditEvent::ProcessExited)
+        .add(6, AuditEvent::Dropped { id: "a".into() });
     assert_eq!(
         killed.verdict(Rule::Answers, 60_000),
         Verdict::Kept { cases: 0 }
@@ -667,7 +674,7 @@
     let posted = || {
         log().add(
             0,
-            What::Posted {
+            AuditEvent::Posted {
                 id: "a".into(),
                 class: 2,
                 destination: 7,
@@ -678,7 +685,7 @@
     let answered = |log: Log, at, answer| {
         log.add(
             at,
-            What::Answered {
+            AuditEvent::Answered {
                 id: "a".into(),
                 answer,
             },
@@ -691,44 +698,48 @@
     };
     answered(taken(), 101, Answer::Delivered).keeps(Rule::OneEnd);
     // Answered from thin air, or told to come again although the user has seen it.
-    answered(posted(), 101, Answer::Delivered).network_faults(Rule::OneEnd);
-    answered(taken(), 101, Answer::Rejected { after: None }).network_faults(Rule::OneEnd);
+    answered(posted(), 101, Answer::Delivered).violates(Rule::OneEnd);
+    answered(taken(), 101, Answer::Rejected { after: None }).violates(Rule::OneEnd);
     // A 201 of the service that never reached the sender.
     answered(taken(), 4200, Answer::Failed).keeps(Rule::OneEnd);
     answered(posted(), 4300, Answer::Failed).keeps(Rule::InTime);
-    answered(posted(), 4301, Answer::Failed).network_faults(Rule::InTime);
-    posted().network_faults(Rule::OneEnd);
+    answered(posted(), 4301, Answer::Failed).violates(Rule::InTime);
+    posted().violates(Rule::OneEnd);
     // What a connection's end tells the poster is no answer, but after it none is owed.
-    let dropped = |log: Log| log.add(50, What::Dropped { id: "a".into() });
-    dropped(posted()).network_faults(Rule::Answers);
-    dropped(posted().add(40, What::ProcessExited)).keeps(Rule::OneEnd);
+    let dropped = |log: Log| log.add(50, AuditEvent::Dropped { id: "a".into() });
+    dropped(posted()).violates(Rule::Answers);
+    dropped(posted().add(40, AuditEvent::ProcessExited)).keeps(Rule::OneEnd);
     // Without a topic the user would see it twice.
     let failed = posted()
         .call(10, 1, &["a"])
         .reply(100, 1, "a", DeliveryOutcome::Failed, None);
-    failed.call(300, 1, &["a"]).network_faults(Rule::Repeats);
+    failed.call(300, 1, &["a"]).violates(Rule::Repeats);
 }
 
-#[test]
-fn messages_of_one_key_in_turn() {
-    let in_order = |log: Log, at: u64, id: &str, key: &str| {
-        let ordering_key = Some(key.to_owned());
-        let submitted = What::Submitted {
-            id: id.into(),
-            class: 2,
-            destination: 7,
-            duration: ms(20_000),
-            ordering_key,
-        };
-        log.add(at, submitted).add(
-            at + 5,
-            What::Answered {
-                id: id.into(),
-                answer: Answer::Accepted,
-            },
-        )
+/// Submitted at `at` with an ordering key and accepted 5 ms later.
+fn ordered(log: Log, at: u64, id: &str, key: &str) -> Log {
+    let ordering_key = Some(key.to_owned());
+    let submitted = AuditEvent::Submitted {
+        id: id.into(),
+        class: 2,
+        destination: 7,
+        duration: ms(20_000),
+        ordering_key,
+    };
+    let answered = AuditEvent::Answered {
+        id: id.into(),
+        answer: Answer::Accepted,
     };
-    let two = || in_order(in_order(log(), 0, "a", "k"), 10, "b", "k");
+    log.add(at, submitted).add(at + 5, answered)
+}
+
+/// Two messages of one ordering key.
+fn two() -> Log {
+    ordered(ordered(log(), 0, "a", "k"), 10, "b", "k")
+}
+
+#[test]
+fn messages_of_one_ordering_key_are_delivered_in_order() {
     let first_done = || {
         two()
             .call(20, 1, &["a"])
@@ -738,15 +749,15 @@
     two()
         .call(20, 1, &["a"])
         .call(200, 2, &["b"])
-        .network_faults(Rule::Order);
-    two().call(20, 1, &["b"]).network_faults(Rule::Order);
+        .violates(Rule::Order);
+    two().call(20, 1, &["b"]).violates(Rule::Order);
     // Refused is not over; reported is.
     let refused = || {
         two()
             .call(20, 1, &["a"])
             .reply(30, 1, "a", DeliveryOutcome::Busy, None)
     };
-    refused().call(40, 1, &["b"]).network_faults(Rule::Order);
+    refused().call(40, 1, &["b"]).violates(Rule::Order);
     refused()
         .report(900, "a", RETURNED)
         .call(901, 1, &["b"])
@@ -755,22 +766,26 @@
     let cut = || {
         two()
             .call(20, 1, &["a"])
-            .add(500, What::Closed { connection: 1 })
+            .add(500, AuditEvent::Closed { connection: 1 })
     };
     let reported = || cut().report(510, "a", FinalReport::Failed);
-    reported().call(549, 2, &["b"]).network_faults(Rule::Order);
+    reported().call(549, 2, &["b"]).violates(Rule::Order);
     reported().call(550, 2, &["b"]).keeps(Rule::Order);
     reported()
         .call(540, 2, &["b"])
         .late(20)
         .is_not_judged(Rule::Order);
     cut().call(501, 2, &["a"]).keeps(Rule::Order);
-    // Another key, and the same key at another sender, are lines of their own.
-    in_order(two(), 20, "c", "other")
+}
+
+/// Another key, and the same key at another sender, are lines of their own.
+#[test]
+fn ordering_keys_are_independent_of_other_keys_and_senders() {
+    ordered(two(), 20, "c", "other")
         .call(20, 1, &["a"])
         .call(30, 2, &["c"])
         .keeps(Rule::Order);
-    let elsewhere = What::Submitted {
+    let elsewhere = AuditEvent::Submitted {
         id: "d".into(),
         class: 2,
         destination: 7,
@@ -785,7 +800,7 @@
         .from(1);
     elsewhere.keeps(Rule::Order);
     // Whether a sender has what its client gave up is not known.
-    let abandoned = two().add(15, What::Abandoned { id: "a".into() });
+    let abandoned = two().add(15, AuditEvent::Abandoned { id: "a".into() });
     abandoned.call(20, 1, &["b"]).keeps(Rule::Order);
     // Messages without a key have no order.
     let plain = log()
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -5,7 +5,7 @@
 use cranehill_simulation::directory::{Directory, List, Listed, Row, Spec, Watch};
 use cranehill_simulation::scenario::{self, Effect, ListChange, To};
 
-const DAY: &str = r#"name = "a day"
+const SCENARIO: &str = r#"name = "a day"
 senders = 2
 lasts = "4 s"
 [load]
@@ -54,72 +54,77 @@
 back = "never"
 "#;
 
+/// What stands in [`SCENARIO`], a mistake in its place, and a part of the error.
+const MISTAKES: [(&str, &str, &str); 25] = [
+    (r#"lasts = "4 s""#, r#"lasts = "4""#, "no unit"),
+    (r#"lasts = "4 s""#, r#"lasts = "2000 min""#, "60 min"),
+    ("senders = 2", "senders = 0", "1 to 250 senders"),
+    ("senders = 2", "senders = 2\nsender = 2", "unknown field"),
+    (r#"rate = "20/s""#, r#"rate = "20""#, "not a rate"),
+    (r#"rate = "20/s""#, r#"rate = "0/s""#, "some load"),
+    ("endpoints = 2", "endpoints = 65", "64 endpoints"),
+    (
+        r#"limit = "4/s burst 2""#,
+        r#"limit = "0 in 1 s""#,
+        "takes nothing",
+    ),
+    (
+        r#"limit = "4/s burst 2""#,
+        r#"limit = "4 a day""#,
+        "not a rate",
+    ),
+    (
+        r#"station = "onda""#,
+        r#"station = "otra""#,
+        "no station 'otra'",
+    ),
+    ("push = true", "push = true\nbatch = 4", "no batches"),
+    (
+        r#"kind = "fail""#,
+        r#"kind = "explode""#,
+        "'explode' is not",
+    ),
+    ("share = 0.5", "share = 1.5", "0 to 1"),
+    (
+        r#"partners = ["chica"]"#,
+        r#"partners = ["nadie"]"#,
+        "no partner 'nadie'",
+    ),
+    (
+        r#"endpoint = "grande/1""#,
+        r#"endpoint = "grande/2""#,
+        "not an endpoint",
+    ),
+    (
+        r#"endpoint = "grande/1""#,
+        r#"endpoint = "servicio/0""#,
+        "not in the directory",
+    ),
+    (r#"to = "replaced""#, r#"to = "gone""#, "'gone' is not"),
+    ("sender = 1", "sender = 2", "sender 2"),
+    (r#"send = "TERM""#, r#"send = "STOP""#, "'STOP' is not"),
+    (r#"kind = "drop""#, r#"kind = "drip""#, "'drip' is not cut"),
+    (r#"kind = "drop""#, r#"kind = "delay""#, "by how much"),
+    ("share = 0.25", "share = 2.5", "0 to 1"),
+    ("from = [0, 1]", "from = [0, 2]", "there are 2"),
+    (r#"to = "others""#, r#"to = "some""#, "'some' is not"),
+    (r#"back = "never""#, r#"back = "ever""#, "'ever' is neither"),
+];
+
 /// A mistake in a file names its line, so that a person finds it; nothing is played then.
 #[test]
 fn a_parse_error_names_its_line() {
-    assert!(scenario::parse(DAY, 1).is_ok());
-    let cases = [
-        (r#"lasts = "4 s""#, r#"lasts = "4""#, "no unit"),
-        (r#"lasts = "4 s""#, r#"lasts = "2000 min""#, "60 min"),
-        ("senders = 2", "senders = 0", "1 to 250 senders"),
-        ("senders = 2", "senders = 2\nsender = 2", "unknown field"),
-        (r#"rate = "20/s""#, r#"rate = "20""#, "not a rate"),
-        (r#"rate = "20/s""#, r#"rate = "0/s""#, "some load"),
-        ("endpoints = 2", "endpoints = 65", "64 endpoints"),
-        (
-            r#"limit = "4/s burst 2""#,
-            r#"limit = "0 in 1 s""#,
-            "takes nothing",
-        ),
-        (
-            r#"limit = "4/s burst 2""#,
-            r#"limit = "4 a day""#,
-            "not a rate",
-        ),
-        (
-            r#"station = "onda""#,
-            r#"station = "otra""#,
-            "no station 'otra'",
-        ),
-        ("push = true", "push = true\nbatch = 4", "no batches"),
-        (
-            r#"kind = "fail""#,
-            r#"kind = "explode""#,
-            "'explode' is not",
-        ),
-        ("share = 0.5", "share = 1.5", "0 to 1"),
-        (
-            r#"partners = ["chica"]"#,
-            r#"partners = ["nadie"]"#,
-            "no partner 'nadie'",
-        ),
-        (
-            r#"endpoint = "grande/1""#,
-            r#"endpoint = "grande/2""#,
-            "not an endpoint",
-        ),
-        (
-            r#"endpoint = "grande/1""#,
-            r#"endpoint = "servicio/0""#,
-            "not in the directory",
-        ),
-        (r#"to = "replaced""#, r#"to = "gone""#, "'gone' is not"),
-        ("sender = 1", "sender = 2", "sender 2"),
-        (r#"send = "TERM""#, r#"send = "STOP""#, "'STOP' is not"),
-        (r#"kind = "drop""#, r#"kind = "drip""#, "'drip' is not cut"),
-        (r#"kind = "drop""#, r#"kind = "delay""#, "by how much"),
-        ("share = 0.25", "share = 2.5", "0 to 1"),
-        ("from = [0, 1]", "from = [0, 2]", "there are 2"),
-        (r#"to = "others""#, r#"to = "some""#, "'some' is not"),
-        (r#"back = "never""#, r#"back = "ever""#, "'ever' is neither"),
-    ];
-    for (good, bad, why) in cases {
-        assert!(DAY.contains(good), "{good}");
-        let text = DAY.replacen(good, bad, 1);
+    assert!(scenario::parse(SCENARIO, 1).is_ok());
+    for (good, bad, why) in MISTAKES {
+        assert!(SCENARIO.contains(good), "{good}");
+        let text = SCENARIO.replacen(good, bad, 1);
         let error = scenario::parse(&text, 1).expect_err(bad);
-        assert!(error.why.contains(why), "{bad}: {error}");
+        assert!(error.problem.to_string().contains(why), "{bad}: {error}");
         // The mistake is on the line that was changed, or, with a line more, on one of the two.
-        let at = DAY[..DAY.find(good).expect("there")].matches('\n').count() + 1;
+        let at = SCENARIO[..SCENARIO.find(good).expect("there")]
+            .matches('\n')
+            .count()
+            + 1;
         assert!(
             (at..=at + bad.matches('\n').count()).contains(&error.line),
             "{bad}: {error}"
@@ -130,11 +135,12 @@
 /// Two destinations of one name would share what is judged of each.
 #[test]
 fn destination_names_are_unique() {
-    let twice = DAY.replacen(r#"name = "servicio""#, r#"name = "grande""#, 1);
+    let twice = SCENARIO.replacen(r#"name = "servicio""#, r#"name = "grande""#, 1);
     assert!(
         scenario::parse(&twice, 1)
             .expect_err("twice")
-            .why
+            .problem
+            .to_string()
             .contains("two partners 'grande'")
     );
     assert!(scenario::parse("name = \"x\"\npartner = []\n[load]\nrate = \"1/s\"\n", 1).is_err());
@@ -144,9 +150,9 @@
 }
 
 #[test]
-fn a_day_is_drawn_by_its_seed_alone() {
-    assert_eq!(scenario::parse(DAY, 7), scenario::parse(DAY, 7));
-    let half = DAY
+fn a_scenario_is_determined_by_its_seed() {
+    assert_eq!(scenario::parse(SCENARIO, 7), scenario::parse(SCENARIO, 7));
+    let half = SCENARIO
         .replace("share = 0.5\n", "part = 0.5\n")
         .replace("count = 3", "count = 30");
     let affected = |seed| {
@@ -163,8 +169,8 @@
 
 /// What the second front makes of posts is judged by classes of their own, which the platform never hears of.
 #[test]
-fn posts_have_classes_of_their_own() {
-    let scenario = scenario::parse(DAY, 1).expect("good");
+fn push_classes_are_added_for_posts() {
+    let scenario = scenario::parse(SCENARIO, 1).expect("good");
     let first = scenario.load.push.expect("a push service");
     assert_eq!(
         (first, scenario.classes.len(), scenario.load.classes.len()),
@@ -182,7 +188,7 @@
         to: To::Replaced,
     };
     assert_eq!(scenario.changes, vec![replaced]);
-    let without = DAY.replace("push = true\n", "");
+    let without = SCENARIO.replace("push = true\n", "");
     assert_eq!(scenario::parse(&without, 1).expect("good").load.push, None);
 }
 
@@ -209,7 +215,7 @@
 
 /// Each sender knows what the delay lets it know, whether it asks for changes or for the whole list.
 #[test]
-fn senders_hear_of_changes_late_and_of_none_too_soon() {
+fn senders_learn_of_changes_after_their_delay() {
     let spec = Spec {
         delays: vec![ms(0), ms(500)],
         outages: vec![(ms(5000), ms(6000))],
