--- a/crates/cranehill/src/capacity.rs
+++ b/crates/cranehill/src/capacity.rs
@@ -1,29 +1,92 @@
 //! `cranehill capacity`: the sweeps of the capacity proof against the figures that the page states.
 
+use std::error::Error;
+use std::io;
 use std::path::{Path, PathBuf};
 
-use cranehill_capacity::compare::{Verdict, compare};
-use cranehill_capacity::page::{self, Run, Stated};
-use cranehill_capacity::sizes::Sizes;
+use cranehill_capacity::compare::{Verdict as FigureVerdict, compare};
+use cranehill_capacity::page::{self, PageError, Run, Stated};
+use cranehill_capacity::plot::PlotError;
+use cranehill_capacity::sizes::{Sizes, SizesError};
 use cranehill_capacity::{Figure, Sweep, derived, plot, table};
-use cranehill_fleet_harness::sweep;
-use serde_json::json;
+use cranehill_fleet_harness::sweep::{self, SweepArgs, SweepError};
+use serde_json::{Value, json};
+
+use crate::input::{InputError, current_program};
+use crate::verdict::Verdict;
 
 /// The page as it was when this program was built.
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 const PAGE_NAME: &str = "docs/CAPACITY.md";
 
-/// What the command line asks for.
-#[derive(Clone, Debug)]
+/// The arguments of `capacity`.
+#[derive(Clone, Debug, clap::Args)]
 pub struct CapacityArgs {
-    pub quick: bool,
-    pub json: bool,
-    pub out: Option<PathBuf>,
-    pub sweeps: Vec<String>,
-    pub sizes: Option<PathBuf>,
-    pub page: Option<PathBuf>,
-    pub update: Option<PathBuf>,
-    pub seed: u64,
+    /// Small sizes; counts and bytes alone are judged, never times.
+    #[arg(long)]
+    quick: bool,
+    /// Print JSON in place of the table.
+    #[arg(long)]
+    json: bool,
+    /// Write the page's rows, the figures as JSON and a plot of each sweep there.
+    #[arg(long, value_name = "DIR")]
+    out: Option<PathBuf>,
+    /// Play this sweep alone: destinations, backlog, members, events or changes. May be given again.
+    #[arg(long, value_name = "NAME")]
+    sweep: Vec<String>,
+    /// A file of sizes in place of the usual ones, as `destinations = [10, 100, 1000]`.
+    #[arg(long, value_name = "FILE")]
+    sizes: Option<PathBuf>,
+    /// Hold the figures against this copy of docs/CAPACITY.md in place of the one that this program was built with.
+    #[arg(long, value_name = "FILE")]
+    page: Option<PathBuf>,
+    /// Bring the figures in this copy of docs/CAPACITY.md up to date.
+    #[arg(long, value_name = "FILE")]
+    update: Option<PathBuf>,
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+}
+
+/// The sweeps can't be played, or a file of theirs can't be read or written.
+#[derive(Debug, thiserror::Error)]
+pub enum CapacityError {
+    /// This program's path is unknown.
+    #[error(transparent)]
+    Input(#[from] InputError),
+    /// There is no sweep of this name.
+    #[error("--sweep: no sweep '{name}'; there are {}", sweep_names().join(", "))]
+    UnknownSweep {
+        /// The name.
+        name: String,
+    },
+    /// A sweep that is asked for has no sizes.
+    #[error("--sweep: {0}")]
+    NoSizes(#[source] SizesError),
+    /// The page that this program was built with is wrong.
+    #[error("{PAGE_NAME}: {0}")]
+    BuiltInPage(#[source] PageError),
+    /// A file named by an option can't be read or written, or its text is wrong.
+    #[error("{option}: {path}: {source}")]
+    File {
+        /// The option.
+        option: &'static str,
+        /// The file.
+        path: PathBuf,
+        /// The cause, with its line if there is one.
+        source: Box<dyn Error + Send + Sync>,
+    },
+    /// A sweep can't be played.
+    #[error(transparent)]
+    Sweep(#[from] SweepError),
+}
+
+/// The files that `--out` names can't be written.
+#[derive(Debug, thiserror::Error)]
+enum WriteError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Plot(#[from] PlotError),
 }
 
 impl CapacityArgs {
@@ -32,83 +95,92 @@
     }
 
     /// The sweeps that are asked for; without any, all that this run has sizes for.
-    fn sweeps(&self, usual: &Sizes) -> Result<Vec<Sweep>, String> {
-        if self.sweeps.is_empty() {
+    fn sweeps(&self, usual: &Sizes) -> Result<Vec<Sweep>, CapacityError> {
+        if self.sweep.is_empty() {
             return Ok(Sweep::ALL
                 .into_iter()
-                .filter(|s| !usual.of(*s).is_empty())
+                .filter(|sweep| !usual.of(*sweep).is_empty())
                 .collect());
         }
         let named = |name: &String| {
-            let names: Vec<&str> = Sweep::ALL.iter().map(|s| s.name()).collect();
-            Sweep::named(name).ok_or_else(|| {
-                format!("--sweep: no sweep '{name}'; there are {}", names.join(", "))
-            })
+            Sweep::named(name).ok_or_else(|| CapacityError::UnknownSweep { name: name.clone() })
         };
-        self.sweeps.iter().map(named).collect()
+        self.sweep.iter().map(named).collect()
+    }
+}
+
+fn sweep_names() -> Vec<&'static str> {
+    Sweep::ALL.iter().map(|sweep| sweep.name()).collect()
+}
+
+/// Converts the error on a file that an option names.
+fn option_file<E: Into<Box<dyn Error + Send + Sync>>>(
+    option: &'static str,
+    path: &Path,
+) -> impl Fn(E) -> CapacityError {
+    move |source| CapacityError::File {
+        option,
+        path: path.to_owned(),
+        source: source.into(),
     }
 }
 
-/// Plays the sweeps and prints what they come to; false if a stated figure is missed.
-pub fn run(order: &CapacityArgs) -> Result<bool, String> {
-    let stated = stated(order)?;
-    let usual = if order.quick {
+/// Plays the sweeps and prints their figures; `Failed` if a stated figure is missed.
+pub fn run(args: &CapacityArgs) -> Result<Verdict, CapacityError> {
+    let stated = stated(args)?;
+    let usual = if args.quick {
         Sizes::quick()
     } else {
         Sizes::full()
     };
-    let sweeps = order.sweeps(&usual)?;
-    let sizes = sizes(order.sizes.as_deref(), usual, &sweeps)?;
-    let program = std::env::current_exe().map_err(|e| format!("this program's own file: {e}"))?;
-    let played = sweep::SweepArgs {
-        program,
+    let sweeps = args.sweeps(&usual)?;
+    let sizes = sizes(args.sizes.as_deref(), usual, &sweeps)?;
+    let sweep_args = SweepArgs {
+        program: current_program()?,
         sizes,
         sweeps,
-        quick: order.quick,
-        seed: order.seed,
+        quick: args.quick,
+        seed: args.seed,
     };
-    let figures =
-        sweep::play(&played, |what| eprintln!("capacity: {what}")).map_err(|e| e.to_string())?;
-    // Other sizes than those of the built-in page are a trial: they are not what it states.
-    let trial = order.sizes.is_some() && order.page.is_none();
-    let verdicts = if trial {
-        Vec::new()
+    let figures = sweep::play(&sweep_args, |what| eprintln!("capacity: {what}"))?;
+    // The built-in page states figures for the usual sizes only.
+    let comparable = args.sizes.is_none() || args.page.is_some();
+    let verdicts = if comparable {
+        compare(args.run(), &figures, &stated)
     } else {
-        compare(order.run(), &figures, &stated)
+        Vec::new()
     };
-    if let Some(dir) = &order.out {
-        write(dir, &figures, &verdicts).map_err(|e| format!("--out: {}: {e}", dir.display()))?;
+    if let Some(dir) = &args.out {
+        write(dir, &figures, &verdicts).map_err(option_file("--out", dir))?;
     }
-    if let Some(file) = &order.update {
-        update(file, order.run(), &figures)
-            .map_err(|e| format!("--update: {}: {e}", file.display()))?;
+    if let Some(file) = &args.update {
+        update(file, args.run(), &figures)?;
     }
-    print(order, &figures, &stated, &verdicts);
-    Ok(!verdicts.iter().any(Verdict::fails))
+    print(args, &figures, &stated, &verdicts);
+    let missed = verdicts.iter().any(FigureVerdict::fails);
+    Ok(Verdict::passed_if(!missed))
 }
 
-fn stated(order: &CapacityArgs) -> Result<Vec<Stated>, String> {
-    let Some(path) = &order.page else {
-        return page::stated(PAGE, order.run()).map_err(|e| format!("{PAGE_NAME}: {e}"));
+fn stated(args: &CapacityArgs) -> Result<Vec<Stated>, CapacityError> {
+    let Some(path) = &args.page else {
+        return page::stated(PAGE, args.run()).map_err(CapacityError::BuiltInPage);
     };
-    let text =
-        std::fs::read_to_string(path).map_err(|e| format!("--page: {}: {e}", path.display()))?;
-    page::stated(&text, order.run()).map_err(|e| format!("--page: {}: {e}", path.display()))
+    let text = std::fs::read_to_string(path).map_err(option_file("--page", path))?;
+    page::stated(&text, args.run()).map_err(option_file("--page", path))
 }
 
-fn sizes(file: Option<&Path>, usual: Sizes, sweeps: &[Sweep]) -> Result<Sizes, String> {
+fn sizes(file: Option<&Path>, usual: Sizes, sweeps: &[Sweep]) -> Result<Sizes, CapacityError> {
     let Some(path) = file else {
-        return usual.read("", sweeps).map_err(|e| format!("--sweep: {e}"));
+        return usual.read("", sweeps).map_err(CapacityError::NoSizes);
     };
-    let text =
-        std::fs::read_to_string(path).map_err(|e| format!("--sizes: {}: {e}", path.display()))?;
+    let text = std::fs::read_to_string(path).map_err(option_file("--sizes", path))?;
     usual
         .read(&text, sweeps)
-        .map_err(|e| format!("--sizes: {}: {e}", path.display()))
+        .map_err(option_file("--sizes", path))
 }
 
-fn print(order: &CapacityArgs, figures: &[Figure], stated: &[Stated], verdicts: &[Verdict]) {
-    if order.json {
+fn print(args: &CapacityArgs, figures: &[Figure], stated: &[Stated], verdicts: &[FigureVerdict]) {
+    if args.json {
         println!("{:#}", as_json(figures, verdicts));
         return;
     }
@@ -130,37 +202,35 @@
     );
 }
 
-fn as_json(figures: &[Figure], verdicts: &[Verdict]) -> serde_json::Value {
+fn as_json(figures: &[Figure], verdicts: &[FigureVerdict]) -> Value {
     let rows: Vec<table::Row<'_>> = figures.iter().map(table::Row::of).collect();
-    let verdicts: Vec<String> = verdicts.iter().map(Verdict::to_string).collect();
+    let verdicts: Vec<String> = verdicts.iter().map(FigureVerdict::to_string).collect();
     json!({"figures": rows, "derived": derived::of_run(figures), "verdicts": verdicts})
 }
 
-fn write(dir: &Path, figures: &[Figure], verdicts: &[Verdict]) -> std::io::Result<()> {
+fn write(dir: &Path, figures: &[Figure], verdicts: &[FigureVerdict]) -> Result<(), WriteError> {
     std::fs::create_dir_all(dir)?;
     let rows: Vec<String> = figures.iter().map(table::row).collect();
     let derived = derived::of_run(figures).join("\n");
     let text = format!("{}\n{}\n\n{derived}\n", table::head(), rows.join("\n"));
     std::fs::write(dir.join("figures.md"), text)?;
-    std::fs::write(
-        dir.join("figures.json"),
-        format!("{:#}\n", as_json(figures, verdicts)),
-    )?;
+    let json = format!("{:#}\n", as_json(figures, verdicts));
+    std::fs::write(dir.join("figures.json"), json)?;
     for sweep in Sweep::ALL {
         let drawn: Vec<&Figure> = figures
             .iter()
             .filter(|f| f.quantity.sweep == sweep)
             .collect();
         if !drawn.is_empty() {
-            let svg = plot::svg(&drawn).map_err(|e| std::io::Error::other(e.to_string()))?;
-            std::fs::write(dir.join(format!("{}.svg", sweep.name())), svg)?;
+            let file = dir.join(format!("{}.svg", sweep.name()));
+            std::fs::write(file, plot::svg(&drawn)?)?;
         }
     }
     Ok(())
 }
 
-fn update(file: &Path, run: Run, figures: &[Figure]) -> Result<(), String> {
-    let before = std::fs::read_to_string(file).map_err(|e| e.to_string())?;
-    let after = page::updated(&before, run, figures).map_err(|e| e.to_string())?;
-    std::fs::write(file, after).map_err(|e| e.to_string())
+fn update(file: &Path, run: Run, figures: &[Figure]) -> Result<(), CapacityError> {
+    let before = std::fs::read_to_string(file).map_err(option_file("--update", file))?;
+    let after = page::updated(&before, run, figures).map_err(option_file("--update", file))?;
+    std::fs::write(file, after).map_err(option_file("--update", file))
 }
--- /dev/null
+++ b/crates/cranehill/src/configuration.rs
@@ -0,0 +1,75 @@
+//! The sender's files: the configuration that `NODE_CONFIG` names, the Web Push file and the fleet's file.
+//!
+//! The daemon's errors on these files are converted here and nowhere else.
+
+use std::error::Error;
+use std::path::{Path, PathBuf};
+
+use cranehill_daemon::config::{self, Config};
+use cranehill_daemon::fleet::{self, Fleet};
+use cranehill_daemon::webpush;
+
+use crate::input::{InputError, read_key, read_text, variable};
+
+/// An error of the daemon. Its text names the place.
+pub type DaemonError = Box<dyn Error + Send + Sync>;
+
+/// One of the sender's files can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigurationError {
+    /// A file can't be read.
+    #[error(transparent)]
+    Input(#[from] InputError),
+    /// The configuration or one of the `NODE_` variables is wrong.
+    #[error("{0}")]
+    Configuration(#[source] DaemonError),
+    /// The Web Push file or the fleet's file is wrong.
+    #[error("{path}: {source}")]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// The cause, with its line or key.
+        source: DaemonError,
+    },
+    /// A fleet's file is given without a configuration.
+    #[error("{path}: a fleet is of senders with a configuration; NODE_CONFIG is not set")]
+    FleetWithoutConfiguration {
+        /// The fleet's file.
+        path: PathBuf,
+    },
+}
+
+/// Reads the configuration; `None` if `NODE_CONFIG` is not set.
+pub fn load() -> Result<Option<Config>, ConfigurationError> {
+    if variable("NODE_CONFIG").is_none() {
+        return Ok(None);
+    }
+    let config = config::load(variable).map_err(|e| ConfigurationError::Configuration(e.into()))?;
+    Ok(Some(config))
+}
+
+/// Reads a Web Push file.
+pub fn load_webpush(path: &Path) -> Result<webpush::File, ConfigurationError> {
+    let text = read_text(path)?;
+    webpush::parse_file(&text).map_err(|e| in_file(path, e.into()))
+}
+
+/// Reads the fleet's file, and the key that it names, for the sender of `config`.
+pub fn load_fleet(path: &Path, config: Option<&Config>) -> Result<Fleet, ConfigurationError> {
+    let config = config.ok_or_else(|| ConfigurationError::FleetWithoutConfiguration {
+        path: path.to_owned(),
+    })?;
+    let text = read_text(path)?;
+    let file = fleet::parse(&text).map_err(|e| in_file(path, e.into()))?;
+    let folder = path.parent().unwrap_or(Path::new(""));
+    let key = read_key(&folder.join(&file.key))?;
+    file.fleet(key, &config.name, &config.platform_settings.settings)
+        .map_err(|e| in_file(path, e.into()))
+}
+
+fn in_file(path: &Path, source: DaemonError) -> ConfigurationError {
+    ConfigurationError::File {
+        path: path.to_owned(),
+        source,
+    }
+}
--- a/crates/cranehill/src/journal.rs
+++ b/crates/cranehill/src/journal.rs
@@ -1,19 +1,35 @@
-//! `cranehill journal`: looks into a journal's folder, at rest or live, and never changes it.
+//! `cranehill journal`: reads a journal's folder, at rest or live, and never changes it.
 
+use std::error::Error;
 use std::fs::File;
-use std::io::{BufWriter, Write};
+use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
 
 use clap::{Subcommand, ValueEnum};
 use cranehill_journal::Key;
-use cranehill_journal_tools::{Snapshot, export, rows, stats, verify};
-use indicatif::{ProgressBar, ProgressStyle};
+use cranehill_journal_tools::{Row, Snapshot, ToolError, export, rows, stats, verify};
 
-/// Below so many bytes no bar is shown: it would be gone before it is seen.
-const LONG: u64 = 8 * 1024 * 1024;
+use crate::input::{InputError, read_key};
+use crate::progress::counting_bar;
+use crate::verdict::Verdict;
+
+/// Bytes of a journal up to which reading it shows no progress.
+const MAX_BYTES_WITHOUT_BAR: u64 = 8 * 1024 * 1024;
+/// Rows up to which writing a table shows no progress.
+const MAX_ROWS_WITHOUT_BAR: u64 = 100_000;
+
+/// The arguments of `journal`.
+#[derive(Clone, Debug, clap::Args)]
+pub struct JournalArgs {
+    #[command(subcommand)]
+    action: Action,
+    /// The operator's key, if the journal is signed under one: a file with 64 hexadecimal digits.
+    #[arg(long, global = true, value_name = "FILE")]
+    journal_key: Option<PathBuf>,
+}
 
 #[derive(Clone, Debug, Subcommand)]
-pub enum Action {
+enum Action {
     /// Read every byte; name damage by segment and offset. Exit code 1 if there is any.
     Verify {
         #[arg(value_name = "DIR")]
@@ -36,8 +52,8 @@
     Export {
         #[arg(value_name = "DIR")]
         dir: PathBuf,
-        #[arg(long, value_enum, default_value_t = Form::Jsonl)]
-        format: Form,
+        #[arg(long, value_enum, default_value_t = ExportFormat::Jsonl)]
+        format: ExportFormat,
         /// Where to; standard output if not given (JSON lines only).
         #[arg(long, value_name = "FILE")]
         out: Option<PathBuf>,
@@ -45,101 +61,128 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Form {
+enum ExportFormat {
     Jsonl,
     Parquet,
 }
 
-/// Carries an action out; false if the folder is damaged.
-pub fn run(action: &Action, key: Option<Key>) -> Result<bool, String> {
-    match action {
+/// A folder can't be read, or the output can't be written.
+#[derive(Debug, thiserror::Error)]
+pub enum JournalError {
+    /// The key can't be read.
+    #[error(transparent)]
+    Input(#[from] InputError),
+    /// The folder can't be read.
+    #[error(transparent)]
+    Tool(#[from] ToolError),
+    /// Standard output can't be written.
+    #[error(transparent)]
+    Output(io::Error),
+    /// A Parquet table does not go to standard output.
+    #[error("a Parquet table needs --out FILE")]
+    NoOutputFile,
+    /// The exported file can't be written.
+    #[error("{path}: {source}")]
+    Write {
+        /// The file.
+        path: PathBuf,
+        /// The cause.
+        source: io::Error,
+    },
+    /// The exported table can't be written.
+    #[error("{path}: {source}")]
+    Parquet {
+        /// The file.
+        path: PathBuf,
+        /// The cause.
+        source: Box<dyn Error + Send + Sync>,
+    },
+}
+
+/// Carries an action out; `Failed` if `verify` finds damage.
+pub fn run(args: &JournalArgs) -> Result<Verdict, JournalError> {
+    let key = args.journal_key.as_deref().map(read_key).transpose()?;
+    match &args.action {
         Action::Verify { dir } => {
-            let verdict = verify(&take(dir, key)?).map_err(|e| e.to_string())?;
-            print(&verdict.lines())?;
-            Ok(verdict.sound())
-        }
-        Action::Stats { dir } => {
-            print(&stats(&take(dir, key)?).map_err(|e| e.to_string())?.lines())?;
-            Ok(true)
+            let report = verify(&Snapshot::take(dir, key)?)?;
+            print_lines(&report.lines())?;
+            return Ok(Verdict::passed_if(report.sound()));
         }
+        Action::Stats { dir } => print_lines(&stats(&Snapshot::take(dir, key)?)?.lines())?,
         Action::Dump { dir, id } => {
-            let found = read(dir, key)?;
-            let wanted = found.iter().filter(|r| id.is_none() || r.id == *id);
-            print(&wanted.map(|r| r.line()).collect::<Vec<_>>())?;
-            Ok(true)
+            let rows = read_rows(dir, key)?;
+            let wanted = rows.iter().filter(|row| id.is_none() || row.id == *id);
+            print_lines(&wanted.map(Row::line).collect::<Vec<_>>())?;
         }
         Action::Export { dir, format, out } => {
-            let found = read(dir, key)?;
-            match (format, out) {
-                (Form::Jsonl, None) => {
-                    export::json_lines(&found, &mut BufWriter::new(std::io::stdout().lock()))
-                        .or_else(quietly)?;
-                }
-                (Form::Parquet, None) => return Err("a Parquet table needs --out FILE".into()),
-                (form, Some(path)) => {
-                    let named = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
-                    let file = File::create(path).map_err(|e| named(&e))?;
-                    let mut file = BufWriter::new(file);
-                    match form {
-                        Form::Jsonl => {
-                            export::json_lines(&found, &mut file).map_err(|e| named(&e))?
-                        }
-                        Form::Parquet => {
-                            let bar = bar(found.len() as u64, found.len() as u64 > 100_000, "rows");
-                            export::parquet(&found, &mut file, |done| bar.set_position(done))
-                                .map_err(|e| named(&e))?;
-                            bar.finish_and_clear();
-                        }
-                    }
-                    file.flush().map_err(|e| named(&e))?;
-                }
-            }
-            Ok(true)
+            let rows = read_rows(dir, key)?;
+            export_rows(&rows, *format, out.as_deref())?;
         }
     }
+    Ok(Verdict::Passed)
 }
 
-fn take(dir: &Path, key: Option<Key>) -> Result<Snapshot, String> {
-    Snapshot::take(dir, key).map_err(|e| e.to_string())
+fn export_rows(rows: &[Row], format: ExportFormat, out: Option<&Path>) -> Result<(), JournalError> {
+    match (format, out) {
+        (ExportFormat::Jsonl, None) => {
+            let mut output = BufWriter::new(io::stdout().lock());
+            ignore_broken_pipe(export::json_lines(rows, &mut output))
+        }
+        (ExportFormat::Parquet, None) => Err(JournalError::NoOutputFile),
+        (ExportFormat::Jsonl, Some(path)) => {
+            let write = || {
+                let mut file = BufWriter::new(File::create(path)?);
+                export::json_lines(rows, &mut file)?;
+                file.flush()
+            };
+            write().map_err(|source| write_error(path, source))
+        }
+        (ExportFormat::Parquet, Some(path)) => export_parquet(rows, path),
+    }
 }
 
-fn read(dir: &Path, key: Option<Key>) -> Result<Vec<cranehill_journal_tools::Row>, String> {
-    let snapshot = take(dir, key)?;
-    let size: u64 = snapshot.files.files.values().map(|f| f.len() as u64).sum();
-    let bar = bar(size, size > LONG, "bytes");
-    let found = rows(&snapshot, |done, _| bar.set_position(done)).map_err(|e| e.to_string())?;
+fn export_parquet(rows: &[Row], path: &Path) -> Result<(), JournalError> {
+    let file = File::create(path).map_err(|source| write_error(path, source))?;
+    let mut file = BufWriter::new(file);
+    let bar = counting_bar(rows.len() as u64, MAX_ROWS_WITHOUT_BAR, "rows");
+    let written = export::parquet(rows, &mut file, |done| bar.set_position(done));
+    written.map_err(|e| JournalError::Parquet {
+        path: path.to_owned(),
+        source: e.into(),
+    })?;
     bar.finish_and_clear();
-    Ok(found)
+    file.flush().map_err(|source| write_error(path, source))
 }
 
-/// A bar on standard error; none if that is no terminal, or the work is short.
-fn bar(total: u64, long: bool, unit: &str) -> ProgressBar {
-    if !long {
-        return ProgressBar::hidden();
-    }
-    let bar = ProgressBar::new(total);
-    let template =
-        format!("{{elapsed_precise}} {{wide_bar}} {{human_pos}}/{{human_len}} {unit} {{eta}}");
-    if let Ok(style) = ProgressStyle::with_template(&template) {
-        bar.set_style(style);
+fn write_error(path: &Path, source: io::Error) -> JournalError {
+    JournalError::Write {
+        path: path.to_owned(),
+        source,
     }
-    bar
 }
 
-fn print(lines: &[String]) -> Result<(), String> {
-    let mut out = BufWriter::new(std::io::stdout().lock());
-    lines
+fn read_rows(dir: &Path, key: Option<Key>) -> Result<Vec<Row>, JournalError> {
+    let snapshot = Snapshot::take(dir, key)?;
+    let size = snapshot.files.files.values().map(|f| f.len() as u64).sum();
+    let bar = counting_bar(size, MAX_BYTES_WITHOUT_BAR, "bytes");
+    let rows = rows(&snapshot, |done, _| bar.set_position(done))?;
+    bar.finish_and_clear();
+    Ok(rows)
+}
+
+fn print_lines(lines: &[String]) -> Result<(), JournalError> {
+    let mut output = BufWriter::new(io::stdout().lock());
+    let written = lines
         .iter()
-        .try_for_each(|l| writeln!(out, "{l}"))
-        .and_then(|()| out.flush())
-        .or_else(quietly)
+        .try_for_each(|line| writeln!(output, "{line}"))
+        .and_then(|()| output.flush());
+    ignore_broken_pipe(written)
 }
 
-/// Whoever reads our output may stop early, as `head` does.
-fn quietly(e: std::io::Error) -> Result<(), String> {
-    if e.kind() == std::io::ErrorKind::BrokenPipe {
-        Ok(())
-    } else {
-        Err(e.to_string())
+/// Whoever reads the output may stop early, as `head` does.
+fn ignore_broken_pipe(written: io::Result<()>) -> Result<(), JournalError> {
+    match written {
+        Err(e) if e.kind() != io::ErrorKind::BrokenPipe => Err(JournalError::Output(e)),
+        _ => Ok(()),
     }
 }
--- a/crates/cranehill/src/logging.rs
+++ b/crates/cranehill/src/logging.rs
@@ -7,6 +7,7 @@
 use log::kv::{Error, Key, Value, VisitSource, VisitValue};
 use serde_json::{Map, Value as Json};
 
+/// The form of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Format {
     /// Time, level, place and message.
@@ -36,10 +37,10 @@
 
 /// Key-values come first: the line's own fields win over any of the same name.
 fn object(ts: &str, record: &Record<'_>) -> Json {
-    let mut fields = Fields(Map::new());
-    // Our visitor never fails.
+    let mut fields = FieldCollector(Map::new());
+    // `FieldCollector` returns no error.
     let _ = record.key_values().visit(&mut fields);
-    let Fields(mut map) = fields;
+    let FieldCollector(mut map) = fields;
     map.insert("ts".into(), ts.into());
     map.insert("level".into(), record.level().as_str().into());
     map.insert("target".into(), record.target().into());
@@ -47,20 +48,22 @@
     Json::Object(map)
 }
 
-struct Fields(Map<String, Json>);
+/// Collects key-values as the fields of a JSON object.
+struct FieldCollector(Map<String, Json>);
 
-impl<'kvs> VisitSource<'kvs> for Fields {
+impl<'kvs> VisitSource<'kvs> for FieldCollector {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        let mut found = Found(Json::Null);
-        value.visit(&mut found)?;
-        self.0.insert(key.to_string(), found.0);
+        let mut converter = ValueConverter(Json::Null);
+        value.visit(&mut converter)?;
+        self.0.insert(key.to_string(), converter.0);
         Ok(())
     }
 }
 
-struct Found(Json);
+/// Converts one value; what is neither a number nor a truth value becomes text.
+struct ValueConverter(Json);
 
-impl<'v> VisitValue<'v> for Found {
+impl<'v> VisitValue<'v> for ValueConverter {
     fn visit_any(&mut self, value: Value<'_>) -> Result<(), Error> {
         self.0 = value.to_string().into();
         Ok(())
@@ -84,34 +87,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A client chooses ids: one in a log line must not break the line or pass for a field.
-    #[test]
-    fn a_line_is_one_object_whatever_its_values_hold() {
-        let id = "a\"\n,\"level\":\"x";
-        let values = [
-            ("id", Value::from(id)),
-            ("offset", Value::from(72u64)),
-            ("level", Value::from("forged")),
-        ];
-        let record = Record::builder()
-            .level(log::Level::Warn)
-            .target("journal")
-            .args(format_args!("gone"))
-            .key_values(&values)
-            .build();
-        let line = object("2026-12-01T00:00:00.000Z", &record).to_string();
-        assert_eq!(line.lines().count(), 1);
-        let read: Json = serde_json::from_str(&line).expect("an object");
-        assert_eq!(
-            (read["id"].as_str(), read["offset"].as_u64()),
-            (Some(id), Some(72))
-        );
-        assert_eq!(
-            (read["level"].as_str(), read["msg"].as_str()),
-            (Some("WARN"), Some("gone"))
-        );
-    }
-}
+mod tests;
--- a/crates/cranehill/src/main.rs
+++ b/crates/cranehill/src/main.rs
@@ -1,5 +1,7 @@
-#![forbid(unsafe_code)]
+//! The program `cranehill`; its parts are in the library of the same name.
 
-fn main() -> std::process::ExitCode {
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
     cranehill::cli::main()
 }
--- /dev/null
+++ b/crates/cranehill/src/rehearse/queue.rs
@@ -0,0 +1,111 @@
+//! Plays plans, several at once if asked for, and reports their outcomes in order.
+
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::mpsc::{Sender, channel};
+use std::thread;
+
+use cranehill_scenario_runner::{Outcome, Plan, RunError, play, report};
+use indicatif::ProgressBar;
+
+use super::error::RehearseError;
+use crate::progress::named_bar;
+
+type Played = (usize, Result<Outcome, RunError>);
+
+/// Plays `jobs` plans at once; `on_outcome` is called with each outcome, in the order of the plans.
+///
+/// After an error, plans that have begun are played to their end and no further ones begin.
+pub(super) fn play_all(
+    plans: &[Plan],
+    jobs: usize,
+    mut on_outcome: impl FnMut(usize, Outcome) -> Result<(), RehearseError>,
+) -> Result<(), RehearseError> {
+    let jobs = jobs.clamp(1, plans.len().max(1));
+    let is_single = jobs == 1;
+    let queue = PlanQueue {
+        plans,
+        next: AtomicUsize::new(0),
+        is_single,
+        bar: named_bar(if is_single { "" } else { "days" }),
+    };
+    queue.bar.set_length(plans.len() as u64);
+    let (outcome_sender, outcomes) = channel();
+    thread::scope(|scope| {
+        for _ in 0..jobs {
+            let (queue, outcome_sender) = (&queue, outcome_sender.clone());
+            scope.spawn(move || queue.play_until_empty(&outcome_sender));
+        }
+        // The receiver ends with the last worker.
+        drop(outcome_sender);
+        let mut waiting = BTreeMap::new();
+        let mut next_in_order = 0;
+        let mut result = Ok(());
+        for (index, played) in outcomes {
+            waiting.insert(index, played);
+            while let Some(played) = waiting.remove(&next_in_order) {
+                let handled = match played {
+                    Ok(outcome) => queue.bar.suspend(|| on_outcome(next_in_order, outcome)),
+                    Err(e) => Err(e.into()),
+                };
+                next_in_order += 1;
+                if handled.is_err() {
+                    queue.stop();
+                    result = result.and(handled);
+                }
+            }
+        }
+        queue.bar.finish_and_clear();
+        result
+    })
+}
+
+/// The plans that workers take from, one after the other.
+struct PlanQueue<'plans> {
+    plans: &'plans [Plan],
+    next: AtomicUsize,
+    /// One plan at a time: the bar shows how far it is. Of several it shows how many are done.
+    is_single: bool,
+    bar: ProgressBar,
+}
+
+impl PlanQueue<'_> {
+    fn stop(&self) {
+        self.next.store(self.plans.len(), Ordering::Relaxed);
+    }
+
+    fn play_until_empty(&self, outcomes: &Sender<Played>) {
+        loop {
+            let index = self.next.fetch_add(1, Ordering::Relaxed);
+            let Some(plan) = self.plans.get(index) else {
+                return;
+            };
+            if outcomes.send((index, self.play(plan))).is_err() {
+                return;
+            }
+        }
+    }
+
+    fn play(&self, plan: &Plan) -> Result<Outcome, RunError> {
+        if self.is_single {
+            self.bar.set_message(plan.scenario.name.clone());
+        }
+        let played = play(plan, |now, end| {
+            if self.is_single {
+                self.bar.set_length(end.as_millis() as u64);
+                self.bar.set_position(now.as_millis() as u64);
+            }
+        });
+        if !self.is_single {
+            self.bar.inc(1);
+        }
+        played
+    }
+}
+
+/// Prints the table of an outcome.
+pub(super) fn print_table(plan: &Plan, outcome: &Outcome) {
+    report::table(&plan.scenario.name, plan.seed, outcome)
+        .iter()
+        .for_each(|line| println!("{line}"));
+}
--- /dev/null
+++ b/crates/cranehill/src/serve.rs
@@ -0,0 +1,182 @@
+//! `cranehill serve`: one sender.
+
+use std::io;
+use std::path::PathBuf;
+
+use cranehill_core::mutation::{self, Mutation};
+use cranehill_daemon::config::{self, Config};
+use cranehill_daemon::reactor::{self, ControlCommand, Reactor, ReactorOptions, State};
+use cranehill_daemon::webpush;
+use cranehill_journal::Key;
+use mio::Interest;
+use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
+use signal_hook_mio::v1_0::Signals;
+
+use crate::configuration::{self, ConfigurationError, DaemonError};
+use crate::input::{InputError, read_key, variable};
+
+/// Names the rule that a build with the feature `mutations` breaks.
+const MUTATION_VARIABLE: &str = "CRANEHILL_BREAK";
+/// No sender opens more sockets, whatever the platform allows.
+const MAX_SOCKETS: usize = 1024;
+/// Bytes of memory for a sender of Web Push alone, which no platform limits.
+const PUSH_ONLY_MEMORY: usize = 192_000_000;
+const BYTES_PER_MEGABYTE: f64 = 1e6;
+
+/// The arguments of `serve`.
+#[derive(Clone, Debug, clap::Args)]
+pub struct ServeArgs {
+    /// Also speak Web Push, as this file says. Without NODE_CONFIG, that front alone.
+    #[arg(long, value_name = "FILE")]
+    webpush: Option<PathBuf>,
+    /// The key under which the journal is signed: 64 hexadecimal digits. Without it the folder has its own.
+    #[arg(long, value_name = "FILE")]
+    journal_key: Option<PathBuf>,
+    /// Know the other senders, as this file says.
+    #[arg(long, value_name = "FILE")]
+    fleet: Option<PathBuf>,
+}
+
+/// The sender can't start, or its event loop failed.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// The journal's key can't be read.
+    #[error(transparent)]
+    Input(#[from] InputError),
+    /// One of the sender's files can't be used.
+    #[error(transparent)]
+    Configuration(#[from] ConfigurationError),
+    /// Neither a configuration nor a Web Push file is given.
+    #[error("NODE_CONFIG is not set and no --webpush is given")]
+    NothingToServe,
+    /// Without a configuration, the Web Push file must say where to listen.
+    #[error("the Web Push file names no address to listen on")]
+    NoListenAddress,
+    /// There is no mutation of this name.
+    #[error("{MUTATION_VARIABLE}: no mutation '{0}'")]
+    UnknownMutation(String),
+    /// A mutation is asked for, but this build has none.
+    #[error("{MUTATION_VARIABLE}: this build has no mutations (feature `mutations`)")]
+    BuiltWithoutMutations,
+    /// Signals can't be received.
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// The sender can't start: an address, its folder or its journal.
+    #[error("{0}")]
+    Start(#[source] DaemonError),
+    /// The event loop failed.
+    #[error("poll: {0}")]
+    Poll(#[source] io::Error),
+}
+
+/// Runs a sender until it is told to stop.
+pub fn run(args: &ServeArgs) -> Result<(), ServeError> {
+    choose_mutation()?;
+    let push = args
+        .webpush
+        .as_deref()
+        .map(configuration::load_webpush)
+        .transpose()?;
+    let key = args.journal_key.as_deref().map(read_key).transpose()?;
+    // Before the rest of the start: a signal that comes during it must not end the process.
+    let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(ServeError::Signals)?;
+    let config = configuration::load()?;
+    let fleet = args
+        .fleet
+        .as_deref()
+        .map(|path| configuration::load_fleet(path, config.as_ref()))
+        .transpose()?;
+    let options = ReactorOptions {
+        fleet,
+        ..reactor_options(config, push, key)?
+    };
+    let mut reactor = Reactor::new(options).map_err(|e| ServeError::Start(e.into()))?;
+    reactor
+        .registry()
+        .register(&mut signals, reactor::SIGNALS, Interest::READABLE)
+        .map_err(ServeError::Signals)?;
+    reactor
+        .run(|| signals.pending().map(control_command).collect())
+        .map_err(ServeError::Poll)
+}
+
+fn control_command(signal: i32) -> ControlCommand {
+    if signal == SIGHUP {
+        ControlCommand::Reload
+    } else {
+        ControlCommand::Stop
+    }
+}
+
+fn choose_mutation() -> Result<(), ServeError> {
+    let Some(name) = variable(MUTATION_VARIABLE) else {
+        return Ok(());
+    };
+    let Some(mutation) = Mutation::named(&name) else {
+        return Err(ServeError::UnknownMutation(name));
+    };
+    if !mutation::choose(mutation) {
+        return Err(ServeError::BuiltWithoutMutations);
+    }
+    log::warn!(mutation = name.as_str(); "this sender breaks a rule on purpose: {name}");
+    Ok(())
+}
+
+fn reactor_options(
+    config: Option<Config>,
+    push: Option<webpush::File>,
+    key: Option<Key>,
+) -> Result<ReactorOptions, ServeError> {
+    match (config, push) {
+        (Some(config), push) => Ok(platform_options(config, push, key)),
+        (None, Some(push)) if push.listen.is_none() => Err(ServeError::NoListenAddress),
+        (None, Some(push)) => Ok(push_only_options(push, u64::from(std::process::id()))),
+        (None, None) => Err(ServeError::NothingToServe),
+    }
+}
+
+fn platform_options(
+    config: Config,
+    push: Option<webpush::File>,
+    key: Option<Key>,
+) -> ReactorOptions {
+    let limits = config.limits;
+    ReactorOptions {
+        platform_settings: config.platform_settings,
+        seed: config.seed,
+        state: Some(State {
+            dir: config.state,
+            disk: (limits.disk_mb * BYTES_PER_MEGABYTE) as u64,
+            key,
+        }),
+        listen: Some(config.listen),
+        discovery: Some(config.discovery),
+        known_version: config.known_version,
+        known: config.known,
+        push,
+        fleet: None,
+        operator: config.operator,
+        sockets: limits.sockets.min(MAX_SOCKETS),
+        memory: (limits.memory_mb * BYTES_PER_MEGABYTE) as usize,
+        read_config: Some(Box::new(|| config::directory_now(variable))),
+    }
+}
+
+/// The options of a sender that speaks Web Push alone: without a platform, a journal or a fleet.
+pub(crate) fn push_only_options(push: webpush::File, seed: u64) -> ReactorOptions {
+    ReactorOptions {
+        platform_settings: webpush::alone(),
+        seed,
+        state: None,
+        listen: None,
+        discovery: None,
+        known_version: 0,
+        known: Vec::new(),
+        push: Some(push),
+        fleet: None,
+        operator: None,
+        sockets: MAX_SOCKETS,
+        memory: PUSH_ONLY_MEMORY,
+        read_config: None,
+    }
+}
--- a/crates/cranehill/src/simulated.rs
+++ b/crates/cranehill/src/simulated.rs
@@ -1,30 +1,33 @@
-//! `cranehill rig --members-only`: a fleet of simulated members alone, and what its membership costs.
+//! `cranehill fleet-test --members-only`: a fleet of simulated members alone, and the cost of its membership.
 
 use std::time::Duration;
 
 use clap::ValueEnum;
 use cranehill_fleet_harness::simulated::{
-    Conditions, Disturbance, SimulatedFleetFigures, SimulatedFleetPlan, Spread, Transport, play,
+    Conditions, Disturbance, SimulatedFleetError, SimulatedFleetFigures, SimulatedFleetPlan,
+    Spread, Transport, play,
 };
 use serde_json::{Value, json};
 
-/// A cut ends so long before the play does, at least: the views have this part of it to agree again.
-const CUT_PART: u32 = 2;
-/// With one side of a cut evicted by the other, both together take at most this much of a limit: docs/membership.md.
-const SHARE_MOST_EVICTED: f64 = 1.5;
+use crate::verdict::Verdict;
 
-/// What the command line asks for.
+/// Unless its duration is given, a cut heals after this part of the run; in the rest the views can agree again.
+const CUT_DIVISOR: u32 = 2;
+/// With one side of a cut evicted by the other, both together use at most this part of a limit: docs/membership.md.
+const MAX_SHARE_AFTER_EVICTION: f64 = 1.5;
+
+/// The arguments of `fleet-test` on simulated members.
 #[derive(Clone, Debug, clap::Args)]
 pub struct SimulatedMembersArgs {
     /// Add so many simulated members: many in one process, with real membership and decisions, and without clients.
     #[arg(long, alias = "hollow", value_name = "M", default_value_t = 0)]
-    pub simulated: usize,
+    pub(crate) simulated: usize,
     /// Play simulated members alone, without a scenario and without real senders.
     #[arg(long, conflicts_with_all = ["scenario", "nodes", "out", "alone"])]
-    pub members_only: bool,
+    pub(crate) members_only: bool,
     /// With --members-only: what disturbs the fleet.
-    #[arg(long, value_enum, default_value_t = Kind::None, requires = "members_only")]
-    pub disturbance: Kind,
+    #[arg(long, value_enum, default_value_t = DisturbanceKind::None, requires = "members_only")]
+    disturbance: DisturbanceKind,
     /// With --members-only: seconds that are measured, after all have agreed.
     #[arg(
         long,
@@ -33,7 +36,7 @@
         default_value_t = 60,
         requires = "members_only"
     )]
-    pub duration: u64,
+    duration: u64,
     /// With --disturbance halves: seconds until the cut heals, in place of half of the play.
     #[arg(
         long,
@@ -41,7 +44,7 @@
         value_name = "SECONDS",
         requires = "members_only"
     )]
-    pub cut_duration: Option<u64>,
+    cut_duration: Option<u64>,
     /// With --members-only: the part of all packets that is lost.
     #[arg(
         long,
@@ -49,15 +52,15 @@
         default_value_t = 0.0,
         requires = "members_only"
     )]
-    pub loss: f64,
+    loss: f64,
     /// With --members-only: on a simulated network and clock, in place of UDP on loopback.
     #[arg(long, requires = "members_only")]
-    pub virtual_time: bool,
+    virtual_time: bool,
 }
 
 /// The disturbances by their names on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Kind {
+enum DisturbanceKind {
     None,
     /// One in ten members is killed at once.
     Crashes,
@@ -76,14 +79,14 @@
         let duration = Duration::from_secs(self.duration);
         let cut = self
             .cut_duration
-            .map_or(duration / CUT_PART, Duration::from_secs);
+            .map_or(duration / CUT_DIVISOR, Duration::from_secs);
         let disturbance = match self.disturbance {
-            Kind::None => Disturbance::None,
-            Kind::Crashes => Disturbance::Crashes { one_in: 10 },
-            Kind::Rack => Disturbance::RackDown,
-            Kind::Zone => Disturbance::ZoneDown { zones: 6 },
-            Kind::Halves => Disturbance::Halves { duration: cut },
-            Kind::Restarts => Disturbance::Restarts { count: 30 },
+            DisturbanceKind::None => Disturbance::None,
+            DisturbanceKind::Crashes => Disturbance::Crashes { one_in: 10 },
+            DisturbanceKind::Rack => Disturbance::RackDown,
+            DisturbanceKind::Zone => Disturbance::ZoneDown { zones: 6 },
+            DisturbanceKind::Halves => Disturbance::Halves { duration: cut },
+            DisturbanceKind::Restarts => Disturbance::Restarts { count: 30 },
         };
         let transport = if self.virtual_time {
             Transport::Virtual
@@ -106,11 +109,20 @@
     }
 }
 
-/// Plays it and prints what came of it; false if anything that was expected did not come.
-pub fn run(args: &SimulatedMembersArgs, seed: u64, as_json: bool) -> Result<bool, String> {
+/// The fleet of simulated members can't be run.
+#[derive(Debug, thiserror::Error)]
+#[error(transparent)]
+pub struct SimulatedError(#[from] SimulatedFleetError);
+
+/// Runs the fleet and prints its figures; `Failed` if an expectation is missed.
+pub fn run(
+    args: &SimulatedMembersArgs,
+    seed: u64,
+    as_json: bool,
+) -> Result<Verdict, SimulatedError> {
     let plan = args.plan(seed);
-    let figures = play(&plan).map_err(|e| e.to_string())?;
-    let failed = figures.failed(share_most(&plan));
+    let figures = play(&plan)?;
+    let failed = figures.failed(max_share(&plan));
     if as_json {
         println!("{}", summary(&plan, &figures, &failed));
     } else {
@@ -118,13 +130,15 @@
             .iter()
             .for_each(|line| println!("{line}"));
     }
-    Ok(failed.is_empty())
+    Ok(Verdict::passed_if(failed.is_empty()))
 }
 
 /// A cut that lasts longer than the eviction delay can't be told from deaths.
-fn share_most(plan: &SimulatedFleetPlan) -> f64 {
+fn max_share(plan: &SimulatedFleetPlan) -> f64 {
     match (plan.disturbance, plan.timing.eviction_delay) {
-        (Disturbance::Halves { duration }, Some(delay)) if duration >= delay => SHARE_MOST_EVICTED,
+        (Disturbance::Halves { duration }, Some(delay)) if duration >= delay => {
+            MAX_SHARE_AFTER_EVICTION
+        }
         _ => 1.0,
     }
 }
--- a/crates/cranehill/tests/clients.rs
+++ b/crates/cranehill/tests/clients.rs
@@ -5,8 +5,8 @@
 use std::io::Write;
 use std::thread;
 
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, SOON, list, platform, prepare, put, start, start_with};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 
 #[test]
 fn a_stream_of_pipelined_requests_neither_overflows_the_stack_nor_starves_the_rest() {
--- a/crates/cranehill/tests/common/mod.rs
+++ b/crates/cranehill/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the socket tests share: settings, a simulated server platform, clients.
 #![allow(dead_code)]
 
-pub mod process;
+pub(crate) mod process;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,23 +9,23 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::config::{self, Config};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::{Reactor, ReactorOptions, StopHandle};
 use socket2::{Domain, Socket, Type};
 
 /// Longer than anything here takes: only a failure waits so long.
-pub const SOON: Duration = Duration::from_secs(10);
+pub(crate) const SOON: Duration = Duration::from_secs(10);
 
-pub const SETTINGS: &str = r#"{"classes":[{"aim":4000000000,"deadline":20000000000,"dedupScope":"all","effect":"keyed","lateShare":0.4,"name":"episode-notice","window":20000000000,"worth":1.0}],
+pub(crate) const SETTINGS: &str = r#"{"classes":[{"aim":4000000000,"deadline":20000000000,"dedupScope":"all","effect":"keyed","lateShare":0.4,"name":"episode-notice","window":20000000000,"worth":1.0}],
 "familyInfo":{"callsOut":8,"kindApart":[false,false],"losesWorth":"halving","perCall":[5,1]},"membershipMode":"push","models":["bulk-directory","station"],"nInstances":1,
 "policyLimits":{"attemptsCap":6,"connIdle":15000000000,"connectTimeout":1500000000,"maxRetryAfter":2000000000,"mostHeld":64,"probes":true,"retryAfter":true},
 "rules":{"cold":9100000000,"coldFrom":0.23,"fall":3000000000,"fallMultiple":1.5,"graceToAnswer":20000000},
 "tenants":[{"name":"onda-central","quotaRps":10.0}],"tick":5000000,"weightKind":"rough","zone":0,"zones":["sanjose-1"]}"#;
 
 /// A list of endpoints: id, address, destination, kind.
-pub fn list(version: u64, endpoints: &[(&str, SocketAddr, u64, &str)]) -> String {
+pub(crate) fn list(version: u64, endpoints: &[(&str, SocketAddr, u64, &str)]) -> String {
     let rows: Vec<String> = endpoints
         .iter()
         .map(|(id, addr, cell, kind)| {
@@ -41,13 +41,13 @@
 }
 
 /// The configuration file's text.
-pub fn config_text(known: &str) -> String {
+pub(crate) fn config_text(known: &str) -> String {
     format!(
         r#"{{"name":"n0","seed":"1f","limits":{{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":3}},"known":{known},"settings":{SETTINGS}}}"#
     )
 }
 
-pub fn config(known: &str, platform: SocketAddr) -> Config {
+pub(crate) fn config(known: &str, platform: SocketAddr) -> Config {
     let var = |name: &str| match name {
         "NODE_LISTEN" => Some("127.0.0.1:0".to_owned()),
         "NODE_DISCOVERY" => Some(platform.to_string()),
@@ -58,7 +58,7 @@
 }
 
 /// The platform: its watches are held, its final reports are taken.
-pub fn platform() -> SimulatedServer {
+pub(crate) fn platform() -> SimulatedServer {
     SimulatedServer::new(|request, _| match request.method.as_str() {
         "GET" => Reply::Silent,
         _ => Reply::status(204),
@@ -67,9 +67,9 @@
 }
 
 /// A sender in this process.
-pub struct Running {
-    pub clients: SocketAddr,
-    pub operator: Option<SocketAddr>,
+pub(crate) struct Running {
+    pub(crate) clients: SocketAddr,
+    pub(crate) operator: Option<SocketAddr>,
     stop_handle: StopHandle,
     thread: Option<std::thread::JoinHandle<std::io::Result<()>>>,
 }
@@ -82,23 +82,23 @@
     }
 }
 
-pub fn start(known: &str, platform: &SimulatedServer) -> Running {
+pub(crate) fn start(known: &str, platform: &SimulatedServer) -> Running {
     start_with(known, platform, 1024)
 }
 
 /// With so many descriptors.
-pub fn start_with(known: &str, platform: &SimulatedServer, sockets: usize) -> Running {
+pub(crate) fn start_with(known: &str, platform: &SimulatedServer, sockets: usize) -> Running {
     start_as(known, platform, |setup| setup.sockets = sockets)
 }
 
 /// A sender that listens and does not run yet: what peers do before it runs, it finds all at once.
-pub struct Prepared {
-    pub clients: SocketAddr,
+pub(crate) struct Prepared {
+    pub(crate) clients: SocketAddr,
     reactor: Reactor,
 }
 
 /// With whatever is to be otherwise.
-pub fn prepare(
+pub(crate) fn prepare(
     known: &str,
     platform: &SimulatedServer,
     change: impl FnOnce(&mut ReactorOptions),
@@ -128,7 +128,7 @@
 }
 
 impl Prepared {
-    pub fn run(self) -> Running {
+    pub(crate) fn run(self) -> Running {
         let Prepared {
             clients,
             mut reactor,
@@ -145,7 +145,7 @@
     }
 }
 
-pub fn start_as(
+pub(crate) fn start_as(
     known: &str,
     platform: &SimulatedServer,
     change: impl FnOnce(&mut ReactorOptions),
@@ -154,26 +154,26 @@
 }
 
 /// A program of a tenant that hands messages in.
-pub struct Client(TcpStream);
+pub(crate) struct Client(TcpStream);
 
 impl Client {
-    pub fn new(to: SocketAddr) -> Client {
+    pub(crate) fn new(to: SocketAddr) -> Client {
         let stream = TcpStream::connect(to).expect("connect");
         stream.set_read_timeout(Some(SOON)).expect("time-out");
         Client(stream)
     }
 
     /// For another thread to write with.
-    pub fn writer(&self) -> TcpStream {
+    pub(crate) fn writer(&self) -> TcpStream {
         self.0.try_clone().expect("a second handle")
     }
 
-    pub fn send(&mut self, bytes: &[u8]) {
+    pub(crate) fn send(&mut self, bytes: &[u8]) {
         self.0.write_all(bytes).expect("write");
     }
 
     /// One line of an answer, or what came before the end.
-    pub fn line(&mut self) -> String {
+    pub(crate) fn line(&mut self) -> String {
         let (mut line, mut byte) = (Vec::new(), [0u8; 1]);
         while !line.ends_with(b"\r\n") {
             match self.0.read(&mut byte) {
@@ -185,13 +185,13 @@
         String::from_utf8_lossy(&line).trim_end().to_owned()
     }
 
-    pub fn put(&mut self, id: &str, names: &str, body: &[u8]) -> String {
+    pub(crate) fn put(&mut self, id: &str, names: &str, body: &[u8]) -> String {
         self.send(&put(id, names, body));
         self.line()
     }
 }
 
-pub fn put(id: &str, names: &str, body: &[u8]) -> Vec<u8> {
+pub(crate) fn put(id: &str, names: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = b"*5\r\n".to_vec();
     for text_token in [
         b"MSG.PUT" as &[u8],
@@ -208,7 +208,7 @@
 }
 
 /// A request as the transcript shows it: what differs from run to run is left out.
-pub fn shown(request: &http::Request) -> String {
+pub(crate) fn shown(request: &http::Request) -> String {
     let mut text = format!("{} {}\n", request.method, request.path);
     for (name, value) in &request.headers {
         let value = String::from_utf8_lossy(value);
@@ -226,7 +226,7 @@
 }
 
 /// A listener whose queue is full: further connections don't come up until it accepts.
-pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
+pub(crate) fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&any.into()).expect("bound");
@@ -241,7 +241,7 @@
 }
 
 /// What the platform has been told of messages that ended.
-pub fn reports(platform: &SimulatedServer) -> Vec<String> {
+pub(crate) fn reports(platform: &SimulatedServer) -> Vec<String> {
     let posts = platform
         .seen()
         .into_iter()
@@ -252,7 +252,7 @@
 }
 
 /// Waits until it holds.
-pub fn soon(what: &str, mut holds: impl FnMut() -> bool) {
+pub(crate) fn soon(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + SOON;
     while !holds() {
         assert!(Instant::now() < end, "{what}");
@@ -261,14 +261,14 @@
 }
 
 /// Waits until it is set.
-pub fn wait_for(flag: &AtomicBool) {
+pub(crate) fn wait_for(flag: &AtomicBool) {
     while !flag.load(Ordering::Relaxed) {
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// A platform whose list changes to this one when it is told so.
-pub fn changing(to: String) -> (SimulatedServer, Arc<AtomicBool>) {
+pub(crate) fn changing(to: String) -> (SimulatedServer, Arc<AtomicBool>) {
     let notified = Arc::new(AtomicBool::new(false));
     let notify = notified.clone();
     let platform = SimulatedServer::new(move |request, _| match request.path.as_str() {
--- a/crates/cranehill/tests/common/process.rs
+++ b/crates/cranehill/tests/common/process.rs
@@ -7,9 +7,9 @@
 use std::sync::{Arc, Mutex};
 
 /// A sender's process; it is killed in the end.
-pub struct Process {
-    pub child: Child,
-    pub clients: SocketAddr,
+pub(crate) struct Process {
+    pub(crate) child: Child,
+    pub(crate) clients: SocketAddr,
     log: Arc<Mutex<Vec<String>>>,
 }
 
@@ -21,7 +21,7 @@
 
 impl Process {
     /// Starts it with this configuration file; its state lies beside it. `descriptors`: as many as it may open.
-    pub fn start(config: &Path, discovery: SocketAddr, descriptors: usize) -> Process {
+    pub(crate) fn start(config: &Path, discovery: SocketAddr, descriptors: usize) -> Process {
         let mut child = Command::new("sh")
             .args([
                 "-c",
@@ -64,18 +64,18 @@
         }
     }
 
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
     /// The lines of its log so far.
-    pub fn log(&self) -> Vec<String> {
+    pub(crate) fn log(&self) -> Vec<String> {
         self.log.lock().expect("log").clone()
     }
 
     /// Descriptors that it has open.
-    pub fn descriptors(&self) -> usize {
+    pub(crate) fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .expect("its descriptors")
             .count()
--- a/crates/cranehill/tests/crash_test.rs
+++ b/crates/cranehill/tests/crash_test.rs
@@ -1,4 +1,4 @@
-//! Real processes on loopback, killed at random instants under load. The long runs are `cranehill kills`.
+//! Real processes on loopback, killed at random instants under load. The long runs are `cranehill crash-test`.
 
 use cranehill::crash_test::{Plan, play};
 
@@ -21,7 +21,7 @@
         outcome.holds() && outcome.lost.is_empty(),
         "seed 3: {outcome:#?}"
     );
-    assert!(outcome.taken.iter().all(|&n| n > 0), "{outcome:#?}");
+    assert!(outcome.accepted.iter().all(|&n| n > 0), "{outcome:#?}");
 }
 
 /// A byte flipped after each third kill used to lose hundreds, and to repeat what must not be.
--- a/crates/cranehill/tests/descriptors.rs
+++ b/crates/cranehill/tests/descriptors.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use common::process::Process;
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, config_text, list, soon};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 
 /// Descriptors that the process may open, and that its configuration names.
--- a/crates/cranehill/tests/directory.rs
+++ b/crates/cranehill/tests/directory.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, SOON, list, start};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 
 const NAMES: &str = "c=episode-notice,d=20000,k=5c0f,dest=7";
 
--- a/crates/cranehill/tests/endings.rs
+++ b/crates/cranehill/tests/endings.rs
@@ -7,8 +7,10 @@
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::Ordering;
 
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{
+    Client, Running, SOON, changing, list, platform, prepare, put, reports, soon, start, start_as,
+};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 
 const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
--- a/crates/cranehill/tests/exchanges.rs
+++ b/crates/cranehill/tests/exchanges.rs
@@ -9,8 +9,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex};
 
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, SOON, list, platform, shown, start};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 
 fn unescape(text: &str) -> Vec<u8> {
     let (mut bytes, mut chars) = (Vec::new(), text.chars());
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranehill::rehearsal;
+use cranehill::push_script;
 use cranehill_core::{FinalReport, Record};
 use cranehill_daemon::fleet::{self, Fleet};
 use cranehill_daemon::webpush::{self, Location, Server, Upstream, VapidFile};
@@ -399,8 +399,8 @@
 
 #[test]
 fn every_word_of_a_push_script_means_what_it_did() {
-    let script = rehearsal::parse(EVERY_WORD).expect("a script");
-    let report = rehearsal::play(&script).expect("played");
+    let script = push_script::parse(EVERY_WORD).expect("a script");
+    let report = push_script::play(&script).expect("played");
     let missed: Vec<&String> = report
         .lines
         .iter()
@@ -417,13 +417,13 @@
     );
     // What is left out is the same as these.
     let push =
-        |arguments: &str| rehearsal::parse(&format!("push one{arguments}")).expect("a script");
+        |arguments: &str| push_script::parse(&format!("push one{arguments}")).expect("a script");
     assert_eq!(push(""), push(" ttl=20 body=one"));
     assert_ne!(push(""), push(" body=two"));
     assert_ne!(push(""), push(" urgency=high"));
     assert_ne!(push(" topic=one"), push(" topic=two"));
     let expect =
-        |arguments: &str| rehearsal::parse(&format!("push one\nexpect one delivered{arguments}"));
+        |arguments: &str| push_script::parse(&format!("push one\nexpect one delivered{arguments}"));
     assert_eq!(expect(""), expect(" within 21"));
     assert_ne!(expect(""), expect(" attempts 1"));
 }
@@ -474,7 +474,7 @@
             let mut lines: Vec<&str> = EVERY_WORD.lines().collect();
             let changed = tokens.join(" ");
             lines[index] = &changed;
-            let error = rehearsal::parse(&lines.join("\n")).expect_err("a word is misspelt");
+            let error = push_script::parse(&lines.join("\n")).expect_err("a word is misspelt").to_string();
             assert!(
                 error.starts_with(&format!("line {}: ", index + 1)),
                 "{changed}: {error}"
--- a/crates/cranehill/tests/handover.rs
+++ b/crates/cranehill/tests/handover.rs
@@ -9,8 +9,8 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, Running, SOON, list, platform, put, start_as};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::State;
 use cranehill_scenario_runner::{Limits, Plan, play, report};
--- a/crates/cranehill/tests/late_connections.rs
+++ b/crates/cranehill/tests/late_connections.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, SOON, changing, full_listener, list, reports, start, start_as, wait_for};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 
 const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
--- a/crates/cranehill/tests/notified_in_time.rs
+++ b/crates/cranehill/tests/notified_in_time.rs
@@ -4,8 +4,8 @@
 
 use std::time::{Duration, Instant};
 
-use common::*;
-use cranehill::rehearsal::{Reply, Seen, SimulatedServer};
+use common::{config, list};
+use cranehill::simulated_server::{Reply, Seen, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::{ControlCommand, Reactor, ReactorOptions};
 
--- a/crates/cranehill/tests/operator.rs
+++ b/crates/cranehill/tests/operator.rs
@@ -7,8 +7,8 @@
 use std::path::Path;
 use std::sync::mpsc::{Receiver, channel};
 
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, Running, SOON, list, platform, put, start_as};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::State;
 
--- a/crates/cranehill/tests/order.rs
+++ b/crates/cranehill/tests/order.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use common::process::Process;
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, SOON, config_text, list, platform, reports, soon, start, start_as, wait_for};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::{ReactorOptions, State};
 use cranehill_scheduler::api::Effect;
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use cranehill::{nginx, rehearsal};
+use cranehill::{nginx, push_script};
 use cranehill_daemon::client_protocol::{self, Request};
 use cranehill_daemon::destination_protocol::{self, Verdict};
 use cranehill_daemon::http::{self, Response};
@@ -355,7 +355,7 @@
             2,
         ),
     ] {
-        let error = nginx::import(bad).expect_err(bad);
+        let error = nginx::import(bad).expect_err(bad).to_string();
         assert!(
             error.starts_with(&format!("line {line}:")),
             "{bad:?}: {error}"
@@ -402,7 +402,7 @@
         // Once an index out of bounds: the default TTL was gone by the second word.
         ("push a ttl=none ttl=5 ttl", 1),
     ] {
-        let error = rehearsal::parse(bad).expect_err(bad);
+        let error = push_script::parse(bad).expect_err(bad).to_string();
         assert!(
             error.starts_with(&format!("line {line}:")),
             "{bad:?}: {error}"
@@ -412,8 +412,9 @@
 
 #[test]
 fn a_rehearsal_shows_ends_and_missed_expectations() {
-    let played =
-        |text: &str| rehearsal::play(&rehearsal::parse(text).expect("a script")).expect("played");
+    let played = |text: &str| {
+        push_script::play(&push_script::parse(text).expect("a script")).expect("played")
+    };
     let good = played(
         "service answers 410 to=left\npush left\npush here\nexpect left gone\nexpect here delivered attempts 1",
     );
@@ -474,7 +475,7 @@
         let _ = (
             nginx::import(&text),
             webpush::parse_file(&text),
-            rehearsal::parse(&text),
+            push_script::parse(&text),
         );
     }
 }
--- a/crates/cranehill/tests/ready.rs
+++ b/crates/cranehill/tests/ready.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use common::process::Process;
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, config_text, list, put};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 
 /// Nine in ten restarted processes answer within this on short days; on others within 10 s.
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, SOON, config, config_text, list, reports, soon};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::config;
 use cranehill_daemon::reactor::{ControlCommand, Reactor, ReactorOptions};
 
--- a/crates/cranehill/tests/restart.rs
+++ b/crates/cranehill/tests/restart.rs
@@ -11,8 +11,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, SOON, config_text, list, platform, put, reports, soon};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 
 struct Process {
     child: Child,
--- a/crates/cranehill/tests/retry_after.rs
+++ b/crates/cranehill/tests/retry_after.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, SOON, changing, full_listener, list, start, wait_for};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 
 #[test]
 fn an_unwritten_call_is_cancelled_by_a_retry_after() {
--- a/crates/cranehill/tests/spoilt.rs
+++ b/crates/cranehill/tests/spoilt.rs
@@ -4,8 +4,8 @@
 
 use std::time::{Duration, Instant};
 
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, SOON, list, platform, start, start_as};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 
 const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
