--- a/crates/cranehill/src/logging/tests.rs
+++ b/crates/cranehill/src/logging/tests.rs
@@ -18,7 +18,7 @@
     let record = Record::builder()
         .level(log::Level::Warn)
         .target("journal")
-        .args(format_args!("gone"))
+        .args(format_args!("removed"))
         .key_values(&values)
         .build();
     let line = object("2026-12-01T00:00:00.000Z", &record).to_string();
@@ -30,6 +30,6 @@
     );
     assert_eq!(
         (read["level"].as_str(), read["msg"].as_str()),
-        (Some("WARN"), Some("gone"))
+        (Some("WARN"), Some("removed"))
     );
 }
--- a/crates/cranehill/src/serve.rs
+++ b/crates/cranehill/src/serve.rs
@@ -69,7 +69,7 @@
     Poll(#[source] io::Error),
 }
 
-/// Runs a sender until it is told to stop.
+/// Runs a sender until a signal stops it.
 pub fn run(args: &ServeArgs) -> Result<(), ServeError> {
     choose_mutation()?;
     let push = args
--- a/crates/cranehill/src/simulated.rs
+++ b/crates/cranehill/src/simulated.rs
@@ -133,7 +133,7 @@
     Ok(Verdict::passed_if(failed.is_empty()))
 }
 
-/// A cut that lasts longer than the eviction delay can't be told from deaths.
+/// A cut that lasts longer than the eviction delay can't be distinguished from deaths.
 fn max_share(plan: &SimulatedFleetPlan) -> f64 {
     match (plan.disturbance, plan.timing.eviction_delay) {
         (Disturbance::Halves { duration }, Some(delay)) if duration >= delay => {
--- a/crates/cranehill/tests/common/process.rs
+++ b/crates/cranehill/tests/common/process.rs
@@ -55,7 +55,7 @@
         std::thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .for_each(|line| kept.lock().expect("log").push(line))
+                .for_each(|line| kept.lock().expect("log").push(line));
         });
         Process {
             child,
--- a/crates/cranehill/tests/descriptors.rs
+++ b/crates/cranehill/tests/descriptors.rs
@@ -67,6 +67,21 @@
     }
 }
 
+/// Discovery that answers with `newer` once it is up.
+fn discovery(is_up: Arc<AtomicBool>, newer: String) -> SimulatedServer {
+    SimulatedServer::new(move |request, number| {
+        match (is_up.load(Ordering::Relaxed), number % 2) {
+            _ if request.method == "POST" => Reply::status(204),
+            _ if request.path.contains("from=9&") => Reply::Silent,
+            (true, _) => Reply::Bytes(http::write_response(200, "OK", &[], &newer)),
+            // Some connections end, some stay silent.
+            (false, 0) => Reply::Close,
+            (false, _) => Reply::Silent,
+        }
+    })
+    .expect("discovery")
+}
+
 #[test]
 fn discovery_is_reached_again_and_known_work_goes_on_while_idle_clients_fill_the_descriptors() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -78,18 +93,7 @@
     let newer = list(9, &[("new", endpoint.address, NEW_DESTINATION, kind)])
         .replace("\"full\":true", "\"full\":false");
     let up = Arc::new(AtomicBool::new(false));
-    let is_up = up.clone();
-    let discovery = SimulatedServer::new(move |request, number| {
-        match (is_up.load(Ordering::Relaxed), number % 2) {
-            _ if request.method == "POST" => Reply::status(204),
-            _ if request.path.contains("from=9&") => Reply::Silent,
-            (true, _) => Reply::Bytes(http::write_response(200, "OK", &[], &newer)),
-            // Connections that end, and such that stay silent.
-            (false, 0) => Reply::Close,
-            (false, _) => Reply::Silent,
-        }
-    })
-    .expect("discovery");
+    let discovery = discovery(up.clone(), newer);
     let config = folder.path().join("config.json");
     let text =
         config_text(&known).replace("\"sockets\":1024", &format!("\"sockets\":{DESCRIPTORS}"));
--- a/crates/cranehill/tests/exchanges.rs
+++ b/crates/cranehill/tests/exchanges.rs
@@ -1,6 +1,6 @@
 //! Recorded exchanges, `tests/exchanges/*.txt`, played against the sender; what each party saw is compared.
 //!
-//! Lines: `endpoint ID PARTNER KIND`; `ID < BYTES` an answer that the endpoint gives next (`close`: it ends
+//! Lines: `endpoint ID DESTINATION KIND`; `ID < BYTES` an answer that the endpoint gives next (`close`: it ends
 //! the connection instead; `200` otherwise); `client > BYTES`; `client < N` wait for so many answer lines;
 //! `ID = N` and `platform = N` wait for so many requests there. Escapes: \r \n \\.
 
@@ -27,39 +27,62 @@
     bytes
 }
 
+/// A simulated endpoint and the answers that it gives next.
+struct Endpoint {
+    server: SimulatedServer,
+    answers: Arc<Mutex<VecDeque<Reply>>>,
+    destination: u64,
+    kind: String,
+}
+
+impl Endpoint {
+    /// `description`: the destination and its kind.
+    fn new(description: &str) -> Endpoint {
+        let (destination, kind) = description.split_once(' ').expect("destination and kind");
+        let answers: Arc<Mutex<VecDeque<Reply>>> = Arc::default();
+        let next = answers.clone();
+        let server = SimulatedServer::new(move |_, _| {
+            let answer = next.lock().expect("answers").pop_front();
+            answer.unwrap_or_else(|| Reply::status(200))
+        });
+        Endpoint {
+            server: server.expect("endpoint"),
+            answers,
+            destination: destination.parse().expect("a number"),
+            kind: kind.to_owned(),
+        }
+    }
+
+    fn add_answer(&self, bytes: &str) {
+        let reply = if bytes == "close" {
+            Reply::Close
+        } else {
+            Reply::Bytes(unescape(bytes))
+        };
+        self.answers.lock().expect("answers").push_back(reply);
+    }
+}
+
+fn count(text: &str) -> usize {
+    text.parse().expect("a count")
+}
+
 fn play(text: &str) -> String {
     let lines: Vec<Vec<&str>> = text
         .lines()
         .filter(|l| !l.is_empty() && !l.starts_with('#'))
         .map(|l| l.splitn(3, ' ').collect())
         .collect();
-    type Answers = Arc<Mutex<VecDeque<Reply>>>;
-    let mut endpoints: BTreeMap<&str, (SimulatedServer, Answers, u64, &str)> = BTreeMap::new();
-    for line in &lines {
-        if let ["endpoint", id, rest] = line[..] {
-            let (destination, kind) = rest.split_once(' ').expect("partner and kind");
-            let answers = Answers::default();
-            let next = answers.clone();
-            let stand_in = SimulatedServer::new(move |_, _| {
-                next.lock()
-                    .expect("answers")
-                    .pop_front()
-                    .unwrap_or_else(|| Reply::status(200))
-            });
-            endpoints.insert(
-                id,
-                (
-                    stand_in.expect("endpoint"),
-                    answers,
-                    destination.parse().expect("a number"),
-                    kind,
-                ),
-            );
-        }
-    }
+    let endpoints: BTreeMap<&str, Endpoint> = lines
+        .iter()
+        .filter_map(|line| match line[..] {
+            ["endpoint", id, description] => Some((id, Endpoint::new(description))),
+            _ => None,
+        })
+        .collect();
     let rows: Vec<_> = endpoints
         .iter()
-        .map(|(id, e)| (*id, e.0.address, e.2, e.3))
+        .map(|(id, e)| (*id, e.server.address, e.destination, e.kind.as_str()))
         .collect();
     let platform = platform();
     let sender = start(&list(1, &rows), &platform);
@@ -69,50 +92,41 @@
         match line[..] {
             ["endpoint", ..] => {}
             ["client", ">", bytes] => client.send(&unescape(bytes)),
-            ["client", "<", count] => {
-                for _ in 0..count.parse::<usize>().expect("a count") {
+            ["client", "<", answers] => {
+                for _ in 0..count(answers) {
                     transcript.push_str(&format!("client < {}\n", client.line()));
                 }
             }
-            ["platform", "=", count] => {
+            ["platform", "=", requests] => {
                 // Besides the one watch that is held.
-                assert!(
-                    platform.wait_for(count.parse::<usize>().expect("a count") + 1, SOON),
-                    "{line:?}"
-                );
-            }
-            [id, "<", bytes] => {
-                let reply = if bytes == "close" {
-                    Reply::Close
-                } else {
-                    Reply::Bytes(unescape(bytes))
-                };
-                endpoints[id].1.lock().expect("answers").push_back(reply);
+                assert!(platform.wait_for(count(requests) + 1, SOON), "{line:?}");
             }
-            [id, "=", count] => {
-                assert!(
-                    endpoints[id]
-                        .0
-                        .wait_for(count.parse().expect("a count"), SOON),
-                    "{line:?}"
-                );
+            [id, "<", bytes] => endpoints[id].add_answer(bytes),
+            [id, "=", requests] => {
+                let server = &endpoints[id].server;
+                assert!(server.wait_for(count(requests), SOON), "{line:?}");
             }
             _ => panic!("not understood: {line:?}"),
         }
     }
-    for (id, (stand_in, ..)) in &endpoints {
-        for seen in stand_in.seen() {
-            transcript.push_str(&format!("--- {id}\n{}", shown(&seen.request)));
+    transcript.push_str(&received(&endpoints, &platform));
+    transcript
+}
+
+/// The requests that endpoints and the platform have received.
+fn received(endpoints: &BTreeMap<&str, Endpoint>, platform: &SimulatedServer) -> String {
+    let mut text = String::new();
+    for (id, endpoint) in endpoints {
+        for seen in endpoint.server.seen() {
+            text.push_str(&format!("--- {id}\n{}", shown(&seen.request)));
         }
     }
-    for seen in platform
-        .seen()
-        .iter()
-        .filter(|s| s.request.method == "POST")
-    {
-        transcript.push_str(&format!("--- platform\n{}", shown(&seen.request)));
+    for seen in platform.seen() {
+        if seen.request.method == "POST" {
+            text.push_str(&format!("--- platform\n{}", shown(&seen.request)));
+        }
     }
-    transcript
+    text
 }
 
 #[test]
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -236,61 +236,72 @@
     child.wait().expect("ended");
 }
 
-/// What can't be used is one line with its place, and exit code 2.
-#[test]
-fn a_fleet_file_that_cannot_be_used_is_one_line_and_exit_code_2() {
-    let key = "5e".repeat(32);
+/// A fleet file, its key and the error on them.
+type BadFleet = (String, &'static str, &'static str);
+
+const FLEET_KEY: &str = "5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e";
+
+fn bad_fleets() -> [BadFleet; 11] {
     let good = "listen = \"127.0.9.4:7946\"\nkey = \"fleet.key\"\n";
-    let cases = [
+    [
         (
             good.to_owned() + "periodd = \"1 s\"\n",
-            key.as_str(),
+            FLEET_KEY,
             "fleet.toml: line 3: ",
         ),
         (
             good.to_owned() + "period = \"1\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: line 3: '1' is not a span",
         ),
         (
             good.to_owned() + "period = \"1 ms\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: period: ",
         ),
         (
             good.to_owned() + "round_trip = \"2 s\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: round_trip: ",
         ),
         (
             good.to_owned() + "suspicion = \"10 ms\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: suspicion: ",
         ),
         (
             good.to_owned() + "hold = \"soon\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: hold: 'soon'",
         ),
         (
             good.to_owned() + "hold = \"1 s\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: hold: ",
         ),
         (
             good.to_owned() + "late = \"1 ms\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: late: ",
         ),
         (
             good.replace("127.0.9.4:7946", "0.0.0.0:7946"),
-            &key,
+            FLEET_KEY,
             "fleet.toml: advertise: ",
         ),
         (good.to_owned(), "5e5e", "fleet.key: line 1: not a key"),
-        (good.replace("fleet.key", "other.key"), &key, "other.key: "),
-    ];
-    for (fleet, key, why) in cases {
+        (
+            good.replace("fleet.key", "other.key"),
+            FLEET_KEY,
+            "other.key: ",
+        ),
+    ]
+}
+
+/// What can't be used is one line with its place, and exit code 2.
+#[test]
+fn a_fleet_file_that_cannot_be_used_is_one_line_and_exit_code_2() {
+    for (fleet, key, why) in bad_fleets() {
         let folder = tempfile::tempdir().expect("a folder");
         let output = alone(folder.path(), &fleet, key).output().expect("it runs");
         let printed = String::from_utf8_lossy(&output.stderr);
@@ -302,15 +313,8 @@
     }
 }
 
-/// Three of five are killed at once under load, one of them without its folder, while the directory is silent and a destination
-/// lowers its limit. Guards the whole way back: every owed message ends once and in time, and each sender says that it is full.
-#[test]
-fn most_senders_come_back_at_once() {
-    let (head, _) = DAY.split_once("[[break]]").expect("breaks");
-    let text = format!(
-        "{}{}",
-        head.replace("hold = \"60 s\"", "hold = \"60 s\"\nrecovery = true"),
-        r#"[[break]]
+/// Three of five senders are killed, while discovery is silent and a destination lowers its limit.
+const KILLED_MAJORITY: &str = r#"[[break]]
 kind = "kill"
 senders = [0, 1]
 at = "5 s"
@@ -332,7 +336,17 @@
 [[directory.outage]]
 at = "5 s"
 lasts = "4 s"
-"#
+"#;
+
+/// Three of five are killed at once under load, one of them without its folder, while the directory is silent and a destination
+/// lowers its limit. Guards the whole way back: every owed message ends once and in time, and each sender says that it is full.
+#[test]
+fn most_senders_come_back_at_once() {
+    let (head, _) = DAY.split_once("[[break]]").expect("breaks");
+    let text = format!(
+        "{}{}",
+        head.replace("hold = \"60 s\"", "hold = \"60 s\"\nrecovery = true"),
+        KILLED_MAJORITY
     );
     let plan = Plan {
         scenario: scenario::parse(&text, 2).expect("a good day"),
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -474,7 +474,9 @@
             let mut lines: Vec<&str> = EVERY_WORD.lines().collect();
             let changed = tokens.join(" ");
             lines[index] = &changed;
-            let error = push_script::parse(&lines.join("\n")).expect_err("a word is misspelt").to_string();
+            let error = push_script::parse(&lines.join("\n"))
+                .expect_err("a word is misspelt")
+                .to_string();
             assert!(
                 error.starts_with(&format!("line {}: ", index + 1)),
                 "{changed}: {error}"
@@ -518,7 +520,11 @@
         NOW,
     );
     let mut journal = open.expect("opens").0;
-    let accepted = |id: &str, key: Option<&str>, ordering_key: Option<&str>| Record::Accepted {
+    journal.append(NOW, &journal_records()).expect("room");
+}
+
+fn accepted(id: &str, key: Option<&str>, ordering_key: Option<&str>) -> Record {
+    Record::Accepted {
         id: id.into(),
         class: 2,
         tenant: 1,
@@ -528,30 +534,36 @@
         deadline: (NOW + 20_000) * NANOS_PER_MS,
         at: NOW * NANOS_PER_MS,
         body: Arc::from(&b"a body"[..]),
-    };
-    let sent = |id: &str| Record::AttemptStarted {
+    }
+}
+
+fn attempt_started(id: &str) -> Record {
+    Record::AttemptStarted {
         id: id.into(),
         attempt: 3,
         endpoint: "s-1".into(),
         at: (NOW + 5) * NANOS_PER_MS,
-    };
+    }
+}
+
+fn attempt_finished(id: &str, not_executed: bool) -> Record {
+    Record::AttemptFinished {
+        id: id.into(),
+        attempt: 3,
+        not_executed,
+    }
+}
+
+fn journal_records() -> [Record; 10] {
     let (first, second, third) = ("0000000000000001", "0000000000000002", "0000000000000003");
-    let records = [
+    [
         accepted(first, Some("00000000000000aa"), None),
         accepted(second, None, Some("account-1")),
         accepted(third, None, None),
-        sent(first),
-        sent(second),
-        Record::AttemptFinished {
-            id: first.into(),
-            attempt: 3,
-            not_executed: false,
-        },
-        Record::AttemptFinished {
-            id: second.into(),
-            attempt: 3,
-            not_executed: true,
-        },
+        attempt_started(first),
+        attempt_started(second),
+        attempt_finished(first, false),
+        attempt_finished(second, true),
         Record::Completed {
             id: first.into(),
             until: (NOW + 40_000) * NANOS_PER_MS,
@@ -566,8 +578,7 @@
             final_report: FinalReport::Failed,
             ordering_key: None,
         },
-    ];
-    journal.append(NOW, &records).expect("room");
+    ]
 }
 
 #[test]
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -200,11 +200,13 @@
     );
 }
 
+fn destination_answer(text: &str, ids: &[&str]) -> destination_protocol::DestinationResponse {
+    destination_protocol::read(&response(text), ids, Duration::ZERO)
+}
+
 #[test]
-fn a_response_carries_each_outcome_retry_after_and_limit() {
-    let notified =
-        |text: &str, ids: &[&str]| destination_protocol::read(&response(text), ids, Duration::ZERO);
-    let one = |text: &str| notified(text, &["a"]).verdicts[0];
+fn a_response_to_one_message_carries_its_outcome() {
+    let one = |text: &str| destination_answer(text, &["a"]).verdicts[0];
     assert_eq!(
         one("HTTP/1.1 200 OK\r\n\r\n"),
         Verdict {
@@ -232,7 +234,11 @@
             over: true
         }
     );
-    let full = notified(
+}
+
+#[test]
+fn a_rejected_batch_carries_retry_after_and_load_report() {
+    let full = destination_answer(
         "HTTP/1.1 429 F\r\nRetry-After: 0.75\r\nX-Pressure: x0=0.4,x1=25\r\n\r\n",
         &["a", "b"],
     );
@@ -246,8 +252,12 @@
     assert_eq!(full.wait, Some(Duration::from_millis(750)));
     let limit = full.report.expect("a reading");
     assert_eq!((limit.left, limit.limit), (0.4, 25.0));
+}
+
+#[test]
+fn a_batch_response_carries_an_outcome_for_each_message() {
     let states = r#"[{"id":"b","state":"busy"},{"id":"a","state":"done"},{"id":"c","state":"failed"},{"id":"d","state":"void"},{"id":"e","state":"used_up"}]"#;
-    let mixed = notified(
+    let mixed = destination_answer(
         &format!("HTTP/1.1 200 OK\r\nRetry-After: 1\r\n\r\n{states}"),
         &["a", "b", "c", "d", "e", "f"],
     );
@@ -260,20 +270,18 @@
             (Status::Error, false),
             (Status::NotSent, true),
             (Status::NotSent, false),
-            // Not told of: it may have been executed.
+            // Missing in the answer: it may have been executed.
             (Status::Error, false),
         ]
     );
     assert_eq!(mixed.wait, Some(Duration::from_secs(1)));
+}
+
+#[test]
+fn an_unreadable_retry_after_is_ignored() {
     for nonsense in ["", "-1", "inf", "nan", "soon"] {
-        assert_eq!(
-            notified(
-                &format!("HTTP/1.1 429 F\r\nRetry-After: {nonsense}\r\n\r\n"),
-                &["a"]
-            )
-            .wait,
-            None
-        );
+        let text = format!("HTTP/1.1 429 F\r\nRetry-After: {nonsense}\r\n\r\n");
+        assert_eq!(destination_answer(&text, &["a"]).wait, None);
     }
 }
 
--- a/crates/cranehill/tests/simulated_members.rs
+++ b/crates/cranehill/tests/simulated_members.rs
@@ -88,6 +88,25 @@
             .filter(|printed| printed.by == by && printed.of == of);
         about.map(|printed| printed.state.as_str()).collect()
     };
+    check_views(&states, &shown);
+    check_cut(&states, &shown);
+    assert!(judged.largest_share <= 1.0, "{shown}");
+    assert!(
+        simulated.bytes_sent > 0 && simulated.bytes_received > 0 && simulated.lost > 0,
+        "{shown}"
+    );
+    assert!(
+        traffic.packets[0] > 0
+            && judged
+                .simulated
+                .as_ref()
+                .is_some_and(|h| h.members == SIMULATED),
+        "{shown}"
+    );
+}
+
+/// Every live member has seen each other member alive, and ends with a view that has the killed ones down.
+fn check_views<'log>(states: &impl Fn(usize, usize) -> Vec<&'log str>, shown: &str) {
     let killed = [KILLED_REAL, KILLED_SIMULATED];
     for by in (0..SENDERS + SIMULATED).filter(|by| !killed.contains(by)) {
         for of in (0..SENDERS + SIMULATED).filter(|of| *of != by) {
@@ -108,7 +127,10 @@
             );
         }
     }
-    // Across the cut: real to simulated, simulated to real, simulated to simulated.
+}
+
+/// Across the cut, a member is down and then alive again: real to simulated, simulated to real, and among simulated ones.
+fn check_cut<'log>(states: &impl Fn(usize, usize) -> Vec<&'log str>, shown: &str) {
     for (by, of) in [(0, 10), (10, 0), (2, 10), (10, 2)] {
         let printed = states(by, of);
         let down = printed.iter().position(|state| *state == "down");
@@ -117,19 +139,6 @@
             "{by} of {of}: {printed:?}\n{shown}"
         );
     }
-    assert!(judged.largest_share <= 1.0, "{shown}");
-    assert!(
-        simulated.bytes_sent > 0 && simulated.bytes_received > 0 && simulated.lost > 0,
-        "{shown}"
-    );
-    assert!(
-        traffic.packets[0] > 0
-            && judged
-                .simulated
-                .as_ref()
-                .is_some_and(|h| h.members == SIMULATED),
-        "{shown}"
-    );
 }
 
 /// Guards sockets, threads and timers: what virtual time shows holds over UDP as well.
--- a/crates/cranehill/tests/spoilt.rs
+++ b/crates/cranehill/tests/spoilt.rs
@@ -25,7 +25,7 @@
     // A call is waited for for a quarter of the aim at least: 5 s, so that what ends sooner did not end by that.
     let known = list(1, &[("a", destination.address, 7, "station")]);
     let sender = start_as(&known, &platform, |setup| {
-        setup.platform_settings.settings.classes[0].latency_objective = Duration::from_secs(20)
+        setup.platform_settings.settings.classes[0].latency_objective = Duration::from_secs(20);
     });
     let mut client = Client::new(sender.clients);
     for n in 0..messages {
