--- a/crates/cranehill/tests/capacity.rs
+++ b/crates/cranehill/tests/capacity.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn sizes_that_cant_be_played_are_one_line_with_the_place_and_exit_code_2() {
+fn invalid_sizes_are_one_line_with_the_place_and_exit_code_2() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("sizes.toml");
     for (sizes, notified) in [
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_run_writes_its_figures_and_fails_where_the_page_states_better_ones() {
+fn run_writes_figures_and_fails_if_the_page_states_better_ones() {
     let folder = tempfile::tempdir().expect("a folder");
     let [sizes, page, out_dir] =
         ["sizes.toml", "page.md", "out"].map(|name| folder.path().join(name));
--- a/crates/cranehill/tests/cli.rs
+++ b/crates/cranehill/tests/cli.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_sample_files_of_the_repository_work() {
+fn sample_files_are_valid() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let out = run(&[
         "check",
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_missed_expectation_exits_with_1_and_a_wrong_script_with_2() {
+fn missed_expectation_exits_with_1_and_invalid_script_with_2() {
     let out = run(&["rehearse", path(&file("push a\nexpect a gone\n"))]);
     assert_eq!(out.status.code(), Some(1));
     assert!(
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_import_prints_a_file_that_check_takes_and_lists_the_rest() {
+fn nginx_import_prints_a_valid_file_and_lists_what_is_left_out() {
     let nginx = file(
         "upstream a { server 127.0.0.1:9100 weight=3; }\nserver { location /p/ { proxy_pass http://a/q/; } }\n",
     );
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn what_cannot_be_started_or_checked_is_one_line_and_2() {
+fn bad_input_is_one_line_and_exit_code_2() {
     for args in [
         &["serve"] as &[&str],
         &["check"],
@@ -103,7 +103,7 @@
 
 /// Of no sender or of billions, a part of a limit would be all of it or nothing.
 #[test]
-fn a_number_of_senders_that_cannot_be_is_an_error_with_its_place() {
+fn invalid_sender_count_is_an_error_with_its_key() {
     let state = tempfile::tempdir().expect("a folder");
     let good = common::config_text(&common::list(1, &[]));
     for (senders, why) in [
--- a/crates/cranehill/tests/clients.rs
+++ b/crates/cranehill/tests/clients.rs
@@ -9,7 +9,7 @@
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
 #[test]
-fn a_stream_of_pipelined_requests_neither_overflows_the_stack_nor_starves_the_rest() {
+fn pipelined_requests_neither_overflow_the_stack_nor_starve_other_clients() {
     let destination = SimulatedServer::new(|_, _| Reply::Silent).expect("partner");
     let platform = platform();
     let sender = start(
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_client_that_reads_nothing_is_not_read_from_without_end() {
+fn client_that_reads_nothing_stops_being_read() {
     let platform = platform();
     let sender = start(&list(1, &[]), &platform);
     let client = Client::new(sender.clients);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn those_who_ask_once_or_nothing_and_stay_do_not_keep_others_out() {
+fn idle_clients_do_not_keep_others_out() {
     let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let platform = platform();
     // So few descriptors as the smallest deployment has.
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_silent_and_the_half_sent_end_by_themselves() {
+fn silent_and_incomplete_connections_time_out() {
     let platform = platform();
     let sender = start(&list(1, &[]), &platform);
     let mut silent = Client::new(sender.clients);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn what_can_not_be_used_is_never_taken_on_and_its_sender_is_cut_off_in_the_end() {
+fn invalid_requests_are_rejected_and_their_client_disconnected() {
     let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let platform = platform();
     let sender = start(
@@ -146,7 +146,7 @@
 /// Incident r84ba72: when the other sender restarts, its clients all come at once, while every place is held by
 /// one that has asked. The new ones ended each other before their requests were read.
 #[test]
-fn a_crowd_that_comes_at_once_takes_the_places_of_those_who_have_been_answered() {
+fn new_connections_replace_answered_idle_ones() {
     let platform = platform();
     let sender = start_with(&list(1, &[]), &platform, 256);
     let ping = b"*1\r\n$4\r\nPING\r\n";
@@ -171,7 +171,7 @@
 /// which takes answers along that are still on their way. All of it is there before the sender runs, and is more than it
 /// reads at once, so that some is unread at the end.
 #[test]
-fn what_comes_behind_our_end_of_a_connection_is_thrown_away_and_resets_nothing() {
+fn bytes_after_the_sender_closed_are_discarded_without_a_reset() {
     let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let platform = platform();
     let prepared = prepare(
@@ -213,7 +213,7 @@
 
 /// Guards places and time against clients that never close what we have ended.
 #[test]
-fn a_client_that_does_not_close_is_not_waited_for_without_end() {
+fn client_that_does_not_close_times_out() {
     let platform = platform();
     let sender = start_with(&list(1, &[]), &platform, 256);
     let mut kept = Vec::new();
--- a/crates/cranehill/tests/cold_fleet.rs
+++ b/crates/cranehill/tests/cold_fleet.rs
@@ -50,7 +50,7 @@
 /// The bound is on the sum of all processes, so that more of them must not mean more calls. Judged by the auditor, which sees the
 /// wire alone.
 #[test]
-fn senders_together_do_not_push_a_cold_destination_over() {
+fn senders_together_do_not_overload_a_cold_destination() {
     thread::scope(|scope| {
         for senders in [2, 20, 30] {
             scope.spawn(move || {
--- a/crates/cranehill/tests/crash_test.rs
+++ b/crates/cranehill/tests/crash_test.rs
@@ -15,7 +15,7 @@
 
 /// A hundred kills: nothing accepted is lost, nothing ends twice, nothing `unsafe` goes out again.
 #[test]
-fn a_hundred_kills_lose_nothing_and_repeat_nothing_that_must_not_be() {
+fn hundred_kills_lose_nothing_and_repeat_no_unsafe_message() {
     let outcome = play(&plan(100, 3, 0), |_| {}).expect("it plays");
     assert!(
         outcome.holds() && outcome.lost.is_empty(),
@@ -26,7 +26,7 @@
 
 /// A byte flipped after each third kill used to lose hundreds, and to repeat what must not be.
 #[test]
-fn flipped_bytes_lose_no_more_than_the_records_that_they_hit() {
+fn flipped_bytes_lose_only_the_records_they_hit() {
     let outcome = play(&plan(30, 4, 3), |_| {}).expect("it plays");
     assert_eq!(outcome.flips, 10);
     assert!(outcome.holds(), "seed 4: {outcome:#?}");
--- a/crates/cranehill/tests/descriptors.rs
+++ b/crates/cranehill/tests/descriptors.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn discovery_is_reached_again_and_known_work_goes_on_while_idle_clients_fill_the_descriptors() {
+fn discovery_and_delivery_continue_while_idle_clients_hold_all_descriptors() {
     let folder = tempfile::tempdir().expect("a folder");
     let endpoint = SimulatedServer::new(|_, _| Reply::status(200)).expect("endpoints");
     let names: Vec<String> = (0..=DESTINATIONS).map(|d| format!("e{d}")).collect();
--- a/crates/cranehill/tests/directory.rs
+++ b/crates/cranehill/tests/directory.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn while_the_directory_fails_the_last_list_is_kept_and_then_the_new_one_taken() {
+fn last_endpoint_list_is_kept_while_discovery_fails() {
     let old = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let new = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let next = list(9, &[("b", new.address, 7, "station")]);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_directory_that_holds_no_watch_is_not_asked_without_end() {
+fn discovery_that_holds_no_watch_is_not_polled_in_a_tight_loop() {
     let same = list(4, &[]).replace("\"full\":true", "\"full\":false");
     // Every other answer ends its connection too.
     let final_report = format!(
@@ -106,7 +106,7 @@
 
 /// The whole list of the planned size comes over the watch: it is taken, and its last destination gets its message.
 #[test]
-fn a_list_of_the_planned_size_is_taken_from_the_directory() {
+fn endpoint_list_of_the_planned_size_is_read() {
     const LISTED: usize = 57_000;
     let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("destination");
     let at = destination.address;
--- a/crates/cranehill/tests/endings.rs
+++ b/crates/cranehill/tests/endings.rs
@@ -44,7 +44,7 @@
 /// Guards a batch whose answer breaks off: its first line says 200, and for several messages only the whole answer says what
 /// became of each. Both messages are there before the sender runs, so that they share a call.
 #[test]
-fn a_batch_whose_answer_is_cut_has_delivered_none_of_it() {
+fn truncated_batch_response_delivers_nothing() {
     for cut in [
         "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n[{\"id\":\"m1\",\"state\":\"done\"},",
         "HTTP/1.1 200 OK\r\n",
@@ -93,7 +93,7 @@
 
 /// Guards a whole answer that leaves one message out or says it failed: the others are delivered, that one goes again.
 #[test]
-fn a_message_missing_from_a_batch_answer_has_no_outcome_of_the_others() {
+fn message_missing_from_a_batch_response_is_possibly_executed() {
     let destination = SimulatedServer::new(|request, number| match number {
         0 => {
             let text = r#"[{"id":"m1","state":"done"},{"id":"m3","state":"done"}]"#;
@@ -149,7 +149,7 @@
 
 /// Guards a new endpoint at an old address: it is another, and gets no connection of the old one.
 #[test]
-fn a_new_id_at_an_old_address_gets_a_connection_of_its_own() {
+fn new_endpoint_at_a_known_address_gets_its_own_connection() {
     let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     let (platform, change) = changing(list(2, &[("b", destination.address, 7, "station")]));
     let sender = start(
@@ -192,7 +192,7 @@
 /// Guards a first watch that is silent from the start: it is given up and put anew, one watch at a time, and what the old one
 /// says late is not heard.
 #[test]
-fn a_first_watch_that_stays_silent_is_put_anew_and_its_late_answer_is_not_heard() {
+fn silent_first_watch_is_replaced_and_its_late_response_ignored() {
     let (old, new) = (
         SimulatedServer::new(|_, _| Reply::status(200)),
         SimulatedServer::new(|_, _| Reply::status(200)),
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -72,7 +72,7 @@
 /// Guards the whole way: sockets, reducer, votes. What is expected is an order of events, never a time: the day is long
 /// enough for each by a wide margin.
 #[test]
-fn crashes_stops_and_cuts_are_seen_and_nobody_takes_more() {
+fn crashes_pauses_and_partitions_are_detected_without_exceeding_limits() {
     let plan = plan();
     let (outcome, passed) = play(&plan, |_, _| {}).expect("it plays");
     let judged = Report::of(&plan, &outcome, &passed);
@@ -300,7 +300,7 @@
 
 /// What can't be used is one line with its place, and exit code 2.
 #[test]
-fn a_fleet_file_that_cannot_be_used_is_one_line_and_exit_code_2() {
+fn invalid_fleet_file_is_one_line_and_exit_code_2() {
     for (fleet, key, why) in bad_fleets() {
         let folder = tempfile::tempdir().expect("a folder");
         let output = alone(folder.path(), &fleet, key).output().expect("it runs");
@@ -341,7 +341,7 @@
 /// Three of five are killed at once under load, one of them without its folder, while the directory is silent and a destination
 /// lowers its limit. Guards the whole way back: every owed message ends once and in time, and each sender says that it is full.
 #[test]
-fn most_senders_come_back_at_once() {
+fn majority_recovers_after_simultaneous_kill() {
     let (head, _) = DAY.split_once("[[break]]").expect("breaks");
     let text = format!(
         "{}{}",
@@ -387,7 +387,7 @@
 /// Guards recovery over journals that end too early, each at another place: what can still be read is owed and ends in time,
 /// nothing goes out against its class, and each sender is full again, the one that is cut twice as well.
 #[test]
-fn senders_come_back_over_journals_that_were_cut() {
+fn senders_recover_from_truncated_journals() {
     let (head, _) = DAY.split_once("[[break]]").expect("breaks");
     let text = format!(
         "{}{}",
@@ -491,7 +491,7 @@
 /// Guards the whole way: evidence, words, quorum, gates and probes. One that is cut off from a zone moves nobody; a zone that fails
 /// is left by all and returned to by all; every message ends in time, and the returning destinations are not pushed over.
 #[test]
-fn a_zone_is_left_and_returned_to_by_all_and_not_for_one() {
+fn zone_is_evacuated_only_if_all_senders_see_it_fail() {
     let plan = Plan {
         scenario: scenario::parse(ZONES, 3).expect("a good day"),
         ..plan()
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn the_script_of_hard_cases_plays_as_before() {
+fn hard_cases_script_plays_as_before() {
     let output = program(&["rehearse", path_text(&golden("hard-cases.txt"))])
         .output()
         .expect("it runs");
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn every_word_of_a_push_script_means_what_it_did() {
+fn every_keyword_of_a_push_script_reads_as_before() {
     let script = push_script::parse(EVERY_WORD).expect("a script");
     let report = push_script::play(&script).expect("played");
     let missed: Vec<&String> = report
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn every_misspelt_word_of_a_push_script_is_an_error_at_its_line() {
+fn every_misspelt_keyword_of_a_push_script_is_an_error_at_its_line() {
     let arguments = [
         "service",
         "answers",
--- a/crates/cranehill/tests/handover.rs
+++ b/crates/cranehill/tests/handover.rs
@@ -53,7 +53,7 @@
 /// Guards the whole way: the listener, a connection in the middle of a request, a message that is held, and a Retry-After wait all
 /// pass from one process to the other, and nobody is closed on.
 #[test]
-fn a_new_process_goes_on_where_the_old_one_stops() {
+fn new_process_continues_where_the_old_one_stops() {
     let (plain, calls) = endpoint(|_| Reply::status(200));
     let waits = Duration::from_secs(3);
     let (notified, evicted_connections) = endpoint(|id| match id {
@@ -110,7 +110,7 @@
 
 /// Guards the old process against a new one that never gets ready, and against anybody else at its socket.
 #[test]
-fn who_asks_and_goes_away_changes_nothing() {
+fn disconnected_handover_request_changes_nothing() {
     let (plain, calls) = endpoint(|_| Reply::status(200));
     let known = list(1, &[("a", plain.address, 7, "station")]);
     let (platform, folder) = (platform(), tempfile::tempdir().expect("a folder"));
@@ -134,7 +134,7 @@
 /// Guards the one writer: while the old one can't be asked, the new one waits; once it has died, the new one starts as after a
 /// kill, with all that was accepted.
 #[test]
-fn a_dead_process_leaves_its_folder_to_the_next() {
+fn folder_of_a_dead_process_is_free_for_the_next() {
     let (silent, calls) = endpoint(|_| Reply::Silent);
     let known = list(1, &[("a", silent.address, 7, "station")]);
     let (platform, folder) = (platform(), tempfile::tempdir().expect("a folder"));
@@ -172,7 +172,7 @@
 /// Guards the promises over real processes: upgrades under load, with the old or the new process killed around the moment of the
 /// hand-over. Whatever moment it hits, every message has one end in time, and no attempt is out twice.
 #[test]
-fn upgrades_under_load_lose_nothing_also_when_one_process_is_killed() {
+fn upgrades_under_load_lose_nothing_even_if_a_process_is_killed() {
     let text = include_str!("../../../rehearsals/days/upgrade.toml").replace("120/s", "40/s");
     let plan = Plan {
         scenario: scenario::parse(&text, 3).expect("a good day"),
--- a/crates/cranehill/tests/journal.rs
+++ b/crates/cranehill/tests/journal.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn damage_is_named_by_segment_and_offset_and_the_folder_is_left_as_it_is() {
+fn damage_is_reported_by_segment_and_offset_without_changing_the_folder() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().to_str().expect("a path");
     let mut journal = begin(dir.path());
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn exports_hold_every_fact_in_both_forms() {
+fn exports_hold_every_record_in_both_formats() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().to_str().expect("a path");
     let mut journal = begin(dir.path());
@@ -187,7 +187,7 @@
 
 /// On call one looks while the sender runs: what is read must not pass for damage.
 #[test]
-fn a_live_folder_is_read_as_sound() {
+fn live_folder_is_read_as_sound() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().to_str().expect("a path");
     let mut journal = begin(dir.path());
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_newer_format_ends_the_start_with_one_line_and_json_logs_are_objects() {
+fn newer_journal_format_fails_start_and_json_logs_are_objects() {
     let dir = tempfile::tempdir().expect("a folder");
     let state = dir.path().join("state");
     drop(begin(&state));
--- a/crates/cranehill/tests/late_connections.rs
+++ b/crates/cranehill/tests/late_connections.rs
@@ -40,7 +40,7 @@
 /// Guards the window for repeats: the decision to repeat was in time, the connection came up when it no longer was, and the
 /// repeat went out all the same (narrow days of the other customer: "sent again outside its group or window").
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_not_written() {
+fn retry_is_not_written_if_its_connection_is_established_too_late() {
     let fail = Arc::new(AtomicBool::new(false));
     let fails = fail.clone();
     let first = SimulatedServer::new(move |_, _| {
@@ -88,7 +88,7 @@
 
 /// Guards an endpoint that drains while a connection to it is on its way: what waits for it must not arrive there.
 #[test]
-fn a_call_whose_endpoint_drains_before_its_connection_is_up_is_not_written() {
+fn request_to_a_draining_endpoint_is_not_written() {
     let (late, fill) = full_listener();
     let late_address = late.local_addr().expect("an address");
     let other = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
--- a/crates/cranehill/tests/notified_in_time.rs
+++ b/crates/cranehill/tests/notified_in_time.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_newer_list_is_here_in_time_after_calls_that_failed_in_whatever_way() {
+fn newer_endpoint_list_arrives_in_time_after_failed_polls() {
     let outcomes = [
         (DeliveryOutcome::Silent, 1),
         (DeliveryOutcome::RefusedWithWait, 1),
--- a/crates/cranehill/tests/operator.rs
+++ b/crates/cranehill/tests/operator.rs
@@ -74,7 +74,7 @@
 const NAMES: &str = "c=episode-notice,t=onda-central,d=15000,dest=7";
 
 #[test]
-fn each_call_has_its_yes_and_its_no() {
+fn each_operator_request_is_accepted_and_rejected_as_specified() {
     let (a, b, _heard) = destination();
     let platform = platform();
     let sender = operated(&rows(&a, &b), &platform, None);
@@ -116,7 +116,7 @@
 /// Guards the operators' maintenance: nothing new goes to what is out, a whole list and a restart included, until the call
 /// back; one call back is enough however many took it out.
 #[test]
-fn what_is_detached_gets_nothing_until_the_call_back() {
+fn detached_endpoint_receives_nothing_until_reattached() {
     let (a, b, heard) = destination();
     let (known, platform) = (rows(&a, &b), platform());
     let folder = tempfile::tempdir().expect("a folder");
@@ -160,7 +160,7 @@
 
 /// Guards the drain: who asks hears a no, connections end between requests, and what was written is answered.
 #[test]
-fn an_emptying_sender_answers_what_has_come_and_ends_its_connections() {
+fn draining_sender_answers_pending_requests_and_closes_connections() {
     let (a, b, _heard) = destination();
     let platform = platform();
     let sender = operated(&rows(&a, &b), &platform, None);
@@ -197,7 +197,7 @@
 
 /// Guards the address against callers who open connections and ask nothing: they neither keep others out nor stay.
 #[test]
-fn silent_callers_keep_nobody_out() {
+fn silent_operator_connections_keep_nobody_out() {
     let (a, b, _heard) = destination();
     let platform = platform();
     let sender = operated(&rows(&a, &b), &platform, None);
--- a/crates/cranehill/tests/order.rs
+++ b/crates/cranehill/tests/order.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn two_of_one_key_on_two_connections_go_one_after_the_other() {
+fn messages_of_one_ordering_key_are_sent_one_at_a_time() {
     let (destination, release) = destination("a1", || Reply::status(200));
     let platform = platform();
     let sender = start_as(&known(&destination), &platform, keep_order);
@@ -129,7 +129,7 @@
 
 /// Guards both rests of a key: after an attempt that may still run, and until the final report is answered.
 #[test]
-fn after_a_reset_the_next_waits_for_the_rest_and_for_the_answered_report() {
+fn next_message_of_a_key_waits_for_the_acknowledged_final_report() {
     let (destination, release) = destination("a1", || Reply::Close);
     let answers = Arc::new(AtomicBool::new(false));
     let answered = answers.clone();
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn killed_between_the_answer_and_its_record_a_key_goes_on_in_its_order() {
+fn order_survives_a_kill_between_response_and_record() {
     let (destination, platform) = killed_behind_the_answer("unsafe");
     assert_eq!(came(&destination), ["a1", "a2", "a3"]);
     let reported = reports(&platform).concat();
@@ -241,7 +241,7 @@
 
 /// Guards the order over a hand-over under load: the old process still waits for an answer as the new one takes over.
 #[test]
-fn a_new_version_goes_on_in_the_order_of_its_keys() {
+fn order_survives_an_upgrade() {
     assert_eq!(transferred(true).0, ["a1", "b1", "a2", "a3"]);
     let (came, platform) = transferred(false);
     assert_eq!(came, ["a1", "b1", "a2", "a3"]);
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn a_key_that_cannot_be_read_is_an_error_and_nothing_is_lost() {
+fn invalid_ordering_key_is_an_error_and_loses_nothing() {
     let (destination, release) = destination("none", || Reply::status(200));
     release.store(true, Ordering::Relaxed);
     let platform = platform();
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -12,7 +12,7 @@
 use cranehill_scheduler::api::{Condition, Status};
 
 #[test]
-fn a_request_is_the_same_in_one_piece_and_in_any_two() {
+fn request_parses_the_same_however_it_is_split() {
     let bytes = [
         common::put("m1", "c=episode-notice,dest=7", b"any\r\nbytes\0"),
         b"*1\r\n$4\r\nping\r\n".to_vec(),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_is_no_request_is_an_error_and_never_waited_for() {
+fn invalid_request_is_an_error_without_waiting_for_more_input() {
     for bad in [
         "PING\r\n",
         "*x\r\n",
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn answers_are_read_by_length_by_chunks_and_to_the_end() {
+fn responses_are_read_by_length_by_chunks_and_to_the_end() {
     let chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n";
     for cut in 0..chunked.len() {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_run_of_interim_answers_has_an_end_and_uses_no_stack() {
+fn interim_responses_are_limited_and_use_no_stack() {
     let run = "HTTP/1.1 100 C\r\n\r\n".repeat(200_000);
     assert!(http::response(run.as_bytes(), false).is_err());
     assert_eq!(http::first_line(run.as_bytes()), None);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_load_report_that_can_not_be_read_is_dropped_alone() {
+fn unreadable_load_report_is_dropped_alone() {
     let text = |report: &str| {
         format!(
             "HTTP/1.1 429 F\r\nx-pressure:{report}\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n"
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn the_directorys_list_is_read_by_the_settings_names() {
+fn endpoint_list_uses_the_names_of_the_settings() {
     let known = r#"{"version":3,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"station","cell":7,"state":"draining","weight":2.5,"started_ms":0},{"id":"b","addr":"127.0.0.1:2","kind":"new","cell":8,"state":"up"}]}"#;
     let config = common::config(known, "127.0.0.1:1".parse().expect("an address"));
     let [a, b] = &config.known[..] else {
@@ -338,7 +338,7 @@
 "#;
 
 #[test]
-fn nginx_blocks_become_a_file_that_reads_back_and_the_rest_is_listed_by_line() {
+fn nginx_import_round_trips_and_lists_the_rest_by_line() {
     let imported = nginx::import(NGINX).expect("valid");
     let text = toml::to_string(&imported.file).expect("a file");
     assert_eq!(
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn malformed_nginx_names_its_line() {
+fn malformed_nginx_error_names_its_line() {
     for (bad, line) in [
         ("upstream a {\n server 127.0.0.1:1;\n", 1),
         ("\n}", 2),
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn a_web_push_file_that_cannot_work_is_refused() {
+fn invalid_web_push_file_is_rejected() {
     let good = "listen = \"127.0.0.1:1\"\n[[upstream]]\nname = \"a\"\n[[upstream.server]]\naddress = \"127.0.0.1:2\"\n[[location]]\npath = \"/p/\"\nupstream = \"a\"\n";
     assert!(webpush::parse_file(good).is_ok());
     for (from, to) in [
@@ -396,7 +396,7 @@
 }
 
 #[test]
-fn a_rehearsals_script_names_the_line_that_is_wrong() {
+fn push_script_error_names_its_line() {
     for (bad, line) in [
         ("push a\nexpect b delivered", 2),
         ("push a\npush a", 2),
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn a_rehearsal_shows_ends_and_missed_expectations() {
+fn push_script_report_counts_missed_expectations() {
     let played = |text: &str| {
         push_script::play(&push_script::parse(text).expect("a script")).expect("played")
     };
@@ -433,7 +433,7 @@
 }
 
 #[test]
-fn no_bytes_make_a_parser_panic_or_run_past_its_input() {
+fn parsers_neither_panic_nor_read_past_their_input() {
     // Valid inputs with a few bytes changed, cut or doubled, always the same ones.
     let mut state = 0x5eed_u64;
     let mut next = move |below: usize| {
--- a/crates/cranehill/tests/ready.rs
+++ b/crates/cranehill/tests/ready.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn nine_in_ten_restarted_processes_are_ready_in_time_with_a_full_backlog_and_many_destinations() {
+fn nine_in_ten_restarts_with_a_full_backlog_are_ready_in_time() {
     let text = config_text(&rows(1, 0..LISTED))
         .replace("\"mostHeld\":64", &format!("\"mostHeld\":{MOST_HELD}"))
         .replace("\"deadline\":20000000000", "\"deadline\":600000000000")
--- a/crates/cranehill/tests/rehearse.rs
+++ b/crates/cranehill/tests/rehearse.rs
@@ -39,7 +39,7 @@
 /// What destinations ask for, unsafe classes, restarts and Web Push, all at once: the sound build breaks no rule. Whatever the
 /// machine is busy with can make a rule unclear, and never broken.
 #[test]
-fn a_short_set_of_days_breaks_no_rule() {
+fn short_scenarios_break_no_rule() {
     // What each day is sure to have cases of.
     let scenarios = [
         ("broken-partners", vec![Rule::Waits, Rule::Idle]),
@@ -84,7 +84,7 @@
 
 /// The report says what the table says, and every event is in the Parquet file, once.
 #[test]
-fn a_report_holds_every_event() {
+fn report_holds_every_event() {
     let dir = tempfile::tempdir().expect("a folder");
     let plan = plan(SHORT, 3);
     let outcome = play(&plan, |_, _| {}).expect("it plays");
@@ -122,7 +122,7 @@
 
 /// A bad file stops everything before a sender is started, with its line and exit code 2.
 #[test]
-fn a_bad_day_is_told_before_anything_starts() {
+fn invalid_scenario_is_an_error_before_anything_starts() {
     let dir = tempfile::tempdir().expect("a folder");
     let bad = dir.path().join("bad.toml");
     fs::write(&bad, SHORT.replace("30/s", "30")).expect("written");
@@ -157,7 +157,7 @@
 
 /// Mutations are never in the shipped binary: one that is told to break something does not start.
 #[test]
-fn the_shipped_program_has_no_mutations() {
+fn shipped_program_has_no_mutations() {
     let plan = Plan {
         mutation: Some("two-copies".into()),
         ..plan(SHORT, 1)
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_reload_moves_the_list_and_the_unanswered_reports_again_and_again() {
+fn reload_switches_discovery_and_resends_unacknowledged_reports() {
     let destination = SimulatedServer::new(|_, _| Reply::status(400)).expect("partner");
     let other = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
     // The first platform takes no report: it must go to the second.
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn on_a_reload_the_file_goes_before_the_variable() {
+fn reload_prefers_the_file_over_the_variable() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("config.json");
     let var = |name: &str| match name {
--- a/crates/cranehill/tests/restart.rs
+++ b/crates/cranehill/tests/restart.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_message_to_a_failed_destination_is_reported_after_sigkill_until_acknowledged() {
+fn final_report_is_resent_after_sigkill_until_acknowledged() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
     // The platform takes the report at the second try only.
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_sigterm_still_serves_and_ends_by_itself_with_the_rest_in_the_ledger() {
+fn sigterm_drains_and_exits_with_the_rest_in_the_journal() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
     let (destination, open) = destination();
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_torn_last_record_is_dropped_and_the_rest_kept() {
+fn torn_last_record_is_dropped_and_the_rest_kept() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
     let (destination, open) = destination();
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn alone_as_a_push_front_its_end_answers_who_still_waits() {
+fn push_only_sender_answers_waiting_clients_on_shutdown() {
     let service = SimulatedServer::new(|_, _| Reply::Silent).expect("service");
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("webpush.toml");
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn sighup_with_a_bad_file_does_not_end_the_process() {
+fn sighup_with_an_invalid_file_does_not_end_the_process() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
     let (destination, open) = destination();
@@ -415,7 +415,7 @@
 /// call for given up, and the sender took the answer for a delivery and told nobody (narrow days of an own site, seed 205:
 /// one message lost).
 #[test]
-fn an_answer_that_comes_only_after_the_wait_has_ended_is_none() {
+fn response_after_the_timeout_is_ignored() {
     let folder = tempfile::tempdir().expect("a folder");
     answered_late(
         folder.path(),
@@ -426,7 +426,7 @@
 
 /// Guards a wait that is told by such an answer: it binds all the same.
 #[test]
-fn a_retry_after_in_a_late_answer_is_respected() {
+fn retry_after_in_a_late_response_is_respected() {
     let folder = tempfile::tempdir().expect("a folder");
     let platform = platform();
     let answer = b"HTTP/1.1 429 No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n";
@@ -445,7 +445,7 @@
 /// Guards an end that is asked for more than once, with a reload between, while the endpoint hangs and the platform takes no
 /// reports: the process ends by itself, and the next process has all that is owed, the report too.
 #[test]
-fn a_second_sigterm_and_a_sighup_while_all_hangs_change_nothing() {
+fn repeated_signals_during_shutdown_change_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     let folder = folder.path();
     let (destination, open) = destination();
--- a/crates/cranehill/tests/retry_after.rs
+++ b/crates/cranehill/tests/retry_after.rs
@@ -11,7 +11,7 @@
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
 #[test]
-fn an_unwritten_call_is_cancelled_by_a_retry_after() {
+fn retry_after_cancels_an_unwritten_request() {
     let notified = Arc::new(AtomicBool::new(false));
     let notify = notified.clone();
     let first = SimulatedServer::new(move |_, _| {
--- a/crates/cranehill/tests/short_window.rs
+++ b/crates/cranehill/tests/short_window.rs
@@ -107,7 +107,7 @@
 
 /// All at once, as the platform has it, and by steps. The auditor judges the repeats; what is lost by caution is read off the wire.
 #[test]
-fn restarts_keep_a_window_of_one_second_and_lose_nothing_that_could_still_go() {
+fn restarts_respect_a_one_second_window_and_lose_nothing_deliverable() {
     thread::scope(|scope| {
         for by_steps in [false, true] {
             scope.spawn(move || {
--- a/crates/cranehill/tests/simulated_members.rs
+++ b/crates/cranehill/tests/simulated_members.rs
@@ -58,7 +58,7 @@
 /// directions, and each kind holds a killed member of the other to be down. What is expected is an order of events, never
 /// a time.
 #[test]
-fn real_senders_and_hollow_members_are_one_fleet() {
+fn real_senders_and_simulated_members_form_one_fleet() {
     let scenario = scenario::parse_with_simulated(DAY, 1, None, SIMULATED).expect("a good day");
     let plan = Plan {
         scenario,
@@ -143,7 +143,7 @@
 
 /// Guards sockets, threads and timers: what virtual time shows holds over UDP as well.
 #[test]
-fn hollow_members_agree_over_sockets() {
+fn simulated_members_agree_over_sockets() {
     let timing = Timing {
         period: Duration::from_millis(400),
         round_trip: Duration::from_millis(150),
@@ -180,7 +180,7 @@
 
 /// What can't be played is one line and exit code 2, before anything starts.
 #[test]
-fn fleets_that_cannot_be_played_are_one_line_and_exit_code_2() {
+fn invalid_simulated_fleets_are_one_line_and_exit_code_2() {
     let cases: [(&[&str], &str); 10] = [
         (
             &["rack", "--nodes", "0"],
--- a/crates/cranehill/tests/spoilt.rs
+++ b/crates/cranehill/tests/spoilt.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_is_tried_again_soon_and_elsewhere() {
+fn malformed_response_is_retried_soon_at_another_endpoint() {
     let seen = play(
         &[
             "\u{1}\u{2}noise\r\n\r\n",
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_200_status_line_delivers_and_a_bad_body_only_closes_the_connection() {
+fn status_200_delivers_even_with_a_malformed_body() {
     let seen = play(
         &[
             "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx",
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_dead_idle_connection_is_no_destination_failure_and_equally_old_ones_are_not_reused() {
+fn closed_idle_connection_is_no_destination_failure() {
     let destination = SimulatedServer::new(|_, number| {
         if number == 1 {
             Reply::Close
--- a/crates/cranehill/tests/webpush.rs
+++ b/crates/cranehill/tests/webpush.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_message_travels_unchanged_and_one_connection_serves_many() {
+fn push_is_forwarded_unchanged_over_a_reused_connection() {
     let service = always(Reply::status(201));
     let front = front(service.address, None);
     let sealed: Vec<u8> = (0..=255).collect();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_is_not_a_push_is_answered_at_once_and_goes_nowhere() {
+fn invalid_push_is_answered_at_once_and_not_forwarded() {
     let service = always(Reply::status(201));
     let front = front(service.address, None);
     let status = |headers: &[(&str, &str)]| post(&front, "a", headers, b"x").status;
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_retry_after_date_is_respected() {
+fn retry_after_date_is_respected() {
     let service = SimulatedServer::new(|_, number| match number {
         0 => {
             let at = std::time::SystemTime::now() + Duration::from_secs(3);
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_wait_longer_than_the_message_ends_as_given_up_within_its_ttl() {
+fn retry_after_beyond_the_ttl_expires_the_message_in_time() {
     let service = always(Reply::wait(429, "60"));
     let front = front(service.address, None);
     let begun = Instant::now();
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_removed_subscription_is_not_retried_and_is_no_service_failure() {
+fn removed_subscription_is_not_retried_and_is_no_service_failure() {
     for status in [404, 410] {
         let service = SimulatedServer::new(move |request, _| match request.path.as_str() {
             "/subscription/left" => Reply::status(status),
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn what_the_service_will_never_take_is_given_up_in_one_attempt() {
+fn permanent_error_ends_after_one_attempt() {
     for status in [400, 401, 403, 413] {
         let service = always(Reply::status(status));
         let front = front(service.address, None);
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn an_error_is_tried_again_only_where_a_repeat_does_no_harm() {
+fn error_is_retried_only_if_a_repeat_is_harmless() {
     for reply in [Reply::status(500), Reply::Close] {
         let first = reply.clone();
         let service = SimulatedServer::new(move |_, number| {
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn a_message_rejected_by_every_attempt_returns_with_retry_after() {
+fn message_rejected_by_every_attempt_returns_with_retry_after() {
     let service = always(Reply::wait(503, "0.05"));
     let front = front(service.address, None);
     let answer = post(&front, "a", &[("TTL", "0")], b"x");
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn a_silent_service_ends_as_given_up_before_the_ttl() {
+fn silent_service_expires_the_message_before_the_ttl() {
     let service = always(Reply::Silent);
     let front = front(service.address, None);
     let begun = Instant::now();
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn a_service_that_is_not_there_is_no_delivery() {
+fn unreachable_service_delivers_nothing() {
     let closed = std::net::TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
         .expect("a free port");
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn who_leaves_before_the_answer_withdraws_the_message() {
+fn closed_client_connection_cancels_the_message() {
     let service = SimulatedServer::new(|_, number| match number {
         0 => Reply::wait(429, "3"),
         _ => Reply::status(201),
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn posts_are_signed_with_our_key_for_the_service_they_go_to() {
+fn pushes_are_signed_for_their_service() {
     let secret = [7u8; 32];
     let vapid = VapidFile {
         key: URL_SAFE_NO_PAD.encode(secret),
@@ -378,7 +378,7 @@
 }
 
 #[test]
-fn beside_the_platform_both_fronts_work_and_a_new_whole_list_leaves_the_push_services_in() {
+fn full_endpoint_list_keeps_push_services() {
     let destination = always(Reply::status(200));
     let service = always(Reply::status(201));
     let whole = common::list(9, &[("a", destination.address, 7, "station")]);
