--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -72,7 +72,7 @@
 /// Guards the whole way: sockets, reducer, votes. What is expected is an order of events, never a time: the day is long
 /// enough for each by a wide margin.
 #[test]
-fn crashes_stops_and_cuts_are_seen_and_nobody_takes_more() {
+fn crashes_pauses_and_partitions_are_detected_without_exceeding_limits() {
     let plan = plan();
     let (outcome, passed) = play(&plan, |_, _| {}).expect("it plays");
     let judged = Report::of(&plan, &outcome, &passed);
@@ -236,61 +236,72 @@
     child.wait().expect("ended");
 }
 
-/// What can't be used is one line with its place, and exit code 2.
-#[test]
-fn a_fleet_file_that_cannot_be_used_is_one_line_and_exit_code_2() {
-    let key = "5e".repeat(32);
+/// A fleet file, its key and the error on them.
+type BadFleet = (String, &'static str, &'static str);
+
+const FLEET_KEY: &str = "5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e";
+
+fn bad_fleets() -> [BadFleet; 11] {
     let good = "listen = \"127.0.9.4:7946\"\nkey = \"fleet.key\"\n";
-    let cases = [
+    [
         (
             good.to_owned() + "periodd = \"1 s\"\n",
-            key.as_str(),
+            FLEET_KEY,
             "fleet.toml: line 3: ",
         ),
         (
             good.to_owned() + "period = \"1\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: line 3: '1' is not a span",
         ),
         (
             good.to_owned() + "period = \"1 ms\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: period: ",
         ),
         (
             good.to_owned() + "round_trip = \"2 s\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: round_trip: ",
         ),
         (
             good.to_owned() + "suspicion = \"10 ms\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: suspicion: ",
         ),
         (
             good.to_owned() + "hold = \"soon\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: hold: 'soon'",
         ),
         (
             good.to_owned() + "hold = \"1 s\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: hold: ",
         ),
         (
             good.to_owned() + "late = \"1 ms\"\n",
-            &key,
+            FLEET_KEY,
             "fleet.toml: late: ",
         ),
         (
             good.replace("127.0.9.4:7946", "0.0.0.0:7946"),
-            &key,
+            FLEET_KEY,
             "fleet.toml: advertise: ",
         ),
         (good.to_owned(), "5e5e", "fleet.key: line 1: not a key"),
-        (good.replace("fleet.key", "other.key"), &key, "other.key: "),
-    ];
-    for (fleet, key, why) in cases {
+        (
+            good.replace("fleet.key", "other.key"),
+            FLEET_KEY,
+            "other.key: ",
+        ),
+    ]
+}
+
+/// What can't be used is one line with its place, and exit code 2.
+#[test]
+fn invalid_fleet_file_is_one_line_and_exit_code_2() {
+    for (fleet, key, why) in bad_fleets() {
         let folder = tempfile::tempdir().expect("a folder");
         let output = alone(folder.path(), &fleet, key).output().expect("it runs");
         let printed = String::from_utf8_lossy(&output.stderr);
@@ -302,15 +313,8 @@
     }
 }
 
-/// Three of five are killed at once under load, one of them without its folder, while the directory is silent and a destination
-/// lowers its limit. Guards the whole way back: every owed message ends once and in time, and each sender says that it is full.
-#[test]
-fn most_senders_come_back_at_once() {
-    let (head, _) = DAY.split_once("[[break]]").expect("breaks");
-    let text = format!(
-        "{}{}",
-        head.replace("hold = \"60 s\"", "hold = \"60 s\"\nrecovery = true"),
-        r#"[[break]]
+/// Three of five senders are killed, while discovery is silent and a destination lowers its limit.
+const KILLED_MAJORITY: &str = r#"[[break]]
 kind = "kill"
 senders = [0, 1]
 at = "5 s"
@@ -332,7 +336,17 @@
 [[directory.outage]]
 at = "5 s"
 lasts = "4 s"
-"#
+"#;
+
+/// Three of five are killed at once under load, one of them without its folder, while the directory is silent and a destination
+/// lowers its limit. Guards the whole way back: every owed message ends once and in time, and each sender says that it is full.
+#[test]
+fn majority_recovers_after_simultaneous_kill() {
+    let (head, _) = DAY.split_once("[[break]]").expect("breaks");
+    let text = format!(
+        "{}{}",
+        head.replace("hold = \"60 s\"", "hold = \"60 s\"\nrecovery = true"),
+        KILLED_MAJORITY
     );
     let plan = Plan {
         scenario: scenario::parse(&text, 2).expect("a good day"),
@@ -373,7 +387,7 @@
 /// Guards recovery over journals that end too early, each at another place: what can still be read is owed and ends in time,
 /// nothing goes out against its class, and each sender is full again, the one that is cut twice as well.
 #[test]
-fn senders_come_back_over_journals_that_were_cut() {
+fn senders_recover_from_truncated_journals() {
     let (head, _) = DAY.split_once("[[break]]").expect("breaks");
     let text = format!(
         "{}{}",
@@ -477,7 +491,7 @@
 /// Guards the whole way: evidence, words, quorum, gates and probes. One that is cut off from a zone moves nobody; a zone that fails
 /// is left by all and returned to by all; every message ends in time, and the returning destinations are not pushed over.
 #[test]
-fn a_zone_is_left_and_returned_to_by_all_and_not_for_one() {
+fn zone_is_evacuated_only_if_all_senders_see_it_fail() {
     let plan = Plan {
         scenario: scenario::parse(ZONES, 3).expect("a good day"),
         ..plan()
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cranehill::rehearsal;
+use cranehill::push_script;
 use cranehill_core::{FinalReport, Record};
 use cranehill_daemon::fleet::{self, Fleet};
 use cranehill_daemon::webpush::{self, Location, Server, Upstream, VapidFile};
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn the_script_of_hard_cases_plays_as_before() {
+fn hard_cases_script_plays_as_before() {
     let output = program(&["rehearse", path_text(&golden("hard-cases.txt"))])
         .output()
         .expect("it runs");
@@ -398,9 +398,9 @@
 }
 
 #[test]
-fn every_word_of_a_push_script_means_what_it_did() {
-    let script = rehearsal::parse(EVERY_WORD).expect("a script");
-    let report = rehearsal::play(&script).expect("played");
+fn every_keyword_of_a_push_script_reads_as_before() {
+    let script = push_script::parse(EVERY_WORD).expect("a script");
+    let report = push_script::play(&script).expect("played");
     let missed: Vec<&String> = report
         .lines
         .iter()
@@ -417,19 +417,19 @@
     );
     // What is left out is the same as these.
     let push =
-        |arguments: &str| rehearsal::parse(&format!("push one{arguments}")).expect("a script");
+        |arguments: &str| push_script::parse(&format!("push one{arguments}")).expect("a script");
     assert_eq!(push(""), push(" ttl=20 body=one"));
     assert_ne!(push(""), push(" body=two"));
     assert_ne!(push(""), push(" urgency=high"));
     assert_ne!(push(" topic=one"), push(" topic=two"));
     let expect =
-        |arguments: &str| rehearsal::parse(&format!("push one\nexpect one delivered{arguments}"));
+        |arguments: &str| push_script::parse(&format!("push one\nexpect one delivered{arguments}"));
     assert_eq!(expect(""), expect(" within 21"));
     assert_ne!(expect(""), expect(" attempts 1"));
 }
 
 #[test]
-fn every_misspelt_word_of_a_push_script_is_an_error_at_its_line() {
+fn every_misspelt_keyword_of_a_push_script_is_an_error_at_its_line() {
     let arguments = [
         "service",
         "answers",
@@ -474,7 +474,9 @@
             let mut lines: Vec<&str> = EVERY_WORD.lines().collect();
             let changed = tokens.join(" ");
             lines[index] = &changed;
-            let error = rehearsal::parse(&lines.join("\n")).expect_err("a word is misspelt");
+            let error = push_script::parse(&lines.join("\n"))
+                .expect_err("a word is misspelt")
+                .to_string();
             assert!(
                 error.starts_with(&format!("line {}: ", index + 1)),
                 "{changed}: {error}"
@@ -518,7 +520,11 @@
         NOW,
     );
     let mut journal = open.expect("opens").0;
-    let accepted = |id: &str, key: Option<&str>, ordering_key: Option<&str>| Record::Accepted {
+    journal.append(NOW, &journal_records()).expect("room");
+}
+
+fn accepted(id: &str, key: Option<&str>, ordering_key: Option<&str>) -> Record {
+    Record::Accepted {
         id: id.into(),
         class: 2,
         tenant: 1,
@@ -528,30 +534,36 @@
         deadline: (NOW + 20_000) * NANOS_PER_MS,
         at: NOW * NANOS_PER_MS,
         body: Arc::from(&b"a body"[..]),
-    };
-    let sent = |id: &str| Record::AttemptStarted {
+    }
+}
+
+fn attempt_started(id: &str) -> Record {
+    Record::AttemptStarted {
         id: id.into(),
         attempt: 3,
         endpoint: "s-1".into(),
         at: (NOW + 5) * NANOS_PER_MS,
-    };
+    }
+}
+
+fn attempt_finished(id: &str, not_executed: bool) -> Record {
+    Record::AttemptFinished {
+        id: id.into(),
+        attempt: 3,
+        not_executed,
+    }
+}
+
+fn journal_records() -> [Record; 10] {
     let (first, second, third) = ("0000000000000001", "0000000000000002", "0000000000000003");
-    let records = [
+    [
         accepted(first, Some("00000000000000aa"), None),
         accepted(second, None, Some("account-1")),
         accepted(third, None, None),
-        sent(first),
-        sent(second),
-        Record::AttemptFinished {
-            id: first.into(),
-            attempt: 3,
-            not_executed: false,
-        },
-        Record::AttemptFinished {
-            id: second.into(),
-            attempt: 3,
-            not_executed: true,
-        },
+        attempt_started(first),
+        attempt_started(second),
+        attempt_finished(first, false),
+        attempt_finished(second, true),
         Record::Completed {
             id: first.into(),
             until: (NOW + 40_000) * NANOS_PER_MS,
@@ -566,8 +578,7 @@
             final_report: FinalReport::Failed,
             ordering_key: None,
         },
-    ];
-    journal.append(NOW, &records).expect("room");
+    ]
 }
 
 #[test]
--- a/crates/cranehill/tests/notified_in_time.rs
+++ b/crates/cranehill/tests/notified_in_time.rs
@@ -4,8 +4,8 @@
 
 use std::time::{Duration, Instant};
 
-use common::*;
-use cranehill::rehearsal::{Reply, Seen, SimulatedServer};
+use common::{config, list};
+use cranehill::simulated_server::{Reply, Seen, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::{ControlCommand, Reactor, ReactorOptions};
 
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_newer_list_is_here_in_time_after_calls_that_failed_in_whatever_way() {
+fn newer_endpoint_list_arrives_in_time_after_failed_polls() {
     let outcomes = [
         (DeliveryOutcome::Silent, 1),
         (DeliveryOutcome::RefusedWithWait, 1),
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use cranehill::{nginx, rehearsal};
+use cranehill::{nginx, push_script};
 use cranehill_daemon::client_protocol::{self, Request};
 use cranehill_daemon::destination_protocol::{self, Verdict};
 use cranehill_daemon::http::{self, Response};
@@ -12,7 +12,7 @@
 use cranehill_scheduler::api::{Condition, Status};
 
 #[test]
-fn a_request_is_the_same_in_one_piece_and_in_any_two() {
+fn request_parses_the_same_however_it_is_split() {
     let bytes = [
         common::put("m1", "c=episode-notice,dest=7", b"any\r\nbytes\0"),
         b"*1\r\n$4\r\nping\r\n".to_vec(),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_is_no_request_is_an_error_and_never_waited_for() {
+fn invalid_request_is_an_error_without_waiting_for_more_input() {
     for bad in [
         "PING\r\n",
         "*x\r\n",
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn answers_are_read_by_length_by_chunks_and_to_the_end() {
+fn responses_are_read_by_length_by_chunks_and_to_the_end() {
     let chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n";
     for cut in 0..chunked.len() {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_run_of_interim_answers_has_an_end_and_uses_no_stack() {
+fn interim_responses_are_limited_and_use_no_stack() {
     let run = "HTTP/1.1 100 C\r\n\r\n".repeat(200_000);
     assert!(http::response(run.as_bytes(), false).is_err());
     assert_eq!(http::first_line(run.as_bytes()), None);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_load_report_that_can_not_be_read_is_dropped_alone() {
+fn unreadable_load_report_is_dropped_alone() {
     let text = |report: &str| {
         format!(
             "HTTP/1.1 429 F\r\nx-pressure:{report}\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n"
@@ -200,11 +200,13 @@
     );
 }
 
+fn destination_answer(text: &str, ids: &[&str]) -> destination_protocol::DestinationResponse {
+    destination_protocol::read(&response(text), ids, Duration::ZERO)
+}
+
 #[test]
-fn a_response_carries_each_outcome_retry_after_and_limit() {
-    let notified =
-        |text: &str, ids: &[&str]| destination_protocol::read(&response(text), ids, Duration::ZERO);
-    let one = |text: &str| notified(text, &["a"]).verdicts[0];
+fn a_response_to_one_message_carries_its_outcome() {
+    let one = |text: &str| destination_answer(text, &["a"]).verdicts[0];
     assert_eq!(
         one("HTTP/1.1 200 OK\r\n\r\n"),
         Verdict {
@@ -232,7 +234,11 @@
             over: true
         }
     );
-    let full = notified(
+}
+
+#[test]
+fn a_rejected_batch_carries_retry_after_and_load_report() {
+    let full = destination_answer(
         "HTTP/1.1 429 F\r\nRetry-After: 0.75\r\nX-Pressure: x0=0.4,x1=25\r\n\r\n",
         &["a", "b"],
     );
@@ -246,8 +252,12 @@
     assert_eq!(full.wait, Some(Duration::from_millis(750)));
     let limit = full.report.expect("a reading");
     assert_eq!((limit.left, limit.limit), (0.4, 25.0));
+}
+
+#[test]
+fn a_batch_response_carries_an_outcome_for_each_message() {
     let states = r#"[{"id":"b","state":"busy"},{"id":"a","state":"done"},{"id":"c","state":"failed"},{"id":"d","state":"void"},{"id":"e","state":"used_up"}]"#;
-    let mixed = notified(
+    let mixed = destination_answer(
         &format!("HTTP/1.1 200 OK\r\nRetry-After: 1\r\n\r\n{states}"),
         &["a", "b", "c", "d", "e", "f"],
     );
@@ -260,25 +270,23 @@
             (Status::Error, false),
             (Status::NotSent, true),
             (Status::NotSent, false),
-            // Not told of: it may have been executed.
+            // Missing in the answer: it may have been executed.
             (Status::Error, false),
         ]
     );
     assert_eq!(mixed.wait, Some(Duration::from_secs(1)));
+}
+
+#[test]
+fn an_unreadable_retry_after_is_ignored() {
     for nonsense in ["", "-1", "inf", "nan", "soon"] {
-        assert_eq!(
-            notified(
-                &format!("HTTP/1.1 429 F\r\nRetry-After: {nonsense}\r\n\r\n"),
-                &["a"]
-            )
-            .wait,
-            None
-        );
+        let text = format!("HTTP/1.1 429 F\r\nRetry-After: {nonsense}\r\n\r\n");
+        assert_eq!(destination_answer(&text, &["a"]).wait, None);
     }
 }
 
 #[test]
-fn the_directorys_list_is_read_by_the_settings_names() {
+fn endpoint_list_uses_the_names_of_the_settings() {
     let known = r#"{"version":3,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"station","cell":7,"state":"draining","weight":2.5,"started_ms":0},{"id":"b","addr":"127.0.0.1:2","kind":"new","cell":8,"state":"up"}]}"#;
     let config = common::config(known, "127.0.0.1:1".parse().expect("an address"));
     let [a, b] = &config.known[..] else {
@@ -330,7 +338,7 @@
 "#;
 
 #[test]
-fn nginx_blocks_become_a_file_that_reads_back_and_the_rest_is_listed_by_line() {
+fn nginx_import_round_trips_and_lists_the_rest_by_line() {
     let imported = nginx::import(NGINX).expect("valid");
     let text = toml::to_string(&imported.file).expect("a file");
     assert_eq!(
@@ -341,7 +349,7 @@
 }
 
 #[test]
-fn malformed_nginx_names_its_line() {
+fn malformed_nginx_error_names_its_line() {
     for (bad, line) in [
         ("upstream a {\n server 127.0.0.1:1;\n", 1),
         ("\n}", 2),
@@ -355,7 +363,7 @@
             2,
         ),
     ] {
-        let error = nginx::import(bad).expect_err(bad);
+        let error = nginx::import(bad).expect_err(bad).to_string();
         assert!(
             error.starts_with(&format!("line {line}:")),
             "{bad:?}: {error}"
@@ -365,7 +373,7 @@
 }
 
 #[test]
-fn a_web_push_file_that_cannot_work_is_refused() {
+fn invalid_web_push_file_is_rejected() {
     let good = "listen = \"127.0.0.1:1\"\n[[upstream]]\nname = \"a\"\n[[upstream.server]]\naddress = \"127.0.0.1:2\"\n[[location]]\npath = \"/p/\"\nupstream = \"a\"\n";
     assert!(webpush::parse_file(good).is_ok());
     for (from, to) in [
@@ -388,7 +396,7 @@
 }
 
 #[test]
-fn a_rehearsals_script_names_the_line_that_is_wrong() {
+fn push_script_error_names_its_line() {
     for (bad, line) in [
         ("push a\nexpect b delivered", 2),
         ("push a\npush a", 2),
@@ -402,7 +410,7 @@
         // Once an index out of bounds: the default TTL was gone by the second word.
         ("push a ttl=none ttl=5 ttl", 1),
     ] {
-        let error = rehearsal::parse(bad).expect_err(bad);
+        let error = push_script::parse(bad).expect_err(bad).to_string();
         assert!(
             error.starts_with(&format!("line {line}:")),
             "{bad:?}: {error}"
@@ -411,9 +419,10 @@
 }
 
 #[test]
-fn a_rehearsal_shows_ends_and_missed_expectations() {
-    let played =
-        |text: &str| rehearsal::play(&rehearsal::parse(text).expect("a script")).expect("played");
+fn push_script_report_counts_missed_expectations() {
+    let played = |text: &str| {
+        push_script::play(&push_script::parse(text).expect("a script")).expect("played")
+    };
     let good = played(
         "service answers 410 to=left\npush left\npush here\nexpect left gone\nexpect here delivered attempts 1",
     );
@@ -424,7 +433,7 @@
 }
 
 #[test]
-fn no_bytes_make_a_parser_panic_or_run_past_its_input() {
+fn parsers_neither_panic_nor_read_past_their_input() {
     // Valid inputs with a few bytes changed, cut or doubled, always the same ones.
     let mut state = 0x5eed_u64;
     let mut next = move |below: usize| {
@@ -474,7 +483,7 @@
         let _ = (
             nginx::import(&text),
             webpush::parse_file(&text),
-            rehearsal::parse(&text),
+            push_script::parse(&text),
         );
     }
 }
--- a/crates/cranehill/tests/ready.rs
+++ b/crates/cranehill/tests/ready.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use common::process::Process;
-use common::*;
-use cranehill::rehearsal::{Reply, SimulatedServer};
+use common::{Client, config_text, list, put};
+use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 
 /// Nine in ten restarted processes answer within this on short days; on others within 10 s.
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn nine_in_ten_restarted_processes_are_ready_in_time_with_a_full_backlog_and_many_destinations() {
+fn nine_in_ten_restarts_with_a_full_backlog_are_ready_in_time() {
     let text = config_text(&rows(1, 0..LISTED))
         .replace("\"mostHeld\":64", &format!("\"mostHeld\":{MOST_HELD}"))
         .replace("\"deadline\":20000000000", "\"deadline\":600000000000")
--- a/crates/cranehill/tests/simulated_members.rs
+++ b/crates/cranehill/tests/simulated_members.rs
@@ -58,7 +58,7 @@
 /// directions, and each kind holds a killed member of the other to be down. What is expected is an order of events, never
 /// a time.
 #[test]
-fn real_senders_and_hollow_members_are_one_fleet() {
+fn real_senders_and_simulated_members_form_one_fleet() {
     let scenario = scenario::parse_with_simulated(DAY, 1, None, SIMULATED).expect("a good day");
     let plan = Plan {
         scenario,
@@ -88,6 +88,25 @@
             .filter(|printed| printed.by == by && printed.of == of);
         about.map(|printed| printed.state.as_str()).collect()
     };
+    check_views(&states, &shown);
+    check_cut(&states, &shown);
+    assert!(judged.largest_share <= 1.0, "{shown}");
+    assert!(
+        simulated.bytes_sent > 0 && simulated.bytes_received > 0 && simulated.lost > 0,
+        "{shown}"
+    );
+    assert!(
+        traffic.packets[0] > 0
+            && judged
+                .simulated
+                .as_ref()
+                .is_some_and(|h| h.members == SIMULATED),
+        "{shown}"
+    );
+}
+
+/// Every live member has seen each other member alive, and ends with a view that has the killed ones down.
+fn check_views<'log>(states: &impl Fn(usize, usize) -> Vec<&'log str>, shown: &str) {
     let killed = [KILLED_REAL, KILLED_SIMULATED];
     for by in (0..SENDERS + SIMULATED).filter(|by| !killed.contains(by)) {
         for of in (0..SENDERS + SIMULATED).filter(|of| *of != by) {
@@ -108,7 +127,10 @@
             );
         }
     }
-    // Across the cut: real to simulated, simulated to real, simulated to simulated.
+}
+
+/// Across the cut, a member is down and then alive again: real to simulated, simulated to real, and among simulated ones.
+fn check_cut<'log>(states: &impl Fn(usize, usize) -> Vec<&'log str>, shown: &str) {
     for (by, of) in [(0, 10), (10, 0), (2, 10), (10, 2)] {
         let printed = states(by, of);
         let down = printed.iter().position(|state| *state == "down");
@@ -117,24 +139,11 @@
             "{by} of {of}: {printed:?}\n{shown}"
         );
     }
-    assert!(judged.largest_share <= 1.0, "{shown}");
-    assert!(
-        simulated.bytes_sent > 0 && simulated.bytes_received > 0 && simulated.lost > 0,
-        "{shown}"
-    );
-    assert!(
-        traffic.packets[0] > 0
-            && judged
-                .simulated
-                .as_ref()
-                .is_some_and(|h| h.members == SIMULATED),
-        "{shown}"
-    );
 }
 
 /// Guards sockets, threads and timers: what virtual time shows holds over UDP as well.
 #[test]
-fn hollow_members_agree_over_sockets() {
+fn simulated_members_agree_over_sockets() {
     let timing = Timing {
         period: Duration::from_millis(400),
         round_trip: Duration::from_millis(150),
@@ -171,7 +180,7 @@
 
 /// What can't be played is one line and exit code 2, before anything starts.
 #[test]
-fn fleets_that_cannot_be_played_are_one_line_and_exit_code_2() {
+fn invalid_simulated_fleets_are_one_line_and_exit_code_2() {
     let cases: [(&[&str], &str); 10] = [
         (
             &["rack", "--nodes", "0"],
