--- a/crates/cranehill/tests/handover.rs
+++ b/crates/cranehill/tests/handover.rs
@@ -13,6 +13,7 @@
 use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::State;
+use cranehill_journal_tools::{Row, Snapshot, rows};
 use cranehill_scenario_runner::{Limits, Plan, play, report};
 use cranehill_simulation::audit::AuditEvent;
 use cranehill_simulation::scenario;
@@ -47,6 +48,21 @@
     (stand_in.expect("endpoint"), heard)
 }
 
+/// Waits until the outcome of the message's first attempt is in the journal: the sender has applied the answer by then.
+fn wait_for_finished_attempt(folder: &Path, id: &str) {
+    let is_finished = || {
+        let snapshot = Snapshot::take(folder, None).ok()?;
+        let rows = rows(&snapshot, |_, _| {}).ok()?;
+        let finished = |row: &Row| row.kind == "back" && row.id.as_deref() == Some(id);
+        rows.iter().any(finished).then_some(())
+    };
+    let until = Instant::now() + SOON;
+    while is_finished().is_none() {
+        assert!(Instant::now() < until, "no outcome of {id} in the journal");
+        std::thread::sleep(Duration::from_millis(5));
+    }
+}
+
 const SEVEN: &str = "c=episode-notice,t=onda-central,d=15000,dest=7";
 const EIGHT: &str = "c=episode-notice,t=onda-central,d=15000,dest=8";
 
@@ -80,7 +96,7 @@
         "+OK"
     );
     let (_, first) = evicted_connections.recv_timeout(SOON).expect("a call");
-    // Heard by the sender before the next answer: both are dealt with in one turn at the latest.
+    wait_for_finished_attempt(folder.path(), "00000000000000a8");
     assert_eq!(client.put("00000000000000b8", EIGHT, b"waits"), "+OK");
     let request = put("00000000000000b7", SEVEN, b"in two pieces");
     client.send(&request[..30]);
