--- a/crates/cranehill/src/cli.rs
+++ b/crates/cranehill/src/cli.rs
@@ -395,7 +395,7 @@
         operator: config.operator,
         sockets: config.limits.sockets.min(1024),
         memory: (config.limits.memory_mb * 1e6) as usize,
-        read_config: Some(Box::new(|| config::directory_now(variable))),
+        read_config: Some(Box::new(|| Ok(config::directory_now(variable)?))),
     })
 }
 
@@ -403,6 +403,7 @@
     variable("NODE_CONFIG")
         .map(|_| config::load(variable))
         .transpose()
+        .map_err(|e| e.to_string())
 }
 
 /// Reads the fleet's file and its key for this sender.
@@ -411,10 +412,10 @@
     let config = config.ok_or_else(|| {
         named("a fleet is of senders with a configuration; NODE_CONFIG is not set".into())
     })?;
-    let file = fleet::parse(&read(path)?).map_err(named)?;
+    let file = fleet::parse(&read(path)?).map_err(|e| named(e.to_string()))?;
     let key = read_key(&path.parent().unwrap_or(Path::new("")).join(&file.key))?;
     file.fleet(key, &config.name, &config.platform_settings.settings)
-        .map_err(named)
+        .map_err(|e| named(e.to_string()))
 }
 
 fn serve(webpush: Option<&Path>, key: Option<&Path>, fleet: Option<&Path>) -> Result<(), String> {
--- a/crates/cranehill/src/nginx.rs
+++ b/crates/cranehill/src/nginx.rs
@@ -167,7 +167,7 @@
         }
     }
     imported.left_out.sort();
-    imported.file.check()?;
+    imported.file.check().map_err(|e| e.to_string())?;
     Ok(imported)
 }
 
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -246,7 +246,9 @@
     let variants = misspelt(FLEET_EVERY_KEY);
     assert_eq!(variants.len(), 24);
     for (line, text) in variants {
-        let error = fleet::parse(&text).expect_err("a key is misspelt");
+        let error = fleet::parse(&text)
+            .expect_err("a key is misspelt")
+            .to_string();
         assert!(
             error.contains("unknown field") && error.contains("-misspelt"),
             "line {line}: {error}"
@@ -361,7 +363,9 @@
     let variants = misspelt(WEB_PUSH_EVERY_KEY);
     assert_eq!(variants.len(), 19);
     for (line, text) in variants {
-        let error = webpush::parse_file(&text).expect_err("a key is misspelt");
+        let error = webpush::parse_file(&text)
+            .expect_err("a key is misspelt")
+            .to_string();
         if WEB_PUSH_EVERY_KEY.lines().nth(line - 1) == Some("[[upstream]]") {
             // TOML: without its header, the [[upstream.server]] below makes `upstream` a table, not a list.
             assert_eq!(
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -56,6 +56,7 @@
             description
                 .pop_front()
                 .unwrap_or(Err("no configuration".into()))
+                .map_err(Into::into)
         })),
     })
     .expect("the sender starts");
--- a/crates/daemon/src/client_protocol.rs
+++ b/crates/daemon/src/client_protocol.rs
@@ -1,4 +1,4 @@
-//! The tenants' programs that hand messages in, over RESP2: pure parsing and writing.
+//! The protocol of the clients that submit messages, over RESP2: parsing and writing, without I/O.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,31 +6,48 @@
 use crate::config::PlatformSettings;
 use cranehill_core::{Answer, Message, Origin};
 
-/// The largest body of a message, and room for the words before it.
+/// The largest argument, which is a message's body.
 const MAX_ARGUMENT_BYTES: usize = 64 * 1024;
+/// Arguments of a command, its name included.
 const MAX_ARGUMENTS: usize = 16;
-/// The longest key of a class that keeps its order; those of the platform have 16 characters.
+/// All arguments of a command together: a body, and the names before it.
+const MAX_COMMAND_BYTES: usize = MAX_ARGUMENT_BYTES + 2048;
+/// The longest line with a length.
+const MAX_LENGTH_LINE_BYTES: usize = 32;
+/// The longest id of a message.
+const MAX_ID_BYTES: usize = 64;
+/// The longest idempotency key.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
+/// The longest ordering key; those of the platform have 16 characters.
 const MAX_ORDERING_KEY_BYTES: usize = 64;
-/// The longest request that may be waited for.
-pub const REQUEST_MOST: usize = MAX_ARGUMENT_BYTES + 4096;
+/// The longest request; a connection with more unfinished bytes is closed.
+pub const MAX_REQUEST_BYTES: usize = MAX_ARGUMENT_BYTES + 4096;
 
+/// A client's request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Request {
+    /// Whether this sender takes messages.
     Ping,
+    /// The client is about to close the connection.
     Quit,
+    /// `MSG.PUT`: submits a message.
     Put {
-        /// The first argument: what the message keeps its order within, where its class keeps one.
+        /// The first argument: the ordering key, where the message's class is delivered in order.
         key: Vec<u8>,
+        /// The message's id.
         id: String,
+        /// Names and values, as [`message`] parses them.
         names: String,
+        /// The message's body.
         body: Vec<u8>,
     },
-    /// Understood as RESP, but not as a command: it gets an error and the connection stays.
+    /// Valid RESP, but not a valid command, and why: it gets an error and the connection stays.
     Unknown(&'static str),
 }
 
-/// What no answer can repair: the connection ends after it.
-#[derive(Debug, PartialEq, Eq)]
+/// Why bytes are not RESP: the connection ends after the error.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
 pub struct Broken(pub &'static str);
 
 /// A line up to CR LF, and where the next one begins.
@@ -41,7 +58,7 @@
             Ok(Some((&rest[..end - 1], at + end + 1)))
         }
         Some(_) => Err(Broken("a line must end in CR LF")),
-        None if rest.len() > 32 => Err(Broken("a length line is too long")),
+        None if rest.len() > MAX_LENGTH_LINE_BYTES => Err(Broken("a length line is too long")),
         None => Ok(None),
     }
 }
@@ -61,7 +78,10 @@
         .ok_or(Broken("a length is not a number in range"))
 }
 
-/// The first whole request in `bytes` and how many bytes it takes; `None` if more must come.
+/// The first complete request in `bytes` and its length; `None` if more must arrive.
+///
+/// # Errors
+/// The bytes are not, and will not become, RESP within the bounds.
 pub fn parse(bytes: &[u8]) -> Result<Option<(Request, usize)>, Broken> {
     let Some((head, mut at)) = line(bytes, 0)? else {
         return Ok(None);
@@ -75,7 +95,7 @@
         };
         let len = count(head, b'$', MAX_ARGUMENT_BYTES)?;
         total += len;
-        if total > MAX_ARGUMENT_BYTES + 2048 {
+        if total > MAX_COMMAND_BYTES {
             return Err(Broken("the request is too large"));
         }
         let Some(argument) = bytes.get(next..next + len + 2) else {
@@ -104,7 +124,7 @@
             return Request::Unknown("MSG.PUT takes four arguments");
         };
         let named = |id: &String| {
-            !id.is_empty() && id.len() <= 64 && id.bytes().all(|b| b.is_ascii_graphic())
+            !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(|b| b.is_ascii_graphic())
         };
         match (text(id).filter(named), text(names)) {
             (Some(id), Some(names)) => Request::Put {
@@ -120,7 +140,7 @@
     }
 }
 
-/// The key of a message whose class keeps its order: text without spaces. Zeros alone are none.
+/// The ordering key: text without spaces. Zeros alone are none.
 fn ordering_key(key: &[u8]) -> Result<Option<String>, &'static str> {
     let plain =
         (1..=MAX_ORDERING_KEY_BYTES).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic);
@@ -129,7 +149,11 @@
     Ok(Some(text.to_owned()).filter(|_| key.iter().any(|&byte| byte != b'0')))
 }
 
-/// Reads a message's list of names and values. `key` is the request's first argument.
+/// The message that a `MSG.PUT` on connection `from` submits: `names` is its list of names and values, `key` the request's
+/// first argument.
+///
+/// # Errors
+/// What is wrong with the names, as the client is answered.
 pub fn message(
     platform_settings: &PlatformSettings,
     from: usize,
@@ -152,14 +176,15 @@
                     value
                         .parse::<u64>()
                         .map_err(|_| "destination not a number")?,
-                )
+                );
             }
             "k" => {
-                let plain = value.len() <= 128 && value.bytes().all(|b| b.is_ascii_graphic());
+                let plain = value.len() <= MAX_IDEMPOTENCY_KEY_BYTES
+                    && value.bytes().all(|b| b.is_ascii_graphic());
                 key = Some(value.to_owned()).filter(|_| plain);
                 key.as_ref().ok_or("key not readable")?;
             }
-            // Marks of a repeat, and names that newer clients may add, change nothing here.
+            // Marks of a repeated request, and names that newer clients may add, change nothing here.
             _ => {}
         }
     }
@@ -186,8 +211,8 @@
     })
 }
 
-/// The answer's bytes.
-pub fn answer(answer: Answer) -> Vec<u8> {
+/// The bytes of an answer to `MSG.PUT`.
+pub fn write_answer(answer: Answer) -> Vec<u8> {
     match answer {
         Answer::Accepted | Answer::Delivered => b"+OK\r\n".to_vec(),
         Answer::Rejected { after: Some(after) } => {
@@ -198,6 +223,7 @@
     }
 }
 
-pub fn error(why: &str) -> Vec<u8> {
+/// The bytes of an error.
+pub fn write_error(why: &str) -> Vec<u8> {
     format!("-ERR {why}\r\n").into_bytes()
 }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -1,58 +1,85 @@
-//! What the sender is told at start: the platform's variables and file.
+//! The sender's configuration: the platform's `NODE_` variables and the JSON file that one of them names.
 
-use std::collections::HashMap;
-use std::net::SocketAddr;
+use std::error::Error;
+use std::io;
+use std::net::{AddrParseError, SocketAddr};
 use std::path::PathBuf;
 
-use cranehill_scheduler::api::Settings;
-use cranehill_scheduler::profile::{Names, Profile};
+use cranehill_core::Listing;
+use cranehill_scheduler::profile::Profile;
 use serde::Deserialize;
 
-use crate::discovery_protocol;
-use cranehill_core::Listing;
+use crate::discovery_protocol::{EndpointList, RowError};
+pub use crate::platform_settings::PlatformSettings;
 
-/// The deployment's settings and the names on its wires.
-#[derive(Clone, Debug)]
-pub struct PlatformSettings {
-    pub settings: Settings,
-    pub names: Names,
-    classes: HashMap<String, usize>,
-    tenants: HashMap<String, usize>,
-}
-
-impl PlatformSettings {
-    pub fn new(settings: Settings, names: Names) -> PlatformSettings {
-        let connection_limits =
-            |n: &[String]| n.iter().enumerate().map(|(i, n)| (n.clone(), i)).collect();
-        let (classes, tenants) = (
-            connection_limits(&names.classes),
-            connection_limits(&names.tenants),
-        );
-        PlatformSettings {
-            settings,
-            names,
-            classes,
-            tenants,
-        }
-    }
-
-    pub fn class(&self, name: &str) -> Option<usize> {
-        self.classes
-            .get(name)
-            .copied()
-            .filter(|&c| c < self.settings.classes.len())
-    }
-
-    pub fn tenant(&self, name: &str) -> Option<usize> {
-        self.tenants.get(name).copied()
-    }
+/// Why the configuration can't be used.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum ConfigError {
+    /// A variable that has no default is missing.
+    #[error("{variable}: not set")]
+    VariableNotSet {
+        /// Its name.
+        variable: &'static str,
+    },
+    /// The file can't be read.
+    #[error("{path}: {source}")]
+    Unreadable {
+        /// As the variable names it.
+        path: String,
+        /// What the system said.
+        source: io::Error,
+    },
+    /// The file can be read, and its content can't be used.
+    #[error("{path}: {source}")]
+    InFile {
+        /// As the variable names it.
+        path: String,
+        /// What is wrong in it.
+        source: Box<ConfigError>,
+    },
+    /// The text is not the JSON that was expected.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The platform's settings contradict themselves.
+    #[error("{0}")]
+    Settings(Box<dyn Error + Send + Sync>),
+    /// An endpoint known at start is not a valid row.
+    #[error("known: {0}")]
+    KnownEndpoint(#[from] RowError),
+    /// An address is given neither by variable nor in the file.
+    #[error("{field}: not given")]
+    AddressNotGiven {
+        /// The file's key.
+        field: &'static str,
+    },
+    /// An address can't be parsed.
+    #[error("{field}: '{text}' is not an address and port")]
+    InvalidAddress {
+        /// The file's key.
+        field: &'static str,
+        /// As given.
+        text: String,
+        /// Why it can't be parsed.
+        source: AddrParseError,
+    },
+    /// Operators and clients can't share one address.
+    #[error("operator: {address} is where clients connect (listen)")]
+    OperatorAddressTaken {
+        /// The address of both.
+        address: SocketAddr,
+    },
 }
 
+/// What the process may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
+    /// File descriptors.
     pub sockets: usize,
+    /// Memory, in megabytes.
     pub memory_mb: f64,
+    /// Size of the state folder, in megabytes.
     pub disk_mb: f64,
 }
 
@@ -66,19 +93,28 @@
     }
 }
 
-/// All that one sender is told.
+/// The configuration of one sender.
 #[derive(Debug)]
 pub struct Config {
+    /// This sender's name in the fleet.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// Where discovery is, and final reports go.
     pub discovery: SocketAddr,
     /// Where operators reach this sender.
     pub operator: Option<SocketAddr>,
+    /// The folder that outlasts the process.
     pub state: PathBuf,
+    /// Seed of all random choices.
     pub seed: u64,
+    /// What the process may use.
     pub limits: Limits,
+    /// The deployment's settings.
     pub platform_settings: PlatformSettings,
+    /// Version of the endpoint list known at start; 0 for none.
     pub known_version: u64,
+    /// Endpoints known at start.
     pub known: Vec<Listing>,
 }
 
@@ -93,64 +129,106 @@
     seed: serde_json::Value,
     #[serde(default)]
     limits: Limits,
-    known: Option<discovery_protocol::List>,
+    known: Option<EndpointList>,
     settings: Profile,
 }
 
-fn address(what: &str, text: Option<String>) -> Result<SocketAddr, String> {
-    let text = text.ok_or_else(|| format!("{what}: not given"))?;
-    text.parse()
-        .map_err(|_| format!("{what}: '{text}' is not an address and port"))
-}
-
-/// Reads the platform's variables (`var`) and the file that one of them names.
-pub fn load(var: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-    let path = var("NODE_CONFIG").ok_or("NODE_CONFIG: not set")?;
-    let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-    parse(&text, var).map_err(|e| format!("{path}: {e}"))
+/// Reads the platform's variables (`var`) and the file that `NODE_CONFIG` names.
+///
+/// # Errors
+/// What is missing, or can't be read or used, with the file's path.
+pub fn load(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+    let path = required_variable(&var, "NODE_CONFIG")?;
+    let text = match std::fs::read_to_string(&path) {
+        Ok(text) => text,
+        Err(source) => return Err(ConfigError::Unreadable { path, source }),
+    };
+    parse(&text, var).map_err(|e| ConfigError::InFile {
+        path,
+        source: Box::new(e),
+    })
 }
 
-/// Where the directory is by the file as it is now. The variables were told at start: here the file, which is
-/// the newer, goes before them. All of it must be readable: half of a file may name anything.
-pub fn directory_now(var: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, String> {
+/// The address of discovery by the file as it is now. `NODE_DISCOVERY` is from the start of the process, so the file, which
+/// is newer, has precedence. The whole file must be valid: a half-written one may name any address.
+///
+/// # Errors
+/// As [`load`].
+pub fn directory_now(var: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, ConfigError> {
     load(|name| var(name).filter(|_| name != "NODE_DISCOVERY")).map(|config| config.discovery)
 }
 
-/// As [`load`], from the file's text. A variable goes before what the file says.
-pub fn parse(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-    let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
+/// As [`load`], from the file's text. A variable has precedence over the file.
+///
+/// # Errors
+/// What is missing in the text or can't be used.
+pub fn parse(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+    let file: File = serde_json::from_str(text)?;
     let names = file.settings.names();
-    let platform_settings = PlatformSettings::new(file.settings.into_settings()?, names);
-    let seed = match &file.seed {
-        serde_json::Value::String(s) => u64::from_str_radix(s, 16).unwrap_or(0),
-        other => other.as_u64().unwrap_or(0),
-    };
+    let settings = file
+        .settings
+        .into_settings()
+        .map_err(|e| ConfigError::Settings(e.into()))?;
+    let platform_settings = PlatformSettings::new(settings, names);
     let (known_version, known) = match file.known {
         Some(list) => (list.version, list.into_listings(&platform_settings)?),
         None => (0, Vec::new()),
     };
     let listen = address("listen", var("NODE_LISTEN").or(file.listen))?;
-    let operator = var("NODE_OPERATOR")
-        .or(file.operator)
-        .filter(|o| !o.is_empty());
-    let operator = operator
-        .map(|text| address("operator", Some(text)))
-        .transpose()?;
-    if operator.is_some_and(|o| o == listen && o.port() != 0) {
-        return Err(format!(
-            "operator: {listen} is where clients connect (listen)"
-        ));
-    }
+    let operator = operator_address(var("NODE_OPERATOR").or(file.operator), listen)?;
     Ok(Config {
         name: var("NODE_NAME").unwrap_or(file.name),
         listen,
         operator,
         discovery: address("discovery", var("NODE_DISCOVERY").or(file.discovery))?,
-        state: var("NODE_STATE").ok_or("NODE_STATE: not set")?.into(),
-        seed,
+        state: required_variable(&var, "NODE_STATE")?.into(),
+        seed: parse_seed(&file.seed),
         limits: file.limits,
         platform_settings,
         known_version,
         known,
     })
 }
+
+fn required_variable(
+    var: impl Fn(&str) -> Option<String>,
+    variable: &'static str,
+) -> Result<String, ConfigError> {
+    var(variable).ok_or(ConfigError::VariableNotSet { variable })
+}
+
+/// Hexadecimal digits in a string, or a number.
+fn parse_seed(seed: &serde_json::Value) -> u64 {
+    match seed {
+        serde_json::Value::String(digits) => u64::from_str_radix(digits, 16).unwrap_or(0),
+        other => other.as_u64().unwrap_or(0),
+    }
+}
+
+fn address(field: &'static str, text: Option<String>) -> Result<SocketAddr, ConfigError> {
+    let text = text.ok_or(ConfigError::AddressNotGiven { field })?;
+    match text.parse() {
+        Ok(address) => Ok(address),
+        Err(source) => Err(ConfigError::InvalidAddress {
+            field,
+            text,
+            source,
+        }),
+    }
+}
+
+/// Nobody's where the text is empty.
+fn operator_address(
+    text: Option<String>,
+    listen: SocketAddr,
+) -> Result<Option<SocketAddr>, ConfigError> {
+    let Some(text) = text.filter(|text| !text.is_empty()) else {
+        return Ok(None);
+    };
+    let operator = address("operator", Some(text))?;
+    // Port 0 gives each its own port.
+    if operator == listen && operator.port() != 0 {
+        return Err(ConfigError::OperatorAddressTaken { address: listen });
+    }
+    Ok(Some(operator))
+}
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -1,7 +1,7 @@
 //! One connection's bytes, in and out, and the clock.
 
 use std::io::{self, ErrorKind, Read, Write};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::EndpointId;
@@ -13,7 +13,7 @@
 /// What an answer may take besides its body: the head, and the framing of chunks.
 const HEAD_ROOM: usize = 32 * 1024;
 /// The most that is read ahead on a connection, but for clients' and the directory's.
-pub const ANSWER_MOST: usize = http::BODY_MOST + HEAD_ROOM;
+pub const ANSWER_MOST: usize = http::MAX_BODY_BYTES + HEAD_ROOM;
 
 /// A call that is out.
 pub struct InFlightCall {
@@ -112,7 +112,7 @@
 impl Connection {
     pub fn room(&self) -> usize {
         match self.kind {
-            ConnectionKind::Client { .. } => client_protocol::REQUEST_MOST,
+            ConnectionKind::Client { .. } => client_protocol::MAX_REQUEST_BYTES,
             ConnectionKind::Directory { body_most } => body_most + HEAD_ROOM,
             _ => ANSWER_MOST,
         }
@@ -177,31 +177,3 @@
         *input = Vec::new();
     }
 }
-
-/// The core's clock: monotonic, and anchored to Unix time so that it outlasts the process.
-#[derive(Clone, Copy)]
-pub struct Clock {
-    pub start: Instant,
-    pub unix: Duration,
-}
-
-impl Clock {
-    pub fn new() -> Clock {
-        let unix = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or_default();
-        Clock {
-            start: Instant::now(),
-            unix,
-        }
-    }
-
-    /// Goes on from `least` since 1970 if it is behind that.
-    pub fn not_before(&mut self, least: Duration) {
-        self.unix = self.unix.max(least.saturating_sub(self.start.elapsed()));
-    }
-
-    pub fn now(&self) -> Time {
-        Time((self.unix + self.start.elapsed()).as_nanos() as u64)
-    }
-}
--- a/crates/daemon/src/destination_protocol.rs
+++ b/crates/daemon/src/destination_protocol.rs
@@ -1,5 +1,5 @@
-//! Destinations' endpoints as the platform speaks to them: a call's bytes, and what its answer says of each
-//! message in it. Pure; the reactor owns the connections.
+//! The protocol of destinations' endpoints: a call's bytes, and what its response says of each message in it. No I/O; the
+//! reactor owns the connections.
 
 use std::time::Duration;
 
@@ -12,15 +12,17 @@
 use crate::http::{self, Response, header};
 use cranehill_core::Attempt;
 
-/// What an answer says of one message.
+/// What a response says of one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
+    /// How the attempt ended.
     pub status: Status,
-    /// Nothing more is owed.
+    /// The message is completed: no further attempt is due.
     pub over: bool,
 }
 
 impl Verdict {
+    /// The verdict of an attempt that does not complete its message.
     pub const fn of(status: Status) -> Verdict {
         Verdict {
             status,
@@ -29,30 +31,46 @@
     }
 }
 
-/// What an answer says: of each message in the call, in order, and of the destination.
+/// What a response says of each message in the call, in order, and of the destination.
 #[derive(Clone, Debug)]
 pub struct DestinationResponse {
+    /// One for each message in the call, or one for all of them.
     pub verdicts: Vec<Verdict>,
+    /// From `Retry-After`.
     pub wait: Option<Duration>,
+    /// The destination's load report.
     pub report: Option<Report>,
 }
 
+impl DestinationResponse {
+    /// One verdict for all messages of a call, and nothing on the destination.
+    pub fn all(verdict: Verdict) -> DestinationResponse {
+        DestinationResponse {
+            verdicts: vec![verdict],
+            wait: None,
+            report: None,
+        }
+    }
+}
+
+/// A message in a call of several.
 #[derive(Serialize)]
-struct Item {
+struct BatchItem {
     id: String,
     #[serde(skip_serializing_if = "Option::is_none")]
     key: Option<String>,
     body: String,
 }
 
+/// How one message of several ended.
 #[derive(Deserialize)]
-struct State {
+struct ItemState {
     id: String,
     state: String,
 }
 
-/// The bytes of a call with these messages.
-pub fn call(host: &str, attempts: &[Attempt], now: Time) -> Vec<u8> {
+/// The bytes of a call to `host` with these attempts.
+pub fn write_call(host: &str, attempts: &[Attempt], now: Time) -> Vec<u8> {
     let longest = attempts
         .iter()
         .map(|a| a.until - now)
@@ -65,19 +83,19 @@
         headers.push(remaining);
         return http::write_request("POST", "/hook", host, &headers, &one.body);
     }
-    let item = |a: &Attempt| Item {
+    let item = |a: &Attempt| BatchItem {
         id: a.id.clone(),
         key: a.key.clone(),
         body: STANDARD.encode(&a.body),
     };
-    let items: Vec<Item> = attempts.iter().map(item).collect();
+    let items: Vec<BatchItem> = attempts.iter().map(item).collect();
     let body = serde_json::to_vec(&items).unwrap_or_default();
     let headers = [("Content-Type", "application/json".to_owned()), remaining];
     http::write_request("POST", "/hook/batch", host, &headers, &body)
 }
 
 fn report(response: &Response) -> Option<Report> {
-    let text = header(&response.headers, http::INFORMS)?;
+    let text = header(&response.headers, http::LOAD_REPORT_HEADER)?;
     let (mut left, mut limit) = (None, None);
     for (name, value) in text.split(',').filter_map(|p| p.split_once('=')) {
         let value: Option<f64> = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
@@ -87,12 +105,12 @@
             _ => {}
         }
     }
-    // A share and a rate: what can be neither was spoilt on the way.
+    // A share and a rate: other values were corrupted on the way.
     let (left, limit) = (left?, limit?);
     ((0.0..=10.0).contains(&left) && (0.0..=1e6).contains(&limit)).then_some(Report { left, limit })
 }
 
-/// Reads the answer to a call with these messages.
+/// The response to a call with the messages `ids`. `unix_now` is the time since 1970.
 pub fn read(response: &Response, ids: &[&str], unix_now: Duration) -> DestinationResponse {
     let wait = http::retry_after(&response.headers, unix_now);
     let not_sent = header(&response.headers, "x-no-slot").is_some_and(|v| v == "1");
@@ -110,9 +128,9 @@
             status: Status::NotSent,
             over: true,
         },
-        // The destination could not read it, and will not read it better the next time.
+        // The destination could not parse it, and a retry will not change that.
         400 | 413 => Verdict::of(Status::PermanentError),
-        // 500, and what the page does not name: it may have been executed.
+        // 500, and statuses that the protocol does not define: it may have been executed.
         _ => Verdict::of(Status::Error),
     };
     DestinationResponse {
@@ -123,7 +141,7 @@
 }
 
 fn states(response: &Response, ids: &[&str], wait: Option<Duration>) -> DestinationResponse {
-    let states: Vec<State> = match serde_json::from_slice(&response.body) {
+    let states: Vec<ItemState> = match serde_json::from_slice(&response.body) {
         Ok(states) => states,
         Err(e) => {
             log::info!(
@@ -152,7 +170,7 @@
             over: true,
         },
         Some("used_up") => Verdict::of(Status::NotSent),
-        // `failed`, or not told: it may have been executed.
+        // `failed`, or not listed: it may have been executed.
         _ => Verdict::of(Status::Error),
     };
     DestinationResponse {
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The operators' file for the fleet: where the senders reach each other, and at what pace they look after each other.
+//! The operators' file for the fleet: where the senders reach each other, and how often they check each other.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,105 +10,167 @@
 use cranehill_zone_failover as zones;
 use serde::Deserialize;
 
-use crate::time_span::{self, Span};
+use crate::time_span::TimeSpan;
+use crate::toml_file::{self, TomlError};
 
-/// Shorter periods would be spent on the probes themselves, longer ones find a failure too late to be of use.
-const PERIODS: [Duration; 2] = [Duration::from_millis(50), Duration::from_secs(60)];
+/// Shorter probe periods would be spent on the probes themselves.
+const MIN_PERIOD: Duration = Duration::from_millis(50);
+/// Longer probe periods find a failure too late to be of use.
+const MAX_PERIOD: Duration = Duration::from_secs(60);
+/// Requests for learned state, and writes of it, are no more frequent than this.
+const MIN_RECOVERY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The file's text, as it stands.
+/// Why a fleet file can't be used.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[non_exhaustive]
+pub enum FleetFileError {
+    /// The text is not the TOML that was expected.
+    #[error(transparent)]
+    Toml(#[from] TomlError),
+    /// The probe period is out of range.
+    #[error("period: {period:?} is not from {MIN_PERIOD:?} to {MAX_PERIOD:?}")]
+    Period {
+        /// As given.
+        period: Duration,
+    },
+    /// The round trip is zero, or leaves no time in the period for the indirect probe.
+    #[error(
+        "round_trip: {round_trip:?} is not above zero and at most half a period: the way through others takes as long again"
+    )]
+    RoundTrip {
+        /// As given.
+        round_trip: Duration,
+    },
+    /// The suspicion is shorter than a period.
+    #[error("suspicion: it must be a period at least: there must be time to refute it")]
+    Suspicion,
+    /// The largest age of a packet is shorter than a period.
+    #[error("late: it must be a period at least")]
+    MaxPacketAge,
+    /// The advertised address has no port or no host.
+    #[error("advertise: nobody can reach {address}; name the address that the others use")]
+    Advertise {
+        /// As given, or the address to listen on.
+        address: SocketAddr,
+    },
+    /// The eviction delay is a text other than "never".
+    #[error("hold: '{text}' is neither a span nor \"never\"")]
+    EvictionDelayText {
+        /// As given.
+        text: String,
+    },
+    /// The eviction delay is shorter than the suspicion.
+    #[error("hold: it must be a suspicion ({suspicion:?}) at least")]
+    EvictionDelay {
+        /// The suspicion in force.
+        suspicion: Duration,
+    },
+    /// Learned state would be requested or written too often.
+    #[error("recovery: ask and remember are at least {MIN_RECOVERY_INTERVAL:?}")]
+    RecoveryInterval,
+    /// The rate of probe calls to an evacuated zone is out of range.
+    #[error("zones: probes: {rate} a second is not from 0.1 to 100")]
+    ZoneProbeRate {
+        /// Calls a second, as given.
+        rate: f64,
+    },
+    /// The spans of zone failover contradict each other.
+    #[error("zones: window must be above zero, and out no longer than out_most")]
+    ZoneSpans,
+}
+
+/// The file's text, parsed but not yet checked.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
     /// UDP.
     listen: SocketAddr,
-    /// Where the others reach us, if not there.
+    /// Where the others reach this sender, if not at `listen`.
     advertise: Option<SocketAddr>,
     #[serde(default)]
     seeds: Vec<SocketAddr>,
-    /// The fleet's key: a file with 64 hexadecimal digits, beside this one unless the path is whole.
+    /// The fleet's key: a file with 64 hexadecimal digits. A relative path is relative to this file.
     pub key: PathBuf,
     /// HTTP, for the operators: the sender's view of the fleet.
     status: Option<SocketAddr>,
-    period: Option<Span>,
-    round_trip: Option<Span>,
-    suspicion: Option<Span>,
-    hold: Option<Hold>,
-    late: Option<Span>,
+    period: Option<TimeSpan>,
+    round_trip: Option<TimeSpan>,
+    suspicion: Option<TimeSpan>,
+    #[serde(rename = "hold")]
+    eviction_delay: Option<EvictionDelay>,
+    #[serde(rename = "late")]
+    max_packet_age: Option<TimeSpan>,
     recovery: Option<Recovery>,
     zones: Option<Zones>,
 }
 
-/// How the fleet leaves a zone and returns to it.
+/// How the fleet evacuates a zone and returns to it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Zones {
-    window: Option<Span>,
-    settle: Option<Span>,
+    window: Option<TimeSpan>,
+    settle: Option<TimeSpan>,
     probes: Option<f64>,
-    out: Option<Span>,
-    out_most: Option<Span>,
-    calm: Option<Span>,
+    out: Option<TimeSpan>,
+    out_most: Option<TimeSpan>,
+    calm: Option<TimeSpan>,
 }
 
 impl Zones {
-    /// `warm` is the rule's time until a destination that is back is warm.
-    fn settings(&self, warm: Duration) -> Result<zones::Settings, String> {
-        let span =
-            |given: Option<Span>, usual: u64| given.map_or(Duration::from_millis(usual), |s| s.0);
-        // The reasons are in docs/zones.md.
+    /// `warm_up` is how long a destination that is back is warming up. The reasons for the defaults are in docs/zones.md.
+    fn settings(&self, warm_up: Duration) -> Result<zones::Settings, FleetFileError> {
         let settings = zones::Settings {
-            window: span(self.window, 2000),
-            settle: span(self.settle, 300),
+            window: TimeSpan::or_millis(self.window, 2000),
+            settle: TimeSpan::or_millis(self.settle, 300),
             probes: self.probes.unwrap_or(4.0),
-            out: [span(self.out, 2000), span(self.out_most, 60_000)],
-            warm,
-            calm: span(self.calm, 30_000),
+            out: [
+                TimeSpan::or_millis(self.out, 2000),
+                TimeSpan::or_millis(self.out_most, 60_000),
+            ],
+            warm: warm_up,
+            calm: TimeSpan::or_millis(self.calm, 30_000),
         };
         if !(0.1..=100.0).contains(&settings.probes) {
-            return Err(format!(
-                "zones: probes: {} a second is not from 0.1 to 100",
-                settings.probes
-            ));
+            return Err(FleetFileError::ZoneProbeRate {
+                rate: settings.probes,
+            });
         }
         if settings.window.is_zero() || settings.out[0] > settings.out[1] {
-            return Err("zones: window must be above zero, and out no longer than out_most".into());
+            return Err(FleetFileError::ZoneSpans);
         }
         Ok(settings)
     }
 }
 
-/// How old what is recalled after a restart may be, and how the way back goes.
+/// How old state restored after a restart may be, and the pace of the recovery.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Recovery {
-    window: Option<Span>,
-    limit: Option<Span>,
-    state: Option<Span>,
-    ask: Option<Span>,
-    alone: Option<Span>,
-    remember: Option<Span>,
+    window: Option<TimeSpan>,
+    limit: Option<TimeSpan>,
+    state: Option<TimeSpan>,
+    ask: Option<TimeSpan>,
+    alone: Option<TimeSpan>,
+    remember: Option<TimeSpan>,
 }
 
 impl Recovery {
-    fn settings(&self, late: Duration) -> Result<recovery::Settings, String> {
-        let span =
-            |given: Option<Span>, usual: u64| given.map_or(Duration::from_millis(usual), |s| s.0);
-        // The reasons are in docs/recovery.md.
+    /// The reasons for the defaults are in docs/recovery.md.
+    fn settings(&self, max_packet_age: Duration) -> Result<recovery::Settings, FleetFileError> {
         let bounds = recovery::Bounds {
-            window: span(self.window, 10_000),
-            limit: span(self.limit, 10_000),
-            state: span(self.state, 10_000),
-            ahead: late,
+            window: TimeSpan::or_millis(self.window, 10_000),
+            limit: TimeSpan::or_millis(self.limit, 10_000),
+            state: TimeSpan::or_millis(self.state, 10_000),
+            ahead: max_packet_age,
         };
         let settings = recovery::Settings {
             bounds,
-            ask: span(self.ask, 500),
-            alone: span(self.alone, 2000),
-            remember: span(self.remember, 1000),
+            ask: TimeSpan::or_millis(self.ask, 500),
+            alone: TimeSpan::or_millis(self.alone, 2000),
+            remember: TimeSpan::or_millis(self.remember, 1000),
         };
-        let least = Duration::from_millis(50);
-        if settings.ask < least || settings.remember < least {
-            return Err(format!("recovery: ask and remember are at least {least:?}"));
+        if settings.ask < MIN_RECOVERY_INTERVAL || settings.remember < MIN_RECOVERY_INTERVAL {
+            return Err(FleetFileError::RecoveryInterval);
         }
         Ok(settings)
     }
@@ -116,103 +178,130 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
-enum Hold {
-    For(Span),
-    #[serde(rename = "Word")]
+enum EvictionDelay {
+    After(TimeSpan),
     Text(String),
 }
 
-/// What the file comes to.
+/// A checked file.
 #[derive(Clone, Debug)]
 pub struct Fleet {
+    /// The UDP address of the membership protocol.
     pub listen: SocketAddr,
+    /// The TCP address of the view for operators.
     pub status: Option<SocketAddr>,
+    /// The membership's settings.
     pub settings: Settings,
-    /// Whether it comes back by steps after a restart, and how.
+    /// How the sender recovers after a restart, if it does so gradually.
     pub recovery: Option<recovery::Settings>,
-    /// Whether it leaves zones with the fleet, and how.
+    /// How the fleet evacuates zones, if it does.
     pub zones: Option<zones::Settings>,
 }
 
-/// Reads the file.
-pub fn parse(text: &str) -> Result<File, String> {
-    time_span::parse(text)
+/// Parses the file's text.
+///
+/// # Errors
+/// The line that is not valid.
+pub fn parse(text: &str) -> Result<File, FleetFileError> {
+    Ok(toml_file::parse(text)?)
 }
 
 impl File {
-    /// Checks it; `name` and `settings` are those of the sender's configuration.
-    pub fn fleet(&self, key: Key, name: &str, settings: &api::Settings) -> Result<Fleet, String> {
-        let (senders, warm) = (settings.instances, settings.rules.cold);
-        let span =
-            |given: Option<Span>, usual: u64| given.map_or(Duration::from_millis(usual), |s| s.0);
-        let (period, round_trip) = (span(self.period, 1000), span(self.round_trip, 300));
-        if period < PERIODS[0] || period > PERIODS[1] {
-            return Err(format!(
-                "period: {period:?} is not from {:?} to {:?}",
-                PERIODS[0], PERIODS[1]
-            ));
-        }
-        if round_trip.is_zero() || round_trip * 2 > period {
-            return Err(format!(
-                "round_trip: {round_trip:?} is not above zero and at most half a period: the way through others takes \
-                 as long again"
-            ));
-        }
-        let suspicion = self.suspicion.map(|s| s.0);
-        if suspicion.is_some_and(|s| s < period) {
-            return Err(
-                "suspicion: it must be a period at least: there must be time to refute it".into(),
-            );
-        }
-        let late = span(self.late, 5000);
-        if late < period {
-            return Err("late: it must be a period at least".into());
-        }
-        let at = self.advertise.unwrap_or(self.listen);
-        if at.port() == 0 || at.ip().is_unspecified() {
-            return Err(format!(
-                "advertise: nobody can reach {at}; name the address that the others use"
-            ));
-        }
-        let hold = match &self.hold {
-            None => Some(Duration::from_secs(30)),
-            Some(Hold::For(span)) => Some(span.0),
-            Some(Hold::Text(text)) if text == "never" => None,
-            Some(Hold::Text(text)) => {
-                return Err(format!("hold: '{text}' is neither a span nor \"never\""));
-            }
-        };
-        let (name, seeds) = (name.to_owned(), self.seeds.clone());
-        let settings = Settings {
-            name,
-            at,
-            seeds,
+    /// Checks the file; `name` and `settings` are those of the sender's configuration.
+    ///
+    /// # Errors
+    /// The first key whose value can't be used.
+    pub fn fleet(
+        &self,
+        key: Key,
+        name: &str,
+        settings: &api::Settings,
+    ) -> Result<Fleet, FleetFileError> {
+        let period = self.checked_period()?;
+        let round_trip = self.checked_round_trip(period)?;
+        let suspicion = self.checked_suspicion(period)?;
+        let max_packet_age = self.checked_max_packet_age(period)?;
+        let members = Settings {
+            name: name.to_owned(),
+            at: self.checked_address()?,
+            seeds: self.seeds.clone(),
             key,
             period,
             round_trip,
             suspicion,
-            eviction_delay: hold,
-            max_packet_age: late,
-            configured_members: senders,
+            eviction_delay: self.checked_eviction_delay()?,
+            max_packet_age,
+            configured_members: settings.instances,
         };
-        if hold.is_some_and(|hold| hold < settings.suspicion()) {
-            return Err(format!(
-                "hold: it must be a suspicion ({:?}) at least",
-                settings.suspicion()
-            ));
+        let suspicion = members.suspicion();
+        if members
+            .eviction_delay
+            .is_some_and(|delay| delay < suspicion)
+        {
+            return Err(FleetFileError::EvictionDelay { suspicion });
         }
-        let recovery = self
-            .recovery
-            .as_ref()
-            .map(|r| r.settings(late))
-            .transpose()?;
-        let zones = self.zones.as_ref().map(|z| z.settings(warm)).transpose()?;
+        let recovery = self.recovery.as_ref();
+        let zones = self.zones.as_ref();
         Ok(Fleet {
             listen: self.listen,
             status: self.status,
-            settings,
-            recovery,
-            zones,
+            settings: members,
+            recovery: recovery.map(|r| r.settings(max_packet_age)).transpose()?,
+            zones: zones.map(|z| z.settings(settings.rules.cold)).transpose()?,
         })
     }
+
+    fn checked_period(&self) -> Result<Duration, FleetFileError> {
+        let period = TimeSpan::or_millis(self.period, 1000);
+        if (MIN_PERIOD..=MAX_PERIOD).contains(&period) {
+            Ok(period)
+        } else {
+            Err(FleetFileError::Period { period })
+        }
+    }
+
+    fn checked_round_trip(&self, period: Duration) -> Result<Duration, FleetFileError> {
+        let round_trip = TimeSpan::or_millis(self.round_trip, 300);
+        if round_trip.is_zero() || round_trip * 2 > period {
+            Err(FleetFileError::RoundTrip { round_trip })
+        } else {
+            Ok(round_trip)
+        }
+    }
+
+    fn checked_suspicion(&self, period: Duration) -> Result<Option<Duration>, FleetFileError> {
+        let suspicion = self.suspicion.map(|span| span.0);
+        if suspicion.is_some_and(|suspicion| suspicion < period) {
+            return Err(FleetFileError::Suspicion);
+        }
+        Ok(suspicion)
+    }
+
+    fn checked_max_packet_age(&self, period: Duration) -> Result<Duration, FleetFileError> {
+        let age = TimeSpan::or_millis(self.max_packet_age, 5000);
+        if age < period {
+            return Err(FleetFileError::MaxPacketAge);
+        }
+        Ok(age)
+    }
+
+    fn checked_address(&self) -> Result<SocketAddr, FleetFileError> {
+        let address = self.advertise.unwrap_or(self.listen);
+        if address.port() == 0 || address.ip().is_unspecified() {
+            return Err(FleetFileError::Advertise { address });
+        }
+        Ok(address)
+    }
+
+    /// `None` for never.
+    fn checked_eviction_delay(&self) -> Result<Option<Duration>, FleetFileError> {
+        match &self.eviction_delay {
+            None => Ok(Some(Duration::from_secs(30))),
+            Some(EvictionDelay::After(span)) => Ok(Some(span.0)),
+            Some(EvictionDelay::Text(text)) if text == "never" => Ok(None),
+            Some(EvictionDelay::Text(text)) => {
+                Err(FleetFileError::EvictionDelayText { text: text.clone() })
+            }
+        }
+    }
 }
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -1,47 +1,68 @@
-//! HTTP/1.1 messages as bytes: incremental and bounded parsing round `httparse`, and writing.
+//! HTTP/1.1 messages as bytes: incremental, bounded parsing on `httparse`, and writing.
 
 use std::time::Duration;
 
-/// The largest body taken.
-pub const BODY_MOST: usize = 64 * 1024;
-const HEAD_MOST: usize = 16 * 1024;
-const HEADERS_MOST: usize = 64;
-/// Interim answers before the real one.
-const INTERIM_MOST: usize = 16;
-/// A header that only informs: where its value can't be read, it alone is dropped.
-pub const INFORMS: &str = "x-pressure";
+/// The largest body of a request, and of most responses.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// The largest head, and the largest trailers.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Header lines in a head.
+const MAX_HEADERS: usize = 64;
+/// The longest line with a chunk's size.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
+/// The longest `Retry-After`, in seconds: a day.
+const MAX_RETRY_AFTER_SECONDS: f64 = 86_400.0;
+/// Interim responses before the final one.
+const MAX_INTERIM_RESPONSES: usize = 16;
+/// A header that only informs: where its value can't be parsed, it alone is dropped.
+pub const LOAD_REPORT_HEADER: &str = "x-pressure";
 
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why bytes are no HTTP message; in the field's terms, for logs and responses.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
 pub struct Malformed(pub &'static str);
 
+/// A body larger than is read.
 pub const TOO_LARGE: Malformed = Malformed("body too large");
 
+/// Names and values in the order received.
 pub type Headers = Vec<(String, Vec<u8>)>;
 
+/// A request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
+    /// Such as `GET`.
     pub method: String,
+    /// The target as sent, with its query.
     pub path: String,
+    /// Its headers.
     pub headers: Headers,
+    /// Its body, without the framing of chunks.
     pub body: Vec<u8>,
+    /// The connection ends after the response.
     pub close: bool,
 }
 
+/// A response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
+    /// Its status code.
     pub status: u16,
+    /// Its headers.
     pub headers: Headers,
+    /// Its body, without the framing of chunks.
     pub body: Vec<u8>,
+    /// The connection ends after it.
     pub close: bool,
 }
 
-/// A header's text, the first of that name.
+/// The value of the first header of that name; `None` if it is not UTF-8.
 pub fn header<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(&found.1).ok().map(str::trim)
 }
 
-fn own(headers: &[httparse::Header<'_>]) -> Headers {
+fn owned_headers(headers: &[httparse::Header<'_>]) -> Headers {
     headers
         .iter()
         .map(|h| (h.name.to_owned(), h.value.to_vec()))
@@ -59,7 +80,7 @@
     Unstated,
 }
 
-fn length(headers: &Headers, body_most: usize) -> Result<Length, Malformed> {
+fn length(headers: &Headers, max_body_bytes: usize) -> Result<Length, Malformed> {
     if header(headers, "transfer-encoding").is_some() {
         return if has_token(headers, "transfer-encoding", "chunked") {
             Ok(Length::Chunked)
@@ -85,37 +106,37 @@
         stated = Some(len);
     }
     match stated {
-        Some(len) if len > body_most => Err(TOO_LARGE),
+        Some(len) if len > max_body_bytes => Err(TOO_LARGE),
         Some(len) => Ok(Length::Known(len)),
         None => Ok(Length::Unstated),
     }
 }
 
 /// The chunks' bytes and where they end, once all have come.
-fn chunked(bytes: &[u8], body_most: usize) -> Result<Option<(Vec<u8>, usize)>, Malformed> {
+fn chunked(bytes: &[u8], max_body_bytes: usize) -> Result<Option<(Vec<u8>, usize)>, Malformed> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
         let rest = &bytes[at..];
         let parsed = httparse::parse_chunk_size(rest).map_err(|_| Malformed("chunk size"))?;
         let httparse::Status::Complete((skip, size)) = parsed else {
-            return if rest.len() > 256 {
+            return if rest.len() > MAX_CHUNK_LINE_BYTES {
                 Err(Malformed("chunk size"))
             } else {
                 Ok(None)
             };
         };
         let size = usize::try_from(size).unwrap_or(usize::MAX);
-        if size > body_most || body.len() + size > body_most {
+        if size > max_body_bytes || body.len() + size > max_body_bytes {
             return Err(TOO_LARGE);
         }
         at += skip;
         if size == 0 {
-            // Trailers are read over.
+            // Trailers are skipped.
             let trailers = &bytes[at..];
             if trailers.starts_with(b"\r\n") {
                 return Ok(Some((body, at + 2)));
             }
-            if trailers.len() > HEAD_MOST {
+            if trailers.len() > MAX_HEAD_BYTES {
                 return Err(Malformed("trailers too large"));
             }
             return Ok(trailers
@@ -137,35 +158,38 @@
 fn body(
     bytes: &[u8],
     length: Length,
-    body_most: usize,
+    max_body_bytes: usize,
 ) -> Result<Option<(Vec<u8>, usize)>, Malformed> {
     match length {
         Length::Known(len) => Ok(bytes.get(..len).map(|b| (b.to_vec(), len))),
-        Length::Chunked => chunked(bytes, body_most),
+        Length::Chunked => chunked(bytes, max_body_bytes),
         Length::Unstated => Ok(Some((Vec::new(), 0))),
     }
 }
 
-/// The first whole request in `bytes` and how many bytes it takes; `None` if more must come.
+/// The first complete request in `bytes` and its length; `None` if more must arrive.
+///
+/// # Errors
+/// The bytes are not, and will not become, a request within the bounds.
 pub fn request(bytes: &[u8]) -> Result<Option<(Request, usize)>, Malformed> {
-    let mut slots = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut slots);
     let head = match parsed.parse(bytes).map_err(|_| Malformed("request head"))? {
         httparse::Status::Complete(head) => head,
-        httparse::Status::Partial if bytes.len() > HEAD_MOST => {
+        httparse::Status::Partial if bytes.len() > MAX_HEAD_BYTES => {
             return Err(Malformed("head too large"));
         }
         httparse::Status::Partial => return Ok(None),
     };
-    let headers = own(parsed.headers);
+    let headers = owned_headers(parsed.headers);
     let old = parsed.version == Some(0);
     let close = has_token(&headers, "connection", "close") || old;
     let (method, path) = (
         parsed.method.unwrap_or("").to_owned(),
         parsed.path.unwrap_or("").to_owned(),
     );
-    let length = length(&headers, BODY_MOST)?;
-    let Some((body, len)) = body(&bytes[head..], length, BODY_MOST)? else {
+    let length = length(&headers, MAX_BODY_BYTES)?;
+    let Some((body, len)) = body(&bytes[head..], length, MAX_BODY_BYTES)? else {
         return Ok(None);
     };
     Ok(Some((
@@ -180,21 +204,27 @@
     )))
 }
 
-/// The first whole response, as [`request`]; `ended` says that the peer has closed.
+/// The first complete response, as [`request`]; `ended` says that the peer has closed the connection.
+///
+/// # Errors
+/// As [`request`].
 pub fn response(bytes: &[u8], ended: bool) -> Result<Option<(Response, usize)>, Malformed> {
-    response_within(bytes, ended, BODY_MOST)
+    response_within(bytes, ended, MAX_BODY_BYTES)
 }
 
-/// As [`response`], for a body of at most `body_most` bytes.
+/// As [`response`], for a body of at most `max_body_bytes` bytes.
+///
+/// # Errors
+/// As [`request`].
 pub fn response_within(
     bytes: &[u8],
     ended: bool,
-    body_most: usize,
+    max_body_bytes: usize,
 ) -> Result<Option<(Response, usize)>, Malformed> {
     let mut at = 0;
-    // A loop with an end: a run of interim answers must use up neither the stack nor our time.
-    for _ in 0..=INTERIM_MOST {
-        match one_response(&bytes[at..], ended, body_most)? {
+    // Bounded: a run of interim responses must exhaust neither the stack nor the time of others.
+    for _ in 0..=MAX_INTERIM_RESPONSES {
+        match one_response(&bytes[at..], ended, max_body_bytes)? {
             Some((response, used)) if (100..200).contains(&response.status) => at += used,
             found => return Ok(found.map(|(r, used)| (r, at + used))),
         }
@@ -205,14 +235,14 @@
 fn one_response(
     bytes: &[u8],
     ended: bool,
-    body_most: usize,
+    max_body_bytes: usize,
 ) -> Result<Option<(Response, usize)>, Malformed> {
-    let mut slots = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut slots);
     let readable: Vec<u8>;
     let mut found = parsed.parse(bytes);
     if found.is_err()
-        && let Some(blanked) = without_informing(bytes)
+        && let Some(blanked) = without_load_report(bytes)
     {
         readable = blanked;
         parsed = httparse::Response::new(&mut slots);
@@ -220,13 +250,13 @@
     }
     let head = match found.map_err(|_| Malformed("response head"))? {
         httparse::Status::Complete(head) => head,
-        httparse::Status::Partial if bytes.len() > HEAD_MOST => {
+        httparse::Status::Partial if bytes.len() > MAX_HEAD_BYTES => {
             return Err(Malformed("head too large"));
         }
         httparse::Status::Partial => return Ok(None),
     };
     let status = parsed.code.unwrap_or(0);
-    let headers = own(parsed.headers);
+    let headers = owned_headers(parsed.headers);
     let old = parsed.version == Some(0);
     if (100..200).contains(&status) {
         return Ok(Some((
@@ -244,17 +274,17 @@
     let len = if none {
         Length::Known(0)
     } else {
-        length(&headers, body_most)?
+        length(&headers, max_body_bytes)?
     };
     let unstated = matches!(len, Length::Unstated);
     let whole = if unstated {
         close = true;
-        if bytes.len() - head > body_most {
+        if bytes.len() - head > max_body_bytes {
             return Err(TOO_LARGE);
         }
         ended.then(|| (bytes[head..].to_vec(), bytes.len() - head))
     } else {
-        body(&bytes[head..], len, body_most)?
+        body(&bytes[head..], len, max_body_bytes)?
     };
     Ok(whole.map(|(body, len)| {
         (
@@ -269,8 +299,8 @@
     }))
 }
 
-/// The same bytes with the values of [`INFORMS`] made readable, which means nothing to who reads them.
-fn without_informing(bytes: &[u8]) -> Option<Vec<u8>> {
+/// The same bytes with the values of [`LOAD_REPORT_HEADER`] replaced by ones that can be parsed and mean nothing.
+fn without_load_report(bytes: &[u8]) -> Option<Vec<u8>> {
     let mut blanked = bytes.to_vec();
     let (mut at, mut found) = (0, false);
     while let Some(end) = bytes[at..].windows(2).position(|w| w == b"\r\n") {
@@ -279,7 +309,7 @@
             break;
         }
         let name = line.split(|&b| b == b':').next().unwrap_or_default();
-        if name.eq_ignore_ascii_case(INFORMS.as_bytes()) && name.len() < line.len() {
+        if name.eq_ignore_ascii_case(LOAD_REPORT_HEADER.as_bytes()) && name.len() < line.len() {
             blanked[at + name.len() + 1..at + end].fill(b'?');
             found = true;
         }
@@ -288,9 +318,9 @@
     found.then_some(blanked)
 }
 
-/// The status of a response whose first line has come whole, whatever follows. Interim answers are read over.
+/// The status of a response whose first line is complete, whatever follows. Interim responses are skipped.
 pub fn first_line(mut bytes: &[u8]) -> Option<u16> {
-    for _ in 0..=INTERIM_MOST {
+    for _ in 0..=MAX_INTERIM_RESPONSES {
         let line = &bytes[..bytes.iter().position(|&b| b == b'\n')?];
         let rest = line.strip_prefix(b"HTTP/1.")?;
         let [b'0' | b'1', b' ', code @ ..] = rest else {
@@ -309,7 +339,7 @@
     None
 }
 
-/// A request's bytes. `Content-Length` is added.
+/// A request's bytes. `Content-Length` is added unless the method is `GET`.
 pub fn write_request(
     method: &str,
     path: &str,
@@ -330,6 +360,7 @@
     bytes
 }
 
+/// A response's bytes. `Content-Length` is added.
 pub fn write_response(
     status: u16,
     reason: &str,
@@ -344,12 +375,13 @@
     text.into_bytes()
 }
 
-/// `Retry-After`: seconds, with decimals where the peer writes them, or a date.
+/// The wait that `Retry-After` states from `unix_now` (since 1970) on: seconds, with decimals where the peer writes them, or a
+/// date.
 pub fn retry_after(headers: &Headers, unix_now: Duration) -> Option<Duration> {
     let text = header(headers, "retry-after")?;
     if let Ok(seconds) = text.parse::<f64>() {
         let sane = seconds.is_finite() && seconds > 0.0;
-        return sane.then(|| Duration::from_secs_f64(seconds.min(86_400.0)));
+        return sane.then(|| Duration::from_secs_f64(seconds.min(MAX_RETRY_AFTER_SECONDS)));
     }
     let at = httpdate::parse_http_date(text).ok()?;
     let at = at.duration_since(std::time::UNIX_EPOCH).ok()?;
--- /dev/null
+++ b/crates/daemon/src/platform_settings.rs
@@ -0,0 +1,54 @@
+//! The deployment's settings, and the names that stand for their entries on the wires.
+
+use std::collections::HashMap;
+
+use cranehill_scheduler::api::Settings;
+use cranehill_scheduler::profile::Names;
+
+/// The deployment's settings and the names on its wires.
+#[derive(Clone, Debug)]
+pub struct PlatformSettings {
+    /// The settings that the scheduler decides by.
+    pub settings: Settings,
+    /// Names of classes, tenants, zones and endpoint kinds, by their position in the settings.
+    pub names: Names,
+    classes: HashMap<String, usize>,
+    tenants: HashMap<String, usize>,
+}
+
+impl PlatformSettings {
+    /// Indexes the names of these settings.
+    pub fn new(settings: Settings, names: Names) -> PlatformSettings {
+        let (classes, tenants) = (
+            positions_by_name(&names.classes),
+            positions_by_name(&names.tenants),
+        );
+        PlatformSettings {
+            settings,
+            names,
+            classes,
+            tenants,
+        }
+    }
+
+    /// The position in the settings of the class with this name.
+    pub fn class(&self, name: &str) -> Option<usize> {
+        self.classes
+            .get(name)
+            .copied()
+            .filter(|&class| class < self.settings.classes.len())
+    }
+
+    /// The position in the settings of the tenant with this name.
+    pub fn tenant(&self, name: &str) -> Option<usize> {
+        self.tenants.get(name).copied()
+    }
+}
+
+fn positions_by_name(names: &[String]) -> HashMap<String, usize> {
+    names
+        .iter()
+        .enumerate()
+        .map(|(position, name)| (name.clone(), position))
+        .collect()
+}
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -30,18 +30,19 @@
 use mio::{Events, Interest, Poll, Token};
 
 use crate::client_protocol;
+use crate::clock::Clock;
 use crate::config::PlatformSettings;
-use crate::connection::{ANSWER_MOST, Clock, Connection, ConnectionKind, InFlightCall, consume};
+use crate::connection::{ANSWER_MOST, Connection, ConnectionKind, InFlightCall, consume};
 use crate::connection_index::ConnectionIndex;
 use crate::destination_protocol::{self, DestinationResponse, Verdict};
 use crate::discovery_protocol;
-use crate::final_report_protocol::{self, Reports};
+use crate::final_report_queue::{self as final_report_protocol, FinalReportQueue};
 use crate::fleet::Fleet;
 use crate::handover as handover_exchange;
 use crate::http;
 use crate::state_file;
 use crate::watch::{Failure, Watch};
-use crate::webpush::{self, Push};
+use crate::webpush::{self, WebPushFront as Push};
 use cranehill_core as core;
 use cranehill_core::mutation::{self, Mutation};
 use cranehill_core::{Attempt, AttemptOutcome, Core, Effect, Input, Listing, Origin, Persisted};
@@ -97,7 +98,8 @@
 }
 
 /// See [`ReactorOptions::read_config`].
-pub type ConfigReader = Box<dyn FnMut() -> Result<SocketAddr, String> + Send>;
+pub type ConfigReader =
+    Box<dyn FnMut() -> Result<SocketAddr, Box<dyn std::error::Error + Send + Sync>> + Send>;
 
 /// What the process is told by signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -123,7 +125,7 @@
     pushes: Option<TcpListener>,
     operators: Option<TcpListener>,
     /// The right to work in the folder, and the end of this process that passes on to a new one.
-    _lock: Option<handover_exchange::Lock>,
+    _lock: Option<handover_exchange::FolderLock>,
     handover: Option<handover::End>,
     /// Since when operators have this sender emptied.
     draining_since: Option<Time>,
@@ -149,7 +151,7 @@
     reload: Option<(Time, Time)>,
     discovery: Option<SocketAddr>,
     watch: Watch,
-    reports: Reports,
+    reports: FinalReportQueue,
     report_at: Time,
     /// When the journal may take its next step of upkeep, and when the log may say again that it can't.
     upkeep_at: Time,
@@ -235,7 +237,7 @@
         let (mut lock, mut taken) = (None, handover_exchange::InheritedSockets::default());
         // Only operators start a second process beside this one.
         if let Some(state) = state.as_ref().filter(|_| options.operator.is_some()) {
-            let (own, all) = handover_exchange::take(&state.dir)?;
+            let (own, all) = handover_exchange::take_over(&state.dir).map_err(|e| e.to_string())?;
             (lock, taken) = (Some(own), all);
         }
         let remembers = options.fleet.as_ref().is_some_and(|f| f.recovery.is_some());
@@ -251,12 +253,13 @@
             (journal, recovered) = (Some(opened.0), opened.1);
         }
         // A clock that was set back must not give messages more time than they had.
-        clock.not_before(Duration::from_millis(recovered.latest));
+        clock.advance_to(Duration::from_millis(recovered.latest));
         let now = clock.now();
         let push_listen = push.as_ref().and_then(webpush::File::listen);
         let push = push
             .map(|file| Push::new(file, &mut platform_settings))
-            .transpose()?;
+            .transpose()
+            .map_err(|e| e.to_string())?;
         let mut core =
             Core::new(platform_settings.settings.clone(), seed, now).map_err(|e| e.to_string())?;
         let mut list = known;
@@ -314,7 +317,7 @@
             max_destination_connections,
             trusted_idle: Duration::MAX,
             unread_most: options.memory / 8,
-            list_body_most: discovery_protocol::body_most(options.memory),
+            list_body_most: discovery_protocol::max_body_bytes(options.memory),
             evicted_connections: 0,
             next_eviction_warning: now,
             rejected_messages: 0,
@@ -323,7 +326,7 @@
             reload: None,
             discovery,
             watch,
-            reports: Reports::default(),
+            reports: FinalReportQueue::default(),
             report_at: now,
             upkeep_at: now,
             next_compaction_warning: now,
@@ -362,7 +365,7 @@
             log::info!("listening for operators at {}", shown(&reactor.operators));
         }
         if let Some(address) = push_listen {
-            reactor.pushes = Some(match taken.pushes.take() {
+            reactor.pushes = Some(match taken.web_push.take() {
                 Some(listener) => reactor.adopt_listener(listener, PUSHES)?,
                 None => reactor.listen(address, PUSHES)?,
             });
@@ -642,13 +645,3 @@
         }
     }
 }
-
-impl DestinationResponse {
-    fn all(verdict: Verdict) -> DestinationResponse {
-        DestinationResponse {
-            verdicts: vec![verdict],
-            wait: None,
-            report: None,
-        }
-    }
-}
--- a/crates/daemon/src/reactor/client_ingress.rs
+++ b/crates/daemon/src/reactor/client_ingress.rs
@@ -175,9 +175,9 @@
         {
             let bytes = match connection.kind {
                 ConnectionKind::Client { .. } => {
-                    client_protocol::error("the request did not come whole in time")
+                    client_protocol::write_error("the request did not come whole in time")
                 }
-                _ => webpush::error(408, "the request did not come whole in time"),
+                _ => webpush::write_error(408, "the request did not come whole in time"),
             };
             self.say(id, &bytes);
         }
@@ -291,7 +291,7 @@
                 }
                 Ok(None)
                     if connection.ended
-                        || connection.input.len() >= client_protocol::REQUEST_MOST =>
+                        || connection.input.len() >= client_protocol::MAX_REQUEST_BYTES =>
                 {
                     return self.end_client(id);
                 }
@@ -300,7 +300,7 @@
                     log::debug!("client: {why}");
                     connection.close_after = true;
                     connection.input.clear();
-                    self.say(id, &client_protocol::error(why));
+                    self.say(id, &client_protocol::write_error(why));
                     continue;
                 }
             };
@@ -309,7 +309,7 @@
                 client_protocol::Request::Ping if self.draining_since.is_some() => {
                     // Who asks is told to send others elsewhere; what comes here all the same is served.
                     connection.close_after = nothing_unread(connection);
-                    self.say(id, &client_protocol::error("emptying, for operators"));
+                    self.say(id, &client_protocol::write_error("emptying, for operators"));
                     continue;
                 }
                 client_protocol::Request::Ping => {
@@ -372,7 +372,7 @@
                             }
                             self.say(
                                 id,
-                                &client_protocol::answer(core::Answer::Rejected { after }),
+                                &client_protocol::write_answer(core::Answer::Rejected { after }),
                             );
                             None
                         }
@@ -386,7 +386,7 @@
                     // Who sends nothing else would have us answer at its full speed.
                     connection.close_after |= connection.faults >= FAULTS_MOST;
                 }
-                self.say(id, &client_protocol::error(why));
+                self.say(id, &client_protocol::write_error(why));
             }
             // More may have waited for room in the buffer.
             if let Some(connection) = self.connections.get_mut(&id) {
@@ -461,7 +461,7 @@
                     connection.close_after = true;
                     connection.input.clear();
                     let status = if wrong == http::TOO_LARGE { 413 } else { 400 };
-                    self.say(id, &webpush::error(status, wrong.0));
+                    self.say(id, &webpush::write_error(status, wrong.0));
                     continue;
                 }
             };
@@ -472,10 +472,13 @@
                     *busy = Some(message.id.clone());
                     self.step(Input::Submitted(message));
                 }
-                Err((status, why)) => {
+                Err(webpush::Rejection {
+                    status,
+                    reason: why,
+                }) => {
                     connection.faults += 1;
                     connection.close_after |= *close || connection.faults >= FAULTS_MOST;
-                    self.say(id, &webpush::error(status, why));
+                    self.say(id, &webpush::write_error(status, why));
                 }
             }
         }
--- a/crates/daemon/src/reactor/effects.rs
+++ b/crates/daemon/src/reactor/effects.rs
@@ -42,14 +42,14 @@
                     answer,
                 } => {
                     log::trace!("message {id}: client {connection} is answered {answer:?}");
-                    self.answer(connection, client_protocol::answer(answer));
+                    self.answer(connection, client_protocol::write_answer(answer));
                 }
                 Effect::Answer {
                     to: Origin::Waiting(connection),
                     id,
                     answer,
                 } => {
-                    self.answer(connection, webpush::answer(answer, &id));
+                    self.answer(connection, webpush::write_answer(answer, &id));
                 }
                 Effect::Answer {
                     to: Origin::Restored,
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -1,7 +1,8 @@
 //! A new version beside this one: what this process still does when it is asked to pass on, and what a new one begins with.
 
 use super::*;
-use crate::handover::{Client, HandoverServer, QUIET_MOST};
+use crate::handover::{HandoverServer, InheritedClient};
+const QUIET_MOST: Duration = Duration::from_millis(400);
 use mio::unix::SourceFd;
 use std::os::fd::{AsFd, AsRawFd};
 
@@ -55,7 +56,7 @@
             return false;
         };
         end.called = false;
-        let asked = end.server.is_asked();
+        let asked = end.server.is_requested();
         match (asked, end.quiet) {
             (true, None) => {
                 end.quiet = Some(now);
@@ -85,7 +86,7 @@
         log::warn!("hand-over: {why}; this process goes on");
         if let Some(end) = &mut self.handover {
             end.quiet = None;
-            end.server.given_up();
+            end.server.abort();
         }
         self.step(Input::Quiesced(false));
     }
@@ -135,7 +136,7 @@
         let Some(End { server, .. }) = &mut self.handover else {
             return Ok(());
         };
-        server.learned_state(learned_state)?;
+        server.pass_learned_state(learned_state)?;
         for (listener, push) in [(&self.clients, false), (&self.pushes, true)] {
             if let Some(listener) = listener {
                 server.pass_listener(listener.as_fd(), push)?;
@@ -165,7 +166,7 @@
             }
             passed += 1;
         }
-        server.end()?;
+        server.finish()?;
         let (pending, reports) = self.core.outstanding();
         log::info!(event = "handover-complete", clients = passed, pending, reports;
             "hand-over: complete, with {passed} client connections; {pending} messages and {reports} final reports are in the journal");
@@ -174,11 +175,11 @@
     }
 
     /// A client that an old process has passed on.
-    pub(super) fn adopt(&mut self, client: Client) {
-        let Client {
+    pub(super) fn adopt(&mut self, client: InheritedClient) {
+        let InheritedClient {
             stream,
             input,
-            asked,
+            has_requested: asked,
         } = client;
         let ready = stream
             .set_nonblocking(true)
--- a/crates/daemon/src/reactor/journal.rs
+++ b/crates/daemon/src/reactor/journal.rs
@@ -74,7 +74,7 @@
     for file in recovered
         .foreign
         .iter()
-        .filter(|f| !state_file::is_ours(f) && !handover_exchange::NAMES.contains(&f.as_str()))
+        .filter(|f| !state_file::is_ours(f) && !handover_exchange::FILE_NAMES.contains(&f.as_str()))
     {
         log::warn!(file = file.as_str(); "journal: {file} is not of this folder; left alone, it takes room");
     }
--- a/crates/daemon/src/reactor/platform.rs
+++ b/crates/daemon/src/reactor/platform.rs
@@ -18,8 +18,8 @@
     }
 
     pub(super) fn report_later(&mut self) {
-        self.reports.lost();
-        self.report_at = self.clock.now() + final_report_protocol::AGAIN;
+        self.reports.on_lost();
+        self.report_at = self.clock.now() + final_report_protocol::RETRY_DELAY;
     }
 
     pub(super) fn on_platform(&mut self, id: usize, write_broke: bool) {
@@ -30,7 +30,7 @@
         let watching = matches!(connection.kind, ConnectionKind::Directory { .. });
         let body_most = match connection.kind {
             ConnectionKind::Directory { body_most } => body_most,
-            _ => http::BODY_MOST,
+            _ => http::MAX_BODY_BYTES,
         };
         match http::response_within(&connection.input, ended, body_most) {
             Ok(Some((response, used))) => {
@@ -51,10 +51,10 @@
                         (false, _) => {}
                     }
                 } else {
-                    let retry_after = self.reports.answered(response.status);
+                    let retry_after = self.reports.on_response(response.status);
                     log::trace!("reports {retry_after:?} are with the platform");
                     if retry_after.is_empty() {
-                        self.report_at = self.clock.now() + final_report_protocol::AGAIN;
+                        self.report_at = self.clock.now() + final_report_protocol::RETRY_DELAY;
                     } else {
                         self.step(Input::FinalReportsAcknowledged(retry_after));
                     }
@@ -85,7 +85,7 @@
                     log::error!(entries = unread.len(); "discovery: {} entries left out, {why}", unread.len());
                 }
                 if excess > 0 {
-                    log::error!(entries = excess; "discovery: {excess} entries left out, beyond {}", discovery_protocol::ENTRIES_MOST);
+                    log::error!(entries = excess; "discovery: {excess} entries left out, beyond {}", discovery_protocol::MAX_ENTRIES);
                 }
                 self.watch.answered(self.clock.now(), version);
                 if !whole && !unread.is_empty() {
@@ -106,7 +106,7 @@
             Err(why) => {
                 let unix_now = Duration::from_nanos(self.clock.now().0);
                 let retry_after = http::retry_after(&response.headers, unix_now);
-                self.watch_failed(&why, Failure::Rejected { retry_after });
+                self.watch_failed(&why.to_string(), Failure::Rejected { retry_after });
             }
         }
     }
@@ -148,7 +148,7 @@
             return;
         };
         let now = self.clock.now();
-        if !self.reports.ready() || now < self.report_at {
+        if !self.reports.is_ready() || now < self.report_at {
             return;
         }
         let host = address.to_string();
@@ -167,8 +167,11 @@
                 }
             },
         };
-        if let Some(bytes) = self.reports.next(&host) {
-            log::trace!("reports {:?} go out on connection {id}", self.reports.out());
+        if let Some(bytes) = self.reports.next_call(&host) {
+            log::trace!(
+                "reports {:?} go out on connection {id}",
+                self.reports.in_flight()
+            );
             self.queue(id, bytes);
         }
     }
@@ -224,7 +227,7 @@
             .collect();
         old.into_iter()
             .for_each(|id| drop(self.drop_connection(id)));
-        self.reports.lost();
+        self.reports.on_lost();
         self.report_at = now;
         self.discovery = Some(address);
         self.watch.moved(now);
--- a/crates/daemon/src/reactor/shutdown.rs
+++ b/crates/daemon/src/reactor/shutdown.rs
@@ -57,7 +57,10 @@
             .collect();
         for id in ids {
             let after = Some(Duration::from_secs(5));
-            self.say(id, &webpush::answer(core::Answer::Rejected { after }, ""));
+            self.say(
+                id,
+                &webpush::write_answer(core::Answer::Rejected { after }, ""),
+            );
         }
     }
 }
--- a/crates/daemon/src/reactor/timers.rs
+++ b/crates/daemon/src/reactor/timers.rs
@@ -32,7 +32,7 @@
             .chain(self.accept_again)
             .for_each(&mut consider);
         self.reload.iter().for_each(|&(at, _)| consider(at));
-        if self.reports.ready() {
+        if self.reports.is_ready() {
             consider(self.report_at);
         }
         for connection in self.connections.values() {
@@ -116,8 +116,8 @@
                     .min(connection.used + set.connect_timeout),
             ),
             ConnectionKind::Directory { .. } => Some(self.watch.overdue()),
-            ConnectionKind::FinalReports if !self.reports.idle() => {
-                Some(connection.used + final_report_protocol::OVERDUE)
+            ConnectionKind::FinalReports if !self.reports.is_idle() => {
+                Some(connection.used + final_report_protocol::RESPONSE_TIMEOUT)
             }
             ConnectionKind::Client { busy: false } | ConnectionKind::Pusher { busy: None, .. } => {
                 Some(connection.since + client_ingress::patience(connection))
--- a/crates/daemon/src/reactor/upstream.rs
+++ b/crates/daemon/src/reactor/upstream.rs
@@ -162,9 +162,9 @@
         let now = self.clock.now();
         let bytes = match (&mut self.push, attempts.first()) {
             (Some(push), Some(first)) if first.envelope.is_some() => {
-                push.call(&address, first, now)
+                push.write_call(&address, first, now)
             }
-            _ => destination_protocol::call(&address, &attempts, now),
+            _ => destination_protocol::write_call(&address, &attempts, now),
         };
         let ids = attempts.iter().map(|a| a.id.clone()).collect();
         let out = InFlightCall {
@@ -308,7 +308,7 @@
                 let Some(out) = call.take() else { return };
                 let ids: Vec<&str> = out.ids.iter().map(String::as_str).collect();
                 let parsed = if push {
-                    webpush::read(&response, unix_now)
+                    webpush::read_response(&response, unix_now)
                 } else {
                     destination_protocol::read(&response, &ids, unix_now)
                 };
--- a/crates/daemon/src/time_span.rs
+++ b/crates/daemon/src/time_span.rs
@@ -1,27 +1,26 @@
-//! Operators' files: TOML, with the line of what is wrong.
+//! Spans of time in operators' files.
 
 use std::time::Duration;
 
-use serde::de::{Deserialize, DeserializeOwned, Deserializer, Error};
-
-/// Reads a file's text.
-pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, String> {
-    toml::from_str(text).map_err(|e| {
-        let line = e.span().map_or(1, |s| {
-            text[..s.start.min(text.len())].matches('\n').count() + 1
-        });
-        format!("line {line}: {}", e.message().replace('\n', " "))
-    })
-}
+use serde::de::{Deserialize, Deserializer, Error};
 
 /// A span of time with its unit, such as `400 ms` or `1 min 30 s`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub Duration);
+pub(crate) struct TimeSpan(pub(crate) Duration);
+
+impl TimeSpan {
+    /// The span given, or so many milliseconds where none is.
+    pub(crate) fn or_millis(given: Option<TimeSpan>, default: u64) -> Duration {
+        given.map_or(Duration::from_millis(default), |span| span.0)
+    }
+}
 
-impl<'de> Deserialize<'de> for Span {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Span, D::Error> {
-        let text = String::deserialize(d)?;
+impl<'de> Deserialize<'de> for TimeSpan {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<TimeSpan, D::Error> {
+        let text = String::deserialize(deserializer)?;
         let named = |e| D::Error::custom(format!("'{text}' is not a span such as \"400 ms\": {e}"));
-        humantime::parse_duration(&text).map(Span).map_err(named)
+        humantime::parse_duration(&text)
+            .map(TimeSpan)
+            .map_err(named)
     }
 }
--- /dev/null
+++ b/crates/daemon/src/toml_file.rs
@@ -0,0 +1,25 @@
+//! Operators' TOML files. An error names its line.
+
+use serde::de::DeserializeOwned;
+
+/// Why a text is not the TOML that was expected.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("line {line}: {message}")]
+pub struct TomlError {
+    /// Counted from 1.
+    pub line: usize,
+    /// The parser's description, on one line.
+    pub message: String,
+}
+
+/// Parses a file's text.
+pub(crate) fn parse<T: DeserializeOwned>(text: &str) -> Result<T, TomlError> {
+    toml::from_str(text).map_err(|e| TomlError {
+        line: e.span().map_or(1, |span| line_at(text, span.start)),
+        message: e.message().replace('\n', " "),
+    })
+}
+
+fn line_at(text: &str, offset: usize) -> usize {
+    text[..offset.min(text.len())].matches('\n').count() + 1
+}
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -1,4 +1,4 @@
-//! When the directory is asked, and what for. Pure: the clock is an input, and whoever calls does the asking.
+//! When requests go to discovery, and which. No I/O: the clock is an input, and the caller sends the requests.
 
 use std::time::Duration;
 
@@ -6,49 +6,53 @@
 
 use crate::discovery_protocol;
 
-/// Between two tries, however the first one fails, there is never more: what the directory has to tell counts as told 6 s after
-/// it had it and could be reached, and half a second is left for the connection, the answer and delays of the machine.
-pub const BETWEEN_TRIES_MOST: Duration = Duration::from_millis(5500);
-/// After a question that took all of its time, what is left for a pause. At least so much is always allowed, so that senders
-/// refused together spread.
-const PAUSE_LEFT: Duration = BETWEEN_TRIES_MOST.saturating_sub(HOLD.saturating_add(LATE_HELD));
-/// How long a watch is held, whether lists are pushed or asked for: one that falls silent is found out only after this, and what
-/// it misses counts as told within the same 6 s.
+/// The longest interval between two requests, however the first one fails: a change counts as notified 6 s after discovery had it
+/// and could be reached, and half a second is left for the connection, the response and delays of the machine.
+pub const MAX_REQUEST_INTERVAL: Duration = Duration::from_millis(5500);
+/// What is left for the backoff after a request that timed out. At least this is always allowed, so that senders rejected
+/// together spread.
+const MIN_ALLOWED_BACKOFF: Duration =
+    MAX_REQUEST_INTERVAL.saturating_sub(HOLD.saturating_add(WATCH_RESPONSE_TIMEOUT));
+/// How long discovery holds a watch, whether lists are pushed or polled: a silent one is detected only after this, and the changes
+/// that it misses count as notified within the same 6 s.
 const HOLD: Duration = Duration::from_secs(3);
-/// An answer that is due is here within this, or the question is put anew: half a second before what a held watch misses
-/// counts as told, and after all that a directory answers of many questions at once.
-const LATE_HELD: Duration = Duration::from_millis(1500);
-const LATE_WHOLE: Duration = Duration::from_secs(2);
-/// After a watch that could not be put: soon enough that the next one still continues it.
-const AGAIN: Duration = Duration::from_millis(100);
-/// What a new watch costs a directory that refuses some, taken from 39 that were answered of 100 asked at one moment
-/// before the rest ran into its 2 s; the pace at which all senders together ask again.
-const COST: Duration = Duration::from_millis(50);
-/// Senders beyond this make a mean pause no longer: what the settings say of their number may be absurd.
-const SENDERS_MOST: u32 = 200;
-/// The longest mean pause after failures in a row, in times the first.
-const PAUSE_MOST: u32 = 4;
-/// A pause is drawn evenly from between half of its mean and so many means.
-const JITTER_MOST: f64 = 1.5;
+/// How long a response may take after it is due, before the request is repeated: half a second before the changes that a held
+/// watch misses count as notified, and longer than discovery needs for many requests at once.
+const WATCH_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+const LIST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The first backoff after a request that could not be sent: short enough that the next watch still continues the last one.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Time that discovery spends on a new watch when it rejects some, from 39 answered of 100 sent at one moment before the rest ran
+/// into its 2 s; the rate at which all senders together retry.
+const WATCH_COST: Duration = Duration::from_millis(50);
+/// Senders beyond this number do not lengthen the mean backoff: the number in the settings may be absurd.
+const MAX_COUNTED_SENDERS: u32 = 200;
+/// The longest mean backoff after consecutive failures, as a multiple of the first.
+const MAX_BACKOFF_FACTOR: u32 = 4;
+/// A backoff is drawn uniformly from between half of its mean and this multiple of it.
+const MAX_JITTER: f64 = 1.5;
 
-/// Why a watch failed.
+/// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// There was no connection, or it ended or stayed silent: nobody was burdened with the question.
+    /// There was no connection, or it ended or stayed silent: discovery spent nothing on the request.
     ConnectFailed,
-    /// It was answered with anything but a list, perhaps with a wait: there is too much to answer.
-    Rejected { retry_after: Option<Duration> },
+    /// It was answered with anything but a list: discovery is overloaded.
+    Rejected {
+        /// The wait that the response states.
+        retry_after: Option<Duration>,
+    },
 }
 
-/// The watch that this sender keeps on the directory.
+/// This sender's watch on the endpoint list.
 ///
-/// The first question goes at once, whoever else may start at this moment: what is there to tell counts as told
-/// whether we have asked or not, and a sender that waits before its first question goes on by an old list. Only
-/// after a refusal the senders spread out, so that all together do not ask for more than can be answered.
+/// The first request is due at once, however many senders start at this moment: changes count as notified whether they were
+/// requested or not, and a sender that waits before its first request decides by an old list. Only after a rejection the senders
+/// spread, so that together they do not request more than discovery can answer.
 #[derive(Debug)]
 pub struct Watch {
     version: u64,
-    /// The next question is for the whole list.
+    /// The next request is for the whole list.
     whole: bool,
     due: Option<Time>,
     asked: Time,
@@ -59,8 +63,8 @@
 }
 
 impl Watch {
-    /// A watch from the list of this version on, one of so many senders' and due at once. `longest`: how long the
-    /// settings let a sender be without asking; zero where they don't say.
+    /// A watch from the list of this version on, due at once; `senders` is their number in the fleet. `longest`: how long the
+    /// settings let a sender be without a request; zero for no bound.
     pub fn new(version: u64, senders: u32, longest: Duration, seed: u64, now: Time) -> Watch {
         let rng = fastrand::Rng::with_seed(seed);
         Watch {
@@ -75,77 +79,76 @@
         }
     }
 
-    /// When the next question is to be put, unless one is out.
+    /// When the next request is due, unless one is in flight.
     pub fn due(&self) -> Option<Time> {
         self.due
     }
 
-    /// Puts the next question; the caller sends it.
+    /// The bytes of the next request, which the caller sends to `host`.
     pub fn ask(&mut self, now: Time, host: &str) -> Vec<u8> {
         (self.due, self.asked) = (None, now);
         if self.whole {
-            discovery_protocol::whole(host)
+            discovery_protocol::write_list_request(host)
         } else {
-            discovery_protocol::watch(host, self.version, HOLD)
+            discovery_protocol::write_watch_request(host, self.version, HOLD)
         }
     }
 
-    /// When the question that is out has fallen silent: it is given up then, and put anew.
+    /// When the request in flight times out.
     pub fn overdue(&self) -> Time {
         self.asked
             + if self.whole {
-                LATE_WHOLE
+                LIST_RESPONSE_TIMEOUT
             } else {
-                HOLD + LATE_HELD
+                HOLD + WATCH_RESPONSE_TIMEOUT
             }
     }
 
-    /// A list of this version came: the next question goes at once, since within 200 ms it continues this one. Not so
-    /// after an empty answer that came too soon: a directory that does not hold a watch would have us ask without end.
+    /// A list of this version arrived: the next request is due at once, since within 200 ms it continues this one. Not so after an
+    /// empty response that came too soon: a discovery that does not hold watches would be polled without pause.
     pub fn answered(&mut self, now: Time, version: u64) {
-        let pending = self.whole || self.version != version || now - self.asked >= AGAIN;
-        self.due = Some(if pending { now } else { now + AGAIN });
+        let pending = self.whole || self.version != version || now - self.asked >= RETRY_INTERVAL;
+        self.due = Some(if pending { now } else { now + RETRY_INTERVAL });
         (self.version, self.whole, self.failed) = (version, false, 0);
     }
 
-    /// Of the changes that were answered some could not be read, and they are not told again: all of the list is asked for,
-    /// in which what can't be read is not named, so that nothing goes to an endpoint that may be draining.
+    /// Some of the changes could not be read, and they are not sent again: the whole list is requested, in which an unreadable
+    /// entry is missing, so that nothing is sent to an endpoint that may be draining.
     pub fn missed(&mut self) {
         self.whole = true;
     }
 
-    /// A question failed: the pause before the next, no shorter than a wait that was told, as far as
-    /// [`BETWEEN_TRIES_MOST`] allows it. Guards a directory that is asked by all at once, as after a release: questions that
-    /// come faster than they can be answered wait until they are worth nothing, and where each is put again soon, nobody
-    /// hears of what has changed.
+    /// A request failed; returns the backoff, no shorter than a `Retry-After` as far as [`MAX_REQUEST_INTERVAL`] allows it. Protects a
+    /// discovery that all senders poll at once, as after a release: requests that arrive faster than they can be answered time
+    /// out in its queue, and with short retries no sender would be notified of anything.
     pub fn failed(&mut self, now: Time, failure: Failure) -> Duration {
         let (first, retry_after) = match failure {
-            Failure::ConnectFailed => (AGAIN, None),
+            Failure::ConnectFailed => (RETRY_INTERVAL, None),
             Failure::Rejected { retry_after } => (
-                (COST * self.senders.min(SENDERS_MOST)).max(AGAIN),
+                (WATCH_COST * self.senders.min(MAX_COUNTED_SENDERS)).max(RETRY_INTERVAL),
                 retry_after,
             ),
         };
-        let most = BETWEEN_TRIES_MOST
+        let most = MAX_REQUEST_INTERVAL
             .saturating_sub(now - self.asked)
-            .max(PAUSE_LEFT);
+            .max(MIN_ALLOWED_BACKOFF);
         let retry_after = retry_after.unwrap_or_default().min(most / 2);
-        let mean = first * (1 << self.failed.min(8)).min(PAUSE_MOST);
-        let mean = mean.min((most - retry_after).div_f64(JITTER_MOST));
+        let mean = first * (1 << self.failed.min(8)).min(MAX_BACKOFF_FACTOR);
+        let mean = mean.min((most - retry_after).div_f64(MAX_JITTER));
         self.failed += 1;
         let longest = if self.longest.is_zero() {
             Duration::MAX
         } else {
-            self.longest.max(AGAIN)
+            self.longest.max(RETRY_INTERVAL)
         };
-        let jitter = 0.5 + (JITTER_MOST - 0.5) * self.rng.f64();
+        let jitter = 0.5 + (MAX_JITTER - 0.5) * self.rng.f64();
         let pause = mean.mul_f64(jitter).min(longest) + retry_after;
         self.due = Some(now + pause);
         pause
     }
 
-    /// The directory is elsewhere from now on: it is asked at once for all of its list, since its versions need not
-    /// go on from the old one's, and what failed at the old one says nothing of it.
+    /// Discovery is at another address from now on: its whole list is requested at once, since its versions need not continue the
+    /// old one's, and failures of the old one say nothing about it.
     pub fn moved(&mut self, now: Time) {
         (self.whole, self.due, self.failed) = (true, Some(now), 0);
     }
--- /dev/null
+++ b/crates/daemon/src/webpush/mod.rs
@@ -0,0 +1,14 @@
+//! Web Push (RFC 8030, with VAPID as in RFC 8292) in both directions: as the service that application servers post to, and
+//! as the client of the push services behind it. No I/O; the reactor owns the connections.
+
+mod file;
+mod front;
+mod responses;
+mod standalone;
+mod vapid;
+
+pub use file::{File, Location, Server, Upstream, WebPushFileError, parse_file};
+pub(crate) use front::{Rejection, WebPushFront};
+pub(crate) use responses::{read_response, write_answer, write_error};
+pub use standalone::alone;
+pub use vapid::{Vapid, VapidError, VapidFile};
--- a/crates/daemon/tests/discovery_protocol.rs
+++ b/crates/daemon/tests/discovery_protocol.rs
@@ -1,7 +1,9 @@
 //! The directory's list as it is read off the wire.
 
 use cranehill_daemon::config::PlatformSettings;
-use cranehill_daemon::discovery_protocol::{ENTRIES_MOST, ParsedList, body_most, read};
+use cranehill_daemon::discovery_protocol::{
+    ListError, MAX_ENTRIES, ParsedList, max_body_bytes, read,
+};
 use cranehill_daemon::http;
 use cranehill_scheduler::profile::Profile;
 
@@ -16,7 +18,7 @@
     PlatformSettings::new(profile.into_settings().expect("settings"), names)
 }
 
-fn parsed(servers: &str) -> Result<ParsedList, String> {
+fn parsed(servers: &str) -> Result<ParsedList, ListError> {
     let body = format!(r#"{{"version":4,"full":true,"servers":[{servers}]}}"#);
     let bytes = http::write_response(200, "OK", &[], &body);
     let (response, _) = http::response(&bytes, true)
@@ -39,7 +41,7 @@
         let parsed = parsed(&format!("{bad},{GOOD}")).expect("a list");
         assert_eq!((parsed.list.len(), parsed.unread.len()), (1, 1), "{bad}");
         assert!(
-            parsed.unread[0].starts_with("entry 0: "),
+            parsed.unread[0].to_string().starts_with("entry 0: "),
             "{:?}",
             parsed.unread
         );
@@ -87,7 +89,7 @@
         entries(57_000)
     );
     let bytes = http::write_response(200, "OK", &[], &body);
-    let most = body_most(32_000_000);
+    let most = max_body_bytes(32_000_000);
     let (response, used) = http::response_within(&bytes, false, most)
         .expect("an answer")
         .expect("whole");
@@ -122,18 +124,18 @@
         headers: Vec::new(),
         body: format!(
             r#"{{"version":4,"full":true,"servers":[{}]}}"#,
-            entries(ENTRIES_MOST + 3)
+            entries(MAX_ENTRIES + 3)
         )
         .into_bytes(),
         close: false,
     };
     let parsed = read(&response, &platform_settings()).expect("a list");
-    assert_eq!((parsed.list.len(), parsed.excess), (ENTRIES_MOST, 3));
+    assert_eq!((parsed.list.len(), parsed.excess), (MAX_ENTRIES, 3));
 }
 
 #[test]
 fn a_list_may_take_a_part_of_the_memory_and_never_less_than_other_bodies() {
-    assert_eq!(body_most(32_000_000), 8_000_000);
-    assert_eq!(body_most(0), http::BODY_MOST);
-    assert_eq!(body_most(usize::MAX), 16_000_000);
+    assert_eq!(max_body_bytes(32_000_000), 8_000_000);
+    assert_eq!(max_body_bytes(0), http::MAX_BODY_BYTES);
+    assert_eq!(max_body_bytes(usize::MAX), 16_000_000);
 }
--- a/crates/daemon/tests/final_report_protocol.rs
+++ b/crates/daemon/tests/final_report_queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_core::FinalReport;
-use cranehill_daemon::final_report_protocol::{AGAIN, OVERDUE, Reports};
+use cranehill_daemon::final_report_queue::{FinalReportQueue, RESPONSE_TIMEOUT, RETRY_DELAY};
 
 fn ids(bytes: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(bytes);
@@ -17,22 +17,22 @@
 /// try is inside the 300 ms after a message's time in which its end must be told. It took 1.1 s.
 #[test]
 fn a_lost_report_goes_again_first_and_inside_the_time_for_it() {
-    assert!(OVERDUE + AGAIN < Duration::from_millis(300));
-    let mut reports = Reports::default();
+    assert!(RESPONSE_TIMEOUT + RETRY_DELAY < Duration::from_millis(300));
+    let mut reports = FinalReportQueue::default();
     reports.add("a".into(), FinalReport::Failed);
     reports.add("b".into(), FinalReport::Returned { after_ms: 500 });
-    let first = reports.next("h").expect("two reports");
+    let first = reports.next_call("h").expect("two reports");
     assert_eq!(ids(&first), [r#""a""#, r#""b""#]);
     reports.add("c".into(), FinalReport::Failed);
-    assert!(reports.next("h").is_none(), "one call at a time");
-    reports.lost();
+    assert!(reports.next_call("h").is_none(), "one call at a time");
+    reports.on_lost();
     assert_eq!(
-        ids(&reports.next("h").expect("again")),
+        ids(&reports.next_call("h").expect("again")),
         [r#""a""#, r#""b""#, r#""c""#]
     );
-    assert!(reports.answered(500).is_empty());
-    assert!(!reports.idle() && reports.ready());
-    reports.next("h").expect("again");
-    assert_eq!(reports.answered(204), ["a", "b", "c"]);
-    assert!(reports.idle());
+    assert!(reports.on_response(500).is_empty());
+    assert!(!reports.is_idle() && reports.is_ready());
+    reports.next_call("h").expect("again");
+    assert_eq!(reports.on_response(204), ["a", "b", "c"]);
+    assert!(reports.is_idle());
 }
--- a/crates/daemon/tests/watch.rs
+++ b/crates/daemon/tests/watch.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use cranehill_daemon::watch::{BETWEEN_TRIES_MOST, Failure, Watch};
+use cranehill_daemon::watch::{Failure, MAX_REQUEST_INTERVAL, Watch};
 use cranehill_scheduler::Time;
 use proptest::prelude::*;
 
@@ -96,11 +96,11 @@
             .collect();
         let (least, most) = (pauses.iter().min(), pauses.iter().max());
         assert!(
-            most <= Some(&BETWEEN_TRIES_MOST) && most > Some(&(BETWEEN_TRIES_MOST * 9 / 10)),
+            most <= Some(&MAX_REQUEST_INTERVAL) && most > Some(&(MAX_REQUEST_INTERVAL * 9 / 10)),
             "{pauses:?}"
         );
         // Who was refused together, or told the same, is spread.
-        assert!(least < Some(&(BETWEEN_TRIES_MOST * 8 / 10)), "{pauses:?}");
+        assert!(least < Some(&(MAX_REQUEST_INTERVAL * 8 / 10)), "{pauses:?}");
     }
     // What could not be put burdened nobody: it is put again while the directory may be back.
     let longest = (0..40)
