--- a/crates/cranehill/src/cli.rs
+++ b/crates/cranehill/src/cli.rs
@@ -441,7 +441,8 @@
     let mut reactor = Reactor::new(ReactorOptions {
         fleet,
         ..setup(config, push, key)?
-    })?;
+    })
+    .map_err(|e| e.to_string())?;
     reactor
         .registry()
         .register(&mut signals, reactor::SIGNALS, mio::Interest::READABLE)
--- a/crates/cranehill/src/rehearsal.rs
+++ b/crates/cranehill/src/rehearsal.rs
@@ -444,7 +444,8 @@
     let answering = service.clone();
     let stand_in = SimulatedServer::new(move |request, _| lock(&answering).answer(request))
         .map_err(|e| e.to_string())?;
-    let mut reactor = Reactor::new(push_setup(stand_in.address, None))?;
+    let mut reactor =
+        Reactor::new(push_setup(stand_in.address, None)).map_err(|e| e.to_string())?;
     let address = reactor.addresses().1.ok_or("the sender does not listen")?;
     let stop_handle = reactor.stop_handle().map_err(|e| e.to_string())?;
     let running = thread::spawn(move || reactor.run(Vec::new));
--- /dev/null
+++ b/crates/daemon/src/client_ingress/resp.rs
@@ -0,0 +1,160 @@
+//! Requests over RESP2.
+
+use std::time::Duration;
+
+use cranehill_core::Answer;
+
+use super::{Admission, ClientIngress, Progress, reject_malformed, reject_request};
+use crate::client_protocol::{self, MAX_REQUEST_BYTES, Request};
+use crate::connection::ConnectionKind;
+use crate::connection_table::ConnectionTable;
+
+impl ClientIngress {
+    /// Processes the client's next request.
+    pub(crate) fn serve_client(
+        &mut self,
+        connections: &mut ConnectionTable,
+        id: usize,
+        admission: &mut Admission<'_>,
+    ) -> Progress {
+        let Some(connection) = connections.get_mut(id) else {
+            return Progress::Waiting;
+        };
+        if !matches!(connection.kind, ConnectionKind::Client { busy: false })
+            || !connection.is_written()
+        {
+            return Progress::Waiting;
+        }
+        if connection.close_after_write {
+            return Progress::Close;
+        }
+        match client_protocol::parse(&connection.input) {
+            Ok(Some((request, length))) => {
+                connection.consume(length);
+                connection.has_requested = true;
+                self.on_request(connections, id, request, admission)
+            }
+            Ok(None) if connection.ended || connection.input.len() >= MAX_REQUEST_BYTES => {
+                Progress::Close
+            }
+            Ok(None) => self.on_incomplete(connections, id),
+            Err(client_protocol::Broken(why)) => {
+                log::debug!("client: {why}");
+                let answer = client_protocol::write_error(why);
+                reject_malformed(connections, id, &answer, admission.now);
+                Progress::Answered
+            }
+        }
+    }
+
+    fn on_request(
+        &mut self,
+        connections: &mut ConnectionTable,
+        id: usize,
+        request: Request,
+        admission: &mut Admission<'_>,
+    ) -> Progress {
+        let now = admission.now;
+        match request {
+            Request::Ping if admission.draining => {
+                // The client is asked to use another sender; what it sends here all the same is served.
+                if let Some(connection) = connections.get_mut(id) {
+                    connection.close_after_write = connection.has_nothing_unread();
+                }
+                let answer = client_protocol::write_error("emptying, for operators");
+                connections.send(id, &answer, now);
+                return Progress::Answered;
+            }
+            Request::Ping => connections.send(id, b"+PONG\r\n", now),
+            Request::Quit => {
+                if let Some(connection) = connections.get_mut(id) {
+                    connection.close_after_write = true;
+                }
+                connections.send(id, b"+OK\r\n", now);
+            }
+            Request::Unknown(why) => {
+                reject_request(connections, id, &client_protocol::write_error(why), now);
+            }
+            put @ Request::Put { .. } => {
+                if let Some(submitted) = self.on_put(connections, id, put, admission) {
+                    return submitted;
+                }
+            }
+        }
+        refill(connections, id);
+        Progress::Answered
+    }
+
+    /// `None` if the message is not accepted, which is answered.
+    fn on_put(
+        &mut self,
+        connections: &mut ConnectionTable,
+        id: usize,
+        request: Request,
+        admission: &mut Admission<'_>,
+    ) -> Option<Progress> {
+        let Request::Put {
+            key,
+            id: message_id,
+            names,
+            body,
+        } = request
+        else {
+            return None;
+        };
+        // A message that the journal has no room for must not be accepted.
+        let room = admission.journal.admit(body.len());
+        let settings = admission.platform_settings;
+        let parsed = client_protocol::message(settings, id, &key, message_id, &names, body);
+        // A message to an unknown destination could only expire.
+        let known = parsed.and_then(|message| {
+            let is_known = admission.core.knows(message.destination);
+            is_known.then_some(message).ok_or("destination not known")
+        });
+        match (known, room) {
+            (Ok(message), Ok(())) => {
+                log::trace!(
+                    "message {}: submitted on connection {id}, {:?} remaining",
+                    message.id,
+                    message.left
+                );
+                if let Some(connection) = connections.get_mut(id) {
+                    connection.kind = ConnectionKind::Client { busy: true };
+                }
+                return Some(Progress::Submitted(message));
+            }
+            (Ok(_), Err(after)) => self.on_journal_full(connections, id, after, admission),
+            (Err(why), _) => {
+                let answer = client_protocol::write_error(why);
+                reject_request(connections, id, &answer, admission.now);
+            }
+        }
+        None
+    }
+
+    fn on_journal_full(
+        &mut self,
+        connections: &mut ConnectionTable,
+        id: usize,
+        retry_after: Duration,
+        admission: &mut Admission<'_>,
+    ) {
+        let now = admission.now;
+        let max_retry_after = admission.platform_settings.settings.max_retry_after;
+        if let Some(refused) = self.rejections.record(now) {
+            let room = admission.journal.free_bytes();
+            log::warn!(refused, room; "journal: full, {room} bytes free; {refused} messages rejected");
+        }
+        let answer = client_protocol::write_answer(Answer::Rejected {
+            after: Some(retry_after.min(max_retry_after)),
+        });
+        connections.send(id, &answer, now);
+    }
+}
+
+/// More may have waited for room in the buffer.
+pub(crate) fn refill(connections: &mut ConnectionTable, id: usize) {
+    if let Some(connection) = connections.get_mut(id) {
+        connection.fill();
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/client_ingress/web_push.rs
@@ -0,0 +1,113 @@
+//! Posts of application servers over HTTP.
+
+use cranehill_scheduler::Time;
+
+use super::{ClientIngress, Progress, reject_malformed, reject_request};
+use crate::connection::{Connection, ConnectionKind, MAX_RESPONSE_BYTES};
+use crate::connection_table::ConnectionTable;
+use crate::http::{self, Request};
+use crate::platform_settings::PlatformSettings;
+use crate::webpush::{self, WebPushFront};
+
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+impl ClientIngress {
+    /// Processes the application server's next post.
+    pub(crate) fn serve_web_push(
+        &self,
+        connections: &mut ConnectionTable,
+        id: usize,
+        front: Option<&mut WebPushFront>,
+        platform_settings: &PlatformSettings,
+        now: Time,
+    ) -> Progress {
+        let Some(connection) = connections.get_mut(id) else {
+            return Progress::Waiting;
+        };
+        let ConnectionKind::WebPushClient { pending, .. } = &mut connection.kind else {
+            return Progress::Waiting;
+        };
+        if let Some(message) = pending {
+            if !connection.ended {
+                return Progress::Waiting;
+            }
+            // Nobody would be notified of the message's end.
+            let message = std::mem::take(message);
+            connections.close(id);
+            return Progress::Cancelled(message);
+        }
+        if !connection.is_written() {
+            return Progress::Waiting;
+        }
+        if connection.close_after_write {
+            return Progress::Close;
+        }
+        match http::request(&connection.input) {
+            Ok(Some((request, length))) => {
+                connection.consume(length);
+                connection.has_requested = true;
+                on_post(connections, id, request, front, platform_settings, now)
+            }
+            Ok(None) if connection.ended || connection.input.len() >= MAX_RESPONSE_BYTES => {
+                Progress::Close
+            }
+            Ok(None) => {
+                if expects_continue(connection) {
+                    connections.send(id, CONTINUE, now);
+                }
+                self.on_incomplete(connections, id)
+            }
+            Err(malformed) => {
+                let status = if malformed == http::TOO_LARGE {
+                    413
+                } else {
+                    400
+                };
+                let answer = webpush::write_error(status, malformed.0);
+                reject_malformed(connections, id, &answer, now);
+                Progress::Answered
+            }
+        }
+    }
+}
+
+fn on_post(
+    connections: &mut ConnectionTable,
+    id: usize,
+    request: Request,
+    front: Option<&mut WebPushFront>,
+    platform_settings: &PlatformSettings,
+    now: Time,
+) -> Progress {
+    let close_requested = request.close;
+    let Some(front) = front else {
+        return Progress::Waiting;
+    };
+    match front.accept(request, id, platform_settings, now) {
+        Ok(message) => {
+            if let Some(connection) = connections.get_mut(id) {
+                connection.kind = ConnectionKind::WebPushClient {
+                    pending: Some(message.id.clone()),
+                    close: close_requested,
+                };
+            }
+            Progress::Submitted(message)
+        }
+        Err(rejection) => {
+            if let Some(connection) = connections.get_mut(id) {
+                connection.close_after_write |= close_requested;
+            }
+            let answer = webpush::write_error(rejection.status, rejection.reason);
+            reject_request(connections, id, &answer, now);
+            Progress::Answered
+        }
+    }
+}
+
+/// RFC 9110, section 10.1.1: a client may wait for permission to send its body.
+fn expects_continue(connection: &Connection) -> bool {
+    let head = String::from_utf8_lossy(&connection.input).to_ascii_lowercase();
+    head.contains("\r\n\r\n")
+        && head.contains("expect: 100-continue")
+        && connection.output.is_empty()
+}
--- a/crates/daemon/src/connection_index.rs
+++ b/crates/daemon/src/connection_index.rs
@@ -1,4 +1,4 @@
-//! Which connections lead to which endpoint, so that what concerns one endpoint looks at its own connections alone.
+//! Connections by endpoint, so that an operation on one endpoint visits only its own connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,13 +8,13 @@
 
 /// Connections to endpoints, by endpoint.
 #[derive(Debug, Default)]
-pub struct ConnectionIndex {
+pub(crate) struct ConnectionIndex {
     connections: BTreeMap<EndpointId, BTreeSet<usize>>,
 }
 
 impl ConnectionIndex {
     /// A connection was opened.
-    pub fn add(&mut self, kind: &ConnectionKind, connection: usize) {
+    pub(crate) fn add(&mut self, kind: &ConnectionKind, connection: usize) {
         if let ConnectionKind::Destination { endpoint, .. } = kind {
             self.connections
                 .entry(endpoint.clone())
@@ -24,7 +24,7 @@
     }
 
     /// A connection is closed.
-    pub fn remove(&mut self, kind: &ConnectionKind, connection: usize) {
+    pub(crate) fn remove(&mut self, kind: &ConnectionKind, connection: usize) {
         let ConnectionKind::Destination { endpoint, .. } = kind else {
             return;
         };
@@ -38,7 +38,7 @@
     }
 
     /// The connections to an endpoint, the oldest first.
-    pub fn of(&self, endpoint: &EndpointId) -> impl Iterator<Item = usize> {
+    pub(crate) fn of(&self, endpoint: &EndpointId) -> impl Iterator<Item = usize> {
         self.connections
             .get(endpoint)
             .into_iter()
--- /dev/null
+++ b/crates/daemon/src/final_report_sender.rs
@@ -0,0 +1,94 @@
+//! Sends final reports to the platform.
+
+use std::net::SocketAddr;
+
+use cranehill_core::FinalReport;
+use cranehill_scheduler::Time;
+
+use crate::connection::{Connection, ConnectionKind};
+use crate::connection_table::ConnectionTable;
+use crate::final_report_queue::{FinalReportQueue, RESPONSE_TIMEOUT, RETRY_DELAY};
+
+/// The reports, and when the next call may be sent.
+pub(crate) struct FinalReportSender {
+    queue: FinalReportQueue,
+    next_call: Time,
+}
+
+impl FinalReportSender {
+    pub(crate) fn new(now: Time) -> FinalReportSender {
+        FinalReportSender {
+            queue: FinalReportQueue::default(),
+            next_call: now,
+        }
+    }
+
+    pub(crate) fn add(&mut self, id: String, final_report: FinalReport) {
+        log::trace!("message {id}: final report due, {final_report:?}");
+        self.queue.add(id, final_report);
+    }
+
+    /// When a call is to be sent, if there is something to report.
+    pub(crate) fn due(&self) -> Option<Time> {
+        self.queue.is_ready().then_some(self.next_call)
+    }
+
+    /// When the connection needs attention though nothing happens on it.
+    pub(crate) fn deadline(&self, connection: &Connection) -> Option<Time> {
+        (!self.queue.is_idle()).then(|| connection.last_used + RESPONSE_TIMEOUT)
+    }
+
+    /// Sends the next call if it is due.
+    pub(crate) fn send(
+        &mut self,
+        connections: &mut ConnectionTable,
+        address: SocketAddr,
+        now: Time,
+    ) {
+        if self.due().is_none_or(|due| now < due) {
+            return;
+        }
+        let open = connections.iter().find(|(_, connection)| {
+            matches!(connection.kind, ConnectionKind::FinalReports) && !connection.ended
+        });
+        let id = match open.map(|(id, _)| id) {
+            Some(id) => id,
+            None => match connections.connect(ConnectionKind::FinalReports, address, now) {
+                Ok(id) => id,
+                Err(e) => {
+                    log::info!("final reports: {e}");
+                    return self.on_lost(now);
+                }
+            },
+        };
+        if let Some(bytes) = self.queue.next_call(&address.to_string()) {
+            log::trace!(
+                "reports {:?} go out on connection {id}",
+                self.queue.in_flight()
+            );
+            connections.send_request(id, bytes, now);
+        }
+    }
+
+    /// The call was answered; returns the ids of the messages whose reports are acknowledged.
+    pub(crate) fn on_response(&mut self, status: u16, now: Time) -> Vec<String> {
+        let acknowledged = self.queue.on_response(status);
+        log::trace!("reports {acknowledged:?} are with the platform");
+        if acknowledged.is_empty() {
+            self.next_call = now + RETRY_DELAY;
+        }
+        acknowledged
+    }
+
+    /// The call was not answered: it is sent again after a pause.
+    pub(crate) fn on_lost(&mut self, now: Time) {
+        self.queue.on_lost();
+        self.next_call = now + RETRY_DELAY;
+    }
+
+    /// The platform is at another address: what it has not acknowledged is sent there at once.
+    pub(crate) fn restart(&mut self, now: Time) {
+        self.queue.on_lost();
+        self.next_call = now;
+    }
+}
--- /dev/null
+++ b/crates/daemon/src/fleet_log.rs
@@ -0,0 +1,44 @@
+//! Log lines on changes in the fleet.
+
+use cranehill_membership::{State, View};
+use cranehill_zone_failover::Change;
+
+use crate::platform_settings::PlatformSettings;
+
+/// A member's state has changed.
+pub(crate) fn log_member(view: &View, before: Option<State>) {
+    let (name, state) = (view.member.name.as_str(), view.state.label());
+    let before = before.map_or("unknown", State::label);
+    log::info!(event = "member", member = name, at:% = view.member.at, incarnation = view.member.generation,
+        swim_incarnation = view.incarnation, state, before;
+        "fleet: {name} at {} is {state}, was {before}", view.member.at);
+}
+
+/// A zone's state has changed. Probe calls are logged for debugging only.
+pub(crate) fn log_zone(change: &Change, platform_settings: &PlatformSettings) {
+    match change {
+        Change::Evacuate {
+            zone,
+            fails,
+            serves,
+            out,
+        } => {
+            let zone = platform_settings.zone_name(*zone);
+            log::warn!(event = "zone", zone, state = "evacuated", fails, serves, out_ms = out.as_millis() as u64;
+                "zones: {zone} is evacuated: it fails for {fails} members and serves {serves}; for {out:?} at least");
+        }
+        Change::Return { zone, .. } => {
+            let zone = platform_settings.zone_name(*zone);
+            log::info!(event = "zone", zone, state = "recovery-ramp"; "zones: {zone} answers probe calls; the recovery ramp begins");
+        }
+        Change::InService { zone } => {
+            let zone = platform_settings.zone_name(*zone);
+            log::info!(event = "zone", zone, state = "in-service"; "zones: {zone} is in service again");
+        }
+        Change::Probe { zone, .. } => {
+            let zone = platform_settings.zone_name(*zone);
+            log::debug!(event = "zone", zone, state = "probe"; "zones: a probe call may go to {zone}");
+        }
+        Change::ProbeOver { .. } => {}
+    }
+}
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,22 +1,44 @@
-//! The sender on sockets. [`reactor::Reactor`] is where to start: it carries out what `cranehill_core` asks for.
-//! `clients`, `destinations`, `directory`, `final_report` and `webpush` each say how one peer speaks, without I/O.
+//! The daemon: one event loop that carries out the effects of `cranehill_core` on sockets and files.
+//!
+//! [`reactor::Reactor`] is where to start: it owns the parts with sockets, files and timers, and carries inputs and effects
+//! between them and the core. [`client_protocol`], [`destination_protocol`], [`discovery_protocol`], [`final_report_protocol`],
+//! [`http`] and [`webpush`] are codecs without I/O; [`config`] and [`fleet`] read the operators' files.
 
+mod client_ingress;
 pub mod client_protocol;
 mod clock;
 pub mod config;
+mod config_reload;
 mod connection;
 mod connection_index;
+mod connection_table;
 pub mod destination_protocol;
+mod discovery_client;
 pub mod discovery_protocol;
+mod drain;
 pub mod final_report_protocol;
 pub mod final_report_queue;
+mod final_report_sender;
 pub mod fleet;
+mod fleet_endpoint;
+mod fleet_log;
+mod fleet_status;
 mod handover;
+mod handover_endpoint;
 pub mod http;
+mod journal_writer;
+mod listeners;
+mod operator_connections;
+mod operator_protocol;
 pub mod platform_settings;
 pub mod reactor;
+mod shutdown;
 mod state_file;
+mod state_store;
+mod throttled_log;
 mod time_span;
+mod tokens;
 pub mod toml_file;
+mod upstream;
 pub mod watch;
 pub mod webpush;
--- a/crates/daemon/src/reactor/operator/tests.rs
+++ b/crates/daemon/src/operator_protocol/tests.rs
@@ -1,36 +1,37 @@
-//! What is a call of operators, and what is none.
+//! Which requests are commands of operators, and which are not.
 
-use super::*;
+use super::{OperatorCommand, parse};
+use crate::http;
 
-fn parsed(method: &str, path: &str) -> Result<Call, u16> {
+fn parsed(method: &str, path: &str) -> Result<OperatorCommand, u16> {
     let text = format!("{method} {path} HTTP/1.1\r\nHost: o\r\n\r\n");
     let (request, _) = http::request(text.as_bytes())
         .expect("well formed")
         .expect("whole");
-    read(&request).map_err(|answer| http::first_line(&answer).expect("a status"))
+    parse(&request).map_err(|answer| http::first_line(&answer).expect("a status"))
 }
 
 #[test]
 fn operator_calls_are_parsed_and_bad_ones_name_the_reason() {
     for (method, path, expected) in [
-        ("GET", "/_ready", Ok(Call::Ready)),
-        ("PUT", "/_lameduck/on", Ok(Call::Drain(true))),
-        ("PUT", "/_lameduck/off", Ok(Call::Drain(false))),
+        ("GET", "/_ready", Ok(OperatorCommand::Ready)),
+        ("PUT", "/_lameduck/on", Ok(OperatorCommand::Drain(true))),
+        ("PUT", "/_lameduck/off", Ok(OperatorCommand::Drain(false))),
         (
             "PUT",
             "/_endpoints/detach/s-5be2",
-            Ok(Call::Detach("s-5be2".into())),
+            Ok(OperatorCommand::Detach("s-5be2".into())),
         ),
         // An id is what it names, never a path.
         (
             "PUT",
             "/_endpoints/attach/a%2Fb%20%25",
-            Ok(Call::Attach("a/b %".into())),
+            Ok(OperatorCommand::Attach("a/b %".into())),
         ),
         (
             "PUT",
             "/_endpoints/attach/../x",
-            Ok(Call::Attach("../x".into())),
+            Ok(OperatorCommand::Attach("../x".into())),
         ),
         ("PUT", "/_endpoints/detach/", Err(400)),
         ("PUT", "/_endpoints/detach/%ff", Err(400)),
--- a/crates/daemon/src/platform_settings.rs
+++ b/crates/daemon/src/platform_settings.rs
@@ -43,6 +43,14 @@
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.get(name).copied()
     }
+
+    /// The name of the zone at this position; `?` if the settings don't name it.
+    pub(crate) fn zone_name(&self, zone: u32) -> &str {
+        self.names
+            .zones
+            .get(zone as usize)
+            .map_or("?", String::as_str)
+    }
 }
 
 fn positions_by_name(names: &[String]) -> HashMap<String, usize> {
--- a/crates/daemon/src/reactor/effects.rs
+++ b/crates/daemon/src/reactor/effects.rs
@@ -1,87 +1,89 @@
-//! Inputs go to the core, and the effects that it answers with are carried out.
+//! Inputs go to the core, and the effects that it returns are carried out, in their order.
 
-use super::*;
+use std::time::Duration;
+
+use cranehill_core::mutation::{self, Mutation};
+use cranehill_core::{Answer, Effect, Input, Origin, Persisted, Record};
+
+use super::Reactor;
+use crate::upstream::UpstreamPool;
+use crate::{client_ingress, client_protocol, fleet_log, webpush};
 
 impl Reactor {
+    /// Gives the core an input that the next tick must decide about.
     pub(super) fn step(&mut self, input: Input) {
         self.dirty = true;
+        self.step_without_tick(input);
+    }
+
+    /// Gives the core an input that changes nothing for the decisions.
+    pub(super) fn step_without_tick(&mut self, input: Input) {
         let effects = self.core.step(self.clock.now(), input);
         self.carry_out(effects);
     }
 
     pub(super) fn carry_out(&mut self, effects: Vec<Effect>) {
         for effect in effects {
-            match effect {
-                Effect::Persist(records) if mutation::is(Mutation::AnswersFirst) => {
-                    self.unwritten.extend(records);
-                    let effects = self
-                        .core
-                        .step(self.clock.now(), Input::Persisted(Persisted::All));
-                    self.carry_out(effects);
-                }
-                Effect::Persist(records) => {
-                    let now = millis(self.clock.now());
-                    let forgets = mutation::is(Mutation::ForgetsJournal);
-                    let journal = self.journal.as_mut().filter(|_| !forgets);
-                    let kept = match journal.map_or(Ok(()), |j| j.append(now, &records)) {
-                        Ok(()) => Persisted::All,
-                        Err(e) => {
-                            log::error!(records = records.len(), kept:? = e.kept;
-                                "journal: of {} records kept: {:?}: {e}", records.len(), e.kept);
-                            e.kept
-                        }
-                    };
-                    // What could not be kept has ended in the core: another turn must take that in.
-                    self.dirty |= kept != Persisted::All;
-                    let effects = self.core.step(self.clock.now(), Input::Persisted(kept));
-                    self.carry_out(effects);
-                }
-                Effect::Answer {
-                    to: Origin::Client(connection),
-                    id,
-                    answer,
-                } => {
-                    log::trace!("message {id}: client {connection} is answered {answer:?}");
-                    self.answer(connection, client_protocol::write_answer(answer));
-                }
-                Effect::Answer {
-                    to: Origin::Waiting(connection),
-                    id,
-                    answer,
-                } => {
-                    self.answer(connection, webpush::write_answer(answer, &id));
-                }
-                Effect::Answer {
-                    to: Origin::Restored,
-                    ..
-                } => {}
-                Effect::Call {
-                    endpoint,
-                    address,
-                    attempts,
-                } => self.call(endpoint, address, attempts),
-                Effect::SendFinalReport { .. } if mutation::is(Mutation::DropsReports) => {}
-                Effect::SendFinalReport { id, final_report } => {
-                    log::trace!("message {id}: final report due, {final_report:?}");
-                    self.reports.add(id, final_report);
-                }
-                Effect::CancelUnwritten { endpoints } => self.hold_back(&endpoints),
-                Effect::CloseIdle(endpoint) => self.close_idle(&endpoint),
-                Effect::CheckHealth { endpoint, address } => self.check(endpoint, address),
-                Effect::WakeAt(at) => {
-                    self.wakes.insert(at);
-                }
-                Effect::Fleet(effect) => self.on_fleet(effect),
-                Effect::Zone(change) => {
-                    fleet::log_zone(&change, &self.platform_settings.names.zones)
-                }
-                Effect::Detached { by, known, now } => self.detached(by, known, &now),
-                Effect::PersistLearnedState(bytes) => self.remember(&bytes),
-                Effect::RecoveryComplete(took) => {
-                    log::info!(event = "recovery-complete", took_ms = took.as_millis() as u64;
-                        "recovery: complete {took:?} after the start");
-                }
+            self.carry_out_one(effect);
+        }
+    }
+
+    fn carry_out_one(&mut self, effect: Effect) {
+        match effect {
+            Effect::Persist(records) => self.persist(records),
+            Effect::Answer { to, id, answer } => self.answer(to, &id, answer),
+            Effect::Call {
+                endpoint,
+                address,
+                attempts,
+            } => self.call(&endpoint, &address, attempts),
+            Effect::SendFinalReport { .. } if mutation::is(Mutation::DropsReports) => {}
+            Effect::SendFinalReport { id, final_report } => {
+                self.final_reports.add(id, final_report);
+            }
+            Effect::CancelUnwritten { endpoints } => self.cancel_unwritten_calls(&endpoints),
+            Effect::CloseIdle(endpoint) => {
+                UpstreamPool::close_idle(&mut self.connections, &endpoint);
+            }
+            Effect::CheckHealth { endpoint, address } => self.check_health(endpoint, &address),
+            Effect::WakeAt(at) => {
+                self.wakeups.insert(at);
             }
+            Effect::Fleet(effect) => self.carry_out_for_fleet(effect),
+            Effect::Zone(change) => fleet_log::log_zone(&change, &self.platform_settings),
+            Effect::Detached { by, known, now } => self.on_detached(by, known, &now),
+            Effect::PersistLearnedState(bytes) => {
+                self.state_store
+                    .write_learned_state(&bytes, self.clock.now());
+            }
+            Effect::RecoveryComplete(took) => log_recovery_complete(took),
         }
     }
+
+    fn persist(&mut self, records: Vec<Record>) {
+        let persisted = self.journal.append(records, self.clock.now());
+        // What could not be persisted is completed in the core: another tick must decide about that.
+        self.dirty |= persisted != Persisted::All;
+        self.step_without_tick(Input::Persisted(persisted));
+    }
+
+    fn answer(&mut self, to: Origin, id: &str, answer: Answer) {
+        let (connection, bytes) = match to {
+            Origin::Client(connection) => {
+                log::trace!("message {id}: client {connection} is answered {answer:?}");
+                (connection, client_protocol::write_answer(answer))
+            }
+            Origin::Waiting(connection) => (connection, webpush::write_answer(answer, id)),
+            Origin::Restored => return,
+        };
+        // At the end of the process, and while the sender drains, connections are closed between requests.
+        let closing = !self.listeners.is_open() || self.drain.is_active();
+        let now = self.clock.now();
+        client_ingress::answer(&mut self.connections, connection, &bytes, closing, now);
+    }
+}
+
+fn log_recovery_complete(took: Duration) {
+    log::info!(event = "recovery-complete", took_ms = took.as_millis() as u64;
+        "recovery: complete {took:?} after the start");
 }
--- a/crates/daemon/src/reactor/shutdown.rs
+++ b/crates/daemon/src/reactor/shutdown.rs
@@ -1,66 +1,75 @@
-//! The steps from SIGTERM to the end of the process.
+//! The end of the process.
 
-use super::*;
+use std::time::Duration;
 
-/// The platform's front may still send new connections for 400 ms after SIGTERM.
-const STOP_ACCEPTING: Duration = Duration::from_millis(450);
-/// From here on no new attempts: they could hardly end before the process does.
-const STOP_SENDING: Duration = Duration::from_millis(2600);
-/// SIGKILL comes at 3.7 s.
-const STOP_ALL: Duration = Duration::from_millis(3400);
+use cranehill_core::{Answer, Input};
+
+use super::Reactor;
+use crate::connection::{Connection, ConnectionKind};
+use crate::shutdown::ShutdownPhase;
+use crate::tokens::{CLIENTS, WEB_PUSH};
+use crate::webpush;
+
+/// When a client that waited for a push's end at the end of the process may retry.
+const RETRY_AFTER_SHUTDOWN: Duration = Duration::from_secs(5);
 
 impl Reactor {
-    /// The steps from SIGTERM to the end of the process; true at the end.
-    pub(super) fn wind_down(&mut self) -> bool {
-        let Some(since) = self.stopping else {
-            return false;
-        };
-        let passed = self.clock.now() - since;
-        if passed < STOP_ACCEPTING {
+    /// Carries out the phases from SIGTERM to the end of the process; true at the end.
+    pub(super) fn continue_shutdown(&mut self) -> bool {
+        let phase = self.shutdown.phase(self.clock.now());
+        if phase < ShutdownPhase::Closing {
             return false;
         }
-        if self.clients.is_some() || self.pushes.is_some() {
-            self.accept(CLIENTS);
-            self.accept(PUSHES);
-            let listeners = self.clients.take().into_iter().chain(self.pushes.take());
-            for mut listener in listeners {
-                let _ = self.poll.registry().deregister(&mut listener);
-            }
-            // Between requests only: what has been read is answered first.
-            let ids: Vec<usize> = self.connections.keys().copied().collect();
-            ids.into_iter().for_each(|id| self.end_between(id));
+        if self.listeners.is_open() {
+            self.close_ingress();
         }
-        if passed >= STOP_SENDING && !self.sending_stopped {
-            self.sending_stopped = true;
+        if self.shutdown.stop_sending(phase) {
             self.step(Input::Stopping);
         }
-        let (pending, reports) = self.core.outstanding();
-        let over = pending == 0 && reports == 0
-            || self.sending_stopped && self.core.attempts_out() == 0 && reports == 0;
-        let over = over && !self.connections.values().any(client_ingress::open);
-        if !over && passed < STOP_ALL {
+        if !self.is_finished() && phase < ShutdownPhase::Over {
             return false;
         }
-        self.end_waiting();
+        self.reject_waiting_clients();
         true
     }
 
-    /// Who still waits here for a message's end is told to come back; nothing of it was promised.
-    pub(super) fn end_waiting(&mut self) {
-        let waiting =
-            |l: &Connection| matches!(&l.kind, ConnectionKind::Pusher { busy: Some(_), .. });
-        let ids: Vec<usize> = self
-            .connections
-            .iter()
-            .filter(|(_, l)| waiting(l))
-            .map(|(&id, _)| id)
-            .collect();
-        for id in ids {
-            let after = Some(Duration::from_secs(5));
-            self.say(
-                id,
-                &webpush::write_answer(core::Answer::Rejected { after }, ""),
-            );
+    /// Accepts the last connections, and closes clients' connections between requests only: what has arrived is answered first.
+    fn close_ingress(&mut self) {
+        self.accept_clients(CLIENTS);
+        self.accept_clients(WEB_PUSH);
+        self.listeners.close(self.connections.registry());
+        for id in self.connections.ids(|_| true) {
+            self.close_between_requests(id);
+        }
+    }
+
+    /// Whether nothing is left to do that could be done before the end.
+    fn is_finished(&self) -> bool {
+        let (pending, reports) = self.core.outstanding();
+        let nothing_pending =
+            pending == 0 || self.shutdown.is_sending_stopped() && self.core.attempts_out() == 0;
+        let mut connections = self.connections.values();
+        nothing_pending && reports == 0 && !connections.any(Connection::delays_shutdown)
+    }
+
+    /// Clients that still wait for a message's end are asked to retry; nothing was promised to them.
+    pub(super) fn reject_waiting_clients(&mut self) {
+        let waits = |connection: &Connection| {
+            matches!(
+                connection.kind,
+                ConnectionKind::WebPushClient {
+                    pending: Some(_),
+                    ..
+                }
+            )
+        };
+        let answer = Answer::Rejected {
+            after: Some(RETRY_AFTER_SHUTDOWN),
+        };
+        let response = webpush::write_answer(answer, "");
+        let now = self.clock.now();
+        for id in self.connections.ids(waits) {
+            self.connections.send(id, &response, now);
         }
     }
 }
--- a/crates/daemon/src/reactor/timers.rs
+++ b/crates/daemon/src/reactor/timers.rs
@@ -1,165 +1,123 @@
-//! What is due when: the next time at which the loop must wake up, and what it does then.
+//! When the loop must wake up though nothing happens, and what it does then.
 
-use super::*;
+use cranehill_core::Input;
+use cranehill_membership as membership;
+use cranehill_scheduler::Time;
 
-/// How long before a destination closes an idle connection we stop trusting it.
-const IDLE_MARGIN: Duration = Duration::from_millis(1000);
+use super::Reactor;
+use crate::connection::{Connection, ConnectionKind};
+use crate::fleet_endpoint::FleetEndpoint;
+use crate::tokens::{CLIENTS, WEB_PUSH};
+use crate::upstream::Interruption;
+use crate::{client_ingress, operator_connections};
+
+const NO_RESPONSE: &str = "no answer in time";
 
 impl Reactor {
-    pub(super) fn next_due(&self, now: Time) -> Option<Time> {
-        let mut next: Option<Time> = None;
-        let mut consider = |t: Time| next = Some(next.map_or(t, |n| n.min(t)));
-        if self.dirty {
-            consider(self.last_turn + self.platform_settings.settings.tick);
-        }
-        if !self.resume.is_empty() || self.fleet.as_ref().is_some_and(|f| f.more) {
-            consider(now);
-        }
-        self.fleet
-            .iter()
-            .filter_map(|f| f.due)
-            .for_each(&mut consider);
-        if self.wants_compaction(now) {
-            consider(self.upkeep_at);
-        }
-        self.wakes
-            .first()
-            .copied()
-            .into_iter()
-            .for_each(&mut consider);
-        self.watch_due()
-            .into_iter()
-            .chain(self.accept_again)
-            .for_each(&mut consider);
-        self.reload.iter().for_each(|&(at, _)| consider(at));
-        if self.reports.is_ready() {
-            consider(self.report_at);
-        }
-        for connection in self.connections.values() {
-            self.connection_due(connection)
-                .into_iter()
-                .for_each(&mut consider);
-        }
-        self.handover_due(now).into_iter().for_each(&mut consider);
-        self.empty_due(now).into_iter().for_each(&mut consider);
-        if let Some(since) = self.stopping {
-            consider((now + Duration::from_millis(20)).max(since));
-        }
-        next.map(|t| t.max(now))
+    pub(super) fn next_wakeup(&self, now: Time) -> Option<Time> {
+        let tick = self.platform_settings.settings.tick;
+        let fleet_has_more = self.fleet.as_ref().is_some_and(FleetEndpoint::has_more);
+        let at_once = self.connections.has_resumed() || fleet_has_more;
+        let handover = self.handover.as_ref();
+        let timers = [
+            self.dirty.then(|| self.last_tick + tick),
+            at_once.then_some(now),
+            self.fleet.as_ref().and_then(FleetEndpoint::due),
+            self.journal.compaction_due(now),
+            self.wakeups.first().copied(),
+            self.discovery.due(),
+            self.listeners.accept_due(),
+            self.reload.due(),
+            self.final_reports.due(),
+            handover.and_then(|handover| handover.next_check(now, tick)),
+            self.drain.next_check(&self.connections, now),
+            self.shutdown.next_check(now),
+        ];
+        let connections = self.connections.values();
+        let deadlines = connections.filter_map(|connection| self.deadline(connection));
+        let next = timers.into_iter().flatten().chain(deadlines).min();
+        next.map(|at| at.max(now))
     }
 
-    pub(super) fn timers(&mut self) {
+    pub(super) fn run_timers(&mut self) {
         let now = self.clock.now();
-        if self.accept_again.take_if(|t| *t <= now).is_some() {
-            self.accept(CLIENTS);
-            self.accept(PUSHES);
-        }
-        if let Some(end) = &mut self.fleet {
-            let (more, due) = (end.more, end.due.take_if(|t| *t <= now).is_some());
-            // What has come first: an answer that waits here must not be missed by the timer that asks for it.
-            if more || due {
-                self.hear_fleet();
-            }
-            if due {
-                self.step_fleet(cranehill_membership::Input::TimerFired);
-            }
+        if self.listeners.take_accept_due(now) {
+            self.accept_clients(CLIENTS);
+            self.accept_clients(WEB_PUSH);
         }
-        while self.wakes.first().is_some_and(|&t| t <= now) {
-            self.wakes.pop_first();
+        self.run_fleet_timer(now);
+        while self.wakeups.first().is_some_and(|&at| at <= now) {
+            self.wakeups.pop_first();
             self.step(Input::TimerFired);
         }
-        if self.reload.is_some_and(|(at, _)| at <= now) {
-            self.read_again();
+        if self.reload.due().is_some_and(|due| due <= now) {
+            self.read_config();
         }
-        if self.watch_due().is_some_and(|t| t <= now) {
-            self.watch(None);
+        if self.discovery.due().is_some_and(|due| due <= now) {
+            self.poll_discovery(None);
         }
-        let due: Vec<usize> = self
-            .connections
-            .iter()
-            .filter(|(_, l)| self.connection_due(l).is_some_and(|t| t <= now))
-            .map(|(&i, _)| i)
-            .collect();
-        for id in due {
-            self.on_due(id, now);
+        let is_due = |connection: &Connection| self.is_due(connection, now);
+        for id in self.connections.ids(is_due) {
+            self.on_deadline(id, now);
         }
     }
 
-    pub(super) fn idle_limit(&self) -> Duration {
-        let limit = self.platform_settings.settings.conn_idle;
-        limit.saturating_sub(IDLE_MARGIN).max(limit / 2)
+    fn run_fleet_timer(&mut self, now: Time) {
+        let Some(fleet) = &mut self.fleet else { return };
+        let (has_more, due) = (fleet.has_more(), fleet.take_due(now));
+        // Packets first: a response that waits here must not be missed by the timer that expects it.
+        if has_more || due {
+            self.receive_from_fleet();
+        }
+        if due {
+            self.step_fleet(membership::Input::TimerFired);
+        }
     }
 
     /// When a connection needs attention though nothing happens on it.
-    fn connection_due(&self, connection: &Connection) -> Option<Time> {
-        let set = &self.platform_settings.settings;
+    fn deadline(&self, connection: &Connection) -> Option<Time> {
         match &connection.kind {
-            ConnectionKind::Destination {
-                call: Some(call), ..
-            } => {
-                let first = call.until();
-                let connect = (!connection.up).then(|| call.started + set.connect_timeout);
-                first
-                    .into_iter()
-                    .chain(connect)
-                    .chain(upstream::stall(connection))
-                    .chain(upstream::write_by(connection))
-                    .min()
-            }
-            ConnectionKind::Destination {
-                check: Some(at), ..
-            } => Some(*at + set.connect_timeout),
-            ConnectionKind::Destination { .. } => Some(connection.used + self.idle_limit()),
-            ConnectionKind::Directory { .. } if !connection.up => Some(
-                self.watch
-                    .overdue()
-                    .min(connection.used + set.connect_timeout),
-            ),
-            ConnectionKind::Directory { .. } => Some(self.watch.overdue()),
-            ConnectionKind::FinalReports if !self.reports.is_idle() => {
-                Some(connection.used + final_report_protocol::RESPONSE_TIMEOUT)
+            ConnectionKind::Destination { .. } => self.upstream.deadline(connection),
+            ConnectionKind::Discovery { .. } => Some(self.discovery.deadline(connection)),
+            ConnectionKind::FinalReports => self.final_reports.deadline(connection),
+            ConnectionKind::Client { .. } | ConnectionKind::WebPushClient { .. } => {
+                client_ingress::deadline(connection)
             }
-            ConnectionKind::Client { busy: false } | ConnectionKind::Pusher { busy: None, .. } => {
-                Some(connection.since + client_ingress::patience(connection))
-            }
-            ConnectionKind::Ending { until } => Some(*until),
-            ConnectionKind::Operator { .. } => Some(connection.since + operator::PATIENCE),
-            ConnectionKind::Client { .. }
-            | ConnectionKind::Pusher { .. }
-            | ConnectionKind::FinalReports => None,
+            ConnectionKind::Closing { deadline } => Some(*deadline),
+            ConnectionKind::Operator { .. } => Some(operator_connections::deadline(connection)),
         }
     }
 
-    fn on_due(&mut self, id: usize, now: Time) {
-        // The answer may have come while we were busy.
+    fn is_due(&self, connection: &Connection, now: Time) -> bool {
+        self.deadline(connection).is_some_and(|at| at <= now)
+    }
+
+    fn on_deadline(&mut self, id: usize, now: Time) {
+        // The response may have arrived while the loop was busy.
         self.pump(id);
-        let still = self
-            .connections
-            .get(&id)
-            .is_some_and(|l| self.connection_due(l).is_some_and(|t| t <= now));
-        let Some(connection) = self.connections.get_mut(&id).filter(|_| still) else {
+        let Some(connection) = self.connections.get(id) else {
             return;
         };
-        let sent = connection.up && connection.written_out();
+        if !self.is_due(connection, now) {
+            return;
+        }
+        let sent = connection.established && connection.is_written();
         match &connection.kind {
-            // A further attempt must not have this one beside it: the call is broken off, with all that it carries.
+            // The next attempt must not overlap this one: the call is ended, with all its messages.
             ConnectionKind::Destination { call: Some(_), .. } if sent => {
-                self.break_off(id, upstream::Cut::OutOfTime)
+                self.interrupt_call(id, Interruption::OutOfTime);
             }
             ConnectionKind::Destination { call: Some(_), .. }
-            | ConnectionKind::Destination { check: Some(_), .. } => {
-                self.broken(id, "no answer in time");
-            }
-            ConnectionKind::Directory { .. } | ConnectionKind::FinalReports => {
-                self.broken(id, "no answer in time")
-            }
-            ConnectionKind::Client { .. } | ConnectionKind::Pusher { .. } => {
-                self.out_of_patience(id)
+            | ConnectionKind::Destination { check: Some(_), .. }
+            | ConnectionKind::Discovery { .. }
+            | ConnectionKind::FinalReports => self.on_connection_failed(id, NO_RESPONSE),
+            ConnectionKind::Client { .. } | ConnectionKind::WebPushClient { .. } => {
+                self.time_out_client(id);
             }
             ConnectionKind::Destination { .. }
             | ConnectionKind::Operator { .. }
-            | ConnectionKind::Ending { .. } => {
-                self.drop_connection(id);
+            | ConnectionKind::Closing { .. } => {
+                self.connections.close(id);
             }
         }
     }
--- /dev/null
+++ b/crates/daemon/src/tokens.rs
@@ -0,0 +1,14 @@
+//! The poll's tokens. Connections use theirs as ids, from [`FIRST_CONNECTION`] on.
+
+use mio::Token;
+
+pub(crate) const CLIENTS: Token = Token(0);
+pub(crate) const WEB_PUSH: Token = Token(1);
+/// For the caller's signals.
+pub const SIGNALS: Token = Token(2);
+pub(crate) const STOP: Token = Token(3);
+pub(crate) const FLEET: Token = Token(4);
+pub(crate) const STATUS: Token = Token(5);
+pub(crate) const OPERATOR: Token = Token(6);
+pub(crate) const HANDOVER: Token = Token(7);
+pub(crate) const FIRST_CONNECTION: usize = 16;
--- a/crates/daemon/src/webpush/mod.rs
+++ b/crates/daemon/src/webpush/mod.rs
@@ -8,7 +8,7 @@
 mod vapid;
 
 pub use file::{File, Location, Server, Upstream, WebPushFileError, parse_file};
-pub(crate) use front::{Rejection, WebPushFront};
+pub(crate) use front::WebPushFront;
 pub(crate) use responses::{read_response, write_answer, write_error};
 pub use standalone::alone;
 pub use vapid::{Vapid, VapidError, VapidFile};
