--- a/crates/cranehill/src/cli.rs
+++ b/crates/cranehill/src/cli.rs
@@ -362,7 +362,7 @@
             return Err("the Web Push file names no address to listen on".into());
         }
         return Ok(ReactorOptions {
-            platform_settings: webpush::alone(),
+            platform_settings: webpush::standalone_settings(),
             seed: u64::from(std::process::id()),
             state: None,
             listen: None,
@@ -395,7 +395,9 @@
         operator: config.operator,
         sockets: config.limits.sockets.min(1024),
         memory: (config.limits.memory_mb * 1e6) as usize,
-        read_config: Some(Box::new(|| Ok(config::directory_now(variable)?))),
+        read_config: Some(Box::new(|| {
+            Ok(config::current_discovery_address(variable)?)
+        })),
     })
 }
 
--- a/crates/cranehill/src/rehearsal.rs
+++ b/crates/cranehill/src/rehearsal.rs
@@ -337,7 +337,7 @@
                 let Reply::Bytes(bytes) = &reply else {
                     return Err("retry-after needs an answer".into());
                 };
-                let status = http::first_line(bytes).unwrap_or(503);
+                let status = http::early_status(bytes).unwrap_or(503);
                 reply = Reply::wait(status, value);
                 wait = Some(seconds(value)?);
             }
@@ -422,7 +422,7 @@
         }],
     };
     ReactorOptions {
-        platform_settings: webpush::alone(),
+        platform_settings: webpush::standalone_settings(),
         seed: 1,
         state: None,
         listen: None,
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -143,13 +143,13 @@
 fn a_run_of_interim_answers_has_an_end_and_uses_no_stack() {
     let run = "HTTP/1.1 100 C\r\n\r\n".repeat(200_000);
     assert!(http::response(run.as_bytes(), false).is_err());
-    assert_eq!(http::first_line(run.as_bytes()), None);
+    assert_eq!(http::early_status(run.as_bytes()), None);
     let some = format!(
         "{}HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 103 E\r\nA: b\r\n\r\n".repeat(3)
     );
     assert_eq!(
-        (response(&some).status, http::first_line(some.as_bytes())),
+        (response(&some).status, http::early_status(some.as_bytes())),
         (200, Some(200))
     );
     for (line, status) in [
@@ -158,7 +158,7 @@
         ("HTTP/1.1 20", None),
         ("noise HTTP/1.1 200 OK\r\n", None),
     ] {
-        assert_eq!(http::first_line(line.as_bytes()), status, "{line:?}");
+        assert_eq!(http::early_status(line.as_bytes()), status, "{line:?}");
     }
 }
 
@@ -178,7 +178,8 @@
         " x0=-3,x1=5",
         " x0=0.5,x1=1e300",
     ] {
-        let notified = destination_protocol::read(&response(&text(bad)), &["a"], Duration::ZERO);
+        let notified =
+            destination_protocol::read_response(&response(&text(bad)), &["a"], Duration::ZERO);
         assert_eq!(
             (notified.verdicts[0].status, notified.wait),
             (Status::Overloaded, Some(Duration::from_secs(2))),
@@ -187,12 +188,17 @@
         assert!(notified.report.is_none(), "{bad:?}");
     }
     assert!(
-        destination_protocol::read(&response(&text(" x0=0.5,x1=5")), &["a"], Duration::ZERO)
-            .report
-            .is_some()
+        destination_protocol::read_response(
+            &response(&text(" x0=0.5,x1=5")),
+            &["a"],
+            Duration::ZERO
+        )
+        .report
+        .is_some()
     );
     let batch = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[{";
-    let notified = destination_protocol::read(&response(batch), &["a", "b"], Duration::ZERO);
+    let notified =
+        destination_protocol::read_response(&response(batch), &["a", "b"], Duration::ZERO);
     assert_eq!(
         notified.verdicts,
         [Verdict::of(Status::Spoilt); 2],
@@ -202,8 +208,9 @@
 
 #[test]
 fn a_response_carries_each_outcome_retry_after_and_limit() {
-    let notified =
-        |text: &str, ids: &[&str]| destination_protocol::read(&response(text), ids, Duration::ZERO);
+    let notified = |text: &str, ids: &[&str]| {
+        destination_protocol::read_response(&response(text), ids, Duration::ZERO)
+    };
     let one = |text: &str| notified(text, &["a"]).verdicts[0];
     assert_eq!(
         one("HTTP/1.1 200 OK\r\n\r\n"),
@@ -295,14 +302,14 @@
     let bad = known.replace("draining", "asleep");
     assert!(config::parse(&common::config_text(&bad), |_| Some("127.0.0.1:1".into())).is_err());
     assert!(
-        discovery_protocol::read(
+        discovery_protocol::read_response(
             &response("HTTP/1.1 503 No\r\n\r\n"),
             &config.platform_settings
         )
         .is_err()
     );
     assert!(
-        discovery_protocol::read(
+        discovery_protocol::read_response(
             &response("HTTP/1.1 200 OK\r\n\r\n{}"),
             &config.platform_settings
         )
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -152,10 +152,15 @@
         config::load(var).expect("configuration").discovery.port(),
         1
     );
-    assert_eq!(config::directory_now(var).expect("configuration").port(), 2);
+    assert_eq!(
+        config::current_discovery_address(var)
+            .expect("configuration")
+            .port(),
+        2
+    );
     std::fs::write(&path, &text[..text.len() - 2]).expect("written");
     assert!(
-        config::directory_now(var).is_err(),
+        config::current_discovery_address(var).is_err(),
         "half a file names nothing"
     );
 }
--- a/crates/daemon/src/client_ingress.rs
+++ b/crates/daemon/src/client_ingress.rs
@@ -1,6 +1,6 @@
 //! Clients: their connections, their requests, and how much of this sender one of them may take.
 
-pub(crate) mod resp;
+mod resp;
 mod web_push;
 
 use std::net::Shutdown;
@@ -250,12 +250,19 @@
     }
     let was_full = connection.input.len() >= connection.max_input_bytes();
     connection.input = Vec::new();
-    // No event tells of what did not fit.
+    // There is no further event for what did not fit.
     if was_full {
         connections.resume(id);
     }
 }
 
+/// More may have waited for room in the buffer.
+pub(crate) fn refill(connections: &mut ConnectionTable, id: usize) {
+    if let Some(connection) = connections.get_mut(id) {
+        connection.fill();
+    }
+}
+
 /// Closes the connection after the answer to a request that can't be parsed.
 fn reject_malformed(connections: &mut ConnectionTable, id: usize, answer: &[u8], now: Time) {
     if let Some(connection) = connections.get_mut(id) {
--- a/crates/daemon/src/client_ingress/resp.rs
+++ b/crates/daemon/src/client_ingress/resp.rs
@@ -4,7 +4,7 @@
 
 use cranehill_core::Answer;
 
-use super::{Admission, ClientIngress, Progress, reject_malformed, reject_request};
+use super::{Admission, ClientIngress, Progress, refill, reject_malformed, reject_request};
 use crate::client_protocol::{self, MAX_REQUEST_BYTES, Request};
 use crate::connection::ConnectionKind;
 use crate::connection_table::ConnectionTable;
@@ -38,7 +38,7 @@
                 Progress::Close
             }
             Ok(None) => self.on_incomplete(connections, id),
-            Err(client_protocol::Broken(why)) => {
+            Err(client_protocol::ProtocolError(why)) => {
                 log::debug!("client: {why}");
                 let answer = client_protocol::write_error(why);
                 reject_malformed(connections, id, &answer, admission.now);
@@ -151,10 +151,3 @@
         connections.send(id, &answer, now);
     }
 }
-
-/// More may have waited for room in the buffer.
-pub(crate) fn refill(connections: &mut ConnectionTable, id: usize) {
-    if let Some(connection) = connections.get_mut(id) {
-        connection.fill();
-    }
-}
--- a/crates/daemon/src/client_protocol.rs
+++ b/crates/daemon/src/client_protocol.rs
@@ -48,25 +48,27 @@
 /// Why bytes are not RESP: the connection ends after the error.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct Broken(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
 /// A line up to CR LF, and where the next one begins.
-fn line(bytes: &[u8], at: usize) -> Result<Option<(&[u8], usize)>, Broken> {
+fn line(bytes: &[u8], at: usize) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     let rest = &bytes[at..];
     match rest.iter().position(|&b| b == b'\n') {
         Some(end) if end > 0 && rest[end - 1] == b'\r' => {
             Ok(Some((&rest[..end - 1], at + end + 1)))
         }
-        Some(_) => Err(Broken("a line must end in CR LF")),
-        None if rest.len() > MAX_LENGTH_LINE_BYTES => Err(Broken("a length line is too long")),
+        Some(_) => Err(ProtocolError("a line must end in CR LF")),
+        None if rest.len() > MAX_LENGTH_LINE_BYTES => {
+            Err(ProtocolError("a length line is too long"))
+        }
         None => Ok(None),
     }
 }
 
-fn count(line: &[u8], mark: u8, most: usize) -> Result<usize, Broken> {
+fn count(line: &[u8], mark: u8, most: usize) -> Result<usize, ProtocolError> {
     let digits = match line.split_first() {
         Some((&first, digits)) if first == mark => digits,
-        _ => return Err(Broken("expected an array of bulk strings")),
+        _ => return Err(ProtocolError("expected an array of bulk strings")),
     };
     let plain = !digits.is_empty() && digits.len() <= 8 && digits.iter().all(u8::is_ascii_digit);
     let number = std::str::from_utf8(digits)
@@ -75,14 +77,14 @@
         .and_then(|d| d.parse().ok());
     number
         .filter(|&n| n <= most)
-        .ok_or(Broken("a length is not a number in range"))
+        .ok_or(ProtocolError("a length is not a number in range"))
 }
 
 /// The first complete request in `bytes` and its length; `None` if more must arrive.
 ///
 /// # Errors
 /// The bytes are not, and will not become, RESP within the bounds.
-pub fn parse(bytes: &[u8]) -> Result<Option<(Request, usize)>, Broken> {
+pub fn parse(bytes: &[u8]) -> Result<Option<(Request, usize)>, ProtocolError> {
     let Some((head, mut at)) = line(bytes, 0)? else {
         return Ok(None);
     };
@@ -96,13 +98,13 @@
         let len = count(head, b'$', MAX_ARGUMENT_BYTES)?;
         total += len;
         if total > MAX_COMMAND_BYTES {
-            return Err(Broken("the request is too large"));
+            return Err(ProtocolError("the request is too large"));
         }
         let Some(argument) = bytes.get(next..next + len + 2) else {
             return Ok(None);
         };
         if &argument[len..] != b"\r\n" {
-            return Err(Broken("a bulk string must end in CR LF"));
+            return Err(ProtocolError("a bulk string must end in CR LF"));
         }
         parts.push(&argument[..len]);
         at = next + len + 2;
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -154,7 +154,9 @@
 ///
 /// # Errors
 /// As [`load`].
-pub fn directory_now(var: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, ConfigError> {
+pub fn current_discovery_address(
+    var: impl Fn(&str) -> Option<String>,
+) -> Result<SocketAddr, ConfigError> {
     load(|name| var(name).filter(|_| name != "NODE_DISCOVERY")).map(|config| config.discovery)
 }
 
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -53,7 +53,7 @@
     /// Whether a response that begins like this has delivered everything in the call: of several messages only the complete
     /// response does.
     pub(crate) fn is_delivered_by(&self, response: &[u8]) -> bool {
-        match http::first_line(response) {
+        match http::early_status(response) {
             Some(200..300) if self.is_web_push() => true,
             Some(200) => self.ids.len() == 1,
             _ => false,
--- a/crates/daemon/src/connection_table.rs
+++ b/crates/daemon/src/connection_table.rs
@@ -31,7 +31,7 @@
     connections: BTreeMap<usize, Connection>,
     index: ConnectionIndex,
     next_id: usize,
-    /// Connections with more to process, of which no event will tell.
+    /// Connections with more to process, without a further event.
     resumed: Vec<usize>,
 }
 
--- a/crates/daemon/src/destination_protocol.rs
+++ b/crates/daemon/src/destination_protocol.rs
@@ -111,7 +111,7 @@
 }
 
 /// The response to a call with the messages `ids`. `unix_now` is the time since 1970.
-pub fn read(response: &Response, ids: &[&str], unix_now: Duration) -> DestinationResponse {
+pub fn read_response(response: &Response, ids: &[&str], unix_now: Duration) -> DestinationResponse {
     let wait = http::retry_after(&response.headers, unix_now);
     let not_sent = header(&response.headers, "x-no-slot").is_some_and(|v| v == "1");
     let all = match response.status {
--- a/crates/daemon/src/discovery_client.rs
+++ b/crates/daemon/src/discovery_client.rs
@@ -12,7 +12,7 @@
 use crate::discovery_protocol::{self, MAX_ENTRIES, ParsedList};
 use crate::http::{self, Response};
 use crate::platform_settings::PlatformSettings;
-use crate::watch::{Failure, Watch};
+use crate::watch::{Watch, WatchFailure};
 
 /// Endpoints that are new or have changed.
 pub(crate) struct ListChange {
@@ -58,7 +58,7 @@
 
     /// When the watch's connection needs attention though nothing happens on it.
     pub(crate) fn deadline(&self, connection: &Connection) -> Time {
-        let overdue = self.watch.overdue();
+        let overdue = self.watch.response_deadline();
         if connection.established {
             overdue
         } else {
@@ -76,7 +76,7 @@
         let Some(address) = self.address else {
             return;
         };
-        let bytes = self.watch.ask(now, &address.to_string());
+        let bytes = self.watch.next_request(now, &address.to_string());
         let kind = ConnectionKind::Discovery {
             max_body_bytes: self.max_body_bytes,
         };
@@ -84,15 +84,15 @@
             Some(id) => id,
             None => match connections.connect(kind, address, now) {
                 Ok(id) => id,
-                Err(e) => return self.on_failed(&e.to_string(), Failure::ConnectFailed, now),
+                Err(e) => return self.on_failed(&e.to_string(), WatchFailure::ConnectFailed, now),
             },
         };
         connections.send_request(id, bytes, now);
     }
 
     /// The request failed: the next one is due after a backoff.
-    pub(crate) fn on_failed(&mut self, why: &str, failure: Failure, now: Time) {
-        let backoff = self.watch.failed(now, failure);
+    pub(crate) fn on_failed(&mut self, why: &str, failure: WatchFailure, now: Time) {
+        let backoff = self.watch.on_failure(now, failure);
         log::info!(pause_ms = backoff.as_millis() as u64; "discovery: {why}; the last list is kept");
     }
 
@@ -103,11 +103,11 @@
         platform_settings: &PlatformSettings,
         now: Time,
     ) -> Option<ListChange> {
-        let parsed = match discovery_protocol::read(response, platform_settings) {
+        let parsed = match discovery_protocol::read_response(response, platform_settings) {
             Ok(parsed) => parsed,
             Err(e) => {
                 let retry_after = http::retry_after(&response.headers, since_unix_epoch(now));
-                self.on_failed(&e.to_string(), Failure::Rejected { retry_after }, now);
+                self.on_failed(&e.to_string(), WatchFailure::Rejected { retry_after }, now);
                 return None;
             }
         };
@@ -119,9 +119,9 @@
             unread,
             ..
         } = parsed;
-        self.watch.answered(now, version);
+        self.watch.on_list(now, version);
         if !whole && !unread.is_empty() {
-            self.watch.missed();
+            self.watch.on_unreadable_entry();
         }
         if !list.is_empty() || whole {
             log::info!(
@@ -137,7 +137,7 @@
     /// need not continue the old one's.
     pub(crate) fn move_to(&mut self, address: SocketAddr, now: Time) {
         self.address = Some(address);
-        self.watch.moved(now);
+        self.watch.on_moved(now);
     }
 }
 
--- a/crates/daemon/src/discovery_protocol.rs
+++ b/crates/daemon/src/discovery_protocol.rs
@@ -187,7 +187,7 @@
 ///
 /// # Errors
 /// The response is not a list, or none of its entries can be read: as a whole list it would leave no endpoint at all.
-pub fn read(
+pub fn read_response(
     response: &http::Response,
     platform_settings: &PlatformSettings,
 ) -> Result<ParsedList, ListError> {
--- /dev/null
+++ b/crates/daemon/src/finished_call.rs
@@ -0,0 +1,101 @@
+//! Calls that have ended, and what is known of their messages.
+
+use cranehill_core::AttemptOutcome;
+use cranehill_scheduler::Time;
+use cranehill_scheduler::api::{EndpointId, Status};
+
+use crate::clock::since_unix_epoch;
+use crate::connection::InFlightCall;
+use crate::destination_protocol::{self, DestinationResponse, Verdict};
+use crate::http::Response;
+use crate::webpush;
+
+/// A call that has ended, and what is known of its messages.
+pub(crate) struct FinishedCall {
+    call: InFlightCall,
+    response: DestinationResponse,
+}
+
+impl FinishedCall {
+    pub(crate) fn new(call: InFlightCall, response: DestinationResponse) -> FinishedCall {
+        FinishedCall { call, response }
+    }
+
+    /// A call without a response.
+    pub(crate) fn without_response(call: InFlightCall, status: Status) -> FinishedCall {
+        FinishedCall {
+            call,
+            response: DestinationResponse::all(Verdict::of(status)),
+        }
+    }
+
+    /// How each attempt of the call ended.
+    pub(crate) fn into_outcomes(self, now: Time) -> Vec<AttemptOutcome> {
+        let FinishedCall { call, response } = self;
+        let mut outcomes = Vec::new();
+        for attempt in call.attempts {
+            let position = call.ids.iter().position(|id| *id == attempt.id);
+            let verdicts = &response.verdicts;
+            let verdict = verdicts
+                .get(position.unwrap_or(0))
+                .or(verdicts.first())
+                .copied();
+            let Verdict { status, over } = verdict.unwrap_or(Verdict::of(Status::Error));
+            log::trace!(
+                "message {}: attempt {} finished: {status:?}, completed: {over}",
+                attempt.id,
+                attempt.number
+            );
+            outcomes.push(AttemptOutcome {
+                id: attempt.id,
+                attempt: attempt.number,
+                status,
+                over,
+                took: now - call.started,
+                retry_after: response.wait,
+                report: response.report,
+            });
+        }
+        outcomes
+    }
+}
+
+/// What a complete response says of the call's messages.
+pub(crate) fn parse_response(
+    endpoint: &EndpointId,
+    call: &InFlightCall,
+    response: &Response,
+    now: Time,
+) -> DestinationResponse {
+    let unix_now = since_unix_epoch(now);
+    let parsed = if call.is_web_push() {
+        webpush::read_response(response, unix_now)
+    } else {
+        let ids: Vec<&str> = call.ids.iter().map(String::as_str).collect();
+        destination_protocol::read_response(response, &ids, unix_now)
+    };
+    log_response(endpoint, call, response, &parsed);
+    parsed
+}
+
+fn log_response(
+    endpoint: &EndpointId,
+    call: &InFlightCall,
+    response: &Response,
+    parsed: &DestinationResponse,
+) {
+    if let Some(wait) = parsed.wait {
+        log::debug!(
+            "endpoint {endpoint}: Retry-After of {} ms",
+            wait.as_millis()
+        );
+    }
+    let first = parsed.verdicts.first();
+    if first.is_some_and(|verdict| verdict.status == Status::PermanentError) {
+        log::error!(
+            "endpoint {endpoint}: answered {} to {}",
+            response.status,
+            call.ids[0]
+        );
+    }
+}
--- a/crates/daemon/src/fleet_endpoint.rs
+++ b/crates/daemon/src/fleet_endpoint.rs
@@ -22,7 +22,7 @@
 /// How often the log says that packets are dropped.
 const DROP_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the socket had for us.
+/// What came of reading the socket.
 pub(crate) enum Received {
     Packet(Vec<u8>),
     /// An error, such as the response of a machine where nobody listens any more to what was sent there.
@@ -35,7 +35,7 @@
     socket: UdpSocket,
     status: Option<TcpListener>,
     due: Option<Time>,
-    /// More packets wait, of which no event will tell.
+    /// More packets wait, without a further event.
     has_more: bool,
     dropped: ThrottledLog,
 }
--- a/crates/daemon/src/handover_endpoint.rs
+++ b/crates/daemon/src/handover_endpoint.rs
@@ -25,7 +25,7 @@
     None,
     /// A new process has requested a hand-over: attempts are held back from now on.
     Quiesce,
-    /// The new process has gone away.
+    /// The new process has disconnected.
     Abandon,
     /// No call is in flight any more, or the wait is over: everything is handed over.
     HandOver,
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -319,7 +319,7 @@
 }
 
 /// The status of a response whose first line is complete, whatever follows. Interim responses are skipped.
-pub fn first_line(mut bytes: &[u8]) -> Option<u16> {
+pub fn early_status(mut bytes: &[u8]) -> Option<u16> {
     for _ in 0..=MAX_INTERIM_RESPONSES {
         let line = &bytes[..bytes.iter().position(|&b| b == b'\n')?];
         let rest = line.strip_prefix(b"HTTP/1.")?;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod final_report_protocol;
 pub mod final_report_queue;
 mod final_report_sender;
+mod finished_call;
 pub mod fleet;
 mod fleet_endpoint;
 mod fleet_log;
--- a/crates/daemon/src/listeners.rs
+++ b/crates/daemon/src/listeners.rs
@@ -8,7 +8,7 @@
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
 
-use crate::tokens::{CLIENTS, OPERATOR};
+use crate::tokens::CLIENTS;
 
 /// When accepting is tried again after an error, such as none of the process's descriptors being free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -45,11 +45,11 @@
     }
 }
 
-/// What a listener had for us.
+/// What accepting on a listener came to.
 pub(crate) enum Accepted {
     /// A new connection.
     Stream(TcpStream),
-    /// A connection that is gone already; the next one may be there.
+    /// The connection was aborted; another one may wait.
     Aborted,
     /// No connection waits.
     Nothing,
@@ -61,7 +61,7 @@
     pub(crate) clients: Option<TcpListener>,
     pub(crate) web_push: Option<TcpListener>,
     pub(crate) operators: Option<TcpListener>,
-    /// When clients are accepted again though no event tells of them.
+    /// When clients are accepted again without a further event.
     accept_again: Option<Time>,
 }
 
@@ -78,7 +78,7 @@
         };
         accept(listener).unwrap_or_else(|e| {
             log::error!("accept: {e}");
-            // No event will tell of the connections that wait.
+            // There is no further event for the connections that wait.
             self.accept_again = Some(now + ACCEPT_RETRY_DELAY);
             Accepted::Nothing
         })
@@ -154,14 +154,6 @@
     Ok(listener)
 }
 
-/// Listens for operators.
-pub(crate) fn bind_operators(
-    address: SocketAddr,
-    registry: &Registry,
-) -> Result<TcpListener, ListenError> {
-    bind("listen", address, OPERATOR, registry)
-}
-
 /// Where a listener is, if there is one.
 pub(crate) fn local_address(listener: Option<&TcpListener>) -> Option<SocketAddr> {
     listener?.local_addr().ok()
--- a/crates/daemon/src/operator_protocol/tests.rs
+++ b/crates/daemon/src/operator_protocol/tests.rs
@@ -8,7 +8,7 @@
     let (request, _) = http::request(text.as_bytes())
         .expect("well formed")
         .expect("whole");
-    parse(&request).map_err(|answer| http::first_line(&answer).expect("a status"))
+    parse(&request).map_err(|answer| http::early_status(&answer).expect("a status"))
 }
 
 #[test]
--- a/crates/daemon/src/reactor/clients.rs
+++ b/crates/daemon/src/reactor/clients.rs
@@ -1,12 +1,12 @@
 //! Clients' connections and requests.
 
-use cranehill_core::Input;
+use cranehill_core::{Input, Origin};
 use mio::Token;
 
 use super::Reactor;
 use crate::client_ingress::{
     self, Admission, MAX_ACCEPTS_PER_ITERATION, MAX_EVICTION_CANDIDATES,
-    MAX_REQUESTS_PER_ITERATION, Progress, resp,
+    MAX_REQUESTS_PER_ITERATION, Progress,
 };
 use crate::connection::{Connection, ConnectionKind};
 use crate::listeners::Accepted;
@@ -37,7 +37,7 @@
                 Err(e) => log::error!("accept: {e}"),
             }
         }
-        // No further event tells of those that still wait.
+        // There is no further event for those that still wait.
         self.listeners.accept_again_at(self.clock.now());
     }
 
@@ -103,10 +103,11 @@
         match progress {
             Progress::Answered => return true,
             Progress::Submitted(message) => {
-                let is_resp = matches!(message.from, cranehill_core::Origin::Client(_));
+                // Web Push has one post at a time.
+                let may_pipeline = matches!(message.from, Origin::Client(_));
                 self.step(Input::Submitted(message));
-                if is_resp {
-                    resp::refill(&mut self.connections, id);
+                if may_pipeline {
+                    client_ingress::refill(&mut self.connections, id);
                 }
                 return true;
             }
--- a/crates/daemon/src/reactor/destinations.rs
+++ b/crates/daemon/src/reactor/destinations.rs
@@ -6,7 +6,8 @@
 use super::Reactor;
 use crate::connection::InFlightCall;
 use crate::destination_protocol;
-use crate::upstream::{FinishedCall, Interruption, UpstreamEvent, UpstreamPool};
+use crate::finished_call::FinishedCall;
+use crate::upstream::{Interruption, UpstreamEvent, UpstreamPool};
 
 impl Reactor {
     pub(super) fn call(&mut self, endpoint: &EndpointId, address: &str, attempts: Vec<Attempt>) {
--- a/crates/daemon/src/reactor/events.rs
+++ b/crates/daemon/src/reactor/events.rs
@@ -9,9 +9,9 @@
 use crate::client_ingress;
 use crate::connection::{Connection, ConnectionKind};
 use crate::connection_table::Transfer;
+use crate::finished_call::FinishedCall;
 use crate::tokens::{CLIENTS, FLEET, HANDOVER, OPERATOR, SIGNALS, STATUS, STOP, WEB_PUSH};
-use crate::upstream::FinishedCall;
-use crate::watch::Failure;
+use crate::watch::WatchFailure;
 
 impl Reactor {
     pub(super) fn dispatch(&mut self, events: &Events) {
@@ -106,7 +106,7 @@
             }),
             ConnectionKind::Discovery { .. } => {
                 self.discovery
-                    .on_failed(why, Failure::ConnectFailed, self.clock.now());
+                    .on_failed(why, WatchFailure::ConnectFailed, self.clock.now());
             }
             ConnectionKind::FinalReports => self.final_reports.on_lost(self.clock.now()),
             ConnectionKind::Destination { .. }
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -7,8 +7,8 @@
 
 use super::Reactor;
 use crate::connection::{Connection, ConnectionKind};
+use crate::finished_call::FinishedCall;
 use crate::handover_endpoint::HandoverStep;
-use crate::upstream::FinishedCall;
 
 impl Reactor {
     /// Holds back attempts while a hand-over is requested; true once everything is handed over and this process may end.
--- a/crates/daemon/src/reactor/start.rs
+++ b/crates/daemon/src/reactor/start.rs
@@ -30,7 +30,7 @@
 use crate::shutdown::Shutdown;
 use crate::state_file::{DETACHED, LEARNED_STATE};
 use crate::state_store::StateStore;
-use crate::tokens::{CLIENTS, WEB_PUSH};
+use crate::tokens::{CLIENTS, OPERATOR, WEB_PUSH};
 use crate::upstream::UpstreamPool;
 use crate::watch::Watch;
 use crate::webpush::{self, WebPushFront};
@@ -236,7 +236,7 @@
             log_listening("clients", listeners::local_address(Some(listener)));
         }
         if let Some(address) = addresses.operators {
-            let listener = listeners::bind_operators(address, registry)?;
+            let listener = listeners::bind("listen", address, OPERATOR, registry)?;
             let listener = self.listeners.operators.insert(listener);
             log_listening("operators", listeners::local_address(Some(listener)));
         }
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -5,7 +5,6 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cranehill_core::AttemptOutcome;
 use cranehill_core::mutation::{self, Mutation};
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{EndpointId, Settings, Status};
@@ -13,9 +12,9 @@
 use crate::clock::since_unix_epoch;
 use crate::connection::{Connection, ConnectionKind, InFlightCall, MAX_RESPONSE_BYTES};
 use crate::connection_table::ConnectionTable;
-use crate::destination_protocol::{self, DestinationResponse, Verdict};
+use crate::destination_protocol::{DestinationResponse, Verdict};
+use crate::finished_call::{self, FinishedCall};
 use crate::http::{self, Response};
-use crate::webpush;
 
 /// However many idle connections turn out dead, one that was used this recently is used again.
 const MIN_TRUSTED_IDLE: Duration = Duration::from_millis(100);
@@ -33,53 +32,7 @@
     Ended { written: bool },
 }
 
-/// A call that has ended, and what is known of its messages.
-pub(crate) struct FinishedCall {
-    call: InFlightCall,
-    response: DestinationResponse,
-}
-
-impl FinishedCall {
-    /// A call without a response.
-    pub(crate) fn without_response(call: InFlightCall, status: Status) -> FinishedCall {
-        FinishedCall {
-            call,
-            response: DestinationResponse::all(Verdict::of(status)),
-        }
-    }
-
-    /// How each attempt of the call ended.
-    pub(crate) fn into_outcomes(self, now: Time) -> Vec<AttemptOutcome> {
-        let FinishedCall { call, response } = self;
-        let mut outcomes = Vec::new();
-        for attempt in call.attempts {
-            let position = call.ids.iter().position(|id| *id == attempt.id);
-            let verdicts = &response.verdicts;
-            let verdict = verdicts
-                .get(position.unwrap_or(0))
-                .or(verdicts.first())
-                .copied();
-            let Verdict { status, over } = verdict.unwrap_or(Verdict::of(Status::Error));
-            log::trace!(
-                "message {}: attempt {} finished: {status:?}, completed: {over}",
-                attempt.id,
-                attempt.number
-            );
-            outcomes.push(AttemptOutcome {
-                id: attempt.id,
-                attempt: attempt.number,
-                status,
-                over,
-                took: now - call.started,
-                retry_after: response.wait,
-                report: response.report,
-            });
-        }
-        outcomes
-    }
-}
-
-/// What a destination's connection had for us.
+/// What came of the bytes on a destination's connection.
 pub(crate) enum UpstreamEvent {
     Nothing,
     HealthChecked {
@@ -374,8 +327,7 @@
             return None;
         };
         let call = call.take()?;
-        let parsed = parse_response(&call, response, now);
-        log_response(endpoint, &call, response, &parsed);
+        let parsed = finished_call::parse_response(endpoint, &call, response, now);
         let trailing = connection.input.len() > used && !mutation::is(Mutation::ReusesSpoilt);
         if response.close || ended || !written || trailing {
             connections.close(id);
@@ -389,10 +341,7 @@
                 self.trusted_idle = self.trusted_idle.saturating_mul(51) / 50;
             }
         }
-        Some(FinishedCall {
-            call,
-            response: parsed,
-        })
+        Some(FinishedCall::new(call, parsed))
     }
 
     /// Ends a call without a complete response, and its connection: a response that is still on its way must not be mistaken for
@@ -435,13 +384,11 @@
             status,
             over: delivered,
         };
-        Some(FinishedCall {
-            call,
-            response: DestinationResponse {
-                wait,
-                ..DestinationResponse::all(verdict)
-            },
-        })
+        let response = DestinationResponse {
+            wait,
+            ..DestinationResponse::all(verdict)
+        };
+        Some(FinishedCall::new(call, response))
     }
 }
 
@@ -455,37 +402,6 @@
     }
 }
 
-fn parse_response(call: &InFlightCall, response: &Response, now: Time) -> DestinationResponse {
-    let unix_now = since_unix_epoch(now);
-    if call.is_web_push() {
-        return webpush::read_response(response, unix_now);
-    }
-    let ids: Vec<&str> = call.ids.iter().map(String::as_str).collect();
-    destination_protocol::read(response, &ids, unix_now)
-}
-
-fn log_response(
-    endpoint: &EndpointId,
-    call: &InFlightCall,
-    response: &Response,
-    parsed: &DestinationResponse,
-) {
-    if let Some(wait) = parsed.wait {
-        log::debug!(
-            "endpoint {endpoint}: Retry-After of {} ms",
-            wait.as_millis()
-        );
-    }
-    let first = parsed.verdicts.first();
-    if first.is_some_and(|verdict| verdict.status == Status::PermanentError) {
-        log::error!(
-            "endpoint {endpoint}: answered {} to {}",
-            response.status,
-            call.ids[0]
-        );
-    }
-}
-
 /// The status of a call that was not delivered. `reused`: the connection had answered a call before; `begun`: a part of the
 /// response has arrived.
 fn interrupted_status(interruption: Interruption, reused: bool, begun: bool) -> Status {
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -6,7 +6,7 @@
 
 use crate::discovery_protocol;
 
-/// The longest interval between two requests, however the first one fails: a change counts as notified 6 s after discovery had it
+/// The max_backoff interval between two requests, however the first one fails: a change counts as notified 6 s after discovery had it
 /// and could be reached, and half a second is left for the connection, the response and delays of the machine.
 pub const MAX_REQUEST_INTERVAL: Duration = Duration::from_millis(5500);
 /// What is left for the backoff after a request that timed out. At least this is always allowed, so that senders rejected
@@ -27,14 +27,14 @@
 const WATCH_COST: Duration = Duration::from_millis(50);
 /// Senders beyond this number do not lengthen the mean backoff: the number in the settings may be absurd.
 const MAX_COUNTED_SENDERS: u32 = 200;
-/// The longest mean backoff after consecutive failures, as a multiple of the first.
+/// The max_backoff mean backoff after consecutive failures, as a multiple of the first.
 const MAX_BACKOFF_FACTOR: u32 = 4;
 /// A backoff is drawn uniformly from between half of its mean and this multiple of it.
 const MAX_JITTER: f64 = 1.5;
 
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum WatchFailure {
     /// There was no connection, or it ended or stayed silent: discovery spent nothing on the request.
     ConnectFailed,
     /// It was answered with anything but a list: discovery is overloaded.
@@ -55,26 +55,26 @@
     /// The next request is for the whole list.
     whole: bool,
     due: Option<Time>,
-    asked: Time,
+    requested_at: Time,
     senders: u32,
-    longest: Duration,
-    failed: u32,
+    max_backoff: Duration,
+    failures: u32,
     rng: fastrand::Rng,
 }
 
 impl Watch {
-    /// A watch from the list of this version on, due at once; `senders` is their number in the fleet. `longest`: how long the
+    /// A watch from the list of this version on, due at once; `senders` is their number in the fleet. `max_backoff`: how long the
     /// settings let a sender be without a request; zero for no bound.
-    pub fn new(version: u64, senders: u32, longest: Duration, seed: u64, now: Time) -> Watch {
+    pub fn new(version: u64, senders: u32, max_backoff: Duration, seed: u64, now: Time) -> Watch {
         let rng = fastrand::Rng::with_seed(seed);
         Watch {
             version,
             whole: false,
             due: Some(now),
-            asked: now,
+            requested_at: now,
             senders,
-            longest,
-            failed: 0,
+            max_backoff,
+            failures: 0,
             rng,
         }
     }
@@ -85,8 +85,8 @@
     }
 
     /// The bytes of the next request, which the caller sends to `host`.
-    pub fn ask(&mut self, now: Time, host: &str) -> Vec<u8> {
-        (self.due, self.asked) = (None, now);
+    pub fn next_request(&mut self, now: Time, host: &str) -> Vec<u8> {
+        (self.due, self.requested_at) = (None, now);
         if self.whole {
             discovery_protocol::write_list_request(host)
         } else {
@@ -95,8 +95,8 @@
     }
 
     /// When the request in flight times out.
-    pub fn overdue(&self) -> Time {
-        self.asked
+    pub fn response_deadline(&self) -> Time {
+        self.requested_at
             + if self.whole {
                 LIST_RESPONSE_TIMEOUT
             } else {
@@ -106,50 +106,55 @@
 
     /// A list of this version arrived: the next request is due at once, since within 200 ms it continues this one. Not so after an
     /// empty response that came too soon: a discovery that does not hold watches would be polled without pause.
-    pub fn answered(&mut self, now: Time, version: u64) {
-        let pending = self.whole || self.version != version || now - self.asked >= RETRY_INTERVAL;
-        self.due = Some(if pending { now } else { now + RETRY_INTERVAL });
-        (self.version, self.whole, self.failed) = (version, false, 0);
+    pub fn on_list(&mut self, now: Time, version: u64) {
+        let immediately =
+            self.whole || self.version != version || now - self.requested_at >= RETRY_INTERVAL;
+        self.due = Some(if immediately {
+            now
+        } else {
+            now + RETRY_INTERVAL
+        });
+        (self.version, self.whole, self.failures) = (version, false, 0);
     }
 
     /// Some of the changes could not be read, and they are not sent again: the whole list is requested, in which an unreadable
     /// entry is missing, so that nothing is sent to an endpoint that may be draining.
-    pub fn missed(&mut self) {
+    pub fn on_unreadable_entry(&mut self) {
         self.whole = true;
     }
 
     /// A request failed; returns the backoff, no shorter than a `Retry-After` as far as [`MAX_REQUEST_INTERVAL`] allows it. Protects a
     /// discovery that all senders poll at once, as after a release: requests that arrive faster than they can be answered time
     /// out in its queue, and with short retries no sender would be notified of anything.
-    pub fn failed(&mut self, now: Time, failure: Failure) -> Duration {
+    pub fn on_failure(&mut self, now: Time, failure: WatchFailure) -> Duration {
         let (first, retry_after) = match failure {
-            Failure::ConnectFailed => (RETRY_INTERVAL, None),
-            Failure::Rejected { retry_after } => (
+            WatchFailure::ConnectFailed => (RETRY_INTERVAL, None),
+            WatchFailure::Rejected { retry_after } => (
                 (WATCH_COST * self.senders.min(MAX_COUNTED_SENDERS)).max(RETRY_INTERVAL),
                 retry_after,
             ),
         };
         let most = MAX_REQUEST_INTERVAL
-            .saturating_sub(now - self.asked)
+            .saturating_sub(now - self.requested_at)
             .max(MIN_ALLOWED_BACKOFF);
         let retry_after = retry_after.unwrap_or_default().min(most / 2);
-        let mean = first * (1 << self.failed.min(8)).min(MAX_BACKOFF_FACTOR);
+        let mean = first * (1 << self.failures.min(8)).min(MAX_BACKOFF_FACTOR);
         let mean = mean.min((most - retry_after).div_f64(MAX_JITTER));
-        self.failed += 1;
-        let longest = if self.longest.is_zero() {
+        self.failures += 1;
+        let max_backoff = if self.max_backoff.is_zero() {
             Duration::MAX
         } else {
-            self.longest.max(RETRY_INTERVAL)
+            self.max_backoff.max(RETRY_INTERVAL)
         };
         let jitter = 0.5 + (MAX_JITTER - 0.5) * self.rng.f64();
-        let pause = mean.mul_f64(jitter).min(longest) + retry_after;
+        let pause = mean.mul_f64(jitter).min(max_backoff) + retry_after;
         self.due = Some(now + pause);
         pause
     }
 
     /// Discovery is at another address from now on: its whole list is requested at once, since its versions need not continue the
     /// old one's, and failures of the old one say nothing about it.
-    pub fn moved(&mut self, now: Time) {
-        (self.whole, self.due, self.failed) = (true, Some(now), 0);
+    pub fn on_moved(&mut self, now: Time) {
+        (self.whole, self.due, self.failures) = (true, Some(now), 0);
     }
 }
--- a/crates/daemon/src/webpush/mod.rs
+++ b/crates/daemon/src/webpush/mod.rs
@@ -10,5 +10,5 @@
 pub use file::{File, Location, Server, Upstream, WebPushFileError, parse_file};
 pub(crate) use front::WebPushFront;
 pub(crate) use responses::{read_response, write_answer, write_error};
-pub use standalone::alone;
+pub use standalone::standalone_settings;
 pub use vapid::{Vapid, VapidError, VapidFile};
--- a/crates/daemon/src/webpush/standalone.rs
+++ b/crates/daemon/src/webpush/standalone.rs
@@ -8,7 +8,7 @@
 use crate::platform_settings::PlatformSettings;
 
 /// The settings of a sender without the platform, which serves Web Push alone.
-pub fn alone() -> PlatformSettings {
+pub fn standalone_settings() -> PlatformSettings {
     let settings = Settings {
         classes: Vec::new(),
         kinds: Vec::new(),
--- a/crates/daemon/tests/discovery_protocol.rs
+++ b/crates/daemon/tests/discovery_protocol.rs
@@ -2,7 +2,7 @@
 
 use cranehill_daemon::config::PlatformSettings;
 use cranehill_daemon::discovery_protocol::{
-    ListError, MAX_ENTRIES, ParsedList, max_body_bytes, read,
+    ListError, MAX_ENTRIES, ParsedList, max_body_bytes, read_response,
 };
 use cranehill_daemon::http;
 use cranehill_scheduler::profile::Profile;
@@ -24,7 +24,7 @@
     let (response, _) = http::response(&bytes, true)
         .expect("an answer")
         .expect("whole");
-    read(&response, &platform_settings())
+    read_response(&response, &platform_settings())
 }
 
 const GOOD: &str = r#"{"id":"a","addr":"127.0.0.1:1","cell":1,"state":"up","weight":2.5}"#;
@@ -94,7 +94,7 @@
         .expect("an answer")
         .expect("whole");
     assert_eq!(used, bytes.len());
-    let parsed = read(&response, &platform_settings()).expect("a list");
+    let parsed = read_response(&response, &platform_settings()).expect("a list");
     assert_eq!(
         (parsed.list.len(), parsed.unread.len(), parsed.excess),
         (57_000, 0, 0)
@@ -129,7 +129,7 @@
         .into_bytes(),
         close: false,
     };
-    let parsed = read(&response, &platform_settings()).expect("a list");
+    let parsed = read_response(&response, &platform_settings()).expect("a list");
     assert_eq!((parsed.list.len(), parsed.excess), (MAX_ENTRIES, 3));
 }
 
--- a/crates/daemon/tests/final_report_queue.rs
+++ b/crates/daemon/tests/final_report_queue.rs
@@ -16,7 +16,7 @@
 /// Guards reports whose answer never comes: sent again in their order before newer ones, and early enough that the second
 /// try is inside the 300 ms after a message's time in which its end must be told. It took 1.1 s.
 #[test]
-fn a_lost_report_goes_again_first_and_inside_the_time_for_it() {
+fn a_lost_report_is_sent_again_first_and_within_300_ms() {
     assert!(RESPONSE_TIMEOUT + RETRY_DELAY < Duration::from_millis(300));
     let mut reports = FinalReportQueue::default();
     reports.add("a".into(), FinalReport::Failed);
--- a/crates/daemon/tests/watch.rs
+++ b/crates/daemon/tests/watch.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use cranehill_daemon::watch::{Failure, MAX_REQUEST_INTERVAL, Watch};
+use cranehill_daemon::watch::{MAX_REQUEST_INTERVAL, Watch, WatchFailure};
 use cranehill_scheduler::Time;
 use proptest::prelude::*;
 
@@ -29,15 +29,15 @@
     for seed in 0..300 {
         let mut watch = watch(300, seed);
         assert_eq!(watch.due(), Some(at(0)), "seed {seed}");
-        watch.ask(at(0), "d");
+        watch.next_request(at(0), "d");
         for _ in 0..5 {
-            watch.failed(at(10), Failure::Rejected { retry_after: None });
+            watch.on_failure(at(10), WatchFailure::Rejected { retry_after: None });
         }
-        watch.moved(at(20));
+        watch.on_moved(at(20));
         assert_eq!(watch.due(), Some(at(20)), "seed {seed}");
-        let question = String::from_utf8(watch.ask(at(20), "d")).expect("text");
+        let question = String::from_utf8(watch.next_request(at(20), "d")).expect("text");
         assert!(question.starts_with("GET /v1/endpoints HTTP"), "{question}");
-        let pause = watch.failed(at(30), Failure::ConnectFailed);
+        let pause = watch.on_failure(at(30), WatchFailure::ConnectFailed);
         assert!(
             pause <= AGAIN * 3 / 2,
             "failures elsewhere are forgotten: {pause:?}, seed {seed}"
@@ -60,7 +60,7 @@
     for ms in 0..30_000 {
         for (sender, watch) in watches.iter_mut().enumerate() {
             if watch.due().is_some_and(|due| due <= at(ms)) {
-                watch.ask(at(ms), "d");
+                watch.next_request(at(ms), "d");
                 queue.push_back((sender, ms));
             }
         }
@@ -71,7 +71,7 @@
             if ms - asked <= patience {
                 watching += 1;
             } else {
-                watches[sender].failed(at(ms), Failure::Rejected { retry_after: None });
+                watches[sender].on_failure(at(ms), WatchFailure::Rejected { retry_after: None });
             }
         }
     }
@@ -83,16 +83,16 @@
     let mut watch = watch(300, 7);
     let retry_after = Duration::from_secs(3);
     assert!(
-        watch.failed(
+        watch.on_failure(
             at(0),
-            Failure::Rejected {
+            WatchFailure::Rejected {
                 retry_after: Some(retry_after)
             }
         ) >= retry_after
     );
     for retry_after in [None, Some(Duration::from_secs(30))] {
         let pauses: Vec<Duration> = (0..40)
-            .map(|_| watch.failed(at(0), Failure::Rejected { retry_after }))
+            .map(|_| watch.on_failure(at(0), WatchFailure::Rejected { retry_after }))
             .collect();
         let (least, most) = (pauses.iter().min(), pauses.iter().max());
         assert!(
@@ -104,7 +104,7 @@
     }
     // What could not be put burdened nobody: it is put again while the directory may be back.
     let longest = (0..40)
-        .map(|_| watch.failed(at(0), Failure::ConnectFailed))
+        .map(|_| watch.on_failure(at(0), WatchFailure::ConnectFailed))
         .max()
         .unwrap_or_default();
     assert!(
@@ -115,13 +115,13 @@
     let must_ask = Duration::from_millis(700);
     let mut watch = Watch::new(7, 300, must_ask, 7, at(0));
     let longest = (0..40)
-        .map(|_| watch.failed(at(0), Failure::Rejected { retry_after: None }))
+        .map(|_| watch.on_failure(at(0), WatchFailure::Rejected { retry_after: None }))
         .max();
     assert_eq!(longest, Some(must_ask));
     // What the settings may say of the senders' number does no harm.
     for senders in [0, u32::MAX] {
         let mut watch = Watch::new(7, senders, Duration::ZERO, 1, at(0));
-        let pause = watch.failed(at(0), Failure::Rejected { retry_after: None });
+        let pause = watch.on_failure(at(0), WatchFailure::Rejected { retry_after: None });
         assert!(
             pause > Duration::ZERO && pause <= COST * SENDERS_MOST * 3 / 2,
             "{pause:?}"
@@ -133,15 +133,15 @@
 #[test]
 fn after_changes_that_could_not_be_read_the_whole_list_is_asked_for_once() {
     let mut watch = watch(2, 7);
-    let mut question = |ms| String::from_utf8(watch.ask(at(ms), "d")).expect("text");
+    let mut question = |ms| String::from_utf8(watch.next_request(at(ms), "d")).expect("text");
     assert!(question(0).contains("from=7"));
-    watch.answered(at(3), 8);
-    watch.missed();
-    let mut question = |ms| String::from_utf8(watch.ask(at(ms), "d")).expect("text");
+    watch.on_list(at(3), 8);
+    watch.on_unreadable_entry();
+    let mut question = |ms| String::from_utf8(watch.next_request(at(ms), "d")).expect("text");
     assert!(question(3).starts_with("GET /v1/endpoints HTTP"));
-    watch.answered(at(4), 8);
+    watch.on_list(at(4), 8);
     assert!(
-        String::from_utf8(watch.ask(at(4), "d"))
+        String::from_utf8(watch.next_request(at(4), "d"))
             .expect("text")
             .contains("from=8")
     );
@@ -150,14 +150,14 @@
 #[test]
 fn an_answer_is_followed_at_once_unless_the_watch_is_not_held() {
     let mut watch = watch(2, 7);
-    watch.ask(at(0), "d");
-    watch.answered(at(3), 8);
+    watch.next_request(at(0), "d");
+    watch.on_list(at(3), 8);
     assert_eq!(watch.due(), Some(at(3)), "a change");
-    watch.ask(at(3), "d");
-    watch.answered(at(10_003), 8);
+    watch.next_request(at(3), "d");
+    watch.on_list(at(10_003), 8);
     assert_eq!(watch.due(), Some(at(10_003)), "held to its end");
-    watch.ask(at(10_003), "d");
-    watch.answered(at(10_004), 8);
+    watch.next_request(at(10_003), "d");
+    watch.on_list(at(10_004), 8);
     assert_eq!(watch.due(), Some(at(10_004) + AGAIN), "not held");
 }
 
@@ -169,9 +169,9 @@
     let mut watch = watch(2, 7);
     for (asked, whole) in [(0, false), (40_000, true)] {
         if whole {
-            watch.moved(at(asked));
+            watch.on_moved(at(asked));
         }
-        let text = String::from_utf8(watch.ask(at(asked), "d")).expect("text");
+        let text = String::from_utf8(watch.next_request(at(asked), "d")).expect("text");
         let pending = text
             .split_once("hold_ms=")
             .and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
@@ -179,11 +179,11 @@
         let wait = Duration::from_millis(pending.unwrap_or(0));
         // It may have fallen silent as it was asked.
         assert!(
-            watch.overdue() > at(asked) + wait,
+            watch.response_deadline() > at(asked) + wait,
             "an answer at the end of the wait is awaited"
         );
         assert!(
-            watch.overdue() + Duration::from_millis(400) < at(asked) + NOTIFIED,
+            watch.response_deadline() + Duration::from_millis(400) < at(asked) + NOTIFIED,
             "whole: {whole}"
         );
     }
@@ -229,27 +229,27 @@
 /// Puts the question that is due, lets it meet its outcome, and tells when it was put and when the next one is due.
 fn meet(watch: &mut Watch, outcome: WatchOutcome) -> (Time, Time) {
     let asked = watch.due().expect("nothing is out");
-    watch.ask(asked, "d");
-    let longest = watch.overdue() - asked;
+    watch.next_request(asked, "d");
+    let longest = watch.response_deadline() - asked;
     let after = |part: f64| asked + longest.mul_f64(part);
     match outcome {
         WatchOutcome::ConnectFailed(part) => {
-            watch.failed(after(part), Failure::ConnectFailed);
+            watch.on_failure(after(part), WatchFailure::ConnectFailed);
         }
         WatchOutcome::Refused(part, retry_after) => {
             let retry_after = retry_after.map(Duration::from_millis);
-            watch.failed(after(part), Failure::Rejected { retry_after });
+            watch.on_failure(after(part), WatchFailure::Rejected { retry_after });
         }
         WatchOutcome::Silent => {
-            watch.failed(watch.overdue(), Failure::ConnectFailed);
+            watch.on_failure(watch.response_deadline(), WatchFailure::ConnectFailed);
         }
         WatchOutcome::Same(part, read) => {
-            watch.answered(after(part), 7);
+            watch.on_list(after(part), 7);
             if !read {
-                watch.missed();
+                watch.on_unreadable_entry();
             }
         }
-        WatchOutcome::Moved(part) => watch.moved(after(part)),
+        WatchOutcome::Moved(part) => watch.on_moved(after(part)),
     }
     (asked, watch.due().expect("the next one is due"))
 }
