--- a/crates/daemon/src/client_ingress/resp.rs
+++ b/crates/daemon/src/client_ingress/resp.rs
@@ -5,7 +5,7 @@
 use cranehill_core::Answer;
 
 use super::{Admission, ClientIngress, Progress, refill, reject_malformed, reject_request};
-use crate::client_protocol::{self, MAX_REQUEST_BYTES, Request};
+use crate::client_protocol::{self, MAX_REQUEST_BYTES, MessageError, Request};
 use crate::connection::ConnectionKind;
 use crate::connection_table::ConnectionTable;
 
@@ -109,7 +109,9 @@
         // A message to an unknown destination could only expire.
         let known = parsed.and_then(|message| {
             let is_known = admission.core.knows(message.destination);
-            is_known.then_some(message).ok_or("destination not known")
+            is_known
+                .then_some(message)
+                .ok_or(MessageError::UnknownDestination)
         });
         match (known, room) {
             (Ok(message), Ok(())) => {
@@ -124,8 +126,8 @@
                 return Some(Progress::Submitted(message));
             }
             (Ok(_), Err(after)) => self.on_journal_full(connections, id, after, admission),
-            (Err(why), _) => {
-                let answer = client_protocol::write_error(why);
+            (Err(e), _) => {
+                let answer = client_protocol::write_error(&e.to_string());
                 reject_request(connections, id, &answer, admission.now);
             }
         }
--- a/crates/daemon/src/client_protocol.rs
+++ b/crates/daemon/src/client_protocol.rs
@@ -50,6 +50,45 @@
 #[error("{0}")]
 pub struct ProtocolError(pub &'static str);
 
+/// Why a `MSG.PUT` does not submit a message. The texts are part of the protocol: clients get them as errors.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[non_exhaustive]
+pub enum MessageError {
+    /// A part of the list has no `=`.
+    #[error("a name without a value")]
+    NameWithoutValue,
+    /// The settings have no such class.
+    #[error("class not known")]
+    UnknownClass,
+    /// The settings have no such tenant.
+    #[error("station not known")]
+    UnknownTenant,
+    /// The remaining time is not a number of milliseconds.
+    #[error("time left not a number")]
+    InvalidTime,
+    /// The destination is not a number.
+    #[error("destination not a number")]
+    InvalidDestination,
+    /// The idempotency key is too long, or has other characters than graphic ASCII.
+    #[error("key not readable")]
+    InvalidIdempotencyKey,
+    /// The message's class is delivered in order, and the first argument is no ordering key.
+    #[error("the first argument is no key: 1 to 64 characters without spaces")]
+    InvalidOrderingKey,
+    /// The list names no class.
+    #[error("class missing")]
+    ClassMissing,
+    /// The list names no destination.
+    #[error("destination missing")]
+    DestinationMissing,
+    /// The list names no remaining time.
+    #[error("time left missing")]
+    TimeMissing,
+    /// No endpoint of the destination is known.
+    #[error("destination not known")]
+    UnknownDestination,
+}
+
 /// A line up to CR LF, and where the next one begins.
 fn line(bytes: &[u8], at: usize) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     let rest = &bytes[at..];
@@ -143,14 +182,28 @@
 }
 
 /// The ordering key: text without spaces. Zeros alone are none.
-fn ordering_key(key: &[u8]) -> Result<Option<String>, &'static str> {
+fn ordering_key(key: &[u8]) -> Result<Option<String>, MessageError> {
     let plain =
         (1..=MAX_ORDERING_KEY_BYTES).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic);
     let text = std::str::from_utf8(key).ok().filter(|_| plain);
-    let text = text.ok_or("the first argument is no key: 1 to 64 characters without spaces")?;
+    let text = text.ok_or(MessageError::InvalidOrderingKey)?;
     Ok(Some(text.to_owned()).filter(|_| key.iter().any(|&byte| byte != b'0')))
 }
 
+fn parse_number(text: &str, error: MessageError) -> Result<u64, MessageError> {
+    text.parse().map_err(|_| error)
+}
+
+fn idempotency_key(text: &str) -> Result<String, MessageError> {
+    let is_valid =
+        text.len() <= MAX_IDEMPOTENCY_KEY_BYTES && text.bytes().all(|b| b.is_ascii_graphic());
+    if is_valid {
+        Ok(text.to_owned())
+    } else {
+        Err(MessageError::InvalidIdempotencyKey)
+    }
+}
+
 /// The message that a `MSG.PUT` on connection `from` submits: `names` is its list of names and values, `key` the request's
 /// first argument.
 ///
@@ -163,34 +216,29 @@
     id: String,
     names: &str,
     body: Vec<u8>,
-) -> Result<Message, &'static str> {
+) -> Result<Message, MessageError> {
     let first_argument = key;
-    let (mut class, mut tenant, mut left, mut destination, mut key) =
+    let (mut class, mut tenant, mut remaining_ms, mut destination, mut key) =
         (None, None, None, None, None);
-    for pair in names.split(',').filter(|p| !p.is_empty()) {
-        let (name, value) = pair.split_once('=').ok_or("a name without a value")?;
+    for pair in names.split(',').filter(|pair| !pair.is_empty()) {
+        let (name, value) = pair.split_once('=').ok_or(MessageError::NameWithoutValue)?;
         match name {
-            "c" => class = Some(platform_settings.class(value).ok_or("class not known")?),
-            "t" => tenant = Some(platform_settings.tenant(value).ok_or("station not known")?),
-            "d" => left = Some(value.parse::<u64>().map_err(|_| "time left not a number")?),
-            "dest" => {
-                destination = Some(
-                    value
-                        .parse::<u64>()
-                        .map_err(|_| "destination not a number")?,
-                );
+            "c" => {
+                let known = platform_settings.class(value);
+                class = Some(known.ok_or(MessageError::UnknownClass)?);
             }
-            "k" => {
-                let plain = value.len() <= MAX_IDEMPOTENCY_KEY_BYTES
-                    && value.bytes().all(|b| b.is_ascii_graphic());
-                key = Some(value.to_owned()).filter(|_| plain);
-                key.as_ref().ok_or("key not readable")?;
+            "t" => {
+                let known = platform_settings.tenant(value);
+                tenant = Some(known.ok_or(MessageError::UnknownTenant)?);
             }
+            "d" => remaining_ms = Some(parse_number(value, MessageError::InvalidTime)?),
+            "dest" => destination = Some(parse_number(value, MessageError::InvalidDestination)?),
+            "k" => key = Some(idempotency_key(value)?),
             // Marks of a repeated request, and names that newer clients may add, change nothing here.
             _ => {}
         }
     }
-    let class = class.ok_or("class missing")?;
+    let class = class.ok_or(MessageError::ClassMissing)?;
     let spec = &platform_settings.settings.classes[class];
     let ordering_key = if spec.in_order {
         ordering_key(first_argument)?
@@ -202,11 +250,11 @@
         id,
         class,
         tenant: tenant.unwrap_or(0),
-        destination: destination.ok_or("destination missing")?,
+        destination: destination.ok_or(MessageError::DestinationMissing)?,
         key,
         ordering_key,
         body: Arc::from(body),
-        left: Duration::from_millis(left.ok_or("time left missing")?).min(longest),
+        left: Duration::from_millis(remaining_ms.ok_or(MessageError::TimeMissing)?).min(longest),
         spent: 0,
         envelope: None,
         from: Origin::Client(from),
