--- a/crates/cranehill/src/push_script/script.rs
+++ b/crates/cranehill/src/push_script/script.rs
@@ -228,7 +228,7 @@
                 let Reply::Bytes(bytes) = &service.reply else {
                     return Err(ScriptErrorKind::RetryAfterWithoutAnswer);
                 };
-                let status = http::first_line(bytes).unwrap_or(UNAVAILABLE);
+                let status = http::early_status(bytes).unwrap_or(UNAVAILABLE);
                 service.reply = Reply::wait(status, value);
                 service.retry_after = Some(parse_time(value)?);
             }
--- a/crates/cranehill/src/serve.rs
+++ b/crates/cranehill/src/serve.rs
@@ -158,14 +158,16 @@
         operator: config.operator,
         sockets: limits.sockets.min(MAX_SOCKETS),
         memory: (limits.memory_mb * BYTES_PER_MEGABYTE) as usize,
-        read_config: Some(Box::new(|| config::directory_now(variable))),
+        read_config: Some(Box::new(|| {
+            config::current_discovery_address(variable).map_err(Into::into)
+        })),
     }
 }
 
 /// The options of a sender that speaks Web Push alone: without a platform, a journal or a fleet.
 pub(crate) fn push_only_options(push: webpush::File, seed: u64) -> ReactorOptions {
     ReactorOptions {
-        platform_settings: webpush::alone(),
+        platform_settings: webpush::standalone_settings(),
         seed,
         state: None,
         listen: None,
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -56,6 +56,7 @@
             description
                 .pop_front()
                 .unwrap_or(Err("no configuration".into()))
+                .map_err(Into::into)
         })),
     })
     .expect("the sender starts");
@@ -151,10 +152,15 @@
         config::load(var).expect("configuration").discovery.port(),
         1
     );
-    assert_eq!(config::directory_now(var).expect("configuration").port(), 2);
+    assert_eq!(
+        config::current_discovery_address(var)
+            .expect("configuration")
+            .port(),
+        2
+    );
     std::fs::write(&path, &text[..text.len() - 2]).expect("written");
     assert!(
-        config::directory_now(var).is_err(),
+        config::current_discovery_address(var).is_err(),
         "half a file names nothing"
     );
 }
--- a/crates/daemon/src/client_protocol.rs
+++ b/crates/daemon/src/client_protocol.rs
@@ -1,4 +1,4 @@
-//! The tenants' programs that hand messages in, over RESP2: pure parsing and writing.
+//! The protocol of the clients that submit messages, over RESP2: parsing and writing, without I/O.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,50 +6,108 @@
 use crate::config::PlatformSettings;
 use cranehill_core::{Answer, Message, Origin};
 
-/// The largest body of a message, and room for the words before it.
+/// The largest argument, which is a message's body.
 const MAX_ARGUMENT_BYTES: usize = 64 * 1024;
+/// Arguments of a command, its name included.
 const MAX_ARGUMENTS: usize = 16;
-/// The longest key of a class that keeps its order; those of the platform have 16 characters.
+/// All arguments of a command together: a body, and the names before it.
+const MAX_COMMAND_BYTES: usize = MAX_ARGUMENT_BYTES + 2048;
+/// The longest line with a length.
+const MAX_LENGTH_LINE_BYTES: usize = 32;
+/// The longest id of a message.
+const MAX_ID_BYTES: usize = 64;
+/// The longest idempotency key.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
+/// The longest ordering key; those of the platform have 16 characters.
 const MAX_ORDERING_KEY_BYTES: usize = 64;
-/// The longest request that may be waited for.
-pub const REQUEST_MOST: usize = MAX_ARGUMENT_BYTES + 4096;
+/// The longest request; a connection with more unfinished bytes is closed.
+pub const MAX_REQUEST_BYTES: usize = MAX_ARGUMENT_BYTES + 4096;
 
+/// A client's request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Request {
+    /// Whether this sender takes messages.
     Ping,
+    /// The client is about to close the connection.
     Quit,
+    /// `MSG.PUT`: submits a message.
     Put {
-        /// The first argument: what the message keeps its order within, where its class keeps one.
+        /// The first argument: the ordering key, where the message's class is delivered in order.
         key: Vec<u8>,
+        /// The message's id.
         id: String,
+        /// Names and values, as [`message`] parses them.
         names: String,
+        /// The message's body.
         body: Vec<u8>,
     },
-    /// Understood as RESP, but not as a command: it gets an error and the connection stays.
+    /// Valid RESP, but not a valid command, and why: it gets an error and the connection stays.
     Unknown(&'static str),
 }
 
-/// What no answer can repair: the connection ends after it.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Broken(pub &'static str);
+/// Why bytes are not RESP: the connection ends after the error.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct ProtocolError(pub &'static str);
+
+/// Why a `MSG.PUT` does not submit a message. The texts are part of the protocol: clients get them as errors.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[non_exhaustive]
+pub enum MessageError {
+    /// A part of the list has no `=`.
+    #[error("a name without a value")]
+    NameWithoutValue,
+    /// The settings have no such class.
+    #[error("class not known")]
+    UnknownClass,
+    /// The settings have no such tenant.
+    #[error("station not known")]
+    UnknownTenant,
+    /// The remaining time is not a number of milliseconds.
+    #[error("time left not a number")]
+    InvalidTime,
+    /// The destination is not a number.
+    #[error("destination not a number")]
+    InvalidDestination,
+    /// The idempotency key is too long, or has other characters than graphic ASCII.
+    #[error("key not readable")]
+    InvalidIdempotencyKey,
+    /// The message's class is delivered in order, and the first argument is no ordering key.
+    #[error("the first argument is no key: 1 to 64 characters without spaces")]
+    InvalidOrderingKey,
+    /// The list names no class.
+    #[error("class missing")]
+    ClassMissing,
+    /// The list names no destination.
+    #[error("destination missing")]
+    DestinationMissing,
+    /// The list names no remaining time.
+    #[error("time left missing")]
+    TimeMissing,
+    /// No endpoint of the destination is known.
+    #[error("destination not known")]
+    UnknownDestination,
+}
 
 /// A line up to CR LF, and where the next one begins.
-fn line(bytes: &[u8], at: usize) -> Result<Option<(&[u8], usize)>, Broken> {
+fn line(bytes: &[u8], at: usize) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     let rest = &bytes[at..];
     match rest.iter().position(|&b| b == b'\n') {
         Some(end) if end > 0 && rest[end - 1] == b'\r' => {
             Ok(Some((&rest[..end - 1], at + end + 1)))
         }
-        Some(_) => Err(Broken("a line must end in CR LF")),
-        None if rest.len() > 32 => Err(Broken("a length line is too long")),
+        Some(_) => Err(ProtocolError("a line must end in CR LF")),
+        None if rest.len() > MAX_LENGTH_LINE_BYTES => {
+            Err(ProtocolError("a length line is too long"))
+        }
         None => Ok(None),
     }
 }
 
-fn count(line: &[u8], mark: u8, most: usize) -> Result<usize, Broken> {
+fn count(line: &[u8], mark: u8, most: usize) -> Result<usize, ProtocolError> {
     let digits = match line.split_first() {
         Some((&first, digits)) if first == mark => digits,
-        _ => return Err(Broken("expected an array of bulk strings")),
+        _ => return Err(ProtocolError("expected an array of bulk strings")),
     };
     let plain = !digits.is_empty() && digits.len() <= 8 && digits.iter().all(u8::is_ascii_digit);
     let number = std::str::from_utf8(digits)
@@ -58,11 +116,14 @@
         .and_then(|d| d.parse().ok());
     number
         .filter(|&n| n <= most)
-        .ok_or(Broken("a length is not a number in range"))
+        .ok_or(ProtocolError("a length is not a number in range"))
 }
 
-/// The first whole request in `bytes` and how many bytes it takes; `None` if more must come.
-pub fn parse(bytes: &[u8]) -> Result<Option<(Request, usize)>, Broken> {
+/// The first complete request in `bytes` and its length; `None` if more must arrive.
+///
+/// # Errors
+/// The bytes are not, and will not become, RESP within the bounds.
+pub fn parse(bytes: &[u8]) -> Result<Option<(Request, usize)>, ProtocolError> {
     let Some((head, mut at)) = line(bytes, 0)? else {
         return Ok(None);
     };
@@ -75,14 +136,14 @@
         };
         let len = count(head, b'$', MAX_ARGUMENT_BYTES)?;
         total += len;
-        if total > MAX_ARGUMENT_BYTES + 2048 {
-            return Err(Broken("the request is too large"));
+        if total > MAX_COMMAND_BYTES {
+            return Err(ProtocolError("the request is too large"));
         }
         let Some(argument) = bytes.get(next..next + len + 2) else {
             return Ok(None);
         };
         if &argument[len..] != b"\r\n" {
-            return Err(Broken("a bulk string must end in CR LF"));
+            return Err(ProtocolError("a bulk string must end in CR LF"));
         }
         parts.push(&argument[..len]);
         at = next + len + 2;
@@ -104,7 +165,7 @@
             return Request::Unknown("MSG.PUT takes four arguments");
         };
         let named = |id: &String| {
-            !id.is_empty() && id.len() <= 64 && id.bytes().all(|b| b.is_ascii_graphic())
+            !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(|b| b.is_ascii_graphic())
         };
         match (text(id).filter(named), text(names)) {
             (Some(id), Some(names)) => Request::Put {
@@ -120,16 +181,34 @@
     }
 }
 
-/// The key of a message whose class keeps its order: text without spaces. Zeros alone are none.
-fn ordering_key(key: &[u8]) -> Result<Option<String>, &'static str> {
+/// The ordering key: text without spaces. Zeros alone are none.
+fn ordering_key(key: &[u8]) -> Result<Option<String>, MessageError> {
     let plain =
         (1..=MAX_ORDERING_KEY_BYTES).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic);
     let text = std::str::from_utf8(key).ok().filter(|_| plain);
-    let text = text.ok_or("the first argument is no key: 1 to 64 characters without spaces")?;
+    let text = text.ok_or(MessageError::InvalidOrderingKey)?;
     Ok(Some(text.to_owned()).filter(|_| key.iter().any(|&byte| byte != b'0')))
 }
 
-/// Reads a message's list of names and values. `key` is the request's first argument.
+fn parse_number(text: &str, error: MessageError) -> Result<u64, MessageError> {
+    text.parse().map_err(|_| error)
+}
+
+fn idempotency_key(text: &str) -> Result<String, MessageError> {
+    let is_valid =
+        text.len() <= MAX_IDEMPOTENCY_KEY_BYTES && text.bytes().all(|b| b.is_ascii_graphic());
+    if is_valid {
+        Ok(text.to_owned())
+    } else {
+        Err(MessageError::InvalidIdempotencyKey)
+    }
+}
+
+/// The message that a `MSG.PUT` on connection `from` submits: `names` is its list of names and values, `key` the request's
+/// first argument.
+///
+/// # Errors
+/// What is wrong with the names, as the client is answered.
 pub fn message(
     platform_settings: &PlatformSettings,
     from: usize,
@@ -137,33 +216,29 @@
     id: String,
     names: &str,
     body: Vec<u8>,
-) -> Result<Message, &'static str> {
+) -> Result<Message, MessageError> {
     let first_argument = key;
-    let (mut class, mut tenant, mut left, mut destination, mut key) =
+    let (mut class, mut tenant, mut remaining_ms, mut destination, mut key) =
         (None, None, None, None, None);
-    for pair in names.split(',').filter(|p| !p.is_empty()) {
-        let (name, value) = pair.split_once('=').ok_or("a name without a value")?;
+    for pair in names.split(',').filter(|pair| !pair.is_empty()) {
+        let (name, value) = pair.split_once('=').ok_or(MessageError::NameWithoutValue)?;
         match name {
-            "c" => class = Some(platform_settings.class(value).ok_or("class not known")?),
-            "t" => tenant = Some(platform_settings.tenant(value).ok_or("station not known")?),
-            "d" => left = Some(value.parse::<u64>().map_err(|_| "time left not a number")?),
-            "dest" => {
-                destination = Some(
-                    value
-                        .parse::<u64>()
-                        .map_err(|_| "destination not a number")?,
-                )
+            "c" => {
+                let known = platform_settings.class(value);
+                class = Some(known.ok_or(MessageError::UnknownClass)?);
             }
-            "k" => {
-                let plain = value.len() <= 128 && value.bytes().all(|b| b.is_ascii_graphic());
-                key = Some(value.to_owned()).filter(|_| plain);
-                key.as_ref().ok_or("key not readable")?;
+            "t" => {
+                let known = platform_settings.tenant(value);
+                tenant = Some(known.ok_or(MessageError::UnknownTenant)?);
             }
-            // Marks of a repeat, and names that newer clients may add, change nothing here.
+            "d" => remaining_ms = Some(parse_number(value, MessageError::InvalidTime)?),
+            "dest" => destination = Some(parse_number(value, MessageError::InvalidDestination)?),
+            "k" => key = Some(idempotency_key(value)?),
+            // Marks of a repeated request, and names that newer clients may add, change nothing here.
             _ => {}
         }
     }
-    let class = class.ok_or("class missing")?;
+    let class = class.ok_or(MessageError::ClassMissing)?;
     let spec = &platform_settings.settings.classes[class];
     let ordering_key = if spec.in_order {
         ordering_key(first_argument)?
@@ -175,19 +250,19 @@
         id,
         class,
         tenant: tenant.unwrap_or(0),
-        destination: destination.ok_or("destination missing")?,
+        destination: destination.ok_or(MessageError::DestinationMissing)?,
         key,
         ordering_key,
         body: Arc::from(body),
-        left: Duration::from_millis(left.ok_or("time left missing")?).min(longest),
+        left: Duration::from_millis(remaining_ms.ok_or(MessageError::TimeMissing)?).min(longest),
         spent: 0,
         envelope: None,
         from: Origin::Client(from),
     })
 }
 
-/// The answer's bytes.
-pub fn answer(answer: Answer) -> Vec<u8> {
+/// The bytes of an answer to `MSG.PUT`.
+pub fn write_answer(answer: Answer) -> Vec<u8> {
     match answer {
         Answer::Accepted | Answer::Delivered => b"+OK\r\n".to_vec(),
         Answer::Rejected { after: Some(after) } => {
@@ -198,6 +273,7 @@
     }
 }
 
-pub fn error(why: &str) -> Vec<u8> {
+/// The bytes of an error.
+pub fn write_error(why: &str) -> Vec<u8> {
     format!("-ERR {why}\r\n").into_bytes()
 }
