--- a/crates/scenario-runner/src/figures.rs
+++ b/crates/scenario-runner/src/figures.rs
@@ -21,8 +21,8 @@
     pub delivered: Histogram<u64>,
     /// Messages submitted, delivered and refused, by second.
     pub submitted: Curve,
-    pub done: Curve,
-    pub refused: Curve,
+    pub delivered_by_second: Curve,
+    pub rejected: Curve,
     /// Calls out, by sender.
     pub in_flight: Vec<Curve>,
     /// Destinations that have told some sender to wait, over time.
@@ -32,15 +32,16 @@
 }
 
 /// An hour in microseconds, beyond which nothing is told apart.
-const MOST: u64 = 3_600_000_000;
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
 fn histogram() -> Histogram<u64> {
     // Bounds are constants that the library takes.
-    Histogram::new_with_bounds(1, MOST, 3).unwrap_or_else(|_| unreachable!("fixed bounds"))
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)
+        .unwrap_or_else(|_| unreachable!("fixed bounds"))
 }
 
-fn note(histogram: &mut Histogram<u64>, span: Duration) {
-    histogram.saturating_record((span.as_micros() as u64).clamp(1, MOST));
+fn record_latency(histogram: &mut Histogram<u64>, span: Duration) {
+    histogram.saturating_record((span.as_micros() as u64).clamp(1, MAX_LATENCY_US));
 }
 
 /// Reads a day's lines.
@@ -50,28 +51,28 @@
         answered: histogram(),
         delivered: histogram(),
         submitted: Vec::new(),
-        done: Vec::new(),
-        refused: Vec::new(),
+        delivered_by_second: Vec::new(),
+        rejected: Vec::new(),
         in_flight: vec![Vec::new(); scenario.senders],
         waits: Vec::new(),
         destinations: Vec::new(),
     };
     let mut counts = vec![[0u32; 3]; seconds];
     let mut sent = vec![vec![0u32; seconds]; scenario.destinations.len()];
-    let mut begun: HashMap<&str, Duration> = HashMap::new();
-    let mut out: Vec<BTreeSet<u64>> = vec![BTreeSet::new(); scenario.senders];
-    let mut notified: Vec<(Duration, i32)> = Vec::new();
+    let mut submitted_at: HashMap<&str, Duration> = HashMap::new();
+    let mut in_flight_calls: Vec<BTreeSet<u64>> = vec![BTreeSet::new(); scenario.senders];
+    let mut wait_changes: Vec<(Duration, i32)> = Vec::new();
     for line in lines {
         let second = (line.at.as_secs() as usize).min(seconds - 1);
         let sender = line.sender.unwrap_or(0).min(scenario.senders - 1);
         match &line.what {
             What::Submitted { id, .. } | What::Posted { id, .. } => {
                 counts[second][0] += 1;
-                begun.insert(id, line.at);
+                submitted_at.insert(id, line.at);
             }
             What::Answered { id, answer } => {
-                if let Some(&since) = begun.get(id.as_str()) {
-                    note(&mut figures.answered, line.at.saturating_sub(since));
+                if let Some(&since) = submitted_at.get(id.as_str()) {
+                    record_latency(&mut figures.answered, line.at.saturating_sub(since));
                 }
                 counts[second][2] += u32::from(matches!(answer, Answer::Rejected { .. }));
             }
@@ -81,8 +82,9 @@
                 ids,
                 ..
             } => {
-                out[sender].insert(*connection);
-                figures.in_flight[sender].push((line.at.as_secs_f64(), out[sender].len() as f64));
+                in_flight_calls[sender].insert(*connection);
+                figures.in_flight[sender]
+                    .push((line.at.as_secs_f64(), in_flight_calls[sender].len() as f64));
                 if let Some(row) = sent.get_mut(*destination as usize) {
                     row[second] += ids.len() as u32;
                 }
@@ -93,23 +95,25 @@
                 wait,
                 ..
             } => {
-                out[sender].remove(connection);
-                figures.in_flight[sender].push((line.at.as_secs_f64(), out[sender].len() as f64));
+                in_flight_calls[sender].remove(connection);
+                figures.in_flight[sender]
+                    .push((line.at.as_secs_f64(), in_flight_calls[sender].len() as f64));
                 for (id, _) in outcomes.iter().filter(|(_, f)| *f == DeliveryOutcome::Done) {
                     counts[second][1] += 1;
-                    if let Some(&since) = begun.get(id.as_str()) {
-                        note(&mut figures.delivered, line.at.saturating_sub(since));
+                    if let Some(&since) = submitted_at.get(id.as_str()) {
+                        record_latency(&mut figures.delivered, line.at.saturating_sub(since));
                     }
                 }
                 if let Some(wait) = wait {
-                    notified.extend([(line.at, 1), (line.at + *wait, -1)]);
+                    wait_changes.extend([(line.at, 1), (line.at + *wait, -1)]);
                 }
             }
             What::Closed { connection } | What::Broke { connection, .. }
-                if out[sender].contains(connection) =>
+                if in_flight_calls[sender].contains(connection) =>
             {
-                out[sender].remove(connection);
-                figures.in_flight[sender].push((line.at.as_secs_f64(), out[sender].len() as f64));
+                in_flight_calls[sender].remove(connection);
+                figures.in_flight[sender]
+                    .push((line.at.as_secs_f64(), in_flight_calls[sender].len() as f64));
             }
             _ => {}
         }
@@ -121,10 +125,14 @@
             .map(|(s, c)| (s as f64, f64::from(c[n])))
             .collect()
     };
-    (figures.submitted, figures.done, figures.refused) = (curve(0), curve(1), curve(2));
-    notified.sort_unstable();
+    (
+        figures.submitted,
+        figures.delivered_by_second,
+        figures.rejected,
+    ) = (curve(0), curve(1), curve(2));
+    wait_changes.sort_unstable();
     let mut open = 0;
-    for (at, change) in notified {
+    for (at, change) in wait_changes {
         open += change;
         figures.waits.push((at.as_secs_f64(), f64::from(open)));
     }
@@ -139,7 +147,7 @@
             .enumerate()
             .map(|(s, c)| (s as f64, f64::from(*c)))
             .collect();
-        let could = (0..seconds * 5)
+        let capacity = (0..seconds * 5)
             .map(|k| {
                 (
                     k as f64 / 5.0,
@@ -149,7 +157,7 @@
             .collect();
         figures
             .destinations
-            .push((member.name.clone(), load, could));
+            .push((member.name.clone(), load, capacity));
     }
     figures
 }
--- a/crates/scenario-runner/src/lib.rs
+++ b/crates/scenario-runner/src/lib.rs
@@ -13,8 +13,8 @@
 pub mod report;
 pub mod report_files;
 pub mod resource_usage;
+mod runner;
 mod senders;
-mod stage;
 mod wire;
 
 use std::net::SocketAddr;
@@ -26,8 +26,8 @@
 
 pub use network::{Direct, Network};
 pub use resource_usage::ResourceUsage;
+pub use runner::{play, play_through};
 pub use senders::Limits;
-pub use stage::{play, play_through};
 
 /// Why a rehearsal could not be played. Breaches are no errors: they are in the [`Outcome`].
 #[derive(Debug, thiserror::Error)]
@@ -100,7 +100,7 @@
     pub worth_over_time: Vec<(f64, f64)>,
     /// What the senders had used at the day's end, and the processor time of the rig's own loop.
     pub senders: Vec<ResourceUsage>,
-    pub rig_cpu: Duration,
+    pub runner_cpu: Duration,
     pub submitted: u64,
     pub delivered: u64,
     /// Senders that ended without being told to.
--- a/crates/scenario-runner/src/measure.rs
+++ b/crates/scenario-runner/src/measure.rs
@@ -14,18 +14,18 @@
 use crate::{Limits, Outcome, Plan, RunError, play};
 
 /// Delivered of what is submitted, for a rate to count as sustained. What a kind of errors would cost is far more.
-const DELIVERED: f64 = 0.999;
+const MIN_DELIVERED_SHARE: f64 = 0.999;
 /// Answers come within this, 99 of 100 times.
-const ANSWERED: Duration = Duration::from_millis(100);
+const MAX_ANSWER_P99: Duration = Duration::from_millis(100);
 /// Beyond this lateness of the rig, 99 of 100 times, nothing can be said of the sender.
-const RIG_LATE: Duration = Duration::from_millis(20);
+const MAX_RUNNER_LATENESS: Duration = Duration::from_millis(20);
 /// Messages last so long; what is held longer than a fraction of it shows as a late answer or delivery.
-const DURATION_S: u64 = 8;
+const MESSAGE_DURATION_S: u64 = 8;
 /// A search begins here and goes no further than that, in messages a second.
-const FIRST: f64 = 250.0;
-const LAST: f64 = 64_000.0;
+const FIRST_RATE: f64 = 250.0;
+const MAX_RATE: f64 = 64_000.0;
 /// Halvings of the span between a rate that held and one that did not.
-const HALVINGS: u32 = 4;
+const SEARCH_STEPS: u32 = 4;
 
 /// What is measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -51,7 +51,7 @@
     pub answered: [u64; 3],
     pub done: [u64; 3],
     /// Cores that the rig's one loop was busy with, and each sender.
-    pub rig_cores: f64,
+    pub runner_cores: f64,
     pub sender_cores: f64,
     /// The most that one sender had: resident memory in kB, open descriptors.
     pub memory_kb: u64,
@@ -66,13 +66,13 @@
     /// The sender kept up.
     pub fn sustained(&self) -> bool {
         self.holds
-            && self.delivered as f64 >= self.submitted as f64 * DELIVERED
-            && Duration::from_micros(self.answered[1]) <= ANSWERED
+            && self.delivered as f64 >= self.submitted as f64 * MIN_DELIVERED_SHARE
+            && Duration::from_micros(self.answered[1]) <= MAX_ANSWER_P99
     }
 
     /// The rig kept up, so that the step says something.
     pub fn clear(&self) -> bool {
-        self.late <= RIG_LATE
+        self.late <= MAX_RUNNER_LATENESS
     }
 
     /// The step as a line of a table; its heading is [`Step::HEADING`].
@@ -86,7 +86,7 @@
             ms(self.answered),
             ms(self.done),
             self.sender_cores,
-            self.rig_cores,
+            self.runner_cores,
             self.memory_kb,
             self.descriptors,
             self.late.as_secs_f64() * 1e3,
@@ -113,7 +113,7 @@
     );
     let _ = write!(
         text,
-        "[[class]]\nname = \"episode-notice\"\naim = \"2 s\"\nlasts = \"{DURATION_S} s\"\n"
+        "[[class]]\nname = \"episode-notice\"\naim = \"2 s\"\nlasts = \"{MESSAGE_DURATION_S} s\"\n"
     );
     let _ = write!(
         text,
@@ -164,7 +164,7 @@
         delivered: outcome.delivered,
         answered: quantiles(&answered),
         done: quantiles(&delivered),
-        rig_cores: outcome.rig_cpu.as_secs_f64() / span,
+        runner_cores: outcome.runner_cpu.as_secs_f64() / span,
         sender_cores: most(|u| u.cpu.as_secs_f64()) / span,
         memory_kb: outcome
             .senders
@@ -211,8 +211,8 @@
     mut each: impl FnMut(&Step),
 ) -> Result<Option<Step>, RunError> {
     let mut best: Option<Step> = None;
-    let (mut rate, mut failed) = (FIRST, None);
-    while failed.is_none() && rate <= LAST {
+    let (mut rate, mut failed) = (FIRST_RATE, None);
+    while failed.is_none() && rate <= MAX_RATE {
         let step = step(program, setup, rate)?;
         each(&step);
         if step.sustained() && step.clear() {
@@ -225,7 +225,7 @@
     let (Some(mut above), Some(mut below)) = (failed, best.as_ref().map(|b| b.rate)) else {
         return Ok(best);
     };
-    for _ in 0..HALVINGS {
+    for _ in 0..SEARCH_STEPS {
         let rate = (above + below) / 2.0;
         let step = step(program, setup, rate)?;
         each(&step);
--- a/crates/scenario-runner/src/report.rs
+++ b/crates/scenario-runner/src/report.rs
@@ -5,7 +5,7 @@
 use crate::Outcome;
 
 /// Breaches of one rule that are shown in full.
-const SHOWN: usize = 3;
+const MAX_SHOWN_VIOLATIONS: usize = 3;
 
 /// The table of one day.
 pub fn table(name: &str, seed: u64, outcome: &Outcome) -> Vec<String> {
@@ -36,7 +36,7 @@
         };
         lines.push(format!("  {:<58} {verdict_text}", rule.description()));
         if let Verdict::Broken(violations) = verdict {
-            for violation in violations.iter().take(SHOWN) {
+            for violation in violations.iter().take(MAX_SHOWN_VIOLATIONS) {
                 lines.extend(violation.to_string().lines().map(|l| format!("      {l}")));
             }
         }
@@ -48,7 +48,7 @@
         outcome
             .void
             .iter()
-            .take(SHOWN)
+            .take(MAX_SHOWN_VIOLATIONS)
             .map(|v| format!("  VOID: {v}")),
     );
     lines.extend(
--- a/crates/scenario-runner/src/report_files.rs
+++ b/crates/scenario-runner/src/report_files.rs
@@ -18,8 +18,8 @@
 use crate::{Outcome, Plan};
 
 /// Rows of one group of the table.
-const GROUP: usize = 16 * 1024;
-const SIZE: (u32, u32) = (900, 260);
+const ROW_GROUP_ROWS: usize = 16 * 1024;
+const PLOT_SIZE: (u32, u32) = (900, 260);
 /// Destinations that are plotted: those with most load.
 const MAX_DESTINATIONS: usize = 12;
 
@@ -203,7 +203,7 @@
         .build();
     let file = BufWriter::new(File::create(path)?);
     let mut writer = ArrowWriter::try_new(file, schema, Some(set)).map_err(other)?;
-    for chunk in lines.chunks(GROUP) {
+    for chunk in lines.chunks(ROW_GROUP_ROWS) {
         writer.write(&batch(chunk)?).map_err(other)?;
     }
     writer.close().map_err(other)?;
@@ -285,7 +285,7 @@
     let (x, y) = (most(|p| p.0), most(|p| p.1) * 1.08);
     let mut text = String::new();
     {
-        let root = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
+        let root = SVGBackend::with_string(&mut text, PLOT_SIZE).into_drawing_area();
         root.fill(&WHITE).map_err(other)?;
         let mut chart = ChartBuilder::on(&root)
             .caption(title, ("sans-serif", 16))
@@ -326,10 +326,10 @@
     Ok(text)
 }
 
-const BLUE_: RGBColor = RGBColor(31, 90, 180);
-const GREEN_: RGBColor = RGBColor(30, 130, 70);
-const RED_: RGBColor = RGBColor(190, 50, 40);
-const GREY_: RGBColor = RGBColor(110, 110, 110);
+const LINE_BLUE: RGBColor = RGBColor(31, 90, 180);
+const LINE_GREEN: RGBColor = RGBColor(30, 130, 70);
+const LINE_RED: RGBColor = RGBColor(190, 50, 40);
+const LINE_GREY: RGBColor = RGBColor(110, 110, 110);
 
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
@@ -385,9 +385,9 @@
     }
     body.push_str("</table>");
     let load = [
-        ("handed in", &figures.submitted, BLUE_),
-        ("delivered", &figures.done, GREEN_),
-        ("refused", &figures.refused, RED_),
+        ("handed in", &figures.submitted, LINE_BLUE),
+        ("delivered", &figures.delivered_by_second, LINE_GREEN),
+        ("refused", &figures.rejected, LINE_RED),
     ];
     body.push_str(&plot("Service: messages a second", "messages/s", &load)?);
     let over_time = |of: fn(&(f64, f64)) -> f64| -> Curve {
@@ -399,13 +399,16 @@
             .collect()
     };
     let (asked, worth) = (over_time(|w| w.1), over_time(|w| w.0));
-    let curves = [("asked for", &asked, BLUE_), ("delivered", &worth, GREEN_)];
+    let curves = [
+        ("asked for", &asked, LINE_BLUE),
+        ("delivered", &worth, LINE_GREEN),
+    ];
     body.push_str(&plot(
         "Worth, by the second of the first handing in",
         "messages' priority weight",
         &curves,
     )?);
-    let colours = [BLUE_, GREEN_, RED_, GREY_];
+    let colours = [LINE_BLUE, LINE_GREEN, LINE_RED, LINE_GREY];
     let names: Vec<String> = (0..figures.in_flight.len())
         .map(|n| format!("sender {n}"))
         .collect();
@@ -419,15 +422,15 @@
     body.push_str(&plot(
         "Waits that are on",
         "waits",
-        &[("told", &figures.waits, RED_)],
+        &[("told", &figures.waits, LINE_RED)],
     )?);
     let total = |curve: &Curve| curve.iter().map(|p| p.1).sum::<f64>();
     let mut destinations: Vec<_> = figures.destinations.iter().collect();
     destinations.sort_by(|a, b| total(&b.1).total_cmp(&total(&a.1)));
-    for (name, load, could) in destinations.into_iter().take(MAX_DESTINATIONS) {
+    for (name, load, capacity) in destinations.into_iter().take(MAX_DESTINATIONS) {
         let curves = [
-            ("sent to it", load, BLUE_),
-            ("what it can do", could, GREY_),
+            ("sent to it", load, LINE_BLUE),
+            ("what it can do", capacity, LINE_GREY),
         ];
         body.push_str(&plot(&format!("Partner {name}"), "messages/s", &curves)?);
     }
--- a/crates/scenario-runner/src/stage.rs
+++ b/crates/scenario-runner/src/runner.rs
@@ -43,13 +43,13 @@
 /// Events that one poll returns at most.
 const EVENTS_PER_POLL: usize = 1024;
 /// The longest poll without a timer.
-const POLL_MOST: Duration = Duration::from_millis(50);
+const MAX_POLL: Duration = Duration::from_millis(50);
 /// An event that a poll returns sooner than this was there before the poll began.
-const AT_ONCE: Duration = Duration::from_micros(50);
+const IMMEDIATE_POLL: Duration = Duration::from_micros(50);
 /// Time after the last deadline in which answers and final reports may still arrive.
-const SETTLE: Duration = Duration::from_millis(700);
+const SETTLE_TIME: Duration = Duration::from_millis(700);
 /// Reasons for a void day that are kept.
-const VOID_MOST: usize = 50;
+const MAX_VOID_REASONS: usize = 50;
 
 /// Plays a day. `progress` is called in each turn of the loop with the time that has passed and the latest end of the day.
 pub fn play(plan: &Plan, progress: impl FnMut(Duration, Duration)) -> Result<Outcome, RunError> {
@@ -63,33 +63,33 @@
     mut progress: impl FnMut(Duration, Duration),
 ) -> Result<Outcome, RunError> {
     let folder = tempfile::tempdir()?;
-    let mut stage = Stage::set_up(plan, folder.path(), network)?;
-    stage.wait_ready()?;
-    stage.begin();
-    network.begin(stage.begun);
+    let mut runner = Runner::prepare(plan, folder.path(), network)?;
+    runner.wait_ready()?;
+    runner.begin();
+    network.begin(runner.started);
     let cpu_before = resource_usage::of_this_thread();
-    let latest_end = stage.latest_end();
+    let latest_end = runner.latest_end();
     let mut events = Events::with_capacity(EVENTS_PER_POLL);
     loop {
-        stage.turn(&mut events)?;
-        let now = stage.now();
+        runner.turn(&mut events)?;
+        let now = runner.now();
         progress(now, latest_end);
-        if now >= latest_end || stage.is_settled(now) {
-            stage.outcome.rig_cpu = resource_usage::of_this_thread().saturating_sub(cpu_before);
-            return Ok(stage.finish());
+        if now >= latest_end || runner.is_settled(now) {
+            runner.outcome.runner_cpu = resource_usage::of_this_thread().saturating_sub(cpu_before);
+            return Ok(runner.finish());
         }
     }
 }
 
 /// All simulated servers and senders of a day, and what the loop knows of them.
-struct Stage<'a> {
+struct Runner<'a> {
     plan: &'a Plan,
     scenario: &'a Scenario,
     poll: Poll,
     waker: Arc<Waker>,
     /// When the day began, as an instant and since 1970.
-    begun: Instant,
-    begun_unix: Duration,
+    started: Instant,
+    started_unix: Duration,
     /// By token, from 0; connections have the tokens that follow.
     listeners: Vec<Listener>,
     connections: HashMap<ConnectionId, Connection>,
@@ -162,10 +162,10 @@
     web_push: Vec<ConnectionId>,
 }
 
-impl Stage<'_> {
+impl Runner<'_> {
     /// Time since the day began.
     fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started.elapsed()
     }
 
     /// By then every message has been executed out of time.
@@ -178,7 +178,7 @@
             .map(|c| c.duration)
             .max()
             .unwrap_or_default();
-        self.scenario.duration + longest + SETTLE
+        self.scenario.duration + longest + SETTLE_TIME
     }
 
     /// The day's span is over, and every message has ended.
@@ -192,8 +192,8 @@
         let until_timer = self
             .timers
             .next_due()
-            .map_or(POLL_MOST, |at| at.saturating_sub(now));
-        self.poll_once(events, until_timer.min(POLL_MOST))?;
+            .map_or(MAX_POLL, |at| at.saturating_sub(now));
+        self.poll_once(events, until_timer.min(MAX_POLL))?;
         while let Some((due, timer)) = self.timers.pop_due(self.now()) {
             self.log.set_late(self.now().saturating_sub(due));
             self.on_timer(timer)?;
@@ -211,7 +211,7 @@
         let after = self.now();
         // What was there at once may have come at any time since the last poll.
         let last_poll = self.outcome.lasted;
-        let waited = if after - before <= AT_ONCE {
+        let waited = if after - before <= IMMEDIATE_POLL {
             before.saturating_sub(last_poll)
         } else {
             Duration::ZERO
@@ -245,7 +245,7 @@
             Timer::AwaitExit { sender, kill_at } => self.await_exit(sender, kill_at),
             Timer::StopRouting { sender } => self.stop_routing(sender),
             Timer::Start { sender } => self.restart(sender)?,
-            Timer::FleetAct(n) => self.on_fleet_act(n),
+            Timer::FleetAction(n) => self.on_fleet_action(n),
             Timer::KillDuringUpgrade { sender, which } => self.kill_during_upgrade(sender, which),
             Timer::Resume { sender } => self.resume(sender),
         }
@@ -259,7 +259,7 @@
 
     /// Notes why the day can't be judged.
     fn void(&mut self, why: String) {
-        if self.outcome.void.len() < VOID_MOST {
+        if self.outcome.void.len() < MAX_VOID_REASONS {
             self.outcome.void.push(why);
         }
     }
@@ -267,7 +267,7 @@
     /// Ends the senders and has the day audited.
     fn finish(mut self) -> Outcome {
         let end = self.now();
-        self.outcome.began = self.begun_unix;
+        self.outcome.began = self.started_unix;
         self.outcome.views = self.fleet_views();
         self.outcome.senders = self
             .senders
--- a/crates/scenario-runner/src/stage/clients.rs
+++ b/crates/scenario-runner/src/runner/clients.rs
@@ -7,7 +7,7 @@
 use cranehill_simulation::scenario::Effect;
 use mio::net::TcpStream;
 
-use super::Stage;
+use super::Runner;
 use super::connections::{ClientProtocol, ClientRole, ConnectionId, Role};
 use super::timers::Timer;
 use crate::wire;
@@ -15,7 +15,7 @@
 /// A client waits this long beyond the time of a message that it has posted; nothing later is the sender's one answer.
 const POST_GRACE: Duration = Duration::from_secs(1);
 /// The least time to live of a post: it is told in whole seconds.
-const POST_TTL_LEAST_S: u64 = 1;
+const MIN_POST_TTL_S: u64 = 1;
 
 /// A message as it is written to a sender, with its entry in the record.
 struct ClientRequest {
@@ -32,7 +32,7 @@
     text: String,
 }
 
-impl Stage<'_> {
+impl Runner<'_> {
     /// Hands in what is due, unless the timer has been replaced by an earlier one.
     pub(super) fn on_arrival(&mut self, at: Duration) {
         if self.next_arrival != Some(at) {
@@ -135,8 +135,8 @@
         }
         let process = &self.senders[sender].process;
         let address = match protocol {
-            ClientProtocol::Resp => process.address?,
-            ClientProtocol::WebPush => process.pushes?,
+            ClientProtocol::Resp => process.client_address?,
+            ClientProtocol::WebPush => process.web_push_address?,
         };
         let stream = TcpStream::connect(address).ok()?;
         let role = ClientRole {
@@ -154,7 +154,7 @@
             destination,
             ..
         } = message;
-        let duration = Duration::from_secs(message.duration.as_secs().max(POST_TTL_LEAST_S));
+        let duration = Duration::from_secs(message.duration.as_secs().max(MIN_POST_TTL_S));
         let topic = self.scenario.classes[*class].effect == Effect::Safe;
         ClientRequest {
             bytes: wire::post(message, duration, topic),
--- a/crates/scenario-runner/src/stage/connections.rs
+++ b/crates/scenario-runner/src/runner/connections.rs
@@ -10,10 +10,10 @@
 use mio::{Interest, Token};
 use socket2::SockRef;
 
-use super::{IdleConnections, Stage};
+use super::{IdleConnections, Runner};
 
 /// Bytes that one read takes at most.
-const READ_MOST: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// A connection's number, which is its token as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -59,7 +59,7 @@
     pub endpoint: usize,
     pub names: AuditNames,
     /// Bytes of a request have come, and not all of it.
-    pub request_begun: bool,
+    pub request_started: bool,
     pub in_flight: Option<Call>,
 }
 
@@ -167,7 +167,7 @@
 
     /// Reads what has come; true if the peer has closed the connection.
     fn fill(&mut self) -> bool {
-        let mut chunk = [0u8; READ_MOST];
+        let mut chunk = [0u8; READ_CHUNK_BYTES];
         loop {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return true,
@@ -194,7 +194,7 @@
     }
 }
 
-impl Stage<'_> {
+impl Runner<'_> {
     /// Accepts all connections that wait at a listener.
     pub(super) fn accept(&mut self, listener: usize) {
         loop {
@@ -246,7 +246,7 @@
                 let role = DestinationRole {
                     endpoint,
                     names,
-                    request_begun: false,
+                    request_started: false,
                     in_flight: None,
                 };
                 let _ = self.add_connection(stream, sender, Role::Destination(role));
@@ -300,7 +300,7 @@
         let any_read = connection.input.len() > before;
         match &connection.role {
             Role::Destination(_) => self.read_calls(id),
-            Role::Directory { .. } => self.read_questions(id),
+            Role::Directory { .. } => self.read_directory_requests(id),
             Role::Client(_) => self.read_answers(id),
         }
         if ended {
@@ -374,7 +374,7 @@
         }
     }
 
-    pub fn begun(self) -> What {
+    pub fn started(self) -> What {
         let AuditNames {
             connection,
             endpoint,
--- a/crates/scenario-runner/src/stage/destinations.rs
+++ b/crates/scenario-runner/src/runner/destinations.rs
@@ -5,7 +5,7 @@
 use cranehill_simulation::audit::What;
 use cranehill_simulation::destination::{Asked, Reply};
 
-use super::Stage;
+use super::Runner;
 use super::connections::{Call, CloseMode, ConnectionId, DestinationRole};
 use super::timers::Timer;
 use crate::wire::{self, Request};
@@ -21,7 +21,7 @@
     status: u16,
 }
 
-impl Stage<'_> {
+impl Runner<'_> {
     /// Reads calls, one at a time: the next one after the reply.
     pub(super) fn read_calls(&mut self, id: ConnectionId) {
         while self.has_call_to_read(id) {
@@ -33,7 +33,7 @@
                 Ok(Some((request, length))) => {
                     connection.input.drain(..length);
                     if let Some(role) = connection.destination_mut() {
-                        role.request_begun = false;
+                        role.request_started = false;
                     }
                     self.on_call(id, &request);
                 }
@@ -62,13 +62,13 @@
             return false;
         }
         let names = role.names;
-        if !std::mem::replace(&mut role.request_begun, true) {
+        if !std::mem::replace(&mut role.request_started, true) {
             let idle = self.now().saturating_sub(used).as_millis();
             let line = format!(
                 "first byte of a call on connection {}, idle for {idle} ms",
                 names.connection
             );
-            self.record(Some(sender), names.begun(), &line);
+            self.record(Some(sender), names.started(), &line);
         }
         true
     }
@@ -221,7 +221,7 @@
         let Some(connection) = self.connections.get(&id).filter(|c| c.used == used) else {
             return;
         };
-        let idle = |role: &DestinationRole| role.in_flight.is_none() && !role.request_begun;
+        let idle = |role: &DestinationRole| role.in_flight.is_none() && !role.request_started;
         if connection.destination().is_some_and(idle) {
             self.close_connection(id, CloseMode::Orderly);
         }
--- a/crates/scenario-runner/src/stage/directory.rs
+++ b/crates/scenario-runner/src/runner/directory.rs
@@ -10,12 +10,12 @@
 
 use super::connections::{CloseMode, ConnectionId, HeldWatch, Role};
 use super::timers::Timer;
-use super::{Endpoint, Stage, endpoint_id};
+use super::{Endpoint, Runner, endpoint_id};
 use crate::senders::rough_rate;
 use crate::wire::{self, Request};
 
 /// A watch that found nothing is not asked again sooner.
-const WATCH_LEAST: Duration = Duration::from_millis(1);
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(1);
 
 /// The state of one endpoint in a list that a sender is told.
 struct NotifiedState {
@@ -24,9 +24,9 @@
     listed: Listed,
 }
 
-impl Stage<'_> {
+impl Runner<'_> {
     /// Reads questions, one at a time while none is held.
-    pub(super) fn read_questions(&mut self, id: ConnectionId) {
+    pub(super) fn read_directory_requests(&mut self, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else {
                 return;
@@ -38,7 +38,7 @@
                 Ok(None) => return,
                 Ok(Some((request, length))) => {
                     connection.input.drain(..length);
-                    self.on_question(id, &request);
+                    self.on_directory_request(id, &request);
                 }
                 Err(why) => {
                     self.void(format!(
@@ -50,7 +50,7 @@
         }
     }
 
-    fn on_question(&mut self, id: ConnectionId, request: &Request) {
+    fn on_directory_request(&mut self, id: ConnectionId, request: &Request) {
         let path = request.path.split('?').next().unwrap_or_default();
         match (request.method.as_str(), path) {
             ("POST", "/v1/notices") => self.on_final_reports(id, request),
@@ -135,11 +135,11 @@
                 let body = self.list_json(&list, sender).to_string();
                 self.hold_watch(id, None);
                 self.send(id, &wire::response(200, &[], &body));
-                self.read_questions(id);
+                self.read_directory_requests(id);
             }
             Watch::Hold { until } | Watch::Silent { until } => {
                 self.timers.insert(
-                    until.max(now + WATCH_LEAST),
+                    until.max(now + MIN_WATCH_INTERVAL),
                     Timer::Watch { connection: id },
                 );
             }
@@ -217,7 +217,7 @@
         };
         let started = row
             .started
-            .map_or(0, |s| (self.begun_unix + s).as_millis() as u64);
+            .map_or(0, |s| (self.started_unix + s).as_millis() as u64);
         let zone = &self.scenario.zones[member.zones[place.number]];
         json!({"id": row.id, "addr": place.addresses[sender].to_string(), "zone": zone, "kind": member.kind,
             "cell": row.destination, "state": state, "weight": rough_rate(member), "started_ms": started})
--- a/crates/scenario-runner/src/stage/event_log.rs
+++ b/crates/scenario-runner/src/runner/event_log.rs
@@ -5,7 +5,7 @@
 use cranehill_simulation::audit::{Line, What};
 
 /// Characters of the wire that a line keeps.
-const WIRE_MOST: usize = 120;
+const MAX_WIRE_CHARS: usize = 120;
 
 /// What has passed, in order, for the auditor.
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
         let wire: String = wire
             .chars()
             .filter(|c| !c.is_control())
-            .take(WIRE_MOST)
+            .take(MAX_WIRE_CHARS)
             .collect();
         self.lines.push(Line {
             at: now,
--- a/crates/scenario-runner/src/stage/fleet.rs
+++ b/crates/scenario-runner/src/runner/fleet.rs
@@ -10,9 +10,9 @@
 use serde_json::Value;
 
 use super::timers::Timer;
-use super::{Restart, Stage};
+use super::{Restart, Runner};
 use crate::network::Network;
-use crate::senders::FleetPlace;
+use crate::senders::FleetSettings;
 
 /// How long the request for a sender's view may take.
 const VIEW_TIMEOUT: Duration = Duration::from_secs(1);
@@ -23,7 +23,7 @@
 pub(super) fn addresses(
     scenario: &Scenario,
     network: &mut dyn Network,
-) -> io::Result<Vec<FleetPlace>> {
+) -> io::Result<Vec<FleetSettings>> {
     let Some(fleet) = &scenario.fleet else {
         return Ok(Vec::new());
     };
@@ -33,7 +33,7 @@
         let ip = Ipv4Addr::new(127, 1, (std::process::id() % 250) as u8, 1 + sender as u8);
         let listen = UdpSocket::bind((ip, 0))?.local_addr()?;
         let advertise = network.sender_address(sender, listen)?;
-        places.push(FleetPlace {
+        places.push(FleetSettings {
             listen,
             advertise,
             seeds: Vec::new(),
@@ -47,9 +47,9 @@
     Ok(places)
 }
 
-impl Stage<'_> {
+impl Runner<'_> {
     /// Does to senders' processes what the day says.
-    pub(super) fn on_fleet_act(&mut self, act: usize) {
+    pub(super) fn on_fleet_action(&mut self, act: usize) {
         let ScheduledAction {
             senders, action, ..
         } = self.scenario.scheduled_actions[act].clone();
@@ -122,7 +122,7 @@
         match which {
             // The new one starts as after a kill.
             Which::Old => {
-                if process.kill_old() {
+                if process.kill_predecessor() {
                     self.record(
                         Some(sender),
                         What::ProcessExited,
@@ -131,7 +131,7 @@
                 }
             }
             Which::New => {
-                if process.kill_new() {
+                if process.kill_successor() {
                     // What it had taken over by then went with it; the old one goes on.
                     self.record(
                         Some(sender),
@@ -150,7 +150,7 @@
     pub(super) fn fleet_views(&self) -> Vec<Option<Value>> {
         self.senders
             .iter()
-            .map(|s| fetch_view(s.process.status?).ok())
+            .map(|s| fetch_view(s.process.status_address?).ok())
             .collect()
     }
 }
--- a/crates/scenario-runner/src/stage/losses.rs
+++ b/crates/scenario-runner/src/runner/losses.rs
@@ -6,13 +6,13 @@
 use cranehill_simulation::audit::What;
 use cranehill_simulation::scenario::Effect;
 
-use super::Stage;
+use super::Runner;
 use crate::journal_damage::Damage;
 
 /// A lost message is submitted again after this.
 const RETRY_AFTER_LOSS: Duration = Duration::from_secs(1);
 
-impl Stage<'_> {
+impl Runner<'_> {
     /// Damages a sender's journal at a place that the seed draws.
     pub(super) fn damage_journal(&mut self, sender: usize) {
         match self.senders[sender]
--- a/crates/scenario-runner/src/stage/processes.rs
+++ b/crates/scenario-runner/src/runner/processes.rs
@@ -8,41 +8,41 @@
 use cranehill_simulation::scenario::{ScheduledSignal, Signal};
 
 use super::timers::Timer;
-use super::{Restart, Stage};
+use super::{Restart, Runner};
 use crate::RunError;
 use crate::senders::{IncarnationEvent, ProcessEvent};
 
 /// After SIGTERM a sender is killed at this time, if it is still there.
-const KILL_AFTER: Duration = Duration::from_millis(3700);
+const TERM_TIMEOUT: Duration = Duration::from_millis(3700);
 /// A sender is started again this long after its end, where the day does not say otherwise.
-const RESTART_AFTER: Duration = Duration::from_millis(600);
+const RESTART_DELAY: Duration = Duration::from_millis(600);
 /// The load balancer goes on for this long to send connections to a sender that was told to end.
-const ROUTED_AFTER_TERM: Duration = Duration::from_millis(300);
+const ROUTING_AFTER_TERM: Duration = Duration::from_millis(300);
 /// How often the loop looks whether a process that was told to end has done so.
-const EXIT_CHECK: Duration = Duration::from_millis(20);
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Distinct warnings of the senders' logs that are kept.
-const WARNINGS_MOST: usize = 50;
+const MAX_WARNINGS: usize = 50;
 
 impl Restart {
     /// What follows an end that the day does not describe further.
     pub const USUAL: Restart = Restart {
-        after: Some(RESTART_AFTER),
+        after: Some(RESTART_DELAY),
         folder: Folder::Kept,
     };
 }
 
-impl Stage<'_> {
+impl Runner<'_> {
     /// Starts a sender, or takes the one that runs already.
     pub(super) fn start(&mut self, sender: usize) -> Result<(), RunError> {
         let mutation = self.plan.mutation.as_deref();
         let one = &mut self.senders[sender];
         one.end_expected = false;
         if let Some(against) = &self.plan.against {
-            one.process.address = Some(against.clients);
+            one.process.client_address = Some(against.clients);
             one.routed = true;
             return Ok(());
         }
-        one.process.operated = self
+        one.process.has_operator_address = self
             .scenario
             .scheduled_actions
             .iter()
@@ -67,26 +67,26 @@
     }
 
     fn on_process_event(&mut self, (generation, heard): IncarnationEvent) {
-        let stale = |sender: usize| !self.senders[sender].process.is_of(generation);
+        let stale = |sender: usize| !self.senders[sender].process.is_current(generation);
         if heard.of_incarnation().is_some_and(stale) {
             return log::debug!("of an earlier process: {heard:?}");
         }
         match heard {
             ProcessEvent::Ready(sender, address) => {
                 // In an upgrade the old process is told to end once the new one is ready.
-                self.senders[sender].process.end_old();
-                self.senders[sender].process.address = Some(address);
+                self.senders[sender].process.terminate_predecessor();
+                self.senders[sender].process.client_address = Some(address);
                 self.on_listening(sender, address);
             }
-            ProcessEvent::Pushes(sender, address) => {
-                self.senders[sender].process.pushes = Some(address);
+            ProcessEvent::WebPushReady(sender, address) => {
+                self.senders[sender].process.web_push_address = Some(address);
                 self.on_listening(sender, address);
             }
             ProcessEvent::Status(sender, address) => {
-                self.senders[sender].process.status = Some(address)
+                self.senders[sender].process.status_address = Some(address)
             }
             ProcessEvent::Line(sender, line) => self.outcome.logs.push((sender, line)),
-            ProcessEvent::Warned(sender, line) => self.keep_warning(sender, &line),
+            ProcessEvent::Warning(sender, line) => self.keep_warning(sender, &line),
             ProcessEvent::Ended(sender) => self.on_process_ended(sender),
         }
     }
@@ -103,7 +103,7 @@
     fn keep_warning(&mut self, sender: usize, line: &str) {
         let text = line.split_once("] ").map_or(line, |(_, text)| text);
         let warnings = &mut self.outcome.warnings;
-        if warnings.len() < WARNINGS_MOST && !warnings.iter().any(|w| w.ends_with(text)) {
+        if warnings.len() < MAX_WARNINGS && !warnings.iter().any(|w| w.ends_with(text)) {
             warnings.push(format!("sender {sender}: {text}"));
         }
     }
@@ -148,12 +148,12 @@
         self.record(Some(sender), What::Signalled, "SIGTERM");
         self.senders[sender].process.signal("TERM");
         self.timers
-            .insert(now + ROUTED_AFTER_TERM, Timer::StopRouting { sender });
+            .insert(now + ROUTING_AFTER_TERM, Timer::StopRouting { sender });
         self.timers.insert(
-            now + EXIT_CHECK,
+            now + EXIT_CHECK_INTERVAL,
             Timer::AwaitExit {
                 sender,
-                kill_at: now + KILL_AFTER,
+                kill_at: now + TERM_TIMEOUT,
             },
         );
     }
@@ -170,9 +170,10 @@
         let now = self.now();
         if self.senders[sender].process.is_running() {
             if now < kill_at {
-                return self
-                    .timers
-                    .insert(now + EXIT_CHECK, Timer::AwaitExit { sender, kill_at });
+                return self.timers.insert(
+                    now + EXIT_CHECK_INTERVAL,
+                    Timer::AwaitExit { sender, kill_at },
+                );
             }
             self.senders[sender].process.kill();
         }
@@ -187,7 +188,7 @@
         self.senders[sender].notified.clear();
         let Restart { after, folder } = self.senders[sender].restart;
         if folder == Folder::Wiped {
-            self.senders[sender].process.wipe();
+            self.senders[sender].process.remove_state();
         }
         if folder == Folder::Wiped || after.is_none() {
             self.lose_messages(sender, None, "what it held is lost");
--- a/crates/scenario-runner/src/stage/replies.rs
+++ b/crates/scenario-runner/src/runner/replies.rs
@@ -5,7 +5,7 @@
 use cranehill_simulation::audit::{self, What};
 use cranehill_simulation::destination::{DeliveryOutcome, Reply, Spoilt};
 
-use super::Stage;
+use super::Runner;
 use super::connections::{AuditNames, Call, CloseMode, ConnectionId};
 use super::timers::Timer;
 use crate::wire;
@@ -19,7 +19,7 @@
     spoilt: bool,
 }
 
-impl Stage<'_> {
+impl Runner<'_> {
     /// The reply to a call is due. A destination that has fallen silent meanwhile does not send it.
     pub(super) fn on_reply_due(&mut self, id: ConnectionId, serial: u64) {
         let Some(reply) = self.replies.remove(&serial) else {
--- a/crates/scenario-runner/src/stage/setup.rs
+++ b/crates/scenario-runner/src/runner/setup.rs
@@ -22,16 +22,16 @@
 use super::connections::{ConnectionId, Listener, Service};
 use super::event_log::EventLog;
 use super::timers::{Timer, TimerQueue};
-use super::{Endpoint, IdleConnections, Restart, Sender, Stage, WAKE, endpoint_id, fleet};
+use super::{Endpoint, IdleConnections, Restart, Runner, Sender, WAKE, endpoint_id, fleet};
 use crate::network::Network;
 use crate::senders::{Process, PushService, configuration, push_file};
 use crate::{Outcome, Plan, RunError};
 
 /// All senders must be ready within this.
-const READY_WITHIN: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// How often the wait for the senders is checked.
-const READY_CHECK: Duration = Duration::from_millis(20);
-const READY_EVENTS: usize = 256;
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const READY_EVENTS_PER_POLL: usize = 256;
 
 /// Last bytes of the addresses of a sender's listeners: 127.0.N.1 for endpoints, 127.0.N.2 for its directory.
 const ENDPOINT_HOST: u8 = 1;
@@ -52,36 +52,36 @@
     push_services: Vec<Vec<PushService>>,
 }
 
-impl<'a> Stage<'a> {
+impl<'a> Runner<'a> {
     /// Opens all listeners, configures the senders and starts them.
-    pub(super) fn set_up(
+    pub(super) fn prepare(
         plan: &'a Plan,
         folder: &Path,
         network: &mut dyn Network,
-    ) -> Result<Stage<'a>, RunError> {
+    ) -> Result<Runner<'a>, RunError> {
         let scenario = &plan.scenario;
         let mut destinations = Destinations::open(scenario, plan.seed, network)?;
         let push_services = std::mem::take(&mut destinations.push_services);
-        let mut stage = Stage::new(plan, folder, destinations)?;
+        let mut runner = Runner::new(plan, folder, destinations)?;
         let fleet = fleet::addresses(scenario, network)?;
         for (sender, services) in push_services.iter().enumerate() {
-            let directory = stage.open_directory(sender)?;
+            let directory = runner.open_directory(sender)?;
             if plan.against.is_none() {
-                let list = stage.first_list(sender);
+                let list = runner.first_list(sender);
                 let config = configuration(scenario, sender, directory, &list, plan.limits);
                 let push = push_file(scenario, services);
-                let process = &mut stage.senders[sender].process;
+                let process = &mut runner.senders[sender].process;
                 process.configure(&config, push.as_deref(), fleet.get(sender))?;
             }
         }
-        stage.register_listeners()?;
+        runner.register_listeners()?;
         for sender in 0..scenario.senders {
-            stage.start(sender)?;
+            runner.start(sender)?;
         }
-        Ok(stage)
+        Ok(runner)
     }
 
-    fn new(plan: &'a Plan, folder: &Path, destinations: Destinations) -> io::Result<Stage<'a>> {
+    fn new(plan: &'a Plan, folder: &Path, destinations: Destinations) -> io::Result<Runner<'a>> {
         let scenario = &plan.scenario;
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
@@ -89,13 +89,13 @@
             scenario.directory.clone(),
             first_rows(scenario, &destinations.endpoints),
         );
-        Ok(Stage {
+        Ok(Runner {
             plan,
             scenario,
             poll,
             waker,
-            begun: Instant::now(),
-            begun_unix: unix_time(),
+            started: Instant::now(),
+            started_unix: unix_time(),
             listeners: destinations.listeners,
             connections: HashMap::new(),
             next_connection: ConnectionId(0),
@@ -153,12 +153,12 @@
     /// Runs the loop until all senders are ready.
     pub(super) fn wait_ready(&mut self) -> Result<(), RunError> {
         let since = Instant::now();
-        let mut events = Events::with_capacity(READY_EVENTS);
+        let mut events = Events::with_capacity(READY_EVENTS_PER_POLL);
         while !self.all_ready() {
-            if since.elapsed() > READY_WITHIN {
+            if since.elapsed() > READY_TIMEOUT {
                 return Err(self.not_ready());
             }
-            self.poll_once(&mut events, READY_CHECK)?;
+            self.poll_once(&mut events, READY_CHECK_INTERVAL)?;
             if let Some(&sender) = self.outcome.crashed.first() {
                 let why = self
                     .outcome
@@ -192,14 +192,14 @@
             .unwrap_or(0);
         RunError::NotReady {
             sender,
-            why: format!("no word in {} s", READY_WITHIN.as_secs()),
+            why: format!("no word in {} s", READY_TIMEOUT.as_secs()),
         }
     }
 
     /// The day begins: its clock starts, and its timers are set.
     pub(super) fn begin(&mut self) {
-        self.begun = Instant::now();
-        self.begun_unix = unix_time();
+        self.started = Instant::now();
+        self.started_unix = unix_time();
         self.log.clear();
         for (n, change) in self.scenario.changes.iter().enumerate() {
             self.timers.insert(change.at, Timer::ListChange(n));
@@ -208,7 +208,7 @@
             self.timers.insert(signal.at, Timer::Signal(n));
         }
         for (n, act) in self.scenario.scheduled_actions.iter().enumerate() {
-            self.timers.insert(act.at, Timer::FleetAct(n));
+            self.timers.insert(act.at, Timer::FleetAction(n));
         }
         self.schedule_fault_edges();
         self.schedule_outage_ends();
--- a/crates/scenario-runner/src/stage/timers.rs
+++ b/crates/scenario-runner/src/runner/timers.rs
@@ -47,7 +47,7 @@
     /// A sender is started again.
     Start { sender: usize },
     /// Something is done to senders' processes, by its index in the day.
-    FleetAct(usize),
+    FleetAction(usize),
     /// One of the two processes of an upgrade is killed.
     KillDuringUpgrade { sender: usize, which: Which },
     /// A stopped sender goes on.
--- a/crates/scenario-runner/src/senders.rs
+++ b/crates/scenario-runner/src/senders.rs
@@ -19,7 +19,7 @@
 use crate::journal_damage::{Damage, damage};
 use crate::resource_usage::{self, ResourceUsage};
 
-/// What is heard of a sender's process, with the number of its life ([`Process::is_of`]).
+/// What is heard of a sender's process, with the number of its life ([`Process::is_current`]).
 pub type IncarnationEvent = (u32, ProcessEvent);
 
 /// What is heard of a sender's process.
@@ -28,11 +28,11 @@
     /// It listens for clients there.
     Ready(usize, SocketAddr),
     /// It listens for Web Push there.
-    Pushes(usize, SocketAddr),
+    WebPushReady(usize, SocketAddr),
     /// It tells operators its view of the fleet there.
     Status(usize, SocketAddr),
     /// A line of its log that warns.
-    Warned(usize, String),
+    Warning(usize, String),
     /// Any line, where all are kept.
     Line(usize, String),
     /// Its log has ended.
@@ -44,10 +44,10 @@
     pub fn of_incarnation(&self) -> Option<usize> {
         match self {
             ProcessEvent::Ready(sender, _)
-            | ProcessEvent::Pushes(sender, _)
+            | ProcessEvent::WebPushReady(sender, _)
             | ProcessEvent::Status(sender, _)
             | ProcessEvent::Ended(sender) => Some(*sender),
-            ProcessEvent::Warned(..) | ProcessEvent::Line(..) => None,
+            ProcessEvent::Warning(..) | ProcessEvent::Line(..) => None,
         }
     }
 
@@ -64,7 +64,7 @@
             return Some(ProcessEvent::Ready(index, at));
         }
         if let Some(at) = listens("listening for Web Push at ") {
-            return Some(ProcessEvent::Pushes(index, at));
+            return Some(ProcessEvent::WebPushReady(index, at));
         }
         if let Some(at) = listens("fleet: status at ") {
             return Some(ProcessEvent::Status(index, at));
@@ -72,7 +72,7 @@
         let warns = ["WARN", "ERROR", "panicked"]
             .iter()
             .any(|w| line.contains(w));
-        warns.then(|| ProcessEvent::Warned(index, line.to_owned()))
+        warns.then(|| ProcessEvent::Warning(index, line.to_owned()))
     }
 }
 
@@ -105,30 +105,30 @@
     folder: PathBuf,
     child: Option<Child>,
     /// The process before this one, and its life, while there are two.
-    old: Option<(Child, u32)>,
+    predecessor: Option<(Child, u32)>,
     /// It has an operators' address.
-    pub operated: bool,
+    pub has_operator_address: bool,
     /// One more with each start and each end.
     incarnation: u32,
     /// Speaks Web Push too.
     push: bool,
     /// Knows the others; every line of its log is kept.
     fleet: bool,
-    pub address: Option<SocketAddr>,
-    pub pushes: Option<SocketAddr>,
-    pub status: Option<SocketAddr>,
+    pub client_address: Option<SocketAddr>,
+    pub web_push_address: Option<SocketAddr>,
+    pub status_address: Option<SocketAddr>,
 }
 
 /// Where one sender meets the others.
 #[derive(Clone, Debug)]
-pub struct FleetPlace {
+pub struct FleetSettings {
     pub listen: SocketAddr,
     pub advertise: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     pub fleet: Fleet,
 }
 
-impl FleetPlace {
+impl FleetSettings {
     /// The operators' file for it.
     fn file(&self) -> String {
         let Fleet {
@@ -177,14 +177,14 @@
             program: program.to_owned(),
             folder,
             child: None,
-            old: None,
-            operated: false,
+            predecessor: None,
+            has_operator_address: false,
             incarnation: 0,
             push: false,
             fleet: false,
-            address: None,
-            pushes: None,
-            status: None,
+            client_address: None,
+            web_push_address: None,
+            status_address: None,
         }
     }
 
@@ -193,7 +193,7 @@
         &mut self,
         config: &Value,
         push: Option<&str>,
-        fleet: Option<&FleetPlace>,
+        fleet: Option<&FleetSettings>,
     ) -> std::io::Result<()> {
         std::fs::create_dir_all(&self.folder)?;
         if let Some(fleet) = fleet {
@@ -211,7 +211,7 @@
     /// Starts it; a mutation is for builds that have some.
     pub fn start(
         &mut self,
-        heard: Channel<IncarnationEvent>,
+        events: Channel<IncarnationEvent>,
         waker: Arc<mio::Waker>,
         mutation: Option<&str>,
     ) -> Result<(), RunError> {
@@ -233,7 +233,7 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped());
-        if self.operated {
+        if self.has_operator_address {
             command.env("NODE_OPERATOR", "127.0.0.1:0");
         }
         if self.push {
@@ -261,13 +261,13 @@
                     if client_answer
                         .into_iter()
                         .chain(line)
-                        .any(|h| heard.send((incarnation, h)).is_err())
+                        .any(|h| events.send((incarnation, h)).is_err())
                         || waker.wake().is_err()
                     {
                         return;
                     }
                 }
-                let _ = heard.send((incarnation, ProcessEvent::Ended(index)));
+                let _ = events.send((incarnation, ProcessEvent::Ended(index)));
                 let _ = waker.wake();
             });
         }
@@ -286,7 +286,7 @@
 
     /// Both fronts are open, as far as it has them.
     pub fn is_ready(&self) -> bool {
-        self.address.is_some() && (self.pushes.is_some() || !self.push)
+        self.client_address.is_some() && (self.web_push_address.is_some() || !self.push)
     }
 
     /// Whether its process is there still.
@@ -297,14 +297,18 @@
             .is_none_or(|c| !matches!(c.try_wait(), Ok(None)));
         if ended {
             self.child = None;
-            (self.address, self.pushes, self.status) = (None, None, None);
+            (
+                self.client_address,
+                self.web_push_address,
+                self.status_address,
+            ) = (None, None, None);
         }
         !ended
     }
 
     /// Whether a word is of the present life. What an earlier one said before its end may be heard only after it: taken for
     /// the present one's, its address would send clients to where nobody, or somebody else's sender, listens by then.
-    pub fn is_of(&self, incarnation: u32) -> bool {
+    pub fn is_current(&self, incarnation: u32) -> bool {
         incarnation == self.incarnation
     }
 
@@ -314,28 +318,32 @@
             .child
             .take()
             .into_iter()
-            .chain(self.old.take().map(|o| o.0))
+            .chain(self.predecessor.take().map(|o| o.0))
         {
             let _ = child.kill();
             let _ = child.wait();
         }
-        (self.address, self.pushes, self.status) = (None, None, None);
+        (
+            self.client_address,
+            self.web_push_address,
+            self.status_address,
+        ) = (None, None, None);
     }
 
     /// Started once more, beside itself.
     pub fn start_successor(
         &mut self,
-        heard: Channel<IncarnationEvent>,
+        events: Channel<IncarnationEvent>,
         waker: Arc<mio::Waker>,
         mutation: Option<&str>,
     ) -> Result<(), RunError> {
-        self.old = self.child.take().map(|child| (child, self.incarnation));
-        self.start(heard, waker, mutation)
+        self.predecessor = self.child.take().map(|child| (child, self.incarnation));
+        self.start(events, waker, mutation)
     }
 
     /// Ends the old one of two by SIGTERM, if it is there still; it has passed all on by then.
-    pub fn end_old(&mut self) {
-        if let Some((child, _)) = &self.old {
+    pub fn terminate_predecessor(&mut self) {
+        if let Some((child, _)) = &self.predecessor {
             let _ = Command::new("kill")
                 .args(["-TERM", &child.id().to_string()])
                 .status();
@@ -343,8 +351,8 @@
     }
 
     /// Kills the old one of two; false if there is none any more.
-    pub fn kill_old(&mut self) -> bool {
-        let Some((mut child, _)) = self.old.take() else {
+    pub fn kill_predecessor(&mut self) -> bool {
+        let Some((mut child, _)) = self.predecessor.take() else {
             return false;
         };
         let there = matches!(child.try_wait(), Ok(None));
@@ -354,14 +362,14 @@
     }
 
     /// Kills the new one of two; false if the old one is gone, so that nobody goes on.
-    pub fn kill_new(&mut self) -> bool {
-        let Some((mut old, incarnation)) = self.old.take() else {
+    pub fn kill_successor(&mut self) -> bool {
+        let Some((mut predecessor, incarnation)) = self.predecessor.take() else {
             return false;
         };
-        if !matches!(old.try_wait(), Ok(None)) {
+        if !matches!(predecessor.try_wait(), Ok(None)) {
             return false;
         }
-        if let Some(mut child) = self.child.replace(old) {
+        if let Some(mut child) = self.child.replace(predecessor) {
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -370,7 +378,7 @@
     }
 
     /// Its lasting folder is lost.
-    pub fn wipe(&self) {
+    pub fn remove_state(&self) {
         let _ = std::fs::remove_dir_all(self.folder.join("state"));
     }
 
@@ -396,7 +404,7 @@
 }
 
 /// How long a key rests after an attempt that may still run.
-const KEY_REST: Duration = Duration::from_millis(100);
+const KEY_QUIET_TIME: Duration = Duration::from_millis(100);
 
 /// The configuration of one sender: `list` is the directory's list with the addresses that it is to use.
 pub fn configuration(
@@ -470,7 +478,7 @@
             "policyLimits": {"attemptsCap": 6, "connIdle": 15_000_000_000u64, "connectTimeout": 1_500_000_000u64,
                 "maxRetryAfter": 2_000_000_000u64, "mostHeld": held, "probes": probes, "retryAfter": true},
             "rules": {"cold": nanos(rules.warm), "coldFrom": rules.cold, "fall": nanos(rules.fall),
-                "fallMultiple": rules.multiple, "graceToAnswer": 20_000_000, "keyQuiet": nanos(KEY_REST)},
+                "fallMultiple": rules.multiple, "graceToAnswer": 20_000_000, "keyQuiet": nanos(KEY_QUIET_TIME)},
             "tenants": tenants,
             "tick": 5_000_000,
             "weightKind": "rough",
@@ -504,8 +512,10 @@
             "[[upstream]]\nname = \"p{destination}\"\nrate = {:?}\n",
             rough_rate(member)
         ));
-        for address in addresses {
-            text.push_str(&format!("[[upstream.server]]\naddress = \"{address}\"\n"));
+        for client_address in addresses {
+            text.push_str(&format!(
+                "[[upstream.server]]\naddress = \"{client_address}\"\n"
+            ));
         }
         let path = crate::wire::push_path(*destination as u64);
         text.push_str(&format!(
@@ -560,20 +570,26 @@
     fn events_of_an_earlier_process_are_distinguished() {
         let folder = std::env::temp_dir();
         let mut process = Process::new(0, Path::new("/bin/sh"), &folder);
-        let (heard, events) = std::sync::mpsc::channel();
+        let (process_events, events) = std::sync::mpsc::channel();
         let poll = mio::Poll::new().expect("a poll");
         let waker = Arc::new(mio::Waker::new(poll.registry(), mio::Token(0)).expect("a waker"));
         process
-            .start(heard.clone(), waker.clone(), None)
+            .start(process_events.clone(), waker.clone(), None)
             .expect("it starts");
         process.kill();
         let (first, ended) = events.recv().expect("its log ends");
         assert_eq!(
-            (ended.of_incarnation(), process.is_of(first)),
+            (ended.of_incarnation(), process.is_current(first)),
             (Some(0), false)
         );
-        process.start(heard, waker, None).expect("it starts again");
-        assert!(!process.is_of(first));
-        assert!(events.recv().is_ok_and(|(second, _)| process.is_of(second)));
+        process
+            .start(process_events, waker, None)
+            .expect("it starts again");
+        assert!(!process.is_current(first));
+        assert!(
+            events
+                .recv()
+                .is_ok_and(|(second, _)| process.is_current(second))
+        );
     }
 }
--- a/crates/scenario-runner/src/wire.rs
+++ b/crates/scenario-runner/src/wire.rs
@@ -9,8 +9,8 @@
 use cranehill_simulation::destination::DeliveryOutcome;
 
 /// Heads and bodies beyond this are nothing that a sender of ours says.
-const HEAD_MOST: usize = 64 * 1024;
-const BODY_MOST: usize = 4 * 1024 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 /// A request as it came whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     let mut parsed = httparse::Request::new(&mut headers);
     let head = match parsed.parse(bytes).map_err(|e| e.to_string())? {
         httparse::Status::Complete(head) => head,
-        httparse::Status::Partial if bytes.len() > HEAD_MOST => {
+        httparse::Status::Partial if bytes.len() > MAX_HEAD_BYTES => {
             return Err("a head without an end".into());
         }
         httparse::Status::Partial => return Ok(None),
@@ -57,7 +57,7 @@
             .map_err(|_| format!("Content-Length: {value}"))?,
         None => 0,
     };
-    if length > BODY_MOST {
+    if length > MAX_BODY_BYTES {
         return Err(format!("a body of {length} bytes"));
     }
     let Some(body) = bytes.get(head..head + length) else {
