--- a/crates/scenario-runner/src/figures.rs
+++ b/crates/scenario-runner/src/figures.rs
@@ -1,80 +1,119 @@
-//! Figures of a day, read off its lines alone.
+//! Figures of a run over time, from its record alone.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
 use cranehill_simulation::audit::{Answer, DeliveryOutcome, Line, What};
 use cranehill_simulation::destination::SimulatedDestination;
-use cranehill_simulation::scenario::Scenario;
+use cranehill_simulation::scenario::{Member, Scenario};
 use hdrhistogram::Histogram;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// A curve: seconds and values.
+/// A curve: seconds since the start, and values.
 pub type Curve = Vec<(f64, f64)>;
 
-/// What a day looked like over time.
+/// Figures of a run over time.
 #[derive(Debug)]
 pub struct Figures {
-    /// Microseconds from a message's handing in to its answer, and to the 200 that a destination wrote for it.
-    pub answered: Histogram<u64>,
-    pub delivered: Histogram<u64>,
-    /// Messages submitted, delivered and refused, by second.
+    /// Microseconds from a message's submission to its answer.
+    pub answer_latency: Histogram<u64>,
+    /// Microseconds from a message's submission to the success that a destination replied.
+    pub delivery_latency: Histogram<u64>,
+    /// Messages submitted in each second.
     pub submitted: Curve,
-    pub delivered_by_second: Curve,
+    /// Messages delivered in each second.
+    pub delivered: Curve,
+    /// Messages rejected in each second.
     pub rejected: Curve,
-    /// Calls out, by sender.
+    /// By sender: calls in flight.
     pub in_flight: Vec<Curve>,
-    /// Destinations that have told some sender to wait, over time.
+    /// Retry-After periods that run.
     pub waits: Curve,
-    /// By destination: messages sent to it a second, and what it could do.
-    pub destinations: Vec<(String, Curve, Curve)>,
+    /// By destination.
+    pub destinations: Vec<DestinationCurves>,
 }
 
-/// An hour in microseconds, beyond which nothing is told apart.
+/// The load of one destination.
+#[derive(Debug)]
+pub struct DestinationCurves {
+    /// The destination's name.
+    pub name: String,
+    /// Messages sent to it in each second.
+    pub sent: Curve,
+    /// Messages a second that it could execute.
+    pub capacity: Curve,
+}
+
+/// An hour: longer latencies count as this.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
+/// Significant digits of latencies.
+const LATENCY_DIGITS: u8 = 3;
+/// Points of a capacity curve in each second.
+const CAPACITY_POINTS_PER_SECOND: usize = 5;
 
-fn histogram() -> Histogram<u64> {
-    // Bounds are constants that the library takes.
-    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)
-        .unwrap_or_else(|_| unreachable!("fixed bounds"))
+/// Computes the figures of a run from its record.
+pub fn figures(scenario: &Scenario, lines: &[Line], lasted: Duration) -> Figures {
+    let mut collector = Collector::new(scenario, lasted);
+    lines.iter().for_each(|line| collector.add(line));
+    collector.finish()
 }
 
-fn record_latency(histogram: &mut Histogram<u64>, span: Duration) {
-    histogram.saturating_record((span.as_micros() as u64).clamp(1, MAX_LATENCY_US));
+/// Events of one second.
+#[derive(Clone, Copy, Debug, Default)]
+struct SecondCounts {
+    submitted: u32,
+    delivered: u32,
+    rejected: u32,
 }
 
-/// Reads a day's lines.
-pub fn figures(scenario: &Scenario, lines: &[Line], lasted: Duration) -> Figures {
-    let seconds = lasted.as_secs() as usize + 1;
-    let mut figures = Figures {
-        answered: histogram(),
-        delivered: histogram(),
-        submitted: Vec::new(),
-        delivered_by_second: Vec::new(),
-        rejected: Vec::new(),
-        in_flight: vec![Vec::new(); scenario.senders],
-        waits: Vec::new(),
-        destinations: Vec::new(),
-    };
-    let mut counts = vec![[0u32; 3]; seconds];
-    let mut sent = vec![vec![0u32; seconds]; scenario.destinations.len()];
-    let mut submitted_at: HashMap<&str, Duration> = HashMap::new();
-    let mut in_flight_calls: Vec<BTreeSet<u64>> = vec![BTreeSet::new(); scenario.senders];
-    let mut wait_changes: Vec<(Duration, i32)> = Vec::new();
-    for line in lines {
-        let second = (line.at.as_secs() as usize).min(seconds - 1);
-        let sender = line.sender.unwrap_or(0).min(scenario.senders - 1);
+struct Collector<'a> {
+    scenario: &'a Scenario,
+    seconds: usize,
+    answer_latency: Histogram<u64>,
+    delivery_latency: Histogram<u64>,
+    counts: Vec<SecondCounts>,
+    /// By destination, then by second.
+    sent: Vec<Vec<u32>>,
+    submitted_at: HashMap<&'a str, Duration>,
+    /// By sender: connections with a call in flight.
+    busy_connections: Vec<BTreeSet<u64>>,
+    in_flight: Vec<Curve>,
+    /// Starts (+1) and ends (-1) of Retry-After periods.
+    wait_changes: Vec<(Duration, i32)>,
+}
+
+impl<'a> Collector<'a> {
+    fn new(scenario: &'a Scenario, lasted: Duration) -> Collector<'a> {
+        let seconds = lasted.as_secs() as usize + 1;
+        Collector {
+            scenario,
+            seconds,
+            answer_latency: latency_histogram(),
+            delivery_latency: latency_histogram(),
+            counts: vec![SecondCounts::default(); seconds],
+            sent: vec![vec![0; seconds]; scenario.destinations.len()],
+            submitted_at: HashMap::new(),
+            busy_connections: vec![BTreeSet::new(); scenario.senders],
+            in_flight: vec![Vec::new(); scenario.senders],
+            wait_changes: Vec::new(),
+        }
+    }
+
+    fn add(&mut self, line: &'a Line) {
+        let second = (line.at.as_secs() as usize).min(self.seconds - 1);
+        let sender = line.sender.unwrap_or(0).min(self.scenario.senders - 1);
         match &line.what {
             What::Submitted { id, .. } | What::Posted { id, .. } => {
-                counts[second][0] += 1;
-                submitted_at.insert(id, line.at);
+                self.counts[second].submitted += 1;
+                self.submitted_at.insert(id, line.at);
             }
             What::Answered { id, answer } => {
-                if let Some(&since) = submitted_at.get(id.as_str()) {
-                    record_latency(&mut figures.answered, line.at.saturating_sub(since));
+                if let Some(latency) = self.latency(id, line.at) {
+                    record_latency(&mut self.answer_latency, latency);
                 }
-                counts[second][2] += u32::from(matches!(answer, Answer::Rejected { .. }));
+                let rejected = matches!(answer, Answer::Rejected { .. });
+                self.counts[second].rejected += u32::from(rejected);
             }
             What::Called {
                 connection,
@@ -82,11 +121,10 @@
                 ids,
                 ..
             } => {
-                in_flight_calls[sender].insert(*connection);
-                figures.in_flight[sender]
-                    .push((line.at.as_secs_f64(), in_flight_calls[sender].len() as f64));
-                if let Some(row) = sent.get_mut(*destination as usize) {
-                    row[second] += ids.len() as u32;
+                self.busy_connections[sender].insert(*connection);
+                self.add_in_flight(sender, line.at);
+                if let Some(sent) = self.sent.get_mut(*destination as usize) {
+                    sent[second] += ids.len() as u32;
                 }
             }
             What::Replied {
@@ -95,69 +133,117 @@
                 wait,
                 ..
             } => {
-                in_flight_calls[sender].remove(connection);
-                figures.in_flight[sender]
-                    .push((line.at.as_secs_f64(), in_flight_calls[sender].len() as f64));
-                for (id, _) in outcomes.iter().filter(|(_, f)| *f == DeliveryOutcome::Done) {
-                    counts[second][1] += 1;
-                    if let Some(&since) = submitted_at.get(id.as_str()) {
-                        record_latency(&mut figures.delivered, line.at.saturating_sub(since));
-                    }
-                }
+                self.busy_connections[sender].remove(connection);
+                self.add_in_flight(sender, line.at);
+                self.add_outcomes(second, line.at, outcomes);
                 if let Some(wait) = wait {
-                    wait_changes.extend([(line.at, 1), (line.at + *wait, -1)]);
+                    self.wait_changes
+                        .extend([(line.at, 1), (line.at + *wait, -1)]);
                 }
             }
             What::Closed { connection } | What::Broke { connection, .. }
-                if in_flight_calls[sender].contains(connection) =>
+                if self.busy_connections[sender].contains(connection) =>
             {
-                in_flight_calls[sender].remove(connection);
-                figures.in_flight[sender]
-                    .push((line.at.as_secs_f64(), in_flight_calls[sender].len() as f64));
+                self.busy_connections[sender].remove(connection);
+                self.add_in_flight(sender, line.at);
             }
             _ => {}
         }
     }
-    let curve = |n: usize| {
-        counts
+
+    /// From the submission of a message, if it was recorded, until `at`.
+    fn latency(&self, id: &str, at: Duration) -> Option<Duration> {
+        let submitted_at = *self.submitted_at.get(id)?;
+        Some(at.saturating_sub(submitted_at))
+    }
+
+    fn add_in_flight(&mut self, sender: usize, at: Duration) {
+        let count = self.busy_connections[sender].len() as f64;
+        self.in_flight[sender].push((at.as_secs_f64(), count));
+    }
+
+    fn add_outcomes(
+        &mut self,
+        second: usize,
+        at: Duration,
+        outcomes: &[(String, DeliveryOutcome)],
+    ) {
+        let delivered = outcomes
             .iter()
-            .enumerate()
-            .map(|(s, c)| (s as f64, f64::from(c[n])))
-            .collect()
-    };
-    (
-        figures.submitted,
-        figures.delivered_by_second,
-        figures.rejected,
-    ) = (curve(0), curve(1), curve(2));
-    wait_changes.sort_unstable();
-    let mut open = 0;
-    for (at, change) in wait_changes {
-        open += change;
-        figures.waits.push((at.as_secs_f64(), f64::from(open)));
+            .filter(|(_, outcome)| *outcome == DeliveryOutcome::Done);
+        for (id, _) in delivered {
+            self.counts[second].delivered += 1;
+            if let Some(latency) = self.latency(id, at) {
+                record_latency(&mut self.delivery_latency, latency);
+            }
+        }
     }
-    for (n, member) in scenario.destinations.iter().enumerate() {
-        let destination = SimulatedDestination::new(
-            member.spec.clone(),
-            member.faults.clone(),
-            ChaCha8Rng::seed_from_u64(0),
-        );
-        let load = sent[n]
+
+    fn finish(self) -> Figures {
+        let curve = |count: fn(&SecondCounts) -> u32| per_second(self.counts.iter().map(count));
+        let destinations = self
+            .scenario
+            .destinations
             .iter()
-            .enumerate()
-            .map(|(s, c)| (s as f64, f64::from(*c)))
-            .collect();
-        let capacity = (0..seconds * 5)
-            .map(|k| {
-                (
-                    k as f64 / 5.0,
-                    destination.capacity(Duration::from_millis(k as u64 * 200)),
-                )
+            .zip(&self.sent)
+            .map(|(member, sent)| DestinationCurves {
+                name: member.name.clone(),
+                sent: per_second(sent.iter().copied()),
+                capacity: capacity(member, self.seconds),
             })
             .collect();
-        figures
-            .destinations
-            .push((member.name.clone(), load, capacity));
+        Figures {
+            submitted: curve(|counts| counts.submitted),
+            delivered: curve(|counts| counts.delivered),
+            rejected: curve(|counts| counts.rejected),
+            answer_latency: self.answer_latency,
+            delivery_latency: self.delivery_latency,
+            in_flight: self.in_flight,
+            waits: running_waits(self.wait_changes),
+            destinations,
+        }
     }
-    figures
+}
+
+fn latency_histogram() -> Histogram<u64> {
+    // The library accepts these constants.
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS)
+        .unwrap_or_else(|_| unreachable!("fixed bounds"))
+}
+
+fn record_latency(histogram: &mut Histogram<u64>, latency: Duration) {
+    histogram.saturating_record((latency.as_micros() as u64).clamp(1, MAX_LATENCY_US));
+}
+
+fn per_second(counts: impl Iterator<Item = u32>) -> Curve {
+    counts
+        .enumerate()
+        .map(|(second, count)| (second as f64, f64::from(count)))
+        .collect()
+}
+
+fn running_waits(mut changes: Vec<(Duration, i32)>) -> Curve {
+    changes.sort_unstable();
+    let mut running = 0;
+    changes
+        .into_iter()
+        .map(|(at, change)| {
+            running += change;
+            (at.as_secs_f64(), f64::from(running))
+        })
+        .collect()
+}
+
+/// What a destination could execute by its faults.
+fn capacity(member: &Member, seconds: usize) -> Curve {
+    // Capacity needs no draw, so any seed serves.
+    let rng = ChaCha8Rng::seed_from_u64(0);
+    let destination = SimulatedDestination::new(member.spec.clone(), member.faults.clone(), rng);
+    let interval = Duration::from_secs(1) / CAPACITY_POINTS_PER_SECOND as u32;
+    (0..seconds * CAPACITY_POINTS_PER_SECOND)
+        .map(|point| {
+            let at = point as f64 / CAPACITY_POINTS_PER_SECOND as f64;
+            (at, destination.capacity(interval * point as u32))
+        })
+        .collect()
 }
--- a/crates/scenario-runner/src/mutations.rs
+++ b/crates/scenario-runner/src/mutations.rs
@@ -1,4 +1,4 @@
-//! Broken builds: each named mutation with a day on which it shows, and the rules of which one must catch it.
+//! Mutations: faults that a build can be told to have, each with a scenario and the rule that must detect it.
 
 use cranehill_simulation::audit::Rule;
 
@@ -6,19 +6,20 @@
 const RESTARTS: &str = include_str!("../../../rehearsals/days/broken-restarts.toml");
 const UNSAFE: &str = include_str!("../../../rehearsals/days/broken-unsafe.toml");
 const RETURN: &str = include_str!("../../../rehearsals/days/broken-return.toml");
-
 const ORDER: &str = include_str!("../../../rehearsals/days/broken-order.toml");
 
-/// One mutation as a rehearsal plays it.
+/// One mutation with its scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
+    /// The name that a build with mutations knows.
     pub name: &'static str,
+    /// The rule that must be violated.
     pub rule: Rule,
-    /// The day's file.
+    /// The text of the scenario's file.
     pub scenario: &'static str,
 }
 
-/// All of them, by the names that a build with mutations knows.
+/// All mutations.
 pub const CASES: [Case; 15] = [
     Case {
         name: "ignores-waits",
--- a/crates/scenario-runner/src/network.rs
+++ b/crates/scenario-runner/src/network.rs
@@ -1,4 +1,4 @@
-//! The network between senders and simulated servers. A rehearsal connects them directly; a rig puts relays in between.
+//! The network between senders and simulated servers. The scenario runner connects them directly; the fleet harness puts relays in between.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,13 +19,13 @@
     /// The address (UDP) under which the other senders reach `sender`, which listens at `real`.
     fn sender_address(&mut self, sender: usize, real: SocketAddr) -> io::Result<SocketAddr>;
 
-    /// Starts the members of the fleet that are no senders of the rehearsal; the senders meet each other at `senders`.
-    /// Tells some addresses at which a sender finds these members.
+    /// Starts members of the fleet that are not real senders; the senders receive packets at `senders`. Returns addresses of some
+    /// of these members, for the senders to contact first.
     fn join(&mut self, _fleet: &Fleet, _senders: &[SocketAddr]) -> io::Result<Vec<SocketAddr>> {
         Ok(Vec::new())
     }
 
-    /// The day begins at this instant.
+    /// The scenario's clock starts at this instant.
     fn begin(&mut self, at: Instant);
 }
 
--- a/crates/scenario-runner/src/report.rs
+++ b/crates/scenario-runner/src/report.rs
@@ -1,23 +1,25 @@
-//! What a day came to, for a person: a short table, and each violation with the lines that prove it.
+//! The results of a run as text: a short table, and each violation with the lines that prove it.
 
 use cranehill_simulation::audit::{Rule, Verdict};
 
-use crate::Outcome;
+use crate::outcome::Outcome;
 
-/// Breaches of one rule that are shown in full.
+/// Violations of one rule, and reasons why a run is void, that are shown.
 const MAX_SHOWN_VIOLATIONS: usize = 3;
+/// Warnings of the senders' logs that are shown.
+const MAX_SHOWN_WARNINGS: usize = 5;
 
-/// The table of one day.
+/// The table of one run.
 pub fn table(name: &str, seed: u64, outcome: &Outcome) -> Vec<String> {
-    let (worth, asked) = outcome.worth;
-    let share = if asked > 0.0 { worth / asked } else { 1.0 };
+    let share = outcome.service();
+    let (delivered_weight, submitted_weight) = outcome.worth;
     let mut lines = vec![
         format!(
             "{name} (seed {seed}, {:.1} s)",
             outcome.lasted.as_secs_f64()
         ),
         format!(
-            "  service {share:.3}: {worth:.1} of {asked:.0} messages' priority weight; {} submissions, {} delivered",
+            "  service {share:.3}: {delivered_weight:.1} of {submitted_weight:.0} messages' priority weight; {} submissions, {} delivered",
             outcome.submitted, outcome.delivered
         ),
         format!(
@@ -55,19 +57,13 @@
         outcome
             .warnings
             .iter()
-            .take(5)
+            .take(MAX_SHOWN_WARNINGS)
             .map(|w| format!("  log: {w}")),
     );
     lines
 }
 
-/// Which rules were broken.
+/// The rules that were violated.
 pub fn broken(outcome: &Outcome) -> Vec<Rule> {
-    let broken = |v: &Verdict| matches!(v, Verdict::Broken(_));
-    outcome
-        .verdicts
-        .iter()
-        .filter(|(_, v)| broken(v))
-        .map(|(r, _)| *r)
-        .collect()
+    outcome.violated_rules().collect()
 }
--- a/crates/scenario-runner/src/resource_usage.rs
+++ b/crates/scenario-runner/src/resource_usage.rs
@@ -1,6 +1,7 @@
 //! Processor time, memory and descriptors of processes and of this thread, read from `/proc`. Zero where there is no `/proc`.
 
 use std::fs;
+use std::path::Path;
 use std::time::Duration;
 
 /// Resources that a process has used so far.
@@ -8,11 +9,11 @@
 pub struct ResourceUsage {
     /// Processor time of all its threads.
     pub cpu: Duration,
-    /// The most resident memory that it has had, in kB.
+    /// Largest resident memory so far, in kB.
     pub memory_kb: u64,
-    /// The resident memory that it has now, in kB.
+    /// Resident memory now, in kB.
     pub resident_kb: u64,
-    /// Descriptors that are open now.
+    /// Open descriptors.
     pub descriptors: usize,
 }
 
@@ -45,7 +46,7 @@
 }
 
 /// The first number of a `schedstat` file: nanoseconds on a processor.
-fn cpu_time(path: &std::path::Path) -> Duration {
+fn cpu_time(path: &Path) -> Duration {
     let text = fs::read_to_string(path).unwrap_or_default();
     Duration::from_nanos(
         text.split_whitespace()
--- a/crates/scenario-runner/src/runner/clients.rs
+++ b/crates/scenario-runner/src/runner/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they hand messages in, to whichever sender the load balancer chooses, and wait for the answer.
+//! Clients: they submit messages to the sender that the load balancer chooses, and wait for the answer.
 
 use std::time::Duration;
 
@@ -7,14 +7,16 @@
 use cranehill_simulation::scenario::Effect;
 use mio::net::TcpStream;
 
-use super::Runner;
-use super::connections::{ClientProtocol, ClientRole, ConnectionId, Role};
+use super::connection::{ClientProtocol, ClientRole, ConnectionId, Role};
+use super::state::Runner;
 use super::timers::Timer;
-use crate::wire;
+use crate::wire::{
+    Framed, encode_post, encode_put, parse_client_answer, parse_post_answer, push_path,
+};
 
-/// A client waits this long beyond the time of a message that it has posted; nothing later is the sender's one answer.
+/// A client waits this long beyond the time to live of a message that it has posted; a later answer does not count.
 const POST_GRACE: Duration = Duration::from_secs(1);
-/// The least time to live of a post: it is told in whole seconds.
+/// The least time to live of a post, which states whole seconds.
 const MIN_POST_TTL_S: u64 = 1;
 
 /// A message as it is written to a sender, with its entry in the record.
@@ -33,7 +35,7 @@
 }
 
 impl Runner<'_> {
-    /// Hands in what is due, unless the timer has been replaced by an earlier one.
+    /// Submits the messages that are due, unless the timer has been replaced by an earlier one.
     pub(super) fn on_arrival(&mut self, at: Duration) {
         if self.next_arrival != Some(at) {
             return;
@@ -47,7 +49,7 @@
         self.schedule_arrival();
     }
 
-    /// Sets the timer for the next message. There is one at most: each that goes off sets its successor.
+    /// Sets the timer for the next message. There is one at most: each sets its successor when it fires.
     pub(super) fn schedule_arrival(&mut self) {
         let due = self
             .clients
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Sends a message to a sender. Where none can be reached, it counts as unanswered later.
+    /// Sends a message to a sender. If none can be reached, it counts as unanswered later.
     fn submit(&mut self, message: Submission) {
         let protocol = self.protocol_for(&message);
         let chosen = match &message.ordering_key {
@@ -85,7 +87,7 @@
             client.in_flight = Some(message);
         }
         if protocol == ClientProtocol::WebPush {
-            // The answer is the message's end, so the day waits for it.
+            // The answer completes the message, so the run waits for it.
             self.pending.insert(id.clone(), sender);
         }
         self.record(Some(sender), request.event, &request.line);
@@ -113,7 +115,7 @@
             .find(|&sender| self.senders[sender].routed)
     }
 
-    /// Messages of one key come to one sender while it runs.
+    /// Messages of one ordering key are sent to one sender while it runs.
     fn sender_of_key(&self, key: &str) -> Option<usize> {
         let count = self.senders.len();
         let first = usize::from_str_radix(key, 16).unwrap_or(0) % count;
@@ -157,7 +159,7 @@
         let duration = Duration::from_secs(message.duration.as_secs().max(MIN_POST_TTL_S));
         let topic = self.scenario.classes[*class].effect == Effect::Safe;
         ClientRequest {
-            bytes: wire::post(message, duration, topic),
+            bytes: encode_post(message, duration, topic),
             patience: duration + POST_GRACE,
             event: What::Posted {
                 id: id.clone(),
@@ -167,7 +169,7 @@
             },
             line: format!(
                 "POST {}{id} TTL {} topic {topic}",
-                wire::push_path(*destination),
+                push_path(*destination),
                 duration.as_secs()
             ),
         }
@@ -195,7 +197,7 @@
             .unwrap_or_default();
         let class_name = &self.scenario.classes[*class].name;
         ClientRequest {
-            bytes: wire::put(message, class_name, &self.scenario.tenants[message.tenant]),
+            bytes: encode_put(message, class_name, &self.scenario.tenants[message.tenant]),
             patience: self.scenario.load.patience,
             event,
             line: format!(
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Reads the answers that have come on a client's connection.
+    /// Reads the answers that have arrived on a client's connection.
     pub(super) fn read_answers(&mut self, id: ConnectionId) {
         while let Some(received) = self.next_answer(id) {
             self.on_answer(id, received);
@@ -214,11 +216,17 @@
 
     fn next_answer(&mut self, id: ConnectionId) -> Option<ReceivedAnswer> {
         let connection = self.connections.get_mut(&id)?;
-        let (answer, length) = match connection.client()?.protocol {
-            ClientProtocol::WebPush => wire::posted(&connection.input)?,
+        let Framed {
+            value: answer,
+            length,
+        } = match connection.client()?.protocol {
+            ClientProtocol::WebPush => parse_post_answer(&connection.input)?,
             ClientProtocol::Resp => {
-                let (client_answer, length) = wire::client_answer(&connection.input)?;
-                (audited_answer(client_answer), length)
+                let Framed { value, length } = parse_client_answer(&connection.input)?;
+                Framed {
+                    value: audited_answer(value),
+                    length,
+                }
             }
         };
         let text = String::from_utf8_lossy(&connection.input[..length])
@@ -264,7 +272,7 @@
         self.senders[sender].idle.of(protocol).push(id);
     }
 
-    /// A sender has closed a client's connection; `any_read` says whether bytes came with the end.
+    /// A sender has closed a client's connection; `any_read` says whether bytes arrived with the end.
     pub(super) fn on_client_closed(&mut self, sender: usize, client: ClientRole, any_read: bool) {
         let Some(message) = client.in_flight else {
             return;
@@ -301,7 +309,7 @@
         self.client_unanswered(id);
     }
 
-    /// Tells the client that its message has got no answer.
+    /// The client of a message gets no answer.
     pub(super) fn client_unanswered(&mut self, id: &str) {
         let now = self.now();
         self.clients.answered(now, id, ClientAnswer::Nothing);
--- a/crates/scenario-runner/src/runner/connections.rs
+++ b/crates/scenario-runner/src/runner/connections.rs
@@ -1,198 +1,17 @@
-//! Sockets of the loop: listeners, connections, and their reads and writes.
+//! Sockets of the loop: connections accepted, read, written and closed.
 
-use std::io::{self, ErrorKind, Read, Write};
+use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-use cranehill_simulation::audit::What;
-use cranehill_simulation::clients::Submission;
 use cranehill_simulation::destination::Connect;
-use mio::net::{TcpListener, TcpStream};
+use mio::net::TcpStream;
 use mio::{Interest, Token};
 use socket2::SockRef;
 
-use super::{IdleConnections, Runner};
-
-/// Bytes that one read takes at most.
-const READ_CHUNK_BYTES: usize = 16 * 1024;
-
-/// A connection's number, which is its token as well.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(super) struct ConnectionId(pub usize);
-
-/// A listening socket and what accepts its connections.
-#[derive(Debug)]
-pub(super) struct Listener {
-    pub socket: TcpListener,
-    pub serves: Service,
-}
-
-/// What a listener stands for. Each sender has listeners of its own.
-#[derive(Clone, Copy, Debug)]
-pub(super) enum Service {
-    Endpoint { sender: usize, endpoint: usize },
-    Directory { sender: usize },
-}
-
-/// A connection between a sender and a simulated server.
-#[derive(Debug)]
-pub(super) struct Connection {
-    pub stream: TcpStream,
-    pub sender: usize,
-    pub role: Role,
-    pub input: Vec<u8>,
-    pub output: Vec<u8>,
-    /// When it was last used.
-    pub used: Duration,
-}
-
-/// Which simulated server has a connection.
-#[derive(Debug)]
-pub(super) enum Role {
-    Destination(DestinationRole),
-    Directory { watch: Option<HeldWatch> },
-    Client(ClientRole),
-}
-
-/// A connection that an endpoint of a destination has accepted.
-#[derive(Debug)]
-pub(super) struct DestinationRole {
-    pub endpoint: usize,
-    pub names: AuditNames,
-    /// Bytes of a request have come, and not all of it.
-    pub request_started: bool,
-    pub in_flight: Option<Call>,
-}
-
-/// What a connection and its endpoint are called in the record.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct AuditNames {
-    pub connection: u64,
-    pub endpoint: usize,
-    pub destination: u64,
-}
-
-/// A call that has arrived and is not answered yet.
-#[derive(Debug)]
-pub(super) struct Call {
-    pub ids: Vec<String>,
-    pub batch: bool,
-    pub serial: u64,
-}
-
-/// A question to the directory that is held until there is a change.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct HeldWatch {
-    /// The version that the sender has.
-    pub from: u64,
-    pub asked: Duration,
-    pub hold: Duration,
-}
-
-/// A connection of a client to a sender.
-#[derive(Debug)]
-pub(super) struct ClientRole {
-    pub protocol: ClientProtocol,
-    /// The message that waits for its answer.
-    pub in_flight: Option<Submission>,
-    /// An answer has come on it.
-    pub used: bool,
-}
-
-/// How a client hands messages in.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ClientProtocol {
-    Resp,
-    WebPush,
-}
-
-/// How a connection is closed from our side.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CloseMode {
-    /// By FIN.
-    Orderly,
-    /// By RST.
-    Reset,
-}
-
-impl IdleConnections {
-    pub fn of(&mut self, protocol: ClientProtocol) -> &mut Vec<ConnectionId> {
-        match protocol {
-            ClientProtocol::Resp => &mut self.resp,
-            ClientProtocol::WebPush => &mut self.web_push,
-        }
-    }
-}
-
-impl Connection {
-    pub fn destination(&self) -> Option<&DestinationRole> {
-        if let Role::Destination(role) = &self.role {
-            Some(role)
-        } else {
-            None
-        }
-    }
-
-    pub fn destination_mut(&mut self) -> Option<&mut DestinationRole> {
-        if let Role::Destination(role) = &mut self.role {
-            Some(role)
-        } else {
-            None
-        }
-    }
-
-    pub fn client(&self) -> Option<&ClientRole> {
-        if let Role::Client(role) = &self.role {
-            Some(role)
-        } else {
-            None
-        }
-    }
-
-    pub fn client_mut(&mut self) -> Option<&mut ClientRole> {
-        if let Role::Client(role) = &mut self.role {
-            Some(role)
-        } else {
-            None
-        }
-    }
-
-    /// The held watch, on a connection to the directory that has one.
-    pub fn watch(&self) -> Option<HeldWatch> {
-        if let Role::Directory { watch } = &self.role {
-            *watch
-        } else {
-            None
-        }
-    }
-
-    /// Reads what has come; true if the peer has closed the connection.
-    fn fill(&mut self) -> bool {
-        let mut chunk = [0u8; READ_CHUNK_BYTES];
-        loop {
-            match self.stream.read(&mut chunk) {
-                Ok(0) => return true,
-                Ok(n) => self.input.extend_from_slice(&chunk[..n]),
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => {
-                    return !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected);
-                }
-            }
-        }
-    }
-
-    /// Writes as much as the socket takes.
-    fn flush(&mut self) {
-        while !self.output.is_empty() {
-            match self.stream.write(&self.output) {
-                Ok(0) => return,
-                Ok(n) => drop(self.output.drain(..n)),
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // Not established yet, full, or broken: the last is found by reading.
-                Err(_) => return,
-            }
-        }
-    }
-}
+use super::connection::{
+    AuditNames, CloseMode, Connection, ConnectionId, DestinationRole, Listener, Role, Service,
+};
+use super::state::Runner;
 
 impl Runner<'_> {
     /// Accepts all connections that wait at a listener.
@@ -210,7 +29,7 @@
                     let _ = self.add_connection(stream, sender, Role::Directory { watch: None });
                 }
                 Service::Endpoint { sender, endpoint } => {
-                    self.accept_at_endpoint(stream, sender, endpoint)
+                    self.accept_at_endpoint(stream, sender, endpoint);
                 }
             }
         }
@@ -229,7 +48,7 @@
         };
         let connection = names.connection;
         match connect {
-            // The kernel has accepted already: a refusal becomes a reset, and what never comes up stays silent.
+            // The kernel has accepted already: a refused connection is reset, and one that is never established stays silent.
             Connect::Refused => {
                 let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 drop(stream);
@@ -359,66 +178,3 @@
             .collect()
     }
 }
-
-impl AuditNames {
-    pub fn opened(self) -> What {
-        let AuditNames {
-            connection,
-            endpoint,
-            destination,
-        } = self;
-        What::Opened {
-            connection,
-            endpoint,
-            destination,
-        }
-    }
-
-    pub fn started(self) -> What {
-        let AuditNames {
-            connection,
-            endpoint,
-            destination,
-        } = self;
-        What::Begun {
-            connection,
-            endpoint,
-            destination,
-        }
-    }
-
-    pub fn called(self, ids: Vec<String>) -> What {
-        let AuditNames {
-            connection,
-            endpoint,
-            destination,
-        } = self;
-        What::Called {
-            connection,
-            endpoint,
-            destination,
-            ids,
-        }
-    }
-
-    pub fn broke(self, ids: Vec<String>, executed: bool) -> What {
-        let AuditNames {
-            connection,
-            endpoint,
-            destination,
-        } = self;
-        What::Broke {
-            connection,
-            endpoint,
-            destination,
-            ids,
-            executed,
-        }
-    }
-
-    pub fn closed(self) -> What {
-        What::Closed {
-            connection: self.connection,
-        }
-    }
-}
--- a/crates/scenario-runner/src/runner/destinations.rs
+++ b/crates/scenario-runner/src/runner/destinations.rs
@@ -1,22 +1,16 @@
-//! Destinations: they read calls, and their connections break as the day's faults say.
+//! Destinations: they read calls, and their connections break by the faults of the scenario.
 
 use std::time::Duration;
 
 use cranehill_simulation::audit::What;
 use cranehill_simulation::destination::{Asked, Reply};
 
-use super::Runner;
-use super::connections::{Call, CloseMode, ConnectionId, DestinationRole};
+use super::connection::{Call, CloseMode, ConnectionId, DestinationRole};
+use super::state::Runner;
 use super::timers::Timer;
-use crate::wire::{self, Request};
+use crate::wire::{DestinationCall, Framed, Request, encode_response, parse_request, push_path};
 
-/// The messages of a call that has passed all checks.
-struct AcceptedCall {
-    ids: Vec<String>,
-    batch: bool,
-}
-
-/// A call that is answered by this status at once.
+/// A call that is answered with this status at once.
 struct RejectedCall {
     status: u16,
 }
@@ -28,9 +22,12 @@
             let Some(connection) = self.connections.get_mut(&id) else {
                 return;
             };
-            match wire::request(&connection.input) {
+            match parse_request(&connection.input) {
                 Ok(None) => return,
-                Ok(Some((request, length))) => {
+                Ok(Some(Framed {
+                    value: request,
+                    length,
+                })) => {
                     connection.input.drain(..length);
                     if let Some(role) = connection.destination_mut() {
                         role.request_started = false;
@@ -73,7 +70,7 @@
         true
     }
 
-    /// A call has arrived whole.
+    /// A complete call has arrived.
     fn on_call(&mut self, id: ConnectionId, request: &Request) {
         let used = self.now();
         let Some(connection) = self.connections.get_mut(&id) else {
@@ -87,9 +84,11 @@
         else {
             return;
         };
-        let AcceptedCall { ids, batch } = match self.check_call(sender, endpoint, request) {
+        let DestinationCall { ids, batch } = match self.check_call(sender, endpoint, request) {
             Ok(call) => call,
-            Err(RejectedCall { status }) => return self.send(id, &wire::response(status, &[], "")),
+            Err(RejectedCall { status }) => {
+                return self.send(id, &encode_response(status, &[], ""));
+            }
         };
         let line = format!(
             "{} {} on connection {}",
@@ -127,40 +126,36 @@
         }
     }
 
-    /// Whether a call is one that this endpoint takes. One that no sender may make voids the day.
+    /// Checks that a call is valid at this endpoint. One that no sender may make voids the run.
     fn check_call(
         &mut self,
         sender: usize,
         endpoint: usize,
         request: &Request,
-    ) -> Result<AcceptedCall, RejectedCall> {
+    ) -> Result<DestinationCall, RejectedCall> {
         if request.method == "GET" {
             return Err(RejectedCall { status: 404 });
         }
-        let (ids, batch) = wire::call_ids(request).map_err(|why| {
+        let call = DestinationCall::parse(request).map_err(|why| {
             self.void(format!("sender {sender} to endpoint {endpoint}: {why}"));
             RejectedCall { status: 400 }
         })?;
         let destination = self.endpoints[endpoint].destination;
         let member = &self.scenario.destinations[destination];
-        if member.push
-            != request
-                .path
-                .starts_with(&wire::push_path(destination as u64))
-        {
+        if member.push != request.path.starts_with(&push_path(destination as u64)) {
             let path = &request.path;
             self.void(format!(
-                "sender {sender}: {path} to endpoint {endpoint}, which is another's"
+                "sender {sender}: {path} to endpoint {endpoint}, which is another destination's"
             ));
             return Err(RejectedCall { status: 404 });
         }
-        if batch && ids.len() > member.spec.batch {
+        if call.batch && call.ids.len() > member.spec.batch {
             return Err(RejectedCall { status: 413 });
         }
-        Ok(AcceptedCall { ids, batch })
+        Ok(call)
     }
 
-    /// What the destination makes of a call.
+    /// The reply of the destination to a call.
     fn call_destination(&mut self, endpoint: usize, messages: usize) -> Reply {
         let now = self.now();
         let place = &self.endpoints[endpoint];
@@ -197,7 +192,7 @@
         self.record(Some(sender), names.broke(ids, executed), &line);
     }
 
-    /// Resets all connections of an endpoint, at the beginning of a refusal and at the end of a silence.
+    /// Resets all connections of an endpoint, at the start of an outage that refuses and at the end of one that is silent.
     pub(super) fn reset_connections_of(&mut self, endpoint: usize) {
         let place = &self.endpoints[endpoint];
         if self.destinations[place.destination]
--- a/crates/scenario-runner/src/runner/directory.rs
+++ b/crates/scenario-runner/src/runner/directory.rs
@@ -8,16 +8,19 @@
 use cranehill_simulation::scenario::{ListChange, To};
 use serde_json::{Value, json};
 
-use super::connections::{CloseMode, ConnectionId, HeldWatch, Role};
+use super::connection::{CloseMode, ConnectionId, HeldWatch, Role};
+use super::state::{Endpoint, Runner, endpoint_id};
 use super::timers::Timer;
-use super::{Endpoint, Runner, endpoint_id};
-use crate::senders::rough_rate;
-use crate::wire::{self, Request};
+use crate::senders::listed_rate;
+use crate::wire::{
+    FinalReportLine, Framed, Request, WatchRequest, encode_response, parse_final_reports,
+    parse_request,
+};
 
-/// A watch that found nothing is not asked again sooner.
+/// A held watch is not checked again sooner than this.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The state of one endpoint in a list that a sender is told.
+/// The state of one endpoint in a list that a sender receives.
 struct NotifiedState {
     endpoint: usize,
     destination: u64,
@@ -25,7 +28,7 @@
 }
 
 impl Runner<'_> {
-    /// Reads questions, one at a time while none is held.
+    /// Reads requests, one at a time while no watch is held.
     pub(super) fn read_directory_requests(&mut self, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else {
@@ -34,15 +37,18 @@
             if connection.watch().is_some() {
                 return;
             }
-            match wire::request(&connection.input) {
+            match parse_request(&connection.input) {
                 Ok(None) => return,
-                Ok(Some((request, length))) => {
+                Ok(Some(Framed {
+                    value: request,
+                    length,
+                })) => {
                     connection.input.drain(..length);
                     self.on_directory_request(id, &request);
                 }
                 Err(why) => {
                     self.void(format!(
-                        "a question to the directory that can't be read: {why}"
+                        "a request to the directory that can't be read: {why}"
                     ));
                     return self.close_connection(id, CloseMode::Reset);
                 }
@@ -55,7 +61,7 @@
         match (request.method.as_str(), path) {
             ("POST", "/v1/notices") => self.on_final_reports(id, request),
             ("GET", "/v1/endpoints") => self.on_watch(id, request),
-            _ => self.send(id, &wire::response(404, &[], "")),
+            _ => self.send(id, &encode_response(404, &[], "")),
         }
     }
 
@@ -63,23 +69,22 @@
         let Some(sender) = self.connections.get(&id).map(|c| c.sender) else {
             return;
         };
-        match wire::reports(&request.body) {
+        match parse_final_reports(&request.body) {
             Ok(reports) => {
-                for (message, after, returned) in reports {
-                    let final_report = if returned {
-                        FinalReport::Returned { after }
-                    } else {
-                        FinalReport::Failed
-                    };
-                    self.on_final_report(sender, &message, final_report);
+                for FinalReportLine {
+                    id: message,
+                    report,
+                } in reports
+                {
+                    self.on_final_report(sender, &message, report);
                 }
-                self.send(id, &wire::response(204, &[], ""));
+                self.send(id, &encode_response(204, &[], ""));
             }
             Err(why) => {
                 self.void(format!(
                     "sender {sender}: a report that can't be read: {why}"
                 ));
-                self.send(id, &wire::response(400, &[], ""));
+                self.send(id, &encode_response(400, &[], ""));
             }
         }
     }
@@ -106,7 +111,11 @@
     }
 
     fn on_watch(&mut self, id: ConnectionId, request: &Request) {
-        let (from, hold) = wire::watch(&request.path).unwrap_or((0, Duration::ZERO));
+        let WatchRequest { from, hold } =
+            WatchRequest::parse(&request.path).unwrap_or(WatchRequest {
+                from: 0,
+                hold: Duration::ZERO,
+            });
         let asked = self.now();
         self.hold_watch(id, Some(HeldWatch { from, asked, hold }));
         self.answer_watch(id);
@@ -119,7 +128,7 @@
         }
     }
 
-    /// Answers a held watch if there is something to tell; else looks again later.
+    /// Answers a held watch if the list has changed, or checks it again later.
     pub(super) fn answer_watch(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -134,7 +143,7 @@
                 self.record_notified(sender, &list);
                 let body = self.list_json(&list, sender).to_string();
                 self.hold_watch(id, None);
-                self.send(id, &wire::response(200, &[], &body));
+                self.send(id, &encode_response(200, &[], &body));
                 self.read_directory_requests(id);
             }
             Watch::Hold { until } | Watch::Silent { until } => {
@@ -184,7 +193,7 @@
 
     fn notified_state(&self, row: &Row) -> NotifiedState {
         let place = &self.endpoints[row.endpoint];
-        // A row of an endpoint that has been replaced since is its predecessor's.
+        // A row with another id is of an endpoint that has been replaced.
         let endpoint = if place.id == row.id {
             place.audited
         } else {
@@ -220,10 +229,10 @@
             .map_or(0, |s| (self.started_unix + s).as_millis() as u64);
         let zone = &self.scenario.zones[member.zones[place.number]];
         json!({"id": row.id, "addr": place.addresses[sender].to_string(), "zone": zone, "kind": member.kind,
-            "cell": row.destination, "state": state, "weight": rough_rate(member), "started_ms": started})
+            "cell": row.destination, "state": state, "weight": listed_rate(member), "started_ms": started})
     }
 
-    /// Makes a change of the day to the list.
+    /// Makes a scheduled change to the list.
     pub(super) fn change_list(&mut self, change: usize) {
         let ListChange {
             destination,
@@ -262,7 +271,7 @@
         self.directory.change(now, row);
     }
 
-    /// Another endpoint takes this one's address.
+    /// Another endpoint replaces this one at its address.
     fn replace_endpoint(&mut self, endpoint: usize) {
         let audited = self.next_audited_endpoint;
         self.next_audited_endpoint += 1;
--- a/crates/scenario-runner/src/runner/event_log.rs
+++ b/crates/scenario-runner/src/runner/event_log.rs
@@ -1,13 +1,13 @@
-//! The record of a day: each event with the time at which it was noticed and how late that may have been.
+//! The record of a run: each event with the time at which it was noticed and how late that may have been.
 
 use std::time::Duration;
 
 use cranehill_simulation::audit::{Line, What};
 
-/// Characters of the wire that a line keeps.
+/// Characters of a line's text that are kept.
 const MAX_WIRE_CHARS: usize = 120;
 
-/// What has passed, in order, for the auditor.
+/// All events in order, for the auditor.
 #[derive(Debug, Default)]
 pub(super) struct EventLog {
     pub lines: Vec<Line>,
@@ -26,7 +26,7 @@
 
 impl EventLog {
     /// Records an event that is noticed now.
-    pub fn record(&mut self, now: Duration, sender: Option<usize>, what: What, wire: &str) {
+    pub(super) fn record(&mut self, now: Duration, sender: Option<usize>, what: What, wire: &str) {
         let wire: String = wire
             .chars()
             .filter(|c| !c.is_control())
@@ -42,23 +42,24 @@
     }
 
     /// The event that is handled next is late by this much.
-    pub fn set_late(&mut self, late: Duration) {
+    pub(super) fn set_late(&mut self, late: Duration) {
         self.late = late;
         self.note_lateness(late);
     }
 
     /// Counts one more measured lateness.
-    pub fn note_lateness(&mut self, late: Duration) {
+    pub(super) fn note_lateness(&mut self, late: Duration) {
         self.lateness.push(late);
     }
 
-    /// Forgets what was recorded before the day began.
-    pub fn clear(&mut self) {
+    /// Removes all events from before the scenario began.
+    pub(super) fn clear(&mut self) {
         self.lines.clear();
         self.lateness.clear();
     }
 
-    pub fn lateness(&mut self) -> Lateness {
+    /// The lateness of all events so far.
+    pub(super) fn lateness(&mut self) -> Lateness {
         self.lateness.sort_unstable();
         Lateness {
             most: self.lateness.last().copied().unwrap_or_default(),
--- a/crates/scenario-runner/src/runner/fleet.rs
+++ b/crates/scenario-runner/src/runner/fleet.rs
@@ -1,4 +1,4 @@
-//! Senders that know each other: their addresses, what is done to their processes, and their views at the end.
+//! Senders that are members of a fleet: their addresses, scheduled actions on their processes, and their views at the end.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -9,17 +9,17 @@
 use cranehill_simulation::scenario::Scenario;
 use serde_json::Value;
 
+use super::state::{Restart, Runner};
 use super::timers::Timer;
-use super::{Restart, Runner};
 use crate::network::Network;
 use crate::senders::FleetSettings;
 
 /// How long the request for a sender's view may take.
 const VIEW_TIMEOUT: Duration = Duration::from_secs(1);
-/// Members that each sender asks for the others.
+/// Members that each sender contacts first.
 const SEEDS: usize = 3;
 
-/// Where each sender's membership packets go, for its configuration; empty on a day without a fleet.
+/// The fleet settings of each sender; empty for a scenario without a fleet.
 pub(super) fn addresses(
     scenario: &Scenario,
     network: &mut dyn Network,
@@ -29,7 +29,7 @@
     };
     let mut places = Vec::new();
     for sender in 0..scenario.senders {
-        // No other rig on this machine uses the address, so the port is still free when the sender starts, or starts again.
+        // No other run on this machine uses the address, so the port is still free when the sender starts, or starts again.
         let ip = Ipv4Addr::new(127, 1, (std::process::id() % 250) as u8, 1 + sender as u8);
         let listen = UdpSocket::bind((ip, 0))?.local_addr()?;
         let advertise = network.sender_address(sender, listen)?;
@@ -48,13 +48,13 @@
 }
 
 impl Runner<'_> {
-    /// Does to senders' processes what the day says.
-    pub(super) fn on_fleet_action(&mut self, act: usize) {
+    /// Carries out a scheduled action on senders' processes.
+    pub(super) fn on_fleet_action(&mut self, index: usize) {
         let ScheduledAction {
             senders, action, ..
-        } = self.scenario.scheduled_actions[act].clone();
+        } = self.scenario.scheduled_actions[index].clone();
         let now = self.now();
-        // Whoever brings simulated members does the same to them.
+        // The network that has simulated members carries it out on them.
         for sender in senders
             .into_iter()
             .filter(|&sender| sender < self.scenario.senders)
@@ -92,10 +92,11 @@
     fn stop(&mut self, sender: usize) {
         self.record(Some(sender), What::Signalled, "SIGSTOP");
         self.senders[sender].process.signal("STOP");
-        // The load balancer messages that nobody answers.
+        // The load balancer notices that nobody answers.
         self.senders[sender].routed = false;
     }
 
+    /// Continues a stopped process.
     pub(super) fn resume(&mut self, sender: usize) {
         self.record(Some(sender), What::Ready, "SIGCONT");
         let one = &mut self.senders[sender];
@@ -105,22 +106,19 @@
 
     /// Starts a second process of a sender beside the first.
     fn upgrade(&mut self, sender: usize) {
-        let events = self.process_events.0.clone();
         let mutation = self.plan.mutation.as_deref();
-        let started =
-            self.senders[sender]
-                .process
-                .start_successor(events, self.waker.clone(), mutation);
+        let sink = self.event_sink.clone();
+        let started = self.senders[sender].process.start_successor(sink, mutation);
         if let Err(e) = started {
             self.outcome.warnings.push(format!("sender {sender}: {e}"));
         }
     }
 
-    /// Kills one of the two processes of an upgrade, wherever they have got to.
+    /// Kills one of the two processes of an upgrade, at any point of the hand-over.
     pub(super) fn kill_during_upgrade(&mut self, sender: usize, which: Which) {
         let process = &mut self.senders[sender].process;
         match which {
-            // The new one starts as after a kill.
+            // The new one recovers as after a crash.
             Which::Old => {
                 if process.kill_predecessor() {
                     self.record(
@@ -132,7 +130,7 @@
             }
             Which::New => {
                 if process.kill_successor() {
-                    // What it had taken over by then went with it; the old one goes on.
+                    // The state that it had inherited is lost with it; the old one continues.
                     self.record(
                         Some(sender),
                         What::ProcessExited,
@@ -146,7 +144,7 @@
         }
     }
 
-    /// Asks each sender that is there for its view of the fleet.
+    /// Requests the view of the fleet of each sender that runs.
     pub(super) fn fleet_views(&self) -> Vec<Option<Value>> {
         self.senders
             .iter()
--- a/crates/scenario-runner/src/runner/losses.rs
+++ b/crates/scenario-runner/src/runner/losses.rs
@@ -1,4 +1,4 @@
-//! Messages that a sender loses with its folder, or with a part of its journal, and that clients hand in again.
+//! Messages that a sender loses with its state folder or a part of its journal, and that clients submit again.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use cranehill_simulation::audit::What;
 use cranehill_simulation::scenario::Effect;
 
-use super::Runner;
+use super::state::Runner;
 use crate::journal_damage::Damage;
 
 /// A lost message is submitted again after this.
@@ -31,13 +31,13 @@
                 self.lose_messages(sender, Some(lost), &line);
             }
             Ok(None) => {}
-            // What was promised is no longer known, so nothing of it can be judged.
+            // The lost messages are not known, so all of them count as lost.
             Err(e) => self.lose_messages(sender, None, &format!("its journal can't be read: {e}")),
         }
     }
 
-    /// A sender loses all its messages, or `only` these. Clients hand them in again, to a sender that is there, unless a
-    /// message may have been executed and must not run again.
+    /// A sender loses all its messages, or `only` these. Clients submit them again, to a sender that runs, unless a
+    /// message may have been executed and must not be executed twice.
     pub(super) fn lose_messages(
         &mut self,
         sender: usize,
@@ -63,7 +63,7 @@
         self.schedule_arrival();
     }
 
-    /// Those of the messages that may be executed again. Classes are not told apart: where a day has an unsafe one, no message that
+    /// Those of the messages that may be executed again. Classes are not distinguished: if the scenario has an unsafe one, no message that
     /// has been called is repeated.
     fn repeatable(&self, mut ids: Vec<String>) -> Vec<String> {
         if self
--- a/crates/scenario-runner/src/runner/processes.rs
+++ b/crates/scenario-runner/src/runner/processes.rs
@@ -1,4 +1,4 @@
-//! The senders' processes: started, watched, told to end, started again.
+//! The senders' processes: started, watched, ended, started again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,32 +7,22 @@
 use cranehill_simulation::fleet::{Folder, MemberAction};
 use cranehill_simulation::scenario::{ScheduledSignal, Signal};
 
+use super::state::{Restart, Runner};
 use super::timers::Timer;
-use super::{Restart, Runner};
-use crate::RunError;
-use crate::senders::{IncarnationEvent, ProcessEvent};
+use crate::error::RunError;
+use crate::senders::{ProcessEvent, ProcessEventKind};
 
-/// After SIGTERM a sender is killed at this time, if it is still there.
+/// A sender that runs this long after SIGTERM is killed.
 const TERM_TIMEOUT: Duration = Duration::from_millis(3700);
-/// A sender is started again this long after its end, where the day does not say otherwise.
-const RESTART_DELAY: Duration = Duration::from_millis(600);
-/// The load balancer goes on for this long to send connections to a sender that was told to end.
+/// The load balancer sends connections to a sender for this long after SIGTERM.
 const ROUTING_AFTER_TERM: Duration = Duration::from_millis(300);
-/// How often the loop looks whether a process that was told to end has done so.
+/// How often the loop checks whether a process has ended after SIGTERM.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Distinct warnings of the senders' logs that are kept.
 const MAX_WARNINGS: usize = 50;
 
-impl Restart {
-    /// What follows an end that the day does not describe further.
-    pub const USUAL: Restart = Restart {
-        after: Some(RESTART_DELAY),
-        folder: Folder::Kept,
-    };
-}
-
 impl Runner<'_> {
-    /// Starts a sender, or takes the one that runs already.
+    /// Starts a sender, or uses the one that runs already.
     pub(super) fn start(&mut self, sender: usize) -> Result<(), RunError> {
         let mutation = self.plan.mutation.as_deref();
         let one = &mut self.senders[sender];
@@ -47,8 +37,7 @@
             .scheduled_actions
             .iter()
             .any(|a| matches!(a.action, MemberAction::Upgrade { .. }));
-        one.process
-            .start(self.process_events.0.clone(), self.waker.clone(), mutation)
+        one.process.start(self.event_sink.clone(), mutation)
     }
 
     /// Starts a sender again, unless another restart has done so already.
@@ -59,39 +48,44 @@
         self.start(sender)
     }
 
-    /// Handles what has been heard of processes.
+    /// Handles the events of processes that have arrived.
     pub(super) fn on_process_events(&mut self) {
-        while let Ok(event) = self.process_events.1.try_recv() {
+        while let Ok(event) = self.process_events.try_recv() {
             self.on_process_event(event);
         }
     }
 
-    fn on_process_event(&mut self, (generation, heard): IncarnationEvent) {
-        let stale = |sender: usize| !self.senders[sender].process.is_current(generation);
-        if heard.of_incarnation().is_some_and(stale) {
-            return log::debug!("of an earlier process: {heard:?}");
+    fn on_process_event(&mut self, event: ProcessEvent) {
+        let ProcessEvent {
+            sender,
+            incarnation,
+            kind,
+        } = event;
+        let process = &mut self.senders[sender].process;
+        if kind.is_of_one_process() && !process.is_current(incarnation) {
+            return log::debug!(
+                "an event of an earlier process of sender {sender} is ignored: {kind:?}"
+            );
         }
-        match heard {
-            ProcessEvent::Ready(sender, address) => {
-                // In an upgrade the old process is told to end once the new one is ready.
-                self.senders[sender].process.terminate_predecessor();
-                self.senders[sender].process.client_address = Some(address);
+        match kind {
+            ProcessEventKind::ClientListener(address) => {
+                // In an upgrade the old process is ended once the new one is ready.
+                process.terminate_predecessor();
+                process.client_address = Some(address);
                 self.on_listening(sender, address);
             }
-            ProcessEvent::WebPushReady(sender, address) => {
-                self.senders[sender].process.web_push_address = Some(address);
+            ProcessEventKind::WebPushListener(address) => {
+                process.web_push_address = Some(address);
                 self.on_listening(sender, address);
             }
-            ProcessEvent::Status(sender, address) => {
-                self.senders[sender].process.status_address = Some(address)
-            }
-            ProcessEvent::Line(sender, line) => self.outcome.logs.push((sender, line)),
-            ProcessEvent::Warning(sender, line) => self.keep_warning(sender, &line),
-            ProcessEvent::Ended(sender) => self.on_process_ended(sender),
+            ProcessEventKind::StatusListener(address) => process.status_address = Some(address),
+            ProcessEventKind::LogLine(line) => self.outcome.logs.push((sender, line)),
+            ProcessEventKind::Warning(line) => self.keep_warning(sender, &line),
+            ProcessEventKind::Ended => self.on_process_ended(sender),
         }
     }
 
-    /// A listener of a sender is open; with the last one the sender takes messages.
+    /// A listener of a sender is open; with the last one the sender accepts messages.
     fn on_listening(&mut self, sender: usize, address: SocketAddr) {
         if self.senders[sender].process.is_ready() {
             self.senders[sender].routed = true;
@@ -99,7 +93,7 @@
         }
     }
 
-    /// Keeps the first of each warning, told apart by the text behind the log's head.
+    /// Keeps the first of each warning; warnings differ by the text behind the log's head.
     fn keep_warning(&mut self, sender: usize, line: &str) {
         let text = line.split_once("] ").map_or(line, |(_, text)| text);
         let warnings = &mut self.outcome.warnings;
@@ -121,7 +115,7 @@
         self.record(Some(sender), What::ProcessExited, "ended without a signal");
     }
 
-    /// Sends a signal of the day.
+    /// Sends a scheduled signal.
     pub(super) fn on_signal(&mut self, signal: usize) {
         let ScheduledSignal { sender, signal, .. } = self.scenario.signals[signal];
         match signal {
@@ -158,14 +152,14 @@
         );
     }
 
-    /// The load balancer messages that a sender is ending.
+    /// The load balancer notices that a sender is ending.
     pub(super) fn stop_routing(&mut self, sender: usize) {
         if self.senders[sender].end_expected {
             self.senders[sender].routed = false;
         }
     }
 
-    /// Looks whether a process has ended, and kills it when its time is over.
+    /// Checks whether a process has ended, and kills it at `kill_at`.
     pub(super) fn await_exit(&mut self, sender: usize, kill_at: Duration) {
         let now = self.now();
         if self.senders[sender].process.is_running() {
@@ -180,7 +174,7 @@
         self.on_exit(sender);
     }
 
-    /// A process has ended as the day wanted: its folder is treated as the day says, and it starts again if it is to.
+    /// A process has ended as scheduled: its folder is kept, removed or damaged by the scenario, and it starts again if it is to.
     fn on_exit(&mut self, sender: usize) {
         let now = self.now();
         self.senders[sender].routed = false;
--- a/crates/scenario-runner/src/runner/replies.rs
+++ b/crates/scenario-runner/src/runner/replies.rs
@@ -1,14 +1,14 @@
-//! Replies of destinations to calls, whole or spoilt.
+//! Replies of destinations to calls, valid or malformed.
 
 use std::time::Duration;
 
 use cranehill_simulation::audit::{self, What};
 use cranehill_simulation::destination::{DeliveryOutcome, Reply, Spoilt};
 
-use super::Runner;
-use super::connections::{AuditNames, Call, CloseMode, ConnectionId};
+use super::connection::{AuditNames, Call, CloseMode, ConnectionId};
+use super::state::Runner;
 use super::timers::Timer;
-use crate::wire;
+use crate::wire::{CallReply, batch_state};
 
 /// A reply as it is written.
 struct WrittenReply {
@@ -20,7 +20,7 @@
 }
 
 impl Runner<'_> {
-    /// The reply to a call is due. A destination that has fallen silent meanwhile does not send it.
+    /// The reply to a call is due. A destination that is silent by then does not send it.
     pub(super) fn on_reply_due(&mut self, id: ConnectionId, serial: u64) {
         let Some(reply) = self.replies.remove(&serial) else {
             return;
@@ -50,14 +50,15 @@
             } => {
                 let retry_after = wait.map(|w| if push { in_whole_seconds(w) } else { w });
                 self.write_reply(id, |call| WrittenReply {
-                    bytes: wire::call_answer(
-                        &call.ids,
-                        call.batch,
-                        &outcomes,
+                    bytes: CallReply {
+                        ids: &call.ids,
+                        batch: call.batch,
+                        outcomes: &outcomes,
                         retry_after,
-                        report,
+                        load_report: report,
                         push,
-                    ),
+                    }
+                    .encode(),
                     outcomes,
                     retry_after,
                     spoilt: false,
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Writes bytes that are no reply, and closes the connection unless the reply stalls.
+    /// Writes bytes that are not a valid reply, and closes the connection unless the reply stalls.
     fn write_broken_reply(&mut self, id: ConnectionId, how: Spoilt) {
         let bytes: &[u8] = match how {
             Spoilt::Garbage => b"\x16\x03\x01garbage\r\n\r\n",
@@ -145,15 +146,23 @@
     }
 }
 
-/// A push service tells whole seconds.
+/// A push service states whole seconds.
 fn in_whole_seconds(wait: Duration) -> Duration {
     Duration::from_secs(wait.as_millis().div_ceil(1000) as u64)
 }
 
-/// A good reply with more bytes behind it.
+/// A valid reply with more bytes behind it.
 fn trailing_reply(call: &Call, push: bool) -> WrittenReply {
     let outcomes = vec![DeliveryOutcome::Done; call.ids.len()];
-    let mut bytes = wire::call_answer(&call.ids, call.batch, &outcomes, None, None, push);
+    let reply = CallReply {
+        ids: &call.ids,
+        batch: call.batch,
+        outcomes: &outcomes,
+        retry_after: None,
+        load_report: None,
+        push,
+    };
+    let mut bytes = reply.encode();
     bytes.extend_from_slice(b"and more");
     WrittenReply {
         bytes,
@@ -167,7 +176,7 @@
     let shown: Vec<&str> = reply
         .outcomes
         .iter()
-        .map(|outcome| wire::state_of(*outcome))
+        .map(|outcome| batch_state(*outcome))
         .collect();
     let (outcomes, ids) = (shown.join(" "), call.ids.join(" "));
     format!(
--- /dev/null
+++ b/crates/scenario-runner/src/runner/schedule.rs
@@ -0,0 +1,57 @@
+//! The timers of a scenario: changes, signals, actions and faults.
+
+use std::collections::BTreeSet;
+use std::time::{Duration, Instant};
+
+use cranehill_simulation::fault::{Fault, Kind};
+
+use super::clock::unix_time;
+use super::state::Runner;
+use super::timers::Timer;
+
+impl Runner<'_> {
+    /// The scenario begins: its clock starts, and its timers are set.
+    pub(super) fn begin(&mut self) {
+        self.started = Instant::now();
+        self.started_unix = unix_time();
+        self.log.clear();
+        for (n, change) in self.scenario.changes.iter().enumerate() {
+            self.timers.insert(change.at, Timer::ListChange(n));
+        }
+        for (n, signal) in self.scenario.signals.iter().enumerate() {
+            self.timers.insert(signal.at, Timer::Signal(n));
+        }
+        for (n, action) in self.scenario.scheduled_actions.iter().enumerate() {
+            self.timers.insert(action.at, Timer::FleetAction(n));
+        }
+        self.schedule_fault_edges();
+        self.schedule_outage_ends();
+        self.schedule_arrival();
+    }
+
+    /// Faults that reset an endpoint's connections, at their beginning and end.
+    fn schedule_fault_edges(&mut self) {
+        for (endpoint, place) in self.endpoints.iter().enumerate() {
+            let faults = &self.scenario.destinations[place.destination].faults[place.number];
+            for fault in faults
+                .iter()
+                .filter(|f| matches!(f.kind, Kind::Refuse | Kind::Vanish))
+            {
+                self.timers
+                    .insert(fault.start, Timer::FaultEdge { endpoint });
+                self.timers
+                    .insert(fault.end(), Timer::FaultEdge { endpoint });
+            }
+        }
+    }
+
+    fn schedule_outage_ends(&mut self) {
+        for (destination, member) in self.scenario.destinations.iter().enumerate() {
+            let outages = member.faults.iter().flatten().filter(|f| f.is_outage());
+            let ends: BTreeSet<Duration> = outages.map(Fault::end).collect();
+            for end in ends {
+                self.timers.insert(end, Timer::OutageEnd { destination });
+            }
+        }
+    }
+}
--- a/crates/scenario-runner/src/runner/timers.rs
+++ b/crates/scenario-runner/src/runner/timers.rs
@@ -6,12 +6,12 @@
 
 use cranehill_simulation::fleet::Which;
 
-use super::connections::ConnectionId;
+use super::connection::ConnectionId;
 
 /// What is due at some time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// Clients hand in what is due; `at` tells a timer that an earlier one has replaced.
+    /// Messages are due to be submitted; by `at` a timer that was replaced is known.
     Arrival { at: Duration },
     /// A client stops waiting for the answer to a message.
     ClientTimeout {
@@ -32,25 +32,25 @@
     },
     /// A held watch of the directory may have an answer.
     Watch { connection: ConnectionId },
-    /// A change of the directory's list, by its index in the day.
+    /// A change of the directory's list, by its index in the scenario.
     ListChange(usize),
-    /// A signal to a sender, by its index in the day.
+    /// A signal to a sender, by its index in the scenario.
     Signal(usize),
     /// A fault that resets an endpoint's connections begins or ends.
     FaultEdge { endpoint: usize },
     /// An outage of a destination ends.
     OutageEnd { destination: usize },
-    /// A sender that was told to end is killed if it runs at `kill_at`.
+    /// A sender that got SIGTERM is killed if it runs at `kill_at`.
     AwaitExit { sender: usize, kill_at: Duration },
-    /// The load balancer stops sending connections to a sender that was told to end.
+    /// The load balancer stops sending connections to a sender that got SIGTERM.
     StopRouting { sender: usize },
     /// A sender is started again.
     Start { sender: usize },
-    /// Something is done to senders' processes, by its index in the day.
+    /// An action on senders' processes, by its index in the scenario.
     FleetAction(usize),
     /// One of the two processes of an upgrade is killed.
     KillDuringUpgrade { sender: usize, which: Which },
-    /// A stopped sender goes on.
+    /// A stopped sender continues.
     Resume { sender: usize },
 }
 
@@ -69,7 +69,8 @@
 }
 
 impl TimerQueue {
-    pub fn insert(&mut self, due: Duration, timer: Timer) {
+    /// Adds a timer.
+    pub(super) fn insert(&mut self, due: Duration, timer: Timer) {
         self.inserted += 1;
         self.entries.push(Reverse(Entry {
             due,
@@ -79,12 +80,12 @@
     }
 
     /// When the next timer is due.
-    pub fn next_due(&self) -> Option<Duration> {
+    pub(super) fn next_due(&self) -> Option<Duration> {
         self.entries.peek().map(|Reverse(entry)| entry.due)
     }
 
     /// The first timer that is due, with its time.
-    pub fn pop_due(&mut self, now: Duration) -> Option<(Duration, Timer)> {
+    pub(super) fn pop_due(&mut self, now: Duration) -> Option<(Duration, Timer)> {
         if self.next_due()? > now {
             return None;
         }
