--- a/crates/scenario-runner/src/lib.rs
+++ b/crates/scenario-runner/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod resource_usage;
 mod runner;
 mod senders;
+pub mod timer_queue;
 mod wire;
 
 use std::net::SocketAddr;
--- a/crates/scenario-runner/src/runner/clients.rs
+++ b/crates/scenario-runner/src/runner/clients.rs
@@ -57,7 +57,7 @@
             .filter(|at| self.next_arrival.is_none_or(|set| *at < set));
         if let Some(at) = due {
             self.next_arrival = Some(at);
-            self.timers.insert(at, Timer::Arrival { at });
+            self.timers.push(at, Timer::Arrival { at });
         }
     }
 
@@ -71,7 +71,7 @@
         let Some(connection) = chosen.and_then(|sender| self.client_connection(sender, protocol))
         else {
             let at = self.now() + self.scenario.load.patience;
-            return self.timers.insert(at, Timer::Unrouted { id: message.id });
+            return self.timers.push(at, Timer::Unrouted { id: message.id });
         };
         let request = match protocol {
             ClientProtocol::WebPush => self.post_request(&message),
@@ -93,7 +93,7 @@
         self.record(Some(sender), request.event, &request.line);
         self.send(connection, &request.bytes);
         self.timers
-            .insert(timeout, Timer::ClientTimeout { connection, id });
+            .push(timeout, Timer::ClientTimeout { connection, id });
     }
 
     fn protocol_for(&self, message: &Submission) -> ClientProtocol {
--- a/crates/scenario-runner/src/runner/connection.rs
+++ b/crates/scenario-runner/src/runner/connection.rs
@@ -8,6 +8,8 @@
 use mio::Token;
 use mio::net::{TcpListener, TcpStream};
 
+use crate::wire::{Framed, Request, WireError, parse_request};
+
 /// Token of the waker, by which the threads that read the senders' logs interrupt a poll.
 pub(super) const WAKE: Token = Token(usize::MAX);
 /// Bytes of one read.
@@ -171,6 +173,15 @@
         }
     }
 
+    /// Takes the next request from the input; `None` if it is not complete.
+    pub(super) fn take_request(&mut self) -> Result<Option<Request>, WireError> {
+        let Some(Framed { value, length }) = parse_request(&self.input)? else {
+            return Ok(None);
+        };
+        self.input.drain(..length);
+        Ok(Some(value))
+    }
+
     /// Reads all bytes that have arrived; true if the peer has closed the connection.
     pub(super) fn fill(&mut self) -> bool {
         let mut chunk = [0u8; READ_CHUNK_BYTES];
--- a/crates/scenario-runner/src/runner/destinations.rs
+++ b/crates/scenario-runner/src/runner/destinations.rs
@@ -8,7 +8,7 @@
 use super::connection::{Call, CloseMode, ConnectionId, DestinationRole};
 use super::state::Runner;
 use super::timers::Timer;
-use crate::wire::{DestinationCall, Framed, Request, encode_response, parse_request, push_path};
+use crate::wire::{DestinationCall, Request, encode_response, push_path};
 
 /// A call that is answered with this status at once.
 struct RejectedCall {
@@ -22,13 +22,9 @@
             let Some(connection) = self.connections.get_mut(&id) else {
                 return;
             };
-            match parse_request(&connection.input) {
+            match connection.take_request() {
                 Ok(None) => return,
-                Ok(Some(Framed {
-                    value: request,
-                    length,
-                })) => {
-                    connection.input.drain(..length);
+                Ok(Some(request)) => {
                     if let Some(role) = connection.destination_mut() {
                         role.request_started = false;
                     }
@@ -110,7 +106,7 @@
         match reply {
             Reply::Answer { at, .. } | Reply::Spoilt { at, .. } => {
                 self.replies.insert(serial, reply);
-                self.timers.insert(
+                self.timers.push(
                     at,
                     Timer::Reply {
                         connection: id,
--- a/crates/scenario-runner/src/runner/directory.rs
+++ b/crates/scenario-runner/src/runner/directory.rs
@@ -12,10 +12,7 @@
 use super::state::{Endpoint, Runner, endpoint_id};
 use super::timers::Timer;
 use crate::senders::listed_rate;
-use crate::wire::{
-    FinalReportLine, Framed, Request, WatchRequest, encode_response, parse_final_reports,
-    parse_request,
-};
+use crate::wire::{FinalReportLine, Request, WatchRequest, encode_response, parse_final_reports};
 
 /// A held watch is not checked again sooner than this.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(1);
@@ -37,13 +34,9 @@
             if connection.watch().is_some() {
                 return;
             }
-            match parse_request(&connection.input) {
+            match connection.take_request() {
                 Ok(None) => return,
-                Ok(Some(Framed {
-                    value: request,
-                    length,
-                })) => {
-                    connection.input.drain(..length);
+                Ok(Some(request)) => {
                     self.on_directory_request(id, &request);
                 }
                 Err(why) => {
@@ -147,7 +140,7 @@
                 self.read_directory_requests(id);
             }
             Watch::Hold { until } | Watch::Silent { until } => {
-                self.timers.insert(
+                self.timers.push(
                     until.max(now + MIN_WATCH_INTERVAL),
                     Timer::Watch { connection: id },
                 );
--- a/crates/scenario-runner/src/runner/fleet.rs
+++ b/crates/scenario-runner/src/runner/fleet.rs
@@ -62,7 +62,7 @@
             match action {
                 MemberAction::Stop { duration } => {
                     self.stop(sender);
-                    self.timers.insert(now + duration, Timer::Resume { sender });
+                    self.timers.push(now + duration, Timer::Resume { sender });
                 }
                 MemberAction::Kill { back, folder } => self.kill(
                     sender,
@@ -82,7 +82,7 @@
                     self.upgrade(sender);
                     if let Some((which, after)) = kill {
                         self.timers
-                            .insert(now + after, Timer::KillDuringUpgrade { sender, which });
+                            .push(now + after, Timer::KillDuringUpgrade { sender, which });
                     }
                 }
             }
--- a/crates/scenario-runner/src/runner/processes.rs
+++ b/crates/scenario-runner/src/runner/processes.rs
@@ -142,8 +142,8 @@
         self.record(Some(sender), What::Signalled, "SIGTERM");
         self.senders[sender].process.signal("TERM");
         self.timers
-            .insert(now + ROUTING_AFTER_TERM, Timer::StopRouting { sender });
-        self.timers.insert(
+            .push(now + ROUTING_AFTER_TERM, Timer::StopRouting { sender });
+        self.timers.push(
             now + EXIT_CHECK_INTERVAL,
             Timer::AwaitExit {
                 sender,
@@ -164,7 +164,7 @@
         let now = self.now();
         if self.senders[sender].process.is_running() {
             if now < kill_at {
-                return self.timers.insert(
+                return self.timers.push(
                     now + EXIT_CHECK_INTERVAL,
                     Timer::AwaitExit { sender, kill_at },
                 );
@@ -190,7 +190,7 @@
             self.damage_journal(sender);
         }
         if let Some(after) = after {
-            self.timers.insert(now + after, Timer::Start { sender });
+            self.timers.push(now + after, Timer::Start { sender });
         }
     }
 }
--- a/crates/scenario-runner/src/runner/replies.rs
+++ b/crates/scenario-runner/src/runner/replies.rs
@@ -121,7 +121,7 @@
         if let Some(patience) =
             self.destinations[place.destination].idle_patience(used, place.number)
         {
-            self.timers.insert(
+            self.timers.push(
                 used + patience,
                 Timer::CloseIdle {
                     connection: id,
--- a/crates/scenario-runner/src/runner/schedule.rs
+++ b/crates/scenario-runner/src/runner/schedule.rs
@@ -16,13 +16,13 @@
         self.started_unix = unix_time();
         self.log.clear();
         for (n, change) in self.scenario.changes.iter().enumerate() {
-            self.timers.insert(change.at, Timer::ListChange(n));
+            self.timers.push(change.at, Timer::ListChange(n));
         }
         for (n, signal) in self.scenario.signals.iter().enumerate() {
-            self.timers.insert(signal.at, Timer::Signal(n));
+            self.timers.push(signal.at, Timer::Signal(n));
         }
         for (n, action) in self.scenario.scheduled_actions.iter().enumerate() {
-            self.timers.insert(action.at, Timer::FleetAction(n));
+            self.timers.push(action.at, Timer::FleetAction(n));
         }
         self.schedule_fault_edges();
         self.schedule_outage_ends();
@@ -37,10 +37,8 @@
                 .iter()
                 .filter(|f| matches!(f.kind, Kind::Refuse | Kind::Vanish))
             {
-                self.timers
-                    .insert(fault.start, Timer::FaultEdge { endpoint });
-                self.timers
-                    .insert(fault.end(), Timer::FaultEdge { endpoint });
+                self.timers.push(fault.start, Timer::FaultEdge { endpoint });
+                self.timers.push(fault.end(), Timer::FaultEdge { endpoint });
             }
         }
     }
@@ -50,7 +48,7 @@
             let outages = member.faults.iter().flatten().filter(|f| f.is_outage());
             let ends: BTreeSet<Duration> = outages.map(Fault::end).collect();
             for end in ends {
-                self.timers.insert(end, Timer::OutageEnd { destination });
+                self.timers.push(end, Timer::OutageEnd { destination });
             }
         }
     }
--- a/crates/scenario-runner/src/runner/setup.rs
+++ b/crates/scenario-runner/src/runner/setup.rs
@@ -21,7 +21,7 @@
 use super::event_log::EventLog;
 use super::fleet;
 use super::state::{Endpoint, Runner, Sender};
-use super::timers::TimerQueue;
+use super::timers::Timers;
 use crate::error::RunError;
 use crate::network::Network;
 use crate::outcome::Outcome;
@@ -98,7 +98,7 @@
             next_sender: 0,
             event_sink: EventSink::new(channel, waker),
             process_events,
-            timers: TimerQueue::default(),
+            timers: Timers::default(),
             log: EventLog::default(),
             damage_rng: rng_stream(plan.seed, DAMAGE_STREAM),
             outcome: Outcome::default(),
--- a/crates/scenario-runner/src/runner/state.rs
+++ b/crates/scenario-runner/src/runner/state.rs
@@ -16,7 +16,7 @@
 
 use super::connection::{Connection, ConnectionId, IdleConnections, Listener};
 use super::event_log::EventLog;
-use super::timers::TimerQueue;
+use super::timers::Timers;
 use crate::outcome::Outcome;
 use crate::plan::Plan;
 use crate::senders::{EventSink, Process, ProcessEvent};
@@ -59,7 +59,7 @@
     pub(super) next_sender: usize,
     pub(super) event_sink: EventSink,
     pub(super) process_events: Receiver<ProcessEvent>,
-    pub(super) timers: TimerQueue,
+    pub(super) timers: Timers,
     pub(super) log: EventLog,
     /// Draws where journals are damaged.
     pub(super) damage_rng: ChaCha8Rng,
--- a/crates/scenario-runner/src/runner/timers.rs
+++ b/crates/scenario-runner/src/runner/timers.rs
@@ -1,15 +1,14 @@
-//! The timers of the loop, in the order in which they are due.
+//! What the timers of the loop do.
 
-use std::cmp::Reverse;
-use std::collections::BinaryHeap;
 use std::time::Duration;
 
 use cranehill_simulation::fleet::Which;
 
 use super::connection::ConnectionId;
+use crate::timer_queue::TimerQueue;
 
 /// What is due at some time.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+#[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
     /// Messages are due to be submitted; by `at` a timer that was replaced is known.
     Arrival { at: Duration },
@@ -54,42 +53,5 @@
     Resume { sender: usize },
 }
 
-/// Timers by time, and by insertion among those of one time.
-#[derive(Debug, Default)]
-pub(super) struct TimerQueue {
-    entries: BinaryHeap<Reverse<Entry>>,
-    inserted: u64,
-}
-
-#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Entry {
-    due: Duration,
-    order: u64,
-    timer: Timer,
-}
-
-impl TimerQueue {
-    /// Adds a timer.
-    pub(super) fn insert(&mut self, due: Duration, timer: Timer) {
-        self.inserted += 1;
-        self.entries.push(Reverse(Entry {
-            due,
-            order: self.inserted,
-            timer,
-        }));
-    }
-
-    /// When the next timer is due.
-    pub(super) fn next_due(&self) -> Option<Duration> {
-        self.entries.peek().map(|Reverse(entry)| entry.due)
-    }
-
-    /// The first timer that is due, with its time.
-    pub(super) fn pop_due(&mut self, now: Duration) -> Option<(Duration, Timer)> {
-        if self.next_due()? > now {
-            return None;
-        }
-        let Reverse(entry) = self.entries.pop()?;
-        Some((entry.due, entry.timer))
-    }
-}
+/// The timers of the loop, by the time since the scenario began.
+pub(super) type Timers = TimerQueue<Duration, Timer>;
--- a/crates/scenario-runner/src/wire/mod.rs
+++ b/crates/scenario-runner/src/wire/mod.rs
@@ -15,6 +15,7 @@
 pub(crate) use client::{encode_put, parse_client_answer};
 pub(crate) use destination::{CallReply, DestinationCall, batch_state};
 pub(crate) use directory::{FinalReportLine, WatchRequest, parse_final_reports};
+pub(crate) use error::WireError;
 pub(crate) use framed::Framed;
 pub(crate) use http::{Request, encode_response, parse_request};
 pub(crate) use web_push::{encode_post, parse_post_answer, push_path};
