--- a/crates/fleet-harness/src/network.rs
+++ b/crates/fleet-harness/src/network.rs
@@ -1,4 +1,4 @@
-//! What the rig puts network the senders of a day: the relay, and the simulated members beside them.
+//! The network of a scenario with a fleet: the relay between all members, and the simulated members.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,34 +11,36 @@
 use crate::relay::Relay;
 use crate::simulated::{SimulatedFleet, SimulatedFleetError, SimulatedFleetPlay};
 
-/// What passed network the members of a day's fleet.
+/// Traffic between the members of a fleet.
 #[derive(Clone, Debug, Default)]
 pub struct FleetTraffic {
-    /// Packets and bytes that a member sent through the relay, by its number: all that real senders sent.
+    /// By member: packets that it sent through the relay. Real senders send all of theirs through it.
     pub packets: Vec<u64>,
+    /// By member: bytes that it sent through the relay.
     pub bytes: Vec<u64>,
-    /// Packets that were lost on a broken way through the relay.
+    /// Packets that the relay lost by network faults.
     pub lost: u64,
-    /// What the simulated members did and saw, on a day with some.
+    /// Observations and traffic of the simulated members, in a scenario with some.
     pub simulated: Option<SimulatedFleetPlay>,
 }
 
-/// See the module's text.
-pub struct RigNetwork<'a> {
+/// The relay, and the simulated members that it connects.
+pub(crate) struct HarnessNetwork<'a> {
     scenario: &'a Scenario,
     seed: u64,
     relay: Relay,
     simulated: Option<SimulatedFleet>,
 }
 
-impl RigNetwork<'_> {
-    pub fn start(plan: &Plan) -> io::Result<RigNetwork<'_>> {
+impl HarnessNetwork<'_> {
+    /// Starts the relay.
+    pub(crate) fn start(plan: &Plan) -> io::Result<HarnessNetwork<'_>> {
         let relay = Relay::start(
             plan.scenario.members(),
             plan.scenario.network_faults.clone(),
             plan.seed,
         )?;
-        Ok(RigNetwork {
+        Ok(HarnessNetwork {
             scenario: &plan.scenario,
             seed: plan.seed,
             relay,
@@ -46,13 +48,13 @@
         })
     }
 
-    /// What passed by the day's end.
-    pub fn end(self) -> io::Result<FleetTraffic> {
+    /// Ends the simulated members; the traffic of the run.
+    pub(crate) fn end(self) -> io::Result<FleetTraffic> {
         let simulated = self
             .simulated
             .map(SimulatedFleet::end)
             .transpose()
-            .map_err(other)?;
+            .map_err(io_error)?;
         let passed = self.relay.passed();
         Ok(FleetTraffic {
             packets: passed.packets,
@@ -63,14 +65,14 @@
     }
 }
 
-fn other(error: SimulatedFleetError) -> io::Error {
+fn io_error(error: SimulatedFleetError) -> io::Error {
     match error {
         SimulatedFleetError::Io(error) => error,
         error => io::Error::other(format!("simulated members: {error}")),
     }
 }
 
-impl Network for RigNetwork<'_> {
+impl Network for HarnessNetwork<'_> {
     fn destination_address(
         &mut self,
         sender: usize,
@@ -90,7 +92,7 @@
         }
         let simulated =
             SimulatedFleet::start(self.scenario, self.seed, fleet, senders, &mut self.relay)
-                .map_err(other)?;
+                .map_err(io_error)?;
         let seeds = simulated.seeds.clone();
         self.simulated = Some(simulated);
         Ok(seeds)
--- a/crates/fleet-harness/src/path_faults.rs
+++ b/crates/fleet-harness/src/path_faults.rs
@@ -1,4 +1,4 @@
-//! What becomes of a packet on a way between two senders.
+//! The effect of network faults on a packet between two members.
 
 use std::time::Duration;
 
@@ -6,18 +6,20 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// See the module's text.
+/// What happens to a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PacketOutcome {
-    /// It goes on its way then; zero for at once.
+pub(crate) enum PacketOutcome {
+    /// It is delivered.
     Through {
+        /// Not before this time, on the clock of the faults; zero if it is not delayed.
         at: Duration,
     },
+    /// It is dropped.
     Lost,
 }
 
-/// `now` is counted from the start of the breaks' clock.
-pub fn outcome(
+/// What happens to a packet that is sent at `now`, on the clock of the faults.
+pub(crate) fn outcome(
     network_faults: &[NetworkFault],
     from: usize,
     to: usize,
@@ -25,15 +27,15 @@
     rng: &mut ChaCha8Rng,
 ) -> PacketOutcome {
     let mut at = Duration::ZERO;
-    for b in network_faults
+    for fault in network_faults
         .iter()
-        .filter(|b| b.duration_at(now) && b.between(from, to))
+        .filter(|fault| fault.duration_at(now) && fault.between(from, to))
     {
-        match b.path_fault {
+        match fault.path_fault {
             PathFault::Cut => return PacketOutcome::Lost,
             PathFault::Drop { share } if rng.random_bool(share) => return PacketOutcome::Lost,
             PathFault::Delay { by } => at = at.max(now + by),
-            PathFault::Stall => at = at.max(b.until),
+            PathFault::Stall => at = at.max(fault.until),
             PathFault::Drop { .. } | PathFault::Reset => {}
         }
     }
--- /dev/null
+++ b/crates/fleet-harness/src/report/limits.rs
@@ -0,0 +1,132 @@
+//! Shared limits: what all members allowed themselves, and what each side of a cut sent.
+
+use std::collections::BTreeSet;
+use std::ops::Range;
+use std::time::Duration;
+
+use cranehill_scenario_runner::{Outcome, Plan};
+use cranehill_simulation::audit::{Line, What};
+use cranehill_simulation::fleet::{NetworkFault, PathFault, Side};
+use cranehill_simulation::limit::Limit;
+
+use super::part::Part;
+use super::summary::Report;
+use crate::shares::largest_share;
+use crate::timeline::Timeline;
+use crate::units::seconds;
+
+/// If one side of a cut has evicted the other, both together use at most this share of a limit: docs/membership.md.
+const MAX_SHARE_AFTER_EVICTION: f64 = 1.5;
+/// Calls that a full token bucket allows at once; see `PACE_DEPTH` of the scheduler.
+const TOKEN_BUCKET_DEPTH: f64 = 2.0;
+
+impl Report {
+    /// All members together allowed themselves no more than a shared limit, or than evictions allow if a member was away or
+    /// cut off for longer than the eviction delay.
+    pub(super) fn evaluate_shares(&mut self, plan: &Plan) {
+        let Some(fleet) = &plan.scenario.fleet else {
+            return;
+        };
+        self.largest_share = largest_share(&self.timeline, plan.scenario.members());
+        let max_share = if longest_absence(plan, &self.timeline) < fleet.hold {
+            1.0
+        } else {
+            MAX_SHARE_AFTER_EVICTION
+        };
+        if self.largest_share > max_share {
+            let share = self.largest_share;
+            self.failed.push(format!(
+                "all together took {share:.3} of a shared limit; {max_share:.3} at most"
+            ));
+        }
+    }
+
+    /// What each side of a cut sent to the destinations that share a limit.
+    pub(super) fn evaluate_cut_limits(&mut self, plan: &Plan, outcome: &Outcome) {
+        for fault in &plan.scenario.network_faults {
+            if fault.path_fault != PathFault::Cut || fault.one_way {
+                continue;
+            }
+            let Side::Senders(others) = &fault.to else {
+                continue;
+            };
+            for destination in 0..plan.scenario.destinations.len() {
+                for side in [&fault.from, others] {
+                    self.evaluate_side(plan, &outcome.lines, fault, destination, side);
+                }
+            }
+        }
+    }
+
+    fn evaluate_side(
+        &mut self,
+        plan: &Plan,
+        lines: &[Line],
+        cut: &NetworkFault,
+        destination: usize,
+        side: &BTreeSet<usize>,
+    ) {
+        let scenario = &plan.scenario;
+        let member = &scenario.destinations[destination];
+        let Limit::Rate { per_second, .. } = member.spec.limit else {
+            return;
+        };
+        // Simulated members have a part as well, and send nothing.
+        let senders = side.iter().filter(|&&s| s < scenario.senders).count();
+        if senders == 0 {
+            return;
+        }
+        let length = cut.until - cut.at;
+        let before = cut.at.saturating_sub(length)..cut.at;
+        let during = cut.at..cut.until;
+        let part = Part {
+            destination: member.name.clone(),
+            senders,
+            before: calls_per_second(lines, destination, side, &before),
+            during: calls_per_second(lines, destination, side, &during),
+            allowed: per_second * senders as f64 / scenario.members() as f64,
+        };
+        // Buckets may be full when the cut begins.
+        let max_rate = part.allowed + TOKEN_BUCKET_DEPTH * senders as f64 / seconds(length);
+        if part.during > max_rate {
+            let (name, during, allowed) = (&part.destination, part.during, part.allowed);
+            self.failed.push(format!(
+                "{senders} senders sent {during:.2} calls/s to {name} while cut off; their part is {allowed:.2}"
+            ));
+        }
+        self.parts.push(part);
+    }
+}
+
+/// The longest time for which a member was away or cut off.
+fn longest_absence(plan: &Plan, timeline: &Timeline) -> Duration {
+    let is_cut = |fault: &&NetworkFault| {
+        matches!(fault.path_fault, PathFault::Cut | PathFault::Stall) && fault.among_senders()
+    };
+    let cuts = plan.scenario.network_faults.iter().filter(is_cut);
+    let longest_cut = cuts.map(|fault| fault.until - fault.at).max();
+    let away = timeline.away.values().flatten();
+    let longest_away = away
+        .map(|(removed, back)| match back {
+            Some(back) => back.saturating_sub(*removed),
+            None => Duration::MAX,
+        })
+        .max();
+    longest_cut.max(longest_away).unwrap_or_default()
+}
+
+fn calls_per_second(
+    lines: &[Line],
+    destination: usize,
+    senders: &BTreeSet<usize>,
+    span: &Range<Duration>,
+) -> f64 {
+    let is_call = |what: &What| matches!(what, What::Called { destination: called, .. } if *called == destination as u64);
+    let calls = lines
+        .iter()
+        .filter(|line| span.contains(&line.at))
+        .filter(|line| line.sender.is_some_and(|sender| senders.contains(&sender)))
+        .filter(|line| is_call(&line.what))
+        .count();
+    calls as f64 / seconds(span.end - span.start).max(1e-9)
+}
--- a/crates/fleet-harness/src/returns.rs
+++ b/crates/fleet-harness/src/returns.rs
@@ -1,49 +1,56 @@
-//! What came of returns: how long senders took, and what the destinations got from all of them together.
+//! Restarts of senders: how long they took, and the load of the destinations meanwhile.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::ops::Range;
 use std::time::Duration;
 
 use cranehill_simulation::audit::{DeliveryOutcome, Line, What};
 use cranehill_simulation::fault::State;
 use cranehill_simulation::limit::Limit;
-use cranehill_simulation::scenario::Scenario;
+use cranehill_simulation::scenario::{Member, Scenario};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-use crate::histogram;
+use crate::histograms::{histogram, record};
 use crate::timeline::Timeline;
 
-/// After a sender is ready again, so long counts as its return.
-const RETURN: Duration = Duration::from_secs(6);
-/// Rates are counted in spans of this.
-const SPAN: Duration = Duration::from_secs(1);
+/// Time after a sender is ready again that counts as its restart.
+const RETURN_TIME: Duration = Duration::from_secs(6);
+/// Rates are counted over this.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// What one destination got while senders came back, and in the time before.
+/// The load of one destination while senders were away or restarted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Peak {
+    /// The destination's name.
     pub destination: String,
-    /// Calls a second by its limit, with its burst in any one second; none if it has none.
+    /// Calls that its limit allows in any one second, with its burst; `None` if it has no limit.
     pub limit: Option<f64>,
-    /// The most calls, connections opened, and calls out at once, in any second; and calls refused.
+    /// The most calls in any second.
     pub calls: u32,
+    /// The most connections opened in any second.
     pub opened: u32,
+    /// The most calls in flight at once.
     pub out: usize,
+    /// Calls that it rejected.
     pub refused: u32,
-    /// The most calls in any second by what the limit was then: above 1, it was overrun.
+    /// The most calls in any second as a share of the limit at that time: above 1, it was exceeded.
     pub over: f64,
 }
 
+/// Restarts of senders.
 #[derive(Debug)]
 pub struct Returns {
-    /// Milliseconds from a start to full service, by the senders' own word.
+    /// Milliseconds from a start until the sender logged that its recovery was complete.
     pub full: Histogram<u64>,
-    /// Milliseconds from the first sudden end until what is delivered a second was back at nine tenths of what it had been;
-    /// `None` if it never was.
+    /// From the first kill until nine tenths of the usual deliveries were made again; `None` if that was never so.
     pub service: Option<Duration>,
+    /// By destination.
     pub peaks: Vec<Peak>,
 }
 
 impl Returns {
+    /// Evaluates a run.
     pub fn of(
         scenario: &Scenario,
         lines: &[Line],
@@ -54,25 +61,30 @@
         let first = timeline.killed.iter().map(|k| k.1).min();
         for (at, _, took) in &timeline.full {
             if first.is_some_and(|first| *at >= first) {
-                full.saturating_record(took.as_millis() as u64);
+                record(&mut full, *took);
             }
         }
-        let spans: Vec<(Duration, Duration)> = timeline
+        let spans: Vec<Range<Duration>> = timeline
             .away
             .values()
             .flatten()
-            .filter_map(|(removed, back)| Some((*removed, (*back)? + RETURN)))
+            .filter_map(|(removed, back)| Some(*removed..(*back)? + RETURN_TIME))
             .collect();
         let peaks = (0..scenario.destinations.len())
-            .map(|n| peak(scenario, n, lines, &spans))
+            .map(|n| {
+                let mut load = DestinationLoad::new(scenario, n, &spans);
+                lines.iter().for_each(|line| load.add(line));
+                load.finish()
+            })
             .collect();
         Returns {
             full,
-            service: first.and_then(|at| served_again(lines, at, lasted)),
+            service: first.and_then(|at| recovered_after(lines, at, lasted)),
             peaks,
         }
     }
 
+    /// For the summary.
     pub fn json(&self) -> Value {
         let f = &self.full;
         let peaks: Vec<Value> = self
@@ -88,6 +100,7 @@
             "service_ms": self.service.map(|s| s.as_millis() as u64), "peaks": peaks})
     }
 
+    /// For the table.
     pub fn lines(&self) -> Vec<String> {
         let f = &self.full;
         let mut lines = Vec::new();
@@ -122,122 +135,170 @@
     }
 }
 
-/// The most of something in any span.
+/// Events in the last [`RATE_WINDOW`].
 #[derive(Default)]
-struct Sliding {
+struct SlidingCount {
     times: VecDeque<Duration>,
-    most: u32,
+    /// The largest count so far.
+    max: u32,
 }
 
-impl Sliding {
-    /// Tells how many there are in the span that ends with this one.
+impl SlidingCount {
+    /// Adds an event; the count with it.
     fn add(&mut self, at: Duration) -> u32 {
         self.times.push_back(at);
         while self
             .times
             .front()
-            .is_some_and(|first| at.saturating_sub(*first) >= SPAN)
+            .is_some_and(|first| at.saturating_sub(*first) >= RATE_WINDOW)
         {
             self.times.pop_front();
         }
-        let present = self.times.len() as u32;
-        self.most = self.most.max(present);
-        present
+        let count = self.times.len() as u32;
+        self.max = self.max.max(count);
+        count
     }
 }
 
-fn peak(
-    scenario: &Scenario,
-    destination: usize,
-    lines: &[Line],
-    spans: &[(Duration, Duration)],
-) -> Peak {
-    let member = &scenario.destinations[destination];
-    let limit = match member.spec.limit {
-        Limit::None => None,
-        Limit::Rate { per_second, burst } => Some(per_second * SPAN.as_secs_f64() + burst),
-        Limit::Count { calls, span } => {
-            Some(f64::from(calls) * (SPAN.as_secs_f64() / span.as_secs_f64()).ceil())
+/// The load of one destination, counted in some spans.
+struct DestinationLoad<'a> {
+    number: u64,
+    member: &'a Member,
+    spans: &'a [Range<Duration>],
+    calls: SlidingCount,
+    opened: SlidingCount,
+    /// Connections with a call in flight.
+    in_flight: BTreeSet<u64>,
+    peak: Peak,
+}
+
+impl<'a> DestinationLoad<'a> {
+    fn new(
+        scenario: &'a Scenario,
+        destination: usize,
+        spans: &'a [Range<Duration>],
+    ) -> DestinationLoad<'a> {
+        let member = &scenario.destinations[destination];
+        DestinationLoad {
+            number: destination as u64,
+            member,
+            spans,
+            calls: SlidingCount::default(),
+            opened: SlidingCount::default(),
+            in_flight: BTreeSet::new(),
+            peak: Peak {
+                destination: member.name.clone(),
+                limit: calls_in_window(member.spec.limit),
+                ..Peak::default()
+            },
         }
-    };
-    let mut peak = Peak {
-        destination: member.name.clone(),
-        limit,
-        ..Peak::default()
-    };
-    let (mut calls, mut opened) = (Sliding::default(), Sliding::default());
-    let mut out: BTreeSet<u64> = BTreeSet::new();
-    let number = destination as u64;
-    for line in lines {
-        let counts = spans
-            .iter()
-            .any(|(from, to)| *from <= line.at && line.at < *to);
+    }
+
+    fn add(&mut self, line: &Line) {
+        let counts = self.spans.iter().any(|span| span.contains(&line.at));
         match &line.what {
             What::Called {
                 destination,
                 connection,
                 ..
-            } if *destination == number => {
-                out.insert(*connection);
+            } if *destination == self.number => {
+                self.in_flight.insert(*connection);
                 if counts {
-                    let present = calls.add(line.at);
-                    let kept = State::of(&member.faults[0], line.at).lower;
-                    if let Limit::Rate { per_second, burst } = member.spec.limit {
-                        peak.over = peak
-                            .over
-                            .max(f64::from(present) / (per_second * kept + burst));
-                    }
-                    peak.out = peak.out.max(out.len());
+                    self.add_call(line.at);
                 }
             }
-            What::Opened { destination, .. } if *destination == number && counts => {
-                opened.add(line.at);
+            What::Opened { destination, .. } if *destination == self.number && counts => {
+                self.opened.add(line.at);
             }
             What::Replied {
                 destination,
                 connection,
                 outcomes,
                 ..
-            } if *destination == number => {
-                out.remove(connection);
-                if counts && outcomes.iter().all(|f| f.1 == DeliveryOutcome::Busy) {
-                    peak.refused += 1;
+            } if *destination == self.number => {
+                self.in_flight.remove(connection);
+                let is_busy = |outcome: &DeliveryOutcome| *outcome == DeliveryOutcome::Busy;
+                if counts && outcomes.iter().all(|(_, outcome)| is_busy(outcome)) {
+                    self.peak.refused += 1;
                 }
             }
             What::Closed { connection } | What::Broke { connection, .. } => {
-                out.remove(connection);
+                self.in_flight.remove(connection);
             }
             _ => {}
         }
     }
-    (peak.calls, peak.opened) = (calls.most, opened.most);
-    peak
+
+    fn add_call(&mut self, at: Duration) {
+        let count = self.calls.add(at);
+        if let Limit::Rate { per_second, burst } = self.member.spec.limit {
+            let lowered_to = State::of(&self.member.faults[0], at).lower;
+            let limit = per_second * lowered_to + burst;
+            self.peak.over = self.peak.over.max(f64::from(count) / limit);
+        }
+        self.peak.out = self.peak.out.max(self.in_flight.len());
+    }
+
+    fn finish(self) -> Peak {
+        Peak {
+            calls: self.calls.max,
+            opened: self.opened.max,
+            ..self.peak
+        }
+    }
 }
 
-/// How long after `at` as much was delivered, over three seconds, as nine tenths of what was before it. What is lost meanwhile is
-/// not counted as missing later.
-fn served_again(lines: &[Line], at: Duration, lasted: Duration) -> Option<Duration> {
-    let mut seconds: BTreeMap<u64, u32> = BTreeMap::new();
-    for line in lines {
-        if let What::Replied { outcomes, .. } = &line.what {
-            let done = outcomes
-                .iter()
-                .filter(|f| f.1 == DeliveryOutcome::Done)
-                .count() as u32;
-            *seconds.entry(line.at.as_secs()).or_default() += done;
+/// Calls that a limit allows within [`RATE_WINDOW`].
+fn calls_in_window(limit: Limit) -> Option<f64> {
+    let window = RATE_WINDOW.as_secs_f64();
+    match limit {
+        Limit::None => None,
+        Limit::Rate { per_second, burst } => Some(per_second * window + burst),
+        Limit::Count { calls, span } => {
+            Some(f64::from(calls) * (window / span.as_secs_f64()).ceil())
         }
     }
-    let rate = |from: u64, to: u64| -> f64 {
-        let sum: u32 = (from..to)
-            .map(|s| seconds.get(&s).copied().unwrap_or(0))
+}
+
+/// Seconds before the first kill over which the usual rate is counted.
+const USUAL_RATE_SECONDS: u64 = 4;
+/// Seconds over which the rate is compared with the usual one.
+const RECOVERED_RATE_SECONDS: u64 = 3;
+/// Below this part of the usual rate, service is disturbed.
+const DISTURBED_SERVICE: f64 = 0.7;
+/// From this part of the usual rate on, service has recovered.
+const RECOVERED_SERVICE: f64 = 0.9;
+
+/// How long after `at` nine tenths of the usual deliveries were made again, over three seconds. Messages that are lost meanwhile
+/// are not counted as missing later.
+fn recovered_after(lines: &[Line], at: Duration, lasted: Duration) -> Option<Duration> {
+    let delivered = deliveries_by_second(lines);
+    let rate = |seconds: Range<u64>| -> f64 {
+        let count = seconds.end - seconds.start;
+        let sum: u32 = seconds
+            .map(|second| delivered.get(&second).copied().unwrap_or(0))
             .sum();
-        f64::from(sum) / (to - from).max(1) as f64
+        f64::from(sum) / count.max(1) as f64
     };
     let start = at.as_secs();
-    let usual = rate(start.saturating_sub(4), start);
-    let last = lasted.as_secs().saturating_sub(3);
-    // The dip comes first.
-    let dip = (start..last).find(|&s| rate(s, s + 1) < 0.7 * usual)?;
-    let back = (dip..last).find(|&s| rate(s, s + 3) >= 0.9 * usual)?;
-    Some(Duration::from_secs(back).saturating_sub(at))
+    let usual = rate(start.saturating_sub(USUAL_RATE_SECONDS)..start);
+    let last = lasted.as_secs().saturating_sub(RECOVERED_RATE_SECONDS);
+    let disturbed = (start..last).find(|&s| rate(s..s + 1) < DISTURBED_SERVICE * usual)?;
+    let recovered = (disturbed..last)
+        .find(|&s| rate(s..s + RECOVERED_RATE_SECONDS) >= RECOVERED_SERVICE * usual)?;
+    Some(Duration::from_secs(recovered).saturating_sub(at))
+}
+
+fn deliveries_by_second(lines: &[Line]) -> BTreeMap<u64, u32> {
+    let mut deliveries: BTreeMap<u64, u32> = BTreeMap::new();
+    for line in lines {
+        if let What::Replied { outcomes, .. } = &line.what {
+            let delivered = outcomes
+                .iter()
+                .filter(|(_, outcome)| *outcome == DeliveryOutcome::Done)
+                .count();
+            *deliveries.entry(line.at.as_secs()).or_default() += delivered as u32;
+        }
+    }
+    deliveries
 }
--- a/crates/fleet-harness/src/scenarios.rs
+++ b/crates/fleet-harness/src/scenarios.rs
@@ -1,6 +1,6 @@
-//! The scenarios that come with the program.
+//! The scenarios that are part of the program.
 
-/// Names and days.
+/// Names and the texts of the files.
 pub const SCENARIOS: [(&str, &str); 17] = [
     (
         "membership",
@@ -66,7 +66,10 @@
     ),
 ];
 
-/// The day of that name.
+/// The text of the scenario of that name.
 pub fn scenario(name: &str) -> Option<&'static str> {
-    SCENARIOS.iter().find(|s| s.0 == name).map(|s| s.1)
+    SCENARIOS
+        .iter()
+        .find(|(known, _)| *known == name)
+        .map(|(_, text)| *text)
 }
--- a/crates/fleet-harness/src/shares.rs
+++ b/crates/fleet-harness/src/shares.rs
@@ -1,21 +1,22 @@
-//! How much of a shared limit all members together allow themselves.
+//! The share of a limit that all members together allow themselves.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::timeline::Timeline;
 
-/// What changes a member's part.
+/// A change of a member's part.
 enum Change {
-    /// It divides limits by so many from then on.
+    /// It divides limits by this number of senders.
     Divides(u64),
+    /// It stops.
     Leaves,
     /// It starts again, and divides by the number in its settings.
     Returns,
 }
 
-/// The most at any time, over the members that were there; 1.0 is the limit.
-pub fn largest_share(timeline: &Timeline, members: usize) -> f64 {
+/// The largest share at any time, over the members that ran; 1.0 is the limit.
+pub(crate) fn largest_share(timeline: &Timeline, members: usize) -> f64 {
     let mut divisors: Vec<Option<u64>> = vec![Some(members as u64); members];
     let mut divided_by: BTreeMap<u64, usize> = BTreeMap::from([(members as u64, members)]);
     let mut largest: f64 = 1.0;
--- a/crates/fleet-harness/src/simulated/course.rs
+++ b/crates/fleet-harness/src/simulated/course.rs
@@ -1,4 +1,4 @@
-//! The course of a play: a start until all agree, the measured duration with its disturbance, and what came of it.
+//! The phases of a run: a start until all views agree, and the measured duration with its disturbance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,97 +6,97 @@
 use cranehill_scheduler::Time;
 use cranehill_simulation::fleet::{MemberAction, PathFault};
 
+use super::engine::Common;
 use super::figures::{SimulatedFleetFigures, Spread};
 use super::observer::{Observation, Observer};
 use super::plan::SimulatedFleetPlan;
 use super::script::Script;
 use super::traffic::{Passed, Traffic};
 
-/// The members have so long to agree at the start; after that the play goes on without.
-pub const START_MOST: Duration = Duration::from_secs(120);
+/// If the views do not agree this long after the start, the measured duration begins without.
+pub const START_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Resources that a play has used, as its driver measures them.
+/// Resources that a run has used.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Usage {
+pub(super) struct Usage {
+    /// Processor time.
     pub cpu: Duration,
+    /// Growth of the resident memory.
     pub resident_bytes: u64,
 }
 
-/// See the module's text.
+/// The phases of a run.
 #[derive(Debug)]
-pub struct Course {
+pub(super) struct Course {
     plan: SimulatedFleetPlan,
     script: Arc<Script>,
     traffic: Arc<Traffic>,
     observer: Observer,
     started: Time,
     agreed_at_start: Option<Duration>,
-    began: Option<Began>,
+    measured: Option<Measured>,
     agreed_after: Option<Duration>,
 }
 
 #[derive(Debug)]
-struct Began {
+struct Measured {
     at: Time,
     passed: Vec<Passed>,
     presence_changes: usize,
 }
 
 impl Course {
-    pub fn new(
-        plan: &SimulatedFleetPlan,
-        script: Arc<Script>,
-        traffic: Arc<Traffic>,
-        started: Time,
-    ) -> Course {
+    pub(super) fn new(plan: &SimulatedFleetPlan, common: &Common, started: Time) -> Course {
         Course {
             observer: Observer::new(plan.members),
             plan: plan.clone(),
-            script,
-            traffic,
+            script: Arc::clone(&common.script),
+            traffic: Arc::clone(&common.traffic),
             started,
             agreed_at_start: None,
-            began: None,
+            measured: None,
             agreed_after: None,
         }
     }
 
-    pub fn note(&mut self, observation: &Observation) {
+    /// Adds an observation.
+    pub(super) fn note(&mut self, observation: &Observation) {
         self.observer.note(observation);
     }
 
-    /// Looks at the views, after all that was noted by now; true when the measured duration begins.
-    pub fn look(&mut self, now: Time) -> bool {
+    /// Checks the views, after all observations until now; true when the measured duration is to begin.
+    pub(super) fn check(&mut self, now: Time) -> bool {
         let agrees = self.observer.agrees();
-        let Some(began) = &self.began else {
+        let Some(measured) = &self.measured else {
             let since = now - self.started;
             if agrees {
                 self.agreed_at_start = Some(since);
             }
-            return agrees || since >= START_MOST;
+            return agrees || since >= START_TIMEOUT;
         };
-        let over = began.at + self.script.over_after();
-        let done =
-            self.observer.presence_changes() - began.presence_changes >= self.presence_changes();
-        if agrees && done && now > over && self.agreed_after.is_none() {
-            self.agreed_after = Some(now - over);
+        let ended = measured.at + self.script.ended_after();
+        let all_changed =
+            self.observer.presence_changes() - measured.presence_changes >= self.presence_changes();
+        if agrees && all_changed && now > ended && self.agreed_after.is_none() {
+            self.agreed_after = Some(now - ended);
         }
         false
     }
 
-    pub fn begin(&mut self, at: Time) {
+    /// The measured duration begins.
+    pub(super) fn begin(&mut self, at: Time) {
         if let Some(cut) = self
             .script
             .network_faults
             .iter()
-            .filter(|b| b.path_fault == PathFault::Cut)
-            .map(|b| b.at)
+            .filter(|fault| fault.path_fault == PathFault::Cut)
+            .map(|fault| fault.at)
             .min()
         {
             self.observer.cut_from(at + cut);
         }
         let presence_changes = self.observer.presence_changes();
-        self.began = Some(Began {
+        self.measured = Some(Measured {
             at,
             passed: self.traffic.passed(),
             presence_changes,
@@ -104,13 +104,13 @@
     }
 
     /// When the measured duration ends, once it has begun.
-    pub fn ends(&self) -> Option<Time> {
-        self.began
+    pub(super) fn ends(&self) -> Option<Time> {
+        self.measured
             .as_ref()
-            .map(|began| began.at + self.plan.duration)
+            .map(|measured| measured.at + self.plan.duration)
     }
 
-    /// Ends and starts of members that the script asks for.
+    /// Ends and starts of members by the script.
     fn presence_changes(&self) -> usize {
         let each = |action: &MemberAction| match action {
             MemberAction::Kill { back, .. } | MemberAction::Term { back, .. } => {
@@ -121,14 +121,17 @@
         self.script
             .scheduled_actions
             .iter()
-            .map(|act| act.senders.len() * each(&act.action))
+            .map(|scheduled| scheduled.senders.len() * each(&scheduled.action))
             .sum()
     }
 
-    /// `used` is what the play has used during its measured duration.
-    pub fn figures(self, used: Usage) -> SimulatedFleetFigures {
+    /// The figures of the run; `used` are the resources of its measured duration.
+    pub(super) fn figures(self, used: Usage) -> SimulatedFleetFigures {
         let seconds = self.plan.duration.as_secs_f64();
-        let before = self.began.map(|began| began.passed).unwrap_or_default();
+        let before = self
+            .measured
+            .map(|measured| measured.passed)
+            .unwrap_or_default();
         let now = self.traffic.passed();
         let undisturbed: Vec<Passed> = now
             .iter()
--- a/crates/fleet-harness/src/simulated/engine.rs
+++ b/crates/fleet-harness/src/simulated/engine.rs
@@ -1,12 +1,12 @@
-//! Runs members on any network: their timers, what is done to them, and what becomes of their packets.
+//! Runs members on any network: their timers, scheduled actions on them, and network faults on their packets.
 
-use std::cmp::{Ordering, Reverse};
-use std::collections::{BinaryHeap, HashMap};
+use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
+use cranehill_scenario_runner::timer_queue::TimerQueue;
 use cranehill_scheduler::Time;
 use cranehill_simulation::fleet::MemberAction;
 use rand::SeedableRng;
@@ -21,27 +21,27 @@
 use crate::path_faults::{PacketOutcome, outcome};
 
 /// Carries packets between members.
-pub trait Network {
+pub(super) trait Network {
     /// A member begins to listen.
     fn open(&mut self, member: usize) -> io::Result<()>;
 
     /// A member's process has ended.
     fn close(&mut self, member: usize);
 
-    /// Sends a packet; `to` is `None` for a receiver outside of the engine's address book. Tells the latency after
+    /// Sends a packet; `to` is `None` for a receiver outside of the engine's address book. Returns the latency after
     /// which the engine itself is to deliver it, on a network that does not.
     fn send(&mut self, from: usize, to: Option<usize>, packet: &Packet) -> Option<Duration>;
 }
 
 /// Where members reach each other.
 #[derive(Clone, Debug, Default)]
-pub struct AddressBook {
+pub(super) struct AddressBook {
     by_address: HashMap<SocketAddr, usize>,
 }
 
 impl AddressBook {
-    /// By index.
-    pub fn new(addresses: &[SocketAddr]) -> AddressBook {
+    /// Addresses by the index of the member.
+    pub(super) fn new(addresses: &[SocketAddr]) -> AddressBook {
         AddressBook {
             by_address: addresses
                 .iter()
@@ -51,19 +51,24 @@
         }
     }
 
-    pub fn member(&self, address: &SocketAddr) -> Option<usize> {
+    /// The member with this address.
+    pub(super) fn member(&self, address: &SocketAddr) -> Option<usize> {
         self.by_address.get(address).copied()
     }
 }
 
-/// What all engines of a fleet share.
+/// State that all engines of a fleet share.
 #[derive(Clone, Debug)]
-pub struct Common {
-    pub delivery_log: Arc<AddressBook>,
+pub(super) struct Common {
+    /// Members by address.
+    pub addresses: Arc<AddressBook>,
+    /// Counters.
     pub traffic: Arc<Traffic>,
+    /// Network faults and scheduled actions.
     pub script: Arc<Script>,
-    /// Members before this one are real processes: ways to them are broken elsewhere.
-    pub first_hollow: usize,
+    /// Members before this one are real processes: the relay applies faults of paths to them.
+    pub first_simulated: usize,
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
@@ -94,41 +99,16 @@
     Resume(usize),
 }
 
-/// An event in the queue, ordered by its time and then as it was queued.
-#[derive(Debug)]
-struct Queued {
-    at: Time,
-    number: u64,
-    event: Event,
-}
-
-impl PartialEq for Queued {
-    fn eq(&self, other: &Queued) -> bool {
-        self.cmp(other) == Ordering::Equal
-    }
-}
-impl Eq for Queued {}
-impl PartialOrd for Queued {
-    fn partial_cmp(&self, other: &Queued) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-impl Ord for Queued {
-    fn cmp(&self, other: &Queued) -> Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
-    }
-}
-
 /// Runs a contiguous range of the fleet's members.
 #[derive(Debug)]
-pub struct Engine<N> {
+pub(super) struct Engine<N> {
+    /// Carries packets.
     pub network: N,
     common: Common,
     /// Index of the first slot's member.
     first: usize,
     slots: Vec<Slot>,
-    queue: BinaryHeap<Reverse<Queued>>,
-    queued: u64,
+    queue: TimerQueue<Time, Event>,
     began: Option<Time>,
     rng: ChaCha8Rng,
     observations: Vec<Observation>,
@@ -138,7 +118,12 @@
 
 impl<N: Network> Engine<N> {
     /// `setups` are those of consecutive members.
-    pub fn new(common: Common, setups: Vec<Setup>, network: N, measure_steps: bool) -> Engine<N> {
+    pub(super) fn new(
+        common: Common,
+        setups: Vec<Setup>,
+        network: N,
+        measure_steps: bool,
+    ) -> Engine<N> {
         let first = setups.first().map_or(0, |setup| setup.index);
         let slot = |setup| Slot {
             setup,
@@ -152,8 +137,7 @@
             common,
             first,
             slots: setups.into_iter().map(slot).collect(),
-            queue: BinaryHeap::new(),
-            queued: 0,
+            queue: TimerQueue::default(),
             began: None,
             observations: Vec::new(),
             steps_cpu: measure_steps.then_some(Duration::ZERO),
@@ -161,7 +145,7 @@
     }
 
     /// Starts all members.
-    pub fn start_all(&mut self, now: Time) -> Result<(), SimulatedFleetError> {
+    pub(super) fn start_all(&mut self, now: Time) -> Result<(), SimulatedFleetError> {
         let members = self.first..self.first + self.slots.len();
         members
             .into_iter()
@@ -169,53 +153,51 @@
     }
 
     /// Starts all members one after the other.
-    pub fn start_later(&mut self, at: Time, between: Duration) {
+    pub(super) fn start_later(&mut self, at: Time, between: Duration) {
         for slot in 0..self.slots.len() {
-            self.push(at + between * slot as u32, Event::Start(self.first + slot));
+            self.queue
+                .push(at + between * slot as u32, Event::Start(self.first + slot));
         }
     }
 
     /// The script's clock starts.
-    pub fn begin(&mut self, at: Time) {
+    pub(super) fn begin(&mut self, at: Time) {
         self.began = Some(at);
         let scheduled_actions: Vec<Duration> = self
             .common
             .script
             .scheduled_actions
             .iter()
-            .map(|act| act.at)
+            .map(|scheduled| scheduled.at)
             .collect();
         for (number, after) in scheduled_actions.into_iter().enumerate() {
-            self.push(at + after, Event::ScheduledAction(number));
+            self.queue.push(at + after, Event::ScheduledAction(number));
         }
     }
 
-    /// When something is due.
-    pub fn due(&self) -> Option<Time> {
-        self.queue.peek().map(|Reverse(queued)| queued.at)
+    /// When the next event is due.
+    pub(super) fn due(&self) -> Option<Time> {
+        self.queue.next_due()
     }
 
     /// Runs the next event, if it is due by `until`; `now` is that or later.
-    pub fn run_next(&mut self, until: Time, now: Time) -> Result<bool, SimulatedFleetError> {
-        if self.due().is_none_or(|due| due > until) {
-            return Ok(false);
-        }
-        let Some(Reverse(Queued { at, event, .. })) = self.queue.pop() else {
+    pub(super) fn run_next(&mut self, until: Time, now: Time) -> Result<bool, SimulatedFleetError> {
+        let Some((at, event)) = self.queue.pop_due(until) else {
             return Ok(false);
         };
         match event {
             Event::Deliver { to, bytes } => self.receive(now, to, bytes),
-            Event::Transmit { from, packet } => self.put(now, from, packet),
+            Event::Transmit { from, packet } => self.deliver(now, from, packet),
             Event::Wake(member) => self.wake(now, at, member),
-            Event::ScheduledAction(number) => self.act(now, number),
+            Event::ScheduledAction(number) => self.run_action(now, number),
             Event::Start(member) => self.start(now, member)?,
             Event::Resume(member) => self.resume(now, member),
         }
         Ok(true)
     }
 
-    /// A packet came to a member's socket.
-    pub fn receive(&mut self, now: Time, member: usize, bytes: Vec<u8>) {
+    /// A packet has arrived at a member's socket.
+    pub(super) fn receive(&mut self, now: Time, member: usize, bytes: Vec<u8>) {
         let State::Running(running) = &mut self.slots[member - self.first].state else {
             return;
         };
@@ -227,24 +209,16 @@
         self.carry_out(now, member, output);
     }
 
-    /// What the members reported since it was asked last.
-    pub fn observations(&mut self) -> std::vec::Drain<'_, Observation> {
+    /// Observations since the last call.
+    pub(super) fn observations(&mut self) -> std::vec::Drain<'_, Observation> {
         self.observations.drain(..)
     }
 
-    pub fn steps_cpu(&self) -> Duration {
+    /// Processor time of the members' steps, where it is measured.
+    pub(super) fn steps_cpu(&self) -> Duration {
         self.steps_cpu.unwrap_or_default()
     }
 
-    fn push(&mut self, at: Time, event: Event) {
-        self.queued += 1;
-        self.queue.push(Reverse(Queued {
-            at,
-            number: self.queued,
-            event,
-        }));
-    }
-
     fn observe(&mut self, at: Time, by: usize, what: Observed) {
         self.observations.push(Observation { at, by, what });
     }
@@ -271,7 +245,7 @@
         Ok(())
     }
 
-    /// Ends a member without a word.
+    /// Ends a member that sends nothing of it.
     fn crash(&mut self, now: Time, member: usize) {
         let slot = &mut self.slots[member - self.first];
         if matches!(slot.state, State::Absent) {
@@ -283,7 +257,7 @@
         self.observe(now, member, Observed::Crashed);
     }
 
-    /// Ends a member that says so.
+    /// Ends a member that announces it.
     fn end(&mut self, now: Time, member: usize) {
         let slot = &mut self.slots[member - self.first];
         let State::Running(mut running) = std::mem::replace(&mut slot.state, State::Absent) else {
@@ -297,12 +271,17 @@
         self.network.close(member);
     }
 
-    fn act(&mut self, now: Time, number: usize) {
+    /// Carries out a scheduled action on the members here.
+    fn run_action(&mut self, now: Time, number: usize) {
         let script = Arc::clone(&self.common.script);
-        let act = &script.scheduled_actions[number];
+        let scheduled = &script.scheduled_actions[number];
         let here = self.first..self.first + self.slots.len();
-        for &member in act.senders.iter().filter(|member| here.contains(member)) {
-            match act.action {
+        for &member in scheduled
+            .senders
+            .iter()
+            .filter(|member| here.contains(member))
+        {
+            match scheduled.action {
                 MemberAction::Kill { back, .. } => {
                     self.crash(now, member);
                     self.start_again(now, member, back);
@@ -313,9 +292,9 @@
                 }
                 MemberAction::Stop { duration } => {
                     self.stop(now, member);
-                    self.push(now + duration, Event::Resume(member));
+                    self.queue.push(now + duration, Event::Resume(member));
                 }
-                // The next process would take its state over, and there is none.
+                // A simulated member has no process to replace.
                 MemberAction::Upgrade { .. } => {}
             }
         }
@@ -323,7 +302,7 @@
 
     fn start_again(&mut self, now: Time, member: usize, back: Option<Duration>) {
         if let Some(back) = back {
-            self.push(now + back, Event::Start(member));
+            self.queue.push(now + back, Event::Start(member));
         }
     }
 
@@ -344,7 +323,7 @@
             other => other,
         };
         slot.wakes_at = Some(now);
-        self.push(now, Event::Wake(member));
+        self.queue.push(now, Event::Wake(member));
     }
 
     fn wake(&mut self, now: Time, at: Time, member: usize) {
@@ -386,40 +365,41 @@
         if due != slot.wakes_at {
             slot.wakes_at = due;
             if let Some(due) = due {
-                self.push(due, Event::Wake(member));
+                self.queue.push(due, Event::Wake(member));
             }
         }
     }
 
     fn observed(&self, report: Report) -> Option<Observed> {
         Some(match report {
-            Report::Generation(generation) => Observed::Generation(generation),
+            Report::Incarnation(incarnation) => Observed::Incarnation(incarnation),
             Report::Sees {
                 address,
-                generation,
+                incarnation,
                 seen,
             } => Observed::Sees {
-                member: self.common.delivery_log.member(&address)?,
-                generation,
+                member: self.common.addresses.member(&address)?,
+                incarnation,
                 seen,
             },
             Report::Senders(senders) => Observed::Senders(senders),
-            Report::HeldUp => Observed::HeldUp,
-            Report::Refused => Observed::Refused,
+            Report::ProcessPaused => Observed::ProcessPaused,
+            Report::PacketDropped => Observed::PacketDropped,
             Report::Rejoined => Observed::Rejoined,
         })
     }
 
-    /// A member sends a packet: it is counted, and lost or held where its way is broken.
+    /// A member sends a packet: it is counted, and lost or delayed by network faults.
     fn transmit(&mut self, now: Time, from: usize, packet: Packet) {
         self.common.traffic.sent(from, packet.bytes.len());
         match self.outcome(now, from, &packet) {
             PacketOutcome::Lost => self.common.traffic.lose(),
             PacketOutcome::Through { at } => match self.began {
                 Some(began) if began + at > now => {
-                    self.push(began + at, Event::Transmit { from, packet })
+                    self.queue
+                        .push(began + at, Event::Transmit { from, packet });
                 }
-                _ => self.put(now, from, packet),
+                _ => self.deliver(now, from, packet),
             },
         }
     }
@@ -429,10 +409,10 @@
         let Some(began) = self.began else {
             return through;
         };
-        let Some(to) = self.common.delivery_log.member(&packet.to) else {
+        let Some(to) = self.common.addresses.member(&packet.to) else {
             return through;
         };
-        if to < self.common.first_hollow || self.common.script.network_faults.is_empty() {
+        if to < self.common.first_simulated || self.common.script.network_faults.is_empty() {
             return through;
         }
         outcome(
@@ -444,10 +424,10 @@
         )
     }
 
-    fn put(&mut self, now: Time, from: usize, packet: Packet) {
-        let to = self.common.delivery_log.member(&packet.to);
+    fn deliver(&mut self, now: Time, from: usize, packet: Packet) {
+        let to = self.common.addresses.member(&packet.to);
         if let (Some(latency), Some(to)) = (self.network.send(from, to, &packet), to) {
-            self.push(
+            self.queue.push(
                 now + latency,
                 Event::Deliver {
                     to,
--- a/crates/fleet-harness/src/simulated/figures.rs
+++ b/crates/fleet-harness/src/simulated/figures.rs
@@ -1,17 +1,20 @@
-//! What a play came to.
+//! Figures of a run.
 
 use std::time::Duration;
 
 /// A figure over all members: its mean, 99th percentile and maximum.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Spread {
+    /// The mean.
     pub mean: f64,
+    /// 99 of 100 values do not exceed this.
     pub p99: f64,
+    /// The largest value.
     pub most: f64,
 }
 
 impl Spread {
-    /// `None` where there is nothing to spread.
+    /// `None` without any value.
     pub fn of(mut values: Vec<f64>) -> Option<Spread> {
         values.sort_by(f64::total_cmp);
         let most = *values.last()?;
@@ -26,21 +29,26 @@
     }
 }
 
-/// See the module's text. Rates are those of members that were never away, over the play's duration.
+/// Figures of a run. Rates are those of members that ran throughout, over the measured duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SimulatedFleetFigures {
+    /// Members of the fleet.
     pub members: usize,
-    /// From the first start to the same view everywhere; `None`: not within [`super::START_MOST`].
+    /// From the first start to the same view everywhere; `None`: not within [`super::START_TIMEOUT`].
     pub agreed_at_start: Option<Duration>,
+    /// Bytes that a member sent in a second.
     pub bytes_sent_per_second: Spread,
+    /// Bytes that a member received in a second.
     pub bytes_received_per_second: Spread,
+    /// Packets that a member sent in a second.
     pub packets_sent_per_second: Spread,
-    /// Mean over members: CPU of the play's threads (`Udp`), of the members' steps alone (`Virtual`).
+    /// Mean over members: CPU of the run's threads (`Udp`), of the members' steps alone (`Virtual`).
     pub cpu_milliseconds_per_second: f64,
+    /// Growth of the resident memory.
     pub resident_bytes_per_member: u64,
     /// Seconds from a crash to "down" in each other live view.
     pub detection: Option<Spread>,
-    /// From the end of the disturbance to the same view everywhere; `None`: never inside the play.
+    /// From the end of the disturbance to the same view everywhere; `None`: not within the run.
     pub agreed_after: Option<Duration>,
     /// At the end: pairs of a viewer and a live member that the viewer does not see alive.
     pub missing_live_members: usize,
@@ -52,18 +60,19 @@
     pub false_downs: usize,
     /// The largest datagram.
     pub largest_packet: usize,
-    /// Times that a member was run more than a period late: above zero, the machine was too busy for the play.
+    /// Times that a member ran more than a period late: above zero, the machine was too busy for the run.
     pub held_up: usize,
-    /// Packets that members dropped, and packets lost on broken ways.
+    /// Packets that members dropped.
     pub refused: usize,
+    /// Packets that were lost by network faults.
     pub lost: u64,
 }
 
 impl SimulatedFleetFigures {
     /// One line for each rule that does not hold, whatever the members' cost: all agree at the start and after the
     /// disturbance, none is missing at the end, no crash is unknown, nobody is held to be down without a cause, and no
-    /// more of a shared limit is taken than `share_most`.
-    pub fn failed(&self, share_most: f64) -> Vec<String> {
+    /// more of a shared limit is taken than `max_share`.
+    pub fn failed(&self, max_share: f64) -> Vec<String> {
         let mut failed = Vec::new();
         if self.agreed_at_start.is_none() {
             failed.push("the views did not agree after the start".to_owned());
@@ -89,10 +98,10 @@
                 self.false_downs
             ));
         }
-        if self.largest_share > share_most {
+        if self.largest_share > max_share {
             let share = self.largest_share;
             failed.push(format!(
-                "{share:.3} of a shared limit was taken; {share_most:.3} at most"
+                "{share:.3} of a shared limit was taken; {max_share:.3} at most"
             ));
         }
         failed
--- a/crates/fleet-harness/src/simulated/fleet.rs
+++ b/crates/fleet-harness/src/simulated/fleet.rs
@@ -1,7 +1,7 @@
 //! Simulated members beside real senders, in one fleet and under one scenario.
 //!
-//! Between a real sender and a simulated member packets go through the relay in both directions, which breaks ways and counts
-//! as between two real senders. Between two simulated members they go straight, and the engine breaks ways.
+//! Packets between a real sender and a simulated member pass the relay in both directions, which applies network faults and counts as
+//! between two real senders. Packets between two simulated members do not, and the engine applies network faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,38 +20,47 @@
 use super::traffic::{Passed, Traffic};
 use super::udp::{Clock, Running, free_addresses};
 
-/// Simulated members, and real senders, whom each simulated member asks for the others.
+/// Simulated members, and as many real senders, that each simulated member contacts first.
 const SEEDS_OF_EACH: usize = 2;
 
-/// The simulated members of a day.
+/// The simulated members of a scenario.
 pub struct SimulatedFleet {
     running: Running,
     traffic: Arc<Traffic>,
     first: usize,
     members: usize,
     began: Option<(Time, Vec<Passed>)>,
-    /// Some addresses at which others find them.
+    /// Addresses of some of them, for others to contact first.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// What simulated members did and saw on a day.
+/// Observations and traffic of the simulated members of a scenario.
 #[derive(Clone, Debug)]
 pub struct SimulatedFleetPlay {
+    /// Simulated members.
     pub members: usize,
-    /// When the day began, on the observations' clock.
+    /// When the scenario began, on the observations' clock.
     pub began: Time,
+    /// Their observations.
     pub observations: Vec<Observation>,
-    /// Over the day, all of them together.
+    /// Bytes that they sent, together.
     pub bytes_sent: u64,
+    /// Bytes that they received, together.
     pub bytes_received: u64,
+    /// Packets that they sent, together.
     pub packets_sent: u64,
+    /// Packets that were lost between them by network faults.
     pub lost: u64,
+    /// Processor time of their threads.
     pub cpu: Duration,
 }
 
 impl SimulatedFleet {
-    /// Starts the simulated members of a day; the real senders meet each other at `senders`, and each simulated member behind
-    /// `between`.
+    /// Starts the simulated members of a scenario. The real senders receive packets at `senders`; `between` is the network between
+    /// them and the simulated members.
+    ///
+    /// # Errors
+    /// The timing is not valid, or a socket fails.
     pub fn start(
         scenario: &Scenario,
         seed: u64,
@@ -86,13 +95,13 @@
         let setups = (scenario.senders..scenario.members()).map(setup).collect();
         let traffic = Arc::new(Traffic::new(scenario.members()));
         let common = Common {
-            delivery_log: Arc::new(AddressBook::new(&addresses)),
+            addresses: Arc::new(AddressBook::new(&addresses)),
             traffic: Arc::clone(&traffic),
             script: Arc::new(Script {
                 network_faults: scenario.network_faults.clone(),
                 scheduled_actions: scenario.scheduled_actions.clone(),
             }),
-            first_hollow: scenario.senders,
+            first_simulated: scenario.senders,
             seed,
         };
         let running = Running::start(&common, setups, listen, Clock::start())?;
@@ -107,14 +116,17 @@
         })
     }
 
-    /// The day begins.
+    /// The scenario begins.
     pub fn begin(&mut self, at: Instant) {
         let at = self.running.clock.time(at);
         self.began = Some((at, self.traffic.passed()));
         self.running.begin(at);
     }
 
-    /// Ends all of them.
+    /// Ends all simulated members.
+    ///
+    /// # Errors
+    /// One of their threads has failed.
     pub fn end(self) -> Result<SimulatedFleetPlay, SimulatedFleetError> {
         let now = self.traffic.passed();
         let (began, before) = self
--- a/crates/fleet-harness/src/simulated/member.rs
+++ b/crates/fleet-harness/src/simulated/member.rs
@@ -1,33 +1,37 @@
-//! One simulated member: the real reducer with its real membership, and nothing below it. Whoever drives it brings the
-//! packets, the clock and the timers.
+//! One simulated member: the real reducer with its real membership, without I/O. The engine provides packets, clock and timers.
 //!
-//! This is the one file here that speaks to the membership.
+//! This is the only file here that uses the membership.
 
 use std::net::SocketAddr;
 
 use cranehill_core::{Core, Effect, Input, Persisted};
 use cranehill_membership as membership;
 use cranehill_scheduler::Time;
-use cranehill_scheduler::profile::Profile;
+use cranehill_scheduler::api::Settings;
 use serde_json::json;
 
 use super::plan::{SimulatedFleetError, Timing, ZONES};
+use crate::invalid_settings::{InvalidSettings, parse_settings};
 
-/// The key of rehearsed fleets, as their real processes have it: nothing secret travels between their members.
+/// The key of simulated fleets, as the scenario runner gives it to real processes: nothing secret is sent between their members.
 const KEY: membership::Key = *b"rehearse on loopback, rehearse!.";
 
-/// What another member is in a member's view.
+/// The state of another member in a member's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seen {
+    /// It answers probes.
     Alive,
+    /// It did not answer, and may still refute that.
     Suspect,
+    /// It did not refute the suspicion.
     Down,
+    /// It has announced its end.
     Left,
 }
 
 impl Seen {
-    /// As it stands in a sender's log.
-    pub fn block(self) -> &'static str {
+    /// As a sender's log names it.
+    pub fn name(self) -> &'static str {
         match self {
             Seen::Alive => "alive",
             Seen::Suspect => "suspect",
@@ -37,50 +41,57 @@
     }
 }
 
-/// What a member tells of itself and of the others.
+/// What a member reports of itself and of the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Report {
-    /// It takes part under this generation from now on.
-    Generation(u64),
-    /// Another member is so in its view.
+pub(super) enum Report {
+    /// It has this incarnation from now on.
+    Incarnation(u64),
+    /// The state of another member in its view has changed.
     Sees {
         address: SocketAddr,
-        generation: u64,
+        incarnation: u64,
         seen: Seen,
     },
-    /// It divides shared limits by so many senders.
+    /// It divides shared limits by this number of senders.
     Senders(u32),
-    /// It was not run when it should have been, and concludes nothing from that time.
-    HeldUp,
+    /// It ran late, and draws no conclusion from that time.
+    ProcessPaused,
     /// It dropped a packet.
-    Refused,
-    /// The others held it to be down; it is back.
+    PacketDropped,
+    /// The others held it to be down; it has rejoined.
     Rejoined,
 }
 
 /// A packet that a member sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Packet {
+pub(super) struct Packet {
+    /// The receiver.
     pub to: SocketAddr,
+    /// The datagram.
     pub bytes: Vec<u8>,
 }
 
-/// What came of one step.
+/// The result of one step.
 #[derive(Debug, Default)]
-pub struct Output {
+pub(super) struct Output {
+    /// Packets to send.
     pub packets: Vec<Packet>,
+    /// Reports in order.
     pub reports: Vec<Report>,
 }
 
 /// How a member takes part.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub(super) struct Setup {
+    /// Its number.
     pub index: usize,
     /// Where the others reach it.
     pub address: SocketAddr,
+    /// Members that it contacts first.
     pub seeds: Vec<SocketAddr>,
     /// Members of the fleet, by the settings.
     pub fleet_size: usize,
+    /// Settings of the membership.
     pub timing: Timing,
 }
 
@@ -101,7 +112,7 @@
     }
 
     /// A sender's settings with one class, one kind and no destination.
-    fn decisions(&self) -> Result<cranehill_scheduler::api::Settings, SimulatedFleetError> {
+    fn decisions(&self) -> Result<Settings, SimulatedFleetError> {
         let zones: Vec<String> = (1..=ZONES).map(|zone| format!("zone-{zone}")).collect();
         let settings = json!({
             "classes": [{"name": "event", "effect": "keyed", "window": 20_000_000_000u64, "aim": 4_000_000_000u64,
@@ -120,73 +131,69 @@
             "zone": self.index % ZONES,
             "zones": zones,
         });
-        let wrong = |why: String| SimulatedFleetError::Settings(why);
-        let profile: Profile =
-            serde_json::from_value(settings).map_err(|e| wrong(e.to_string()))?;
-        profile.into_settings().map_err(|e| wrong(e.to_string()))
+        Ok(parse_settings(settings)?)
     }
 }
 
-/// See the module's text.
+/// A member that runs.
 #[derive(Debug)]
-pub struct Member {
+pub(super) struct Member {
     core: Core,
-    generation: u64,
+    incarnation: u64,
     /// When the membership is due, and when the decisions are.
     membership_due: Option<Time>,
     decisions_due: Option<Time>,
 }
 
 impl Member {
-    /// Takes part from now on.
-    pub fn start(
+    /// Starts a member.
+    pub(super) fn start(
         setup: &Setup,
         seed: u64,
         now: Time,
         output: &mut Output,
     ) -> Result<Member, SimulatedFleetError> {
         let settings = setup.decisions()?;
-        let mut core = Core::new(settings, seed, now)
-            .map_err(|e| SimulatedFleetError::Settings(e.to_string()))?;
+        let mut core = Core::new(settings, seed, now).map_err(InvalidSettings::new)?;
         core.join(setup.membership(), seed.rotate_left(32));
         let mut member = Member {
             core,
-            generation: 0,
+            incarnation: 0,
             membership_due: Some(now),
             decisions_due: None,
         };
         member.note_generation(output);
-        member.take_turn(now, output);
+        member.end_tick(now, output);
         member.wake(now, output);
         Ok(member)
     }
 
-    /// When it is to be woken.
-    pub fn due(&self) -> Option<Time> {
+    /// When it is to be woken next.
+    pub(super) fn due(&self) -> Option<Time> {
         self.membership_due
             .into_iter()
             .chain(self.decisions_due)
             .min()
     }
 
-    /// A packet came.
-    pub fn receive(&mut self, now: Time, bytes: Vec<u8>, output: &mut Output) {
+    /// A packet has arrived.
+    pub(super) fn receive(&mut self, now: Time, bytes: Vec<u8>, output: &mut Output) {
         self.step_membership(now, membership::Input::Heard(bytes), output);
     }
 
     /// The time of [`Member::due`] has come.
-    pub fn wake(&mut self, now: Time, output: &mut Output) {
+    pub(super) fn wake(&mut self, now: Time, output: &mut Output) {
         if self.membership_due.take_if(|due| *due <= now).is_some() {
             self.step_membership(now, membership::Input::TimerFired, output);
         }
         if self.decisions_due.take_if(|due| *due <= now).is_some() {
             self.step(now, Input::TimerFired, output);
-            self.take_turn(now, output);
+            self.end_tick(now, output);
         }
     }
 
-    /// It is about to end, and says so.
-    pub fn leave(&mut self, now: Time, output: &mut Output) {
+    /// It announces its end.
+    pub(super) fn leave(&mut self, now: Time, output: &mut Output) {
         self.step_membership(now, membership::Input::Leave, output);
     }
 
@@ -194,12 +201,12 @@
         let divided = self.step(now, Input::Fleet(input), output);
         self.note_generation(output);
         if divided {
-            self.take_turn(now, output);
+            self.end_tick(now, output);
         }
     }
 
-    /// Lets the decisions be made of all that came in.
-    fn take_turn(&mut self, now: Time, output: &mut Output) {
+    /// Lets the reducer decide on all inputs so far.
+    fn end_tick(&mut self, now: Time, output: &mut Output) {
         self.step(now, Input::TickEnded, output);
     }
 
@@ -208,7 +215,7 @@
         let mut divided = false;
         let mut effects = self.core.step(now, input);
         while !effects.is_empty() {
-            let mut kept = false;
+            let mut persisted = false;
             for effect in effects.drain(..) {
                 match effect {
                     Effect::Fleet(membership::Effect::ShareDivisor(senders)) => {
@@ -219,13 +226,13 @@
                     Effect::WakeAt(at) => {
                         self.decisions_due = Some(self.decisions_due.map_or(at, |due| due.min(at)));
                     }
-                    // There is no journal: all is kept at once.
-                    Effect::Persist(_) => kept = true,
+                    // There is no journal: all records are persisted at once.
+                    Effect::Persist(_) => persisted = true,
                     // There are no clients and no destinations.
                     _ => {}
                 }
             }
-            if kept {
+            if persisted {
                 effects = self.core.step(now, Input::Persisted(Persisted::All));
             }
         }
@@ -238,24 +245,24 @@
             membership::Effect::WakeAt(at) => self.membership_due = Some(at),
             membership::Effect::Changed { view, .. } => output.reports.push(Report::Sees {
                 address: view.member.at,
-                generation: view.member.generation,
+                incarnation: view.member.generation,
                 seen: seen(view.state),
             }),
             membership::Effect::Rejoined { .. } => output.reports.push(Report::Rejoined),
-            membership::Effect::Stalled(_) => output.reports.push(Report::HeldUp),
-            membership::Effect::Dropped(_) => output.reports.push(Report::Refused),
+            membership::Effect::Stalled(_) => output.reports.push(Report::ProcessPaused),
+            membership::Effect::Dropped(_) => output.reports.push(Report::PacketDropped),
             _ => {}
         }
     }
 
     fn note_generation(&mut self, output: &mut Output) {
-        let generation = self
+        let incarnation = self
             .core
             .members()
             .map_or(0, |members| members.me().generation);
-        if generation != self.generation {
-            self.generation = generation;
-            output.reports.push(Report::Generation(generation));
+        if incarnation != self.incarnation {
+            self.incarnation = incarnation;
+            output.reports.push(Report::Incarnation(incarnation));
         }
     }
 }
--- a/crates/fleet-harness/src/simulated/mod.rs
+++ b/crates/fleet-harness/src/simulated/mod.rs
@@ -2,9 +2,9 @@
 //! clients, destinations or a journal. What membership costs a sender, and whether it agrees, is measured with as many
 //! members as real processes would not fit on one machine.
 //!
-//! Start at [`play`], [`SimulatedFleetPlan`] and [`SimulatedFleetFigures`]. [`member`](self) is the reducer without anything below it, the
-//! engine runs members on a network, which is simulated or made of UDP sockets, and the observer compares what members
-//! report with what was done to them.
+//! Start at [`play`], [`SimulatedFleetPlan`] and [`SimulatedFleetFigures`]. A member is the reducer without I/O, the engine runs members
+//! on a network, which is simulated or made of UDP sockets, and the observer compares the members' reports with what was done to
+//! them.
 
 mod course;
 mod engine;
@@ -14,26 +14,27 @@
 mod observer;
 mod plan;
 mod script;
+mod setup;
 mod traffic;
 mod udp;
 pub(crate) mod usage;
 mod virtual_time;
 
-pub use course::START_MOST;
+pub use course::START_TIMEOUT;
 pub use figures::{SimulatedFleetFigures, Spread};
 pub use fleet::{SimulatedFleet, SimulatedFleetPlay};
 pub use member::Seen;
 pub use observer::{Observation, Observed, Observer};
 pub use plan::{
-    Conditions, Disturbance, MEMBERS_LEAST, MEMBERS_MOST, SimulatedFleetError, SimulatedFleetPlan,
+    Conditions, Disturbance, MAX_MEMBERS, MIN_MEMBERS, SimulatedFleetError, SimulatedFleetPlan,
     Timing, Transport, ZONES,
 };
-pub use script::RESTART_AFTER;
-
-/// Whom each member asks for the others, as in a rehearsal of real processes.
-const SEEDS: usize = 3;
+pub use script::RESTART_DELAY;
 
 /// Plays a fleet of simulated members alone.
+///
+/// # Errors
+/// The plan is not valid, or a socket fails.
 pub fn play(plan: &SimulatedFleetPlan) -> Result<SimulatedFleetFigures, SimulatedFleetError> {
     plan.check()?;
     match plan.transport {
--- a/crates/fleet-harness/src/simulated/observer.rs
+++ b/crates/fleet-harness/src/simulated/observer.rs
@@ -1,40 +1,53 @@
-//! Compares what the members report with what was done to them: agreement, detection, shares.
+//! Compares the members' reports with what was done to them: agreement, detection, shares.
 
 use std::collections::BTreeMap;
 
 use cranehill_scheduler::Time;
 
-use super::Seen;
+use super::member::Seen;
 
-/// What one member reports, with members by their index.
+/// A report of one member, with members by their index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
+    /// When it was made.
     pub at: Time,
+    /// The member that reports.
     pub by: usize,
+    /// What it reports.
     pub what: Observed,
 }
 
-/// See [`Observation`].
+/// What was observed of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Observed {
     /// It was started, and sees nobody yet.
     Started,
-    /// Its process ended without a word.
+    /// Its process was killed.
     Crashed,
-    /// It was told to end, and said so.
+    /// It has announced its end, and ended.
     Ended,
-    /// It was stopped, as by SIGSTOP, and goes on.
+    /// It was stopped, as by SIGSTOP.
     Stopped,
+    /// It continues after a stop.
     Resumed,
-    Generation(u64),
+    /// It has this incarnation from now on.
+    Incarnation(u64),
+    /// The state of another member in its view has changed.
     Sees {
+        /// The other member.
         member: usize,
-        generation: u64,
+        /// The incarnation of the other member.
+        incarnation: u64,
+        /// The state from now on.
         seen: Seen,
     },
+    /// It divides shared limits by this number of senders.
     Senders(u32),
-    HeldUp,
-    Refused,
+    /// It ran late, and draws no conclusion from that time.
+    ProcessPaused,
+    /// It dropped a packet.
+    PacketDropped,
+    /// The others held it to be down; it has rejoined.
     Rejoined,
 }
 
@@ -42,9 +55,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum View {
     Unknown,
-    /// Alive, in its present generation.
+    /// Alive, in its present incarnation.
     Alive,
-    /// Alive, in a generation that is over.
+    /// Alive, in an earlier incarnation.
     AliveBefore,
     Suspect,
     Down,
@@ -57,14 +70,14 @@
     Away { since: Time, crashed: bool },
 }
 
-/// See the module's text.
+/// The views of all members, and what was done to the members.
 #[derive(Debug)]
 pub struct Observer {
     count: usize,
     /// By viewer, then by member.
     views: Vec<View>,
     presence: Vec<Presence>,
-    generation: Vec<u64>,
+    incarnation: Vec<u64>,
     /// Members that were away at some time: their traffic is no measure, their downs have a cause.
     away_once: Vec<bool>,
     /// Pairs of a running viewer and a member where the view is not what it should be.
@@ -86,12 +99,13 @@
 }
 
 impl Observer {
+    /// No member has started.
     pub fn new(count: usize) -> Observer {
         Observer {
             count,
             views: vec![View::Unknown; count * count],
             presence: vec![Presence::NotStarted; count],
-            generation: vec![0; count],
+            incarnation: vec![0; count],
             away_once: vec![false; count],
             wrong: 0,
             not_started: count,
@@ -107,7 +121,7 @@
         }
     }
 
-    /// The ways between members are cut from then on, and for some time.
+    /// Paths between members are cut from then on, for some time.
     pub fn cut_from(&mut self, at: Time) {
         self.cut_from = Some(at);
     }
@@ -117,6 +131,7 @@
         self.wrong == 0 && self.not_started == 0
     }
 
+    /// Adds an observation.
     pub fn note(&mut self, observation: &Observation) {
         let Observation { at, by, what } = observation;
         let by = *by;
@@ -136,44 +151,50 @@
                     crashed: false,
                 },
             ),
-            Observed::Generation(generation) => self.set_generation(by, *generation),
+            Observed::Incarnation(incarnation) => self.set_generation(by, *incarnation),
             Observed::Sees {
                 member,
-                generation,
+                incarnation,
                 seen,
-            } => self.sees(*at, by, *member, *generation, *seen),
+            } => self.sees(*at, by, *member, *incarnation, *seen),
             Observed::Senders(senders) => self.divides(by, *senders),
-            Observed::HeldUp => self.held_up += 1,
-            Observed::Refused => self.refused += 1,
+            Observed::ProcessPaused => self.held_up += 1,
+            Observed::PacketDropped => self.refused += 1,
             Observed::Rejoined | Observed::Stopped | Observed::Resumed => {}
         }
     }
 
+    /// The member ran throughout.
     pub fn never_away(&self, member: usize) -> bool {
         !self.away_once[member]
     }
 
-    /// Starts and ends of members by now.
+    /// Starts and ends of members so far.
     pub fn presence_changes(&self) -> usize {
         self.presence_changes
     }
 
+    /// The largest share of a shared limit that all running members allowed themselves together.
     pub fn largest_share(&self) -> f64 {
         self.largest_share
     }
 
+    /// Seconds from each crash to each view that held the member to be down.
     pub fn detections(&self) -> Vec<f64> {
         self.detections.clone()
     }
 
+    /// Times that a member was held to be down that was neither away nor cut off.
     pub fn false_downs(&self) -> usize {
         self.false_downs
     }
 
+    /// Times that a member ran late.
     pub fn held_up(&self) -> usize {
         self.held_up
     }
 
+    /// Packets that members dropped.
     pub fn refused(&self) -> usize {
         self.refused
     }
@@ -227,7 +248,7 @@
         self.presence_changes += 1;
         self.presence[member] = presence;
         if presence == Presence::Running {
-            // What it knew went with its last process.
+            // Its view is lost with its last process.
             self.views[member * self.count..][..self.count].fill(View::Unknown);
             self.divisors[member] = self.count as u32;
         } else {
@@ -242,12 +263,12 @@
         self.note_share();
     }
 
-    fn set_generation(&mut self, member: usize, generation: u64) {
-        if generation <= self.generation[member] {
+    fn set_generation(&mut self, member: usize, incarnation: u64) {
+        if incarnation <= self.incarnation[member] {
             return;
         }
         self.wrong -= self.wrong_with(member);
-        self.generation[member] = generation;
+        self.incarnation[member] = incarnation;
         for viewer in 0..self.count {
             let view = &mut self.views[viewer * self.count + member];
             if *view == View::Alive {
@@ -257,10 +278,10 @@
         self.wrong += self.wrong_with(member);
     }
 
-    fn sees(&mut self, at: Time, viewer: usize, member: usize, generation: u64, seen: Seen) {
-        // Reports of two members may overtake each other: a member has the generation that it is seen in.
-        self.set_generation(member, generation);
-        let present = generation == self.generation[member];
+    fn sees(&mut self, at: Time, viewer: usize, member: usize, incarnation: u64, seen: Seen) {
+        // Reports of two members may overtake each other: a member has the incarnation that it is seen in.
+        self.set_generation(member, incarnation);
+        let present = incarnation == self.incarnation[member];
         let view = match seen {
             Seen::Alive if present => View::Alive,
             Seen::Alive => View::AliveBefore,
--- a/crates/fleet-harness/src/simulated/plan.rs
+++ b/crates/fleet-harness/src/simulated/plan.rs
@@ -1,21 +1,23 @@
-//! What to play: how many simulated members, over which network, and what disturbs them.
+//! What to play: the number of simulated members, the network, and the disturbance.
 
 use std::time::Duration;
 
-/// Members of one play, at most.
-pub const MEMBERS_MOST: usize = 2_000;
-/// Members of one play, at least.
-pub const MEMBERS_LEAST: usize = 2;
-/// A play lasts at most this long after its start.
-pub const DURATION_MOST: Duration = Duration::from_secs(3600);
-/// A play lasts at least this long: below it, a rate per second says nothing.
-pub const DURATION_LEAST: Duration = Duration::from_secs(1);
-/// Zones that members are spread over, by their index.
+use crate::invalid_settings::InvalidSettings;
+
+/// The largest fleet.
+pub const MAX_MEMBERS: usize = 2_000;
+/// The smallest fleet.
+pub const MIN_MEMBERS: usize = 2;
+/// The longest measured duration.
+pub(super) const MAX_DURATION: Duration = Duration::from_secs(3600);
+/// The shortest measured duration: below it, a rate per second says nothing.
+pub(super) const MIN_DURATION: Duration = Duration::from_secs(1);
+/// Zones of the members, by their index.
 pub const ZONES: usize = 6;
-/// One rack holds one in so many members.
-pub const MEMBERS_PER_RACK: usize = 30;
-/// The disturbance begins after this part of the play's duration.
-pub const QUIET_PART: u32 = 10;
+/// One in this many members is in the rack that fails.
+pub(super) const MEMBERS_PER_RACK: usize = 30;
+/// The disturbance begins after this fraction of the measured duration.
+pub(super) const UNDISTURBED_FRACTION: u32 = 10;
 
 /// What carries packets between the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,40 +28,45 @@
     Virtual,
 }
 
-/// What happens to the fleet; one per play, a tenth of the play after its start.
+/// What happens to the fleet, once, after a tenth of the measured duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
+    /// Nothing.
     None,
-    /// One in so many members is killed at once, and stays away.
+    /// Some members are killed at once, and stay away.
     Crashes {
+        /// One in this many members.
         one_in: u32,
     },
     /// One in `MEMBERS_PER_RACK` members is killed at once, and stays away.
     RackDown,
-    /// One zone of so many is killed at once, and stays away.
+    /// All members of one zone are killed at once, and stay away.
     ZoneDown {
+        /// Zones of the fleet.
         zones: u32,
     },
     /// Two halves, drawn by the seed, are cut off from each other.
     Halves {
+        /// How long the cut lasts.
         duration: Duration,
     },
-    /// So many are killed at once, and started again after [`super::RESTART_AFTER`].
+    /// Some members are killed at once, and started again after [`super::RESTART_DELAY`].
     Restarts {
+        /// How many.
         count: u32,
     },
 }
 
-/// The settings of the membership that a play may vary; the defaults are those of `deploy/fleet.toml`.
+/// The settings of the membership that a run may vary; the defaults are those of `deploy/fleet.toml`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// Each period a member probes one other.
     pub period: Duration,
-    /// An answer that takes longer is asked for through others.
+    /// If a probe takes longer, other members probe as well.
     pub round_trip: Duration,
     /// Time to refute a suspicion; `None`: four periods, and more from ten members on.
     pub suspicion: Option<Duration>,
-    /// A majority agrees for so long before a member is evicted; `None`: never.
+    /// A majority must agree for this long before a member is evicted; `None`: never.
     pub eviction_delay: Option<Duration>,
     /// A packet that was sent longer ago is dropped.
     pub late: Duration,
@@ -82,7 +89,7 @@
 pub struct Conditions {
     /// One way, drawn evenly from this range.
     pub latency: [Duration; 2],
-    /// The part of all packets that is lost.
+    /// The share of all packets that is lost.
     pub loss: f64,
 }
 
@@ -95,16 +102,22 @@
     }
 }
 
-/// See the module's text.
+/// What to play.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SimulatedFleetPlan {
+    /// Members of the fleet.
     pub members: usize,
-    /// After the fleet has agreed at the start.
+    /// The measured duration, after the views have agreed at the start.
     pub duration: Duration,
+    /// What happens to the fleet.
     pub disturbance: Disturbance,
+    /// What carries packets.
     pub transport: Transport,
+    /// Seed of all random draws.
     pub seed: u64,
+    /// Settings of the membership.
     pub timing: Timing,
+    /// Latency and loss.
     pub conditions: Conditions,
 }
 
@@ -122,21 +135,28 @@
     }
 }
 
-/// Why a play of simulated members could not be played.
+/// Why a fleet of simulated members could not be played.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulatedFleetError {
-    #[error("members: {0} is not from {MEMBERS_LEAST} to {MEMBERS_MOST}")]
+    /// The number of members is out of range.
+    #[error("members: {0} is not from {MIN_MEMBERS} to {MAX_MEMBERS}")]
     Members(usize),
-    #[error("duration: {0:?} is not from {DURATION_LEAST:?} to {DURATION_MOST:?}")]
+    /// The measured duration is out of range.
+    #[error("duration: {0:?} is not from {MIN_DURATION:?} to {MAX_DURATION:?}")]
     Duration(Duration),
+    /// The disturbance does not fit the fleet.
     #[error("disturbance: {0}")]
     Disturbance(String),
+    /// A time of the membership is out of range.
     #[error("timing: {0}")]
     Timing(&'static str),
+    /// Latency or loss is out of range.
     #[error("conditions: {0}")]
     Conditions(&'static str),
+    /// The reducer does not accept the settings of a member.
     #[error("a member's settings: {0}")]
-    Settings(String),
+    Settings(#[from] InvalidSettings),
+    /// A socket fails.
     #[error("sockets: {0}")]
     Io(#[from] std::io::Error),
 }
@@ -144,15 +164,15 @@
 impl SimulatedFleetPlan {
     /// When the disturbance begins, after the start.
     pub fn disturbed_after(&self) -> Duration {
-        self.duration / QUIET_PART
+        self.duration / UNDISTURBED_FRACTION
     }
 
     /// Checks every value; nothing is started before.
     pub fn check(&self) -> Result<(), SimulatedFleetError> {
-        if !(MEMBERS_LEAST..=MEMBERS_MOST).contains(&self.members) {
+        if !(MIN_MEMBERS..=MAX_MEMBERS).contains(&self.members) {
             return Err(SimulatedFleetError::Members(self.members));
         }
-        if !(DURATION_LEAST..=DURATION_MOST).contains(&self.duration) {
+        if !(MIN_DURATION..=MAX_DURATION).contains(&self.duration) {
             return Err(SimulatedFleetError::Duration(self.duration));
         }
         self.timing.check()?;
--- a/crates/fleet-harness/src/simulated/script.rs
+++ b/crates/fleet-harness/src/simulated/script.rs
@@ -1,4 +1,4 @@
-//! A play's disturbance, as the breaks and acts that scenario files are made of.
+//! The disturbance of a run, as network faults and scheduled actions.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,20 +12,23 @@
 
 use super::plan::{Disturbance, MEMBERS_PER_RACK, SimulatedFleetPlan};
 
-/// A member that is restarted is away for so long, as a real process in a rehearsal.
-pub const RESTART_AFTER: Duration = Duration::from_millis(600);
-/// Loss lasts longer than any play.
-const ALWAYS: Duration = Duration::from_secs(100_000);
+/// A member that is restarted is away this long, as a real process in a scenario.
+pub const RESTART_DELAY: Duration = Duration::from_millis(600);
+/// Loss lasts longer than any run.
+const LOSS_DURATION: Duration = Duration::from_secs(100_000);
 
-/// What is broken and done to the members, on a clock that starts with the play.
+/// Network faults and actions, on a clock that starts with the measured duration.
 #[derive(Clone, Debug, Default)]
-pub struct Script {
+pub(super) struct Script {
+    /// Faults of paths between members.
     pub network_faults: Vec<NetworkFault>,
+    /// Actions on members.
     pub scheduled_actions: Vec<ScheduledAction>,
 }
 
 impl Script {
-    pub fn of(plan: &SimulatedFleetPlan) -> Script {
+    /// The script of a plan.
+    pub(super) fn of(plan: &SimulatedFleetPlan) -> Script {
         let mut script = Script::default();
         if plan.conditions.loss > 0.0 {
             script.network_faults.push(loss(plan));
@@ -34,13 +37,13 @@
         match plan.disturbance {
             Disturbance::None => {}
             Disturbance::Halves { duration } => {
-                script.network_faults.push(halves(plan, at, duration))
+                script.network_faults.push(halves(plan, at, duration));
             }
             Disturbance::Restarts { count } => {
                 let senders = drawn(plan, count as usize);
                 script
                     .scheduled_actions
-                    .push(kill(at, senders, Some(RESTART_AFTER)));
+                    .push(kill(at, senders, Some(RESTART_DELAY)));
             }
             Disturbance::Crashes { one_in } => {
                 let senders = drawn(plan, plan.members / one_in as usize);
@@ -62,23 +65,26 @@
         script
     }
 
-    /// When the last disturbance is over, after the start.
-    pub fn over_after(&self) -> Duration {
+    /// When the last disturbance ends, after the start.
+    pub(super) fn ended_after(&self) -> Duration {
         let cuts = self
             .network_faults
             .iter()
-            .filter(|b| b.path_fault == PathFault::Cut)
-            .map(|b| b.until);
-        let scheduled_actions = self.scheduled_actions.iter().map(|act| match act.action {
-            MemberAction::Kill {
-                back: Some(back), ..
-            }
-            | MemberAction::Term {
-                back: Some(back), ..
-            } => act.at + back,
-            MemberAction::Stop { duration } => act.at + duration,
-            _ => act.at,
-        });
+            .filter(|fault| fault.path_fault == PathFault::Cut)
+            .map(|fault| fault.until);
+        let scheduled_actions =
+            self.scheduled_actions
+                .iter()
+                .map(|scheduled| match scheduled.action {
+                    MemberAction::Kill {
+                        back: Some(back), ..
+                    }
+                    | MemberAction::Term {
+                        back: Some(back), ..
+                    } => scheduled.at + back,
+                    MemberAction::Stop { duration } => scheduled.at + duration,
+                    _ => scheduled.at,
+                });
         cuts.chain(scheduled_actions).max().unwrap_or_default()
     }
 }
@@ -94,7 +100,7 @@
     }
 }
 
-/// So many members, one at least, drawn by the seed.
+/// This number of members, one at least, drawn by the seed.
 fn drawn(plan: &SimulatedFleetPlan, count: usize) -> BTreeSet<usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let mut all: Vec<usize> = (0..plan.members).collect();
@@ -128,7 +134,7 @@
     };
     NetworkFault {
         at: Duration::ZERO,
-        until: ALWAYS,
+        until: LOSS_DURATION,
         from,
         to,
         one_way: false,
--- /dev/null
+++ b/crates/fleet-harness/src/simulated/setup.rs
@@ -0,0 +1,45 @@
+//! The members of a fleet that is played alone, and what their engines share.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use super::engine::{AddressBook, Common};
+use super::member::Setup;
+use super::plan::SimulatedFleetPlan;
+use super::script::Script;
+use super::traffic::Traffic;
+
+/// Members that each member contacts first.
+const SEEDS: usize = 3;
+
+/// The members of a fleet.
+pub(super) struct FleetSetup {
+    /// What the engines share.
+    pub(super) common: Common,
+    /// By index.
+    pub(super) members: Vec<Setup>,
+}
+
+impl FleetSetup {
+    /// All members of a plan; `addresses` are theirs, by index.
+    pub(super) fn of(plan: &SimulatedFleetPlan, addresses: &[SocketAddr]) -> FleetSetup {
+        let seeds: Vec<SocketAddr> = addresses.iter().copied().take(SEEDS).collect();
+        let setup = |(index, address): (usize, &SocketAddr)| Setup {
+            index,
+            address: *address,
+            seeds: seeds.clone(),
+            fleet_size: plan.members,
+            timing: plan.timing,
+        };
+        FleetSetup {
+            common: Common {
+                addresses: Arc::new(AddressBook::new(addresses)),
+                traffic: Arc::new(Traffic::new(plan.members)),
+                script: Arc::new(Script::of(plan)),
+                first_simulated: 0,
+                seed: plan.seed,
+            },
+            members: addresses.iter().enumerate().map(setup).collect(),
+        }
+    }
+}
--- a/crates/fleet-harness/src/simulated/traffic.rs
+++ b/crates/fleet-harness/src/simulated/traffic.rs
@@ -1,12 +1,12 @@
-//! What passed each member's socket, in both directions.
+//! Counters of each member's packets, in both directions.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 /// Shared by the threads that drive members and the one that reads them.
 #[derive(Debug, Default)]
-pub struct Traffic {
+pub(super) struct Traffic {
     counters: Vec<Counters>,
-    /// Packets that were lost on broken ways.
+    /// Packets that were lost by network faults.
     lost: AtomicU64,
     /// Bytes of the largest datagram.
     largest: AtomicU64,
@@ -21,15 +21,18 @@
 
 /// One member's counters at some time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
+pub(super) struct Passed {
+    /// Bytes sent.
     pub bytes_sent: u64,
+    /// Bytes received.
     pub bytes_received: u64,
+    /// Packets sent.
     pub packets_sent: u64,
 }
 
 impl Passed {
-    /// What passed since then.
-    pub fn since(self, before: Passed) -> Passed {
+    /// The difference to earlier counters.
+    pub(super) fn since(self, before: Passed) -> Passed {
         Passed {
             bytes_sent: self.bytes_sent - before.bytes_sent,
             bytes_received: self.bytes_received - before.bytes_received,
@@ -39,14 +42,16 @@
 }
 
 impl Traffic {
-    pub fn new(members: usize) -> Traffic {
+    /// Counters of this number of members, all zero.
+    pub(super) fn new(members: usize) -> Traffic {
         Traffic {
             counters: (0..members).map(|_| Counters::default()).collect(),
             ..Traffic::default()
         }
     }
 
-    pub fn sent(&self, member: usize, bytes: usize) {
+    /// Counts a packet that a member sent.
+    pub(super) fn sent(&self, member: usize, bytes: usize) {
         self.counters[member]
             .bytes_sent
             .fetch_add(bytes as u64, Relaxed);
@@ -54,26 +59,30 @@
         self.largest.fetch_max(bytes as u64, Relaxed);
     }
 
-    pub fn received(&self, member: usize, bytes: usize) {
+    /// Counts a packet that a member received.
+    pub(super) fn received(&self, member: usize, bytes: usize) {
         self.counters[member]
             .bytes_received
             .fetch_add(bytes as u64, Relaxed);
     }
 
-    pub fn lose(&self) {
+    /// Counts a packet that was lost by a network fault.
+    pub(super) fn lose(&self) {
         self.lost.fetch_add(1, Relaxed);
     }
 
-    pub fn lost(&self) -> u64 {
+    /// Packets that were lost by network faults.
+    pub(super) fn lost(&self) -> u64 {
         self.lost.load(Relaxed)
     }
 
-    pub fn largest(&self) -> usize {
+    /// Bytes of the largest datagram.
+    pub(super) fn largest(&self) -> usize {
         self.largest.load(Relaxed) as usize
     }
 
     /// All members' counters, by index.
-    pub fn passed(&self) -> Vec<Passed> {
+    pub(super) fn passed(&self) -> Vec<Passed> {
         let passed = |c: &Counters| Passed {
             bytes_sent: c.bytes_sent.load(Relaxed),
             bytes_received: c.bytes_received.load(Relaxed),
--- a/crates/fleet-harness/src/simulated/udp.rs
+++ b/crates/fleet-harness/src/simulated/udp.rs
@@ -12,14 +12,13 @@
 use mio::{Events, Interest, Poll, Registry, Token, Waker};
 
 use super::course::{Course, Usage};
-use super::engine::{AddressBook, Common, Engine, Network};
+use super::engine::{Common, Engine, Network};
 use super::figures::SimulatedFleetFigures;
 use super::member::{Packet, Setup};
 use super::observer::Observation;
 use super::plan::{SimulatedFleetError, SimulatedFleetPlan};
-use super::script::Script;
-use super::traffic::Traffic;
-use super::{SEEDS, usage};
+use super::setup::FleetSetup;
+use super::usage;
 
 /// Members that one thread drives, unless that takes more threads than the machine has processors: beside a crash, a
 /// fleet of 200 keeps a hundredth of a processor busy with each member.
@@ -27,20 +26,21 @@
 /// Packets read from one socket before the others have their turn.
 const PACKETS_PER_TURN: usize = 64;
 /// Larger than any that a member sends.
-const PACKET_MOST: usize = 2048;
-/// The thread that watches the course looks at the clock at least so often.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const MAX_PACKET_BYTES: usize = 2048;
+/// The longest wait for an observation.
+const MAX_WAIT: Duration = Duration::from_millis(50);
 const WAKE: Token = Token(usize::MAX);
 
 /// The wall clock at the start, and a clock that does not jump since.
 #[derive(Clone, Copy, Debug)]
-pub struct Clock {
+pub(super) struct Clock {
     started: Instant,
     unix: Duration,
 }
 
 impl Clock {
-    pub fn start() -> Clock {
+    /// Starts the clock.
+    pub(super) fn start() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -50,19 +50,21 @@
         }
     }
 
-    pub fn now(&self) -> Time {
+    /// The present time.
+    pub(super) fn now(&self) -> Time {
         self.time(Instant::now())
     }
 
-    pub fn time(&self, instant: Instant) -> Time {
+    /// The time of an instant.
+    pub(super) fn time(&self, instant: Instant) -> Time {
         let unix = self.unix + instant.saturating_duration_since(self.started);
         Time(unix.as_nanos() as u64)
     }
 }
 
-/// Free addresses for so many members from the member `first` on. Each member has an IP address to itself on loopback, so
+/// Free addresses for `members` members from the member `first` on. Each member has an IP address to itself on loopback, so
 /// that its port is still free when it starts again.
-pub fn free_addresses(first: usize, members: usize) -> io::Result<Vec<SocketAddr>> {
+pub(super) fn free_addresses(first: usize, members: usize) -> io::Result<Vec<SocketAddr>> {
     let second = 10 + (std::process::id() % 200) as u8;
     let free = |member: usize| {
         let ip = Ipv4Addr::new(127, second, (member / 250) as u8, 1 + (member % 250) as u8);
@@ -76,7 +78,7 @@
 struct Sockets {
     registry: Registry,
     /// Index of the first simulated member of the fleet, and of the first here.
-    first_hollow: usize,
+    first_simulated: usize,
     first: usize,
     /// Where each simulated member of the fleet listens.
     listen: Arc<Vec<SocketAddr>>,
@@ -86,7 +88,7 @@
 impl Network for Sockets {
     fn open(&mut self, member: usize) -> io::Result<()> {
         let slot = member - self.first;
-        let mut socket = UdpSocket::bind(self.listen[member - self.first_hollow])?;
+        let mut socket = UdpSocket::bind(self.listen[member - self.first_simulated])?;
         self.registry
             .register(&mut socket, Token(slot), Interest::READABLE)?;
         self.open[slot] = Some(socket);
@@ -102,10 +104,10 @@
 
     fn send(&mut self, from: usize, to: Option<usize>, packet: &Packet) -> Option<Duration> {
         let direct = to
-            .filter(|to| *to >= self.first_hollow)
-            .map(|to| self.listen[to - self.first_hollow]);
+            .filter(|to| *to >= self.first_simulated)
+            .map(|to| self.listen[to - self.first_simulated]);
         if let Some(socket) = &self.open[from - self.first] {
-            // A packet that does not go is a packet lost.
+            // A packet that can't be sent is lost.
             let _ = socket.send_to(&packet.bytes, direct.unwrap_or(packet.to));
         }
         None
@@ -119,26 +121,32 @@
             match socket.recv_from(bytes) {
                 Ok((len, _)) => return Some(len),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return None,
-                // Nobody listened where an earlier packet went.
+                // Nobody listened where an earlier packet was sent.
                 Err(_) => {}
             }
         }
     }
 }
 
-enum Order {
+enum Command {
     Begin(Time),
     End,
 }
 
-/// Tells the processor time of the thread: at the start of the script, and at the end.
-type ThreadResult = Result<[Duration; 2], SimulatedFleetError>;
+/// Processor time of a thread.
+struct ThreadCpu {
+    /// When the script's clock started.
+    at_begin: Duration,
+    at_end: Duration,
+}
+
+type ThreadResult = Result<ThreadCpu, SimulatedFleetError>;
 
 struct Shard {
     engine: Engine<Sockets>,
     poll: Poll,
     clock: Clock,
-    orders: Receiver<Order>,
+    commands: Receiver<Command>,
     observations: Sender<Observation>,
     cpu_at_begin: Duration,
     /// Sockets with packets that were not read yet.
@@ -149,9 +157,9 @@
     fn run(mut self) -> ThreadResult {
         self.engine.start_all(self.clock.now())?;
         let mut events = Events::with_capacity(1024);
-        while self.obey() {
-            // What has come by then is read before what is due by then runs: an answer that waits in a socket must not be
-            // missed by the timer that asks for it.
+        while self.run_commands() {
+            // Packets that have arrived by then are read before timers that are due by then: a reply that waits in a socket must
+            // arrive before its timeout.
             let reached = self.clock.now();
             match self.poll.poll(&mut events, self.patience(reached)) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
@@ -161,7 +169,10 @@
             while self.engine.run_next(reached, self.clock.now())? {}
             self.notify();
         }
-        Ok([self.cpu_at_begin, usage::thread_cpu()])
+        Ok(ThreadCpu {
+            at_begin: self.cpu_at_begin,
+            at_end: usage::thread_cpu(),
+        })
     }
 
     fn read_ready(&mut self, events: &Events) {
@@ -169,7 +180,7 @@
         ready.extend(
             events
                 .iter()
-                .map(|event| event.token())
+                .map(mio::event::Event::token)
                 .filter(|token| *token != WAKE)
                 .map(|t| t.0),
         );
@@ -180,7 +191,7 @@
 
     fn notify(&mut self) {
         for observation in self.engine.observations() {
-            // Nobody listens any more once the play is over.
+            // Nobody receives observations once the run is over.
             let _ = self.observations.send(observation);
         }
     }
@@ -194,7 +205,7 @@
     }
 
     fn read(&mut self, slot: usize) {
-        let mut bytes = [0; PACKET_MOST];
+        let mut bytes = [0; MAX_PACKET_BYTES];
         let first = self.engine.network.first;
         for _ in 0..PACKETS_PER_TURN {
             let Some(len) = self.engine.network.receive(slot, &mut bytes) else {
@@ -207,37 +218,39 @@
     }
 
     /// False at the end.
-    fn obey(&mut self) -> bool {
+    fn run_commands(&mut self) -> bool {
         loop {
-            match self.orders.try_recv() {
-                Ok(Order::Begin(at)) => {
+            match self.commands.try_recv() {
+                Ok(Command::Begin(at)) => {
                     self.cpu_at_begin = usage::thread_cpu();
                     self.engine.begin(at);
                 }
                 Err(TryRecvError::Empty) => return true,
-                // Whoever started the play has given it up.
-                Ok(Order::End) | Err(TryRecvError::Disconnected) => return false,
+                // The owner of the threads has ended.
+                Ok(Command::End) | Err(TryRecvError::Disconnected) => return false,
             }
         }
     }
 }
 
 struct Thread {
-    orders: Sender<Order>,
+    commands: Sender<Command>,
     waker: Waker,
     handle: JoinHandle<ThreadResult>,
 }
 
-/// Members that run on threads of their own until they are told to end.
-pub struct Running {
+/// Members that run on threads of their own until they are ended.
+pub(super) struct Running {
     threads: Vec<Thread>,
+    /// The clock of the observations.
     pub clock: Clock,
+    /// Observations of all members.
     pub observations: Receiver<Observation>,
 }
 
 impl Running {
-    /// Starts all members; `listen` tells where each of them does.
-    pub fn start(
+    /// Starts all members; `listen` are their addresses.
+    pub(super) fn start(
         common: &Common,
         setups: Vec<Setup>,
         listen: Vec<SocketAddr>,
@@ -258,24 +271,24 @@
             let waker = Waker::new(poll.registry(), WAKE)?;
             let network = Sockets {
                 registry: poll.registry().try_clone()?,
-                first_hollow: common.first_hollow,
+                first_simulated: common.first_simulated,
                 first: setups[0].index,
                 listen: Arc::clone(&listen),
                 open: setups.iter().map(|_| None).collect(),
             };
-            let (orders, heard) = channel();
+            let (commands, received) = channel();
             let shard = Shard {
                 engine: Engine::new(common.clone(), setups.to_vec(), network, false),
                 poll,
                 clock,
-                orders: heard,
+                commands: received,
                 observations: reported.clone(),
                 cpu_at_begin: Duration::ZERO,
                 more: Vec::new(),
             };
             let handle = std::thread::spawn(move || shard.run());
             running.threads.push(Thread {
-                orders,
+                commands,
                 waker,
                 handle,
             });
@@ -284,24 +297,24 @@
     }
 
     /// The script's clock starts.
-    pub fn begin(&self, at: Time) {
+    pub(super) fn begin(&self, at: Time) {
         self.threads
             .iter()
-            .for_each(|thread| thread.notify(Order::Begin(at)));
+            .for_each(|thread| thread.notify(Command::Begin(at)));
     }
 
-    /// Ends all members; tells the processor time of their threads since the script's clock started.
-    pub fn end(self) -> Result<Duration, SimulatedFleetError> {
+    /// Ends all members; the processor time of their threads since the script's clock started.
+    pub(super) fn end(self) -> Result<Duration, SimulatedFleetError> {
         self.threads
             .iter()
-            .for_each(|thread| thread.notify(Order::End));
+            .for_each(|thread| thread.notify(Command::End));
         let mut cpu = Duration::ZERO;
         for thread in self.threads {
             let ended = thread
                 .handle
                 .join()
                 .map_err(|_| io::Error::other("a thread of members panicked"))?;
-            let [at_begin, at_end] = ended?;
+            let ThreadCpu { at_begin, at_end } = ended?;
             cpu += at_end.saturating_sub(at_begin);
         }
         Ok(cpu)
@@ -309,37 +322,23 @@
 }
 
 impl Thread {
-    fn notify(&self, order: Order) {
-        // One that has ended tells why when it is joined.
-        let _ = self.orders.send(order);
+    fn notify(&self, command: Command) {
+        // The error of a thread that has ended is returned when it is joined.
+        let _ = self.commands.send(command);
         let _ = self.waker.wake();
     }
 }
 
-pub fn play(plan: &SimulatedFleetPlan) -> Result<SimulatedFleetFigures, SimulatedFleetError> {
+/// Plays a fleet.
+pub(super) fn play(
+    plan: &SimulatedFleetPlan,
+) -> Result<SimulatedFleetFigures, SimulatedFleetError> {
     let resident = usage::resident_bytes();
     let listen = free_addresses(0, plan.members)?;
-    let traffic = Arc::new(Traffic::new(plan.members));
-    let script = Arc::new(Script::of(plan));
-    let common = Common {
-        delivery_log: Arc::new(AddressBook::new(&listen)),
-        traffic: Arc::clone(&traffic),
-        script: Arc::clone(&script),
-        first_hollow: 0,
-        seed: plan.seed,
-    };
-    let seeds: Vec<SocketAddr> = listen.iter().copied().take(SEEDS).collect();
-    let setup = |(index, address): (usize, &SocketAddr)| Setup {
-        index,
-        address: *address,
-        seeds: seeds.clone(),
-        fleet_size: plan.members,
-        timing: plan.timing,
-    };
-    let setups = listen.iter().enumerate().map(setup).collect();
+    let setup = FleetSetup::of(plan, &listen);
     let clock = Clock::start();
-    let running = Running::start(&common, setups, listen, clock)?;
-    let mut course = Course::new(plan, script, traffic, clock.now());
+    let running = Running::start(&setup.common, setup.members, listen, clock)?;
+    let mut course = Course::new(plan, &setup.common, clock.now());
     watch(&running, &mut course)?;
     let resident_bytes = usage::resident_bytes().saturating_sub(resident);
     let cpu = running.end()?;
@@ -349,15 +348,15 @@
     }))
 }
 
-/// Follows the course to its end.
+/// Passes observations to the course until its end.
 fn watch(running: &Running, course: &mut Course) -> Result<(), SimulatedFleetError> {
     loop {
         let now = running.clock.now();
-        let left = course.ends().map_or(LOOK_EVERY, |end| end - now.min(end));
-        match running.observations.recv_timeout(left.min(LOOK_EVERY)) {
+        let left = course.ends().map_or(MAX_WAIT, |end| end - now.min(end));
+        match running.observations.recv_timeout(left.min(MAX_WAIT)) {
             Ok(observation) => course.note(&observation),
             Err(RecvTimeoutError::Timeout) => {}
-            // A thread has ended too early; its error is told when it is joined.
+            // A thread has ended too early; its error is returned when it is joined.
             Err(RecvTimeoutError::Disconnected) => return Ok(()),
         }
         running
@@ -365,7 +364,7 @@
             .try_iter()
             .for_each(|observation| course.note(&observation));
         let now = running.clock.now();
-        if course.look(now) {
+        if course.check(now) {
             course.begin(now);
             running.begin(now);
         }
--- a/crates/fleet-harness/src/simulated/virtual_time.rs
+++ b/crates/fleet-harness/src/simulated/virtual_time.rs
@@ -2,7 +2,6 @@
 
 use std::io;
 use std::net::SocketAddr;
-use std::sync::Arc;
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
@@ -10,17 +9,16 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::course::{Course, Usage};
-use super::engine::{AddressBook, Common, Engine, Network};
+use super::engine::{Engine, Network};
 use super::figures::SimulatedFleetFigures;
-use super::member::{Packet, Setup};
+use super::member::Packet;
 use super::plan::{Conditions, SimulatedFleetError, SimulatedFleetPlan};
-use super::script::Script;
-use super::traffic::Traffic;
-use super::{SEEDS, usage};
+use super::setup::FleetSetup;
+use super::usage;
 
 /// Where the simulated clock starts: any time well after 1970.
 const START: Time = Time(1_700_000_000_000_000_000);
-/// A member starts so long after the one before it: no two processes start at the same instant.
+/// Time between the starts of two members: no two processes start at the same instant.
 const BETWEEN_STARTS: Duration = Duration::from_millis(1);
 
 #[derive(Debug)]
@@ -52,33 +50,19 @@
     ))
 }
 
-pub fn play(plan: &SimulatedFleetPlan) -> Result<SimulatedFleetFigures, SimulatedFleetError> {
+/// Plays a fleet.
+pub(super) fn play(
+    plan: &SimulatedFleetPlan,
+) -> Result<SimulatedFleetFigures, SimulatedFleetError> {
     let resident = usage::resident_bytes();
     let addresses: Vec<SocketAddr> = (0..plan.members).map(address).collect();
-    let traffic = Arc::new(Traffic::new(plan.members));
-    let script = Arc::new(Script::of(plan));
-    let common = Common {
-        delivery_log: Arc::new(AddressBook::new(&addresses)),
-        traffic: Arc::clone(&traffic),
-        script: Arc::clone(&script),
-        first_hollow: 0,
-        seed: plan.seed,
-    };
-    let seeds: Vec<SocketAddr> = addresses.iter().copied().take(SEEDS).collect();
-    let setup = |(index, address): (usize, &SocketAddr)| Setup {
-        index,
-        address: *address,
-        seeds: seeds.clone(),
-        fleet_size: plan.members,
-        timing: plan.timing,
-    };
-    let setups = addresses.iter().enumerate().map(setup).collect();
+    let setup = FleetSetup::of(plan, &addresses);
+    let mut course = Course::new(plan, &setup.common, START);
     let network = SimulatedNetwork {
         conditions: plan.conditions,
         rng: ChaCha8Rng::seed_from_u64(plan.seed.rotate_left(17)),
     };
-    let mut engine = Engine::new(common, setups, network, true);
-    let mut course = Course::new(plan, script, traffic, START);
+    let mut engine = Engine::new(setup.common, setup.members, network, true);
     engine.start_later(START, BETWEEN_STARTS);
     let cpu_before = run(&mut engine, &mut course)?;
     let cpu = engine.steps_cpu().saturating_sub(cpu_before);
@@ -89,7 +73,7 @@
     }))
 }
 
-/// Runs to the end; tells the processor time of the steps before the measured duration.
+/// Runs to the end; the processor time of the steps before the measured duration.
 fn run(
     engine: &mut Engine<SimulatedNetwork>,
     course: &mut Course,
@@ -103,7 +87,7 @@
         engine
             .observations()
             .for_each(|observation| course.note(&observation));
-        if course.look(now) {
+        if course.check(now) {
             course.begin(now);
             engine.begin(now);
             cpu_before = engine.steps_cpu();
--- a/crates/fleet-harness/src/simulated_costs.rs
+++ b/crates/fleet-harness/src/simulated_costs.rs
@@ -1,4 +1,4 @@
-//! What simulated members cost on a day with real senders.
+//! The cost of simulated members in a scenario with real senders.
 
 use std::time::Duration;
 
@@ -6,26 +6,32 @@
 
 use crate::simulated::{Observed, SimulatedFleetPlay};
 
-/// A member's cost in a second, on average; and what was wrong with the play itself.
+/// The average cost of a simulated member in a second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SimulatedFleetCosts {
+    /// Simulated members.
     pub members: usize,
+    /// Bytes sent in a second.
     pub bytes_sent: f64,
+    /// Bytes received in a second.
     pub bytes_received: f64,
+    /// Packets sent in a second.
     pub packets_sent: f64,
+    /// Milliseconds of processor time in a second.
     pub cpu_ms: f64,
-    /// Times that a member was run more than a period late: the machine was too busy.
+    /// Times that a member ran more than a period late: the machine was too busy.
     pub held_up: usize,
 }
 
 impl SimulatedFleetCosts {
+    /// The cost over a run.
     pub fn of(simulated: &SimulatedFleetPlay, lasted: Duration) -> SimulatedFleetCosts {
         let member_seconds = lasted.as_secs_f64() * simulated.members as f64;
         let each = |sum: u64| sum as f64 / member_seconds;
         let held_up = simulated
             .observations
             .iter()
-            .filter(|seen| seen.what == Observed::HeldUp)
+            .filter(|seen| seen.what == Observed::ProcessPaused)
             .count();
         SimulatedFleetCosts {
             members: simulated.members,
@@ -37,11 +43,13 @@
         }
     }
 
+    /// For the summary.
     pub fn json(&self) -> Value {
         json!({"members": self.members, "bytes_sent": self.bytes_sent, "bytes_received": self.bytes_received,
             "packets_sent": self.packets_sent, "cpu_ms": self.cpu_ms, "held_up": self.held_up})
     }
 
+    /// For the table.
     pub fn line(&self) -> String {
         format!(
             "  a simulated member a second: {:.0} bytes sent, {:.0} received, {:.1} packets sent, {:.2} ms of CPU; {} times \
--- a/crates/fleet-harness/src/sweep/directory.rs
+++ b/crates/fleet-harness/src/sweep/directory.rs
@@ -1,5 +1,5 @@
-//! A simulated server directory that any number of senders may watch. It counts its bytes and knows which version each has asked
-//! on from.
+//! A simulated directory that any number of senders may watch. It counts its bytes, and knows the version from which each
+//! sender watches.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -9,12 +9,12 @@
 use std::time::{Duration, Instant};
 
 /// Versions begin here, so that all that a sweep uses have as many digits and messages of one kind are equally long.
-pub const FIRST_VERSION: u64 = 100_000;
-/// A question that is longer is not one of a sender's.
-const HEAD_MOST: usize = 16 * 1024;
+pub(super) const FIRST_VERSION: u64 = 100_000;
+/// A longer request is not from a sender.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// One destination as it is listed, with an endpoint of its own. All rows have the same length.
-pub fn row(number: u64, state: &str) -> String {
+pub(super) fn row(number: u64, state: &str) -> String {
     let octet = |power: u32| 100 + (number / 100u64.pow(power)) % 100;
     let (a, b, c, zone) = (octet(2), octet(1), octet(0), number % 6);
     format!(
@@ -23,7 +23,7 @@
 }
 
 /// A whole list in the directory's form.
-pub fn whole(version: u64, destinations: u64) -> String {
+pub(super) fn whole(version: u64, destinations: u64) -> String {
     let rows: Vec<String> = (0..destinations).map(|n| row(n, "up")).collect();
     format!(
         r#"{{"version":{version},"full":true,"servers":[{}]}}"#,
@@ -32,7 +32,7 @@
 }
 
 /// The bytes of an answer with this body.
-pub fn response(body: &str) -> String {
+pub(super) fn response(body: &str) -> String {
     let length = body.len();
     format!(
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\r\n{body}"
@@ -46,10 +46,10 @@
     )
 }
 
-/// What one connection last asked for.
+/// The last request of a connection.
 #[derive(Clone, Copy, Debug)]
-struct Question {
-    /// The version that the sender has; `None` for a question for the whole list.
+struct WatchRequest {
+    /// The version that the sender has; `None` for a request of the whole list.
     from: Option<u64>,
 }
 
@@ -61,11 +61,11 @@
     /// The body that answers a sender that lacks the present version, in place of changes.
     whole: Option<Arc<str>>,
     /// By connection that is open.
-    questions: BTreeMap<u64, Question>,
-    /// Questions for a version before the present one, since that was made.
+    requests: BTreeMap<u64, WatchRequest>,
+    /// Requests from an earlier version since the present one was made.
     behind: u64,
-    /// Bytes of answers that told something new, and of the questions that came after them.
-    news: u64,
+    /// Bytes of answers with changes, and of the requests that followed them.
+    change_bytes: u64,
     connections: u64,
     closed: bool,
 }
@@ -87,26 +87,29 @@
     }
 
     fn watching(&self) -> usize {
-        self.questions
+        self.requests
             .values()
-            .filter(|q| q.from.is_some_and(|from| from >= self.version))
+            .filter(|request| request.from.is_some_and(|from| from >= self.version))
             .count()
     }
 }
 
 /// The directory; its threads end with their connections once it is dropped.
 #[derive(Debug)]
-pub struct Directory {
+pub(super) struct Directory {
+    /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
-/// How a whole list fared with the one sender that watches.
+/// What the one sender that watches did with a whole list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reception {
-    Taken,
-    Refused,
-    /// Neither within the time.
+pub(super) enum Reception {
+    /// The sender watches from the new version on.
+    Accepted,
+    /// The sender requested changes from an earlier version again.
+    Rejected,
+    /// Neither in time.
     Unknown,
 }
 
@@ -115,7 +118,8 @@
 }
 
 impl Directory {
-    pub fn new() -> io::Result<Directory> {
+    /// Starts a directory with an empty list.
+    pub(super) fn new() -> io::Result<Directory> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
         let state = State {
@@ -123,37 +127,19 @@
             ..State::default()
         };
         let shared = Arc::new((Mutex::new(state), Condvar::new()));
-        let accepted = shared.clone();
-        thread::spawn(move || {
-            for stream in listener.incoming().map_while(Result::ok) {
-                let shared = accepted.clone();
-                let number = {
-                    let mut state = lock(&shared);
-                    if state.closed {
-                        return;
-                    }
-                    state.connections += 1;
-                    state.connections
-                };
-                thread::spawn(move || {
-                    // A connection that breaks is a sender that has ended or asks anew.
-                    let _ = serve(stream, number, &shared);
-                    lock(&shared).questions.remove(&number);
-                    shared.1.notify_all();
-                });
-            }
-        });
+        let accepting = shared.clone();
+        thread::spawn(move || accept_all(&listener, &accepting));
         Ok(Directory { address, shared })
     }
 
-    /// Bytes so far of answers that told something new, and of the questions that came after them. A watch that runs out
-    /// untold is not among them: when that happens depends on the clock.
-    pub fn news_bytes(&self) -> u64 {
-        lock(&self.shared).news
+    /// Bytes so far of answers with changes, and of the requests that followed them. A watch that times out without a change does
+    /// not count, as that depends on the clock.
+    pub(super) fn change_bytes(&self) -> u64 {
+        lock(&self.shared).change_bytes
     }
 
-    /// Makes so many rows one change, told to all that watch.
-    pub fn change(&self, rows: Vec<String>) {
+    /// Makes one change of these rows; all senders that watch are notified.
+    pub(super) fn change(&self, rows: Vec<String>) {
         let mut state = lock(&self.shared);
         state.version += 1;
         state.behind = 0;
@@ -162,14 +148,14 @@
         self.shared.1.notify_all();
     }
 
-    /// Waits until so many senders hold a watch from the present version on; false if they don't in time.
-    pub fn all_watch(&self, senders: usize, most: Duration) -> bool {
-        self.wait(most, |state| (state.watching() >= senders).then_some(()))
+    /// Waits until `senders` senders watch from the present version on; false if they don't in time.
+    pub(super) fn all_watch(&self, senders: usize, timeout: Duration) -> bool {
+        self.wait(timeout, |state| (state.watching() >= senders).then_some(()))
             .is_some()
     }
 
-    /// Answers the next question with a whole list of so many destinations, as after a gap in the versions.
-    pub fn give_whole(&self, destinations: u64, most: Duration) -> Reception {
+    /// Answers the next request with a whole list of `destinations`, as after a gap in the versions.
+    pub(super) fn send_whole(&self, destinations: u64, timeout: Duration) -> Reception {
         {
             let mut state = lock(&self.shared);
             state.version += 1;
@@ -177,11 +163,11 @@
             state.whole = Some(whole(state.version, destinations).into());
             self.shared.1.notify_all();
         }
-        let received = self.wait(most, |state| {
-            // The watch that is held is answered without a new question; the first that comes after it tells.
+        let received = self.wait(timeout, |state| {
+            // The held watch is answered without a new request; the first one after it shows the result.
             match (state.watching(), state.behind) {
-                (1.., _) => Some(Reception::Taken),
-                (_, 1..) => Some(Reception::Refused),
+                (1.., _) => Some(Reception::Accepted),
+                (_, 1..) => Some(Reception::Rejected),
                 _ => None,
             }
         });
@@ -189,15 +175,15 @@
         received.unwrap_or(Reception::Unknown)
     }
 
-    fn wait<T>(&self, most: Duration, mut found: impl FnMut(&State) -> Option<T>) -> Option<T> {
-        let end = Instant::now() + most;
+    fn wait<T>(&self, timeout: Duration, mut found: impl FnMut(&State) -> Option<T>) -> Option<T> {
+        let end = Instant::now() + timeout;
         let mut state = lock(&self.shared);
         loop {
             if let Some(found) = found(&state) {
                 return Some(found);
             }
-            let left = end.checked_duration_since(Instant::now())?;
-            let waited = self.shared.1.wait_timeout(state, left);
+            let remaining = end.checked_duration_since(Instant::now())?;
+            let waited = self.shared.1.wait_timeout(state, remaining);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
@@ -212,28 +198,49 @@
     }
 }
 
+/// Serves each connection on a thread of its own, until the directory is closed.
+fn accept_all(listener: &TcpListener, shared: &Arc<(Mutex<State>, Condvar)>) {
+    for stream in listener.incoming().map_while(Result::ok) {
+        let number = {
+            let mut state = lock(shared);
+            if state.closed {
+                return;
+            }
+            state.connections += 1;
+            state.connections
+        };
+        let shared = shared.clone();
+        thread::spawn(move || {
+            // A connection that breaks is of a sender that has ended or connects again.
+            let _ = serve(stream, number, &shared);
+            lock(&shared).requests.remove(&number);
+            shared.1.notify_all();
+        });
+    }
+}
+
 fn serve(mut stream: TcpStream, number: u64, shared: &(Mutex<State>, Condvar)) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut input = Vec::new();
-    let mut reported = false;
+    let mut had_changes = false;
     loop {
         let Some(head) = read_head(&mut stream, &mut input)? else {
             return Ok(());
         };
-        if reported {
-            lock(shared).news += head.len() as u64;
+        if had_changes {
+            lock(shared).change_bytes += head.len() as u64;
         }
         let (from, hold) = (number_in(&head, "from="), number_in(&head, "hold_ms="));
         let Some(answer) = answered(number, from, hold, shared) else {
             return Ok(());
         };
-        reported = matches!(answer, Answer::News(_));
+        had_changes = matches!(answer, Answer::Changes(_));
         let text = match &answer {
-            Answer::News(body) | Answer::Nothing(body) => response(body),
+            Answer::Changes(body) | Answer::NoChange(body) => response(body),
         };
-        if reported {
+        if had_changes {
             // Counted before it is written: whoever has read it may act at once.
-            lock(shared).news += text.len() as u64;
+            lock(shared).change_bytes += text.len() as u64;
         }
         stream.write_all(text.as_bytes())?;
     }
@@ -241,11 +248,11 @@
 
 /// The body of an answer.
 enum Answer {
-    News(String),
-    Nothing(String),
+    Changes(String),
+    NoChange(String),
 }
 
-/// Waits for what a question is to be answered with; nothing once the directory is gone.
+/// Waits for the answer to a request; `None` once the directory has ended.
 fn answered(
     number: u64,
     from: Option<u64>,
@@ -254,7 +261,7 @@
 ) -> Option<Answer> {
     let end = Instant::now() + Duration::from_millis(hold_ms.unwrap_or(0));
     let mut state = lock(shared);
-    state.questions.insert(number, Question { from });
+    state.requests.insert(number, WatchRequest { from });
     if from.is_none_or(|from| from < state.version) {
         state.behind += 1;
     }
@@ -264,22 +271,25 @@
             return None;
         }
         if let Some(body) = state.answer(from) {
-            // Told from here on: it holds no watch until it asks again.
-            state.questions.remove(&number);
-            return Some(Answer::News(body));
+            // It does not watch until its next request.
+            state.requests.remove(&number);
+            return Some(Answer::Changes(body));
         }
-        let Some(left) = end.checked_duration_since(Instant::now()) else {
-            return Some(Answer::Nothing(changes(from.unwrap_or(FIRST_VERSION), &[])));
+        let Some(remaining) = end.checked_duration_since(Instant::now()) else {
+            return Some(Answer::NoChange(changes(
+                from.unwrap_or(FIRST_VERSION),
+                &[],
+            )));
         };
         state = shared
             .1
-            .wait_timeout(state, left)
+            .wait_timeout(state, remaining)
             .unwrap_or_else(PoisonError::into_inner)
             .0;
     }
 }
 
-/// The next question's head; nothing at the connection's end.
+/// The head of the next request; `None` at the connection's end.
 fn read_head(stream: &mut TcpStream, input: &mut Vec<u8>) -> io::Result<Option<String>> {
     let mut chunk = [0; 4096];
     loop {
@@ -287,8 +297,8 @@
             let head: Vec<u8> = input.drain(..end + 4).collect();
             return Ok(Some(String::from_utf8_lossy(&head).into_owned()));
         }
-        if input.len() > HEAD_MOST {
-            return Err(io::Error::other("a question without an end"));
+        if input.len() > MAX_HEAD_BYTES {
+            return Err(io::Error::other("a request without an end"));
         }
         match stream.read(&mut chunk)? {
             0 => return Ok(None),
--- a/crates/fleet-harness/src/sweep/events.rs
+++ b/crates/fleet-harness/src/sweep/events.rs
@@ -5,37 +5,40 @@
 use cranehill_capacity::Figure;
 use cranehill_scenario_runner::measure::{MeasureOptions, step};
 
-use crate::sweep::{Gathered, SweepArgs, SweepError};
+use super::args::SweepArgs;
+use super::error::{MeasurementError, SweepError};
+use super::gathered::Gathered;
 
+const SWEEP: &str = "events";
 /// Endpoints of the simulated destinations, two for each.
 const ENDPOINTS: usize = 100;
-/// How long each rate is played.
-const SPAN: Duration = Duration::from_secs(6);
+/// How long each rate is reducer.
+const RATE_DURATION: Duration = Duration::from_secs(6);
 
-pub fn play(order: &SweepArgs, progress: &mut impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
-    let mut gathered = Gathered::new(order.quick);
-    for &size in &order.sizes.events {
+/// Plays the sweep; `progress` is called with a text for each size.
+pub(super) fn play(
+    args: &SweepArgs,
+    progress: &mut impl FnMut(&str),
+) -> Result<Vec<Figure>, SweepError> {
+    let mut gathered = Gathered::new(args.quick);
+    for &size in &args.sizes.events {
         progress(&format!("{size} events a second"));
-        let setup = MeasureOptions {
+        let options = MeasureOptions {
             endpoints: ENDPOINTS,
             senders: 1,
             push: false,
-            span: SPAN,
-            seed: order.seed,
+            span: RATE_DURATION,
+            seed: args.seed,
         };
-        let failed = |why: String| SweepError::Failed {
-            sweep: "events",
-            size,
-            why,
-        };
-        let step = step(&order.program, &setup, size as f64).map_err(|e| failed(e.to_string()))?;
+        let step = step(&args.program, &options, size as f64)
+            .map_err(|e| MeasurementError::from(e).at(SWEEP, size))?;
         if !step.sustained() {
-            let why = if step.clear() {
+            let reason = if step.clear() {
                 "not sustained"
             } else {
                 "the machine was too busy"
             };
-            gathered.remark("events", format!("{size}: {why}"));
+            gathered.remark(SWEEP, format!("{size}: {reason}"));
             continue;
         }
         gathered.note("events.cores", size, step.sender_cores)?;
--- a/crates/fleet-harness/src/sweep/members.rs
+++ b/crates/fleet-harness/src/sweep/members.rs
@@ -4,16 +4,19 @@
 
 use cranehill_capacity::Figure;
 
+use super::args::SweepArgs;
+use super::error::{MeasurementError, SweepError};
+use super::gathered::Gathered;
 use crate::simulated::{self, Disturbance, SimulatedFleetFigures, SimulatedFleetPlan, Transport};
-use crate::sweep::{Gathered, SweepArgs, SweepError};
 
-/// Parts of the fleet that fail together.
-const ONE_IN: u32 = 10;
+/// One in this many members crashes.
+const CRASHED_ONE_IN: u32 = 10;
+/// Zones, of which one fails.
 const ZONES: u32 = 6;
-/// Of the fleet so many restart at once: all thirty of a day, of 490.
+/// One in this many members is restarted at once: thirty of 490.
 const RESTARTED_ONE_IN: u64 = 16;
 
-/// A state of the fleet, and how long it is played.
+/// A state of the fleet, with its disturbance and duration.
 #[derive(Clone, Copy)]
 struct Scene {
     state: State,
@@ -31,21 +34,26 @@
     Halves,
 }
 
-/// How long a state is played, unless it needs longer: what the start still causes is little of it.
-const USUAL: Duration = Duration::from_secs(45);
+/// How long a state is played, unless it needs longer: the effects of the start are a small part of it.
+const SCENE_DURATION: Duration = Duration::from_secs(45);
 
-/// The states of the operators' table for a fleet of this size. The cut lasts longer than the eviction delay of 30 s: a shorter one can't raise a
-/// share.
+/// The states of the operators' table for a fleet of this size. The cut lasts longer than the eviction delay of 30 s: a shorter
+/// one can't raise a share.
 fn scenes(size: u64) -> [Scene; 6] {
     let restarted = (size / RESTARTED_ONE_IN).max(1) as u32;
     let scene = |state, disturbance| Scene {
         state,
         disturbance,
-        duration: USUAL,
+        duration: SCENE_DURATION,
     };
     [
         scene(State::Quiet, Disturbance::None),
-        scene(State::Crashes, Disturbance::Crashes { one_in: ONE_IN }),
+        scene(
+            State::Crashes,
+            Disturbance::Crashes {
+                one_in: CRASHED_ONE_IN,
+            },
+        ),
         scene(State::Zone, Disturbance::ZoneDown { zones: ZONES }),
         scene(State::Rack, Disturbance::RackDown),
         scene(State::Restarts, Disturbance::Restarts { count: restarted }),
@@ -59,17 +67,21 @@
     ]
 }
 
-pub fn play(order: &SweepArgs, progress: &mut impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
-    let mut gathered = Gathered::new(order.quick);
-    for &size in &order.sizes.members {
+/// Plays the sweep; `progress` is called with a text for each size.
+pub(super) fn play(
+    args: &SweepArgs,
+    progress: &mut impl FnMut(&str),
+) -> Result<Vec<Figure>, SweepError> {
+    let mut gathered = Gathered::new(args.quick);
+    for &size in &args.sizes.members {
         for scene in scenes(size) {
             progress(&format!("{size} members, {}", scene.state.name()));
-            let figures = one(order, size, scene)?;
-            // What members did while they were run late says nothing of the protocol.
+            let figures = measure(args, size, scene)?;
+            // Members that ran late say nothing of the protocol.
             if figures.held_up > 0 {
                 let times = figures.held_up;
                 let why = format!("{size} is left out: the machine ran members late {times} times");
-                gathered.remark(scene.state.ids(), why);
+                gathered.remark(scene.state.id_prefix(), why);
                 continue;
             }
             note(&mut gathered, size, scene.state, &figures)?;
@@ -78,25 +90,21 @@
     gathered.figures()
 }
 
-fn one(order: &SweepArgs, size: u64, scene: Scene) -> Result<SimulatedFleetFigures, SweepError> {
+fn measure(args: &SweepArgs, size: u64, scene: Scene) -> Result<SimulatedFleetFigures, SweepError> {
     let plan = SimulatedFleetPlan {
         members: size as usize,
         duration: scene.duration,
         disturbance: scene.disturbance,
-        // Bytes and packets are exact by the seed in virtual time; what they cost is known with real sockets.
-        transport: if order.quick {
+        // Bytes and packets are exact by the seed in virtual time; their cost is measured with real sockets.
+        transport: if args.quick {
             Transport::Virtual
         } else {
             Transport::Udp
         },
-        seed: order.seed,
+        seed: args.seed,
         ..SimulatedFleetPlan::default()
     };
-    simulated::play(&plan).map_err(|e| SweepError::Failed {
-        sweep: "members",
-        size,
-        why: e.to_string(),
-    })
+    simulated::play(&plan).map_err(|e| MeasurementError::from(e).at("members", size))
 }
 
 fn note(
@@ -163,8 +171,8 @@
 }
 
 impl State {
-    /// How the ids of its quantities begin.
-    fn ids(self) -> &'static str {
+    /// The prefix of the ids of its quantities.
+    fn id_prefix(self) -> &'static str {
         match self {
             State::Quiet => "members.quiet",
             State::Crashes => "members.crashes",
--- a/crates/fleet-harness/src/sweep/reducer.rs
+++ b/crates/fleet-harness/src/sweep/reducer.rs
@@ -1,4 +1,4 @@
-//! The reducer alone, with the clock as an input: what processor time a step takes, and in which order it works.
+//! The reducer alone, with the clock as an input: the processor time of its steps, and the order of its work queue.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,18 +6,18 @@
 use cranehill_core::{AttemptOutcome, Core, Effect, Input, Listing, Persisted, Record};
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Status};
-use cranehill_scheduler::profile::Profile;
 
+use super::sender::{EVENT_DURATION, settings};
+use crate::invalid_settings::{InvalidSettings, parse_settings};
 use crate::simulated::usage::thread_cpu;
-use crate::sweep::sender::{DURATION, settings};
 
-/// When the clock of a played reducer starts.
+/// When the clock of the reducer starts.
 const START: Time = Time(1_764_590_000_000_000_000);
 /// Between two turns.
 const TICK: Duration = Duration::from_millis(5);
 
 /// A list of destinations with one endpoint each.
-pub fn listings(destinations: u64) -> Vec<Listing> {
+pub(super) fn listings(destinations: u64) -> Vec<Listing> {
     let listing = |number: u64| Listing {
         entry: Entry {
             endpoint: EndpointId(format!("s-{number:08x}")),
@@ -33,16 +33,16 @@
 }
 
 /// A well-mixed number for each number, the same in every run.
-pub fn mixed(number: u64) -> u64 {
+pub(super) fn mixed(number: u64) -> u64 {
     let mut state = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     state = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     state = (state ^ (state >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     state ^ (state >> 31)
 }
 
-/// One event of a backlog, accepted at `now` (ns since 1970): half of its time at least is left.
-pub fn event(number: u64, destinations: u64, now: u64, body: &Arc<[u8]>) -> Record {
-    let duration = DURATION.as_nanos() as u64;
+/// One event of a backlog, accepted at `now` (ns since 1970): half of its time at least remains.
+pub(super) fn event(number: u64, destinations: u64, now: u64, body: &Arc<[u8]>) -> Record {
+    let duration = EVENT_DURATION.as_nanos() as u64;
     Record::Accepted {
         id: format!("{:016x}", mixed(number)),
         class: 0,
@@ -56,55 +56,57 @@
     }
 }
 
-/// A reducer with a list.
-pub struct Played {
+/// A reducer with a list, stepped by hand.
+pub(super) struct SteppedReducer {
     core: Core,
     now: Time,
 }
 
-/// What a turn came to.
+/// The result of one turn.
 #[derive(Debug, Default)]
-pub struct Turn {
+pub(super) struct Turn {
+    /// Processor time.
     pub took: Duration,
+    /// Attempts by the id of the event and the number of the attempt.
     pub calls: Vec<(String, u32)>,
     /// Final reports of events that were never sent.
-    pub given_up: u64,
+    pub expired: u64,
 }
 
-impl Played {
-    pub fn new(most_held: u64, destinations: u64) -> Result<Played, String> {
-        let profile: Profile =
-            serde_json::from_str(&settings(most_held)).map_err(|e| e.to_string())?;
-        let core = Core::new(profile.into_settings()?, 1, START).map_err(|e| e.to_string())?;
-        let mut played = Played { core, now: START };
-        played.list(destinations);
-        Ok(played)
+impl SteppedReducer {
+    /// A reducer that may hold `max_held` events, with a list of destinations.
+    pub(super) fn new(max_held: u64, destinations: u64) -> Result<SteppedReducer, InvalidSettings> {
+        let settings = parse_settings(settings(max_held))?;
+        let core = Core::new(settings, 1, START).map_err(InvalidSettings::new)?;
+        let mut reducer = SteppedReducer { core, now: START };
+        reducer.list(destinations);
+        Ok(reducer)
     }
 
-    /// Tells a whole list; the processor time of the step and of the turn after it.
-    pub fn list(&mut self, destinations: u64) -> Duration {
+    /// Applies a whole list; the processor time of the step and of the turn after it.
+    pub(super) fn list(&mut self, destinations: u64) -> Duration {
         let list = listings(destinations);
-        let begun = thread_cpu();
+        let cpu_before = thread_cpu();
         self.core
             .step(self.now, Input::EndpointsChanged { whole: true, list });
-        let step = thread_cpu() - begun;
+        let step = thread_cpu() - cpu_before;
         step + self.turn().took
     }
 
-    /// Takes up what a journal held.
-    pub fn recover(&mut self, events: u64, destinations: u64, body: &Arc<[u8]>) -> Duration {
+    /// Restores a backlog from records; the processor time of the step.
+    pub(super) fn recover(&mut self, events: u64, destinations: u64, body: &Arc<[u8]>) -> Duration {
         let records: Vec<Record> = (0..events)
             .map(|n| event(n, destinations, START.0, body))
             .collect();
-        let begun = thread_cpu();
+        let cpu_before = thread_cpu();
         self.core.step(self.now, Input::Recovered(records));
-        thread_cpu() - begun
+        thread_cpu() - cpu_before
     }
 
-    /// A whole turn with a journal that takes everything.
-    pub fn turn(&mut self) -> Turn {
+    /// One turn with a journal that persists everything.
+    pub(super) fn turn(&mut self) -> Turn {
         self.now = self.now + TICK;
-        let begun = thread_cpu();
+        let cpu_before = thread_cpu();
         let mut effects = self.core.step(self.now, Input::TimerFired);
         effects.extend(self.core.step(self.now, Input::TickEnded));
         if matches!(effects.last(), Some(Effect::Persist(_))) {
@@ -112,7 +114,7 @@
             effects.extend(self.core.step(self.now, Input::Persisted(Persisted::All)));
         }
         let mut turn = Turn {
-            took: thread_cpu() - begun,
+            took: thread_cpu() - cpu_before,
             ..Turn::default()
         };
         for effect in effects {
@@ -121,15 +123,15 @@
                     turn.calls
                         .extend(attempts.into_iter().map(|a| (a.id, a.number)));
                 }
-                Effect::SendFinalReport { .. } => turn.given_up += 1,
+                Effect::SendFinalReport { .. } => turn.expired += 1,
                 _ => {}
             }
         }
         turn
     }
 
-    /// The destinations serve these calls.
-    pub fn serve(&mut self, calls: Vec<(String, u32)>) {
+    /// The destinations execute these calls.
+    pub(super) fn serve(&mut self, calls: Vec<(String, u32)>) {
         let end = |(id, attempt)| AttemptOutcome {
             id,
             attempt,
--- a/crates/fleet-harness/src/sweep/sender.rs
+++ b/crates/fleet-harness/src/sweep/sender.rs
@@ -1,6 +1,6 @@
 //! One real sender as a process, with the configuration that a sweep needs.
 
-use std::io::{BufRead, BufReader};
+use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -9,29 +9,31 @@
 use std::time::{Duration, Instant};
 
 use cranehill_scenario_runner::resource_usage::{self, ResourceUsage};
-use serde_json::json;
+use serde_json::{Value, json};
 
-/// Where a sender's processor time is looked at, until it has been still for [`STILL`].
-const LOOK: Duration = Duration::from_millis(20);
-const STILL: Duration = Duration::from_millis(200);
-/// How long an event of a sweep may be delivered: it must not run out while it is measured.
-pub const DURATION: Duration = Duration::from_secs(3600);
+/// How often the processor time of a sender is checked.
+const USAGE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// A sender that used no processor time for this long is idle.
+const IDLE_TIME: Duration = Duration::from_millis(200);
+/// Time to live of the events of a sweep: none may expire while it is measured.
+pub(super) const EVENT_DURATION: Duration = Duration::from_secs(3600);
 /// Far more than any sweep writes.
 const DISK_MB: f64 = 20_000.0;
 
-/// What a sender is told.
+/// The configuration of a sender.
 #[derive(Clone, Debug)]
-pub struct Setting {
+pub(super) struct SenderOptions {
+    /// Where the directory listens.
     pub directory: SocketAddr,
     /// The list in its configuration, as JSON.
     pub known: String,
     /// Events that it may hold.
-    pub most_held: u64,
+    pub max_held: u64,
 }
 
 /// The settings object of a sweep.
-pub fn settings(most_held: u64) -> String {
-    let nanos = DURATION.as_nanos() as u64;
+pub(super) fn settings(max_held: u64) -> Value {
+    let nanos = EVENT_DURATION.as_nanos() as u64;
     let zones: Vec<String> = (0..6).map(|n| format!("zone-{n}")).collect();
     json!({
         "classes": [{"aim": nanos / 4, "deadline": nanos, "dedupScope": "all", "effect": "keyed", "lateShare": 0.4,
@@ -41,7 +43,7 @@
         "models": ["station"],
         "nInstances": 1,
         "policyLimits": {"attemptsCap": 6, "connIdle": 15_000_000_000u64, "connectTimeout": 1_500_000_000u64,
-            "maxRetryAfter": 2_000_000_000u64, "mostHeld": most_held, "probes": false, "retryAfter": true},
+            "maxRetryAfter": 2_000_000_000u64, "mostHeld": max_held, "probes": false, "retryAfter": true},
         "rules": {"cold": 9_100_000_000u64, "coldFrom": 0.23, "fall": 3_000_000_000u64, "fallMultiple": 1.5,
             "graceToAnswer": 20_000_000},
         "tenants": [{"name": "tenant", "quotaRps": 1e9}],
@@ -50,50 +52,60 @@
         "zone": 0,
         "zones": zones,
     })
-    .to_string()
 }
 
-impl Setting {
-    fn text(&self) -> String {
+impl SenderOptions {
+    fn json(&self) -> String {
         let limits = json!({"cores": 1.0, "memory_mb": 192.0, "sockets": 1024, "disk_mb": DISK_MB});
         format!(
             r#"{{"name":"n0","seed":"1f","listen":"127.0.0.1:0","discovery":"{}","limits":{limits},"known":{},"settings":{}}}"#,
             self.directory,
             self.known,
-            settings(self.most_held)
+            settings(self.max_held)
         )
     }
 }
 
 /// A running sender; killed when it is dropped.
 #[derive(Debug)]
-pub struct Sender {
+pub(super) struct Sender {
     child: Child,
     /// From the start of the process until it listened for clients.
     pub ready: Duration,
 }
 
-/// Why there is no sender.
+/// Why a sender did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
+    /// The system did not start its process, or its folder can't be written.
     #[error("{program}: {source}")]
     Spawn {
+        /// The program.
         program: PathBuf,
-        source: std::io::Error,
+        /// What the system reported.
+        source: io::Error,
+    },
+    /// Its process ended.
+    #[error("the sender ended: {last_line}")]
+    Ended {
+        /// The last line of its log.
+        last_line: String,
+    },
+    /// It did not listen for clients in time.
+    #[error("the sender was not ready after {timeout:?}")]
+    NotReady {
+        /// How long it was waited for.
+        timeout: Duration,
     },
-    #[error("the sender ended: {0}")]
-    Ended(String),
-    #[error("the sender was not ready after {0:?}")]
-    Late(Duration),
 }
 
 impl Sender {
     /// Starts a sender in `folder` and waits until it listens for clients.
-    pub fn start(
+    pub(super) fn start(
         program: &Path,
         folder: &Path,
-        setting: &Setting,
-        most: Duration,
+        options: &SenderOptions,
+        timeout: Duration,
     ) -> Result<Sender, StartError> {
         let failed = |source| StartError::Spawn {
             program: program.to_owned(),
@@ -101,8 +113,8 @@
         };
         std::fs::create_dir_all(folder).map_err(failed)?;
         let config = folder.join("config.json");
-        std::fs::write(&config, setting.text()).map_err(failed)?;
-        let begun = Instant::now();
+        std::fs::write(&config, options.json()).map_err(failed)?;
+        let started = Instant::now();
         let mut child = Command::new(program)
             .arg("serve")
             .env("NODE_CONFIG", &config)
@@ -115,12 +127,12 @@
             .stderr(Stdio::piped())
             .spawn()
             .map_err(failed)?;
-        let (heard, blocks) = channel();
+        let (sender_lines, lines) = channel();
         if let Some(stderr) = child.stderr.take() {
             // Read to its end: a full pipe would stop the sender.
             thread::spawn(move || {
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    let _ = heard.send(line);
+                    let _ = sender_lines.send(line);
                 }
             });
         }
@@ -128,40 +140,43 @@
             child,
             ready: Duration::ZERO,
         };
-        sender.listens(&blocks, begun + most, most)?;
-        sender.ready = begun.elapsed();
+        sender.wait_ready(&lines, started + timeout, timeout)?;
+        sender.ready = started.elapsed();
         Ok(sender)
     }
 
-    fn listens(
+    /// Waits until the log shows that it listens for clients.
+    fn wait_ready(
         &self,
-        blocks: &Receiver<String>,
+        lines: &Receiver<String>,
         end: Instant,
-        most: Duration,
+        timeout: Duration,
     ) -> Result<(), StartError> {
-        let mut last = String::new();
+        let mut last_line = String::new();
         loop {
-            let left = end.saturating_duration_since(Instant::now());
-            match blocks.recv_timeout(left) {
+            let remaining = end.saturating_duration_since(Instant::now());
+            match lines.recv_timeout(remaining) {
                 Ok(line) if line.contains("listening for clients at ") => return Ok(()),
-                Ok(line) => last = line,
-                Err(RecvTimeoutError::Disconnected) => return Err(StartError::Ended(last)),
-                Err(RecvTimeoutError::Timeout) => return Err(StartError::Late(most)),
+                Ok(line) => last_line = line,
+                Err(RecvTimeoutError::Disconnected) => {
+                    return Err(StartError::Ended { last_line });
+                }
+                Err(RecvTimeoutError::Timeout) => return Err(StartError::NotReady { timeout }),
             }
         }
     }
 
     /// What its process has used so far.
-    pub fn used(&self) -> ResourceUsage {
+    pub(super) fn used(&self) -> ResourceUsage {
         resource_usage::of_process(self.child.id())
     }
 
-    /// Waits until it uses no processor time any more, or for so long at most; what it has used by then.
-    pub fn settled(&self, most: Duration) -> ResourceUsage {
-        let end = Instant::now() + most;
+    /// Waits until it uses no processor time, or for `timeout` at most; what it has used by then.
+    pub(super) fn settled(&self, timeout: Duration) -> ResourceUsage {
+        let end = Instant::now() + timeout;
         let (mut since, mut before) = (Instant::now(), self.used());
-        while since.elapsed() < STILL && Instant::now() < end {
-            thread::sleep(LOOK);
+        while since.elapsed() < IDLE_TIME && Instant::now() < end {
+            thread::sleep(USAGE_CHECK_INTERVAL);
             let used = self.used();
             if used.cpu != before.cpu {
                 (since, before) = (Instant::now(), used);
--- a/crates/fleet-harness/src/timeline.rs
+++ b/crates/fleet-harness/src/timeline.rs
@@ -1,4 +1,4 @@
-//! What the senders' logs say of each other, beside what was done to them.
+//! The members' views of each other over time, and what was done to the members.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, UNIX_EPOCH};
@@ -9,104 +9,90 @@
 
 use crate::simulated::{Observation, Observed, SimulatedFleetPlay};
 
-/// One sender's log said that another is so from now on.
+/// A change of one member in another's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StateChange {
+    /// Since the run began.
     pub at: Duration,
+    /// The member whose view changed.
     pub by: usize,
+    /// The member that is seen.
     pub of: usize,
+    /// The state from then on, as the log names it.
     pub state: String,
+    /// The incarnation of the member that is seen.
     pub incarnation: u64,
 }
 
-/// A day, as far as the fleet goes.
+/// Events of a fleet; times are since the run began.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
+    /// In the order of time.
     pub state_changes: Vec<StateChange>,
-    /// By sender: when it was not there, or stopped, and since when it was there again.
+    /// By member: when it ended or was stopped, and when it ran again.
     pub away: BTreeMap<usize, Vec<(Duration, Option<Duration>)>>,
-    /// Ends that were sudden: killed, when.
+    /// Members that were killed, and when.
     pub killed: Vec<(usize, Duration)>,
-    /// Numbers of senders that limits are divided by, as told: when, by whom, how many.
+    /// Numbers of senders that limits are divided by: when, by which member, the number.
     pub senders: Vec<(Duration, usize, u64)>,
-    /// Times that a sender came back under another life while it ran on.
+    /// Times that a member rejoined with a new incarnation while its process ran on.
     pub rejoined: Vec<(Duration, usize)>,
-    /// When a sender said of a zone what it is from then on.
+    /// States of zones: when, of which sender, the zone, the state from then on.
     pub zones: Vec<(Duration, usize, String, String)>,
-    /// When a sender said that it was back in full, and how long that took it.
+    /// Completed recoveries: when, of which sender, how long they took.
     pub full: Vec<(Duration, usize, Duration)>,
 }
 
-/// The number in a rehearsed sender's name.
-fn number(name: &str) -> Option<usize> {
+/// The number in the name of a sender or simulated member.
+pub(crate) fn member_number(name: &str) -> Option<usize> {
     name.strip_prefix('n')?.parse().ok()
 }
 
 impl Timeline {
-    /// `began`: when the day began, since 1970. Lines that are no JSON are passed over: a panic's, for one.
+    /// Reads the senders' logs and the record of the run. `began`: when the run began, since 1970. Lines that are not JSON, as those of
+    /// a panic, are ignored.
     pub fn read(logs: &[(usize, String)], lines: &[Line], began: Duration) -> Timeline {
         let mut timeline = Timeline::default();
         for (by, line) in logs {
-            let Ok(value) = serde_json::from_str::<Value>(line) else {
-                continue;
-            };
-            let Some(event) = value["event"].as_str() else {
-                continue;
-            };
-            let ts = value["ts"]
-                .as_str()
-                .and_then(|ts| humantime::parse_rfc3339(ts).ok());
-            let Some(since) = ts.and_then(|ts| ts.duration_since(UNIX_EPOCH).ok()) else {
-                continue;
-            };
-            let at = since.saturating_sub(began);
-            match event {
-                "member" => {
-                    let Some(of) = value["member"].as_str().and_then(number) else {
-                        continue;
-                    };
-                    let state = value["state"].as_str().unwrap_or_default().to_owned();
-                    let incarnation = value["incarnation"].as_u64().unwrap_or(0);
-                    timeline.state_changes.push(StateChange {
-                        at,
-                        by: *by,
-                        of,
-                        state,
-                        incarnation,
-                    });
-                }
-                "quota-divisor" => {
-                    timeline
-                        .senders
-                        .push((at, *by, value["senders"].as_u64().unwrap_or(0)))
-                }
-                "recovery-complete" => {
-                    let took = Duration::from_millis(value["took_ms"].as_u64().unwrap_or(0));
-                    timeline.full.push((at, *by, took));
-                }
-                "zone" => {
-                    let text = |key: &str| value[key].as_str().unwrap_or_default().to_owned();
-                    timeline.zones.push((at, *by, text("zone"), text("state")));
-                }
-                "rejoined" => timeline.rejoined.push((at, *by)),
-                _ => {}
+            if let Some(event) = LogEvent::parse(line, began) {
+                timeline.add_log_event(*by, &event);
+            }
+        }
+        timeline.state_changes.sort_by_key(|change| change.at);
+        lines.iter().for_each(|line| timeline.add_line(line));
+        timeline
+    }
+
+    fn add_log_event(&mut self, by: usize, event: &LogEvent) {
+        let at = event.at;
+        match event.name() {
+            "member" => self.state_changes.extend(event.state_change(by)),
+            "quota-divisor" => self.senders.push((at, by, event.number("senders"))),
+            "recovery-complete" => {
+                let took = Duration::from_millis(event.number("took_ms"));
+                self.full.push((at, by, took));
+            }
+            "zone" => {
+                let (zone, state) = (event.text("zone"), event.text("state"));
+                self.zones.push((at, by, zone, state));
             }
+            "rejoined" => self.rejoined.push((at, by)),
+            _ => {}
         }
-        timeline.state_changes.sort_by_key(|s| s.at);
-        for line in lines {
-            let Some(sender) = line.sender else { continue };
-            match (&line.what, line.wire.as_str()) {
-                (What::Ready, _) => timeline.come_back(sender, line.at),
-                (What::Signalled, signal) => {
-                    timeline.leave(sender, line.at);
-                    if signal == "SIGKILL" {
-                        timeline.killed.push((sender, line.at));
-                    }
+    }
+
+    fn add_line(&mut self, line: &Line) {
+        let Some(sender) = line.sender else { return };
+        match &line.what {
+            What::Ready => self.come_back(sender, line.at),
+            What::Signalled => {
+                self.leave(sender, line.at);
+                if line.wire == "SIGKILL" {
+                    self.killed.push((sender, line.at));
                 }
-                _ => {}
             }
+            _ => {}
         }
-        timeline
     }
 
     /// Adds what simulated members reported; numbers are those of the whole fleet.
@@ -125,16 +111,16 @@
         match what {
             Observed::Sees {
                 member,
-                generation,
+                incarnation,
                 seen,
             } => {
-                let state = seen.block().to_owned();
+                let state = seen.name().to_owned();
                 self.state_changes.push(StateChange {
                     at,
                     by,
                     of: *member,
                     state,
-                    incarnation: *generation,
+                    incarnation: *incarnation,
                 });
             }
             Observed::Senders(senders) => self.senders.push((at, by, u64::from(*senders))),
@@ -145,7 +131,7 @@
             }
             Observed::Ended | Observed::Stopped => self.leave(by, at),
             Observed::Started | Observed::Resumed => self.come_back(by, at),
-            Observed::Generation(_) | Observed::HeldUp | Observed::Refused => {}
+            Observed::Incarnation(_) | Observed::ProcessPaused | Observed::PacketDropped => {}
         }
     }
 
@@ -164,23 +150,20 @@
         }
     }
 
-    /// Others that a member sees alive by its last words.
+    /// Members that are alive in the last view of a member.
     pub fn seen_alive(&self, by: usize) -> BTreeSet<usize> {
         let mut alive = BTreeSet::new();
-        for state_changes in self
-            .state_changes
-            .iter()
-            .filter(|state_changes| state_changes.by == by)
-        {
-            match state_changes.state.as_str() {
-                "alive" => alive.insert(state_changes.of),
-                _ => alive.remove(&state_changes.of),
-            };
+        for change in self.state_changes.iter().filter(|change| change.by == by) {
+            if change.state == "alive" {
+                alive.insert(change.of);
+            } else {
+                alive.remove(&change.of);
+            }
         }
         alive
     }
 
-    /// Whether a sender was there, and running, all the time from then to then.
+    /// A member ran throughout this time.
     pub fn there(&self, sender: usize, from: Duration, to: Duration) -> bool {
         self.away.get(&sender).is_none_or(|all| {
             all.iter()
@@ -188,41 +171,79 @@
         })
     }
 
-    /// Since when, from `from` on and up to `until`, all that were there saw all others that were there as alive.
+    /// Since when, between `from` and `until`, all members that ran throughout saw each other alive.
     pub fn agreed_since(&self, count: usize, from: Duration, until: Duration) -> Option<Duration> {
         let there: Vec<bool> = (0..count).map(|s| self.there(s, from, until)).collect();
         let present = there.iter().filter(|there| **there).count();
         let mut alive = vec![false; count * count];
-        // Pairs that do not see each other, kept by each change: a fleet of some hundred has as many changes as pairs.
+        // Pairs that do not see each other, updated by each change: a large fleet has as many changes as pairs.
         let mut missing = present * present.saturating_sub(1);
         let mut since = None;
-        for state_changes in self
-            .state_changes
-            .iter()
-            .filter(|s| s.at <= until && s.by < count && s.of < count)
-        {
-            if there[state_changes.by]
-                && there[state_changes.of]
-                && state_changes.by != state_changes.of
-            {
-                let seen = &mut alive[state_changes.by * count + state_changes.of];
-                let now = state_changes.state == "alive";
-                missing = missing + usize::from(*seen) - usize::from(now);
-                *seen = now;
+        for change in &self.state_changes {
+            if change.at > until || change.by >= count || change.of >= count {
+                continue;
+            }
+            if there[change.by] && there[change.of] && change.by != change.of {
+                let seen = &mut alive[change.by * count + change.of];
+                let is_alive = change.state == "alive";
+                missing = missing + usize::from(*seen) - usize::from(is_alive);
+                *seen = is_alive;
             }
-            if state_changes.at < from {
+            if change.at < from {
                 continue;
             }
-            match (missing > 0, since) {
-                (true, _) => since = None,
-                (false, None) => since = Some(state_changes.at),
-                (false, Some(_)) => {}
+            if missing > 0 {
+                since = None;
+            } else if since.is_none() {
+                since = Some(change.at);
             }
         }
-        let always = self
+        let unchanged = self
             .state_changes
             .iter()
             .all(|s| s.at < from || s.at > until);
-        since.or_else(|| (always && missing == 0).then_some(from))
+        since.or_else(|| (unchanged && missing == 0).then_some(from))
+    }
+}
+
+/// A line of a sender's log.
+struct LogEvent {
+    at: Duration,
+    fields: Value,
+}
+
+impl LogEvent {
+    /// `None` for lines that are not JSON, or have no event or time.
+    fn parse(line: &str, began: Duration) -> Option<LogEvent> {
+        let fields: Value = serde_json::from_str(line).ok()?;
+        fields["event"].as_str()?;
+        let time = humantime::parse_rfc3339(fields["ts"].as_str()?).ok()?;
+        let since_1970 = time.duration_since(UNIX_EPOCH).ok()?;
+        let at = since_1970.saturating_sub(began);
+        Some(LogEvent { at, fields })
+    }
+
+    fn name(&self) -> &str {
+        self.fields["event"].as_str().unwrap_or_default()
+    }
+
+    /// A field's number; zero if it has none.
+    fn number(&self, key: &str) -> u64 {
+        self.fields[key].as_u64().unwrap_or(0)
+    }
+
+    /// A field's text; empty if it has none.
+    fn text(&self, key: &str) -> String {
+        self.fields[key].as_str().unwrap_or_default().to_owned()
+    }
+
+    fn state_change(&self, by: usize) -> Option<StateChange> {
+        Some(StateChange {
+            at: self.at,
+            by,
+            of: member_number(self.fields["member"].as_str()?)?,
+            state: self.text("state"),
+            incarnation: self.number("incarnation"),
+        })
     }
 }
--- a/crates/fleet-harness/tests/relay.rs
+++ b/crates/fleet-harness/tests/relay.rs
@@ -1,5 +1,5 @@
-//! The relay by itself: what each break does to packets and to connections. Waits are lower bounds, so a busy machine changes
-//! no verdict.
+//! The effect of each network fault on packets and connections through the relay. Waits are lower bounds, so a busy machine does
+//! not fail a test.
 
 use std::collections::BTreeSet;
 use std::io::{ErrorKind, Read, Write};
@@ -12,7 +12,7 @@
 use cranehill_simulation::fleet::{NetworkFault, PathFault, Side};
 
 const LONG: Duration = Duration::from_secs(3600);
-/// Long enough for what is on its way, short enough to wait for nothing.
+/// Long enough for bytes in flight to arrive.
 const SHORT: Duration = Duration::from_millis(200);
 
 fn broken(
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_cut_to_one_zone_is_silence_there_and_nothing_elsewhere() {
+fn a_cut_silences_one_zone_only() {
     let cut = broken(0, Side::Destinations(Some(1)), false, PathFault::Cut, LONG);
     let mut relay = Relay::start(1, vec![cut], 1).expect("it starts");
     let (mut near, mut far) = (echoed(&mut relay, 0), echoed(&mut relay, 1));
@@ -75,14 +75,14 @@
         (7, 7)
     );
     relay.begin(Instant::now());
-    // The relay hears of the beginning by a message of its own.
+    // The relay's thread receives the start as a command.
     thread::sleep(SHORT);
     assert!(silent(&mut far));
     assert_eq!(through(&mut near).expect("through"), 7);
 }
 
 #[test]
-fn delays_and_stalls_hold_what_passes_and_lose_nothing() {
+fn delays_and_stalls_delay_bytes_and_lose_none() {
     let until = Duration::from_millis(600);
     for path_fault in [PathFault::Delay { by: until }, PathFault::Stall] {
         let held = broken(0, Side::Destinations(None), false, path_fault, until);
@@ -120,9 +120,9 @@
     }
 }
 
-/// Packets are told apart by who sends them: one direction is cut, the other is not, and a third sender's ways are whole.
+/// Only one direction is cut; the other, and the paths of a third sender, are not.
 #[test]
-fn packets_are_lost_on_the_broken_way_only() {
+fn packets_are_lost_on_the_cut_path_only() {
     let cut = broken(
         0,
         Side::Senders(BTreeSet::from([1])),
--- a/crates/fleet-harness/tests/simulated_members.rs
+++ b/crates/fleet-harness/tests/simulated_members.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_fleet_harness::simulated::{
-    Conditions, Disturbance, MEMBERS_MOST, Observation, Observed, Observer, Seen,
+    Conditions, Disturbance, MAX_MEMBERS, Observation, Observed, Observer, Seen,
     SimulatedFleetError, SimulatedFleetFigures, SimulatedFleetPlan, Timing, Transport, play,
 };
 use cranehill_scheduler::Time;
@@ -26,7 +26,7 @@
     play(plan).expect("it plays")
 }
 
-/// What the machine measures is no part of what the seed decides.
+/// Without the figures that the machine decides, not the seed.
 fn by_seed(figures: SimulatedFleetFigures) -> SimulatedFleetFigures {
     SimulatedFleetFigures {
         cpu_milliseconds_per_second: 0.0,
@@ -35,9 +35,9 @@
     }
 }
 
-/// Guards the virtual mode against any hidden clock, thread or map order.
+/// No clock, thread or map order may influence a run in virtual time.
 #[test]
-fn the_same_seed_gives_the_same_figures_and_another_seed_others() {
+fn figures_depend_on_the_seed_alone() {
     let conditions = Conditions {
         loss: 0.05,
         ..Conditions::default()
@@ -52,7 +52,7 @@
     assert!(first.lost > 0, "{first:?}");
 }
 
-/// Guards crashes: each is down in every live view, after a suspicion at least and before the play ends.
+/// Each is down in every live view, after a suspicion at least and before the run ends.
 #[test]
 fn crashed_members_are_seen_down_by_all_others() {
     let figures = played(&plan(Disturbance::Crashes { one_in: 10 }, 1));
@@ -70,10 +70,10 @@
     );
 }
 
-/// Guards cuts: for as long as one lasts nobody sees the other half, and no half takes more than its share before the
-/// eviction delay. A cut that outlasts the play never heals, and must be told so.
+/// During a cut nobody sees the other half, and no half exceeds its share of a limit before the
+/// eviction delay. A cut that outlasts the play never heals, and the figures must show it.
 #[test]
-fn halves_lose_sight_of_each_other_take_no_more_and_find_each_other_again() {
+fn cut_halves_exceed_no_limit_and_agree_after_the_cut() {
     let healed = played(&plan(
         Disturbance::Halves {
             duration: Duration::from_secs(25),
@@ -110,7 +110,7 @@
     let mut observer = Observer::new(2);
     for by in [0, 1] {
         note(&mut observer, 0, by, Observed::Started);
-        note(&mut observer, 0, by, Observed::Generation(1));
+        note(&mut observer, 0, by, Observed::Incarnation(1));
     }
     note(&mut observer, 1, 0, sees(1, 1, Seen::Alive));
     assert!(!observer.agrees(), "one of two sees the other");
@@ -127,30 +127,30 @@
     });
 }
 
-fn sees(member: usize, generation: u64, seen: Seen) -> Observed {
+fn sees(member: usize, incarnation: u64, seen: Seen) -> Observed {
     Observed::Sees {
         member,
-        generation,
+        incarnation,
         seen,
     }
 }
 
-/// Guards the judge: one that is alive in a generation that is over is not seen, as little as one that is suspected.
+/// A member that is alive in an earlier incarnation is not seen, nor is one that is suspected.
 #[test]
-fn a_view_of_an_earlier_generation_is_no_agreement() {
+fn a_view_of_an_earlier_incarnation_is_no_agreement() {
     let mut observer = pair();
-    note(&mut observer, 2, 1, Observed::Generation(2));
+    note(&mut observer, 2, 1, Observed::Incarnation(2));
     assert_eq!((observer.agrees(), observer.missing()), (false, 1));
     note(&mut observer, 3, 0, sees(1, 2, Seen::Alive));
     assert!(observer.agrees());
     note(&mut observer, 4, 0, sees(1, 2, Seen::Suspect));
     assert_eq!((observer.agrees(), observer.missing()), (false, 1));
-    // A late word of the generation before changes nothing.
+    // A late report of the earlier incarnation changes nothing.
     note(&mut observer, 5, 0, sees(1, 1, Seen::Alive));
     assert!(!observer.agrees());
 }
 
-/// Guards the judge: a crash that a view misses is undetected, a down without a cause is false, and a limit is divided
+/// a crash that a view misses is undetected, a down without a cause is false, and a limit is divided
 /// among those that are there.
 #[test]
 fn a_report_lists_crashes_false_downs_and_quotas() {
@@ -176,9 +176,9 @@
     assert!(observer.largest_share() > 1.4, "one has all, and one half");
 }
 
-/// Guards restarts: a member that is back counts as seen only in its present generation.
+/// A restarted member counts as seen only in its present incarnation.
 #[test]
-fn restarted_members_are_seen_in_their_new_generation() {
+fn restarted_members_are_seen_in_their_new_incarnation() {
     let figures = played(&plan(Disturbance::Restarts { count: 10 }, 5));
     assert_eq!(figures.failed(1.0), Vec::<String>::new(), "{figures:?}");
     assert!(
@@ -191,9 +191,9 @@
     );
 }
 
-/// Guards racks and zones: so many members as they should be are gone.
+/// All members of a rack or zone go down.
 #[test]
-fn racks_and_zones_go_down_whole() {
+fn all_members_of_a_rack_or_zone_go_down() {
     let detected = |disturbance| {
         let figures = played(&plan(disturbance, 7));
         assert_eq!(figures.failed(1.0), Vec::<String>::new(), "{figures:?}");
@@ -206,10 +206,10 @@
     assert!(rack.most > 0.0 && zone.most > 0.0);
 }
 
-/// Guards traffic counters: what is sent over a whole way arrives, so that both directions come to the same.
+/// Without faults every packet arrives, so both directions count the same.
 #[test]
 fn bytes_are_counted_in_both_directions() {
-    // What is on its way as the measure begins is received and not sent: it is little beside ten minutes.
+    // Packets in flight as the measured duration begins are received and not sent: few, compared with ten minutes.
     let duration = Duration::from_secs(600);
     let figures = played(&SimulatedFleetPlan {
         duration,
@@ -229,130 +229,106 @@
     );
 }
 
-/// Whatever can't be played is an error before anything starts, on one line.
+/// A plan that can't be played is an error before anything starts, on one line.
+fn assert_rejected(plan: &SimulatedFleetPlan, start: &str) {
+    let error: SimulatedFleetError = play(plan).expect_err(start);
+    let text = error.to_string();
+    assert!(
+        text.starts_with(start) && !text.contains('\n'),
+        "{plan:?}: {text}"
+    );
+}
+
+fn sized(members: usize) -> SimulatedFleetPlan {
+    SimulatedFleetPlan {
+        members,
+        ..plan(Disturbance::None, 1)
+    }
+}
+
+fn lasting(duration: Duration) -> SimulatedFleetPlan {
+    SimulatedFleetPlan {
+        duration,
+        ..plan(Disturbance::None, 1)
+    }
+}
+
+fn timed(timing: Timing) -> SimulatedFleetPlan {
+    SimulatedFleetPlan {
+        timing,
+        ..plan(Disturbance::None, 1)
+    }
+}
+
 #[test]
-fn unplayable_plans_are_errors() {
-    let good = plan(Disturbance::None, 1);
-    let with = |disturbance| SimulatedFleetPlan {
-        disturbance,
-        ..good.clone()
+fn fleets_and_durations_out_of_range_are_errors() {
+    assert_rejected(&sized(0), "members: 0 ");
+    assert_rejected(&sized(1), "members: 1 ");
+    assert_rejected(&sized(MAX_MEMBERS + 1), "members: 2001 ");
+    let udp = SimulatedFleetPlan {
+        transport: Transport::Udp,
+        ..sized(usize::MAX)
     };
-    let timed = |timing| SimulatedFleetPlan {
-        timing,
-        ..good.clone()
+    assert_rejected(&udp, "members: ");
+    assert_rejected(&lasting(Duration::ZERO), "duration: ");
+    assert_rejected(&lasting(Duration::MAX), "duration: ");
+}
+
+#[test]
+fn disturbances_that_do_not_fit_the_fleet_are_errors() {
+    let halves = Disturbance::Halves {
+        duration: Duration::MAX,
     };
-    let second = Duration::from_secs(1);
-    let cases = [
-        (
-            SimulatedFleetPlan {
-                members: 0,
-                ..good.clone()
-            },
-            "members: 0 ",
-        ),
-        (
-            SimulatedFleetPlan {
-                members: 1,
-                ..good.clone()
-            },
-            "members: 1 ",
-        ),
-        (
-            SimulatedFleetPlan {
-                members: MEMBERS_MOST + 1,
-                ..good.clone()
-            },
-            "members: 2001 ",
-        ),
+    for (disturbance, start) in [
+        (Disturbance::Crashes { one_in: 0 }, "disturbance: one in 0"),
         (
-            SimulatedFleetPlan {
-                members: usize::MAX,
-                transport: Transport::Udp,
-                ..good.clone()
-            },
-            "members: ",
-        ),
-        (
-            SimulatedFleetPlan {
-                duration: Duration::ZERO,
-                ..good.clone()
-            },
-            "duration: ",
-        ),
-        (
-            SimulatedFleetPlan {
-                duration: Duration::MAX,
-                ..good.clone()
-            },
-            "duration: ",
-        ),
-        (
-            with(Disturbance::Crashes { one_in: 0 }),
-            "disturbance: one in 0",
-        ),
-        (
-            with(Disturbance::ZoneDown { zones: 0 }),
+            Disturbance::ZoneDown { zones: 0 },
             "disturbance: one zone of 0",
         ),
         (
-            with(Disturbance::ZoneDown { zones: 31 }),
+            Disturbance::ZoneDown { zones: 31 },
             "disturbance: one zone of 31",
         ),
         (
-            with(Disturbance::Restarts { count: 30 }),
+            Disturbance::Restarts { count: 30 },
             "disturbance: 30 restarts",
         ),
-        (
-            with(Disturbance::Halves {
-                duration: Duration::MAX,
-            }),
-            "disturbance: halves",
-        ),
-        (
-            timed(Timing {
-                period: Duration::ZERO,
-                ..Timing::default()
-            }),
-            "timing: period",
-        ),
-        (
-            timed(Timing {
-                round_trip: second,
-                ..Timing::default()
-            }),
-            "timing: round_trip",
-        ),
-        (
-            timed(Timing {
-                suspicion: Some(second / 2),
-                ..Timing::default()
-            }),
-            "timing: suspicion",
-        ),
-        (
-            timed(Timing {
-                late: Duration::ZERO,
-                ..Timing::default()
-            }),
-            "timing: late",
-        ),
-        (
-            SimulatedFleetPlan {
-                conditions: Conditions {
-                    loss: f64::NAN,
-                    ..Conditions::default()
-                },
-                ..good.clone()
-            },
-            "conditions: loss",
-        ),
-    ];
-    for (plan, why) in cases {
-        let error: SimulatedFleetError = play(&plan).expect_err(why);
-        let state_changes = error.to_string();
-        assert!(
-            state_changes.starts_with(why) && !state_changes.contains('\n'),
-            "{plan:?}: {state_changes}"
-        );
+        (halves, "disturbance: halves"),
+    ] {
+        assert_rejected(&plan(disturbance, 1), start);
     }
 }
+
+#[test]
+fn timings_and_conditions_out_of_range_are_errors() {
+    let second = Duration::from_secs(1);
+    let usual = Timing::default();
+    let period = Timing {
+        period: Duration::ZERO,
+        ..usual
+    };
+    let round_trip = Timing {
+        round_trip: second,
+        ..usual
+    };
+    let suspicion = Timing {
+        suspicion: Some(second / 2),
+        ..usual
+    };
+    let late = Timing {
+        late: Duration::ZERO,
+        ..usual
+    };
+    assert_rejected(&timed(period), "timing: period");
+    assert_rejected(&timed(round_trip), "timing: round_trip");
+    assert_rejected(&timed(suspicion), "timing: suspicion");
+    assert_rejected(&timed(late), "timing: late");
+    let loss = SimulatedFleetPlan {
+        conditions: Conditions {
+            loss: f64::NAN,
+            ..Conditions::default()
+        },
+        ..plan(Disturbance::None, 1)
+    };
+    assert_rejected(&loss, "conditions: loss");
+}
