--- a/crates/fleet-harness/src/simulated/figures.rs
+++ b/crates/fleet-harness/src/simulated/figures.rs
@@ -71,7 +71,7 @@
 impl SimulatedFleetFigures {
     /// One line for each rule that does not hold, whatever the members' cost: all agree at the start and after the
     /// disturbance, none is missing at the end, no crash is unknown, nobody is held to be down without a cause, and no
-    /// more of a shared limit is taken than `max_share`.
+    /// more of a shared limit is used than `max_share`.
     pub fn failed(&self, max_share: f64) -> Vec<String> {
         let mut failed = Vec::new();
         if self.agreed_at_start.is_none() {
--- a/crates/fleet-harness/src/simulated/member.rs
+++ b/crates/fleet-harness/src/simulated/member.rs
@@ -80,7 +80,7 @@
     pub reports: Vec<Report>,
 }
 
-/// How a member takes part.
+/// The configuration of a member.
 #[derive(Clone, Debug)]
 pub(super) struct Setup {
     /// Its number.
--- a/crates/fleet-harness/src/simulated/observer.rs
+++ b/crates/fleet-harness/src/simulated/observer.rs
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Wrong pairs in which a member takes part, on either side.
+    /// Wrong pairs with this member, as viewer or as viewed.
     fn wrong_with(&self, member: usize) -> usize {
         let either = |other: &usize| {
             usize::from(self.is_wrong(member, *other)) + usize::from(self.is_wrong(*other, member))
--- a/crates/scenario-runner/src/mutations.rs
+++ b/crates/scenario-runner/src/mutations.rs
@@ -1,4 +1,4 @@
-//! Mutations: faults that a build can be told to have, each with a scenario and the rule that must detect it.
+//! Mutations: deliberate faults of a build, each with a scenario and the rule that must detect it.
 
 use cranehill_simulation::audit::Rule;
 
--- a/crates/scenario-runner/src/network.rs
+++ b/crates/scenario-runner/src/network.rs
@@ -6,7 +6,7 @@
 
 use cranehill_simulation::fleet::Fleet;
 
-/// Maps the address on which a simulated server or a sender listens to the address that others are given for it.
+/// Maps the address on which a simulated server or a sender listens to the address that the others use for it.
 pub trait Network {
     /// The address (TCP) under which `sender` reaches an endpoint of `zone` that listens at `real`.
     fn destination_address(
--- a/crates/scenario-runner/src/runner/clients.rs
+++ b/crates/scenario-runner/src/runner/clients.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The load balancer: takes the routed senders in turn.
+    /// The load balancer: the routed senders in turn.
     fn next_routed_sender(&mut self) -> Option<usize> {
         let count = self.senders.len();
         let first = self.next_sender;
--- a/crates/scenario-runner/src/runner/connection.rs
+++ b/crates/scenario-runner/src/runner/connection.rs
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as much as the socket accepts.
     pub(super) fn flush(&mut self) {
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
--- a/crates/scenario-runner/src/runner/connections.rs
+++ b/crates/scenario-runner/src/runner/connections.rs
@@ -100,7 +100,7 @@
         Ok(id)
     }
 
-    /// Writes bytes, now as far as the socket takes them.
+    /// Writes bytes, now as far as the socket accepts them.
     pub(super) fn send(&mut self, id: ConnectionId, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.output.extend_from_slice(bytes);
--- a/crates/scenario-runner/src/runner/fleet.rs
+++ b/crates/scenario-runner/src/runner/fleet.rs
@@ -14,7 +14,7 @@
 use crate::network::Network;
 use crate::senders::FleetSettings;
 
-/// How long the request for a sender's view may take.
+/// How long the request for a sender's view may last.
 const VIEW_TIMEOUT: Duration = Duration::from_secs(1);
 /// Members that each sender contacts first.
 const SEEDS: usize = 3;
