--- a/crates/cranehill/src/rehearse/error.rs
+++ b/crates/cranehill/src/rehearse/error.rs
@@ -5,6 +5,7 @@
 use std::path::PathBuf;
 
 use cranehill_scenario_runner::RunError;
+use cranehill_scenario_runner::report_files::ReportError;
 use cranehill_simulation::scenario::ScenarioError;
 
 use crate::input::InputError;
@@ -52,6 +53,14 @@
         /// The cause.
         source: io::Error,
     },
+    /// A scenario's report can't be written.
+    #[error("{path}: {source}")]
+    Report {
+        /// The report's folder.
+        path: PathBuf,
+        /// Why it can't be written.
+        source: ReportError,
+    },
     /// A folder holds no scenarios.
     #[error("{path}: there is no day in it")]
     EmptyFolder {
--- a/crates/cranehill/src/rehearse/mod.rs
+++ b/crates/cranehill/src/rehearse/mod.rs
@@ -104,7 +104,7 @@
     } else {
         out.join(format!("{index:02}-seed{}", plan.seed))
     };
-    report_files::write(&folder, plan, outcome).map_err(|source| RehearseError::Io {
+    report_files::write(&folder, plan, outcome).map_err(|source| RehearseError::Report {
         path: folder,
         source,
     })
--- a/crates/scenario-runner/src/stage/destinations.rs
+++ b/crates/scenario-runner/src/runner/destinations.rs
@@ -1,39 +1,32 @@
-//! Destinations: they read calls, and their connections break as the day's faults say.
+//! Destinations: they read calls, and their connections break by the faults of the scenario.
 
 use std::time::Duration;
 
 use cranehill_simulation::audit::AuditEvent;
 use cranehill_simulation::destination::{Asked, Reply};
 
-use super::Stage;
-use super::connections::{Call, CloseMode, ConnectionId, DestinationRole};
+use super::connection::{Call, CloseMode, ConnectionId, DestinationRole};
+use super::state::Runner;
 use super::timers::Timer;
-use crate::wire::{self, Request};
+use crate::wire::{DestinationCall, Request, encode_response, push_path};
 
-/// The messages of a call that has passed all checks.
-struct AcceptedCall {
-    ids: Vec<String>,
-    batch: bool,
-}
-
-/// A call that is answered by this status at once.
+/// A call that is answered with this status at once.
 struct RejectedCall {
     status: u16,
 }
 
-impl Stage<'_> {
+impl Runner<'_> {
     /// Reads calls, one at a time: the next one after the reply.
     pub(super) fn read_calls(&mut self, id: ConnectionId) {
         while self.has_call_to_read(id) {
             let Some(connection) = self.connections.get_mut(&id) else {
                 return;
             };
-            match wire::request(&connection.input) {
+            match connection.take_request() {
                 Ok(None) => return,
-                Ok(Some((request, length))) => {
-                    connection.input.drain(..length);
+                Ok(Some(request)) => {
                     if let Some(role) = connection.destination_mut() {
-                        role.request_begun = false;
+                        role.request_started = false;
                     }
                     self.on_call(id, &request);
                 }
@@ -62,18 +55,18 @@
             return false;
         }
         let names = role.names;
-        if !std::mem::replace(&mut role.request_begun, true) {
+        if !std::mem::replace(&mut role.request_started, true) {
             let idle = self.now().saturating_sub(used).as_millis();
             let line = format!(
                 "first byte of a call on connection {}, idle for {idle} ms",
                 names.connection
             );
-            self.record(Some(sender), names.begun(), &line);
+            self.record(Some(sender), names.started(), &line);
         }
         true
     }
 
-    /// A call has arrived whole.
+    /// A complete call has arrived.
     fn on_call(&mut self, id: ConnectionId, request: &Request) {
         let used = self.now();
         let Some(connection) = self.connections.get_mut(&id) else {
@@ -87,9 +80,11 @@
         else {
             return;
         };
-        let AcceptedCall { ids, batch } = match self.check_call(sender, endpoint, request) {
+        let DestinationCall { ids, batch } = match self.check_call(sender, endpoint, request) {
             Ok(call) => call,
-            Err(RejectedCall { status }) => return self.send(id, &wire::response(status, &[], "")),
+            Err(RejectedCall { status }) => {
+                return self.send(id, &encode_response(status, &[], ""));
+            }
         };
         let line = format!(
             "{} {} on connection {}",
@@ -111,7 +106,7 @@
         match reply {
             Reply::Answer { at, .. } | Reply::Spoilt { at, .. } => {
                 self.replies.insert(serial, reply);
-                self.timers.insert(
+                self.timers.push(
                     at,
                     Timer::Reply {
                         connection: id,
@@ -127,40 +122,36 @@
         }
     }
 
-    /// Whether a call is one that this endpoint takes. One that no sender may make voids the day.
+    /// Checks that a call is valid at this endpoint. One that no sender may make voids the run.
     fn check_call(
         &mut self,
         sender: usize,
         endpoint: usize,
         request: &Request,
-    ) -> Result<AcceptedCall, RejectedCall> {
+    ) -> Result<DestinationCall, RejectedCall> {
         if request.method == "GET" {
             return Err(RejectedCall { status: 404 });
         }
-        let (ids, batch) = wire::call_ids(request).map_err(|why| {
+        let call = DestinationCall::parse(request).map_err(|why| {
             self.void(format!("sender {sender} to endpoint {endpoint}: {why}"));
             RejectedCall { status: 400 }
         })?;
         let destination = self.endpoints[endpoint].destination;
         let member = &self.scenario.destinations[destination];
-        if member.push
-            != request
-                .path
-                .starts_with(&wire::push_path(destination as u64))
-        {
+        if member.push != request.path.starts_with(&push_path(destination as u64)) {
             let path = &request.path;
             self.void(format!(
-                "sender {sender}: {path} to endpoint {endpoint}, which is another's"
+                "sender {sender}: {path} to endpoint {endpoint}, which is another destination's"
             ));
             return Err(RejectedCall { status: 404 });
         }
-        if batch && ids.len() > member.spec.batch {
+        if call.batch && call.ids.len() > member.spec.batch {
             return Err(RejectedCall { status: 413 });
         }
-        Ok(AcceptedCall { ids, batch })
+        Ok(call)
     }
 
-    /// What the destination makes of a call.
+    /// The reply of the destination to a call.
     fn call_destination(&mut self, endpoint: usize, messages: usize) -> Reply {
         let now = self.now();
         let place = &self.endpoints[endpoint];
@@ -197,7 +188,7 @@
         self.record(Some(sender), names.broke(ids, executed), &line);
     }
 
-    /// Resets all connections of an endpoint, at the beginning of a refusal and at the end of a silence.
+    /// Resets all connections of an endpoint, at the start of an outage that refuses and at the end of one that is silent.
     pub(super) fn reset_connections_of(&mut self, endpoint: usize) {
         let place = &self.endpoints[endpoint];
         if self.destinations[place.destination]
@@ -221,7 +212,7 @@
         let Some(connection) = self.connections.get(&id).filter(|c| c.used == used) else {
             return;
         };
-        let idle = |role: &DestinationRole| role.in_flight.is_none() && !role.request_begun;
+        let idle = |role: &DestinationRole| role.in_flight.is_none() && !role.request_started;
         if connection.destination().is_some_and(idle) {
             self.close_connection(id, CloseMode::Orderly);
         }
--- a/crates/scenario-runner/src/stage/directory.rs
+++ b/crates/scenario-runner/src/runner/directory.rs
@@ -8,25 +8,25 @@
 use cranehill_simulation::scenario::{ListChange, To};
 use serde_json::{Value, json};
 
-use super::connections::{CloseMode, ConnectionId, HeldWatch, Role};
+use super::connection::{CloseMode, ConnectionId, HeldWatch, Role};
+use super::state::{Endpoint, Runner, endpoint_id};
 use super::timers::Timer;
-use super::{Endpoint, Stage, endpoint_id};
-use crate::senders::rough_rate;
-use crate::wire::{self, Request};
+use crate::senders::listed_rate;
+use crate::wire::{FinalReportLine, Request, WatchRequest, encode_response, parse_final_reports};
 
-/// A watch that found nothing is not asked again sooner.
-const WATCH_LEAST: Duration = Duration::from_millis(1);
+/// A held watch is not checked again sooner than this.
+const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The state of one endpoint in a list that a sender is told.
+/// The state of one endpoint in a list that a sender receives.
 struct NotifiedState {
     endpoint: usize,
     destination: u64,
     listed: Listed,
 }
 
-impl Stage<'_> {
-    /// Reads questions, one at a time while none is held.
-    pub(super) fn read_questions(&mut self, id: ConnectionId) {
+impl Runner<'_> {
+    /// Reads requests, one at a time while no watch is held.
+    pub(super) fn read_directory_requests(&mut self, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else {
                 return;
@@ -34,15 +34,14 @@
             if connection.watch().is_some() {
                 return;
             }
-            match wire::request(&connection.input) {
+            match connection.take_request() {
                 Ok(None) => return,
-                Ok(Some((request, length))) => {
-                    connection.input.drain(..length);
-                    self.on_question(id, &request);
+                Ok(Some(request)) => {
+                    self.on_directory_request(id, &request);
                 }
                 Err(why) => {
                     self.void(format!(
-                        "a question to the directory that can't be read: {why}"
+                        "a request to the directory that can't be read: {why}"
                     ));
                     return self.close_connection(id, CloseMode::Reset);
                 }
@@ -50,12 +49,12 @@
         }
     }
 
-    fn on_question(&mut self, id: ConnectionId, request: &Request) {
+    fn on_directory_request(&mut self, id: ConnectionId, request: &Request) {
         let path = request.path.split('?').next().unwrap_or_default();
         match (request.method.as_str(), path) {
             ("POST", "/v1/notices") => self.on_final_reports(id, request),
             ("GET", "/v1/endpoints") => self.on_watch(id, request),
-            _ => self.send(id, &wire::response(404, &[], "")),
+            _ => self.send(id, &encode_response(404, &[], "")),
         }
     }
 
@@ -63,23 +62,22 @@
         let Some(sender) = self.connections.get(&id).map(|c| c.sender) else {
             return;
         };
-        match wire::reports(&request.body) {
+        match parse_final_reports(&request.body) {
             Ok(reports) => {
-                for (message, after, returned) in reports {
-                    let final_report = if returned {
-                        FinalReport::Returned { after }
-                    } else {
-                        FinalReport::Failed
-                    };
-                    self.on_final_report(sender, &message, final_report);
+                for FinalReportLine {
+                    id: message,
+                    report,
+                } in reports
+                {
+                    self.on_final_report(sender, &message, report);
                 }
-                self.send(id, &wire::response(204, &[], ""));
+                self.send(id, &encode_response(204, &[], ""));
             }
             Err(why) => {
                 self.void(format!(
                     "sender {sender}: a report that can't be read: {why}"
                 ));
-                self.send(id, &wire::response(400, &[], ""));
+                self.send(id, &encode_response(400, &[], ""));
             }
         }
     }
@@ -106,7 +104,11 @@
     }
 
     fn on_watch(&mut self, id: ConnectionId, request: &Request) {
-        let (from, hold) = wire::watch(&request.path).unwrap_or((0, Duration::ZERO));
+        let WatchRequest { from, hold } =
+            WatchRequest::parse(&request.path).unwrap_or(WatchRequest {
+                from: 0,
+                hold: Duration::ZERO,
+            });
         let asked = self.now();
         self.hold_watch(id, Some(HeldWatch { from, asked, hold }));
         self.answer_watch(id);
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Answers a held watch if there is something to tell; else looks again later.
+    /// Answers a held watch if the list has changed, or checks it again later.
     pub(super) fn answer_watch(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else {
             return;
@@ -134,12 +136,12 @@
                 self.record_notified(sender, &list);
                 let body = self.list_json(&list, sender).to_string();
                 self.hold_watch(id, None);
-                self.send(id, &wire::response(200, &[], &body));
-                self.read_questions(id);
+                self.send(id, &encode_response(200, &[], &body));
+                self.read_directory_requests(id);
             }
             Watch::Hold { until } | Watch::Silent { until } => {
-                self.timers.insert(
-                    until.max(now + WATCH_LEAST),
+                self.timers.push(
+                    until.max(now + MIN_WATCH_INTERVAL),
                     Timer::Watch { connection: id },
                 );
             }
@@ -184,7 +186,7 @@
 
     fn notified_state(&self, row: &Row) -> NotifiedState {
         let place = &self.endpoints[row.endpoint];
-        // A row of an endpoint that has been replaced since is its predecessor's.
+        // A row with another id is of an endpoint that has been replaced.
         let endpoint = if place.id == row.id {
             place.audited
         } else {
@@ -217,13 +219,13 @@
         };
         let started = row
             .started
-            .map_or(0, |s| (self.begun_unix + s).as_millis() as u64);
+            .map_or(0, |s| (self.started_unix + s).as_millis() as u64);
         let zone = &self.scenario.zones[member.zones[place.number]];
         json!({"id": row.id, "addr": place.addresses[sender].to_string(), "zone": zone, "kind": member.kind,
-            "cell": row.destination, "state": state, "weight": rough_rate(member), "started_ms": started})
+            "cell": row.destination, "state": state, "weight": listed_rate(member), "started_ms": started})
     }
 
-    /// Makes a change of the day to the list.
+    /// Makes a scheduled change to the list.
     pub(super) fn change_list(&mut self, change: usize) {
         let ListChange {
             destination,
@@ -262,7 +264,7 @@
         self.directory.change(now, row);
     }
 
-    /// Another endpoint takes this one's address.
+    /// Another endpoint replaces this one at its address.
     fn replace_endpoint(&mut self, endpoint: usize) {
         let audited = self.next_audited_endpoint;
         self.next_audited_endpoint += 1;
