--- a/crates/cranehill/tests/short_window.rs
+++ b/crates/cranehill/tests/short_window.rs
@@ -63,12 +63,12 @@
             AuditEvent::Submitted {
                 id,
                 class,
-                duration,
+                time_to_live,
                 ..
             } => {
                 times
                     .entry(id.clone())
-                    .or_insert((line.at + *duration, *class));
+                    .or_insert((line.at + *time_to_live, *class));
             }
             AuditEvent::Answered {
                 id,
--- a/crates/scenario-runner/src/senders.rs
+++ b/crates/scenario-runner/src/senders.rs
@@ -416,13 +416,13 @@
         .take(known)
         .map(|(MessageClass { name, effect }, class)| {
             let (effect, window) = match effect {
-                Effect::Safe => ("safe", class.duration),
+                Effect::Safe => ("safe", class.time_to_live),
                 Effect::Keyed { window } => ("keyed", *window),
-                Effect::Unsafe => ("unsafe", class.duration),
+                Effect::Unsafe => ("unsafe", class.time_to_live),
             };
-            json!({"name": name, "effect": effect, "window": nanos(window), "aim": nanos(class.aim),
+            json!({"name": name, "effect": effect, "window": nanos(window), "aim": nanos(class.latency_objective),
                 "byArrival": class.order_keys > 0,
-                "deadline": nanos(class.duration), "dedupScope": "all", "lateShare": class.late_share, "worth": 1.0})
+                "deadline": nanos(class.time_to_live), "dedupScope": "all", "lateShare": class.late_share, "worth": 1.0})
         })
         .collect();
     let per_call: Vec<usize> = scenario
--- a/crates/scenario-runner/src/stage.rs
+++ b/crates/scenario-runner/src/stage.rs
@@ -175,7 +175,7 @@
             .load
             .classes
             .iter()
-            .map(|c| c.duration)
+            .map(|c| c.time_to_live)
             .max()
             .unwrap_or_default();
         self.scenario.duration + longest + SETTLE
--- a/crates/scenario-runner/src/stage/clients.rs
+++ b/crates/scenario-runner/src/stage/clients.rs
@@ -154,21 +154,22 @@
             destination,
             ..
         } = message;
-        let duration = Duration::from_secs(message.duration.as_secs().max(POST_TTL_LEAST_S));
+        let time_to_live =
+            Duration::from_secs(message.time_to_live.as_secs().max(POST_TTL_LEAST_S));
         let topic = self.scenario.classes[*class].effect == Effect::Safe;
         ClientRequest {
-            bytes: wire::post(message, duration, topic),
-            patience: duration + POST_GRACE,
+            bytes: wire::post(message, time_to_live, topic),
+            patience: time_to_live + POST_GRACE,
             event: AuditEvent::Posted {
                 id: id.clone(),
                 class: *class,
                 destination: *destination,
-                duration,
+                time_to_live,
             },
             line: format!(
                 "POST {}{id} TTL {} topic {topic}",
                 wire::push_path(*destination),
-                duration.as_secs()
+                time_to_live.as_secs()
             ),
         }
     }
@@ -178,7 +179,7 @@
             id,
             class,
             destination,
-            duration,
+            time_to_live,
             ordering_key,
             ..
         } = message;
@@ -186,7 +187,7 @@
             id: id.clone(),
             class: *class,
             destination: *destination,
-            duration: *duration,
+            time_to_live: *time_to_live,
             ordering_key: ordering_key.clone(),
         };
         let key = ordering_key
@@ -200,7 +201,7 @@
             event,
             line: format!(
                 "MSG.PUT {id} {class_name} dest={destination} d={}{key}",
-                duration.as_millis()
+                time_to_live.as_millis()
             ),
         }
     }
--- a/crates/scenario-runner/src/wire.rs
+++ b/crates/scenario-runner/src/wire.rs
@@ -244,7 +244,7 @@
 pub fn put(submission: &Submission, class: &str, tenant: &str) -> Vec<u8> {
     let mut names = format!(
         "c={class},t={tenant},d={},dest={}",
-        submission.duration.as_millis(),
+        submission.time_to_live.as_millis(),
         submission.destination
     );
     if let Some(key) = &submission.key {
--- a/crates/simulation/src/audit/messages.rs
+++ b/crates/simulation/src/audit/messages.rs
@@ -101,11 +101,15 @@
     /// Takes in a record.
     pub(super) fn observe(&mut self, record: &AuditRecord, limits: &Figures) {
         match &record.event {
-            AuditEvent::Submitted { id, duration, .. } => {
-                self.submitted(id, *duration, record);
+            AuditEvent::Submitted {
+                id, time_to_live, ..
+            } => {
+                self.submitted(id, *time_to_live, record);
             }
-            AuditEvent::Posted { id, duration, .. } => {
-                let message = self.submitted(id, *duration, record);
+            AuditEvent::Posted {
+                id, time_to_live, ..
+            } => {
+                let message = self.submitted(id, *time_to_live, record);
                 message.posted = true;
                 message.accepted = Some(record.at);
             }
--- a/crates/simulation/src/audit/record.rs
+++ b/crates/simulation/src/audit/record.rs
@@ -68,7 +68,7 @@
         /// Where the message is to be delivered.
         destination: u64,
         /// The message's time to live.
-        duration: Duration,
+        time_to_live: Duration,
         /// Within which it keeps its order, where its class keeps one.
         ordering_key: Option<String>,
     },
@@ -81,7 +81,7 @@
         /// Where the message is to be delivered.
         destination: u64,
         /// The message's time to live.
-        duration: Duration,
+        time_to_live: Duration,
     },
     /// The sender answered a submission or post.
     Answered {
--- a/crates/simulation/src/audit/rules/one_end.rs
+++ b/crates/simulation/src/audit/rules/one_end.rs
@@ -14,7 +14,7 @@
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings) {
         match &observed.record.event {
             AuditEvent::Answered { id, answer } => {
-                judge_post_answer(id, answer, observed, findings)
+                judge_post_answer(id, answer, observed, findings);
             }
             AuditEvent::Reported { id, final_report } => {
                 judge_report(id, *final_report, observed, findings);
--- a/crates/simulation/src/clients/load.rs
+++ b/crates/simulation/src/clients/load.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Latency objective: a message delivered by then counts in full, and half as much with each further such span.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Time to live, from the first submission.
-    pub duration: Duration,
+    pub time_to_live: Duration,
     /// Messages have an idempotency key.
     pub keyed: bool,
     /// Messages are spread over this many ordering keys; 0 if they have none.
--- a/crates/simulation/src/clients/population.rs
+++ b/crates/simulation/src/clients/population.rs
@@ -189,7 +189,7 @@
     /// Submits a message, unless it has expired or waits for an earlier one of its ordering key.
     fn submit(&mut self, at: Duration, attempt: Attempt) -> Option<(Duration, Submission)> {
         let origin = &self.origins[attempt.origin];
-        let time_to_live = self.sampler.load().classes[origin.class].duration;
+        let time_to_live = self.sampler.load().classes[origin.class].time_to_live;
         let remaining = time_to_live
             .checked_sub(at - origin.at)
             .filter(|remaining| !remaining.is_zero())?;
@@ -208,7 +208,7 @@
             key: origin.key.clone(),
             ordering_key: origin.ordering_key.clone(),
             body: origin.body,
-            duration: remaining,
+            time_to_live: remaining,
             retry: attempt.retry,
             again: attempt.again,
         };
--- a/crates/simulation/src/clients/submission.rs
+++ b/crates/simulation/src/clients/submission.rs
@@ -22,7 +22,7 @@
     /// Bytes of its body.
     pub body: usize,
     /// What remains of its time to live.
-    pub duration: Duration,
+    pub time_to_live: Duration,
     /// Submitted again after a rejection.
     pub retry: bool,
     /// Submitted again after a sender that did not answer.
--- a/crates/simulation/src/clients/weight.rs
+++ b/crates/simulation/src/clients/weight.rs
@@ -10,11 +10,14 @@
         return 0.0;
     };
     let latency = delivered.saturating_sub(origin.at);
-    if latency > class.duration {
+    if latency > class.time_to_live {
         return 0.0;
     }
-    let objective = class.aim.as_secs_f64().max(1e-9);
-    let spans_late = latency.saturating_sub(class.aim).as_secs_f64() / objective;
+    let objective = class.latency_objective.as_secs_f64().max(1e-9);
+    let spans_late = latency
+        .saturating_sub(class.latency_objective)
+        .as_secs_f64()
+        / objective;
     if spans_late <= 0.0 {
         return 1.0;
     }
--- a/crates/simulation/src/scenario/classes.rs
+++ b/crates/simulation/src/scenario/classes.rs
@@ -52,8 +52,8 @@
     for class in &file.class {
         let effect = effect(source, class)?;
         let load = clients::Class {
-            aim: class.aim.0,
-            duration: class.duration.get_ref().0,
+            latency_objective: class.aim.0,
+            time_to_live: class.duration.get_ref().0,
             keyed: matches!(effect, Effect::Keyed { .. }),
             order_keys: class.order_keys,
             share: class.share,
@@ -72,8 +72,8 @@
         window: DEFAULT_TIME_TO_LIVE,
     };
     let load = clients::Class {
-        aim: DEFAULT_LATENCY_OBJECTIVE,
-        duration: DEFAULT_TIME_TO_LIVE,
+        latency_objective: DEFAULT_LATENCY_OBJECTIVE,
+        time_to_live: DEFAULT_TIME_TO_LIVE,
         keyed: true,
         order_keys: 0,
         share: 1.0,
--- a/crates/simulation/tests/audit.rs
+++ b/crates/simulation/tests/audit.rs
@@ -47,7 +47,7 @@
             id: id.into(),
             class,
             destination: 7,
-            duration: ms(20_000),
+            time_to_live: ms(20_000),
             ordering_key: None,
         };
         self.add(at, submitted).add(
@@ -594,7 +594,7 @@
         id: "b".into(),
         class: 0,
         destination: 7,
-        duration: ms(20_000),
+        time_to_live: ms(20_000),
         ordering_key: None,
     };
     let lost = || {
@@ -639,7 +639,7 @@
                 id: "a".into(),
                 class: 0,
                 destination: 7,
-                duration: ms(20_000),
+                time_to_live: ms(20_000),
                 ordering_key: None,
             },
         )
@@ -678,7 +678,7 @@
                 id: "a".into(),
                 class: 2,
                 destination: 7,
-                duration: ms(4000),
+                time_to_live: ms(4000),
             },
         )
     };
@@ -723,7 +723,7 @@
         id: id.into(),
         class: 2,
         destination: 7,
-        duration: ms(20_000),
+        time_to_live: ms(20_000),
         ordering_key,
     };
     let answered = AuditEvent::Answered {
@@ -789,7 +789,7 @@
         id: "d".into(),
         class: 2,
         destination: 7,
-        duration: ms(20_000),
+        time_to_live: ms(20_000),
         ordering_key: Some("k".into()),
     };
     let elsewhere = two()
--- a/crates/simulation/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -213,8 +213,8 @@
 
 fn expected_load_classes() -> Vec<Class> {
     let class = |aim_s, lasts_s, share| Class {
-        aim: secs(aim_s),
-        duration: secs(lasts_s),
+        latency_objective: secs(aim_s),
+        time_to_live: secs(lasts_s),
         keyed: false,
         order_keys: 0,
         share,
@@ -466,8 +466,8 @@
     };
     assert_eq!(scenario.classes, [usual]);
     let class = Class {
-        aim: secs(4),
-        duration: secs(20),
+        latency_objective: secs(4),
+        time_to_live: secs(20),
         keyed: true,
         order_keys: 0,
         share: 1.0,
--- a/crates/simulation/tests/invariants.rs
+++ b/crates/simulation/tests/invariants.rs
@@ -186,8 +186,8 @@
             })
             .collect(),
         classes: vec![Class {
-            aim: ms(4000),
-            duration: ms(20_000),
+            latency_objective: ms(4000),
+            time_to_live: ms(20_000),
             keyed: true,
             order_keys: 0,
             share: 1.0,
