--- a/crates/scenario-runner/src/runner/clients.rs
+++ b/crates/scenario-runner/src/runner/clients.rs
@@ -156,21 +156,21 @@
             destination,
             ..
         } = message;
-        let duration = Duration::from_secs(message.duration.as_secs().max(MIN_POST_TTL_S));
+        let time_to_live = Duration::from_secs(message.time_to_live.as_secs().max(MIN_POST_TTL_S));
         let topic = self.scenario.classes[*class].effect == Effect::Safe;
         ClientRequest {
-            bytes: encode_post(message, duration, topic),
-            patience: duration + POST_GRACE,
+            bytes: encode_post(message, time_to_live, topic),
+            patience: time_to_live + POST_GRACE,
             event: AuditEvent::Posted {
                 id: id.clone(),
                 class: *class,
                 destination: *destination,
-                duration,
+                time_to_live,
             },
             line: format!(
                 "POST {}{id} TTL {} topic {topic}",
                 push_path(*destination),
-                duration.as_secs()
+                time_to_live.as_secs()
             ),
         }
     }
@@ -180,7 +180,7 @@
             id,
             class,
             destination,
-            duration,
+            time_to_live,
             ordering_key,
             ..
         } = message;
@@ -188,7 +188,7 @@
             id: id.clone(),
             class: *class,
             destination: *destination,
-            duration: *duration,
+            time_to_live: *time_to_live,
             ordering_key: ordering_key.clone(),
         };
         let key = ordering_key
@@ -202,7 +202,7 @@
             event,
             line: format!(
                 "MSG.PUT {id} {class_name} dest={destination} d={}{key}",
-                duration.as_millis()
+                time_to_live.as_millis()
             ),
         }
     }
--- a/crates/scenario-runner/src/runner/event_loop.rs
+++ b/crates/scenario-runner/src/runner/event_loop.rs
@@ -26,7 +26,7 @@
             .load
             .classes
             .iter()
-            .map(|c| c.duration)
+            .map(|c| c.time_to_live)
             .max()
             .unwrap_or_default();
         self.scenario.duration + longest + SETTLE_TIME
--- a/crates/scenario-runner/src/senders/configuration.rs
+++ b/crates/scenario-runner/src/senders/configuration.rs
@@ -80,12 +80,12 @@
         .take(count)
         .map(|(MessageClass { name, effect }, class)| {
             let (effect, window) = match effect {
-                Effect::Safe => ("safe", class.duration),
+                Effect::Safe => ("safe", class.time_to_live),
                 Effect::Keyed { window } => ("keyed", *window),
-                Effect::Unsafe => ("unsafe", class.duration),
+                Effect::Unsafe => ("unsafe", class.time_to_live),
             };
-            json!({"name": name, "effect": effect, "window": nanoseconds(window), "aim": nanoseconds(class.aim),
-                "byArrival": class.order_keys > 0, "deadline": nanoseconds(class.duration), "dedupScope": "all",
+            json!({"name": name, "effect": effect, "window": nanoseconds(window), "aim": nanoseconds(class.latency_objective),
+                "byArrival": class.order_keys > 0, "deadline": nanoseconds(class.time_to_live), "dedupScope": "all",
                 "lateShare": class.late_share, "worth": 1.0})
         })
         .collect()
--- a/crates/scenario-runner/src/wire/client.rs
+++ b/crates/scenario-runner/src/wire/client.rs
@@ -37,7 +37,7 @@
 fn attributes(submission: &Submission, class: &str, tenant: &str) -> String {
     let mut attributes = format!(
         "c={class},t={tenant},d={},dest={}",
-        submission.duration.as_millis(),
+        submission.time_to_live.as_millis(),
         submission.destination
     );
     if let Some(key) = &submission.key {
