--- a/crates/daemon/src/reactor/fleet.rs
+++ b/crates/daemon/src/reactor/fleet.rs
@@ -12,7 +12,7 @@
             let Some(fleet) = &mut self.fleet else { return };
             match fleet.receive() {
                 Received::Packet(packet) => {
-                    self.step_fleet(membership::Input::PacketReceived(packet))
+                    self.step_fleet(membership::Input::PacketReceived(packet));
                 }
                 Received::Failed => {}
                 Received::Nothing => return,
