--- a/crates/membership/src/anti_entropy/entries_builder.rs
+++ b/crates/membership/src/anti_entropy/entries_builder.rs
@@ -1,4 +1,4 @@
-//! Collects entries up to the size of a packet.
+//! Builds an [`Entries`] message that fits into a packet.
 
 use serde::Serialize;
 
@@ -7,22 +7,23 @@
 use crate::member_entry::MemberEntry;
 use crate::vote::Vote;
 
-/// Bytes of the lengths and bucket sets of [`Entries`].
+/// The maximum size in bytes of the lengths and bucket sets in an encoded [`Entries`].
 const MAX_FRAME: usize = 32;
-/// Different sets that the votes of one message name. Bounds the share of a packet that is taken by their hashes.
-const MAX_NAMED_SETS: usize = 32;
+/// The maximum number of different sets that the votes of one message refer to. Bounds the part of the packet that their hashes
+/// occupy.
+const MAX_REFERENCED_SETS: usize = 32;
 
-/// Collects [`Entries`] up to a number of bytes.
+/// Adds entries to a message until its encoding would exceed a number of bytes.
 pub(super) struct EntriesBuilder {
     entries: Entries,
     bytes_left: usize,
 }
 
-/// A vote's reference to its set.
+/// A vote's reference to its set of down members.
 struct SetReference {
     /// The value of [`VoteEntry::set`].
     position: u8,
-    /// Bytes that the set adds to the message.
+    /// Bytes that the set's hash adds to the message: 0 if the message has it already.
     added_bytes: usize,
 }
 
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Adds members; false if not all fit.
+    /// Adds entries of members, as many as fit; false if not all fit.
     pub(super) fn add_members(&mut self, members: impl IntoIterator<Item = MemberEntry>) -> bool {
         for member in members {
             if !self.reserve(encoded_len(&member)) {
@@ -45,7 +46,7 @@
         true
     }
 
-    /// Adds votes; false if not all fit.
+    /// Adds votes, as many as fit; false if not all fit.
     pub(super) fn add_votes<'a>(
         &mut self,
         votes: impl IntoIterator<Item = (ShortHash, &'a Vote)>,
@@ -76,12 +77,12 @@
         true
     }
 
-    /// Requests the receiver's newer entries of a bucket of members, all of whose own entries were added.
+    /// Marks a bucket of members as complete in the message, which requests the receiver's newer entries of it.
     pub(super) fn want_members(&mut self, bucket: usize) {
         self.entries.wanted.members.insert(bucket);
     }
 
-    /// Requests the receiver's newer entries of a bucket of votes, all of whose own entries were added.
+    /// Marks a bucket of votes as complete in the message, which requests the receiver's newer votes of it.
     pub(super) fn want_votes(&mut self, bucket: usize) {
         self.entries.wanted.votes.insert(bucket);
     }
@@ -98,7 +99,7 @@
         fits
     }
 
-    /// The reference to a set; `None` if the message names too many sets already.
+    /// The reference to a set; `None` if the message has [`MAX_REFERENCED_SETS`] other sets already.
     fn reference_to(&self, set: Option<ShortHash>) -> Option<SetReference> {
         let Some(set) = set else {
             return Some(SetReference {
@@ -106,14 +107,18 @@
                 added_bytes: 0,
             });
         };
-        let known = self.entries.sets.iter().position(|named| *named == set);
+        let known = self
+            .entries
+            .sets
+            .iter()
+            .position(|referenced| *referenced == set);
         let index = known.unwrap_or(self.entries.sets.len());
         let added_bytes = if known.is_some() {
             0
         } else {
             size_of::<ShortHash>()
         };
-        (index < MAX_NAMED_SETS).then_some(SetReference {
+        (index < MAX_REFERENCED_SETS).then_some(SetReference {
             position: index as u8 + 1,
             added_bytes,
         })
--- a/crates/membership/src/anti_entropy/local_state.rs
+++ b/crates/membership/src/anti_entropy/local_state.rs
@@ -1,4 +1,4 @@
-//! A member's own state, as anti-entropy compares and sends it.
+//! Computes the anti-entropy messages that are derived from a member's state.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use crate::member_table::MemberTable;
 use crate::vote::{Vote, Votes};
 
-/// A member's own state, as anti-entropy compares and sends it.
+/// A read-only view of this member's state: its own entry, the member table, and the votes with their sets.
 pub(crate) struct LocalState<'a> {
     now: Time,
     own_entry: MemberEntry,
@@ -74,8 +74,9 @@
         })
     }
 
-    /// The answer to [`Message::Differs`]: entries of differing buckets from `first_bucket` on, as many as fit. `None` if the
-    /// digests are malformed.
+    /// The answer to [`Message::Differs`]: the entries of differing buckets, as many as fit into `max_bytes`. Starts with
+    /// `first_bucket`, so that a random one lets every bucket be sent at some time. `None` if the digests don't have [`BUCKETS`]
+    /// sums each.
     pub(crate) fn entries_to_push(
         &self,
         their_members: &[BucketSum],
@@ -84,14 +85,14 @@
         max_bytes: usize,
     ) -> Option<Entries> {
         let differing = WantedBuckets {
-            members: self.member_digest().differing(their_members)?,
-            votes: self.votes.digest().differing(their_votes)?,
+            members: self.member_digest().differing_buckets(their_members)?,
+            votes: self.votes.digest().differing_buckets(their_votes)?,
         };
         let mut members = self.members_by_bucket(differing.members);
         let mut votes = self.votes_by_bucket(differing.votes);
         let mut builder = EntriesBuilder::new(max_bytes);
         for bucket in (first_bucket..first_bucket + BUCKETS).map(|bucket| bucket % BUCKETS) {
-            // Members first: the vote of an unknown member is ignored.
+            // Members come first, because receivers ignore votes of unknown members.
             if differing.members.contains(bucket)
                 && builder.add_members(members.remove(&bucket).unwrap_or_default())
             {
@@ -106,8 +107,8 @@
         Some(builder.finish())
     }
 
-    /// The answer to [`Entries`]: our entries of the wanted buckets that are newer, or that the other member lacks. `None` if
-    /// there are none.
+    /// The answer to [`Entries`]: the entries of the wanted buckets that are newer than the other member's or missing in its
+    /// message, as many as fit into `max_bytes`. `None` if there are none.
     pub(crate) fn entries_to_pull(&self, theirs: &Entries, max_bytes: usize) -> Option<Entries> {
         let their_members: BTreeMap<SocketAddr, &MemberEntry> = theirs
             .members
@@ -151,8 +152,8 @@
         members
     }
 
-    /// Votes whose sets we hold: so a set can be requested from whoever sent a vote for it, and no single member is asked for
-    /// it by all others.
+    /// The votes whose sets are stored here, by bucket. Votes without a stored set are not sent, so that a receiver can request the
+    /// set from the sender of the vote instead of all receivers requesting it from the voter.
     fn votes_by_bucket(&self, buckets: BucketSet) -> ByBucket<(ShortHash, &Vote)> {
         let mut votes: ByBucket<(ShortHash, &Vote)> = BTreeMap::new();
         if buckets.is_empty() {
--- a/crates/membership/src/anti_entropy/message.rs
+++ b/crates/membership/src/anti_entropy/message.rs
@@ -1,4 +1,4 @@
-//! The messages of anti-entropy.
+//! The anti-entropy messages, encoded by `postcard`: the order of fields and variants is part of the format.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,85 +7,85 @@
 use crate::member_entry::MemberEntry;
 use crate::vote::Vote;
 
-/// Members in one page of a set: a page must fit into a packet.
+/// The maximum number of members in a page of a set, so that the page fits into a packet.
 pub const MAX_PAGE_MEMBERS: usize = 128;
 
-/// A message of anti-entropy.
+/// An anti-entropy message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// The roots of the sender's digests.
+    /// Starts a comparison with the roots of the sender's digests.
     Compare {
-        /// The root over its members.
+        /// The root of the digest over members, the sender included.
         members: ShortHash,
-        /// The root over its votes.
+        /// The root of the digest over votes.
         votes: ShortHash,
     },
     /// The answer to [`Message::Compare`] if a root differs: the sender's digests.
     Differs {
-        /// The sums over its members, by bucket.
+        /// The sums of the digest over members, by bucket.
         members: Vec<BucketSum>,
-        /// The sums over its votes, by bucket.
+        /// The sums of the digest over votes, by bucket.
         votes: Vec<BucketSum>,
     },
-    /// Entries of buckets that differ.
+    /// Entries of differing buckets.
     Entries(Entries),
     /// Requests a page of a set of down members.
     WantSet {
-        /// The hash of the set.
+        /// The hash that identifies the set.
         set: ShortHash,
-        /// The index of the page's first member in the sorted set.
+        /// The index in the sorted set of the first member to send.
         offset: u32,
     },
-    /// The answer to [`Message::WantSet`].
+    /// The answer to [`Message::WantSet`]: at most [`MAX_PAGE_MEMBERS`] members of the set.
     SetPage(SetPage),
 }
 
-/// Part of a member's state.
+/// Entries of members and votes from some buckets of the sender's state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entries {
-    /// States of members.
+    /// The states of members, the sender's own among them if its bucket is included.
     pub members: Vec<MemberEntry>,
-    /// Votes.
+    /// The votes of members.
     pub votes: Vec<VoteEntry>,
-    /// The hashes of the sets that the votes name.
+    /// The hashes of the sets of down members that the votes refer to by index.
     pub sets: Vec<ShortHash>,
-    /// The buckets that are complete in this message, and of which the sender wants the newer entries of the receiver.
+    /// The buckets of which the message has all of the sender's entries. The receiver is to answer with its newer entries of them.
     pub wanted: WantedBuckets,
 }
 
-/// Buckets of both digests.
+/// A set of buckets for each of the two digests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WantedBuckets {
-    /// Buckets of members.
+    /// Buckets of the digest over members.
     pub members: BucketSet,
-    /// Buckets of votes.
+    /// Buckets of the digest over votes.
     pub votes: BucketSet,
 }
 
 impl WantedBuckets {
-    /// Whether there are no buckets.
+    /// Whether both sets are empty.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty() && self.votes.is_empty()
     }
 }
 
-/// A vote in [`Entries`].
+/// A vote in [`Entries`], with its set as an index.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteEntry {
-    /// The hash of the voter's incarnation.
+    /// The voter's [`crate::digest::identity_hash`].
     pub voter: ShortHash,
-    /// As [`Vote::number`].
+    /// Same as [`Vote::number`].
     pub number: u32,
-    /// As [`Vote::leaves`].
+    /// Same as [`Vote::leaves`].
     pub leaves: bool,
     /// The index of the vote's set in [`Entries::sets`] plus one; 0 for the empty set.
     pub set: u8,
-    /// As [`Vote::payload`].
+    /// Same as [`Vote::payload`].
     pub payload: Vec<u8>,
 }
 
 impl VoteEntry {
-    /// The vote; `None` if its set isn't among `sets`.
+    /// The vote, with its set's hash taken from `sets`, which is [`Entries::sets`]. `None` if the index is out of range.
     pub fn vote(&self, sets: &[ShortHash]) -> Option<Vote> {
         let down = match self.set {
             0 => None,
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests: what two members compare to find the buckets of entries in which their states differ.
+//! Digests: sums of entry hashes by bucket. Two members compare them to find the buckets in which their states differ.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -6,10 +6,11 @@
 
 use crate::identity::Identity;
 
-/// Buckets of a digest. At the planned 490 members each holds eight entries, so a single difference costs one small bucket.
+/// The number of buckets of a digest. At the planned 490 members a bucket has about eight entries, so a single difference
+/// requires sending few entries.
 pub const BUCKETS: usize = 64;
 
-/// A bucket's sum as it is sent: the low four bytes, little-endian.
+/// The encoding of a bucket's sum in messages: its low four bytes, little-endian.
 pub type BucketSum = [u8; 4];
 
 /// The first eight bytes of a BLAKE3 hash. Two of a thousand hashed values collide with a probability of 3e-14.
@@ -40,13 +41,13 @@
     }
 }
 
-/// The hash that stands for one incarnation of a member in votes, sets and digests.
+/// The hash of a member's address and incarnation, which identifies that incarnation in votes, sets and digests.
 pub fn identity_hash(member: &Identity) -> ShortHash {
     let address = address_bytes(member.at);
     ShortHash::of(&[&address, &member.incarnation.to_le_bytes()])
 }
 
-/// The bucket of all entries about an address.
+/// The bucket of an address's entry, the same for all its incarnations.
 pub(crate) fn bucket_of(address: SocketAddr) -> usize {
     ShortHash::of(&[&address_bytes(address)]).bucket()
 }
@@ -62,17 +63,17 @@
     bytes
 }
 
-/// A set of buckets. On the wire it is a 64-bit number in which bit k stands for bucket k.
+/// A set of bucket numbers, encoded in messages as a 64-bit integer in which bit k is set if bucket k is in the set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BucketSet(u64);
 
 impl BucketSet {
-    /// The set in which bit k stands for bucket k.
+    /// The set that contains bucket k if bit k of `bits` is set.
     pub const fn from_bits(bits: u64) -> BucketSet {
         BucketSet(bits)
     }
 
-    /// Whether a bucket is in the set.
+    /// Whether a bucket is in the set. `bucket` must be less than [`BUCKETS`].
     pub const fn contains(self, bucket: usize) -> bool {
         self.0 >> bucket & 1 == 1
     }
@@ -82,13 +83,14 @@
         self.0 == 0
     }
 
-    /// Adds a bucket.
+    /// Adds a bucket, which must be less than [`BUCKETS`].
     pub const fn insert(&mut self, bucket: usize) {
         self.0 |= 1 << bucket;
     }
 }
 
-/// The sums of the hashes of all entries, by bucket. When an entry changes, one addition updates its bucket's sum.
+/// The wrapping sums of the hashes of all entries, by bucket. An entry is added, removed or replaced without visiting the
+/// others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Digest {
     sums: [u64; BUCKETS],
@@ -101,25 +103,25 @@
 }
 
 impl Digest {
-    /// Adds an entry's hash to a bucket.
+    /// Adds an entry's hash to the sum of a bucket.
     pub fn add(&mut self, bucket: usize, entry: ShortHash) {
         let sum = &mut self.sums[bucket % BUCKETS];
         *sum = sum.wrapping_add(entry.as_u64());
     }
 
-    /// Removes an entry's hash from a bucket.
+    /// Subtracts an entry's hash from the sum of a bucket.
     pub fn remove(&mut self, bucket: usize, entry: ShortHash) {
         let sum = &mut self.sums[bucket % BUCKETS];
         *sum = sum.wrapping_sub(entry.as_u64());
     }
 
-    /// One hash over all sums.
+    /// The hash of all sums. Two digests with the same root are taken as equal.
     pub fn root(&self) -> ShortHash {
         let bytes: Vec<u8> = self.sums.iter().flat_map(|sum| sum.to_le_bytes()).collect();
         ShortHash::of(&[&bytes])
     }
 
-    /// The sums as they are sent.
+    /// The encoding of the sums in messages, by bucket.
     pub fn to_wire(&self) -> Vec<BucketSum> {
         self.sums
             .iter()
@@ -127,8 +129,8 @@
             .collect()
     }
 
-    /// The buckets in which another member's sums differ from ours; `None` if there aren't [`BUCKETS`] sums.
-    pub fn differing(&self, theirs: &[BucketSum]) -> Option<BucketSet> {
+    /// The buckets in which another member's sums differ from these; `None` if `theirs` doesn't have [`BUCKETS`] sums.
+    pub fn differing_buckets(&self, theirs: &[BucketSum]) -> Option<BucketSet> {
         if theirs.len() != BUCKETS {
             return None;
         }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -11,65 +11,67 @@
 /// An input of [`crate::Members::step`].
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A packet arrived. Its source address is not needed: the sender is authenticated by the packet itself.
+    /// A packet arrived. Its source address isn't needed: the packet contains its sender's identity and is authenticated.
     PacketReceived(Vec<u8>),
-    /// The time of the latest [`Effect::WakeAt`] has come.
+    /// The time of the latest [`Effect::WakeAt`] was reached. Also the first input after [`crate::Members::new`].
     TimerFired,
-    /// This sender is about to end: say so to the others and take part no longer.
+    /// This process is about to end: announce that to the other members. All later inputs are ignored.
     Leave,
-    /// Replace the payload that is gossiped to all members. At most [`crate::vote::MAX_PAYLOAD`] bytes; a longer one is ignored.
+    /// Replace the payload that this member broadcasts to all others. At most [`crate::vote::MAX_PAYLOAD_BYTES`] bytes; a longer
+    /// one is ignored.
     SetPayload(Vec<u8>),
-    /// Ask a few live members for their learned state of destinations.
+    /// Request the learned state of destinations from up to three live members, chosen at random.
     RequestLearned,
-    /// Send learned state to a member.
+    /// Send learned state to a member, in answer to [`Effect::LearnedRequested`].
     SendLearned {
-        /// The member's address.
+        /// The UDP address of the member that requested it.
         to: SocketAddr,
-        /// The learned state in pieces of at most [`crate::MAX_LEARNED_PIECE`] bytes, one packet each.
+        /// The learned state in pieces of at most [`crate::MAX_LEARNED_PIECE`] bytes, one packet each. Lost packets aren't sent
+        /// again.
         chunks: Vec<Vec<u8>>,
     },
 }
 
-/// An effect that [`crate::Members::step`] asks the caller to carry out, or an event that it reports.
+/// An action that [`crate::Members::step`] requests of the caller, or an event that it reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a packet.
+    /// Send a UDP packet.
     Send {
-        /// The destination's UDP address.
+        /// The UDP address of the receiving member.
         to: SocketAddr,
-        /// The sealed packet.
+        /// The sealed packet, at most [`crate::seal::MAX_PACKET_BYTES`] bytes.
         bytes: Vec<u8>,
     },
-    /// Pass in [`Input::TimerFired`] at this time. Replaces an earlier request.
+    /// Pass [`Input::TimerFired`] to [`crate::Members::step`] at this time. Replaces an earlier request.
     WakeAt(Time),
-    /// A member is new, or its state has changed.
+    /// A member is new, has a new incarnation, or has changed its state.
     Changed {
-        /// The member as we see it now.
+        /// The member in its new state.
         view: View,
-        /// Its state before; `None` for a member that was unknown.
+        /// Its previous state; `None` if the member was unknown.
         before: Option<State>,
     },
-    /// The others had declared us down; we have rejoined.
+    /// This member has taken a new incarnation, because others had declared it down or knew a later incarnation of it.
     Rejoined {
-        /// Our new incarnation.
+        /// The new incarnation.
         incarnation: u64,
     },
-    /// This process was paused for so long; all timers were postponed by it.
+    /// This process was paused for this long; all timers were postponed by the same time.
     ProcessPaused(Duration),
-    /// A member requests our learned state.
+    /// A member requests this one's learned state; answer with [`Input::SendLearned`].
     LearnedRequested {
-        /// The member's address.
+        /// The UDP address of the requesting member.
         by: SocketAddr,
     },
     /// A member sent a piece of its learned state.
     LearnedReceived {
-        /// The member's address.
+        /// The UDP address of the member that sent it.
         by: SocketAddr,
         /// The piece, as passed to [`Input::SendLearned`].
         piece: Vec<u8>,
     },
-    /// A packet was dropped.
+    /// A received packet was dropped, for this reason.
     Dropped(DropReason),
-    /// Divide shared limits by this number of senders, ourselves included.
+    /// The quota divisor has changed: divide shared limits by this number of senders, this one included.
     ShareDivisor(u32),
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -4,23 +4,23 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The incarnation of a member of which only the address is known. No running member has it.
+/// The placeholder incarnation of a member whose address alone is known, such as a seed. No running member has it.
 pub(crate) const UNKNOWN_INCARNATION: u64 = 0;
 
-/// A member as the others know it. The address identifies the member. The incarnation grows with each start, and each time that
-/// the member rejoins after it was declared down, so that statements about an earlier incarnation don't affect the present one.
+/// One incarnation of a member. The address identifies the member. The incarnation grows with each start, and each time that
+/// the member rejoins after it was declared down, so that updates about an earlier incarnation don't affect the current one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The UDP address that the member receives packets at.
+    /// The UDP address at which the member receives packets.
     pub at: SocketAddr,
-    /// Milliseconds since 1970 at the member's start, and one more for each time that it rejoined.
+    /// The member's start time in milliseconds since 1970, plus one for each time that it rejoined.
     pub incarnation: u64,
-    /// The member's name in its configuration, for people.
+    /// The configured name, for logs and the status page only; it identifies nothing.
     pub name: String,
 }
 
 impl Identity {
-    /// Whoever listens at an address: enough to announce ourselves there.
+    /// The identity of a member whose address alone is known, used as the destination of an announcement.
     pub fn unknown(at: SocketAddr) -> Identity {
         Identity {
             at,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,15 +1,15 @@
-//! Which senders there are, and by how many of them a shared limit must be divided.
+//! Membership of a fleet of senders: which members are alive, and the number of senders that a shared limit is divided by.
 //!
-//! Start at [`Members`]: packets and fired timers go in as [`Input`]; packets, timers and changes come out as [`Effect`]. The
-//! crate uses no clock, socket, thread or file.
+//! The entry point is [`Members`], a state machine: the caller passes received packets and fired timers as [`Input`], and
+//! carries out the returned [`Effect`]s. The crate uses no clock, socket, thread or file.
 //!
-//! Failure detection and gossip are SWIM's, implemented by the crate `foca`. This crate adds
+//! Failure detection and gossip follow SWIM (Das, Gupta and Motivala, 2002), implemented by the crate `foca`. This crate adds
 //!
 //! - authenticated packets with replay protection ([`seal`]),
 //! - anti-entropy by digest ([`anti_entropy`], [`digest`]) over the [`member_table`] and the votes,
-//! - votes on which members are down ([`vote`], [`down_sets`], [`voting`]),
-//! - the number of senders that a shared limit is safely divided by ([`quota`]),
-//! - a limit on the bytes that a member sends.
+//! - votes on which members are down, replicated to all members ([`vote`], [`down_sets`], [`voting`]),
+//! - the quota divisor: the number of senders that a shared limit is divided by ([`quota`]),
+//! - a token bucket that limits the bytes that a member sends.
 
 pub mod anti_entropy;
 pub mod digest;
--- a/crates/membership/src/member_entry.rs
+++ b/crates/membership/src/member_entry.rs
@@ -1,4 +1,4 @@
-//! A member's state as it is sent between members.
+//! The entry for one member in anti-entropy messages.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
 const SUSPECT: u8 = 1;
 const DOWN: u8 = 2;
 
-/// One member's state as it is sent between members.
+/// The state of one member, as encoded in anti-entropy messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberEntry {
-    /// The member.
+    /// The member's identity, with the incarnation that the entry is about.
     pub member: Identity,
-    /// SWIM's counter of refuted suspicions.
+    /// The incarnation number of the SWIM paper; see [`View::swim_incarnation`].
     pub swim_incarnation: u16,
-    /// 0 alive, 1 suspect, 2 down.
+    /// 0: alive, 1: suspect, 2: down or left. Other values are invalid.
     pub state: u8,
-    /// Seconds that the member has been down for.
+    /// For how many seconds the member has been down, at most 65,535.
     pub down_seconds: u16,
 }
 
-/// The order of entries about one address: the higher one is newer, as in SWIM. Down is final for an incarnation, and a suspicion
-/// holds until a higher SWIM incarnation refutes it.
+/// Orders entries about one address; the greater one is newer, as in SWIM. Down is final for an incarnation, and a suspicion
+/// is overridden only by a higher SWIM incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     incarnation: u64,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// False for a state that this version doesn't know.
+    /// Whether `state` has a valid value.
     pub(crate) fn has_known_state(&self) -> bool {
         self.state <= DOWN
     }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// What the entry adds to a digest. How long the member has been down is not part of it, since it differs between members.
+    /// The hash that is added to the digest. It excludes `down_seconds`, which differs between members.
     pub(crate) fn hash(&self) -> ShortHash {
         let rank = self.rank();
         ShortHash::of(&[
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,4 +1,4 @@
-//! The table of the other members: their states, since when, and the digest over them.
+//! The table of the other members: their states, with the time of the last change, and the digest over them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -10,23 +10,24 @@
 use crate::member_entry::MemberEntry;
 use crate::view::View;
 
-/// Members in the table, down ones included. Bounds memory against a faulty member that invents others; eight times the planned
-/// 490 members.
+/// The maximum number of members in the table, down ones included. Bounds memory if a faulty member announces members that don't
+/// exist; eight times the planned 490 members.
 pub const MAX_MEMBERS: usize = 4096;
-/// Ended incarnations that are remembered. Bounds memory; votes name an ended incarnation only for a short time.
-const MAX_ENDED: usize = 1024;
-/// A member that has been down for longer isn't announced to others. Half of the time after which it is forgotten, so that
-/// a member that has just forgotten it doesn't learn it again.
-pub const MAX_DOWN_ANNOUNCEMENT: Duration = Duration::from_secs(1800);
+/// The number of superseded incarnations that are stored. Bounds memory; sets of down members contain a superseded incarnation
+/// only for a short time.
+const MAX_SUPERSEDED: usize = 1024;
+/// A member that has been down for longer isn't announced to others. Half of the time after which `foca` forgets it, so that
+/// a member that has just forgotten it doesn't learn it from others again.
+pub const MAX_ANNOUNCED_DOWN_TIME: Duration = Duration::from_secs(1800);
 
 #[derive(Clone, Debug)]
 struct Row {
     view: View,
     hash: ShortHash,
     bucket: usize,
-    /// What the row adds to the digest; `None` once the member is no longer announced.
+    /// The hash of the row's entry, if it is in the digest; `None` if the member isn't announced to others.
     announced: Option<ShortHash>,
-    /// When the member went down, by the first member that saw it.
+    /// When the member went down, by the report of the first member that detected it; `None` if this incarnation was never down.
     down_since: Option<Time>,
 }
 
@@ -38,23 +39,23 @@
 
     fn may_be_announced(&self, now: Time) -> bool {
         self.down_since
-            .is_none_or(|since| now - since < MAX_DOWN_ANNOUNCEMENT)
+            .is_none_or(|since| now - since < MAX_ANNOUNCED_DOWN_TIME)
     }
 }
 
-/// The other members, by address.
+/// The views of the other members, by address, with a digest over those that are announced.
 #[derive(Debug, Default)]
 pub struct MemberTable {
     rows: BTreeMap<SocketAddr, Row>,
     digest: Digest,
-    /// The incarnations that are announced to others.
+    /// The hashes of the incarnations that are announced to others.
     announced: BTreeSet<ShortHash>,
-    /// Incarnations that were followed by later ones, oldest first.
-    ended: VecDeque<ShortHash>,
+    /// The hashes of incarnations that were replaced by later ones, oldest first.
+    superseded: VecDeque<ShortHash>,
 }
 
 impl MemberTable {
-    /// All members, by address.
+    /// All other members, in the order of their addresses.
     pub fn iter(&self) -> impl Iterator<Item = &View> {
         self.rows.values().map(|row| &row.view)
     }
@@ -63,25 +64,25 @@
         self.rows.values().map(|row| (row.hash, &row.view))
     }
 
-    /// The members that count as present, with the hashes of their incarnations.
+    /// The members that are alive or suspect, each with its [`identity_hash`].
     pub fn active(&self) -> impl Iterator<Item = (ShortHash, &View)> {
         self.iter_with_hashes()
             .filter(|(_, view)| view.state.is_active())
     }
 
-    /// The members that are down or have left, with the hashes of their incarnations.
+    /// The members that are down or have left, each with its [`identity_hash`].
     pub fn down(&self) -> impl Iterator<Item = (ShortHash, &View)> {
         self.iter_with_hashes()
             .filter(|(_, view)| !view.state.is_active())
     }
 
-    /// The member at an address.
+    /// The view of the member at an address; `None` if the member is unknown.
     pub fn get(&self, address: &SocketAddr) -> Option<&View> {
         self.rows.get(address).map(|row| &row.view)
     }
 
-    /// The number of members.
-    pub fn len(&self) -> usize {
+    /// The number of other members, including those that are down or have left.
+    pub fn member_count(&self) -> usize {
         self.rows.len()
     }
 
@@ -95,17 +96,19 @@
         &self.digest
     }
 
-    /// Whether a later incarnation has followed this one in our view.
-    pub fn has_ended(&self, incarnation: ShortHash) -> bool {
-        self.ended.contains(&incarnation)
+    /// Whether this incarnation was replaced by a later one of the same member. False for those that exceeded the bound on stored
+    /// hashes.
+    pub fn is_superseded(&self, incarnation: ShortHash) -> bool {
+        self.superseded.contains(&incarnation)
     }
 
-    /// Whether this incarnation is announced to others.
+    /// Whether the table has this incarnation and announces it to others.
     pub fn is_announced(&self, incarnation: ShortHash) -> bool {
         self.announced.contains(&incarnation)
     }
 
-    /// Replaces the view of a member. `down_for` is how long the member had been down already by whoever reported it.
+    /// Inserts a member's view or replaces the previous one. `down_for` is how long the member has been down by the report that
+    /// changed the view, zero if it went down just now.
     pub fn update(&mut self, now: Time, view: View, down_for: Duration) {
         let address = view.member.at;
         let hash = identity_hash(&view.member);
@@ -113,7 +116,7 @@
         if let Some(previous) = &previous {
             self.withdraw_announcement(previous);
             if previous.hash != hash {
-                self.remember_ended(previous.hash);
+                self.remember_superseded(previous.hash);
             }
         }
         let same_incarnation = previous.filter(|row| row.hash == hash);
@@ -141,10 +144,10 @@
         self.rows.insert(address, row);
     }
 
-    fn remember_ended(&mut self, incarnation: ShortHash) {
-        self.ended.push_back(incarnation);
-        if self.ended.len() > MAX_ENDED {
-            self.ended.pop_front();
+    fn remember_superseded(&mut self, incarnation: ShortHash) {
+        self.superseded.push_back(incarnation);
+        if self.superseded.len() > MAX_SUPERSEDED {
+            self.superseded.pop_front();
         }
     }
 
@@ -155,14 +158,14 @@
         }
     }
 
-    /// Removes a member.
+    /// Removes a member, if it is in the table.
     pub fn remove(&mut self, address: &SocketAddr) {
         if let Some(row) = self.rows.remove(address) {
             self.withdraw_announcement(&row);
         }
     }
 
-    /// Stops announcing members that have been down for longer than [`MAX_DOWN_ANNOUNCEMENT`].
+    /// Stops announcing members that have been down for longer than [`MAX_ANNOUNCED_DOWN_TIME`].
     pub fn expire_announcements(&mut self, now: Time) {
         for row in self.rows.values_mut() {
             if !row.may_be_announced(now)
@@ -174,7 +177,7 @@
         }
     }
 
-    /// The announced members of some buckets, each with its bucket.
+    /// The entries of the announced members in the given buckets, each with its bucket.
     pub fn entries(
         &self,
         now: Time,
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,4 +1,4 @@
-//! [`Members`]: takes packets and timers in, and has its parts handle them.
+//! [`Members`]: the state machine of one member. Receives inputs and dispatches them to the parts in its submodules.
 
 mod accusations;
 mod anti_entropy;
@@ -21,25 +21,26 @@
 use crate::event::{Effect, Input};
 use crate::identity::Identity;
 use crate::replay::ReplayFilter;
-use crate::seal::{self, DropReason, Kind, MAX_PACKET};
+use crate::seal::{self, DropReason, Kind, MAX_PACKET_BYTES};
 use crate::settings::{GOSSIP_ROUNDS_PER_PERIOD, Settings};
 use crate::token_bucket::TrafficClass;
 use crate::view::View;
-use crate::vote::MAX_PAYLOAD;
-use anti_entropy::{AntiEntropy, compare_with, compare_with_few};
+use crate::vote::MAX_PAYLOAD_BYTES;
+use anti_entropy::{AntiEntropy, compare_with, compare_with_random_peers};
 use context::Timer;
 use replica::Replica;
 
-/// Bytes of a piece of learned state: with its sender and receiver it must fit into a packet.
+/// The maximum size in bytes of a piece of learned state, so that it fits into a packet with its sender and receiver.
 pub const MAX_LEARNED_PIECE: usize = 1024;
 
-/// The members of the fleet as one of them sees them.
+/// One member of the fleet, with its view of the others: a state machine without I/O. [`Members::step`] handles one input at a
+/// time.
 pub struct Members {
     replica: Replica,
     anti_entropy: AntiEntropy,
-    replays: ReplayFilter,
+    replay_filter: ReplayFilter,
     dropped: BTreeMap<DropReason, u64>,
-    /// We have announced our end, and take part no longer.
+    /// Whether this member has announced that it leaves. It ignores all inputs from then on.
     has_left: bool,
 }
 
@@ -53,8 +54,8 @@
 }
 
 impl Members {
-    /// A member that takes part from the first [`Input::TimerFired`] on, which is to be passed in at once. `seed` is the seed of
-    /// its random numbers.
+    /// Creates a member that starts with the first [`Input::TimerFired`], which the caller must pass in at once. `seed` seeds its
+    /// random numbers. `now` must be wall-clock time: it becomes the incarnation and the time of sending in packets.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Members {
         let period = settings.period;
         let mut replica = Replica::new(settings, seed, now);
@@ -65,23 +66,23 @@
         Members {
             replica,
             anti_entropy: AntiEntropy::new(now),
-            replays: ReplayFilter::default(),
+            replay_filter: ReplayFilter::default(),
             dropped: BTreeMap::new(),
             has_left: false,
         }
     }
 
-    /// Ourselves, in our present incarnation.
+    /// This member's identity, with its current incarnation.
     pub fn me(&self) -> &Identity {
         self.replica.identity()
     }
 
-    /// The other members, by address.
+    /// The views of all other known members, including those that are down or have left, in the order of their addresses.
     pub fn views(&self) -> impl Iterator<Item = &View> {
         self.replica.swim.table().iter()
     }
 
-    /// The latest payload of each active member, by address; empty for a member without one.
+    /// The newest payload of each other active member, with its address; empty for a member without one.
     pub fn payloads(&self) -> Vec<(SocketAddr, Vec<u8>)> {
         let votes = self.replica.quorum.votes();
         let payload_of = |member| votes.get(member).map(|vote| vote.payload.clone());
@@ -93,23 +94,24 @@
             .collect()
     }
 
-    /// A number that changes whenever [`Members::payloads`] may have changed.
+    /// A counter that grows whenever the result of [`Members::payloads`] may have changed.
     pub fn payloads_version(&self) -> u64 {
         let payload_changes = self.replica.quorum.votes().payload_changes();
         self.replica.swim.active_changes() + payload_changes
     }
 
-    /// The number of senders to divide shared limits by, ourselves included.
+    /// The quota divisor: the number of senders to divide shared limits by, this one included.
     pub fn share_divisor(&self) -> u32 {
         self.replica.quorum.divisor()
     }
 
-    /// Packets dropped since the start, by reason.
+    /// The number of received packets dropped since the start, by reason.
     pub fn dropped(&self) -> impl Iterator<Item = (DropReason, u64)> {
         self.dropped.iter().map(|(&reason, &count)| (reason, count))
     }
 
-    /// Handles an input and returns the effects to carry out, in their order.
+    /// Handles an input and returns the effects for the caller to carry out, in order. If `now` is earlier than in a previous call,
+    /// the latest time passed in counts instead. After [`Input::Leave`] inputs have no effect.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Effect> {
         let context = &mut self.replica.context;
         context.now = context.now.max(now);
@@ -144,7 +146,7 @@
     }
 
     fn receive(&mut self, bytes: &[u8]) -> Result<(), DropReason> {
-        if bytes.len() > MAX_PACKET {
+        if bytes.len() > MAX_PACKET_BYTES {
             return Err(DropReason::TooLong);
         }
         let context = &self.replica.context;
@@ -177,34 +179,34 @@
 
     fn receive_swim(&mut self, number: u64, message: &[u8]) -> Result<(), DropReason> {
         let (header, rest) = postcard::take_from_bytes::<Header<Identity>>(message)
-            .map_err(|_| DropReason::Unreadable)?;
-        self.replays.accept(&header.src, number)?;
+            .map_err(|_| DropReason::Malformed)?;
+        self.replay_filter.accept(&header.src, number)?;
         let Replica { context, swim, .. } = &mut self.replica;
         swim.check_member_bound(&header.src, rest)?;
-        swim.note_received(context.now);
+        swim.record_received(context.now);
         let is_for_earlier_incarnation = swim.is_for_earlier_incarnation(context, &header.dst);
         let handled = swim.handle_message(&header, rest, message);
-        // A sender that doesn't know our present incarnation learns it by a comparison.
+        // An anti-entropy comparison sends our current incarnation to a sender that doesn't know it yet.
         if is_for_earlier_incarnation && self.replica.may_send(TrafficClass::Bulk) {
             compare_with(&mut self.replica, header.src.at);
         }
         handled
     }
 
-    /// Accepts a message with its sender and receiver in front of it; returns the sender and the body.
+    /// Decodes the sender and receiver at the start of a message and checks them. Returns the sender and the body that follows.
     fn accept_addressed<'a>(
         &mut self,
         number: u64,
         message: &'a [u8],
     ) -> Result<(Identity, &'a [u8]), DropReason> {
         let ((from, to), body) = postcard::take_from_bytes::<(Identity, SocketAddr)>(message)
-            .map_err(|_| DropReason::Unreadable)?;
-        self.replays.accept(&from, number)?;
+            .map_err(|_| DropReason::Malformed)?;
+        self.replay_filter.accept(&from, number)?;
         if to != self.me().at || from.at == to {
-            return Err(DropReason::Unreadable);
+            return Err(DropReason::Malformed);
         }
         let now = self.replica.context.now;
-        self.replica.swim.note_received(now);
+        self.replica.swim.record_received(now);
         Ok((from, body))
     }
 
@@ -227,8 +229,8 @@
         context.timers.pop_due(context.now)
     }
 
-    /// Postpones all timers if this process was stopped or starved. Answers that arrived meanwhile were not read, so the timers
-    /// would blame other members for our own pause (Lifeguard, section IV-A).
+    /// Postpones all timers if this process was stopped or got no processor time for longer than a period. Answers that arrived in
+    /// the meantime are still unread, so the timers would suspect members that did answer (Lifeguard, section IV-A).
     fn postpone_timers_after_pause(&mut self) {
         let context = &mut self.replica.context;
         let Some(first_at) = context.timers.next_at() else {
@@ -250,18 +252,18 @@
         } = &mut self.replica;
         if quorum.on_vote_timer(context, swim.table(), me) {
             self.anti_entropy.expect_difference();
-            compare_with_few(&mut self.replica);
+            compare_with_random_peers(&mut self.replica);
         }
     }
 
     fn set_payload(&mut self, payload: Vec<u8>) {
-        if payload.len() > MAX_PAYLOAD || payload == self.replica.quorum.payload() {
+        if payload.len() > MAX_PAYLOAD_BYTES || payload == self.replica.quorum.payload() {
             return;
         }
         self.replica.quorum.set_payload(payload);
         self.anti_entropy.cast_vote(&mut self.replica, false);
         self.replica.broadcast_vote();
-        // Other members act on it together, so it doesn't wait for the next round.
+        // Members decide together on the payloads, so this one is gossiped at once instead of with the next round.
         self.replica.swim.gossip();
     }
 
--- a/crates/membership/src/members/accusations.rs
+++ b/crates/membership/src/members/accusations.rs
@@ -1,4 +1,4 @@
-//! The members that our own probes missed.
+//! Accusations: the suspicions that this member raised itself, because its own probes failed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use crate::member_table::MemberTable;
 use crate::view::{State, View};
 
-/// The members that our own probes missed, with the SWIM incarnations that are suspected.
+/// The members that this member's own probes made suspect, with the SWIM incarnations that are suspected.
 #[derive(Debug, Default)]
 pub(super) struct Accusations {
     suspected: BTreeMap<SocketAddr, u16>,
@@ -21,7 +21,7 @@
         self.suspected.remove(address);
     }
 
-    /// The accused members that are still suspect in the accused SWIM incarnation; the other accusations are removed.
+    /// Returns the accused members that are still suspect in the accused SWIM incarnation, and removes the other accusations.
     pub(super) fn retain_pending(&mut self, table: &MemberTable) -> Vec<View> {
         let pending: Vec<View> = self
             .suspected
--- a/crates/membership/src/members/anti_entropy.rs
+++ b/crates/membership/src/members/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Compares states with one random member at a time, and answers the comparisons of others.
+//! Runs the anti-entropy protocol: compares states with random members by timer, and answers the messages of others.
 
 use std::net::SocketAddr;
 
@@ -16,14 +16,15 @@
 use crate::settings::FANOUT;
 use crate::token_bucket::TrafficClass;
 
-/// Comparisons in a period while there are differences.
+/// The number of comparisons per period while differences are found; otherwise one.
 const COMPARISONS_PER_PERIOD: u32 = 3;
 
-/// Compares our state with other members' and requests what is missing.
+/// The state of the anti-entropy protocol.
 #[derive(Debug)]
 pub(super) struct AntiEntropy {
-    /// Whether a difference was found, or caused, since the latest comparison.
+    /// Whether a difference was found, or caused by a change of our own state, since the latest comparison.
     found_difference: bool,
+    /// When the next periodic maintenance is due.
     next_maintenance: Time,
     set_requests: SetRequests,
 }
@@ -37,25 +38,25 @@
         }
     }
 
-    /// Our state has changed, so the next comparisons will find a difference.
+    /// Records that our state has changed, so that the next comparison follows sooner.
     pub(super) fn expect_difference(&mut self) {
         self.found_difference = true;
     }
 
-    /// Casts our vote, by which our state differs from the others'.
+    /// Casts our vote, after which our state differs from the other members'.
     pub(super) fn cast_vote(&mut self, replica: &mut Replica, leaves: bool) {
         replica.cast_vote(leaves);
         self.found_difference = true;
     }
 
-    /// Compares with a random member, and schedules the next comparison.
+    /// Starts a comparison with a random member, and schedules the next one.
     pub(super) fn on_timer(&mut self, replica: &mut Replica) {
         let period = replica.context.settings.period;
         if replica.context.now >= self.next_maintenance {
             self.next_maintenance = replica.context.now + period;
             self.maintain(replica);
         }
-        compare_with_random(replica);
+        compare_with_random_peer(replica);
         let has_differed = std::mem::take(&mut self.found_difference);
         let delay = if has_differed {
             period / COMPARISONS_PER_PERIOD
@@ -67,21 +68,21 @@
             .schedule_with_jitter(delay, Timer::AntiEntropy);
     }
 
-    /// Once a period: repeats notifications and requests that may have been lost, and removes unused votes and sets.
+    /// Periodic maintenance: repeats notifications and requests that may have been lost, and removes unused votes and sets.
     fn maintain(&mut self, replica: &mut Replica) {
         self.set_requests.start_period();
         replica.swim.notify_accused(&mut replica.context);
         replica.swim.expire_announcements(replica.context.now);
         let me = replica.own_hash();
-        let named = replica.quorum.remove_unused(replica.swim.table(), me);
+        let referenced = replica.quorum.remove_unused(replica.swim.table(), me);
         if replica.quorum.lacks_own_vote(me) {
             self.cast_vote(replica, false);
         }
-        self.set_requests.request_missing(replica, &named);
+        self.set_requests.request_missing(replica, &referenced);
         replica.recount();
     }
 
-    /// Handles a message. Messages of a member that is down here are ignored: SWIM's own packets notify it.
+    /// Handles a message. Messages from a member that is down in our view are ignored: SWIM notifies it that it was declared down.
     pub(super) fn receive(
         &mut self,
         replica: &mut Replica,
@@ -89,11 +90,11 @@
         body: &[u8],
     ) -> Result<(), DropReason> {
         let (message, rest) =
-            postcard::take_from_bytes::<Message>(body).map_err(|_| DropReason::Unreadable)?;
+            postcard::take_from_bytes::<Message>(body).map_err(|_| DropReason::Malformed)?;
         if !rest.is_empty() {
-            return Err(DropReason::Unreadable);
+            return Err(DropReason::Malformed);
         }
-        if !replica.swim.admit(from) {
+        if !replica.swim.accept_peer(from) {
             return Ok(());
         }
         let peer = from.at;
@@ -144,7 +145,7 @@
             .with_local_state(|state| {
                 state.entries_to_push(members, votes, first_bucket, max_bytes)
             })
-            .ok_or(DropReason::Unreadable)?;
+            .ok_or(DropReason::Malformed)?;
         self.found_difference = true;
         if replica.may_send(TrafficClass::Bulk) {
             replica.send_anti_entropy(peer, &Message::Entries(entries));
@@ -159,9 +160,9 @@
         entries: &Entries,
     ) -> Result<(), DropReason> {
         if !entries.members.iter().all(MemberEntry::has_known_state) {
-            return Err(DropReason::Unreadable);
+            return Err(DropReason::Malformed);
         }
-        // The answer is computed first: once the entries are applied, nothing differs.
+        // The answer must be computed before the entries are applied: it consists of what differs from them.
         let answer = if entries.wanted.is_empty() {
             None
         } else {
@@ -187,12 +188,12 @@
     }
 }
 
-/// Stores the votes of known members; returns the sets that new votes name.
+/// Stores the votes of known members, and returns the sets that the newly stored ones refer to.
 fn store_votes(replica: &Replica, entries: &Entries) -> Vec<ShortHash> {
     let me = replica.own_hash();
     let table = replica.swim.table();
     let mut votes = replica.quorum.votes();
-    let mut named = Vec::new();
+    let mut referenced = Vec::new();
     for entry in &entries.votes {
         if entry.voter == me || !table.is_announced(entry.voter) {
             continue;
@@ -202,13 +203,13 @@
         };
         let down = vote.down;
         if votes.insert(entry.voter, vote) {
-            named.extend(down);
+            referenced.extend(down);
         }
     }
-    named
+    referenced
 }
 
-/// Sends a page of a set, if the set is known here and has members at the offset.
+/// Sends a page of a set, if the set is complete here and has members from the offset on.
 fn send_page(replica: &mut Replica, peer: SocketAddr, set: ShortHash, offset: u32) {
     let page = replica.quorum.sets().page(set, offset, MAX_PAGE_MEMBERS);
     if let Some(page) = page
@@ -219,13 +220,13 @@
     }
 }
 
-/// Starts a comparison with a member.
+/// Starts a comparison with a member by sending it our digests' roots.
 pub(super) fn compare_with(replica: &mut Replica, peer: SocketAddr) {
     let compare = replica.with_local_state(|state| state.compare());
     replica.send_anti_entropy(peer, &compare);
 }
 
-fn compare_with_random(replica: &mut Replica) {
+fn compare_with_random_peer(replica: &mut Replica) {
     if replica.may_send(TrafficClass::Bulk)
         && let Some(peer) = replica.random_peer()
     {
@@ -233,9 +234,9 @@
     }
 }
 
-/// Starts comparisons with a few random members, so that a change spreads at once.
-pub(super) fn compare_with_few(replica: &mut Replica) {
+/// Starts comparisons with [`FANOUT`] random members, so that a change of our state spreads without waiting for the timer.
+pub(super) fn compare_with_random_peers(replica: &mut Replica) {
     for _ in 0..FANOUT.get() {
-        compare_with_random(replica);
+        compare_with_random_peer(replica);
     }
 }
--- a/crates/membership/src/members/context.rs
+++ b/crates/membership/src/members/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a member use: its settings, clock, random numbers and timers, and the packets and events that it emits.
+//! The context that is passed to all parts of a member: settings, clock, random numbers, timers and collected effects.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,41 +11,43 @@
 use crate::anti_entropy::Message;
 use crate::event::Effect;
 use crate::identity::Identity;
-use crate::seal::{Kind, MAX_MESSAGE, seal};
+use crate::seal::{Kind, MAX_MESSAGE_BYTES, seal};
 use crate::settings::Settings;
 use crate::timers::Timers;
 use crate::token_bucket::{TokenBucket, TrafficClass};
 
-/// Bytes that a member sends a second, besides what can't wait. As much arrives on average: with what can't wait, at most 13 kB
-/// a second in both directions.
+/// The limit on the bytes a member sends per second, apart from urgent packets, which are not limited. On average a member
+/// receives as much as it sends; with urgent packets that is at most 13 kB per second in both directions together.
 const MAX_BYTES_PER_SECOND: u32 = 5_000;
-/// How long unused bytes may add up.
+/// How long unused bytes accumulate: the capacity of the token bucket as a time.
 const MAX_BURST: Duration = Duration::from_secs(2);
-/// The random factors of a jittered delay.
+/// The range of the random factor of a delay with jitter.
 const JITTER: std::ops::Range<f64> = 0.75..1.25;
 
 /// A timer of a member.
 #[derive(Debug)]
 pub(super) enum Timer {
-    /// A timer of `foca`.
+    /// A timer that `foca` scheduled.
     Swim(foca::Timer<Identity>),
-    /// Announce ourselves to a member that is absent.
+    /// Announce this member to a seed that is unknown or a member that is down.
     ContactAbsent,
     /// Send a round of gossip.
     Gossip,
-    /// Compare states with a random member.
+    /// Start an anti-entropy comparison with a random member.
     AntiEntropy,
-    /// Decide on our vote.
+    /// Decide on this member's vote.
     Vote,
 }
 
-/// The settings, clock, random numbers, timers and outgoing packets of a member.
+/// The settings, clock, random numbers, timers and pending effects of a member.
 pub(super) struct Context {
     pub(super) settings: Settings,
+    /// The time of the input that is being handled; it never decreases.
     pub(super) now: Time,
     pub(super) rng: ChaCha8Rng,
     pub(super) timers: Timers<Timer>,
     bandwidth: TokenBucket,
+    /// The number of the next packet to send.
     packet_number: u64,
     effects: Vec<Effect>,
 }
@@ -63,23 +65,23 @@
         }
     }
 
-    /// The present time in milliseconds since 1970.
+    /// The time of the current input in milliseconds since 1970.
     pub(super) fn now_ms(&self) -> u64 {
         to_ms(self.now)
     }
 
-    /// Schedules a timer after a delay that varies a little, so that members don't synchronize.
+    /// Schedules a timer after a delay with jitter, so that the members' timers don't synchronize.
     pub(super) fn schedule_with_jitter(&mut self, delay: Duration, timer: Timer) {
         let delay = delay.mul_f64(self.rng.random_range(JITTER));
         self.timers.schedule(self.now + delay, timer);
     }
 
-    /// Whether the byte limit allows a packet of this class now.
+    /// Whether the limit on sent bytes allows a packet of this class now.
     pub(super) fn may_send(&mut self, class: TrafficClass) -> bool {
         self.bandwidth.allows(self.now, class)
     }
 
-    /// Sends a message that contains its sender and receiver.
+    /// Seals and sends a message that already contains its sender and receiver.
     pub(super) fn send(&mut self, kind: Kind, to: SocketAddr, message: &[u8]) {
         let (key, now_ms) = (&self.settings.key, to_ms(self.now));
         let bytes = seal(key, now_ms, self.packet_number, kind, message);
@@ -88,7 +90,7 @@
         self.effects.push(Effect::Send { to, bytes });
     }
 
-    /// Sends a message with its sender and receiver in front of it.
+    /// Prefixes a body with its sender and receiver, then seals and sends the message.
     pub(super) fn send_addressed(
         &mut self,
         from: &Identity,
@@ -109,12 +111,12 @@
         }
     }
 
-    /// Reports an event to the caller.
+    /// Reports an event to the caller of [`crate::Members::step`].
     pub(super) fn report(&mut self, event: Effect) {
         self.effects.push(event);
     }
 
-    /// The effects since the last call, with a request for the next wake-up.
+    /// Takes the effects collected since the last call, with a wake-up request if the next wake-up has changed.
     pub(super) fn take_effects(&mut self) -> Vec<Effect> {
         let wakeup = self.timers.changed_wakeup();
         self.effects.extend(wakeup.map(Effect::WakeAt));
@@ -122,18 +124,18 @@
     }
 }
 
-/// Bytes of the body of an addressed message from a sender, so that it fits into a packet.
+/// The maximum size in bytes of the body of an addressed message from a sender, so that the message fits into a packet.
 pub(super) fn max_body(from: &Identity) -> usize {
     let frame = encode(&(from, from.at)).map_or(0, |bytes| bytes.len());
-    MAX_MESSAGE.saturating_sub(frame)
+    MAX_MESSAGE_BYTES.saturating_sub(frame)
 }
 
-/// Encodes a value; `None` can't happen for values in memory.
+/// Encodes a value. Never `None` for the types used here, whose encoding to memory can't fail.
 fn encode<T: Serialize>(value: &T) -> Option<Vec<u8>> {
     postcard::to_stdvec(value).ok()
 }
 
-/// A time in milliseconds since 1970.
+/// Converts a time to milliseconds since 1970.
 pub(super) fn to_ms(time: Time) -> u64 {
     time.0 / 1_000_000
 }
--- a/crates/membership/src/members/fleet_view.rs
+++ b/crates/membership/src/members/fleet_view.rs
@@ -1,4 +1,4 @@
-//! Our view of the fleet: keeps the member table up to date with `foca`'s state, and notifies suspects.
+//! This member's view of the fleet: updates the member table from `foca`'s state, and notifies suspects.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,19 +19,19 @@
 use crate::view::{State, View};
 use crate::vote::Votes;
 
-/// Members, on average, that notify a suspect of a suspicion that they learn of.
+/// The average number of members that notify a suspect when they learn of its suspicion.
 const SUSPECT_NOTIFIERS: f64 = 8.0;
 
-/// The member table, with what is needed to refresh it and to notify suspects.
+/// The member table, with the state needed to refresh it and to notify suspects.
 #[derive(Default)]
 pub(super) struct FleetView {
     table: MemberTable,
-    /// `foca`'s state of the others may have changed since the table was refreshed.
+    /// Whether `foca`'s state may have changed since the table was refreshed.
     is_stale: bool,
-    /// How long members had been down by those who reported them, until the table is refreshed.
+    /// For how long members have been down by the reports received since the table was refreshed.
     down_for: BTreeMap<SocketAddr, Duration>,
     accusations: Accusations,
-    /// Changes of which members are active.
+    /// The number of times that a member became active or inactive, or returned in another incarnation.
     active_changes: u64,
 }
 
@@ -40,7 +40,7 @@
         &self.table
     }
 
-    /// A counter that grows with each change of which members are active.
+    /// A counter that grows with each change to the set of active members or their incarnations.
     pub(super) fn active_changes(&self) -> u64 {
         self.active_changes
     }
@@ -49,28 +49,29 @@
         self.table.expire_announcements(now);
     }
 
-    /// The table must be refreshed if `foca`'s state may have changed.
+    /// Marks the table as stale if `may_have_changed`: whether `foca`'s state may have changed.
     pub(super) fn mark_stale_if(&mut self, may_have_changed: bool) {
         self.is_stale |= may_have_changed;
     }
 
-    /// Whether the table must be refreshed; from now on it counts as fresh.
+    /// Whether the table is stale; clears the mark.
     pub(super) fn take_stale(&mut self) -> bool {
         std::mem::take(&mut self.is_stale)
     }
 
-    /// How long a member has been down by another's report, for the next refresh.
-    pub(super) fn note_down_for(&mut self, address: SocketAddr, down_for: Duration) {
+    /// Records how long a member has been down by another member's report, for the next refresh.
+    pub(super) fn record_down_for(&mut self, address: SocketAddr, down_for: Duration) {
         self.down_for.insert(address, down_for);
     }
 
-    /// Our own probes missed a member.
+    /// Records that this member's own probes made another one suspect.
     pub(super) fn accuse(&mut self, address: SocketAddr, swim_incarnation: u16) {
         self.accusations.add(address, swim_incarnation);
     }
 
-    /// Whether an entry is newer than our view; `known` counts the members that would be known with it.
-    pub(super) fn is_news(&self, entry: &MemberEntry, me: &Identity, known: &mut usize) -> bool {
+    /// Whether an entry is newer than our view. `known` is the number of known members; it is increased by each unknown one, and
+    /// unknown members beyond [`MAX_MEMBERS`] are not accepted.
+    pub(super) fn is_newer(&self, entry: &MemberEntry, me: &Identity, known: &mut usize) -> bool {
         if entry.member.at == me.at {
             return entry.member.incarnation == me.incarnation && !entry.is_alive();
         }
@@ -81,7 +82,7 @@
         *known <= MAX_MEMBERS
     }
 
-    /// Updates the table from `foca`'s members. True if it has changed.
+    /// Updates the table from `foca`'s members, and reports changes of state. True if the table has changed.
     pub(super) fn refresh(
         &mut self,
         context: &mut Context,
@@ -95,10 +96,14 @@
             .filter(|member| member.id().at != me.at)
             .filter_map(|member| changed_view(context.now, &self.table, votes, member))
             .collect();
-        let has_forgotten = members.len() < self.table.len();
+        let has_forgotten = members.len() < self.table.member_count();
         let has_changed = has_forgotten || !changes.is_empty();
-        for ViewChange { view, is_news } in changes {
-            if is_news {
+        for ViewChange {
+            view,
+            is_state_change,
+        } in changes
+        {
+            if is_state_change {
                 self.report_change(context, me, &view);
             }
             let down_for = reported_down.get(&view.member.at).copied();
@@ -126,7 +131,7 @@
             self.accusations.remove(&view.member.at);
             return;
         }
-        let probability = SUSPECT_NOTIFIERS / (self.table.len().max(1) as f64);
+        let probability = SUSPECT_NOTIFIERS / (self.table.member_count().max(1) as f64);
         if context.rng.random_bool(probability.min(1.0)) {
             notify_suspect(context, me, view);
         }
@@ -145,7 +150,7 @@
         }
     }
 
-    /// Notifies those whom our own probes missed of the suspicion, as long as they are suspects.
+    /// Notifies the members that our own probes made suspect and that are still suspect.
     pub(super) fn notify_accused(&mut self, context: &mut Context, me: &Identity) {
         for view in self.accusations.retain_pending(&self.table) {
             notify_suspect(context, me, &view);
--- a/crates/membership/src/members/packet_checks.rs
+++ b/crates/membership/src/members/packet_checks.rs
@@ -1,5 +1,5 @@
-//! Checks of SWIM's packets before `foca` handles them. `rest` is the part of a message after its header: the number of updates,
-//! the updates, and broadcast votes.
+//! Checks on SWIM messages before `foca` handles them. `rest` is the part of a message after its header: the number of updates as
+//! two bytes, big-endian, then the updates, then broadcast votes.
 
 use foca::{Header, Member, Message};
 
@@ -8,10 +8,10 @@
 use crate::seal::DropReason;
 use crate::view::State;
 
-/// More updates than any packet contains: below the bound by this, no packet can exceed it.
+/// More updates than fit into a packet. While the table has room for this many members, no packet needs to be checked.
 const MAX_UPDATES_PER_PACKET: usize = 1000;
 
-/// Whether a packet may change our view of any member.
+/// Whether a packet may change the member table: false if it has no updates and its sender is alive in the table as it says.
 pub(super) fn may_change_table(
     table: &MemberTable,
     header: &Header<Identity>,
@@ -27,7 +27,7 @@
     has_updates || !is_known || matches!(header.message, Message::TurnUndead)
 }
 
-/// Rejects a packet that would exceed the bound on known members, of which `stored` are known to `foca`.
+/// Rejects a packet whose unknown members, with the `stored` ones that `foca` has, would exceed [`MAX_MEMBERS`].
 pub(super) fn check_member_bound(
     table: &MemberTable,
     stored: usize,
@@ -44,12 +44,12 @@
     let mut unknown = usize::from(is_unknown(source));
     for _ in 0..u16::from_be_bytes(*update_count) {
         let (update, after) = postcard::take_from_bytes::<Member<Identity>>(rest)
-            .map_err(|_| DropReason::Unreadable)?;
+            .map_err(|_| DropReason::Malformed)?;
         unknown += usize::from(is_unknown(update.id()));
         rest = after;
     }
     if unknown > 0 && stored + unknown > MAX_MEMBERS {
-        return Err(DropReason::TooMany);
+        return Err(DropReason::TooManyMembers);
     }
     Ok(())
 }
--- a/crates/membership/src/members/quorum.rs
+++ b/crates/membership/src/members/quorum.rs
@@ -1,4 +1,4 @@
-//! The votes on which members are down, and the quota divisor that follows from them.
+//! The votes on which members are down, and the quota divisor that is computed from them.
 
 use std::collections::BTreeSet;
 use std::sync::MutexGuard;
@@ -17,24 +17,26 @@
 use crate::vote_broadcast::{SharedVotes, VoteBroadcast};
 use crate::voting::{VoteDecision, Voting};
 
-/// The least time between two decisions is a period divided by this.
+/// The maximum number of decisions on our vote per period.
 const MAX_DECISIONS_PER_PERIOD: u32 = 20;
-/// The greatest time until the next decision is a period divided by this: another member's set may arrive before the time that
-/// was waited for.
+/// The minimum number of decisions per period while one is pending: another member's set, which may be adopted, can arrive before
+/// the time at which our own set would be proposed.
 const MIN_DECISIONS_PER_PERIOD: u32 = 4;
 
-/// All votes and their sets, our own vote, and the quota divisor.
+/// The votes of all members and their sets, this member's own vote, and the quota divisor.
 pub(super) struct Quorum {
     votes: SharedVotes,
     sets: DownSets,
     voting: Voting,
+    /// The number of our latest vote.
     vote_number: u32,
-    /// When the next decision on our vote is due.
+    /// When the next decision on our vote is due; `None` if none is scheduled.
     decide_at: Option<Time>,
+    /// The payload of our votes.
     payload: Vec<u8>,
     quota: QuotaDivisor,
     divisor: u32,
-    /// [`Votes::changes`] when the divisor was computed.
+    /// The value of [`Votes::changes`] when the divisor was last computed.
     counted_changes: u64,
 }
 
@@ -77,22 +79,22 @@
         self.payload = payload;
     }
 
-    /// Adds our vote to the votes, from which anti-entropy sends it.
+    /// Stores a new vote of our own among the votes, from which anti-entropy sends it to others.
     pub(super) fn cast_vote(&mut self, me: ShortHash, leaves: bool) {
         self.vote_number += 1;
         let vote = Vote {
             number: self.vote_number,
             leaves,
-            down: self.voting.voted(),
+            down: self.voting.voted_set(),
             payload: self.payload.clone(),
         };
         self.votes().insert(me, vote);
     }
 
-    /// Our vote, encoded for broadcast; `None` if there is none.
+    /// Our stored vote with a new number, encoded for broadcast; `None` if there is none.
     pub(super) fn encode_broadcast(&mut self, me: ShortHash) -> Option<Vec<u8>> {
         let mut vote = self.votes().get(me).cloned()?;
-        // A new number: the broadcast handler stores the vote again, and passes on only newer ones.
+        // `foca` passes the broadcast to `VoteHandler`, which accepts only votes newer than the stored one.
         vote.number += 1;
         self.vote_number = vote.number;
         postcard::to_stdvec(&VoteBroadcast { voter: me, vote }).ok()
@@ -110,7 +112,7 @@
         context.timers.schedule(at, Timer::Vote);
     }
 
-    /// Decides on our vote. True if a new one was cast.
+    /// Decides on our vote, or schedules a later decision. True if a new vote was cast.
     pub(super) fn on_vote_timer(
         &mut self,
         context: &mut Context,
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Removes votes of unknown members and sets that no vote names. Returns the hashes of the named sets.
+    /// Removes the votes of unknown members and the sets that no vote refers to. Returns the sets that votes refer to.
     pub(super) fn remove_unused(
         &mut self,
         table: &MemberTable,
@@ -149,33 +151,33 @@
     ) -> BTreeSet<ShortHash> {
         let mut votes = self.votes.lock();
         votes.retain(|voter| voter == me || table.is_announced(voter));
-        let named: BTreeSet<ShortHash> = votes
+        let referenced: BTreeSet<ShortHash> = votes
             .iter()
             .filter_map(|(_, vote)| vote.down)
-            .chain(self.voting.voted())
+            .chain(self.voting.voted_set())
             .collect();
         drop(votes);
-        self.sets.retain(|set| named.contains(&set));
-        named
+        self.sets.retain(|set| referenced.contains(&set));
+        referenced
     }
 
-    /// Whether our vote must be cast again because it was an earlier incarnation's.
+    /// Whether our vote must be cast again, because the stored one is of an earlier incarnation.
     pub(super) fn lacks_own_vote(&self, me: ShortHash) -> bool {
-        let has_content = self.voting.voted().is_some() || !self.payload.is_empty();
+        let has_content = self.voting.voted_set().is_some() || !self.payload.is_empty();
         has_content && self.votes().get(me).is_none()
     }
 
-    /// Whether any vote names a set.
-    pub(super) fn is_named(&self, set: ShortHash) -> bool {
+    /// Whether any stored vote refers to a set.
+    pub(super) fn is_referenced(&self, set: ShortHash) -> bool {
         self.votes().iter().any(|(_, vote)| vote.down == Some(set))
     }
 
-    /// Adds a page of a set. True once the set is complete.
+    /// Adds a page of a set. True if the set is now complete.
     pub(super) fn add_page(&mut self, page: &SetPage) -> bool {
         self.sets.add_page(page)
     }
 
-    /// Computes the divisor anew if votes have changed.
+    /// Computes the quota divisor again if votes have changed since the last time.
     pub(super) fn recount_if_changed(&mut self, context: &mut Context, table: &MemberTable) {
         let changes = self.votes().changes();
         if changes != self.counted_changes {
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Computes the divisor anew, and reports it if it has changed.
+    /// Computes the quota divisor again, and reports it if it has changed.
     pub(super) fn recount(&mut self, context: &mut Context, table: &MemberTable) {
         let votes = self.votes.lock();
         self.counted_changes = votes.changes();
--- a/crates/membership/src/members/replica.rs
+++ b/crates/membership/src/members/replica.rs
@@ -1,4 +1,4 @@
-//! This member's replica of the fleet's state: the member table and the votes.
+//! This member's copy of the state that all members replicate: the member table and the votes.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,8 @@
 use crate::token_bucket::TrafficClass;
 use crate::view::State;
 
-/// The member table and the votes. Its parts don't know each other; what takes several of them is here.
+/// The member table (in `swim`) and the votes (in `quorum`). The parts don't depend on each other; operations that need several
+/// of them are methods here.
 pub(super) struct Replica {
     pub(super) context: Context,
     pub(super) swim: Swim,
@@ -62,12 +63,12 @@
         self.context.send_anti_entropy(from, to, message);
     }
 
-    /// Bytes of the body of an addressed message, so that it fits into a packet.
+    /// The maximum size in bytes of the body of an addressed message, so that the message fits into a packet.
     pub(super) fn max_body(&self) -> usize {
         max_body(self.identity())
     }
 
-    /// Our state as anti-entropy reads it.
+    /// Calls `read` with the read-only view of our state for anti-entropy.
     pub(super) fn with_local_state<T>(&self, read: impl FnOnce(LocalState<'_>) -> T) -> T {
         let votes = self.quorum.votes();
         let (table, sets) = (self.swim.table(), self.quorum.sets());
@@ -85,7 +86,7 @@
         self.swim.random_peer(&mut self.context.rng)
     }
 
-    /// Carries out what SWIM requested, then updates the table and what follows from it.
+    /// Carries out `foca`'s pending requests, then updates the member table and the quota divisor.
     pub(super) fn refresh(&mut self) {
         self.swim.drain(&mut self.context);
         self.refresh_table();
@@ -120,7 +121,7 @@
         self.quorum.cast_vote(me, leaves);
     }
 
-    /// Has our vote spread with the gossip, besides anti-entropy.
+    /// Broadcasts our vote with gossip, in addition to anti-entropy.
     pub(super) fn broadcast_vote(&mut self) {
         let me = self.own_hash();
         if let Some(vote) = self.quorum.encode_broadcast(me) {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Requests learned state of a few live members.
+    /// Requests learned state from up to [`FANOUT`] random members that are alive.
     pub(super) fn request_learned(&mut self) {
         let table = self.swim.table().iter();
         let mut alive: Vec<SocketAddr> = table
--- a/crates/membership/src/members/set_requests.rs
+++ b/crates/membership/src/members/set_requests.rs
@@ -1,4 +1,4 @@
-//! Requests for sets of down members that votes name and that aren't known here.
+//! Requests for the sets of down members that votes refer to and that aren't stored here.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,28 +10,28 @@
 use crate::digest::ShortHash;
 use crate::down_sets::SetPage;
 
-/// Sets that are requested in one period. Bounds the traffic after many votes have changed at once.
+/// The maximum number of sets requested in one period. Bounds the traffic after many votes have changed at once.
 const MAX_REQUESTED_SETS: usize = 4;
-/// The weight of all other members against one voter when choosing whom to request a set of: as if this many of them had
-/// voted for it.
-const OTHER_HOLDERS: usize = 8;
+/// The weight of all members that didn't vote for a set, relative to one that did, when choosing a member to request it from: they
+/// count as this many voters together.
+const NON_VOTER_WEIGHT: usize = 8;
 
-/// The requests of the present period, and whom to send the next ones to.
+/// The requests sent in the current period, and the members that are known to have missing sets.
 #[derive(Debug, Default)]
 pub(super) struct SetRequests {
-    /// Sets requested in this period.
+    /// The sets requested in this period. A set is removed when the requested page arrives and further pages are missing.
     requested: BTreeSet<ShortHash>,
-    /// The member that last sent a vote for a set that isn't known here, and so holds the set.
+    /// For sets that are missing here: the member that last sent a vote for it. Members send votes only with sets that they have.
     holders: BTreeMap<ShortHash, SocketAddr>,
 }
 
 impl SetRequests {
-    /// A new period begins, so sets may be requested again.
+    /// Starts a new period, in which sets may be requested again.
     pub(super) fn start_period(&mut self) {
         self.requested.clear();
     }
 
-    /// Requests a set of the member that sent a vote for it.
+    /// Requests a set from the member that sent a vote for it.
     pub(super) fn request_from_holder(
         &mut self,
         replica: &mut Replica,
@@ -42,7 +42,8 @@
         self.request(replica, holder, set);
     }
 
-    /// Requests the next page of a set, unless the set is complete or was requested in this period.
+    /// Requests the next page of a set, unless the set is complete, was requested in this period already, or the period's requests
+    /// are used up.
     fn request(&mut self, replica: &mut Replica, peer: SocketAddr, set: ShortHash) {
         let Some(offset) = replica.quorum.sets().next_offset(set) else {
             return;
@@ -52,11 +53,15 @@
         }
     }
 
-    /// Requests those of the named sets that aren't known here, in random order: there may be more than the requests of
-    /// a period, and none may wait for ever behind others that nobody answers.
-    pub(super) fn request_missing(&mut self, replica: &mut Replica, named: &BTreeSet<ShortHash>) {
+    /// Requests those of the sets that votes refer to that are missing here. The order is random: there may be more than the
+    /// requests of a period, and sets that no member sends must not block the others for ever.
+    pub(super) fn request_missing(
+        &mut self,
+        replica: &mut Replica,
+        referenced: &BTreeSet<ShortHash>,
+    ) {
         let sets = replica.quorum.sets();
-        let mut missing: Vec<ShortHash> = named
+        let mut missing: Vec<ShortHash> = referenced
             .iter()
             .copied()
             .filter(|set| sets.next_offset(*set).is_some())
@@ -72,10 +77,10 @@
         }
     }
 
-    /// Adds a page of a requested set and requests the next one.
+    /// Adds a received page of a set, and requests the next one.
     pub(super) fn receive_page(&mut self, replica: &mut Replica, from: SocketAddr, page: &SetPage) {
-        // Only sets that a vote names are stored.
-        if !replica.quorum.is_named(page.set) || page.members.len() > MAX_PAGE_MEMBERS {
+        // Only sets that a vote refers to are stored.
+        if !replica.quorum.is_referenced(page.set) || page.members.len() > MAX_PAGE_MEMBERS {
             return;
         }
         if replica.quorum.add_page(page) {
@@ -90,8 +95,8 @@
     }
 }
 
-/// One of the voters of a set, or another member, which may hold it too: a set with a single voter would otherwise be requested
-/// of that one by all members.
+/// Chooses a member to request a set from: one of its voters, or any other member, which may have the set too. Otherwise all
+/// members would request a set with a single voter from that one.
 fn likely_holder(replica: &mut Replica, set: ShortHash) -> Option<SocketAddr> {
     let votes = replica.quorum.votes();
     let votes_for_set = |voter| {
@@ -106,7 +111,7 @@
         .map(|(_, view)| view.member.at)
         .collect();
     drop(votes);
-    let candidates = voters.len() + OTHER_HOLDERS;
+    let candidates = voters.len() + NON_VOTER_WEIGHT;
     let index = replica.context.rng.random_range(0..candidates);
     voters.get(index).copied().or_else(|| replica.random_peer())
 }
--- a/crates/membership/src/members/swim.rs
+++ b/crates/membership/src/members/swim.rs
@@ -1,4 +1,4 @@
-//! Failure detection and gossip: drives `foca`.
+//! Failure detection and gossip by SWIM: passes messages and timers to `foca`, and carries out its requests.
 
 use std::net::SocketAddr;
 
@@ -15,29 +15,29 @@
 use crate::event::Effect;
 use crate::identity::{Identity, UNKNOWN_INCARNATION};
 use crate::member_entry::MemberEntry;
-use crate::member_table::{MAX_DOWN_ANNOUNCEMENT, MAX_MEMBERS, MemberTable};
+use crate::member_table::{MAX_ANNOUNCED_DOWN_TIME, MAX_MEMBERS, MemberTable};
 use crate::seal::{DropReason, Kind};
 use crate::settings::{FANOUT, GOSSIP_ROUNDS_PER_PERIOD};
 use crate::token_bucket::TrafficClass;
 use crate::vote::Votes;
 use crate::vote_broadcast::{SharedVotes, VoteHandler};
 
-/// Periods between two announcements to members that should be present and aren't.
+/// The number of periods between two announcements to absent members: unknown seeds and members that are down.
 const CONTACT_PERIODS: u32 = 2;
-/// A member that has received nothing for this many periods may be cut off itself.
-const MAX_SILENT_PERIODS: u32 = 2;
-/// A member that may be cut off itself declares nobody down until it has received nothing for this many suspicion timeouts:
-/// then it is alone and nobody receives its packets either, or the others have ended.
-const CUT_OFF_SUSPICIONS: u32 = 4;
+/// A member that has received no packet for more than this many periods may be isolated itself.
+const MAX_SILENCE_PERIODS: u32 = 2;
+/// A member that may be isolated declares no other down until it has received no packet for this many suspicion timeouts. By then
+/// either its own packets don't arrive either, so that it can do no harm, or the others have really stopped.
+const MAX_ISOLATION_SUSPICION_TIMEOUTS: u32 = 4;
 
-/// `foca`, with its requests and our view of the fleet.
+/// `foca`, with its pending requests and this member's view of the fleet.
 pub(super) struct Swim {
     foca: Foca<Identity, PostcardCodec, ChaCha8Rng, VoteHandler>,
     runtime: AccumulatingRuntime<Identity>,
-    /// Our own SWIM incarnation, as of the latest packet.
+    /// Our own SWIM incarnation, taken from the header of the latest SWIM message sent.
     swim_incarnation: u16,
-    view: FleetView,
-    /// When a packet of the fleet arrived last.
+    fleet_view: FleetView,
+    /// When the latest valid packet of another member arrived.
     last_received: Time,
 }
 
@@ -55,12 +55,12 @@
             foca: Foca::with_custom_broadcast(identity, config, rng, PostcardCodec, handler),
             runtime: AccumulatingRuntime::new(),
             swim_incarnation: 0,
-            view: FleetView::default(),
+            fleet_view: FleetView::default(),
             last_received: context.now,
         }
     }
 
-    /// Ourselves, in our present incarnation.
+    /// This member's identity, with its current incarnation.
     pub(super) fn identity(&self) -> &Identity {
         self.foca.identity()
     }
@@ -70,16 +70,16 @@
     }
 
     pub(super) fn table(&self) -> &MemberTable {
-        self.view.table()
+        self.fleet_view.table()
     }
 
     pub(super) fn expire_announcements(&mut self, now: Time) {
-        self.view.expire_announcements(now);
+        self.fleet_view.expire_announcements(now);
     }
 
-    /// A counter that grows with each change of which members are active.
+    /// See [`FleetView::active_changes`].
     pub(super) fn active_changes(&self) -> u64 {
-        self.view.active_changes()
+        self.fleet_view.active_changes()
     }
 
     pub(super) fn random_peer(&self, rng: &mut ChaCha8Rng) -> Option<SocketAddr> {
@@ -92,12 +92,13 @@
         member.map(|member| member.id().at)
     }
 
-    /// A packet of the fleet arrived.
-    pub(super) fn note_received(&mut self, now: Time) {
+    /// Records that a valid packet of another member arrived.
+    pub(super) fn record_received(&mut self, now: Time) {
         self.last_received = now;
     }
 
-    /// Checks which incarnation of ours a packet is for. True if its sender doesn't know the present one yet.
+    /// Whether a packet is addressed to an earlier incarnation of this member, so that its sender doesn't know the current one. If
+    /// it is addressed to a later one, takes an incarnation above that.
     pub(super) fn is_for_earlier_incarnation(
         &mut self,
         context: &mut Context,
@@ -107,26 +108,31 @@
             return false;
         }
         if destination.incarnation > self.identity().incarnation {
-            self.rise_above(context, destination.incarnation);
+            self.adopt_incarnation_above(context, destination.incarnation);
         }
         destination.incarnation != UNKNOWN_INCARNATION
             && destination.incarnation < self.identity().incarnation
     }
 
-    /// Takes an incarnation above one that others know of us. Our clock was set back between two starts, or our state folder is
-    /// another member's: the others would ignore our packets as those of an earlier incarnation.
-    fn rise_above(&mut self, context: &mut Context, incarnation: u64) {
+    /// Takes an incarnation above one that other members know of this one. That happens if the clock was set back between two
+    /// starts, or if the state folder was copied from another member: the others would ignore our packets as those of an earlier
+    /// incarnation.
+    fn adopt_incarnation_above(&mut self, context: &mut Context, incarnation: u64) {
         let incarnation = incarnation + 1;
-        let risen = Identity {
+        let renewed = Identity {
             incarnation,
             ..self.identity().clone()
         };
-        if self.foca.change_identity(risen, &mut self.runtime).is_ok() {
+        if self
+            .foca
+            .change_identity(renewed, &mut self.runtime)
+            .is_ok()
+        {
             context.report(Effect::Rejoined { incarnation });
         }
     }
 
-    /// Has `foca` handle a packet's message, of which `rest` follows the header.
+    /// Passes a SWIM message to `foca`. `header` is its decoded header, `rest` the part after the header.
     pub(super) fn handle_message(
         &mut self,
         header: &Header<Identity>,
@@ -134,13 +140,13 @@
         message: &[u8],
     ) -> Result<(), DropReason> {
         let may_change_table = packet_checks::may_change_table(self.table(), header, rest);
-        self.view.mark_stale_if(may_change_table);
+        self.fleet_view.mark_stale_if(may_change_table);
         self.foca
             .handle_data(message, &mut self.runtime)
-            .map_err(|_| DropReason::Unreadable)
+            .map_err(|_| DropReason::Malformed)
     }
 
-    /// Rejects a packet that would exceed the bound on known members.
+    /// Rejects a packet that would exceed the maximum number of known members.
     pub(super) fn check_member_bound(
         &self,
         source: &Identity,
@@ -150,46 +156,49 @@
         packet_checks::check_member_bound(self.table(), stored, source, rest)
     }
 
-    /// Whether to answer a member's anti-entropy messages. One that isn't known yet is added.
-    pub(super) fn admit(&mut self, from: &Identity) -> bool {
+    /// Whether to handle a member's anti-entropy messages: not if it is down or of an earlier incarnation, or if the table is full.
+    /// A new member or incarnation is added as alive.
+    pub(super) fn accept_peer(&mut self, from: &Identity) -> bool {
         match self.table().get(&from.at) {
             Some(view) if view.member.incarnation > from.incarnation => return false,
             Some(view) if view.member.incarnation == from.incarnation => {
                 return view.state.is_active();
             }
-            None if self.table().len() >= MAX_MEMBERS => return false,
+            None if self.table().member_count() >= MAX_MEMBERS => return false,
             Some(_) | None => {}
         }
-        self.view.mark_stale_if(true);
+        self.fleet_view.mark_stale_if(true);
         let member = Member::alive(from.clone());
         self.foca
             .apply_many(std::iter::once(member), true, &mut self.runtime)
             .is_ok()
     }
 
-    /// Applies the newer ones of another member's entries. True if there are any: the table must be refreshed.
+    /// Applies those of another member's entries that are newer than our view. True if there are any, so that the table must be
+    /// refreshed.
     pub(super) fn apply_entries(&mut self, context: &mut Context, entries: &[MemberEntry]) -> bool {
         let me = self.identity().clone();
         let mut updates = Vec::new();
-        let mut known = self.table().len();
+        let mut known = self.table().member_count();
         for entry in entries {
             if entry.member.at == me.at && entry.member.incarnation > me.incarnation {
-                self.rise_above(context, entry.member.incarnation);
+                self.adopt_incarnation_above(context, entry.member.incarnation);
                 continue;
             }
-            if !self.view.is_news(entry, &me, &mut known)
-                || entry.is_down() && entry.down_for() >= MAX_DOWN_ANNOUNCEMENT
+            if !self.fleet_view.is_newer(entry, &me, &mut known)
+                || entry.is_down() && entry.down_for() >= MAX_ANNOUNCED_DOWN_TIME
             {
                 continue;
             }
-            self.view.note_down_for(entry.member.at, entry.down_for());
+            self.fleet_view
+                .record_down_for(entry.member.at, entry.down_for());
             updates.push(entry.to_foca());
         }
         if updates.is_empty() {
             return false;
         }
-        self.view.mark_stale_if(true);
-        // Not gossiped: members that lack an update find out by their own comparisons.
+        self.fleet_view.mark_stale_if(true);
+        // Not gossiped: members that lack an update get it by their own comparisons.
         let _ = self
             .foca
             .apply_many(updates.into_iter(), false, &mut self.runtime);
@@ -201,7 +210,7 @@
         if self.is_refuted(&timer) {
             return;
         }
-        if matches!(timer, Timer::ChangeSuspectToDown { .. }) && self.may_be_cut_off(context) {
+        if matches!(timer, Timer::ChangeSuspectToDown { .. }) && self.may_be_isolated(context) {
             let retry_at = context.now + context.settings.period;
             context
                 .timers
@@ -209,14 +218,14 @@
             return;
         }
         let may_change_table = !matches!(timer, Timer::SendIndirectProbe { .. });
-        self.view.mark_stale_if(may_change_table);
-        // Its errors report timers out of order, from which it recovers by itself.
+        self.fleet_view.mark_stale_if(may_change_table);
+        // `foca` returns an error for a timer out of order, and recovers from it by itself.
         let _ = self.foca.handle_timer(timer, &mut self.runtime);
         self.drain(context);
     }
 
-    /// Whether a timer is for a suspicion that was refuted. `foca` 2.0 leaves such a member alive but notifies it all the same
-    /// that it is down, so that it would rejoin in another incarnation for nothing.
+    /// Whether a timer is the timeout of a suspicion that was refuted. For such a timer `foca` 2.0 leaves the member alive but still
+    /// notifies it that it is down, so that it would rejoin in another incarnation without need.
     fn is_refuted(&self, timer: &Timer<Identity>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -234,12 +243,13 @@
         !is_suspect
     }
 
-    /// Whether it may be us who are cut off. The others would believe a member that can send but not receive.
-    fn may_be_cut_off(&self, context: &Context) -> bool {
+    /// Whether this member may be isolated: able to send but not to receive. Its suspicions would then be wrong, and the other
+    /// members would accept them.
+    fn may_be_isolated(&self, context: &Context) -> bool {
         let silence = context.now - self.last_received;
         let settings = &context.settings;
-        silence > settings.period * MAX_SILENT_PERIODS
-            && silence < settings.suspicion() * CUT_OFF_SUSPICIONS
+        silence > settings.period * MAX_SILENCE_PERIODS
+            && silence < settings.suspicion() * MAX_ISOLATION_SUSPICION_TIMEOUTS
     }
 
     /// Sends a round of gossip if there are updates, and schedules the next one.
@@ -253,23 +263,23 @@
         context.timers.schedule(next, context::Timer::Gossip);
     }
 
-    /// Prepares a round of gossip, whatever the byte limit; [`Swim::drain`] sends it.
+    /// Prepares a round of gossip regardless of the limit on sent bytes; [`Swim::drain`] sends it.
     pub(super) fn gossip(&mut self) {
         // Fails only if our own identity could not be encoded.
         let _ = self.foca.gossip(&mut self.runtime);
     }
 
-    /// Has a vote spread with the gossip.
+    /// Adds an encoded vote to the broadcasts that are sent with gossip.
     pub(super) fn broadcast(&mut self, vote: &[u8]) {
-        // Fails only if the vote is too long for a packet, which its bounds exclude.
+        // Fails only if the vote is too long for a packet, which the limit on its payload prevents.
         let _ = self.foca.add_broadcast(vote);
     }
 
-    /// Announces ourselves to members that should be present and aren't: seeds that we haven't met yet, and down members, which
-    /// may have returned or were only out of reach.
+    /// Announces this member to absent ones: seeds that aren't known yet, and members that are down, which may have restarted or
+    /// were only unreachable.
     pub(super) fn on_contact_timer(&mut self, context: &mut Context) {
         let mut absent = self.absent_members(context);
-        // A member that is alone contacts several, and more often.
+        // A member that knows no active member contacts several, and more often.
         let is_alone = self.foca.num_members() == 0;
         let (contacts, periods) = if is_alone {
             (FANOUT.get(), 1)
@@ -281,7 +291,7 @@
             // Fails only if our own identity could not be encoded.
             let _ = self.foca.announce(member, &mut self.runtime);
         }
-        // With jitter: after a mass restart all members would contact the seeds at once.
+        // Without jitter, all members would contact the seeds at the same time after a mass restart.
         let delay = context.settings.period * periods;
         context.schedule_with_jitter(delay, context::Timer::ContactAbsent);
     }
@@ -300,9 +310,9 @@
             .collect()
     }
 
-    /// Announces our end.
+    /// Announces that this member leaves the fleet.
     pub(super) fn leave(&mut self, context: &mut Context) {
-        // Each round goes to newly chosen members: only if all are lost, our end looks like a failure.
+        // Each round goes to newly chosen members. Only if all these packets are lost does the leave appear as a failure.
         for _ in 0..FANOUT.get() {
             self.gossip();
         }
@@ -310,13 +320,14 @@
         self.drain(context);
     }
 
-    /// Carries out what `foca` requested: packets, timers and notifications.
+    /// Carries out `foca`'s pending requests: packets to send, timers to schedule, and notifications.
     pub(super) fn drain(&mut self, context: &mut Context) {
         while let Some((to, message)) = self.runtime.to_send() {
             let header = postcard::take_from_bytes::<Header<Identity>>(&message);
             let Ok((header, _)) = header else { continue };
             self.swim_incarnation = header.src_incarnation;
-            // A list of members may be left out: its receiver is known to us by now, and gets the same by anti-entropy.
+            // A list of members may be omitted under the limit: its receiver is in our table by now, and gets the same members by
+            // anti-entropy.
             let is_list = header.message == Message::Feed;
             if !is_list || context.may_send(TrafficClass::Bulk) {
                 context.send(Kind::Swim, to.at, &message);
@@ -329,13 +340,13 @@
                 ..
             } = &timer
             {
-                self.view.accuse(member_id.at, *incarnation);
+                self.fleet_view.accuse(member_id.at, *incarnation);
             }
             let at = context.now + delay;
             context.timers.schedule(at, context::Timer::Swim(timer));
         }
         while let Some(notification) = self.runtime.to_notify() {
-            self.view.mark_stale_if(true);
+            self.fleet_view.mark_stale_if(true);
             if let OwnedNotification::Rejoin(me) = notification {
                 context.report(Effect::Rejoined {
                     incarnation: me.incarnation,
@@ -346,17 +357,17 @@
 
     /// Updates the table from `foca`'s state, if that may have changed. True if the table has changed.
     pub(super) fn refresh_table(&mut self, context: &mut Context, votes: &Votes) -> bool {
-        if !self.view.take_stale() {
+        if !self.fleet_view.take_stale() {
             return false;
         }
         let members: Vec<&Member<Identity>> = self.foca.iter_membership_state().collect();
         let me = self.foca.identity();
-        self.view.refresh(context, me, &members, votes)
+        self.fleet_view.refresh(context, me, &members, votes)
     }
 
-    /// Notifies those whom our own probes missed of the suspicion, as long as they are suspects.
+    /// See [`FleetView::notify_accused`].
     pub(super) fn notify_accused(&mut self, context: &mut Context) {
         let me = self.foca.identity();
-        self.view.notify_accused(context, me);
+        self.fleet_view.notify_accused(context, me);
     }
 }
--- a/crates/membership/src/members/view_changes.rs
+++ b/crates/membership/src/members/view_changes.rs
@@ -1,4 +1,4 @@
-//! Compares `foca`'s state of a member with our view of it.
+//! Compares `foca`'s state of a member with the view of it in the member table.
 
 use cranehill_scheduler::Time;
 
@@ -8,15 +8,15 @@
 use crate::view::{State, View};
 use crate::vote::Votes;
 
-/// A view that differs from the one in the table.
+/// A member's new view, which differs from the one in the member table.
 #[derive(Clone, Debug)]
 pub(super) struct ViewChange {
     pub(super) view: View,
-    /// False if only the SWIM incarnation or the name differs.
-    pub(super) is_news: bool,
+    /// Whether the state or the incarnation differs; false if only the SWIM incarnation or the name does.
+    pub(super) is_state_change: bool,
 }
 
-/// The new view of a member; `None` if the table has it already.
+/// The new view of a member; `None` if it is the same as in the table. A down member counts as left if it announced that.
 pub(super) fn changed_view(
     now: Time,
     table: &MemberTable,
@@ -49,7 +49,7 @@
         return None;
     }
     Some(ViewChange {
-        is_news: same_state.is_none(),
+        is_state_change: same_state.is_none(),
         view,
     })
 }
--- a/crates/membership/src/quota.rs
+++ b/crates/membership/src/quota.rs
@@ -1,9 +1,9 @@
-//! By how many senders a shared limit must be divided. The division errs on the safe side: a sender's quota doesn't grow because
-//! other senders are out of reach.
+//! The quota divisor: the number of senders that a shared limit is divided by. It is conservative: members that are merely
+//! unreachable still count, so a sender's quota doesn't grow in a partition.
 //!
-//! A member's quota becomes free only once the member is *evicted*: a majority of all known members has voted it down, without
-//! interruption, for the whole eviction delay. Down members count in the total and have no vote, so a minority that is cut off
-//! evicts nobody.
+//! A member's quota is released only when the member is *evicted*: a majority of all known members has voted it down, without
+//! interruption, for the whole eviction delay. Down members count in the electorate but have no vote, so the minority side of a
+//! partition evicts no member.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,30 +17,30 @@
 use crate::view::{State, View};
 use crate::vote::Votes;
 
-/// The greatest eviction delay of a member that announced its end. It ends within 3.4 s after SIGTERM; half a second is for the
-/// announcement to spread.
+/// The maximum eviction delay of a member that announced that it leaves. Its process ends within 3.4 s after SIGTERM; half a
+/// second more is for the announcement to spread.
 pub const MAX_LEAVE_EVICTION_DELAY: Duration = Duration::from_secs(4);
 
 #[derive(Debug)]
 struct TrackedMember {
     incarnation: u64,
-    /// Since when a majority has voted the member down.
+    /// Since when a majority has voted the member down without interruption; `None` if it doesn't.
     majority_since: Option<Time>,
     evicted: bool,
 }
 
-/// Computes the quota divisor from the member table and the votes.
+/// Computes the quota divisor from the member table and the votes. Keeps the state of evictions between updates.
 #[derive(Debug)]
 pub struct QuotaDivisor {
     configured: u32,
     eviction_delay: Option<Duration>,
-    /// The members that have a quota in our view, evicted ones included.
+    /// The members that were active at some time, evicted ones included.
     tracked: BTreeMap<SocketAddr, TrackedMember>,
 }
 
 impl QuotaDivisor {
-    /// `configured` is the number of members by the settings; `eviction_delay` is how long a majority must agree, `None` for
-    /// ever.
+    /// `configured` is the configured number of members; `eviction_delay` is how long a majority must vote a member down before
+    /// it is evicted, `None` for never.
     pub fn new(configured: u32, eviction_delay: Option<Duration>) -> QuotaDivisor {
         QuotaDivisor {
             configured: configured.max(1),
@@ -49,7 +49,8 @@
         }
     }
 
-    /// The number of senders to divide shared limits by, ourselves included. Call it whenever the table or a vote has changed.
+    /// Returns the number of senders to divide shared limits by, this one included. Must be called whenever the table or a vote
+    /// has changed, and once a period, since evictions depend on the time.
     pub fn update(
         &mut self,
         now: Time,
@@ -61,7 +62,7 @@
             self.track(view);
         }
         self.evict(now, table, votes, sets);
-        // An evicted member that is no longer in the table is covered by the configured number again.
+        // An evicted member that the table has forgotten no longer reduces the configured number.
         self.tracked
             .retain(|address, tracked| !tracked.evicted || table.get(address).is_some());
         let evicted = self.evicted() as u32;
@@ -83,7 +84,7 @@
                 *tracked = unevicted;
             }
             Some(_) => {}
-            // A member that was down before we knew it has no quota besides the configured ones.
+            // A member that was down when first seen is not tracked: only the configured number includes its quota.
             None if !is_active || is_full => {}
             None => {
                 self.tracked.insert(view.member.at, unevicted);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Evicts the members that a majority has voted down for the whole delay.
+    /// Evicts the members that a majority has voted down for the whole eviction delay.
     fn evict(&mut self, now: Time, table: &MemberTable, votes: &Votes, sets: &DownSets) {
         let is_undecided = |view: &View| {
             let tracked = self.tracked.get(&view.member.at);
@@ -110,7 +111,7 @@
             if tracked.evicted {
                 continue;
             }
-            // Our own vote counts in addition to the others'.
+            // This member's own vote counts too: the member is down in its table.
             if !is_majority(1 + tally.votes_against(hash), electorate) {
                 tracked.majority_since = None;
                 continue;
@@ -137,8 +138,8 @@
             .count()
     }
 
-    /// The number of members of which a majority is needed. A member that has just started knows few others, and a majority of
-    /// these may be a minority of the fleet; so the number is at least the configured one.
+    /// The number of members of which a majority must agree to an eviction. A member that has just started knows few others, and
+    /// a majority of these may be a minority of the fleet, so the electorate is at least the configured number less the evicted.
     fn electorate(&self) -> usize {
         let evicted = self.evicted();
         let known = 1 + self.tracked.len() - evicted;
@@ -150,7 +151,7 @@
     votes * 2 > electorate
 }
 
-/// How many active members voted for each set.
+/// The number of active members that voted for each set of down members.
 struct Tally<'a> {
     sets: Vec<(&'a BTreeSet<ShortHash>, usize)>,
 }
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -1,83 +1,85 @@
-//! The format of packets. Each packet is authenticated with the fleet's key, has its time of sending, and is accepted once
-//! (`replay.rs`).
+//! The packet format. Each packet is authenticated with the fleet's key and contains its time of sending; `replay.rs` accepts
+//! each packet number once.
 //!
 //! | bytes | content |
 //! | --- | --- |
 //! | 2 | `CM` |
-//! | 1 | format, 2 |
-//! | 8 | time of sending, milliseconds since 1970, little-endian |
-//! | 8 | packet number, one more with each packet of a process, little-endian |
-//! | 1 | kind: 0 SWIM, 1 a request for learned state, 2 its reply, 3 anti-entropy |
+//! | 1 | format version, 2 |
+//! | 8 | time of sending, milliseconds since 1970 by Unix time, little-endian |
+//! | 8 | packet number, counted up by one for each packet that a process sends, little-endian |
+//! | 1 | message kind: 0 SWIM, 1 request for learned state, 2 reply with learned state, 3 anti-entropy |
 //! | n | the message |
 //! | 16 | the first half of the BLAKE3 keyed hash of all bytes before |
 
-/// The fleet's key: a process that has it is a member.
+/// The key that authenticates the fleet's packets. Any process that has it can join the fleet.
 pub type Key = [u8; 32];
 
-/// Grows with each change of the packets' contents; members ignore packets of other formats.
+/// The format version; any change to the encoding of packets or messages increments it. Members drop packets of other versions.
 pub const FORMAT: u8 = 2;
 const MAGIC: [u8; 3] = [b'C', b'M', FORMAT];
-const SENT_AT: usize = MAGIC.len();
-const NUMBER_AT: usize = SENT_AT + size_of::<u64>();
-const KIND_AT: usize = NUMBER_AT + size_of::<u64>();
-const HEADER_BYTES: usize = KIND_AT + 1;
+const SENT_AT_OFFSET: usize = MAGIC.len();
+const NUMBER_OFFSET: usize = SENT_AT_OFFSET + size_of::<u64>();
+const KIND_OFFSET: usize = NUMBER_OFFSET + size_of::<u64>();
+const HEADER_BYTES: usize = KIND_OFFSET + 1;
 const TAG_BYTES: usize = 16;
-/// Bytes of a packet: no network in use fragments it (RFC 8085, section 3.2).
-pub const MAX_PACKET: usize = 1400;
-/// Bytes that sealing adds to a message.
-pub const OVERHEAD: usize = HEADER_BYTES + TAG_BYTES;
-/// Bytes of a message, so that it fits into a packet.
-pub(crate) const MAX_MESSAGE: usize = MAX_PACKET - OVERHEAD;
+/// The maximum size of a packet in bytes, below the usual path MTU of 1500 to avoid IP fragmentation (RFC 8085, section 3.2).
+pub const MAX_PACKET_BYTES: usize = 1400;
+/// Bytes that [`seal`] adds to a message: the header and the authentication tag.
+pub const OVERHEAD_BYTES: usize = HEADER_BYTES + TAG_BYTES;
+/// The maximum size in bytes of the message in a packet.
+pub(crate) const MAX_MESSAGE_BYTES: usize = MAX_PACKET_BYTES - OVERHEAD_BYTES;
 
 /// Why a packet was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DropReason {
-    /// Shorter than the frame of a packet.
-    #[error("too short for a packet of the fleet")]
-    Short,
-    /// It doesn't begin like a packet of the fleet.
-    #[error("not a packet of the fleet")]
-    Foreign,
-    /// Its authentication tag is wrong.
-    #[error("authenticated with another key, or changed on its way")]
+    /// Shorter than [`OVERHEAD_BYTES`], the header and tag of a packet.
+    #[error("shorter than the {OVERHEAD_BYTES} bytes of a packet's header and tag")]
+    TooShort,
+    /// The first two bytes aren't `CM`: not a packet of this protocol.
+    #[error("not a membership packet: its first two bytes aren't \"CM\"")]
+    BadMagic,
+    /// The authentication tag is wrong.
+    #[error("the authentication tag is wrong: sealed with another key, or altered in transit")]
     WrongKey,
-    /// Its time of sending differs too much from our clock.
-    #[error("sent too long ago, or by a clock that differs too much")]
-    Old,
-    /// A packet of this number was accepted before, or the number is too old to know.
-    #[error("accepted before")]
+    /// The time of sending differs from this member's clock by more than [`crate::Settings::max_packet_age`].
+    #[error("the time of sending is too far from this clock: delayed, replayed, or a wrong clock")]
+    TimeOutOfRange,
+    /// A packet with this number was accepted already, or the number is below the replay window.
+    #[error("replayed: its number was accepted already or is below the replay window")]
     Replayed,
-    /// A packet of a later incarnation of its sender was accepted before.
-    #[error("of an earlier incarnation of its sender")]
+    /// A packet of a later incarnation of the sender was accepted already.
+    #[error("from an earlier incarnation of its sender")]
     EarlierIncarnation,
-    /// It has another [`FORMAT`].
-    #[error("of another format, so of a member of another version")]
-    OtherVersion,
-    /// Longer than [`MAX_PACKET`].
-    #[error("longer than any packet of the fleet")]
+    /// The format version isn't [`FORMAT`].
+    #[error("the format version isn't {FORMAT}: from a member of another software version")]
+    UnsupportedFormat,
+    /// Longer than [`MAX_PACKET_BYTES`] bytes.
+    #[error("longer than {MAX_PACKET_BYTES} bytes, the maximum of a packet")]
     TooLong,
-    /// It would exceed the bound on known members.
-    #[error("of more members than the member table may hold")]
-    TooMany,
-    /// Authentic, but its message can't be decoded or has invalid values.
-    #[error("authentic, but not readable: a member of another version?")]
-    Unreadable,
+    /// The packet would add more members than [`crate::member_table::MAX_MEMBERS`] allows.
+    #[error("would exceed the maximum number of members in the member table")]
+    TooManyMembers,
+    /// Authenticated, but the message can't be decoded or has invalid values.
+    #[error(
+        "authenticated, but its message can't be decoded or has invalid values: another software version?"
+    )]
+    Malformed,
 }
 
 impl DropReason {
-    /// The reason's name in counters and logs.
+    /// The reason's name in the dropped-packet counters and in logs.
     pub fn label(self) -> &'static str {
         match self {
-            DropReason::Short => "short",
-            DropReason::Foreign => "foreign",
+            DropReason::TooShort => "short",
+            DropReason::BadMagic => "foreign",
             DropReason::WrongKey => "wrong-key",
-            DropReason::Old => "old",
+            DropReason::TimeOutOfRange => "old",
             DropReason::Replayed => "replayed",
             DropReason::EarlierIncarnation => "earlier-life",
-            DropReason::OtherVersion => "other-version",
+            DropReason::UnsupportedFormat => "other-version",
             DropReason::TooLong => "too-long",
-            DropReason::TooMany => "too-many",
-            DropReason::Unreadable => "unreadable",
+            DropReason::TooManyMembers => "too-many",
+            DropReason::Malformed => "unreadable",
         }
     }
 }
@@ -85,13 +87,13 @@
 /// The kind of a packet's message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A message of SWIM, encoded by `foca`.
+    /// A SWIM message, encoded by `foca`.
     Swim = 0,
-    /// A request for learned state of destinations.
+    /// A request for the receiver's learned state of destinations.
     LearnedRequest = 1,
-    /// A piece of learned state.
+    /// A piece of the sender's learned state of destinations.
     LearnedReply = 2,
-    /// A message of [`crate::anti_entropy`].
+    /// A [`crate::anti_entropy::Message`].
     AntiEntropy = 3,
 }
 
@@ -107,14 +109,14 @@
     }
 }
 
-/// An opened packet.
+/// The contents of an authenticated packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Opened<'a> {
-    /// The packet's number.
+pub struct OpenedPacket<'a> {
+    /// The sender's packet number, for replay protection.
     pub number: u64,
-    /// The kind of its message.
+    /// How the message is encoded and handled.
     pub kind: Kind,
-    /// The encoded message.
+    /// The message, still encoded.
     pub message: &'a [u8],
 }
 
@@ -123,9 +125,10 @@
     std::array::from_fn(|i| hash.as_bytes()[i])
 }
 
-/// Encodes and authenticates a packet; `sent_ms` is in milliseconds since 1970.
+/// Encodes and authenticates a packet. `sent_ms` is the time of sending in milliseconds since 1970; `number` is the sender's
+/// packet number.
 pub fn seal(key: &Key, sent_ms: u64, number: u64, kind: Kind, message: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(message.len() + OVERHEAD);
+    let mut bytes = Vec::with_capacity(message.len() + OVERHEAD_BYTES);
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&sent_ms.to_le_bytes());
     bytes.extend_from_slice(&number.to_le_bytes());
@@ -136,38 +139,39 @@
     bytes
 }
 
-/// Authenticates and decodes a packet. Its time of sending may differ from `now_ms` by `max_age_ms` in either direction.
+/// Authenticates a packet and decodes its header. Fails if the packet isn't of this format or key, or if its time of sending
+/// differs from `now_ms` by more than `max_age_ms` in either direction. Replay protection is up to the caller.
 pub fn open<'a>(
     key: &Key,
     now_ms: u64,
     max_age_ms: u64,
     bytes: &'a [u8],
-) -> Result<Opened<'a>, DropReason> {
-    if bytes.len() < OVERHEAD {
-        return Err(DropReason::Short);
+) -> Result<OpenedPacket<'a>, DropReason> {
+    if bytes.len() < OVERHEAD_BYTES {
+        return Err(DropReason::TooShort);
     }
     if bytes[..2] != MAGIC[..2] {
-        return Err(DropReason::Foreign);
+        return Err(DropReason::BadMagic);
     }
     if bytes[2] != FORMAT {
-        return Err(DropReason::OtherVersion);
+        return Err(DropReason::UnsupportedFormat);
     }
     let (signed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
     if !is_same_tag(tag, &authentication_tag(key, signed)) {
         return Err(DropReason::WrongKey);
     }
-    if read_u64(signed, SENT_AT).abs_diff(now_ms) > max_age_ms {
-        return Err(DropReason::Old);
+    if read_u64(signed, SENT_AT_OFFSET).abs_diff(now_ms) > max_age_ms {
+        return Err(DropReason::TimeOutOfRange);
     }
-    let kind = Kind::from_byte(signed[KIND_AT]).ok_or(DropReason::Unreadable)?;
-    Ok(Opened {
-        number: read_u64(signed, NUMBER_AT),
+    let kind = Kind::from_byte(signed[KIND_OFFSET]).ok_or(DropReason::Malformed)?;
+    Ok(OpenedPacket {
+        number: read_u64(signed, NUMBER_OFFSET),
         kind,
         message: &signed[HEADER_BYTES..],
     })
 }
 
-/// Compares tags in constant time, as BLAKE3 hashes are.
+/// Compares tags in constant time, by means of the constant-time comparison of BLAKE3 hashes.
 fn is_same_tag(theirs: &[u8], ours: &[u8; TAG_BYTES]) -> bool {
     let as_hash = |tag: &[u8]| {
         let mut bytes = [0; 32];
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,55 +1,57 @@
-//! How a sender takes part in the fleet, and `foca`'s configuration derived from it.
+//! The settings of a member, and `foca`'s configuration derived from them.
 
 use std::net::SocketAddr;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-use crate::seal::{Key, MAX_MESSAGE};
+use crate::seal::{Key, MAX_MESSAGE_BYTES};
 
-/// The number of members that receive an indirect probe, a round of gossip or a request. SWIM's paper gives 3 for most uses.
+/// The number of members to which an indirect probe, a round of gossip or a request is sent. The SWIM paper gives 3 for most
+/// uses.
 pub(crate) const FANOUT: NonZeroUsize = NonZeroUsize::new(3).unwrap();
 /// Rounds of gossip in a period while there are updates: five rounds reach 3^5 members within one period.
 pub(crate) const GOSSIP_ROUNDS_PER_PERIOD: u32 = 5;
-/// How long `foca` keeps a member that is down.
+/// How long `foca` stores a member that is down.
 const DOWN_RETENTION: Duration = Duration::from_secs(3600);
-/// Times that a member passes on an update, at most. Of n members that each send an update k times to random others, a fraction
-/// of e^-k misses it. In a small fleet that must not happen to a suspect: e^-12.
+/// The maximum number of times that a member sends an update with gossip. If n members each send an update k times to random
+/// others, a fraction of e^-k doesn't receive it. In a small fleet a suspect must receive its suspicion: e^-12.
 const MAX_TRANSMISSIONS: u32 = 12;
-/// Times that a member passes on an update, at least. In a large fleet anti-entropy repairs what was missed, and k times n
-/// transmissions are what costs most.
+/// The minimum number of times that a member sends an update with gossip. In a large fleet anti-entropy delivers the updates
+/// that gossip missed, and the k times n transmissions are the largest share of the traffic.
 const MIN_TRANSMISSIONS: u32 = 4;
-/// Transmissions of one update by all members together, between the two bounds above.
+/// The target for the transmissions of one update by all members together, within the two bounds above for each member.
 const FLEET_TRANSMISSIONS: u32 = 600;
 /// The suspicion timeout in periods, before it is scaled by the size of the fleet.
 const SUSPICION_PERIODS: u32 = 4;
 
-/// How this sender takes part in the fleet.
+/// The settings of a member.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This member's name, for people.
+    /// This member's name, for logs and the status page.
     pub name: String,
-    /// The UDP address that the other members reach us at.
+    /// The UDP address at which other members reach this one.
     pub at: SocketAddr,
-    /// Addresses of members to announce ourselves to.
+    /// UDP addresses of members to contact in order to join the fleet. This member's own address may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// The key that all packets of the fleet are authenticated with.
+    /// The key that authenticates all packets of the fleet.
     pub key: Key,
-    /// The probe period: in each one, one other member is probed.
+    /// The probe period: one other member is probed in each.
     pub period: Duration,
-    /// Without an answer for this long, a probe is repeated through other members. Less than a period.
+    /// How long to wait for the answer to a direct probe before probing through other members. Must be less than the period.
     pub round_trip: Duration,
-    /// How long a suspected member may refute the suspicion; `None` for the default of [`Settings::suspicion`].
+    /// How long a suspected member has to refute the suspicion; `None` for the default in [`Settings::suspicion`].
     pub suspicion: Option<Duration>,
-    /// How long a majority must agree that a member is down before it is evicted and its quota is free; `None` for never.
+    /// How long a majority must vote a member down, without interruption, before the member is evicted and its quota is
+    /// released. `None`: members that are down are never evicted, only those that announced that they leave.
     pub eviction_delay: Option<Duration>,
-    /// A packet is dropped whose time of sending differs from our clock by more than this.
+    /// A packet is dropped if its time of sending differs from this member's clock by more than this, in either direction.
     pub max_packet_age: Duration,
-    /// The number of senders by the deployment's settings, ourselves included.
+    /// The configured number of senders in the fleet, this one included.
     pub configured_members: u32,
 }
 
 impl Settings {
-    /// The suspicion timeout: as set, or 4 log10(n) periods as in memberlist, with at least four.
+    /// The suspicion timeout: the one set, or 4 log10(n) periods as in HashiCorp's memberlist, and at least four periods.
     pub fn suspicion(&self) -> Duration {
         let scale = f64::from(self.configured_members.max(1)).log10().max(1.0);
         self.suspicion
@@ -70,13 +72,13 @@
             max_transmissions: self.transmissions(),
             suspect_to_down_after: self.suspicion(),
             remove_down_after: Some(DOWN_RETENTION),
-            max_packet_size: NonZeroUsize::new(MAX_MESSAGE).unwrap_or(NonZeroUsize::MAX),
+            max_packet_size: NonZeroUsize::new(MAX_MESSAGE_BYTES).unwrap_or(NonZeroUsize::MAX),
             notify_down_members: true,
-            // Replaced by anti-entropy.
+            // Replaced by anti-entropy, which finds members that are unknown on either side.
             periodic_announce: None,
-            // Replaced by `Swim::contact_absent`: foca's stops while no member is known to be alive.
+            // Replaced by `Swim::on_contact_timer`: foca's stops while no member is known to be alive.
             periodic_announce_to_down_members: None,
-            // Replaced by `Swim::gossip`, which keeps to the byte limit.
+            // Replaced by `Swim::on_gossip_timer`, which respects the limit on sent bytes.
             periodic_gossip: None,
         }
     }
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,17 +1,17 @@
-//! A queue of timers in virtual time.
+//! A queue of timers, ordered by time. The caller provides the clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
 
-/// Timers by their time; those of the same time fire in the order in which they were scheduled.
+/// Scheduled timers. Those with the same time fire in the order in which they were scheduled.
 #[derive(Debug)]
 pub(crate) struct Timers<T> {
     queue: BTreeMap<(Time, u64), T>,
-    /// Timers scheduled so far: orders those of the same time.
+    /// The number of timers scheduled so far, which orders timers with the same time.
     scheduled: u64,
-    /// The wake-up that the caller was asked for last, unless it has fired.
+    /// The wake-up requested of the caller, unless it has fired.
     wakeup: Option<Time>,
 }
 
@@ -29,12 +29,12 @@
         self.queue.insert((at, self.scheduled), timer);
     }
 
-    /// The time of the earliest timer.
+    /// The time of the earliest timer; `None` if no timer is scheduled.
     pub(crate) fn next_at(&self) -> Option<Time> {
         self.queue.first_key_value().map(|(&(at, _), _)| at)
     }
 
-    /// Removes the earliest timer if its time has come.
+    /// Removes and returns the earliest timer if it is due.
     pub(crate) fn pop_due(&mut self, now: Time) -> Option<T> {
         let earliest = self.queue.first_entry()?;
         let is_due = earliest.key().0 <= now;
@@ -53,12 +53,12 @@
         self.queue.clear();
     }
 
-    /// The requested wake-up has fired, so the next one must be requested anew even if it is for the same time.
+    /// Records that the requested wake-up has fired. The next one must be requested again even if it is for the same time.
     pub(crate) fn wakeup_fired(&mut self) {
         self.wakeup = None;
     }
 
-    /// The wake-up to request, if it isn't the one that was requested last.
+    /// The wake-up to request of the caller; `None` if it is already requested or if no timer is scheduled.
     pub(crate) fn changed_wakeup(&mut self) -> Option<Time> {
         let next = self.next_at();
         if next == self.wakeup {
--- a/crates/membership/src/token_bucket.rs
+++ b/crates/membership/src/token_bucket.rs
@@ -1,23 +1,23 @@
-//! The limit on the bytes that a member sends: a token bucket with a reserve.
+//! The limit on the bytes that a member sends: a token bucket with a reserve for gossip.
 
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
 
-/// The fraction of the burst that bulk traffic leaves to gossip.
+/// The fraction of a full bucket that is reserved for gossip.
 const BULK_RESERVE: f64 = 0.25;
 
-/// The priority of a packet.
+/// The class of a packet that is subject to the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TrafficClass {
-    /// Gossip: sent while there are tokens.
+    /// Gossip and pages of sets: sent while there are any tokens.
     Gossip,
-    /// Anti-entropy and lists of members: sent while there are more tokens than the reserve.
+    /// Other anti-entropy messages and lists of members: sent while there are more tokens than the reserve.
     Bulk,
 }
 
-/// A token bucket whose tokens are bytes. Probes, their answers, refutations, notifications of suspects and leaves are charged
-/// without being limited, so the bucket may be overdrawn.
+/// A token bucket whose tokens are bytes. Probes, their answers, refutations, notifications to suspects and leaves are charged
+/// but not limited, so the number of tokens may become negative.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
     bytes_per_second: f64,
@@ -27,7 +27,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket; `burst` is how long unused tokens add up.
+    /// A full bucket, whose capacity is the tokens that accumulate in a time of `burst`.
     pub(crate) fn new(bytes_per_second: u32, burst: Duration, now: Time) -> TokenBucket {
         let bytes_per_second = f64::from(bytes_per_second);
         let burst = bytes_per_second * burst.as_secs_f64();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether a packet of a class may be sent now.
+    /// Whether a packet of a class may be sent at `now`.
     pub(crate) fn allows(&mut self, now: Time, class: TrafficClass) -> bool {
         self.refill(now);
         match class {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Charges a packet that was sent. The bucket is overdrawn by at most one burst.
+    /// Charges a packet that was sent. The number of tokens doesn't fall below minus one capacity.
     pub(crate) fn charge(&mut self, now: Time, bytes: usize) {
         self.refill(now);
         self.tokens = (self.tokens - bytes as f64).max(-self.burst);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,19 +1,19 @@
-//! Another member as this one sees it.
+//! The state of another member in this member's view.
 
 use cranehill_scheduler::Time;
 
 use crate::identity::Identity;
 
-/// The state of a member in our view.
+/// The state of another member in this member's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It answers probes.
+    /// The member answers probes, or refuted the latest suspicion.
     Alive,
-    /// A probe failed; the member may refute the suspicion.
+    /// A probe failed. The member has the suspicion timeout to refute the suspicion.
     Suspect,
     /// The suspicion was not refuted in time, or another member reported the member down.
     Down,
-    /// It announced its end, and is down.
+    /// The member announced that it leaves, and is down.
     Left,
 }
 
@@ -28,21 +28,22 @@
         }
     }
 
-    /// Whether the member counts as present: alive or suspect.
+    /// Whether the member counts as active: alive or suspect.
     pub fn is_active(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
-/// Another member as we see it.
+/// Another member's identity and state in this member's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// The member in its latest known incarnation.
+    /// The member's identity in its latest known incarnation.
     pub member: Identity,
-    /// SWIM's own counter: grows within an incarnation each time that the member refutes a suspicion.
+    /// The incarnation number of the SWIM paper: within one [`Identity::incarnation`], it grows each time that the member refutes
+    /// a suspicion.
     pub swim_incarnation: u16,
-    /// The member's state.
+    /// Alive, suspect, down or left.
     pub state: State,
-    /// When the member came to be in that state in our view.
+    /// When the member entered that state in this member's view.
     pub since: Time,
 }
--- a/crates/membership/src/vote.rs
+++ b/crates/membership/src/vote.rs
@@ -1,5 +1,5 @@
-//! Votes: which members each member considers down. The newest vote of each member counts. A vote names its set of down
-//! members by a hash; the sets are stored once each, in [`crate::down_sets::DownSets`].
+//! Votes on which members are down. The newest vote of each member counts. A vote refers to its set of down members by hash;
+//! many votes share a set, which is stored once, in [`crate::down_sets::DownSets`].
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,22 @@
 
 use crate::digest::{Digest, ShortHash};
 
-/// Bytes of a vote's payload: a vote with its frame must fit into a packet.
-pub const MAX_PAYLOAD: usize = 256;
-/// Voters whose votes are stored: one for each member that may be known.
+/// The maximum size in bytes of a vote's payload, so that the vote fits into a packet.
+pub const MAX_PAYLOAD_BYTES: usize = 256;
+/// The maximum number of voters whose votes are stored: the maximum number of known members.
 pub const MAX_VOTERS: usize = 4096;
 
-/// One member's vote.
+/// One member's vote, with the payload that it broadcasts to all members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vote {
-    /// Grows with each vote of an incarnation.
+    /// The vote's sequence number, which grows with each vote of the voter's incarnation.
     pub number: u32,
-    /// The voter is about to end, of its own accord.
+    /// Whether the voter announces that it leaves the fleet: its process is shutting down.
     pub leaves: bool,
-    /// The hash of the set of members that the voter considers down; `None` for the empty set.
+    /// The hash of the set of members that the voter considers down; `None` for the empty set. See
+    /// [`crate::down_sets::DownSets::hash_of`].
     pub down: Option<ShortHash>,
-    /// The voter's payload for all members; opaque to this crate.
+    /// The voter's payload for all members, opaque to this crate. At most [`MAX_PAYLOAD_BYTES`] bytes.
     pub payload: Vec<u8>,
 }
 
@@ -42,14 +43,14 @@
         ])
     }
 
-    /// The order of a voter's votes. The hash decides between two with the same number, which only a faulty voter sends, so
-    /// that all members keep the same one.
+    /// Orders the votes of one voter. The hash decides between two with the same number, which only a faulty voter sends, so that
+    /// all members store the same one.
     fn rank(&self, voter: ShortHash) -> (u32, ShortHash) {
         (self.number, self.hash(voter))
     }
 }
 
-/// The newest vote of each voter, by [`crate::digest::identity_hash`].
+/// The newest vote of each voter, by the voter's [`crate::digest::identity_hash`].
 #[derive(Clone, Debug, Default)]
 pub struct Votes {
     newest: BTreeMap<ShortHash, Vote>,
@@ -59,12 +60,13 @@
 }
 
 impl Votes {
-    /// Stores a vote if it is newer than the stored one of its voter. False if it isn't, or if a bound is exceeded.
+    /// Stores a vote if it is newer than the stored one of its voter. False if it isn't, if its payload exceeds [`MAX_PAYLOAD_BYTES`]
+    /// bytes, or if there are [`MAX_VOTERS`] other voters.
     pub fn insert(&mut self, voter: ShortHash, vote: Vote) -> bool {
         let known = self.newest.get(&voter);
         let is_newer = known.is_none_or(|known| known.rank(voter) < vote.rank(voter));
         let has_room = known.is_some() || self.newest.len() < MAX_VOTERS;
-        if !is_newer || !has_room || vote.payload.len() > MAX_PAYLOAD {
+        if !is_newer || !has_room || vote.payload.len() > MAX_PAYLOAD_BYTES {
             return false;
         }
         self.digest.add(voter.bucket(), vote.hash(voter));
@@ -79,32 +81,32 @@
         true
     }
 
-    /// The newest vote of a voter.
+    /// The newest vote of a voter; `None` if the voter has none.
     pub fn get(&self, voter: ShortHash) -> Option<&Vote> {
         self.newest.get(&voter)
     }
 
-    /// All votes, by voter.
+    /// The newest vote of each voter, in the order of the voters' hashes.
     pub fn iter(&self) -> impl Iterator<Item = (ShortHash, &Vote)> {
         self.newest.iter().map(|(voter, vote)| (*voter, vote))
     }
 
-    /// The digest over all votes.
+    /// The digest over all stored votes.
     pub fn digest(&self) -> &Digest {
         &self.digest
     }
 
-    /// A counter that grows with each change.
+    /// A counter that grows with each vote that is stored or removed.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// A counter that grows with each change of a payload.
+    /// A counter that grows with each change of a voter's payload.
     pub fn payload_changes(&self) -> u64 {
         self.payload_changes
     }
 
-    /// Removes the votes of voters that are no longer known.
+    /// Removes the votes of the voters for which `is_known` is false.
     pub fn retain(&mut self, is_known: impl Fn(ShortHash) -> bool) {
         let unknown: Vec<ShortHash> = self
             .newest
--- a/crates/membership/src/vote_broadcast.rs
+++ b/crates/membership/src/vote_broadcast.rs
@@ -1,4 +1,4 @@
-//! Votes that are broadcast with SWIM's gossip, where others must learn of them at once.
+//! Votes that are broadcast with SWIM's gossip, which is faster than anti-entropy: changes of a payload, and leaves.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -6,9 +6,9 @@
 
 use crate::digest::ShortHash;
 use crate::identity::Identity;
-use crate::vote::{MAX_PAYLOAD, Vote, Votes};
+use crate::vote::{MAX_PAYLOAD_BYTES, Vote, Votes};
 
-/// The votes, shared with `foca`: it owns its [`foca::BroadcastHandler`] and gives no access to it.
+/// The votes, shared with the [`VoteHandler`], which `foca` owns and gives no access to.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedVotes(Arc<Mutex<Votes>>);
 
@@ -18,18 +18,18 @@
     }
 }
 
-/// A vote as it is broadcast.
+/// A vote with its voter, as encoded in a SWIM broadcast.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct VoteBroadcast {
     pub(crate) voter: ShortHash,
     pub(crate) vote: Vote,
 }
 
-/// Stores the votes that arrive with gossip, and lets `foca` pass on those that were new.
+/// Stores the votes that arrive with gossip, and has `foca` forward those that were newer than the stored ones.
 #[derive(Debug)]
 pub(crate) struct VoteHandler(pub(crate) SharedVotes);
 
-/// The voter of a broadcast: a newer vote replaces an older one of the same voter that is still to be passed on.
+/// The voter of a broadcast. A newer broadcast of the same voter replaces an older one in `foca`'s queue of broadcasts.
 #[derive(Debug)]
 pub(crate) struct VoterKey(ShortHash);
 
@@ -43,7 +43,7 @@
 pub(crate) enum VoteError {
     #[error("a broadcast vote can't be decoded: {0}")]
     Decode(#[from] postcard::Error),
-    #[error("a broadcast vote has a payload of {0} bytes, more than {MAX_PAYLOAD}")]
+    #[error("a broadcast vote has a payload of {0} bytes, more than {MAX_PAYLOAD_BYTES}")]
     PayloadTooLong(usize),
 }
 
@@ -57,7 +57,7 @@
         _from: Option<&Identity>,
     ) -> Result<Option<VoterKey>, VoteError> {
         let VoteBroadcast { voter, vote } = postcard::from_bytes(data)?;
-        if vote.payload.len() > MAX_PAYLOAD {
+        if vote.payload.len() > MAX_PAYLOAD_BYTES {
             return Err(VoteError::PayloadTooLong(vote.payload.len()));
         }
         let is_new = self.0.lock().insert(voter, vote);
--- a/crates/membership/src/voting.rs
+++ b/crates/membership/src/voting.rs
@@ -1,5 +1,5 @@
-//! Which set of down members to vote for. A member adopts a set that others have voted for if its own view confirms all of it,
-//! and proposes a new set only after a random delay, so that the votes of the fleet name few different sets.
+//! Chooses the set of down members to vote for. A member adopts a set that others voted for if its own view confirms the whole
+//! set. It proposes a new set only after a random delay, so that the votes of the fleet refer to few different sets.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,58 +11,59 @@
 use crate::member_table::MemberTable;
 use crate::vote::Votes;
 
-/// The size of a fleet in which the delays are one period; they grow with the fleet.
+/// The fleet size, in members, for which the delays are one period. They are proportional to the fleet size.
 const MEMBERS_PER_DELAY_PERIOD: f64 = 100.0;
-/// The least delay of a proposal, in periods.
+/// The minimum of the upper limit on the delay of a proposal, in periods.
 const MIN_DELAY_PERIODS: f64 = 0.2;
-/// The greatest delay of a proposal, in periods.
+/// The maximum of the upper limit on the delay of a proposal, in periods.
 const MAX_DELAY_PERIODS: f64 = 4.0;
-/// The greatest time, in periods, after which a down member must be voted for.
+/// The maximum settle time, in periods.
 const MAX_SETTLE_PERIODS: f64 = 2.0;
 
-/// What [`Voting::decide`] decided.
+/// The result of [`Voting::decide`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteDecision {
-    /// The present vote stands.
+    /// Keep the current vote: its set contains all down members.
     Keep,
-    /// Vote for the set with this hash.
+    /// Cast a vote for the set with this hash.
     Vote(ShortHash),
-    /// Decide again at this time.
+    /// Keep the current vote for now, and decide again at this time.
     WaitUntil(Time),
 }
 
-/// Our own vote on which members are down.
+/// The state of this member's own vote on which members are down.
 #[derive(Debug)]
 pub struct Voting {
-    /// How long a member must be down before it must be voted for.
+    /// How long a member must be down before the vote has to include it.
     settle_time: Duration,
-    /// A new set is proposed after a random fraction of this.
+    /// The upper limit on the delay of a proposal; the delay is a random fraction of it.
     max_proposal_delay: Duration,
-    /// The set that we vote for.
-    voted: Option<ShortHash>,
-    /// When to propose a set of our own.
+    /// The hash of the set that this member votes for; `None` for the empty set.
+    voted_set: Option<ShortHash>,
+    /// When to propose a new set, unless another member's set can be adopted before.
     propose_at: Option<Time>,
 }
 
 impl Voting {
-    /// No vote yet; the delays follow from the probe period and the configured number of members.
+    /// The state without a vote. The delays are derived from the probe period and the configured number of members.
     pub fn new(period: Duration, members: u32) -> Voting {
         let delay_periods = (f64::from(members) / MEMBERS_PER_DELAY_PERIOD)
             .clamp(MIN_DELAY_PERIODS, MAX_DELAY_PERIODS);
         Voting {
             settle_time: period.mul_f64(delay_periods.min(MAX_SETTLE_PERIODS)),
             max_proposal_delay: period.mul_f64(delay_periods),
-            voted: None,
+            voted_set: None,
             propose_at: None,
         }
     }
 
-    /// The set that we vote for; `None` for the empty one.
-    pub fn voted(&self) -> Option<ShortHash> {
-        self.voted
+    /// The hash of the set that this member votes for; `None` for the empty set.
+    pub fn voted_set(&self) -> Option<ShortHash> {
+        self.voted_set
     }
 
-    /// Decides on the present down members; `fraction`, from 0 to 1, is the random part of the proposal's delay.
+    /// Decides whether to change the vote, given the members that are down in `table`. `fraction`, a random number from 0 to 1, is
+    /// the part of the upper limit by which a proposal is delayed. May insert a new set into `sets`.
     pub fn decide(
         &mut self,
         now: Time,
@@ -71,7 +72,7 @@
         sets: &mut DownSets,
         fraction: f64,
     ) -> VoteDecision {
-        let Some(settled_at) = self.first_unnamed_settles_at(table, sets) else {
+        let Some(settled_at) = self.first_missing_settles_at(table, sets) else {
             self.propose_at = None;
             return VoteDecision::Keep;
         };
@@ -95,29 +96,30 @@
         }
         match sets.insert(down) {
             Some(set) => self.vote_for(set),
-            // There will be room for another set once others have changed their votes.
+            // `sets` is full. Sets are removed when members vote for others, so retry later.
             None => VoteDecision::WaitUntil(now + self.settle_time),
         }
     }
 
-    /// When the first down member that our vote doesn't name must be voted for; `None` if it names all.
-    fn first_unnamed_settles_at(&self, table: &MemberTable, sets: &DownSets) -> Option<Time> {
-        let named = self.voted.and_then(|set| sets.get(set));
+    /// The earliest time at which a down member that is missing from the voted set has to be included; `None` if none is missing.
+    fn first_missing_settles_at(&self, table: &MemberTable, sets: &DownSets) -> Option<Time> {
+        let voted_members = self.voted_set.and_then(|set| sets.get(set));
         table
             .down()
-            .filter(|(hash, _)| named.is_none_or(|set| !set.contains(hash)))
+            .filter(|(hash, _)| voted_members.is_none_or(|set| !set.contains(hash)))
             .map(|(_, view)| view.since + self.settle_time)
             .min()
     }
 
     fn vote_for(&mut self, set: ShortHash) -> VoteDecision {
         self.propose_at = None;
-        self.voted = Some(set);
+        self.voted_set = Some(set);
         VoteDecision::Vote(set)
     }
 }
 
-/// The set with the most votes that names all settled members, and no member that isn't down or ended in our own view.
+/// The set with the most votes that contains all members in `settled`, and otherwise only incarnations that are down or
+/// superseded in this member's view.
 fn adoptable_set(
     table: &MemberTable,
     votes: &Votes,
@@ -131,7 +133,7 @@
     }
     let is_confirmed = |set: ShortHash| {
         sets.get(set).is_some_and(|members| {
-            let all_down = |hash: &ShortHash| down.contains(hash) || table.has_ended(*hash);
+            let all_down = |hash: &ShortHash| down.contains(hash) || table.is_superseded(*hash);
             settled.is_subset(members) && members.iter().all(all_down)
         })
     };
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -287,9 +287,9 @@
         [
             DropReason::Replayed,
             DropReason::WrongKey,
-            DropReason::Short,
-            DropReason::Foreign,
-            DropReason::Old
+            DropReason::TooShort,
+            DropReason::BadMagic,
+            DropReason::TimeOutOfRange
         ]
     );
     network.start(2, network.now, [8; 32]);
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -115,12 +115,12 @@
         );
         assert_eq!(
             open(&KEY, SENT_MS + MAX_AGE_MS + 1),
-            Err(DropReason::Old),
+            Err(DropReason::TimeOutOfRange),
             "{name}"
         );
         assert_eq!(
             open(&KEY, SENT_MS - MAX_AGE_MS - 1),
-            Err(DropReason::Old),
+            Err(DropReason::TimeOutOfRange),
             "{name}"
         );
     }
--- a/crates/membership/tests/scale.rs
+++ b/crates/membership/tests/scale.rs
@@ -130,7 +130,7 @@
         let member = network.members[i].as_ref().expect("it runs");
         member
             .dropped()
-            .find(|(why, _)| *why == DropReason::OtherVersion)
+            .find(|(why, _)| *why == DropReason::UnsupportedFormat)
             .map(|(_, times)| times)
     };
     assert_eq!((0..4).map(other_version).collect::<Vec<_>>(), [Some(60); 4]);
--- a/crates/membership/tests/votes.rs
+++ b/crates/membership/tests/votes.rs
@@ -7,7 +7,7 @@
 
 use common::{START, address};
 use cranehill_membership::digest::{ShortHash, identity_hash};
-use cranehill_membership::down_sets::{DownSets, MAX_DOWN, MAX_SETS, SetPage};
+use cranehill_membership::down_sets::{DownSets, MAX_SET_MEMBERS, MAX_SETS, SetPage};
 use cranehill_membership::member_table::MemberTable;
 use cranehill_membership::quota::QuotaDivisor;
 use cranehill_membership::vote::{Vote, Votes};
@@ -208,13 +208,13 @@
 #[test]
 fn sets_are_bounded() {
     let mut sets = DownSets::default();
-    let too_many: BTreeSet<ShortHash> = (0..=MAX_DOWN)
+    let too_many: BTreeSet<ShortHash> = (0..=MAX_SET_MEMBERS)
         .map(|n| ShortHash::of(&[&n.to_le_bytes()]))
         .collect();
     assert_eq!(sets.insert(too_many), None);
     assert!(!sets.add_page(&SetPage {
         set: hash(1),
-        total: MAX_DOWN as u32 + 1,
+        total: MAX_SET_MEMBERS as u32 + 1,
         offset: 0,
         members: vec![hash(2)]
     }));
