--- a/crates/membership/examples/membership_figures.rs
+++ b/crates/membership/examples/membership_figures.rs
@@ -1,10 +1,11 @@
-//! The costs of membership by the size of the fleet, in virtual time.
+//! Measures the cost of membership for fleets of several sizes, simulated in virtual time.
 //!
 //! `cargo run --release -p cranehill-membership --example membership_figures -- [SCENARIO,..] [SIZE,..] [PERIOD_MS] [SEED]`
 //!
-//! One line a play: bytes of UDP payload a member a second by what they carry, the member and ten seconds with most, packets,
-//! time in `step`, detection (from a crash to `down` in each other view), agreement after the last disturbance, and pairs of
-//! running members of which the one doesn't see the other as alive at the end.
+//! Prints one line per scenario and size: bytes of UDP payload per member and second, in total and by content; the maximum of any
+//! member over ten seconds; packets; processor time in `step`; detection times in ms (from a crash to `down` in each other view);
+//! the time in seconds until all views agree after the last disturbance; pairs of running members of which the first doesn't have
+//! the second as alive at the end; and members wrongly declared down.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -20,10 +21,10 @@
     "start", "quiet", "crashes", "zone", "region", "halves", "restart",
 ];
 const SIZES: [usize; 6] = [10, 30, 100, 200, 300, 490];
-/// Seconds over which the most of a member is taken.
+/// The number of seconds over which a member's maximum traffic is measured.
 const WINDOW: u64 = 10;
 
-/// Processor time of this thread, where the system reports it.
+/// The processor time of this thread; `None` if `/proc/thread-self/schedstat` can't be read, as on systems other than Linux.
 fn thread_time() -> Option<Duration> {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
     text.split_whitespace()
@@ -33,6 +34,7 @@
         .map(Duration::from_nanos)
 }
 
+/// One scenario on a fleet of one size, with its measurements.
 struct ScenarioRun {
     network: Network,
     thread_time: Option<Duration>,
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Runs until all members see each other; not counted.
+    /// Runs until all members have each other as alive, then resets the measurements.
     fn settle(&mut self) {
         let limit = self.network.period * 900;
         if self
@@ -64,7 +66,7 @@
             .is_none()
         {
             eprintln!(
-                "not agreed {limit:?} after the start: {} pairs unseen",
+                "views don't agree {limit:?} after the start: {} pairs of members not seen as alive",
                 self.network.unseen_pairs()
             );
         }
@@ -85,90 +87,94 @@
         self.crashes.push((self.network.now, members));
     }
 
-    /// Runs for a number of periods, and records when all views had converged.
-    fn agree(&mut self, periods: u32) {
+    /// Runs for a number of periods, and records after what time all views agreed.
+    fn measure_agreement(&mut self, periods: u32) {
         let limit = self.network.period * periods;
         let started_at = self.network.now;
         self.agreed = self.network.run_until(limit, Network::has_converged);
-        let left = limit.saturating_sub(self.network.now - started_at);
-        self.network.run(left);
+        let remaining = limit.saturating_sub(self.network.now - started_at);
+        self.network.run(remaining);
     }
 
-    fn play(&mut self, scenario: &str) {
+    fn run_scenario(&mut self, scenario: &str) {
         if scenario == "start" {
-            return self.agree(60);
+            return self.measure_agreement(60);
         }
         self.settle();
         match scenario {
-            "crashes" => self.play_crashes(),
+            "crashes" => self.run_crashes(),
             "zone" => {
-                self.crash_those(|i| i % 6 == 3);
+                self.crash_where(|i| i % 6 == 3);
                 self.run(60);
             }
             "region" => {
-                self.crash_those(|i| i % 2 == 1);
+                self.crash_where(|i| i % 2 == 1);
                 self.run(60);
             }
-            "halves" => self.play_halves(),
-            "restart" => self.play_restart(),
-            _ => self.agree(60),
+            "halves" => self.run_halves(),
+            "restart" => self.run_restart(),
+            _ => self.measure_agreement(60),
         }
     }
 
-    fn those(&self, is_chosen: impl Fn(usize) -> bool) -> Vec<usize> {
+    fn members_where(&self, is_chosen: impl Fn(usize) -> bool) -> Vec<usize> {
         let members = 0..self.network.members.len();
         members.filter(|i| is_chosen(*i)).collect()
     }
 
-    fn crash_those(&mut self, is_chosen: impl Fn(usize) -> bool) {
-        self.crash(self.those(is_chosen));
+    fn crash_where(&mut self, is_chosen: impl Fn(usize) -> bool) {
+        self.crash(self.members_where(is_chosen));
     }
 
-    /// One in ten members crashes and restarts, three times.
-    fn play_crashes(&mut self) {
+    /// One in ten members crashes and restarts, in three rounds with different members.
+    fn run_crashes(&mut self) {
         const ROUNDS: usize = 3;
         for round in 0..ROUNDS {
-            let few = self.those(|i| i % 10 == 2 + round);
-            self.crash(few.clone());
+            let chosen = self.members_where(|i| i % 10 == 2 + round);
+            self.crash(chosen.clone());
             self.run(24);
-            self.network.restart(few);
+            self.network.restart(chosen);
             if round + 1 < ROUNDS {
                 self.run(14);
             }
         }
-        self.agree(14);
+        self.measure_agreement(14);
     }
 
-    /// The fleet is partitioned into halves for a minute.
-    fn play_halves(&mut self) {
-        let (even, odd) = (self.those(|i| i % 2 == 0), self.those(|i| i % 2 == 1));
+    /// The fleet is partitioned into halves for 60 periods.
+    fn run_halves(&mut self) {
+        let (even, odd) = (
+            self.members_where(|i| i % 2 == 0),
+            self.members_where(|i| i % 2 == 1),
+        );
         self.network.split(&even, &odd);
         self.run(60);
         self.network.blocked.clear();
-        self.agree(60);
+        self.measure_agreement(60);
     }
 
-    /// Seven in ten members restart at once.
-    fn play_restart(&mut self) {
-        let most = self.those(|i| i % 10 > 2);
-        self.network.crash(most.iter().copied());
+    /// Seven in ten members crash, and all restart together one period later.
+    fn run_restart(&mut self) {
+        let chosen = self.members_where(|i| i % 10 > 2);
+        self.network.crash(chosen.iter().copied());
         self.run(1);
-        self.network.restart(most);
-        self.agree(60);
+        self.network.restart(chosen);
+        self.measure_agreement(60);
     }
 
-    /// Milliseconds from each crash to `down` in each view that was running, sorted; and views that never came to it.
+    /// The milliseconds from each crash to `down` in the view of each running member, sorted; and the number of views that didn't
+    /// change to `down`.
     fn detection(&self) -> (Vec<u64>, usize) {
         let mut times = Vec::new();
         let mut expected = 0;
-        for (when, removed) in &self.crashes {
+        for (crashed_at, removed) in &self.crashes {
             expected += removed.len() * (self.network.members.len() - removed.len());
             for change in &self.network.changes {
-                let until = *when + self.network.period * 24;
+                let until = *crashed_at + self.network.period * 24;
                 let counts =
-                    change.time >= *when && (change.time <= until || self.crashes.len() == 1);
+                    change.time >= *crashed_at && (change.time <= until || self.crashes.len() == 1);
                 if counts && change.state == State::Down && removed.contains(&change.of) {
-                    times.push((change.time - *when).as_millis() as u64);
+                    times.push((change.time - *crashed_at).as_millis() as u64);
                 }
             }
         }
@@ -177,12 +183,15 @@
         (times, missing)
     }
 
-    /// Time in `step`: no more than what passed in it, and no more than the processor time of the whole play.
+    /// The processor time in `step`, estimated as the smaller of the real time spent in it and the thread's processor time since the
+    /// measurements were reset.
     fn cpu(&self) -> Duration {
-        let whole = thread_time()
+        let thread_total = thread_time()
             .zip(self.thread_time)
             .map(|(now, then)| now.saturating_sub(then));
-        whole.map_or(self.network.cpu, |whole| whole.min(self.network.cpu))
+        thread_total.map_or(self.network.cpu, |thread_total| {
+            thread_total.min(self.network.cpu)
+        })
     }
 
     fn row(&self, scenario: &str) -> String {
@@ -197,25 +206,29 @@
         let both = rate(traffic.bytes_out() + traffic.bytes_in());
         let with_headers = both + rate(traffic.packets * IP_UDP_HEADERS * 2);
         let (times, missing) = self.detection();
-        let at = |q: f64| {
+        let quantile = |fraction: f64| {
             times
-                .get(((times.len().max(1) - 1) as f64 * q) as usize)
+                .get(((times.len().max(1) - 1) as f64 * fraction) as usize)
                 .copied()
                 .unwrap_or(0)
         };
         let agreed = self
             .agreed
             .map_or("-".to_owned(), |t| format!("{:.1}", t.as_secs_f64()));
-        let removed: Vec<usize> = self.crashes.iter().flat_map(|c| c.1.clone()).collect();
+        let removed: Vec<usize> = self
+            .crashes
+            .iter()
+            .flat_map(|crash| crash.1.clone())
+            .collect();
         let false_downs = network
             .changes
             .iter()
-            .filter(|c| c.state == State::Down && !removed.contains(&c.of))
+            .filter(|change| change.state == State::Down && !removed.contains(&change.of))
             .count();
         format!(
             "{scenario:8} {n:4} | {both:7.0} {with_headers:7.0} {:7.0} | {:6.0} {:6.0} {:6.0} {:6.0} {:6.0} | {:5.1} {:7.2} | \
              {:6} {:6} {:6} {missing:5} | {agreed:>6} {:6} {false_downs:6}",
-            traffic.most(n, WINDOW),
+            traffic.peak_bytes_per_second(n, WINDOW),
             of(Content::Probes),
             of(Content::Updates),
             of(Content::Broadcasts),
@@ -223,9 +236,9 @@
             of(Content::AntiEntropy),
             rate(traffic.packets),
             self.cpu().as_secs_f64() * 1000.0 / span,
-            at(0.5),
-            at(0.99),
-            at(1.0),
+            quantile(0.5),
+            quantile(0.99),
+            quantile(1.0),
             network.unseen_pairs(),
         )
     }
@@ -255,9 +268,9 @@
     );
     for scenario in &scenarios {
         for &n in &sizes {
-            let mut play = ScenarioRun::start(n, period, seed);
-            play.play(scenario);
-            println!("{}", play.row(scenario));
+            let mut scenario_run = ScenarioRun::start(n, period, seed);
+            scenario_run.run_scenario(scenario);
+            println!("{}", scenario_run.row(scenario));
         }
     }
 }
--- a/crates/membership/src/anti_entropy/local_state.rs
+++ b/crates/membership/src/anti_entropy/local_state.rs
@@ -50,7 +50,7 @@
     }
 
     /// The message that starts a comparison.
-    pub(crate) fn compare(&self) -> Message {
+    pub(crate) fn compare_message(&self) -> Message {
         Message::Compare {
             members: self.member_digest().root(),
             votes: self.votes.digest().root(),
@@ -58,7 +58,7 @@
     }
 
     /// The answer to [`Message::Compare`]; `None` if nothing differs.
-    pub(crate) fn differs(
+    pub(crate) fn differs_message(
         &self,
         their_members: ShortHash,
         their_votes: ShortHash,
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -16,7 +16,7 @@
 /// The number of superseded incarnations that are stored. Bounds memory; sets of down members contain a superseded incarnation
 /// only for a short time.
 const MAX_SUPERSEDED: usize = 1024;
-/// A member that has been down for longer isn't announced to others. Half of the time after which `foca` forgets it, so that
+/// The maximum time that a member is announced to others after it went down. Half of the time after which `foca` forgets it, so that
 /// a member that has just forgotten it doesn't learn it from others again.
 pub const MAX_ANNOUNCED_DOWN_TIME: Duration = Duration::from_secs(1800);
 
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -244,13 +244,13 @@
     }
 
     fn on_vote_timer(&mut self) {
-        let me = self.replica.own_hash();
+        let own_hash = self.replica.own_hash();
         let Replica {
             context,
             swim,
             quorum,
         } = &mut self.replica;
-        if quorum.on_vote_timer(context, swim.table(), me) {
+        if quorum.on_vote_timer(context, swim.table(), own_hash) {
             self.anti_entropy.expect_difference();
             compare_with_random_peers(&mut self.replica);
         }
@@ -263,7 +263,7 @@
         self.replica.quorum.set_payload(payload);
         self.anti_entropy.cast_vote(&mut self.replica, false);
         self.replica.broadcast_vote();
-        // Members decide together on the payloads, so this one is gossiped at once instead of with the next round.
+        // Other members make joint decisions from payloads, so it is sent at once instead of with the next round of gossip.
         self.replica.swim.gossip();
     }
 
--- a/crates/membership/src/members/anti_entropy.rs
+++ b/crates/membership/src/members/anti_entropy.rs
@@ -73,9 +73,9 @@
         self.set_requests.start_period();
         replica.swim.notify_accused(&mut replica.context);
         replica.swim.expire_announcements(replica.context.now);
-        let me = replica.own_hash();
-        let referenced = replica.quorum.remove_unused(replica.swim.table(), me);
-        if replica.quorum.lacks_own_vote(me) {
+        let own_hash = replica.own_hash();
+        let referenced = replica.quorum.remove_unused(replica.swim.table(), own_hash);
+        if replica.quorum.lacks_own_vote(own_hash) {
             self.cast_vote(replica, false);
         }
         self.set_requests.request_missing(replica, &referenced);
@@ -123,7 +123,7 @@
         members: ShortHash,
         votes: ShortHash,
     ) {
-        let differs = replica.with_local_state(|state| state.differs(members, votes));
+        let differs = replica.with_local_state(|state| state.differs_message(members, votes));
         if let Some(differs) = differs
             && replica.may_send(TrafficClass::Bulk)
         {
@@ -190,12 +190,12 @@
 
 /// Stores the votes of known members, and returns the sets that the newly stored ones refer to.
 fn store_votes(replica: &Replica, entries: &Entries) -> Vec<ShortHash> {
-    let me = replica.own_hash();
+    let own_hash = replica.own_hash();
     let table = replica.swim.table();
     let mut votes = replica.quorum.votes();
     let mut referenced = Vec::new();
     for entry in &entries.votes {
-        if entry.voter == me || !table.is_announced(entry.voter) {
+        if entry.voter == own_hash || !table.is_announced(entry.voter) {
             continue;
         }
         let Some(vote) = entry.vote(&entries.sets) else {
@@ -222,7 +222,7 @@
 
 /// Starts a comparison with a member by sending it our digests' roots.
 pub(super) fn compare_with(replica: &mut Replica, peer: SocketAddr) {
-    let compare = replica.with_local_state(|state| state.compare());
+    let compare = replica.with_local_state(|state| state.compare_message());
     replica.send_anti_entropy(peer, &compare);
 }
 
--- a/crates/membership/src/members/packet_checks.rs
+++ b/crates/membership/src/members/packet_checks.rs
@@ -11,7 +11,8 @@
 /// More updates than fit into a packet. While the table has room for this many members, no packet needs to be checked.
 const MAX_UPDATES_PER_PACKET: usize = 1000;
 
-/// Whether a packet may change the member table: false if it has no updates and its sender is alive in the table as it says.
+/// Whether a packet may change the member table. It can't if it has no updates, doesn't notify this member that it is down
+/// (`TurnUndead`), and its sender is alive in the table with the same identity and at least the same SWIM incarnation.
 pub(super) fn may_change_table(
     table: &MemberTable,
     header: &Header<Identity>,
--- a/crates/membership/src/members/quorum.rs
+++ b/crates/membership/src/members/quorum.rs
@@ -80,7 +80,7 @@
     }
 
     /// Stores a new vote of our own among the votes, from which anti-entropy sends it to others.
-    pub(super) fn cast_vote(&mut self, me: ShortHash, leaves: bool) {
+    pub(super) fn cast_vote(&mut self, own_hash: ShortHash, leaves: bool) {
         self.vote_number += 1;
         let vote = Vote {
             number: self.vote_number,
@@ -88,16 +88,20 @@
             down: self.voting.voted_set(),
             payload: self.payload.clone(),
         };
-        self.votes().insert(me, vote);
+        self.votes().insert(own_hash, vote);
     }
 
     /// Our stored vote with a new number, encoded for broadcast; `None` if there is none.
-    pub(super) fn encode_broadcast(&mut self, me: ShortHash) -> Option<Vec<u8>> {
-        let mut vote = self.votes().get(me).cloned()?;
+    pub(super) fn encode_broadcast(&mut self, own_hash: ShortHash) -> Option<Vec<u8>> {
+        let mut vote = self.votes().get(own_hash).cloned()?;
         // `foca` passes the broadcast to `VoteHandler`, which accepts only votes newer than the stored one.
         vote.number += 1;
         self.vote_number = vote.number;
-        postcard::to_stdvec(&VoteBroadcast { voter: me, vote }).ok()
+        postcard::to_stdvec(&VoteBroadcast {
+            voter: own_hash,
+            vote,
+        })
+        .ok()
     }
 
     /// Schedules a decision on our vote if there are down members.
@@ -117,7 +121,7 @@
         &mut self,
         context: &mut Context,
         table: &MemberTable,
-        me: ShortHash,
+        own_hash: ShortHash,
     ) -> bool {
         self.decide_at = None;
         let fraction = context.rng.random_range(0.0..1.0);
@@ -129,7 +133,7 @@
         match decision {
             VoteDecision::Keep => false,
             VoteDecision::Vote(_) => {
-                self.cast_vote(me, false);
+                self.cast_vote(own_hash, false);
                 self.recount(context, table);
                 true
             }
@@ -147,10 +151,10 @@
     pub(super) fn remove_unused(
         &mut self,
         table: &MemberTable,
-        me: ShortHash,
+        own_hash: ShortHash,
     ) -> BTreeSet<ShortHash> {
         let mut votes = self.votes.lock();
-        votes.retain(|voter| voter == me || table.is_announced(voter));
+        votes.retain(|voter| voter == own_hash || table.is_announced(voter));
         let referenced: BTreeSet<ShortHash> = votes
             .iter()
             .filter_map(|(_, vote)| vote.down)
@@ -162,9 +166,9 @@
     }
 
     /// Whether our vote must be cast again, because the stored one is of an earlier incarnation.
-    pub(super) fn lacks_own_vote(&self, me: ShortHash) -> bool {
+    pub(super) fn lacks_own_vote(&self, own_hash: ShortHash) -> bool {
         let has_content = self.voting.voted_set().is_some() || !self.payload.is_empty();
-        has_content && self.votes().get(me).is_none()
+        has_content && self.votes().get(own_hash).is_none()
     }
 
     /// Whether any stored vote refers to a set.
--- a/crates/membership/src/members/replica.rs
+++ b/crates/membership/src/members/replica.rs
@@ -117,14 +117,14 @@
     }
 
     pub(super) fn cast_vote(&mut self, leaves: bool) {
-        let me = self.own_hash();
-        self.quorum.cast_vote(me, leaves);
+        let own_hash = self.own_hash();
+        self.quorum.cast_vote(own_hash, leaves);
     }
 
     /// Broadcasts our vote with gossip, in addition to anti-entropy.
     pub(super) fn broadcast_vote(&mut self) {
-        let me = self.own_hash();
-        if let Some(vote) = self.quorum.encode_broadcast(me) {
+        let own_hash = self.own_hash();
+        if let Some(vote) = self.quorum.encode_broadcast(own_hash) {
             self.swim.broadcast(&vote);
         }
     }
--- a/crates/membership/src/members/set_requests.rs
+++ b/crates/membership/src/members/set_requests.rs
@@ -54,7 +54,7 @@
     }
 
     /// Requests those of the sets that votes refer to that are missing here. The order is random: there may be more than the
-    /// requests of a period, and sets that no member sends must not block the others for ever.
+    /// requests of a period, and sets to which no member replies must not keep the others from being requested.
     pub(super) fn request_missing(
         &mut self,
         replica: &mut Replica,
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: members, and a network that loses, delays and blocks packets. Used by tests and by the example that
-//! measures the costs of membership.
+//! A simulated fleet in virtual time: members, and a network that loses, delays and blocks packets. Used by the tests and by the
+//! example `membership_figures`, which measures the cost of membership.
 #![allow(dead_code)]
 
 pub(crate) mod traffic;
@@ -26,11 +26,11 @@
     usize::from(address.port() - FIRST_PORT)
 }
 
-pub(crate) fn secs(s: f64) -> Duration {
-    Duration::from_secs_f64(s)
+pub(crate) fn secs(seconds: f64) -> Duration {
+    Duration::from_secs_f64(seconds)
 }
 
-/// A member's state changed in another's view.
+/// A change of a member's state in another member's view. `of` is the number of the member, `by` that of the other.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Change {
     pub(crate) time: Time,
@@ -39,7 +39,7 @@
     pub(crate) state: State,
 }
 
-/// The members and the network between them.
+/// Simulated members, numbered from 0, and the network between them. A member that has crashed is `None`.
 pub(crate) struct Network {
     pub(crate) now: Time,
     rng: ChaCha8Rng,
@@ -47,23 +47,23 @@
     pub(crate) period: Duration,
     pub(crate) eviction_delay: Option<Duration>,
     wakeups: BTreeSet<(Time, usize)>,
-    wakeup_of: Vec<Option<Time>>,
+    wakeup_by_member: Vec<Option<Time>>,
     pub(crate) paused: BTreeSet<usize>,
-    /// Packets that a stopped member finds when it resumes.
+    /// Packets that have arrived at paused members, which receive them when they resume.
     backlog: BTreeMap<usize, Vec<Vec<u8>>>,
     in_flight: BTreeMap<(Time, u64), (usize, Vec<u8>)>,
     sent: u64,
     pub(crate) loss: f64,
-    /// Senders and receivers between which all packets are lost.
+    /// Pairs of a sender and a receiver: all packets from the one to the other are lost.
     pub(crate) blocked: BTreeSet<(usize, usize)>,
     pub(crate) changes: Vec<Change>,
     pub(crate) dropped: Vec<(usize, DropReason)>,
-    /// Requests and replies about learned state: the receiver, the sender, and the piece.
+    /// Received requests for learned state, with an empty piece, and replies: the receiver, the sender and the piece.
     pub(crate) learned: Vec<(usize, SocketAddr, Vec<u8>)>,
-    /// The receiver and bytes of the latest packet, to be sent again later.
+    /// The receiver and the bytes of the latest packet that was sent, so that tests can repeat or change it.
     pub(crate) last_sent: Option<(usize, Vec<u8>)>,
     pub(crate) traffic: Option<Traffic>,
-    /// Time spent in [`Members::step`].
+    /// The elapsed real time spent in [`Members::step`].
     pub(crate) cpu: Duration,
 }
 
@@ -72,7 +72,7 @@
         Network::with_settings(n, seed, secs(1.0), 20)
     }
 
-    /// The eviction delay is in periods.
+    /// Starts `n` members at once. The eviction delay is in periods.
     pub(crate) fn with_settings(
         n: usize,
         seed: u64,
@@ -87,7 +87,7 @@
             period,
             eviction_delay: Some(period * eviction_delay),
             wakeups: BTreeSet::new(),
-            wakeup_of: vec![None; n],
+            wakeup_by_member: vec![None; n],
             paused: BTreeSet::new(),
             backlog: BTreeMap::new(),
             in_flight: BTreeMap::new(),
@@ -105,7 +105,7 @@
         network
     }
 
-    /// `clock` is the present time by the member's clock.
+    /// Starts member `i`. `clock` is the start time by the member's own clock.
     pub(crate) fn start(&mut self, i: usize, clock: Time, key: Key) {
         let settings = Settings {
             name: format!("n{i}"),
@@ -125,7 +125,7 @@
     }
 
     fn set_wakeup(&mut self, i: usize, wakeup: Option<Time>) {
-        if let Some(before) = std::mem::replace(&mut self.wakeup_of[i], wakeup) {
+        if let Some(before) = std::mem::replace(&mut self.wakeup_by_member[i], wakeup) {
             self.wakeups.remove(&(before, i));
         }
         self.wakeups.extend(wakeup.map(|time| (time, i)));
@@ -138,9 +138,9 @@
         if let (Some(traffic), Input::PacketReceived(bytes)) = (&mut self.traffic, &input) {
             traffic.received(self.now, i, bytes.len());
         }
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let effects = member.step(self.now, input);
-        self.cpu += begun.elapsed();
+        self.cpu += started_at.elapsed();
         for effect in effects {
             match effect {
                 Effect::Send { to, bytes } => self.send(i, member_at(to), bytes),
@@ -154,7 +154,7 @@
                         state: view.state,
                     });
                 }
-                Effect::Dropped(why) => self.dropped.push((i, why)),
+                Effect::Dropped(reason) => self.dropped.push((i, reason)),
                 Effect::LearnedRequested { by } => self.learned.push((i, by, Vec::new())),
                 Effect::LearnedReceived { by, piece } => self.learned.push((i, by, piece)),
                 Effect::Rejoined { .. } | Effect::ProcessPaused(_) | Effect::ShareDivisor(_) => {}
@@ -170,9 +170,9 @@
         if self.blocked.contains(&(from, to)) || self.rng.random_bool(self.loss) {
             return;
         }
-        let arrives = self.now + Duration::from_micros(self.rng.random_range(200..20_000));
+        let arrives_at = self.now + Duration::from_micros(self.rng.random_range(200..20_000));
         self.sent += 1;
-        self.in_flight.insert((arrives, self.sent), (to, bytes));
+        self.in_flight.insert((arrives_at, self.sent), (to, bytes));
     }
 
     pub(crate) fn run(&mut self, span: Duration) {
@@ -203,20 +203,21 @@
         }
     }
 
-    /// Runs until the condition holds, checked twice a period; `None` if it doesn't within `limit`.
+    /// Runs until the condition holds, checked twice a period, and returns the time taken; `None` if it doesn't hold within
+    /// `limit`.
     pub(crate) fn run_until(
         &mut self,
         limit: Duration,
         holds: impl Fn(&Network) -> bool,
     ) -> Option<Duration> {
-        let begun = self.now;
+        let started_at = self.now;
         while !holds(self) {
-            if self.now - begun >= limit {
+            if self.now - started_at >= limit {
                 return None;
             }
             self.run(self.period / 2);
         }
-        Some(self.now - begun)
+        Some(self.now - started_at)
     }
 
     pub(crate) fn crash(&mut self, members: impl IntoIterator<Item = usize>) {
@@ -250,8 +251,8 @@
         let member = self.members[by].as_ref()?;
         member
             .views()
-            .find(|v| v.member.at == address(of))
-            .map(|v| v.state)
+            .find(|view| view.member.at == address(of))
+            .map(|view| view.state)
     }
 
     pub(crate) fn share_divisor(&self, i: usize) -> u32 {
@@ -264,23 +265,24 @@
             .collect()
     }
 
-    /// Pairs of running members of which the one doesn't see the other as alive.
+    /// The number of ordered pairs of running members of which the first doesn't have the second as alive in its view.
     pub(crate) fn unseen_pairs(&self) -> usize {
         let running = self.running();
         let alive = |by: &usize| {
             let views = self.members[*by].iter().flat_map(Members::views);
-            let seen =
-                views.filter(|v| v.state == State::Alive && self.runs(member_at(v.member.at)));
+            let seen = views.filter(|view| {
+                view.state == State::Alive && self.is_running(member_at(view.member.at))
+            });
             seen.count()
         };
         running.len() * running.len().saturating_sub(1) - running.iter().map(alive).sum::<usize>()
     }
 
-    fn runs(&self, i: usize) -> bool {
+    fn is_running(&self, i: usize) -> bool {
         self.members[i].is_some()
     }
 
-    /// Everybody that runs sees everybody that runs as alive.
+    /// Whether every running member has every other running member as alive in its view.
     pub(crate) fn has_converged(&self) -> bool {
         self.unseen_pairs() == 0
     }
@@ -288,7 +290,7 @@
     pub(crate) fn down_changes(&self) -> usize {
         self.changes
             .iter()
-            .filter(|c| c.state == State::Down)
+            .filter(|change| change.state == State::Down)
             .count()
     }
 }
--- a/crates/membership/tests/common/traffic.rs
+++ b/crates/membership/tests/common/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes that members send, by what they carry.
+//! Counts the bytes that members send and receive, and classifies sent bytes by content.
 
 use std::collections::BTreeMap;
 
@@ -9,25 +9,25 @@
 
 use super::KEY;
 
-/// What an IPv4 and a UDP header add to a packet; counted apart.
+/// Bytes of an IPv4 and a UDP header, which the counts of this module exclude.
 pub(crate) const IP_UDP_HEADERS: u64 = 28;
 
-/// What bytes carry.
+/// The content of sent bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Content {
-    /// Probes, their answers, and the frames of all packets.
+    /// Probes and their answers, and all bytes of SWIM packets outside updates and broadcasts.
     Probes,
-    /// Updates of members, spread with probes and gossip.
+    /// Updates of members, sent with probes and gossip.
     Updates,
-    /// Votes and payloads, spread with probes and gossip.
+    /// Votes and payloads, sent with probes and gossip.
     Broadcasts,
-    /// Lists of members for one that asked.
+    /// Lists of members, sent in answer to an announcement.
     Lists,
-    /// Exchanges of state by digest.
+    /// Packets other than SWIM's: anti-entropy, and learned state.
     AntiEntropy,
 }
 
-/// What was sent and received, by member and second.
+/// The bytes sent and received, by member and second.
 #[derive(Default)]
 pub(crate) struct Traffic {
     pub(crate) packets: u64,
@@ -45,7 +45,7 @@
         self.packets += 1;
         *self.out.entry((from, second(now))).or_default() += bytes.len() as u64;
         let mut rest = bytes.len();
-        for (content, len) in contents(bytes) {
+        for (content, len) in content_lengths(bytes) {
             rest -= len;
             *self.by_content.entry(content).or_default() += len as u64;
         }
@@ -64,8 +64,8 @@
         self.received.values().sum()
     }
 
-    /// Most bytes a second, both directions, of any member over any `span` seconds.
-    pub(crate) fn most(&self, members: usize, span: u64) -> f64 {
+    /// The maximum bytes per second, sent and received, of any member over any `span` consecutive seconds.
+    pub(crate) fn peak_bytes_per_second(&self, members: usize, span: u64) -> f64 {
         let seconds = self.out.keys().chain(self.received.keys()).map(|k| k.1);
         let Some((first, last)) = seconds.clone().min().zip(seconds.max()) else {
             return 0.0;
@@ -75,15 +75,15 @@
         };
         let starts = || first..=last.saturating_sub(span - 1).max(first);
         let window = |i: usize, from: u64| (from..from + span).map(|s| bytes(i, s)).sum::<u64>();
-        let most = (0..members)
+        let peak = (0..members)
             .flat_map(|i| starts().map(move |from| window(i, from)))
             .max();
-        most.unwrap_or(0) as f64 / span as f64
+        peak.unwrap_or(0) as f64 / span as f64
     }
 }
 
-/// What a packet carries besides its frame, with lengths.
-fn contents(bytes: &[u8]) -> Vec<(Content, usize)> {
+/// The parts of a packet by content, with their lengths in bytes. Bytes not listed count as [`Content::Probes`].
+fn content_lengths(bytes: &[u8]) -> Vec<(Content, usize)> {
     let Ok(opened) = seal::open(&KEY, 0, u64::MAX, bytes) else {
         return Vec::new();
     };
@@ -93,24 +93,24 @@
     let Ok((header, rest)) = postcard::take_from_bytes::<Header<Identity>>(opened.message) else {
         return Vec::new();
     };
-    let list = matches!(header.message, Message::Feed | Message::Announce);
-    let Some((tally, mut rest)) = rest.split_first_chunk::<2>() else {
+    let is_list = matches!(header.message, Message::Feed | Message::Announce);
+    let Some((update_count, mut rest)) = rest.split_first_chunk::<2>() else {
         return Vec::new();
     };
-    let begun = rest.len();
-    for _ in 0..u16::from_be_bytes(*tally) {
+    let len_before_updates = rest.len();
+    for _ in 0..u16::from_be_bytes(*update_count) {
         let Ok((_, after)) = postcard::take_from_bytes::<Member<Identity>>(rest) else {
             break;
         };
         rest = after;
     }
-    let members = if list {
+    let members = if is_list {
         Content::Lists
     } else {
         Content::Updates
     };
     vec![
-        (members, begun - rest.len()),
+        (members, len_before_updates - rest.len()),
         (Content::Broadcasts, rest.len()),
     ]
 }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Fleets in virtual time: what each member concludes under crashes, partitions, loss and bad packets.
+//! Small simulated fleets in virtual time: member states and quota divisors under crashes, partitions, packet loss and invalid
+//! packets.
 
 mod common;
 
@@ -9,7 +10,7 @@
 use cranehill_membership::{DropReason, Input, MAX_LEARNED_PIECE, State};
 use cranehill_scheduler::Time;
 
-/// Guards the bound of SWIM: a crash is known to all within the probing of one round, the suspicion, and the gossip.
+/// Guards against a crash that some member doesn't detect: 15 s suffice for a probe, the suspicion timeout and gossip.
 #[test]
 fn crashed_member_is_down_in_every_view() {
     let mut network = Network::new(10, 1);
@@ -23,14 +24,14 @@
     assert_eq!(network.down_changes(), 9, "nobody else is declared down");
 }
 
-/// Guards against a process that was stopped and takes its own silence for the others'.
+/// Guards against a resumed process that declares the others down: during its own pause it received no answers to probes.
 #[test]
-fn paused_process_rejoins_and_accuses_nobody() {
+fn paused_process_rejoins_and_declares_nobody_down() {
     let mut network = Network::new(5, 2);
     network.run(secs(5.0));
     let incarnation = network.members[4]
         .as_ref()
-        .expect("it runs")
+        .expect("the member is running")
         .me()
         .incarnation;
     network.paused.insert(4);
@@ -38,8 +39,8 @@
     let states: Vec<State> = network
         .changes
         .iter()
-        .filter(|c| c.of == 4 && c.by == 0)
-        .map(|c| c.state)
+        .filter(|change| change.of == 4 && change.by == 0)
+        .map(|change| change.state)
         .collect();
     assert_eq!(states, [State::Alive, State::Suspect, State::Down]);
     network.resume(4);
@@ -48,23 +49,24 @@
     assert!(
         network.members[4]
             .as_ref()
-            .expect("it runs")
+            .expect("the member is running")
             .me()
             .incarnation
             > incarnation,
-        "back under a higher generation"
+        "rejoined with a higher incarnation"
     );
     assert!(
         network
             .changes
             .iter()
-            .all(|c| c.state != State::Down || c.of == 4),
+            .all(|change| change.state != State::Down || change.of == 4),
         "{:?}",
         network.changes
     );
 }
 
-/// Guards against false deaths under loss, and against a suspicion that its subject isn't notified of: 60 seeds of a minute.
+/// Guards against members declared down because of packet loss, and against suspects that aren't notified and so can't refute.
+/// Runs 60 seeds for a minute each.
 #[test]
 fn ten_percent_packet_loss_declares_nobody_down() {
     for seed in 100..160 {
@@ -75,7 +77,7 @@
                 .members
                 .iter()
                 .flatten()
-                .map(|m| m.me().incarnation)
+                .map(|member| member.me().incarnation)
                 .collect()
         };
         let before = incarnations(&network);
@@ -90,14 +92,15 @@
         assert_eq!(
             incarnations(&network),
             before,
-            "seed {seed}: whoever refutes a suspicion keeps its generation"
+            "seed {seed}: a member that refutes a suspicion keeps its incarnation"
         );
     }
 }
 
-/// Guards the shared limits: neither side of a partition divides by fewer senders before the delay, and the views heal.
+/// Guards against exceeded shared limits: before the eviction delay neither side of a partition may divide by fewer senders,
+/// and after it the majority side only. After the partition all views converge again.
 #[test]
-fn partition_evicts_after_the_delay_and_on_the_majority_side_only() {
+fn only_the_majority_side_of_a_partition_evicts_after_the_eviction_delay() {
     let mut network = Network::new(5, 3);
     network.run(secs(5.0));
     network.split(&[0, 1], &[2, 3, 4]);
@@ -118,11 +121,12 @@
     assert_eq!(
         (0..5).map(|i| network.share_divisor(i)).collect::<Vec<_>>(),
         [5; 5],
-        "back at once"
+        "the evicted members count again once they are back"
     );
 }
 
-/// Guards against a majority of the few that a newcomer knows: alone with one other, it must not take the quotas of three.
+/// Guards against a majority among the few members that a restarted one knows: with one other on the minority side, it must not
+/// evict the three on the majority side.
 #[test]
 fn member_started_in_a_minority_partition_evicts_nobody() {
     let mut network = Network::new(5, 4);
@@ -135,7 +139,7 @@
     assert_eq!((network.share_divisor(0), network.share_divisor(1)), (5, 5));
 }
 
-/// Packets are lost in one direction only: others probe in its place, and nobody is declared down.
+/// Guards against a member declared down because one other can't reach it: indirect probes still succeed.
 #[test]
 fn one_way_partition_of_two_members_declares_nobody_down() {
     let mut network = Network::new(5, 5);
@@ -145,9 +149,9 @@
     assert_eq!(network.down_changes(), 0, "{:?}", network.changes);
 }
 
-/// Guards against accusations by a member that receives nothing: it can still send, and the others would believe it.
+/// Guards against wrong suspicions by a member that can send but not receive: the others would accept them.
 #[test]
-fn member_that_receives_nothing_accuses_nobody() {
+fn member_that_receives_nothing_declares_nobody_down() {
     let mut network = Network::new(5, 10);
     network.run(secs(5.0));
     network.blocked.extend((0..4).map(|from| (from, 4)));
@@ -156,21 +160,21 @@
         network
             .changes
             .iter()
-            .all(|c| c.state != State::Down || c.of == 4),
+            .all(|change| change.state != State::Down || change.of == 4),
         "{:?}",
         network.changes
     );
     network.blocked.clear();
     network.run(secs(10.0));
     assert!(network.has_converged(), "{:?}", network.changes);
-    // The last one left must find out all the same.
+    // The only running member must still detect that the others have crashed.
     (0..4).for_each(|i| network.members[i] = None);
     network.run(secs(45.0));
     assert!((0..4).all(|of| network.state(of, 4) == Some(State::Down)));
 }
 
 #[test]
-fn leaving_member_is_seen_to_have_left_and_evicted_soon() {
+fn leaving_member_is_reported_as_left_and_evicted_early() {
     let mut network = Network::new(5, 6);
     network.run(secs(5.0));
     network.step(2, Input::Leave);
@@ -194,7 +198,8 @@
     assert!(network.has_converged() && (0..5).all(|i| network.share_divisor(i) == 5));
 }
 
-/// Guards against incarnations that run backwards: a folder lost together with a clock set back by a day.
+/// Guards against a restarted member whose packets are ignored because its incarnation is lower than before: its state folder was
+/// lost and its clock set back by a day.
 #[test]
 fn member_restarted_with_an_older_clock_rejoins() {
     let mut network = Network::new(4, 7);
@@ -214,8 +219,13 @@
     network.run(secs(15.0));
     network.step(0, Input::RequestLearned);
     network.run(secs(0.1));
-    let asked: BTreeSet<usize> = network.learned.iter().map(|w| w.0).collect();
-    assert_eq!(asked, BTreeSet::from([2, 3, 4]), "{:?}", network.learned);
+    let requested: BTreeSet<usize> = network.learned.iter().map(|learned| learned.0).collect();
+    assert_eq!(
+        requested,
+        BTreeSet::from([2, 3, 4]),
+        "{:?}",
+        network.learned
+    );
     network.learned.clear();
     network.step(
         3,
@@ -226,7 +236,7 @@
     );
     network.run(secs(0.1));
     let mut received = network.learned.clone();
-    received.sort_by_key(|w| w.2.len());
+    received.sort_by_key(|learned| learned.2.len());
     assert_eq!(
         received,
         [
@@ -236,7 +246,7 @@
     );
 }
 
-/// The newest payload of a member reaches all others, and is removed with the member.
+/// The newest payload of a member reaches all others under packet loss, and is removed when the member is down.
 #[test]
 fn payload_reaches_all_members() {
     let mut network = Network::new(10, 12);
@@ -246,11 +256,14 @@
     network.step(3, Input::SetPayload(vec![2; 200]));
     network.run(secs(2.0));
     let payload = |network: &Network, by: usize| {
-        let payloads = network.members[by].as_ref().expect("it runs").payloads();
+        let payloads = network.members[by]
+            .as_ref()
+            .expect("the member is running")
+            .payloads();
         payloads
             .into_iter()
-            .find(|(who, _)| *who == address(3))
-            .map(|s| s.1)
+            .find(|(sender, _)| *sender == address(3))
+            .map(|payload| payload.1)
     };
     for by in (0..10).filter(|&by| by != 3) {
         assert_eq!(payload(&network, by), Some(vec![2; 200]), "by {by}");
@@ -264,12 +277,12 @@
     );
 }
 
-/// Wrong keys, cut packets and replays are counted and change nothing.
+/// Guards against invalid packets that are accepted: replayed, truncated, foreign and outdated ones, and those with another key.
 #[test]
 fn foreign_damaged_and_replayed_packets_are_dropped() {
     let mut network = Network::new(3, 8);
     network.run(secs(5.0));
-    let (to, bytes) = network.last_sent.take().expect("something was sent");
+    let (to, bytes) = network.last_sent.take().expect("a packet was sent");
     network.run(secs(1.0));
     network.dropped.clear();
     network.step(to, Input::PacketReceived(bytes.clone()));
@@ -281,7 +294,7 @@
     );
     network.run(secs(10.0));
     network.step(to, Input::PacketReceived(bytes));
-    let reasons: Vec<DropReason> = network.dropped.iter().map(|r| r.1).collect();
+    let reasons: Vec<DropReason> = network.dropped.iter().map(|dropped| dropped.1).collect();
     assert_eq!(
         reasons,
         [
@@ -302,18 +315,18 @@
 }
 
 proptest::proptest! {
-    /// Any packet, authenticated or not, is accepted or dropped, and the member continues.
+    /// Guards against packets that make a member panic: arbitrary ones, authenticated or not, some with a valid beginning.
     #[test]
-    fn arbitrary_packets_do_not_stop_a_member(message: Vec<u8>, number: u64, cut in 0usize..64, kind in 0usize..4, signed: bool) {
+    fn arbitrary_packets_do_not_stop_a_member(message: Vec<u8>, number: u64, valid_len in 0usize..64, kind in 0usize..4, signed: bool) {
         let mut network = Network::new(2, 9);
         network.run(secs(2.0));
         let sent = network.last_sent.take().map(|(_, bytes)| bytes).unwrap_or_default();
-        // The beginning of a real message leads further in than noise does.
-        let mut text = sent[20..sent.len().min(20 + cut)].to_vec();
-        text.extend(message);
+        // With the beginning of a valid message, more of the decoding is reached than with arbitrary bytes only.
+        let mut packet_body = sent[20..sent.len().min(20 + valid_len)].to_vec();
+        packet_body.extend(message);
         let now = network.now.0 / 1_000_000;
         let kind = [Kind::Swim, Kind::LearnedRequest, Kind::LearnedReply, Kind::AntiEntropy][kind];
-        let bytes = if signed { seal(&KEY, now, number, kind, &text) } else { text };
+        let bytes = if signed { seal(&KEY, now, number, kind, &packet_body) } else { packet_body };
         network.step(0, Input::PacketReceived(bytes));
         network.step(1, Input::PacketReceived(sent));
         network.run(secs(3.0));
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,12 +1,13 @@
-//! Membership's packets compared byte for byte with recorded ones: members of two versions must understand each other.
+//! Compares the packets of this crate byte for byte with recorded ones, since members of different versions must be able to decode
+//! each other's packets.
 //!
-//! `golden/messages.txt` has one message of each kind unsealed, `golden/packets.txt` the same messages sealed,
-//! `golden/hashes.txt` the hashes and digests that travel in them, and `golden/trace.txt` every packet of a small fleet in
-//! virtual time, with what its members reported in `golden/events.txt`. Nothing here writes these files. New bytes are right
-//! only together with a new [`seal::FORMAT`]; a new trace also after a change of behaviour that keeps all encodings.
+//! `golden/messages.txt` has one encoded message of each kind, `golden/packets.txt` the same messages as sealed packets, and
+//! `golden/hashes.txt` the hashes and digests that messages contain. `golden/trace.txt` has every packet of a small fleet in
+//! virtual time, `golden/events.txt` the events that its members reported. No test writes these files. Changed bytes require a new
+//! [`seal::FORMAT`]; a changed trace is also right after a change of behaviour that keeps all encodings.
 //!
-//! Sealing uses no randomness: its inputs are the key, the time of sending and the packet's number, all fixed here. SWIM's
-//! broadcast message is encoded, decoded and received here; the package never sends it, so it isn't in the trace.
+//! Sealing uses no randomness: its inputs are the key, the time of sending and the packet number, all fixed in these tests. SWIM's
+//! broadcast message is encoded, decoded and received in these tests, but the crate never sends it, so it isn't in the trace.
 
 #[path = "golden/fixture.rs"]
 mod fixture;
@@ -41,7 +42,7 @@
 const HASHES: &str = "hashes.txt";
 const TRACE: &str = "trace.txt";
 const EVENTS: &str = "events.txt";
-/// Most by which a packet's time of sending may differ, in these tests.
+/// The maximum difference, in milliseconds, between a packet's time of sending and the time at which these tests open it.
 const MAX_AGE_MS: u64 = 5_000;
 
 fn identities() -> [(&'static str, Identity); 3] {
@@ -86,8 +87,8 @@
 #[test]
 fn packets_seal_to_golden_bytes() {
     let samples = samples::all();
-    let seal = |(place, (name, content)): (usize, &(&str, Content))| {
-        Entry::new(*name, samples::sealed(place, content))
+    let seal = |(index, (name, content)): (usize, &(&str, Content))| {
+        Entry::new(*name, samples::sealed(index, content))
     };
     let packets: Vec<Entry> = samples.iter().enumerate().map(seal).collect();
     assert_matches_file(PACKETS, &packets);
@@ -97,10 +98,10 @@
 fn golden_packets_open_under_the_fleet_key_only() {
     const OTHER_KEY: Key = [8; 32];
     let golden = load(PACKETS);
-    for (place, (name, expected)) in samples::all().into_iter().enumerate() {
+    for (index, (name, expected)) in samples::all().into_iter().enumerate() {
         let bytes = bytes_of(&golden, name);
         let opened = seal::open(&KEY, SENT_MS + MAX_AGE_MS, MAX_AGE_MS, &bytes).expect(name);
-        assert_eq!(opened.number, samples::packet_number(place), "{name}");
+        assert_eq!(opened.number, samples::packet_number(index), "{name}");
         assert_eq!(opened.kind, expected.kind(), "{name}");
         assert_eq!(
             Content::decode(opened.kind, opened.message),
@@ -126,7 +127,7 @@
     }
 }
 
-/// What n0, which knows nobody, reports and sends after one packet, and what it holds then.
+/// The packets and events of n0 after one received packet, then its views. It knows no other member before.
 fn reaction(packet: Vec<u8>) -> Vec<String> {
     let mut member = Members::new(settings(0), 1, START);
     let effects = member.step(Time(SENT_MS * 1_000_000), Input::PacketReceived(packet));
@@ -150,7 +151,7 @@
     assert_eq!(with_reaction, recorded);
 }
 
-/// The digests over members in each state and over votes of each form.
+/// The digest over members in different states, and the digest over votes of different forms.
 fn digests() -> [(&'static str, Digest); 2] {
     let (mut table, mut votes) = (MemberTable::default(), Votes::default());
     let members = [
@@ -158,14 +159,14 @@
         (identity(2), State::Suspect),
         (identity_v6(), State::Down),
     ];
-    for (place, (member, state)) in members.into_iter().enumerate() {
+    for (index, (member, state)) in members.into_iter().enumerate() {
         let view = View {
             member,
-            swim_incarnation: place as u16,
+            swim_incarnation: index as u16,
             state,
             since: START,
         };
-        table.update(START, view, Duration::from_secs(place as u64));
+        table.update(START, view, Duration::from_secs(index as u64));
     }
     let down = Some(DownSets::hash_of(&samples::down_set()));
     votes.insert(
@@ -221,12 +222,12 @@
 
 #[test]
 fn fleet_sends_the_golden_trace() {
-    assert_matches_file(TRACE, &trace::play().packets);
+    assert_matches_file(TRACE, &trace::run_trace().packets);
 }
 
 #[test]
 fn fleet_reports_the_golden_events() {
-    let fleet = trace::play();
+    let fleet = trace::run_trace();
     assert_matches_text(EVENTS, &fleet.events);
     let n0_expected = [
         "n1 127.0.0.1:7001 1700000000001 alive 0 [payload of n1]",
@@ -252,29 +253,26 @@
         .iter()
         .map(|(_, content)| content.name())
         .collect();
-    assert!(
-        kinds.remove("swim-broadcast"),
-        "the package doesn't send it"
-    );
+    assert!(kinds.remove("swim-broadcast"), "the crate doesn't send it");
     assert_eq!(sent, kinds);
 }
 
-/// Which of a vote's fields are set.
+/// Which fields of a vote are set.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct VoteForm {
     leaves: bool,
-    names_down_set: bool,
+    has_down_set: bool,
     has_payload: bool,
 }
 
 const PAYLOAD: VoteForm = VoteForm {
     leaves: false,
-    names_down_set: false,
+    has_down_set: false,
     has_payload: true,
 };
 const DOWN_SET: VoteForm = VoteForm {
     leaves: false,
-    names_down_set: true,
+    has_down_set: true,
     has_payload: false,
 };
 const DOWN_SET_AND_PAYLOAD: VoteForm = VoteForm {
@@ -286,25 +284,25 @@
     ..DOWN_SET
 };
 
-/// A change of payload and a leave are broadcast. A vote on who is down is left to the exchange, which has nothing to do for
-/// a payload that all have by broadcast.
+/// Guards against a golden trace without some form of vote. Changes of a payload and leaves are broadcast; votes on down members
+/// are sent by anti-entropy only, which never sends a payload that all members have by broadcast.
 #[test]
 fn golden_trace_has_every_form_of_vote() {
-    let (mut broadcast, mut exchanged) = (BTreeSet::new(), BTreeSet::new());
+    let (mut broadcast, mut by_anti_entropy) = (BTreeSet::new(), BTreeSet::new());
     for entry in load(TRACE) {
         match content_of(&entry.bytes) {
             Content::Swim { votes, .. } => broadcast.extend(votes.iter().map(|vote| VoteForm {
                 leaves: vote.leaves,
-                names_down_set: vote.down.is_some(),
+                has_down_set: vote.down.is_some(),
                 has_payload: !vote.payload.is_empty(),
             })),
             Content::AntiEntropy {
                 message: anti_entropy::Message::Entries(entries),
                 ..
             } => {
-                exchanged.extend(entries.votes.iter().map(|vote| VoteForm {
+                by_anti_entropy.extend(entries.votes.iter().map(|vote| VoteForm {
                     leaves: vote.leaves,
-                    names_down_set: vote.set != 0,
+                    has_down_set: vote.set != 0,
                     has_payload: !vote.payload.is_empty(),
                 }));
             }
@@ -316,7 +314,7 @@
         BTreeSet::from([PAYLOAD, DOWN_SET_AND_PAYLOAD, LEAVE])
     );
     assert_eq!(
-        exchanged,
+        by_anti_entropy,
         BTreeSet::from([DOWN_SET, DOWN_SET_AND_PAYLOAD, LEAVE])
     );
 }
--- a/crates/membership/tests/golden/fixture.rs
+++ b/crates/membership/tests/golden/fixture.rs
@@ -1,4 +1,5 @@
-//! Golden files: named byte strings, one a line, as `name hex`.
+//! Reads golden files and compares results with them. A golden file has one named byte string per line, as `name hex`, or plain
+//! lines of text.
 
 use std::fs;
 use std::path::PathBuf;
@@ -43,7 +44,7 @@
     text.lines().map(Entry::parse).collect()
 }
 
-/// The bytes of one entry.
+/// The bytes of the entry with a name, which must exist.
 pub(crate) fn bytes_of(entries: &[Entry], name: &str) -> Vec<u8> {
     let entry = entries.iter().find(|entry| entry.name == name);
     entry
@@ -52,7 +53,7 @@
         .clone()
 }
 
-/// Compares what the present code produces with a golden file, byte for byte.
+/// Asserts that the produced entries equal those of a golden file in name, bytes and order.
 pub(crate) fn assert_matches_file(file: &str, produced: &[Entry]) {
     let golden = load(file);
     let mut differences: Vec<String> = golden
@@ -75,17 +76,17 @@
     );
 }
 
-/// Compares lines of text with a golden file.
+/// Asserts that the produced lines equal those of a golden file.
 pub(crate) fn assert_matches_text(file: &str, produced: &[String]) {
     let text = fs::read_to_string(path(file)).expect("the golden file is committed");
     let golden: Vec<&str> = text.lines().collect();
     for (number, (golden, ours)) in golden.iter().zip(produced).enumerate() {
         assert_eq!(golden, ours, "{file}, line {}", number + 1);
     }
-    assert_eq!(golden.len(), produced.len(), "{file}: its number of lines");
+    assert_eq!(golden.len(), produced.len(), "{file}: number of lines");
 }
 
-/// Names the entry and the first offset at which its bytes differ.
+/// Describes the first difference between an entry and the golden one: its name or an offset. `None` if they are equal.
 fn difference(golden: &Entry, produced: &Entry) -> Option<String> {
     let Entry { name, bytes } = golden;
     if *name != produced.name {
--- a/crates/membership/tests/golden/message.rs
+++ b/crates/membership/tests/golden/message.rs
@@ -1,4 +1,4 @@
-//! Messages as values: how they are encoded, decoded and named.
+//! Decoded messages, with their encoding written independently of the crate's own.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// A vote as it is broadcast with SWIM's packets. The package keeps its own type of it private.
+/// A vote as encoded in SWIM's broadcasts. The crate's own type for it is private.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct BroadcastVote {
     pub(crate) voter: ShortHash,
@@ -19,7 +19,7 @@
     pub(crate) payload: Vec<u8>,
 }
 
-/// What a sealed packet contains.
+/// The decoded message of a packet, by kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Content {
     Swim {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The names stand in the golden files, so they stay as they are when the code is renamed.
+    /// The message's name in the golden files. It must not change when types are renamed.
     pub(crate) fn name(&self) -> &'static str {
         match self {
             Content::Swim { header, .. } => swim_name(&header.message),
@@ -118,7 +118,7 @@
                 let (message, rest) = from_postcard(body);
                 assert!(
                     rest.is_empty(),
-                    "an exchange's message ends with its packet"
+                    "an anti-entropy message ends with its packet"
                 );
                 Content::AntiEntropy { from, to, message }
             }
--- a/crates/membership/tests/golden/reactions.rs
+++ b/crates/membership/tests/golden/reactions.rs
@@ -1,6 +1,6 @@
-//! What a member that knows nobody does with each sample packet: its effects in their order, then the views it holds.
+//! The expected reaction of a member that knows no other to each sample packet: its effects in order, then its views.
 
-/// The reactions by the sample's name, in the order of [`super::samples::all`].
+/// The reactions by sample name, in the order of [`super::samples::all`].
 pub(crate) const REACTIONS: [(&str, &[&str]); 19] = [
     (
         "swim-ping",
@@ -84,7 +84,7 @@
             "Kranichhügel [2001:db8::7]:65535 18446744073709551615 down 65535 []",
         ],
     ),
-    // The vote that announces the leave makes it `left` instead of `down`.
+    // The broadcast vote announces the leave, so the state is `left` instead of `down`.
     (
         "swim-gossip of a leave",
         &[
@@ -129,7 +129,7 @@
             "n1 127.0.0.1:7001 1700000000000 alive 0 []",
         ],
     ),
-    // The IPv6 member has been down for so long that it isn't taken over.
+    // The entry of the IPv6 member is ignored: it has been down for longer than members are announced.
     (
         "exchange-entries",
         &[
@@ -143,7 +143,7 @@
             "n3 127.0.0.1:7003 1700000000000 down 0 []",
         ],
     ),
-    // The set isn't known here, so there is no answer.
+    // The member doesn't have the requested set, so it doesn't answer.
     (
         "exchange-want-set",
         &[
@@ -151,7 +151,7 @@
             "n1 127.0.0.1:7001 1700000000000 alive 0 []",
         ],
     ),
-    // No vote names the set, so it isn't kept.
+    // No stored vote refers to the set, so the page is ignored.
     (
         "exchange-set-page",
         &[
--- a/crates/membership/tests/golden/samples.rs
+++ b/crates/membership/tests/golden/samples.rs
@@ -1,4 +1,4 @@
-//! One packet of each kind, spelled out as values.
+//! Sample messages, one of each kind, as values.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,9 +15,9 @@
 use super::message::{BroadcastVote, Content};
 
 pub(crate) const KEY: Key = [7; 32];
-/// When all samples are sent, in milliseconds since 1970.
+/// The time of sending of all samples, in milliseconds since 1970.
 pub(crate) const SENT_MS: u64 = 1_700_000_001_000;
-/// The incarnation of members in samples.
+/// The incarnation of the members in the samples, except the IPv6 one.
 const INCARNATION: u64 = 1_700_000_000_000;
 const FIRST_PORT: u16 = 7000;
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// An identity at the bounds of its fields.
+/// An identity with an IPv6 address, the maximum port and incarnation, and a name that isn't ASCII.
 pub(crate) fn identity_v6() -> Identity {
     let at = "[2001:db8::7]:65535".parse().expect("an address");
     Identity {
@@ -51,7 +51,7 @@
     identity_hash(&identity(member))
 }
 
-/// The set of down members that the samples name: n3 and the IPv6 one.
+/// The set of down members that the samples refer to: n3 and the IPv6 member.
 pub(crate) fn down_set() -> BTreeSet<ShortHash> {
     BTreeSet::from([hash(3), identity_hash(&identity_v6())])
 }
@@ -180,7 +180,7 @@
     ]
 }
 
-/// Entries with a member in each state and a vote of each form.
+/// Entries of members in each state, and of a vote with and one without a set of down members.
 pub(crate) fn entries() -> Entries {
     let member_entry = |member, swim_incarnation, state, down_seconds| MemberEntry {
         member,
@@ -241,10 +241,10 @@
     ]
 }
 
-/// All samples by name. They go from n1 to n0.
+/// All samples with their names. They are sent by n1 to n0.
 pub(crate) fn all() -> Vec<(&'static str, Content)> {
     let (from, to) = (identity(1), address(0));
-    let exchange = |message| Content::AntiEntropy {
+    let anti_entropy = |message| Content::AntiEntropy {
         from: from.clone(),
         to,
         message,
@@ -269,22 +269,22 @@
     samples.extend(
         anti_entropy_messages()
             .into_iter()
-            .map(exchange)
+            .map(anti_entropy)
             .map(|content| (content.name(), content)),
     );
     samples
 }
 
-/// The number of a sample's packet: it takes more than one byte.
-pub(crate) fn packet_number(place: usize) -> u64 {
-    0x1_0000 + place as u64
+/// The packet number of a sample, by its index. It takes three bytes, so that an error in byte order is detected.
+pub(crate) fn packet_number(index: usize) -> u64 {
+    0x1_0000 + index as u64
 }
 
-pub(crate) fn sealed(place: usize, content: &Content) -> Vec<u8> {
+pub(crate) fn sealed(index: usize, content: &Content) -> Vec<u8> {
     seal::seal(
         &KEY,
         SENT_MS,
-        packet_number(place),
+        packet_number(index),
         content.kind(),
         &content.encode(),
     )
--- a/crates/membership/tests/golden/trace.rs
+++ b/crates/membership/tests/golden/trace.rs
@@ -1,5 +1,5 @@
-//! A small fleet in virtual time, whose every packet is recorded. Each packet arrives after the same delay, so the trace depends
-//! on nothing but the members and their seeds.
+//! A small simulated fleet in virtual time that records every packet. Each packet arrives after the same delay, so the trace
+//! depends only on the members and their seeds.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -32,7 +32,7 @@
     }
 }
 
-/// The kind and values of a sealed packet.
+/// Opens and decodes a sealed packet.
 pub(crate) fn content_of(bytes: &[u8]) -> Content {
     let opened = seal::open(&KEY, 0, u64::MAX, bytes).expect("a packet of the fleet");
     Content::decode(opened.kind, opened.message)
@@ -47,7 +47,7 @@
     }
 }
 
-/// An effect as a line of text; `None` for timers.
+/// An effect as a line of text in the golden files; `None` for wake-ups.
 pub(crate) fn describe(effect: &Effect) -> Option<String> {
     Some(match effect {
         Effect::WakeAt(_) => return None,
@@ -80,16 +80,16 @@
     })
 }
 
-/// The members and the packets between them.
+/// Simulated members and the packets between them.
 pub(crate) struct Fleet {
     now: Time,
     members: Vec<Members>,
-    wakes: Vec<Option<Time>>,
+    wakeups: Vec<Option<Time>>,
     in_flight: BTreeMap<(Time, usize), (usize, Vec<u8>)>,
-    /// From one to another: packets are lost.
-    cut: BTreeSet<(usize, usize)>,
+    /// Pairs of a sender and a receiver: all packets from the one to the other are lost.
+    blocked: BTreeSet<(usize, usize)>,
     pub(crate) packets: Vec<Entry>,
-    /// What the members reported, besides packets and timers.
+    /// The members' effects other than packets and wake-ups, as lines of text.
     pub(crate) events: Vec<String>,
 }
 
@@ -99,9 +99,9 @@
         Fleet {
             now: START,
             members: (0..MEMBERS).map(member).collect(),
-            wakes: vec![Some(START); MEMBERS],
+            wakeups: vec![Some(START); MEMBERS],
             in_flight: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            blocked: BTreeSet::new(),
             packets: Vec::new(),
             events: Vec::new(),
         }
@@ -119,7 +119,7 @@
         for effect in self.members[member].step(self.now, input) {
             match effect {
                 Effect::Send { to, bytes } => self.send(member, member_at(to), bytes),
-                Effect::WakeAt(time) => self.wakes[member] = Some(time),
+                Effect::WakeAt(time) => self.wakeups[member] = Some(time),
                 effect => self.record_event(member, &effect),
             }
         }
@@ -132,7 +132,7 @@
             content_of(&bytes).name()
         );
         self.packets.push(Entry::new(name, bytes.clone()));
-        if !self.cut.contains(&(from, to)) {
+        if !self.blocked.contains(&(from, to)) {
             self.in_flight
                 .insert((self.now + PACKET_DELAY, self.packets.len()), (to, bytes));
         }
@@ -153,24 +153,24 @@
         }
     }
 
-    fn next_wake(&self) -> Option<(Time, usize)> {
-        let wakes = self.wakes.iter().enumerate();
-        wakes
-            .filter_map(|(member, wake)| Some(((*wake)?, member)))
+    fn next_wakeup(&self) -> Option<(Time, usize)> {
+        let wakeups = self.wakeups.iter().enumerate();
+        wakeups
+            .filter_map(|(member, wakeup)| Some(((*wakeup)?, member)))
             .min()
     }
 
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
-            let wake = self.next_wake().filter(|(time, _)| *time <= end);
+            let wakeup = self.next_wakeup().filter(|(time, _)| *time <= end);
             let packet = self
                 .in_flight
                 .first_key_value()
                 .map(|(&(time, _), _)| time)
                 .filter(|t| *t <= end);
-            match (packet, wake) {
-                (Some(arrival), wake) if wake.is_none_or(|(time, _)| arrival <= time) => {
+            match (packet, wakeup) {
+                (Some(arrival), wakeup) if wakeup.is_none_or(|(time, _)| arrival <= time) => {
                     self.now = arrival;
                     let Some((_, (to, bytes))) = self.in_flight.pop_first() else {
                         break;
@@ -179,7 +179,7 @@
                 }
                 (_, Some((time, member))) => {
                     self.now = self.now.max(time);
-                    self.wakes[member] = None;
+                    self.wakeups[member] = None;
                     self.step(member, Input::TimerFired);
                 }
                 _ => break,
@@ -188,33 +188,34 @@
         self.now = end;
     }
 
-    fn cut_both(&mut self, one: usize, other: usize) {
-        self.cut.extend([(one, other), (other, one)]);
+    fn block_both_ways(&mut self, one: usize, other: usize) {
+        self.blocked.extend([(one, other), (other, one)]);
     }
 }
 
-/// Start, payloads, learned state, indirect probes, a member that is cut off, evicted and back, and a leave.
-pub(crate) fn play() -> Fleet {
+/// Runs the fleet through its start, payloads, learned state, indirect probes, a member that is partitioned from the others,
+/// evicted and reconnected, and a leave.
+pub(crate) fn run_trace() -> Fleet {
     let mut fleet = Fleet::new();
     fleet.run(PERIOD * 3);
     fleet.step(1, Input::SetPayload(b"payload of n1".to_vec()));
     fleet.step(2, Input::RequestLearned);
     fleet.run(PERIOD);
-    fleet.cut_both(0, 1);
+    fleet.block_both_ways(0, 1);
     fleet.run(PERIOD * 3);
-    fleet.cut.clear();
-    (0..3).for_each(|other| fleet.cut_both(3, other));
+    fleet.blocked.clear();
+    (0..3).for_each(|other| fleet.block_both_ways(3, other));
     fleet.run(PERIOD * 5);
     fleet.step(0, Input::SetPayload(b"payload of n0".to_vec()));
     fleet.run(PERIOD * 3);
-    fleet.cut.clear();
+    fleet.blocked.clear();
     fleet.run(PERIOD * 4);
     fleet.step(2, Input::Leave);
     fleet.run(PERIOD * 2);
     fleet
 }
 
-/// What a member holds of the others, as lines of text.
+/// A member's views and payloads of the others, as lines of text.
 pub(crate) fn views_of(member: &Members) -> Vec<String> {
     let payloads: BTreeMap<_, _> = member.payloads().into_iter().collect();
     let line = |view: &cranehill_membership::View| {
--- a/crates/membership/tests/scale.rs
+++ b/crates/membership/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Fleets of a hundred and of the planned 490 members in virtual time: safety, agreement and bytes.
+//! Simulated fleets of 100 to the planned 490 members in virtual time: evictions, convergence and bytes sent and received.
 
 mod common;
 
@@ -6,10 +6,10 @@
 use common::{KEY, Network, address, secs};
 use cranehill_membership::{DropReason, Input, State};
 
-/// The operators' budget for a member, both directions.
+/// The limit on a member's traffic, sent and received together, by the operators' requirement.
 const BYTES_PER_SECOND: f64 = 13_000.0;
 
-fn settled(members: usize, seed: u64) -> Network {
+fn start_settled(members: usize, seed: u64) -> Network {
     settle(Network::new(members, seed))
 }
 
@@ -17,7 +17,7 @@
     let has_converged = network.run_until(secs(120.0), Network::has_converged);
     assert!(
         has_converged.is_some(),
-        "{} pairs unseen after the start",
+        "{} pairs of members not seen as alive after the start",
         network.unseen_pairs()
     );
     network.run(secs(5.0));
@@ -35,39 +35,39 @@
     all
 }
 
-/// Mean bytes a second of a member, both directions, since traffic is counted.
+/// The mean bytes per second of a member, sent and received, over the `span` seconds since traffic is counted.
 fn bytes_per_second(network: &Network, span: f64) -> f64 {
-    let traffic = network.traffic.as_ref().expect("it is counted");
+    let traffic = network.traffic.as_ref().expect("traffic is counted");
     (traffic.bytes_out() + traffic.bytes_in()) as f64 / span / network.members.len() as f64
 }
 
-/// Guards against members that a restarted one doesn't know for minutes: its first list names some of them only.
+/// Guards against members that a restarted one doesn't know for minutes: the first list that it gets has only some of them.
 #[test]
 fn restarted_members_and_others_see_each_other() {
-    let mut network = settled(100, 77);
-    let few: Vec<usize> = (0..100).filter(|i| i % 10 == 2).collect();
-    network.crash(few.clone());
+    let mut network = start_settled(100, 77);
+    let crashed: Vec<usize> = (0..100).filter(|i| i % 10 == 2).collect();
+    network.crash(crashed.clone());
     network.run(secs(24.0));
-    network.restart(few);
+    network.restart(crashed);
     let has_converged = network.run_until(secs(10.0), Network::has_converged);
     assert!(
         has_converged.is_some(),
-        "{} pairs unseen",
+        "{} pairs of members not seen as alive",
         network.unseen_pairs()
     );
 }
 
 #[test]
 fn mass_restart_converges_soon() {
-    let mut network = settled(200, 21);
-    let most: Vec<usize> = (0..200).filter(|i| i % 10 > 2).collect();
-    network.crash(most.clone());
+    let mut network = start_settled(200, 21);
+    let crashed: Vec<usize> = (0..200).filter(|i| i % 10 > 2).collect();
+    network.crash(crashed.clone());
     network.run(secs(1.0));
-    network.restart(most);
+    network.restart(crashed);
     let has_converged = network.run_until(secs(30.0), Network::has_converged);
     assert!(
         has_converged.is_some(),
-        "{} pairs unseen",
+        "{} pairs of members not seen as alive",
         network.unseen_pairs()
     );
     assert_eq!(divisors(&network), [200]);
@@ -75,7 +75,7 @@
 
 #[test]
 fn ten_percent_packet_loss_declares_nobody_down_among_100() {
-    let mut network = settled(100, 22);
+    let mut network = start_settled(100, 22);
     network.changes.clear();
     network.loss = 0.1;
     network.run(secs(60.0));
@@ -85,16 +85,16 @@
         network
             .run_until(secs(10.0), Network::has_converged)
             .is_some(),
-        "{} pairs unseen",
+        "{} pairs of members not seen as alive",
         network.unseen_pairs()
     );
 }
 
-/// Guards the shared limits in a partition into halves: there is no majority on either side, so nobody is evicted. A long
-/// partition heals.
+/// Guards against evictions in a partition into two halves, of which neither is a majority. After a long partition all views must
+/// converge again.
 #[test]
 fn equal_partition_evicts_nobody_and_heals() {
-    let mut network = settled(120, 23);
+    let mut network = start_settled(120, 23);
     let side = |odd| (0..120).filter(|i| i % 2 == odd).collect::<Vec<_>>();
     network.split(&side(0), &side(1));
     network.run(secs(25.0));
@@ -108,30 +108,31 @@
         network
             .run_until(secs(40.0), Network::has_converged)
             .is_some(),
-        "{} pairs unseen",
+        "{} pairs of members not seen as alive",
         network.unseen_pairs()
     );
     assert_eq!(divisors(&network), [120]);
 }
 
-/// Packets of another format are ignored and counted, and their sender keeps its quota.
+/// Guards against an upgrade that evicts members of the previous version: packets of another format are counted and dropped, and
+/// their sender keeps its quota.
 #[test]
-fn member_of_an_older_format_is_counted_and_keeps_its_quota() {
+fn packets_of_an_older_format_are_counted_and_their_sender_keeps_its_quota() {
     let mut network = Network::new(5, 24);
     network.crash([4]);
     network.run(secs(5.0));
     for _ in 0..60 {
-        let (_, mut packet) = network.last_sent.clone().expect("something was sent");
+        let (_, mut packet) = network.last_sent.clone().expect("a packet was sent");
         packet[2] = 1;
         (0..4).for_each(|to| network.step(to, Input::PacketReceived(packet.clone())));
         network.run(secs(1.0));
     }
     let other_version = |i: usize| {
-        let member = network.members[i].as_ref().expect("it runs");
+        let member = network.members[i].as_ref().expect("the member is running");
         member
             .dropped()
-            .find(|(why, _)| *why == DropReason::UnsupportedFormat)
-            .map(|(_, times)| times)
+            .find(|(reason, _)| *reason == DropReason::UnsupportedFormat)
+            .map(|(_, packets)| packets)
     };
     assert_eq!((0..4).map(other_version).collect::<Vec<_>>(), [Some(60); 4]);
     assert_eq!(divisors(&network), [5]);
@@ -143,12 +144,13 @@
     assert!(network.has_converged(), "{}", address(4));
 }
 
-/// The planned size: a zone of 82 is lost, and evicted by all after the delay, within the bytes that the operators allow.
+/// Guards against a fleet of the planned size that doesn't evict a lost zone of 82 members, evicts it before the delay, or exceeds
+/// the traffic limit.
 #[test]
 fn lost_zone_is_evicted_by_all_of_490() {
     let mut network = settle(Network::with_settings(490, 25, secs(1.0), 8));
     network.traffic = Some(Traffic::default());
-    let begun = network.now;
+    let crashed_at = network.now;
     let zone: Vec<usize> = (0..490).filter(|i| i % 6 == 3).collect();
     assert_eq!(zone.len(), 82);
     network.crash(zone);
@@ -160,12 +162,12 @@
     );
     let evicted = network.run_until(secs(60.0), |network| divisors(network) == [408]);
     assert!(evicted.is_some(), "{:?}", divisors(&network));
-    let bytes = bytes_per_second(&network, (network.now - begun).as_secs_f64());
+    let bytes = bytes_per_second(&network, (network.now - crashed_at).as_secs_f64());
     assert!(bytes <= BYTES_PER_SECOND, "{bytes:.0} bytes a second");
 }
 
-/// More are lost at once than a single packet could name: all of them are named and evicted while the rest is a majority, and nobody
-/// once it is none.
+/// Guards against sets of down members that don't fit into one packet: all lost members must be evicted while the rest is a
+/// majority, and none once it isn't.
 #[test]
 fn lost_region_is_evicted_only_while_a_majority_remains() {
     let mut network = settle(Network::with_settings(300, 26, secs(1.0), 8));
@@ -175,5 +177,9 @@
     network.crash(222..300);
     network.run(secs(45.0));
     assert_eq!(network.state(250, 200), Some(State::Down));
-    assert_eq!(divisors(&network), [155], "77 are no majority of 155");
+    assert_eq!(
+        divisors(&network),
+        [155],
+        "77 of 155 members are no majority"
+    );
 }
--- a/crates/membership/tests/votes.rs
+++ b/crates/membership/tests/votes.rs
@@ -1,4 +1,4 @@
-//! Votes, their sets and evictions: properties for any votes and pages in any order.
+//! Properties of votes, sets of down members and evictions, for arbitrary votes and for pages in any order.
 
 mod common;
 
@@ -15,7 +15,7 @@
 use cranehill_membership::{Identity, State, View};
 use proptest::prelude::*;
 
-const DELAY: Duration = Duration::from_secs(30);
+const EVICTION_DELAY: Duration = Duration::from_secs(30);
 const SECOND: Duration = Duration::from_secs(1);
 
 fn member(n: usize) -> Identity {
@@ -30,7 +30,7 @@
     identity_hash(&member(n))
 }
 
-fn see(table: &mut MemberTable, n: usize, state: State) {
+fn set_state(table: &mut MemberTable, n: usize, state: State) {
     let view = View {
         member: member(n),
         swim_incarnation: 0,
@@ -40,11 +40,12 @@
     table.update(START, view, Duration::ZERO);
 }
 
-fn names(members: &[usize]) -> BTreeSet<ShortHash> {
+fn set_of(members: &[usize]) -> BTreeSet<ShortHash> {
     members.iter().map(|n| hash(*n)).collect()
 }
 
-/// A fleet of which we are the last: some of the others are down in our view, and some of the rest say so too.
+/// The state of one member of a fleet, whose own hash isn't in the table. `crash` marks the members in `down` as down in its view;
+/// `vote` adds votes of other members.
 struct Fleet {
     table: MemberTable,
     votes: Votes,
@@ -55,7 +56,7 @@
 impl Fleet {
     fn new(members: usize, down: usize) -> Fleet {
         let (mut table, down) = (MemberTable::default(), (0..down).collect::<Vec<_>>());
-        (0..members - 1).for_each(|n| see(&mut table, n, State::Alive));
+        (0..members - 1).for_each(|n| set_state(&mut table, n, State::Alive));
         Fleet {
             table,
             votes: Votes::default(),
@@ -67,11 +68,11 @@
     fn crash(&mut self) {
         self.down
             .iter()
-            .for_each(|n| see(&mut self.table, *n, State::Down));
+            .for_each(|n| set_state(&mut self.table, *n, State::Down));
     }
 
-    fn vote(&mut self, voter: usize, number: u32, named: &[usize]) {
-        let down = self.sets.insert(names(named));
+    fn vote(&mut self, voter: usize, number: u32, proposed: &[usize]) {
+        let down = self.sets.insert(set_of(proposed));
         let vote = Vote {
             number,
             leaves: false,
@@ -83,54 +84,54 @@
 }
 
 proptest! {
-    /// Guards the shared limits: a quota is free after the whole delay, and only if more than half of all agree. The votes
-    /// of the dead, and of those who are not known, count for nothing.
+    /// Guards against evictions before the whole delay, or without the votes of more than half of all members. Votes of members
+    /// that are down or unknown must not count.
     #[test]
     fn eviction_needs_a_majority_for_the_whole_delay(
-        members in 2usize..40, removed in 1usize..20, voters in 0usize..40, strangers in 0usize..40,
+        members in 2usize..40, removed in 1usize..20, voters in 0usize..40, unknown_voters in 0usize..40,
     ) {
         let removed = removed.min(members - 1);
         let mut fleet = Fleet::new(members, removed);
-        let mut quota = QuotaDivisor::new(members as u32, Some(DELAY));
+        let mut quota = QuotaDivisor::new(members as u32, Some(EVICTION_DELAY));
         quota.update(START, &fleet.table, &fleet.votes, &fleet.sets);
         fleet.crash();
         let down = fleet.down.clone();
-        let living = voters.min(members - 1 - removed);
-        (removed..removed + living).for_each(|voter| fleet.vote(voter, 1, &down));
-        (1000..1000 + strangers).for_each(|voter| fleet.vote(voter, 1, &down));
+        let active_voters = voters.min(members - 1 - removed);
+        (removed..removed + active_voters).for_each(|voter| fleet.vote(voter, 1, &down));
+        (1000..1000 + unknown_voters).for_each(|voter| fleet.vote(voter, 1, &down));
         (0..removed).for_each(|voter| fleet.vote(voter, 1, &down));
-        let count = |quota: &mut QuotaDivisor, fleet: &Fleet, at| {
+        let divisor = |quota: &mut QuotaDivisor, fleet: &Fleet, at| {
             quota.update(START + at, &fleet.table, &fleet.votes, &fleet.sets) as usize
         };
-        prop_assert_eq!(count(&mut quota, &fleet, SECOND), members);
-        prop_assert_eq!(count(&mut quota, &fleet, DELAY), members);
-        let majority = (1 + living) * 2 > members;
-        let left = if majority { members - removed } else { members };
-        prop_assert_eq!(count(&mut quota, &fleet, SECOND + DELAY), left);
+        prop_assert_eq!(divisor(&mut quota, &fleet, SECOND), members);
+        prop_assert_eq!(divisor(&mut quota, &fleet, EVICTION_DELAY), members);
+        let majority = (1 + active_voters) * 2 > members;
+        let expected = if majority { members - removed } else { members };
+        prop_assert_eq!(divisor(&mut quota, &fleet, SECOND + EVICTION_DELAY), expected);
     }
 
-    /// A majority that breaks, however shortly, starts the delay anew.
+    /// Guards against an eviction delay that continues although a vote of the majority was withdrawn for a moment.
     #[test]
     fn withdrawn_vote_restarts_the_delay(at in 2u64..30) {
         let mut fleet = Fleet::new(5, 1);
-        let mut quota = QuotaDivisor::new(5, Some(DELAY));
-        let count = |quota: &mut QuotaDivisor, fleet: &Fleet, at: u64| {
+        let mut quota = QuotaDivisor::new(5, Some(EVICTION_DELAY));
+        let divisor = |quota: &mut QuotaDivisor, fleet: &Fleet, at: u64| {
             quota.update(START + SECOND * at as u32, &fleet.table, &fleet.votes, &fleet.sets)
         };
-        count(&mut quota, &fleet, 0);
+        divisor(&mut quota, &fleet, 0);
         fleet.crash();
         fleet.vote(1, 1, &[0]);
         fleet.vote(2, 1, &[0]);
-        prop_assert_eq!(count(&mut quota, &fleet, 1), 5);
+        prop_assert_eq!(divisor(&mut quota, &fleet, 1), 5);
         fleet.vote(2, 2, &[]);
-        prop_assert_eq!(count(&mut quota, &fleet, at), 5);
+        prop_assert_eq!(divisor(&mut quota, &fleet, at), 5);
         fleet.vote(2, 3, &[0]);
-        prop_assert_eq!(count(&mut quota, &fleet, at), 5);
-        prop_assert_eq!(count(&mut quota, &fleet, at + 29), 5);
-        prop_assert_eq!(count(&mut quota, &fleet, at + 30), 4);
+        prop_assert_eq!(divisor(&mut quota, &fleet, at), 5);
+        prop_assert_eq!(divisor(&mut quota, &fleet, at + 29), 5);
+        prop_assert_eq!(divisor(&mut quota, &fleet, at + 30), 4);
     }
 
-    /// Votes come to the same table in any order, each once or often.
+    /// Guards against members whose stored votes differ because they received them in another order or repeatedly.
     #[test]
     fn votes_converge(
         votes in prop::collection::vec((0usize..8, 0u32..6, any::<bool>(), 0usize..4), 1..60),
@@ -153,42 +154,43 @@
         prop_assert_eq!(one.digest(), none.digest());
     }
 
-    /// Pages of a set come in any order, twice, of another length or spoilt: the set is whole only as what its name says.
+    /// Guards against a set that is stored with members other than those of its hash: its pages arrive in any order, repeatedly,
+    /// truncated or altered.
     #[test]
     fn down_set_is_complete_or_absent(
-        size in 1usize..600, pages in prop::collection::vec((0u32..5, 0usize..3), 1..40), spoil in any::<bool>(),
+        size in 1usize..600, pages in prop::collection::vec((0u32..5, 0usize..3), 1..40), alter in any::<bool>(),
     ) {
         let members: Vec<usize> = (0..size).collect();
         let mut theirs = DownSets::default();
-        let set = theirs.insert(names(&members)).expect("there is room");
+        let set = theirs.insert(set_of(&members)).expect("within the bounds");
         let mut ours = DownSets::default();
         for (number, change) in pages {
             let Some(mut page) = theirs.page(set, number * 128, 128) else { continue };
             match change {
                 1 => page.members.truncate(page.members.len() / 2),
-                2 if spoil => page.members.reverse(),
+                2 if alter => page.members.reverse(),
                 _ => {}
             }
-            page.total += u32::from(spoil && change == 1);
+            page.total += u32::from(alter && change == 1);
             ours.add_page(&page);
         }
-        while let Some(offset) = ours.next_offset(set).filter(|_| !spoil) {
-            let page = theirs.page(set, offset, 128).expect("it is there");
+        while let Some(offset) = ours.next_offset(set).filter(|_| !alter) {
+            let page = theirs.page(set, offset, 128).expect("the page exists");
             ours.add_page(&page);
         }
         prop_assert!(ours.get(set).is_none_or(|members| Some(members) == theirs.get(set)));
-        prop_assert!(spoil || ours.get(set).is_some());
+        prop_assert!(alter || ours.get(set).is_some());
     }
 
-    /// A member votes for nobody that its own view doesn't hold to be down, whatever others name; and for all whom it does.
+    /// Guards against a vote for a set that others proposed but that differs from the members down in the own view.
     #[test]
-    fn vote_names_exactly_the_members_down_in_the_own_view(
+    fn voted_set_is_exactly_the_members_down_in_the_own_view(
         down in prop::collection::btree_set(0usize..12, 0..8),
-        named in prop::collection::vec(prop::collection::btree_set(0usize..12, 1..8), 0..6),
+        proposed in prop::collection::vec(prop::collection::btree_set(0usize..12, 1..8), 0..6),
     ) {
         let mut fleet = Fleet::new(13, 0);
-        down.iter().for_each(|n| see(&mut fleet.table, *n, State::Down));
-        for (voter, set) in named.iter().enumerate() {
+        down.iter().for_each(|n| set_state(&mut fleet.table, *n, State::Down));
+        for (voter, set) in proposed.iter().enumerate() {
             fleet.vote(voter, 1, &set.iter().copied().collect::<Vec<_>>());
         }
         let mut voting = Voting::new(SECOND, 13);
@@ -199,12 +201,12 @@
                 voted = Some(set);
             }
         }
-        let expected = names(&down.iter().copied().collect::<Vec<_>>());
+        let expected = set_of(&down.iter().copied().collect::<Vec<_>>());
         prop_assert_eq!(voted.and_then(|set| fleet.sets.get(set)).cloned().unwrap_or_default(), expected);
     }
 }
 
-/// Sets are bounded in members and number; beyond that none is taken, and none is lost.
+/// Guards against unbounded memory: sets beyond the bounds on members and sets are rejected, and stored ones stay.
 #[test]
 fn sets_are_bounded() {
     let mut sets = DownSets::default();
@@ -219,18 +221,18 @@
         members: vec![hash(2)]
     }));
     let kept = (0..1000)
-        .filter(|n| sets.insert(names(&[*n])).is_some())
+        .filter(|n| sets.insert(set_of(&[*n])).is_some())
         .count();
     assert_eq!(kept, MAX_SETS);
     assert!(
-        sets.insert(names(&[0])).is_some(),
-        "one that is kept is found again"
+        sets.insert(set_of(&[0])).is_some(),
+        "a stored set can be inserted again"
     );
 }
 
-/// A member that adopts a set may have seen an earlier incarnation of one of its members end.
+/// Guards against a set that can't be adopted because one of its members has already rejoined in a later incarnation.
 #[test]
-fn set_with_an_ended_incarnation_can_be_adopted() {
+fn set_with_a_superseded_incarnation_can_be_adopted() {
     let mut fleet = Fleet::new(6, 2);
     fleet.crash();
     fleet.vote(3, 1, &[0, 1]);
@@ -254,6 +256,6 @@
     );
     assert_eq!(
         choice,
-        VoteDecision::Vote(DownSets::hash_of(&names(&[0, 1])))
+        VoteDecision::Vote(DownSets::hash_of(&set_of(&[0, 1])))
     );
 }
