--- a/crates/scheduler/src/acceptance.rs
+++ b/crates/scheduler/src/acceptance.rs
@@ -10,7 +10,7 @@
 use crate::window::MIN_WINDOW;
 
 impl SchedulerState {
-    /// Takes in a message; one with an unknown class or a known id is ignored.
+    /// Adds an accepted message. A message with an unknown class, or with the id of one that is not completed, is ignored.
     pub(crate) fn on_accept(&mut self, accepted: AcceptedMessage) {
         let class_index = accepted.class;
         if class_index >= self.settings.classes.len()
@@ -38,11 +38,11 @@
             attempts: accepted.prior.attempts,
             in_flight: None,
             possibly_executed: self.prior_execution(&accepted.prior),
-            verdict: None,
+            permanent_result: None,
             completed: false,
         };
         self.messages.insert(number, message);
-        // What a restart restored was accepted over the time since; as new demand it would be a burst that never was.
+        // Restored messages were accepted over time, before the restart. Counted as new demand, they would look like a burst.
         let accepted_at = accepted
             .prior
             .restored
@@ -50,7 +50,7 @@
         self.count_demand(accepted.destination, accepted_at);
     }
 
-    /// An attempt of an earlier process keeps its age, so that no repeat leaves the deduplication window.
+    /// The possible execution by an earlier process. It keeps its age, so that no repeat is sent after the deduplication window.
     fn prior_execution(&self, prior: &PriorAttempts) -> Option<PossibleExecution> {
         let (age, endpoint) = prior.possibly_executed.as_ref()?;
         Some(PossibleExecution {
@@ -59,9 +59,10 @@
         })
     }
 
-    /// Counts a message for each listed route of its destination; `accepted_at` if an earlier process accepted it.
+    /// Counts a message as demand on each listed route of its destination. `accepted_at` is set if an earlier process accepted
+    /// the message.
     fn count_demand(&mut self, destination: DestinationId, accepted_at: Option<Time>) {
-        // Each separate route counts its part only: the whole at each would sum to a multiple of the traffic.
+        // Each separate route counts only its share; counting the whole message at each would multiply the traffic.
         let routes = self.listed_routes(destination);
         let route_share = 1.0 / routes.len().max(1) as f64;
         for route_index in routes {
@@ -75,13 +76,14 @@
         }
     }
 
-    /// As the paper does with a window of one: where a sender seldom calls, half of its messages are tried as they arrive,
-    /// in an outage too. All senders together then send less than their new traffic.
+    /// Allows a call at once for a random part of the messages to a route with little demand, during an outage too. At a window
+    /// of [`MIN_WINDOW`], the paper (see [`crate::window`]) sends that share of the arriving calls. All senders together then
+    /// send less than the newly accepted traffic.
     fn draw_immediate_call(&mut self, route_index: RouteIndex, route_share: f64) {
         let route = &mut self.routes[route_index];
         let open = self.now >= route.blocked_until;
-        let seldom = is_seldom(route.demand.rate(self.now), MAX_PROBE_PAUSE);
-        if !open || !seldom || self.rng.f64() >= MIN_WINDOW * route_share {
+        let infrequent = is_infrequent(route.demand.rate(self.now), MAX_PROBE_PAUSE);
+        if !open || !infrequent || self.rng.f64() >= MIN_WINDOW * route_share {
             return;
         }
         if route.demand.reported_limit().is_none_or(f64::is_infinite) {
@@ -103,7 +105,7 @@
     }
 }
 
-/// Whether a rate, in messages a second, is less than one message in a span.
-fn is_seldom(rate: f64, span: Duration) -> bool {
+/// Whether a rate, in messages a second, is below one message per `span`.
+fn is_infrequent(rate: f64, span: Duration) -> bool {
     rate * span.as_secs_f64() < 1.0
 }
--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: the one check of all rules before a message is sent.
+//! Admission control: checks all rules on sending a message. Every send passes [`SchedulerState::may_send`].
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 use crate::routes::Route;
 use crate::state::SchedulerState;
 
-/// A slow route may have this many times the free slots in flight.
+/// A slow route may have fewer calls in flight than this many times the free slots.
 const SLOW_ROUTE_SLOT_MULTIPLE: usize = 2;
-/// An endpoint with an overdue call gets a further one after this many times the overdue time.
+/// An endpoint with an overdue call gets a further call after this many times the overdue time.
 const SUSPECT_RETRY_MULTIPLE: u32 = 4;
 
 impl SchedulerState {
-    /// Whether a message may be sent to an endpoint now: in a call of its own, or (`joins_call`) in a call that this tick
-    /// has opened.
+    /// Whether a message may be sent to an endpoint now, in a new call or (`joins_call`) in a call that was opened earlier in
+    /// this batch.
     pub(crate) fn may_send(
         &self,
         number: MessageNumber,
@@ -28,14 +28,15 @@
         let endpoint = &self.endpoints[endpoint_index];
         let route = &self.routes[endpoint.route];
         self.may_attempt(message)
-            && self.repeat_is_dropped_at(message, endpoint_index)
+            && self.is_deduplicated_at(message, endpoint_index)
             && endpoint.accepts_calls()
             && self.now >= route.blocked_until
-            && self.is_next_of_its_key(number, message)
+            && self.is_next_of_ordering_key(number, message)
             && (joins_call || self.may_open_call(message, endpoint_index))
     }
 
-    /// Never two attempts at once, none after the deadline, before its time or over the cap.
+    /// Whether the message's own state allows an attempt: not completed, no attempt in flight, deadline and backoff respected,
+    /// repeats allowed and attempts left.
     fn may_attempt(&self, message: &Message) -> bool {
         !message.completed
             && message.in_flight.is_none()
@@ -44,8 +45,8 @@
             && message.may_repeat(&self.settings, self.now)
     }
 
-    /// Whether the endpoint drops a second execution, where there may be one.
-    fn repeat_is_dropped_at(&self, message: &Message, endpoint_index: EndpointIndex) -> bool {
+    /// Whether a repeat is no problem at this endpoint: the message was not executed, or the endpoint's deduplication covers it.
+    fn is_deduplicated_at(&self, message: &Message, endpoint_index: EndpointIndex) -> bool {
         let class = message.class(&self.settings);
         let Some(first) = message.possibly_executed else {
             return true;
@@ -62,14 +63,14 @@
         }
     }
 
-    fn is_next_of_its_key(&self, number: MessageNumber, message: &Message) -> bool {
+    fn is_next_of_ordering_key(&self, number: MessageNumber, message: &Message) -> bool {
         message
             .ordering_key
             .as_ref()
             .is_none_or(|key| self.ordering.is_next(key, number, self.now))
     }
 
-    /// Whether a further call to the endpoint may be opened.
+    /// Whether a new call to the endpoint may be opened.
     fn may_open_call(&self, message: &Message, endpoint_index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[endpoint_index];
         let route = &self.routes[endpoint.route];
@@ -79,20 +80,20 @@
             && !self.is_suspect(endpoint_index, repeatable)
     }
 
-    /// Whether a slot is free, and the route may take it.
+    /// Whether a slot is free and the route may occupy it.
     fn has_slot_for(&self, route: &Route, endpoint: &Endpoint) -> bool {
         let free_slots = (self.settings.slots as usize).saturating_sub(self.calls.len());
-        // Nagle's rule (RFC 896): where a call takes many messages, small calls beside it only take scarce slots.
+        // As in Nagle's algorithm (RFC 896): with a call in flight, a partly filled one is sent only while slots are plentiful.
         let fills_call = route.backlog >= route.kind.per_call as usize;
         let worth_slot = fills_call || endpoint.in_flight == 0 || free_slots > self.calls.len();
-        // Slots become short together where one destination is slow. It must leave some to the others, so that its backlog
-        // does not starve them (the dynamic threshold of shared buffers).
+        // A slow destination would occupy all slots and starve the others. The limit on its calls decreases with the free
+        // slots (dynamic threshold, as for shared buffers in switches).
         let below_threshold =
             !route.is_slow() || (route.in_flight as usize) < SLOW_ROUTE_SLOT_MULTIPLE * free_slots;
         free_slots > 0 && worth_slot && below_threshold
     }
 
-    /// Whether the route's health, window and token bucket admit a call. In an outage one probe call is sent at a time.
+    /// Whether the route's health, window and token bucket admit a call. In an outage, one probe call is in flight at a time.
     fn route_admits_call(&self, route: &Route) -> bool {
         match route.health.state() {
             HealthState::Down { next_probe, .. } => self.now >= next_probe && route.in_flight == 0,
@@ -104,9 +105,9 @@
         }
     }
 
-    /// Whether a call to the endpoint is overdue with no answer since it was sent. That is evidence of a hang, a silent
-    /// endpoint or a stall before any time-out. No call is added, but for a repeatable one now and then, since one lost
-    /// answer proves little.
+    /// Whether a call to the endpoint is overdue and nothing was answered since it was sent, which indicates a hanging or
+    /// unreachable endpoint before a time-out does. Such an endpoint gets no further call, except a repeatable one after
+    /// [`SUSPECT_RETRY_MULTIPLE`] times the overdue time, since a single lost answer is weak evidence.
     fn is_suspect(&self, endpoint_index: EndpointIndex, repeatable: bool) -> bool {
         let endpoint = &self.endpoints[endpoint_index];
         let route = &self.routes[endpoint.route];
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -1,4 +1,4 @@
-//! The scheduler's interface: settings and events in, actions out. Data only; no decisions.
+//! The data types of the scheduler's interface: settings, events and actions.
 
 mod actions;
 mod endpoint_list;
--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -4,34 +4,34 @@
 
 use super::identifiers::{EndpointId, MessageId};
 
-/// What the scheduler's caller must do.
+/// An instruction to the scheduler's caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
-        /// The message.
+        /// The message to send.
         id: MessageId,
         /// The endpoint to send to.
         endpoint: EndpointId,
         /// Time-out of the attempt.
         timeout: Duration,
-        /// The call that carries it: all messages with this number share one call, whose time-out is the
+        /// Number of the call that carries the message. Messages with the same number share one call, whose time-out is the
         /// shortest of theirs.
         call: u64,
-        /// It may have been executed before, and a repeat is harmless only within this time: what is not written in
-        /// full by then (because its connection opened late, for example) must not be written at all.
+        /// Set if the message may have been executed before and a repeat is harmless only within this time. If the request
+        /// cannot be written in full by then (because its connection opens late, for example), it must not be sent.
         write_within: Option<Duration>,
     },
-    /// Final answer: rejected; a retry by the client is harmless.
+    /// Give the client the final answer that the message is rejected; a retry by the client is harmless.
     Reject {
-        /// The message.
+        /// The rejected message.
         id: MessageId,
-        /// When the client should retry.
+        /// Time after which the client is advised to retry (Retry-After).
         after: Option<Duration>,
     },
-    /// Final answer: failed; the message may or may not have been executed.
+    /// Give the client the final answer that the message failed. It may or may not have been executed.
     Fail(MessageId),
-    /// Ask for an [`Event::Wake`](super::Event::Wake) after this time.
+    /// Pass an [`Event::Wake`](super::Event::Wake) to the scheduler after this time.
     Timer(Duration),
     /// Close this sender's idle connections to an endpoint.
     CloseIdle(EndpointId),
--- a/crates/scheduler/src/api/endpoint_list.rs
+++ b/crates/scheduler/src/api/endpoint_list.rs
@@ -2,31 +2,32 @@
 
 use super::identifiers::{DestinationId, EndpointId};
 
-/// Whether an endpoint is listed for new work. It says nothing of health.
+/// Whether an endpoint is listed for new calls. Independent of its health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Listed.
+    /// Listed and open to new calls.
     Ready,
-    /// Send nothing new.
+    /// Listed, but no new call may be sent to it; calls in flight continue.
     Draining,
-    /// Removed.
+    /// No longer listed.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// Its destination.
+    /// The destination that the endpoint belongs to.
     pub destination: DestinationId,
-    /// Its state in the list.
+    /// Whether new calls may be sent to the endpoint.
     pub condition: Condition,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: u32,
-    /// Its destination's kind.
+    /// Kind of the destination, as a position in [`Settings::kinds`](super::Settings::kinds).
     pub kind: usize,
-    /// With [`Settings::rates_listed`](super::Settings::rates_listed): calls a second that the destination, or the route where routes are
-    /// apart, accepts from all senders together. It may be rough, and is above zero only where it is stated.
+    /// Calls a second that the destination, or the endpoint's own route if endpoints are separate routes, accepts from all
+    /// senders together. Approximate; zero or less if unknown. Used only with
+    /// [`Settings::rates_listed`](super::Settings::rates_listed).
     pub rate: f64,
 }
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -1,44 +1,43 @@
-//! Events that the scheduler reads.
+//! Events that the scheduler processes.
 
 use std::time::Duration;
 
 use super::endpoint_list::Entry;
 use super::identifiers::{DestinationId, EndpointId, MessageId, OrderingKey};
 
-/// How an attempt, or a health check, ended.
+/// Result of an attempt or of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// Delivered.
     Served,
-    /// The destination answered with an error; it may have taken effect.
+    /// The destination answered with an error; the message is possibly executed.
     Error,
-    /// The destination's answer cannot be read; the message may have taken effect. No evidence about the
-    /// destination's health: the answer was damaged on its way.
+    /// The destination's answer is malformed or incomplete; the message is possibly executed. No health signal: the answer was
+    /// damaged in transit.
     Spoilt,
-    /// Rejected because of overload; it was not executed.
+    /// Rejected because of overload; not executed.
     Overloaded,
-    /// No answer in time; it may have taken effect.
+    /// No answer before the time-out; possibly executed.
     TimedOut,
-    /// No connection was possible; it was not executed.
+    /// The connection could not be opened; not executed.
     NoConnection,
-    /// The connection broke; it may have taken effect.
+    /// The connection broke before the answer was complete; possibly executed.
     Reset,
-    /// A reused connection broke under its next call, with no answer; it may have taken effect. No evidence
-    /// about the destination: connections break unnoticed while idle.
+    /// A reused connection broke during its next call, without an answer; possibly executed. No health signal, since
+    /// connections break unnoticed while idle.
     Dropped,
-    /// Cancelled; it may have taken effect.
+    /// The attempt was cancelled; possibly executed.
     Cancelled,
-    /// Never left the sender.
+    /// Nothing was sent; not executed.
     NotSent,
-    /// The recipient no longer exists: the message was not executed and never will be. No evidence about the
-    /// destination's health.
+    /// The recipient no longer exists; not executed, and a retry cannot succeed. No health signal.
     RecipientRemoved,
-    /// The destination will never accept this message as it is; it was not executed.
+    /// The destination rejects this message permanently; not executed, and a retry cannot succeed.
     PermanentError,
 }
 
 impl Status {
-    /// Whether it is certain that the message had no effect.
+    /// Whether the message is certain not to have been executed.
     pub fn not_executed(self) -> bool {
         use Status::{NoConnection, NotSent, Overloaded, PermanentError, RecipientRemoved};
         matches!(
@@ -48,92 +47,92 @@
     }
 }
 
-/// What a destination reports of its limit: late and noisy.
+/// A destination's report on its rate limit. Reports are delayed and noisy.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
-    /// Share of the allowance that is left.
+    /// Fraction of the limit that is unused.
     pub left: f64,
-    /// Calls a second that the limit allows; 0 for no limit.
+    /// Calls a second that the destination allows all senders together; 0 for no limit.
     pub limit: f64,
 }
 
 /// A message accepted from a client.
 #[derive(Clone, Debug)]
 pub struct AcceptedMessage {
-    /// Its id.
+    /// Id of the message.
     pub id: MessageId,
     /// Position in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
     /// Position in [`Settings::tenants`](super::Settings::tenants).
     pub tenant: usize,
-    /// Its ordering key, for ordered classes.
+    /// Ordering key; ignored unless the class has [`Class::in_order`](super::Class::in_order) set.
     pub ordering_key: Option<OrderingKey>,
-    /// Time until it expires.
+    /// Time until the deadline.
     pub time_left: Duration,
-    /// Its destination.
+    /// Destination to deliver to.
     pub destination: DestinationId,
-    /// What an earlier process of this sender did for it, under the same id.
+    /// Attempts that an earlier process of this sender made for the message.
     pub prior: PriorAttempts,
 }
 
-/// What was already done for a message when it is accepted.
+/// Attempts made for a message before this process accepted it.
 #[derive(Clone, Debug, Default)]
 pub struct PriorAttempts {
-    /// Attempts used.
+    /// Number of attempts made.
     pub attempts: u32,
-    /// An earlier process of this sender accepted it.
+    /// Whether an earlier process of this sender accepted the message.
     pub restored: bool,
-    /// Age and endpoint of the first attempt that may have been executed.
+    /// Time since the first possibly executed attempt was sent, and its endpoint.
     pub possibly_executed: Option<(Duration, EndpointId)>,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The message.
+    /// The message that was sent.
     pub id: MessageId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// Result of the attempt.
     pub status: Status,
-    /// The message is completed.
+    /// Whether the message is completed by it.
     pub completed: bool,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub took: Duration,
-    /// For [`Status::Overloaded`]: the time to wait that the answer stated (Retry-After).
+    /// For [`Status::Overloaded`]: the Retry-After time in the answer, if any.
     pub wait: Option<Duration>,
-    /// What the destination reported of its limit.
+    /// The destination's report on its rate limit, if any.
     pub report: Option<Report>,
 }
 
-/// What the scheduler is notified of.
+/// An input to the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The endpoint list has changed.
     List {
-        /// Whether the entries replace the list; else they are changes to it.
+        /// Whether `entries` replace the whole list; else they are changes to it.
         whole: bool,
-        /// The entries.
+        /// Entries of the new list, or changed entries.
         entries: Vec<Entry>,
     },
     /// Polling the endpoint list failed, or the subscription broke.
     ListFailed,
-    /// A message was accepted: it must get one final answer.
+    /// A message was accepted. The scheduler gives it exactly one final answer.
     Accept(AcceptedMessage),
-    /// An attempt ended.
+    /// An attempt finished.
     Outcome(Outcome),
     /// The client has cancelled the message.
     Cancelled(MessageId),
-    /// A health check ended.
+    /// A health check finished.
     HealthChecked {
-        /// The endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// Result of the health check.
         status: Status,
     },
-    /// From now on shared limits are divided by this number of senders, this one included; before, by
-    /// [`Settings::instances`](super::Settings::instances).
+    /// The quota divisor has changed to this number of senders, this one included. It replaces
+    /// [`Settings::instances`](super::Settings::instances); 0 counts as 1.
     SenderCount(u32),
-    /// The timer has fired.
+    /// The timer started by [`Action::Timer`](super::Action::Timer) has fired.
     Wake,
 }
--- a/crates/scheduler/src/api/identifiers.rs
+++ b/crates/scheduler/src/api/identifiers.rs
@@ -15,18 +15,18 @@
     };
 }
 text_id!(
-    /// Names one message; returned unmodified.
+    /// Id of a message. Actions return it unmodified.
     MessageId
 );
 text_id!(
-    /// Names one endpoint; returned unmodified.
+    /// Id of an endpoint. Actions return it unmodified.
     EndpointId
 );
 text_id!(
-    /// Orders messages: those with one key are sent one at a time.
+    /// Ordering key: messages with the same key are sent one at a time, in the order accepted.
     OrderingKey
 );
 
-/// Names one destination. A message may go only to endpoints of its own destination.
+/// Id of a destination. A message is sent only to endpoints of its own destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DestinationId(pub u64);
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -1,138 +1,139 @@
-//! The configuration: classes of message, kinds of destination, limits and the figures of the rules.
+//! The configuration: message classes, destination kinds, limits, and what is assumed of destinations' behavior.
 
 use std::time::Duration;
 
 /// Whether a message may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// A repeat does no harm.
+    /// A repeat is harmless at any time.
     Safe,
     /// A repeat within [`Class::window`] is dropped by the destination.
     Idempotent,
-    /// A repeat does harm.
+    /// A repeat is harmful; a possibly executed message is never sent again.
     Unsafe,
 }
 
 /// Which endpoints of a destination drop a repeat of an idempotent message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All endpoints of the destination.
     All,
-    /// Those in the zone of the first endpoint.
+    /// Endpoints in the same zone as that of the first possibly executed attempt.
     Zone,
-    /// The same endpoint only.
+    /// Only the endpoint of the first possibly executed attempt.
     Endpoint,
 }
 
-/// How the priority weight falls after the latency objective.
+/// How the priority weight decreases after the latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decay {
-    /// Evenly, down to [`Class::late_share`] at the deadline.
+    /// Linearly, down to [`Class::late_share`] at the deadline.
     Linear,
-    /// By half with each further latency objective, never under [`Class::late_share`].
+    /// Halved with each further latency objective, down to [`Class::late_share`].
     Halving,
 }
 
-/// A class of message.
+/// A message class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// A message answered within this time earns its full priority weight.
+    /// Time within which an answered message has its full priority weight, counted from when it was first submitted.
     pub latency_objective: Duration,
-    /// How long it may be delivered, counted from when it was first submitted.
+    /// Time within which a message must be delivered, counted from when it was first submitted.
     pub deadline: Duration,
-    /// Whether it may be repeated.
+    /// Whether a message may be executed more than once.
     pub effect: Effect,
     /// For idempotent classes: which endpoints drop repeats.
     pub dedup: DedupScope,
-    /// For idempotent classes: how long repeats are dropped, from the first attempt that may have been executed.
+    /// For idempotent classes: how long repeats are dropped, counted from when the first possibly executed attempt was sent.
     pub window: Duration,
-    /// Messages with one ordering key are sent one at a time, in the order accepted.
+    /// Whether messages with the same ordering key are sent one at a time, in the order accepted.
     pub in_order: bool,
-    /// Priority weight of a message answered in time.
+    /// Priority weight of a message answered within the latency objective.
     pub priority_weight: f64,
-    /// Share of the priority weight left at the deadline.
+    /// Fraction of the priority weight that remains until the deadline, 0 to 1.
     pub late_share: f64,
 }
 
-/// A kind of destination.
+/// A destination kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// Messages in one call, at most.
+    /// Maximum number of messages in one call.
     pub per_call: u32,
-    /// Endpoints are separate routes, each with its own limit, rate and outages.
+    /// Whether each endpoint is a separate route with its own limit, rate and outages.
     pub apart: bool,
 }
 
-/// The figures of the rules.
+/// What the scheduler assumes of destinations, and the timing limits it must keep.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules {
-    /// Share of its capacity that a destination has at least when an outage ends.
+    /// Fraction of its capacity that a destination has at least when an outage ends, 0 to 1.
     pub cold_from: f64,
-    /// Time after which it has all of it.
+    /// Time after the end of an outage until the destination has its full capacity. In between, capacity grows linearly.
     pub cold: Duration,
-    /// Pushed this many times over its present capacity ...
+    /// Load, as a multiple of its present capacity, at which a destination fails when it lasts for [`Rules::fall`].
     pub fall_multiple: f64,
-    /// ... for this long, it falls over.
+    /// How long a load of [`Rules::fall_multiple`] must last for a destination to fail.
     pub fall: Duration,
     /// How long an ordering key is paused after an attempt that may still be executed.
     pub key_quiet: Duration,
-    /// Where the endpoint list must be polled: the longest time between polls.
+    /// With [`Settings::ask_for_list`]: the maximum time between polls of the endpoint list.
     pub must_ask_in: Duration,
-    /// Time past the deadline within which a final answer still counts.
+    /// Time past the deadline within which a final answer still counts. The scheduler does not use it.
     pub grace_to_answer: Duration,
 }
 
-/// A tenant's allowance.
+/// A tenant's quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Messages a second within its quota, over all senders; 0 where none is stated.
+    /// Messages a second that the tenant may submit to all senders together at full priority weight. With 0, all of its
+    /// messages are over quota.
     pub quota_rps: f64,
 }
 
 /// The configuration of a scheduler, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes of message.
+    /// Message classes; at least one.
     pub classes: Vec<Class>,
-    /// Kinds of destination.
+    /// Destination kinds. An endpoint with an unlisted kind has one message in each call and shares its route.
     pub kinds: Vec<Kind>,
-    /// Tenants; may be empty.
+    /// Tenants; may be empty. An unlisted tenant has no quota.
     pub tenants: Vec<Tenant>,
-    /// Priority weight of traffic over a tenant's quota, as a fraction of the full one.
+    /// Factor of the priority weight of messages over their tenant's quota, 0 to 1.
     pub over_share_worth: f64,
-    /// How the priority weight falls after the latency objective.
+    /// How the priority weight decreases after the latency objective.
     pub decay: Decay,
-    /// Calls that may be in flight at once.
+    /// Maximum number of calls in flight; above zero.
     pub slots: u32,
-    /// Messages that may be pending, in flight or not.
+    /// Maximum number of pending messages, including those in flight; above zero.
     pub max_pending: usize,
-    /// Attempts for one message, at most.
+    /// Maximum number of attempts for one message; above zero.
     pub attempts_cap: u32,
-    /// How long a connection may take to open.
+    /// Maximum time for a connection to open. Used by the caller, not by the scheduler.
     pub connect_timeout: Duration,
     /// How long an idle connection stays open.
     pub conn_idle: Duration,
-    /// Senders in this tier.
+    /// Number of senders that share quotas and limits, this one included; above zero.
     pub instances: u32,
     /// The zone of this sender.
     pub zone: u32,
-    /// The endpoint list must be polled; else changes are pushed.
+    /// Whether the endpoint list must be polled; otherwise changes are pushed.
     pub ask_for_list: bool,
-    /// The endpoint list states rates.
+    /// Whether [`Entry::rate`](super::Entry::rate) is used.
     pub rates_listed: bool,
-    /// Endpoints may be sent health checks.
+    /// Whether endpoints may be sent health checks. The scheduler does not use it.
     pub probes: bool,
-    /// Rejected clients are advised when to retry.
+    /// Whether rejected clients are advised when to retry.
     pub retry_after: bool,
-    /// The longest such advice that a client heeds.
+    /// The longest retry advice that clients follow.
     pub max_retry_after: Duration,
-    /// Least time between batches.
+    /// Minimum time between batches.
     pub tick: Duration,
-    /// The figures of the rules.
+    /// What is assumed of destinations, and the timing limits.
     pub rules: Rules,
 }
 
-/// Settings that the scheduler cannot work with.
+/// Invalid settings, with what was expected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("settings: {0}")]
+#[error("invalid settings: {0}")]
 pub struct SettingsError(pub &'static str);
--- a/crates/scheduler/src/api/time.rs
+++ b/crates/scheduler/src/api/time.rs
@@ -1,11 +1,11 @@
-//! Time as the caller passes it in.
+//! The scheduler's time type. The caller supplies the current time.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A moment on the caller's clock: nanoseconds since any fixed origin.
+/// A point in time on the caller's clock: nanoseconds since an arbitrary fixed origin.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Hash, Serialize, Deserialize,
 )]
@@ -23,14 +23,14 @@
 
 impl Sub<Time> for Time {
     type Output = Duration;
-    /// The span since `earlier`; zero if `earlier` is later.
+    /// The time since `earlier`; zero if `earlier` is later.
     fn sub(self, earlier: Time) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Time {
-    /// This moment less a span; the clock's origin if the span is longer.
+    /// This time minus `span`; the clock's origin if that would be earlier.
     pub(crate) fn saturating_sub(self, span: Duration) -> Time {
         Time(self.0.saturating_sub(span.as_nanos() as u64))
     }
--- a/crates/scheduler/src/calls.rs
+++ b/crates/scheduler/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls in flight, and when a message may share one.
+//! Calls in flight, and the conditions for messages to share a call.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 use crate::messages::Message;
 use crate::routes::Route;
 
-/// One call in flight; several messages may share it.
+/// A call in flight, which carries one or more messages.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) endpoint: EndpointIndex,
-    /// Class of its first message.
+    /// Class of the first message in the call.
     pub(crate) class: usize,
     pub(crate) sent: Time,
-    /// When it times out, for all messages that share it.
+    /// When the call times out, for all of its messages.
     pub(crate) timeout_at: Time,
-    /// It must not time out before this, for the sake of one of them.
+    /// The latest `min_timeout_at` of its messages: the call must not time out earlier.
     pub(crate) min_timeout_at: Time,
     pub(crate) messages: u32,
     /// Messages whose outcome is not known yet.
     pub(crate) unanswered: u32,
-    /// The outcome of one message has been counted for the call.
-    pub(crate) counted: bool,
+    /// Whether the outcome of one of its messages was recorded as that of the call.
+    pub(crate) outcome_recorded: bool,
 }
 
 impl Call {
@@ -36,19 +36,20 @@
             min_timeout_at: wait.min_timeout_at,
             messages: 1,
             unanswered: 1,
-            counted: false,
+            outcome_recorded: false,
         }
     }
 
-    /// Whether a message with this wait may share the call. Its one time-out must be within the time of each message and
-    /// not shorter than any of them needs: a message that alone timed out would leave open what the answer means for it.
+    /// Whether a message with this `wait` may share the call. A call has a single time-out, which must end before the attempt of
+    /// any of its messages does and not before the minimum of any. If one message timed out alone, the later answer to the
+    /// call would be ambiguous for it.
     pub(crate) fn can_add(&self, route: &Route, wait: &CallWait) -> bool {
         let timeout_at = self.timeout_at.min(wait.timeout_at);
         self.messages < route.kind.per_call
             && self.min_timeout_at.max(wait.min_timeout_at) <= timeout_at
     }
 
-    /// Adds a message with this wait.
+    /// Adds a message with this `wait`.
     pub(crate) fn add(&mut self, wait: &CallWait) {
         self.messages += 1;
         self.unanswered += 1;
@@ -57,19 +58,20 @@
     }
 }
 
-/// How long a message's call may and must be waited for.
+/// The longest and the shortest time to wait for the answer to a message's call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallWait {
     /// The time-out of the message's attempt.
     pub(crate) timeout: Duration,
-    /// When that time-out ends.
+    /// When the attempt times out.
     pub(crate) timeout_at: Time,
-    /// The call must not time out before this: an unsafe message would be lost.
+    /// When the call may time out at the earliest. For an unsafe message this is `timeout_at`, since it cannot be retried after
+    /// a time-out; for others it is the usual time of a call.
     pub(crate) min_timeout_at: Time,
 }
 
 impl CallWait {
-    /// The wait of a message that is sent now.
+    /// The wait for a message that is sent now.
     pub(crate) fn new(message: &Message, route: &Route, settings: &Settings, now: Time) -> Self {
         let class = message.class(settings);
         let timeout = route.round_trips[message.class]
--- a/crates/scheduler/src/discovery_polls.rs
+++ b/crates/scheduler/src/discovery_polls.rs
@@ -1,17 +1,17 @@
-//! When the endpoint list is polled, where changes are not pushed.
+//! Schedules polls of the endpoint list, if its changes are not pushed.
 
 use std::time::Duration;
 
 use crate::api::{Settings, Time};
 
-/// Backoff after the first failed poll is twice this, doubling with each further one.
+/// Half of the backoff after the first failed poll. The backoff doubles with each further failure.
 const BASE_BACKOFF: Duration = Duration::from_millis(300);
-/// The backoff is doubled this often at most.
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// The longest time between polls that the rules allow leaves room for this many backoffs.
+/// Minimum number of backoffs in the maximum time between polls, [`Rules::must_ask_in`](crate::api::Rules::must_ask_in).
 const BACKOFFS_PER_POLL_LIMIT: u32 = 2;
 
-/// The next poll and the failures before it.
+/// The time of the next poll, and the failed polls since the last success.
 #[derive(Debug)]
 pub(crate) struct DiscoveryPolls {
     next_poll: Option<Time>,
@@ -19,7 +19,7 @@
 }
 
 impl DiscoveryPolls {
-    /// The first poll is due at once.
+    /// Schedules the first poll for `now`.
     pub(crate) fn new(settings: &Settings, now: Time) -> DiscoveryPolls {
         DiscoveryPolls {
             next_poll: settings.ask_for_list.then_some(now),
@@ -27,22 +27,23 @@
         }
     }
 
-    /// When the next poll is due.
+    /// When the next poll is due; `None` if none is scheduled.
     pub(crate) fn next_poll(&self) -> Option<Time> {
         self.next_poll
     }
 
-    /// Whether a poll is due; it counts as made.
+    /// Whether a poll is due. If so, the caller must make it: it is no longer scheduled.
     pub(crate) fn take_due(&mut self, now: Time) -> bool {
         self.next_poll.take_if(|due| *due <= now).is_some()
     }
 
-    /// Records a list received.
+    /// Records that an endpoint list was received.
     pub(crate) fn record_success(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// Records a failed poll. A poll at once would add to the load that may have caused it.
+    /// Records a failed poll and schedules the next one after a backoff, multiplied by `jitter`: an immediate retry would add to
+    /// the load that may have caused the failure.
     pub(crate) fn record_failure(&mut self, settings: &Settings, now: Time, jitter: f64) {
         self.consecutive_failures += 1;
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: sends the messages that may be sent, most urgent first. No other module sends.
+//! Dispatch: sends the messages that may be sent, most urgent first. No other module sends messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,22 +10,24 @@
 use crate::routes::Route;
 use crate::state::SchedulerState;
 
-/// The lowest rate of messages that a backlog's wait is computed from, in messages a second.
-const MIN_SERVED_RATE: f64 = 0.5;
-/// Bounds of the wait that a message may expect in a backlog, in seconds.
+/// Minimum rate for computing the waiting time in a backlog, in messages a second.
+const MIN_SERVICE_RATE: f64 = 0.5;
+/// Minimum expected waiting time in a backlog, in seconds.
 const MIN_BACKLOG_WAIT: f64 = 0.5;
+/// Maximum expected waiting time in a backlog, in seconds.
 const MAX_BACKLOG_WAIT: f64 = 10.0;
-/// Share of the priority weight that counts for urgency even if a wait would lose nothing.
+/// Fraction of the priority weight that counts as urgency even if waiting would not reduce the weight.
 const BASE_URGENCY: f64 = 0.01;
-/// The shortest usual time of a call that urgency is divided by, in seconds.
+/// Minimum usual time of a call by which urgency is divided, in seconds.
 const MIN_USUAL_SECONDS: f64 = 1e-3;
 
-/// The order in which endpoints are preferred: the smallest is best, the first field decides first.
+/// Sort key for the choice of an endpoint: the smallest is preferred. Fields are compared in order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EndpointPreference {
-    /// A call that this tick has opened there can be shared if false.
+    /// False if the message can share a call to the endpoint that was opened earlier in this batch.
     needs_new_call: bool,
-    /// Of several with recent failures, that with the fewest: an outage need not concern all of them.
+    /// Consecutive failures of an ejected endpoint, else zero. If all are ejected, the one with the fewest failures is
+    /// preferred, since an outage may not affect all endpoints.
     recent_failures: u32,
     distance: u8,
     in_flight: u32,
@@ -33,7 +35,7 @@
     index: EndpointIndex,
 }
 
-/// The calls that this tick has opened, by endpoint.
+/// The calls opened in this batch, by endpoint.
 type OpenCalls = BTreeMap<EndpointIndex, CallNumber>;
 
 impl SchedulerState {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The messages that may be sent now as far as their own backoff allows, most urgent first.
+    /// The pending messages whose own backoff has passed, most urgent first.
     fn ready_by_urgency(&self) -> Vec<RankedMessage> {
         let mut ready: Vec<RankedMessage> = self
             .messages
@@ -76,35 +78,36 @@
         ready
     }
 
-    /// Priority weight lost, for each second of a slot, if this message waits as long as its route's backlog.
+    /// Urgency of a message: the priority weight that is lost if it waits until the route's present backlog is served, per
+    /// second of slot time that sending it now takes.
     fn urgency(&self, message: &Message) -> f64 {
-        // Of separate routes, the one with the shortest time counts.
+        // Of several separate routes, the one with the shortest usual time counts.
         let fastest = self
             .routes
             .of_destination(message.destination)
             .iter()
             .map(|&index| &self.routes[index])
-            .min_by(|one, other| {
+            .min_by(|left, right| {
                 let usual = |route: &Route| route.call_times(message.class, &self.settings).usual;
-                usual(one).total_cmp(&usual(other))
+                usual(left).total_cmp(&usual(right))
             });
         let Some(route) = fastest else {
             return 0.0;
         };
         let usual = route.call_times(message.class, &self.settings).usual;
-        // A call that carries many messages costs each of them only its part of the slot.
-        let sharing = route.backlog.clamp(1, route.kind.per_call.max(1) as usize);
-        let served = route.demand.rate(self.now).max(MIN_SERVED_RATE);
-        let wait = (route.backlog as f64 / served).clamp(MIN_BACKLOG_WAIT, MAX_BACKLOG_WAIT);
-        let soon = self.now + Duration::from_secs_f64(usual);
-        let later = soon + Duration::from_secs_f64(wait);
-        let weight_soon = message.priority_weight(&self.settings, soon);
-        let weight_later = message.priority_weight(&self.settings, later);
-        (weight_soon - weight_later + BASE_URGENCY * weight_soon) * sharing as f64
+        // Messages that share a call also share its slot time.
+        let messages_per_call = route.backlog.clamp(1, route.kind.per_call.max(1) as usize);
+        let service_rate = route.demand.rate(self.now).max(MIN_SERVICE_RATE);
+        let wait = (route.backlog as f64 / service_rate).clamp(MIN_BACKLOG_WAIT, MAX_BACKLOG_WAIT);
+        let answered_now = self.now + Duration::from_secs_f64(usual);
+        let answered_later = answered_now + Duration::from_secs_f64(wait);
+        let weight_now = message.priority_weight(&self.settings, answered_now);
+        let weight_later = message.priority_weight(&self.settings, answered_later);
+        (weight_now - weight_later + BASE_URGENCY * weight_now) * messages_per_call as f64
             / usual.max(MIN_USUAL_SECONDS)
     }
 
-    /// The best endpoint that admits the message.
+    /// The preferred endpoint among those to which the message may be sent.
     fn choose_endpoint(
         &self,
         number: MessageNumber,
@@ -122,6 +125,7 @@
             .min_by_key(|&index| self.preference(message, index, open_calls))
     }
 
+    /// Sort key of an endpoint for a message.
     fn preference(
         &self,
         message: &Message,
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Whether a message may share the call that this tick has opened to an endpoint, if there is one.
+    /// Whether a message may share a call to the endpoint that was opened earlier in this batch.
     fn joins_call(
         &self,
         message: &Message,
@@ -208,22 +212,22 @@
         });
     }
 
-    /// Counts a new call at its endpoint and route.
+    /// Records a new call at its endpoint and route, and closes idle connections that are too old to reuse.
     fn record_call(&mut self, endpoint_index: EndpointIndex) {
         let endpoint = &mut self.endpoints[endpoint_index];
         let route = &mut self.routes[endpoint.route];
         endpoint.idle_before_call = endpoint.idle_time(self.now);
-        let distrusted = self
+        let idle_too_long = self
             .idle_connections
-            .is_distrusted(endpoint.idle_before_call);
-        if endpoint.in_flight == 0 && distrusted {
+            .is_idle_too_long(endpoint.idle_before_call);
+        if endpoint.in_flight == 0 && idle_too_long {
             self.actions.push(Action::CloseIdle(endpoint.id.clone()));
             endpoint.idle_before_call = Duration::ZERO;
         }
         endpoint.record_call(self.now);
         route.in_flight += 1;
         route.draw_won = false;
-        route.used = true;
+        route.was_called = true;
         route.token_bucket.take();
     }
 }
--- a/crates/scheduler/src/endpoint_list.rs
+++ b/crates/scheduler/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Applies changes of the endpoint list, and forgets removed endpoints.
+//! Applies changes of the endpoint list and deletes removed endpoints.
 
 use std::collections::BTreeSet;
 
@@ -9,14 +9,14 @@
 use crate::routes::Route;
 use crate::state::SchedulerState;
 
-/// What is assumed of a kind that the settings do not have.
+/// Used for an endpoint whose kind is not in the settings.
 const UNKNOWN_KIND: Kind = Kind {
     per_call: 1,
     apart: false,
 };
 
 impl SchedulerState {
-    /// Applies a list; `whole` if it replaces the present one.
+    /// Applies a new endpoint list if `whole` is set, else changes to the present one.
     pub(crate) fn on_endpoint_list(&mut self, whole: bool, entries: Vec<Entry>) {
         self.discovery_polls.record_success();
         if whole {
@@ -28,13 +28,13 @@
                 self.add_endpoint(entry);
             }
         }
-        self.forget_removed();
+        self.delete_removed();
     }
 
     fn add_endpoint(&mut self, entry: Entry) {
         let route_index = self.route_for(&entry);
         let route = &mut self.routes[route_index];
-        // The failed endpoint was another one: a new one need not wait for the next probe call.
+        // An outage was detected at other endpoints: a new one need not wait for the next scheduled probe call.
         route.health.allow_probe(self.now);
         if self.settings.rates_listed && entry.rate > 0.0 {
             route.demand.set_listed_limit(entry.rate);
@@ -43,7 +43,8 @@
         route.endpoints.push(self.endpoints.insert(endpoint));
     }
 
-    /// The route of a new endpoint: the destination's one, or a new one.
+    /// The route of a new endpoint: the destination's present route, or a new one if there is none or endpoints are separate
+    /// routes.
     fn route_for(&mut self, entry: &Entry) -> RouteIndex {
         let kinds = &self.settings.kinds;
         let kind = kinds.get(entry.kind).copied().unwrap_or(UNKNOWN_KIND);
@@ -57,15 +58,15 @@
         self.routes.insert(route)
     }
 
-    /// Forgets removed endpoints that nothing refers to. Else memory would grow with each endpoint that is replaced under a
-    /// new id.
-    fn forget_removed(&mut self) {
-        let first_executed: BTreeSet<EndpointIndex> = self
+    /// Deletes removed endpoints that no call or message refers to. Otherwise memory would grow with each endpoint that is
+    /// replaced by one with a new id.
+    fn delete_removed(&mut self) {
+        let referenced: BTreeSet<EndpointIndex> = self
             .messages
             .values()
             .filter_map(|message| message.possibly_executed?.endpoint)
             .collect();
-        for endpoint in self.endpoints.forget_removed(&first_executed) {
+        for endpoint in self.endpoints.delete_removed(&referenced) {
             let route = self.endpoints[endpoint].route;
             self.routes.remove_endpoint(route, endpoint);
         }
--- a/crates/scheduler/src/endpoints.rs
+++ b/crates/scheduler/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints: their listed condition, and what this sender's own calls have shown of each.
+//! Endpoints: their condition in the endpoint list, and statistics of this sender's calls to each.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -10,36 +10,37 @@
 use crate::indices::{EndpointIndex, RouteIndex};
 use crate::slots::insert_reusing;
 
-/// One endpoint of a destination.
+/// An endpoint of a destination.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) id: EndpointId,
     pub(crate) zone: u32,
     pub(crate) condition: Condition,
-    /// Index of its route.
     pub(crate) route: RouteIndex,
-    /// Its position in this sender's own random order. With an order that all senders share, each having one call in
-    /// flight, all would use the same endpoint of several and leave the others idle.
+    /// Position in this sender's own random order of endpoints. If all senders had the same order and few calls in flight,
+    /// all would call the same endpoint and leave the others idle.
     pub(crate) rank: u64,
-    /// Failed calls since the last one served.
+    /// Failed calls and health checks since the last success.
     pub(crate) consecutive_failures: u32,
     /// Calls in flight.
     pub(crate) in_flight: u32,
+    /// When a call was last answered, or when the endpoint was listed if none was.
     pub(crate) last_answer: Time,
+    /// When a call was last sent.
     pub(crate) last_used: Option<Time>,
-    /// Calls sent since it was first listed.
+    /// Calls sent since the endpoint was listed.
     pub(crate) calls_sent: u32,
-    /// Position of its destination's kind in the settings.
+    /// Kind of the destination, as a position in `Settings::kinds`.
     pub(crate) kind: usize,
     pub(crate) listed_at: Time,
-    /// How long it had been idle when its latest call was sent.
+    /// How long the endpoint was idle before its latest call.
     pub(crate) idle_before_call: Duration,
-    /// Calls that its gate admits while its zone is evacuated, or it is attached again; none where there is no gate.
+    /// Tokens of the gate, one for each call: see [`crate::zones`]. `None` if the endpoint has no gate.
     pub(crate) gate_tokens: Option<f64>,
 }
 
 impl Endpoint {
-    /// A newly listed endpoint. The sender's `seed` decides, with the id, its rank.
+    /// A newly listed endpoint. Its rank is a hash of its id and the sender's `seed`.
     pub(crate) fn new(entry: Entry, route: RouteIndex, now: Time, seed: u64) -> Endpoint {
         let mut hasher = DefaultHasher::new();
         (seed, &entry.endpoint).hash(&mut hasher);
@@ -61,12 +62,12 @@
         }
     }
 
-    /// Whether it is listed for new work and its gate, if it has one, admits a call.
+    /// Whether the endpoint is listed for new calls, and its gate, if any, admits one.
     pub(crate) fn accepts_calls(&self) -> bool {
         self.condition == Condition::Ready && self.gate_tokens.is_none_or(|tokens| tokens >= 1.0)
     }
 
-    /// Records a call sent to it.
+    /// Records a call that is sent to the endpoint now.
     pub(crate) fn record_call(&mut self, now: Time) {
         self.in_flight += 1;
         self.last_used = Some(now);
@@ -76,15 +77,15 @@
         }
     }
 
-    /// How long it has been idle; zero before its first call.
+    /// How long the endpoint has been idle; zero before its first call.
     pub(crate) fn idle_time(&self, now: Time) -> Duration {
         self.last_used.map_or(Duration::ZERO, |last_used| {
             now - last_used.max(self.last_answer)
         })
     }
 
-    /// Distance for the choice among endpoints: one in the sender's own zone is nearer than others. Nearest is one whose
-    /// gate admits a call, since a probe call is meant for no other.
+    /// Rank in the choice of an endpoint, 0 to 2: the sender's own zone is preferred to others. An endpoint whose gate admits a
+    /// call is preferred to all, since the admitted probe call must go there.
     pub(crate) fn distance(&self, own_zone: u32) -> u8 {
         match self.gate_tokens {
             Some(tokens) if tokens >= 1.0 => 0,
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Whether recent failures speak against it. They age, so that it is tried now and then although others would do;
-    /// else it would be ejected for good.
+    /// Whether the endpoint is ejected because of recent failures. An ejection ends some time after the last call, so that
+    /// the endpoint is tried again even if others work.
     pub(crate) fn is_ejected(&self, now: Time) -> bool {
         let pause = backoff_pause(self.consecutive_failures);
         self.consecutive_failures > 0
@@ -103,28 +104,28 @@
     }
 }
 
-/// All endpoints by index. Freed slots keep their last endpoint until they are reused.
+/// All endpoints by index. A free slot keeps its last endpoint until it is reused.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
     slots: Vec<Endpoint>,
     free: Vec<usize>,
     by_id: BTreeMap<EndpointId, EndpointIndex>,
-    /// Endpoints that were removed from the list and are not forgotten yet.
+    /// Endpoints that were removed from the endpoint list but not yet deleted from this table.
     removed: BTreeMap<EndpointId, EndpointIndex>,
 }
 
 impl EndpointTable {
-    /// Slots in use or free.
+    /// Number of slots, in use or free.
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// The index of an endpoint that is not forgotten.
+    /// The index of an endpoint in the table.
     pub(crate) fn index_of(&self, id: &EndpointId) -> Option<EndpointIndex> {
         self.by_id.get(id).copied()
     }
 
-    /// Indices of all endpoints that are not forgotten, by id.
+    /// Indices of all endpoints in the table, ordered by id.
     pub(crate) fn indices(&self) -> impl Iterator<Item = EndpointIndex> + '_ {
         self.by_id.values().copied()
     }
@@ -142,7 +143,7 @@
         index
     }
 
-    /// Applies an entry to an endpoint that is known; false if it is not.
+    /// Applies an entry of the endpoint list to an endpoint; false if the endpoint is not in the table.
     pub(crate) fn update(&mut self, entry: &Entry) -> bool {
         let Some(&index) = self.by_id.get(&entry.endpoint) else {
             return false;
@@ -161,7 +162,7 @@
         true
     }
 
-    /// Marks all endpoints as removed, before a whole list is applied.
+    /// Marks all endpoints as removed, before a whole endpoint list is applied.
     pub(crate) fn mark_all_removed(&mut self) {
         for endpoint in &mut self.slots {
             endpoint.condition = Condition::Removed;
@@ -169,22 +170,22 @@
         self.removed = self.by_id.clone();
     }
 
-    /// Forgets removed endpoints with no call in flight, but for those in `referenced`; returns the indices.
-    pub(crate) fn forget_removed(
+    /// Deletes removed endpoints that have no call in flight and are not in `referenced`. Returns their indices.
+    pub(crate) fn delete_removed(
         &mut self,
         referenced: &BTreeSet<EndpointIndex>,
     ) -> Vec<EndpointIndex> {
-        let (kept, forgotten): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.removed)
+        let (kept, deleted): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut self.removed)
             .into_iter()
             .partition(|(_, index)| {
                 self.slots[index.0].in_flight > 0 || referenced.contains(index)
             });
         self.removed = kept;
-        for (id, index) in &forgotten {
+        for (id, index) in &deleted {
             self.by_id.remove(id);
             self.free.push(index.0);
         }
-        forgotten.into_values().collect()
+        deleted.into_values().collect()
     }
 }
 
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -1,30 +1,31 @@
-//! Health of one route, apart from its load: detects outages, which the window alone takes for overload.
+//! Health of one route: detects outages, which the window alone cannot distinguish from overload.
 //!
-//! Failures in a row eject the route; probe calls with exponential backoff find its return, and a slow start follows.
+//! Consecutive failures start an outage. Probe calls with exponential backoff detect its end, and a slow start follows.
 
 use std::time::Duration;
 
 use crate::api::{Rules, Time};
 
-/// Failures in a row, with no success between them, that mean an outage: one or two happen by chance.
+/// Consecutive failures that indicate an outage: one or two happen by chance.
 const OUTAGE_FAILURES: u32 = 3;
-/// The same during a slow start, when a new outage is likelier.
+/// Consecutive failures that indicate an outage during a slow start, when a new one is likelier.
 const SLOW_START_OUTAGE_FAILURES: u32 = 2;
-/// The first pause before a probe call.
+/// Minimum pause before a probe call.
 pub(crate) const MIN_PROBE_PAUSE: Duration = Duration::from_millis(400);
-/// The longest pause before a probe call; pauses double up to this.
+/// Maximum pause before a probe call; pauses double up to this.
 pub(crate) const MAX_PROBE_PAUSE: Duration = Duration::from_millis(1600);
-/// Pauses are doubled this often at most.
+/// Maximum number of times that a pause is doubled.
 const MAX_PAUSE_DOUBLINGS: u32 = 4;
-/// Rejections and Retry-After waits longer than a limit's span, and at least than this, mean an outage.
+/// Minimum of [`longest_limit_span`].
 const MIN_LIMIT_SPAN: Duration = Duration::from_secs(2);
 
-/// The longest span of a limit: rejections and Retry-After waits beyond it mean an outage.
+/// The longest time for which a rate limit can cause rejections. Rejections and Retry-After waits that last longer indicate an
+/// outage.
 pub(crate) fn longest_limit_span(rules: &Rules) -> Duration {
     rules.fall.max(MIN_LIMIT_SPAN)
 }
 
-/// The pause after this number of failures in a row, not bounded by [`MAX_PROBE_PAUSE`].
+/// The pause after a number of consecutive failures. Not bounded by [`MAX_PROBE_PAUSE`].
 pub(crate) fn backoff_pause(failures: u32) -> Duration {
     MIN_PROBE_PAUSE * (1 << failures.min(MAX_PAUSE_DOUBLINGS))
 }
@@ -32,28 +33,28 @@
 /// Evidence about a route's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthSignal {
-    /// A call was served.
+    /// A call or health check was served.
     Success,
-    /// A call failed.
+    /// A call or health check failed.
     Failure,
-    /// A call was rejected for overload.
+    /// A call or health check was rejected because of overload.
     Overload,
 }
 
 /// Whether a route is in an outage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum HealthState {
-    /// In service: the window alone decides.
+    /// In service: only window and token bucket limit the calls.
     #[default]
     Up,
     /// In an outage: one probe call at a time.
     Down {
-        /// No probe call before this.
+        /// Earliest time of the next probe call.
         next_probe: Time,
-        /// Number of probe calls that failed.
+        /// Signals other than a success since the outage began; determines the pause.
         backoff_step: u32,
     },
-    /// Returned from an outage: a slow start.
+    /// In the slow start after an outage.
     WarmingUp {
         /// When the outage ended.
         since: Time,
@@ -69,7 +70,7 @@
 }
 
 impl Health {
-    /// The present state.
+    /// Whether the route is in an outage, in a slow start or in service.
     pub(crate) fn state(&self) -> HealthState {
         self.state
     }
@@ -79,8 +80,8 @@
         matches!(self.state, HealthState::Down { .. })
     }
 
-    /// Records a signal; true if it ends an outage. `min_pause` is the shortest pause before a probe call, and `jitter` a
-    /// factor around one.
+    /// Records a signal; true if it ends an outage. `min_pause` is the minimum pause before a probe call; pauses are multiplied
+    /// by `jitter`.
     pub(crate) fn record(
         &mut self,
         now: Time,
@@ -99,7 +100,7 @@
                 }
             }
             HealthSignal::Failure => self.consecutive_failures += 1,
-            // Rejections are load, until only they have come for longer than any limit's span: then it is an outage.
+            // Rejections indicate overload, unless they continue without a success for longer than a rate limit explains.
             HealthSignal::Overload => {
                 let since = *self.overloaded_since.get_or_insert(now);
                 if now - since > longest_limit_span(rules) {
@@ -119,7 +120,7 @@
         false
     }
 
-    /// The step of the backoff that the signals so far ask for; none where there is no outage.
+    /// The backoff step after the latest signal; `None` without an outage.
     fn next_backoff_step(&self) -> Option<u32> {
         match self.state {
             HealthState::Up => (self.consecutive_failures >= OUTAGE_FAILURES).then_some(0),
@@ -130,7 +131,7 @@
         }
     }
 
-    /// In an outage, when the next probe call may be sent.
+    /// When the next probe call may be sent; `None` without an outage.
     pub(crate) fn next_probe(&self) -> Option<Time> {
         match self.state {
             HealthState::Down { next_probe, .. } => Some(next_probe),
@@ -138,7 +139,7 @@
         }
     }
 
-    /// In an outage, allows a probe call from `now` on.
+    /// Allows a probe call at `now`, if there is an outage.
     pub(crate) fn allow_probe(&mut self, now: Time) {
         if let HealthState::Down { next_probe, .. } = &mut self.state {
             *next_probe = now;
@@ -153,15 +154,15 @@
         };
     }
 
-    /// Continues a slow start that began at `since`.
+    /// Sets the state to a slow start that began at `since`.
     pub(crate) fn mark_warming_up(&mut self, since: Time) {
         self.state = HealthState::WarmingUp { since };
     }
 
-    /// Ends a slow start that has lasted for `slow_start`.
-    pub(crate) fn end_slow_start(&mut self, now: Time, slow_start: Duration) {
+    /// Ends a slow start that has lasted for `duration` or longer.
+    pub(crate) fn end_slow_start(&mut self, now: Time, duration: Duration) {
         if let HealthState::WarmingUp { since } = self.state
-            && now - since >= slow_start
+            && now - since >= duration
         {
             self.state = HealthState::Up;
         }
--- a/crates/scheduler/src/idle_connections.rs
+++ b/crates/scheduler/src/idle_connections.rs
@@ -1,34 +1,34 @@
-//! Decides when idle connections are closed: those that may have broken unnoticed, and those that are hardly used again.
+//! Decides when idle connections are closed: because they may have broken unnoticed, or will not be reused soon.
 
 use std::time::Duration;
 
 use crate::api::{Settings, Status, Time};
 use crate::endpoints::Endpoint;
 
-/// The shortest idle time after which a connection is distrusted.
+/// Minimum of the idle limit, after which a connection is not reused.
 const MIN_IDLE_LIMIT: Duration = Duration::from_millis(300);
-/// Weight of one call in the average of calls lost after an idle time.
+/// Weight of one call in the moving average of calls lost after an idle time.
 const LOSS_GAIN: f64 = 0.1;
-/// Share of lost calls that shows that connections break while idle.
+/// Fraction of lost calls above which connections are assumed to break while idle.
 const MAX_LOSS_SHARE: f64 = 0.25;
-/// How long a failed connection counts as evidence that its kind of destination is short of connections.
+/// How long a connection shortage is assumed to last after it was detected.
 const SHORTAGE_PERIOD: Duration = Duration::from_secs(60);
-/// A connection is not worth keeping where the mean time between calls exceeds the idle limit times this.
+/// A connection is closed if the mean time between calls exceeds the idle limit times this.
 const MAX_GAP_MULTIPLE: u32 = 3;
 
-/// What calls after an idle time have shown of connections.
+/// Statistics on idle connections, from calls sent after an idle time.
 #[derive(Debug)]
 pub(crate) struct IdleConnections {
-    /// A connection idle for longer is closed before use.
+    /// A connection that was idle for longer is closed instead of reused.
     idle_limit: Duration,
-    /// Recent share of calls lost among those sent after an idle time.
+    /// Moving average of the fraction of calls lost, among those sent after an idle time.
     loss_share: f64,
-    /// For each kind of destination: its endpoints are short of connections until then.
+    /// For each destination kind: until when its endpoints are assumed to be short of connections.
     shortage_until: Vec<Time>,
 }
 
 impl IdleConnections {
-    /// Before the first call.
+    /// Statistics without any call.
     pub(crate) fn new(settings: &Settings, now: Time) -> IdleConnections {
         IdleConnections {
             idle_limit: settings.conn_idle,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Whether a connection idle for this time must be closed before use.
-    pub(crate) fn is_distrusted(&self, idle: Duration) -> bool {
+    /// Whether a connection that was idle for this time must be closed instead of reused.
+    pub(crate) fn is_idle_too_long(&self, idle: Duration) -> bool {
         idle > self.idle_limit
     }
 
-    /// Records that endpoints of a kind are short of connections.
+    /// Records that endpoints of a kind are short of connections: they accept only few at a time.
     pub(crate) fn record_shortage(&mut self, kind: usize, now: Time) {
         if let Some(shortage_until) = self.shortage_until.get_mut(kind) {
             *shortage_until = now + SHORTAGE_PERIOD;
@@ -51,8 +51,8 @@
 
     /// Records the outcome of a call; true if the endpoint's idle connections must be closed.
     ///
-    /// Once a fair share of calls after an idle time is lost at endpoints that did not fail before, the idle limit is
-    /// halved. Outages alone seldom reach that share.
+    /// The idle limit is reduced to half of the endpoint's idle time when the fraction of lost calls, among those after an idle
+    /// time to endpoints without preceding failures, exceeds [`MAX_LOSS_SHARE`]. Outages alone rarely reach that fraction.
     pub(crate) fn record_call(&mut self, endpoint: &Endpoint, status: Status) -> bool {
         let lost = match status {
             Status::TimedOut | Status::Reset | Status::Dropped => true,
@@ -79,8 +79,8 @@
         endpoint.in_flight == 0
     }
 
-    /// Whether an idle endpoint's connection is worth keeping: it will be used again soon. Where connections are short, all
-    /// senders together keep no more than one would.
+    /// Whether an idle endpoint's connection will probably be reused soon enough to keep it. In a connection shortage, all
+    /// senders together keep about as many as one sender would otherwise.
     pub(crate) fn is_worth_keeping(
         &self,
         endpoint: &Endpoint,
@@ -93,7 +93,7 @@
             .shortage_until
             .get(endpoint.kind)
             .is_some_and(|&until| now < until);
-        let sharers = if shortage { settings.instances } else { 1 };
-        mean_gap * sharers <= self.idle_limit * MAX_GAP_MULTIPLE
+        let sharing_senders = if shortage { settings.instances } else { 1 };
+        mean_gap * sharing_senders <= self.idle_limit * MAX_GAP_MULTIPLE
     }
 }
--- a/crates/scheduler/src/indices.rs
+++ b/crates/scheduler/src/indices.rs
@@ -1,4 +1,4 @@
-//! Typed indices and numbers, so that one is not taken for another.
+//! Typed indices and numbers, so that the compiler prevents confusion between them.
 
 /// Index of an endpoint in the table of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/scheduler/src/learned_state.rs
+++ b/crates/scheduler/src/learned_state.rs
@@ -1,7 +1,7 @@
-//! What a sender has learned of its destinations, for other senders and for itself after a restart.
+//! Learned state: what a sender's calls have shown of its destinations, for other senders and for itself after a restart.
 //!
-//! Restored state only ever makes a sender more careful than one that has just started, until the destination itself has
-//! answered.
+//! Until a destination answers, restored state only reduces what a sender sends compared with one without learned state. State
+//! handed over by another process of this sender ([`SchedulerState::inherit`]) may also enlarge the window.
 
 use std::collections::BTreeMap;
 
@@ -14,41 +14,41 @@
 use crate::state::SchedulerState;
 use crate::token_bucket::TokenBucket;
 
-/// The first calls to a destination are spread over this many gaps between calls at this sender's quota. All senders together
-/// then send at a quarter of the limit, so that a limit lowered meanwhile to that is kept.
+/// The first call to a destination is sent within this many mean times between calls at this sender's quota. All senders
+/// together then send at a quarter of the limit, and do not exceed one that was meanwhile reduced to that.
 const FIRST_CALL_GAPS: f64 = 4.0;
-/// Where the quota is so small that this would take longer than this many seconds, the spread is this or one gap, whichever is
-/// longer: no sender exceeds its quota, but pending messages must not age for the spread.
+/// Maximum spread of the first calls, in seconds, so that pending messages are not delayed for long. If one mean time between
+/// calls is longer, the spread is that time, so that no sender exceeds its quota.
 const MAX_FIRST_CALL_SPREAD_SECONDS: f64 = 5.0;
 
-/// What was learned of one destination, or of one route to it where routes are apart.
+/// Learned state of one destination, or of one endpoint if endpoints are separate routes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
-    /// The destination.
+    /// Id of the destination, as in [`DestinationId`].
     pub destination: u64,
-    /// The endpoint, where routes are apart.
+    /// Id of the endpoint if endpoints are separate routes, else `None`.
     pub route_id: Option<String>,
-    /// When it last answered, or failed to: the age of all but the wait.
+    /// When the destination last answered or a call to it failed. Gives the age of all fields but `blocked_until`.
     pub at: Time,
-    /// The window, in calls.
+    /// Size of the window, in calls; `None` if the sender made no call.
     pub window: Option<f64>,
-    /// The limit that an answer reported, in calls a second for all senders together; infinite where an answer reported that
-    /// there is none.
+    /// The most recently reported limit, in calls a second for all senders together: infinite if an answer reported no limit,
+    /// `None` without a report.
     pub limit: Option<f64>,
-    /// The end of a Retry-After wait.
+    /// The end of a Retry-After wait, if one is in force.
     pub blocked_until: Option<Time>,
-    /// Its health.
+    /// Health of the route; `None` if the sender made no call.
     pub state: Option<ObservedHealth>,
 }
 
-/// Health of a destination as a sender's calls have shown it.
+/// Health of a destination, as observed by a sender.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ObservedHealth {
-    /// It served.
+    /// In service.
     Up,
-    /// It was in an outage.
+    /// In an outage.
     Down,
-    /// It returned from an outage at this time and was in its slow start.
+    /// In the slow start after an outage that ended at this time.
     WarmingUp(Time),
 }
 
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RouteKey {
     destination: u64,
-    /// The endpoint, where routes are apart.
+    /// Id of the endpoint if endpoints are separate routes.
     route_id: Option<String>,
 }
 
@@ -80,17 +80,18 @@
 }
 
 impl SchedulerState {
-    /// What this sender has learned by its own calls, and waits that it must keep.
+    /// Learned state of the routes that this sender has called, and Retry-After waits still in force.
     pub(crate) fn learned_state(&self) -> Vec<LearnedState> {
         let mut learned = Vec::new();
         for destination in self.routes.learned_destinations() {
             let routes = self.routes.of_destination(destination).iter();
-            learned.extend(routes.filter_map(|&route| self.learned_of_route(destination, route)));
+            learned
+                .extend(routes.filter_map(|&route| self.learned_route_state(destination, route)));
         }
         learned
     }
 
-    fn learned_of_route(
+    fn learned_route_state(
         &self,
         destination: DestinationId,
         route_index: RouteIndex,
@@ -102,10 +103,10 @@
             .iter()
             .map(|&index| &self.endpoints[index])
             .filter(|endpoint| endpoint.calls_sent > 0)
-            .map(|endpoint| endpoint.last_answer.max(route.window_cut_at))
+            .map(|endpoint| endpoint.last_answer.max(route.window_reduced_at))
             .max();
-        // A wait that was restored, or stated by an endpoint since removed, is still in force. It is passed on alone, since
-        // nothing else of this route is known by own calls.
+        // A Retry-After wait that was restored, or came from an endpoint removed since, is still in force. It is the only thing
+        // known of a route that this process has not called.
         if last_contact.is_none() && blocked_until.is_none() {
             return None;
         }
@@ -121,8 +122,8 @@
         })
     }
 
-    /// Takes over learned state of the listed routes, except where own calls have shown better, and spreads the first calls to
-    /// each route. Returns when the last of these may be sent.
+    /// Restores learned state of the listed routes and spreads the first calls to each over time: see
+    /// [`Scheduler::restore`](crate::Scheduler::restore).
     pub(crate) fn restore(&mut self, now: Time, learned_state: &[LearnedState]) -> Time {
         self.advance_to(now);
         let learned_by_route: BTreeMap<RouteKey, &LearnedState> = learned_state
@@ -140,7 +141,7 @@
         last_first_call
     }
 
-    /// Restores one route; returns when its first call may be sent, if that is spread.
+    /// Restores one route. Returns when its first call may be sent, or `None` if that is not delayed.
     fn restore_route(
         &mut self,
         route_index: RouteIndex,
@@ -155,7 +156,7 @@
             .all(|&index| self.endpoints[index].calls_sent == 0);
         let route = &mut self.routes[route_index];
         if let Some(learned) = learned {
-            // A wait binds every sender that knows of it.
+            // A Retry-After wait applies to all senders, whatever else this one has observed.
             route.block_until(learned.blocked_until.unwrap_or_default());
             if untried {
                 route.restore(learned, now, rules, jitter);
@@ -174,8 +175,8 @@
         Some(route.token_bucket.next_token_at())
     }
 
-    /// Continues for another process of this sender that has stopped just now: none of its state is old, and no other sender
-    /// does the same at this moment. Returns what concerns destinations that are not listed yet and must still be kept.
+    /// Restores the state handed over by another process of this sender: see
+    /// [`Scheduler::inherit`](crate::Scheduler::inherit).
     pub(crate) fn inherit(
         &mut self,
         now: Time,
@@ -204,7 +205,7 @@
         route.block_until(learned.blocked_until.unwrap_or_default());
         route.restore(learned, self.now, &self.settings.rules, jitter);
         let size = learned.window.unwrap_or(route.window.size());
-        route.window.resume_at(size);
+        route.window.set_size(size);
         route.proven_window = route.window.clone();
     }
 
@@ -215,7 +216,7 @@
         }
     }
 
-    /// The id of a separate route's endpoint.
+    /// Id of the endpoint of a separate route; `None` for a route that endpoints share.
     fn route_id(&self, route_index: RouteIndex) -> Option<String> {
         let route = &self.routes[route_index];
         let endpoint = route.endpoints.first().filter(|_| route.kind.apart)?;
@@ -224,7 +225,7 @@
 }
 
 impl Route {
-    /// Takes over learned state, where it makes this sender more careful.
+    /// Restores learned state as far as it reduces what this sender sends.
     fn restore(&mut self, learned: &LearnedState, now: Time, rules: &Rules, jitter: f64) {
         if let Some(size) = learned.window {
             self.window.lower_to(size);
--- a/crates/scheduler/src/messages.rs
+++ b/crates/scheduler/src/messages.rs
@@ -1,4 +1,4 @@
-//! Pending messages: what rules and priority weight say of each.
+//! Pending messages: whether each may be sent again, and its priority weight.
 
 use std::collections::BTreeMap;
 
@@ -8,66 +8,67 @@
 use crate::indices::{CallNumber, EndpointIndex, MessageNumber};
 use crate::slow_start::MIN_SPAN_SECONDS;
 
-/// Halving decay: the factor for each further latency objective.
+/// Factor of the priority weight for each further latency objective, with halving decay.
 const HALF: f64 = 0.5;
 
 /// An attempt in flight.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    /// Counted from 0, over all processes of this sender.
+    /// Number of the attempt, from 0, including attempts of earlier processes of this sender.
     pub(crate) number: u32,
     pub(crate) endpoint: EndpointIndex,
-    /// The call that carries it.
+    /// Number of the call that carries it.
     pub(crate) call: CallNumber,
     pub(crate) sent: Time,
 }
 
-/// The first attempt of a message that may have been executed.
+/// The first possibly executed attempt of a message.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleExecution {
     pub(crate) sent: Time,
-    /// None where it is no longer known.
+    /// `None` if the endpoint is not in the endpoint list.
     pub(crate) endpoint: Option<EndpointIndex>,
 }
 
-/// A message that is pending, or whose attempt is still in flight.
+/// A message that is pending, or completed with an attempt still in flight.
 #[derive(Debug)]
 pub(crate) struct Message {
     pub(crate) id: MessageId,
-    /// Position in the settings.
+    /// Position in `Settings::classes`.
     pub(crate) class: usize,
     pub(crate) ordering_key: Option<OrderingKey>,
     pub(crate) destination: DestinationId,
-    /// It came over its tenant's quota.
+    /// Whether it was accepted over its tenant's quota.
     pub(crate) over_quota: bool,
+    /// End of the latency objective.
     pub(crate) latency_objective_at: Time,
     pub(crate) deadline: Time,
-    /// No attempt before this.
+    /// Earliest time of the next attempt: the end of a backoff.
     pub(crate) not_before: Time,
-    /// Attempts made so far.
+    /// Number of attempts made, including those of earlier processes.
     pub(crate) attempts: u32,
     pub(crate) in_flight: Option<Attempt>,
     pub(crate) possibly_executed: Option<PossibleExecution>,
-    /// An answer that no further attempt can change.
-    pub(crate) verdict: Option<Status>,
-    /// It has its final answer; only its attempt is still in flight.
+    /// A permanent result, after which a retry cannot succeed.
+    pub(crate) permanent_result: Option<Status>,
+    /// Whether it is completed and only waits for its attempt in flight to finish.
     pub(crate) completed: bool,
 }
 
 impl Message {
-    /// Its class in the settings.
+    /// The message's class.
     pub(crate) fn class<'a>(&self, settings: &'a Settings) -> &'a Class {
         &settings.classes[self.class]
     }
 
-    /// Whether a further attempt keeps the rules, whichever its endpoint.
+    /// Whether a further attempt is allowed at all, to any endpoint.
     pub(crate) fn may_repeat(&self, settings: &Settings, now: Time) -> bool {
         self.attempts < settings.attempts_cap
-            && self.verdict.is_none()
+            && self.permanent_result.is_none()
             && self.repeat_is_harmless(settings, now)
     }
 
-    /// Until when it may reach its destination although it may have been executed; none for at any time.
+    /// Until when a possibly executed message may be sent again; `None` for no limit.
     pub(crate) fn repeatable_until(&self, settings: &Settings) -> Option<Time> {
         let first_sent = self.possibly_executed?.sent;
         let class = self.class(settings);
@@ -78,13 +79,13 @@
         }
     }
 
-    /// Whether it may reach its destination at `at`.
+    /// Whether sending the message at `at` is harmless, given possible earlier executions.
     pub(crate) fn repeat_is_harmless(&self, settings: &Settings, at: Time) -> bool {
         self.repeatable_until(settings)
             .is_none_or(|until| at < until)
     }
 
-    /// Records an attempt that may have been executed; the first one counts.
+    /// Records a possibly executed attempt; only the first one is kept.
     pub(crate) fn record_possible_execution(&mut self, attempt: &Attempt) {
         self.possibly_executed.get_or_insert(PossibleExecution {
             sent: attempt.sent,
@@ -92,7 +93,7 @@
         });
     }
 
-    /// Its priority weight if it is answered at `at`.
+    /// The priority weight if the message is answered at `at`; zero from the deadline on.
     pub(crate) fn priority_weight(&self, settings: &Settings, at: Time) -> f64 {
         if at >= self.deadline {
             return 0.0;
@@ -119,23 +120,23 @@
     }
 }
 
-/// A message with a figure that ranks it among others.
+/// A message with the value by which it is sorted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RankedMessage {
-    /// Urgency or priority weight.
+    /// Urgency (dispatch) or priority weight (load shedding).
     pub(crate) value: f64,
     pub(crate) number: MessageNumber,
 }
 
-/// Sorts by value, the highest first; of equal ones, the message accepted first.
+/// Sorts by value, highest first; messages with equal values stay in the order accepted.
 pub(crate) fn sort_highest_first(ranked: &mut [RankedMessage]) {
-    ranked.sort_by(|one, other| {
-        let by_value = other.value.total_cmp(&one.value);
-        by_value.then(one.number.cmp(&other.number))
+    ranked.sort_by(|left, right| {
+        let by_value = right.value.total_cmp(&left.value);
+        by_value.then(left.number.cmp(&right.number))
     });
 }
 
-/// All messages by number: in the order accepted.
+/// All messages, ordered by number and so by when they were accepted.
 #[derive(Debug, Default)]
 pub(crate) struct MessageTable {
     by_number: BTreeMap<MessageNumber, Message>,
@@ -143,33 +144,33 @@
 }
 
 impl MessageTable {
-    /// Messages pending, or with an attempt in flight.
+    /// Number of messages, including completed ones with an attempt in flight.
     pub(crate) fn len(&self) -> usize {
         self.by_number.len()
     }
 
-    /// The number of a message.
+    /// The number of the message with this id.
     pub(crate) fn number_of(&self, id: &MessageId) -> Option<MessageNumber> {
         self.numbers.get(id).copied()
     }
 
-    /// The message with a number.
+    /// The message with this number.
     pub(crate) fn get(&self, number: MessageNumber) -> Option<&Message> {
         self.by_number.get(&number)
     }
 
-    /// The message with a number.
+    /// The message with this number, mutable.
     pub(crate) fn get_mut(&mut self, number: MessageNumber) -> Option<&mut Message> {
         self.by_number.get_mut(&number)
     }
 
-    /// Adds a message.
+    /// Adds a message with a new number.
     pub(crate) fn insert(&mut self, number: MessageNumber, message: Message) {
         self.numbers.insert(message.id.clone(), number);
         self.by_number.insert(number, message);
     }
 
-    /// Marks a message as completed, and removes it unless its attempt is in flight; returns it if it was removed.
+    /// Marks a message as completed, and removes it unless an attempt is in flight. Returns the message if it was removed.
     pub(crate) fn complete(&mut self, number: MessageNumber) -> Option<Message> {
         let message = self.by_number.get_mut(&number)?;
         message.completed = true;
@@ -186,7 +187,7 @@
         self.by_number.values()
     }
 
-    /// Messages that have no attempt in flight and no final answer, in the order accepted.
+    /// Messages that are not completed and have no attempt in flight, in the order accepted.
     pub(crate) fn waiting(&self) -> impl Iterator<Item = (MessageNumber, &Message)> {
         self.by_number
             .iter()
--- a/crates/scheduler/src/ordering.rs
+++ b/crates/scheduler/src/ordering.rs
@@ -1,22 +1,23 @@
-//! Messages with one ordering key are sent one at a time, in the order accepted.
+//! Ordering keys: messages with the same key are sent one at a time, in the order accepted.
 //!
-//! A queue is held back by its head, by a pause after an attempt that may still be executed, and by final reports that are
-//! not acknowledged yet.
+//! A message waits until it is at the head of its key's queue, until a pause after an attempt that may still be executed ends,
+//! and until final reports of earlier messages are acknowledged.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::api::{OrderingKey, Time};
 use crate::indices::MessageNumber;
 
-/// Messages that share an ordering key.
+/// The messages with one ordering key.
 #[derive(Debug, Default)]
 struct OrderedQueue {
     /// Message numbers, in the order accepted.
     numbers: VecDeque<MessageNumber>,
-    /// Until then only `paused_by` may be sent: its attempt may still be executed.
+    /// Until then, only the message `paused_by` may be sent.
     paused_until: Time,
+    /// The message whose attempt caused the pause, since it may still be executed.
     paused_by: Option<MessageNumber>,
-    /// Final reports not acknowledged yet. No message is sent before they are.
+    /// Number of unacknowledged final reports. While there are any, no message is sent.
     pending_reports: u32,
 }
 
@@ -24,13 +25,14 @@
 #[derive(Debug)]
 pub(crate) struct OrderedQueues {
     queues: BTreeMap<OrderingKey, OrderedQueue>,
-    /// An expired message holds its key until its final report is acknowledged.
+    /// Whether, after a message expires, its key is blocked until its final report is acknowledged.
     confirms_reports: bool,
+    /// End of a pause of all keys.
     all_paused_until: Time,
 }
 
 impl OrderedQueues {
-    /// No queues.
+    /// Creates an empty set of queues.
     pub(crate) fn new(now: Time) -> OrderedQueues {
         OrderedQueues {
             queues: BTreeMap::new(),
@@ -39,31 +41,31 @@
         }
     }
 
-    /// From now on an expired message holds its key until its final report is acknowledged.
+    /// From now on, after a message expires, its key is blocked until its final report is acknowledged.
     pub(crate) fn confirm_reports(&mut self) {
         self.confirms_reports = true;
     }
 
-    /// A final report of a message with this key was started.
+    /// Records that a final report of a message with this key was started.
     pub(crate) fn await_report(&mut self, key: &OrderingKey) {
         self.queues.entry(key.clone()).or_default().pending_reports += 1;
     }
 
-    /// A final report of a message with this key was acknowledged.
+    /// Records that a final report of a message with this key was acknowledged.
     pub(crate) fn report_answered(&mut self, key: &OrderingKey) {
         if let Some(queue) = self.queues.get_mut(key) {
             queue.pending_reports = queue.pending_reports.saturating_sub(1);
         }
     }
 
-    /// A message with this key expires: its final report follows, where reports are confirmed.
+    /// Records that a message with this key expires. If final reports are acknowledged, one is now pending.
     pub(crate) fn message_expires(&mut self, key: &OrderingKey) {
         if self.confirms_reports {
             self.await_report(key);
         }
     }
 
-    /// Pauses all keys.
+    /// Pauses all keys, including those that get a queue later.
     pub(crate) fn pause_all(&mut self, until: Time) {
         self.all_paused_until = until;
     }
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Number of keys with any state.
+    /// Number of keys that have a queue.
     pub(crate) fn len(&self) -> usize {
         self.queues.len()
     }
@@ -94,8 +96,8 @@
         }
     }
 
-    /// Whether its ordering key lets a message be sent: it is the head of its queue, no report is pending and
-    /// no pause holds it back.
+    /// Whether a message may be sent as far as its ordering key is concerned: it is the head of its queue, no final report is
+    /// pending and no pause applies to it.
     pub(crate) fn is_next(&self, key: &OrderingKey, number: MessageNumber, now: Time) -> bool {
         let Some(queue) = self.queues.get(key) else {
             return true;
@@ -105,7 +107,7 @@
         queue.pending_reports == 0 && resumed && queue.numbers.front() == Some(&number)
     }
 
-    /// When the pause of a key ends, if it has a queue.
+    /// When the pause of a key ends; `None` if it has no queue.
     pub(crate) fn paused_until(&self, key: &OrderingKey) -> Option<Time> {
         let queue = self.queues.get(key)?;
         Some(queue.paused_until.max(self.all_paused_until))
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -1,5 +1,5 @@
-//! Outcomes of attempts and health checks: what they show of endpoint, route and connection, and what they mean for the
-//! message.
+//! Processes the outcomes of attempts and health checks: updates endpoint, route and connection statistics, and completes or
+//! retries the message.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use crate::messages::Attempt;
 use crate::state::SchedulerState;
 
-/// Backoff before a retry after the first attempt is twice this, in seconds, doubling with each further one.
+/// Half of the backoff before the first retry, in seconds. The backoff doubles with each further retry.
 const BASE_RETRY_SECONDS: f64 = 0.05;
-/// The backoff before a retry is doubled this often at most.
+/// Maximum number of times that the backoff before a retry is doubled.
 const MAX_RETRY_DOUBLINGS: u32 = 5;
 
 impl SchedulerState {
-    /// Records how an attempt ended; ignored unless that attempt is in flight.
+    /// Processes the outcome of an attempt. Ignored unless that attempt is in flight.
     pub(crate) fn on_outcome(&mut self, outcome: &Outcome) {
         let Some(number) = self.messages.number_of(&outcome.id) else {
             return;
@@ -35,10 +35,11 @@
         self.detect_connection_shortage(&attempt, outcome.status);
         let first_of_call = self.end_call(&attempt);
         self.record_stated_limits(route, outcome);
-        // A time-out before the usual time is due to a close deadline: no evidence about the destination.
+        // A time-out before the call was overdue is caused by a near deadline, and is no health signal.
         let overdue = self.routes[route].call_times(class, &self.settings).overdue;
-        let cut_short = outcome.status == Status::TimedOut && outcome.took.as_secs_f64() < overdue;
-        if first_of_call && !cut_short {
+        let limited_by_deadline =
+            outcome.status == Status::TimedOut && outcome.took.as_secs_f64() < overdue;
+        if first_of_call && !limited_by_deadline {
             self.record_call_outcome(&attempt, class, outcome);
             self.record_idle_loss(attempt.endpoint, outcome.status);
             self.record_health_signal(attempt.endpoint, outcome.status);
@@ -47,7 +48,8 @@
         self.apply_to_message(number, &attempt, outcome, jitter);
     }
 
-    /// A route that failed to connect and serves soon after is short of connections: an outage would have lasted.
+    /// Detects a connection shortage: a route on which a connection failed serves a call soon after. An outage would last
+    /// longer.
     fn detect_connection_shortage(&mut self, attempt: &Attempt, status: Status) {
         let endpoint = &self.endpoints[attempt.endpoint];
         let failed_at = self.routes[endpoint.route]
@@ -59,13 +61,14 @@
         }
     }
 
-    /// Ends a message's part of a call; true for the first message of a call, whose outcome counts for the call.
+    /// Removes a message from its call, and the call with its last message. True for the first message removed, whose outcome
+    /// counts as that of the call.
     fn end_call(&mut self, attempt: &Attempt) -> bool {
         let Some(call) = self.calls.get_mut(&attempt.call) else {
             return false;
         };
         call.unanswered -= 1;
-        let first_of_call = !std::mem::replace(&mut call.counted, true);
+        let first_of_call = !std::mem::replace(&mut call.outcome_recorded, true);
         if call.unanswered > 0 {
             return first_of_call;
         }
@@ -83,7 +86,7 @@
         first_of_call
     }
 
-    /// Records a Retry-After wait and a reported limit.
+    /// Records the Retry-After time and the reported limit in an answer, if any.
     fn record_stated_limits(&mut self, route: RouteIndex, outcome: &Outcome) {
         if let Some(wait) = outcome.wait {
             let until = self.now + wait + self.settings.tick;
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Records what a call's outcome shows of round-trip times and connections.
+    /// Updates round-trip times, time-outs and the token bucket with a call's outcome.
     fn record_call_outcome(&mut self, attempt: &Attempt, class: usize, outcome: &Outcome) {
         let endpoint = &mut self.endpoints[attempt.endpoint];
         match outcome.status {
@@ -121,7 +124,7 @@
             }
             Status::Overloaded => {
                 endpoint.last_answer = self.now;
-                // Senders rejected together, or with the same end of a Retry-After wait, must not return together.
+                // Senders that are rejected together, or whose Retry-After waits end together, must not resume together.
                 let route = &mut self.routes[endpoint.route];
                 route.consecutive_overloads += 1;
                 let resume_at = route.blocked_until.max(self.now);
@@ -131,6 +134,7 @@
         }
     }
 
+    /// Records whether a call after an idle time was lost, and closes idle connections if those break unnoticed.
     fn record_idle_loss(&mut self, endpoint_index: EndpointIndex, status: Status) {
         let endpoint = &self.endpoints[endpoint_index];
         if self.idle_connections.record_call(endpoint, status) {
@@ -138,13 +142,13 @@
         }
     }
 
-    /// Records the outcome of a call or health check for the window (load) and for health (outage).
+    /// Updates the window (load) and the health (outages) of a route with the outcome of a call or health check.
     pub(crate) fn record_health_signal(&mut self, endpoint_index: EndpointIndex, status: Status) {
         let jitter = self.jitter();
         let (now, rules) = (self.now, &self.settings.rules);
         let endpoint = &mut self.endpoints[endpoint_index];
         let route = &mut self.routes[endpoint.route];
-        // In a Retry-After wait nothing is sent: what is served then was sent before, and ends no outage.
+        // No call is sent in a Retry-After wait. A call served during one was sent before, and does not end the outage.
         let sent_before_wait = now < route.blocked_until && route.health.is_down();
         let signal = match status {
             Status::Served if sent_before_wait => return route.window.answered(),
@@ -153,7 +157,7 @@
             Status::Error | Status::TimedOut | Status::NoConnection | Status::Reset => {
                 HealthSignal::Failure
             }
-            // An answer about one message only, or damaged on its way: no evidence about the destination's health.
+            // Answers that concern one message only, or were damaged in transit, are no health signal.
             Status::RecipientRemoved | Status::PermanentError | Status::Spoilt => {
                 return route.window.answered();
             }
@@ -163,7 +167,7 @@
             route.window.answered();
         } else {
             route.window.cut();
-            route.window_cut_at = now;
+            route.window_reduced_at = now;
         }
         match signal {
             HealthSignal::Success => endpoint.consecutive_failures = 0,
@@ -178,8 +182,8 @@
         route.consecutive_overloads = 0;
         route.demand.record_served(now);
         if outage_ended {
-            // Growth by small steps would delay the backlog: the proven window returns at once, and the slow start, not the
-            // window, limits the calls.
+            // Restore the window from before the outage, since growth by small steps would delay the backlog. During the slow
+            // start the token bucket limits the calls.
             route.window = route.proven_window.clone();
             route.token_bucket.drain();
         } else if route.health.state() == HealthState::Up {
@@ -187,7 +191,7 @@
         }
     }
 
-    /// A Retry-After wait longer than any limit's span means an outage: senders return from it as from one.
+    /// Treats a Retry-After wait as an outage if it is longer than a rate limit explains.
     fn detect_outage_by_wait(&mut self, route: RouteIndex, outcome: &Outcome, jitter: f64) {
         let rules = &self.settings.rules;
         if outcome
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Completes the message, or leaves it for a retry after a backoff.
+    /// Completes the message, or schedules a retry after a backoff.
     fn apply_to_message(
         &mut self,
         number: MessageNumber,
@@ -228,7 +232,7 @@
             return self.complete_message(number);
         }
         if matches!(status, Status::RecipientRemoved | Status::PermanentError) {
-            message.verdict = Some(status);
+            message.permanent_result = Some(status);
         }
         let backoff = match status {
             Status::Error | Status::Spoilt | Status::Reset | Status::NotSent => {
--- a/crates/scheduler/src/profile.rs
+++ b/crates/scheduler/src/profile.rs
@@ -1,4 +1,4 @@
-//! The settings object as the simulator and the platform write it, and its translation to [`Settings`].
+//! The settings object in the JSON format of the simulator and the platform, and its conversion to [`Settings`].
 
 use std::time::Duration;
 
@@ -6,35 +6,35 @@
 
 use crate::api::{Class, Decay, DedupScope, Effect, Kind, Rules, Settings, Tenant};
 
-/// More senders than this are taken for a mistake: of a limit of a thousand calls a second, each would have less than one
-/// in 100 s, far beyond the deadline of any message.
+/// Maximum number of senders. With more, each would get less than one call in 100 s of a limit of a thousand calls a second,
+/// which is far beyond the deadline of any message.
 const MAX_SENDERS: u32 = 100_000;
 
-/// A settings object that is well formed and yet names something the scheduler does not know.
+/// A settings object that is well-formed JSON but has an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProfileError {
-    /// The number of senders is out of its range.
-    #[error("settings.nInstances: {count} senders; it must be 1 to {max}", max = MAX_SENDERS)]
+    /// The number of senders is out of range.
+    #[error("settings.nInstances: {count} senders; expected 1 to {max}", max = MAX_SENDERS)]
     SenderCount {
-        /// The number given.
+        /// The number of senders in the settings object.
         count: u32,
     },
-    /// A class has an effect that is not known.
+    /// The effect of a class is unknown.
     #[error("settings.classes[{class_index}].effect: '{effect}' is not safe, keyed or unsafe")]
     UnknownEffect {
-        /// Position of the class.
+        /// Position of the class, from 0.
         class_index: usize,
-        /// The effect given.
+        /// The effect in the settings object.
         effect: String,
     },
 }
 
-/// Reads a span as the settings object has it.
-fn ns(nanoseconds: u64) -> Duration {
+/// Converts a duration in nanoseconds, the unit of the settings object.
+fn duration(nanoseconds: u64) -> Duration {
     Duration::from_nanos(nanoseconds)
 }
 
-/// The settings object. Only the keys that are used are read; others are skipped.
+/// The settings object. Keys that are not used are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Profile {
@@ -59,6 +59,7 @@
     zones: Vec<String>,
 }
 
+/// A message class: see [`Class`].
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct WireClass {
@@ -80,6 +81,7 @@
     late_share: f64,
 }
 
+/// The sender's number of slots, the destination kinds and the decay of the priority weight.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct FamilyInfo {
@@ -92,6 +94,7 @@
     per_call: Vec<u32>,
 }
 
+/// Limits of the sender: see [`Settings`].
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct PolicyLimits {
@@ -107,6 +110,7 @@
     retry_after: bool,
 }
 
+/// What is assumed of destinations, and timing limits: see [`Rules`].
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct WireRules {
@@ -126,6 +130,7 @@
     must_ask_in: u64,
 }
 
+/// A tenant: see [`Tenant`].
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct WireTenant {
@@ -135,16 +140,16 @@
     quota_rps: f64,
 }
 
-/// The names behind the positions that [`Settings`] uses.
+/// The names of the classes, tenants, kinds and zones that [`Settings`] identifies by position.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Of the classes.
+    /// Names of the classes; empty strings where the object has none.
     pub classes: Vec<String>,
-    /// Of the tenants.
+    /// Names of the tenants; empty strings where the object has none.
     pub tenants: Vec<String>,
-    /// Of the kinds of destination.
+    /// Names of the destination kinds; may be fewer than there are kinds.
     pub kinds: Vec<String>,
-    /// Of the zones.
+    /// Names of the zones; may be empty.
     pub zones: Vec<String>,
 }
 
@@ -167,11 +172,11 @@
         }
     }
 
-    /// The settings as the scheduler uses them.
+    /// Converts the object to the scheduler's settings. Unknown values other than a class's effect are read as defaults.
     ///
     /// # Errors
     ///
-    /// Fails where the number of senders is out of its range or a class has an unknown effect.
+    /// Fails if the number of senders is out of range or a class has an unknown effect.
     pub fn into_settings(self) -> Result<Settings, ProfileError> {
         if !(1..=MAX_SENDERS).contains(&self.n_instances) {
             let count = self.n_instances;
@@ -194,23 +199,23 @@
             slots: self.family_info.calls_out,
             max_pending: limits.max_pending,
             attempts_cap: limits.attempts_cap,
-            connect_timeout: ns(limits.connect_timeout),
-            conn_idle: ns(limits.conn_idle),
+            connect_timeout: duration(limits.connect_timeout),
+            conn_idle: duration(limits.conn_idle),
             instances: self.n_instances,
             zone: self.zone,
             ask_for_list: self.membership_mode == "ask",
             rates_listed: matches!(self.weight_kind.as_str(), "nominal" | "rough"),
             probes: limits.probes,
             retry_after: limits.retry_after,
-            max_retry_after: ns(limits.max_retry_after),
-            tick: ns(self.tick),
+            max_retry_after: duration(limits.max_retry_after),
+            tick: duration(self.tick),
             rules: self.rules.into_rules(),
         })
     }
 }
 
 impl FamilyInfo {
-    /// The kinds of destination: as many as the longer of the two lists has, with defaults for the other.
+    /// The destination kinds: as many as the longer of the two lists has. Missing values of the other are read as defaults.
     fn kinds(&self) -> Vec<Kind> {
         let count = self.per_call.len().max(self.kind_apart.len());
         (0..count)
@@ -242,18 +247,18 @@
     fn into_rules(self) -> Rules {
         Rules {
             cold_from: self.cold_from,
-            cold: ns(self.cold),
+            cold: duration(self.cold),
             fall_multiple: self.fall_multiple,
-            fall: ns(self.fall),
-            key_quiet: ns(self.key_quiet),
-            must_ask_in: ns(self.must_ask_in),
-            grace_to_answer: ns(self.grace_to_answer),
+            fall: duration(self.fall),
+            key_quiet: duration(self.key_quiet),
+            must_ask_in: duration(self.must_ask_in),
+            grace_to_answer: duration(self.grace_to_answer),
         }
     }
 }
 
 impl WireClass {
-    /// `class_index` is the position in the settings object, for errors.
+    /// Converts a class. `class_index` is its position in the settings object, for errors.
     fn into_class(self, class_index: usize) -> Result<Class, ProfileError> {
         let effect = match self.effect.as_str() {
             "safe" => Effect::Safe,
@@ -269,15 +274,15 @@
         let dedup = match self.dedup_scope.as_str() {
             "all" | "" => DedupScope::All,
             "zone" => DedupScope::Zone,
-            // An unknown scope is read as the narrowest one, which is safe with any of the others.
+            // An unknown scope is read as the narrowest one, which is safe whichever scope is meant.
             _ => DedupScope::Endpoint,
         };
         Ok(Class {
-            latency_objective: ns(self.latency_objective),
-            deadline: ns(self.deadline),
+            latency_objective: duration(self.latency_objective),
+            deadline: duration(self.deadline),
             effect,
             dedup,
-            window: ns(self.window),
+            window: duration(self.window),
             in_order: self.by_arrival,
             priority_weight: self.priority_weight,
             late_share: self.late_share,
--- a/crates/scheduler/src/round_trip.rs
+++ b/crates/scheduler/src/round_trip.rs
@@ -8,27 +8,28 @@
 const DEVIATION_GAIN: f64 = 0.25;
 /// Gain of the mean (alpha of RFC 6298).
 const MEAN_GAIN: f64 = 0.125;
-/// Deviations above the mean beyond which a call is overdue (K of RFC 6298).
+/// A call is overdue when it takes longer than the mean by this many deviations (K of RFC 6298).
 const OVERDUE_DEVIATIONS: f64 = 4.0;
-/// A route is slow once its mean exceeds its lowest mean by this factor.
+/// A route is slow while its mean exceeds its lowest mean by this factor.
 const SLOW_FACTOR: f64 = 1.5;
 /// Without a sample, the usual time is the latency objective divided by this.
 const UNSAMPLED_DIVISOR: f64 = 4.0;
-/// A call is not overdue before the latency objective divided by this.
+/// The overdue time is at least the latency objective divided by this.
 const MIN_OVERDUE_DIVISOR: f64 = 8.0;
-/// A time-out as a multiple of the time after which a call is overdue.
+/// Time-out as a multiple of the overdue time.
 const TIMEOUT_MULTIPLE: f64 = 2.0;
-/// An unsafe message that times out is lost: its time-out is the usual one, or the latency objective, times this.
+/// Time-out of an unsafe message as a multiple of the usual time-out or of the latency objective, whichever is longer. It is
+/// longer than for other messages, since an unsafe message cannot be retried after a time-out.
 const UNSAFE_MULTIPLE: f64 = 2.0;
-/// Time-outs are doubled this often at most.
+/// Maximum number of times that a time-out is doubled.
 const MAX_DOUBLINGS: u32 = 4;
 
 /// Expected times of a call, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallTimes {
-    /// The usual time.
+    /// The usual time from sending a call to its answer.
     pub(crate) usual: f64,
-    /// The time beyond which a call is overdue.
+    /// The time after which an unanswered call is overdue.
     pub(crate) overdue: f64,
 }
 
@@ -37,31 +38,33 @@
 pub(crate) struct RoundTripEstimator {
     mean: f64,
     deviation: f64,
-    /// The lowest mean so far: the time of an unloaded call.
+    /// The lowest mean so far, which approximates the time of a call without load.
     lowest_mean: f64,
+    /// Whether a round-trip time was recorded.
     sampled: bool,
+    /// Time-outs counted since the latest sample.
     doublings: u32,
     doubled_at: Option<Time>,
 }
 
 impl RoundTripEstimator {
     /// Records the round-trip time of an answered call, in seconds.
-    pub(crate) fn record_sample(&mut self, took: f64) {
+    pub(crate) fn record_sample(&mut self, round_trip: f64) {
         if self.sampled {
-            self.deviation += DEVIATION_GAIN * ((took - self.mean).abs() - self.deviation);
-            self.mean += MEAN_GAIN * (took - self.mean);
+            self.deviation += DEVIATION_GAIN * ((round_trip - self.mean).abs() - self.deviation);
+            self.mean += MEAN_GAIN * (round_trip - self.mean);
         } else {
-            self.mean = took;
-            self.deviation = took / 2.0;
-            self.lowest_mean = took;
+            self.mean = round_trip;
+            self.deviation = round_trip / 2.0;
+            self.lowest_mean = round_trip;
             self.sampled = true;
         }
         self.lowest_mean = self.lowest_mean.min(self.mean);
         self.doublings = 0;
     }
 
-    /// Records a time-out. Calls that were in flight together count once: only one sent since the last doubling is
-    /// new evidence.
+    /// Records a time-out. Time-outs of calls that were in flight together count once: only a call sent after the last doubling
+    /// causes another one.
     pub(crate) fn record_timeout(&mut self, sent: Time, now: Time) {
         if self.doubled_at.is_none_or(|doubled_at| sent >= doubled_at) {
             self.doublings += 1;
@@ -69,12 +72,12 @@
         }
     }
 
-    /// Whether calls take clearly longer than at the route's best.
+    /// Whether the mean round-trip time exceeds the lowest mean by [`SLOW_FACTOR`].
     pub(crate) fn is_slow(&self) -> bool {
         self.sampled && self.mean > SLOW_FACTOR * self.lowest_mean
     }
 
-    /// The expected times of a call; before the first sample they follow from the latency objective.
+    /// The expected times of a call. Before the first sample they are derived from the latency objective.
     pub(crate) fn call_times(&self, latency_objective: Duration) -> CallTimes {
         let objective = latency_objective.as_secs_f64();
         if !self.sampled {
@@ -90,9 +93,9 @@
         }
     }
 
-    /// Time-out of an attempt: generous beyond overdue and doubled after each time-out, so that neither a hang nor a
-    /// lost answer occupies slots for whole deadlines. That of an unsafe message is far beyond both the times seen so
-    /// far and the latency objective, since its time-out cannot be repaired by a retry.
+    /// Time-out of an attempt: a multiple of the overdue time, doubled after each time-out. It is far shorter than a deadline,
+    /// so that a hanging call or a lost answer does not occupy a slot until then. The time-out of an unsafe message is longer
+    /// than both the observed times and the latency objective, since it cannot be retried after a time-out.
     pub(crate) fn attempt_timeout(&self, class: &Class) -> Duration {
         let doubled = f64::from(1u32 << self.doublings.min(MAX_DOUBLINGS));
         let overdue = self.call_times(class.latency_objective).overdue;
--- a/crates/scheduler/src/routes.rs
+++ b/crates/scheduler/src/routes.rs
@@ -1,7 +1,7 @@
-//! Routes: a destination, or one endpoint of it where endpoints are separate routes. A route has one window, health, demand
-//! and token bucket.
+//! Routes. A route is a destination, or one endpoint of it if endpoints are separate routes, and has its own window, health,
+//! demand estimate and token bucket.
 //!
-//! The cost of a tick depends on the routes in use or changed, however many are listed.
+//! The cost of a tick depends on the number of active routes, not on how many are listed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
@@ -17,50 +17,50 @@
 use crate::token_bucket::TokenBucket;
 use crate::window::Window;
 
-/// Pending messages are tried again after this time; every other wake-up is computed.
+/// Maximum time until a pending message is considered for dispatch again. Earlier wake-ups are computed from the state.
 pub(crate) const RETEST_INTERVAL: Duration = Duration::from_millis(500);
-/// Share of a limit that all senders together aim at: reports are noisy.
+/// Fraction of a limit that all senders together aim at, since reports are noisy.
 const LIMIT_SHARE: f64 = 0.95;
-/// Each rejection in a row lengthens the time between calls by this share of it ...
+/// Each consecutive rejection lengthens the time between calls by this fraction of the time without rejections.
 const OVERLOAD_SLOWDOWN: f64 = 0.5;
-/// ... for this many rejections at most.
+/// Maximum number of consecutive rejections that lengthen the time between calls.
 const MAX_SLOWDOWN_STEPS: u32 = 4;
-/// Without a limit, a route that rejected a call is sent this multiple of the sender's own demand.
+/// Rate of calls to a route without a limit that rejected a call, as a multiple of the sender's own demand.
 const UNLIMITED_DEMAND_MULTIPLE: f64 = 2.0;
-/// The lowest demand, in messages a second, that the time between draws is computed from.
+/// Minimum demand for computing the time between draws, in messages a second.
 const MIN_DRAW_RATE: f64 = 0.1;
 
-/// One route (a proxy, in the terms of the window's paper).
+/// A route (a proxy, in the terms of the paper that [`crate::window`] implements).
 #[derive(Debug)]
 pub(crate) struct Route {
     pub(crate) destination: DestinationId,
     pub(crate) kind: Kind,
-    /// Indices of its endpoints.
     pub(crate) endpoints: Vec<EndpointIndex>,
     pub(crate) window: Window,
-    /// The window when a call was last served in service; it returns after an outage.
+    /// The window when a call was last served outside an outage or slow start. Restored after an outage.
     pub(crate) proven_window: Window,
     pub(crate) health: Health,
     pub(crate) demand: DemandEstimator,
     pub(crate) token_bucket: TokenBucket,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub(crate) in_flight: u32,
-    /// No call before this: a Retry-After wait.
+    /// End of a Retry-After wait, during which no call is sent.
     pub(crate) blocked_until: Time,
-    /// Calls rejected for overload since the last one served.
+    /// Calls rejected because of overload since the last one served.
     pub(crate) consecutive_overloads: u32,
-    /// When a connection failed last, if no call was served since.
+    /// When opening a connection last failed, if no call was served since.
     pub(crate) connect_failed_at: Option<Time>,
-    /// One for each class.
+    /// One estimator for each message class.
     pub(crate) round_trips: Vec<RoundTripEstimator>,
-    /// No further draw for a probabilistic call before this.
+    /// Earliest time of the next draw for a probabilistic call.
     pub(crate) next_draw_at: Time,
-    pub(crate) window_cut_at: Time,
-    /// A draw for a probabilistic call was won; it waits for a slot.
+    /// When the window was last reduced.
+    pub(crate) window_reduced_at: Time,
+    /// Whether a draw allowed a probabilistic call that was not sent yet.
     pub(crate) draw_won: bool,
-    /// A call was sent there.
-    pub(crate) used: bool,
-    /// Messages pending and not in flight, as of this tick.
+    /// Whether a call was ever sent on this route.
+    pub(crate) was_called: bool,
+    /// Number of pending messages without an attempt in flight, at the start of this tick's dispatch.
     pub(crate) backlog: usize,
 }
 
@@ -89,9 +89,9 @@
             connect_failed_at: None,
             round_trips: vec![RoundTripEstimator::default(); settings.classes.len()],
             next_draw_at: now,
-            window_cut_at: now,
+            window_reduced_at: now,
             draw_won: false,
-            used: false,
+            was_called: false,
             backlog: 0,
         }
     }
@@ -101,19 +101,19 @@
         self.round_trips[class].call_times(settings.classes[class].latency_objective)
     }
 
-    /// Whether calls of any class take clearly longer than at the route's best.
+    /// Whether calls of any class are slow: see [`RoundTripEstimator::is_slow`].
     pub(crate) fn is_slow(&self) -> bool {
         self.round_trips.iter().any(RoundTripEstimator::is_slow)
     }
 
-    /// Blocks the route until `until`, unless it is blocked for longer.
+    /// Blocks the route until `until`, unless it is already blocked for longer.
     pub(crate) fn block_until(&mut self, until: Time) {
         self.blocked_until = self.blocked_until.max(until);
     }
 
-    /// Calls a second that this sender allows itself. Rejections in a row show that its quota is too high: what all senders
-    /// send must fall below the limit before the overload ends. In a slow start a sender stays inside its quota of what the
-    /// destination can serve, so that the other senders' quotas remain for them.
+    /// Rate at which this sender may call the route, in calls a second. Consecutive rejections lower it, because an overload ends
+    /// only when all senders together stay below the limit. In a slow start, the sender stays within its quota of the
+    /// destination's present capacity, which leaves the other senders theirs.
     pub(crate) fn allowed_rate(&self, now: Time, rules: &Rules, instances: u32) -> f64 {
         let steps = f64::from(self.consecutive_overloads.min(MAX_SLOWDOWN_STEPS));
         let slowdown = 1.0 / (1.0 + OVERLOAD_SLOWDOWN * steps);
@@ -121,7 +121,7 @@
         let reported_quota = self.demand.reported_limit().map(quota);
         let listed_quota = quota(self.demand.listed_limit());
         if let HealthState::WarmingUp { since } = self.health.state() {
-            // Without a reported limit, a sender with more demand than its quota must not return at that rate.
+            // Without a reported limit, the sender's demand is capped by its quota of the listed limit.
             let quota = reported_quota
                 .filter(|quota| quota.is_finite())
                 .unwrap_or(self.demand.rate(now).min(listed_quota));
@@ -138,7 +138,7 @@
         slowdown * rate
     }
 
-    /// Brings the route up to date at a tick, after its backlog was counted.
+    /// Updates health, token bucket and draw at a tick, after the backlog was counted.
     pub(crate) fn update(&mut self, now: Time, settings: &Settings, rng: &mut fastrand::Rng) {
         let rules = &settings.rules;
         self.health.end_slow_start(now, rules.cold);
@@ -150,38 +150,42 @@
         }
     }
 
-    /// The paper's probabilistic call: one draw for each arrival or retest. A draw that was won waits for a slot.
+    /// Draws whether a probabilistic call may be sent, as the paper does for a window below one. A call that was allowed may be
+    /// sent until there is a free slot.
     fn draw_call(&mut self, now: Time, probability: f64, rules: &Rules, rng: &mut fastrand::Rng) {
         let wanted = self.backlog > 0 && !self.draw_won && self.in_flight == 0;
         if !wanted || now < self.next_draw_at.max(self.blocked_until) {
             return;
         }
-        // The evidence that cut the window ages: a sender with few calls would need minutes of answers for a window of one.
-        let aged = (now - self.window_cut_at).as_secs_f64() / rules.cold.as_secs_f64().max(1.0);
-        self.draw_won = rng.f64() < probability.max(aged);
-        // The paper draws once for each arriving call. Retests at most double that, however many senders there are.
+        // The probability grows with the time since the window was reduced. Otherwise a sender with few calls would need
+        // minutes to get enough answers for a window of one.
+        let aged_probability =
+            (now - self.window_reduced_at).as_secs_f64() / rules.cold.as_secs_f64().max(1.0);
+        self.draw_won = rng.f64() < probability.max(aged_probability);
+        // The paper draws once for each arriving call. Draws at the mean time between arrivals at most double the number of
+        // draws, however many senders there are.
         let mean_gap = Duration::from_secs_f64(1.0 / self.demand.rate(now).max(MIN_DRAW_RATE));
         self.next_draw_at = now + mean_gap.max(RETEST_INTERVAL);
     }
 
-    /// Whether ticks leave it unchanged, until something else changes it.
+    /// Whether further ticks do not change the route: no backlog, no slow start and a full token bucket.
     fn is_settled(&self) -> bool {
         let warming_up = matches!(self.health.state(), HealthState::WarmingUp { .. });
         self.backlog == 0 && !warming_up && self.token_bucket.is_full()
     }
 }
 
-/// All routes by index. Settled ones, idle with a full token bucket, are skipped by [`RouteTable::active_mut`]; a mutable
-/// borrow makes a route active.
+/// All routes by index. Settled routes, which are idle with a full token bucket, are skipped by [`RouteTable::active_mut`]. A
+/// mutable borrow makes a route active.
 #[derive(Debug, Default)]
 pub(crate) struct RouteTable {
     slots: Vec<Route>,
     free: Vec<usize>,
     by_destination: BTreeMap<DestinationId, Vec<RouteIndex>>,
     active: BTreeSet<RouteIndex>,
-    /// Every route with learned state is in here or active.
+    /// Includes every route with learned state that is not active.
     learned: BTreeSet<RouteIndex>,
-    /// The latest tick: until then, settled routes have had a full token bucket.
+    /// Time of the latest tick, until which the token buckets of settled routes were full.
     settled_at: Time,
 }
 
@@ -216,7 +220,7 @@
         self.free.push(route_index.0);
     }
 
-    /// Slots in use or free.
+    /// Number of slots, in use or free.
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
@@ -233,12 +237,12 @@
             .map_or(&[], Vec::as_slice)
     }
 
-    /// Indices of all destinations' routes, by destination.
+    /// Indices of all routes, ordered by destination.
     pub(crate) fn indices(&self) -> impl Iterator<Item = RouteIndex> + '_ {
         self.by_destination.values().flatten().copied()
     }
 
-    /// Counts a pending message for each route of its destination.
+    /// Counts a pending message in the backlog of each route of its destination, and makes the routes active.
     pub(crate) fn add_backlog(&mut self, destination: DestinationId) {
         let RouteTable {
             slots,
@@ -252,7 +256,7 @@
         }
     }
 
-    /// The routes that a tick may change, by index.
+    /// The active routes, which a tick may change, ordered by index.
     pub(crate) fn active_mut(&mut self) -> impl Iterator<Item = &mut Route> {
         let (mut rest, mut offset) = (self.slots.as_mut_slice(), 0);
         self.active.iter().filter_map(move |&index| {
@@ -263,7 +267,7 @@
         })
     }
 
-    /// A set of destinations that includes every one with learned state.
+    /// All destinations with learned state, and perhaps others.
     pub(crate) fn learned_destinations(&self) -> BTreeSet<DestinationId> {
         self.learned
             .iter()
@@ -272,12 +276,12 @@
             .collect()
     }
 
-    /// Ends a tick's update of the active routes: those that a further one would not change become inactive.
+    /// Ends a tick's update: routes that a further tick would not change become inactive.
     pub(crate) fn settle(&mut self, now: Time) {
         let slots = &self.slots;
         let has_learned = |index: &RouteIndex| {
             let route = &slots[index.0];
-            route.used || route.blocked_until > now
+            route.was_called || route.blocked_until > now
         };
         self.learned
             .extend(self.active.iter().copied().filter(has_learned));
@@ -295,7 +299,7 @@
 ) -> &'a mut Route {
     let route = &mut slots[index.0];
     if active.insert(index) {
-        // The ticks that skipped it would have left this.
+        // Ticks skipped while the bucket was full must not add tokens.
         route.token_bucket.skip_until(settled_at);
     }
     route
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,27 +1,28 @@
-//! The scheduler: reads events in and returns actions. Each decision is in the module that is named for it.
+//! The scheduler's public methods: process events and return actions. The decisions themselves are in the other modules.
 
 use crate::api::{Action, EndpointId, Event, OrderingKey, Settings, SettingsError, Time};
 use crate::learned_state::LearnedState;
 use crate::state::SchedulerState;
 
-/// The scheduler of one sender: it holds messages and decides when and where each is sent.
+/// The scheduler of one sender: it holds the pending messages and decides when and to which endpoint each is sent.
 #[derive(Debug)]
 pub struct Scheduler {
     state: SchedulerState,
 }
 
 impl Scheduler {
-    /// The scheduler of a sender that has just started and knows nothing but its settings. `seed` decides all random draws.
+    /// Creates a scheduler without messages, endpoints or learned state. `seed` initializes the random number generator.
     ///
     /// # Errors
     ///
-    /// Fails where a number in the settings that must be positive is zero, or there is no class.
+    /// Fails if [`Settings::instances`], `slots`, `attempts_cap` or `max_pending` is zero, or `classes` is empty.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Scheduler, SettingsError> {
         let state = SchedulerState::new(settings, seed, now)?;
         Ok(Scheduler { state })
     }
 
-    /// Takes a batch of events that all happen at `now`, and returns the actions to carry out, in order.
+    /// Processes a batch of events that all happen at `now`, and returns the actions to carry out, in order. Time never moves
+    /// back: an earlier `now` than in the previous batch counts as that one.
     pub fn handle(&mut self, now: Time, events: Vec<Event>) -> Vec<Action> {
         let state = &mut self.state;
         let passed = now - state.now;
@@ -40,17 +41,18 @@
         std::mem::take(&mut state.actions)
     }
 
-    /// Messages that may be accepted before the pending one of least priority weight is ended for lack of capacity.
+    /// Number of messages that can be accepted before load is shed: beyond it the pending messages with the lowest priority
+    /// weight are rejected or failed.
     pub fn capacity(&self) -> usize {
         self.state.capacity()
     }
 
-    /// Size of the tables of endpoints and routes, free slots included.
+    /// Length of the endpoint table or the route table, whichever is longer, including slots free for reuse.
     pub fn endpoint_count(&self) -> usize {
         self.state.endpoints.len().max(self.state.routes.len())
     }
 
-    /// Routes that the next tick updates: its cost besides that of the pending messages.
+    /// Number of routes that the next tick updates. The cost of a tick grows with it and with the pending messages.
     pub fn active_routes(&self) -> usize {
         self.state.routes.active_count()
     }
@@ -83,92 +85,100 @@
     }
 }
 
-/// Ordering keys.
+/// Methods for ordering keys.
 impl Scheduler {
-    /// From now on an expired message holds its ordering key until its final report is acknowledged
-    /// ([`Scheduler::report_answered`]). For callers whose final reports take time to arrive.
+    /// From now on, after a message expires, no message with its ordering key is sent until its final report is acknowledged
+    /// ([`Scheduler::report_answered`]). For callers that send final reports asynchronously.
     pub fn confirm_reports(&mut self) {
         self.state.ordering.confirm_reports();
     }
 
-    /// An earlier process of this sender has started the final report of a message with this key.
+    /// Blocks an ordering key until [`Scheduler::report_answered`] is called: an earlier process of this sender has started a
+    /// final report of a message with this key.
     pub fn await_report(&mut self, ordering_key: &OrderingKey) {
         self.state.ordering.await_report(ordering_key);
     }
 
-    /// A final report of a message with this key was acknowledged, or was an immediate answer.
+    /// Records that a final report of a message with this key was acknowledged, or that the client got the final answer
+    /// directly.
     pub fn report_answered(&mut self, ordering_key: &OrderingKey) {
         self.state.ordering.report_answered(ordering_key);
     }
 
-    /// Pauses all ordering keys: attempts of an earlier process may still be executed.
+    /// Pauses all ordering keys for [`Rules::key_quiet`](crate::api::Rules::key_quiet), since attempts of an earlier process may
+    /// still be executed.
     pub fn rest_keys(&mut self, now: Time) {
         let until = now + self.state.settings.rules.key_quiet;
         self.state.ordering.pause_all(until);
     }
 
-    /// Number of ordering keys with any state.
+    /// Number of ordering keys with queued messages, an unfinished pause or unacknowledged final reports.
     pub fn ordered_queues(&self) -> usize {
         self.state.ordering.len()
     }
 }
 
-/// Learned state.
+/// Methods for learned state.
 impl Scheduler {
-    /// What this sender has learned by its own calls.
+    /// Learned state of the routes that this sender has called, and Retry-After waits still in force.
     pub fn learned_state(&self) -> Vec<LearnedState> {
         self.state.learned_state()
     }
 
-    /// Takes over learned state of the listed destinations, except where own calls have shown better, and spreads the first
-    /// calls to each. Returns when the last of these may be sent.
+    /// Restores learned state of the listed destinations and spreads the first calls to each over time. Routes that this
+    /// process has already called keep their own state, but Retry-After waits apply to them too. Returns the latest time at
+    /// which one of the spread first calls may be sent.
     pub fn restore(&mut self, now: Time, learned_state: &[LearnedState]) -> Time {
         self.state.restore(now, learned_state)
     }
 
-    /// Continues for another process of this sender that has stopped just now: none of its state is old, and no other sender
-    /// does the same at this moment. Returns what concerns destinations that are not listed yet and must still be kept.
+    /// Restores the state handed over by another process of this sender that has just stopped. The state is current and only
+    /// this sender restarts, so first calls are not spread. Returns the Retry-After waits of destinations that are not listed
+    /// yet; the caller must keep them.
     pub fn inherit(&mut self, now: Time, learned_state: Vec<LearnedState>) -> Vec<LearnedState> {
         self.state.inherit(now, learned_state)
     }
 }
 
-/// Gates at the endpoints of evacuated zones, and at endpoints that operators attach again.
+/// Methods for gates: token buckets in front of the endpoints of evacuated zones and of reattached endpoints.
 impl Scheduler {
-    /// Evacuates a zone: nothing is sent to its endpoints, and a probe call that was admitted is not any more.
+    /// Evacuates a zone: closes the gates of its endpoints, so that no call is sent to them. Revokes a probe call that was
+    /// admitted but not sent.
     pub fn bar(&mut self, zone: u32) {
         self.state.endpoints.close_zone(zone);
     }
 
-    /// Evacuates the endpoints of a zone that were listed since [`Scheduler::bar`].
+    /// Closes the gates of the endpoints of an evacuated zone that were listed after [`Scheduler::bar`].
     pub fn bar_new(&mut self, zone: u32) {
         self.state.endpoints.close_new_in_zone(zone);
     }
 
-    /// Starts the return to a zone: to all of its endpoints, or only to those listed since (`new`). Each begins with a random
-    /// part of a call, so that senders that save up at one rate do not call at one moment.
-    pub fn return_to(&mut self, zone: u32, new: bool) {
-        self.state.begin_return(zone, new);
+    /// Starts the recovery ramp of a zone: for all of its endpoints, or with `only_new` for those without a gate, which were
+    /// listed after the ramp began. Each gate starts with a random fraction of a token, so that senders that refill at the same
+    /// rate do not call at the same moment.
+    pub fn return_to(&mut self, zone: u32, only_new: bool) {
+        self.state.start_recovery_ramp(zone, only_new);
     }
 
-    /// Admits one probe call to one endpoint of a zone: one for which a message waits, if there is any. `pick` chooses among
-    /// several.
+    /// Admits one probe call to one endpoint of an evacuated zone, preferably one that a pending message can be sent to. `pick`,
+    /// modulo the number of candidates, selects the endpoint.
     pub fn probe(&mut self, now: Time, zone: u32, pick: u64) {
         self.state.admit_probe(now, zone, pick);
     }
 
-    /// Admits, for the time since the last batch, this sender's quota of what a zone's endpoints may be sent on their return,
-    /// which began at `since`.
+    /// Refills the gates of a zone during its recovery ramp, which began at `since`: adds this sender's quota for the time
+    /// since the last batch.
     pub fn admit_returning(&mut self, now: Time, zone: u32, since: Time) {
         self.state.refill_zone(now, zone, since);
     }
 
-    /// As [`Scheduler::admit_returning`], for an endpoint that operators attach again.
+    /// As [`Scheduler::admit_returning`], for one endpoint that operators reattached at `since`.
     pub fn admit_endpoint(&mut self, now: Time, id: &EndpointId, since: Time) {
         self.state.refill_endpoint(now, id, since);
     }
 
-    /// Closes the gate of an endpoint that operators attach again; [`Scheduler::admit_endpoint`] admits its calls.
+    /// Closes the gate of an endpoint that operators reattach, except for a first call that some of the senders may make at
+    /// once. [`Scheduler::admit_endpoint`] then refills it.
     pub fn bar_endpoint(&mut self, id: &EndpointId) {
         self.state.close_endpoint(id);
     }
@@ -188,7 +198,7 @@
         self.state.endpoints.open_endpoint(id);
     }
 
-    /// Removes the gates of a zone: it is back in service.
+    /// Removes the gates of a zone that is in service again.
     pub fn unbar(&mut self, zone: u32) {
         self.state.endpoints.open_zone(zone);
     }
--- a/crates/scheduler/src/slots.rs
+++ b/crates/scheduler/src/slots.rs
@@ -1,6 +1,6 @@
-//! Vectors whose freed slots are reused, so that indices stay valid and memory stays bounded.
+//! Slot allocation in a vector: freed slots are reused, so that indices stay valid and memory stays bounded.
 
-/// Puts a value into a free slot, or a new one, and returns its index.
+/// Stores a value in a free slot, or else in a new one, and returns its index.
 pub(crate) fn insert_reusing<T>(slots: &mut Vec<T>, free: &mut Vec<usize>, value: T) -> usize {
     let index = free.pop().unwrap_or(slots.len());
     match slots.get_mut(index) {
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,4 +1,5 @@
-//! The scheduler's state: each component owns its fields; the modules above decide by several of them.
+//! The scheduler's state. Each component owns its fields; decisions that need several components are methods of
+//! [`SchedulerState`] in the modules that make them.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +16,7 @@
 
 /// The smallest random factor, see [`SchedulerState::jitter`].
 const MIN_JITTER: f64 = 0.75;
-/// The width of the range of random factors.
+/// Width of the range of random factors.
 const JITTER_RANGE: f64 = 0.5;
 
 /// All state of one scheduler.
@@ -25,7 +26,7 @@
     pub(crate) seed: u64,
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: Time,
-    /// Actions of this tick so far.
+    /// Actions that the current batch has produced so far.
     pub(crate) actions: Vec<Action>,
     pub(crate) endpoints: EndpointTable,
     pub(crate) routes: RouteTable,
@@ -37,7 +38,7 @@
     pub(crate) idle_connections: IdleConnections,
     pub(crate) discovery_polls: DiscoveryPolls,
     pub(crate) next_wakeup: Option<Time>,
-    /// The last number given to a message or call.
+    /// The last number assigned to a message or call.
     last_number: u64,
 }
 
@@ -46,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where a number in the settings that must be positive is zero, or there is no class.
+    /// See [`Scheduler::new`](crate::Scheduler::new).
     pub(crate) fn new(
         settings: Settings,
         seed: u64,
@@ -55,7 +56,7 @@
         let counts = [settings.instances, settings.slots, settings.attempts_cap];
         if counts.contains(&0) || settings.max_pending == 0 || settings.classes.is_empty() {
             return Err(SettingsError(
-                "senders, classes, slots, messages held, attempts must be above zero",
+                "expected instances, slots, attempts_cap and max_pending above zero, and at least one class",
             ));
         }
         Ok(SchedulerState {
@@ -77,7 +78,7 @@
         })
     }
 
-    /// Moves the time on; it never moves back.
+    /// Advances the current time to `now`; an earlier `now` is ignored.
     pub(crate) fn advance_to(&mut self, now: Time) {
         self.now = self.now.max(now);
     }
@@ -97,13 +98,14 @@
         self.last_number
     }
 
-    /// A random factor around one, so that senders hit by one event do not act at the same moment.
+    /// A random factor from [`MIN_JITTER`] to `MIN_JITTER + JITTER_RANGE`, so that senders affected by the same event do not act
+    /// at the same moment.
     pub(crate) fn jitter(&mut self) -> f64 {
         MIN_JITTER + JITTER_RANGE * self.rng.f64()
     }
 
-    /// Completes a message: it gets no further attempt. It keeps its place in its key's queue while its attempt is in
-    /// flight.
+    /// Completes a message, so that it gets no further attempt. While an attempt is in flight, the message stays at its
+    /// position in its ordering key's queue.
     pub(crate) fn complete_message(&mut self, number: MessageNumber) {
         let Some(message) = self.messages.complete(number) else {
             return;
--- a/crates/scheduler/src/tenant_quotas.rs
+++ b/crates/scheduler/src/tenant_quotas.rs
@@ -1,20 +1,20 @@
-//! Each tenant's quota of messages, as a token bucket: messages over it have a lower priority weight.
+//! Tenant quotas, as token buckets: messages over their tenant's quota have a lower priority weight.
 
 use std::time::Duration;
 
 use crate::api::Settings;
 
-/// Seconds of its quota that a tenant can save up.
+/// Depth of a bucket, in seconds of this sender's share of the quota.
 const BURST_SECONDS: f64 = 2.0;
 
-/// One token for each message inside a tenant's quota, by position in the settings.
+/// A token bucket for each tenant, by position in `Settings::tenants`. A message within the quota takes one token.
 #[derive(Debug)]
 pub(crate) struct TenantQuotas {
     tokens: Vec<f64>,
 }
 
 impl TenantQuotas {
-    /// Full buckets.
+    /// Creates the buckets, each with one second of the tenant's whole quota.
     pub(crate) fn new(settings: &Settings) -> TenantQuotas {
         TenantQuotas {
             tokens: settings
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Adds this sender's part of the quotas for the time passed.
+    /// Adds this sender's share of the quotas for the time passed.
     pub(crate) fn refill(&mut self, settings: &Settings, passed: Duration) {
         for (tokens, tenant) in self.tokens.iter_mut().zip(&settings.tenants) {
             let rate = tenant.quota_rps / f64::from(settings.instances);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Counts a message; true if it is over its tenant's quota. Unknown tenants have no quota.
+    /// Counts a message; true if it is over its tenant's quota. Never true for a tenant that is not in the settings.
     pub(crate) fn count_message(&mut self, tenant: usize) -> bool {
         let Some(tokens) = self.tokens.get_mut(tenant) else {
             return false;
--- a/crates/scheduler/src/wakeup.rs
+++ b/crates/scheduler/src/wakeup.rs
@@ -1,21 +1,22 @@
-//! Schedules the timer for the next moment at which a pending message may be sent or must expire.
+//! Schedules the timer for the next time at which a pending message may become sendable or must expire.
 
 use crate::api::{Action, Time};
 use crate::messages::Message;
 use crate::routes::RETEST_INTERVAL;
 use crate::state::SchedulerState;
 
-/// A message is looked at this many ticks before its deadline.
+/// The timer fires this many ticks before a message's deadline, in time for it to expire.
 const DEADLINE_MARGIN_TICKS: u32 = 2;
 
 impl SchedulerState {
-    /// The timer has fired. Callers may round a timer down: within a tick of its time it is the one scheduled.
+    /// Handles a timer that has fired. Callers may round timers down: one that fires up to a tick early counts as the one
+    /// scheduled.
     pub(crate) fn on_timer(&mut self) {
         let latest = self.now + self.settings.tick;
         self.next_wakeup.take_if(|wakeup| *wakeup <= latest);
     }
 
-    /// Starts a timer for the next moment, unless an earlier one is running.
+    /// Starts a timer for the next such time, unless an earlier timer is running.
     pub(crate) fn schedule_wakeup(&mut self) {
         let messages = self.messages.waiting();
         let next = messages
@@ -35,7 +36,8 @@
         }
     }
 
-    /// When a message may be sent, is tried again or expires, whichever is first.
+    /// When a message must be considered again: the earliest of its backoff, pauses and limits that end, its expiry and
+    /// [`RETEST_INTERVAL`].
     fn next_change_of(&self, message: &Message) -> Time {
         let expiry = message
             .deadline
--- a/crates/scheduler/src/zones.rs
+++ b/crates/scheduler/src/zones.rs
@@ -1,7 +1,8 @@
-//! Gates in front of the endpoints of an evacuated zone, or of an endpoint that operators detached and attach again.
+//! Gates: token buckets in front of the endpoints of an evacuated zone, or of an endpoint that operators reattach after
+//! detaching it.
 //!
-//! Whether to evacuate a zone is decided for the whole fleet elsewhere; here it is applied to this sender's calls. A gate is
-//! a number of tokens at each endpoint: it admits a call for each whole one.
+//! The fleet as a whole decides elsewhere when to evacuate a zone; this module applies the decision to this sender's calls. A
+//! gate admits a call for each whole token. A closed gate has less than one token; an endpoint without a gate is not limited.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,9 +14,10 @@
 use crate::slow_start::{MIN_SPAN_SECONDS, slow_start_rate};
 use crate::state::SchedulerState;
 
-/// Tokens that a gate can save up.
+/// Depth of a gate, in tokens.
 const GATE_DEPTH: f64 = 1.0;
-/// A destination in its slow start only fails at this many calls, and more, above what the rule allows in one span.
+/// Calls in excess of the allowed load that a destination in its slow start tolerates within
+/// [`Rules::fall`](crate::api::Rules::fall), over all senders.
 const TOLERATED_CALLS: f64 = 3.0;
 
 impl EndpointTable {
@@ -24,14 +26,14 @@
             .filter(move |endpoint| endpoint.zone == zone)
     }
 
-    /// Closes the gates of a zone; a probe call that was admitted is not any more.
+    /// Closes the gates of a zone. Revokes a probe call that was admitted but not sent.
     pub(crate) fn close_zone(&mut self, zone: u32) {
         for endpoint in self.in_zone(zone) {
             endpoint.gate_tokens = Some(0.0);
         }
     }
 
-    /// Closes gates at the endpoints of a zone that have none: those listed since it was evacuated.
+    /// Closes the gates of a zone's endpoints that have no gate yet, because they were listed after the evacuation.
     pub(crate) fn close_new_in_zone(&mut self, zone: u32) {
         for endpoint in self.in_zone(zone) {
             endpoint.gate_tokens.get_or_insert(0.0);
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Closes gates at all endpoints.
+    /// Closes the gates of all endpoints.
     pub(crate) fn close_all(&mut self) {
         for endpoint in self.iter_mut() {
             endpoint.gate_tokens = Some(0.0);
@@ -68,9 +70,9 @@
 }
 
 impl SchedulerState {
-    /// Starts the return to a zone: all of its endpoints, or only those without a gate (`only_new`), begin with a random part
-    /// of a token. Senders that all saved up from zero at one rate would send a call at one moment.
-    pub(crate) fn begin_return(&mut self, zone: u32, only_new: bool) {
+    /// Starts the recovery ramp of a zone: the gates of all of its endpoints, or only of those without a gate (`only_new`), get
+    /// a random fraction of a token. If all senders started from zero at the same rate, they would call at the same moment.
+    pub(crate) fn start_recovery_ramp(&mut self, zone: u32, only_new: bool) {
         for endpoint in self.endpoints.iter_mut() {
             let affected = !only_new || endpoint.gate_tokens.is_none();
             if endpoint.zone == zone && affected {
@@ -79,8 +81,7 @@
         }
     }
 
-    /// Admits one probe call to one endpoint of a zone: one for which a message waits, if there is any. `pick` chooses among
-    /// several.
+    /// Admits one probe call to one endpoint of a zone: see [`Scheduler::probe`](crate::Scheduler::probe).
     pub(crate) fn admit_probe(&mut self, now: Time, zone: u32, pick: u64) {
         self.endpoints.close_zone(zone);
         let candidates = self.probe_candidates(zone);
@@ -93,6 +94,7 @@
         self.routes[endpoint.route].health.allow_probe(now);
     }
 
+    /// The ready endpoints of a zone that pending messages can be sent to; all of its ready endpoints if there are none.
     fn probe_candidates(&self, zone: u32) -> Vec<EndpointIndex> {
         let wanted_routes: BTreeSet<RouteIndex> = self
             .messages
@@ -113,8 +115,8 @@
         if wanted.is_empty() { ready } else { wanted }
     }
 
-    /// Adds, for the time since the last tick, this sender's quota of what a zone's endpoints may be sent on their return,
-    /// which began at `since`.
+    /// Refills the gates of a zone during its recovery ramp, which began at `since`: adds this sender's quota for the time
+    /// since the last tick.
     pub(crate) fn refill_zone(&mut self, now: Time, zone: u32, since: Time) {
         let in_zone: Vec<EndpointIndex> = self
             .endpoints
@@ -126,7 +128,7 @@
         }
     }
 
-    /// As [`SchedulerState::refill_zone`], for an endpoint that is attached again.
+    /// As [`SchedulerState::refill_zone`], for one endpoint that operators reattached at `since`.
     pub(crate) fn refill_endpoint(&mut self, now: Time, id: &EndpointId, since: Time) {
         if let Some(index) = self.endpoints.index_of(id) {
             self.endpoints[index].gate_tokens.get_or_insert(0.0);
@@ -134,9 +136,10 @@
         }
     }
 
+    /// Refills the gate of one endpoint, if it has one.
     fn refill_gate(&mut self, now: Time, endpoint_index: EndpointIndex, since: Time) {
         let route = &self.routes[self.endpoints[endpoint_index].route];
-        let route_rate = self.return_rate(route, now, now - since);
+        let route_rate = self.recovery_rate(route, now, now - since);
         let endpoint_rate = route_rate / route.endpoints.len().max(1) as f64;
         let passed = (now - self.now).as_secs_f64();
         let initial_tokens = self.rng.f64();
@@ -144,7 +147,7 @@
         let Some(tokens) = &mut endpoint.gate_tokens else {
             return;
         };
-        // Endpoints that return together must not have a whole token together.
+        // Senders that failed at the endpoint start again from a random fraction, so that they do not call at the same moment.
         if *tokens <= 0.0 && endpoint.consecutive_failures > 0 {
             *tokens = initial_tokens;
             endpoint.consecutive_failures = 0;
@@ -152,8 +155,8 @@
         *tokens = (*tokens + endpoint_rate * passed).min(GATE_DEPTH);
     }
 
-    /// Calls a second that this sender may send to a returning route.
-    fn return_rate(&self, route: &Route, now: Time, elapsed: Duration) -> f64 {
+    /// Rate at which this sender may call a route `elapsed` after the start of its recovery ramp, in calls a second.
+    fn recovery_rate(&self, route: &Route, now: Time, elapsed: Duration) -> f64 {
         let rules = &self.settings.rules;
         let instances = f64::from(self.settings.instances);
         let limit = route
@@ -161,25 +164,29 @@
             .reported_limit()
             .filter(|limit| limit.is_finite())
             .unwrap_or(route.demand.listed_limit());
-        // Without any limit, the demand that this sender sees is its quota.
+        // Without any limit, this sender's own demand is taken as its quota.
         let quota = Some(limit / instances)
             .filter(|quota| quota.is_finite())
             .unwrap_or_else(|| route.demand.rate(now));
-        // However small the capacity, the calls that the rule tolerates may be sent in each of its spans.
+        // Independently of the capacity, all senders together may send the tolerated calls in each such period.
         let tolerated =
             TOLERATED_CALLS / rules.fall.as_secs_f64().max(MIN_SPAN_SECONDS) / instances;
         slow_start_rate(rules, elapsed, quota) + tolerated
     }
 
-    /// Closes the gate of an endpoint that operators attach again. They know that it is there, so the first calls of all
-    /// senders together are those that the rule on returns tolerates, and need not be saved up.
+    /// Closes the gate of an endpoint that operators reattach. Since operators vouch for it, a random part of the senders, as
+    /// many as there are tolerated calls, may call it at once.
     pub(crate) fn close_endpoint(&mut self, id: &EndpointId) {
         let Some(index) = self.endpoints.index_of(id) else {
             return;
         };
-        let at_once = self.rng.f64() < TOLERATED_CALLS / f64::from(self.settings.instances);
-        // A random part, so that senders that save up at one rate do not have a whole token at one moment.
-        let tokens = if at_once { GATE_DEPTH } else { self.rng.f64() };
+        let may_call_now = self.rng.f64() < TOLERATED_CALLS / f64::from(self.settings.instances);
+        // A random fraction, so that senders that refill at the same rate do not call at the same moment.
+        let tokens = if may_call_now {
+            GATE_DEPTH
+        } else {
+            self.rng.f64()
+        };
         self.endpoints[index].gate_tokens = Some(tokens);
     }
 }
