--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,10 +1,11 @@
-//! A sender under test, its clock and short ways to say what happens.
+//! Shared helpers: a scheduler under test with its clock, and short constructors of settings and events.
 #![allow(dead_code)]
 
 use cranehill_scheduler::api::*;
 use cranehill_scheduler::{Scheduler, Time};
 use std::time::Duration;
 
+/// A class with an objective of 1 s, a deadline of 10 s and a deduplication window of 5 s.
 pub(crate) fn class(effect: Effect) -> Class {
     Class {
         latency_objective: Duration::from_secs(1),
@@ -18,7 +19,8 @@
     }
 }
 
-/// Classes: 0 safe, 1 keyed and in order, 2 unsafe.
+/// Classes: 0 safe, 1 idempotent and in order, 2 unsafe. Kinds: 0 one message per call, 1 five messages per call, 2 separate
+/// routes.
 pub(crate) fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -71,6 +73,7 @@
     }
 }
 
+/// An entry of the endpoint list, in zone 0 and without a rate.
 pub(crate) fn entry(endpoint: &str, destination: u64, condition: Condition, kind: usize) -> Entry {
     Entry {
         endpoint: EndpointId(endpoint.into()),
@@ -82,47 +85,55 @@
     }
 }
 
-pub(crate) struct Bench {
-    pub(crate) sender: Scheduler,
-    pub(crate) ms: u64,
+/// A scheduler under test.
+pub(crate) struct TestSender {
+    pub(crate) scheduler: Scheduler,
+    /// Time of the latest batch, in milliseconds.
+    pub(crate) now_ms: u64,
 }
 
-impl Bench {
-    pub(crate) fn new(settings: Settings, entries: Vec<Entry>) -> Bench {
-        Bench::seeded(settings, entries, 1)
+impl TestSender {
+    pub(crate) fn new(settings: Settings, entries: Vec<Entry>) -> TestSender {
+        TestSender::with_seed(settings, entries, 1)
     }
 
-    /// One of several senders, which must not all draw the same.
-    pub(crate) fn seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Bench {
-        let mut sender = Scheduler::new(settings, seed, Time(0)).expect("settings");
-        sender.handle(
+    /// As `new`, with a given seed. Several senders need different seeds, so that their random draws differ.
+    pub(crate) fn with_seed(settings: Settings, entries: Vec<Entry>, seed: u64) -> TestSender {
+        let mut scheduler = Scheduler::new(settings, seed, Time(0)).expect("settings");
+        scheduler.handle(
             Time(0),
             vec![Event::List {
                 whole: true,
                 entries,
             }],
         );
-        Bench { sender, ms: 0 }
+        TestSender {
+            scheduler,
+            now_ms: 0,
+        }
     }
 
-    pub(crate) fn at(&mut self, ms: u64, events: Vec<Event>) -> Vec<Action> {
-        self.ms = ms;
-        self.sender.handle(Time(ms * 1_000_000), events)
+    /// Handles a batch of events at a time in milliseconds.
+    pub(crate) fn handle_at(&mut self, ms: u64, events: Vec<Event>) -> Vec<Action> {
+        self.now_ms = ms;
+        self.scheduler.handle(Time(ms * 1_000_000), events)
     }
 }
 
-pub(crate) fn accept(id: &str, class: usize, key: Option<&str>, left_ms: u64) -> Event {
+/// A message to destination 1 is accepted.
+pub(crate) fn accept(id: &str, class: usize, key: Option<&str>, time_left_ms: u64) -> Event {
     Event::Accept(AcceptedMessage {
         id: MessageId(id.into()),
         class,
         tenant: 0,
-        ordering_key: key.map(|k| OrderingKey(k.into())),
-        time_left: Duration::from_millis(left_ms),
+        ordering_key: key.map(|key| OrderingKey(key.into())),
+        time_left: Duration::from_millis(time_left_ms),
         destination: DestinationId(1),
         prior: PriorAttempts::default(),
     })
 }
 
+/// An attempt finishes; the message is completed if it was served.
 pub(crate) fn outcome(id: &str, attempt: u32, status: Status, took_ms: u64) -> Event {
     Event::Outcome(Outcome {
         id: MessageId(id.into()),
@@ -135,32 +146,34 @@
     })
 }
 
-pub(crate) fn refused(id: &str, attempt: u32, wait_ms: u64) -> Event {
+/// An attempt is rejected because of overload, with a Retry-After time.
+pub(crate) fn rejected_with_retry_after(id: &str, attempt: u32, wait_ms: u64) -> Event {
     match outcome(id, attempt, Status::Overloaded, 10) {
-        Event::Outcome(o) => Event::Outcome(Outcome {
+        Event::Outcome(rejected) => Event::Outcome(Outcome {
             wait: Some(Duration::from_millis(wait_ms)),
-            ..o
+            ..rejected
         }),
         other => other,
     }
 }
 
-/// The messages sent, with their endpoints.
-pub(crate) fn sends(actions: &[Action]) -> Vec<(String, String)> {
+/// The messages sent and their endpoints.
+pub(crate) fn sent_messages(actions: &[Action]) -> Vec<(String, String)> {
     actions
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|action| match action {
             Action::Send { id, endpoint, .. } => Some((id.0.clone(), endpoint.0.clone())),
             _ => None,
         })
         .collect()
 }
 
-pub(crate) fn finals(actions: &[Action]) -> Vec<String> {
+/// The final answers, as "reject ID" or "fail ID".
+pub(crate) fn final_answers(actions: &[Action]) -> Vec<String> {
     actions
         .iter()
-        .filter_map(|a| match a {
-            Action::Reject { id, .. } => Some(format!("refuse {id}")),
+        .filter_map(|action| match action {
+            Action::Reject { id, .. } => Some(format!("reject {id}")),
             Action::Fail(id) => Some(format!("fail {id}")),
             _ => None,
         })
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Hundreds of senders, each with two slots and a message every few seconds: counted over all of them.
+//! Fleets of hundreds of senders with few slots and few messages each. Calls are counted over all senders.
 
 mod common;
 use common::*;
@@ -8,10 +8,10 @@
 
 const SENDERS: u64 = 200;
 
-/// Every sender gets a message for the one destination each ten seconds, in turn. It answers with `status` until
-/// `back` and serves from then on. Returns the calls sent in each second.
-fn day(status: Status, back: u64, until: u64) -> Vec<usize> {
-    let set = Settings {
+/// Simulates a fleet for `until` ms. Each sender accepts one message for the same destination every ten seconds, at staggered
+/// times. Calls end with `status` until `recovered_at` (ms) and are served afterwards. Returns the calls sent in each second.
+fn calls_per_second(status: Status, recovered_at: u64, until: u64) -> Vec<usize> {
+    let fleet_settings = Settings {
         instances: SENDERS as u32,
         slots: 2,
         max_pending: 16,
@@ -19,7 +19,7 @@
     };
     let mut senders: Vec<Scheduler> = (0..SENDERS)
         .map(|i| {
-            let mut sender = Scheduler::new(set.clone(), i, Time(0)).expect("settings");
+            let mut sender = Scheduler::new(fleet_settings.clone(), i, Time(0)).expect("settings");
             let entries = vec![entry("a", 1, Condition::Ready, 0)];
             sender.handle(
                 Time(0),
@@ -31,24 +31,28 @@
             sender
         })
         .collect();
-    let mut calls: Vec<Vec<(String, u32)>> = vec![Vec::new(); SENDERS as usize];
-    let mut tries = std::collections::BTreeMap::<String, u32>::new();
+    let mut in_flight_by_sender: Vec<Vec<(String, u32)>> = vec![Vec::new(); SENDERS as usize];
+    let mut attempts = std::collections::BTreeMap::<String, u32>::new();
     let mut sent = vec![0; (until / 1000) as usize + 1];
     for ms in (0..until).step_by(50) {
         for (i, sender) in senders.iter_mut().enumerate() {
-            let status = if ms < back { status } else { Status::Served };
-            let mut events: Vec<Event> = calls[i]
+            let status = if ms < recovered_at {
+                status
+            } else {
+                Status::Served
+            };
+            let mut events: Vec<Event> = in_flight_by_sender[i]
                 .drain(..)
-                .map(|(id, n)| outcome(&id, n, status, 50))
+                .map(|(id, attempt)| outcome(&id, attempt, status, 50))
                 .collect();
             if (ms + 50 * i as u64).is_multiple_of(10_000) {
                 events.push(accept(&format!("{i}-{ms}"), 0, None, 9_900));
             }
             events.push(Event::Wake);
-            for (id, _) in sends(&sender.handle(Time(ms * 1_000_000), events)) {
-                let n = tries.entry(id.clone()).or_default();
-                calls[i].push((id, *n));
-                *n += 1;
+            for (id, _) in sent_messages(&sender.handle(Time(ms * 1_000_000), events)) {
+                let attempt = attempts.entry(id.clone()).or_default();
+                in_flight_by_sender[i].push((id, *attempt));
+                *attempt += 1;
                 sent[(ms / 1000) as usize] += 1;
             }
         }
@@ -56,36 +60,39 @@
     sent
 }
 
-/// h9776e7, hf6a5bd, h1f7639: each sender alone kept a budget of one call, all together pushed a destination over
-/// that had just come back.
+/// Guards against a fleet that overloads a destination right after an outage, although each sender sends only one call (days
+/// h9776e7, hf6a5bd, h1f7639).
 #[test]
-fn senders_send_a_returning_destination_little_more_than_new_messages() {
+fn calls_to_a_recovering_destination_barely_exceed_new_messages() {
     for status in [Status::NoConnection, Status::Overloaded] {
-        let sent = day(status, 25_000, 40_000);
-        let fresh = SENDERS as usize / 10;
+        let sent = calls_per_second(status, 25_000, 40_000);
+        let new_messages_per_second = SENDERS as usize / 10;
         assert!(
-            sent[20..30].iter().all(|&n| n <= fresh * 2),
+            sent[20..30]
+                .iter()
+                .all(|&n| n <= new_messages_per_second * 2),
             "{status:?}: {sent:?}"
         );
         assert!(
-            sent[20..30].iter().sum::<usize>() <= fresh * 13,
+            sent[20..30].iter().sum::<usize>() <= new_messages_per_second * 13,
             "{status:?}: {sent:?}"
         );
     }
 }
 
-/// erzurum big-1: pauses after refusals grew with the number of senders until messages expired untried.
+/// Guards against pauses after rejections that grow with the number of senders until messages expire without an attempt (day
+/// erzurum big-1).
 #[test]
-fn a_returned_destination_is_found_by_new_messages() {
-    let sent = day(Status::Overloaded, 15_000, 40_000);
-    let fresh = SENDERS as usize / 10;
+fn new_messages_detect_the_end_of_an_outage() {
+    let sent = calls_per_second(Status::Overloaded, 15_000, 40_000);
+    let new_messages_per_second = SENDERS as usize / 10;
     let served: usize = sent[30..].iter().sum();
-    assert!(served >= 8 * fresh, "{served} {sent:?}");
+    assert!(served >= 8 * new_messages_per_second, "{served} {sent:?}");
 }
 
-/// One of many senders, with two endpoints.
-fn one_sender_with_two_endpoints() -> Bench {
-    Bench::new(
+/// One of many senders, with one destination of two endpoints.
+fn one_sender_with_two_endpoints() -> TestSender {
+    TestSender::new(
         Settings {
             instances: SENDERS as u32,
             ..settings()
@@ -104,33 +111,35 @@
         .count()
 }
 
-/// coop big-1: idle connections of hundreds of senders filled endpoints that take few.
+/// Guards against idle connections of hundreds of senders that use up the few connections an endpoint accepts (day coop big-1).
 #[test]
 fn connections_are_closed_after_use_in_a_connection_shortage() {
-    let mut b = one_sender_with_two_endpoints();
+    let mut sender = one_sender_with_two_endpoints();
     for i in 0..6u64 {
         let id = format!("w{i}");
-        b.at(i * 1000, vec![accept(&id, 0, None, 9000)]);
+        sender.handle_at(i * 1000, vec![accept(&id, 0, None, 9000)]);
         assert_eq!(
-            closed_connections(&b.at(i * 1000 + 50, vec![outcome(&id, 0, Status::Served, 50)])),
+            closed_connections(
+                &sender.handle_at(i * 1000 + 50, vec![outcome(&id, 0, Status::Served, 50)])
+            ),
             0
         );
     }
-    b.at(6000, vec![accept("m", 0, None, 9000)]);
-    b.at(6010, vec![outcome("m", 0, Status::NoConnection, 10)]);
+    sender.handle_at(6000, vec![accept("m", 0, None, 9000)]);
+    sender.handle_at(6010, vec![outcome("m", 0, Status::NoConnection, 10)]);
     assert_eq!(
-        closed_connections(&b.at(6060, vec![outcome("m", 1, Status::Served, 50)])),
+        closed_connections(&sender.handle_at(6060, vec![outcome("m", 1, Status::Served, 50)])),
         1
     );
 }
 
-/// zone+vast, seed 3: after a zone had been down for 5 s every call went on a connection of its own for a minute, since
-/// each connection refused by the outage was taken for a lack of connections: 12,435 handshakes for 14,262 messages.
+/// Guards against a new connection for every call, for a minute after a zone was down for 5 s: 12,435 handshakes for 14,262
+/// messages (zone+vast, seed 3). Each connection refused during the outage counted as a connection shortage.
 #[test]
 fn refused_connections_in_an_outage_mean_no_connection_shortage() {
-    let mut b = one_sender_with_two_endpoints();
-    let mut tries = std::collections::BTreeMap::<String, u32>::new();
-    let (mut out, mut closed, mut served) = (Vec::<String>::new(), 0, 0);
+    let mut sender = one_sender_with_two_endpoints();
+    let mut attempts = std::collections::BTreeMap::<String, u32>::new();
+    let (mut in_flight, mut closed, mut served) = (Vec::<String>::new(), 0, 0);
     for ms in (0..20_000).step_by(50) {
         let status = if (6_000..12_000).contains(&ms) {
             Status::NoConnection
@@ -138,18 +147,21 @@
             Status::Served
         };
         let mut events: Vec<Event> = vec![Event::Wake];
-        for id in out.drain(..) {
-            let n = tries.entry(id.clone()).or_default();
-            events.push(outcome(&id, *n, status, 50));
-            *n += 1;
+        for id in in_flight.drain(..) {
+            let attempt = attempts.entry(id.clone()).or_default();
+            events.push(outcome(&id, *attempt, status, 50));
+            *attempt += 1;
             served += u32::from(status == Status::Served);
         }
         if ms % 1_000 == 0 {
             events.push(accept(&format!("w{ms}"), 0, None, 9_000));
         }
-        let actions = b.at(ms, events);
+        let actions = sender.handle_at(ms, events);
         closed += closed_connections(&actions);
-        out = sends(&actions).into_iter().map(|(id, _)| id).collect();
+        in_flight = sent_messages(&actions)
+            .into_iter()
+            .map(|(id, _)| id)
+            .collect();
     }
     assert!(
         served >= 8 && closed == 0,
@@ -157,11 +169,11 @@
     );
 }
 
-/// calm+mass, seed 13: an order of endpoints that all shared sent 98% of a destination's calls to one of two, which refused
-/// half of them while two thirds of the destination's limit were left.
+/// Guards against all senders preferring the same endpoint: in calm+mass, seed 13, one of two got 98% of a destination's calls
+/// and rejected half of them, while two thirds of the destination's limit were unused.
 #[test]
 fn senders_with_little_load_spread_over_endpoints() {
-    let set = Settings {
+    let fleet_settings = Settings {
         instances: SENDERS as u32,
         slots: 4,
         max_pending: 16,
@@ -169,7 +181,7 @@
     };
     let mut calls = std::collections::BTreeMap::<String, usize>::new();
     for seed in 0..SENDERS {
-        let mut sender = Scheduler::new(set.clone(), seed, Time(0)).expect("settings");
+        let mut sender = Scheduler::new(fleet_settings.clone(), seed, Time(0)).expect("settings");
         let entries = ["a", "b", "c"]
             .map(|e| entry(e, 1, Condition::Ready, 0))
             .to_vec();
@@ -177,13 +189,13 @@
             whole: true,
             entries,
         };
-        let first = sends(&sender.handle(Time(0), vec![list, accept("m", 0, None, 9000)]));
+        let first = sent_messages(&sender.handle(Time(0), vec![list, accept("m", 0, None, 9000)]));
         let then = vec![
             outcome("m", 0, Status::Served, 50),
             accept("n", 0, None, 9000),
         ];
-        let second = sends(&sender.handle(Time(1_000_000_000), then));
-        // Each keeps to its own: the connection there is warm.
+        let second = sent_messages(&sender.handle(Time(1_000_000_000), then));
+        // Each sender stays with its endpoint, to which it has an open connection.
         assert_eq!(first[0].1, second[0].1, "seed {seed}");
         *calls.entry(first[0].1.clone()).or_default() += 1;
     }
--- a/crates/scheduler/tests/golden_settings.rs
+++ b/crates/scheduler/tests/golden_settings.rs
@@ -1,4 +1,4 @@
-//! The settings object as the platform writes it: each key must read as it always did, whatever the code calls it.
+//! The platform's settings object: the names and meanings of its keys stay the same when fields are renamed in the code.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 /// Every key that is read, each with a value that is not its default.
 const SETTINGS: &str = include_str!("golden/settings.json");
 
-/// Keys without which the object is an error. Any other key that is misspelt is ignored, and its default holds.
+/// Required keys. Any other key may be missing and then has its default; unknown keys are ignored.
 const REQUIRED: [&str; 17] = [
     "/classes",
     "/classes/0/aim",
@@ -47,9 +47,9 @@
 }
 
 #[test]
-fn every_key_of_the_settings_reads_as_before() {
+fn every_key_of_the_settings_is_read() {
     let (names, settings) = read(golden()).expect("settings");
-    // Whole patterns: a new field must be added here.
+    // Exhaustive patterns, so that a new field must be added here.
     let Names {
         classes,
         tenants,
@@ -157,10 +157,10 @@
 }
 
 #[test]
-fn every_enumerated_value_of_the_settings_reads_as_before() {
+fn every_enumerated_value_of_the_settings_is_read() {
     let with = |pointer: &str, value: Value| {
         let mut object = golden();
-        *object.pointer_mut(pointer).expect("there") = value;
+        *object.pointer_mut(pointer).expect("an existing key") = value;
         read(object).map(|(_, settings)| settings)
     };
     let effects = [
@@ -172,9 +172,9 @@
         let settings = with("/classes/0/effect", json!(word)).expect("settings");
         assert_eq!(settings.classes[0].effect, effect, "{word}");
     }
-    let wrong = with("/classes/0/effect", json!("odd")).expect_err("no effect");
+    let error = with("/classes/0/effect", json!("odd")).expect_err("no effect");
     assert_eq!(
-        wrong,
+        error,
         "settings.classes[0].effect: 'odd' is not safe, keyed or unsafe"
     );
     let scopes = [
@@ -196,9 +196,9 @@
         let settings = with("/familyInfo/losesWorth", json!(word)).expect("settings");
         assert_eq!(settings.decay, decay, "{word}");
     }
-    for (word, asked) in [("ask", true), ("odd", false)] {
+    for (word, polled) in [("ask", true), ("odd", false)] {
         let settings = with("/membershipMode", json!(word)).expect("settings");
-        assert_eq!(settings.ask_for_list, asked, "{word}");
+        assert_eq!(settings.ask_for_list, polled, "{word}");
     }
     for (word, listed) in [("nominal", true), ("rough", true), ("odd", false)] {
         let settings = with("/weightKind", json!(word)).expect("settings");
@@ -206,26 +206,26 @@
     }
 }
 
-/// The JSON pointers of all keys.
-fn keys(value: &Value, at: &str, found: &mut Vec<String>) {
+/// Collects the JSON pointers of all keys.
+fn keys(value: &Value, prefix: &str, found: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
             for (key, inner) in map {
-                let pointer = format!("{at}/{key}");
+                let pointer = format!("{prefix}/{key}");
                 keys(inner, &pointer, found);
                 found.push(pointer);
             }
         }
         Value::Array(list) => {
             for (index, inner) in list.iter().enumerate() {
-                keys(inner, &format!("{at}/{index}"), found);
+                keys(inner, &format!("{prefix}/{index}"), found);
             }
         }
         _ => {}
     }
 }
 
-/// The settings with the last key of a pointer misspelt.
+/// The golden settings with the key at a pointer misspelt.
 fn misspelt(pointer: &str) -> Value {
     let mut object = golden();
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
@@ -233,23 +233,23 @@
         .pointer_mut(parent)
         .and_then(Value::as_object_mut)
         .expect("an object");
-    let value = parent.remove(key).expect("there");
+    let value = parent.remove(key).expect("an existing key");
     parent.insert(format!("{key}Misspelt"), value);
     object
 }
 
 #[test]
-fn a_misspelt_key_of_the_settings_is_an_error_if_required_and_else_ignored() {
+fn a_misspelt_key_is_an_error_if_required_and_otherwise_ignored() {
     let mut found = Vec::new();
     keys(&golden(), "", &mut found);
-    let whole = format!("{:?}", read(golden()).expect("settings"));
+    let expected = format!("{:?}", read(golden()).expect("settings"));
     for pointer in &found {
         let result = read(misspelt(pointer));
         let required = REQUIRED.contains(&pointer.as_str());
         assert_eq!(result.is_err(), required, "{pointer}: {result:?}");
-        // Compared within one build only: the key counts, so that its default is something else.
+        // Debug output is compared within one build only. It must differ, since no golden value is the key's default.
         if let Ok(settings) = result {
-            assert_ne!(format!("{settings:?}"), whole, "{pointer}");
+            assert_ne!(format!("{settings:?}"), expected, "{pointer}");
         }
     }
 }
--- a/crates/scheduler/tests/learned_state.rs
+++ b/crates/scheduler/tests/learned_state.rs
@@ -1,4 +1,4 @@
-//! What is recalled after a restart only ever makes a sender more careful than a new one.
+//! Learned state restored after a restart only reduces what a sender sends, compared with a sender without learned state.
 
 mod common;
 use common::*;
@@ -10,6 +10,7 @@
     Time(ms * 1_000_000)
 }
 
+/// Learned state of destination 1 without any observation.
 fn learned_state() -> LearnedState {
     LearnedState {
         destination: 1,
@@ -22,12 +23,13 @@
     }
 }
 
-fn fresh(senders: u32, seed: u64) -> Scheduler {
-    let set = Settings {
+/// One of `senders` senders, with one endpoint and no learned state.
+fn new_sender(senders: u32, seed: u64) -> Scheduler {
+    let fleet_settings = Settings {
         instances: senders,
         ..settings()
     };
-    let mut sender = Scheduler::new(set, seed, ms(0)).expect("settings");
+    let mut sender = Scheduler::new(fleet_settings, seed, ms(0)).expect("settings");
     sender.handle(
         ms(0),
         vec![Event::List {
@@ -38,9 +40,9 @@
     sender
 }
 
-/// What 100 senders that recall this limit send in each second, with a message each from the start.
-fn first_calls(limit: f64) -> Vec<usize> {
-    let mut senders: Vec<Scheduler> = (0..100).map(|seed| fresh(100, seed)).collect();
+/// Calls in each second of 100 senders that restore this limit, each with one message from the start.
+fn first_calls_per_second(limit: f64) -> Vec<usize> {
+    let mut senders: Vec<Scheduler> = (0..100).map(|seed| new_sender(100, seed)).collect();
     for sender in &mut senders {
         let last = sender.restore(
             ms(0),
@@ -53,39 +55,40 @@
     }
     let mut seconds = vec![0; 7];
     for step in 0..7000 / 50 {
-        for (n, sender) in senders.iter_mut().enumerate() {
+        for (index, sender) in senders.iter_mut().enumerate() {
             let mut events = vec![Event::Wake];
             if step == 0 {
-                events.push(accept(&n.to_string(), 0, None, 9_900));
+                events.push(accept(&index.to_string(), 0, None, 9_900));
             }
-            seconds[step * 50 / 1000] += sends(&sender.handle(ms(step as u64 * 50), events)).len();
+            seconds[step * 50 / 1000] +=
+                sent_messages(&sender.handle(ms(step as u64 * 50), events)).len();
         }
     }
     seconds
 }
 
-/// Guards a destination against everybody's first call at once: they come at a quarter of the limit, so also one that was
-/// lowered to half of it meanwhile is not overrun; where that would take long, still within the limit.
+/// Guards against a destination overloaded by the first calls of all senders after a restart. They are spread to a quarter of
+/// the limit, which is safe even if the limit was meanwhile halved; if that takes too long, they are still within the limit.
 #[test]
 fn all_first_calls_together_stay_well_within_the_limit() {
-    let wide = first_calls(100.0);
+    let high_limit = first_calls_per_second(100.0);
     assert!(
-        wide.iter().all(|&n| n <= 40) && wide.iter().sum::<usize>() == 100,
-        "{wide:?}"
+        high_limit.iter().all(|&n| n <= 40) && high_limit.iter().sum::<usize>() == 100,
+        "{high_limit:?}"
     );
-    let narrow = first_calls(20.0);
+    let low_limit = first_calls_per_second(20.0);
     assert!(
-        narrow.iter().all(|&n| n <= 28) && narrow.iter().sum::<usize>() == 100,
-        "{narrow:?}"
+        low_limit.iter().all(|&n| n <= 28) && low_limit.iter().sum::<usize>() == 100,
+        "{low_limit:?}"
     );
-    // A destination without a limit is for the window alone.
-    assert_eq!(first_calls(f64::INFINITY)[0], 100);
+    // Without a limit, only the window limits the calls.
+    assert_eq!(first_calls_per_second(f64::INFINITY)[0], 100);
 }
 
-/// A wait holds whoever was told it, whatever else is forgotten; and to its end, not beyond.
+/// Guards against a restored Retry-After wait that is ignored, or that lasts longer than stated.
 #[test]
 fn a_restored_retry_after_is_respected_to_its_end() {
-    let mut sender = fresh(1, 1);
+    let mut sender = new_sender(1, 1);
     sender.restore(
         ms(0),
         &[LearnedState {
@@ -99,7 +102,7 @@
         if step == 0 {
             events.push(accept("m", 0, None, 9_900));
         }
-        if !sends(&sender.handle(ms(step * 50), events)).is_empty() {
+        if !sent_messages(&sender.handle(ms(step * 50), events)).is_empty() {
             sent.get_or_insert(step * 50);
         }
     }
@@ -109,10 +112,11 @@
     );
 }
 
-/// A window is never above a new one's, and what a call has shown since is not overwritten.
+/// Guards against a restored window that exceeds the initial one, and against restored state that overwrites what this
+/// process has observed itself.
 #[test]
 fn restored_state_never_allows_more() {
-    let out = |mut sender: Scheduler, window: f64| -> usize {
+    let sent_with_window = |mut sender: Scheduler, window: f64| -> usize {
         sender.restore(
             ms(0),
             &[LearnedState {
@@ -123,36 +127,37 @@
         let events = (0..20)
             .map(|k| accept(&format!("m{k}"), 0, None, 9_900))
             .collect();
-        sends(&sender.handle(ms(0), events)).len()
+        sent_messages(&sender.handle(ms(0), events)).len()
     };
-    let (usual, large, small) = (
-        out(fresh(1, 1), 4.0),
-        out(fresh(1, 1), 50.0),
-        out(fresh(1, 1), 2.0),
+    let (initial, large, small) = (
+        sent_with_window(new_sender(1, 1), 4.0),
+        sent_with_window(new_sender(1, 1), 50.0),
+        sent_with_window(new_sender(1, 1), 2.0),
     );
-    assert_eq!((usual, large, small), (4, 4, 2));
-    // One call has been answered: what is told later of the limit and the state changes nothing.
-    let mut sender = fresh(1, 1);
+    assert_eq!((initial, large, small), (4, 4, 2));
+    // A call was answered, so a limit and health restored afterwards change nothing.
+    let mut sender = new_sender(1, 1);
     sender.handle(ms(0), vec![accept("a", 0, None, 9_900)]);
     sender.handle(ms(50), vec![outcome("a", 0, Status::Served, 50)]);
-    let told = LearnedState {
+    let restored = LearnedState {
         limit: Some(0.1),
         state: Some(ObservedHealth::Down),
         window: Some(0.5),
         ..learned_state()
     };
-    sender.restore(ms(60), &[told]);
-    let sent = sends(&sender.handle(
+    sender.restore(ms(60), &[restored]);
+    let sent = sent_messages(&sender.handle(
         ms(60),
         vec![accept("b", 0, None, 9_900), accept("c", 0, None, 9_900)],
     ));
     assert_eq!(sent.len(), 2);
 }
 
-/// A destination that others saw out is tried once, not at once with all that there is.
+/// Guards against many calls to a destination that restored state shows to be in an outage: it gets one probe call after a
+/// pause.
 #[test]
 fn a_failed_destination_gets_one_probe_call() {
-    let mut sender = fresh(1, 1);
+    let mut sender = new_sender(1, 1);
     sender.restore(
         ms(0),
         &[LearnedState {
@@ -166,41 +171,45 @@
         if step == 0 {
             events.extend((0..6).map(|k| accept(&format!("m{k}"), 0, None, 9_900)));
         }
-        let n = sends(&sender.handle(ms(step * 50), events)).len();
-        assert!(step * 50 >= 200 || n == 0, "a trial has a pause before it");
-        sent += n;
+        let calls = sent_messages(&sender.handle(ms(step * 50), events)).len();
+        assert!(
+            step * 50 >= 200 || calls == 0,
+            "no pause before the probe call"
+        );
+        sent += calls;
     }
-    assert_eq!(sent, 1, "the first has no answer yet");
+    assert_eq!(sent, 1, "the probe call is not answered yet");
 }
 
-/// What one sender has learned is what another recalls: the two ends agree.
+/// Guards against learned state that does not match what the sender observed, or has the wrong age.
 #[test]
 fn learned_state_carries_its_age() {
-    let mut sender = fresh(4, 1);
-    assert_eq!(sender.learned_state(), [], "nothing was called");
+    let mut sender = new_sender(4, 1);
+    assert_eq!(sender.learned_state(), [], "no call was sent");
     sender.handle(ms(0), vec![accept("a", 0, None, 9_900)]);
-    let told = match outcome("a", 0, Status::Overloaded, 50) {
-        Event::Outcome(o) => Event::Outcome(Outcome {
+    let rejected = match outcome("a", 0, Status::Overloaded, 50) {
+        Event::Outcome(outcome) => Event::Outcome(Outcome {
             wait: Some(Duration::from_secs(1)),
             report: Some(Report {
                 left: 0.0,
                 limit: 12.0,
             }),
-            ..o
+            ..outcome
         }),
         other => other,
     };
-    sender.handle(ms(50), vec![told]);
-    let known = sender.learned_state();
-    let [one] = known.as_slice() else {
-        panic!("{known:?}")
+    sender.handle(ms(50), vec![rejected]);
+    let learned = sender.learned_state();
+    let [one] = learned.as_slice() else {
+        panic!("{learned:?}")
     };
     assert_eq!(
         (one.destination, one.at, one.limit, one.state),
         (1, ms(50), Some(12.0), Some(ObservedHealth::Up))
     );
     assert!(
-        one.blocked_until.is_some_and(|t| t >= ms(1050)) && one.window.is_some_and(|w| w < 4.0),
+        one.blocked_until.is_some_and(|until| until >= ms(1050))
+            && one.window.is_some_and(|size| size < 4.0),
         "{one:?}"
     );
 }
--- a/crates/scheduler/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -1,5 +1,6 @@
-//! Random histories keep the rules: one final answer each and before the deadline, one attempt out, attempts capped, nothing
-//! to an endpoint that drains, nothing in a Retry-After wait, keys in turn. Late, unknown and repeated ids are among them.
+//! Checks invariants for random sequences of events: one final answer per message and before its deadline, one attempt in
+//! flight, the maximum number of attempts, no call to a draining endpoint or in a Retry-After wait, and the order of messages
+//! with the same ordering key. The events include late, unknown and repeated ids.
 
 mod common;
 use std::collections::BTreeMap;
@@ -18,154 +19,186 @@
     Status::Reset,
 ];
 
+/// What the test expects of a message without a final answer. Times are in milliseconds.
 #[derive(Default)]
-struct Held {
-    /// Number of the attempt that is out.
-    out: Option<u32>,
+struct PendingMessage {
+    /// Number of the attempt in flight.
+    attempt_in_flight: Option<u32>,
     attempts: u32,
     key: Option<u64>,
     deadline: u64,
 }
 
-/// Step: milliseconds to pass, what happens, and a free number.
+/// A step: milliseconds to pass before it, its kind, and a random number for its details.
 type Step = (u64, u8, u64);
 
-/// The sender under test, with what it owes and what binds it.
-struct World {
-    bench: Bench,
-    cap: u32,
-    held: BTreeMap<String, Held>,
-    line: Vec<(u64, String)>,
+/// The scheduler under test, and a model of the state that the invariants depend on.
+struct Model {
+    sender: TestSender,
+    attempts_cap: u32,
+    pending: BTreeMap<String, PendingMessage>,
+    /// Ordering key and id of messages without a final answer, in the order accepted.
+    ordered: Vec<(u64, String)>,
     blocked_until: u64,
-    drained: Option<&'static str>,
+    draining: Option<&'static str>,
     sends: usize,
 }
 
-impl World {
-    /// Hands in events, forgets what they ended, and checks each action against the rules.
-    fn at(&mut self, now: u64, events: Vec<Event>, ended: &[String]) -> Result<(), TestCaseError> {
-        let actions = self.bench.at(now, events);
-        self.held.retain(|id, _| !ended.contains(id));
-        self.line.retain(|(_, id)| !ended.contains(id));
-        for act in actions {
-            match act {
+impl Model {
+    /// Handles a batch of events, removes the messages that they complete (`ended`), and checks each action.
+    fn handle_at(
+        &mut self,
+        now: u64,
+        events: Vec<Event>,
+        ended: &[String],
+    ) -> Result<(), TestCaseError> {
+        let actions = self.sender.handle_at(now, events);
+        self.pending.retain(|id, _| !ended.contains(id));
+        self.ordered.retain(|(_, id)| !ended.contains(id));
+        for action in actions {
+            match action {
                 Action::Send { id, endpoint, .. } => {
-                    let message = self.held.get_mut(&id.0);
-                    prop_assert!(message.is_some(), "{id} is over");
-                    let message = message.expect("held");
-                    prop_assert!(message.out.is_none(), "{id} has two attempts out");
-                    prop_assert!(message.attempts < self.cap, "{id} has too many attempts");
-                    prop_assert!(now < message.deadline, "{id} is sent too late");
+                    let message = self.pending.get_mut(&id.0);
+                    prop_assert!(message.is_some(), "{id} is sent after its final answer");
+                    let message = message.expect("a pending message");
                     prop_assert!(
-                        Some(endpoint.0.as_str()) != self.drained,
-                        "{endpoint} drains"
+                        message.attempt_in_flight.is_none(),
+                        "{id} has two attempts in flight"
                     );
-                    prop_assert!(now >= self.blocked_until, "sent in a told wait");
+                    prop_assert!(
+                        message.attempts < self.attempts_cap,
+                        "{id} has more than the maximum number of attempts"
+                    );
+                    prop_assert!(now < message.deadline, "{id} is sent after its deadline");
+                    prop_assert!(
+                        Some(endpoint.0.as_str()) != self.draining,
+                        "{endpoint} is draining"
+                    );
+                    prop_assert!(now >= self.blocked_until, "sent in a Retry-After wait");
                     if let Some(key) = message.key {
                         let first = self
-                            .line
+                            .ordered
                             .iter()
                             .find(|(k, _)| *k == key)
                             .map(|(_, id)| id.as_str());
-                        prop_assert_eq!(first, Some(id.0.as_str()), "out of turn");
+                        prop_assert_eq!(first, Some(id.0.as_str()), "sent out of order");
                     }
-                    message.out = Some(message.attempts);
+                    message.attempt_in_flight = Some(message.attempts);
                     message.attempts += 1;
                     self.sends += 1;
                 }
                 Action::Reject { id, .. } | Action::Fail(id) => {
-                    let message = self.held.remove(&id.0);
+                    let message = self.pending.remove(&id.0);
                     prop_assert!(
-                        message.is_some_and(|m| m.out.is_none() && now < m.deadline),
-                        "{id} ended wrongly"
+                        message
+                            .is_some_and(|message| message.attempt_in_flight.is_none()
+                                && now < message.deadline),
+                        "{id} gets a final answer twice, too late or during an attempt"
                     );
-                    self.line.retain(|(_, l)| *l != id.0);
+                    self.ordered.retain(|(_, l)| *l != id.0);
                 }
                 _ => {}
             }
         }
-        let lost = self
-            .held
+        let unanswered = self
+            .pending
             .iter()
-            .find(|(_, m)| m.out.is_none() && m.deadline < now);
-        prop_assert!(lost.is_none(), "lost: {:?}", lost.map(|(id, _)| id));
+            .find(|(_, message)| message.attempt_in_flight.is_none() && message.deadline < now);
+        prop_assert!(
+            unanswered.is_none(),
+            "no final answer by the deadline: {:?}",
+            unanswered.map(|(id, _)| id)
+        );
         Ok(())
     }
 }
 
-impl World {
-    fn new() -> World {
+impl Model {
+    fn new() -> Model {
         let entries = vec![
             entry("a", 1, Condition::Ready, 0),
             entry("b", 1, Condition::Ready, 0),
         ];
-        World {
-            bench: Bench::new(settings(), entries),
-            cap: settings().attempts_cap,
-            held: BTreeMap::new(),
-            line: Vec::new(),
+        Model {
+            sender: TestSender::new(settings(), entries),
+            attempts_cap: settings().attempts_cap,
+            pending: BTreeMap::new(),
+            ordered: Vec::new(),
             blocked_until: 0,
-            drained: None,
+            draining: None,
             sends: 0,
         }
     }
 
-    /// Passes time in ticks. A client withdraws what is out at its deadline; the attempt still gets its outcome.
+    /// Advances the time in ticks. A client cancels a message with an attempt in flight at its deadline, and the attempt still
+    /// gets its outcome.
     fn pass_until(&mut self, now: u64) -> Result<(), TestCaseError> {
-        while self.bench.ms + 5 < now {
-            let tick = self.bench.ms + 5;
-            let prior: Vec<(String, u32)> = self
-                .held
+        while self.sender.now_ms + 5 < now {
+            let tick = self.sender.now_ms + 5;
+            let overdue: Vec<(String, u32)> = self
+                .pending
                 .iter()
-                .filter(|(_, m)| m.deadline <= tick)
-                .filter_map(|(id, m)| m.out.map(|attempt| (id.clone(), attempt)))
+                .filter(|(_, message)| message.deadline <= tick)
+                .filter_map(|(id, message)| {
+                    message
+                        .attempt_in_flight
+                        .map(|attempt| (id.clone(), attempt))
+                })
                 .collect();
             let mut events = vec![Event::Wake];
-            for (id, attempt) in &prior {
+            for (id, attempt) in &overdue {
                 events.push(Event::Cancelled(MessageId(id.clone())));
                 events.push(outcome(id, *attempt, Status::TimedOut, 10));
             }
-            let ended: Vec<String> = prior.into_iter().map(|(id, _)| id).collect();
-            self.at(tick, events, &ended)?;
+            let ended: Vec<String> = overdue.into_iter().map(|(id, _)| id).collect();
+            self.handle_at(tick, events, &ended)?;
         }
         Ok(())
     }
 
-    /// A new message, of a class and key by `n`.
-    fn accept(&mut self, now: u64, i: usize, n: u64) -> Event {
-        let (id, class) = (format!("m{i}"), n as usize % 3);
-        let key = (class == 1).then_some(n % 2);
-        self.line.extend(key.map(|key| (key, id.clone())));
+    /// Accepts a new message, with a class and ordering key derived from `random_number`.
+    fn accept(&mut self, now: u64, i: usize, random_number: u64) -> Event {
+        let (id, class) = (format!("m{i}"), random_number as usize % 3);
+        let key = (class == 1).then_some(random_number % 2);
+        self.ordered.extend(key.map(|key| (key, id.clone())));
         let event = accept(&id, class, key.map(|k| k.to_string()).as_deref(), 5000);
-        self.held.insert(
+        self.pending.insert(
             id,
-            Held {
+            PendingMessage {
                 key,
                 deadline: now + 5000,
-                ..Held::default()
+                ..PendingMessage::default()
             },
         );
         event
     }
 
-    /// Ends an attempt that is out, chosen by `n`; the message too if it was served.
-    fn end_attempt(&mut self, now: u64, n: u64, ended: &mut Vec<String>) -> Option<Event> {
-        let busy: Vec<String> = self
-            .held
+    /// Ends an attempt in flight, chosen by `random_number`. Adds the message to `ended` if it was served.
+    fn end_attempt(
+        &mut self,
+        now: u64,
+        random_number: u64,
+        ended: &mut Vec<String>,
+    ) -> Option<Event> {
+        let in_flight: Vec<String> = self
+            .pending
             .iter()
-            .filter(|(_, m)| m.out.is_some())
+            .filter(|(_, message)| message.attempt_in_flight.is_some())
             .map(|(id, _)| id.clone())
             .collect();
-        if busy.is_empty() {
+        if in_flight.is_empty() {
             return None;
         }
-        let id = &busy[n as usize % busy.len()];
-        let status = STATUSES[n as usize / 7 % STATUSES.len()];
-        let message = self.held.get_mut(id).expect("busy");
-        let attempt = message.out.take().expect("busy");
+        let id = &in_flight[random_number as usize % in_flight.len()];
+        let status = STATUSES[random_number as usize / 7 % STATUSES.len()];
+        let message = self.pending.get_mut(id).expect("a pending message");
+        let attempt = message
+            .attempt_in_flight
+            .take()
+            .expect("an attempt in flight");
         ended.extend((status == Status::Served).then(|| id.clone()));
         let wait = if status == Status::Overloaded {
-            n % 3 * 300
+            random_number % 3 * 300
         } else {
             0
         };
@@ -173,49 +206,55 @@
             return Some(outcome(id, attempt, status, 10));
         }
         self.blocked_until = self.blocked_until.max(now + wait);
-        Some(refused(id, attempt, wait))
+        Some(rejected_with_retry_after(id, attempt, wait))
     }
 
-    /// One endpoint drains, the other is ready again.
-    fn drain(&mut self, n: u64) -> Event {
-        let (removed, other) = if n.is_multiple_of(2) {
+    /// Makes one endpoint drain and the other ready again.
+    fn drain(&mut self, random_number: u64) -> Event {
+        let (draining, ready) = if random_number.is_multiple_of(2) {
             ("a", "b")
         } else {
             ("b", "a")
         };
-        self.drained = Some(removed);
+        self.draining = Some(draining);
         Event::List {
             whole: false,
             entries: vec![
-                entry(removed, 1, Condition::Draining, 0),
-                entry(other, 1, Condition::Ready, 0),
+                entry(draining, 1, Condition::Draining, 0),
+                entry(ready, 1, Condition::Ready, 0),
             ],
         }
     }
 }
 
-fn play(steps: &[Step]) -> Result<usize, TestCaseError> {
-    let mut w = World::new();
-    for (i, &(pass, what, n)) in steps.iter().enumerate() {
-        let now = w.bench.ms + pass;
-        w.pass_until(now)?;
+/// Runs the steps and returns the number of messages sent.
+fn run_steps(steps: &[Step]) -> Result<usize, TestCaseError> {
+    let mut model = Model::new();
+    for (i, &(pass_ms, kind, random_number)) in steps.iter().enumerate() {
+        let now = model.sender.now_ms + pass_ms;
+        model.pass_until(now)?;
         let (mut events, mut ended) = (vec![Event::Wake], vec![]);
-        match what {
-            0..=3 => events.push(w.accept(now, i, n)),
-            4..=8 => events.extend(w.end_attempt(now, n, &mut ended)),
-            9 => events.push(outcome(&format!("m{}", n % 50), 9, Status::Served, 1)),
+        match kind {
+            0..=3 => events.push(model.accept(now, i, random_number)),
+            4..=8 => events.extend(model.end_attempt(now, random_number, &mut ended)),
+            9 => events.push(outcome(
+                &format!("m{}", random_number % 50),
+                9,
+                Status::Served,
+                1,
+            )),
             10 => events.push(Event::Cancelled(MessageId("unknown".into()))),
-            11 => events.push(w.drain(n)),
+            11 => events.push(model.drain(random_number)),
             _ => {}
         }
-        w.at(now, events, &ended)?;
+        model.handle_at(now, events, &ended)?;
     }
-    Ok(w.sends)
+    Ok(model.sends)
 }
 
-/// The same histories each time: the verdict must not depend on the run.
+/// Uses a fixed seed, so that the result is the same in each run.
 #[test]
-fn random_histories_keep_the_rules() {
+fn random_events_violate_no_invariant() {
     let config = Config {
         cases: 90,
         failure_persistence: None,
@@ -226,13 +265,13 @@
     let sends = std::cell::Cell::new(0);
     let steps = prop::collection::vec((1u64..120, 0u8..14, 0u64..10_000), 1..300);
     let verdict = runner.run(&steps, |steps| {
-        sends.set(sends.get() + play(&steps)?);
+        sends.set(sends.get() + run_steps(&steps)?);
         Ok(())
     });
     assert!(verdict.is_ok(), "{verdict:?}");
     assert!(
         sends.get() > 1000,
-        "too little was sent to prove anything: {}",
+        "too few messages were sent for a meaningful check: {}",
         sends.get()
     );
 }
--- a/crates/scheduler/tests/repeats.rs
+++ b/crates/scheduler/tests/repeats.rs
@@ -1,4 +1,4 @@
-//! Which messages may be sent again: by effect, window, scope of deduplication and number of attempts.
+//! Retries: which messages may be sent again, by effect, deduplication window and scope, and number of attempts.
 
 mod common;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use common::*;
 use cranehill_scheduler::api::*;
 
-fn one() -> Bench {
-    Bench::new(settings(), vec![entry("a", 1, Condition::Ready, 0)])
+fn sender_with_one_endpoint() -> TestSender {
+    TestSender::new(settings(), vec![entry("a", 1, Condition::Ready, 0)])
 }
 
 #[test]
@@ -18,11 +18,11 @@
         Status::Reset,
         Status::Cancelled,
     ] {
-        let mut b = one();
-        b.at(0, vec![accept("m", 2, None, 9000)]);
-        let actions = b.at(100, vec![outcome("m", 0, status, 100)]);
+        let mut sender = sender_with_one_endpoint();
+        sender.handle_at(0, vec![accept("m", 2, None, 9000)]);
+        let actions = sender.handle_at(100, vec![outcome("m", 0, status, 100)]);
         assert_eq!(
-            (finals(&actions), sends(&actions)),
+            (final_answers(&actions), sent_messages(&actions)),
             (vec!["fail m".to_owned()], vec![])
         );
     }
@@ -30,42 +30,45 @@
 
 #[test]
 fn an_unsafe_message_that_was_not_executed_is_retried() {
-    let mut b = one();
-    b.at(0, vec![accept("m", 2, None, 9000)]);
-    let actions = b.at(10, vec![refused("m", 0, 100)]);
-    assert!(finals(&actions).is_empty());
-    // The wait, then a pause of our own: waits end for all who were told at once.
+    let mut sender = sender_with_one_endpoint();
+    sender.handle_at(0, vec![accept("m", 2, None, 9000)]);
+    let actions = sender.handle_at(10, vec![rejected_with_retry_after("m", 0, 100)]);
+    assert!(final_answers(&actions).is_empty());
+    // The Retry-After wait is followed by a random pause, since it ends for all senders at the same time.
     assert!(
         (200..3000)
             .step_by(5)
-            .any(|ms| !sends(&b.at(ms, vec![Event::Wake])).is_empty())
+            .any(|ms| !sent_messages(&sender.handle_at(ms, vec![Event::Wake])).is_empty())
     );
 }
 
 #[test]
 fn an_idempotent_message_is_not_repeated_outside_its_window() {
-    let mut b = one();
-    b.at(0, vec![accept("m", 1, None, 9500)]);
-    let actions = b.at(5000, vec![outcome("m", 0, Status::TimedOut, 5000)]);
-    assert_eq!(sends(&actions), []);
-    assert_eq!(finals(&actions), ["fail m"]);
+    let mut sender = sender_with_one_endpoint();
+    sender.handle_at(0, vec![accept("m", 1, None, 9500)]);
+    let actions = sender.handle_at(5000, vec![outcome("m", 0, Status::TimedOut, 5000)]);
+    assert_eq!(sent_messages(&actions), []);
+    assert_eq!(final_answers(&actions), ["fail m"]);
 }
 
-/// Guards against a message that a destination has and that its client brings again once the destination has forgotten its
-/// key: seen after a restart, where nobody had heard the 200 and the message was crowded out until its deadline.
+/// Guards against a message executed twice because it was rejected and its client submitted it again after the deduplication
+/// window. Occurred after a restart: the 200 answer was lost, and the message was not sent again before its deadline.
 #[test]
-fn a_possibly_executed_message_is_returned_only_while_repeatable() {
-    // The window is 5 s, and the wait that is told 1 s.
+fn a_possibly_executed_message_is_rejected_only_while_repeatable() {
+    // The deduplication window is 5 s, and clients are advised to retry after 1 s.
     for (sent_ago, class, expected) in [
-        (3999, 1, "refuse m"),
+        (3999, 1, "reject m"),
         (4000, 1, "fail m"),
-        (9000, 0, "refuse m"),
+        (9000, 0, "reject m"),
         (10, 2, "fail m"),
     ] {
-        // All attempts are used: the end comes at once.
-        let actions = one().at(10_000, vec![with_past("m", class, 4, Some(sent_ago))]);
+        // All attempts are used, so the message expires immediately.
+        let actions = sender_with_one_endpoint().handle_at(
+            10_000,
+            vec![restored_message("m", class, 4, Some(sent_ago))],
+        );
         assert_eq!(
-            finals(&actions),
+            final_answers(&actions),
             [expected],
             "class {class}, sent {sent_ago} ms ago"
         );
@@ -74,55 +77,61 @@
 
 #[test]
 fn attempts_are_capped() {
-    let mut b = one();
-    let mut attempts = sends(&b.at(0, vec![accept("m", 0, None, 9900)])).len() as u32;
+    let mut sender = sender_with_one_endpoint();
+    let mut attempts =
+        sent_messages(&sender.handle_at(0, vec![accept("m", 0, None, 9900)])).len() as u32;
     for ms in (50..9000).step_by(50) {
-        let actions = b.at(
+        let actions = sender.handle_at(
             ms,
             vec![
                 outcome("m", attempts - 1, Status::NoConnection, 10),
                 Event::Wake,
             ],
         );
-        attempts += sends(&actions).len() as u32;
+        attempts += sent_messages(&actions).len() as u32;
     }
     assert_eq!(attempts, 4);
 }
 
 #[test]
-fn an_idempotent_repeat_stays_in_the_zone_that_drops_it() {
-    let mut set = settings();
-    set.classes[1].dedup = DedupScope::Zone;
-    let far = Entry {
+fn an_idempotent_repeat_is_sent_only_to_the_zone_that_deduplicates_it() {
+    let mut custom_settings = settings();
+    custom_settings.classes[1].dedup = DedupScope::Zone;
+    let other_zone = Entry {
         zone: 1,
         ..entry("far", 1, Condition::Ready, 0)
     };
-    let mut b = Bench::new(set, vec![entry("near", 1, Condition::Ready, 0), far]);
+    let mut sender = TestSender::new(
+        custom_settings,
+        vec![entry("near", 1, Condition::Ready, 0), other_zone],
+    );
     assert_eq!(
-        sends(&b.at(0, vec![accept("m", 1, None, 9000)]))[0].1,
+        sent_messages(&sender.handle_at(0, vec![accept("m", 1, None, 9000)]))[0].1,
         "near"
     );
     let removed = Event::List {
         whole: false,
         entries: vec![entry("near", 1, Condition::Removed, 0)],
     };
-    let mut sent = sends(&b.at(50, vec![removed, outcome("m", 0, Status::Error, 50)]));
-    let mut last = vec![];
+    let mut sent =
+        sent_messages(&sender.handle_at(50, vec![removed, outcome("m", 0, Status::Error, 50)]));
+    let mut answers = vec![];
     for ms in (55..5100).step_by(5) {
-        let actions = b.at(ms, vec![Event::Wake]);
-        sent.extend(sends(&actions));
-        last.extend(finals(&actions));
+        let actions = sender.handle_at(ms, vec![Event::Wake]);
+        sent.extend(sent_messages(&actions));
+        answers.extend(final_answers(&actions));
     }
     assert_eq!(
-        (sent, last),
+        (sent, answers),
         (vec![], vec!["fail m".to_owned()]),
-        "a refusal would promise too much here"
+        "a retry by the client is not harmless, so the message must fail"
     );
 }
 
-fn with_past(id: &str, class: usize, attempts: u32, executed_ms_ago: Option<u64>) -> Event {
+/// A message accepted by an earlier process, which made `attempts` attempts and perhaps a possibly executed one.
+fn restored_message(id: &str, class: usize, attempts: u32, executed_ms_ago: Option<u64>) -> Event {
     match accept(id, class, None, 9000) {
-        Event::Accept(t) => {
+        Event::Accept(accepted) => {
             let possibly_executed =
                 executed_ms_ago.map(|ms| (Duration::from_millis(ms), EndpointId("a".into())));
             Event::Accept(AcceptedMessage {
@@ -131,7 +140,7 @@
                     attempts,
                     possibly_executed,
                 },
-                ..t
+                ..accepted
             })
         }
         other => other,
@@ -140,19 +149,19 @@
 
 #[test]
 fn prior_attempts_of_an_earlier_process_count() {
-    // Attempts used up; an unsafe message that may have been executed; a keyed one inside and outside its window.
+    // Attempts used up or not; an unsafe message, possibly executed or not; an idempotent one inside and outside its window.
     for (event, sent, ended) in [
-        (with_past("m", 0, 4, None), 0, vec!["refuse m"]),
-        (with_past("m", 0, 3, Some(100)), 1, vec![]),
-        (with_past("m", 2, 1, Some(100)), 0, vec!["fail m"]),
-        (with_past("m", 2, 1, None), 1, vec![]),
-        (with_past("m", 1, 1, Some(4900)), 1, vec![]),
-        (with_past("m", 1, 1, Some(5100)), 0, vec!["fail m"]),
+        (restored_message("m", 0, 4, None), 0, vec!["reject m"]),
+        (restored_message("m", 0, 3, Some(100)), 1, vec![]),
+        (restored_message("m", 2, 1, Some(100)), 0, vec!["fail m"]),
+        (restored_message("m", 2, 1, None), 1, vec![]),
+        (restored_message("m", 1, 1, Some(4900)), 1, vec![]),
+        (restored_message("m", 1, 1, Some(5100)), 0, vec!["fail m"]),
     ] {
-        let mut b = one();
-        let actions = b.at(10_000, vec![event.clone()]);
+        let mut sender = sender_with_one_endpoint();
+        let actions = sender.handle_at(10_000, vec![event.clone()]);
         assert_eq!(
-            (sends(&actions).len(), finals(&actions)),
+            (sent_messages(&actions).len(), final_answers(&actions)),
             (sent, ended.iter().map(ToString::to_string).collect()),
             "{event:?}"
         );
@@ -161,58 +170,55 @@
 
 #[test]
 fn a_removed_recipient_is_rejected_without_retry_after_or_health_signal() {
-    let mut b = one();
-    for n in 0..10u64 {
-        let id = format!("m{n}");
-        let actions = b.at(n * 100, vec![accept(&id, 0, None, 9000)]);
-        assert_eq!(
-            sends(&actions).len(),
-            1,
-            "the destination is not held to be out"
-        );
-        let actions = b.at(
-            n * 100 + 50,
+    let mut sender = sender_with_one_endpoint();
+    for i in 0..10u64 {
+        let id = format!("m{i}");
+        let actions = sender.handle_at(i * 100, vec![accept(&id, 0, None, 9000)]);
+        assert_eq!(sent_messages(&actions).len(), 1, "no outage is detected");
+        let actions = sender.handle_at(
+            i * 100 + 50,
             vec![outcome(&id, 0, Status::RecipientRemoved, 50)],
         );
         assert_eq!(
             actions
                 .iter()
-                .filter(|a| matches!(a, Action::Reject { after: None, .. }))
+                .filter(|action| matches!(action, Action::Reject { after: None, .. }))
                 .count(),
             1
         );
-        assert!(sends(&actions).is_empty());
+        assert!(sent_messages(&actions).is_empty());
     }
 }
 
 #[test]
 fn a_permanent_error_fails_at_once() {
     for class in 0..3 {
-        let mut b = one();
-        b.at(0, vec![accept("m", class, None, 9000)]);
-        let actions = b.at(50, vec![outcome("m", 0, Status::PermanentError, 50)]);
+        let mut sender = sender_with_one_endpoint();
+        sender.handle_at(0, vec![accept("m", class, None, 9000)]);
+        let actions = sender.handle_at(50, vec![outcome("m", 0, Status::PermanentError, 50)]);
         assert_eq!(
-            (finals(&actions), sends(&actions)),
+            (final_answers(&actions), sent_messages(&actions)),
             (vec!["fail m".to_owned()], vec![])
         );
     }
 }
 
-/// Guards the window against what comes after the decision: a connection that comes up late (narrow days of the other
-/// customer: up to 10 repeats a day). What may have been executed is told to be written inside its window; what has not run, or may
-/// run twice, at any time.
+/// Guards against a repeat that is written after the deduplication window because its connection opened late (narrow days of
+/// the other customer: up to 10 repeats a day). A possibly executed idempotent message has a time limit for writing; messages
+/// that were not executed, or may be executed twice, have none.
 #[test]
 fn a_repeat_must_be_written_within_its_window() {
-    let mut set = settings();
-    set.classes[1].window = Duration::from_millis(2000);
-    let within = |set: &Settings, class: usize, status: Status| {
-        let mut b = Bench::new(set.clone(), vec![entry("a", 1, Condition::Ready, 0)]);
-        b.at(0, vec![accept("m", class, None, 9000)]);
-        let mut actions = b.at(700, vec![outcome("m", 0, status, 700)]);
+    let mut custom_settings = settings();
+    custom_settings.classes[1].window = Duration::from_millis(2000);
+    let write_limits = |settings: &Settings, class: usize, status: Status| {
+        let mut sender =
+            TestSender::new(settings.clone(), vec![entry("a", 1, Condition::Ready, 0)]);
+        sender.handle_at(0, vec![accept("m", class, None, 9000)]);
+        let mut actions = sender.handle_at(700, vec![outcome("m", 0, status, 700)]);
         for ms in (750..1950).step_by(50) {
-            actions.extend(b.at(ms, vec![Event::Wake]));
+            actions.extend(sender.handle_at(ms, vec![Event::Wake]));
         }
-        let times = actions.iter().filter_map(|a| match a {
+        let times = actions.iter().filter_map(|action| match action {
             Action::Send { write_within, .. } => Some(*write_within),
             _ => None,
         });
@@ -222,17 +228,24 @@
         settings()
             .classes
             .iter()
-            .position(|c| c.effect == effect)
-            .expect("there")
+            .position(|class| class.effect == effect)
+            .expect("a class with this effect")
     };
-    assert_eq!(within(&set, class(Effect::Safe), Status::Error), [None]);
     assert_eq!(
-        within(&set, class(Effect::Idempotent), Status::Overloaded),
+        write_limits(&custom_settings, class(Effect::Safe), Status::Error),
+        [None]
+    );
+    assert_eq!(
+        write_limits(
+            &custom_settings,
+            class(Effect::Idempotent),
+            Status::Overloaded
+        ),
         [None]
     );
-    let left = within(&set, class(Effect::Idempotent), Status::Error);
+    let repeats = write_limits(&custom_settings, class(Effect::Idempotent), Status::Error);
     assert!(
-        left.len() == 1 && left[0].is_some_and(|l| l <= Duration::from_millis(1300)),
-        "{left:?}"
+        repeats.len() == 1 && repeats[0].is_some_and(|limit| limit <= Duration::from_millis(1300)),
+        "{repeats:?}"
     );
 }
--- a/crates/scheduler/tests/routes.rs
+++ b/crates/scheduler/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes apart, told limits and Retry-After waits: each route or destination is counted over all senders together.
+//! Separate routes, reported limits and Retry-After waits. Calls to each route or destination are counted over all senders.
 
 mod common;
 use std::time::Duration;
@@ -8,6 +8,7 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::*;
 
+/// A destination with two endpoints that are separate routes.
 fn routes() -> Vec<Entry> {
     vec![
         entry("a", 1, Condition::Ready, 2),
@@ -15,40 +16,40 @@
     ]
 }
 
-/// A call's answer, as the far side gives it: status, wait in ms, what it tells of its limit.
+/// The simulated answer to a call: status, Retry-After time in ms (0 for none) and report on the limit.
 type Answer = (Status, u64, Option<Report>);
 
-/// Many senders with two slots, one message every `every` ms each, in turn. `answer(ms, endpoint, calls so far in this second)`
-/// decides how each call ends, 50 ms later. Returns the calls to each endpoint as (ms, endpoint, served).
+/// Simulates a fleet of senders with two slots for `until` ms. Each accepts one message every `interval` ms, at staggered times.
+/// `answer(ms, endpoint)` gives the answer to each call, which arrives 50 ms later. Returns all calls as (ms, endpoint, served).
 fn fleet(
     senders: u64,
     entries: &[Entry],
-    every: u64,
+    interval: u64,
     until: u64,
     answer: impl FnMut(u64, &str) -> Answer,
 ) -> Vec<(u64, String, bool)> {
-    fleet_of(settings(), senders, entries, every, until, answer)
+    fleet_of(settings(), senders, entries, interval, until, answer)
 }
 
-/// As [`fleet`], with these settings for all that is not a sender's size.
+/// As [`fleet`], with the given settings except for the number of senders, their slots, pending messages and attempts.
 fn fleet_of(
-    set: Settings,
+    custom_settings: Settings,
     senders: u64,
     entries: &[Entry],
-    every: u64,
+    interval: u64,
     until: u64,
     mut answer: impl FnMut(u64, &str) -> Answer,
 ) -> Vec<(u64, String, bool)> {
-    let set = Settings {
+    let custom_settings = Settings {
         instances: senders as u32,
         slots: 2,
         max_pending: 16,
         attempts_cap: 12,
-        ..set
+        ..custom_settings
     };
-    let mut all: Vec<Scheduler> = (0..senders)
+    let mut senders_by_index: Vec<Scheduler> = (0..senders)
         .map(|i| {
-            let mut sender = Scheduler::new(set.clone(), i, Time(0)).expect("settings");
+            let mut sender = Scheduler::new(custom_settings.clone(), i, Time(0)).expect("settings");
             sender.handle(
                 Time(0),
                 vec![Event::List {
@@ -59,12 +60,12 @@
             sender
         })
         .collect();
-    let mut out: Vec<Vec<(String, u32, Answer)>> = vec![Vec::new(); senders as usize];
-    let mut tries = std::collections::BTreeMap::<String, u32>::new();
+    let mut in_flight: Vec<Vec<(String, u32, Answer)>> = vec![Vec::new(); senders as usize];
+    let mut attempts = std::collections::BTreeMap::<String, u32>::new();
     let mut log = Vec::new();
     for ms in (0..until).step_by(50) {
-        for (i, sender) in all.iter_mut().enumerate() {
-            let mut events: Vec<Event> = out[i]
+        for (i, sender) in senders_by_index.iter_mut().enumerate() {
+            let mut events: Vec<Event> = in_flight[i]
                 .drain(..)
                 .map(|(id, attempt, (status, wait, report))| {
                     Event::Outcome(Outcome {
@@ -78,26 +79,27 @@
                     })
                 })
                 .collect();
-            if (ms + i as u64 * every / senders / 50 * 50).is_multiple_of(every) {
+            if (ms + i as u64 * interval / senders / 50 * 50).is_multiple_of(interval) {
                 events.push(accept(&format!("{i}-{ms}"), 0, None, 9_900));
             }
             events.push(Event::Wake);
-            for (id, endpoint) in sends(&sender.handle(Time(ms * 1_000_000), events)) {
-                let n = tries.entry(id.clone()).or_default();
+            for (id, endpoint) in sent_messages(&sender.handle(Time(ms * 1_000_000), events)) {
+                let attempt = attempts.entry(id.clone()).or_default();
                 let answer = answer(ms, &endpoint);
                 log.push((ms, endpoint, answer.0 == Status::Served));
-                out[i].push((id, *n, answer));
-                *n += 1;
+                in_flight[i].push((id, *attempt, answer));
+                *attempt += 1;
             }
         }
     }
     log
 }
 
-/// peel, quiet day: only the first route tossed, so a later one whose window fell under one was never called again.
+/// Guards against a route that is never called again once its window is below one, because only a destination's first route
+/// drew for probabilistic calls (peel, quiet day).
 #[test]
-fn each_route_is_called_again_after_its_window_fell_under_one() {
-    let mut b = Bench::new(
+fn each_route_is_called_again_after_its_window_falls_below_one() {
+    let mut sender = TestSender::new(
         Settings {
             slots: 2,
             attempts_cap: 99,
@@ -106,17 +108,17 @@
         routes(),
     );
     let mut n = 0;
-    let mut tried = std::collections::BTreeMap::<String, u32>::new();
+    let mut attempts = std::collections::BTreeMap::<String, u32>::new();
     let mut late = std::collections::BTreeSet::new();
-    let mut out: Vec<(String, u32, String)> = Vec::new();
+    let mut in_flight: Vec<(String, u32, String)> = Vec::new();
     for ms in (0..60_000).step_by(50) {
-        let mut events: Vec<Event> = out
+        let mut events: Vec<Event> = in_flight
             .drain(..)
-            .map(|(id, a, endpoint)| {
+            .map(|(id, attempt, endpoint)| {
                 let up = ms >= 5000 && endpoint == "b";
                 outcome(
                     &id,
-                    a,
+                    attempt,
                     if up {
                         Status::Served
                     } else {
@@ -131,51 +133,53 @@
             events.push(accept(&format!("m{n}"), 0, None, 9000));
         }
         events.push(Event::Wake);
-        for (id, endpoint) in sends(&b.at(ms, events)) {
-            let attempt = tried.entry(id.clone()).or_default();
+        for (id, endpoint) in sent_messages(&sender.handle_at(ms, events)) {
+            let attempt = attempts.entry(id.clone()).or_default();
             if ms > 15_000 {
                 late.insert(endpoint.clone());
             }
-            out.push((id, *attempt, endpoint));
+            in_flight.push((id, *attempt, endpoint));
             *attempt += 1;
         }
     }
     assert_eq!(late.into_iter().collect::<Vec<_>>(), ["a", "b"]);
 }
 
-/// peel, quiet day: once every route tosses, trials that follow the demand of the whole destination are 687 here.
+/// Guards against each separate route of a destination drawing probe calls for the whole destination's demand: 687 calls here
+/// (peel, quiet day).
 #[test]
-fn a_failed_route_gets_its_own_part_of_the_probe_calls() {
+fn a_failed_route_gets_only_its_share_of_the_probe_calls() {
     let four: Vec<Entry> = ["a", "b", "c", "d"]
         .iter()
-        .map(|e| entry(e, 1, Condition::Ready, 2))
+        .map(|endpoint| entry(endpoint, 1, Condition::Ready, 2))
         .collect();
     let calls = fleet(100, &four, 10_000, 40_000, |_, _| {
         (Status::NoConnection, 0, None)
     });
-    // Ten messages a second come. All routes together may be sent twice that at most while they are out.
-    let late = calls.iter().filter(|c| c.0 >= 20_000).count();
+    // Ten messages a second are accepted. During the outage, all routes together get at most twice as many calls.
+    let late = calls.iter().filter(|call| call.0 >= 20_000).count();
     assert!(late <= 10 * 20 * 2, "{late}");
 }
 
-/// arenapass, rough-1: a limit of five a second was sent ten for 40 s, and as refused calls use it up nothing was served.
-/// Twice the limit comes here all along; before pauses followed the told limit, 4 of 214 calls were served.
+/// Guards against a destination that serves nothing because rejected calls use up its limit: with five calls a second allowed
+/// it got ten for 40 s (arenapass, rough-1). The demand here is twice the limit; when pauses did not follow the reported
+/// limit, 4 of 214 calls were served.
 #[test]
-fn a_reported_limit_is_lifted_after_a_burst() {
+fn calls_stay_within_a_reported_limit_after_a_burst() {
     let limit = 5.0;
-    let (mut debt, mut at) = (0.0, 0);
+    let (mut debt, mut updated_at) = (0.0, 0);
     let calls = fleet(
         50,
         &[entry("a", 1, Condition::Ready, 0)],
         5_000,
         60_000,
         |ms, _| {
-            // The first seconds are over the limit by far.
+            // Far over the limit for the first seconds.
             debt = f64::max(
-                debt - limit * (ms - at) as f64 / 1000.0,
+                debt - limit * (ms - updated_at) as f64 / 1000.0,
                 if ms < 3000 { 30.0 } else { 0.0 },
             );
-            at = ms;
+            updated_at = ms;
             debt = f64::min(debt + 1.0, 2.0 * limit);
             let report = Some(Report {
                 left: (1.0 - debt / limit).clamp(0.0, 1.0),
@@ -192,27 +196,33 @@
             )
         },
     );
-    let served = calls.iter().filter(|c| c.2 && c.0 >= 30_000).count();
-    let tried = calls.iter().filter(|c| c.0 >= 30_000).count();
+    let served = calls
+        .iter()
+        .filter(|call| call.2 && call.0 >= 30_000)
+        .count();
+    let called = calls.iter().filter(|call| call.0 >= 30_000).count();
     assert!(
-        served >= 50 && served * 3 >= tried,
-        "{served} of {tried} served"
+        served >= 50 && served * 3 >= called,
+        "{served} of {called} served"
     );
 }
 
-/// Days at size: each of 100 senders saw a call or two a second, so the windows learned a shared limit by running into
-/// it, and refused calls used it up. Four thirds of the limit come here; the windows alone served 671 of 970 calls.
+/// Guards against many senders that exceed a shared limit and use it up with rejected calls, since each window alone gets too
+/// few answers to adapt. The demand is four thirds of the limit; with windows alone, 671 of 970 calls were served.
 #[test]
-fn a_hundred_senders_keep_to_a_limit_that_they_share() {
-    let (limit, mut left, mut at) = (60.0, 30.0, 0);
+fn a_hundred_senders_stay_within_a_shared_limit() {
+    let (limit, mut left, mut updated_at) = (60.0, 30.0, 0);
     let calls = fleet(
         100,
         &[entry("a", 1, Condition::Ready, 0)],
         1_250,
         20_000,
         |ms, _| {
-            left = f64::min(left + limit * (ms - at) as f64 / 1000.0, limit / 2.0);
-            at = ms;
+            left = f64::min(
+                left + limit * (ms - updated_at) as f64 / 1000.0,
+                limit / 2.0,
+            );
+            updated_at = ms;
             let report = Some(Report {
                 left: f64::max(left, 0.0) / (limit / 2.0),
                 limit,
@@ -229,8 +239,8 @@
             )
         },
     );
-    let calls: Vec<_> = calls.iter().filter(|c| c.0 >= 2_000).collect();
-    let served = calls.iter().filter(|c| c.2).count();
+    let calls: Vec<_> = calls.iter().filter(|call| call.0 >= 2_000).collect();
+    let served = calls.iter().filter(|call| call.2).count();
     assert!(
         served >= 850 && served * 10 >= calls.len() * 9,
         "{served} of {} served",
@@ -238,34 +248,36 @@
     );
 }
 
-/// h1248a3 (main-office), hd16fb1 (arenapass): waits told by a shut destination ended for all senders at once.
+/// Guards against all senders resuming at the same moment, when the Retry-After wait of an unavailable destination ends (days
+/// h1248a3 (main-office), hd16fb1 (arenapass)).
 #[test]
-fn senders_with_the_same_retry_after_do_not_return_together() {
-    let opens = 20_000;
+fn senders_with_the_same_retry_after_do_not_resume_together() {
+    let available_at = 20_000;
     let calls = fleet(
         200,
         &[entry("a", 1, Condition::Ready, 0)],
         20_000,
         30_000,
         |ms, _| {
-            if ms < opens {
-                (Status::Overloaded, opens - ms, None)
+            if ms < available_at {
+                (Status::Overloaded, available_at - ms, None)
             } else {
                 (Status::Served, 0, None)
             }
         },
     );
-    // Ten messages a second come; a tenth of the senders at most returns within the first second.
+    // Ten messages a second are accepted. At most a tenth of the senders may call within the first second.
     let first = calls
         .iter()
-        .filter(|c| (opens..opens + 1000).contains(&c.0))
+        .filter(|call| (available_at..available_at + 1000).contains(&call.0))
         .count();
     assert!(first <= 20, "{first}");
 }
 
-/// Odd values do no harm: a rate of zero or less, a report without a limit, nothing left and more than all.
+/// Guards against senders that stop sending after an out-of-range value: a rate of zero or less, a report without a limit, or a
+/// negative or too large unused fraction.
 #[test]
-fn out_of_range_rates_and_reports_do_no_harm() {
+fn out_of_range_rates_and_reports_do_not_stop_a_sender() {
     for (rate, left, limit) in [
         (0.0, 0.5, 0.0),
         (-3.0, -1.0, -2.0),
@@ -276,38 +288,44 @@
             rate,
             ..entry("a", 1, Condition::Ready, 0)
         }];
-        let mut b = Bench::new(
+        let mut sender = TestSender::new(
             Settings {
                 rates_listed: true,
                 ..settings()
             },
             entries,
         );
-        assert_eq!(sends(&b.at(0, vec![accept("m", 0, None, 9000)])).len(), 1);
+        assert_eq!(
+            sent_messages(&sender.handle_at(0, vec![accept("m", 0, None, 9000)])).len(),
+            1
+        );
         let mut event = outcome("m", 0, Status::Overloaded, 10);
-        if let Event::Outcome(o) = &mut event {
-            o.report = Some(Report { left, limit });
+        if let Event::Outcome(outcome) = &mut event {
+            outcome.report = Some(Report { left, limit });
         }
-        b.at(10, vec![event]);
+        sender.handle_at(10, vec![event]);
         let sent: usize = (1..1200)
-            .map(|i| sends(&b.at(10 + i * 5, vec![Event::Wake])).len())
+            .map(|i| sent_messages(&sender.handle_at(10 + i * 5, vec![Event::Wake])).len())
             .sum();
         assert!(sent >= 1, "{rate} {left} {limit}");
     }
 }
 
-/// A destination with a limit that its answers report, which cannot be reached in `outage` (ms).
+/// The answers of a destination that reports its limit, with an outage during `outage` (ms).
 fn limited_destination(
     limit: f64,
     outage: std::ops::Range<u64>,
 ) -> impl FnMut(u64, &str) -> (Status, u64, Option<Report>) {
-    let (mut left, mut at) = (limit / 2.0, 0);
+    let (mut left, mut updated_at) = (limit / 2.0, 0);
     move |ms, _| {
         if outage.contains(&ms) {
             return (Status::NoConnection, 0, None);
         }
-        left = f64::min(left + limit * (ms - at) as f64 / 1000.0, limit / 2.0);
-        at = ms;
+        left = f64::min(
+            left + limit * (ms - updated_at) as f64 / 1000.0,
+            limit / 2.0,
+        );
+        updated_at = ms;
         let report = Some(Report {
             left: left / (limit / 2.0),
             limit,
@@ -320,11 +338,11 @@
     }
 }
 
-/// Days with 300 senders: an outage of 5 s, then a cold return, at a limit that answers tell. The rule on returning
-/// destinations is counted over all senders: no window of its span gets more than its multiple of what can be done then.
+/// Guards against 300 senders that together overload a destination after an outage of 5 s, while its capacity is reduced. In
+/// no period of `Rules::fall` may it get more than `Rules::fall_multiple` times its capacity in that period.
 #[test]
 fn three_hundred_senders_do_not_overload_a_cold_destination() {
-    // As the operators' sites have them.
+    // The values at the operators' sites.
     let (cold_from, cold, fall_multiple) = (0.23, Duration::from_millis(9_100), 1.5);
     let rules = Rules {
         cold_from,
@@ -333,42 +351,42 @@
         fall: Duration::from_secs(3),
         ..settings().rules
     };
-    let set = Settings {
+    let custom_settings = Settings {
         rules,
         ..settings()
     };
     let (limit, capacity) = (120.0, 168.0);
-    let (down, back) = (8_000, 13_000);
+    let (outage_start, outage_end) = (8_000, 13_000);
     let calls = fleet_of(
-        set,
+        custom_settings,
         300,
         &[entry("a", 1, Condition::Ready, 0)],
         2_500,
         40_000,
-        limited_destination(limit, down..back),
+        limited_destination(limit, outage_start..outage_end),
     );
     let span = rules.fall.as_millis() as u64;
-    for from in (back..back + rules.cold.as_millis() as u64).step_by(50) {
+    for from in (outage_end..outage_end + rules.cold.as_millis() as u64).step_by(50) {
         let sent = calls
             .iter()
-            .filter(|c| (from..from + span).contains(&c.0))
+            .filter(|call| (from..from + span).contains(&call.0))
             .count();
-        let can: f64 = (from..from + span)
+        let present_capacity: f64 = (from..from + span)
             .map(|ms| {
-                let warm = ((ms - back) as f64 / 1000.0 / rules.cold.as_secs_f64()).min(1.0);
+                let warm = ((ms - outage_end) as f64 / 1000.0 / rules.cold.as_secs_f64()).min(1.0);
                 capacity * (rules.cold_from + (1.0 - rules.cold_from) * warm) / 1000.0
             })
             .sum();
         assert!(
-            (sent as f64) <= rules.fall_multiple * can,
-            "{sent} calls from {from} ms, {can:.0} can be done"
+            (sent as f64) <= rules.fall_multiple * present_capacity,
+            "{sent} calls from {from} ms on, capacity {present_capacity:.0}"
         );
     }
-    // It is taken up again, and before the outage the limit was used.
+    // The limit is used before the outage, and calls resume after it.
     let served = |from, to| {
         calls
             .iter()
-            .filter(|c| c.2 && (from..to).contains(&c.0))
+            .filter(|call| call.2 && (from..to).contains(&call.0))
             .count()
     };
     assert!(
--- a/crates/scheduler/tests/routes_in_use.rs
+++ b/crates/scheduler/tests/routes_in_use.rs
@@ -1,18 +1,20 @@
-//! What a turn costs: the routes in use or just changed, however many destinations are listed.
+//! The cost of a tick depends on the active routes, not on the number of listed destinations.
 
 mod common;
 use common::*;
 use cranehill_scheduler::api::*;
 
-fn listed(destinations: u64) -> Bench {
-    let one = |d: u64| entry(&format!("e{d}"), d, Condition::Ready, 0);
-    let mut bench = Bench::new(settings(), (1..=destinations).map(one).collect());
-    bench.at(5, vec![Event::Wake]);
-    bench
+/// A scheduler with this number of listed destinations, after one tick.
+fn listed(destinations: u64) -> TestSender {
+    let endpoint_of =
+        |destination: u64| entry(&format!("e{destination}"), destination, Condition::Ready, 0);
+    let mut sender = TestSender::new(settings(), (1..=destinations).map(endpoint_of).collect());
+    sender.handle_at(5, vec![Event::Wake]);
+    sender
 }
 
-/// Routes that a turn would look at after each of some events.
-fn active_routes(bench: &mut Bench) -> Vec<usize> {
+/// Number of active routes after each of a sequence of events.
+fn active_routes(sender: &mut TestSender) -> Vec<usize> {
     let change = |endpoint: &str, condition| {
         let entries = vec![entry(endpoint, 2, condition, 0)];
         Event::List {
@@ -32,28 +34,33 @@
     ];
     let mut active = Vec::new();
     for (ms, event) in events.into_iter().enumerate() {
-        bench.at(10 + 5 * ms as u64, vec![event]);
-        active.push(bench.sender.active_routes());
+        sender.handle_at(10 + 5 * ms as u64, vec![event]);
+        active.push(sender.scheduler.active_routes());
     }
     active
 }
 
-/// Before, each turn, one every 5 ms where something happens, went over all routes.
+/// Guards against ticks that visit all routes. There is a tick every 5 ms while events arrive.
 #[test]
 fn a_tick_visits_only_active_routes() {
-    let few = active_routes(&mut listed(10));
-    assert_eq!(few, active_routes(&mut listed(57_000)));
-    assert_eq!(few.last(), Some(&0), "what is over is idle again: {few:?}");
+    let active = active_routes(&mut listed(10));
+    assert_eq!(active, active_routes(&mut listed(57_000)));
+    assert_eq!(
+        active.last(),
+        Some(&0),
+        "the route becomes inactive again: {active:?}"
+    );
     assert!(
-        few.contains(&1) && few.iter().all(|&routes| routes <= 1),
-        "{few:?}"
+        active.contains(&1) && active.iter().all(|&routes| routes <= 1),
+        "{active:?}"
     );
 }
 
-/// An idle route saves up no calls beyond its bucket: after a long rest a returning destination still starts slowly.
+/// Guards against an inactive route that gets tokens for the time in which ticks skip it, so that a slow start after an outage
+/// begins with more calls than allowed.
 #[test]
 fn an_inactive_route_accumulates_no_extra_tokens() {
-    let mut bench = listed(2);
+    let mut sender = listed(2);
     let Event::Outcome(served) = outcome("first", 0, Status::Served, 10) else {
         return;
     };
@@ -61,25 +68,36 @@
         left: 1.0,
         limit: 20.0,
     });
-    bench.at(10, vec![accept("first", 0, None, 5000)]);
-    bench.at(20, vec![Event::Outcome(Outcome { report, ..served })]);
-    let probed = |status| Event::HealthChecked {
+    sender.handle_at(10, vec![accept("first", 0, None, 5000)]);
+    sender.handle_at(20, vec![Event::Outcome(Outcome { report, ..served })]);
+    let health_check = |status| Event::HealthChecked {
         endpoint: EndpointId("e1".into()),
         status,
     };
-    bench.at(1000, (0..3).map(|_| probed(Status::Error)).collect());
-    bench.at(6000, vec![Event::Wake]);
-    assert_eq!(bench.sender.active_routes(), 0, "idle, and out");
-    bench.at(30_000, vec![Event::Wake]);
-    let waiting = |n: u64| accept(&format!("m{n}"), 0, None, 5000);
-    let at_once = bench.at(
+    sender.handle_at(1000, (0..3).map(|_| health_check(Status::Error)).collect());
+    sender.handle_at(6000, vec![Event::Wake]);
+    assert_eq!(
+        sender.scheduler.active_routes(),
+        0,
+        "inactive, in an outage"
+    );
+    sender.handle_at(30_000, vec![Event::Wake]);
+    let message = |n: u64| accept(&format!("m{n}"), 0, None, 5000);
+    let actions = sender.handle_at(
         30_005,
-        [probed(Status::Served)]
+        [health_check(Status::Served)]
             .into_iter()
-            .chain((0..4).map(waiting))
+            .chain((0..4).map(message))
             .collect(),
     );
-    assert_eq!(sends(&at_once), [], "its bucket is empty as it returns");
-    // Two times a fifth of 10/s is 4/s, of which it aims at four fifths.
-    assert_eq!(sends(&bench.at(30_400, vec![Event::Wake])).len(), 1);
+    assert_eq!(
+        sent_messages(&actions),
+        [],
+        "the bucket is empty when the outage ends"
+    );
+    // The failing load is twice a fifth of 10/s, so 4/s; the slow start aims at four fifths of it.
+    assert_eq!(
+        sent_messages(&sender.handle_at(30_400, vec![Event::Wake])).len(),
+        1
+    );
 }
