--- a/crates/simulator-adapter/src/wire/replies.rs
+++ b/crates/simulator-adapter/src/wire/replies.rs
@@ -1,14 +1,14 @@
-//! Replies to the simulator. Times are in nanoseconds.
+//! Replies to the simulator. Durations are in nanoseconds.
 
 use std::time::Duration;
 
 use cranehill_scheduler::Action;
 use serde::Serialize;
 
-/// The name of a sender's only timer.
+/// Name of the timer. A sender has only one.
 const TIMER_NAME: &str = "wake";
 
-/// The reply to one batch: the actions of all senders, in order.
+/// The reply to one batch: the actions of all senders. Those of each sender are in order.
 #[derive(Serialize)]
 pub(crate) struct Reply {
     pub(crate) output: Vec<SenderAction>,
@@ -23,7 +23,7 @@
 }
 
 impl SenderAction {
-    /// The action as the simulator reads it.
+    /// Converts an action of the scheduler to the simulator's format.
     pub(crate) fn new(sender: &str, action: Action) -> SenderAction {
         SenderAction {
             sender: sender.to_owned(),
@@ -32,7 +32,7 @@
     }
 }
 
-/// An action, as the simulator names it.
+/// An action in the simulator's format. See [`Action`] for the meaning of each.
 #[derive(Serialize)]
 #[serde(tag = "msg", rename_all_fields = "camelCase")]
 enum WireAction {
@@ -98,6 +98,7 @@
     }
 }
 
+/// A duration in nanoseconds, limited to the range of `u64`.
 fn nanoseconds(span: Duration) -> u64 {
     u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
 }
--- a/crates/simulator-adapter/src/wire/requests.rs
+++ b/crates/simulator-adapter/src/wire/requests.rs
@@ -11,12 +11,12 @@
 
 use crate::error::AdapterError;
 
-/// Mode of [`Sync`]: the list holds changes.
-const SYNC_CHANGES: u8 = 0;
-/// Mode of [`Sync`]: polling the list failed.
-const SYNC_FAILED: u8 = 3;
+/// Mode of a [`ListChanged`] request: the list contains changes.
+const MODE_CHANGES: u8 = 0;
+/// Mode of a [`ListChanged`] request: polling the list failed.
+const MODE_FAILED: u8 = 3;
 
-/// Requests that all happen at one time.
+/// A batch of requests that all happen at the same time.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Batch {
@@ -25,43 +25,49 @@
     pub(crate) requests: Vec<Request>,
 }
 
-/// One request of the simulator.
+/// A request of the simulator.
 #[derive(Deserialize)]
 #[serde(tag = "msg")]
 pub(crate) enum Request {
-    /// Start a sender.
+    /// Start a sender, or restart it without its state.
     Configure(Box<Configure>),
-    /// Stop a sender; its state is lost.
+    /// Stop a sender and delete its state.
     Destroy(SenderRequest),
-    /// An endpoint list, for [`Request::Sync`].
-    Inventory(Inventory),
-    /// A sender's endpoint list has changed.
-    Sync(Sync),
+    /// Define an endpoint list, for use by [`Request::ListChanged`].
+    #[serde(rename = "Inventory")]
+    EndpointList(EndpointList),
+    /// A sender's endpoint list has changed, or polling it failed.
+    #[serde(rename = "Sync")]
+    ListChanged(ListChanged),
     /// A sender accepted a message.
     Accept(Accept),
-    /// An attempt ended.
-    Returned(Returned),
+    /// An attempt finished.
+    #[serde(rename = "Returned")]
+    AttemptFinished(AttemptFinished),
     /// A client cancelled a message.
-    Lapsed(Lapsed),
+    #[serde(rename = "Lapsed")]
+    Cancelled(Cancelled),
     /// A sender's timer has fired.
     Wake(SenderRequest),
-    /// A health check ended.
+    /// A health check finished.
     CheckResult(CheckResult),
-    /// A connection opened: not used.
-    Established(SenderRequest),
-    /// Another sender's message: not used.
-    Peer(SenderRequest),
+    /// A connection was opened. Ignored.
+    #[serde(rename = "Established")]
+    ConnectionOpened(SenderRequest),
+    /// A message from another sender. Ignored.
+    #[serde(rename = "Peer")]
+    PeerMessage(SenderRequest),
 }
 
-/// What a request means for one sender.
+/// The sender that a request is for, and the event to pass to its scheduler.
 pub(crate) struct SenderEvent {
     pub(crate) sender: String,
-    /// None where the scheduler has no use for it.
+    /// `None` if the scheduler ignores the request.
     pub(crate) event: Option<Event>,
 }
 
 impl SenderEvent {
-    /// An event of a sender.
+    /// An event for a sender.
     pub(crate) fn new(sender: String, event: Event) -> SenderEvent {
         SenderEvent {
             sender,
@@ -70,7 +76,7 @@
     }
 }
 
-/// A request without content that is used.
+/// A request of which only the sender is used.
 #[derive(Deserialize)]
 pub(crate) struct SenderRequest {
     pub(crate) sender: String,
@@ -86,20 +92,21 @@
     pub(crate) profile: Profile,
 }
 
-/// See [`Request::Inventory`].
+/// See [`Request::EndpointList`].
 #[derive(Deserialize)]
-pub(crate) struct Inventory {
+pub(crate) struct EndpointList {
     #[serde(rename = "rosterId")]
-    pub(crate) list: u32,
-    pub(crate) rows: Vec<Row>,
+    pub(crate) number: u32,
+    pub(crate) rows: Vec<EndpointRow>,
 }
 
-/// One endpoint of an [`Inventory`].
+/// One endpoint of an [`EndpointList`].
 #[derive(Deserialize)]
-pub(crate) struct Row {
+pub(crate) struct EndpointRow {
     #[serde(rename = "belongsTo")]
     destination: u64,
     endpoint: String,
+    /// 0 for removed, 1 for ready, 2 for draining.
     condition: u8,
     #[serde(default, rename = "regionPart")]
     zone: u32,
@@ -109,8 +116,12 @@
     rate: f64,
 }
 
-impl Row {
-    /// The entry of the endpoint list.
+impl EndpointRow {
+    /// Converts the row to the scheduler's type.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the condition is unknown.
     pub(crate) fn into_entry(self) -> Result<Entry, AdapterError> {
         let condition = match self.condition {
             0 => Condition::Removed,
@@ -129,25 +140,25 @@
     }
 }
 
-/// See [`Request::Sync`].
+/// See [`Request::ListChanged`].
 #[derive(Deserialize)]
-pub(crate) struct Sync {
+pub(crate) struct ListChanged {
     pub(crate) sender: String,
     mode: u8,
-    /// The number of the [`Inventory`].
+    /// Number of the [`EndpointList`].
     #[serde(default, rename = "rosterId")]
     pub(crate) list: u32,
 }
 
-impl Sync {
+impl ListChanged {
     /// Whether polling the list failed.
     pub(crate) fn has_failed(&self) -> bool {
-        self.mode == SYNC_FAILED
+        self.mode == MODE_FAILED
     }
 
-    /// Whether the list replaces the present one; else it holds changes.
+    /// Whether the list replaces the present one; otherwise it contains changes.
     pub(crate) fn is_whole(&self) -> bool {
-        self.mode != SYNC_CHANGES
+        self.mode != MODE_CHANGES
     }
 }
 
@@ -164,6 +175,7 @@
     tenant: usize,
     #[serde(rename = "key")]
     ordering_key: Option<String>,
+    /// Time until the deadline; a negative one counts as zero.
     #[serde(default)]
     time_left: i64,
     #[serde(default, rename = "calledNode")]
@@ -186,10 +198,10 @@
     }
 }
 
-/// See [`Request::Returned`].
+/// See [`Request::AttemptFinished`].
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub(crate) struct Returned {
+pub(crate) struct AttemptFinished {
     sender: String,
     #[serde(rename = "msgId")]
     id: String,
@@ -200,40 +212,42 @@
     completed: bool,
     #[serde(default, rename = "costTime")]
     took: u64,
-    /// With [`WireStatus::TurnedAway`]: the stated wait in milliseconds, 0 for none.
+    /// With [`WireStatus::TurnedAway`]: the Retry-After time in milliseconds, 0 for none. Unused with other statuses.
     #[serde(default)]
     detail: u64,
     server_stats: Option<ServerStats>,
 }
 
-impl From<Returned> for SenderEvent {
-    fn from(returned: Returned) -> SenderEvent {
-        let status = Status::from(returned.status);
-        let states_wait = status == Status::Overloaded && returned.detail > 0;
+impl From<AttemptFinished> for SenderEvent {
+    fn from(attempt: AttemptFinished) -> SenderEvent {
+        let status = Status::from(attempt.status);
+        let has_retry_after = status == Status::Overloaded && attempt.detail > 0;
         let outcome = Outcome {
-            id: MessageId(returned.id),
-            attempt: returned.attempt,
+            id: MessageId(attempt.id),
+            attempt: attempt.attempt,
             status,
-            completed: returned.completed,
-            took: Duration::from_nanos(returned.took),
-            wait: states_wait.then(|| Duration::from_millis(returned.detail)),
-            report: returned.server_stats.and_then(ServerStats::into_report),
+            completed: attempt.completed,
+            took: Duration::from_nanos(attempt.took),
+            wait: has_retry_after.then(|| Duration::from_millis(attempt.detail)),
+            report: attempt.server_stats.and_then(ServerStats::into_report),
         };
-        SenderEvent::new(returned.sender, Event::Outcome(outcome))
+        SenderEvent::new(attempt.sender, Event::Outcome(outcome))
     }
 }
 
-/// What a destination reported with an answer.
+/// A destination's report on its rate limit.
 #[derive(Deserialize)]
 struct ServerStats {
+    /// Fraction of the limit that is unused.
     #[serde(rename = "x0")]
     left: Option<f64>,
+    /// Calls a second that the destination allows; 0 for no limit.
     #[serde(rename = "x1")]
     limit: Option<f64>,
 }
 
 impl ServerStats {
-    /// The report, if it is complete.
+    /// The report, or `None` if a value is missing.
     fn into_report(self) -> Option<Report> {
         Some(Report {
             left: self.left?,
@@ -242,17 +256,17 @@
     }
 }
 
-/// See [`Request::Lapsed`].
+/// See [`Request::Cancelled`].
 #[derive(Deserialize)]
-pub(crate) struct Lapsed {
+pub(crate) struct Cancelled {
     sender: String,
     #[serde(rename = "msgId")]
     id: String,
 }
 
-impl From<Lapsed> for SenderEvent {
-    fn from(lapsed: Lapsed) -> SenderEvent {
-        SenderEvent::new(lapsed.sender, Event::Cancelled(MessageId(lapsed.id)))
+impl From<Cancelled> for SenderEvent {
+    fn from(cancelled: Cancelled) -> SenderEvent {
+        SenderEvent::new(cancelled.sender, Event::Cancelled(MessageId(cancelled.id)))
     }
 }
 
@@ -274,7 +288,7 @@
     }
 }
 
-/// How an attempt or health check ended, as the simulator names it.
+/// Result of an attempt or health check, in the simulator's format. See [`Status`] for the meaning of each.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum WireStatus {
