--- a/crates/scheduler/src/acceptance.rs
+++ b/crates/scheduler/src/acceptance.rs
@@ -54,7 +54,7 @@
     fn prior_execution(&self, prior: &PriorAttempts) -> Option<PossibleExecution> {
         let (age, endpoint) = prior.possibly_executed.as_ref()?;
         Some(PossibleExecution {
-            sent: self.now.saturating_sub(*age),
+            sent_at: self.now.saturating_sub(*age),
             endpoint: self.endpoints.index_of(endpoint),
         })
     }
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Allows a call at once for a random part of the messages to a route with little demand, during an outage too. At a window
+    /// Allows an immediate call for a random part of the messages to a route with little demand, during an outage too. At a window
     /// of [`MIN_WINDOW`], the paper (see [`crate::window`]) sends that share of the arriving calls. All senders together then
     /// send less than the newly accepted traffic.
     fn draw_immediate_call(&mut self, route_index: RouteIndex, route_share: f64) {
--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -113,15 +113,17 @@
         let route = &self.routes[endpoint.route];
         self.calls
             .values()
-            .filter(|call| call.endpoint == endpoint_index && endpoint.last_answer <= call.sent)
+            .filter(|call| {
+                call.endpoint == endpoint_index && endpoint.last_answer_at <= call.sent_at
+            })
             .any(|call| {
                 let times = route.call_times(call.class, &self.settings);
                 let overdue = Duration::from_secs_f64(times.overdue);
                 let may_retry = repeatable
-                    && endpoint.last_used.is_none_or(|last_used| {
-                        self.now - last_used > SUSPECT_RETRY_MULTIPLE * overdue
+                    && endpoint.last_call_at.is_none_or(|last_call_at| {
+                        self.now - last_call_at > SUSPECT_RETRY_MULTIPLE * overdue
                     });
-                self.now - call.sent > overdue && !may_retry
+                self.now - call.sent_at > overdue && !may_retry
             })
     }
 }
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -90,7 +90,7 @@
     pub quota_rps: f64,
 }
 
-/// The configuration of a scheduler, fixed at its start.
+/// The configuration of a scheduler. Fixed at its start, except for `instances`.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Message classes; at least one.
--- a/crates/scheduler/src/calls.rs
+++ b/crates/scheduler/src/calls.rs
@@ -13,7 +13,7 @@
     pub(crate) endpoint: EndpointIndex,
     /// Class of the first message in the call.
     pub(crate) class: usize,
-    pub(crate) sent: Time,
+    pub(crate) sent_at: Time,
     /// When the call times out, for all of its messages.
     pub(crate) timeout_at: Time,
     /// The latest `min_timeout_at` of its messages: the call must not time out earlier.
@@ -31,7 +31,7 @@
         Call {
             endpoint,
             class,
-            sent: now,
+            sent_at: now,
             timeout_at: wait.timeout_at,
             min_timeout_at: wait.min_timeout_at,
             messages: 1,
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -200,7 +200,7 @@
             number: message.attempts,
             endpoint: endpoint_index,
             call: call_number,
-            sent: self.now,
+            sent_at: self.now,
         });
         message.attempts += 1;
         self.actions.push(Action::Send {
--- a/crates/scheduler/src/endpoints.rs
+++ b/crates/scheduler/src/endpoints.rs
@@ -25,9 +25,9 @@
     /// Calls in flight.
     pub(crate) in_flight: u32,
     /// When a call was last answered, or when the endpoint was listed if none was.
-    pub(crate) last_answer: Time,
+    pub(crate) last_answer_at: Time,
     /// When a call was last sent.
-    pub(crate) last_used: Option<Time>,
+    pub(crate) last_call_at: Option<Time>,
     /// Calls sent since the endpoint was listed.
     pub(crate) calls_sent: u32,
     /// Kind of the destination, as a position in `Settings::kinds`.
@@ -52,8 +52,8 @@
             rank: hasher.finish(),
             consecutive_failures: 0,
             in_flight: 0,
-            last_answer: now,
-            last_used: None,
+            last_answer_at: now,
+            last_call_at: None,
             calls_sent: 0,
             kind: entry.kind,
             listed_at: now,
@@ -70,7 +70,7 @@
     /// Records a call that is sent to the endpoint now.
     pub(crate) fn record_call(&mut self, now: Time) {
         self.in_flight += 1;
-        self.last_used = Some(now);
+        self.last_call_at = Some(now);
         self.calls_sent += 1;
         if let Some(tokens) = &mut self.gate_tokens {
             *tokens -= 1.0;
@@ -79,8 +79,8 @@
 
     /// How long the endpoint has been idle; zero before its first call.
     pub(crate) fn idle_time(&self, now: Time) -> Duration {
-        self.last_used.map_or(Duration::ZERO, |last_used| {
-            now - last_used.max(self.last_answer)
+        self.last_call_at.map_or(Duration::ZERO, |last_call_at| {
+            now - last_call_at.max(self.last_answer_at)
         })
     }
 
@@ -99,8 +99,8 @@
         let pause = backoff_pause(self.consecutive_failures);
         self.consecutive_failures > 0
             && self
-                .last_used
-                .is_none_or(|last_used| now - last_used < pause)
+                .last_call_at
+                .is_none_or(|last_call_at| now - last_call_at < pause)
     }
 }
 
--- a/crates/scheduler/src/learned_state.rs
+++ b/crates/scheduler/src/learned_state.rs
@@ -103,7 +103,7 @@
             .iter()
             .map(|&index| &self.endpoints[index])
             .filter(|endpoint| endpoint.calls_sent > 0)
-            .map(|endpoint| endpoint.last_answer.max(route.window_reduced_at))
+            .map(|endpoint| endpoint.last_answer_at.max(route.window_reduced_at))
             .max();
         // A Retry-After wait that was restored, or came from an endpoint removed since, is still in force. It is the only thing
         // known of a route that this process has not called.
--- a/crates/scheduler/src/messages.rs
+++ b/crates/scheduler/src/messages.rs
@@ -19,13 +19,13 @@
     pub(crate) endpoint: EndpointIndex,
     /// Number of the call that carries it.
     pub(crate) call: CallNumber,
-    pub(crate) sent: Time,
+    pub(crate) sent_at: Time,
 }
 
 /// The first possibly executed attempt of a message.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PossibleExecution {
-    pub(crate) sent: Time,
+    pub(crate) sent_at: Time,
     /// `None` if the endpoint is not in the endpoint list.
     pub(crate) endpoint: Option<EndpointIndex>,
 }
@@ -70,7 +70,7 @@
 
     /// Until when a possibly executed message may be sent again; `None` for no limit.
     pub(crate) fn repeatable_until(&self, settings: &Settings) -> Option<Time> {
-        let first_sent = self.possibly_executed?.sent;
+        let first_sent = self.possibly_executed?.sent_at;
         let class = self.class(settings);
         match class.effect {
             Effect::Safe => None,
@@ -88,7 +88,7 @@
     /// Records a possibly executed attempt; only the first one is kept.
     pub(crate) fn record_possible_execution(&mut self, attempt: &Attempt) {
         self.possibly_executed.get_or_insert(PossibleExecution {
-            sent: attempt.sent,
+            sent_at: attempt.sent_at,
             endpoint: Some(attempt.endpoint),
         });
     }
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -113,17 +113,17 @@
             | Status::PermanentError => {
                 self.routes[endpoint.route].round_trips[class]
                     .record_sample(outcome.took.as_secs_f64());
-                endpoint.last_answer = self.now;
+                endpoint.last_answer_at = self.now;
             }
             Status::NoConnection => {
                 self.routes[endpoint.route].connect_failed_at = Some(self.now);
             }
             Status::TimedOut => {
                 self.routes[endpoint.route].round_trips[class]
-                    .record_timeout(attempt.sent, self.now);
+                    .record_timeout(attempt.sent_at, self.now);
             }
             Status::Overloaded => {
-                endpoint.last_answer = self.now;
+                endpoint.last_answer_at = self.now;
                 // Senders that are rejected together, or whose Retry-After waits end together, must not resume together.
                 let route = &mut self.routes[endpoint.route];
                 route.consecutive_overloads += 1;
@@ -185,7 +185,7 @@
             // Restore the window from before the outage, since growth by small steps would delay the backlog. During the slow
             // start the token bucket limits the calls.
             route.window = route.proven_window.clone();
-            route.token_bucket.drain();
+            route.token_bucket.clear();
         } else if route.health.state() == HealthState::Up {
             route.proven_window = route.window.clone();
         }
--- a/crates/scheduler/src/round_trip.rs
+++ b/crates/scheduler/src/round_trip.rs
@@ -65,8 +65,11 @@
 
     /// Records a time-out. Time-outs of calls that were in flight together count once: only a call sent after the last doubling
     /// causes another one.
-    pub(crate) fn record_timeout(&mut self, sent: Time, now: Time) {
-        if self.doubled_at.is_none_or(|doubled_at| sent >= doubled_at) {
+    pub(crate) fn record_timeout(&mut self, sent_at: Time, now: Time) {
+        if self
+            .doubled_at
+            .is_none_or(|doubled_at| sent_at >= doubled_at)
+        {
             self.doublings += 1;
             self.doubled_at = Some(now);
         }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -177,8 +177,8 @@
         self.state.refill_endpoint(now, id, since);
     }
 
-    /// Closes the gate of an endpoint that operators reattach, except for a first call that some of the senders may make at
-    /// once. [`Scheduler::admit_endpoint`] then refills it.
+    /// Closes the gate of an endpoint that operators reattach; a random part of the senders may send one call immediately.
+    /// [`Scheduler::admit_endpoint`] then refills the gate.
     pub fn bar_endpoint(&mut self, id: &EndpointId) {
         self.state.close_endpoint(id);
     }
--- a/crates/scheduler/src/token_bucket.rs
+++ b/crates/scheduler/src/token_bucket.rs
@@ -85,7 +85,7 @@
     }
 
     /// Removes all tokens.
-    pub(crate) fn drain(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.tokens = 0.0;
     }
 
--- a/crates/scheduler/src/zones.rs
+++ b/crates/scheduler/src/zones.rs
@@ -147,7 +147,8 @@
         let Some(tokens) = &mut endpoint.gate_tokens else {
             return;
         };
-        // Senders that failed at the endpoint start again from a random fraction, so that they do not call at the same moment.
+        // A gate emptied by calls that failed restarts from a random fraction, so that endpoints that recover together do not
+        // get a whole token at the same moment.
         if *tokens <= 0.0 && endpoint.consecutive_failures > 0 {
             *tokens = initial_tokens;
             endpoint.consecutive_failures = 0;
@@ -174,8 +175,8 @@
         slow_start_rate(rules, elapsed, quota) + tolerated
     }
 
-    /// Closes the gate of an endpoint that operators reattach. Since operators vouch for it, a random part of the senders, as
-    /// many as there are tolerated calls, may call it at once.
+    /// Closes the gate of an endpoint that operators reattach. Operators know that it is reachable, so a random part of the
+    /// senders, on average as many as there are tolerated calls, may send one call immediately.
     pub(crate) fn close_endpoint(&mut self, id: &EndpointId) {
         let Some(index) = self.endpoints.index_of(id) else {
             return;
