--- a/crates/core/src/backlog.rs
+++ b/crates/core/src/backlog.rs
@@ -1,8 +1,8 @@
-//! [`Backlog`]: messages of an earlier process that wait until the scheduler has capacity for them.
+//! [`Backlog`]: recovered messages that wait until the scheduler has capacity for them.
 //!
-//! The scheduler ends messages beyond the settings' bound on pending ones. A process that recovers more than that hands
-//! over what there is capacity for, and the rest as capacity appears: first the messages that can be sent for the
-//! shortest time, and among these the ones accepted first.
+//! The scheduler rejects messages beyond the configured limit on pending messages. A process that recovers more
+//! messages than that hands them over to the scheduler as capacity becomes available, ordered by the time until which
+//! they can be sent, then by the order of acceptance.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,26 +10,28 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::MessageId;
 
-/// A message that waits; the order of the fields is the order of release.
+/// A message in the backlog. The derived order, by fields from first to last, is the order of release.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct BacklogEntry {
-    /// When the scheduler must have it, for its own sake or for that of a later one of its ordering key.
+    /// Latest time to hand it over to the scheduler: the earliest such time of it and of the later messages with the
+    /// same ordering key.
     pub(crate) hand_over_by: Time,
-    /// Its position among all messages that were accepted.
+    /// Position among all accepted messages of this process.
     pub(crate) sequence: u64,
     pub(crate) id: MessageId,
 }
 
-/// Messages that wait for capacity.
+/// Recovered messages that wait for scheduler capacity, in the order of release.
 #[derive(Debug)]
 pub(crate) struct Backlog {
-    /// Messages are released this long before they are due, whatever the capacity: their end has to be reported in time.
+    /// Messages are released this long before `hand_over_by` even without capacity, so that the scheduler can end and
+    /// report them before their deadline.
     margin: Duration,
     waiting: BTreeSet<BacklogEntry>,
 }
 
 impl Backlog {
-    /// An empty one.
+    /// Creates an empty backlog.
     pub(crate) fn new(margin: Duration) -> Backlog {
         Backlog {
             margin,
@@ -37,12 +39,13 @@
         }
     }
 
-    /// Adds a message.
+    /// Adds a message to the backlog.
     pub(crate) fn add(&mut self, entry: BacklogEntry) {
         self.waiting.insert(entry);
     }
 
-    /// Removes and returns as many messages as there is capacity for, and all that are due.
+    /// Removes and returns up to `capacity` messages, and beyond that all messages whose `hand_over_by` is at most the
+    /// margin away.
     pub(crate) fn release(&mut self, now: Time, capacity: usize) -> Vec<MessageId> {
         let mut released = Vec::new();
         while let Some(first) = self.waiting.first() {
@@ -54,7 +57,7 @@
         released
     }
 
-    /// When the next message must be released whatever the capacity.
+    /// When the next message is released even without capacity; `None` if the backlog is empty.
     pub(crate) fn due(&self) -> Option<Time> {
         let first = self.waiting.first()?;
         let margin = self.margin.as_nanos() as u64;
--- a/crates/core/src/completed.rs
+++ b/crates/core/src/completed.rs
@@ -1,5 +1,5 @@
-//! [`CompletedIds`]: ids of messages that have ended, remembered for as long as a message lasts, so that a repeated
-//! submission does not count as a new message.
+//! [`CompletedIds`]: ids of messages that have ended, kept for the longest message deadline, so that a repeated
+//! submission is recognized and not delivered again.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -7,16 +7,17 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::MessageId;
 
-/// Ids remembered at most, to bound the memory; the oldest are forgotten first.
+/// Bounds the memory; beyond it the oldest ids are dropped.
 const MAX_COMPLETED_IDS: usize = 8192;
 
+/// When an id is dropped.
 #[derive(Debug)]
 struct Expiry {
     at: Time,
     id: MessageId,
 }
 
-/// Ids of messages that have ended, in the order in which they are forgotten.
+/// Ids of messages that have ended, with their expiry times.
 #[derive(Debug)]
 pub(crate) struct CompletedIds {
     retention: Duration,
@@ -25,7 +26,7 @@
 }
 
 impl CompletedIds {
-    /// Remembers ids for `retention`: the longest time that a message lasts.
+    /// Creates an empty set that keeps each id for `retention`: the longest deadline of any message class.
     pub(crate) fn new(retention: Duration) -> CompletedIds {
         CompletedIds {
             retention,
@@ -34,25 +35,25 @@
         }
     }
 
-    /// Whether the message has ended and its id is still remembered.
+    /// Whether the message has ended and its id has not expired.
     pub(crate) fn contains(&self, id: &MessageId) -> bool {
         self.ids.contains(id)
     }
 
-    /// Remembers an id for the whole retention. Returns when it ends.
+    /// Keeps an id for the whole retention. Returns when it expires.
     pub(crate) fn remember(&mut self, now: Time, id: &MessageId) -> Time {
         let until = now + self.retention;
         self.insert(now, id, until);
         until
     }
 
-    /// Remembers an id that an earlier process remembered until then, for the retention at most: its clock may have
-    /// been far ahead.
+    /// Restores an id that an earlier process kept until `until`. The id is kept for the retention at most, as the
+    /// clock of that process may have been far ahead.
     pub(crate) fn restore(&mut self, now: Time, id: &MessageId, until: Time) {
         self.insert(now, id, until.min(now + self.retention));
     }
 
-    /// Remembers an id, and forgets those that are due.
+    /// Adds an id, and drops the expired ids and those beyond [`MAX_COMPLETED_IDS`].
     fn insert(&mut self, now: Time, id: &MessageId, until: Time) {
         if self.ids.insert(id.clone()) {
             self.expiries.push_back(Expiry {
--- a/crates/core/src/detachments.rs
+++ b/crates/core/src/detachments.rs
@@ -1,12 +1,13 @@
-//! [`Detachments`]: the endpoints that operators have detached, as the next process reads them from the state file.
+//! [`Detachments`]: the endpoints that operators have detached, in the form in which the state file stores them.
 
 use serde::{Deserialize, Serialize};
 
-/// Endpoints detached by operators, and those attached again that are still warming up.
+/// Endpoints detached by operators, and endpoints attached again that are still warming up. The state file stores the
+/// field names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Detachments {
-    /// Endpoints that are detached.
+    /// Ids of the detached endpoints.
     pub out: Vec<String>,
-    /// Endpoints attached again that are warming up, each with the Unix time in nanoseconds of its attachment.
+    /// Ids of the endpoints that are warming up, each with the Unix time in nanoseconds of its attachment.
     pub back: Vec<(String, u64)>,
 }
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -1,4 +1,4 @@
-//! [`Effect`]: what the reducer asks for, and [`Record`]: what the journal keeps.
+//! [`Effect`], an action that the reducer requests from its caller, and [`Record`], an entry of the journal.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,155 +10,159 @@
 use crate::detachments::Detachments;
 use crate::message::{Answer, Envelope, FinalReport, Origin};
 
-/// One message in a call.
+/// One attempt to deliver a message, as part of a call.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The message.
+    /// Id of the message.
     pub id: String,
     /// Number of the attempt, from 0.
     pub number: u32,
-    /// Idempotency key: what the destination recognises a repeat by.
+    /// Idempotency key, by which the destination recognizes a repeated attempt.
     pub key: Option<String>,
-    /// The message's body.
+    /// Body of the message.
     pub body: Arc<[u8]>,
-    /// What the client ingress passed along with the message.
+    /// Path, headers and expiry that the client ingress passed with the message; `None` for other ingresses.
     pub envelope: Option<Arc<Envelope>>,
-    /// Time-out: the same for all attempts of a call.
+    /// When the attempt times out: the same time for all attempts of a call.
     pub until: Time,
-    /// A repeat that is not written whole by then must not be written: the earlier attempt may have been executed, and
-    /// its idempotency window ends.
+    /// Set for a repeated attempt: unless the request is written completely by this time, it must not be sent. An
+    /// earlier attempt may have been executed, and the destination no longer recognizes a repeat after the idempotency
+    /// window.
     pub write_by: Option<Time>,
 }
 
-/// What the reducer asks for.
+/// An action that the reducer requests from its caller.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Append these records to the journal, then pass in [`crate::Input::Persisted`].
     Persist(Vec<Record>),
-    /// Answer the client that submitted a message.
+    /// Send the answer about a message to the client that submitted it.
     Answer {
-        /// The client.
+        /// The client to be answered.
         to: Origin,
-        /// The message.
+        /// Id of the message.
         id: String,
-        /// The answer.
+        /// The answer to be sent.
         answer: Answer,
     },
-    /// Call an endpoint with one or several messages.
+    /// Call an endpoint with one or more messages.
     Call {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: EndpointId,
-        /// Its address.
+        /// Address of the endpoint, as discovery lists it.
         address: String,
-        /// The messages, at least one.
+        /// The attempts that the call carries, at least one.
         attempts: Vec<Attempt>,
     },
-    /// Report to the platform how an accepted message ended.
+    /// Report to the platform how an accepted message ended. Sent again after a restart until
+    /// [`crate::Input::FinalReportsAcknowledged`].
     SendFinalReport {
-        /// The message.
+        /// Id of the message.
         id: String,
-        /// How it ended.
+        /// How the message ended.
         final_report: FinalReport,
     },
-    /// Cancel calls to these endpoints of which nothing is written yet: they asked not to be called, or are removed.
+    /// Cancel the calls to these endpoints of which no byte has been written yet: the endpoints are draining or
+    /// removed, or their destination answered with a retry-after time.
     CancelUnwritten {
-        /// The endpoints.
+        /// Ids of the endpoints.
         endpoints: Vec<EndpointId>,
     },
     /// Close idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// Send a health check.
+    /// Send a health check to an endpoint; answered with [`crate::Input::HealthChecked`].
     CheckHealth {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: EndpointId,
-        /// Its address.
+        /// Address of the endpoint, as discovery lists it.
         address: String,
     },
-    /// Pass in [`crate::Input::TimerFired`] then.
+    /// Pass in [`crate::Input::TimerFired`] at this time.
     WakeAt(Time),
-    /// Replace the persisted learned state by this.
+    /// Replace the learned state in the state file by these bytes.
     PersistLearnedState(Vec<u8>),
-    /// The sender is back in full service, this long after its start.
+    /// The recovery after the restart is complete; carries the time since the start of the process.
     RecoveryComplete(Duration),
-    /// The fleet evacuates a zone, probes it or returns to it. For the log.
+    /// The fleet evacuates a zone, probes it or returns to it. Only for the log: the reducer has applied the change.
     Zone(cranehill_zone_failover::Change),
-    /// Persist the detachments, then answer the operator.
+    /// Persist the detachments, then answer the operator's request ([`crate::Input::Detach`]).
     Detached {
         /// Number of the operator's connection.
         by: usize,
-        /// False where the endpoint is not known, or no further one can be detached.
+        /// False if the endpoint is neither listed nor detached, or if the limits on detached endpoints allow no
+        /// further one.
         known: bool,
-        /// All detachments as of now.
+        /// All detachments after the request.
         now: Detachments,
     },
-    /// An effect of the fleet's membership.
+    /// An effect of the membership protocol.
     Fleet(membership::Effect),
 }
 
-/// What the journal keeps. Times are Unix times in nanoseconds.
+/// An entry of the journal. Times are Unix times in nanoseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// A message was accepted.
     Accepted {
-        /// The message.
+        /// Id of the message.
         id: String,
-        /// Position of its class in the settings.
+        /// Index of its class in the settings.
         class: usize,
-        /// Position of its tenant in the settings.
+        /// Index of its tenant in the settings.
         tenant: usize,
-        /// Where it is sent.
+        /// Id of its destination.
         destination: u64,
-        /// Idempotency key.
+        /// Idempotency key, if the client gave one.
         key: Option<String>,
         /// Messages with the same ordering key are sent one at a time, in order.
         ordering_key: Option<String>,
-        /// When it expires.
+        /// When the message expires.
         deadline: u64,
-        /// When it was accepted.
+        /// When the message was accepted.
         at: u64,
-        /// Its body.
+        /// Body of the message.
         body: Arc<[u8]>,
     },
     /// An attempt is about to be sent.
     AttemptStarted {
-        /// The message.
+        /// Id of the message.
         id: String,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// Where it is sent.
+        /// Id of the endpoint that is called.
         endpoint: String,
-        /// When it was started.
+        /// When the attempt was started.
         at: u64,
     },
     /// An attempt has finished without ending the message.
     AttemptFinished {
-        /// The message.
+        /// Id of the message.
         id: String,
         /// Number of the attempt, from 0.
         attempt: u32,
-        /// It was certainly not executed.
+        /// True if the attempt was certainly not executed; otherwise it was possibly executed.
         not_executed: bool,
     },
     /// The message has ended; the platform has not acknowledged the final report yet.
     FinalReportDue {
-        /// The message.
+        /// Id of the message.
         id: String,
-        /// How it ended.
+        /// How the message ended.
         final_report: FinalReport,
-        /// No other message of this key is sent until the report is acknowledged.
+        /// Ordering key of the message; no other message of this key is sent until the report is acknowledged.
         ordering_key: Option<String>,
     },
     /// The message is completed: no attempt or report remains.
     Completed {
-        /// The message.
+        /// Id of the message.
         id: String,
-        /// Until when its id is remembered.
+        /// Until when the id is kept, to recognize a repeated submission.
         until: u64,
     },
 }
 
 impl Record {
-    /// The id of the message.
+    /// Id of the message that the record is about.
     pub fn id(&self) -> &str {
         match self {
             Record::Accepted { id, .. }
@@ -169,8 +173,8 @@
         }
     }
 
-    /// Whether it records the end of something that has happened already: unlike a new message or attempt, that can't be
-    /// refused for want of space, only written later.
+    /// Whether the record is about an event that has already happened. Unlike a new message or attempt, such a record
+    /// can't be refused when the journal is full, only written later.
     pub fn is_end(&self) -> bool {
         matches!(
             self,
--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! [`EndpointList`]: the endpoints that discovery lists, indexed by id, destination and zone.
 //!
-//! The cost of a change is proportional to the entries in it, and that of a whole list is one merge pass. A destination
-//! whose last endpoint is removed stays known for ten minutes, as all of its endpoints may be in the middle of being
+//! The cost of an incremental update is proportional to the number of entries in it; a full list is merged in one pass.
+//! A destination whose last endpoint is removed stays known for ten minutes, as all of its endpoints may be being
 //! replaced.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
 /// How long a destination without endpoints stays known.
 pub(crate) const DESTINATION_RETENTION: Duration = Duration::from_secs(600);
 
-/// An endpoint as it was listed last. Its id is the key in [`EndpointList`].
+/// The latest entry of an endpoint. Its id is the key in [`EndpointList::endpoints`].
 #[derive(Debug)]
 struct ListedEndpoint {
     destination: DestinationId,
@@ -26,13 +26,13 @@
     address: String,
 }
 
-/// What an update of the list did.
+/// The result of an update of the list.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ListUpdate {
-    /// Endpoints that take no new work from now on: those that a whole list no longer names, in the order of their ids,
-    /// then those that the update names as draining or removed.
+    /// Endpoints that receive no new calls from now on: first those missing from a full list, in the order of their
+    /// ids, then those that the update lists as draining or removed.
     pub closed: Vec<EndpointId>,
-    /// Entries examined, of the update and of the list: a measure of its cost.
+    /// Number of entries examined, in the update and in the list: a measure of the cost of the update.
     pub visited: usize,
 }
 
@@ -41,15 +41,17 @@
 pub struct EndpointList {
     endpoints: BTreeMap<EndpointId, ListedEndpoint>,
     by_destination: BTreeSet<(DestinationId, EndpointId)>,
+    /// Number of endpoints by zone; zones without endpoints are left out.
     zones: BTreeMap<u32, usize>,
-    /// Destinations without an endpoint, and since when.
+    /// Destinations that have lost their last endpoint, and when.
     unlisted: BTreeMap<DestinationId, Time>,
-    /// The same in the order of these times.
+    /// The destinations of `unlisted`, ordered by time.
     unlisted_order: BTreeSet<(Time, DestinationId)>,
 }
 
 impl EndpointList {
-    /// Replaces the list by a `whole` one, or applies changes to it. Of several entries for one endpoint the last counts.
+    /// Replaces the list if `whole` is true; otherwise applies `list` as changes. If an endpoint has several entries,
+    /// the last one applies.
     pub fn update(&mut self, now: Time, whole: bool, list: Vec<Listing>) -> ListUpdate {
         let mut update = ListUpdate {
             closed: Vec::new(),
@@ -65,7 +67,7 @@
             .collect();
         if whole {
             update.visited += self.endpoints.len();
-            update.closed = self.not_named(&named);
+            update.closed = self.missing_from(&named);
             for id in &update.closed {
                 self.remove(now, id);
             }
@@ -77,11 +79,11 @@
                 Condition::Ready | Condition::Draining => self.insert(now, id, entry, address),
             }
         }
-        update.visited += self.forget(now);
+        update.visited += self.forget_expired(now);
         update
     }
 
-    /// Whether the destination has a listed endpoint, or had one in the last ten minutes.
+    /// Whether the destination has an endpoint, or lost its last one less than ten minutes ago.
     pub fn knows(&self, destination: DestinationId) -> bool {
         self.has_endpoints(destination) || self.unlisted.contains_key(&destination)
     }
@@ -95,22 +97,22 @@
             .map(|(_, id)| id)
     }
 
-    /// How many endpoints are listed in each zone that has any.
+    /// Number of listed endpoints by zone; zones without endpoints are left out.
     pub fn zones(&self) -> &BTreeMap<u32, usize> {
         &self.zones
     }
 
-    /// The zone of an endpoint.
+    /// Zone of a listed endpoint.
     pub fn zone(&self, id: &EndpointId) -> Option<u32> {
         self.endpoints.get(id).map(|listed| listed.zone)
     }
 
-    /// The address of an endpoint.
+    /// Address of a listed endpoint.
     pub fn address(&self, id: &EndpointId) -> Option<&str> {
         self.endpoints.get(id).map(|listed| listed.address.as_str())
     }
 
-    /// An endpoint as it was listed last.
+    /// The latest entry of a listed endpoint.
     pub fn entry(&self, id: &EndpointId) -> Option<Entry> {
         let listed = self.endpoints.get(id)?;
         Some(Entry {
@@ -123,23 +125,23 @@
         })
     }
 
-    /// Whether the endpoint is listed.
+    /// Whether the list has an endpoint with this id.
     pub fn contains(&self, id: &EndpointId) -> bool {
         self.endpoints.contains_key(id)
     }
 
-    /// Endpoints listed.
+    /// Number of listed endpoints.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Whether no endpoint is listed.
+    /// Whether the list has no endpoint.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// Endpoints that this whole list does not name: both are in the order of their ids, and compared in one pass.
-    fn not_named(&self, named: &BTreeMap<EndpointId, Listing>) -> Vec<EndpointId> {
+    /// Listed endpoints that are missing from a full list: both are ordered by id and compared in one pass.
+    fn missing_from(&self, named: &BTreeMap<EndpointId, Listing>) -> Vec<EndpointId> {
         let mut named = named.keys().peekable();
         let mut missing = Vec::new();
         for id in self.endpoints.keys() {
@@ -169,8 +171,8 @@
             address,
         };
         match self.endpoints.get_mut(&id) {
-            Some(known) if known.destination == destination && known.zone == zone => {
-                *known = listed;
+            Some(current) if current.destination == destination && current.zone == zone => {
+                *current = listed;
                 return;
             }
             Some(_) => self.remove(now, &id),
@@ -206,16 +208,16 @@
         self.of_destination(destination).next().is_some()
     }
 
-    /// Forgets destinations that have been without an endpoint for too long, the oldest first. Returns how many.
-    fn forget(&mut self, now: Time) -> usize {
-        let mut forgotten = 0;
+    /// Drops destinations that have been without an endpoint for [`DESTINATION_RETENTION`]. Returns their number.
+    fn forget_expired(&mut self, now: Time) -> usize {
+        let mut forgotten_count = 0;
         while let Some(&(since, destination)) = self.unlisted_order.first()
             && now - since >= DESTINATION_RETENTION
         {
             self.unlisted_order.pop_first();
             self.unlisted.remove(&destination);
-            forgotten += 1;
+            forgotten_count += 1;
         }
-        forgotten
+        forgotten_count
     }
 }
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! [`Endpoints`]: what discovery lists, combined with what operators have detached.
+//! [`Endpoints`]: the endpoint list of discovery, combined with the detachments by operators.
 
 use std::time::Duration;
 
@@ -11,29 +11,30 @@
 use crate::endpoint_list::EndpointList;
 use crate::message::Listing;
 
-/// What an operator asks for: to detach an endpoint, or to attach it again.
+/// An operator's request to detach an endpoint, or to attach it again.
 pub(crate) struct DetachRequest {
-    /// Number of the operator's connection, for the answer.
-    pub(crate) by: usize,
+    /// Number of the operator's connection, to which the answer is sent.
+    pub(crate) connection: usize,
     pub(crate) endpoint: EndpointId,
+    /// True to attach the endpoint, false to detach it.
     pub(crate) attach: bool,
 }
 
-/// What a request changes.
+/// The result of a [`DetachRequest`].
 pub(crate) struct DetachResult {
     pub(crate) effects: Vec<Effect>,
-    /// The endpoint's changed entry, for the scheduler.
+    /// The endpoint's entry for the scheduler, if it has changed.
     pub(crate) entry: Option<Entry>,
 }
 
-/// What an update of the list changes.
+/// The result of an update of the endpoint list.
 pub(crate) struct EndpointsUpdate {
-    /// The update as the scheduler sees it.
+    /// The update as passed to the scheduler, with detached endpoints as draining.
     pub(crate) entries: Vec<Entry>,
     pub(crate) effects: Vec<Effect>,
 }
 
-/// The endpoints as discovery lists them, and those of them that are detached.
+/// The endpoint list of discovery, and the detached endpoints.
 #[derive(Debug)]
 pub(crate) struct Endpoints {
     list: EndpointList,
@@ -41,7 +42,7 @@
 }
 
 impl Endpoints {
-    /// None; endpoints that are attached again warm up for `warm_up`.
+    /// Creates an empty list; endpoints that are attached again warm up for `warm_up`.
     pub(crate) fn new(warm_up: Duration) -> Endpoints {
         Endpoints {
             list: EndpointList::default(),
@@ -49,12 +50,12 @@
         }
     }
 
-    /// The endpoints as they are listed.
+    /// The endpoint list as discovery sent it, regardless of detachments.
     pub(crate) fn list(&self) -> &EndpointList {
         &self.list
     }
 
-    /// Updates the list by a whole one, or by changes to it.
+    /// Replaces the list if `whole` is true; otherwise applies `listings` as changes.
     pub(crate) fn update(
         &mut self,
         now: Time,
@@ -69,7 +70,7 @@
         log::debug!(visited = update.visited; "endpoint list: {} entries visited", update.visited);
         self.detached
             .forget_unlisted(now, |id| self.list.contains(id));
-        // Idle connections to closed endpoints must not reach whoever gets their addresses next.
+        // The address of a closed endpoint may be reassigned: an idle connection must not be reused for the new owner.
         let close_idle = update.closed.iter().cloned().map(Effect::CloseIdle);
         let mut effects: Vec<Effect> = close_idle.collect();
         effects.push(Effect::CancelUnwritten {
@@ -78,13 +79,13 @@
         EndpointsUpdate { entries, effects }
     }
 
-    /// The effect that sends a health check, where the endpoint is listed.
+    /// The effect that sends a health check to the endpoint; `None` if it is not listed.
     pub(crate) fn check_health(&self, endpoint: EndpointId) -> Option<Effect> {
         let address = self.list.address(&endpoint)?.to_owned();
         Some(Effect::CheckHealth { endpoint, address })
     }
 
-    /// The effect that cancels calls to a destination of which nothing is written yet.
+    /// The effect that cancels the calls to a destination of which no byte has been written yet.
     pub(crate) fn cancel_unwritten(&self, destination: DestinationId) -> Effect {
         let endpoints = self.list.of_destination(destination);
         Effect::CancelUnwritten {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Detaches an endpoint or attaches it again, as an operator asks.
+    /// Handles an operator's request to detach an endpoint or to attach it again.
     pub(crate) fn detach(
         &mut self,
         now: Time,
@@ -100,14 +101,14 @@
         scheduler: &mut Scheduler,
     ) -> DetachResult {
         let DetachRequest {
-            by,
+            connection,
             endpoint: id,
             attach,
         } = request;
         let listed = self.list.contains(&id);
         let was_detached = self.detached.contains(&id);
-        let may_change = attach || self.detached.has_capacity_for(&id);
-        let known = was_detached || listed && may_change;
+        let is_within_limits = attach || self.detached.has_capacity_for(&id);
+        let known = was_detached || listed && is_within_limits;
         if attach {
             self.detached.attach(&id);
         } else if known {
@@ -125,19 +126,19 @@
                     endpoints: vec![id.clone()],
                 });
             }
-            // Idle connections are of the endpoint as it was: it may be restarted before it is attached.
+            // The endpoint may be restarted while it is detached, which would invalidate the idle connections.
             effects.push(Effect::CloseIdle(id.clone()));
             entry = self.entry(now, &id);
         }
         effects.push(Effect::Detached {
-            by,
+            by: connection,
             known,
             now: self.detached.snapshot(),
         });
         DetachResult { effects, entry }
     }
 
-    /// Restores what an earlier process had detached. Returns the changed entries, for the scheduler.
+    /// Restores the detachments of an earlier process. Returns the changed entries, for the scheduler.
     pub(crate) fn restore_detachments(&mut self, now: Time, before: Detachments) -> Vec<Entry> {
         let detached = self.detached.restore_detached(now, before.out);
         let entries = detached
@@ -149,12 +150,13 @@
         entries
     }
 
-    /// Before the scheduler decides: admits what endpoints that are warming up can serve now.
+    /// Called before the scheduler decides in a tick: sets the rate that each endpoint admits at its stage of the
+    /// warm-up.
     pub(crate) fn admit_warming_up(&mut self, now: Time, scheduler: &mut Scheduler) {
         self.detached.admit_warming_up(now, scheduler);
     }
 
-    /// An endpoint's entry as the scheduler sees it.
+    /// The entry of a listed endpoint as passed to the scheduler: draining if it is detached.
     fn entry(&mut self, now: Time, id: &EndpointId) -> Option<Entry> {
         let entry = self.list.entry(id)?;
         Some(self.detached.apply_to(now, entry))
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,4 +1,5 @@
-//! [`Fleet`]: the other senders, the zones as all of them see these, and the recovery with their help.
+//! [`Fleet`]: the membership in a fleet, the zones that the fleet evacuates together, and the recovery after a restart,
+//! which requests learned state from other members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,12 +14,12 @@
 use crate::recovery::RecoveryProgress;
 use crate::zones::FleetZones;
 
-/// What this sender shares with the others of its fleet.
+/// The state that depends on the other members of the fleet.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
-    /// Where this sender is a member of a fleet.
+    /// `None` if this sender is not a member of a fleet.
     members: Option<Members>,
-    /// Where the fleet evacuates zones together.
+    /// `None` if the fleet does not evacuate zones.
     zones: Option<FleetZones>,
     pub(crate) recovery: RecoveryProgress,
     /// The version of the members' payloads that the zones were last updated for.
@@ -26,34 +27,34 @@
 }
 
 impl Fleet {
-    /// Becomes a member.
+    /// Joins the fleet. `seed` is that of the random draws of the membership protocol.
     pub(crate) fn join(&mut self, now: Time, settings: membership::Settings, seed: u64) {
         self.members = Some(Members::new(settings, seed, now));
     }
 
-    /// The members as this one sees them.
+    /// The fleet's members as known to this sender; `None` if it is not a member.
     pub(crate) fn members(&self) -> Option<&Members> {
         self.members.as_ref()
     }
 
-    /// Evacuates zones, and returns to them, together with the other members.
+    /// Enables zone failover: the members decide together which zones to evacuate and when to return to them.
     pub(crate) fn manage_zones(&mut self, settings: ZoneSettings) {
         self.zones = Some(FleetZones::new(settings));
     }
 
-    /// The state of each zone, where the fleet manages them.
+    /// The state of each zone; `None` if zone failover is not enabled.
     pub(crate) fn zone_states(&self) -> Option<Vec<(u32, ZoneState)>> {
         self.zones.as_ref().map(FleetZones::states)
     }
 
-    /// How many endpoints each zone has.
+    /// Sets the number of endpoints by zone.
     pub(crate) fn set_zone_endpoint_counts(&mut self, endpoints: &BTreeMap<u32, usize>) {
         if let Some(zones) = &mut self.zones {
             zones.set_endpoint_counts(endpoints);
         }
     }
 
-    /// An attempt to an endpoint has finished; `zone` is that of the endpoint, where it is listed.
+    /// Records a finished attempt; `zone` is the zone of the endpoint, `None` if it is not listed.
     pub(crate) fn record_attempt(
         &mut self,
         now: Time,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Passes an input to the membership. Events for the scheduler are added to `events`.
+    /// Passes an input to the membership protocol. Events for the scheduler are appended to `events`.
     pub(crate) fn step(
         &mut self,
         now: Time,
@@ -80,11 +81,11 @@
         let mut effects = Vec::new();
         for effect in members.step(now, input) {
             match effect {
-                membership::Effect::LearnedRequested { by } => {
-                    effects.extend(self.send_learned_state(now, by, scheduler, events));
+                membership::Effect::LearnedRequested { by: member } => {
+                    effects.extend(self.send_learned_state(now, member, scheduler, events));
                 }
-                membership::Effect::LearnedReceived { by, piece } => {
-                    effects.extend(self.recovery.on_peer_reply(now, by, &piece));
+                membership::Effect::LearnedReceived { by: member, piece } => {
+                    effects.extend(self.recovery.on_peer_reply(now, member, &piece));
                 }
                 membership::Effect::ShareDivisor(senders) => {
                     events.push(Event::SenderCount(senders));
@@ -95,7 +96,7 @@
         }
         if self.zones.is_some() {
             let version = self.members.as_ref().map_or(0, Members::payloads_version);
-            // The next tick evaluates what members announce of zones.
+            // The zone announcements have changed: they are evaluated in the next tick, which is requested at once.
             if self.payloads_version != version {
                 self.payloads_version = version;
                 effects.push(Effect::WakeAt(now));
@@ -117,8 +118,8 @@
         self.step(now, input, scheduler, events)
     }
 
-    /// Before the scheduler decides: evaluates what members announce of zones, applies what changes, and announces this
-    /// member's view.
+    /// Called before the scheduler decides in a tick: evaluates the zone announcements of all members, applies the
+    /// changes to the scheduler, and announces this member's view of the zones.
     pub(crate) fn update_zones(
         &mut self,
         now: Time,
@@ -136,8 +137,8 @@
         effects
     }
 
-    /// Asks other members for their learned state, where that is due.
-    pub(crate) fn ask_for_learned_state(
+    /// Requests learned state from other members, if a request is due.
+    pub(crate) fn request_learned_state(
         &mut self,
         now: Time,
         scheduler: &Scheduler,
--- a/crates/core/src/input.rs
+++ b/crates/core/src/input.rs
@@ -1,4 +1,4 @@
-//! [`Input`]: what the reducer is notified of.
+//! [`Input`]: an event that is passed to the reducer.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 /// How one attempt of a message finished.
 #[derive(Clone, Debug)]
 pub struct AttemptOutcome {
-    /// The message.
+    /// Id of the message.
     pub id: String,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// How it finished.
+    /// Result of the attempt.
     pub status: Status,
-    /// The destination says that the message needs no further attempt.
+    /// True if the message needs no further attempt, whatever the status, as its destination has answered so.
     pub over: bool,
     /// Time from the start of the attempt to its end.
     pub took: Duration,
-    /// How long the destination asks not to be called.
+    /// Retry-after time of the answer: no call to the destination for this long.
     pub retry_after: Option<Duration>,
-    /// The destination's load report.
+    /// Load report of the destination, if the answer has one.
     pub report: Option<Report>,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The outcome for the scheduler; `completed` where the message has ended.
+    /// Converts the outcome into an event for the scheduler; `completed` is true if the message has ended.
     pub(crate) fn into_event(self, completed: bool) -> Event {
         Event::Outcome(Outcome {
             id: MessageId(self.id),
@@ -55,67 +55,67 @@
     }
 }
 
-/// What the reducer is notified of.
+/// An event that is passed to the reducer.
 #[derive(Debug)]
 pub enum Input {
     /// A client submitted a message.
     Submitted(Message),
-    /// The client that waited for the end of this message has disconnected.
+    /// The client that waited for the end of the message with this id has disconnected.
     Cancelled(String),
-    /// Discovery sent its endpoint list, or changes to it.
+    /// Discovery sent the full endpoint list, or changes to it.
     EndpointsChanged {
-        /// The entries replace the list; otherwise they are changes to it.
+        /// True if the entries replace the list, false if they are changes to it.
         whole: bool,
-        /// The entries.
+        /// Entries of the list, or the changed ones.
         list: Vec<Listing>,
     },
     /// Attempts have finished.
     AttemptsFinished(Vec<AttemptOutcome>),
     /// A health check has finished.
     HealthChecked {
-        /// The endpoint that was checked.
+        /// Id of the endpoint that was checked.
         endpoint: EndpointId,
-        /// How the check finished.
+        /// Result of the health check.
         status: Status,
     },
     /// The timer requested with [`crate::Effect::WakeAt`] has fired.
     TimerFired,
-    /// All inputs of this tick have been passed in.
+    /// All inputs of this tick have been passed in: the scheduler decides on them.
     TickEnded,
     /// The journal has written the records of [`crate::Effect::Persist`], or some of them.
     Persisted(Persisted),
-    /// The platform has acknowledged the final reports of these messages.
+    /// The platform has acknowledged the final reports of the messages with these ids.
     FinalReportsAcknowledged(Vec<String>),
     /// The records that an earlier process left in the journal.
     Recovered(Vec<Record>),
-    /// The process is about to end: no new attempts.
+    /// The process is shutting down: no new attempts are started.
     Stopping,
-    /// The learned state that an earlier process persisted ([`crate::Effect::PersistLearnedState`]).
+    /// The learned state that an earlier process persisted with [`crate::Effect::PersistLearnedState`].
     LearnedStateRestored(Vec<u8>),
-    /// Another process is about to take over: no new attempts while this is true.
+    /// Whether a hand-over to a new process is in progress: no new attempts are started while this is true.
     Quiesced(bool),
-    /// The learned state of the process that this one takes over from ([`crate::Core::learned_state`]).
+    /// The learned state of the previous process, received in a hand-over ([`crate::Core::learned_state`]).
     LearnedStateInherited(Vec<u8>),
-    /// An operator detaches an endpoint, or attaches it again. [`crate::Effect::Detached`] is the answer.
+    /// An operator detaches an endpoint, or attaches it again. Answered with [`crate::Effect::Detached`].
     Detach {
         /// Number of the operator's connection.
         by: usize,
         /// Id of the endpoint.
         endpoint: String,
-        /// Attach it again.
+        /// True to attach the endpoint, false to detach it.
         back: bool,
     },
-    /// An input for the fleet's membership, where this sender is a member ([`crate::Core::join`]).
+    /// An input for the membership protocol; ignored before [`crate::Core::join`].
     Fleet(membership::Input),
 }
 
-/// Which records of a tick the journal has written.
+/// Which records of [`crate::Effect::Persist`] the journal has written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Persisted {
-    /// All of them.
+    /// All records.
     All,
-    /// It had space for records of finished work only ([`Record::is_end`]).
+    /// Only the records for which [`Record::is_end`] is true: the journal had no space for new messages and attempts.
     EndsOnly,
-    /// None.
+    /// No record.
     Nothing,
 }
--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -1,17 +1,17 @@
-//! Invariants of the reducer: where one does not hold, it is counted and logged.
+//! Invariants of the reducer: a violation is counted and logged.
 
-/// How often each invariant was violated since the start. Debug builds panic instead.
+/// Number of violations of each invariant since the start of the process. Debug builds panic at a violation.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Violations {
-    /// Attempts started for a message that had another one in flight.
+    /// An attempt was started for a message that had another attempt in flight.
     pub second_copy: u64,
-    /// Attempts started for a message that is not pending, or finished without having been in flight.
+    /// An attempt was started for a message that is not pending, or an attempt finished that was not in flight.
     pub unknown_message: u64,
-    /// Attempts started to an endpoint that is not listed.
+    /// An attempt was started to an endpoint that is not listed.
     pub unlisted_endpoint: u64,
 }
 
-/// Counts a violation in a field of [`Violations`] unless the condition holds, and logs it; debug builds panic.
+/// If the condition is false, increments a field of [`Violations`] and logs an error; debug builds panic.
 macro_rules! must_hold {
     ($violations:ident.$field:ident, $condition:expr, $($message:tt)+) => {
         if !$condition {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,19 +1,20 @@
 //! The state of a sender and the one reducer that changes it: [`Core::step`] takes an [`Input`] and returns the
 //! [`Effect`]s that follow from it. It does no I/O and reads no clock.
 //!
-//! When and where a message is sent, and whether it is sent again, is decided by [`cranehill_scheduler::Scheduler`].
-//! A tick has two steps: [`Input::TickEnded`] asks for the tick's [`Record`]s to be persisted, and only
-//! [`Input::Persisted`] releases the answers, calls and reports that depend on them. So nothing is promised or sent that
-//! the journal does not have.
+//! [`cranehill_scheduler::Scheduler`] decides when and where a message is sent, and whether it is sent again. A tick
+//! has two steps: [`Input::TickEnded`] requests that the tick's [`Record`]s be persisted, and only [`Input::Persisted`]
+//! returns the answers, calls and reports that depend on them. Thus no message is acknowledged or sent before the
+//! journal has its record.
 //!
 //! # Modules
 //!
-//! The reducer is the only module that knows all components; each of these owns its state and does not call back:
+//! The reducer is the only module that uses all components. Each component owns its state and does not call the
+//! reducer:
 //!
-//! - messages: those that are pending, with their order, the backlog, completed ids and final reports;
-//! - endpoints: the list of discovery, and what operators have detached;
-//! - the fleet: its members, the zones and the recovery;
-//! - the outbox: records for the journal, and the effects that wait for them.
+//! - messages: pending messages and their order, the backlog, completed ids and final reports;
+//! - endpoints: the endpoint list of discovery, and the detachments by operators;
+//! - fleet: members, zones and the recovery after a restart;
+//! - outbox: records for the journal, and the effects that wait until these are written.
 
 #[macro_use]
 mod invariant;
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,4 +1,4 @@
-//! [`Message`]: what clients submit, and how it ends.
+//! [`Message`]: a message as submitted by a client, the answers to the client and the final report.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,92 +6,94 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::Entry;
 
-/// What a client ingress passes along with a message; the core does not read it.
+/// Data that a client ingress passes with a message, for the delivery; the core does not read it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Envelope {
-    /// Path at the destination; empty for the usual one.
+    /// Request path at the destination; empty for the default path.
     pub path: String,
-    /// Headers that are sent unchanged.
+    /// Names and values of headers that are sent unchanged.
     pub headers: Vec<(String, String)>,
-    /// When it is of no use to its recipient any more.
+    /// When the message expires for its recipient.
     pub expires: Time,
 }
 
 /// A message as a client submits it.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its id; a second submission with the same id is the same message.
+    /// Id of the message; a second submission with the same id is treated as a repeat of the first.
     pub id: String,
-    /// Position of its class in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Position of its tenant in the settings.
+    /// Index of its tenant in the settings.
     pub tenant: usize,
-    /// Where it is sent.
+    /// Id of its destination.
     pub destination: u64,
-    /// Idempotency key: what the destination recognises a repeat by.
+    /// Idempotency key, by which the destination recognizes a repeated attempt.
     pub key: Option<String>,
     /// Messages with the same ordering key are sent one at a time, in the order of submission.
     pub ordering_key: Option<String>,
-    /// Its body.
+    /// Body of the message.
     pub body: Arc<[u8]>,
-    /// Time remaining for its delivery.
+    /// Time from the submission to its deadline.
     pub left: Duration,
-    /// Attempts already used of those that it may have.
+    /// Attempts made before the submission; they count towards the limit on attempts.
     pub spent: u32,
-    /// What the client ingress passes along with it.
+    /// Data that the client ingress passes with the message.
     pub envelope: Option<Arc<Envelope>>,
-    /// Who is answered.
+    /// Who receives the answer.
     pub from: Origin,
 }
 
-/// Who is answered about a message. Clients are known by the number of their connection.
+/// Who receives the answer about a message. A client is identified by the number of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A client that is answered when the message is accepted. The platform gets a final report if it is not delivered.
+    /// A client that is answered when the message is accepted. If the message ends undelivered, the platform receives a
+    /// final report.
     Client(usize),
-    /// A client that waits for the end of the message. It is never accepted, and so not restored after a restart.
+    /// A client that is answered when the message ends. The message is never accepted (not written to the journal), and
+    /// so not restored after a restart.
     Waiting(usize),
-    /// Nobody: an earlier process of this sender accepted it.
+    /// No client: the message was accepted by an earlier process of this sender, which answered the client.
     Restored,
 }
 
 /// The answer to the client that submitted a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The message is in the journal.
+    /// The message is in the journal, or is a repeat of one that was accepted.
     Accepted,
-    /// Not executed: submitting it again does no harm.
+    /// The message was not executed: the client can safely submit it again.
     Rejected {
-        /// When to submit it again, where that is known.
+        /// How long to wait before submitting it again, if known.
         after: Option<Duration>,
     },
-    /// Not delivered; it may have been executed, or can't be.
+    /// The message was not delivered, and either was possibly executed or can't be executed.
     Failed,
-    /// Delivered.
+    /// The message was delivered.
     Delivered,
-    /// The destination does not know the recipient any more.
+    /// The destination has answered that the recipient no longer exists.
     RecipientRemoved,
-    /// Its deadline has passed.
+    /// The deadline of the message has passed without a delivery.
     Expired,
 }
 
-/// How an accepted message ended without delivery, as reported to the platform.
+/// How an accepted message ended undelivered, as reported to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalReport {
-    /// Not executed: submitting it again does no harm.
+    /// The message was not executed: the platform can safely submit it again.
     Returned {
-        /// When to submit it again, in milliseconds; 0 where that is not known.
+        /// How long to wait before submitting it again, in milliseconds; 0 if unknown.
         after_ms: u64,
     },
-    /// It may have been executed, or can't be.
+    /// The message was possibly executed, or can't be executed.
     Failed,
 }
 
 /// One endpoint as discovery lists it.
 #[derive(Clone, Debug)]
 pub struct Listing {
-    /// The endpoint as the scheduler sees it.
+    /// The entry as passed to the scheduler.
     pub entry: Entry,
-    /// The address that it is called at.
+    /// Address at which the endpoint is called.
     pub address: String,
 }
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -1,5 +1,5 @@
-//! [`Messages`]: every message from its submission to the end: pending, waiting in the backlog, completed, or with a
-//! final report that the platform has not acknowledged.
+//! [`Messages`]: the state of all messages: pending, waiting in the backlog, completed, or ended with a final report
+//! that the platform has not acknowledged.
 
 use std::time::Duration;
 
@@ -19,24 +19,26 @@
 use crate::pending_message::{InFlightAttempt, PendingMessage, Verdict};
 use crate::recovered::{hand_over_deadlines, replay};
 
-/// Messages of the backlog are handed over this many ticks before they are due: the scheduler ends them then.
+/// Messages of the backlog are handed over at the latest this many ticks before `hand_over_by`, so that the scheduler
+/// can still end them in time.
 const BACKLOG_MARGIN_TICKS: u32 = 3;
-/// When a client may submit a message again that it has submitted twice in one tick.
+/// Retry-after time in the answer to a repeated submission of a message that is not acknowledged yet.
 const REPEAT_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// An attempt of a pending message that has finished.
+/// The result of recording that an attempt of a pending message has finished.
 pub(crate) struct FinishedAttempt {
-    /// The attempt; nothing if it was not in flight.
+    /// The attempt; `None` if it was not in flight.
     pub(crate) in_flight: Option<InFlightAttempt>,
     pub(crate) destination: DestinationId,
-    /// The message needs no further attempt.
+    /// Whether the message needs no further attempt.
     pub(crate) completed: bool,
 }
 
-/// A message that the scheduler has ended without delivery.
+/// A message that the scheduler has ended undelivered.
 pub(crate) struct EndedMessage {
     pub(crate) destination: DestinationId,
-    /// The next message of this key may be sent: there is no report to wait for.
+    /// The message's ordering key, if the next message of this key may be sent at once, without waiting for the
+    /// acknowledgement of a final report.
     pub(crate) released_key: Option<OrderingKey>,
 }
 
@@ -44,18 +46,18 @@
 pub(crate) struct RestoredMessage {
     pub(crate) id: MessageId,
     pub(crate) destination: DestinationId,
-    /// When the scheduler must have it.
+    /// Latest time to hand the message over to the scheduler.
     pub(crate) hand_over_by: Time,
 }
 
-/// What the backlog releases.
+/// The result of releasing messages from the backlog.
 pub(crate) struct BacklogRelease {
     pub(crate) messages: Vec<AcceptedMessage>,
-    /// When to try again, if any message waits.
+    /// When to release again; `None` if the backlog is empty.
     pub(crate) next: Option<Time>,
 }
 
-/// All messages, from submission to the end.
+/// The state of all messages.
 #[derive(Debug)]
 pub(crate) struct Messages {
     tick: Duration,
@@ -66,7 +68,7 @@
 }
 
 impl Messages {
-    /// No message yet.
+    /// Creates the state without messages.
     pub(crate) fn new(settings: &Settings) -> Messages {
         let deadlines = settings.classes.iter().map(|class| class.deadline);
         let longest_deadline = deadlines.max().unwrap_or_default();
@@ -79,22 +81,23 @@
         }
     }
 
-    /// Pending messages.
+    /// Number of pending messages.
     pub(crate) fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Final reports that the platform has not acknowledged.
+    /// Number of final reports that the platform has not acknowledged.
     pub(crate) fn report_count(&self) -> usize {
         self.final_reports.len()
     }
 
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub(crate) fn in_flight_count(&self) -> usize {
         self.pending.in_flight()
     }
 
-    /// Records all pending messages as completed though they are not: only for the mutation that leaks them.
+    /// Records all pending messages as completed although they are not: only for
+    /// [`crate::mutation::Mutation::LeaksAtStop`].
     pub(crate) fn forget_pending(&self, now: Time) -> Effect {
         let completed = self.pending.ids().map(|id| Record::Completed {
             id: id.0.clone(),
@@ -103,14 +106,14 @@
         Effect::Persist(completed.collect())
     }
 
-    /// The pending message with this id.
+    /// The pending message with this id, for a change.
     pub(crate) fn pending_mut(&mut self, id: &MessageId) -> Option<&mut PendingMessage> {
         self.pending.get_mut(id)
     }
 
-    /// The answer to a message whose id is known: a client submits it again where it did not receive the answer. A
-    /// completed message is not sent again under its id, even if somebody else submits another one under it.
-    pub(crate) fn answer_to_repeat(&self, id: &MessageId, from: Origin) -> Option<Answer> {
+    /// The answer to a repeated submission, by a client that has not received the first answer; `None` if the id is
+    /// new. A completed message is not sent again, even if another client submits a different message under its id.
+    pub(crate) fn answer_to_repeat(&self, id: &MessageId, origin: Origin) -> Option<Answer> {
         if let Some(pending) = self.pending.get(id) {
             let after = Some(REPEAT_RETRY_AFTER);
             return Some(if pending.accepted {
@@ -119,11 +122,11 @@
                 Answer::Rejected { after }
             });
         }
-        let is_repeat = self.completed.contains(id) && matches!(from, Origin::Client(_));
+        let is_repeat = self.completed.contains(id) && matches!(origin, Origin::Client(_));
         is_repeat.then_some(Answer::Accepted)
     }
 
-    /// Adds a submitted message. Returns what the scheduler gets.
+    /// Adds a submitted message. Returns the messages to be handed over to the scheduler.
     pub(crate) fn submit(&mut self, now: Time, message: Message) -> Vec<AcceptedMessage> {
         let id = MessageId(message.id.clone());
         let deadline = now + message.left;
@@ -131,17 +134,18 @@
         self.pending.hand_over(now, &id)
     }
 
-    /// Removes a message without an answer. False if it is not pending.
+    /// Removes a pending message; its client is not answered. Returns false if it is not pending.
     pub(crate) fn cancel(&mut self, id: &MessageId) -> bool {
         self.pending.remove(id).is_some()
     }
 
-    /// Brings the ages of messages in events up to date.
+    /// Updates the times of the messages in `events` to `now`.
     pub(crate) fn refresh(&self, now: Time, events: &mut [Event]) {
         self.pending.refresh(now, events);
     }
 
-    /// Accepts what was submitted in this tick and has not ended in it. Returns the answers, which wait for the journal.
+    /// Accepts the messages that were submitted in this tick and have not ended in it. Returns the answers, which must
+    /// not be sent before the journal has the records.
     pub(crate) fn accept_unacknowledged(&mut self, now: Time, outbox: &mut Outbox) -> Vec<Effect> {
         let mut answers = Vec::new();
         for acceptance in self.pending.accept_unacknowledged(now) {
@@ -151,7 +155,7 @@
         answers
     }
 
-    /// Records attempts of accepted messages; others are not restored after a restart.
+    /// Records the attempts of accepted messages; other messages are not restored after a restart.
     pub(crate) fn record_attempts(&self, records: Vec<Record>, outbox: &mut Outbox) {
         for record in records {
             if self.pending.is_accepted(&MessageId(record.id().to_owned())) {
@@ -160,7 +164,7 @@
         }
     }
 
-    /// An attempt has finished. Returns nothing if its message is not pending any more.
+    /// Handles a finished attempt. Returns `None` if its message is no longer pending.
     pub(crate) fn finish_attempt(
         &mut self,
         now: Time,
@@ -186,7 +190,7 @@
         Some(finished)
     }
 
-    /// A message needs no further attempt.
+    /// Completes a message that needs no further attempt.
     fn complete(&mut self, now: Time, id: MessageId, status: Status, outbox: &mut Outbox) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
@@ -208,7 +212,7 @@
         outbox.record(Record::Completed { id: id.0, until });
     }
 
-    /// The scheduler has ended a message without delivery. Returns nothing if it is not pending any more.
+    /// Ends a message that the scheduler gives up undelivered. Returns `None` if it is no longer pending.
     pub(crate) fn end(
         &mut self,
         now: Time,
@@ -264,8 +268,8 @@
         self.final_reports.insert(id, report);
     }
 
-    /// The platform has acknowledged the final report of a message. Returns the ordering key whose next message may be sent
-    /// now, if it has one.
+    /// Completes a message after the platform has acknowledged its final report. Returns the message's ordering key, if
+    /// any: the next message of this key may be sent now.
     pub(crate) fn acknowledge_report(
         &mut self,
         now: Time,
@@ -277,8 +281,8 @@
         report.ordering_key
     }
 
-    /// Restores what an earlier process left in the journal. Returns its pending messages, which the scheduler does not have
-    /// yet, in the order in which they were accepted.
+    /// Restores the state from the journal records of an earlier process. Returns the pending messages, in the order in
+    /// which they were accepted; they are not handed over to the scheduler yet.
     pub(crate) fn restore(
         &mut self,
         now: Time,
@@ -304,8 +308,8 @@
         restored
     }
 
-    /// The ordering keys that unacknowledged reports hold back.
-    pub(crate) fn held_back_keys(&self) -> impl Iterator<Item = &OrderingKey> {
+    /// The ordering keys of which no message is sent until a final report is acknowledged.
+    pub(crate) fn blocked_ordering_keys(&self) -> impl Iterator<Item = &OrderingKey> {
         self.final_reports.ordering_keys()
     }
 
@@ -314,7 +318,7 @@
         self.final_reports.resend()
     }
 
-    /// Adds a restored message to the backlog, unless it has ended meanwhile.
+    /// Adds a restored message to the backlog, unless it is no longer pending.
     pub(crate) fn add_to_backlog(&mut self, id: MessageId) {
         if let Some(pending) = self.pending.get(&id) {
             self.backlog.add(BacklogEntry {
@@ -325,7 +329,7 @@
         }
     }
 
-    /// Releases as much of the backlog as the scheduler has capacity for, and what is due.
+    /// Releases up to `capacity` messages of the backlog, and beyond that the messages that are due.
     pub(crate) fn release_backlog(&mut self, now: Time, capacity: usize) -> BacklogRelease {
         let ids = self.backlog.release(now, capacity);
         if ids.is_empty() {
--- a/crates/core/src/mutation.rs
+++ b/crates/core/src/mutation.rs
@@ -1,51 +1,52 @@
 //! Mutations: a build with the feature `mutations` can break one rule on purpose, to show that the auditor detects it.
-//! Other builds have no way to switch one on.
+//! Other builds can't enable a mutation.
 
 use cranehill_scheduler::api::{Condition, Effect, Settings, Status};
 
 use crate::input::AttemptOutcome;
 use crate::message::Listing;
 
-/// More attempts than any settings allow.
+/// A limit on attempts beyond that of any valid settings.
 const TOO_MANY_ATTEMPTS: u32 = 9;
 
 /// One way to break a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// The scheduler does not learn how long destinations ask not to be called.
+    /// Retry-after times of destinations are hidden from the scheduler.
     IgnoresWaits,
-    /// Endpoints that discovery lists as draining or removed stay in use.
+    /// Endpoints that discovery lists as draining or removed are still called.
     SendsToDrained,
     /// Every call is sent twice.
     TwoCopies,
-    /// Nothing is written to the journal.
+    /// No record is written to the journal.
     ForgetsJournal,
-    /// `+OK` is sent as soon as a message is received, and the message is lost if the process dies then.
+    /// `+OK` is sent as soon as a message is received, before the journal has it: a crash of the process then loses the
+    /// message.
     AnswersFirst,
     /// Final reports are not sent.
     DropsReports,
-    /// Failures are hidden from the scheduler: a destination that recovers gets the full load at once.
+    /// Failures are hidden from the scheduler, so that a destination receives the full load at once when it recovers.
     FloodsCold,
-    /// Answers are delayed until the client has disconnected.
+    /// Answers are withheld until the client has disconnected.
     HoldsAnswers,
-    /// A connection with bytes after an answer is used again.
+    /// A connection is reused although bytes follow an answer on it.
     ReusesSpoilt,
-    /// Messages that may have been executed are sent again whatever their class.
+    /// Possibly executed messages are sent again even if their class does not allow it.
     RepeatsUnsafe,
     /// Messages get more attempts than allowed.
     SeventhAttempt,
-    /// Pending messages are dropped at SIGTERM.
+    /// Pending messages are recorded as completed at SIGTERM, and so lost.
     LeaksAtStop,
     /// Some clients are disconnected without an answer.
     ClosesClients,
     /// Ordering keys are ignored.
     IgnoresOrder,
-    /// Messages restored after a restart have lost their ordering keys.
+    /// Messages are restored after a restart without their ordering keys.
     ForgetsOrder,
 }
 
 impl Mutation {
-    /// All mutations by their names.
+    /// All mutations with their names on the command line.
     pub const ALL: [(&'static str, Mutation); 15] = [
         ("ignores-waits", Mutation::IgnoresWaits),
         ("sends-to-drained", Mutation::SendsToDrained),
@@ -64,7 +65,7 @@
         ("forgets-order", Mutation::ForgetsOrder),
     ];
 
-    /// The mutation with this name.
+    /// Looks up a mutation by its name in [`Mutation::ALL`].
     pub fn named(name: &str) -> Option<Mutation> {
         Mutation::ALL
             .iter()
@@ -74,12 +75,13 @@
 }
 
 #[cfg(feature = "mutations")]
-static CHOSEN: std::sync::OnceLock<Mutation> = std::sync::OnceLock::new();
+static ENABLED_MUTATION: std::sync::OnceLock<Mutation> = std::sync::OnceLock::new();
 
-/// Switches a mutation on for the rest of the process. False where this build has none, or another one is on.
+/// Enables a mutation for the rest of the process. Returns false if this build has no mutations, or if one is enabled
+/// already.
 pub fn choose(mutation: Mutation) -> bool {
     #[cfg(feature = "mutations")]
-    return CHOSEN.set(mutation).is_ok();
+    return ENABLED_MUTATION.set(mutation).is_ok();
     #[cfg(not(feature = "mutations"))]
     {
         let _ = mutation;
@@ -87,10 +89,10 @@
     }
 }
 
-/// Whether a mutation is on.
+/// Whether this mutation is enabled.
 pub fn is(mutation: Mutation) -> bool {
     #[cfg(feature = "mutations")]
-    return CHOSEN.get() == Some(&mutation);
+    return ENABLED_MUTATION.get() == Some(&mutation);
     #[cfg(not(feature = "mutations"))]
     {
         let _ = mutation;
@@ -98,7 +100,8 @@
     }
 }
 
-/// True for one of each `calls` calls, for mutations that act now and then.
+/// True for one in `calls` invocations of this function, counted over the whole process: for mutations that break a
+/// rule only sometimes.
 pub fn one_in(calls: u64) -> bool {
     static CALLS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
     CALLS
@@ -106,7 +109,7 @@
         .is_multiple_of(calls)
 }
 
-/// Changes the settings, for mutations that need other ones.
+/// Applies the enabled mutation to the settings.
 pub(crate) fn apply_to_settings(settings: &mut Settings) {
     if is(Mutation::RepeatsUnsafe) {
         for class in &mut settings.classes {
@@ -118,7 +121,7 @@
     }
 }
 
-/// Changes how an attempt finished, for mutations that hide it from the scheduler.
+/// Applies the enabled mutation to the outcome of an attempt, to hide its result from the scheduler.
 pub(crate) fn apply_to_outcome(outcome: &mut AttemptOutcome) {
     if is(Mutation::IgnoresWaits) {
         outcome.retry_after = None;
@@ -134,10 +137,10 @@
     }
 }
 
-/// Changes an endpoint list, for mutations that hide parts of it from the scheduler. Returns whether it is still a whole
-/// one, as `whole` says it was.
+/// Applies the enabled mutation to an endpoint list, to hide entries from the scheduler. `whole` is whether the list is
+/// a full one; returns whether it still is.
 pub(crate) fn apply_to_endpoint_list(whole: bool, list: &mut Vec<Listing>) -> bool {
-    // Without a rate there is no token bucket that follows from it.
+    // A rate of 0 means that none is listed: the scheduler then derives no token bucket from it.
     if is(Mutation::FloodsCold) {
         for listing in list.iter_mut() {
             listing.entry.rate = 0.0;
--- a/crates/core/src/outbox.rs
+++ b/crates/core/src/outbox.rs
@@ -1,4 +1,4 @@
-//! [`Outbox`]: records for the journal, and the effects that wait until it has them.
+//! [`Outbox`]: records for the journal, and the effects that wait until these are written.
 
 use cranehill_scheduler::api::MessageId;
 
@@ -6,13 +6,14 @@
 use crate::input::Persisted;
 use crate::message::{Answer, Origin};
 
-/// Records of this tick, and what depends on them.
+/// The records of this tick, and the effects that depend on them.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     records: Vec<Record>,
-    /// Records of finished work that are with the journal. What it has no space for is written with the next tick.
+    /// Records of the last [`Effect::Persist`] for which [`Record::is_end`] is true. If the journal has no space for
+    /// them, they are written with the next tick.
     unpersisted: Vec<Record>,
-    /// Effects that wait for the journal.
+    /// Effects that wait until the journal has the records.
     deferred: Vec<Effect>,
 }
 
@@ -22,17 +23,17 @@
         self.records.push(record);
     }
 
-    /// Holds an effect back until the journal has the records of this tick.
+    /// Defers an effect until the journal has the records of this tick.
     pub(crate) fn defer(&mut self, effect: Effect) {
         self.deferred.push(effect);
     }
 
-    /// Holds several effects back until the journal has the records of this tick.
+    /// Defers several effects until the journal has the records of this tick.
     pub(crate) fn defer_all(&mut self, effects: impl IntoIterator<Item = Effect>) {
         self.deferred.extend(effects);
     }
 
-    /// Holds the answer about a message back until the journal has the records of this tick.
+    /// Defers the answer about a message until the journal has the records of this tick.
     pub(crate) fn defer_answer(&mut self, to: Origin, id: MessageId, answer: Answer) {
         self.defer(Effect::Answer {
             to,
@@ -41,13 +42,13 @@
         });
     }
 
-    /// Removes and returns the effects held back so far.
+    /// Removes and returns the effects deferred so far.
     pub(crate) fn take_deferred(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.deferred)
     }
 
-    /// Ends the tick, with all of its effects: asks for its records to be persisted, or returns the effects at once where
-    /// there is nothing to persist.
+    /// Ends the tick, with all of its effects. If the tick has records, returns only the request to persist them and
+    /// defers the effects; otherwise returns the effects.
     pub(crate) fn flush(&mut self, effects: Vec<Effect>) -> Vec<Effect> {
         if self.records.is_empty() {
             return effects;
@@ -58,10 +59,10 @@
         vec![Effect::Persist(records)]
     }
 
-    /// The journal has written the records, or some of them. Returns the effects that waited for them.
+    /// Handles the result of the journal's write. Returns the deferred effects.
     pub(crate) fn on_persisted(&mut self, persisted: Persisted) -> Vec<Effect> {
         let unpersisted = std::mem::take(&mut self.unpersisted);
-        // The next process would not know of an end that is not written: it is written with the next tick.
+        // If the end of an attempt or message were never written, the next process would treat it as open.
         if persisted == Persisted::Nothing {
             self.records.extend(unpersisted);
         }
--- a/crates/core/src/outgoing_calls.rs
+++ b/crates/core/src/outgoing_calls.rs
@@ -1,4 +1,4 @@
-//! [`OutgoingCalls`]: the attempts that a tick starts, combined into calls, and their records for the journal.
+//! [`OutgoingCalls`]: the attempts started in a tick, combined into calls, and their records for the journal.
 
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::EndpointId;
@@ -7,14 +7,14 @@
 use crate::mutation::{self, Mutation};
 use crate::pending_message::SendRequest;
 
-/// Bytes of a call with several messages at most: it is bounded like any other request body.
+/// Limit on the encoded bytes of a call with several messages; a single larger message is sent in a call of its own.
 const MAX_CALL_BYTES: usize = 64 * 1024;
-/// Bytes that an attempt adds to a call besides its body and key.
+/// Estimated bytes that an attempt adds to a call besides its body and idempotency key.
 const ATTEMPT_OVERHEAD_BYTES: usize = 128;
 
-/// A call to be made.
+/// One call to an endpoint, before it is sent.
 struct OutgoingCall {
-    /// The scheduler's number of it.
+    /// Number of the call, assigned by the scheduler ([`SendRequest::call`]).
     number: u64,
     endpoint: EndpointId,
     address: String,
@@ -22,14 +22,14 @@
 }
 
 impl OutgoingCall {
-    /// Whether another attempt fits into its body.
+    /// Whether another attempt fits within [`MAX_CALL_BYTES`].
     fn has_space_for(&self, attempt: &Attempt) -> bool {
         let used: usize = self.attempts.iter().map(encoded_bytes).sum();
         used + encoded_bytes(attempt) <= MAX_CALL_BYTES
     }
 
-    /// Adds an attempt. All attempts of a call share the earliest time-out: if one ended before the others, the answer
-    /// to the call would leave it open.
+    /// Adds an attempt. All attempts of a call share the earliest time-out: an attempt that timed out before the others
+    /// could not be resolved by the answer to the call.
     fn add(&mut self, attempt: Attempt) {
         let attempts = self.attempts.iter();
         let until = attempts
@@ -50,13 +50,13 @@
     }
 }
 
-/// Bytes of an attempt in a call, where bodies are in base 64.
+/// Estimated bytes of an attempt in a call, where bodies are encoded in base 64.
 fn encoded_bytes(attempt: &Attempt) -> usize {
     let key = attempt.key.as_ref().map_or(0, String::len);
     attempt.body.len() * 4 / 3 + key + ATTEMPT_OVERHEAD_BYTES
 }
 
-/// The calls of a tick.
+/// The calls started in a tick.
 #[derive(Default)]
 pub(crate) struct OutgoingCalls {
     calls: Vec<OutgoingCall>,
@@ -64,7 +64,7 @@
 }
 
 impl OutgoingCalls {
-    /// Adds an attempt to its call, or to a new one where that has no space left.
+    /// Adds an attempt to its call, or to a new call if it does not fit.
     pub(crate) fn add(
         &mut self,
         now: Time,
@@ -93,12 +93,12 @@
         }
     }
 
-    /// Removes and returns the records of the attempts, in the order in which these were added.
+    /// Removes and returns the records of the attempts, in the order in which the attempts were added.
     pub(crate) fn take_records(&mut self) -> Vec<Record> {
         std::mem::take(&mut self.records)
     }
 
-    /// The effects that make the calls.
+    /// Converts the calls into effects.
     pub(crate) fn into_effects(self) -> Vec<Effect> {
         let mut effects = Vec::new();
         for call in self.calls {
--- a/crates/core/src/pending.rs
+++ b/crates/core/src/pending.rs
@@ -1,4 +1,4 @@
-//! [`PendingMessages`]: all messages that have not ended, and the order in which the scheduler gets them.
+//! [`PendingMessages`]: all messages that have not ended, and the order in which they are handed over to the scheduler.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,14 +10,14 @@
 use crate::pending_message::{PendingMessage, PossibleExecution};
 use crate::submission_order::SubmissionOrder;
 
-/// A message submitted in this tick.
+/// A message submitted in this tick; ordered by `sequence`.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Unacknowledged {
     sequence: u64,
     id: MessageId,
 }
 
-/// What accepting a message takes: its record, and the answer that waits until the journal has it.
+/// The record of an accepted message, and the answer that must not be sent before the journal has the record.
 pub(crate) struct Acceptance {
     pub(crate) record: Record,
     pub(crate) answer: Effect,
@@ -28,20 +28,21 @@
 pub(crate) struct PendingMessages {
     messages: BTreeMap<MessageId, PendingMessage>,
     submission_order: SubmissionOrder,
-    /// Submitted in this tick and not answered yet, in the order of submission.
+    /// Messages submitted in this tick and not answered yet, in the order of submission.
     unacknowledged: BTreeSet<Unacknowledged>,
     last_sequence: u64,
 }
 
 impl PendingMessages {
-    /// Adds a message that a client submitted. It is answered at the end of the tick.
+    /// Adds a message that a client submitted. It can be accepted at the end of the tick.
     pub(crate) fn submit(&mut self, message: Message, deadline: Time) {
         let id = MessageId(message.id.clone());
         let sequence = self.insert(message, deadline, deadline, None);
         self.unacknowledged.insert(Unacknowledged { sequence, id });
     }
 
-    /// Adds a message that an earlier process accepted. The scheduler must have it at `hand_over_by`.
+    /// Adds a message that an earlier process accepted. `hand_over_by` is the latest time to hand it over to the
+    /// scheduler.
     pub(crate) fn restore(
         &mut self,
         message: Message,
@@ -52,7 +53,7 @@
         self.insert(message, deadline, hand_over_by, possibly_executed);
     }
 
-    /// Adds a message behind all others of its ordering key. Returns its sequence number.
+    /// Adds a message after all others of its ordering key. Returns its sequence number.
     fn insert(
         &mut self,
         message: Message,
@@ -72,17 +73,17 @@
         sequence
     }
 
-    /// The message with this id.
+    /// The pending message with this id.
     pub(crate) fn get(&self, id: &MessageId) -> Option<&PendingMessage> {
         self.messages.get(id)
     }
 
-    /// The message with this id.
+    /// The pending message with this id, for a change.
     pub(crate) fn get_mut(&mut self, id: &MessageId) -> Option<&mut PendingMessage> {
         self.messages.get_mut(id)
     }
 
-    /// Removes a message: it has ended, or is cancelled.
+    /// Removes a message that has ended or is cancelled.
     pub(crate) fn remove(&mut self, id: &MessageId) -> Option<PendingMessage> {
         let pending = self.messages.remove(id)?;
         self.unacknowledged.remove(&Unacknowledged {
@@ -92,17 +93,17 @@
         Some(pending)
     }
 
-    /// The ids of all messages.
+    /// Ids of all pending messages.
     pub(crate) fn ids(&self) -> impl Iterator<Item = &MessageId> {
         self.messages.keys()
     }
 
-    /// Messages that have not ended.
+    /// Number of pending messages.
     pub(crate) fn len(&self) -> usize {
         self.messages.len()
     }
 
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.messages
             .values()
@@ -117,12 +118,12 @@
             .is_some_and(|pending| pending.accepted)
     }
 
-    /// The message for the scheduler, after all of its ordering key that were submitted before it; nothing if the
-    /// scheduler has it already.
+    /// Returns a message to be handed over to the scheduler, preceded by all earlier messages of its ordering key that
+    /// have not been handed over. Empty if a message with an ordering key has been handed over already.
     pub(crate) fn hand_over(&mut self, now: Time, id: &MessageId) -> Vec<AcceptedMessage> {
         let ordering_key = self.messages.get(id).and_then(PendingMessage::ordering_key);
         let in_order = match ordering_key {
-            Some(key) => self.submission_order.take_through(&key, id),
+            Some(key) => self.submission_order.pop_through(&key, id),
             None => vec![id.clone()],
         };
         in_order
@@ -132,8 +133,8 @@
             .collect()
     }
 
-    /// Brings the ages in events up to date: with those of the time of hand-over, a repeat could be sent after the end
-    /// of its window.
+    /// Updates the times of the messages in `events` to `now`. With the times as of the hand-over, a repeat could be
+    /// sent after the end of its idempotency window.
     pub(crate) fn refresh(&self, now: Time, events: &mut [Event]) {
         for event in events {
             if let Event::Accept(accepted) = event
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Accepts the messages submitted in this tick that have not ended in it. Those of clients that wait for the end
-    /// are answered only then.
+    /// Accepts the messages that were submitted in this tick and have not ended in it, except those of clients that
+    /// wait for the end of the message: these are answered only then.
     pub(crate) fn accept_unacknowledged(&mut self, now: Time) -> Vec<Acceptance> {
         let mut accepted = Vec::new();
         for Unacknowledged { id, .. } in std::mem::take(&mut self.unacknowledged) {
--- a/crates/core/src/pending_message.rs
+++ b/crates/core/src/pending_message.rs
@@ -1,4 +1,4 @@
-//! [`PendingMessage`]: one message that has not ended, with its attempts so far.
+//! [`PendingMessage`]: one message that has not ended, and the state of its attempts.
 
 use std::time::Duration;
 
@@ -11,10 +11,11 @@
 use crate::message::{Answer, FinalReport, Message, Origin};
 use crate::mutation::{self, Mutation};
 
-/// The scheduler ends a message this many ticks before its deadline at the earliest: nothing can be sent in them.
+/// A rejected message counts as expired if at most this many ticks remain until its deadline: the scheduler ends
+/// messages that early, as no attempt can be sent in the remaining time.
 const EXPIRY_TICKS: u32 = 2;
 
-/// The first attempt of a message that may have been executed at its destination.
+/// The first attempt of a message that was possibly executed at its destination.
 #[derive(Clone, Debug)]
 pub(crate) struct PossibleExecution {
     pub(crate) at: Time,
@@ -22,19 +23,19 @@
     pub(crate) attempt: u32,
 }
 
-/// The attempt of a message that is in flight.
+/// The attempt of a message that is currently in flight.
 #[derive(Debug)]
 pub(crate) struct InFlightAttempt {
     pub(crate) number: u32,
     pub(crate) endpoint: EndpointId,
 }
 
-/// An attempt as the scheduler asks for it.
+/// A request of the scheduler to send an attempt.
 #[derive(Debug)]
 pub(crate) struct SendRequest {
     pub(crate) id: MessageId,
     pub(crate) endpoint: EndpointId,
-    /// Attempts with the same number share a call.
+    /// Number of the call; attempts with the same number share a call.
     pub(crate) call: u64,
     /// See [`Attempt::until`].
     pub(crate) until: Time,
@@ -42,17 +43,17 @@
     pub(crate) write_by: Option<Time>,
 }
 
-/// How the scheduler ends a message without delivery.
+/// How the scheduler ends a message that is not delivered.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Verdict {
-    /// Not executed: submitting it again does no harm.
+    /// The message was not executed: it can safely be submitted again.
     Rejected { retry_after: Option<Duration> },
-    /// It may have been executed, or can't be.
+    /// The message was possibly executed, or can't be executed.
     Failed,
 }
 
 impl Verdict {
-    /// The verdict as reported to the platform.
+    /// Converts the verdict into the final report to the platform.
     pub(crate) fn final_report(self) -> FinalReport {
         match self {
             Verdict::Rejected { retry_after } => FinalReport::Returned {
@@ -66,23 +67,25 @@
 /// A message that has not ended.
 #[derive(Debug)]
 pub(crate) struct PendingMessage {
-    /// Its position among all messages that were ever pending here.
+    /// Position among all messages of this process, in the order in which they became pending.
     pub(crate) sequence: u64,
     pub(crate) message: Message,
     pub(crate) deadline: Time,
-    /// When the scheduler must have it, for its own sake or for that of a later one of its ordering key.
+    /// Latest time to hand it over to the scheduler: the earliest such time of it and of the later messages with the
+    /// same ordering key.
     pub(crate) hand_over_by: Time,
-    /// Attempts started; the next one has this number.
+    /// Number of attempts started, including those before the submission; it is the number of the next attempt.
     attempts: u32,
     in_flight: Option<InFlightAttempt>,
     possibly_executed: Option<PossibleExecution>,
-    /// Its client has been answered so, or is as soon as the journal has its record.
+    /// Whether it is accepted: its record is in the journal, or is about to be written in this tick.
     pub(crate) accepted: bool,
+    /// Whether the destination has answered that the recipient no longer exists.
     recipient_removed: bool,
 }
 
 impl PendingMessage {
-    /// A message as it was submitted or recovered.
+    /// Creates the state of a message that was submitted or recovered, without an attempt in flight.
     pub(crate) fn new(
         sequence: u64,
         message: Message,
@@ -103,22 +106,22 @@
         }
     }
 
-    /// Where it is sent.
+    /// Id of its destination.
     pub(crate) fn destination(&self) -> DestinationId {
         DestinationId(self.message.destination)
     }
 
-    /// The key that it keeps its order within.
+    /// Its ordering key; messages with the same key are sent one at a time, in order.
     pub(crate) fn ordering_key(&self) -> Option<OrderingKey> {
         self.message.ordering_key.clone().map(OrderingKey)
     }
 
-    /// Whether an attempt is in flight.
+    /// Whether the message has an attempt in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// The journal's record of its acceptance.
+    /// The journal record of its acceptance at `now`.
     pub(crate) fn accepted_record(&self, now: Time) -> Record {
         let message = &self.message;
         Record::Accepted {
@@ -134,7 +137,7 @@
         }
     }
 
-    /// The message as the scheduler receives it, with its ages as of now.
+    /// Converts the message for the scheduler, with all times relative to `now`.
     pub(crate) fn to_scheduler(&self, now: Time) -> AcceptedMessage {
         let message = &self.message;
         let prior = PriorAttempts {
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Starts its next attempt.
+    /// Starts the next attempt. It counts as possibly executed until it finishes as not executed.
     pub(crate) fn start_attempt(&mut self, now: Time, request: &SendRequest) -> Attempt {
         let number = self.attempts;
         self.attempts += 1;
@@ -184,7 +187,7 @@
         }
     }
 
-    /// An attempt has finished. Returns it if it was in flight.
+    /// Handles a finished attempt. Returns the attempt if it was in flight.
     pub(crate) fn finish_attempt(
         &mut self,
         number: u32,
@@ -199,7 +202,7 @@
         finished
     }
 
-    /// The answer to a client that waits for the end of this message.
+    /// The answer to a client that waits for the end of this message, which ends undelivered.
     pub(crate) fn final_answer(&self, verdict: Verdict, now: Time, tick: Duration) -> Answer {
         match verdict {
             Verdict::Rejected { .. } if self.recipient_removed => Answer::RecipientRemoved,
--- a/crates/core/src/recovered.rs
+++ b/crates/core/src/recovered.rs
@@ -1,4 +1,4 @@
-//! Replays the records that an earlier process left in the journal: which messages are open, and how far they are.
+//! Replays the journal records of an earlier process, to find the messages that have not ended and their attempts.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,7 +12,7 @@
 use crate::mutation::{self, Mutation};
 use crate::pending_message::PossibleExecution;
 
-/// A message that an earlier process left open.
+/// A message that has not ended according to the journal.
 pub(crate) struct RecoveredMessage {
     pub(crate) message: Message,
     pub(crate) deadline: Time,
@@ -20,9 +20,9 @@
 }
 
 impl RecoveredMessage {
-    /// Until when it can be sent: to its deadline, or, where it may have been executed, to the end of its idempotency
-    /// window.
-    fn last_chance(&self, classes: &[Class]) -> Time {
+    /// Until when the message can be sent: its deadline or, if it was possibly executed and its class is idempotent,
+    /// the end of the idempotency window, whichever is earlier.
+    fn sendable_until(&self, classes: &[Class]) -> Time {
         let class = classes
             .get(self.message.class)
             .filter(|class| class.effect == ClassEffect::Idempotent);
@@ -33,7 +33,7 @@
     }
 }
 
-/// Open messages in the order in which they were accepted.
+/// Messages that have not ended, in the order in which they were accepted.
 #[derive(Default)]
 struct OpenMessages {
     by_position: BTreeMap<usize, RecoveredMessage>,
@@ -42,7 +42,7 @@
 }
 
 impl OpenMessages {
-    /// Adds a message behind all others. An earlier one with its id is removed.
+    /// Appends a message. An earlier message with the same id is removed.
     fn insert(&mut self, recovered: RecoveredMessage) {
         let id = MessageId(recovered.message.id.clone());
         self.remove(&id);
@@ -63,8 +63,8 @@
     }
 }
 
-/// Replays records in the order of the journal. Returns the messages that are open in the end, in the order in which they
-/// were accepted; reports that are not acknowledged and ids that have ended are added to their components.
+/// Replays records in the order of the journal. Returns the messages that have not ended, in the order in which they
+/// were accepted. Adds unacknowledged final reports to `final_reports`, and ids of ended messages to `completed`.
 pub(crate) fn replay(
     now: Time,
     records: Vec<Record>,
@@ -131,7 +131,7 @@
     open.by_position.into_values().collect()
 }
 
-/// The message of a [`Record::Accepted`].
+/// The message of a [`Record::Accepted`]; `None` for other records.
 fn recover_message(now: Time, record: Record) -> Option<RecoveredMessage> {
     let Record::Accepted {
         id,
@@ -168,12 +168,12 @@
     })
 }
 
-/// When the scheduler must have each of these messages: before it can't be sent any more, and none of an ordering key
-/// later than one that was accepted after it.
+/// The latest time to hand over each of these messages to the scheduler: until when it can be sent, but not later than
+/// any message with the same ordering key that was accepted after it.
 pub(crate) fn hand_over_deadlines(messages: &[RecoveredMessage], classes: &[Class]) -> Vec<Time> {
     let mut deadlines: Vec<Time> = messages
         .iter()
-        .map(|recovered| recovered.last_chance(classes))
+        .map(|recovered| recovered.sendable_until(classes))
         .collect();
     let mut earliest_by_key: HashMap<&str, Time> = HashMap::new();
     for (recovered, deadline) in messages.iter().zip(&mut deadlines).rev() {
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -1,4 +1,5 @@
-//! [`RecoveryProgress`]: learned state from before the start, and the steps back to full service.
+//! [`RecoveryProgress`]: restores learned state after a restart, and drives the phases of
+//! [`cranehill_recovery::Recovery`].
 
 use std::net::SocketAddr;
 
@@ -8,32 +9,34 @@
 
 use crate::effect::Effect;
 
-/// What the scheduler did with the first events of a tick, before it restored learned state, and the other events.
+/// The result of [`RecoveryProgress::restore`].
 pub(crate) struct RestoredTick {
+    /// The scheduler's actions on the events that it handled before learned state was restored.
     pub(crate) actions: Vec<Action>,
+    /// The events that the scheduler has not handled yet.
     pub(crate) remaining: Vec<Event>,
 }
 
-/// Learned state that is not restored yet, and the recovery where it is enabled.
+/// Learned state that is not restored yet, and the recovery if it is enabled.
 #[derive(Debug, Default)]
 pub(crate) struct RecoveryProgress {
     recovery: Option<Recovery>,
-    /// Learned state of the process that this one takes over from, for destinations that are not listed yet.
+    /// Learned state of the previous process, received in a hand-over, for destinations that are not listed yet.
     inherited: Vec<LearnedState>,
 }
 
 impl RecoveryProgress {
-    /// Recovers in steps from now on.
+    /// Starts the recovery: learned state, first calls and recovered messages are spread over time.
     pub(crate) fn enable(&mut self, now: Time, settings: Settings) {
         self.recovery = Some(Recovery::new(settings, now));
     }
 
-    /// The phase of the recovery, where it is enabled.
+    /// The phase of the recovery; `None` if recovery is not enabled.
     pub(crate) fn phase(&self) -> Option<Phase> {
         self.recovery.as_ref().map(Recovery::phase)
     }
 
-    /// An earlier process persisted this.
+    /// Handles the state file of an earlier process. An unreadable file is logged and ignored.
     pub(crate) fn on_restored(&mut self, now: Time, bytes: &[u8]) {
         let Some(recovery) = &mut self.recovery else {
             return;
@@ -44,19 +47,19 @@
                 log::info!(routes; "recovery: learned state of {routes} routes restored");
                 recovery.on_persisted_state(now, learned_state);
             }
-            Err(error) => log::warn!("recovery: the persisted state is not used: {error}"),
+            Err(error) => log::warn!("recovery: the persisted learned state is ignored: {error}"),
         }
     }
 
-    /// The process that this one takes over from handed over this.
+    /// Handles the learned state that the previous process sent in a hand-over. Unreadable state is logged and ignored.
     pub(crate) fn on_inherited(&mut self, bytes: &[u8]) {
         match recovery::unpack(bytes) {
             Ok(learned_state) => self.inherited = learned_state,
-            Err(error) => log::error!("hand-over: the inherited state is not used: {error}"),
+            Err(error) => log::error!("hand-over: the inherited learned state is ignored: {error}"),
         }
     }
 
-    /// Another member sent a piece of its learned state.
+    /// Handles a piece of learned state from another member. An unreadable piece is logged and ignored.
     pub(crate) fn on_peer_reply(
         &mut self,
         now: Time,
@@ -76,21 +79,22 @@
         Some(Effect::WakeAt(now))
     }
 
-    /// The endpoint list has changed: it may have destinations that learned state is about.
+    /// Handles a change of the endpoint list: learned state about newly listed destinations can be restored.
     pub(crate) fn on_endpoints_changed(&mut self) {
         if let Some(recovery) = &mut self.recovery {
             recovery.on_endpoints_changed();
         }
     }
 
-    /// A message has been sent, or has ended: the next of its destination may be handed over.
+    /// Handles a message that has been sent or has ended: the next one of its destination may be released.
     pub(crate) fn on_sent_or_ended(&mut self, destination: DestinationId, id: &MessageId) {
         if let Some(recovery) = &mut self.recovery {
             recovery.work_queue.on_sent_or_ended(destination, id);
         }
     }
 
-    /// Adds a message of an earlier process to the work queue. False where recovery is not enabled and there is none.
+    /// Adds a recovered message to the work queue. Returns false if recovery is not enabled: there is no work queue
+    /// then.
     pub(crate) fn enqueue(
         &mut self,
         destination: DestinationId,
@@ -106,7 +110,7 @@
         true
     }
 
-    /// Removes and returns the next messages of the work queue.
+    /// Removes and returns the messages that the work queue releases now.
     pub(crate) fn release(&mut self, now: Time) -> Vec<MessageId> {
         self.recovery
             .as_mut()
@@ -114,8 +118,8 @@
             .unwrap_or_default()
     }
 
-    /// Restores learned state once the scheduler knows the destinations that it is about: endpoint lists are handled
-    /// before it.
+    /// Restores learned state in the scheduler, if any is pending. The scheduler first handles the endpoint lists among
+    /// `events`, as it restores state only for listed destinations.
     pub(crate) fn restore(
         &mut self,
         now: Time,
@@ -126,14 +130,14 @@
             actions: Vec::new(),
             remaining,
         };
-        // A message must not be sent after its cancellation, which would be handled later than the endpoint list: state is
-        // restored in the next tick.
+        // Endpoint lists would be handled before a cancellation in the same tick, and a cancelled message could be
+        // sent: the state is restored in the next tick instead.
         if events.iter().any(|e| matches!(e, Event::Cancelled(_))) {
             return nothing_restored(events);
         }
         if !self.inherited.is_empty() {
-            let (lists, remaining) = split_lists(events);
-            let actions = scheduler.handle(now, lists);
+            let (list_events, remaining) = split_list_events(events);
+            let actions = scheduler.handle(now, list_events);
             self.inherited = scheduler.inherit(now, std::mem::take(&mut self.inherited));
             return RestoredTick { actions, remaining };
         }
@@ -143,27 +147,27 @@
         let Some(learned_state) = recovery.take_state_to_restore(now) else {
             return nothing_restored(events);
         };
-        let (lists, remaining) = split_lists(events);
-        let actions = scheduler.handle(now, lists);
+        let (list_events, remaining) = split_list_events(events);
+        let actions = scheduler.handle(now, list_events);
         let last_first_call = scheduler.restore(now, &learned_state);
         recovery.spread_first_calls_until(last_first_call);
         RestoredTick { actions, remaining }
     }
 
-    /// Whether other members should be asked now for their learned state.
+    /// Whether to request learned state from other members now.
     pub(crate) fn should_ask_peers(&mut self, now: Time, has_peers: bool) -> bool {
         self.recovery
             .as_mut()
             .is_some_and(|recovery| recovery.should_ask_peers(now, has_peers))
     }
 
-    /// At the end of a tick: persists learned state where that is due, and checks whether the recovery is complete.
-    /// `handed_over` is whether the scheduler gets messages of the work queue with the next tick.
+    /// Called at the end of a tick: persists learned state if that is due, and checks whether the recovery is complete.
+    /// `has_handed_over` is whether messages of the work queue have been handed over for the next tick.
     pub(crate) fn end_tick(
         &mut self,
         now: Time,
         scheduler: &Scheduler,
-        handed_over: bool,
+        has_handed_over: bool,
     ) -> Vec<Effect> {
         let Some(recovery) = &mut self.recovery else {
             return Vec::new();
@@ -174,7 +178,7 @@
             effects.push(Effect::PersistLearnedState(recovery::pack(&learned_state)));
         }
         effects.extend(recovery.check_complete(now).map(Effect::RecoveryComplete));
-        let next_tick = if handed_over {
+        let next_tick = if has_handed_over {
             Some(now)
         } else {
             recovery.next_wakeup(now)
@@ -183,14 +187,14 @@
         effects
     }
 
-    /// Whether recovery in steps is enabled.
+    /// Whether recovery is enabled.
     pub(crate) fn is_enabled(&self) -> bool {
         self.recovery.is_some()
     }
 }
 
-/// Events about endpoints and members, which are handled first, and the others.
-fn split_lists(events: Vec<Event>) -> (Vec<Event>, Vec<Event>) {
+/// Splits events into those about endpoints and the number of senders, which are handled first, and all others.
+fn split_list_events(events: Vec<Event>) -> (Vec<Event>, Vec<Event>) {
     events
         .into_iter()
         .partition(|e| matches!(e, Event::List { .. } | Event::SenderCount(_)))
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -1,4 +1,4 @@
-//! [`Core`]: all state of a sender. [`Core::step`] is the one place where it changes.
+//! [`Core`]: the whole state of a sender. Inputs change it only through [`Core::step`].
 
 use cranehill_membership::{self as membership, Members};
 use cranehill_recovery::{self as recovery, Phase};
@@ -21,32 +21,32 @@
 use crate::outgoing_calls::OutgoingCalls;
 use crate::pending_message::{InFlightAttempt, SendRequest, Verdict};
 
-/// All state of a sender.
+/// The whole state of a sender.
 #[derive(Debug)]
 pub struct Core {
     settings: Settings,
     now: Time,
     scheduler: Scheduler,
-    /// What the scheduler gets at the end of the tick.
+    /// Events for the scheduler, which handles them at the end of the tick.
     events: Vec<Event>,
     messages: Messages,
     endpoints: Endpoints,
     fleet: Fleet,
     outbox: Outbox,
-    /// The process is about to end: no new attempts.
+    /// The process is shutting down: no new attempts are started.
     stopping: bool,
-    /// Another process is about to take over: no new attempts.
+    /// A hand-over to a new process is in progress: no new attempts are started.
     quiesced: bool,
-    /// How often each invariant was violated since the start.
+    /// Number of violations of each invariant since the start of the process.
     pub violations: Violations,
 }
 
 impl Core {
-    /// A sender without messages and endpoints. `seed` is that of all its random draws.
+    /// Creates a sender without messages and endpoints. `seed` initializes the scheduler's random draws.
     ///
     /// # Errors
     ///
-    /// Settings that the scheduler can't work with.
+    /// Fails if the scheduler rejects the settings; the error names the setting.
     pub fn new(mut settings: Settings, seed: u64, now: Time) -> Result<Core, SettingsError> {
         mutation::apply_to_settings(&mut settings);
         let mut scheduler = Scheduler::new(settings.clone(), seed, now)?;
@@ -66,72 +66,75 @@
         })
     }
 
-    /// Becomes a member of the fleet; [`membership::Input::TimerFired`] must be passed in at once.
+    /// Joins the fleet as a member. [`membership::Input::TimerFired`] must be passed in at once, to start the protocol.
+    /// `seed` initializes the random draws of the membership protocol.
     pub fn join(&mut self, settings: membership::Settings, seed: u64) {
         self.fleet.join(self.now, settings, seed);
     }
 
-    /// Evacuates zones, and returns to them, together with the other members.
+    /// Enables zone failover: the members decide together which zones to evacuate and when to return to them.
     pub fn manage_zones(&mut self, settings: zone_failover::Settings) {
         self.fleet.manage_zones(settings);
-        self.count_zone_endpoints();
+        self.update_zone_endpoint_counts();
     }
 
-    /// Recovers in steps from now on: learned state, first calls and messages of an earlier process are spread over time.
+    /// Starts the recovery after a restart: learned state is restored, and first calls and recovered messages are
+    /// spread over time.
     pub fn recover(&mut self, settings: recovery::Settings) {
         self.fleet.recovery.enable(self.now, settings);
     }
 
-    /// Restores the endpoints that an earlier process had detached.
+    /// Restores the detachments of an earlier process, from the state file.
     pub fn detached_before(&mut self, before: Detachments) {
         for entry in self.endpoints.restore_detachments(self.now, before) {
             self.push_entry(entry);
         }
     }
 
-    /// The members of the fleet as this one sees them, where it is a member.
+    /// The fleet's members as known to this sender; `None` before [`Core::join`].
     pub fn members(&self) -> Option<&Members> {
         self.fleet.members()
     }
 
-    /// The state of each zone, where the fleet manages them.
+    /// The state of each zone; `None` before [`Core::manage_zones`].
     pub fn zone_states(&self) -> Option<Vec<(u32, zone_failover::State)>> {
         self.fleet.zone_states()
     }
 
-    /// The phase of the recovery, where it is enabled.
+    /// The phase of the recovery; `None` before [`Core::recover`].
     pub fn phase(&self) -> Option<Phase> {
         self.fleet.recovery.phase()
     }
 
-    /// The learned state of this sender, for the process that takes over from it.
+    /// The learned state of this sender in the format of the state file, for the new process in a hand-over.
     pub fn learned_state(&self) -> Vec<u8> {
         recovery::pack(&self.scheduler.learned_state())
     }
 
-    /// Whether discovery lists an endpoint of this destination, or did in the last ten minutes: all of its endpoints may be
-    /// in the middle of being replaced.
+    /// Whether the destination has a listed endpoint, or lost its last one less than ten minutes ago: all of its
+    /// endpoints may be being replaced.
     pub fn knows(&self, destination: u64) -> bool {
         self.endpoints.list().knows(DestinationId(destination))
     }
 
-    /// Endpoints that are known here or to the scheduler, whichever are more.
+    /// Number of endpoints in the endpoint list or in the scheduler, whichever is larger.
     pub fn endpoints(&self) -> usize {
         let listed = self.endpoints.list().len();
         listed.max(self.scheduler.endpoint_count())
     }
 
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub fn attempts_out(&self) -> usize {
         self.messages.in_flight_count()
     }
 
-    /// Pending messages, and final reports that the platform has not acknowledged.
+    /// Number of pending messages, and number of final reports that the platform has not acknowledged.
     pub fn outstanding(&self) -> (usize, usize) {
         (self.messages.pending_count(), self.messages.report_count())
     }
 
-    /// Applies one input. Returns the effects that follow from it, to be carried out in their order.
+    /// Applies one input. Returns the resulting effects, which the caller must carry out in this order. If `now` is
+    /// before the time of an earlier step, the earlier time is used.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Effect> {
         self.now = self.now.max(now);
         match input {
@@ -155,7 +158,7 @@
             Input::Quiesced(quiesced) => self.on_quiesced(quiesced),
             Input::Detach { by, endpoint, back } => {
                 return self.on_detach(DetachRequest {
-                    by,
+                    connection: by,
                     endpoint: EndpointId(endpoint),
                     attach: back,
                 });
@@ -190,12 +193,12 @@
         let update = self.endpoints.update(self.now, whole, list);
         let entries = update.entries;
         self.events.push(Event::List { whole, entries });
-        self.count_zone_endpoints();
+        self.update_zone_endpoint_counts();
         self.fleet.recovery.on_endpoints_changed();
         update.effects
     }
 
-    fn count_zone_endpoints(&mut self) {
+    fn update_zone_endpoint_counts(&mut self) {
         let endpoints = self.endpoints.list().zones();
         self.fleet.set_zone_endpoint_counts(endpoints);
     }
@@ -214,7 +217,7 @@
             .messages
             .finish_attempt(self.now, &outcome, &mut self.outbox);
         let Some(finished) = finished else {
-            // Cancelled while in flight: the scheduler still needs the outcome.
+            // The message was cancelled while in flight; the scheduler still needs the outcome for its route.
             self.events.push(outcome.into_event(true));
             return None;
         };
@@ -222,7 +225,7 @@
         must_hold!(
             violations.unknown_message,
             finished.in_flight.is_some(),
-            "an attempt of {} has finished that was not in flight",
+            "attempt of message {} finished, expected one in flight",
             outcome.id
         );
         if let Some(InFlightAttempt { endpoint, .. }) = &finished.in_flight {
@@ -230,14 +233,14 @@
             self.fleet
                 .record_attempt(self.now, zone, endpoint, outcome.status);
         }
-        // A call that is still on its way to its connection would be received before that time.
-        let asked_to_wait = outcome.retry_after.is_some();
+        // Calls that are not written yet would reach the destination within the retry-after time.
+        let has_retry_after = outcome.retry_after.is_some();
         self.events.push(outcome.into_event(finished.completed));
-        asked_to_wait.then(|| self.endpoints.cancel_unwritten(finished.destination))
+        has_retry_after.then(|| self.endpoints.cancel_unwritten(finished.destination))
     }
 
-    /// The scheduler has ended a message without delivery.
-    fn on_verdict(&mut self, id: &MessageId, verdict: Verdict) {
+    /// Ends a message that the scheduler gives up undelivered.
+    fn end_undelivered(&mut self, id: &MessageId, verdict: Verdict) {
         let ended = self
             .messages
             .end(self.now, id.clone(), verdict, &mut self.outbox);
@@ -283,7 +286,7 @@
         result.effects
     }
 
-    /// Notifies the scheduler of one changed endpoint.
+    /// Adds an event for the scheduler about one changed endpoint.
     fn push_entry(&mut self, entry: Entry) {
         self.events.push(Event::List {
             whole: false,
@@ -299,31 +302,32 @@
         Vec::new()
     }
 
-    /// Hands messages to the scheduler.
+    /// Hands messages over to the scheduler.
     fn push_messages(&mut self, messages: Vec<AcceptedMessage>) {
         self.events.extend(messages.into_iter().map(Event::Accept));
     }
 
     fn on_recovered(&mut self, records: Vec<Record>) -> Vec<Effect> {
         if !records.is_empty() {
-            // Attempts that were cut off with the earlier process may still be executed.
+            // Attempts that were in flight when the earlier process ended may still be executed: ordering keys stay
+            // blocked for a while before a next attempt.
             self.scheduler.rest_keys(self.now);
         }
         let classes = &self.settings.classes;
         let restored = self.messages.restore(self.now, records, classes);
-        for key in self.messages.held_back_keys() {
+        for key in self.messages.blocked_ordering_keys() {
             self.scheduler.await_report(key);
         }
         for message in restored {
-            self.wait_for_hand_over(message);
+            self.queue_restored_message(message);
         }
         self.release_work_queue();
         self.hand_over_backlog();
         self.messages.resend_reports()
     }
 
-    /// Adds a message of an earlier process to the work queue of the recovery, or to the backlog where there is none.
-    fn wait_for_hand_over(&mut self, message: RestoredMessage) {
+    /// Adds a recovered message to the work queue of the recovery, or to the backlog if recovery is not enabled.
+    fn queue_restored_message(&mut self, message: RestoredMessage) {
         let RestoredMessage {
             id,
             destination,
@@ -335,24 +339,25 @@
         }
     }
 
-    /// Moves what the recovery releases from its work queue to the backlog.
+    /// Moves the messages that the work queue releases now to the backlog.
     fn release_work_queue(&mut self) {
         for id in self.fleet.recovery.release(self.now) {
             self.messages.add_to_backlog(id);
         }
     }
 
-    /// Hands over as much of the backlog as the scheduler has capacity for. Returns when to try again, if any waits.
+    /// Hands over as many messages of the backlog as the scheduler has capacity for. Returns when to try again; `None`
+    /// if the backlog is empty.
     fn hand_over_backlog(&mut self) -> Option<Time> {
         let events = self.events.iter();
-        let handed_over = events.filter(|e| matches!(e, Event::Accept(_))).count();
-        let capacity = self.scheduler.capacity().saturating_sub(handed_over);
+        let handed_over_count = events.filter(|e| matches!(e, Event::Accept(_))).count();
+        let capacity = self.scheduler.capacity().saturating_sub(handed_over_count);
         let release = self.messages.release_backlog(self.now, capacity);
         self.push_messages(release.messages);
         release.next
     }
 
-    /// Ends a tick: the scheduler decides on its events, and what follows is recorded and carried out.
+    /// Ends a tick: the scheduler handles the tick's events, and its actions become records and effects.
     fn on_tick_ended(&mut self) -> Vec<Effect> {
         let mut events = std::mem::take(&mut self.events);
         self.messages.refresh(self.now, &mut events);
@@ -361,9 +366,9 @@
             .update_zones(self.now, &mut self.scheduler, &mut self.events);
         self.endpoints
             .admit_warming_up(self.now, &mut self.scheduler);
-        let actions = self.decide(events);
-        let mut calls = self.carry_out(actions);
-        // An answer is sent before the call: a delivery counts only once the client knows that the message is accepted.
+        let actions = self.run_scheduler(events);
+        let mut calls = self.apply_actions(actions);
+        // The answer precedes the call: a client must not see a delivery before the acceptance of its message.
         let outbox = &mut self.outbox;
         let mut effects = self.messages.accept_unacknowledged(self.now, outbox);
         self.messages.record_attempts(calls.take_records(), outbox);
@@ -375,7 +380,7 @@
         self.outbox.flush(effects)
     }
 
-    fn decide(&mut self, events: Vec<Event>) -> Vec<Action> {
+    fn run_scheduler(&mut self, events: Vec<Event>) -> Vec<Action> {
         if self.quiesced {
             self.scheduler.bar_all();
         }
@@ -384,11 +389,11 @@
         let mut actions = restored.actions;
         actions.extend(self.scheduler.handle(self.now, restored.remaining));
         let active_routes = self.scheduler.active_routes();
-        log::trace!(active_routes; "tick: {active_routes} routes are active after it");
+        log::trace!(active_routes; "tick: {active_routes} active routes");
         actions
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) -> OutgoingCalls {
+    fn apply_actions(&mut self, actions: Vec<Action>) -> OutgoingCalls {
         let mut calls = OutgoingCalls::default();
         let now = self.now;
         for action in actions {
@@ -411,16 +416,16 @@
                     self.start_attempt(request, &mut calls);
                 }
                 Action::Reject { id, after } => {
-                    self.on_verdict(&id, Verdict::Rejected { retry_after: after });
+                    self.end_undelivered(&id, Verdict::Rejected { retry_after: after });
                 }
-                Action::Fail(id) => self.on_verdict(&id, Verdict::Failed),
+                Action::Fail(id) => self.end_undelivered(&id, Verdict::Failed),
                 Action::Timer(after) => self.outbox.defer(Effect::WakeAt(now + after)),
                 Action::CloseIdle(endpoint) => self.outbox.defer(Effect::CloseIdle(endpoint)),
                 Action::CheckHealth(endpoint) => {
                     let check = self.endpoints.check_health(endpoint);
                     self.outbox.defer_all(check);
                 }
-                // Discovery is watched all the time.
+                // Discovery is watched continuously, for all destinations.
                 Action::Subscribe => {}
             }
         }
@@ -434,20 +439,20 @@
             must_hold!(
                 violations.unknown_message,
                 false,
-                "an attempt for {id}, which is not pending"
+                "attempt started for message {id}, which is not pending"
             );
             return;
         };
         must_hold!(
             violations.second_copy,
             !pending.is_in_flight(),
-            "a second copy of {id}"
+            "attempt started for message {id}, which has another attempt in flight"
         );
         let Some(address) = self.endpoints.list().address(endpoint) else {
             must_hold!(
                 violations.unlisted_endpoint,
                 false,
-                "an attempt to {endpoint}, which is not listed"
+                "attempt of message {id} started to endpoint {endpoint}, which is not listed"
             );
             return;
         };
@@ -457,25 +462,26 @@
         calls.add(self.now, request, address.to_owned(), attempt);
     }
 
-    /// At the end of a tick, where recovery is enabled: asks other members, continues with the work queue, persists learned
-    /// state, and checks whether the recovery is complete.
+    /// Called at the end of a tick. If recovery is enabled: requests learned state from other members, releases
+    /// messages of the work queue, persists learned state, and checks whether the recovery is complete.
     fn continue_recovery(&mut self) -> Vec<Effect> {
         if !self.fleet.recovery.is_enabled() {
             return Vec::new();
         }
         let mut effects =
             self.fleet
-                .ask_for_learned_state(self.now, &self.scheduler, &mut self.events);
+                .request_learned_state(self.now, &self.scheduler, &mut self.events);
         let events_before = self.events.len();
         self.release_work_queue();
         self.hand_over_backlog();
-        let handed_over = self.events.len() > events_before;
+        let has_handed_over = self.events.len() > events_before;
         let recovery = &mut self.fleet.recovery;
-        effects.extend(recovery.end_tick(self.now, &self.scheduler, handed_over));
+        effects.extend(recovery.end_tick(self.now, &self.scheduler, has_handed_over));
         effects
     }
 
-    /// The journal has written the tick's records, or some of them: releases what depends on them.
+    /// Handles the result of the journal's write. Returns the deferred effects; if not all records were written,
+    /// without the effects that need their record.
     fn on_persisted(&mut self, persisted: Persisted) -> Vec<Effect> {
         let effects = self.outbox.on_persisted(persisted);
         if persisted == Persisted::All {
@@ -483,13 +489,13 @@
         }
         effects
             .into_iter()
-            .filter_map(|effect| self.without_record(effect))
+            .filter_map(|effect| self.cancel_unrecorded(effect))
             .collect()
     }
 
-    /// An effect whose record the journal had no space for: new messages are rejected, and attempts are not sent, as a
-    /// restart would not know of them.
-    fn without_record(&mut self, effect: Effect) -> Option<Effect> {
+    /// Replaces an effect whose record may be missing from the journal: an acceptance becomes a rejection, and calls
+    /// are not sent, as the message or attempt would be unknown after a restart. Other effects are returned unchanged.
+    fn cancel_unrecorded(&mut self, effect: Effect) -> Option<Effect> {
         match effect {
             Effect::Answer {
                 to,
--- a/crates/core/src/zones.rs
+++ b/crates/core/src/zones.rs
@@ -1,4 +1,4 @@
-//! [`FleetZones`]: applies the fleet's decisions on zones to the scheduler.
+//! [`FleetZones`]: applies the fleet's zone failover decisions to the scheduler.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,23 +9,23 @@
     Change, MemberAnnouncements, Settings, State, ZoneAnnouncement, Zones,
 };
 
-/// What an update of the zones leads to.
+/// The result of an update of the zones.
 pub(crate) struct ZoneUpdate {
-    /// What this member announces to the others; empty for nothing.
+    /// Encoded announcement of this member to the others; empty if it has none.
     pub(crate) payload: Vec<u8>,
     pub(crate) changes: Vec<Change>,
-    /// When to update again, even if nothing is received.
+    /// When to update again, even without new announcements.
     pub(crate) next_update: Option<Time>,
 }
 
-/// The zones as the fleet sees them.
+/// The zone failover state of this member.
 #[derive(Debug)]
 pub(crate) struct FleetZones {
     zones: Zones,
 }
 
 impl FleetZones {
-    /// No zone yet.
+    /// Creates the state without zones.
     pub(crate) fn new(settings: Settings) -> FleetZones {
         FleetZones {
             zones: Zones::new(settings),
@@ -37,12 +37,13 @@
         self.zones.states().collect()
     }
 
-    /// How many endpoints each zone has.
+    /// Sets the number of endpoints by zone.
     pub(crate) fn set_endpoint_counts(&mut self, endpoints: &BTreeMap<u32, usize>) {
         self.zones.set_endpoint_counts(endpoints);
     }
 
-    /// An attempt to an endpoint of the zone has finished.
+    /// Records a finished attempt to an endpoint of the zone. Attempts that ended for a reason of this sender are
+    /// ignored.
     pub(crate) fn record_attempt(
         &mut self,
         now: Time,
@@ -52,7 +53,7 @@
     ) {
         let answered = match status {
             Status::TimedOut | Status::NoConnection | Status::Reset => false,
-            // An answer with an error still shows that the zone is reached.
+            // An answer with an error still shows that the zone is reachable.
             Status::Served
             | Status::Error
             | Status::Overloaded
@@ -64,7 +65,8 @@
         self.zones.record_attempt(now, zone, &endpoint.0, answered);
     }
 
-    /// Before the scheduler decides: evaluates the payloads of the other members and applies what changes.
+    /// Called before the scheduler decides in a tick: evaluates the payloads of the other members, and applies the
+    /// changes to the scheduler.
     pub(crate) fn update(
         &mut self,
         now: Time,
@@ -95,7 +97,7 @@
     }
 }
 
-/// Reads a member's payload. What a member of another version announces is ignored.
+/// Decodes a member's payload. An undecodable payload, of a member of another version, counts as empty.
 fn decode(payload: &[u8]) -> Vec<ZoneAnnouncement> {
     postcard::from_bytes(payload).unwrap_or_default()
 }
@@ -116,7 +118,8 @@
     }
 }
 
-/// Applies a zone's state to endpoints that were listed since it began, and continues the ramp of a return.
+/// Applies a zone's state to endpoints that were listed after the state began, and continues the recovery ramp of a
+/// zone that is returned to.
 fn apply_state(now: Time, zone: u32, state: State, scheduler: &mut Scheduler) {
     match state {
         State::InService => {}
--- a/crates/recovery/src/learned_state_cache.rs
+++ b/crates/recovery/src/learned_state_cache.rs
@@ -1,5 +1,5 @@
-//! [`LearnedStateCache`]: what was learned of destinations before the start, by this sender or by others: the latest of
-//! each route, for as long as it is recent enough.
+//! [`LearnedStateCache`]: the latest learned state of each route from before the start, of an earlier process of this
+//! sender or of other members. Each part is used until it reaches its maximum age.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,21 +7,21 @@
 use cranehill_scheduler::api::DestinationId;
 use cranehill_scheduler::{LearnedState, Time};
 
-/// The longest `Retry-After` time that is believed; the wire has no longer one.
+/// Longer retry-after times are ignored; no destination can send a longer one.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(86_400);
-/// Routes cached at most, to bound the memory.
+/// Bounds the memory; further routes are ignored.
 const MAX_CACHED_ROUTES: usize = 4096;
 
-/// Until which age learned state is used.
+/// Maximum ages at which the parts of learned state are used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// The age of a window of concurrent calls.
+    /// Maximum age of a window of concurrent calls.
     pub window: Duration,
-    /// The age of a rate limit.
+    /// Maximum age of a rate limit.
     pub limit: Duration,
-    /// The age of a destination's health.
+    /// Maximum age of a destination's health.
     pub state: Duration,
-    /// How far in the future state may have been learned: the clocks of members differ.
+    /// Tolerated clock difference between members: state learned further in the future than this is ignored.
     pub ahead: Duration,
 }
 
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RouteKey {
     destination: DestinationId,
-    /// Where a destination has several routes.
+    /// `None` if the destination has a single route.
     route_id: Option<String>,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Learned state by route.
+/// The latest learned state of each route.
 #[derive(Clone, Debug)]
 pub struct LearnedStateCache {
     bounds: Bounds,
@@ -51,7 +51,7 @@
 }
 
 impl LearnedStateCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new(bounds: Bounds) -> LearnedStateCache {
         LearnedStateCache {
             bounds,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Adds learned state. Of two states of a route the later one counts, and of two `Retry-After` times the one that
-    /// ends later. State from the future and values that make no sense are ignored.
+    /// Adds learned state. The cache keeps the latest state of each route, and the retry-after time that ends last.
+    /// State from the future beyond [`Bounds::ahead`] and invalid values are ignored.
     pub fn merge(&mut self, now: Time, learned_state: Vec<LearnedState>) {
         for mut learned in learned_state {
             if learned.at > now + self.bounds.ahead {
@@ -90,7 +90,7 @@
         known.blocked_until = blocked_until;
     }
 
-    /// What is recent enough to be used now. Routes of which nothing is are left out.
+    /// The parts of learned state that are recent enough to be used now. Routes without such a part are left out.
     pub fn usable(&self, now: Time) -> Vec<LearnedState> {
         self.routes
             .values()
@@ -98,7 +98,7 @@
             .collect()
     }
 
-    /// The part of a route's state that is recent enough.
+    /// The parts of a route's state that are recent enough; `None` if there is no such part.
     fn usable_part(&self, now: Time, learned: &LearnedState) -> Option<LearnedState> {
         let age = now - learned.at;
         let mut usable = learned.clone();
@@ -106,15 +106,15 @@
         usable.limit = usable.limit.filter(|_| age <= self.bounds.limit);
         usable.state = usable.state.filter(|_| age <= self.bounds.state);
         usable.blocked_until = usable.blocked_until.filter(|until| *until > now);
-        let is_of_use = usable.window.is_some()
+        let has_usable_part = usable.window.is_some()
             || usable.limit.is_some()
             || usable.state.is_some()
             || usable.blocked_until.is_some();
-        is_of_use.then_some(usable)
+        has_usable_part.then_some(usable)
     }
 }
 
-/// False for NaN as well.
+/// Whether the value is greater than 0; false for NaN.
 fn is_positive(value: &f64) -> bool {
     *value > 0.0
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,8 +1,10 @@
-//! Recovery after a restart: which learned state a sender may still use, its own or that of other members; in which order
-//! it sends the messages of its earlier process; and when it is back in full service. No I/O, and no clock.
+//! Recovery of a sender after a restart. The crate decides which learned state the sender may still use, its own or
+//! that of other members, in which order it sends recovered messages, and when it is back in full service. It does no
+//! I/O and reads no clock.
 //!
-//! Start at [`Recovery`] (the phases), [`LearnedStateCache`] (learned state and its age) and [`WorkQueue`] (the order).
-//! [`encode`] and [`decode`] are for packets between members, [`pack`] and [`unpack`] for the state file.
+//! The main types are [`Recovery`] (the phases), [`LearnedStateCache`] (learned state and its age) and [`WorkQueue`]
+//! (the order of messages). [`encode`] and [`decode`] are for packets between members, [`pack`] and [`unpack`] for the
+//! state file.
 
 mod encoding;
 mod learned_state_cache;
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -1,4 +1,4 @@
-//! [`Recovery`]: the way from a start to full service.
+//! [`Recovery`]: the state of a sender from its start until full service.
 
 use std::time::Duration;
 
@@ -7,40 +7,40 @@
 use crate::learned_state_cache::{Bounds, LearnedStateCache, RouteKey};
 use crate::work_queue::WorkQueue;
 
-/// While recovering, the sender wakes no more often than this.
+/// Minimum time between two wake-ups of the sender while it is recovering.
 const MIN_WAKEUP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a sender recovers.
+/// Settings of the recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Until which age learned state is used.
+    /// Maximum ages at which learned state is used.
     pub bounds: Bounds,
-    /// How often other members are asked for their learned state until one replies.
+    /// Interval at which learned state is requested from other members until one replies.
     pub ask: Duration,
-    /// Without a reply, recovery continues after this time.
+    /// Time from the start after which the recovery continues without a reply from other members.
     pub alone: Duration,
-    /// How often learned state is persisted.
+    /// Interval at which learned state is persisted.
     pub remember: Duration,
 }
 
 /// The phase of a recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Recovering.
+    /// The sender is recovering.
     Recovering {
         /// When the sender started.
         since: Time,
     },
-    /// In full service.
+    /// The sender is in full service.
     Full {
         /// How long the recovery took.
         took: Duration,
-        /// When it was complete.
+        /// When the recovery was complete.
         since: Time,
     },
 }
 
-/// A route that is blocked by a `Retry-After` time.
+/// A route that is blocked until the end of a retry-after time.
 #[derive(Debug, PartialEq, Eq)]
 struct BlockedRoute {
     route: RouteKey,
@@ -56,27 +56,29 @@
     }
 }
 
-/// The state of a recovery.
+/// The recovery of one sender process.
 #[derive(Debug)]
 pub struct Recovery {
     settings: Settings,
     phase: Phase,
     cache: LearnedStateCache,
-    /// Messages that an earlier process accepted.
+    /// Recovered messages, which an earlier process accepted.
     pub work_queue: WorkQueue,
-    /// The cache or the list of destinations has changed since learned state was last restored.
+    /// Whether the cache or the endpoint list has changed since learned state was last restored.
     restore_pending: bool,
+    /// When learned state is next requested from other members.
     next_request: Time,
     peer_replied: bool,
-    /// When the last of the first calls may be sent.
+    /// When the last destination's first call may be sent: first calls are spread over time.
     last_first_call: Time,
+    /// When learned state is next persisted, unless a newly blocked route requires it earlier.
     next_persist: Time,
-    /// The blocked routes that were persisted last.
+    /// The blocked routes as of the last time that learned state was persisted.
     persisted_blocks: Vec<BlockedRoute>,
 }
 
 impl Recovery {
-    /// The recovery of a sender that starts now.
+    /// Creates the recovery of a sender that starts at `now`.
     pub fn new(settings: Settings, now: Time) -> Recovery {
         Recovery {
             settings,
@@ -92,12 +94,12 @@
         }
     }
 
-    /// The phase.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// When the sender started, while it is recovering.
+    /// When the sender started; `None` once it is in full service.
     fn recovering_since(&self) -> Option<Time> {
         match self.phase {
             Phase::Recovering { since } => Some(since),
@@ -105,54 +107,58 @@
         }
     }
 
-    /// An earlier process of this sender persisted this learned state.
+    /// Handles learned state that an earlier process of this sender persisted.
     pub fn on_persisted_state(&mut self, now: Time, learned_state: Vec<LearnedState>) {
         self.cache.merge(now, learned_state);
         self.restore_pending = true;
     }
 
-    /// Another member replied with its learned state.
+    /// Handles learned state that another member sent in its reply.
     pub fn on_peer_reply(&mut self, now: Time, learned_state: Vec<LearnedState>) {
         self.peer_replied = true;
         self.cache.merge(now, learned_state);
         self.restore_pending = true;
     }
 
-    /// The endpoint list has changed: there may be new destinations, whose first calls are spread.
+    /// Handles a change of the endpoint list: new destinations have their learned state restored and first calls
+    /// spread.
     pub fn on_endpoints_changed(&mut self) {
         self.restore_pending = true;
     }
 
-    /// The learned state that the scheduler should restore now, if that is due.
+    /// Returns the learned state that the scheduler must restore now; `None` if nothing has changed since the last
+    /// time, or in full service.
     pub fn take_state_to_restore(&mut self, now: Time) -> Option<Vec<LearnedState>> {
         self.recovering_since()?;
         std::mem::take(&mut self.restore_pending).then(|| self.cache.usable(now))
     }
 
-    /// The scheduler has restored learned state, and spreads first calls until then.
+    /// Records that the scheduler spreads first calls until `until`, after restoring learned state.
     pub fn spread_first_calls_until(&mut self, until: Time) {
         self.last_first_call = self.last_first_call.max(until);
     }
 
-    /// Whether other members should be asked now; `has_peers` is whether there are any.
+    /// Whether to request learned state from other members now; `has_peers` is whether there are live ones. If true,
+    /// the next request is due after [`Settings::ask`].
     pub fn should_ask_peers(&mut self, now: Time, has_peers: bool) -> bool {
         let Some(since) = self.recovering_since() else {
             return false;
         };
-        let goes_alone = now - since >= self.settings.alone;
-        if self.peer_replied || !has_peers || now < self.next_request || goes_alone {
+        let has_timed_out = now - since >= self.settings.alone;
+        if self.peer_replied || !has_peers || now < self.next_request || has_timed_out {
             return false;
         }
         self.next_request = now + self.settings.ask;
         true
     }
 
-    /// Checks whether the recovery is complete. Returns the time that it took, once.
+    /// Enters full service if the recovery is complete, and then returns its duration. Returns `None` while recovering
+    /// and in all later calls.
     pub fn check_complete(&mut self, now: Time) -> Option<Duration> {
         let since = self.recovering_since()?;
         let took = now - since;
-        let waits_for_peers = !self.peer_replied && took < self.settings.alone;
-        if waits_for_peers
+        let is_waiting_for_peers = !self.peer_replied && took < self.settings.alone;
+        if is_waiting_for_peers
             || self.restore_pending
             || now < self.last_first_call
             || self.work_queue.waiting() > 0
@@ -163,20 +169,21 @@
         Some(took)
     }
 
-    /// When to go on, while recovering.
+    /// When the next step of the recovery is due; `None` in full service.
     pub fn next_wakeup(&self, now: Time) -> Option<Time> {
         let since = self.recovering_since()?;
-        let goes_alone_at = since + self.settings.alone;
-        let next_step = if self.peer_replied || now >= goes_alone_at {
+        let peers_timeout_at = since + self.settings.alone;
+        let next_step = if self.peer_replied || now >= peers_timeout_at {
             self.last_first_call
         } else {
-            self.next_request.max(now).min(goes_alone_at)
+            self.next_request.max(now).min(peers_timeout_at)
         };
         let next_release = self.work_queue.next_release().unwrap_or(next_step);
         Some(next_step.min(next_release).max(now + MIN_WAKEUP_INTERVAL))
     }
 
-    /// Whether learned state should be persisted now: that is due regularly, and at once when a route is newly blocked.
+    /// Whether to persist learned state now: at regular intervals, and at once if a route is newly blocked. If true,
+    /// the state counts as persisted.
     pub fn should_persist(&mut self, now: Time, learned_state: &[LearnedState]) -> bool {
         let blocks: Vec<BlockedRoute> = learned_state.iter().filter_map(BlockedRoute::of).collect();
         let has_new_block = blocks
--- a/crates/recovery/src/work_queue.rs
+++ b/crates/recovery/src/work_queue.rs
@@ -1,6 +1,6 @@
-//! [`WorkQueue`]: messages that an earlier process accepted, in the order in which the scheduler gets them: of each
-//! destination first those that can be sent for the shortest time, be that to the deadline or to the end of the
-//! idempotency window.
+//! [`WorkQueue`]: recovered messages in the order in which they are released to the scheduler. For each destination,
+//! messages are ordered by the time until which they can be sent: their deadline or the end of their idempotency
+//! window.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,38 +8,43 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{DestinationId, MessageId};
 
-/// Messages of one destination that the scheduler may have without having sent them: one to send, and the next one.
+/// Limit on the released messages of one destination that are neither sent nor ended: one to send, and the next one.
 const MAX_RELEASED: usize = 2;
-/// All messages are released within this time, sent or not: where a destination is offered more than it serves, the
-/// scheduler prefers new messages, and those of the queue would wait here until they expire.
+/// All messages are released within this time from the start, even if the released ones are not sent. Otherwise
+/// messages to a destination without enough capacity, for which the scheduler prefers new messages, would stay queued
+/// until they expire.
 const RELEASE_PERIOD: Duration = Duration::from_secs(5);
-/// A message is released when this part of its time (one half) is left at the latest. A fixed time before the deadline
-/// would be too late for an attempt where deadlines or windows are short, and so would be the release period.
+/// A message is released at the latest when this fraction (one half) of its time remains. With short deadlines or
+/// windows, a fixed time before the deadline would be too late for an attempt, and so would be the end of the release
+/// period.
 const MIN_REMAINING_DIVISOR: u32 = 2;
 
-/// A message that waits; the order of the fields is the order of release.
+/// A message that is not released. The derived order, by fields from first to last, is the order of release.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct WaitingMessage {
-    last_chance: Time,
+struct QueuedMessage {
+    sendable_until: Time,
     id: MessageId,
 }
 
+/// The messages of one destination.
 #[derive(Debug, Default)]
 struct DestinationQueue {
-    waiting: BTreeSet<WaitingMessage>,
-    /// Released, and neither sent nor ended.
+    waiting: BTreeSet<QueuedMessage>,
+    /// Messages that are released and neither sent nor ended.
     released: BTreeSet<MessageId>,
+    /// Messages ever added.
     added_count: usize,
+    /// Messages ever released.
     released_count: usize,
 }
 
 impl DestinationQueue {
-    /// Whether fewer messages are released than the time that has passed allows for.
-    fn is_behind(&self, passed_fraction: f64) -> bool {
+    /// Whether a smaller fraction of the messages is released than of the release period has passed.
+    fn is_behind_schedule(&self, passed_fraction: f64) -> bool {
         (self.released_count as f64) < self.added_count as f64 * passed_fraction
     }
 
-    /// Removes and returns the next message, if it may be released.
+    /// Removes and returns the next message; `None` if there is none or it may not be released yet.
     fn release_next(
         &mut self,
         now: Time,
@@ -48,12 +53,12 @@
     ) -> Option<MessageId> {
         let first = self.waiting.first()?;
         let may_release = self.released.len() < MAX_RELEASED
-            || self.is_behind(passed_fraction)
-            || now >= latest_release(started_at, first.last_chance);
+            || self.is_behind_schedule(passed_fraction)
+            || now >= latest_release(started_at, first.sendable_until);
         if !may_release {
             return None;
         }
-        let WaitingMessage { id, .. } = self.waiting.pop_first()?;
+        let QueuedMessage { id, .. } = self.waiting.pop_first()?;
         self.released_count += 1;
         self.released.insert(id.clone());
         Some(id)
@@ -64,7 +69,7 @@
     }
 }
 
-/// Messages that wait to be released, by destination.
+/// Recovered messages that are not released, or released and neither sent nor ended, by destination.
 #[derive(Debug)]
 pub struct WorkQueue {
     started_at: Time,
@@ -72,7 +77,7 @@
 }
 
 impl WorkQueue {
-    /// The empty queue of a sender that started then.
+    /// Creates the empty queue of a sender that started at `started_at`.
     pub fn new(started_at: Time) -> WorkQueue {
         WorkQueue {
             started_at,
@@ -80,22 +85,22 @@
         }
     }
 
-    /// Adds a message that can be sent until `last_chance`.
-    pub fn add(&mut self, destination: DestinationId, last_chance: Time, id: MessageId) {
+    /// Adds a message that can be sent until `sendable_until`.
+    pub fn add(&mut self, destination: DestinationId, sendable_until: Time, id: MessageId) {
         let queue = self.destinations.entry(destination).or_default();
-        if queue.waiting.insert(WaitingMessage { last_chance, id }) {
+        if queue.waiting.insert(QueuedMessage { sendable_until, id }) {
             queue.added_count += 1;
         }
     }
 
-    /// A message has been sent, or has ended: another one of its destination may be released.
+    /// Handles a message that has been sent or has ended: another one of its destination may be released.
     pub fn on_sent_or_ended(&mut self, destination: DestinationId, id: &MessageId) {
         if let Some(queue) = self.destinations.get_mut(&destination) {
             queue.released.remove(id);
         }
     }
 
-    /// Removes and returns the messages that the scheduler gets now, in their order.
+    /// Removes and returns the messages to be released now, in the order of release for each destination.
     pub fn release(&mut self, now: Time) -> Vec<MessageId> {
         let passed = now - self.started_at;
         let passed_fraction = passed.as_secs_f64() / RELEASE_PERIOD.as_secs_f64();
@@ -109,24 +114,24 @@
         released
     }
 
-    /// When the next message must be released at the latest.
+    /// Latest time at which the next message is released; `None` if no message waits.
     pub fn next_release(&self) -> Option<Time> {
         self.destinations
             .values()
             .filter_map(|queue| queue.waiting.first())
-            .map(|first| latest_release(self.started_at, first.last_chance))
+            .map(|first| latest_release(self.started_at, first.sendable_until))
             .min()
     }
 
-    /// Messages that are not released.
+    /// Number of messages that are not released.
     pub fn waiting(&self) -> usize {
         let queues = self.destinations.values();
         queues.map(|queue| queue.waiting.len()).sum()
     }
 }
 
-/// When a message that can be sent until then is released at the latest, by a sender that started at `started_at`.
-fn latest_release(started_at: Time, last_chance: Time) -> Time {
-    let half_of_its_time = (last_chance - started_at) / MIN_REMAINING_DIVISOR;
-    started_at + half_of_its_time.min(RELEASE_PERIOD)
+/// Latest time to release a message that can be sent until `sendable_until`, for a sender that started at `started_at`.
+fn latest_release(started_at: Time, sendable_until: Time) -> Time {
+    let half_of_remaining_time = (sendable_until - started_at) / MIN_REMAINING_DIVISOR;
+    started_at + half_of_remaining_time.min(RELEASE_PERIOD)
 }
--- a/crates/zone-failover/src/attempt_history.rs
+++ b/crates/zone-failover/src/attempt_history.rs
@@ -1,4 +1,4 @@
-//! [`AttemptHistory`]: what a member's own attempts to one zone show of it.
+//! [`AttemptHistory`]: a member's recent attempts to one zone, and its view of the zone by them.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -7,11 +7,12 @@
 
 use crate::announcement::View;
 
-/// Attempts remembered at most, to bound the memory: more than a sender makes to one zone within a window.
+/// Bounds the memory; more attempts than a sender makes to one zone within a window.
 const MAX_ATTEMPTS: usize = 256;
-/// Unanswered attempts from which a zone can be seen to fail: a single one proves nothing.
+/// Minimum number of unanswered attempts for a view of failing: a single one is no evidence of a zone failure.
 const MIN_UNANSWERED: usize = 2;
-/// Endpoints without an answer from which a zone of several can be seen to fail: one may be down by itself.
+/// Minimum number of unanswering endpoints for a view of failing, in a zone of several: a single endpoint can be down
+/// while its zone serves.
 const MIN_FAILING_ENDPOINTS: usize = 2;
 
 #[derive(Clone, Debug)]
@@ -21,14 +22,14 @@
     answered: bool,
 }
 
-/// The latest attempts of this member to one zone.
+/// The recent attempts of this member to one zone, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AttemptHistory {
     attempts: VecDeque<FinishedAttempt>,
 }
 
 impl AttemptHistory {
-    /// An attempt to an endpoint has finished, with an answer or without.
+    /// Records a finished attempt to an endpoint; `answered` is whether any answer was received.
     pub(crate) fn record(&mut self, now: Time, endpoint: &str, answered: bool) {
         if self.attempts.len() >= MAX_ATTEMPTS {
             self.attempts.pop_front();
@@ -40,7 +41,7 @@
         });
     }
 
-    /// The view by the attempts within the window, of a zone with this number of endpoints.
+    /// The view by the attempts within the window, of a zone with `endpoint_count` endpoints. Drops older attempts.
     pub(crate) fn view(&mut self, now: Time, window: Duration, endpoint_count: usize) -> View {
         let is_old = |attempt: &FinishedAttempt| now - attempt.at > window;
         while self.attempts.front().is_some_and(is_old) {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Forgets all attempts.
+    /// Removes all attempts.
     pub(crate) fn clear(&mut self) {
         self.attempts.clear();
     }
--- a/crates/zone-failover/src/lib.rs
+++ b/crates/zone-failover/src/lib.rs
@@ -1,8 +1,9 @@
-//! Zone failover: when a whole fleet evacuates a zone, probes it, and returns to it. No I/O, and no clock.
+//! Zone failover: decides when a whole fleet evacuates a zone, probes it, and returns to it. The crate does no I/O and
+//! reads no clock.
 //!
-//! Start at [`Zones`]: a member passes in how its attempts finish ([`Zones::record_attempt`]) and what the others
-//! announce ([`Zones::evaluate`], which returns each [`Change`]), and announces its own view ([`Zones::announcements`]).
-//! `docs/zones.md` has the options and the reasons.
+//! The main type is [`Zones`]. A member records its finished attempts ([`Zones::record_attempt`]), passes in the
+//! announcements of the other members ([`Zones::evaluate`], which returns each [`Change`]), and announces its own view
+//! ([`Zones::announcements`]). `docs/zones.md` describes the alternatives and the reasons for this design.
 
 mod announcement;
 mod attempt_history;
--- a/crates/zone-failover/src/settings.rs
+++ b/crates/zone-failover/src/settings.rs
@@ -1,20 +1,21 @@
-//! [`Settings`]: when a fleet evacuates a zone and returns to it. `docs/zones.md` has the reasons.
+//! [`Settings`]: when a fleet evacuates a zone and returns to it. `docs/zones.md` gives the reasons.
 
 use std::time::Duration;
 
-/// When a fleet evacuates a zone and returns to it.
+/// Settings of the zone failover.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Attempts count for this long.
+    /// Period over which a member judges a zone by its attempts.
     pub window: Duration,
-    /// A quorum must see a zone fail for this long: members that see it serve have this time to announce it.
+    /// Time for which a quorum must continuously see a zone fail before it is evacuated: members that see it serve have
+    /// this time to announce it.
     pub settle: Duration,
-    /// Probe calls a second into an evacuated zone, over the whole fleet.
+    /// Probe calls per second into an evacuated zone, by the whole fleet.
     pub probes: f64,
-    /// The shortest and the longest evacuation.
+    /// Lower and upper bound of the minimum duration of an evacuation.
     pub out: [Duration; 2],
-    /// How long a return lasts: the time until a destination is warm.
+    /// Duration of a return (the recovery ramp): the time in which a destination warms up.
     pub warm: Duration,
-    /// A zone that fails again within this time after its return is evacuated for twice as long.
+    /// If a zone fails again within this time after it is back in service, the next evacuation lasts twice as long.
     pub calm: Duration,
 }
--- a/crates/zone-failover/src/tally.rs
+++ b/crates/zone-failover/src/tally.rs
@@ -1,45 +1,46 @@
-//! [`Tally`]: what all members announce of one zone, counted.
+//! [`Tally`]: counts of the announcements of all members about one zone.
 
 use cranehill_scheduler::Time;
 
 use crate::announcement::{MemberAnnouncements, State, View, ZoneAnnouncement};
 
-/// Least and most members that form a quorum. Two, as one may be cut off by itself; five, as as many of a thousand
-/// members are no accident either, and thin traffic may show no more within a window.
-const QUORUM: [usize; 2] = [2, 5];
-/// Between these bounds, one of this many members forms a quorum.
+/// Lower and upper bound of the quorum, in members. At least two, as one member can be cut off from a zone by itself.
+/// At most five: even among a thousand members, five that see a zone fail are no coincidence, and with little traffic
+/// no more members may notice it within a window.
+const QUORUM_BOUNDS: [usize; 2] = [2, 5];
+/// Between these bounds, the quorum is one member in this many, rounded up.
 const MEMBERS_PER_QUORUM_VOTE: usize = 10;
 
-/// The members that form a quorum.
+/// The quorum of a fleet with this number of members.
 fn quorum(members: usize) -> usize {
-    let [least, most] = QUORUM;
+    let [least, most] = QUORUM_BOUNDS;
     members.div_ceil(MEMBERS_PER_QUORUM_VOTE).clamp(least, most)
 }
 
-/// The announcements of one zone, counted.
+/// Counts of the announcements of all members about one zone.
 pub(crate) struct Tally {
-    /// Members that form a quorum.
+    /// Members required for a quorum.
     quorum: usize,
-    /// The other members.
+    /// Number of other members.
     others: usize,
-    /// Members that see the zone fail.
+    /// Members whose view is that the zone fails, this one included.
     pub(crate) failing: usize,
-    /// Members that see the zone serve.
+    /// Members whose view is that the zone serves, this one included.
     pub(crate) serving: usize,
-    /// Whether this member sees the zone serve.
+    /// Whether the own view of this member is that the zone serves.
     own_serving: bool,
-    /// Other members that announce the zone.
+    /// Other members that announce anything about the zone.
     announcing: usize,
     /// Other members that have evacuated the zone.
     evacuated: usize,
-    /// Attempts in a row that were answered to members that have evacuated the zone.
+    /// Sum of [`ZoneAnnouncement::served`] over all members that have evacuated the zone.
     served: u32,
-    /// Since when other members return to the zone.
+    /// When each other member that is returning to the zone started to do so.
     returning: Vec<Time>,
 }
 
 impl Tally {
-    /// Counts what is announced of a zone.
+    /// Counts the announcements about a zone: `own` by this member, `others` by the other members.
     pub(crate) fn new(
         zone: u32,
         own: &[ZoneAnnouncement],
@@ -65,24 +66,26 @@
             own_serving: own.iter().any(|a| a.view == View::Serving),
             announcing: theirs.len(),
             evacuated: theirs.iter().filter(|a| a.is_evacuated()).count(),
-            // Counts from before the evacuation say nothing of probe calls since.
+            // Counts announced outside an evacuation say nothing about its probe calls.
             served: all().filter(|a| a.is_evacuated()).map(|a| a.served).sum(),
             returning: theirs.iter().filter_map(returning).collect(),
         }
     }
 
-    /// Whether a quorum sees the zone fail, and more members than see it serve.
+    /// Whether a quorum sees the zone fail, and fewer members see it serve.
     pub(crate) fn is_failing(&self) -> bool {
         self.failing >= self.quorum && self.failing > self.serving
     }
 
-    /// Whether enough others have evacuated the zone for a member that joined later, or missed their announcements. A
-    /// member that is answered there knows better than others that send nothing.
+    /// Whether a member that joined later, or missed announcements, must follow the evacuation: a quorum of others has
+    /// evacuated the zone, and at least half of those that announce it. A member that receives answers from the zone
+    /// does not follow, as the others, which send nothing there, know less.
     pub(crate) fn is_evacuated_by_others(&self) -> bool {
         self.evacuated >= self.quorum && self.evacuated * 2 >= self.announcing && !self.own_serving
     }
 
-    /// Since when a quorum of others, or all of a small fleet, returns to a zone that this member evacuated then.
+    /// When the first of a quorum of others, or of all others in a small fleet, started to return to the zone after
+    /// this member evacuated it at `evacuated_at`; `None` if fewer members do.
     pub(crate) fn returned_by_others(&self, evacuated_at: Time) -> Option<Time> {
         let later = || self.returning.iter().filter(|at| **at > evacuated_at);
         if later().count() < self.quorum.min(self.others) {
@@ -91,7 +94,8 @@
         later().min().copied()
     }
 
-    /// Attempts in a row that were answered since the evacuation, over all members.
+    /// Number of successive attempts answered since the evacuation, summed over all members that have evacuated the
+    /// zone.
     pub(crate) fn served(&self) -> u32 {
         self.served
     }
--- a/crates/zone-failover/src/zone.rs
+++ b/crates/zone-failover/src/zone.rs
@@ -1,4 +1,4 @@
-//! [`Zone`]: the state of one zone, and its changes by what all members announce.
+//! [`Zone`]: the state machine of one zone, driven by the announcements of all members.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -11,41 +11,41 @@
 use crate::settings::Settings;
 use crate::tally::Tally;
 
-/// Answered probe calls in a row, over all members, from which a zone is returned to: one may reach the only endpoint
-/// that is up.
+/// Number of successive answered probe calls, over all members, required for a return to the zone: a single one may
+/// have reached the only endpoint that is up.
 const MIN_SERVED_PROBES: u32 = 3;
 
-/// What changes for this member.
+/// A change of a zone's state or probing, to be applied by this member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Nothing is sent to the zone any more.
+    /// The zone is evacuated: no calls are sent to it except probe calls.
     Evacuate {
         /// Number of the zone.
         zone: u32,
-        /// Members that see it fail, for the log.
+        /// Members that see the zone fail, for the log.
         fails: usize,
-        /// Members that see it serve, for the log.
+        /// Members that see the zone serve, for the log.
         serves: usize,
-        /// How long it stays evacuated at least.
+        /// Minimum duration of the evacuation.
         out: Duration,
     },
-    /// One probe call may be sent to the zone, until its next change.
+    /// This member may send one probe call to the zone, until the zone's next change.
     Probe {
         /// Number of the zone.
         zone: u32,
-        /// Chooses the endpoint, modulo their number.
+        /// Selects the endpoint: its index is this number modulo the number of endpoints.
         pick: u64,
     },
-    /// The time for the probe call is over.
+    /// This member may no longer send the probe call.
     ProbeOver {
         /// Number of the zone.
         zone: u32,
     },
-    /// Load returns to the zone, within the slow start.
+    /// Load returns to the zone, on the recovery ramp.
     Return {
         /// Number of the zone.
         zone: u32,
-        /// Since when.
+        /// When the ramp started; in the past if other members returned first.
         since: Time,
     },
     /// The zone is in normal use again.
@@ -55,36 +55,37 @@
     },
 }
 
-/// What a zone's state is evaluated by.
+/// The inputs of an evaluation of a zone's state.
 pub(crate) struct Evaluation<'a> {
     pub(crate) now: Time,
     pub(crate) settings: &'a Settings,
+    /// Address of this member.
     pub(crate) me: SocketAddr,
     pub(crate) others: &'a [MemberAnnouncements],
     pub(crate) tally: Tally,
 }
 
-/// The state of one zone.
+/// The state of one zone for this member.
 #[derive(Debug)]
 pub(crate) struct Zone {
     number: u32,
     endpoint_count: usize,
     history: AttemptHistory,
     state: State,
-    /// Since when a quorum sees it fail.
+    /// Since when a quorum has continuously seen the zone fail.
     failing_since: Option<Time>,
-    /// Attempts in a row that were answered since it was evacuated.
+    /// Number of attempts answered since the evacuation, or since the last unanswered attempt.
     served: u32,
-    /// How long it stays evacuated at least, this time.
+    /// Minimum duration of the current or last evacuation.
     evacuation: Duration,
-    /// When it was last put in service again.
+    /// When the zone last came back in service after an evacuation.
     in_service_since: Option<Time>,
-    /// The slot of the probe call that this member may send.
+    /// Number of the time slot in which this member may send a probe call.
     probe_slot: Option<u64>,
 }
 
 impl Zone {
-    /// A zone in normal use.
+    /// Creates a zone in normal use, without endpoints.
     pub(crate) fn new(number: u32) -> Zone {
         Zone {
             number,
@@ -99,22 +100,22 @@
         }
     }
 
-    /// Its state.
+    /// The current state.
     pub(crate) fn state(&self) -> State {
         self.state
     }
 
-    /// How many endpoints are listed in it.
+    /// Sets the number of endpoints listed in the zone.
     pub(crate) fn set_endpoint_count(&mut self, count: usize) {
         self.endpoint_count = count;
     }
 
-    /// Whether its state can change by time alone.
+    /// Whether the state can change without new announcements, as time passes.
     pub(crate) fn has_timer(&self) -> bool {
         self.state != State::InService || self.failing_since.is_some()
     }
 
-    /// An attempt of this member has finished.
+    /// Records a finished attempt of this member.
     pub(crate) fn record_attempt(&mut self, now: Time, endpoint: &str, answered: bool) {
         self.history.record(now, endpoint, answered);
         if let State::Evacuated(_) = self.state {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// What this member announces of it.
+    /// This member's announcement about the zone.
     pub(crate) fn announcement(&mut self, now: Time, settings: &Settings) -> ZoneAnnouncement {
         ZoneAnnouncement {
             zone: self.number,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Changes the state by what all members announce. Returns what changes for this member.
+    /// Updates the state by the announcements of all members. Returns the changes for this member.
     pub(crate) fn evaluate(&mut self, evaluation: &Evaluation<'_>) -> Vec<Change> {
         match self.state {
             State::InService | State::Returning(_) => {
@@ -197,13 +198,13 @@
         }]
     }
 
-    /// Starts an evacuation; one that follows soon after the last lasts twice as long.
+    /// Starts an evacuation. If the zone fails again during a return or soon after it, the minimum duration is doubled.
     fn evacuate(&mut self, now: Time, settings: &Settings) {
         let [shortest, longest] = settings.out;
-        let returned_lately = self
+        let has_returned_recently = self
             .in_service_since
             .is_some_and(|since| now - since < settings.calm);
-        self.evacuation = if returned_lately || matches!(self.state, State::Returning(_)) {
+        self.evacuation = if has_returned_recently || matches!(self.state, State::Returning(_)) {
             (self.evacuation * 2).clamp(shortest, longest)
         } else {
             shortest
@@ -212,7 +213,7 @@
         self.state = State::Evacuated(now);
     }
 
-    /// Forgets what was observed before a change of state.
+    /// Discards the observations from before a change of state.
     fn clear_observations(&mut self) {
         self.history.clear();
         self.served = 0;
@@ -220,8 +221,8 @@
         self.probe_slot = None;
     }
 
-    /// Starts or ends the probe call of a slot. In each slot one member of the fleet may send one: all draw by the same
-    /// hash, and the highest draw wins.
+    /// Starts or ends this member's permission for a probe call. In each time slot, one member of the fleet may send
+    /// one: the member with the highest value of a hash that all members compute alike.
     fn evaluate_probe(&mut self, evaluation: &Evaluation<'_>) -> Vec<Change> {
         let zone = self.number;
         let slot = (evaluation.now.0 as f64 / 1e9 * evaluation.settings.probes) as u64;
@@ -232,19 +233,22 @@
         if self.probe_slot.take().is_some() {
             changes.push(Change::ProbeOver { zone });
         }
-        let mine = draw(slot, zone, evaluation.me);
+        let own_rank = probe_rank(slot, zone, evaluation.me);
         let others = evaluation.others.iter();
-        let highest_other = others.map(|o| draw(slot, zone, o.member)).max();
-        if highest_other.is_none_or(|other| other < mine) {
+        let highest_other = others.map(|o| probe_rank(slot, zone, o.member)).max();
+        if highest_other.is_none_or(|other| other < own_rank) {
             self.probe_slot = Some(slot);
-            changes.push(Change::Probe { zone, pick: mine });
+            changes.push(Change::Probe {
+                zone,
+                pick: own_rank,
+            });
         }
         changes
     }
 }
 
-/// A member's draw for the probe call of a slot: the same at all members.
-fn draw(slot: u64, zone: u32, member: SocketAddr) -> u64 {
+/// Pseudo-random rank of a member for the probe call of a slot; all members compute the same value.
+fn probe_rank(slot: u64, zone: u32, member: SocketAddr) -> u64 {
     let mut hasher = DefaultHasher::new();
     (slot, zone, member).hash(&mut hasher);
     hasher.finish()
--- a/crates/zone-failover/src/zones.rs
+++ b/crates/zone-failover/src/zones.rs
@@ -1,4 +1,4 @@
-//! [`Zones`]: all zones as this member sees them.
+//! [`Zones`]: the state of all zones for this member.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,12 +11,12 @@
 use crate::tally::Tally;
 use crate::zone::{Change, Evaluation, Zone};
 
-/// Zones announced at most: announcements must fit into a member's payload.
+/// Limit on the number of announced zones: the announcements must fit into a member's payload.
 const MAX_ANNOUNCED_ZONES: usize = 16;
-/// While a zone is not in normal use, its state is evaluated this often.
+/// Interval at which the state is evaluated while a zone is not in normal use, or a quorum sees it fail.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// All zones as this member sees them.
+/// The state of all zones for this member.
 #[derive(Debug)]
 pub struct Zones {
     settings: Settings,
@@ -24,7 +24,7 @@
 }
 
 impl Zones {
-    /// No zone yet.
+    /// Creates the state without zones.
     pub fn new(settings: Settings) -> Zones {
         Zones {
             settings,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// How many endpoints are listed in each zone. Zones without endpoints are forgotten unless they are evacuated or
-    /// returned to.
+    /// Sets the number of listed endpoints by zone. Zones without endpoints are removed, except those that are
+    /// evacuated or being returned to.
     pub fn set_endpoint_counts(&mut self, endpoints: &BTreeMap<u32, usize>) {
         for (&number, &count) in endpoints {
             let zone = self.zones.entry(number);
@@ -45,7 +45,8 @@
         });
     }
 
-    /// An attempt of this member has finished, with whatever answer or with none.
+    /// Records a finished attempt of this member; `answered` is whether any answer was received, even an error. Ignored
+    /// for an unknown zone.
     pub fn record_attempt(&mut self, now: Time, zone: u32, endpoint: &str, answered: bool) {
         if let Some(zone) = self.zones.get_mut(&zone) {
             zone.record_attempt(now, endpoint, answered);
@@ -59,7 +60,8 @@
             .map(|(number, zone)| (*number, zone.state()))
     }
 
-    /// What this member announces: nothing of zones in normal use that nobody reports to fail.
+    /// This member's announcements. Zones in normal use are omitted unless this member sees them fail, or sees them
+    /// serve while others report a failure.
     pub fn announcements(
         &mut self,
         now: Time,
@@ -71,7 +73,7 @@
             let is_suspected = others.iter().flat_map(|other| &other.zones).any(|theirs| {
                 theirs.zone == number && (theirs.view == View::Failing || theirs.is_evacuated())
             });
-            if !announcement.is_unremarkable(is_suspected)
+            if !announcement.can_be_omitted(is_suspected)
                 && announcements.len() < MAX_ANNOUNCED_ZONES
             {
                 announcements.push(announcement);
@@ -80,13 +82,14 @@
         announcements
     }
 
-    /// When to evaluate again even if nothing is received.
+    /// When to evaluate again even without new announcements; `None` if no state can change as time passes.
     pub fn next_evaluation(&self, now: Time) -> Option<Time> {
         let has_timer = self.zones.values().any(Zone::has_timer);
         has_timer.then(|| now + EVALUATION_INTERVAL)
     }
 
-    /// Evaluates the announcements of all present members. `me` is this member's address. Returns what changes for it.
+    /// Evaluates the announcements of all live members. `me` is this member's address. Returns the changes for this
+    /// member.
     pub fn evaluate(
         &mut self,
         now: Time,
