--- a/crates/core/tests/backlog.rs
+++ b/crates/core/tests/backlog.rs
@@ -1,4 +1,5 @@
-//! A restart that finds more messages in its journal than the settings let the decisions hold.
+//! Recovery of more messages from the journal than the scheduler may hold pending: they must be released by deadline,
+//! and each is delivered or reported in time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,11 +13,11 @@
 const SETTINGS: &str = include_str!("settings.json");
 const SAFE: usize = 0;
 const DESTINATION: u64 = 7;
-const MOST_HELD: u64 = 64;
-/// Found by the restart: many times what may be held.
-const FOUND: u64 = 1000;
+const MAX_PENDING: u64 = 64;
+/// Messages in the journal at the restart: many times the limit on pending messages.
+const RECOVERED: u64 = 1000;
 const SERVED_AFTER_MS: u64 = 5;
-/// The decisions may end a message two ticks of 5 ms before its deadline, and a turn may come a tick late.
+/// The scheduler may end a message two ticks of 5 ms before its deadline, and may run a tick late.
 const MARGIN_MS: u64 = 20;
 
 fn at(ms: u64) -> Time {
@@ -30,7 +31,7 @@
 fn core() -> Core {
     let mut settings: serde_json::Value = serde_json::from_str(SETTINGS).expect("JSON");
     settings["classes"][SAFE]["deadline"] = 600_000_000_000u64.into();
-    settings["policyLimits"]["mostHeld"] = MOST_HELD.into();
+    settings["policyLimits"]["mostHeld"] = MAX_PENDING.into();
     let profile: Profile = serde_json::from_value(settings).expect("a profile");
     let mut core =
         Core::new(profile.into_settings().expect("settings"), 1, at(0)).expect("settings");
@@ -55,7 +56,7 @@
     core
 }
 
-fn found(id: String, deadline: u64) -> Record {
+fn accepted_record(id: String, deadline: u64) -> Record {
     Record::Accepted {
         id,
         class: SAFE,
@@ -69,14 +70,14 @@
     }
 }
 
-/// When each message was called first, and when each was reported undelivered.
+/// The calls and final reports of a run, with their times in milliseconds.
 #[derive(Default)]
-struct Ends {
-    called: Vec<(u64, String)>,
+struct RunResult {
+    calls: Vec<(u64, String)>,
     reported: BTreeMap<String, u64>,
 }
 
-/// When an attempt started now ends, and how: it is served, or unanswered to its time-out.
+/// When an attempt that starts at `now` finishes, and its outcome: it is served, or times out.
 fn outcome(now: u64, attempt: Attempt, serves: bool) -> (u64, AttemptOutcome) {
     let (ended, status) = if serves {
         (now + SERVED_AFTER_MS, Status::Served)
@@ -95,14 +96,18 @@
     (ended, outcome)
 }
 
-/// Plays until nothing is owed; every call is served unless `serves` is false, when it stays unanswered to its end.
-fn play(mut core: Core, records: Vec<Record>, serves: bool) -> Ends {
-    let mut ends = Ends::default();
+/// Runs until no message or report is outstanding. Every call is served if `serves` is true, and times out otherwise.
+fn run(mut core: Core, records: Vec<Record>, serves: bool) -> RunResult {
+    let mut result = RunResult::default();
     let mut answers: BTreeMap<u64, Vec<AttemptOutcome>> = BTreeMap::new();
-    let (mut now, mut wakes) = (1, BTreeSet::new());
+    let (mut now, mut wakeups) = (1, BTreeSet::new());
     let mut effects = core.step(at(now), Input::Recovered(records));
     while core.outstanding() != (0, 0) {
-        assert!(now < 700_000, "still owed: {:?}", core.outstanding());
+        assert!(
+            now < 700_000,
+            "still outstanding (messages, reports): {:?}",
+            core.outstanding()
+        );
         while let Some(due) = answers.first_entry().filter(|due| *due.key() <= now) {
             effects.extend(core.step(at(now), Input::AttemptsFinished(due.remove())));
         }
@@ -117,14 +122,14 @@
                     effects.extend(
                         core.step(at(now), Input::FinalReportsAcknowledged(vec![id.clone()])),
                     );
-                    ends.reported.insert(id, now);
+                    result.reported.insert(id, now);
                 }
                 Effect::WakeAt(time) => {
-                    wakes.insert(ms(time).max(now + 1));
+                    wakeups.insert(ms(time).max(now + 1));
                 }
                 Effect::Call { attempts, .. } => {
                     for attempt in attempts {
-                        ends.called.push((now, attempt.id.clone()));
+                        result.calls.push((now, attempt.id.clone()));
                         let (ended, outcome) = outcome(now, attempt, serves);
                         answers.entry(ended).or_default().push(outcome);
                     }
@@ -133,38 +138,39 @@
             }
         }
         let due = answers.first_key_value().map(|(due, _)| *due);
-        let wake = wakes.pop_first();
+        let wake = wakeups.pop_first();
         now = due
             .into_iter()
             .chain(wake)
             .min()
             .map_or(now + 1, |next| next.max(now + 1));
-        wakes.extend(wake.filter(|wake| *wake > now));
+        wakeups.extend(wake.filter(|wake| *wake > now));
     }
-    ends
+    result
 }
 
-/// What exceeded fifteen sixteenths of the bound was reported as returned at the first turn, with no call.
+/// Guards against messages beyond the limit being returned untried: whatever exceeded fifteen sixteenths of the limit
+/// was reported as returned in the first tick, without a call.
 #[test]
 fn a_backlog_beyond_the_bound_is_delivered_earliest_deadline_first() {
-    let records = (0..FOUND)
-        .map(|n| found(format!("m{n:04}"), 500_000 - n * 100))
+    let records = (0..RECOVERED)
+        .map(|n| accepted_record(format!("m{n:04}"), 500_000 - n * 100))
         .collect();
-    let ends = play(core(), records, true);
-    assert!(ends.reported.is_empty(), "{:?}", ends.reported);
-    let order: Vec<u64> = ends
-        .called
+    let result = run(core(), records, true);
+    assert!(result.reported.is_empty(), "{:?}", result.reported);
+    let order: Vec<u64> = result
+        .calls
         .iter()
         .map(|(_, id)| id[1..].parse().expect("a number"))
         .collect();
-    assert_eq!(order.len() as u64, FOUND, "each is called once");
-    // The decisions choose among what they hold; nothing is handed to them before what has an earlier deadline. The latest number
-    // has the earliest.
-    for (place, number) in order.iter().enumerate() {
-        let by_deadline = FOUND - 1 - number;
+    assert_eq!(order.len() as u64, RECOVERED, "each message is called once");
+    // The scheduler chooses among the pending messages, but receives none before those with earlier deadlines. The
+    // message with the highest number has the earliest deadline.
+    for (position, number) in order.iter().enumerate() {
+        let rank_by_deadline = RECOVERED - 1 - number;
         assert!(
-            by_deadline <= place as u64 + MOST_HELD,
-            "{number} was the {place}th"
+            rank_by_deadline <= position as u64 + MAX_PENDING,
+            "message {number} was call {position}, expected at most {MAX_PENDING} calls before its rank by deadline"
         );
     }
 }
@@ -172,27 +178,30 @@
 #[test]
 fn messages_without_capacity_are_reported_at_their_deadline() {
     let deadline = |n: u64| 4_000 + n * 20;
-    let records = (0..FOUND)
-        .map(|n| found(format!("m{n:04}"), deadline(n)))
+    let records = (0..RECOVERED)
+        .map(|n| accepted_record(format!("m{n:04}"), deadline(n)))
         .collect();
-    let ends = play(core(), records, false);
-    assert_eq!(ends.reported.len() as u64, FOUND);
+    let result = run(core(), records, false);
+    assert_eq!(result.reported.len() as u64, RECOVERED);
     let mut untried = 0;
-    for n in 0..FOUND {
+    for n in 0..RECOVERED {
         let id = format!("m{n:04}");
-        if ends.called.iter().all(|(_, called)| *called != id) {
+        if result.calls.iter().all(|(_, calls)| *calls != id) {
             untried += 1;
-            let reported = ends.reported[&id];
+            let reported = result.reported[&id];
             assert!(
                 reported <= deadline(n),
-                "{id} is reported late, at {reported}"
+                "{id} is reported late, at {reported} ms"
             );
             assert!(
                 reported + MARGIN_MS >= deadline(n),
-                "{id} is given up at {reported} of {}",
+                "{id} is reported early, at {reported} ms with the deadline at {} ms",
                 deadline(n)
             );
         }
     }
-    assert!(untried > FOUND / 2, "too few waited to the end: {untried}");
+    assert!(
+        untried > RECOVERED / 2,
+        "too few messages waited until their deadline: {untried}"
+    );
 }
--- a/crates/core/tests/cold_fleet.rs
+++ b/crates/core/tests/cold_fleet.rs
@@ -1,4 +1,5 @@
-//! Fleets that return to a cold destination: calls of all senders together, by seed, in virtual time.
+//! Fleets that resume calls to a cold destination after an outage, in virtual time. Guards against senders that were
+//! notified of the outage overloading the destination together while it warms up.
 
 mod virtual_fleet;
 
@@ -9,12 +10,13 @@
 use cranehill_simulation::return_guard::Return;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use virtual_fleet::{Call, OUTAGES, Played, Scenario, play};
+use virtual_fleet::{Call, OUTAGES, RunResult, Scenario, run};
 
 const SEEDS: u64 = 100;
 
-/// A destination that fails for some 10 s, for senders with little traffic each, together up to half as much again as it takes; a third of the senders are restarted meanwhile, or just behind its end, and a quarter
-/// get nothing to send during the outage.
+/// A destination that fails for some 10 s. Each sender has little traffic; together they submit up to 1.6 times its
+/// capacity. A third of the senders are restarted during the outage or just after it, and a quarter have no traffic
+/// during it.
 fn scenario(senders: usize, seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let capacity = rng.random_range(4.0f64.ln()..50.0f64.ln()).exp();
@@ -40,8 +42,8 @@
         seed,
         capacity,
         rate: capacity * rng.random_range(0.4..1.6),
-        // Half of the lists tell no rate.
-        listed: if (seed / 5).is_multiple_of(2) {
+        // For half of the seeds, discovery lists no rate.
+        listed_rate: if (seed / 5).is_multiple_of(2) {
             capacity * rng.random_range(0.85..1.15)
         } else {
             0.0
@@ -51,94 +53,109 @@
         deadline: Duration::from_secs(rng.random_range(8..=20)),
         idle,
         killed,
-        by_steps: seed / 10 % 2 == 1,
+        gradual_recovery: seed / 10 % 2 == 1,
         until: outage.end() + Return::default().warm,
     }
 }
 
-/// The calls of one span before and with one, as the rule counts them.
-struct Span {
+/// The calls within the rule's period that ends with one call, as the rule counts them.
+struct Period {
+    /// All calls.
     all: f64,
-    /// From senders that were told of the outage, by this process or an earlier one.
+    /// Calls by senders of which this process or an earlier one was notified of the outage.
     notified: f64,
-    /// From processes that were told of it themselves.
+    /// Calls by processes that were notified of the outage themselves.
     notified_themselves: f64,
+    /// Most calls that the rule allows.
     bound: f64,
 }
 
-impl Span {
-    /// The destination falls, and over two thirds of the calls came from senders that had been told.
-    fn breaks_the_rule(&self) -> bool {
+impl Period {
+    /// Whether the destination fails again from overload, with over two thirds of the calls by processes that
+    /// were notified themselves.
+    fn is_overload_by_notified(&self) -> bool {
         self.all > self.bound && self.notified_themselves > self.all * 2.0 / 3.0
     }
 }
 
-fn spans(scenario: &Scenario, played: &Played) -> Vec<Span> {
+fn periods(scenario: &Scenario, result: &RunResult) -> Vec<Period> {
     let (rule, back) = (Return::default(), scenario.outage.end());
-    let cold: Vec<&Call> = played
+    let cold: Vec<&Call> = result
         .calls
         .iter()
         .filter(|c| c.at >= back && c.at < back + rule.warm)
         .collect();
-    let span = |(n, call): (usize, &&Call)| {
+    let period = |(n, call): (usize, &&Call)| {
         let within = || cold[..=n].iter().filter(|c| call.at - c.at < rule.fall);
-        Span {
+        Period {
             all: within().count() as f64,
             notified: within().filter(|c| c.notified).count() as f64,
             notified_themselves: within().filter(|c| c.notified_itself).count() as f64,
             bound: rule.budget(call.at - back, scenario.capacity),
         }
     };
-    cold.iter().enumerate().map(span).collect()
+    cold.iter().enumerate().map(period).collect()
 }
 
-/// Plays all seeds. The sum of what was told must stay within the bound; where the list tells rates, as on every deployment known,
-/// no fall of the destination may be put down to it either. Where it tells none, a sender that has seen two calls time out does
-/// not take the destination for out yet: such falls are printed with those that are the others' doing.
-fn stays_within_the_rule(senders: usize) {
-    let (mut over, mut most, mut judged) = (Vec::new(), 0.0f64, 0);
-    let (mut falls, mut without_rates) = (Vec::new(), Vec::new());
+/// Runs all seeds. The calls by notified senders must stay within the bound. If discovery lists rates, as in every
+/// known deployment, notified processes must not cause an overload either. Without rates, a sender does not yet
+/// consider the destination down after two timed-out calls: such overloads are only printed, like those caused by other
+/// senders.
+fn assert_within_the_rule(senders: usize) {
+    let (mut violations, mut highest_fraction, mut checked) = (Vec::new(), 0.0f64, 0);
+    let (mut overloads, mut without_rates) = (Vec::new(), Vec::new());
     for seed in 0..SEEDS {
         let scenario = scenario(senders, seed);
-        let spans = spans(&scenario, &play(&scenario));
-        judged += spans.iter().filter(|s| s.notified > 0.0).count();
-        let notified = spans
+        let periods = periods(&scenario, &run(&scenario));
+        checked += periods
             .iter()
-            .map(|s| s.notified / s.bound)
+            .filter(|period| period.notified > 0.0)
+            .count();
+        let notified = periods
+            .iter()
+            .map(|period| period.notified / period.bound)
             .fold(0.0, f64::max);
-        most = most.max(notified);
-        let broken = spans.iter().any(Span::breaks_the_rule);
-        if notified > 1.0 || broken && scenario.listed > 0.0 {
-            over.push((seed, notified));
+        highest_fraction = highest_fraction.max(notified);
+        let has_overload_by_notified = periods.iter().any(Period::is_overload_by_notified);
+        if notified > 1.0 || has_overload_by_notified && scenario.listed_rate > 0.0 {
+            violations.push((seed, notified));
         }
-        without_rates.extend((broken && scenario.listed == 0.0).then_some(seed));
-        falls.extend(spans.iter().any(|s| s.all > s.bound).then_some(seed));
+        without_rates
+            .extend((has_overload_by_notified && scenario.listed_rate == 0.0).then_some(seed));
+        overloads.extend(
+            periods
+                .iter()
+                .any(|period| period.all > period.bound)
+                .then_some(seed),
+        );
     }
     println!(
-        "{senders} senders, {SEEDS} seeds, {judged} spans: those told sent at most {most:.2} of the bound; it fell by all \
-         together with the seeds {falls:?}, by those told and without rates with {without_rates:?}"
+        "{senders} senders, {SEEDS} seeds, {checked} periods: notified senders made at most {highest_fraction:.2} of the \
+         allowed calls; \
+         overloads by all senders with seeds {overloads:?}, by notified processes without listed rates \
+         with seeds {without_rates:?}"
     );
     assert!(
-        judged > 5 * SEEDS as usize,
-        "{senders} senders: only {judged} spans with calls by those told"
+        checked > 5 * SEEDS as usize,
+        "{senders} senders: only {checked} periods with calls by notified senders"
     );
     assert!(
-        over.is_empty(),
-        "{senders} senders: over the bound (seed, part of it by those told): {over:?}"
+        violations.is_empty(),
+        "{senders} senders: over the bound (seed, calls of notified senders as a fraction of it): {violations:?}"
     );
 }
 
 #[test]
 fn two_senders_notified_of_an_outage_stay_within_the_rule() {
-    stays_within_the_rule(2);
+    assert_within_the_rule(2);
 }
 
 #[test]
 fn twenty_senders_notified_of_an_outage_stay_within_the_rule() {
-    stays_within_the_rule(20);
+    assert_within_the_rule(20);
 }
 
 #[test]
 fn thirty_senders_notified_of_an_outage_stay_within_the_rule() {
-    stays_within_the_rule(30);
+    assert_within_the_rule(30);
 }
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What the reducer leaves in the state files for the next process, as earlier builds wrote it. Time is virtual, so the bytes
-//! are the same in each run.
+//! Golden files of the state files that the reducer leaves for the next process, as written by earlier builds. Time is
+//! virtual, so the bytes are the same in each run.
 
 #[path = "../../recovery/tests/common/golden_file.rs"]
 mod golden_file;
@@ -92,7 +92,7 @@
     let mut core = core_with_endpoints();
     core.step(START + Duration::from_secs(3), Input::TimerFired);
     core.detached_before(detached);
-    // An endpoint that is out already changes nothing; the answer names the restored ones.
+    // Detaching a detached endpoint changes nothing; the answer lists the restored detachments.
     let restored = detach(&mut core, START + Duration::from_secs(3), "ü", false);
     assert_eq!(restored, expected_detachments());
 }
@@ -122,12 +122,12 @@
         Effect::PersistLearnedState(bytes) => Some(bytes),
         _ => None,
     });
-    let written = written.expect("the learned state is written at the first turn");
+    let written = written.expect("learned state is persisted in the first tick");
     golden_file::assert_unchanged(LEARNED_STATE_RESTORED, &written);
     let restored = cranehill_recovery::unpack(&written).expect("readable");
-    let waits: Vec<_> = restored
+    let blocked_routes: Vec<_> = restored
         .iter()
         .map(|learned| (learned.destination, learned.blocked_until))
         .collect();
-    assert_eq!(waits, [(0, Some(Time(1_700_000_060_000_000_000)))]);
+    assert_eq!(blocked_routes, [(0, Some(Time(1_700_000_060_000_000_000)))]);
 }
--- a/crates/core/tests/list.rs
+++ b/crates/core/tests/list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints against a plain model of it, and what changes to it cost.
+//! The endpoint list compared with a simple model, and the cost of its updates in visited entries.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 
 /// How long a destination without endpoints stays known.
-const FORGOTTEN: Duration = Duration::from_secs(600);
+const DESTINATION_RETENTION: Duration = Duration::from_secs(600);
 const ENDPOINTS: usize = 12;
 const DESTINATIONS: u64 = 5;
 const ZONES: u32 = 3;
@@ -34,11 +34,11 @@
     }
 }
 
-/// The same by walking all that there is.
+/// A model of the endpoint list that examines every entry on each update.
 #[derive(Default)]
 struct Model {
     listed: BTreeMap<EndpointId, Listing>,
-    /// When a destination was seen without an endpoint for the first time since it had one.
+    /// Destinations that have lost their last endpoint, and when.
     unlisted: BTreeMap<DestinationId, Time>,
 }
 
@@ -67,7 +67,7 @@
                 .map(|destination| (*destination, now)),
         );
         self.unlisted
-            .retain(|d, since| !after.contains(d) && now - *since < FORGOTTEN);
+            .retain(|d, since| !after.contains(d) && now - *since < DESTINATION_RETENTION);
         closed
     }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Everything that can be asked of both.
+/// Compares the results of all queries of the list with the model.
 fn check(list: &EndpointList, model: &Model) -> Result<(), TestCaseError> {
     let destinations = model.destinations();
     prop_assert_eq!(list.len(), model.listed.len());
@@ -85,11 +85,11 @@
             destinations.contains(&destination) || model.unlisted.contains_key(&destination);
         prop_assert_eq!(list.knows(destination), known, "{:?}", destination);
         let of: Vec<&EndpointId> = list.of_destination(destination).collect();
-        let there = model
+        let expected = model
             .listed
             .values()
             .filter(|l| l.entry.destination == destination);
-        prop_assert_eq!(of, there.map(|l| &l.entry.endpoint).collect::<Vec<_>>());
+        prop_assert_eq!(of, expected.map(|l| &l.entry.endpoint).collect::<Vec<_>>());
     }
     let mut zones: BTreeMap<u32, usize> = BTreeMap::new();
     model
@@ -105,9 +105,12 @@
             list.address(&endpoint),
             expected.map(|l| l.address.as_str())
         );
-        let shown = |entry: &Entry| format!("{entry:?}");
-        let (found, expected) = (list.entry(&endpoint), expected.map(|l| shown(&l.entry)));
-        prop_assert_eq!(found.as_ref().map(shown), expected);
+        let debug_text = |entry: &Entry| format!("{entry:?}");
+        let (found, expected) = (
+            list.entry(&endpoint),
+            expected.map(|l| debug_text(&l.entry)),
+        );
+        prop_assert_eq!(found.as_ref().map(debug_text), expected);
     }
     Ok(())
 }
@@ -118,7 +121,7 @@
         1 => Just(Condition::Draining),
         2 => Just(Condition::Removed),
     ];
-    // An endpoint mostly keeps its destination and zone, and now and then is listed under others.
+    // An endpoint usually keeps its destination and zone, and sometimes is listed with others.
     let place = prop_oneof![
         4 => Just(None),
         1 => (0..DESTINATIONS, 0..ZONES).prop_map(Some),
@@ -130,7 +133,7 @@
     })
 }
 
-/// Whether it is whole, what it names, and how many seconds after the one before.
+/// Whether the update is a full list, its entries, and the seconds since the previous update.
 fn any_update() -> impl Strategy<Value = (bool, Vec<Listing>, u64)> {
     let passed = prop_oneof![3 => 0..10u64, 1 => 290..310u64, 1 => 595..605u64];
     (
@@ -143,7 +146,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whole lists, changes, drains, returns, moves and times at random.
+    /// Random sequences of full lists and changes that add, drain, remove and move endpoints, with random pauses.
     #[test]
     fn the_list_matches_a_model_that_visits_every_entry(updates in prop::collection::vec(any_update(), 1..30)) {
         let (mut list, mut model, mut now) = (EndpointList::default(), Model::default(), Time(0));
@@ -157,7 +160,7 @@
     }
 }
 
-/// So many endpoints, each of a destination of its own.
+/// A list of `count` endpoints, each with its own destination, and the entries visited to create it.
 fn listed(count: usize) -> (EndpointList, usize) {
     let mut list = EndpointList::default();
     let whole = (0..count)
@@ -167,7 +170,8 @@
     (list, visited)
 }
 
-/// Entries visited for each of some changes: drained, returned, removed, added, and for a wait told by a destination.
+/// Entries visited by changes that drain, restore, remove and add an endpoint, by an empty change, and by a lookup of
+/// the destination's endpoints, as for a retry-after time.
 fn visited_by_changes(list: &mut EndpointList) -> Vec<usize> {
     let mut visited = Vec::new();
     for condition in [
@@ -186,15 +190,15 @@
     visited
 }
 
-/// Before, a change walked the whole list (8 ms of CPU at 57,000 listed), and a whole list walked itself for each of its
-/// entries (6 s).
+/// Guards against updates whose cost depends on the size of the list: a change visited the whole list (8 ms of CPU with
+/// 57,000 endpoints), and a full list visited the whole list for each of its entries (6 s).
 #[test]
 fn a_change_visits_its_own_entries_and_a_whole_list_each_entry_once() {
     let (mut few, _) = listed(10);
     let (mut many, first) = listed(57_000);
     assert_eq!(visited_by_changes(&mut few), visited_by_changes(&mut many));
     assert_eq!(visited_by_changes(&mut many), [1, 1, 1, 1, 0, 1]);
-    assert_eq!(first, 57_000, "a first list visits its own entries");
+    assert_eq!(first, 57_000, "a first list visits only its own entries");
     let next = (500..57_500)
         .map(|e| listing(e, e as u64, 0, Condition::Ready))
         .collect();
@@ -202,16 +206,18 @@
     assert_eq!(
         update.visited,
         2 * 57_000,
-        "the old entries and the new ones, once each"
+        "a full list visits the old and the new entries once each"
     );
     assert_eq!(update.closed.len(), 500);
-    // What was removed is forgotten by those that are forgotten.
+    // Dropping the removed destinations visits only these.
     assert_eq!(
-        many.update(Time(3) + FORGOTTEN, false, Vec::new()).visited,
+        many.update(Time(3) + DESTINATION_RETENTION, false, Vec::new())
+            .visited,
         500
     );
     assert_eq!(
-        many.update(Time(4) + FORGOTTEN, false, Vec::new()).visited,
+        many.update(Time(4) + DESTINATION_RETENTION, false, Vec::new())
+            .visited,
         0
     );
 }
--- a/crates/core/tests/order.rs
+++ b/crates/core/tests/order.rs
@@ -1,5 +1,5 @@
-//! Random histories of a class that keeps its order: hand-ins, ends of attempts, answers to reports, and processes that end at any
-//! moment and are followed by another. Judged by what goes out, not by what the reducer holds.
+//! Random histories of message classes with ordering keys: submissions, finished attempts, acknowledged reports, and
+//! restarts at any moment. The order is checked by the calls that are sent, not by the state of the reducer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Class 0 may be repeated, class 1 must not be, class 2 keeps no order.
+/// Attempts of class 0 may be repeated, those of class 1 must not be; class 2 has no ordering keys.
 const SETTINGS: &str = r#"{"classes":[
 {"aim":4000000000,"deadline":9000000000,"dedupScope":"all","effect":"keyed","byArrival":true,"lateShare":0.4,"name":"notice","window":9000000000,"worth":1.0},
 {"aim":4000000000,"deadline":9000000000,"effect":"unsafe","byArrival":true,"lateShare":0.4,"name":"order","worth":1.0},
@@ -24,9 +24,9 @@
 "rules":{"cold":900000000,"coldFrom":0.9,"fall":3000000000,"fallMultiple":9.0,"graceToAnswer":20000000,"keyQuiet":100000000},
 "tenants":[],"tick":5000000,"weightKind":"none","zone":0,"zones":["a"]}"#;
 const ACCOUNTS: u64 = 3;
-const KEY_REST_MS: u64 = 100;
+const KEY_QUIET_MS: u64 = 100;
 const START: u64 = 1_000_000_000_000;
-const LEFT_MS: u64 = 9000;
+const TIME_TO_DEADLINE_MS: u64 = 9000;
 const STATUSES: [Status; 6] = [
     Status::Served,
     Status::Served,
@@ -36,32 +36,34 @@
     Status::Reset,
 ];
 
-/// Milliseconds to pass, what happens, and a free number.
+/// Milliseconds before the action, the action, and a number that selects its details.
 type Step = (u64, u8, u64);
 
 #[derive(Debug)]
 struct ModelMessage {
-    /// Place among all that were submitted.
-    place: usize,
+    /// Position among all submitted messages.
+    position: usize,
     key: Option<String>,
     class: usize,
 }
 
-/// A sender's processes, one after the other, with their journal and what they have sent.
-struct World {
+/// The successive processes of one sender, with their journal and the calls that they have sent.
+struct SenderWorld {
     core: Core,
     seed: u64,
-    /// Restarts hand the backlog over by steps.
-    by_steps: bool,
+    /// Whether recovery is enabled at a restart, which hands recovered messages over gradually.
+    with_recovery: bool,
     ms: u64,
     journal: Vec<Record>,
     messages: BTreeMap<String, ModelMessage>,
     submitted: usize,
+    /// Numbers of the attempts in flight, by message id.
     in_flight: BTreeMap<String, u32>,
-    /// By key: the latest place that was ever sent, and until when the key rests for others than this message.
+    /// By ordering key: the highest position that was ever sent.
     sent: BTreeMap<String, usize>,
-    rests: BTreeMap<String, (u64, Option<String>)>,
-    /// Final reports that nobody has answered.
+    /// By ordering key: until when no message may be sent, except the given one.
+    quiet_until: BTreeMap<String, (u64, Option<String>)>,
+    /// Ids of messages with an unacknowledged final report.
     reports: BTreeSet<String>,
     sends: usize,
     restarts: usize,
@@ -88,29 +90,29 @@
     }
 }
 
-impl World {
-    fn new(by_steps: bool) -> World {
+impl SenderWorld {
+    fn new(with_recovery: bool) -> SenderWorld {
         let core = Core::new(settings(), 1, Time(START)).expect("settings");
-        let mut world = World {
+        let mut world = SenderWorld {
             core,
             seed: 1,
-            by_steps,
+            with_recovery,
             ms: 0,
             journal: Vec::new(),
             messages: BTreeMap::new(),
             submitted: 0,
             in_flight: BTreeMap::new(),
             sent: BTreeMap::new(),
-            rests: BTreeMap::new(),
+            quiet_until: BTreeMap::new(),
             reports: BTreeSet::new(),
             sends: 0,
             restarts: 0,
         };
-        world.list();
+        world.send_endpoint_list();
         world
     }
 
-    fn list(&mut self) {
+    fn send_endpoint_list(&mut self) {
         let endpoint = |name: &str| Listing {
             entry: Entry {
                 endpoint: EndpointId(name.into()),
@@ -130,14 +132,15 @@
         self.core.step(Time(START + self.ms * 1_000_000), input)
     }
 
-    /// A whole turn. `dies`: the process ends with its records written and nothing of the rest let out.
-    fn turn(&mut self, dies: bool) -> Result<(), TestCaseError> {
+    /// Ends a tick. If `crashes` is true, the process ends after its records are written, before any effect is carried
+    /// out.
+    fn end_tick(&mut self, crashes: bool) -> Result<(), TestCaseError> {
         let effects = self.step(Input::TickEnded);
         for effect in effects {
             match effect {
                 Effect::Persist(records) => {
                     self.journal.extend(records);
-                    if dies {
+                    if crashes {
                         return Ok(());
                     }
                     let effects = self.step(Input::Persisted(Persisted::All));
@@ -176,52 +179,56 @@
         let Some(key) = self.key_of(id) else {
             return Ok(());
         };
-        let place = self.messages[id].place;
+        let position = self.messages[id].position;
         let other = self
             .in_flight
             .keys()
             .find(|other| self.key_of(other).as_deref() == Some(&key));
         prop_assert!(
             other.is_none(),
-            "{id} goes while {other:?} of the same key is in flight"
+            "{id} is sent while {other:?} of the same key is in flight"
         );
         let latest = self.sent.get(&key).copied().unwrap_or(0);
-        prop_assert!(place >= latest, "{id} goes after a later one of its key");
+        prop_assert!(
+            position >= latest,
+            "{id} is sent after a later message of its key"
+        );
         let earlier = |other: &&String| {
             let other = self.messages.get(*other);
-            other.is_some_and(|m| m.key.as_deref() == Some(&key) && m.place < place)
+            other.is_some_and(|m| m.key.as_deref() == Some(&key) && m.position < position)
         };
         let reported = self.reports.iter().find(earlier);
         prop_assert!(
             reported.is_none(),
-            "{id} goes before the report of {reported:?} is answered"
+            "{id} is sent before the report of {reported:?} is acknowledged"
         );
-        if let Some((until, by)) = self.rests.get(&key) {
-            let rested = self.ms >= *until || by.as_deref() == Some(id);
+        if let Some((until, by)) = self.quiet_until.get(&key) {
+            let is_allowed = self.ms >= *until || by.as_deref() == Some(id);
             prop_assert!(
-                rested,
-                "{id} goes at {} ms, its key rests until {until}",
+                is_allowed,
+                "{id} is sent at {} ms, expected no call of its key until {until} ms",
                 self.ms
             );
         }
-        self.sent.insert(key, place);
+        self.sent.insert(key, position);
         Ok(())
     }
 
-    /// A message of a class, about one of three accounts where the class keeps its order. Tells its id.
-    fn hand_in(&mut self, class: usize, account: u64, left_ms: u64) -> String {
+    /// Submits a message of a class; its ordering key is one of three accounts if the class has ordering keys. Returns
+    /// its id.
+    fn submit(&mut self, class: usize, account: u64, deadline_ms: u64) -> String {
         let key = (class < 2).then(|| format!("account-{}", account % ACCOUNTS));
         self.submitted += 1;
-        let place = self.submitted;
-        // Ids are in no order that means anything.
+        let position = self.submitted;
+        // The order of the ids is unrelated to the order of submission.
         let id = format!(
             "{:016x}",
-            (place as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+            (position as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)
         );
         self.messages.insert(
             id.clone(),
             ModelMessage {
-                place,
+                position,
                 key: key.clone(),
                 class,
             },
@@ -234,7 +241,7 @@
             key: None,
             ordering_key: key,
             body: Arc::from(&b"body"[..]),
-            left: Duration::from_millis(left_ms),
+            left: Duration::from_millis(deadline_ms),
             spent: 0,
             envelope: None,
             from: Origin::Client(1),
@@ -242,12 +249,12 @@
         id
     }
 
-    fn end(&mut self, id: String, attempt: u32, status: Status) {
+    fn finish_attempt(&mut self, id: String, attempt: u32, status: Status) {
         if matches!(status, Status::TimedOut | Status::Reset)
             && let Some(key) = self.key_of(&id)
         {
-            self.rests
-                .insert(key, (self.ms + KEY_REST_MS, Some(id.clone())));
+            self.quiet_until
+                .insert(key, (self.ms + KEY_QUIET_MS, Some(id.clone())));
         }
         let over = status == Status::Served;
         let took = Duration::from_millis(20);
@@ -262,14 +269,14 @@
         }]));
     }
 
-    /// The process is gone, and what it had in flight is cut off; another one reads the journal.
+    /// Restarts the sender: the attempts in flight are lost, and a new process recovers from the journal.
     fn restart(&mut self) -> Result<(), TestCaseError> {
         self.restarts += 1;
         self.seed += 1;
         for id in std::mem::take(&mut self.in_flight).into_keys() {
             if let Some(key) = self.key_of(&id) {
-                // Its own repeat waits as well: nobody knows any more whose attempt it was.
-                self.rests.insert(key, (self.ms + KEY_REST_MS, None));
+                // A repeat of the same message must wait as well: the new process does not know whose attempt it was.
+                self.quiet_until.insert(key, (self.ms + KEY_QUIET_MS, None));
             }
         }
         self.reports.clear();
@@ -281,40 +288,40 @@
         self.messages.retain(|id, _| known.contains(id));
         self.core =
             Core::new(settings(), self.seed, Time(START + self.ms * 1_000_000)).expect("settings");
-        if self.by_steps {
+        if self.with_recovery {
             self.core.recover(recovery_settings());
         }
-        self.list();
+        self.send_endpoint_list();
         let effects = self.step(Input::Recovered(self.journal.clone()));
         self.carry_out(effects)?;
-        self.turn(false)
+        self.end_tick(false)
     }
 
     fn play(&mut self, steps: &[Step]) -> Result<(), TestCaseError> {
-        for &(pass, what, n) in steps {
-            let until = self.ms + pass;
+        for &(pause_ms, action, n) in steps {
+            let until = self.ms + pause_ms;
             while self.ms + 5 < until {
                 self.tick()?;
             }
-            let flying: Vec<(String, u32)> = self
+            let in_flight: Vec<(String, u32)> = self
                 .in_flight
                 .iter()
                 .map(|(i, a)| (i.clone(), *a))
                 .collect();
             let reported: Vec<String> = self.reports.iter().cloned().collect();
-            match what {
-                // Up to three in one turn, some of them of one key.
-                0..=4 => (0..=n % 3).for_each(|more| {
-                    let (class, left_ms) = (
-                        (n / 3 + more * (n / 27 % 2)) as usize % 3,
-                        LEFT_MS - n % 4 * 2000,
+            match action {
+                // Up to three messages in one tick, some of them with the same key.
+                0..=4 => (0..=n % 3).for_each(|index| {
+                    let (class, deadline_ms) = (
+                        (n / 3 + index * (n / 27 % 2)) as usize % 3,
+                        TIME_TO_DEADLINE_MS - n % 4 * 2000,
                     );
-                    self.hand_in(class, n / 9, left_ms);
+                    self.submit(class, n / 9, deadline_ms);
                 }),
-                5..=9 if !flying.is_empty() => {
-                    let (id, attempt) = flying[n as usize % flying.len()].clone();
+                5..=9 if !in_flight.is_empty() => {
+                    let (id, attempt) = in_flight[n as usize % in_flight.len()].clone();
                     self.in_flight.remove(&id);
-                    self.end(id, attempt, STATUSES[n as usize / 7 % STATUSES.len()]);
+                    self.finish_attempt(id, attempt, STATUSES[n as usize / 7 % STATUSES.len()]);
                 }
                 10 | 11 if !reported.is_empty() => {
                     let id = reported[n as usize % reported.len()].clone();
@@ -322,28 +329,28 @@
                     self.step(Input::FinalReportsAcknowledged(vec![id]));
                 }
                 12 => {
-                    self.turn(n % 2 == 0)?;
+                    self.end_tick(n % 2 == 0)?;
                     self.restart()?;
                 }
                 _ => {}
             }
-            self.turn(false)?;
+            self.end_tick(false)?;
         }
         Ok(())
     }
 
-    /// Five milliseconds pass. Attempts of which the time is over time out.
+    /// Advances the time by five milliseconds, and runs a tick.
     fn tick(&mut self) -> Result<(), TestCaseError> {
         self.ms += 5;
         self.step(Input::TimerFired);
-        self.turn(false)
+        self.end_tick(false)
     }
 
-    /// Everything is served and answered from now on: nothing may stay behind.
+    /// Serves all attempts and acknowledges all reports until nothing may remain outstanding.
     fn drain(&mut self) -> Result<(), TestCaseError> {
-        for _ in 0..(2 * LEFT_MS / 5) {
+        for _ in 0..(2 * TIME_TO_DEADLINE_MS / 5) {
             for (id, attempt) in std::mem::take(&mut self.in_flight) {
-                self.end(id, attempt, Status::Served);
+                self.finish_attempt(id, attempt, Status::Served);
             }
             let reports = std::mem::take(&mut self.reports);
             self.step(Input::FinalReportsAcknowledged(
@@ -351,18 +358,25 @@
             ));
             self.tick()?;
         }
-        prop_assert_eq!(self.core.outstanding(), (0, 0), "something is stuck");
+        prop_assert_eq!(
+            self.core.outstanding(),
+            (0, 0),
+            "messages or reports remain outstanding"
+        );
         Ok(())
     }
 
-    /// After all is over each key goes on at once.
-    fn goes_on(&mut self) -> Result<(), TestCaseError> {
+    /// Checks that a new message of each key is sent at once, after all others have ended.
+    fn check_keys_unblocked(&mut self) -> Result<(), TestCaseError> {
         let ids: Vec<String> = (0..ACCOUNTS)
-            .map(|account| self.hand_in(1, account, LEFT_MS))
+            .map(|account| self.submit(1, account, TIME_TO_DEADLINE_MS))
             .collect();
-        self.turn(false)?;
+        self.end_tick(false)?;
         for id in ids {
-            prop_assert!(self.in_flight.contains_key(&id), "the key of {id} is stuck");
+            prop_assert!(
+                self.in_flight.contains_key(&id),
+                "the ordering key of {id} is blocked"
+            );
         }
         Ok(())
     }
@@ -382,11 +396,11 @@
     let mut runner =
         TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let (sends, restarts) = (std::cell::Cell::new(0), std::cell::Cell::new(0));
-    let verdict = runner.run(&(any_steps(), any::<bool>()), |(steps, by_steps)| {
-        let mut world = World::new(by_steps);
+    let verdict = runner.run(&(any_steps(), any::<bool>()), |(steps, with_recovery)| {
+        let mut world = SenderWorld::new(with_recovery);
         world.play(&steps)?;
         world.drain()?;
-        world.goes_on()?;
+        world.check_keys_unblocked()?;
         sends.set(sends.get() + world.sends);
         restarts.set(restarts.get() + world.restarts);
         Ok(())
@@ -395,26 +409,27 @@
     println!("{} sends, {} restarts", sends.get(), restarts.get());
     assert!(
         sends.get() > 3000 && restarts.get() > 300,
-        "too little to prove anything"
+        "too few sends or restarts for a meaningful run"
     );
 }
 
-/// More is found than the decisions have room for, and a later message of a key is due before an earlier one.
+/// Guards against a wrong order if more messages are recovered than the scheduler has capacity for, and a later message
+/// of a key is due before an earlier one.
 #[test]
 fn a_backlog_beyond_the_bound_keeps_the_order_of_its_keys() {
-    for by_steps in [false, true] {
-        backlog_beyond_the_bound(World::new(by_steps));
+    for with_recovery in [false, true] {
+        backlog_beyond_the_bound(SenderWorld::new(with_recovery));
     }
 }
 
-fn backlog_beyond_the_bound(mut world: World) {
-    for place in 1..=60u64 {
-        let id = format!("{:016x}", place.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let key = Some(format!("account-{}", place % 2));
+fn backlog_beyond_the_bound(mut world: SenderWorld) {
+    for position in 1..=60u64 {
+        let id = format!("{:016x}", position.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let key = Some(format!("account-{}", position % 2));
         world.messages.insert(
             id.clone(),
             ModelMessage {
-                place: place as usize,
+                position: position as usize,
                 key: key.clone(),
                 class: 1,
             },
@@ -426,8 +441,8 @@
             destination: 7,
             key: None,
             ordering_key: key,
-            // The later it came, the sooner it is over.
-            deadline: START + (9000 - 50 * place) * 1_000_000,
+            // Later messages have earlier deadlines.
+            deadline: START + (9000 - 50 * position) * 1_000_000,
             at: START,
             body: Arc::from(&b"body"[..]),
         });
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of any deployment: each value missing, of another kind, zero or absurd is an error with its place, or does no harm.
+//! Robustness against wrong settings: a value that is missing, of another type, zero or absurd either is an error with
+//! its place, or leaves a sender that works.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 const SETTINGS: &str = include_str!("settings.json");
 const START: u64 = 1_000_000_000_000;
 
-/// How calls end, by turns.
+/// Results of the attempts, used in rotation.
 const STATUSES: [Status; 5] = [
     Status::Served,
     Status::Error,
@@ -23,22 +24,22 @@
     Status::NoConnection,
 ];
 
-/// The places of all values in the settings, as JSON pointers.
-fn collect_pointers(value: &Value, at: &str, all: &mut Vec<String>) {
+/// Collects the JSON pointers of all values below `value`, which is at `at`.
+fn collect_pointers(value: &Value, at: &str, pointers: &mut Vec<String>) {
     match value {
         Value::Object(map) => map
             .iter()
-            .for_each(|(k, v)| collect_pointers(v, &format!("{at}/{k}"), all)),
+            .for_each(|(k, v)| collect_pointers(v, &format!("{at}/{k}"), pointers)),
         Value::Array(list) => list
             .iter()
             .enumerate()
-            .for_each(|(i, v)| collect_pointers(v, &format!("{at}/{i}"), all)),
+            .for_each(|(i, v)| collect_pointers(v, &format!("{at}/{i}"), pointers)),
         _ => {}
     }
-    all.push(at.to_owned());
+    pointers.push(at.to_owned());
 }
 
-fn message(n: usize, class: usize, left_ms: u64) -> Message {
+fn message(n: usize, class: usize, deadline_ms: u64) -> Message {
     Message {
         id: format!("m{n}"),
         class,
@@ -47,7 +48,7 @@
         key: Some("k".into()),
         ordering_key: None,
         body: Arc::from(&b"body"[..]),
-        left: Duration::from_millis(left_ms),
+        left: Duration::from_millis(deadline_ms),
         spent: 0,
         envelope: None,
         from: Origin::Client(n),
@@ -80,13 +81,13 @@
     }
 }
 
-/// Plays a few seconds: messages of all classes, calls that end in each way, by turns. Nothing may panic, and each message
-/// that was accepted has one end by its time and a second.
-fn play(settings: Value) -> Result<(), String> {
+/// Runs a sender for 12 s with messages of all classes and attempts with all results. It must not panic, and each
+/// accepted message must end exactly once.
+fn run(settings: Value) -> Result<(), String> {
     let profile: Profile = serde_json::from_value(settings).map_err(|e| e.to_string())?;
-    let set = profile.into_settings().map_err(|e| e.to_string())?;
-    let classes = set.classes.len();
-    let mut core = Core::new(set, 1, Time(START)).map_err(|e| e.to_string())?;
+    let parsed = profile.into_settings().map_err(|e| e.to_string())?;
+    let classes = parsed.classes.len();
+    let mut core = Core::new(parsed, 1, Time(START)).map_err(|e| e.to_string())?;
     core.step(
         Time(START),
         Input::EndpointsChanged {
@@ -94,7 +95,8 @@
             list: vec![listing("a", 0, 0), listing("b", 1, 9)],
         },
     );
-    let (mut out, mut outstanding, mut way) = (Vec::new(), std::collections::BTreeSet::new(), 0);
+    let (mut in_flight, mut outstanding, mut status_index) =
+        (Vec::new(), std::collections::BTreeSet::new(), 0);
     for ms in (0..12_000u64).step_by(50) {
         let now = Time(START + ms * 1_000_000);
         if ms < 4000 {
@@ -104,10 +106,10 @@
                 Input::Submitted(message(n, n % classes, [0, 30, 900, 4000][n % 4])),
             );
         }
-        for attempt in std::mem::take(&mut out) {
+        for attempt in std::mem::take(&mut in_flight) {
             let Attempt { id, number, .. }: Attempt = attempt;
-            let status = STATUSES[way % STATUSES.len()];
-            way += 1;
+            let status = STATUSES[status_index % STATUSES.len()];
+            status_index += 1;
             if status == Status::Served {
                 outstanding.remove(&id);
             }
@@ -121,7 +123,7 @@
         }
         for effect in effects {
             match effect {
-                Effect::Call { attempts, .. } => out.extend(attempts),
+                Effect::Call { attempts, .. } => in_flight.extend(attempts),
                 Effect::Answer {
                     id,
                     answer: Answer::Accepted,
@@ -134,24 +136,28 @@
             }
         }
     }
-    assert!(outstanding.is_empty(), "still owed: {outstanding:?}");
+    assert!(
+        outstanding.is_empty(),
+        "accepted messages have not ended: {outstanding:?}"
+    );
     Ok(())
 }
 
 #[test]
 fn valid_settings_work() {
-    play(serde_json::from_str(SETTINGS).expect("settings")).expect("played");
+    run(serde_json::from_str(SETTINGS).expect("settings")).expect("a run without an error");
 }
 
-/// Guards a start on another customer's settings: whatever one value is, there is an error or a sender that works.
+/// Guards against a panic at the start with unusual settings: whatever one value is, there is an error or a working
+/// sender.
 #[test]
 fn a_missing_or_absurd_value_is_an_error_or_harmless() {
-    let good: Value = serde_json::from_str(SETTINGS).expect("settings");
-    let mut all = Vec::new();
-    collect_pointers(&good, "", &mut all);
-    all.retain(|place| !place.is_empty());
-    assert!(all.len() > 60, "{}", all.len());
-    let odd = [
+    let valid: Value = serde_json::from_str(SETTINGS).expect("settings");
+    let mut pointers = Vec::new();
+    collect_pointers(&valid, "", &mut pointers);
+    pointers.retain(|pointer| !pointer.is_empty());
+    assert!(pointers.len() > 60, "{}", pointers.len());
+    let wrong_values = [
         json!(0),
         json!(1),
         json!(-1),
@@ -160,8 +166,8 @@
         json!(1e300),
         json!(-1e300),
     ];
-    let odd = [
-        &odd[..],
+    let wrong_values = [
+        &wrong_values[..],
         &[
             json!(null),
             json!(""),
@@ -172,22 +178,22 @@
         ],
     ]
     .concat();
-    for place in all {
-        for value in &odd {
-            let mut settings = good.clone();
-            *settings.pointer_mut(&place).expect("there") = value.clone();
-            if let Err(why) = play(settings) {
+    for pointer in pointers {
+        for value in &wrong_values {
+            let mut settings = valid.clone();
+            *settings.pointer_mut(&pointer).expect("there") = value.clone();
+            if let Err(error) = run(settings) {
                 assert!(
-                    !why.is_empty() && !why.contains('\n'),
-                    "{place} = {value}: {why}"
+                    !error.is_empty() && !error.contains('\n'),
+                    "{pointer} = {value}: {error}"
                 );
             }
         }
-        let (parent, key) = place.rsplit_once('/').expect("a place");
-        let mut settings = good.clone();
+        let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
+        let mut settings = valid.clone();
         if let Some(Value::Object(map)) = settings.pointer_mut(parent) {
             map.remove(key);
-            let _ = play(settings);
+            let _ = run(settings);
         }
     }
 }
@@ -196,9 +202,9 @@
 fn an_unknown_effect_is_an_error_with_its_place() {
     let mut settings: Value = serde_json::from_str(SETTINGS).expect("settings");
     *settings.pointer_mut("/classes/1/effect").expect("there") = json!("odd");
-    let why = play(settings).expect_err("not known");
+    let error = run(settings).expect_err("not known");
     assert_eq!(
-        why,
+        error,
         "settings.classes[1].effect: 'odd' is not safe, keyed or unsafe"
     );
 }
--- a/crates/core/tests/short_window.rs
+++ b/crates/core/tests/short_window.rs
@@ -1,4 +1,5 @@
-//! Restarts where repeats are dropped for 1 s only: nothing goes again outside of that, and nothing that could still go is lost.
+//! Restarts with an idempotency window of only 1 s: no possibly executed message is repeated outside the window, and no
+//! message that can still be sent is given up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,16 +11,17 @@
 use cranehill_scheduler::profile::Profile;
 
 const SETTINGS: &str = include_str!("settings.json");
-/// Of its classes: keyed with a window, here of 1 s, and unsafe.
+/// Class of keyed messages, here with an idempotency window of 1 s; the next one is that of unsafe messages.
 const KEYED: usize = 1;
 const UNSAFE: usize = 2;
 const WINDOW_MS: u64 = 1000;
-const TAKEN_MS: u64 = 10_000;
-/// The first attempt of those that may have been executed went out then.
+const ACCEPTED_MS: u64 = 10_000;
+/// When the first attempt of the possibly executed messages was sent.
 const SENT_MS: u64 = 10_100;
-/// A repeat that has less than this left when the process is there again may be too late: two ticks of the decisions.
+/// A repeat with less than this remaining of its window when the process is running again may be too late: two ticks of
+/// the scheduler.
 const MARGIN_MS: u64 = 20;
-/// From the journal's reading to the first turn: a start is busy with other things in between.
+/// Time from the recovery of the journal to the first tick, which other work at the start takes.
 const START_MS: u64 = 40;
 const DESTINATION: u64 = 7;
 const SERVED_AFTER_MS: u64 = 10;
@@ -32,7 +34,7 @@
     (time.0 - at(0).0) / 1_000_000
 }
 
-fn core(now: u64, by_steps: bool) -> Core {
+fn core(now: u64, gradual: bool) -> Core {
     let mut settings: serde_json::Value = serde_json::from_str(SETTINGS).expect("JSON");
     settings["classes"][KEYED]["window"] = (WINDOW_MS * 1_000_000).into();
     settings["classes"][KEYED]["deadline"] = 8_000_000_000u64.into();
@@ -41,7 +43,7 @@
     let profile: Profile = serde_json::from_value(settings).expect("a profile");
     let mut core =
         Core::new(profile.into_settings().expect("settings"), now, at(now)).expect("settings");
-    if by_steps {
+    if gradual {
         let span = Duration::from_secs;
         let bounds = cranehill_recovery::Bounds {
             window: span(10),
@@ -77,7 +79,7 @@
     core
 }
 
-fn taken(id: &str, class: usize, deadline: u64) -> Record {
+fn accepted(id: &str, class: usize, deadline: u64) -> Record {
     Record::Accepted {
         id: id.into(),
         class,
@@ -86,12 +88,12 @@
         key: None,
         ordering_key: None,
         deadline: at(deadline).0,
-        at: at(TAKEN_MS).0,
+        at: at(ACCEPTED_MS).0,
         body: Arc::from(&b"body"[..]),
     }
 }
 
-fn sent(id: &str) -> Record {
+fn started(id: &str) -> Record {
     Record::AttemptStarted {
         id: id.into(),
         attempt: 0,
@@ -100,16 +102,17 @@
     }
 }
 
-/// What became of the messages of a restart.
+/// How the recovered messages ended.
 #[derive(Default)]
 struct Ends {
-    /// When each went out first, and until when it had to be written.
+    /// By message: when it was first sent, and until when the request had to be written.
     called: BTreeMap<String, (u64, Option<u64>)>,
+    /// Messages that were reported undelivered.
     reported: BTreeSet<String>,
 }
 
-/// Plays the return of a process until nothing is owed; every call is served.
-fn play(mut core: Core, mut now: u64, records: Vec<Record>) -> Ends {
+/// Runs a restarted process until no message or report is outstanding. Every call is served.
+fn run(mut core: Core, mut now: u64, records: Vec<Record>) -> Ends {
     let mut ends = Ends::default();
     let mut answers: BTreeMap<u64, Vec<AttemptOutcome>> = BTreeMap::new();
     let mut effects = core.step(at(now), Input::Recovered(records));
@@ -168,67 +171,68 @@
         let due = answers.first_key_value().map_or(u64::MAX, |(due, _)| *due);
         now = wake.max(now + 1).min(due.max(now + 1));
     }
-    panic!("still owed: {:?}", core.outstanding());
+    panic!("messages, reports left: {:?}", core.outstanding());
 }
 
-/// Restarts 0 to 1.5 s after an attempt that may have been executed, all at once and by steps, before a backlog of what was not tried.
+/// Restarts 0 to 1.5 s after a possibly executed attempt, with and without gradual recovery, with a backlog of untried
+/// messages.
 #[test]
 fn repeats_are_sent_inside_their_window_and_first_attempts_regardless() {
-    for by_steps in [false, true] {
+    for gradual in [false, true] {
         for passed in (0..=1500).step_by(25) {
-            let back = SENT_MS + passed;
+            let restarted_at = SENT_MS + passed;
             let mut records = Vec::new();
             for n in 0..12 {
-                records.push(taken(&format!("untried{n:02}"), KEYED, 14_000 + 100 * n));
-                records.push(taken(
+                records.push(accepted(&format!("untried{n:02}"), KEYED, 14_000 + 100 * n));
+                records.push(accepted(
                     &format!("untried-unsafe{n:02}"),
                     UNSAFE,
                     14_000 + 100 * n,
                 ));
             }
-            // Refused, so that it surely did not run: it is as good as new.
-            records.extend([taken("refused", UNSAFE, 14_500), sent("refused")]);
+            // Refused, and so certainly not executed: it may be sent like a new message.
+            records.extend([accepted("refused", UNSAFE, 14_500), started("refused")]);
             records.push(Record::AttemptFinished {
                 id: "refused".into(),
                 attempt: 0,
                 not_executed: true,
             });
-            // Behind the others by its deadline, before them by its window.
-            records.extend([taken("repeat", KEYED, 18_000), sent("repeat")]);
-            records.extend([taken("never", UNSAFE, 18_000), sent("never")]);
-            let ends = play(core(back, by_steps), back, records);
-            let which = format!("by steps: {by_steps}, back after {passed} ms");
+            // Its deadline is after those of the others, its window ends before them.
+            records.extend([accepted("repeat", KEYED, 18_000), started("repeat")]);
+            records.extend([accepted("never", UNSAFE, 18_000), started("never")]);
+            let ends = run(core(restarted_at, gradual), restarted_at, records);
+            let case = format!("gradual recovery: {gradual}, restarted after {passed} ms");
             assert!(
                 !ends.called.contains_key("never") && ends.reported.contains("never"),
-                "{which}"
+                "{case}"
             );
             for id in
                 (0..12).flat_map(|n| [format!("untried{n:02}"), format!("untried-unsafe{n:02}")])
             {
-                assert!(ends.called.contains_key(&id), "{which}: {id} was not tried");
+                assert!(ends.called.contains_key(&id), "{case}: {id} was not tried");
             }
             assert!(
                 ends.called.contains_key("refused"),
-                "{which}: it surely did not run"
+                "{case}: a message that was not executed is not sent again"
             );
             match ends.called.get("repeat") {
                 Some((now, write_by)) => {
-                    assert!(*now < SENT_MS + WINDOW_MS, "{which}: repeated at {now} ms");
+                    assert!(*now < SENT_MS + WINDOW_MS, "{case}: repeated at {now} ms");
                     assert_eq!(
                         *write_by,
                         Some(SENT_MS + WINDOW_MS),
-                        "{which}: the connection may come up late"
+                        "{case}: a late connection must not send the repeat after its window"
                     );
                 }
                 None => assert!(
                     passed + START_MS + MARGIN_MS >= WINDOW_MS,
-                    "{which}: its chance was lost"
+                    "{case}: the repeat was not sent within its window"
                 ),
             }
             assert_ne!(
                 ends.called.contains_key("repeat"),
                 ends.reported.contains("repeat"),
-                "{which}"
+                "{case}"
             );
         }
     }
--- a/crates/core/tests/virtual_fleet/mod.rs
+++ b/crates/core/tests/virtual_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of real reducers before one modelled destination, in virtual time: one seed, one run.
+//! A fleet of real reducers that call one simulated destination, in virtual time. A seed determines the whole run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,31 +22,35 @@
 /// The reducers' clock at the start of a run.
 const START: Time = Time(1_000_000_000_000);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// What a call that is refused or reset at once takes.
-const AT_ONCE: Duration = Duration::from_millis(1);
-/// From the end of a process to the start of the next.
+/// Duration of a call that is refused or reset immediately, and the shortest time to a next wake-up.
+const IMMEDIATE: Duration = Duration::from_millis(1);
+/// Time from the end of a process to the start of the next.
 const RESTART_PAUSE: Duration = Duration::from_millis(600);
 const DESTINATION: u64 = 7;
 
-/// What happens to the destination and the senders.
+/// The load, the outage of the destination and the restarts of senders in a run. Times are from the start of the run.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
     pub senders: usize,
     pub seed: u64,
-    /// Calls a second that the destination can do when warm, and messages a second submitted for it.
+    /// Calls per second that the destination can serve when warm.
     pub capacity: f64,
+    /// Messages per second submitted to all senders together.
     pub rate: f64,
-    /// What the list tells in place of the capacity: it may be rough.
-    pub listed: f64,
+    /// Capacity as listed by discovery, which may be inexact; 0 if none is listed.
+    pub listed_rate: f64,
+    /// Number of the destination's endpoints.
     pub endpoints: usize,
     pub outage: Fault,
+    /// Time from the submission of each message to its deadline.
     pub deadline: Duration,
-    /// By sender: whether it gets nothing during the outage.
+    /// Senders without traffic during the outage.
     pub idle: BTreeSet<usize>,
-    /// By sender: when its process is killed.
+    /// When the process of each of these senders is killed.
     pub killed: BTreeMap<usize, Duration>,
-    /// Restarts recall what was learned, and hand over the backlog by steps.
-    pub by_steps: bool,
+    /// Restarted senders restore learned state, and hand over recovered messages gradually.
+    pub gradual_recovery: bool,
+    /// End of the run.
     pub until: Duration,
 }
 
@@ -54,21 +58,22 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Call {
     pub at: Duration,
-    /// The sender, or an earlier process of it, had seen the destination fail in the outage.
+    /// The sender, in this process or an earlier one, had seen the destination fail during the outage.
     pub notified: bool,
-    /// This very process had.
+    /// This process of the sender had seen it fail.
     pub notified_itself: bool,
 }
 
-/// What a run showed.
+/// The result of a run.
 #[derive(Debug, Default)]
-pub(crate) struct Played {
+pub(crate) struct RunResult {
     pub calls: Vec<Call>,
-    /// Senders, and their processes, that saw the destination fail in the outage.
+    /// Senders and process numbers that saw the destination fail during the outage.
     notified: BTreeSet<(usize, u32)>,
 }
 
-enum Happening {
+/// An event of the simulation, at its time in [`Fleet::events`].
+enum SimulationEvent {
     Arrival {
         sender: usize,
     },
@@ -77,9 +82,9 @@
         process: u32,
         endpoint: usize,
         connected: bool,
-        ends: Vec<AttemptOutcome>,
+        outcomes: Vec<AttemptOutcome>,
     },
-    Due {
+    WakeupDue {
         sender: usize,
         process: u32,
     },
@@ -91,36 +96,39 @@
     },
 }
 
+/// The current process of a sender, and its files.
 #[derive(Default)]
-struct Node {
+struct SenderState {
     core: Option<Core>,
     process: u32,
-    /// What the journal holds.
+    /// Content of the journal.
     records: Vec<Record>,
-    /// What it had learned, where it comes back by steps.
-    completed: Option<Vec<u8>>,
-    due: Option<Duration>,
+    /// Content of the state file: learned state, if it was persisted.
+    learned_state: Option<Vec<u8>>,
+    /// Next wake-up of the process.
+    next_wakeup: Option<Duration>,
 }
 
 struct Fleet<'a> {
     scenario: &'a Scenario,
     now: Duration,
     destination: SimulatedDestination,
-    nodes: Vec<Node>,
-    happenings: BTreeMap<(Duration, u64), Happening>,
+    sender_states: Vec<SenderState>,
+    events: BTreeMap<(Duration, u64), SimulationEvent>,
+    /// Last number given to an event or message; orders events of the same time.
     number: u64,
     arrivals: ChaCha8Rng,
-    played: Played,
+    result: RunResult,
 }
 
-/// Plays a scenario to its end.
-pub(crate) fn play(scenario: &Scenario) -> Played {
+/// Runs a scenario to its end.
+pub(crate) fn run(scenario: &Scenario) -> RunResult {
     let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
     let spec = Spec {
         endpoints: scenario.endpoints,
         capacity: scenario.capacity,
         pace: Duration::from_millis(150),
-        // The destination must not fall in the middle: what all send over the whole return is to be seen.
+        // The destination must not fail from overload, so that the calls of the whole warm-up are observed.
         back: Return {
             slack: f64::INFINITY,
             ..Return::default()
@@ -136,99 +144,113 @@
             vec![vec![scenario.outage]; scenario.endpoints],
             destination_rng,
         ),
-        nodes: (0..scenario.senders).map(|_| Node::default()).collect(),
-        happenings: BTreeMap::new(),
+        sender_states: (0..scenario.senders)
+            .map(|_| SenderState::default())
+            .collect(),
+        events: BTreeMap::new(),
         number: 0,
         arrivals: rng,
-        played: Played::default(),
+        result: RunResult::default(),
     };
     for sender in 0..scenario.senders {
-        fleet.at(Duration::ZERO, Happening::Started { sender });
-        fleet.next_arrival(sender);
+        fleet.schedule(Duration::ZERO, SimulationEvent::Started { sender });
+        fleet.schedule_next_arrival(sender);
     }
     for (&sender, &at) in &scenario.killed {
-        fleet.at(at, Happening::Killed { sender });
+        fleet.schedule(at, SimulationEvent::Killed { sender });
     }
-    while let Some(((at, _), happening)) = fleet.happenings.pop_first() {
+    while let Some(((at, _), event)) = fleet.events.pop_first() {
         if at > scenario.until {
             break;
         }
         fleet.now = at;
-        fleet.on_happening(happening);
+        fleet.on_event(event);
     }
-    fleet.played
+    fleet.result
 }
 
 impl Fleet<'_> {
-    fn at(&mut self, at: Duration, happening: Happening) {
+    fn schedule(&mut self, at: Duration, event: SimulationEvent) {
         self.number += 1;
-        self.happenings
-            .insert((at.max(self.now), self.number), happening);
+        self.events.insert((at.max(self.now), self.number), event);
     }
 
     fn clock(&self) -> Time {
         START + self.now
     }
 
-    fn next_arrival(&mut self, sender: usize) {
+    fn schedule_next_arrival(&mut self, sender: usize) {
         let mean = self.scenario.senders as f64 / self.scenario.rate;
-        let draw: f64 = self.arrivals.random_range(1e-6..1.0);
-        let gap = Duration::from_secs_f64(-draw.ln() * mean);
-        self.at(self.now + gap, Happening::Arrival { sender });
+        let sample: f64 = self.arrivals.random_range(1e-6..1.0);
+        let gap = Duration::from_secs_f64(-sample.ln() * mean);
+        self.schedule(self.now + gap, SimulationEvent::Arrival { sender });
     }
 
-    fn on_happening(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrival { sender } => self.on_arrival(sender),
-            Happening::Ended {
+    fn on_event(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Arrival { sender } => self.on_arrival(sender),
+            SimulationEvent::Ended {
                 sender,
                 process,
                 endpoint,
                 connected,
-                ends,
+                outcomes,
             } => {
                 if connected {
                     self.destination.disconnect(endpoint);
                 }
-                if self.nodes[sender].process == process {
-                    self.on_attempts_finished(sender, ends);
+                if self.sender_states[sender].process == process {
+                    self.on_attempts_finished(sender, outcomes);
                 }
             }
-            Happening::Due { sender, process } => {
-                let node = &mut self.nodes[sender];
-                if node.process == process && node.due.take_if(|due| *due == self.now).is_some() {
+            SimulationEvent::WakeupDue { sender, process } => {
+                let sender_state = &mut self.sender_states[sender];
+                if sender_state.process == process
+                    && sender_state
+                        .next_wakeup
+                        .take_if(|next_wakeup| *next_wakeup == self.now)
+                        .is_some()
+                {
                     self.step(sender, Input::TimerFired);
-                    self.turn(sender);
+                    self.end_tick(sender);
                 }
             }
-            Happening::Killed { sender } => {
-                let node = &mut self.nodes[sender];
-                (node.core, node.due, node.process) = (None, None, node.process + 1);
-                self.at(self.now + RESTART_PAUSE, Happening::Started { sender });
+            SimulationEvent::Killed { sender } => {
+                let sender_state = &mut self.sender_states[sender];
+                (
+                    sender_state.core,
+                    sender_state.next_wakeup,
+                    sender_state.process,
+                ) = (None, None, sender_state.process + 1);
+                self.schedule(
+                    self.now + RESTART_PAUSE,
+                    SimulationEvent::Started { sender },
+                );
             }
-            Happening::Started { sender } => self.start(sender),
+            SimulationEvent::Started { sender } => self.start(sender),
         }
     }
 
     fn start(&mut self, sender: usize) {
         let settings = settings(self.scenario);
-        let seed =
-            self.scenario.seed * 1000 + sender as u64 + 100 * u64::from(self.nodes[sender].process);
+        let seed = self.scenario.seed * 1000
+            + sender as u64
+            + 100 * u64::from(self.sender_states[sender].process);
         let mut core = Core::new(settings, seed, self.clock()).expect("settings");
-        if self.scenario.by_steps {
+        if self.scenario.gradual_recovery {
             core.recover(recovery_settings());
         }
-        self.nodes[sender].core = Some(core);
+        self.sender_states[sender].core = Some(core);
         let list = (0..self.scenario.endpoints)
             .map(|n| self.listing(n))
             .collect();
         self.step(sender, Input::EndpointsChanged { whole: true, list });
-        if let Some(learned_state) = self.nodes[sender].completed.clone() {
+        if let Some(learned_state) = self.sender_states[sender].learned_state.clone() {
             self.step(sender, Input::LearnedStateRestored(learned_state));
         }
-        let records = self.nodes[sender].records.clone();
+        let records = self.sender_states[sender].records.clone();
         self.step(sender, Input::Recovered(records));
-        self.turn(sender);
+        self.end_tick(sender);
     }
 
     fn listing(&self, endpoint: usize) -> Listing {
@@ -238,7 +260,7 @@
             condition: Condition::Ready,
             zone: 0,
             kind: 0,
-            rate: self.scenario.listed,
+            rate: self.scenario.listed_rate,
         };
         Listing {
             entry,
@@ -247,12 +269,12 @@
     }
 
     fn on_arrival(&mut self, sender: usize) {
-        self.next_arrival(sender);
+        self.schedule_next_arrival(sender);
         let outage = self.scenario.outage;
-        // What is on its way when the outage begins would tell an idle sender of it.
+        // Messages in flight at the start of the outage would notify an idle sender of it: its traffic stops 2 s earlier.
         let quiet = outage.start.saturating_sub(Duration::from_secs(2))..outage.end();
         let idle = self.scenario.idle.contains(&sender) && quiet.contains(&self.now);
-        if idle || self.nodes[sender].core.is_none() {
+        if idle || self.sender_states[sender].core.is_none() {
             return;
         }
         self.number += 1;
@@ -270,31 +292,31 @@
             from: Origin::Client(0),
         };
         self.step(sender, Input::Submitted(message));
-        self.turn(sender);
+        self.end_tick(sender);
     }
 
-    fn on_attempts_finished(&mut self, sender: usize, ends: Vec<AttemptOutcome>) {
-        let failed = ends.iter().any(|e| e.status != Status::Served);
+    fn on_attempts_finished(&mut self, sender: usize, outcomes: Vec<AttemptOutcome>) {
+        let failed = outcomes.iter().any(|e| e.status != Status::Served);
         let outage = self.scenario.outage;
         if failed && (outage.start..=outage.end()).contains(&self.now) {
-            self.played
+            self.result
                 .notified
-                .insert((sender, self.nodes[sender].process));
+                .insert((sender, self.sender_states[sender].process));
         }
-        self.step(sender, Input::AttemptsFinished(ends));
-        self.turn(sender);
+        self.step(sender, Input::AttemptsFinished(outcomes));
+        self.end_tick(sender);
     }
 
     fn step(&mut self, sender: usize, input: Input) {
         let now = self.clock();
-        let Some(core) = &mut self.nodes[sender].core else {
+        let Some(core) = &mut self.sender_states[sender].core else {
             return;
         };
         let effects = core.step(now, input);
         self.carry_out(sender, effects);
     }
 
-    fn turn(&mut self, sender: usize) {
+    fn end_tick(&mut self, sender: usize) {
         self.step(sender, Input::TickEnded);
     }
 
@@ -302,7 +324,7 @@
         for effect in effects {
             match effect {
                 Effect::Persist(records) => {
-                    self.nodes[sender].records.extend(records);
+                    self.sender_states[sender].records.extend(records);
                     self.step(sender, Input::Persisted(Persisted::All));
                 }
                 Effect::Call {
@@ -312,7 +334,7 @@
                     self.step(sender, Input::FinalReportsAcknowledged(vec![id]));
                 }
                 Effect::PersistLearnedState(learned_state) => {
-                    self.nodes[sender].completed = Some(learned_state);
+                    self.sender_states[sender].learned_state = Some(learned_state);
                 }
                 Effect::WakeAt(at) => self.wake(sender, at - START),
                 _ => {}
@@ -321,12 +343,15 @@
     }
 
     fn wake(&mut self, sender: usize, at: Duration) {
-        let at = at.max(self.now + AT_ONCE);
-        let node = &mut self.nodes[sender];
-        if node.due.is_none_or(|due| at < due) {
-            node.due = Some(at);
-            let process = node.process;
-            self.at(at, Happening::Due { sender, process });
+        let at = at.max(self.now + IMMEDIATE);
+        let sender_state = &mut self.sender_states[sender];
+        if sender_state
+            .next_wakeup
+            .is_none_or(|next_wakeup| at < next_wakeup)
+        {
+            sender_state.next_wakeup = Some(at);
+            let process = sender_state.process;
+            self.schedule(at, SimulationEvent::WakeupDue { sender, process });
         }
     }
 
@@ -336,23 +361,23 @@
         let connect = self.destination.connect(self.now, number);
         let failed = |status| (status, None, None);
         let (at, (status, wait, report)) = match connect {
-            Connect::Refused => (self.now + AT_ONCE, failed(Status::NoConnection)),
+            Connect::Refused => (self.now + IMMEDIATE, failed(Status::NoConnection)),
             Connect::Nothing => (
                 until.min(self.now + CONNECT_TIMEOUT),
                 failed(Status::NoConnection),
             ),
             Connect::Up => {
                 let notified = self
-                    .played
+                    .result
                     .notified
                     .range((sender, 0)..=(sender, u32::MAX))
                     .next()
                     .is_some();
                 let notified_itself = self
-                    .played
+                    .result
                     .notified
-                    .contains(&(sender, self.nodes[sender].process));
-                self.played.calls.push(Call {
+                    .contains(&(sender, self.sender_states[sender].process));
+                self.result.calls.push(Call {
                     at: self.now,
                     notified,
                     notified_itself,
@@ -366,7 +391,7 @@
             }
         };
         let took = at.saturating_sub(self.now);
-        let end = |a: Attempt| AttemptOutcome {
+        let to_outcome = |a: Attempt| AttemptOutcome {
             id: a.id,
             attempt: a.number,
             status,
@@ -375,28 +400,28 @@
             retry_after: wait,
             report,
         };
-        let ends = attempts.into_iter().map(end).collect();
-        let (process, connected) = (self.nodes[sender].process, connect == Connect::Up);
-        self.at(
+        let outcomes = attempts.into_iter().map(to_outcome).collect();
+        let (process, connected) = (self.sender_states[sender].process, connect == Connect::Up);
+        self.schedule(
             at,
-            Happening::Ended {
+            SimulationEvent::Ended {
                 sender,
                 process,
                 endpoint: number,
                 connected,
-                ends,
+                outcomes,
             },
         );
     }
 
-    /// When the call ends for its sender, and how.
+    /// When the call finishes for its sender, and its status, retry-after time and load report.
     fn outcome(
         &self,
         endpoint: usize,
         reply: Reply,
         until: Duration,
     ) -> (Duration, (Status, Option<Duration>, Option<Report>)) {
-        let overdue = (until, (Status::TimedOut, None, None));
+        let timed_out = (until, (Status::TimedOut, None, None));
         match reply {
             Reply::Answer {
                 at,
@@ -406,7 +431,7 @@
             } => {
                 let state = self.destination.state(endpoint, at);
                 if at > until || state.silent || state.vanished {
-                    return overdue;
+                    return timed_out;
                 }
                 if state.refusing {
                     return (at, (Status::Reset, None, None));
@@ -426,26 +451,26 @@
                 )
             }
             Reply::Spoilt { at, .. } => (at.min(until), (Status::Spoilt, None, None)),
-            Reply::Reset { .. } => (self.now + AT_ONCE, (Status::Reset, None, None)),
-            Reply::Nothing => overdue,
+            Reply::Reset { .. } => (self.now + IMMEDIATE, (Status::Reset, None, None)),
+            Reply::Nothing => timed_out,
         }
     }
 }
 
 fn settings(scenario: &Scenario) -> cranehill_scheduler::api::Settings {
-    let (rules, part) = (Return::default(), scenario.rate / scenario.senders as f64);
+    let (rules, rate_per_sender) = (Return::default(), scenario.rate / scenario.senders as f64);
     let nanos = |d: Duration| d.as_nanos() as u64;
     let deadline = nanos(scenario.deadline);
     let profile = json!({
         "classes": [{"aim": deadline / 5, "deadline": deadline, "dedupScope": "all", "effect": "keyed",
             "lateShare": 0.4, "name": "episode-notice", "window": deadline, "worth": 1.0}],
-        "familyInfo": {"callsOut": (part * 0.33).ceil().max(6.0) as u32, "kindApart": [false],
+        "familyInfo": {"callsOut": (rate_per_sender * 0.33).ceil().max(6.0) as u32, "kindApart": [false],
             "losesWorth": "halving", "perCall": [1]},
         "membershipMode": "push",
         "models": ["station"],
         "nInstances": scenario.senders,
         "policyLimits": {"attemptsCap": 6, "connIdle": 15_000_000_000u64, "connectTimeout": nanos(CONNECT_TIMEOUT),
-            "maxRetryAfter": 2_000_000_000u64, "mostHeld": (part * 10.0).ceil().max(12.0) as usize,
+            "maxRetryAfter": 2_000_000_000u64, "mostHeld": (rate_per_sender * 10.0).ceil().max(12.0) as usize,
             "probes": false, "retryAfter": true},
         "rules": {"cold": nanos(rules.warm), "coldFrom": rules.cold, "fall": nanos(rules.fall),
             "fallMultiple": rules.multiple, "graceToAnswer": 20_000_000},
@@ -475,7 +500,7 @@
     }
 }
 
-/// Outages after which a destination is cold.
+/// Kinds of outages after which a destination is cold.
 pub(crate) const OUTAGES: [Kind; 5] = [
     Kind::Refuse,
     Kind::Silent,
--- a/crates/recovery/tests/common/golden_file.rs
+++ b/crates/recovery/tests/common/golden_file.rs
@@ -1,5 +1,5 @@
-//! Committed bytes that every later build must read and write unchanged. Included by the golden tests of several packages;
-//! the files are those of the including package.
+//! Golden files: committed bytes that every later build must read and write unchanged. Included by the golden tests of
+//! several packages, with the files of the including package.
 
 use std::path::PathBuf;
 
@@ -9,13 +9,13 @@
         .collect()
 }
 
-/// The committed bytes.
+/// Reads a golden file; panics with its path if it can't be read.
 pub(crate) fn read(name: &str) -> Vec<u8> {
     let path = path(name);
     std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Fails with the file and the first differing offset.
+/// Panics with the path and the first differing offset unless `written` equals the golden file.
 pub(crate) fn assert_unchanged(name: &str, written: &[u8]) {
     let expected = read(name);
     let shorter = expected.len().min(written.len());
--- a/crates/recovery/tests/golden.rs
+++ b/crates/recovery/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The learned state's bytes, in the state file and in the packets between members, as earlier builds wrote them.
+//! Golden files of encoded learned state, in the state file and in packets between members, as written by earlier
+//! builds.
 
 #[path = "common/golden_file.rs"]
 mod golden_file;
@@ -9,14 +10,14 @@
 const STATE_FILE: &str = "learned-state.bin";
 const EMPTY_STATE_FILE: &str = "learned-state-empty.bin";
 const PACKETS: [&str; 2] = ["learned-state-packet-1.bin", "learned-state-packet-2.bin"];
-/// Half of the four records fit.
+/// Two of the four records fit into a packet.
 const PACKET_LIMIT: usize = 100;
 
 fn at(seconds: u64) -> Time {
     Time((1_700_000_000 + seconds) * 1_000_000_000)
 }
 
-/// Each variant and each optional field, present and absent.
+/// Learned state with each variant, and each optional field both present and absent.
 fn learned_state() -> Vec<LearnedState> {
     let serving = LearnedState {
         destination: 7,
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What may be used after a restart, in which order what is owed is taken up, and when all is done.
+//! Which learned state may be used after a restart, the order of the work queue, and when the recovery is complete.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     remember: Duration::from_secs(1),
 };
 
-fn piece(destination: u64, at: Time) -> LearnedState {
+fn learned_state_of(destination: u64, at: Time) -> LearnedState {
     LearnedState {
         destination,
         route_id: None,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Each piece has an age of its own, beyond which nothing rests on it; a wait has none.
+/// Each part of learned state has its own maximum age; a retry-after time is kept until its end.
 #[test]
 fn old_state_is_not_used_and_retry_after_is_kept_to_its_end() {
     let mut cache = LearnedStateCache::new(BOUNDS);
@@ -60,9 +60,9 @@
         vec![
             LearnedState {
                 blocked_until: Some(s(30.0)),
-                ..piece(1, s(0.0))
+                ..learned_state_of(1, s(0.0))
             },
-            piece(2, s(0.0)),
+            learned_state_of(2, s(0.0)),
         ],
     );
     let at = |t: f64| cache.usable(s(t));
@@ -72,36 +72,36 @@
             .iter()
             .all(|p| p.state.is_none() && p.limit == Some(12.0))
     );
-    let [wait] = &at(10.5)[..] else {
+    let [blocked] = &at(10.5)[..] else {
         panic!("{:?}", at(10.5))
     };
     assert_eq!(
         (
-            wait.destination,
-            wait.window,
-            wait.limit,
-            wait.blocked_until
+            blocked.destination,
+            blocked.window,
+            blocked.limit,
+            blocked.blocked_until
         ),
         (1, None, None, Some(s(30.0)))
     );
     assert_eq!(at(30.0), []);
 }
 
-/// Peers disagree: the younger counts, whatever came first, but of waits the later end. What lies in the future, or is no
-/// number, is nobody's knowledge.
+/// If members disagree, the later state is used regardless of the order of their replies, and the retry-after time that
+/// ends last. State from the future and invalid numbers are ignored.
 #[test]
 fn the_later_state_and_the_later_retry_after_count() {
     let old = LearnedState {
         limit: Some(48.0),
         blocked_until: Some(s(9.0)),
-        ..piece(1, s(1.0))
+        ..learned_state_of(1, s(1.0))
     };
-    let young = LearnedState {
+    let new = LearnedState {
         limit: Some(12.0),
         blocked_until: Some(s(4.0)),
-        ..piece(1, s(2.0))
+        ..learned_state_of(1, s(2.0))
     };
-    for order in [[old.clone(), young.clone()], [young, old]] {
+    for order in [[old.clone(), new.clone()], [new, old]] {
         let mut cache = LearnedStateCache::new(BOUNDS);
         cache.merge(s(3.0), order.to_vec());
         let known = cache.usable(s(3.0));
@@ -111,20 +111,20 @@
         );
     }
     let mut cache = LearnedStateCache::new(BOUNDS);
-    let odd = LearnedState {
+    let invalid = LearnedState {
         limit: Some(f64::NAN),
         window: Some(-1.0),
         state: None,
-        ..piece(2, s(1.0))
+        ..learned_state_of(2, s(1.0))
     };
     cache.merge(
         s(3.0),
         vec![
-            piece(1, s(8.1)),
-            odd,
+            learned_state_of(1, s(8.1)),
+            invalid,
             LearnedState {
                 blocked_until: Some(s(1e6)),
-                ..piece(3, s(1.0))
+                ..learned_state_of(3, s(1.0))
             },
         ],
     );
@@ -147,9 +147,9 @@
     assert_eq!(work_queue.release(s(1.0)), []);
     work_queue.on_sent_or_ended(DestinationId(1), &id("a"));
     assert_eq!(work_queue.release(s(1.0)), ids(&["c"]));
-    // Half of its time is more than the five seconds in which all are in hand.
+    // Half of its time is longer than the release period of five seconds.
     assert_eq!(work_queue.next_release(), Some(s(5.0)));
-    // None has gone, since fresh ones went first: after five seconds all are in hand all the same.
+    // None is sent, as new messages are preferred: all are released within five seconds nevertheless.
     assert_eq!(
         (work_queue.release(s(3.7)), work_queue.waiting()),
         (vec![], 1)
@@ -171,8 +171,8 @@
     assert_eq!(late.release(s(15.24)), ids(&["and this"]));
 }
 
-/// Full once members have told, or none did in time; once the first calls' spread is over; once all that is owed has been
-/// taken up. Each by itself holds it back.
+/// Full service requires that a member has replied or the time for it is over, that learned state is restored, that the
+/// first calls are spread, and that the work queue is empty. Each of these alone delays it.
 #[test]
 fn each_step_delays_full_service() {
     let start = || Recovery::new(SETTINGS, s(0.0));
@@ -191,11 +191,11 @@
             && !peer_replied.should_ask_peers(s(0.3), true)
             && peer_replied.should_ask_peers(s(0.7), true)
     );
-    peer_replied.on_peer_reply(s(0.8), vec![piece(1, s(0.5))]);
+    peer_replied.on_peer_reply(s(0.8), vec![learned_state_of(1, s(0.5))]);
     assert!(
         !peer_replied.should_ask_peers(s(1.4), true)
             && peer_replied.check_complete(s(0.8)).is_none(),
-        "what was told is to be recalled first"
+        "learned state of a reply must be restored before full service"
     );
     assert_eq!(
         peer_replied.take_state_to_restore(s(0.8)).map(|l| l.len()),
@@ -205,7 +205,10 @@
     peer_replied
         .work_queue
         .add(DestinationId(1), s(20.0), id("a"));
-    assert!(peer_replied.check_complete(s(1.6)).is_none(), "one is owed");
+    assert!(
+        peer_replied.check_complete(s(1.6)).is_none(),
+        "a message is in the work queue"
+    );
     peer_replied.work_queue.release(s(1.6));
     assert!(
         peer_replied.check_complete(s(1.4)).is_none()
@@ -213,33 +216,34 @@
     );
     assert!(
         peer_replied.take_state_to_restore(s(2.0)).is_none(),
-        "full: nothing is recalled any more"
+        "no learned state is restored in full service"
     );
 }
 
-/// A Retry-After wait is written down at once, all else once a second.
+/// A new retry-after time is persisted at once, other learned state once a second.
 #[test]
 fn a_new_retry_after_is_persisted_at_once() {
     let mut recovery = Recovery::new(SETTINGS, s(0.0));
-    let waits = |until| {
+    let blocked_until_state = |until| {
         vec![LearnedState {
             blocked_until: Some(until),
-            ..piece(1, s(0.0))
+            ..learned_state_of(1, s(0.0))
         }]
     };
     assert!(recovery.should_persist(s(0.0), &[]));
-    assert!(!recovery.should_persist(s(0.1), &[piece(1, s(0.1))]));
+    assert!(!recovery.should_persist(s(0.1), &[learned_state_of(1, s(0.1))]));
     assert!(
-        recovery.should_persist(s(0.2), &waits(s(3.0)))
-            && !recovery.should_persist(s(0.3), &waits(s(3.0)))
+        recovery.should_persist(s(0.2), &blocked_until_state(s(3.0)))
+            && !recovery.should_persist(s(0.3), &blocked_until_state(s(3.0)))
     );
     assert!(
-        recovery.should_persist(s(0.4), &waits(s(4.0))) && recovery.should_persist(s(1.5), &[])
+        recovery.should_persist(s(0.4), &blocked_until_state(s(4.0)))
+            && recovery.should_persist(s(1.5), &[])
     );
 }
 
 prop_compose! {
-    fn any_piece()(destination: u64, route_id: Option<String>, at: u64, window: Option<f64>, limit: Option<f64>, until: Option<u64>,
+    fn any_learned_state()(destination: u64, route_id: Option<String>, at: u64, window: Option<f64>, limit: Option<f64>, until: Option<u64>,
         state in 0..4u8) -> LearnedState {
         let state = [None, Some(ObservedHealth::Up), Some(ObservedHealth::Down), Some(ObservedHealth::WarmingUp(Time(at)))][usize::from(state)];
         LearnedState { destination, route_id, at: Time(at), window, limit, blocked_until: until.map(Time), state }
@@ -247,12 +251,13 @@
 }
 
 proptest! {
-    /// Pieces fit, and hold all but what can't fit by itself; whatever they say, the memory's use of it is bounded.
+    /// Chunks fit the limit and contain all entries except those that exceed it alone; cached values stay within
+    /// bounds.
     #[test]
-    fn chunks_round_trip(learned_state in proptest::collection::vec(any_piece(), 0..80)) {
+    fn chunks_round_trip(learned_state in proptest::collection::vec(any_learned_state(), 0..80)) {
         let chunks = encode(&learned_state, 1024);
         prop_assert!(chunks.iter().all(|p| p.len() <= 1024));
-        let back: Vec<LearnedState> = chunks.iter().flat_map(|p| decode(p).expect("ours")).collect();
+        let back: Vec<LearnedState> = chunks.iter().flat_map(|p| decode(p).expect("an encoded chunk")).collect();
         let long = learned_state.iter().filter(|l| encode(&[(*l).clone()], 1024).is_empty()).count();
         prop_assert_eq!(back.len() + long, learned_state.len());
         let mut cache = LearnedStateCache::new(BOUNDS);
@@ -263,34 +268,35 @@
         }
     }
 
-    /// Guards short deadlines: by a fixed time before them a restart's messages were handed over too late for a try. Each is
-    /// in the decisions' hands with half of its time left at least, and within five seconds, though none before it moves.
+    /// Guards against recovered messages with short deadlines being released too late for an attempt, as they were with
+    /// a fixed time before the deadline. Each is released with at least half of its time remaining and within five
+    /// seconds, even if no earlier message is sent.
     #[test]
     fn the_work_queue_releases_messages_with_half_of_their_time_remaining(
-        lefts in proptest::collection::vec((0u64..3, 10u64..30_000), 1..60)
+        remaining_times in proptest::collection::vec((0u64..3, 10u64..30_000), 1..60)
     ) {
         let mut work_queue = WorkQueue::new(s(0.0));
         let ms = |ms: u64| s(0.0) + Duration::from_millis(ms);
-        for (n, (destination, left)) in lefts.iter().enumerate() {
-            work_queue.add(DestinationId(*destination), ms(*left), MessageId(n.to_string()));
+        for (n, (destination, remaining)) in remaining_times.iter().enumerate() {
+            work_queue.add(DestinationId(*destination), ms(*remaining), MessageId(n.to_string()));
         }
-        let (mut now, mut submitted) = (0, 0);
+        let (mut now, mut released_count) = (0, 0);
         while work_queue.waiting() > 0 {
             for id in work_queue.release(ms(now)) {
-                let (_, left) = lefts[id.0.parse::<usize>().expect("a number")];
-                prop_assert!(now <= (left / 2).min(5000) + 1, "{id} of {left} ms after {now} ms");
-                submitted += 1;
+                let (_, remaining) = remaining_times[id.0.parse::<usize>().expect("a number")];
+                prop_assert!(now <= (remaining / 2).min(5000) + 1, "message {id} with {remaining} ms remaining was released after {now} ms");
+                released_count += 1;
             }
-            // As the sender does: it wakes when one is due, and at least each second.
+            // Like the sender, wakes when a message is due, and at least every second.
             let due = work_queue.next_release().map_or(now + 1000, |t| ((t - s(0.0)).as_millis() as u64 + 1).min(now + 1000));
             now = due.max(now + 1);
         }
-        prop_assert_eq!(submitted, lefts.len());
+        prop_assert_eq!(released_count, remaining_times.len());
     }
 
-    /// A file that was cut or changed anywhere is not used, and never stops a start.
+    /// A state file that is truncated or changed anywhere is rejected with an error, never with a panic.
     #[test]
-    fn a_damaged_state_file_is_rejected(learned_state in proptest::collection::vec(any_piece(), 0..20), at: prop::sample::Index,
+    fn a_damaged_state_file_is_rejected(learned_state in proptest::collection::vec(any_learned_state(), 0..20), at: prop::sample::Index,
         flip in 1..=255u8, noise: Vec<u8>) {
         let bytes = pack(&learned_state);
         prop_assert!(unpack(&bytes).is_ok());
