--- a/crates/core/src/backlog.rs
+++ b/crates/core/src/backlog.rs
@@ -1,8 +1,8 @@
 //! [`Backlog`]: recovered messages that wait until the scheduler has capacity for them.
 //!
 //! The scheduler rejects messages beyond the configured limit on pending messages. A process that recovers more
-//! messages than that hands them over to the scheduler as capacity becomes available, ordered by the time until which
-//! they can be sent, then by the order of acceptance.
+//! messages than that hands them over to the scheduler gradually, as capacity becomes available. Messages that can be
+//! sent for the shortest time come first, and among these the ones that were accepted first.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,8 +13,8 @@
 /// A message in the backlog. The derived order, by fields from first to last, is the order of release.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct BacklogEntry {
-    /// Latest time to hand it over to the scheduler: the earliest such time of it and of the later messages with the
-    /// same ordering key.
+    /// Latest time to hand the message over to the scheduler. It is no later than that of any later message with the
+    /// same ordering key, as messages of one key are handed over in order.
     pub(crate) hand_over_by: Time,
     /// Position among all accepted messages of this process.
     pub(crate) sequence: u64,
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -96,7 +96,7 @@
         }
         if self.zones.is_some() {
             let version = self.members.as_ref().map_or(0, Members::payloads_version);
-            // The zone announcements have changed: they are evaluated in the next tick, which is requested at once.
+            // The members' zone announcements have changed: requests a tick at once, in which they are evaluated.
             if self.payloads_version != version {
                 self.payloads_version = version;
                 effects.push(Effect::WakeAt(now));
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -212,7 +212,7 @@
         outbox.record(Record::Completed { id: id.0, until });
     }
 
-    /// Ends a message that the scheduler gives up undelivered. Returns `None` if it is no longer pending.
+    /// Ends a message that the scheduler has rejected or failed. Returns `None` if it is no longer pending.
     pub(crate) fn end(
         &mut self,
         now: Time,
--- a/crates/core/src/pending_message.rs
+++ b/crates/core/src/pending_message.rs
@@ -71,8 +71,8 @@
     pub(crate) sequence: u64,
     pub(crate) message: Message,
     pub(crate) deadline: Time,
-    /// Latest time to hand it over to the scheduler: the earliest such time of it and of the later messages with the
-    /// same ordering key.
+    /// Latest time to hand the message over to the scheduler. It is no later than that of any later message with the
+    /// same ordering key, as messages of one key are handed over in order.
     pub(crate) hand_over_by: Time,
     /// Number of attempts started, including those before the submission; it is the number of the next attempt.
     attempts: u32,
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -239,7 +239,7 @@
         has_retry_after.then(|| self.endpoints.cancel_unwritten(finished.destination))
     }
 
-    /// Ends a message that the scheduler gives up undelivered.
+    /// Ends a message that the scheduler has rejected or failed.
     fn end_undelivered(&mut self, id: &MessageId, verdict: Verdict) {
         let ended = self
             .messages
--- a/crates/core/tests/short_window.rs
+++ b/crates/core/tests/short_window.rs
@@ -11,8 +11,9 @@
 use cranehill_scheduler::profile::Profile;
 
 const SETTINGS: &str = include_str!("settings.json");
-/// Class of keyed messages, here with an idempotency window of 1 s; the next one is that of unsafe messages.
+/// Index of the class of keyed messages, here with an idempotency window of 1 s.
 const KEYED: usize = 1;
+/// Index of the class of unsafe messages.
 const UNSAFE: usize = 2;
 const WINDOW_MS: u64 = 1000;
 const ACCEPTED_MS: u64 = 10_000;
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -73,7 +73,7 @@
             .all(|p| p.state.is_none() && p.limit == Some(12.0))
     );
     let [blocked] = &at(10.5)[..] else {
-        panic!("{:?}", at(10.5))
+        panic!("expected one route, got {:?}", at(10.5))
     };
     assert_eq!(
         (
