--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -36,7 +36,7 @@
     pub body: Arc<[u8]>,
     /// Time from the submission to its deadline.
     pub left: Duration,
-    /// Attempts made before the submission; they count towards the limit on attempts.
+    /// Attempts made by earlier processes of the sender; they count towards the limit on attempts.
     pub spent: u32,
     /// Data that the client ingress passes with the message.
     pub envelope: Option<Arc<Envelope>>,
--- a/crates/core/src/pending_message.rs
+++ b/crates/core/src/pending_message.rs
@@ -74,7 +74,7 @@
     /// Latest time to hand the message over to the scheduler. It is no later than that of any later message with the
     /// same ordering key, as messages of one key are handed over in order.
     pub(crate) hand_over_by: Time,
-    /// Number of attempts started, including those before the submission; it is the number of the next attempt.
+    /// Number of attempts started, including those of earlier processes; it is the number of the next attempt.
     attempts: u32,
     in_flight: Option<InFlightAttempt>,
     possibly_executed: Option<PossibleExecution>,
