--- a/crates/daemon/src/client_ingress.rs
+++ b/crates/daemon/src/client_ingress.rs
@@ -1,4 +1,4 @@
-//! Clients: their connections, their requests, and how much of this sender one of them may take.
+//! Client connections and requests, and the limits on the connections, memory and time that clients may use.
 
 mod resp;
 mod web_push;
@@ -17,69 +17,69 @@
 use crate::throttled_log::ThrottledLog;
 use crate::{client_protocol, webpush};
 
-/// Requests of one client that are processed before others have their turn.
+/// Requests of one client processed in one iteration of the event loop.
 pub(crate) const MAX_REQUESTS_PER_ITERATION: usize = 16;
-/// Connections accepted before others have their turn; the rest wait in the system's queue.
+/// Connections accepted in one iteration of the event loop; the rest wait in the kernel's accept queue.
 pub(crate) const MAX_ACCEPTS_PER_ITERATION: usize = 64;
-/// Connections considered when one must be closed for a new one.
+/// Idle connections examined when one must be closed to accept a new one.
 pub(crate) const MAX_EVICTION_CANDIDATES: usize = 4;
-/// For this long after connecting, a client's first request may still be on its way.
+/// For this long after a client has connected, its first request may still be in transit.
 pub(crate) const NEW_CLIENT_GRACE: Duration = Duration::from_millis(300);
-/// A connection's first request is complete within this, or the connection is closed: one that only stays open must not keep
-/// others out.
+/// Time from connecting to a complete first request; then the connection is closed, so that clients which only hold connections
+/// open don't block others.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A further request that has begun is complete, and an answer is read, within this.
+/// Time allowed for the rest of a further request that has begun, and for the client to read an answer.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection without a further request is kept for this long.
+/// A connection without a further request is closed after this.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A client whose connection is closed has noticed within this: it waits no longer than 400 ms for an answer.
+/// How long a connection stays half-closed until the client closes its side: clients wait at most 400 ms for an answer.
 const LINGER: Duration = Duration::from_millis(500);
-/// Errors that are answered on one connection before it is closed.
+/// A connection is closed after this many invalid requests.
 const MAX_REQUEST_ERRORS: u32 = 16;
-/// An incomplete request above this counts towards the bound on unread bytes.
+/// Only an incomplete request larger than this can be closed because of [`UNREAD_MEMORY_DIVISOR`].
 const LARGE_REQUEST_BYTES: usize = 8 * 1024;
-/// The part of the process's memory that incomplete requests may take, as a divisor.
+/// Incomplete requests of all clients may use this fraction of the process's memory, as a divisor.
 const UNREAD_MEMORY_DIVISOR: usize = 8;
-/// How often the log says that connections are evicted, and that messages are rejected.
+/// Minimum interval between two log lines about evicted connections, or about rejected messages.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What came of a client's next request.
+/// The result of processing a client's next request.
 pub(crate) enum Progress {
-    /// There is none to process now.
+    /// No request can be processed now: none is complete, or an earlier one is still unanswered.
     Waiting,
-    /// It was answered; there may be another.
+    /// The request was answered; another one may be buffered.
     Answered,
-    /// It submits a message.
+    /// The request submits this message, which is not answered yet.
     Submitted(Message),
-    /// The client that waited for this message's end has left.
+    /// The client that waited for this message's result has disconnected.
     Cancelled(String),
-    /// The connection is to be closed.
+    /// The caller closes the connection.
     Close,
-    /// The connection is to be closed with an error: its request takes too long, or too much memory.
+    /// The caller closes the connection with an error: its incomplete request would exceed the memory limit.
     TimedOut,
 }
 
-/// What decides whether a message is accepted.
+/// What the decision to accept a message depends on.
 pub(crate) struct Admission<'a> {
     pub(crate) platform_settings: &'a PlatformSettings,
     pub(crate) core: &'a Core,
     pub(crate) journal: &'a mut JournalWriter,
-    /// Clients are asked to leave.
+    /// This sender drains, so clients are told to use another one.
     pub(crate) draining: bool,
     pub(crate) now: Time,
 }
 
-/// The bounds for all clients together.
+/// The limits for all clients together.
 pub(crate) struct ClientIngress {
     max_connections: usize,
-    /// Bytes of incomplete requests.
+    /// Limit on the buffers of all clients' incomplete requests, in bytes.
     max_unread_bytes: usize,
     evictions: ThrottledLog,
     rejections: ThrottledLog,
 }
 
 impl ClientIngress {
-    /// `memory`: bytes that the process may use.
+    /// `memory` is the number of bytes that the process may use.
     pub(crate) fn new(max_connections: usize, memory: usize, now: Time) -> ClientIngress {
         ClientIngress {
             max_connections,
@@ -89,20 +89,20 @@
         }
     }
 
-    /// Whether a further connection is within the bound.
+    /// Whether another connection is within the limit.
     pub(crate) fn has_room(&self, connections: &ConnectionTable) -> bool {
         connections.count(Connection::is_client) < self.max_connections
     }
 
-    /// A connection is closed, or not accepted, because of the bound.
+    /// Logs that a connection is closed, or not accepted, because of the limit.
     pub(crate) fn record_eviction(&mut self, now: Time) {
         if let Some(evicted) = self.evictions.record(now) {
-            let places = self.max_connections;
-            log::warn!("accept: all {places} places taken; {evicted} closed");
+            let limit = self.max_connections;
+            log::warn!("accept: all {limit} client places taken; {evicted} connections closed");
         }
     }
 
-    /// Protects memory against many clients that each leave a large request incomplete.
+    /// Limits the memory used by clients that each leave a large request incomplete.
     fn on_incomplete(&self, connections: &ConnectionTable, id: usize) -> Progress {
         let is_large = connections
             .get(id)
@@ -110,7 +110,7 @@
         if !is_large || unread_bytes(connections) <= self.max_unread_bytes {
             return Progress::Waiting;
         }
-        log::info!("client: too much unfinished; one that sends more is closed");
+        log::info!("client: incomplete requests use too much memory; closing connection {id}");
         Progress::TimedOut
     }
 }
@@ -123,7 +123,7 @@
         .sum()
 }
 
-/// When this side stops waiting for a client; `None` while the client waits for this side.
+/// When the connection times out; `None` while the client waits for this sender.
 pub(crate) fn deadline(connection: &Connection) -> Option<Time> {
     if !matches!(
         connection.kind,
@@ -144,7 +144,7 @@
     Some(connection.waiting_since + timeout)
 }
 
-/// The idle connection that is least likely to be used: see [`eviction_rank`].
+/// The idle connection that is evicted first: see [`eviction_rank`].
 pub(crate) fn eviction_candidate(connections: &ConnectionTable, now: Time) -> Option<usize> {
     connections
         .iter()
@@ -153,9 +153,10 @@
         .map(|(id, _)| id)
 }
 
-/// The order in which idle connections are evicted: those that are closing; those that never sent a request, once they had time
-/// to; those that may be closed at any time by the platform's rules; those with a recent request; and new ones, whose request is
-/// on its way and would fail. When a sender stops, all its clients come to another at once.
+/// The order in which idle connections are evicted: first closing ones; then those that sent no request within
+/// [`NEW_CLIENT_GRACE`]; then those idle for so long that the platform's rules let a sender close them; then those with a recent
+/// request; and last new ones, whose first request is in transit and would fail. When a sender stops, all its clients connect to
+/// another one at once.
 fn eviction_rank(connection: &Connection, now: Time) -> (u8, Time) {
     let waited = now - connection.waiting_since;
     let class = if matches!(connection.kind, ConnectionKind::Closing { .. }) {
@@ -170,7 +171,7 @@
     (class, connection.waiting_since)
 }
 
-/// Answers the request in progress. `closing`: connections are closed between requests.
+/// Answers the request in progress. With `closing` the connection is closed afterwards unless another request has arrived.
 pub(crate) fn answer(
     connections: &mut ConnectionTable,
     id: usize,
@@ -198,12 +199,12 @@
     }
     connection.close_after_write |= closing && connection.has_nothing_unread();
     connections.send(id, bytes, now);
-    // Its next request is not processed here: with a client that pipelines requests that are answered at once, that would recurse
-    // until the stack is full.
+    // The next request is not processed here: with pipelined requests that are answered immediately, that would recurse until the
+    // stack overflows.
     connections.resume(id);
 }
 
-/// Answers an incomplete request whose time is over.
+/// Answers an incomplete request whose timeout has expired.
 pub(crate) fn answer_timeout(connections: &mut ConnectionTable, id: usize, now: Time) {
     const WHY: &str = "the request did not come whole in time";
     let Some(connection) = connections.get(id) else {
@@ -219,13 +220,13 @@
     connections.send(id, &bytes, now);
 }
 
-/// Begins to close a client's connection; false if it is closed already. What the client sends before it has noticed is read and
-/// discarded: to close over unread bytes would reset the connection, and lose answers that are still on their way.
+/// Half-closes a client's connection; returns false if it is closed completely. What the client still sends is read and
+/// discarded: closing a socket with unread bytes resets the connection, and the client would lose answers in transit.
 pub(crate) fn begin_close(connections: &mut ConnectionTable, id: usize, now: Time) -> bool {
     let Some(connection) = connections.get_mut(id) else {
         return false;
     };
-    // A client that has left, or does not read its answers, is not waited for.
+    // There is no point in waiting for a client that has disconnected or does not read its answers.
     if connection.ended
         || !connection.is_written()
         || connection.stream.shutdown(Shutdown::Write).is_err()
@@ -239,7 +240,7 @@
     true
 }
 
-/// Discards what has arrived on a connection that is being closed.
+/// Discards the input of a half-closed connection.
 pub(crate) fn discard_input(connections: &mut ConnectionTable, id: usize) {
     let Some(connection) = connections.get_mut(id) else {
         return;
@@ -250,20 +251,20 @@
     }
     let was_full = connection.input.len() >= connection.max_input_bytes();
     connection.input = Vec::new();
-    // There is no further event for what did not fit.
+    // The poll is edge-triggered: it reports no further event for bytes that did not fit into the buffer.
     if was_full {
         connections.resume(id);
     }
 }
 
-/// More may have waited for room in the buffer.
+/// Reads again after a request was removed from the buffer: bytes that did not fit may wait in the socket.
 pub(crate) fn refill(connections: &mut ConnectionTable, id: usize) {
     if let Some(connection) = connections.get_mut(id) {
         connection.fill();
     }
 }
 
-/// Closes the connection after the answer to a request that can't be parsed.
+/// Answers bytes that can't be parsed, and closes the connection afterwards.
 fn reject_malformed(connections: &mut ConnectionTable, id: usize, answer: &[u8], now: Time) {
     if let Some(connection) = connections.get_mut(id) {
         connection.close_after_write = true;
@@ -272,7 +273,8 @@
     connections.send(id, answer, now);
 }
 
-/// Answers a request with an error. A client that sends nothing else would have us answer at its full speed.
+/// Answers an invalid request with an error. After [`MAX_REQUEST_ERRORS`] the connection is closed, so that a client which sends
+/// nothing else does not use this sender's time without limit.
 fn reject_request(connections: &mut ConnectionTable, id: usize, answer: &[u8], now: Time) {
     if let Some(connection) = connections.get_mut(id) {
         connection.request_errors += 1;
--- a/crates/daemon/src/client_ingress/resp.rs
+++ b/crates/daemon/src/client_ingress/resp.rs
@@ -1,4 +1,4 @@
-//! Requests over RESP2.
+//! Requests of clients over RESP2.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::connection_table::ConnectionTable;
 
 impl ClientIngress {
-    /// Processes the client's next request.
+    /// Processes the next request in the connection's input.
     pub(crate) fn serve_client(
         &mut self,
         connections: &mut ConnectionTable,
@@ -57,7 +57,7 @@
         let now = admission.now;
         match request {
             Request::Ping if admission.draining => {
-                // The client is asked to use another sender; what it sends here all the same is served.
+                // The error tells the client to use another sender; requests that it still sends here are served.
                 if let Some(connection) = connections.get_mut(id) {
                     connection.close_after_write = connection.has_nothing_unread();
                 }
@@ -85,7 +85,7 @@
         Progress::Answered
     }
 
-    /// `None` if the message is not accepted, which is answered.
+    /// The submitted message; `None` if the request was rejected and answered.
     fn on_put(
         &mut self,
         connections: &mut ConnectionTable,
@@ -102,11 +102,11 @@
         else {
             return None;
         };
-        // A message that the journal has no room for must not be accepted.
+        // A message must not be accepted if the journal has no room for it.
         let room = admission.journal.admit(body.len());
         let settings = admission.platform_settings;
         let parsed = client_protocol::message(settings, id, &key, message_id, &names, body);
-        // A message to an unknown destination could only expire.
+        // A message to an unknown destination could never be delivered and would only expire.
         let known = parsed.and_then(|message| {
             let is_known = admission.core.knows(message.destination);
             is_known
--- a/crates/daemon/src/client_ingress/web_push.rs
+++ b/crates/daemon/src/client_ingress/web_push.rs
@@ -1,4 +1,4 @@
-//! Posts of application servers over HTTP.
+//! Web Push requests of application servers over HTTP.
 
 use cranehill_scheduler::Time;
 
@@ -12,7 +12,7 @@
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 impl ClientIngress {
-    /// Processes the application server's next post.
+    /// Processes the next request in the connection's input.
     pub(crate) fn serve_web_push(
         &self,
         connections: &mut ConnectionTable,
@@ -31,7 +31,7 @@
             if !connection.ended {
                 return Progress::Waiting;
             }
-            // Nobody would be notified of the message's end.
+            // The client has disconnected, so nobody would receive the message's result.
             let message = std::mem::take(message);
             connections.close(id);
             return Progress::Cancelled(message);
@@ -104,7 +104,7 @@
     }
 }
 
-/// RFC 9110, section 10.1.1: a client may wait for permission to send its body.
+/// Whether the client waits for `100 Continue` before it sends the body (RFC 9110, section 10.1.1).
 fn expects_continue(connection: &Connection) -> bool {
     let head = String::from_utf8_lossy(&connection.input).to_ascii_lowercase();
     head.contains("\r\n\r\n")
--- a/crates/daemon/src/client_protocol.rs
+++ b/crates/daemon/src/client_protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol of the clients that submit messages, over RESP2: parsing and writing, without I/O.
+//! The clients' protocol over RESP2, with which they submit messages: parsing and writing, without I/O.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,29 +6,29 @@
 use crate::config::PlatformSettings;
 use cranehill_core::{Answer, Message, Origin};
 
-/// The largest argument, which is a message's body.
+/// Limit of one argument. Only a message's body comes near it.
 const MAX_ARGUMENT_BYTES: usize = 64 * 1024;
-/// Arguments of a command, its name included.
+/// Limit on the arguments of a command, including its name.
 const MAX_ARGUMENTS: usize = 16;
-/// All arguments of a command together: a body, and the names before it.
+/// Limit of all arguments of a command together: a body and the arguments before it.
 const MAX_COMMAND_BYTES: usize = MAX_ARGUMENT_BYTES + 2048;
-/// The longest line with a length.
+/// Limit of a line with a RESP length.
 const MAX_LENGTH_LINE_BYTES: usize = 32;
-/// The longest id of a message.
+/// Limit of a message's id.
 const MAX_ID_BYTES: usize = 64;
-/// The longest idempotency key.
+/// Limit of an idempotency key.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
-/// The longest ordering key; those of the platform have 16 characters.
+/// Limit of an ordering key; the platform's ordering keys have 16 characters.
 const MAX_ORDERING_KEY_BYTES: usize = 64;
-/// The longest request; a connection with more unfinished bytes is closed.
+/// Limit of a request in bytes. A connection is closed when an incomplete request reaches it.
 pub const MAX_REQUEST_BYTES: usize = MAX_ARGUMENT_BYTES + 4096;
 
 /// A client's request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Whether this sender takes messages.
+    /// `PING`: asks whether this sender accepts messages.
     Ping,
-    /// The client is about to close the connection.
+    /// `QUIT`: the client is about to close the connection.
     Quit,
     /// `MSG.PUT`: submits a message.
     Put {
@@ -36,52 +36,52 @@
         key: Vec<u8>,
         /// The message's id.
         id: String,
-        /// Names and values, as [`message`] parses them.
+        /// Comma-separated `name=value` pairs, parsed by [`message`].
         names: String,
         /// The message's body.
         body: Vec<u8>,
     },
-    /// Valid RESP, but not a valid command, and why: it gets an error and the connection stays.
+    /// Valid RESP but not a valid command, with the reason. It is answered with an error, and the connection is kept.
     Unknown(&'static str),
 }
 
-/// Why bytes are not RESP: the connection ends after the error.
+/// Why bytes are not valid RESP. The connection is closed after the error is sent.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct ProtocolError(pub &'static str);
 
-/// Why a `MSG.PUT` does not submit a message. The texts are part of the protocol: clients get them as errors.
+/// Why a `MSG.PUT` is rejected. The texts are part of the protocol: they are sent to the client as errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum MessageError {
-    /// A part of the list has no `=`.
+    /// A part of the comma-separated list has no `=`.
     #[error("a name without a value")]
     NameWithoutValue,
-    /// The settings have no such class.
+    /// The settings contain no class with the name in `c`.
     #[error("class not known")]
     UnknownClass,
-    /// The settings have no such tenant.
+    /// The settings contain no tenant with the name in `t`.
     #[error("station not known")]
     UnknownTenant,
-    /// The remaining time is not a number of milliseconds.
+    /// The remaining time (`d`) is not a number of milliseconds.
     #[error("time left not a number")]
     InvalidTime,
-    /// The destination is not a number.
+    /// The destination (`dest`) is not a number.
     #[error("destination not a number")]
     InvalidDestination,
-    /// The idempotency key is too long, or has other characters than graphic ASCII.
+    /// The idempotency key (`k`) is longer than 128 bytes, or has other characters than graphic ASCII.
     #[error("key not readable")]
     InvalidIdempotencyKey,
-    /// The message's class is delivered in order, and the first argument is no ordering key.
+    /// The message's class is delivered in order, and the first argument is not an ordering key.
     #[error("the first argument is no key: 1 to 64 characters without spaces")]
     InvalidOrderingKey,
-    /// The list names no class.
+    /// The class (`c`) is missing.
     #[error("class missing")]
     ClassMissing,
-    /// The list names no destination.
+    /// The destination (`dest`) is missing.
     #[error("destination missing")]
     DestinationMissing,
-    /// The list names no remaining time.
+    /// The remaining time (`d`) is missing.
     #[error("time left missing")]
     TimeMissing,
     /// No endpoint of the destination is known.
@@ -89,8 +89,8 @@
     UnknownDestination,
 }
 
-/// A line up to CR LF, and where the next one begins.
-fn line(bytes: &[u8], at: usize) -> Result<Option<(&[u8], usize)>, ProtocolError> {
+/// The line at offset `at` without its CR LF, and the offset of the next line; `None` if the line is incomplete.
+fn read_line(bytes: &[u8], at: usize) -> Result<Option<(&[u8], usize)>, ProtocolError> {
     let rest = &bytes[at..];
     match rest.iter().position(|&b| b == b'\n') {
         Some(end) if end > 0 && rest[end - 1] == b'\r' => {
@@ -104,37 +104,38 @@
     }
 }
 
-fn count(line: &[u8], mark: u8, most: usize) -> Result<usize, ProtocolError> {
+/// Parses a RESP length: the type byte, then digits. The length may be at most `max`.
+fn parse_length(line: &[u8], type_byte: u8, max: usize) -> Result<usize, ProtocolError> {
     let digits = match line.split_first() {
-        Some((&first, digits)) if first == mark => digits,
+        Some((&first, digits)) if first == type_byte => digits,
         _ => return Err(ProtocolError("expected an array of bulk strings")),
     };
-    let plain = !digits.is_empty() && digits.len() <= 8 && digits.iter().all(u8::is_ascii_digit);
+    let is_valid = !digits.is_empty() && digits.len() <= 8 && digits.iter().all(u8::is_ascii_digit);
     let number = std::str::from_utf8(digits)
         .ok()
-        .filter(|_| plain)
+        .filter(|_| is_valid)
         .and_then(|d| d.parse().ok());
     number
-        .filter(|&n| n <= most)
+        .filter(|&n| n <= max)
         .ok_or(ProtocolError("a length is not a number in range"))
 }
 
-/// The first complete request in `bytes` and its length; `None` if more must arrive.
+/// The first complete request in `bytes` and its length in bytes; `None` if the request is incomplete.
 ///
 /// # Errors
-/// The bytes are not, and will not become, RESP within the bounds.
+/// The bytes are not the beginning of a valid RESP array within the limits.
 pub fn parse(bytes: &[u8]) -> Result<Option<(Request, usize)>, ProtocolError> {
-    let Some((head, mut at)) = line(bytes, 0)? else {
+    let Some((head, mut at)) = read_line(bytes, 0)? else {
         return Ok(None);
     };
-    let arguments = count(head, b'*', MAX_ARGUMENTS)?;
+    let arguments = parse_length(head, b'*', MAX_ARGUMENTS)?;
     let mut parts: Vec<&[u8]> = Vec::with_capacity(arguments);
     let mut total = 0;
     for _ in 0..arguments {
-        let Some((head, next)) = line(bytes, at)? else {
+        let Some((head, next)) = read_line(bytes, at)? else {
             return Ok(None);
         };
-        let len = count(head, b'$', MAX_ARGUMENT_BYTES)?;
+        let len = parse_length(head, b'$', MAX_ARGUMENT_BYTES)?;
         total += len;
         if total > MAX_COMMAND_BYTES {
             return Err(ProtocolError("the request is too large"));
@@ -148,10 +149,10 @@
         parts.push(&argument[..len]);
         at = next + len + 2;
     }
-    Ok(Some((command(&parts), at)))
+    Ok(Some((parse_command(&parts), at)))
 }
 
-fn command(parts: &[&[u8]]) -> Request {
+fn parse_command(parts: &[&[u8]]) -> Request {
     let Some(name) = parts.first() else {
         return Request::Unknown("empty command");
     };
@@ -164,10 +165,10 @@
         let [_, key, id, names, body] = parts else {
             return Request::Unknown("MSG.PUT takes four arguments");
         };
-        let named = |id: &String| {
+        let is_valid = |id: &String| {
             !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(|b| b.is_ascii_graphic())
         };
-        match (text(id).filter(named), text(names)) {
+        match (text(id).filter(is_valid), text(names)) {
             (Some(id), Some(names)) => Request::Put {
                 key: key.to_vec(),
                 id,
@@ -181,11 +182,11 @@
     }
 }
 
-/// The ordering key: text without spaces. Zeros alone are none.
+/// Parses an ordering key: graphic ASCII without spaces. A key of zeros only means that the message has no ordering key.
 fn ordering_key(key: &[u8]) -> Result<Option<String>, MessageError> {
-    let plain =
+    let is_valid =
         (1..=MAX_ORDERING_KEY_BYTES).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic);
-    let text = std::str::from_utf8(key).ok().filter(|_| plain);
+    let text = std::str::from_utf8(key).ok().filter(|_| is_valid);
     let text = text.ok_or(MessageError::InvalidOrderingKey)?;
     Ok(Some(text.to_owned()).filter(|_| key.iter().any(|&byte| byte != b'0')))
 }
@@ -204,11 +205,11 @@
     }
 }
 
-/// The message that a `MSG.PUT` on connection `from` submits: `names` is its list of names and values, `key` the request's
-/// first argument.
+/// Builds the message that a `MSG.PUT` on connection `from` submits. `names` is the comma-separated list of `name=value` pairs,
+/// `key` the request's first argument. A remaining time longer than the class's deadline is shortened to it.
 ///
 /// # Errors
-/// What is wrong with the names, as the client is answered.
+/// The first pair that is missing or invalid; the error's text is sent to the client.
 pub fn message(
     platform_settings: &PlatformSettings,
     from: usize,
@@ -234,7 +235,7 @@
             "d" => remaining_ms = Some(parse_number(value, MessageError::InvalidTime)?),
             "dest" => destination = Some(parse_number(value, MessageError::InvalidDestination)?),
             "k" => key = Some(idempotency_key(value)?),
-            // Marks of a repeated request, and names that newer clients may add, change nothing here.
+            // Markers of a repeated request, and names that newer clients may add, are ignored.
             _ => {}
         }
     }
@@ -261,7 +262,7 @@
     })
 }
 
-/// The bytes of an answer to `MSG.PUT`.
+/// Encodes the answer to a `MSG.PUT`.
 pub fn write_answer(answer: Answer) -> Vec<u8> {
     match answer {
         Answer::Accepted | Answer::Delivered => b"+OK\r\n".to_vec(),
@@ -273,7 +274,7 @@
     }
 }
 
-/// The bytes of an error.
+/// Encodes a RESP error with this text.
 pub fn write_error(why: &str) -> Vec<u8> {
     format!("-ERR {why}\r\n").into_bytes()
 }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -1,4 +1,4 @@
-//! The sender's configuration: the platform's `NODE_` variables and the JSON file that one of them names.
+//! The sender's configuration: the platform's `NODE_` environment variables, and the JSON file that `NODE_CONFIG` names.
 
 use std::error::Error;
 use std::io;
@@ -16,70 +16,70 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ConfigError {
-    /// A variable that has no default is missing.
-    #[error("{variable}: not set")]
+    /// A required environment variable is missing.
+    #[error("{variable}: the environment variable is not set")]
     VariableNotSet {
-        /// Its name.
+        /// The variable's name.
         variable: &'static str,
     },
     /// The file can't be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// As the variable names it.
+        /// The path in `NODE_CONFIG`.
         path: String,
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file can be read, and its content can't be used.
+    /// The file was read, but its content is not valid.
     #[error("{path}: {source}")]
     InFile {
-        /// As the variable names it.
+        /// The path in `NODE_CONFIG`.
         path: String,
-        /// What is wrong in it.
+        /// The error in the file.
         source: Box<ConfigError>,
     },
-    /// The text is not the JSON that was expected.
+    /// The text is not valid JSON, or lacks a field, or has one of another type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The platform's settings contradict themselves.
+    /// The platform's settings are out of range or contradictory.
     #[error("{0}")]
     Settings(Box<dyn Error + Send + Sync>),
-    /// An endpoint known at start is not a valid row.
+    /// An entry of the endpoint list in `known` is not valid.
     #[error("known: {0}")]
     KnownEndpoint(#[from] RowError),
-    /// An address is given neither by variable nor in the file.
-    #[error("{field}: not given")]
+    /// An address is set neither by its environment variable nor in the file.
+    #[error("{field}: no address is given, neither in the file nor as an environment variable")]
     AddressNotGiven {
-        /// The file's key.
+        /// The key in the file.
         field: &'static str,
     },
     /// An address can't be parsed.
-    #[error("{field}: '{text}' is not an address and port")]
+    #[error("{field}: expected an IP address and port, got '{text}'")]
     InvalidAddress {
-        /// The file's key.
+        /// The key in the file.
         field: &'static str,
-        /// As given.
+        /// The text that was given.
         text: String,
-        /// Why it can't be parsed.
+        /// The parser's error.
         source: AddrParseError,
     },
-    /// Operators and clients can't share one address.
-    #[error("operator: {address} is where clients connect (listen)")]
+    /// The operators' address is also that of the clients.
+    #[error("operator: {address} is already used by listen, the clients' address")]
     OperatorAddressTaken {
-        /// The address of both.
+        /// The address of both listeners.
         address: SocketAddr,
     },
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// File descriptors.
+    /// Maximum number of file descriptors.
     pub sockets: usize,
-    /// Memory, in megabytes.
+    /// Memory in megabytes (10^6 bytes).
     pub memory_mb: f64,
-    /// Size of the state folder, in megabytes.
+    /// Disk space of the state folder in megabytes (10^6 bytes).
     pub disk_mb: f64,
 }
 
@@ -98,23 +98,23 @@
 pub struct Config {
     /// This sender's name in the fleet.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is, and final reports go.
+    /// The address of discovery, to which final reports are sent as well.
     pub discovery: SocketAddr,
-    /// Where operators reach this sender.
+    /// The address of the operators' HTTP interface; `None` disables it.
     pub operator: Option<SocketAddr>,
-    /// The folder that outlasts the process.
+    /// The state folder, whose files persist across restarts.
     pub state: PathBuf,
-    /// Seed of all random choices.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The deployment's settings.
+    /// The settings of the platform's deployment.
     pub platform_settings: PlatformSettings,
-    /// Version of the endpoint list known at start; 0 for none.
+    /// Version of the initial endpoint list; 0 without one.
     pub known_version: u64,
-    /// Endpoints known at start.
+    /// The initial endpoint list, used until discovery answers.
     pub known: Vec<Listing>,
 }
 
@@ -133,10 +133,10 @@
     settings: Profile,
 }
 
-/// Reads the platform's variables (`var`) and the file that `NODE_CONFIG` names.
+/// Reads the configuration from the environment variables, which `var` looks up, and from the file that `NODE_CONFIG` names.
 ///
 /// # Errors
-/// What is missing, or can't be read or used, with the file's path.
+/// A required variable is not set, or the file can't be read or is not valid; the error names the variable or the path.
 pub fn load(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let path = required_variable(&var, "NODE_CONFIG")?;
     let text = match std::fs::read_to_string(&path) {
@@ -149,8 +149,9 @@
     })
 }
 
-/// The address of discovery by the file as it is now. `NODE_DISCOVERY` is from the start of the process, so the file, which
-/// is newer, has precedence. The whole file must be valid: a half-written one may name any address.
+/// Reads the address of discovery from the current file, for a reload. Unlike in [`load`], the file has precedence over
+/// `NODE_DISCOVERY`, which dates from the start of the process. The whole file must be valid, since a partially written file may
+/// contain any address.
 ///
 /// # Errors
 /// As [`load`].
@@ -160,10 +161,10 @@
     load(|name| var(name).filter(|_| name != "NODE_DISCOVERY")).map(|config| config.discovery)
 }
 
-/// As [`load`], from the file's text. A variable has precedence over the file.
+/// Parses the configuration from the file's text and the environment variables. A variable has precedence over the file.
 ///
 /// # Errors
-/// What is missing in the text or can't be used.
+/// The first missing or invalid value.
 pub fn parse(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let file: File = serde_json::from_str(text)?;
     let names = file.settings.names();
@@ -199,7 +200,7 @@
     var(variable).ok_or(ConfigError::VariableNotSet { variable })
 }
 
-/// Hexadecimal digits in a string, or a number.
+/// Parses a seed: a string of hexadecimal digits, or a number. Anything else is 0.
 fn parse_seed(seed: &serde_json::Value) -> u64 {
     match seed {
         serde_json::Value::String(digits) => u64::from_str_radix(digits, 16).unwrap_or(0),
@@ -219,7 +220,7 @@
     }
 }
 
-/// Nobody's where the text is empty.
+/// Parses the operators' address; `None` if it is absent or empty.
 fn operator_address(
     text: Option<String>,
     listen: SocketAddr,
@@ -228,7 +229,7 @@
         return Ok(None);
     };
     let operator = address("operator", Some(text))?;
-    // Port 0 gives each its own port.
+    // With port 0 the system assigns each listener its own port.
     if operator == listen && operator.port() != 0 {
         return Err(ConfigError::OperatorAddressTaken { address: listen });
     }
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its socket, its buffers, and its state by kind.
+//! One TCP connection: its socket, its buffers, and the state of the protocol it carries.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::time::Duration;
@@ -10,24 +10,24 @@
 
 use crate::{client_protocol, http};
 
-/// What a response may take besides its body: the head, and the framing of chunks.
+/// Allowance for the head of a response and the framing of chunks, in addition to the body.
 const MAX_FRAMING_BYTES: usize = 32 * 1024;
-/// The most that is read ahead on a connection, except on those of clients and of discovery.
+/// Limit of the input buffer of a connection, except those of clients and of discovery.
 pub(crate) const MAX_RESPONSE_BYTES: usize = http::MAX_BODY_BYTES + MAX_FRAMING_BYTES;
-/// Bytes read by one call to the system.
+/// Bytes read by one system call.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// An empty buffer of more than this is freed: hundreds of connections keep theirs.
+/// An empty buffer with a larger capacity is freed, since hundreds of connections each have one.
 const MAX_IDLE_BUFFER_BYTES: usize = 4096;
-/// The longest pause within a response that has begun.
+/// A response that has begun counts as stalled when nothing arrives for this long.
 const MAX_RESPONSE_PAUSE: Duration = Duration::from_millis(400);
 
-/// A call to a destination that is not answered yet.
+/// A call to a destination whose response is not complete.
 pub(crate) struct InFlightCall {
     pub(crate) attempts: Vec<Attempt>,
-    /// The attempts' message ids, in order.
+    /// The message ids of the attempts, in the order of the call.
     pub(crate) ids: Vec<String>,
     pub(crate) started: Time,
-    /// What has arrived of the response says in time that the message is delivered, though more of it is to come.
+    /// The response is incomplete, but its status line arrived in time and reports the message as delivered.
     pub(crate) delivered: bool,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// When the wait for its response ends.
+    /// When the call times out: the earliest end of its attempts.
     pub(crate) fn deadline(&self) -> Option<Time> {
         self.attempts.iter().map(|a| a.until).min()
     }
@@ -50,8 +50,8 @@
         self.attempts.iter().any(|a| a.envelope.is_some())
     }
 
-    /// Whether a response that begins like this has delivered everything in the call: of several messages only the complete
-    /// response does.
+    /// Whether a partial response already shows that everything in the call is delivered. For a call of several messages, only
+    /// the complete response does.
     pub(crate) fn is_delivered_by(&self, response: &[u8]) -> bool {
         match http::early_status(response) {
             Some(200..300) if self.is_web_push() => true,
@@ -61,52 +61,52 @@
     }
 }
 
-/// Whom a connection leads to, with the state of that exchange.
+/// The peer of a connection, with the state of the exchange.
 pub(crate) enum ConnectionKind {
     /// A client that submits messages over RESP2.
     Client {
-        /// A message of it waits for its answer.
+        /// A message is submitted and not answered yet.
         busy: bool,
     },
-    /// An application server that posts Web Push messages.
+    /// An application server that submits Web Push messages.
     WebPushClient {
-        /// The id of the message that waits for its answer.
+        /// The id of the submitted message that is not answered yet.
         pending: Option<String>,
-        /// The connection ends after the answer.
+        /// The connection is closed after the answer.
         close: bool,
     },
-    /// An endpoint of a destination. Without a call or a check it is idle.
+    /// An endpoint of a destination. The connection is idle without a call or a health check.
     Destination {
         endpoint: EndpointId,
         address: String,
         call: Option<InFlightCall>,
-        /// When a health check was sent.
+        /// When the health check in progress was sent.
         check: Option<Time>,
     },
-    /// A client's that this side closes: its sending direction is shut, and what still arrives is discarded.
+    /// A client's connection that is half-closed: this side sends nothing more, and discards what still arrives.
     Closing {
-        /// When it is closed at the latest.
+        /// When it is closed completely if the client has not closed it before.
         deadline: Time,
     },
-    /// The watch on the endpoint list.
+    /// Discovery: the watch on the endpoint list.
     Discovery { max_body_bytes: usize },
-    /// Final reports to the platform.
+    /// The platform: calls with final reports.
     FinalReports,
-    /// An operator.
+    /// An operator's HTTP client.
     Operator {
-        /// Every command is allowed; else only the view of the fleet.
+        /// Every command is allowed; otherwise only the status of the fleet.
         all_commands: bool,
     },
 }
 
 impl ConnectionKind {
-    /// For the log.
+    /// The kind's name in log lines.
     pub(crate) fn name(&self) -> &'static str {
         match self {
             ConnectionKind::Client { .. } => "client",
             ConnectionKind::WebPushClient { .. } => "Web Push client",
             ConnectionKind::Destination { .. } => "destination",
-            ConnectionKind::Closing { .. } => "ending client",
+            ConnectionKind::Closing { .. } => "closing client",
             ConnectionKind::Discovery { .. } => "discovery",
             ConnectionKind::FinalReports => "final reports",
             ConnectionKind::Operator { .. } => "operator",
@@ -114,32 +114,32 @@
     }
 }
 
-/// A connection with its buffers.
+/// A connection with its buffers and timestamps.
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
     pub(crate) kind: ConnectionKind,
-    /// Received and not yet parsed.
+    /// Bytes received and not yet parsed.
     pub(crate) input: Vec<u8>,
-    /// To be sent; its first `written` bytes have been.
+    /// Bytes to send, of which the first `written` are sent.
     pub(crate) output: Vec<u8>,
     pub(crate) written: usize,
-    /// The connection is open; false while it is being opened.
+    /// The TCP connection is established; false while the connect is in progress.
     pub(crate) established: bool,
-    /// The peer has closed it, or it failed.
+    /// The peer has closed the connection, or an error ended it.
     pub(crate) ended: bool,
-    /// When something was last sent or received.
+    /// When bytes were last sent or received.
     pub(crate) last_used: Time,
-    /// A destination's: calls answered on it.
+    /// Destinations only: calls answered on this connection.
     pub(crate) responses: u32,
-    /// A destination's: how long it had been idle when the latest call began.
+    /// Destinations only: how long the connection was idle before the latest call.
     pub(crate) idle_before_call: Duration,
-    /// A client's or operator's: since when this side waits for it.
+    /// Clients and operators only: since when this sender waits for the peer.
     pub(crate) waiting_since: Time,
-    /// A client's: it has sent a complete request.
+    /// Clients only: a complete request has been received.
     pub(crate) has_requested: bool,
-    /// A client's: requests that were answered with an error.
+    /// Clients only: requests answered with an error.
     pub(crate) request_errors: u32,
-    /// It is closed once its output is written.
+    /// The connection is closed once its output is written.
     pub(crate) close_after_write: bool,
 }
 
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The most that is read ahead.
+    /// Limit of the input buffer.
     pub(crate) fn max_input_bytes(&self) -> usize {
         match self.kind {
             ConnectionKind::Client { .. } => client_protocol::MAX_REQUEST_BYTES,
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Sends what can be sent now; false if the connection is broken.
+    /// Sends as much output as the socket accepts; false if the connection failed.
     pub(crate) fn flush(&mut self) -> bool {
         while self.written < self.output.len() {
             match self.stream.write(&self.output[self.written..]) {
@@ -214,7 +214,7 @@
         self.written = 0;
     }
 
-    /// Removes the first bytes of the input, which have been parsed.
+    /// Removes the first `parsed` bytes of the input.
     pub(crate) fn consume(&mut self, parsed: usize) {
         self.input.drain(..parsed);
         if self.input.is_empty() && self.input.capacity() > MAX_IDLE_BUFFER_BYTES {
@@ -222,7 +222,10 @@
         }
     }
 
-    /// Whether the connection is open by now; an error if it never will be.
+    /// Whether the connection is established.
+    ///
+    /// # Errors
+    /// The connect failed.
     pub(crate) fn check_established(&mut self) -> io::Result<bool> {
         if self.established {
             return Ok(true);
@@ -240,13 +243,13 @@
         }
     }
 
-    /// Bytes have arrived; `first` if the input was empty before.
+    /// Updates the timestamps after bytes were received; `first` if the input was empty before.
     pub(crate) fn on_received(&mut self, first: bool, now: Time) {
-        // A watch is judged by when it was requested.
+        // The watch's timeout counts from its request.
         if !matches!(self.kind, ConnectionKind::Discovery { .. }) {
             self.last_used = now;
         }
-        // A further request begins; the first one's time runs from the connecting.
+        // A further request begins. The first request's timeout counts from the connect instead.
         if first && self.has_requested && self.is_written() {
             self.waiting_since = now;
         }
@@ -261,7 +264,7 @@
         )
     }
 
-    /// Whether it is a client's with no request in progress, so that it may be closed at any time.
+    /// Whether it is a client's connection without a request in progress, which may be closed at any time.
     pub(crate) fn is_idle_client(&self) -> bool {
         let waits = matches!(
             self.kind,
@@ -272,8 +275,8 @@
         waits && self.is_written()
     }
 
-    /// Whether the process must not end before this client's connection does. One that waits for a push's end is answered at the
-    /// end of the process.
+    /// Whether shutdown must wait for this client's connection. A client that waits for the result of a push does not delay it:
+    /// it is answered at the end of the process.
     pub(crate) fn delays_shutdown(&self) -> bool {
         match &self.kind {
             ConnectionKind::Closing { .. } => true,
@@ -284,7 +287,8 @@
         }
     }
 
-    /// Whether a client has sent nothing beyond what was answered: an unread request must not be lost with its connection.
+    /// Reads from the socket, and returns whether a client has sent nothing beyond what was answered. An unread request must not be
+    /// lost by closing its connection.
     pub(crate) fn has_nothing_unread(&mut self) -> bool {
         self.fill();
         self.input.is_empty()
@@ -320,15 +324,15 @@
         self.call().is_some() && !self.is_written()
     }
 
-    /// When a response that has begun is held for one that does not end. Protects slots against heads without an end and lengths
-    /// that don't match, which would keep them until the call's deadline.
+    /// When a response that has begun counts as stalled. Otherwise a response with an incomplete head, or with a length that does
+    /// not match, would occupy a slot until the call's deadline.
     pub(crate) fn stall_deadline(&self) -> Option<Time> {
         (!self.input.is_empty()).then(|| self.last_used + MAX_RESPONSE_PAUSE)
     }
 
-    /// When a call that is not written completely must not be any more: a message in it may have been executed before, and a
-    /// repeat would be outside the window of its class. Protects against connections that are established late: the decision
-    /// was in time.
+    /// After this time a call that is not written completely must not be sent: a message in it may have been executed before, and
+    /// the repeat would fall outside the window of its class. The decision to send was in time, but the connection may be
+    /// established late.
     pub(crate) fn write_deadline(&self) -> Option<Time> {
         let call = self.call().filter(|_| !self.is_written())?;
         call.attempts.iter().filter_map(|a| a.write_by).min()
--- a/crates/daemon/src/connection_index.rs
+++ b/crates/daemon/src/connection_index.rs
@@ -1,4 +1,4 @@
-//! Connections by endpoint, so that an operation on one endpoint visits only its own connections.
+//! An index of connections by endpoint, so that an operation on one endpoint visits only that endpoint's connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,14 +6,14 @@
 
 use crate::connection::ConnectionKind;
 
-/// Connections to endpoints, by endpoint.
+/// The ids of connections to destinations, by endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionIndex {
     connections: BTreeMap<EndpointId, BTreeSet<usize>>,
 }
 
 impl ConnectionIndex {
-    /// A connection was opened.
+    /// Adds a connection, unless it is of another kind.
     pub(crate) fn add(&mut self, kind: &ConnectionKind, connection: usize) {
         if let ConnectionKind::Destination { endpoint, .. } = kind {
             self.connections
@@ -23,7 +23,7 @@
         }
     }
 
-    /// A connection is closed.
+    /// Removes a connection that is closed.
     pub(crate) fn remove(&mut self, kind: &ConnectionKind, connection: usize) {
         let ConnectionKind::Destination { endpoint, .. } = kind else {
             return;
--- a/crates/daemon/src/connection_table.rs
+++ b/crates/daemon/src/connection_table.rs
@@ -1,4 +1,4 @@
-//! All connections, by id, and the poll that watches them.
+//! All connections by id, and the poll that waits for their events.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -15,23 +15,23 @@
 use crate::connection_index::ConnectionIndex;
 use crate::tokens::FIRST_CONNECTION;
 
-/// What came of moving a connection's bytes.
+/// The result of [`ConnectionTable::transfer`].
 pub(crate) enum Transfer {
-    /// There is no such connection, or it is not open yet.
+    /// There is no such connection, or it is not established yet.
     NotReady,
-    /// It can't be opened.
+    /// The connect failed.
     ConnectFailed(io::Error),
-    /// What could be sent and received was.
+    /// Everything that could be sent and received without blocking was.
     Done { write_failed: bool },
 }
 
-/// All connections. An id is never used twice.
+/// All connections. Ids are not reused.
 pub(crate) struct ConnectionTable {
     poll: Poll,
     connections: BTreeMap<usize, Connection>,
     index: ConnectionIndex,
     next_id: usize,
-    /// Connections with more to process, without a further event.
+    /// Connections with input left to process, for which the poll reports no further event.
     resumed: Vec<usize>,
 }
 
@@ -50,7 +50,7 @@
         self.poll.registry()
     }
 
-    /// Waits for events. A signal may end the wait early.
+    /// Waits for events or until the timeout. A signal may end the wait early, without an event.
     pub(crate) fn wait(
         &mut self,
         events: &mut Events,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Adds a connection and returns its id.
+    /// Registers a connection with the poll and returns its id.
     pub(crate) fn add(
         &mut self,
         mut stream: TcpStream,
@@ -83,7 +83,7 @@
         Ok(id)
     }
 
-    /// Begins to open a connection.
+    /// Starts a connect and returns the connection's id.
     pub(crate) fn connect(
         &mut self,
         kind: ConnectionKind,
@@ -93,11 +93,11 @@
         self.add(TcpStream::connect(address)?, kind, false, now)
     }
 
-    /// Removes a connection, which ends when it is dropped.
+    /// Removes a connection; it is closed when the returned value is dropped.
     pub(crate) fn close(&mut self, id: usize) -> Option<Connection> {
         let connection = self.release(id)?;
         log::trace!(
-            "connection {id}: {} closed, ended by the other side: {}, {} bytes read, {} not written",
+            "connection {id}: {} closed, ended by the peer: {}, {} bytes unparsed, {} bytes unsent",
             connection.kind.name(),
             connection.ended,
             connection.input.len(),
@@ -106,7 +106,7 @@
         Some(connection)
     }
 
-    /// Removes a connection that another process has by now.
+    /// Removes a connection that was handed over to another process, without logging a close.
     pub(crate) fn release(&mut self, id: usize) -> Option<Connection> {
         let mut connection = self.connections.remove(&id)?;
         self.index.remove(&connection.kind, id);
@@ -155,7 +155,7 @@
             .filter(move |(_, connection)| matches(connection))
     }
 
-    /// Appends to a connection's output, and sends what can be sent at once.
+    /// Appends to a connection's output, and sends as much as the socket accepts.
     pub(crate) fn send(&mut self, id: usize, bytes: &[u8], now: Time) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -166,13 +166,13 @@
         connection.output.extend_from_slice(bytes);
         (connection.last_used, connection.waiting_since) = (now, now);
         if !connection.flush() {
-            // Nobody will read it: without this the connection would wait forever to be written to.
+            // The output can't be delivered. If it were kept, the connection would wait forever for its output to be written.
             connection.ended = true;
             connection.clear_output();
         }
     }
 
-    /// Sets a connection's next request, which is sent as soon as the connection is open.
+    /// Sets a connection's output to a request, which is sent as soon as the connection is established.
     pub(crate) fn send_request(&mut self, id: usize, bytes: Vec<u8>, now: Time) {
         if let Some(connection) = self.connections.get_mut(&id) {
             (connection.output, connection.written) = (bytes, 0);
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Sends and receives what is possible without waiting.
+    /// Sends and receives as much as possible without blocking.
     pub(crate) fn transfer(&mut self, id: usize, clock: &Clock) -> Transfer {
         let Some(connection) = self.connections.get_mut(&id) else {
             return Transfer::NotReady;
@@ -196,7 +196,7 @@
         let had_output = !connection.is_written();
         let flushed = connection.flush();
         if had_output && connection.is_written() && connection.is_destination() {
-            log::trace!("connection {id}: all of the call is written");
+            log::trace!("connection {id}: the call is written completely");
         }
         let unparsed = connection.input.len();
         connection.fill();
@@ -208,7 +208,7 @@
         }
     }
 
-    /// The connection has more to process, after the others had their turn.
+    /// Schedules the connection for the next iteration of the event loop: it has more input to process.
     pub(crate) fn resume(&mut self, id: usize) {
         self.resumed.push(id);
     }
--- a/crates/daemon/src/destination_protocol.rs
+++ b/crates/daemon/src/destination_protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol of destinations' endpoints: a call's bytes, and what its response says of each message in it. No I/O; the
+//! The HTTP protocol of destinations: encoding a call, and decoding its response into a result for each message. No I/O; the
 //! reactor owns the connections.
 
 use std::time::Duration;
@@ -12,17 +12,17 @@
 use crate::http::{self, Response, header};
 use cranehill_core::Attempt;
 
-/// What a response says of one message.
+/// The result of an attempt according to the destination's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// How the attempt ended.
+    /// Status of the attempt.
     pub status: Status,
-    /// The message is completed: no further attempt is due.
+    /// The message is completed: no further attempt is made.
     pub over: bool,
 }
 
 impl Verdict {
-    /// The verdict of an attempt that does not complete its message.
+    /// A verdict with this status that does not complete the message.
     pub const fn of(status: Status) -> Verdict {
         Verdict {
             status,
@@ -31,19 +31,19 @@
     }
 }
 
-/// What a response says of each message in the call, in order, and of the destination.
+/// A decoded response: a verdict for each message of the call, in order, and what applies to the destination.
 #[derive(Clone, Debug)]
 pub struct DestinationResponse {
-    /// One for each message in the call, or one for all of them.
+    /// One verdict for each message of the call, or a single one for all of them.
     pub verdicts: Vec<Verdict>,
-    /// From `Retry-After`.
+    /// The wait stated by `Retry-After`, from when the response was read.
     pub wait: Option<Duration>,
-    /// The destination's load report.
+    /// The destination's load report, if the response carries a valid one.
     pub report: Option<Report>,
 }
 
 impl DestinationResponse {
-    /// One verdict for all messages of a call, and nothing on the destination.
+    /// One verdict for all messages of a call, without `Retry-After` or load report.
     pub fn all(verdict: Verdict) -> DestinationResponse {
         DestinationResponse {
             verdicts: vec![verdict],
@@ -53,7 +53,7 @@
     }
 }
 
-/// A message in a call of several.
+/// A message in the JSON body of a call with several messages.
 #[derive(Serialize)]
 struct BatchItem {
     id: String,
@@ -62,14 +62,14 @@
     body: String,
 }
 
-/// How one message of several ended.
+/// The result of one message in the JSON response to a call with several messages.
 #[derive(Deserialize)]
 struct ItemState {
     id: String,
     state: String,
 }
 
-/// The bytes of a call to `host` with these attempts.
+/// Encodes a call to `host` with these attempts. `X-Remaining` states the longest remaining time of the attempts.
 pub fn write_call(host: &str, attempts: &[Attempt], now: Time) -> Vec<u8> {
     let longest = attempts
         .iter()
@@ -94,7 +94,8 @@
     http::write_request("POST", "/hook/batch", host, &headers, &body)
 }
 
-fn report(response: &Response) -> Option<Report> {
+/// The load report in the response's headers; `None` if it is absent or not valid.
+fn load_report(response: &Response) -> Option<Report> {
     let text = header(&response.headers, http::LOAD_REPORT_HEADER)?;
     let (mut left, mut limit) = (None, None);
     for (name, value) in text.split(',').filter_map(|p| p.split_once('=')) {
@@ -105,17 +106,17 @@
             _ => {}
         }
     }
-    // A share and a rate: other values were corrupted on the way.
+    // `left` is a fraction and `limit` a rate; values out of these ranges are corrupt.
     let (left, limit) = (left?, limit?);
     ((0.0..=10.0).contains(&left) && (0.0..=1e6).contains(&limit)).then_some(Report { left, limit })
 }
 
-/// The response to a call with the messages `ids`. `unix_now` is the time since 1970.
+/// Decodes the response to a call with the messages `ids`. `unix_now` is the time since 1970, for `Retry-After` dates.
 pub fn read_response(response: &Response, ids: &[&str], unix_now: Duration) -> DestinationResponse {
     let wait = http::retry_after(&response.headers, unix_now);
     let not_sent = header(&response.headers, "x-no-slot").is_some_and(|v| v == "1");
     let all = match response.status {
-        200 if ids.len() > 1 => return states(response, ids, wait),
+        200 if ids.len() > 1 => return read_batch_response(response, ids, wait),
         200 => Verdict {
             status: Status::Served,
             over: true,
@@ -128,24 +129,29 @@
             status: Status::NotSent,
             over: true,
         },
-        // The destination could not parse it, and a retry will not change that.
+        // The destination could not parse the request; a retry would fail in the same way.
         400 | 413 => Verdict::of(Status::PermanentError),
-        // 500, and statuses that the protocol does not define: it may have been executed.
+        // 500, and statuses that the protocol does not define: the message is possibly executed.
         _ => Verdict::of(Status::Error),
     };
     DestinationResponse {
         verdicts: vec![all; ids.len()],
         wait,
-        report: report(response),
+        report: load_report(response),
     }
 }
 
-fn states(response: &Response, ids: &[&str], wait: Option<Duration>) -> DestinationResponse {
+/// Decodes the JSON list of results in the response to a call with several messages.
+fn read_batch_response(
+    response: &Response,
+    ids: &[&str],
+    wait: Option<Duration>,
+) -> DestinationResponse {
     let states: Vec<ItemState> = match serde_json::from_slice(&response.body) {
         Ok(states) => states,
         Err(e) => {
             log::info!(
-                "the answer to a call of {} messages is not readable: {e}",
+                "destination: the response to a call with {} messages can't be decoded: {e}",
                 ids.len()
             );
             return DestinationResponse {
@@ -170,12 +176,12 @@
             over: true,
         },
         Some("used_up") => Verdict::of(Status::NotSent),
-        // `failed`, or not listed: it may have been executed.
+        // `failed`, or not listed: the message is possibly executed.
         _ => Verdict::of(Status::Error),
     };
     DestinationResponse {
         verdicts: ids.iter().map(verdict).collect(),
         wait,
-        report: report(response),
+        report: load_report(response),
     }
 }
--- a/crates/daemon/src/discovery_client.rs
+++ b/crates/daemon/src/discovery_client.rs
@@ -1,4 +1,4 @@
-//! The client of discovery: it keeps one watch on the endpoint list.
+//! The client of discovery, which maintains one watch on the endpoint list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,24 +14,24 @@
 use crate::platform_settings::PlatformSettings;
 use crate::watch::{Watch, WatchFailure};
 
-/// Endpoints that are new or have changed.
+/// An update of the endpoint list.
 pub(crate) struct ListChange {
-    /// Every endpoint there is; else only what has changed.
+    /// `list` contains every endpoint; otherwise only new and changed ones.
     pub(crate) whole: bool,
     pub(crate) list: Vec<Listing>,
 }
 
-/// The watch, and where discovery is.
+/// The watch, and the address of discovery.
 pub(crate) struct DiscoveryClient {
     address: Option<SocketAddr>,
     watch: Watch,
-    /// The largest body of a list that is read.
+    /// Limit of the body of a response, in bytes.
     max_body_bytes: usize,
     connect_timeout: Duration,
 }
 
 impl DiscoveryClient {
-    /// `memory`: bytes that the process may use.
+    /// `memory` is the number of bytes that the process may use.
     pub(crate) fn new(
         address: Option<SocketAddr>,
         watch: Watch,
@@ -46,17 +46,17 @@
         }
     }
 
-    /// Where discovery is, and final reports go.
+    /// The address of discovery, to which final reports are sent as well.
     pub(crate) fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// When the next request is due, if there is a discovery.
+    /// When the next request is due; `None` without an address, or while a request is in flight.
     pub(crate) fn due(&self) -> Option<Time> {
         self.address.and(self.watch.due())
     }
 
-    /// When the watch's connection needs attention though nothing happens on it.
+    /// When the request on the watch's connection times out.
     pub(crate) fn deadline(&self, connection: &Connection) -> Time {
         let overdue = self.watch.response_deadline();
         if connection.established {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Sends the next request, on this connection or on a new one.
+    /// Sends the next request on this connection, or on a new one.
     pub(crate) fn send_request(
         &mut self,
         connections: &mut ConnectionTable,
@@ -90,13 +90,13 @@
         connections.send_request(id, bytes, now);
     }
 
-    /// The request failed: the next one is due after a backoff.
+    /// Schedules the next request after a backoff, because this one failed.
     pub(crate) fn on_failed(&mut self, why: &str, failure: WatchFailure, now: Time) {
         let backoff = self.watch.on_failure(now, failure);
-        log::info!(pause_ms = backoff.as_millis() as u64; "discovery: {why}; the last list is kept");
+        log::info!(pause_ms = backoff.as_millis() as u64; "discovery: {why}; keeping the last endpoint list");
     }
 
-    /// The endpoints in a response, if it has any.
+    /// The update in a response; `None` if the response is not a valid list.
     pub(crate) fn on_response(
         &mut self,
         response: &Response,
@@ -111,7 +111,7 @@
                 return None;
             }
         };
-        log_left_out(&parsed);
+        log_skipped_entries(&parsed);
         let ParsedList {
             version,
             whole,
@@ -127,26 +127,26 @@
             log::info!(
                 "discovery: version {version}, {} endpoints{}",
                 list.len(),
-                if whole { ", all" } else { " changed" }
+                if whole { " (full list)" } else { " changed" }
             );
         }
         Some(ListChange { whole, list })
     }
 
-    /// Discovery is at another address from now on. The last list is kept until the new one has sent all of its own; its versions
-    /// need not continue the old one's.
+    /// Uses another address of discovery from now on. The last list is kept until the full list from the new address arrives, since
+    /// its versions need not continue the old ones.
     pub(crate) fn move_to(&mut self, address: SocketAddr, now: Time) {
         self.address = Some(address);
         self.watch.on_moved(now);
     }
 }
 
-fn log_left_out(parsed: &ParsedList) {
+fn log_skipped_entries(parsed: &ParsedList) {
     let (unread, excess) = (&parsed.unread, parsed.excess);
     if let Some(first) = unread.first() {
-        log::error!(entries = unread.len(); "discovery: {} entries left out, {first}", unread.len());
+        log::error!(entries = unread.len(); "discovery: {} invalid entries skipped, first one: {first}", unread.len());
     }
     if excess > 0 {
-        log::error!(entries = excess; "discovery: {excess} entries left out, beyond {MAX_ENTRIES}");
+        log::error!(entries = excess; "discovery: {excess} entries beyond the limit of {MAX_ENTRIES} skipped");
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,6 +1,6 @@
 //! The daemon: one event loop that carries out the effects of `cranehill_core` on sockets and files.
 //!
-//! [`reactor::Reactor`] is where to start: it owns the parts with sockets, files and timers, and carries inputs and effects
+//! [`reactor::Reactor`] is the entry point: it owns the components with sockets, files and timers, and passes inputs and effects
 //! between them and the core. [`client_protocol`], [`destination_protocol`], [`discovery_protocol`], [`final_report_protocol`],
 //! [`http`] and [`webpush`] are codecs without I/O; [`config`] and [`fleet`] read the operators' files.
 
