--- a/crates/daemon/src/discovery_protocol.rs
+++ b/crates/daemon/src/discovery_protocol.rs
@@ -1,4 +1,5 @@
-//! Discovery's protocol: the endpoint list, and the requests for it. [`crate::watch`] decides when they are sent.
+//! The HTTP protocol of discovery: requests for the endpoint list, and parsing of lists. [`crate::watch`] decides when requests
+//! are sent.
 
 use std::time::Duration;
 
@@ -10,78 +11,78 @@
 use crate::http;
 use crate::platform_settings::PlatformSettings;
 
-/// Entries read of one list. The planned size is 57,000; further ones are left out and counted.
+/// Limit on the entries of one list; entries beyond it are skipped and counted. The planned size of a list is 57,000.
 pub const MAX_ENTRIES: usize = 100_000;
-/// Bytes of an entry in a list, about: id, address, zone, kind and figures take some 140.
+/// Estimated bytes of an entry in a list: id, address, zone, kind and numbers take about 140.
 const ENTRY_BYTES: usize = 160;
-/// The part of the process's memory that a list may take as it is read, as a divisor: its bytes are held twice for a moment.
+/// A list may use this fraction of the process's memory, as a divisor: while a list is parsed, its bytes are in memory twice.
 const MEMORY_DIVISOR: usize = 4;
 
-/// Why a row of the list is not an endpoint.
+/// Why an entry of the list is not valid.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum RowError {
-    /// It lacks a field, or has one of another type.
+    /// A field is missing or has another type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The endpoint is in a state that this version does not know.
-    #[error("state '{state}' of {endpoint} is not known")]
+    /// The endpoint's state is none of `up`, `draining` and `removed`.
+    #[error("{endpoint}: unknown state '{state}'")]
     UnknownState {
-        /// As listed.
+        /// The state in the list.
         state: String,
         /// The endpoint's id.
         endpoint: String,
     },
 }
 
-/// A row that could not be read, with its position in the list.
+/// An invalid entry, with its position in the list.
 #[derive(Debug, thiserror::Error)]
 #[error("entry {position}: {source}")]
 pub struct EntryError {
-    /// Counted from 0.
+    /// Position in the list, counted from 0.
     pub position: usize,
-    /// What is wrong with it.
+    /// Why the entry is not valid.
     pub source: RowError,
 }
 
-/// Why a response of discovery has no list.
+/// Why a response of discovery can't be used.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ListError {
-    /// It was answered with another status than 200.
-    #[error("the directory answered {0}")]
+    /// The HTTP status is not 200.
+    #[error("discovery answered with status {0}")]
     Status(u16),
-    /// The body is not a list.
+    /// The body is not a list in JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// None of the list's entries can be read; the first one's error.
+    /// The list has entries, but none of them is valid. Contains the first one's error.
     #[error(transparent)]
     NoReadableEntry(EntryError),
 }
 
-/// The largest list that a process with so many bytes of memory reads, in bytes. The protocol's bound on bodies is allowed at
-/// least, whatever the memory.
+/// Limit of a list's size in bytes, for a process with `memory` bytes. It is never below [`http::MAX_BODY_BYTES`], the limit of
+/// other bodies.
 pub fn max_body_bytes(memory: usize) -> usize {
     (memory / MEMORY_DIVISOR).clamp(http::MAX_BODY_BYTES, MAX_ENTRIES * ENTRY_BYTES)
 }
 
-/// A list of which every row must be valid.
+/// An endpoint list in which every entry must be valid, as in the configuration file.
 #[derive(Debug, Deserialize)]
 pub struct EndpointList {
-    /// Increases with each change.
+    /// Version of the list, which increases with each change.
     pub version: u64,
-    /// Every endpoint there is; else only what has changed.
+    /// The list contains every endpoint; otherwise only changed ones.
     #[serde(default)]
     pub full: bool,
-    /// Its rows.
+    /// The entries.
     pub servers: Vec<Row>,
 }
 
 impl EndpointList {
-    /// The rows as the core uses them.
+    /// Converts the entries for the core.
     ///
     /// # Errors
-    /// The first row that is not valid.
+    /// The first entry that is not valid.
     pub fn into_listings(
         self,
         platform_settings: &PlatformSettings,
@@ -93,8 +94,8 @@
     }
 }
 
-/// A list as it is read off the wire: an entry that can't be read must not cost the others, so each stays text until it is
-/// read on its own.
+/// An endpoint list whose entries are still JSON text. They are parsed one by one, so that an invalid entry does not invalidate
+/// the others.
 #[derive(Debug, Deserialize)]
 struct RawList<'a> {
     version: u64,
@@ -104,22 +105,22 @@
     servers: Vec<&'a RawValue>,
 }
 
-/// What a response of discovery says.
+/// The endpoint list in a response of discovery.
 #[derive(Debug)]
 pub struct ParsedList {
     /// The list's version.
     pub version: u64,
-    /// Every endpoint there is; else what has changed.
+    /// The list contains every endpoint; otherwise only changed ones.
     pub whole: bool,
-    /// The endpoints that could be read.
+    /// The valid entries.
     pub list: Vec<Listing>,
-    /// Why an entry could not be read, for each of them.
+    /// The error of each invalid entry.
     pub unread: Vec<EntryError>,
-    /// Entries beyond [`MAX_ENTRIES`], left out.
+    /// Number of entries beyond [`MAX_ENTRIES`], which were skipped.
     pub excess: usize,
 }
 
-/// One endpoint on the wire.
+/// One endpoint in a list, as JSON.
 #[derive(Debug, Deserialize)]
 pub struct Row {
     id: String,
@@ -130,7 +131,7 @@
     kind: String,
     cell: u64,
     state: String,
-    /// Unused unless it is a number above zero.
+    /// The endpoint's rate in calls a second. Ignored unless it is a positive finite number.
     #[serde(default)]
     weight: serde_json::Value,
 }
@@ -155,7 +156,7 @@
             destination: DestinationId(self.cell),
             condition,
             zone: position(&names.zones, &self.zone).unwrap_or(0) as u32,
-            // A kind that the settings don't name is treated as one without batches.
+            // A kind that the settings don't contain is treated as one without batches.
             kind: position(&names.kinds, &self.kind).unwrap_or(usize::MAX),
             rate: rate
                 .filter(|rate| rate.is_finite() && *rate > 0.0)
@@ -172,21 +173,22 @@
     names.iter().position(|n| n == name)
 }
 
-/// The request for the whole list, answered at once.
+/// Encodes the request for the full list, which discovery answers immediately.
 pub fn write_list_request(host: &str) -> Vec<u8> {
     http::write_request("GET", "/v1/endpoints", host, &[], b"")
 }
 
-/// The request for changes since this version. It is answered at the next change, or after `hold` without one.
+/// Encodes the request for changes since `version`. Discovery answers it at the next change, or after `hold` without one.
 pub fn write_watch_request(host: &str, version: u64, hold: Duration) -> Vec<u8> {
     let path = format!("/v1/endpoints?from={version}&hold_ms={}", hold.as_millis());
     http::write_request("GET", &path, host, &[], b"")
 }
 
-/// The list in a response. An entry that can't be read is left out and listed in [`ParsedList::unread`].
+/// Parses the list in a response. Invalid entries are skipped and reported in [`ParsedList::unread`].
 ///
 /// # Errors
-/// The response is not a list, or none of its entries can be read: as a whole list it would leave no endpoint at all.
+/// The response is not a list, or it has entries and none of them is valid: a full list without endpoints would remove all of
+/// them.
 pub fn read_response(
     response: &http::Response,
     platform_settings: &PlatformSettings,
--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -1,4 +1,4 @@
-//! Draining: operators have the clients of this sender leave.
+//! Draining on an operator's command: the clients of this sender move to other senders.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use crate::connection::Connection;
 use crate::connection_table::ConnectionTable;
 
-/// From the command to the end of the first connection: the platform's front checks every 100 ms whether this sender takes
-/// clients, and sends new connections for 200 ms after a no.
+/// Time between the command and closing the first connection. The platform's load balancer checks every 100 ms whether this
+/// sender is ready for clients, and routes new connections to it for up to 200 ms after a negative answer.
 const FRONT_DELAY: Duration = Duration::from_millis(400);
-/// How often the remaining clients are checked.
+/// Interval between checks for client connections that can be closed.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Whether this sender drains, and since when.
+/// Whether this sender is draining, and since when.
 #[derive(Debug, Default)]
 pub(crate) struct Drain {
     since: Option<Time>,
@@ -31,7 +31,7 @@
         match (active, self.since) {
             (true, None) => {
                 self.since = Some(now);
-                log::info!(event = "draining", clients; "operator: draining, {clients} client connections");
+                log::info!(event = "draining", clients; "operator: draining started, {clients} client connections open");
             }
             (false, Some(_)) => {
                 self.since = None;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// When the remaining clients are to be checked.
+    /// When client connections are checked next; `None` if the sender is not draining or no client is connected.
     pub(crate) fn next_check(&self, connections: &ConnectionTable, now: Time) -> Option<Time> {
         let first = self.since? + FRONT_DELAY;
         if now < first {
@@ -51,8 +51,8 @@
         remaining.then_some(now + CHECK_INTERVAL)
     }
 
-    /// Clients' connections that may be closed now: none with a request in progress, and none that has just connected, whose request
-    /// is on its way.
+    /// The client connections that may be closed now. Connections with a request in progress are excluded, as are new ones, whose
+    /// first request may be in transit.
     pub(crate) fn closable(&self, connections: &ConnectionTable, now: Time) -> Vec<usize> {
         let Some(since) = self.since.filter(|since| now >= *since + FRONT_DELAY) else {
             return Vec::new();
--- a/crates/daemon/src/final_report_protocol.rs
+++ b/crates/daemon/src/final_report_protocol.rs
@@ -1,24 +1,24 @@
-//! The protocol of final reports: how the platform is notified of messages that ended without delivery. No I/O.
+//! The HTTP protocol of final reports, which tell the platform of messages that ended undelivered. No I/O.
 
 use cranehill_core::FinalReport;
 
 use crate::http;
 
-/// The bytes of a call to `host` with these reports, each with its message's id.
+/// Encodes a call to `host` with these reports, each with its message's id: one line of JSON per report.
 pub fn write_call(host: &str, reports: &[(String, FinalReport)]) -> Vec<u8> {
     let body: String = reports
         .iter()
-        .map(|(id, report)| format!("{}\n", line(id, report)))
+        .map(|(id, report)| format!("{}\n", report_json(id, report)))
         .collect();
     http::write_request("POST", "/v1/notices", host, &[], body.as_bytes())
 }
 
-/// Whether a response with this status acknowledges the call's reports.
+/// Whether an HTTP response with this status acknowledges the reports of the call.
 pub fn is_acknowledged(status: u16) -> bool {
     status == 204 || status == 200
 }
 
-fn line(id: &str, report: &FinalReport) -> serde_json::Value {
+fn report_json(id: &str, report: &FinalReport) -> serde_json::Value {
     match report {
         FinalReport::Returned { after_ms: 0 } => {
             serde_json::json!({"id": id, "state": "returned"})
--- a/crates/daemon/src/final_report_queue.rs
+++ b/crates/daemon/src/final_report_queue.rs
@@ -1,5 +1,5 @@
-//! The queue of final reports. One call is in flight at a time; its reports are kept until they are acknowledged, and sent
-//! again otherwise. No I/O.
+//! The queue of final reports. One call is in flight at a time. Its reports are kept until they are acknowledged, and sent again
+//! if the call fails. No I/O.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 
 use crate::final_report_protocol;
 
-/// Pause before reports are sent again. Together with [`RESPONSE_TIMEOUT`] within the 300 ms after a message's deadline in which
-/// its end must be reported, so that one lost call does not lose the message; a report that arrives twice does no harm.
+/// Delay before reports are sent again. The sum of this and [`RESPONSE_TIMEOUT`] is within the 300 ms after a message's deadline
+/// in which its end must be reported, so that one lost call does not make the report late. Duplicate reports are harmless.
 pub const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long the response may take, which the platform sends at once.
+/// Timeout of a call. The platform answers immediately.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Reports in one call.
+/// Limit on the reports in one call.
 const MAX_REPORTS_PER_CALL: usize = 200;
 
-/// Final reports that wait, and those of the call in flight.
+/// Final reports that are queued, and those of the call in flight.
 #[derive(Debug, Default)]
 pub struct FinalReportQueue {
     waiting: VecDeque<(String, FinalReport)>,
@@ -24,12 +24,12 @@
 }
 
 impl FinalReportQueue {
-    /// Queues the report on the message `id`.
+    /// Queues the final report of the message `id`.
     pub fn add(&mut self, id: String, final_report: FinalReport) {
         self.waiting.push_back((id, final_report));
     }
 
-    /// The next call's bytes, if there is something to report and no call is in flight.
+    /// Starts the next call and returns its bytes; `None` if no report is queued or a call is in flight.
     pub fn next_call(&mut self, host: &str) -> Option<Vec<u8>> {
         if !self.is_ready() {
             return None;
@@ -39,37 +39,38 @@
         Some(final_report_protocol::write_call(host, &self.in_flight))
     }
 
-    /// The call was answered; returns the ids of the reports that are acknowledged.
+    /// Ends the call in flight with an HTTP status; returns the message ids of the reports that it acknowledges. Reports that are
+    /// not acknowledged are queued again.
     pub fn on_response(&mut self, status: u16) -> Vec<String> {
         if final_report_protocol::is_acknowledged(status) {
             return self.in_flight.drain(..).map(|(id, _)| id).collect();
         }
         log::error!(
-            "final reports: the platform answered {status} to {} reports; sent again",
+            "final reports: the platform answered with status {status} to {} reports; retrying",
             self.in_flight.len()
         );
         self.on_lost();
         Vec::new()
     }
 
-    /// The call was not answered: its reports are the next ones again.
+    /// Ends the call in flight without a response: its reports are queued again, before all others.
     pub fn on_lost(&mut self) {
         for report in self.in_flight.drain(..).rev() {
             self.waiting.push_front(report);
         }
     }
 
-    /// The message ids of the call in flight.
+    /// The message ids of the reports in flight.
     pub fn in_flight(&self) -> Vec<&str> {
         self.in_flight.iter().map(|(id, _)| id.as_str()).collect()
     }
 
-    /// Whether there is nothing to report and no response to wait for.
+    /// Whether no report is queued or in flight.
     pub fn is_idle(&self) -> bool {
         self.in_flight.is_empty() && self.waiting.is_empty()
     }
 
-    /// Whether a call could be sent now.
+    /// Whether reports are queued and no call is in flight.
     pub fn is_ready(&self) -> bool {
         self.in_flight.is_empty() && !self.waiting.is_empty()
     }
--- a/crates/daemon/src/final_report_sender.rs
+++ b/crates/daemon/src/final_report_sender.rs
@@ -1,4 +1,4 @@
-//! Sends final reports to the platform.
+//! Sends queued final reports to the platform over one connection, and retries failed calls.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use crate::connection_table::ConnectionTable;
 use crate::final_report_queue::{FinalReportQueue, RESPONSE_TIMEOUT, RETRY_DELAY};
 
-/// The reports, and when the next call may be sent.
+/// The queue of reports, and the earliest time of the next call.
 pub(crate) struct FinalReportSender {
     queue: FinalReportQueue,
     next_call: Time,
@@ -28,17 +28,17 @@
         self.queue.add(id, final_report);
     }
 
-    /// When a call is to be sent, if there is something to report.
+    /// When the next call may be sent; `None` if no report is queued or a call is in flight.
     pub(crate) fn due(&self) -> Option<Time> {
         self.queue.is_ready().then_some(self.next_call)
     }
 
-    /// When the connection needs attention though nothing happens on it.
+    /// When the call on the connection times out; `None` if nothing is left to report.
     pub(crate) fn deadline(&self, connection: &Connection) -> Option<Time> {
         (!self.queue.is_idle()).then(|| connection.last_used + RESPONSE_TIMEOUT)
     }
 
-    /// Sends the next call if it is due.
+    /// Sends the next call if it is due, on the open connection or on a new one.
     pub(crate) fn send(
         &mut self,
         connections: &mut ConnectionTable,
@@ -63,31 +63,31 @@
         };
         if let Some(bytes) = self.queue.next_call(&address.to_string()) {
             log::trace!(
-                "reports {:?} go out on connection {id}",
+                "final reports {:?}: sent on connection {id}",
                 self.queue.in_flight()
             );
             connections.send_request(id, bytes, now);
         }
     }
 
-    /// The call was answered; returns the ids of the messages whose reports are acknowledged.
+    /// Processes the status of the response; returns the ids of the messages whose reports are acknowledged.
     pub(crate) fn on_response(&mut self, status: u16, now: Time) -> Vec<String> {
         let acknowledged = self.queue.on_response(status);
-        log::trace!("reports {acknowledged:?} are with the platform");
+        log::trace!("final reports {acknowledged:?}: acknowledged");
         if acknowledged.is_empty() {
             self.next_call = now + RETRY_DELAY;
         }
         acknowledged
     }
 
-    /// The call was not answered: it is sent again after a pause.
+    /// Schedules a retry, because the call failed without a response.
     pub(crate) fn on_lost(&mut self, now: Time) {
         self.queue.on_lost();
         self.next_call = now + RETRY_DELAY;
     }
 
-    /// The platform is at another address: what it has not acknowledged is sent there at once.
-    pub(crate) fn restart(&mut self, now: Time) {
+    /// The platform has moved to another address: unacknowledged reports are sent there immediately.
+    pub(crate) fn on_platform_moved(&mut self, now: Time) {
         self.queue.on_lost();
         self.next_call = now;
     }
--- a/crates/daemon/src/finished_call.rs
+++ b/crates/daemon/src/finished_call.rs
@@ -1,4 +1,4 @@
-//! Calls that have ended, and what is known of their messages.
+//! Calls that have ended, and the outcome of each of their attempts.
 
 use cranehill_core::AttemptOutcome;
 use cranehill_scheduler::Time;
@@ -10,7 +10,7 @@
 use crate::http::Response;
 use crate::webpush;
 
-/// A call that has ended, and what is known of its messages.
+/// A call that has ended, with its decoded response.
 pub(crate) struct FinishedCall {
     call: InFlightCall,
     response: DestinationResponse,
@@ -21,7 +21,7 @@
         FinishedCall { call, response }
     }
 
-    /// A call without a response.
+    /// A call that ended without a response: all its attempts have this status.
     pub(crate) fn without_response(call: InFlightCall, status: Status) -> FinishedCall {
         FinishedCall {
             call,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// How each attempt of the call ended.
+    /// The outcome of each attempt of the call.
     pub(crate) fn into_outcomes(self, now: Time) -> Vec<AttemptOutcome> {
         let FinishedCall { call, response } = self;
         let mut outcomes = Vec::new();
@@ -60,7 +60,7 @@
     }
 }
 
-/// What a complete response says of the call's messages.
+/// Decodes a complete response to the call, and logs what operators need to know of it.
 pub(crate) fn parse_response(
     endpoint: &EndpointId,
     call: &InFlightCall,
@@ -86,14 +86,14 @@
 ) {
     if let Some(wait) = parsed.wait {
         log::debug!(
-            "endpoint {endpoint}: Retry-After of {} ms",
+            "endpoint {endpoint}: Retry-After is {} ms",
             wait.as_millis()
         );
     }
     let first = parsed.verdicts.first();
     if first.is_some_and(|verdict| verdict.status == Status::PermanentError) {
         log::error!(
-            "endpoint {endpoint}: answered {} to {}",
+            "endpoint {endpoint}: permanent error, status {} for message {}",
             response.status,
             call.ids[0]
         );
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The operators' file for the fleet: where the senders reach each other, and how often they check each other.
+//! The operators' fleet file: the addresses and timing of membership, recovery after a restart, and zone failover.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,69 +13,73 @@
 use crate::time_span::TimeSpan;
 use crate::toml_file::{self, TomlError};
 
-/// Shorter probe periods would be spent on the probes themselves.
+/// With a shorter probe period, senders would spend their time on probes.
 const MIN_PERIOD: Duration = Duration::from_millis(50);
-/// Longer probe periods find a failure too late to be of use.
+/// With a longer probe period, failures would be detected too late to be useful.
 const MAX_PERIOD: Duration = Duration::from_secs(60);
-/// Requests for learned state, and writes of it, are no more frequent than this.
+/// Minimum interval between requests for learned state, and between writes of it.
 const MIN_RECOVERY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why a fleet file can't be used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum FleetFileError {
-    /// The text is not the TOML that was expected.
+    /// The text is not valid TOML, or has unknown or invalid keys.
     #[error(transparent)]
     Toml(#[from] TomlError),
     /// The probe period is out of range.
-    #[error("period: {period:?} is not from {MIN_PERIOD:?} to {MAX_PERIOD:?}")]
+    #[error("period: expected {MIN_PERIOD:?} to {MAX_PERIOD:?}, got {period:?}")]
     Period {
-        /// As given.
+        /// The value in the file.
         period: Duration,
     },
-    /// The round trip is zero, or leaves no time in the period for the indirect probe.
+    /// The round trip is zero, or leaves no time in the probe period for the indirect probe.
     #[error(
-        "round_trip: {round_trip:?} is not above zero and at most half a period: the way through others takes as long again"
+        "round_trip: expected above zero and at most half of period, since an indirect probe takes as long again; got {round_trip:?}"
     )]
     RoundTrip {
-        /// As given.
+        /// The value in the file.
         round_trip: Duration,
     },
-    /// The suspicion is shorter than a period.
-    #[error("suspicion: it must be a period at least: there must be time to refute it")]
+    /// The suspicion timeout is shorter than a probe period.
+    #[error(
+        "suspicion: expected at least period, so that a member has time to refute the suspicion"
+    )]
     Suspicion,
-    /// The largest age of a packet is shorter than a period.
-    #[error("late: it must be a period at least")]
+    /// The maximum age of a packet is shorter than a probe period.
+    #[error("late: expected at least period")]
     MaxPacketAge,
-    /// The advertised address has no port or no host.
-    #[error("advertise: nobody can reach {address}; name the address that the others use")]
+    /// The advertised address has port 0 or an unspecified host.
+    #[error(
+        "advertise: expected the host and port at which the other senders reach this one, got {address}"
+    )]
     Advertise {
-        /// As given, or the address to listen on.
+        /// The value in the file, or that of `listen`.
         address: SocketAddr,
     },
     /// The eviction delay is a text other than "never".
-    #[error("hold: '{text}' is neither a span nor \"never\"")]
+    #[error("hold: expected a span such as \"400 ms\", or \"never\", got '{text}'")]
     EvictionDelayText {
-        /// As given.
+        /// The value in the file.
         text: String,
     },
-    /// The eviction delay is shorter than the suspicion.
-    #[error("hold: it must be a suspicion ({suspicion:?}) at least")]
+    /// The eviction delay is shorter than the suspicion timeout.
+    #[error("hold: expected at least the suspicion timeout ({suspicion:?})")]
     EvictionDelay {
-        /// The suspicion in force.
+        /// The suspicion timeout that applies.
         suspicion: Duration,
     },
     /// Learned state would be requested or written too often.
-    #[error("recovery: ask and remember are at least {MIN_RECOVERY_INTERVAL:?}")]
+    #[error("recovery: expected at least {MIN_RECOVERY_INTERVAL:?} for ask and remember")]
     RecoveryInterval,
     /// The rate of probe calls to an evacuated zone is out of range.
-    #[error("zones: probes: {rate} a second is not from 0.1 to 100")]
+    #[error("zones: probes: expected 0.1 to 100 calls a second, got {rate}")]
     ZoneProbeRate {
-        /// Calls a second, as given.
+        /// The value in the file, in calls a second.
         rate: f64,
     },
-    /// The spans of zone failover contradict each other.
-    #[error("zones: window must be above zero, and out no longer than out_most")]
+    /// The time spans of zone failover are zero or contradictory.
+    #[error("zones: expected window above zero, and out at most out_most")]
     ZoneSpans,
 }
 
@@ -83,41 +87,53 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
-    /// UDP.
+    /// UDP address on which the membership protocol listens.
     listen: SocketAddr,
-    /// Where the others reach this sender, if not at `listen`.
+    /// The UDP address at which other senders reach this one, if it differs from `listen`.
     advertise: Option<SocketAddr>,
+    /// Addresses of senders that are contacted first, to join the fleet.
     #[serde(default)]
     seeds: Vec<SocketAddr>,
-    /// The fleet's key: a file with 64 hexadecimal digits. A relative path is relative to this file.
+    /// Path of the file with the fleet's key, 64 hexadecimal digits. A relative path is relative to this file.
     pub key: PathBuf,
-    /// HTTP, for the operators: the sender's view of the fleet.
+    /// TCP address of the HTTP server that shows operators this sender's view of the fleet.
     status: Option<SocketAddr>,
+    /// Interval between probes of other members.
     period: Option<TimeSpan>,
+    /// How long a direct probe waits for its answer before the indirect probe starts.
     round_trip: Option<TimeSpan>,
+    /// How long a member is suspected before it is considered down; derived from the fleet's size if absent.
     suspicion: Option<TimeSpan>,
     #[serde(rename = "hold")]
+    /// How long a member is down before it is evicted.
     eviction_delay: Option<EvictionDelay>,
     #[serde(rename = "late")]
+    /// Packets older than this are dropped.
     max_packet_age: Option<TimeSpan>,
     recovery: Option<Recovery>,
     zones: Option<Zones>,
 }
 
-/// How the fleet evacuates a zone and returns to it.
+/// When the fleet evacuates a zone, and how it returns to it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Zones {
+    /// How long the result of an attempt counts.
     window: Option<TimeSpan>,
+    /// How long a quorum must see the zone fail before it is evacuated.
     settle: Option<TimeSpan>,
+    /// Probe calls a second into an evacuated zone, from the whole fleet.
     probes: Option<f64>,
+    /// The shortest evacuation.
     out: Option<TimeSpan>,
+    /// The longest evacuation.
     out_most: Option<TimeSpan>,
+    /// A zone that fails again within this time after its return is evacuated for twice as long.
     calm: Option<TimeSpan>,
 }
 
 impl Zones {
-    /// `warm_up` is how long a destination that is back is warming up. The reasons for the defaults are in docs/zones.md.
+    /// `warm_up` is how long a destination warms up after it has returned. The reasons for the defaults are in docs/zones.md.
     fn settings(&self, warm_up: Duration) -> Result<zones::Settings, FleetFileError> {
         let settings = zones::Settings {
             window: TimeSpan::or_millis(self.window, 2000),
@@ -142,15 +158,21 @@
     }
 }
 
-/// How old state restored after a restart may be, and the pace of the recovery.
+/// The maximum age of state that is restored after a restart, and the timing of the recovery.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Recovery {
+    /// Maximum age of a window of concurrent calls.
     window: Option<TimeSpan>,
+    /// Maximum age of a rate limit.
     limit: Option<TimeSpan>,
+    /// Maximum age of a destination's health.
     state: Option<TimeSpan>,
+    /// Interval between requests to other members for their learned state.
     ask: Option<TimeSpan>,
+    /// Time without a reply after which recovery continues.
     alone: Option<TimeSpan>,
+    /// Interval between writes of the learned state.
     remember: Option<TimeSpan>,
 }
 
@@ -183,34 +205,34 @@
     Text(String),
 }
 
-/// A checked file.
+/// The settings of a valid fleet file.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     /// The UDP address of the membership protocol.
     pub listen: SocketAddr,
-    /// The TCP address of the view for operators.
+    /// The TCP address of the HTTP server with the view of the fleet; `None` disables it.
     pub status: Option<SocketAddr>,
-    /// The membership's settings.
+    /// The settings of the membership protocol.
     pub settings: Settings,
-    /// How the sender recovers after a restart, if it does so gradually.
+    /// The settings of recovery after a restart; `None` disables gradual recovery.
     pub recovery: Option<recovery::Settings>,
-    /// How the fleet evacuates zones, if it does.
+    /// The settings of zone failover; `None` disables it.
     pub zones: Option<zones::Settings>,
 }
 
 /// Parses the file's text.
 ///
 /// # Errors
-/// The line that is not valid.
+/// The first line that is not valid.
 pub fn parse(text: &str) -> Result<File, FleetFileError> {
     Ok(toml_file::parse(text)?)
 }
 
 impl File {
-    /// Checks the file; `name` and `settings` are those of the sender's configuration.
+    /// Checks the values and fills in defaults. `name` and `settings` come from the sender's configuration.
     ///
     /// # Errors
-    /// The first key whose value can't be used.
+    /// The first value that is out of range.
     pub fn fleet(
         &self,
         key: Key,
@@ -293,7 +315,7 @@
         Ok(address)
     }
 
-    /// `None` for never.
+    /// The eviction delay; `None` if members are never evicted.
     fn checked_eviction_delay(&self) -> Result<Option<Duration>, FleetFileError> {
         match &self.eviction_delay {
             None => Ok(Some(Duration::from_secs(30))),
--- a/crates/daemon/src/fleet_endpoint.rs
+++ b/crates/daemon/src/fleet_endpoint.rs
@@ -1,4 +1,4 @@
-//! This sender's sockets in the fleet: the membership's packets, its timer, and the listener of its view for operators.
+//! The sockets of the membership protocol: its UDP packets and timer, and the TCP listener for the view of the fleet.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -15,27 +15,27 @@
 use crate::throttled_log::ThrottledLog;
 use crate::tokens::{FLEET, STATUS};
 
-/// Packets read at once; the rest wait in the system's queue.
+/// Packets read in one iteration of the event loop; the rest wait in the socket's receive buffer.
 pub(crate) const MAX_PACKETS_PER_ITERATION: usize = 64;
-/// Larger than any that a member sends.
+/// Receive buffer for one packet, larger than any packet that a member sends.
 const MAX_PACKET_BYTES: usize = 2048;
-/// How often the log says that packets are dropped.
+/// Minimum interval between two log lines about dropped packets.
 const DROP_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What came of reading the socket.
+/// The result of reading the socket.
 pub(crate) enum Received {
     Packet(Vec<u8>),
-    /// An error, such as the response of a machine where nobody listens any more to what was sent there.
+    /// An error, such as an ICMP "port unreachable" in response to a packet that was sent before.
     Failed,
     Nothing,
 }
 
-/// The sockets and the timer.
+/// The sockets and the timer of the membership protocol.
 pub(crate) struct FleetEndpoint {
     socket: UdpSocket,
     status: Option<TcpListener>,
     due: Option<Time>,
-    /// More packets wait, without a further event.
+    /// More packets may wait, for which the poll reports no further event.
     has_more: bool,
     dropped: ThrottledLog,
 }
@@ -61,7 +61,7 @@
         })
     }
 
-    /// The listener of the view for operators.
+    /// The listener for the view of the fleet.
     pub(crate) fn status_listener(&self) -> Option<&TcpListener> {
         self.status.as_ref()
     }
@@ -70,12 +70,12 @@
         listeners::local_address(self.status.as_ref())
     }
 
-    /// When the membership's timer is due.
+    /// When the membership protocol's timer fires.
     pub(crate) fn due(&self) -> Option<Time> {
         self.due
     }
 
-    /// Whether the timer is due, once.
+    /// Whether the timer has fired; clears it if so.
     pub(crate) fn take_due(&mut self, now: Time) -> bool {
         self.due.take_if(|at| *at <= now).is_some()
     }
@@ -84,7 +84,7 @@
         self.has_more
     }
 
-    /// The rest of the packets is left for the next iteration.
+    /// Leaves the remaining packets for the next iteration of the event loop.
     pub(crate) fn leave_rest(&mut self) {
         self.has_more = true;
     }
@@ -102,29 +102,29 @@
         }
     }
 
-    /// Carries out an effect of the membership; true if the next tick must decide about it.
+    /// Carries out an effect of the membership protocol; true if the next tick must take it into account.
     pub(crate) fn carry_out(&mut self, effect: Effect, now: Time) -> bool {
         match effect {
             Effect::Send { to, bytes } => {
-                // A packet that can't be sent is a packet lost.
+                // A packet that can't be sent is treated as lost.
                 if let Err(e) = self.socket.send_to(&bytes, to) {
-                    log::debug!("fleet: to {to}: {e}");
+                    log::debug!("fleet: sending to {to} failed: {e}");
                 }
             }
             Effect::WakeAt(at) => self.due = Some(at),
             Effect::Changed { view, before } => fleet_log::log_member(&view, before),
-            // The core carries these out.
+            // The core handles these itself.
             Effect::LearnedRequested { .. } | Effect::LearnedReceived { .. } => {}
             Effect::Rejoined { incarnation } => {
-                log::warn!(event = "rejoined", incarnation; "fleet: the peers took this process for down; it rejoined as incarnation {incarnation}");
+                log::warn!(event = "rejoined", incarnation; "fleet: peers considered this process down; rejoined as incarnation {incarnation}");
             }
             Effect::ProcessPaused(pause) => {
                 log::warn!(event = "process-pause", paused_ms = pause.as_millis() as u64;
-                    "fleet: this process was paused for {pause:?}; it draws no conclusion about its peers from that time");
+                    "fleet: this process was paused for {pause:?}; missed probes in that time are ignored");
             }
             Effect::Dropped(reason) => self.on_dropped(reason, now),
             Effect::ShareDivisor(senders) => {
-                log::info!(event = "quota-divisor", senders; "fleet: shared limits are divided by {senders} senders");
+                log::info!(event = "quota-divisor", senders; "fleet: quota divisor is {senders} senders");
                 return true;
             }
         }
@@ -134,7 +134,7 @@
     fn on_dropped(&mut self, reason: DropReason, now: Time) {
         if let Some(dropped) = self.dropped.record(now) {
             log::warn!(event = "packet-dropped", cause = reason.label(), dropped;
-                "fleet: a packet was dropped: {reason}; {dropped} since the last such line");
+                "fleet: packet dropped: {reason}; {dropped} dropped since the last such line");
         }
     }
 }
--- a/crates/daemon/src/fleet_log.rs
+++ b/crates/daemon/src/fleet_log.rs
@@ -1,11 +1,11 @@
-//! Log lines on changes in the fleet.
+//! Log lines about changes of members and zones.
 
 use cranehill_membership::{State, View};
 use cranehill_zone_failover::Change;
 
 use crate::platform_settings::PlatformSettings;
 
-/// A member's state has changed.
+/// Logs that a member's state has changed.
 pub(crate) fn log_member(view: &View, before: Option<State>) {
     let (name, state) = (view.member.name.as_str(), view.state.label());
     let before = before.map_or("unknown", State::label);
@@ -14,7 +14,7 @@
         "fleet: {name} at {} is {state}, was {before}", view.member.at);
 }
 
-/// A zone's state has changed. Probe calls are logged for debugging only.
+/// Logs that a zone's state has changed. Probe calls are logged at level debug.
 pub(crate) fn log_zone(change: &Change, platform_settings: &PlatformSettings) {
     match change {
         Change::Evacuate {
@@ -25,19 +25,19 @@
         } => {
             let zone = platform_settings.zone_name(*zone);
             log::warn!(event = "zone", zone, state = "evacuated", fails, serves, out_ms = out.as_millis() as u64;
-                "zones: {zone} is evacuated: it fails for {fails} members and serves {serves}; for {out:?} at least");
+                "zones: {zone} evacuated for at least {out:?}: failing for {fails} members, serving {serves}");
         }
         Change::Return { zone, .. } => {
             let zone = platform_settings.zone_name(*zone);
-            log::info!(event = "zone", zone, state = "recovery-ramp"; "zones: {zone} answers probe calls; the recovery ramp begins");
+            log::info!(event = "zone", zone, state = "recovery-ramp"; "zones: {zone} answers probe calls; recovery ramp started");
         }
         Change::InService { zone } => {
             let zone = platform_settings.zone_name(*zone);
-            log::info!(event = "zone", zone, state = "in-service"; "zones: {zone} is in service again");
+            log::info!(event = "zone", zone, state = "in-service"; "zones: {zone} is back in service");
         }
         Change::Probe { zone, .. } => {
             let zone = platform_settings.zone_name(*zone);
-            log::debug!(event = "zone", zone, state = "probe"; "zones: a probe call may go to {zone}");
+            log::debug!(event = "zone", zone, state = "probe"; "zones: probe call to {zone} permitted");
         }
         Change::ProbeOver { .. } => {}
     }
--- a/crates/daemon/src/fleet_status.rs
+++ b/crates/daemon/src/fleet_status.rs
@@ -1,4 +1,4 @@
-//! The view of the fleet for operators: JSON.
+//! The JSON status page for operators: this sender's view of the fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::http;
 use crate::platform_settings::PlatformSettings;
 
-/// The response with this sender's view.
+/// Encodes the HTTP response with this sender's view of the fleet; 404 if it is not in a fleet.
 pub(crate) fn write_status(
     core: &Core,
     platform_settings: &PlatformSettings,
--- a/crates/daemon/src/reactor/platform.rs
+++ b/crates/daemon/src/reactor/platform.rs
@@ -124,7 +124,7 @@
         for id in self.connections.ids(is_platform) {
             self.connections.close(id);
         }
-        self.final_reports.restart(now);
+        self.final_reports.on_platform_moved(now);
         self.discovery.move_to(address, now);
         self.poll_discovery(None);
     }
