--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -104,11 +104,11 @@
     round_trip: Option<TimeSpan>,
     /// How long a member is suspected before it is considered down; derived from the fleet's size if absent.
     suspicion: Option<TimeSpan>,
+    /// How long a majority must agree that a member is down before it is evicted: a time span, or "never".
     #[serde(rename = "hold")]
-    /// How long a member is down before it is evicted.
     eviction_delay: Option<EvictionDelay>,
-    #[serde(rename = "late")]
     /// Packets older than this are dropped.
+    #[serde(rename = "late")]
     max_packet_age: Option<TimeSpan>,
     recovery: Option<Recovery>,
     zones: Option<Zones>,
--- a/crates/daemon/src/handover/client.rs
+++ b/crates/daemon/src/handover/client.rs
@@ -1,4 +1,4 @@
-//! The new process: it waits for the folder, and requests the old process's sockets.
+//! The new process's side of a hand-over: it requests the old process's sockets, and acquires the state folder's lock.
 
 use std::io::{self, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,43 +9,43 @@
 use super::lock::{FolderLock, LOCK_FILE};
 use super::message::{GREETING, HandoverMessage, MESSAGE_TIMEOUT, SOCKET_FILE, receive};
 
-/// How long a new process waits for the folder: the platform allows 30 s for a start.
+/// Limit on the time that a new process waits for the folder's lock. The platform allows 30 s for a start.
 const MAX_WAIT: Duration = Duration::from_secs(20);
-/// Between two requests to an old process that does not answer yet.
+/// Interval between requests to an old process that does not answer yet.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Between two tries of the lock once everything is here: the old process is about to end.
+/// Interval between attempts to lock the folder once everything is received, since the old process is about to end.
 const LOCK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Why a process does not get the state folder.
+/// Why a process can't acquire the state folder.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum HandoverError {
     /// The folder's lock file can't be used.
     #[error("{}: {source}", path.display())]
     Lock {
-        /// The lock file.
+        /// Path of the lock file.
         path: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
-    /// Another process has the folder and did not hand it over in time.
-    #[error("{}: another process works there, and did not pass it on", dir.display())]
+    /// Another process uses the folder and did not hand it over in time.
+    #[error("{}: another process uses this state folder and did not hand it over within {MAX_WAIT:?}", dir.display())]
     NotHandedOver {
-        /// The folder.
+        /// The state folder.
         dir: PathBuf,
     },
 }
 
-/// A client's connection from the old process.
+/// A client connection received from the old process.
 pub(crate) struct InheritedClient {
     pub(crate) stream: TcpStream,
-    /// What was read of its next request.
+    /// Bytes of the client's next request that the old process has read.
     pub(crate) input: Vec<u8>,
-    /// It has sent a request before.
+    /// The client has sent a complete request before.
     pub(crate) has_requested: bool,
 }
 
-/// What the old process handed over.
+/// Everything received from the old process.
 #[derive(Default)]
 pub(crate) struct InheritedSockets {
     pub(crate) clients: Option<TcpListener>,
@@ -54,13 +54,14 @@
     pub(crate) learned_state: Option<Vec<u8>>,
 }
 
-/// Acquires the folder for this process: at once where no other works in it, else from the process that does.
-pub(crate) fn take_over(dir: &Path) -> Result<(FolderLock, InheritedSockets), HandoverError> {
+/// Acquires the folder's lock. If another process holds it, requests a hand-over from that process, and waits until the lock is
+/// free.
+pub(crate) fn acquire_folder(dir: &Path) -> Result<(FolderLock, InheritedSockets), HandoverError> {
     if let Some(lock) = try_lock(dir)? {
         return Ok((lock, InheritedSockets::default()));
     }
     log::info!(
-        "hand-over: another process works in {}; it is asked to pass on",
+        "hand-over: another process uses {}; requesting a hand-over",
         dir.display()
     );
     let deadline = Instant::now() + MAX_WAIT;
@@ -72,7 +73,7 @@
         if inherited.is_none() {
             match request_sockets(dir) {
                 Ok(sockets) => inherited = Some(sockets),
-                Err(e) => log::info!("hand-over: {e}; tried again"),
+                Err(e) => log::info!("hand-over: request failed: {e}; retrying"),
             }
         }
         if Instant::now() >= deadline {
@@ -122,7 +123,7 @@
             }
             (message, _) => {
                 return Err(io::Error::other(format!(
-                    "{message:?} with a descriptor amiss"
+                    "expected one descriptor with a listener or client and none otherwise, got {message:?}"
                 )));
             }
         }
--- a/crates/daemon/src/handover/lock.rs
+++ b/crates/daemon/src/handover/lock.rs
@@ -1,4 +1,4 @@
-//! The lock of a state folder.
+//! The lock file of a state folder, which one process holds at a time.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -8,11 +8,11 @@
 
 pub(super) const LOCK_FILE: &str = "lock";
 
-/// The right to work in a folder, until it is dropped or the process ends.
+/// An exclusive lock on a state folder, released when it is dropped or the process ends.
 pub(crate) struct FolderLock(#[expect(dead_code, reason = "held, not read")] File);
 
 impl FolderLock {
-    /// `None` while another process has it.
+    /// Creates the folder if it does not exist, and locks it; `None` if another process holds the lock.
     pub(super) fn try_acquire(dir: &Path) -> io::Result<Option<FolderLock>> {
         std::fs::create_dir_all(dir)?;
         let file = OpenOptions::new()
--- a/crates/daemon/src/handover/message.rs
+++ b/crates/daemon/src/handover/message.rs
@@ -1,4 +1,4 @@
-//! The messages of a hand-over on a Unix socket.
+//! The messages of a hand-over on a Unix socket: a length of 4 bytes (little-endian), then the message in postcard.
 
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut, Read, Write};
 use std::mem::MaybeUninit;
@@ -13,28 +13,29 @@
 use serde::{Deserialize, Serialize};
 
 pub(super) const SOCKET_FILE: &str = "handover";
-/// How long each side waits for the other's next message: it works on nothing else meanwhile.
+/// How long each side waits for the other's next message. It does nothing else meanwhile.
 pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Larger than the largest client's request, and than all learned state.
+/// Limit of a message: larger than the largest request of a client, and than all learned state.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// What the new process sends first, so that another version is not mistaken for it.
+/// The first bytes that the new process sends, which identify the protocol version. It repeats them to confirm the end.
 pub(super) const GREETING: &[u8; 8] = b"hand-o1\n";
 
-/// What the old process sends. Descriptors come beside it.
+/// A message of the old process. A descriptor is sent as ancillary data.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) enum HandoverMessage {
-    /// The listener for clients, or for Web Push.
+    /// The listener for clients, or (`push`) for Web Push. With a descriptor.
     Listener { push: bool },
-    /// A client's connection, what was read of its next request, and whether it has sent a request before.
+    /// A client connection, the bytes read of its next request, and whether it has sent a complete request before. With a
+    /// descriptor.
     Client { input: Vec<u8>, asked: bool },
-    /// As `cranehill_recovery::pack` writes it.
+    /// Learned state, encoded by `cranehill_recovery::pack`.
     #[serde(rename = "Learnt")]
     LearnedState(Vec<u8>),
-    /// That is all; the new process confirms that it has it.
+    /// The last message. The new process confirms that it has received everything.
     End,
 }
 
-/// Sends a message, and the descriptor that belongs to it.
+/// Sends a message, with a descriptor if one belongs to it.
 pub(super) fn send(
     stream: &mut UnixStream,
     message: &HandoverMessage,
@@ -61,7 +62,7 @@
     stream.write_all(&bytes[sent..])
 }
 
-/// Receives a message, and the descriptor that belongs to it.
+/// Receives a message, with a descriptor if one belongs to it.
 pub(super) fn receive(stream: &mut UnixStream) -> io::Result<(HandoverMessage, Option<OwnedFd>)> {
     let mut head = [0u8; 4];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -84,7 +85,7 @@
     stream.read_exact(&mut head[received..])?;
     let length = u32::from_le_bytes(head) as usize;
     if length > MAX_MESSAGE_BYTES {
-        return Err(io::Error::other("a message that is too large"));
+        return Err(io::Error::other("hand-over message exceeds the size limit"));
     }
     let mut bytes = vec![0; length];
     stream.read_exact(&mut bytes)?;
--- a/crates/daemon/src/handover/server.rs
+++ b/crates/daemon/src/handover/server.rs
@@ -1,4 +1,4 @@
-//! The old process: it hands its sockets over to the new one.
+//! The old process's side of a hand-over: the Unix socket on which a new process requests its sockets.
 
 use std::io::{self, ErrorKind, Read};
 use std::os::fd::BorrowedFd;
@@ -8,18 +8,18 @@
 
 use super::message::{GREETING, HandoverMessage, SOCKET_FILE, send};
 
-/// How long a peer that has connected may take to greet; a new process does so at once.
+/// Timeout for the greeting of a peer that has connected. A new process sends it immediately.
 const GREETING_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The old process's side.
+/// Listens for a new process, and sends it everything that is handed over.
 pub(crate) struct HandoverServer {
     listener: UnixListener,
-    /// The process that has requested a hand-over.
+    /// The connection to the process that has requested a hand-over.
     requester: Option<UnixStream>,
 }
 
 impl HandoverServer {
-    /// Listens in the folder, whose lock this process has.
+    /// Listens on a socket in the folder, whose lock this process must hold.
     pub(crate) fn open(dir: &Path) -> io::Result<HandoverServer> {
         let path = dir.join(SOCKET_FILE);
         match std::fs::remove_file(&path) {
@@ -34,7 +34,7 @@
         })
     }
 
-    /// For the poll.
+    /// The listening socket, to be registered with the poll.
     pub(crate) fn listener(&self) -> &UnixListener {
         &self.listener
     }
@@ -46,19 +46,19 @@
                 self.requester = Some(stream);
             }
         }
-        // It sends nothing more: whatever can be read is the end of the connection.
+        // The requester sends nothing before the end of a hand-over, so anything that can be read means that it has disconnected.
         self.requester
             .take_if(|s| !matches!(s.read(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock));
         self.requester.is_some()
     }
 
-    /// Hands over what was learned of destinations.
-    pub(crate) fn pass_learned_state(&mut self, bytes: Vec<u8>) -> io::Result<()> {
+    /// Sends the learned state of destinations.
+    pub(crate) fn send_learned_state(&mut self, bytes: Vec<u8>) -> io::Result<()> {
         self.send(&HandoverMessage::LearnedState(bytes), None)
     }
 
-    /// Hands over the listener for clients, or for Web Push.
-    pub(crate) fn pass_listener(
+    /// Sends the listener for clients, or for Web Push.
+    pub(crate) fn send_listener(
         &mut self,
         listener: BorrowedFd<'_>,
         web_push: bool,
@@ -69,8 +69,8 @@
         )
     }
 
-    /// Hands over a client's connection, with what was read of its next request.
-    pub(crate) fn pass_client(
+    /// Sends a client connection, with the bytes read of its next request.
+    pub(crate) fn send_client(
         &mut self,
         stream: BorrowedFd<'_>,
         input: Vec<u8>,
@@ -83,7 +83,7 @@
         self.send(&message, Some(stream))
     }
 
-    /// Announces the end, and waits until the new process confirms that it has everything.
+    /// Sends the last message, and waits until the new process confirms that it has received everything.
     pub(crate) fn finish(&mut self) -> io::Result<()> {
         self.send(&HandoverMessage::End, None)?;
         let mut confirmation = [0; GREETING.len()];
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Drops the request; the process may repeat it.
+    /// Disconnects the requester, which may request the hand-over again.
     pub(crate) fn abort(&mut self) {
         self.requester = None;
     }
@@ -115,7 +115,7 @@
     }
 }
 
-/// The greeting is there with the connection, or the peer is not a new process of this version.
+/// Whether the peer sends the greeting within [`GREETING_TIMEOUT`], as a new process with the same protocol version does.
 fn has_greeted(stream: &UnixStream) -> bool {
     let mut greeting = [0; GREETING.len()];
     let read = stream
--- a/crates/daemon/src/handover_endpoint.rs
+++ b/crates/daemon/src/handover_endpoint.rs
@@ -1,4 +1,4 @@
-//! The old process's side of a hand-over to a new version.
+//! The hand-over of this process to a new version: when it begins, when attempts are held back, and what is handed over.
 
 use std::io;
 use std::os::fd::{AsFd, AsRawFd};
@@ -15,33 +15,33 @@
 use crate::listeners::Listeners;
 use crate::tokens::HANDOVER;
 
-/// How long attempts are held back at most. Most calls are answered by then; those that hang would take their whole time, while
-/// nothing is sent to any destination.
+/// Limit on the time that attempts are held back. Most calls are answered by then. Waiting for calls that hang would stop all
+/// sending until their deadlines.
 const MAX_QUIESCED: Duration = Duration::from_millis(400);
 
-/// What the reactor is to do next.
+/// The next action of the reactor.
 pub(crate) enum HandoverStep {
-    /// Nothing.
+    /// No action.
     None,
-    /// A new process has requested a hand-over: attempts are held back from now on.
+    /// A new process has requested a hand-over: new attempts must be held back.
     Quiesce,
-    /// The new process has disconnected.
+    /// The new process has disconnected: the hand-over is cancelled.
     Abandon,
-    /// No call is in flight any more, or the wait is over: everything is handed over.
+    /// No call is in flight, or [`MAX_QUIESCED`] has passed: everything must be handed over now.
     HandOver,
 }
 
 /// The socket in the state folder, and the hand-over in progress.
 pub(crate) struct HandoverEndpoint {
     server: HandoverServer,
-    /// Something happened at the socket.
+    /// The poll reported an event on the socket.
     notified: bool,
-    /// Since when attempts are held back.
+    /// Since when attempts are held back; `None` without a hand-over in progress.
     quiesced_since: Option<Time>,
 }
 
 impl HandoverEndpoint {
-    /// Where the system or the folder has no such socket, a new version waits until this process has ended.
+    /// Opens the socket in the folder. If that fails, hand-over is not possible: a new version waits until this process has ended.
     pub(crate) fn open(dir: &Path, registry: &Registry) -> Option<HandoverEndpoint> {
         let opened = HandoverServer::open(dir).and_then(|server| {
             let descriptor = server.listener().as_raw_fd();
@@ -54,22 +54,25 @@
         });
         opened
             .inspect_err(|e| {
-                log::warn!("hand-over: no socket in the folder: {e}; none will be possible");
+                log::warn!(
+                    "hand-over: can't open the socket in the state folder: {e}; hand-over disabled"
+                );
             })
             .ok()
     }
 
-    /// Something happened at the socket.
+    /// Records that the poll reported an event on the socket.
     pub(crate) fn notify(&mut self) {
         self.notified = true;
     }
 
-    /// When the hand-over needs attention though nothing happens.
+    /// When [`HandoverEndpoint::next_step`] must be called next without an event.
     pub(crate) fn next_check(&self, now: Time, tick: Duration) -> Option<Time> {
         let since = self.quiesced_since?;
         Some((now + tick).min(since + MAX_QUIESCED))
     }
 
+    /// The next action, given the number of attempts in flight.
     pub(crate) fn next_step(&mut self, now: Time, attempts_in_flight: usize) -> HandoverStep {
         if !self.notified && self.quiesced_since.is_none() {
             return HandoverStep::None;
@@ -88,13 +91,13 @@
         }
     }
 
-    /// This process continues.
+    /// Cancels the hand-over: this process continues.
     pub(crate) fn abort(&mut self) {
         self.quiesced_since = None;
         self.server.abort();
     }
 
-    /// Hands over everything but the folder's lock; returns the number of clients' connections that were.
+    /// Hands over everything except the folder's lock; returns the number of client connections that were handed over.
     pub(crate) fn hand_over(
         &mut self,
         learned_state: Vec<u8>,
@@ -102,33 +105,33 @@
         connections: &mut ConnectionTable,
         clients: Vec<usize>,
     ) -> io::Result<usize> {
-        self.server.pass_learned_state(learned_state)?;
+        self.server.send_learned_state(learned_state)?;
         for (listener, web_push) in [(&listeners.clients, false), (&listeners.web_push, true)] {
             if let Some(listener) = listener {
-                self.server.pass_listener(listener.as_fd(), web_push)?;
+                self.server.send_listener(listener.as_fd(), web_push)?;
             }
         }
-        let mut passed = 0;
+        let mut handed_over = 0;
         for id in clients {
-            let Some(connection) = connections.get(id).filter(|c| can_be_passed(c)) else {
+            let Some(connection) = connections.get(id).filter(|c| can_be_handed_over(c)) else {
                 continue;
             };
-            self.server.pass_client(
+            self.server.send_client(
                 connection.stream.as_fd(),
                 connection.input.clone(),
                 connection.has_requested,
             )?;
-            // Here it counts no more: the two processes together hold no more connections than one did.
+            // The connection is removed here, so that both processes together hold no more connections than one did.
             connections.release(id);
-            passed += 1;
+            handed_over += 1;
         }
         self.server.finish()?;
-        Ok(passed)
+        Ok(handed_over)
     }
 }
 
-/// A client in the middle of an answer, or one that waits for a push's end, can't be moved.
-fn can_be_passed(connection: &Connection) -> bool {
+/// Whether a client connection can be handed over: no answer is pending or partially written, and it is not a Web Push client.
+fn can_be_handed_over(connection: &Connection) -> bool {
     matches!(connection.kind, ConnectionKind::Client { busy: false })
         && connection.is_written()
         && !connection.close_after_write
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -2,61 +2,61 @@
 
 use std::time::Duration;
 
-/// The largest body of a request, and of most responses.
+/// Limit of the body of a request, and of most responses.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The largest head, and the largest trailers.
+/// Limit of a message's head, and of its trailers.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Header lines in a head.
+/// Limit on the header lines in a head.
 const MAX_HEADERS: usize = 64;
-/// The longest line with a chunk's size.
+/// Limit of the line with a chunk's size.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
-/// The longest `Retry-After`, in seconds: a day.
+/// A longer `Retry-After` is shortened to this, in seconds: one day.
 const MAX_RETRY_AFTER_SECONDS: f64 = 86_400.0;
-/// Interim responses before the final one.
+/// Limit on the interim (1xx) responses before the final one.
 const MAX_INTERIM_RESPONSES: usize = 16;
-/// A header that only informs: where its value can't be parsed, it alone is dropped.
+/// Header with a destination's load report. It is optional, so an invalid value is ignored without rejecting the response.
 pub const LOAD_REPORT_HEADER: &str = "x-pressure";
 
-/// Why bytes are no HTTP message; in the field's terms, for logs and responses.
+/// Why bytes are not a valid HTTP message. The text is used in logs and in responses.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct Malformed(pub &'static str);
 
-/// A body larger than is read.
+/// The body exceeds the limit.
 pub const TOO_LARGE: Malformed = Malformed("body too large");
 
-/// Names and values in the order received.
+/// Header names and values, in the order received.
 pub type Headers = Vec<(String, Vec<u8>)>;
 
 /// A request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Such as `GET`.
+    /// The method, such as `GET`.
     pub method: String,
-    /// The target as sent, with its query.
+    /// The request target as sent, with its query.
     pub path: String,
-    /// Its headers.
+    /// The header fields.
     pub headers: Headers,
-    /// Its body, without the framing of chunks.
+    /// The body, without the framing of chunks.
     pub body: Vec<u8>,
-    /// The connection ends after the response.
+    /// The client asked to close the connection after the response, or uses HTTP/1.0.
     pub close: bool,
 }
 
 /// A response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its status code.
+    /// The status code.
     pub status: u16,
-    /// Its headers.
+    /// The header fields.
     pub headers: Headers,
-    /// Its body, without the framing of chunks.
+    /// The body, without the framing of chunks.
     pub body: Vec<u8>,
-    /// The connection ends after it.
+    /// The server closes the connection after this response.
     pub close: bool,
 }
 
-/// The value of the first header of that name; `None` if it is not UTF-8.
+/// The trimmed value of the first header with this name; `None` if there is none or its value is not UTF-8.
 pub fn header<'a>(headers: &'a Headers, name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(&found.1).ok().map(str::trim)
@@ -74,16 +74,20 @@
         .is_some_and(|v| v.split(',').any(|t| t.trim().eq_ignore_ascii_case(token)))
 }
 
-enum Length {
+/// How the length of a body is determined (RFC 9112, section 6.3).
+enum BodyLength {
+    /// By `Content-Length`, in bytes.
     Known(usize),
+    /// By `Transfer-Encoding: chunked`.
     Chunked,
-    Unstated,
+    /// By neither.
+    Unspecified,
 }
 
-fn length(headers: &Headers, max_body_bytes: usize) -> Result<Length, Malformed> {
+fn body_length(headers: &Headers, max_body_bytes: usize) -> Result<BodyLength, Malformed> {
     if header(headers, "transfer-encoding").is_some() {
         return if has_token(headers, "transfer-encoding", "chunked") {
-            Ok(Length::Chunked)
+            Ok(BodyLength::Chunked)
         } else {
             Err(Malformed("transfer encoding not known"))
         };
@@ -107,13 +111,16 @@
     }
     match stated {
         Some(len) if len > max_body_bytes => Err(TOO_LARGE),
-        Some(len) => Ok(Length::Known(len)),
-        None => Ok(Length::Unstated),
+        Some(len) => Ok(BodyLength::Known(len)),
+        None => Ok(BodyLength::Unspecified),
     }
 }
 
-/// The chunks' bytes and where they end, once all have come.
-fn chunked(bytes: &[u8], max_body_bytes: usize) -> Result<Option<(Vec<u8>, usize)>, Malformed> {
+/// Decodes a chunked body: its content, and the length of its encoding; `None` if it is incomplete.
+fn parse_chunked_body(
+    bytes: &[u8],
+    max_body_bytes: usize,
+) -> Result<Option<(Vec<u8>, usize)>, Malformed> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
         let rest = &bytes[at..];
@@ -155,22 +162,23 @@
     }
 }
 
-fn body(
+/// The body and the length of its encoding; `None` if it is incomplete.
+fn parse_body(
     bytes: &[u8],
-    length: Length,
+    length: BodyLength,
     max_body_bytes: usize,
 ) -> Result<Option<(Vec<u8>, usize)>, Malformed> {
     match length {
-        Length::Known(len) => Ok(bytes.get(..len).map(|b| (b.to_vec(), len))),
-        Length::Chunked => chunked(bytes, max_body_bytes),
-        Length::Unstated => Ok(Some((Vec::new(), 0))),
+        BodyLength::Known(len) => Ok(bytes.get(..len).map(|b| (b.to_vec(), len))),
+        BodyLength::Chunked => parse_chunked_body(bytes, max_body_bytes),
+        BodyLength::Unspecified => Ok(Some((Vec::new(), 0))),
     }
 }
 
-/// The first complete request in `bytes` and its length; `None` if more must arrive.
+/// Parses the first request in `bytes`: the request and its length in bytes, or `None` if it is incomplete.
 ///
 /// # Errors
-/// The bytes are not, and will not become, a request within the bounds.
+/// The bytes are not the beginning of a valid request within the limits.
 pub fn request(bytes: &[u8]) -> Result<Option<(Request, usize)>, Malformed> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut slots);
@@ -182,14 +190,14 @@
         httparse::Status::Partial => return Ok(None),
     };
     let headers = owned_headers(parsed.headers);
-    let old = parsed.version == Some(0);
-    let close = has_token(&headers, "connection", "close") || old;
+    let is_http_1_0 = parsed.version == Some(0);
+    let close = has_token(&headers, "connection", "close") || is_http_1_0;
     let (method, path) = (
         parsed.method.unwrap_or("").to_owned(),
         parsed.path.unwrap_or("").to_owned(),
     );
-    let length = length(&headers, MAX_BODY_BYTES)?;
-    let Some((body, len)) = body(&bytes[head..], length, MAX_BODY_BYTES)? else {
+    let length = body_length(&headers, MAX_BODY_BYTES)?;
+    let Some((body, len)) = parse_body(&bytes[head..], length, MAX_BODY_BYTES)? else {
         return Ok(None);
     };
     Ok(Some((
@@ -204,7 +212,8 @@
     )))
 }
 
-/// The first complete response, as [`request`]; `ended` says that the peer has closed the connection.
+/// Parses the first final response in `bytes`, like [`request`]. Interim responses before it are skipped. `ended` means that the
+/// peer has closed the connection, which ends a body of unspecified length.
 ///
 /// # Errors
 /// As [`request`].
@@ -212,7 +221,7 @@
     response_within(bytes, ended, MAX_BODY_BYTES)
 }
 
-/// As [`response`], for a body of at most `max_body_bytes` bytes.
+/// Like [`response`], with a limit of `max_body_bytes` on the body.
 ///
 /// # Errors
 /// As [`request`].
@@ -222,14 +231,14 @@
     max_body_bytes: usize,
 ) -> Result<Option<(Response, usize)>, Malformed> {
     let mut at = 0;
-    // Bounded: a run of interim responses must exhaust neither the stack nor the time of others.
+    // The number is limited, so that a peer which sends many interim responses does not block the event loop.
     for _ in 0..=MAX_INTERIM_RESPONSES {
         match one_response(&bytes[at..], ended, max_body_bytes)? {
             Some((response, used)) if (100..200).contains(&response.status) => at += used,
             found => return Ok(found.map(|(r, used)| (r, at + used))),
         }
     }
-    Err(Malformed("too many interim answers"))
+    Err(Malformed("too many interim responses"))
 }
 
 fn one_response(
@@ -239,14 +248,14 @@
 ) -> Result<Option<(Response, usize)>, Malformed> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut slots);
-    let readable: Vec<u8>;
+    let blanked_bytes: Vec<u8>;
     let mut found = parsed.parse(bytes);
     if found.is_err()
-        && let Some(blanked) = without_load_report(bytes)
+        && let Some(blanked) = blank_load_report(bytes)
     {
-        readable = blanked;
+        blanked_bytes = blanked;
         parsed = httparse::Response::new(&mut slots);
-        found = parsed.parse(&readable);
+        found = parsed.parse(&blanked_bytes);
     }
     let head = match found.map_err(|_| Malformed("response head"))? {
         httparse::Status::Complete(head) => head,
@@ -257,7 +266,7 @@
     };
     let status = parsed.code.unwrap_or(0);
     let headers = owned_headers(parsed.headers);
-    let old = parsed.version == Some(0);
+    let is_http_1_0 = parsed.version == Some(0);
     if (100..200).contains(&status) {
         return Ok(Some((
             Response {
@@ -269,24 +278,24 @@
             head,
         )));
     }
-    let mut close = has_token(&headers, "connection", "close") || old;
-    let none = status == 204 || status == 304;
-    let len = if none {
-        Length::Known(0)
+    let mut close = has_token(&headers, "connection", "close") || is_http_1_0;
+    let has_no_body = status == 204 || status == 304;
+    let length = if has_no_body {
+        BodyLength::Known(0)
     } else {
-        length(&headers, max_body_bytes)?
+        body_length(&headers, max_body_bytes)?
     };
-    let unstated = matches!(len, Length::Unstated);
-    let whole = if unstated {
+    let ends_with_connection = matches!(length, BodyLength::Unspecified);
+    let complete_body = if ends_with_connection {
         close = true;
         if bytes.len() - head > max_body_bytes {
             return Err(TOO_LARGE);
         }
         ended.then(|| (bytes[head..].to_vec(), bytes.len() - head))
     } else {
-        body(&bytes[head..], len, max_body_bytes)?
+        parse_body(&bytes[head..], length, max_body_bytes)?
     };
-    Ok(whole.map(|(body, len)| {
+    Ok(complete_body.map(|(body, len)| {
         (
             Response {
                 status,
@@ -299,8 +308,9 @@
     }))
 }
 
-/// The same bytes with the values of [`LOAD_REPORT_HEADER`] replaced by ones that can be parsed and mean nothing.
-fn without_load_report(bytes: &[u8]) -> Option<Vec<u8>> {
+/// A copy of the bytes in which the values of [`LOAD_REPORT_HEADER`] are replaced by `?`, so that the head can be parsed; `None`
+/// if the header is absent.
+fn blank_load_report(bytes: &[u8]) -> Option<Vec<u8>> {
     let mut blanked = bytes.to_vec();
     let (mut at, mut found) = (0, false);
     while let Some(end) = bytes[at..].windows(2).position(|w| w == b"\r\n") {
@@ -318,7 +328,7 @@
     found.then_some(blanked)
 }
 
-/// The status of a response whose first line is complete, whatever follows. Interim responses are skipped.
+/// The status of a response of which at least the status line is complete. Interim responses are skipped.
 pub fn early_status(mut bytes: &[u8]) -> Option<u16> {
     for _ in 0..=MAX_INTERIM_RESPONSES {
         let line = &bytes[..bytes.iter().position(|&b| b == b'\n')?];
@@ -339,7 +349,7 @@
     None
 }
 
-/// A request's bytes. `Content-Length` is added unless the method is `GET`.
+/// Encodes a request. `Content-Length` is added unless the method is `GET`.
 pub fn write_request(
     method: &str,
     path: &str,
@@ -360,7 +370,7 @@
     bytes
 }
 
-/// A response's bytes. `Content-Length` is added.
+/// Encodes a response. `Content-Length` is added.
 pub fn write_response(
     status: u16,
     reason: &str,
@@ -375,13 +385,13 @@
     text.into_bytes()
 }
 
-/// The wait that `Retry-After` states from `unix_now` (since 1970) on: seconds, with decimals where the peer writes them, or a
-/// date.
+/// The wait that `Retry-After` states (RFC 9110, section 10.2.3), counted from `unix_now` (since 1970): seconds, also with
+/// decimals, or a date. `None` if it is absent, not valid, or not in the future.
 pub fn retry_after(headers: &Headers, unix_now: Duration) -> Option<Duration> {
     let text = header(headers, "retry-after")?;
     if let Ok(seconds) = text.parse::<f64>() {
-        let sane = seconds.is_finite() && seconds > 0.0;
-        return sane.then(|| Duration::from_secs_f64(seconds.min(MAX_RETRY_AFTER_SECONDS)));
+        let is_valid = seconds.is_finite() && seconds > 0.0;
+        return is_valid.then(|| Duration::from_secs_f64(seconds.min(MAX_RETRY_AFTER_SECONDS)));
     }
     let at = httpdate::parse_http_date(text).ok()?;
     let at = at.duration_since(std::time::UNIX_EPOCH).ok()?;
--- a/crates/daemon/src/journal_writer.rs
+++ b/crates/daemon/src/journal_writer.rs
@@ -1,4 +1,4 @@
-//! The journal: opened at the start, appended to, and compacted.
+//! Opening the journal, appending to it and compacting it, with the log lines about its recovery.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -13,47 +13,47 @@
 use crate::throttled_log::ThrottledLog;
 use crate::{handover, state_file};
 
-/// How long compaction pauses when it can't proceed.
+/// Delay before the next step of compaction when one can't proceed.
 const BLOCKED_PAUSE: Duration = Duration::from_millis(100);
-/// How often the log says that it can't.
+/// Minimum interval between two log lines about compaction that can't proceed.
 const BLOCKED_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why the journal can't be opened.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum JournalOpenError {
-    /// The folder can't be used.
+    /// The state folder can't be created or opened.
     #[error("{}: {source}", dir.display())]
     Folder {
-        /// The folder.
+        /// The state folder.
         dir: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The system has no random bytes.
-    #[error("no random bytes for the journal's key: {0}")]
+    /// The operating system provides no random bytes.
+    #[error("journal key: no random bytes from the operating system: {0}")]
     Random(#[from] getrandom::Error),
-    /// The folder's content can't be used.
+    /// The journal in the state folder can't be opened.
     #[error("{}: {source}", dir.display())]
     Journal {
-        /// The folder.
+        /// The state folder.
         dir: PathBuf,
-        /// What is wrong with it.
+        /// Why the journal can't be opened.
         source: OpenError,
     },
 }
 
-/// The folder that outlasts the process.
+/// The state folder, whose files persist across restarts.
 pub struct State {
-    /// Where it is.
+    /// Path of the folder.
     pub dir: PathBuf,
-    /// Bytes that it may hold.
+    /// Limit of the folder's disk space, in bytes.
     pub disk: u64,
-    /// An operator's key for the journal; else the folder has its own.
+    /// The operators' key for the journal; without one, a key is generated and stored in the folder.
     pub key: Option<Key>,
 }
 
-/// Opens the journal in a folder, of which `disk` bytes are its.
+/// Opens the journal in a folder, of whose disk space it may use `disk` bytes.
 pub(crate) fn open(
     dir: &Path,
     disk: u64,
@@ -78,14 +78,14 @@
     })
 }
 
-/// Appends to the journal, if there is one, and compacts it.
+/// Appends to the journal and compacts it. Without a journal, every operation succeeds and nothing is persisted.
 pub(crate) struct JournalWriter {
     journal: Option<Journal<Folder>>,
-    /// Between two steps of compaction.
+    /// Interval between two steps of compaction.
     tick: Duration,
     next_compaction: Time,
     blocked: ThrottledLog,
-    /// A mutation's: records that are acknowledged and not written.
+    /// Records that are acknowledged before they are written. Only used by a mutation of the auditor's tests.
     unwritten: Vec<Record>,
 }
 
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Writes a tick's records; returns which of them are in the journal now.
+    /// Appends the records of a tick; returns which of them are persisted.
     pub(crate) fn append(&mut self, records: Vec<Record>, now: Time) -> Persisted {
         if mutation::is(Mutation::AnswersFirst) {
             self.unwritten.extend(records);
@@ -120,13 +120,16 @@
             Ok(()) => Persisted::All,
             Err(e) => {
                 log::error!(records = records.len(), kept:? = e.persisted;
-                    "journal: of {} records kept: {:?}: {e}", records.len(), e.persisted);
+                    "journal: of {} records persisted: {:?}: {e}", records.len(), e.persisted);
                 e.persisted
             }
         }
     }
 
-    /// Reserves room for a message of this size until the next append; else says when a client may retry.
+    /// Reserves space for a message with a body of this size, until the next append.
+    ///
+    /// # Errors
+    /// The journal is full; the error is when the client may retry.
     pub(crate) fn admit(&mut self, bytes: usize) -> Result<(), Duration> {
         match &mut self.journal {
             Some(journal) => journal.admit(bytes),
@@ -138,7 +141,7 @@
         self.journal.as_mut().map_or(0, |j| j.stats().room)
     }
 
-    /// When a step of compaction is due, if there is something to compact.
+    /// When the next step of compaction is due; `None` if there is nothing to compact.
     pub(crate) fn compaction_due(&self, now: Time) -> Option<Time> {
         let journal = self.journal.as_ref()?;
         journal
@@ -146,7 +149,7 @@
             .then_some(self.next_compaction)
     }
 
-    /// One bounded step of compaction.
+    /// Runs one bounded step of compaction.
     pub(crate) fn compact(&mut self, now: Time) {
         let Some(journal) = &mut self.journal else {
             return;
@@ -159,47 +162,47 @@
         if self.blocked.record(now).is_some() {
             let stats = journal.stats();
             log::warn!(room = stats.room, bytes = stats.bytes, live = stats.live;
-                "journal: compaction is held up, {} bytes free, {} of {} live; tried again",
+                "journal: compaction can't proceed, {} bytes free, {} of {} bytes live; retrying",
                 stats.room, stats.live, stats.bytes);
         }
     }
 }
 
-/// What operators should know about the state in which the folder was found.
+/// Logs what was recovered from the journal, and any damage to it.
 pub(crate) fn log_recovered(recovered: &Recovered) {
     let counts = recovered.counts;
     let (open, final_report, completed) = (counts.open, counts.final_report_due, counts.completed);
     log::info!(open, final_report, completed, latest_ms = recovered.latest_ms;
-        "journal: {open} messages open, {final_report} final reports due, {completed} completed ids kept");
+        "journal: recovered {open} pending messages, {final_report} final reports due, {completed} ids of completed messages");
     log_damage(recovered);
     for file in &recovered.foreign {
-        if !state_file::is_ours(file) && !handover::FILE_NAMES.contains(&file.as_str()) {
-            log::warn!(file = file.as_str(); "journal: {file} is not of this folder; left alone, it takes room");
+        if !state_file::is_state_file(file) && !handover::FILE_NAMES.contains(&file.as_str()) {
+            log::warn!(file = file.as_str(); "journal: unknown file {file} in the state folder; it is ignored but uses disk space");
         }
     }
     if recovered.migrated > 0 {
         log::info!(records = recovered.migrated;
-            "journal: {} records carried over from the old ledger", recovered.migrated);
+            "journal: {} records migrated from the old ledger", recovered.migrated);
     }
 }
 
 fn log_damage(recovered: &Recovered) {
     if let Some(TornWrite { file, bytes }) = &recovered.torn {
         log::warn!(segment = file.as_str(), bytes = *bytes;
-            "journal: {bytes} bytes of a write that was cut off at the end of {file}; nothing in it was promised");
+            "journal: torn write of {bytes} bytes at the end of {file} discarded; nothing in it was acknowledged");
     }
     for d in &recovered.damage {
         log::error!(segment = d.file.as_str(), offset = d.offset, bytes = d.len, why:? = d.cause, messages = d.max_messages;
-            "journal: damage ({:?}) in {} at {}, {} bytes; at most {} messages accepted there are lost",
+            "journal: damage ({:?}) in {} at offset {}, {} bytes; at most {} accepted messages are lost",
             d.cause, d.file, d.offset, d.len, d.max_messages);
     }
     for lost in &recovered.lost {
         log::error!(id = lost.id.as_str(), segment = lost.file.as_str(), offset = lost.offset;
-            "journal: the record of {} is lost, an attempt of it is in {} at {}; reported as failed",
+            "journal: the record of message {} is lost, but {} has an attempt of it at offset {}; reported as failed",
             lost.id, lost.file, lost.offset);
     }
     if recovered.possibly_executed > 0 {
         log::error!(messages = recovered.possibly_executed;
-            "journal: {} open messages count as possibly executed because of damage", recovered.possibly_executed);
+            "journal: {} pending messages are treated as possibly executed because of damage", recovered.possibly_executed);
     }
 }
--- a/crates/daemon/src/listeners.rs
+++ b/crates/daemon/src/listeners.rs
@@ -10,25 +10,25 @@
 
 use crate::tokens::CLIENTS;
 
-/// When accepting is tried again after an error, such as none of the process's descriptors being free.
+/// Delay before accepting is retried after an error, such as no free file descriptor.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Why a socket can't be listened on.
+/// Why a socket can't be opened for listening.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ListenError {
     /// The address can't be bound.
     #[error("{purpose} {address}: {source}")]
     Bind {
-        /// What the address is for.
+        /// The setting that the address comes from.
         purpose: &'static str,
-        /// As configured.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A listener from the old process can't be used.
-    #[error("hand-over: the listener: {0}")]
+    /// A listener received from the old process can't be used.
+    #[error("hand-over: inherited listener: {0}")]
     Inherited(#[source] io::Error),
 }
 
@@ -45,24 +45,24 @@
     }
 }
 
-/// What accepting on a listener came to.
+/// The result of accepting on a listener.
 pub(crate) enum Accepted {
     /// A new connection.
     Stream(TcpStream),
-    /// The connection was aborted; another one may wait.
+    /// The connection was aborted, or accepting was interrupted; another connection may be waiting.
     Aborted,
-    /// No connection waits.
+    /// No connection is waiting.
     Nothing,
 }
 
-/// The listeners for connections that this sender accepts.
+/// The listeners of this sender.
 #[derive(Default)]
 pub(crate) struct Listeners {
     pub(crate) clients: Option<TcpListener>,
     pub(crate) web_push: Option<TcpListener>,
     pub(crate) operators: Option<TcpListener>,
-    /// When clients are accepted again without a further event.
-    accept_again: Option<Time>,
+    /// When accepting clients is retried without an event of the poll.
+    accept_retry: Option<Time>,
 }
 
 impl Listeners {
@@ -77,27 +77,29 @@
             return Accepted::Nothing;
         };
         accept(listener).unwrap_or_else(|e| {
-            log::error!("accept: {e}");
-            // There is no further event for the connections that wait.
-            self.accept_again = Some(now + ACCEPT_RETRY_DELAY);
+            log::error!("accept: client not accepted: {e}");
+            // The poll reports no further event for connections that are already waiting.
+            self.accept_retry = Some(now + ACCEPT_RETRY_DELAY);
             Accepted::Nothing
         })
     }
 
-    /// Has [`Listeners::take_accept_due`] return true from this time on.
-    pub(crate) fn accept_again_at(&mut self, at: Time) {
-        self.accept_again = Some(at);
+    /// Schedules a retry: [`Listeners::take_accept_due`] returns true once `at` is reached.
+    pub(crate) fn retry_accept_at(&mut self, at: Time) {
+        self.accept_retry = Some(at);
     }
 
+    /// When accepting clients must be retried.
     pub(crate) fn accept_due(&self) -> Option<Time> {
-        self.accept_again
+        self.accept_retry
     }
 
+    /// Whether the retry is due; clears it if so.
     pub(crate) fn take_accept_due(&mut self, now: Time) -> bool {
-        self.accept_again.take_if(|at| *at <= now).is_some()
+        self.accept_retry.take_if(|at| *at <= now).is_some()
     }
 
-    /// Whether clients can connect.
+    /// Whether the listeners for clients and Web Push are open.
     pub(crate) fn is_open(&self) -> bool {
         self.clients.is_some() || self.web_push.is_some()
     }
@@ -111,7 +113,7 @@
     }
 }
 
-/// Accepts one connection.
+/// Accepts one connection. A connection that its peer has aborted is not an error.
 pub(crate) fn accept(listener: &TcpListener) -> io::Result<Accepted> {
     match listener.accept() {
         Ok((stream, _)) => Ok(Accepted::Stream(stream)),
@@ -123,7 +125,7 @@
     }
 }
 
-/// Listens at an address.
+/// Binds a listener and registers it with the poll.
 pub(crate) fn bind(
     purpose: &'static str,
     address: SocketAddr,
@@ -138,7 +140,7 @@
     Ok(listener)
 }
 
-/// Continues on a listener of the old process.
+/// Registers a listener received from the old process with the poll.
 pub(crate) fn inherit(
     listener: std::net::TcpListener,
     token: Token,
@@ -154,7 +156,7 @@
     Ok(listener)
 }
 
-/// Where a listener is, if there is one.
+/// The address of a listener, if there is one.
 pub(crate) fn local_address(listener: Option<&TcpListener>) -> Option<SocketAddr> {
     listener?.local_addr().ok()
 }
--- a/crates/daemon/src/operator_connections.rs
+++ b/crates/daemon/src/operator_connections.rs
@@ -1,4 +1,4 @@
-//! Bounds on operators' connections.
+//! Limits on the number and duration of operators' connections.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use crate::connection::Connection;
 use crate::connection_table::ConnectionTable;
 
-/// Operators' connections at once: each has one command.
+/// Limit on simultaneous connections of operators, each of which carries one command.
 pub(crate) const MAX_OPERATOR_CONNECTIONS: usize = 8;
-/// A command is received, and its response read, within this. Operators' tools wait 1 s for a response.
+/// Time allowed for the command to arrive, and for the operator to read the response. Operators' tools wait 1 s for a response.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// When an operator's connection is closed at the latest.
+/// When an operator's connection times out.
 pub(crate) fn deadline(connection: &Connection) -> Time {
     connection.waiting_since + COMMAND_TIMEOUT
 }
 
-/// Closes the oldest connection if a further one would be too many: one that sends nothing must not keep others out.
+/// Closes the oldest connection if the limit is reached, so that idle connections don't block new ones.
 pub(crate) fn make_room(connections: &mut ConnectionTable) {
     let open = connections.ids(Connection::is_operator);
     if open.len() >= MAX_OPERATOR_CONNECTIONS {
--- a/crates/daemon/src/operator_protocol.rs
+++ b/crates/daemon/src/operator_protocol.rs
@@ -1,25 +1,28 @@
-//! Operators' commands: HTTP requests, one on a connection, and their responses. No I/O.
+//! The operators' commands over HTTP, one request per connection, and their responses. No I/O.
 
 use percent_encoding::percent_decode_str;
 
 use crate::http::{self, Request};
 
-/// A command.
+/// A command of an operator.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum OperatorCommand {
-    /// Whether clients may be sent here.
+    /// `/_ready`: asks whether clients may connect to this sender.
     Ready,
-    /// This sender's view of the fleet.
+    /// `/_status`: requests this sender's view of the fleet.
     Status,
-    /// Have clients leave, or no longer.
+    /// `/_lameduck/on` and `/_lameduck/off`: starts (`true`) or ends draining.
     Drain(bool),
-    /// Use an endpoint no more. Its id, percent signs decoded.
+    /// `/_endpoints/detach/ID`: stops using the endpoint with this percent-decoded id.
     Detach(String),
-    /// Use it again.
+    /// `/_endpoints/attach/ID`: uses the endpoint again.
     Attach(String),
 }
 
-/// Parses a command; else the response that says what is wrong with it.
+/// Parses a command.
+///
+/// # Errors
+/// The response that names the reason: 400, 404 or 405.
 pub(crate) fn parse(request: &Request) -> Result<OperatorCommand, Vec<u8>> {
     let path = request.path.split('?').next().unwrap_or_default();
     let (method, command) = match path {
@@ -51,27 +54,27 @@
     }
 }
 
-/// The command was carried out, or the answer to it is yes.
+/// Encodes a 200: the command was carried out, or the sender is ready.
 pub(crate) fn write_ok() -> Vec<u8> {
     write_response(200, "OK", &[], "")
 }
 
-/// The request is malformed.
+/// Encodes a 400: the request is malformed.
 pub(crate) fn write_bad_request(why: &str) -> Vec<u8> {
     write_response(400, "Bad Request", &[], why)
 }
 
-/// There is no such command, or nothing that it could apply to.
+/// Encodes a 404: the command or the endpoint does not exist.
 pub(crate) fn write_not_found(why: &str) -> Vec<u8> {
     write_response(404, "Not Found", &[], why)
 }
 
-/// The command was carried out in part.
+/// Encodes a 500: the command was carried out, but not persisted.
 pub(crate) fn write_error(why: &str) -> Vec<u8> {
     write_response(500, "Internal Server Error", &[], why)
 }
 
-/// Clients may not be sent here.
+/// Encodes a 503: clients must not connect to this sender.
 pub(crate) fn write_not_ready() -> Vec<u8> {
     write_response(503, "Service Unavailable", &[], "not for clients\n")
 }
--- a/crates/daemon/src/operator_protocol/tests.rs
+++ b/crates/daemon/src/operator_protocol/tests.rs
@@ -1,4 +1,4 @@
-//! Which requests are commands of operators, and which are not.
+//! Parsing of operators' commands, and the status codes for invalid ones.
 
 use super::{OperatorCommand, parse};
 use crate::http;
@@ -6,13 +6,13 @@
 fn parsed(method: &str, path: &str) -> Result<OperatorCommand, u16> {
     let text = format!("{method} {path} HTTP/1.1\r\nHost: o\r\n\r\n");
     let (request, _) = http::request(text.as_bytes())
-        .expect("well formed")
-        .expect("whole");
-    parse(&request).map_err(|answer| http::early_status(&answer).expect("a status"))
+        .expect("a valid request")
+        .expect("a complete request");
+    parse(&request).map_err(|response| http::early_status(&response).expect("a status"))
 }
 
 #[test]
-fn operator_calls_are_parsed_and_bad_ones_name_the_reason() {
+fn commands_are_parsed_and_invalid_requests_get_an_error_status() {
     for (method, path, expected) in [
         ("GET", "/_ready", Ok(OperatorCommand::Ready)),
         ("PUT", "/_lameduck/on", Ok(OperatorCommand::Drain(true))),
@@ -22,7 +22,7 @@
             "/_endpoints/detach/s-5be2",
             Ok(OperatorCommand::Detach("s-5be2".into())),
         ),
-        // An id is what it names, never a path.
+        // The id is percent-decoded and not normalized as a path.
         (
             "PUT",
             "/_endpoints/attach/a%2Fb%20%25",
--- a/crates/daemon/src/platform_settings.rs
+++ b/crates/daemon/src/platform_settings.rs
@@ -1,23 +1,23 @@
-//! The deployment's settings, and the names that stand for their entries on the wires.
+//! The settings of the platform's deployment, and the names by which the protocols refer to their entries.
 
 use std::collections::HashMap;
 
 use cranehill_scheduler::api::Settings;
 use cranehill_scheduler::profile::Names;
 
-/// The deployment's settings and the names on its wires.
+/// The settings of the platform's deployment, with the names by which the protocols refer to their entries.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// The settings that the scheduler decides by.
+    /// The scheduler's settings.
     pub settings: Settings,
-    /// Names of classes, tenants, zones and endpoint kinds, by their position in the settings.
+    /// Names of classes, tenants, zones and endpoint kinds, each at its position in the settings.
     pub names: Names,
     classes: HashMap<String, usize>,
     tenants: HashMap<String, usize>,
 }
 
 impl PlatformSettings {
-    /// Indexes the names of these settings.
+    /// Builds the lookup tables for the names.
     pub fn new(settings: Settings, names: Names) -> PlatformSettings {
         let (classes, tenants) = (
             positions_by_name(&names.classes),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The position in the settings of the class with this name.
+    /// The position in the settings of the class with this name; `None` if there is none.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes
             .get(name)
@@ -39,12 +39,12 @@
             .filter(|&class| class < self.settings.classes.len())
     }
 
-    /// The position in the settings of the tenant with this name.
+    /// The position in the settings of the tenant with this name; `None` if there is none.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.get(name).copied()
     }
 
-    /// The name of the zone at this position; `?` if the settings don't name it.
+    /// The name of the zone at this position; `?` if it has none.
     pub(crate) fn zone_name(&self, zone: u32) -> &str {
         self.names
             .zones
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -1,11 +1,11 @@
-//! The event loop: it carries out the effects of the core, and returns their results to it as inputs. One thread, which blocks
-//! only in the poll.
+//! The event loop: it carries out the core's effects on sockets, files and timers, and passes what happens there to the core as
+//! inputs. It runs on one thread, which blocks only in the poll.
 //!
-//! The core makes every decision. The reactor owns the parts that have sockets, files and timers, dispatches events to them, and
-//! carries inputs and effects between them and the core; the parts don't know the reactor or each other's users:
+//! The core makes every decision. The reactor owns the components that have sockets, files and timers, dispatches events to them,
+//! and passes inputs and effects between them and the core. The components don't depend on the reactor:
 //! connections (`connection_table`, `listeners`), clients (`client_ingress`, `drain`), destinations (`upstream`), the platform
 //! (`discovery_client`, `final_report_sender`, `config_reload`), the state folder (`journal_writer`, `state_store`,
-//! `handover_endpoint`), the fleet (`fleet_endpoint`) and the end of the process (`shutdown`).
+//! `handover_endpoint`), the fleet (`fleet_endpoint`) and shutdown (`shutdown`).
 
 mod clients;
 mod control;
@@ -60,9 +60,9 @@
 pub use crate::listeners::ListenError;
 pub use crate::tokens::SIGNALS;
 
-/// Events taken from the poll at once.
+/// Limit on the events that one call of the poll returns.
 const MAX_EVENTS_PER_ITERATION: usize = 512;
-/// Added to the poll's timeout, which the system may round down.
+/// Added to the poll's timeout, since the operating system may round the timeout down.
 const TIMEOUT_MARGIN: Duration = Duration::from_micros(50);
 
 /// A running sender.
@@ -70,10 +70,10 @@
     clock: Clock,
     platform_settings: PlatformSettings,
     core: Core,
-    /// Something has changed that the next tick must decide about.
+    /// An input has changed something that the next tick must take into account.
     dirty: bool,
     last_tick: Time,
-    /// Timers of the core.
+    /// Times at which the core asked to be woken.
     wakeups: BTreeSet<Time>,
     connections: ConnectionTable,
     listeners: Listeners,
@@ -90,12 +90,12 @@
     fleet: Option<FleetEndpoint>,
     shutdown: Shutdown,
     stop_requested: Arc<AtomicBool>,
-    /// Held until the process ends or hands over.
+    /// Released when the process ends, also after a hand-over.
     _folder_lock: Option<FolderLock>,
 }
 
 impl Reactor {
-    /// Where clients, and where application servers (Web Push), reach this sender.
+    /// The addresses on which clients connect, and application servers (Web Push).
     pub fn addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
         (
             listeners::local_address(self.listeners.clients.as_ref()),
@@ -103,35 +103,36 @@
         )
     }
 
-    /// Where operators reach this sender.
+    /// The address of the operators' HTTP interface.
     pub fn operator_address(&self) -> Option<SocketAddr> {
         listeners::local_address(self.listeners.operators.as_ref())
     }
 
-    /// Where the caller registers its signals, as [`SIGNALS`].
+    /// The poll's registry. The caller may register a source of signals there, with the token [`SIGNALS`].
     pub fn registry(&self) -> &mio::Registry {
         self.connections.registry()
     }
 
-    /// A handle that ends [`Reactor::run`] from another thread, at once and without the phases of a SIGTERM.
+    /// A handle that ends [`Reactor::run`] from another thread, immediately and without the phases of a shutdown.
     ///
     /// # Errors
-    /// The system has no descriptor for it.
+    /// No file descriptor is available for waking the poll.
     pub fn stop_handle(&self) -> io::Result<StopHandle> {
         let waker = mio::Waker::new(self.connections.registry(), STOP)?;
         Ok(StopHandle::new(self.stop_requested.clone(), waker))
     }
 
-    /// Begins the end, as on SIGTERM.
+    /// Starts the shutdown, as on SIGTERM.
     pub fn stop(&mut self) {
         if self.shutdown.begin(self.clock.now()) {
             let (pending, reports) = self.core.outstanding();
-            log::info!("stopping: {pending} messages pending, {reports} final reports due");
+            log::info!("shutting down: {pending} messages pending, {reports} final reports due");
             self.step_fleet(membership::Input::Leave);
         }
     }
 
-    /// Serves until stopped. `commands` is called after each wake-up.
+    /// Runs the event loop until the process may end. `commands` is called after each wake-up, and returns the commands received
+    /// since.
     ///
     /// # Errors
     /// The poll fails.
@@ -151,14 +152,14 @@
                 let (pending, reports) = self.core.outstanding();
                 let violations = self.core.violations;
                 log::info!(
-                    "stopped: {pending} messages and {reports} final reports left to the journal; {violations:?}"
+                    "stopped: {pending} messages and {reports} final reports remain in the journal; violations: {violations:?}"
                 );
                 return Ok(());
             }
         }
     }
 
-    /// Waits for something to happen and processes it; true once the process may end.
+    /// Runs one iteration of the event loop; true once the process may end.
     fn run_once(&mut self, events: &mut Events) -> io::Result<bool> {
         let now = self.clock.now();
         let timeout = self
@@ -176,7 +177,8 @@
         Ok(self.continue_handover() || self.continue_shutdown())
     }
 
-    /// The decisions run once a tick, as in the simulator: what arrives together is decided together.
+    /// Ends the tick if its interval has passed, and compacts the journal. As in the simulator, the core decides once a tick about
+    /// everything that arrived during it.
     fn end_tick(&mut self) {
         let now = self.clock.now();
         if self.dirty && now - self.last_tick >= self.platform_settings.settings.tick {
--- a/crates/daemon/src/reactor/clients.rs
+++ b/crates/daemon/src/reactor/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections and requests.
+//! Connections and requests of clients.
 
 use cranehill_core::{Input, Origin};
 use mio::Token;
@@ -34,15 +34,16 @@
             let now = self.clock.now();
             match self.connections.add(stream, kind, true, now) {
                 Ok(connection) => self.pump(connection),
-                Err(e) => log::error!("accept: {e}"),
+                Err(e) => log::error!("accept: client connection not registered: {e}"),
             }
         }
-        // There is no further event for those that still wait.
-        self.listeners.accept_again_at(self.clock.now());
+        // The poll reports no further event for connections that are already waiting.
+        self.listeners.retry_accept_at(self.clock.now());
     }
 
-    /// Protects the connections against clients that connect and send nothing, or stay after one request: if there are too many, the
-    /// connection least likely to be used is closed. False if each has a request in progress.
+    /// Makes room for one more client connection: at the limit, an idle connection is closed, in the order of
+    /// [`client_ingress::eviction_candidate`]. Otherwise clients that connect without sending requests would block all others. Returns
+    /// false if every connection examined has a request in progress.
     fn make_room_for_client(&mut self) -> bool {
         if self.ingress.has_room(&self.connections) {
             return true;
@@ -52,7 +53,7 @@
         for _ in 0..MAX_EVICTION_CANDIDATES {
             let candidate = client_ingress::eviction_candidate(&self.connections, now);
             let Some(id) = candidate else { return false };
-            // A request that has arrived and was not read yet must not be lost with its connection.
+            // A request that has arrived but is not read yet must not be lost by closing its connection.
             self.pump(id);
             let connection = self.connections.get(id);
             if connection.is_none_or(Connection::is_idle_client) {
@@ -79,7 +80,7 @@
                 return;
             }
         }
-        // The rest waits: one client's stream of requests must not keep the others from their turn.
+        // Further requests wait for the next iteration, so that one client's pipelined requests don't block other connections.
         self.connections.resume(id);
     }
 
@@ -98,12 +99,12 @@
         }
     }
 
-    /// Whether there may be another request.
+    /// Acts on the result of a request; returns whether another request may be buffered.
     fn on_progress(&mut self, id: usize, progress: Progress) -> bool {
         match progress {
             Progress::Answered => return true,
             Progress::Submitted(message) => {
-                // Web Push has one post at a time.
+                // A Web Push client has one request at a time.
                 let may_pipeline = matches!(message.from, Origin::Client(_));
                 self.step(Input::Submitted(message));
                 if may_pipeline {
@@ -119,13 +120,13 @@
         false
     }
 
-    /// Closes a client's connection whose time is over. An incomplete request is answered with the reason.
+    /// Closes a client's connection that timed out. An incomplete request is answered with an error first.
     pub(super) fn time_out_client(&mut self, id: usize) {
         client_ingress::answer_timeout(&mut self.connections, id, self.clock.now());
         self.close_client(id);
     }
 
-    /// Closes a client's connection once the client has noticed.
+    /// Half-closes a client's connection, then waits for the client to close its side.
     fn close_client(&mut self, id: usize) {
         if client_ingress::begin_close(&mut self.connections, id, self.clock.now()) {
             self.pump(id);
@@ -145,7 +146,7 @@
         }
     }
 
-    /// While the sender drains: closes clients' connections between requests.
+    /// Closes client connections between requests while the sender drains.
     pub(super) fn close_draining_clients(&mut self) {
         let now = self.clock.now();
         for id in self.drain.closable(&self.connections, now) {
--- a/crates/daemon/src/reactor/control.rs
+++ b/crates/daemon/src/reactor/control.rs
@@ -1,16 +1,16 @@
-//! How a running reactor is controlled from outside.
+//! Commands to a running reactor, and a handle that ends it from another thread.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use mio::Waker;
 
-/// What the process is commanded by signal.
+/// A command that the process receives as a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlCommand {
-    /// Begin the end, as on SIGTERM.
+    /// Starts the shutdown, as on SIGTERM.
     Stop,
-    /// Read the configuration again, as on SIGHUP.
+    /// Reloads the configuration, as on SIGHUP.
     Reload,
 }
 
@@ -29,11 +29,11 @@
         }
     }
 
-    /// Ends the reactor at once.
+    /// Ends the reactor immediately, without the phases of a shutdown.
     pub fn stop(&self) {
         self.stop_requested.store(true, Ordering::Relaxed);
         if let Err(e) = self.waker.wake() {
-            log::error!("halt: {e}");
+            log::error!("stop: waking the event loop failed: {e}");
         }
     }
 }
--- a/crates/daemon/src/reactor/destinations.rs
+++ b/crates/daemon/src/reactor/destinations.rs
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Cancels calls that are not written yet: they would arrive inside a Retry-After wait, or at an endpoint that drains or is
-    /// removed.
+    /// Cancels calls to these endpoints that are not written completely. They would arrive before the end of a Retry-After wait, or
+    /// at an endpoint that is draining or removed.
     pub(super) fn cancel_unwritten_calls(&mut self, endpoints: &[EndpointId]) {
         for id in UpstreamPool::unwritten_calls(&self.connections, endpoints) {
             self.cancel_unwritten_call(id);
--- a/crates/daemon/src/reactor/effects.rs
+++ b/crates/daemon/src/reactor/effects.rs
@@ -1,4 +1,4 @@
-//! Inputs go to the core, and the effects that it returns are carried out, in their order.
+//! Passes inputs to the core, and carries out the effects that it returns, in their order.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use crate::{client_ingress, client_protocol, fleet_log, webpush};
 
 impl Reactor {
-    /// Gives the core an input that the next tick must decide about.
+    /// Passes an input to the core, and schedules a tick, since its decisions may depend on the input.
     pub(super) fn step(&mut self, input: Input) {
         self.dirty = true;
         self.step_without_tick(input);
     }
 
-    /// Gives the core an input that changes nothing for the decisions.
+    /// Passes an input to the core that does not affect its decisions, so no tick is needed.
     pub(super) fn step_without_tick(&mut self, input: Input) {
         let effects = self.core.step(self.clock.now(), input);
         self.carry_out(effects);
@@ -62,7 +62,7 @@
 
     fn persist(&mut self, records: Vec<Record>) {
         let persisted = self.journal.append(records, self.clock.now());
-        // What could not be persisted is completed in the core: another tick must decide about that.
+        // The core completes messages that could not be persisted, so another tick is needed.
         self.dirty |= persisted != Persisted::All;
         self.step_without_tick(Input::Persisted(persisted));
     }
@@ -70,13 +70,13 @@
     fn answer(&mut self, to: Origin, id: &str, answer: Answer) {
         let (connection, bytes) = match to {
             Origin::Client(connection) => {
-                log::trace!("message {id}: client {connection} is answered {answer:?}");
+                log::trace!("message {id}: answered on connection {connection}: {answer:?}");
                 (connection, client_protocol::write_answer(answer))
             }
             Origin::Waiting(connection) => (connection, webpush::write_answer(answer, id)),
             Origin::Restored => return,
         };
-        // At the end of the process, and while the sender drains, connections are closed between requests.
+        // During shutdown, and while the sender drains, connections are closed between requests.
         let closing = !self.listeners.is_open() || self.drain.is_active();
         let now = self.clock.now();
         client_ingress::answer(&mut self.connections, connection, &bytes, closing, now);
@@ -85,5 +85,5 @@
 
 fn log_recovery_complete(took: Duration) {
     log::info!(event = "recovery-complete", took_ms = took.as_millis() as u64;
-        "recovery: complete {took:?} after the start");
+        "recovery: completed {took:?} after the start");
 }
--- a/crates/daemon/src/reactor/events.rs
+++ b/crates/daemon/src/reactor/events.rs
@@ -1,4 +1,4 @@
-//! Events of the poll, dispatched by token, and connections, by kind.
+//! Dispatches events of the poll by token, and input on connections by kind.
 
 use mio::{Events, Token};
 
@@ -16,7 +16,7 @@
 impl Reactor {
     pub(super) fn dispatch(&mut self, events: &Events) {
         let mut tokens: Vec<Token> = events.iter().map(mio::event::Event::token).collect();
-        // Operators come before everything that clients and destinations have sent.
+        // Operators' commands are processed before everything that clients and destinations have sent.
         if self.listeners.operators.is_some() {
             tokens.sort_by_key(|token| !self.is_operators(*token));
         }
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Moves bytes on a connection and processes what has arrived.
+    /// Sends and receives on a connection, and processes what has arrived.
     pub(super) fn pump(&mut self, id: usize) {
         let now = self.clock.now();
         let write_deadline = self
@@ -54,7 +54,9 @@
             .get(id)
             .and_then(Connection::write_deadline);
         if write_deadline.is_some_and(|deadline| deadline <= now) {
-            log::debug!("connection {id}: a call is not sent, it may not be repeated any more");
+            log::debug!(
+                "connection {id}: call cancelled, the time in which it may be repeated is over"
+            );
             self.cancel_unwritten_call(id);
         }
         match self.connections.transfer(id, &self.clock) {
@@ -82,7 +84,7 @@
         }
     }
 
-    /// A connection could not be opened, or is closed without the response that was due.
+    /// Handles a connection that could not be established, or ended without the expected response.
     pub(super) fn on_connection_failed(&mut self, id: usize, why: &str) {
         let Some(connection) = self.connections.close(id) else {
             return;
@@ -93,7 +95,7 @@
                 call: Some(call),
                 ..
             } => {
-                log::debug!("endpoint {endpoint}: no connection, {why}");
+                log::debug!("endpoint {endpoint}: connection failed: {why}");
                 self.finish_call(FinishedCall::without_response(call, Status::NoConnection));
             }
             ConnectionKind::Destination {
--- a/crates/daemon/src/reactor/fleet.rs
+++ b/crates/daemon/src/reactor/fleet.rs
@@ -1,4 +1,4 @@
-//! The membership's packets, inputs and effects.
+//! Packets, inputs and effects of the membership protocol.
 
 use cranehill_core::Input;
 use cranehill_membership as membership;
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The decisions have no tick unless an effect says that something changed for them.
+    /// Passes an input to the membership protocol. Only its effects schedule a tick.
     pub(super) fn step_fleet(&mut self, input: membership::Input) {
         self.step_without_tick(Input::Fleet(input));
     }
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -11,7 +11,7 @@
 use crate::handover_endpoint::HandoverStep;
 
 impl Reactor {
-    /// Holds back attempts while a hand-over is requested; true once everything is handed over and this process may end.
+    /// Holds back attempts while a hand-over is in progress; true once everything is handed over and this process may end.
     pub(super) fn continue_handover(&mut self) -> bool {
         let now = self.clock.now();
         let Some(handover) = &mut self.handover else {
@@ -21,7 +21,7 @@
             HandoverStep::None => {}
             HandoverStep::Quiesce => {
                 let (pending, out) = (self.core.outstanding().0, self.core.attempts_out());
-                log::info!(event = "handover-requested", pending, out; "hand-over: requested; {pending} messages pending, {out} attempts in flight");
+                log::info!(event = "handover-requested", pending, out; "hand-over: requested, {pending} messages pending, {out} attempts in flight");
                 self.step(Input::Quiesced(true));
             }
             HandoverStep::Abandon => self.abort_handover("the requesting process disconnected"),
@@ -34,7 +34,7 @@
     }
 
     fn abort_handover(&mut self, why: &str) {
-        log::warn!("hand-over: {why}; this process goes on");
+        log::warn!("hand-over: cancelled, {why}; this process continues");
         if let Some(handover) = &mut self.handover {
             handover.abort();
         }
@@ -43,7 +43,7 @@
 
     fn hand_over(&mut self) -> io::Result<()> {
         self.interrupt_all_calls();
-        // Everything that clients have sent is read, persisted and answered first.
+        // Everything that clients have sent is read, persisted and answered before the hand-over.
         let clients = self.connections.ids(Connection::is_client);
         for &id in &clients {
             self.pump(id);
@@ -53,20 +53,20 @@
             return Ok(());
         };
         let learned_state = self.core.learned_state();
-        let passed = handover.hand_over(
+        let handed_over = handover.hand_over(
             learned_state,
             &self.listeners,
             &mut self.connections,
             clients,
         )?;
         let (pending, reports) = self.core.outstanding();
-        log::info!(event = "handover-complete", clients = passed, pending, reports;
-            "hand-over: complete, with {passed} client connections; {pending} messages and {reports} final reports are in the journal");
+        log::info!(event = "handover-complete", clients = handed_over, pending, reports;
+            "hand-over: completed, {handed_over} client connections handed over; {pending} messages and {reports} final reports remain in the journal");
         self.reject_waiting_clients();
         Ok(())
     }
 
-    /// Ends the calls in flight, as at an end by signal: their messages may have been executed, and the journal says so.
+    /// Ends the calls in flight, as at a shutdown. Their messages are possibly executed, and the journal records them as such.
     fn interrupt_all_calls(&mut self) {
         for id in self
             .connections
--- a/crates/daemon/src/reactor/operators.rs
+++ b/crates/daemon/src/reactor/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' connections and commands.
+//! Connections and commands of operators.
 
 use cranehill_core::{Detachments, Input};
 use mio::Token;
@@ -26,7 +26,7 @@
                 Ok(Accepted::Aborted) => {}
                 Ok(Accepted::Nothing) => return,
                 Err(e) => {
-                    log::error!("operator: {e}");
+                    log::error!("operator: connection not accepted: {e}");
                     return;
                 }
             }
@@ -39,7 +39,7 @@
         let now = self.clock.now();
         match self.connections.add(stream, kind, true, now) {
             Ok(connection) => self.pump(connection),
-            Err(e) => log::error!("operator: {e}"),
+            Err(e) => log::error!("operator: connection not registered: {e}"),
         }
     }
 
@@ -66,10 +66,10 @@
                 Err(response) => self.respond_to_operator(id, &response),
             }
         }
-        let is_over = self.connections.get(id).is_some_and(|connection| {
+        let is_finished = self.connections.get(id).is_some_and(|connection| {
             connection.close_after_write && connection.is_written() || connection.ended
         });
-        if is_over {
+        if is_finished {
             self.connections.close(id);
         }
     }
@@ -92,32 +92,42 @@
                 self.drain.set(active, &self.connections, self.clock.now());
                 operator_protocol::write_ok()
             }
-            // Answered once the core has decided, by `on_detached`.
+            // `on_detached` sends the response once the core has carried out the command.
             OperatorCommand::Detach(endpoint) => return self.detach(id, endpoint, false),
             OperatorCommand::Attach(endpoint) => return self.detach(id, endpoint, true),
         };
         self.respond_to_operator(id, &response);
     }
 
-    fn detach(&mut self, by: usize, endpoint: String, back: bool) {
-        self.step(Input::Detach { by, endpoint, back });
+    /// Detaches an endpoint, or attaches it, by a command on `connection`.
+    fn detach(&mut self, connection: usize, endpoint: String, attach: bool) {
+        self.step(Input::Detach {
+            by: connection,
+            endpoint,
+            back: attach,
+        });
     }
 
-    /// The result of a command to detach or attach. The change is in the folder before it is confirmed.
-    pub(super) fn on_detached(&mut self, by: usize, known: bool, detachments: &Detachments) {
+    /// Answers a command to detach or attach on `connection`. The change is persisted before it is confirmed.
+    pub(super) fn on_detached(
+        &mut self,
+        connection: usize,
+        known: bool,
+        detachments: &Detachments,
+    ) {
         let response = if !known {
             operator_protocol::write_not_found("nobody holds such an endpoint\n")
         } else if let Err(e) = self.state_store.write_detachments(detachments) {
             log::error!(
-                "operator: the detached endpoints can't be written and would be lost at a restart: {e}"
+                "operator: the list of detached endpoints can't be written and would be lost at a restart: {e}"
             );
             operator_protocol::write_error("done, but a restart would forget it\n")
         } else {
             let out = &detachments.out;
-            log::info!(event = "detached", endpoints = out.len(); "operator: detached now: {out:?}");
+            log::info!(event = "detached", endpoints = out.len(); "operator: detached endpoints: {out:?}");
             operator_protocol::write_ok()
         };
-        self.respond_to_operator(by, &response);
+        self.respond_to_operator(connection, &response);
     }
 
     fn respond_to_operator(&mut self, id: usize, response: &[u8]) {
--- a/crates/daemon/src/reactor/options.rs
+++ b/crates/daemon/src/reactor/options.rs
@@ -1,4 +1,4 @@
-//! What a reactor is started with, and why it can't be.
+//! The options of a reactor, and the errors at its start.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,33 +14,33 @@
 use crate::platform_settings::PlatformSettings;
 use crate::webpush::{self, VapidError};
 
-/// What a sender is started with.
+/// The options with which a sender is started.
 pub struct ReactorOptions {
-    /// The deployment's settings.
+    /// The settings of the platform's deployment.
     pub platform_settings: PlatformSettings,
-    /// Seed of all random choices.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// The folder that outlasts the process; without one nothing is persisted.
+    /// The state folder; without one nothing is persisted.
     pub state: Option<State>,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: Option<SocketAddr>,
-    /// Where discovery is, and final reports go.
+    /// The address of discovery, to which final reports are sent as well.
     pub discovery: Option<SocketAddr>,
-    /// Version of the endpoint list known at start; 0 for none.
+    /// Version of the initial endpoint list; 0 without one.
     pub known_version: u64,
-    /// Endpoints known at start.
+    /// The initial endpoint list, used until discovery answers.
     pub known: Vec<Listing>,
-    /// The Web Push front.
+    /// The Web Push file; without it the sender serves no Web Push.
     pub push: Option<webpush::File>,
-    /// This sender's part in the fleet.
+    /// The fleet file; without it the sender is not in a fleet.
     pub fleet: Option<Fleet>,
-    /// Where operators reach this sender.
+    /// The address of the operators' HTTP interface. Only with one is a hand-over possible.
     pub operator: Option<SocketAddr>,
-    /// File descriptors that the process may use.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Bytes that the process may use.
+    /// Memory that the process may use, in bytes.
     pub memory: usize,
-    /// Reads the configuration again.
+    /// Reads the configuration at a reload.
     pub read_config: Option<ConfigReader>,
 }
 
@@ -48,22 +48,22 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
-    /// The system has no poll.
+    /// The poll can't be created.
     #[error("poll: {0}")]
     Poll(#[source] io::Error),
-    /// Another process has the state folder.
+    /// The state folder's lock can't be acquired.
     #[error(transparent)]
     Handover(#[from] HandoverError),
     /// The journal can't be opened.
     #[error(transparent)]
     Journal(#[from] JournalOpenError),
-    /// The VAPID key or subject can't be used.
+    /// The VAPID key or subject is not valid.
     #[error(transparent)]
     Vapid(#[from] VapidError),
-    /// The settings can't be used.
+    /// The scheduler rejects the settings.
     #[error("{0}")]
     Settings(SettingsError),
-    /// A socket can't be listened on.
+    /// A listening socket can't be opened.
     #[error(transparent)]
     Listen(#[from] ListenError),
 }
--- a/crates/daemon/src/reactor/platform.rs
+++ b/crates/daemon/src/reactor/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: discovery's endpoint list, final reports, and where both are.
+//! The platform: the endpoint list from discovery, final reports, and a reload of the address of both.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::webpush::WebPushFront;
 
 impl Reactor {
-    /// Processes what has arrived on a connection to the platform.
+    /// Processes the input on a connection to the platform.
     pub(super) fn on_platform(&mut self, id: usize, write_failed: bool) {
         let Some(connection) = self.connections.get_mut(id) else {
             return;
@@ -31,11 +31,9 @@
                 }
             }
             Ok(None) if !ended => {}
-            Ok(None) => self.on_connection_failed(id, "the connection ended without an answer"),
+            Ok(None) => self.on_connection_failed(id, "the connection ended without a response"),
             Err(http::TOO_LARGE) if is_watch => {
-                let why = format!(
-                    "the list has more than the {max_body_bytes} bytes that are read of one answer"
-                );
+                let why = format!("the endpoint list exceeds the limit of {max_body_bytes} bytes");
                 self.on_connection_failed(id, &why);
             }
             Err(http::Malformed(why)) => self.on_connection_failed(id, why),
@@ -43,8 +41,8 @@
     }
 
     fn on_discovery_response(&mut self, id: usize, response: &Response, reusable: bool) {
-        // A watch that was answered with anything but a list is repeated on a new connection, later: the old one must not remain as
-        // a second watch.
+        // After a response that is not a list, the watch is repeated later on a new connection. The old connection is closed, so that
+        // it does not remain as a second watch.
         let reuse = reusable && response.status == 200;
         if !reuse {
             self.connections.close(id);
@@ -86,7 +84,7 @@
         }
     }
 
-    /// Sends discovery the next request, on this connection or on a new one.
+    /// Sends the next request to discovery on this connection, or on a new one.
     pub(super) fn poll_discovery(&mut self, connection: Option<usize>) {
         let now = self.clock.now();
         self.discovery
@@ -100,20 +98,21 @@
         }
     }
 
-    /// Reads the configuration again.
+    /// Reads the configuration at a reload.
     pub(super) fn read_config(&mut self) {
         if let Some(address) = self.reload.read(self.clock.now()) {
             self.move_platform(address);
         }
     }
 
-    /// The platform is at another address: watch and final reports go there, and what the old one has not answered is sent again.
+    /// Uses another address of the platform for the watch and final reports. Requests that the old one has not answered are
+    /// repeated.
     fn move_platform(&mut self, address: SocketAddr) {
         if self.discovery.address() == Some(address) {
-            log::info!("reload: discovery stays at {address}");
+            log::info!("reload: discovery address unchanged: {address}");
             return;
         }
-        log::info!("reload: discovery is at {address} now");
+        log::info!("reload: discovery address changed to {address}");
         let now = self.clock.now();
         let is_platform = |connection: &Connection| {
             matches!(
--- a/crates/daemon/src/reactor/shutdown.rs
+++ b/crates/daemon/src/reactor/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process.
+//! Shutdown of the process in phases.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::tokens::{CLIENTS, WEB_PUSH};
 use crate::webpush;
 
-/// When a client that waited for a push's end at the end of the process may retry.
+/// The Retry-After for clients that still wait for the result of a push when the process ends.
 const RETRY_AFTER_SHUTDOWN: Duration = Duration::from_secs(5);
 
 impl Reactor {
-    /// Carries out the phases from SIGTERM to the end of the process; true at the end.
+    /// Carries out the phases of the shutdown; true once the process may end.
     pub(super) fn continue_shutdown(&mut self) -> bool {
         let phase = self.shutdown.phase(self.clock.now());
         if phase < ShutdownPhase::Closing {
@@ -26,14 +26,15 @@
         if self.shutdown.stop_sending(phase) {
             self.step(Input::Stopping);
         }
-        if !self.is_finished() && phase < ShutdownPhase::Over {
+        if !self.is_finished() && phase < ShutdownPhase::Ended {
             return false;
         }
         self.reject_waiting_clients();
         true
     }
 
-    /// Accepts the last connections, and closes clients' connections between requests only: what has arrived is answered first.
+    /// Accepts waiting connections, closes the listeners, and closes client connections between requests. Requests that have
+    /// arrived are answered first.
     fn close_ingress(&mut self) {
         self.accept_clients(CLIENTS);
         self.accept_clients(WEB_PUSH);
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Whether nothing is left to do that could be done before the end.
+    /// Whether no work is left that can still be done before the end of the process.
     fn is_finished(&self) -> bool {
         let (pending, reports) = self.core.outstanding();
         let nothing_pending =
@@ -52,7 +53,7 @@
         nothing_pending && reports == 0 && !connections.any(Connection::delays_shutdown)
     }
 
-    /// Clients that still wait for a message's end are asked to retry; nothing was promised to them.
+    /// Tells clients that still wait for a message's result to retry. Their messages have not been accepted.
     pub(super) fn reject_waiting_clients(&mut self) {
         let waits = |connection: &Connection| {
             matches!(
--- a/crates/daemon/src/reactor/start.rs
+++ b/crates/daemon/src/reactor/start.rs
@@ -1,4 +1,4 @@
-//! The start: the state of an earlier process is restored, then the sender listens.
+//! Starting a sender: restoring the state of an earlier process, then listening.
 
 use std::collections::BTreeSet;
 use std::mem;
@@ -35,23 +35,23 @@
 use crate::watch::Watch;
 use crate::webpush::{self, WebPushFront};
 
-/// Descriptors that are neither clients' nor destinations': the listeners, the poll, signals, discovery, final reports, the
-/// journal's head and the other files, the fleet and its view.
+/// File descriptors for other uses than clients and destinations: listeners, the poll, signals, discovery, final reports, the
+/// journal's open segment and other files, and the fleet's sockets.
 const RESERVED_SOCKETS: usize = 24;
-/// Connections to destinations kept idle besides those of the calls in flight.
+/// Idle connections to destinations in addition to those of calls in flight.
 const IDLE_SOCKETS: usize = 32;
-/// Connections to destinations, however few descriptors there are.
+/// Minimum number of connections to destinations, whatever the limit on file descriptors.
 const MIN_DESTINATION_CONNECTIONS: usize = 8;
 
-/// How many connections there may be.
+/// Limits on the number of connections, derived from the limit on file descriptors.
 struct ConnectionLimits {
     clients: usize,
     destinations: usize,
 }
 
 impl ConnectionLimits {
-    /// Clients get what the calls in flight leave, but always enough for the third of the descriptors that their requests may take,
-    /// and as much again for those that send nothing.
+    /// Clients get the descriptors that calls in flight leave, but at least 9/20 and at most 2/3 of all: their requests may use a
+    /// third of the descriptors, and as many again may be connected without sending anything.
     fn new(options: &ReactorOptions) -> ConnectionLimits {
         let operators = options.operator.map_or(0, |_| MAX_OPERATOR_CONNECTIONS + 1);
         let sockets = options.sockets.saturating_sub(operators);
@@ -70,7 +70,7 @@
     }
 }
 
-/// Where the sender is to listen.
+/// The addresses to listen on.
 struct ListenAddresses {
     clients: Option<SocketAddr>,
     operators: Option<SocketAddr>,
@@ -78,15 +78,15 @@
 }
 
 impl Reactor {
-    /// Restores what an earlier process left, then listens.
+    /// Starts a sender: restores the state that an earlier process left, then listens.
     ///
     /// # Errors
-    /// The state folder, an address or the settings can't be used.
+    /// The state folder or an address can't be used, or the settings are not valid.
     pub fn new(mut options: ReactorOptions) -> Result<Reactor, StartError> {
-        let (folder_lock, inherited) = take_over_folder(&options)?;
+        let (folder_lock, inherited) = acquire_folder(&options)?;
         let mut clock = Clock::new();
         let (journal, recovered) = open_journal(&options, clock.now())?;
-        // A clock that was set back must not give messages more time than they had.
+        // If the system's clock was set back, the restored messages must not get more time than they had left.
         clock.advance_to(Duration::from_millis(recovered.latest_ms));
         let addresses = ListenAddresses {
             clients: options.listen,
@@ -105,7 +105,7 @@
         Ok(reactor)
     }
 
-    /// The parts, before anything is restored.
+    /// Creates the components, before anything is restored.
     fn assemble(
         options: ReactorOptions,
         clock: Clock,
@@ -154,7 +154,7 @@
         })
     }
 
-    /// Gives the core what an earlier process left, and joins the fleet.
+    /// Passes the state of an earlier process to the core, and joins the fleet.
     fn restore(
         &mut self,
         known: Vec<Listing>,
@@ -173,7 +173,7 @@
         if let Some(detachments) = self.state_store.read_detachments() {
             if !detachments.out.is_empty() {
                 let out = &detachments.out;
-                log::info!(event = "detached", endpoints = out.len(); "operator: detached still: {out:?}");
+                log::info!(event = "detached", endpoints = out.len(); "operator: endpoints still detached: {out:?}");
             }
             self.core.detached_before(detachments);
         }
@@ -212,7 +212,7 @@
             limits.destinations
         );
         if let Some(address) = self.discovery.address() {
-            log::info!("discovery: at {address}");
+            log::info!("discovery: address is {address}");
         }
         let status = self.fleet.as_ref().and_then(FleetEndpoint::status_address);
         if let Some(status) = status {
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Listens, and continues the connections of the old process.
+    /// Opens the listeners, or continues with those of the old process, and adopts its client connections.
     fn open_listeners(
         &mut self,
         addresses: &ListenAddresses,
@@ -248,7 +248,7 @@
             let listener = self.listeners.web_push.insert(listener);
             log_listening("Web Push", listeners::local_address(Some(listener)));
         }
-        // Only operators start a second process beside this one.
+        // A second process is started only by operators, for a hand-over.
         if let Some(dir) = self
             .state_store
             .dir()
@@ -293,30 +293,30 @@
                 }
                 self.connections.resume(id);
             }
-            Err(e) => log::error!("hand-over: a client's connection: {e}"),
+            Err(e) => log::error!("hand-over: inherited client connection failed: {e}"),
         }
     }
 }
 
 fn log_listening(purpose: &str, address: Option<SocketAddr>) {
-    let shown = address.map_or("nowhere".into(), |address| address.to_string());
+    let shown = address.map_or("an unknown address".into(), |address| address.to_string());
     log::info!("listening for {purpose} at {shown}");
 }
 
-/// Only operators start a second process beside this one; without them the folder has no lock.
-fn take_over_folder(
+/// Acquires the state folder. It is locked only if there is an operators' interface, since only operators start a second process.
+fn acquire_folder(
     options: &ReactorOptions,
 ) -> Result<(Option<FolderLock>, InheritedSockets), StartError> {
     match &options.state {
         Some(state) if options.operator.is_some() => {
-            let (lock, inherited) = handover::take_over(&state.dir)?;
+            let (lock, inherited) = handover::acquire_folder(&state.dir)?;
             Ok((Some(lock), inherited))
         }
         _ => Ok((None, InheritedSockets::default())),
     }
 }
 
-/// Opens the journal, which gets what the other files of the folder leave.
+/// Opens the journal. It may use the disk space that the other files of the folder leave.
 fn open_journal(
     options: &ReactorOptions,
     now: Time,
--- a/crates/daemon/src/reactor/timers.rs
+++ b/crates/daemon/src/reactor/timers.rs
@@ -1,4 +1,4 @@
-//! When the loop must wake up though nothing happens, and what it does then.
+//! Timers: when the event loop must wake up without an event, and what it does then.
 
 use cranehill_core::Input;
 use cranehill_membership as membership;
@@ -11,7 +11,7 @@
 use crate::upstream::Interruption;
 use crate::{client_ingress, operator_connections};
 
-const NO_RESPONSE: &str = "no answer in time";
+const NO_RESPONSE: &str = "no response before the timeout";
 
 impl Reactor {
     pub(super) fn next_wakeup(&self, now: Time) -> Option<Time> {
@@ -65,7 +65,7 @@
     fn run_fleet_timer(&mut self, now: Time) {
         let Some(fleet) = &mut self.fleet else { return };
         let (has_more, due) = (fleet.has_more(), fleet.take_due(now));
-        // Packets first: a response that waits here must not be missed by the timer that expects it.
+        // Packets are processed before the timer, so that a response which has already arrived is not counted as missing.
         if has_more || due {
             self.receive_from_fleet();
         }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// When a connection needs attention though nothing happens on it.
+    /// When a connection times out.
     fn deadline(&self, connection: &Connection) -> Option<Time> {
         match &connection.kind {
             ConnectionKind::Destination { .. } => self.upstream.deadline(connection),
@@ -93,7 +93,7 @@
     }
 
     fn on_deadline(&mut self, id: usize, now: Time) {
-        // The response may have arrived while the loop was busy.
+        // The response may have arrived while the event loop was busy.
         self.pump(id);
         let Some(connection) = self.connections.get(id) else {
             return;
@@ -103,7 +103,7 @@
         }
         let sent = connection.established && connection.is_written();
         match &connection.kind {
-            // The next attempt must not overlap this one: the call is ended, with all its messages.
+            // The call is ended for all its messages, so that their next attempts don't overlap this one.
             ConnectionKind::Destination { call: Some(_), .. } if sent => {
                 self.interrupt_call(id, Interruption::OutOfTime);
             }
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -1,34 +1,34 @@
-//! The phases from SIGTERM to the end of the process.
+//! The phases of a shutdown, from SIGTERM to the end of the process.
 
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
 
-/// The platform's front may still send new connections for 400 ms after SIGTERM.
+/// How long new connections are accepted: the platform's load balancer may route them here for 400 ms after SIGTERM.
 const ACCEPT_FOR: Duration = Duration::from_millis(450);
-/// From here on no new attempts: they could hardly end before the process does.
+/// After this time no new attempts are sent, since they would rarely finish before the end of the process.
 const SEND_FOR: Duration = Duration::from_millis(2600);
-/// The process ends by itself before SIGKILL comes at 3.7 s.
+/// The process exits after this time, before the platform sends SIGKILL at 3.7 s.
 const END_AFTER: Duration = Duration::from_millis(3400);
-/// How often the reactor checks whether everything has ended.
+/// Interval between checks whether all work has ended.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How far the end of the process has come. Each phase includes the ones before it.
+/// The phase of a shutdown. Each phase includes the earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ShutdownPhase {
-    /// Not requested.
+    /// No shutdown is requested.
     Running,
-    /// Requested; new connections are still accepted.
+    /// Shutdown is requested; new connections are still accepted.
     Accepting,
-    /// Clients are closed between requests.
+    /// Client connections are closed between requests.
     Closing,
     /// No new attempts are sent.
     NotSending,
-    /// The process ends now.
-    Over,
+    /// The process exits now.
+    Ended,
 }
 
-/// The end of the process.
+/// The state of a shutdown: when it was requested, and whether sending has stopped.
 #[derive(Debug, Default)]
 pub(crate) struct Shutdown {
     since: Option<Time>,
@@ -36,7 +36,7 @@
 }
 
 impl Shutdown {
-    /// Begins the end; false if it has begun before.
+    /// Starts the shutdown; false if it was started before.
     pub(crate) fn begin(&mut self, now: Time) -> bool {
         let first = self.since.is_none();
         self.since.get_or_insert(now);
@@ -59,11 +59,11 @@
         } else if passed < END_AFTER {
             ShutdownPhase::NotSending
         } else {
-            ShutdownPhase::Over
+            ShutdownPhase::Ended
         }
     }
 
-    /// True once, when sending is to stop.
+    /// Returns true the first time that the phase requires sending to stop.
     pub(crate) fn stop_sending(&mut self, phase: ShutdownPhase) -> bool {
         let due = phase >= ShutdownPhase::NotSending && !self.sending_stopped;
         self.sending_stopped |= due;
--- a/crates/daemon/src/state_file.rs
+++ b/crates/daemon/src/state_file.rs
@@ -1,47 +1,47 @@
-//! Small files beside the journal in the state folder, each replaced as a whole.
+//! Small files next to the journal in the state folder, each replaced atomically.
 
 use std::fs;
 use std::io::{self, ErrorKind};
 use std::path::Path;
 
-/// Blocks in which the disk counts a file's size.
+/// Unit in which the file system counts disk usage.
 const DISK_BLOCK_BYTES: u64 = 512;
 
-/// One of the files. The journal's folder holds it, and the journal leaves it alone.
+/// A file in the state folder that the journal ignores.
 pub(crate) struct StateFile {
     name: &'static str,
-    /// Its successor while that is written.
+    /// Name of the new version while it is written.
     temporary_name: &'static str,
     max_bytes: u64,
 }
 
-/// What this sender has learned of destinations.
+/// The learned state of destinations.
 pub(crate) const LEARNED_STATE: StateFile = StateFile {
     name: "learnt",
     temporary_name: "learnt.new",
     max_bytes: cranehill_recovery::MAX_LEARNED_STATE_BYTES as u64,
 };
-/// Endpoints that operators have detached, as JSON.
+/// The endpoints that operators have detached, as JSON.
 pub(crate) const DETACHED: StateFile = StateFile {
     name: "detached",
     temporary_name: "detached.new",
     max_bytes: 12 * 1024,
 };
 
-/// Whether a file of this name is one of them.
-pub(crate) fn is_ours(file: &str) -> bool {
+/// Whether a file with this name is a state file, or the new version of one.
+pub(crate) fn is_state_file(file: &str) -> bool {
     [LEARNED_STATE, DETACHED]
         .iter()
-        .any(|ours| file == ours.name || file == ours.temporary_name)
+        .any(|state_file| file == state_file.name || file == state_file.temporary_name)
 }
 
 impl StateFile {
-    /// The disk space of the file and its successor, in bytes.
+    /// Disk space of the file and its new version, in bytes.
     pub(crate) const fn disk_bytes(&self) -> u64 {
         2 * (self.max_bytes + DISK_BLOCK_BYTES)
     }
 
-    /// The file's bytes; `None` if there is no file.
+    /// Reads the file; `None` if it does not exist.
     pub(crate) fn read(&self, dir: &Path) -> io::Result<Option<Vec<u8>>> {
         match fs::read(dir.join(self.name)) {
             Ok(bytes) => Ok(Some(bytes)),
@@ -50,11 +50,14 @@
         }
     }
 
-    /// Replaces the file: a reader finds the old one or the new one, whole.
+    /// Replaces the file atomically.
+    ///
+    /// # Errors
+    /// The content exceeds the file's limit, or can't be written.
     pub(crate) fn write(&self, dir: &Path, bytes: &[u8]) -> io::Result<()> {
         if bytes.len() as u64 > self.max_bytes {
             return Err(io::Error::other(format!(
-                "{} would have {} bytes of {}",
+                "{}: {} bytes exceed the limit of {} bytes",
                 self.name,
                 bytes.len(),
                 self.max_bytes
--- a/crates/daemon/src/state_store.rs
+++ b/crates/daemon/src/state_store.rs
@@ -1,4 +1,4 @@
-//! What the next process is to know besides the journal: learned state, and detached endpoints.
+//! State that persists across restarts besides the journal: learned state, and detached endpoints.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,10 +11,10 @@
 use crate::state_file::{DETACHED, LEARNED_STATE};
 use crate::throttled_log::ThrottledLog;
 
-/// How often the log says that learned state can't be written.
+/// Minimum interval between two log lines about learned state that can't be written.
 const WRITE_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The state files in the folder that outlasts the process, if there is one.
+/// The state files in the state folder. Without a folder, nothing is read or written.
 pub(crate) struct StateStore {
     dir: Option<PathBuf>,
     write_errors: ThrottledLog,
@@ -32,11 +32,11 @@
         self.dir.as_deref()
     }
 
-    /// What an earlier process had learned of destinations.
+    /// The learned state that an earlier process has written; `None` if it is absent or can't be read.
     pub(crate) fn read_learned_state(&self) -> Option<Vec<u8>> {
         let dir = self.dir.as_deref()?;
         LEARNED_STATE.read(dir).unwrap_or_else(|e| {
-            log::warn!("recovery: the learned state can't be read: {e}");
+            log::warn!("recovery: can't read the learned state: {e}");
             None
         })
     }
@@ -46,17 +46,17 @@
         if let Err(e) = LEARNED_STATE.write(dir, bytes)
             && self.write_errors.record(now).is_some()
         {
-            log::warn!("recovery: the learned state can't be written: {e}");
+            log::warn!("recovery: can't write the learned state: {e}");
         }
     }
 
-    /// What an earlier process had detached.
+    /// The detached endpoints that an earlier process has written; `None` if they are absent or can't be read.
     pub(crate) fn read_detachments(&self) -> Option<Detachments> {
         match self.try_read_detachments() {
             Ok(detachments) => detachments,
             Err(e) => {
                 log::error!(
-                    "operator: the detached endpoints can't be read, so all listed endpoints are used: {e}"
+                    "operator: can't read the detached endpoints, so all listed endpoints are used: {e}"
                 );
                 None
             }
--- a/crates/daemon/src/throttled_log.rs
+++ b/crates/daemon/src/throttled_log.rs
@@ -1,10 +1,10 @@
-//! Log lines that a flood of events must not turn into a flood of lines.
+//! Rate limiting of log lines about frequent events.
 
 use std::time::Duration;
 
 use cranehill_scheduler::Time;
 
-/// At most one line an interval, with the number of events since the last one.
+/// Limits a log line to one per interval, and counts the events since the last line.
 #[derive(Debug)]
 pub(crate) struct ThrottledLog {
     interval: Duration,
@@ -13,7 +13,7 @@
 }
 
 impl ThrottledLog {
-    /// The first event's line is written at once.
+    /// Creates a limit that lets the first event's line be written immediately.
     pub(crate) fn new(interval: Duration, now: Time) -> ThrottledLog {
         ThrottledLog {
             interval,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Counts an event. If a line may be written now, the number of events that it stands for.
+    /// Counts an event. If a line may be written now, returns the number of events since the last line, this one included.
     pub(crate) fn record(&mut self, now: Time) -> Option<u64> {
         self.events += 1;
         if now < self.next_line {
--- a/crates/daemon/src/throttled_log/tests.rs
+++ b/crates/daemon/src/throttled_log/tests.rs
@@ -1,4 +1,4 @@
-//! How often a throttled line is written, and what it counts.
+//! The rate of throttled log lines, and the number of events that they report.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::ThrottledLog;
 
 #[test]
-fn one_line_an_interval_counts_the_events_since_the_last() {
+fn one_line_per_interval_reports_the_events_since_the_last_line() {
     let at = |ms| Time(0) + Duration::from_millis(ms);
     let mut log = ThrottledLog::new(Duration::from_millis(100), at(0));
     assert_eq!(log.record(at(0)), Some(1));
--- a/crates/daemon/src/time_span.rs
+++ b/crates/daemon/src/time_span.rs
@@ -1,15 +1,15 @@
-//! Spans of time in operators' files.
+//! Time spans in operators' files.
 
 use std::time::Duration;
 
 use serde::de::{Deserialize, Deserializer, Error};
 
-/// A span of time with its unit, such as `400 ms` or `1 min 30 s`.
+/// A time span written with its unit, such as `400 ms` or `1 min 30 s`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TimeSpan(pub(crate) Duration);
 
 impl TimeSpan {
-    /// The span given, or so many milliseconds where none is.
+    /// The given span, or `default` milliseconds.
     pub(crate) fn or_millis(given: Option<TimeSpan>, default: u64) -> Duration {
         given.map_or(Duration::from_millis(default), |span| span.0)
     }
--- a/crates/daemon/src/tokens.rs
+++ b/crates/daemon/src/tokens.rs
@@ -1,10 +1,10 @@
-//! The poll's tokens. Connections use theirs as ids, from [`FIRST_CONNECTION`] on.
+//! The poll's tokens. A connection's token is its id, counted from [`FIRST_CONNECTION`].
 
 use mio::Token;
 
 pub(crate) const CLIENTS: Token = Token(0);
 pub(crate) const WEB_PUSH: Token = Token(1);
-/// For the caller's signals.
+/// Token for the caller's source of signals, registered with [`crate::reactor::Reactor::registry`].
 pub const SIGNALS: Token = Token(2);
 pub(crate) const STOP: Token = Token(3);
 pub(crate) const FLEET: Token = Token(4);
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to destinations, and the calls in flight on them.
+//! The connection pool for destinations, and the calls in flight on its connections.
 
 use std::collections::BTreeSet;
 use std::io::{self, ErrorKind};
@@ -16,23 +16,23 @@
 use crate::finished_call::{self, FinishedCall};
 use crate::http::{self, Response};
 
-/// However many idle connections turn out dead, one that was used this recently is used again.
+/// Lower limit of [`UpstreamPool::trusted_idle`], however many idle connections turn out to be closed by the peer.
 const MIN_TRUSTED_IDLE: Duration = Duration::from_millis(100);
-/// An idle connection is not used any more this long before the destination closes it.
+/// An idle connection is not reused within this time before the destination closes it.
 const IDLE_MARGIN: Duration = Duration::from_millis(1000);
 
 /// Why a call ends without a complete response.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Interruption {
-    /// Its deadline has passed.
+    /// The call's deadline has passed.
     OutOfTime,
-    /// What arrived is malformed, stalls, or does not end.
+    /// The response is malformed, stalls, or exceeds the size limit.
     Spoilt,
-    /// The peer ended the connection; `written`: the call had been sent completely.
+    /// The peer closed the connection; `written` if the call had been sent completely.
     Ended { written: bool },
 }
 
-/// What came of the bytes on a destination's connection.
+/// The result of processing the input on a destination's connection.
 pub(crate) enum UpstreamEvent {
     Nothing,
     HealthChecked {
@@ -42,13 +42,13 @@
     CallFinished(FinishedCall),
 }
 
-/// The connections to destinations.
+/// The connections to destinations, which are reused for several calls.
 pub(crate) struct UpstreamPool {
     max_connections: usize,
     connect_timeout: Duration,
-    /// An idle connection is closed after this.
+    /// An idle connection is closed after this time.
     max_idle: Duration,
-    /// A connection that was idle for longer is not written to: as learned from those that turned out dead.
+    /// A connection that was idle for longer is not reused. Learned from idle connections that the peer had closed.
     trusted_idle: Duration,
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// When a destination's connection needs attention though nothing happens on it.
+    /// When a destination's connection times out.
     pub(crate) fn deadline(&self, connection: &Connection) -> Option<Time> {
         match &connection.kind {
             ConnectionKind::Destination {
@@ -89,7 +89,10 @@
         }
     }
 
-    /// Sends a call on an idle connection or a new one; without a connection the call has ended.
+    /// Starts a call on an idle connection or a new one, and returns the connection's id.
+    ///
+    /// # Errors
+    /// No connection can be opened; the error is the finished call.
     pub(crate) fn start_call(
         &mut self,
         connections: &mut ConnectionTable,
@@ -103,7 +106,7 @@
             None => match self.open(connections, endpoint, address, None, now) {
                 Ok(id) => id,
                 Err(e) => {
-                    log::info!("endpoint {endpoint} at {address}: {e}");
+                    log::info!("endpoint {endpoint} at {address}: connect failed: {e}");
                     let finished = FinishedCall::without_response(call, Status::NoConnection);
                     return Err(Box::new(finished));
                 }
@@ -111,7 +114,7 @@
         };
         if let Some(connection) = connections.get_mut(id) {
             log::trace!(
-                "messages {:?}: call to {endpoint} on connection {id}, established: {}",
+                "messages {:?}: calling {endpoint} on connection {id}, established: {}",
                 call.ids,
                 connection.established
             );
@@ -125,7 +128,10 @@
         Ok(id)
     }
 
-    /// Sends a health check on a connection of its own.
+    /// Starts a health check on a new connection.
+    ///
+    /// # Errors
+    /// No connection can be opened.
     pub(crate) fn start_health_check(
         &self,
         connections: &mut ConnectionTable,
@@ -140,7 +146,7 @@
         Ok(())
     }
 
-    /// An idle connection to this endpoint that can be trusted; others are closed.
+    /// The most recently used idle connection to this endpoint that can be reused. Those that can't are closed.
     fn idle_connection(
         &self,
         connections: &mut ConnectionTable,
@@ -158,7 +164,7 @@
         loop {
             let idle = connections.of_endpoint(endpoint, matches);
             let (id, connection) = idle.max_by_key(|(_, connection)| connection.last_used)?;
-            // One that the peer has closed, or is about to close, would lose what is written to it.
+            // A call written to a connection that the peer has closed, or is about to close, would be lost.
             let alive = matches!(connection.stream.peek(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
             if alive && !connection.ended && now - connection.last_used < max_idle {
                 return Some(id);
@@ -167,6 +173,7 @@
         }
     }
 
+    /// Opens a connection to an endpoint; `check` is when its health check is sent, if it is opened for one.
     fn open(
         &self,
         connections: &mut ConnectionTable,
@@ -182,17 +189,17 @@
             check,
         };
         let address: SocketAddr = address.parse().map_err(|_| ErrorKind::InvalidInput)?;
-        // Descriptors are few: the longest idle connection is closed for one that is needed.
+        // File descriptors are limited: at the limit, the connection that has been idle longest is closed first.
         if connections.count(Connection::is_destination) >= self.max_connections {
             let idle = connections.iter().filter(|(_, c)| c.is_idle_destination());
-            let longest = idle.min_by_key(|(_, c)| c.last_used).map(|(id, _)| id);
-            longest.and_then(|id| connections.close(id));
+            let longest_idle = idle.min_by_key(|(_, c)| c.last_used).map(|(id, _)| id);
+            longest_idle.and_then(|id| connections.close(id));
         }
         connections.connect(kind, address, now)
     }
 
-    /// Cancels a call that is not written completely, so that it is never executed. Its connection is kept unless a part of the
-    /// call was sent.
+    /// Cancels a call that is not written completely, so that it is not executed. The connection is kept unless a part of the call
+    /// was sent.
     pub(crate) fn cancel_unwritten(
         connections: &mut ConnectionTable,
         id: usize,
@@ -210,7 +217,7 @@
         Some(FinishedCall::without_response(call, Status::NotSent))
     }
 
-    /// The connections with calls to these endpoints that are not written completely: in the order of the connections, each once.
+    /// The connections with calls to these endpoints that are not written completely, without duplicates and ordered by id.
     pub(crate) fn unwritten_calls(
         connections: &ConnectionTable,
         endpoints: &[EndpointId],
@@ -233,7 +240,7 @@
         }
     }
 
-    /// Processes what has arrived on a destination's connection.
+    /// Processes the input on a destination's connection.
     pub(crate) fn on_received(
         &mut self,
         connections: &mut ConnectionTable,
@@ -265,7 +272,7 @@
             connections.close(id);
             return UpstreamEvent::HealthChecked { endpoint, status };
         }
-        // Idle: closed by the peer, or bytes without a call.
+        // An idle connection is unusable once the peer has closed it, or has sent bytes that belong to no call.
         if ended || !connection.input.is_empty() {
             connections.close(id);
         }
@@ -288,8 +295,8 @@
         else {
             return None;
         };
-        // A response after the deadline that the call states does not count: the destination may hold the call for abandoned,
-        // and then nobody would be notified of how its messages ended.
+        // A response after the deadline stated in the call does not count: the destination may have treated the call as abandoned,
+        // and then nobody would be notified of the results of its messages.
         if written && call.deadline().is_some_and(|deadline| deadline <= now) {
             return self.interrupt(connections, id, Interruption::OutOfTime, now);
         }
@@ -312,7 +319,7 @@
         }
     }
 
-    /// A complete response of `used` bytes: the connection is kept if it can be used again.
+    /// Finishes a call with a complete response of `used` bytes. The connection is kept if it can be reused.
     fn finish_call(
         &mut self,
         connections: &mut ConnectionTable,
@@ -335,17 +342,17 @@
             connection.input.clear();
             connection.clear_output();
             connection.responses += 1;
-            let proven =
+            let survived_idle =
                 connection.responses > 1 && connection.idle_before_call >= self.trusted_idle / 2;
-            if proven {
+            if survived_idle {
                 self.trusted_idle = self.trusted_idle.saturating_mul(51) / 50;
             }
         }
         Some(FinishedCall::new(call, parsed))
     }
 
-    /// Ends a call without a complete response, and its connection: a response that is still on its way must not be mistaken for
-    /// the next call's.
+    /// Ends a call without a complete response, and closes its connection, so that a late response is not mistaken for that of the
+    /// next call.
     pub(crate) fn interrupt(
         &mut self,
         connections: &mut ConnectionTable,
@@ -371,14 +378,14 @@
             interrupted_status(interruption, reused, begun)
         };
         if reused && !begun && matches!(interruption, Interruption::Ended { .. }) {
-            // Connections that were idle for as long will be dead, too.
+            // Other connections that were idle for as long are probably closed by the peer as well.
             let half = connection.idle_before_call / 2;
             self.trusted_idle = self.trusted_idle.min(half.max(MIN_TRUSTED_IDLE));
         }
-        log::debug!("endpoint {endpoint}: call cancelled, {interruption:?}: {status:?}");
-        // A Retry-After holds from when it was written, also in a response that is too late to count.
-        let late = http::response(&connection.input, false).ok().flatten();
-        let wait = late
+        log::debug!("endpoint {endpoint}: call interrupted, {interruption:?}: {status:?}");
+        // A Retry-After applies from when it is received, also in a response that is too late to count.
+        let late_response = http::response(&connection.input, false).ok().flatten();
+        let wait = late_response
             .and_then(|(response, _)| http::retry_after(&response.headers, since_unix_epoch(now)));
         let verdict = Verdict {
             status,
@@ -392,7 +399,7 @@
     }
 }
 
-/// The result of a health check, once there is one.
+/// The result of a health check; `None` while its response is incomplete.
 fn health_status(connection: &Connection, ended: bool) -> Option<Status> {
     match http::response(&connection.input, ended) {
         Ok(Some((response, _))) if response.status == 200 => Some(Status::Served),
@@ -402,15 +409,15 @@
     }
 }
 
-/// The status of a call that was not delivered. `reused`: the connection had answered a call before; `begun`: a part of the
-/// response has arrived.
+/// The status of an interrupted call that was not delivered. `reused` means that the connection has answered a call before, `begun`
+/// that a part of the response has arrived.
 fn interrupted_status(interruption: Interruption, reused: bool, begun: bool) -> Status {
     match interruption {
         Interruption::OutOfTime => Status::TimedOut,
-        // It was executed. A response that has begun and breaks off says, as a malformed one does, that the destination is there.
+        // The call was received. A response that is incomplete shows, like a malformed one, that the destination is reachable.
         Interruption::Spoilt => Status::Spoilt,
         Interruption::Ended { .. } if begun => Status::Spoilt,
-        // A connection that was idle and is dead at its next call says nothing of the destination.
+        // A reused connection that ends at its next call shows nothing about the destination, which may have closed it while idle.
         Interruption::Ended { written } => match (reused, written) {
             (true, false) => Status::NotSent,
             (true, true) => Status::Dropped,
--- a/crates/daemon/src/webpush/file.rs
+++ b/crates/daemon/src/webpush/file.rs
@@ -1,4 +1,4 @@
-//! The file under `deploy/` that says where Web Push listens and which push services it reaches.
+//! The operators' Web Push file: the address to listen on, and the push services to which requests are forwarded.
 
 use std::net::{AddrParseError, SocketAddr};
 
@@ -11,88 +11,88 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[non_exhaustive]
 pub enum WebPushFileError {
-    /// The text is not the TOML that was expected.
+    /// The text is not valid TOML, or has unknown or invalid keys.
     #[error(transparent)]
     Toml(#[from] TomlError),
-    /// The address to listen on can't be used.
+    /// The address to listen on is not valid.
     #[error("listen: {0}")]
     Listen(AddressError),
-    /// A push service's address can't be used.
+    /// A push service's address is not valid.
     #[error("upstream '{upstream}': {source}")]
     Server {
         /// The push service's name.
         upstream: String,
-        /// What is wrong with the address.
+        /// Why the address is not valid.
         source: AddressError,
     },
-    /// Two push services have one name.
-    #[error("upstream '{upstream}' is named twice")]
+    /// Two push services have the same name.
+    #[error("upstream '{upstream}': the name is used more than once")]
     DuplicateUpstream {
-        /// The name of both.
+        /// The push services' name.
         upstream: String,
     },
     /// A push service has no address.
-    #[error("upstream '{upstream}' has no server")]
+    #[error("upstream '{upstream}': expected at least one server")]
     NoServer {
-        /// Its name.
+        /// The push service's name.
         upstream: String,
     },
     /// A push service's rate is not a positive number.
-    #[error("upstream '{upstream}': rate must be above zero")]
+    #[error("upstream '{upstream}': expected a positive number as rate")]
     Rate {
-        /// Its name.
+        /// The push service's name.
         upstream: String,
     },
     /// A path is not absolute.
-    #[error("location '{path}': a path must begin with '/'")]
+    #[error("location '{path}': expected paths that begin with '/'")]
     RelativePath {
         /// The location's path.
         path: String,
     },
-    /// A location leads to a push service that the file does not have.
-    #[error("location '{path}': no upstream '{upstream}'")]
+    /// A location refers to a push service that the file does not contain.
+    #[error("location '{path}': there is no upstream '{upstream}'")]
     UnknownUpstream {
         /// The location's path.
         path: String,
-        /// The name that the file does not have.
+        /// The push service's name in the location.
         upstream: String,
     },
-    /// The VAPID key or subject can't be used.
+    /// The VAPID key or subject is not valid.
     #[error(transparent)]
     Vapid(#[from] VapidError),
 }
 
-/// Why an address can't be used. There is no TLS here, so only plain connections on this machine are safe.
+/// Why an address is not valid. Connections are without TLS, so only loopback addresses are allowed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AddressError {
-    /// It can't be parsed.
-    #[error("'{text}' is not an address and port")]
+    /// The address can't be parsed.
+    #[error("expected an IP address and port, got '{text}'")]
     Invalid {
-        /// As given.
+        /// The text in the file.
         text: String,
-        /// Why it can't be parsed.
+        /// The parser's error.
         source: AddrParseError,
     },
-    /// It is another machine's.
-    #[error("'{text}' is not on this machine")]
+    /// The address is not a loopback address.
+    #[error("expected a loopback address, got '{text}'")]
     NotLoopback {
-        /// As given.
+        /// The text in the file.
         text: String,
     },
 }
 
-/// The file.
+/// The content of a Web Push file.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct File {
-    /// Where application servers post to.
+    /// The address on which application servers connect; `None` disables Web Push.
     pub listen: Option<String>,
-    /// Identifies this sender to the push services.
+    /// The key and contact that identify this sender to push services (VAPID).
     pub vapid: Option<VapidFile>,
     /// The push services.
     #[serde(default)]
     pub upstream: Vec<Upstream>,
-    /// Which posts go to which push service.
+    /// The mapping from request paths to push services.
     #[serde(default)]
     pub location: Vec<Location>,
 }
@@ -101,12 +101,12 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// Locations refer to it by this.
+    /// The name by which locations refer to the push service.
     pub name: String,
-    /// Calls a second that it takes, where known.
+    /// The calls a second that the push service accepts, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate: Option<f64>,
-    /// Its endpoints.
+    /// The push service's endpoints.
     pub server: Vec<Server>,
 }
 
@@ -114,22 +114,22 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// Address and port.
+    /// IP address and port; loopback only.
     pub address: String,
-    /// Listed, but sent nothing new.
+    /// No new calls are sent to this endpoint.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub draining: bool,
 }
 
-/// Which posts go to which push service. The longest path that matches counts.
+/// Maps the requests whose path has a prefix to a push service. The longest matching prefix has precedence.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Location {
-    /// Prefix of the posts' paths.
+    /// Prefix of the request path.
     pub path: String,
     /// The push service's name.
     pub upstream: String,
-    /// What replaces `path` at the push service; the same if absent.
+    /// Replaces the prefix `path` in requests to the push service; `None` keeps it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub to: Option<String>,
 }
@@ -137,7 +137,7 @@
 /// Parses and checks the file.
 ///
 /// # Errors
-/// The line that is not valid, or the entry that can't be used.
+/// The first line or entry that is not valid.
 pub fn parse_file(text: &str) -> Result<File, WebPushFileError> {
     let file: File = toml_file::parse(text)?;
     file.check()?;
@@ -145,10 +145,10 @@
 }
 
 impl File {
-    /// Checks a file that was not parsed from text.
+    /// Checks the content, also of a file that was not parsed from text.
     ///
     /// # Errors
-    /// The first entry that can't be used.
+    /// The first entry that is not valid.
     pub fn check(&self) -> Result<(), WebPushFileError> {
         if let Some(listen) = &self.listen {
             check_loopback(listen).map_err(WebPushFileError::Listen)?;
@@ -170,7 +170,7 @@
         Ok(())
     }
 
-    /// Where application servers post to.
+    /// The address on which application servers connect; `None` if it is absent or not valid.
     pub fn listen(&self) -> Option<SocketAddr> {
         self.listen.as_ref()?.parse().ok()
     }
--- a/crates/daemon/src/webpush/front.rs
+++ b/crates/daemon/src/webpush/front.rs
@@ -1,4 +1,4 @@
-//! Posts of application servers become messages, and attempts become posts to push services.
+//! Conversion of application servers' requests to messages, and of attempts to requests to push services.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,17 +14,17 @@
 use crate::http::{self, Headers, Request, header};
 use crate::platform_settings::PlatformSettings;
 
-/// Push services are numbered from here on, clear of the platform's destinations.
+/// The destination id of the first push service; far above the ids of the platform's destinations.
 const FIRST_DESTINATION: u64 = 1 << 40;
-/// Deadline of a message with a TTL of zero: one attempt, at once or not at all.
+/// Deadline of a message with a TTL of zero, which gets one immediate attempt.
 const ZERO_TTL_DEADLINE: Duration = Duration::from_secs(2);
-/// The longest TTL, in seconds. A number with more digits only means a very long time.
+/// A longer TTL, also one that does not fit into 64 bits, is shortened to this, in seconds.
 const MAX_TTL_SECONDS: u64 = u32::MAX as u64;
-/// RFC 8030, section 5.4.
+/// Limit of a topic (RFC 8030, section 5.4).
 const MAX_TOPIC_LENGTH: usize = 32;
-/// RFC 8030, section 5.3.
+/// The values of the `Urgency` header (RFC 8030, section 5.3).
 const URGENCIES: [&str; 4] = ["very-low", "low", "normal", "high"];
-/// Headers that describe the message and travel with it.
+/// Request headers that are forwarded to the push service.
 const FORWARDED_HEADERS: [&str; 6] = [
     "Content-Encoding",
     "Content-Type",
@@ -34,7 +34,7 @@
     "Topic",
 ];
 
-/// A post that is not accepted: the response's status, and the reason in its body.
+/// Why a request is rejected: the HTTP status, and the reason in the response's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Rejection {
     pub(crate) status: u16,
@@ -45,19 +45,22 @@
     Err(Rejection { status, reason })
 }
 
-/// The Web Push front of a running sender.
+/// Converts Web Push requests to messages and back, according to the Web Push file.
 #[derive(Debug)]
 pub(crate) struct WebPushFront {
     file: File,
     vapid: Option<Vapid>,
-    /// Position of the class of messages without a topic: a repeat would be shown twice. The next one is for those with one.
+    /// Position in the settings of the class for messages without a topic; that for messages with a topic follows. A repeat of a
+    /// message without a topic would be shown to the user twice.
     class: usize,
+    /// Position in the settings of the endpoint kind of push services.
     kind: usize,
+    /// Messages accepted so far, from which their ids are derived.
     messages: u64,
 }
 
 impl WebPushFront {
-    /// Adds the classes and the endpoint kind of Web Push to the settings.
+    /// Creates the front, and adds the classes and the endpoint kind of Web Push to the settings.
     pub(crate) fn new(
         file: File,
         platform_settings: &mut PlatformSettings,
@@ -73,7 +76,7 @@
                 .cloned()
                 .unwrap_or_else(default_class)
         };
-        // A message with a topic replaces the one before it, so a repeat does no harm.
+        // A message with a topic replaces the previous one with that topic, so a repeat is harmless.
         let with_topic = Class {
             effect: Effect::Safe,
             ..without_topic.clone()
@@ -120,7 +123,7 @@
         listings
     }
 
-    /// A post on `connection` as a message, or why it is rejected.
+    /// Converts a request on `connection` to a message, or returns why it is rejected.
     pub(crate) fn accept(
         &mut self,
         request: Request,
@@ -151,7 +154,7 @@
         Ok(Message {
             id: format!("push-{}", self.messages),
             class,
-            // No tenant's quota: push services are reached on this sender's own account.
+            // Web Push messages belong to no tenant, so no quota applies.
             tenant: usize::MAX,
             destination,
             key: None,
@@ -168,7 +171,7 @@
         })
     }
 
-    /// The location with the longest path that matches.
+    /// The location with the longest prefix of the path.
     fn location(&self, path: &str) -> Option<&Location> {
         let locations = self.file.location.iter();
         locations
@@ -181,7 +184,7 @@
         FIRST_DESTINATION + position.unwrap_or(0) as u64
     }
 
-    /// The bytes of an attempt's post to a push service.
+    /// Encodes an attempt's request to a push service.
     pub(crate) fn write_call(&mut self, host: &str, attempt: &Attempt, now: Time) -> Vec<u8> {
         let Some(envelope) = &attempt.envelope else {
             return Vec::new();
@@ -229,7 +232,7 @@
     Ok(true)
 }
 
-/// What travels with the message to the push service.
+/// The path and headers of the request to the push service, and when the message's TTL ends.
 fn envelope(location: &Location, request: &Request, expires: Time) -> Envelope {
     let target = location.to.as_ref().unwrap_or(&location.path);
     let rest = &request.path[location.path.len()..];
@@ -244,7 +247,7 @@
     }
 }
 
-/// The class of Web Push where the platform has none.
+/// The class on which those of Web Push are based if the platform's settings have no class.
 fn default_class() -> Class {
     Class {
         latency_objective: Duration::from_secs(4),
--- a/crates/daemon/src/webpush/mod.rs
+++ b/crates/daemon/src/webpush/mod.rs
@@ -1,5 +1,5 @@
-//! Web Push (RFC 8030, with VAPID as in RFC 8292) in both directions: as the service that application servers post to, and
-//! as the client of the push services behind it. No I/O; the reactor owns the connections.
+//! Web Push (RFC 8030, with VAPID as in RFC 8292): as a server that accepts requests of application servers, and as a client that
+//! forwards them to push services. No I/O; the reactor owns the connections.
 
 mod file;
 mod front;
--- a/crates/daemon/src/webpush/responses.rs
+++ b/crates/daemon/src/webpush/responses.rs
@@ -1,4 +1,4 @@
-//! Responses: those of push services, and those to application servers.
+//! Decoding responses of push services, and encoding responses to application servers.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::destination_protocol::{DestinationResponse, Verdict};
 use crate::http::{self, Response};
 
-/// What a push service's response says of the message.
+/// Decodes a push service's response to an attempt. `unix_now` is the time since 1970, for `Retry-After` dates.
 pub(crate) fn read_response(response: &Response, unix_now: Duration) -> DestinationResponse {
     let verdict = match response.status {
         200..300 => Verdict {
@@ -18,7 +18,7 @@
         429 | 503 => Verdict::of(Status::Overloaded),
         404 | 410 => Verdict::of(Status::RecipientRemoved),
         500..600 => Verdict::of(Status::Error),
-        // 400, 401, 403, 413 and their like: a retry of the same message will fail as well.
+        // 400, 401, 403, 413 and similar: a retry of the same message would fail in the same way.
         _ => Verdict::of(Status::PermanentError),
     };
     let overloaded = verdict.status == Status::Overloaded;
@@ -30,7 +30,7 @@
     }
 }
 
-/// The one response to a post.
+/// Encodes the response to a request that was accepted as the message `id`.
 pub(crate) fn write_answer(answer: Answer, id: &str) -> Vec<u8> {
     match answer {
         Answer::Delivered | Answer::Accepted => {
@@ -38,7 +38,7 @@
             http::write_response(201, "Created", &headers, "")
         }
         Answer::Rejected { after } => {
-            // Whole seconds, and never sooner than meant.
+            // Rounded up to whole seconds, so that clients don't retry too early.
             let seconds = after.unwrap_or_default().as_millis().div_ceil(1000).max(1);
             let headers = [("Retry-After", seconds.to_string())];
             let body = "refused; come again later\n";
@@ -57,7 +57,7 @@
     }
 }
 
-/// The response to a request that is not accepted.
+/// Encodes the response to a request that is rejected.
 pub(crate) fn write_error(status: u16, why: &str) -> Vec<u8> {
     let reason = match status {
         400 => "Bad Request",
--- a/crates/daemon/src/webpush/standalone.rs
+++ b/crates/daemon/src/webpush/standalone.rs
@@ -1,4 +1,4 @@
-//! The settings of a sender that serves Web Push alone.
+//! The settings of a sender that serves only Web Push.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::platform_settings::PlatformSettings;
 
-/// The settings of a sender without the platform, which serves Web Push alone.
+/// The settings of a sender that serves only Web Push and has no configuration from the platform.
 pub fn standalone_settings() -> PlatformSettings {
     let settings = Settings {
         classes: Vec::new(),
--- a/crates/daemon/src/webpush/vapid.rs
+++ b/crates/daemon/src/webpush/vapid.rs
@@ -8,7 +8,7 @@
 use p256::ecdsa::{Signature, SigningKey};
 use serde::{Deserialize, Serialize};
 
-/// A signed token's validity, in seconds; the most that RFC 8292 allows is a day.
+/// Validity of a signed token, in seconds. RFC 8292, section 2, allows at most 24 hours.
 const TOKEN_VALIDITY_SECONDS: u64 = 12 * 3600;
 /// The JWT header of every token: ECDSA on P-256 with SHA-256.
 const TOKEN_HEADER: &str = r#"{"typ":"JWT","alg":"ES256"}"#;
@@ -17,34 +17,34 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct VapidFile {
-    /// The private key: 32 bytes in base64url.
+    /// The P-256 private key: 32 bytes in base64url without padding.
     pub key: String,
-    /// How a push service reaches the operators: a `mailto:` or `https:` address.
+    /// The operators' contact for push services: a `mailto:` or `https:` URI.
     pub subject: String,
 }
 
-/// Why a VAPID key or subject can't be used.
+/// Why a VAPID key or subject is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum VapidError {
     /// The key's text is not base64url.
-    #[error("vapid: key is not base64url: {0}")]
+    #[error("vapid: key: expected base64url: {0}")]
     KeyEncoding(#[from] base64::DecodeError),
     /// The key's bytes are not a private key.
-    #[error("vapid: key is not a P-256 private key")]
+    #[error("vapid: key: expected a P-256 private key of 32 bytes")]
     Key,
-    /// The subject is not an address of an allowed form.
-    #[error("vapid: subject must be a mailto: or https: address")]
+    /// The subject is neither a `mailto:` nor an `https:` URI.
+    #[error("vapid: subject: expected a mailto: or https: URI")]
     Subject,
 }
 
-/// The signing key, and the tokens signed with it.
+/// The signing key, and a cache of the tokens signed with it.
 #[derive(Debug)]
 pub struct Vapid {
     key: SigningKey,
     public_key: String,
     subject: String,
-    /// By the push service's origin.
+    /// Cached tokens by the push service's origin.
     tokens: HashMap<String, Token>,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Vapid {
-    /// Takes over the key of the file.
+    /// Creates a signer with the key and subject of the file.
     ///
     /// # Errors
     /// The key or the subject is not valid.
@@ -76,7 +76,8 @@
         })
     }
 
-    /// The `Authorization` header for a push service, signed anew after half of its validity.
+    /// The value of the `Authorization` header for a push service (RFC 8292, section 3). The token is cached, and renewed after half
+    /// of its validity.
     pub fn authorization(&mut self, origin: &str, unix_seconds: u64) -> String {
         let cached = self.tokens.get(origin);
         let valid = cached.filter(|t| t.expires > unix_seconds + TOKEN_VALIDITY_SECONDS / 2);
