--- a/crates/daemon/src/reactor/options.rs
+++ b/crates/daemon/src/reactor/options.rs
@@ -34,7 +34,7 @@
     pub push: Option<webpush::File>,
     /// The fleet file; without it the sender is not in a fleet.
     pub fleet: Option<Fleet>,
-    /// The address of the operators' HTTP interface. Only with one is a hand-over possible.
+    /// The address of the operators' HTTP interface. Without one, no hand-over is possible.
     pub operator: Option<SocketAddr>,
     /// Maximum number of file descriptors of the process.
     pub sockets: usize,
--- a/crates/daemon/tests/discovery_protocol.rs
+++ b/crates/daemon/tests/discovery_protocol.rs
@@ -1,4 +1,4 @@
-//! The directory's list as it is read off the wire.
+//! Parsing of endpoint lists from discovery: invalid entries, limits on size, and rates.
 
 use cranehill_daemon::config::PlatformSettings;
 use cranehill_daemon::discovery_protocol::{
@@ -22,24 +22,28 @@
     let body = format!(r#"{{"version":4,"full":true,"servers":[{servers}]}}"#);
     let bytes = http::write_response(200, "OK", &[], &body);
     let (response, _) = http::response(&bytes, true)
-        .expect("an answer")
-        .expect("whole");
+        .expect("a response")
+        .expect("a complete response");
     read_response(&response, &platform_settings())
 }
 
-const GOOD: &str = r#"{"id":"a","addr":"127.0.0.1:1","cell":1,"state":"up","weight":2.5}"#;
+const VALID_ENTRY: &str = r#"{"id":"a","addr":"127.0.0.1:1","cell":1,"state":"up","weight":2.5}"#;
 
-/// One row that could not be read had the whole list thrown away, and with it what it told of drains.
+/// Guards against losing a list because of one invalid entry, and with it the information which endpoints are draining.
 #[test]
-fn an_entry_that_cannot_be_read_costs_no_other() {
-    for bad in [
+fn an_invalid_entry_does_not_invalidate_the_others() {
+    for invalid_entry in [
         r#"{"id":"b"}"#,
         "7",
         r#"{"id":"b","addr":"x","cell":1,"state":"odd"}"#,
         r#"{"cell":"x"}"#,
     ] {
-        let parsed = parsed(&format!("{bad},{GOOD}")).expect("a list");
-        assert_eq!((parsed.list.len(), parsed.unread.len()), (1, 1), "{bad}");
+        let parsed = parsed(&format!("{invalid_entry},{VALID_ENTRY}")).expect("a list");
+        assert_eq!(
+            (parsed.list.len(), parsed.unread.len()),
+            (1, 1),
+            "{invalid_entry}"
+        );
         assert!(
             parsed.unread[0].to_string().starts_with("entry 0: "),
             "{:?}",
@@ -47,13 +51,13 @@
         );
         assert_eq!(parsed.list[0].entry.endpoint.0, "a");
     }
-    // Nothing that can be read must not become a whole list of nothing; an empty one is one.
+    // A list with only invalid entries must not count as a full list without endpoints, whereas an empty list is valid.
     assert!(parsed("7,8").is_err());
     assert!(parsed("").expect("a list").list.is_empty());
 }
 
 #[test]
-fn a_weight_that_is_no_rate_is_left_unused() {
+fn a_weight_that_is_not_a_positive_number_is_ignored() {
     for (weight, rate) in [
         ("2.5", 2.5),
         ("0", 0.0),
@@ -62,7 +66,7 @@
         (r#""NaN""#, 0.0),
         ("[]", 0.0),
     ] {
-        let row = GOOD.replace("2.5", weight);
+        let row = VALID_ENTRY.replace("2.5", weight);
         assert_eq!(
             parsed(&row).expect("a list").list[0].entry.rate,
             rate,
@@ -81,18 +85,18 @@
     (0..count).map(entry).collect::<Vec<_>>().join(",")
 }
 
-/// A list of the planned size was refused as too large: the bound of 64 KiB on bodies left room for 471 entries.
+/// Guards against rejecting a list of the planned size as too large: the general limit of 64 KiB on bodies allows 471 entries.
 #[test]
-fn a_list_of_the_planned_size_is_read_whole() {
+fn a_list_of_the_planned_size_is_read_completely() {
     let body = format!(
         r#"{{"version":4,"full":true,"servers":[{}]}}"#,
         entries(57_000)
     );
     let bytes = http::write_response(200, "OK", &[], &body);
-    let most = max_body_bytes(32_000_000);
-    let (response, used) = http::response_within(&bytes, false, most)
-        .expect("an answer")
-        .expect("whole");
+    let limit = max_body_bytes(32_000_000);
+    let (response, used) = http::response_within(&bytes, false, limit)
+        .expect("a response")
+        .expect("a complete response");
     assert_eq!(used, bytes.len());
     let parsed = read_response(&response, &platform_settings()).expect("a list");
     assert_eq!(
@@ -100,25 +104,25 @@
         (57_000, 0, 0)
     );
     assert_eq!(parsed.list[56_999].entry.endpoint.0, "s-0000dea7");
-    // In chunks as well, and no larger than the bound.
+    // A chunked body is read as well, and the limit applies to both.
     let chunks = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n",
         body.len()
     );
-    let whole = http::response_within(chunks.as_bytes(), false, most)
-        .expect("an answer")
-        .expect("whole");
-    assert_eq!(whole.0.body, body.as_bytes());
-    for answer in [&bytes[..], chunks.as_bytes()] {
+    let chunked = http::response_within(chunks.as_bytes(), false, limit)
+        .expect("a response")
+        .expect("a complete response");
+    assert_eq!(chunked.0.body, body.as_bytes());
+    for response in [&bytes[..], chunks.as_bytes()] {
         assert_eq!(
-            http::response_within(answer, false, body.len() - 1),
+            http::response_within(response, false, body.len() - 1),
             Err(http::TOO_LARGE)
         );
     }
 }
 
 #[test]
-fn entries_beyond_the_bound_are_left_out_and_counted() {
+fn entries_beyond_the_limit_are_skipped_and_counted() {
     let response = http::Response {
         status: 200,
         headers: Vec::new(),
@@ -134,7 +138,7 @@
 }
 
 #[test]
-fn a_list_may_take_a_part_of_the_memory_and_never_less_than_other_bodies() {
+fn the_limit_of_a_list_depends_on_memory_and_is_never_below_that_of_other_bodies() {
     assert_eq!(max_body_bytes(32_000_000), 8_000_000);
     assert_eq!(max_body_bytes(0), http::MAX_BODY_BYTES);
     assert_eq!(max_body_bytes(usize::MAX), 16_000_000);
