--- a/crates/daemon/tests/golden.rs
+++ b/crates/daemon/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What the program leaves for the next process, as earlier builds wrote it: the files beside the journal, and the exchange by
-//! which a running process hands over to a new version. Each test plays one side against the program's other side.
+//! Compatibility with earlier builds: the state files next to the journal, and the exchange by which a running process hands over to
+//! a new version, must match the bytes in tests/golden. Each test takes one side against the sender's other side.
 
 #[path = "../../recovery/tests/common/golden_file.rs"]
 mod golden_file;
@@ -27,26 +27,28 @@
     SendAncillaryMessage, SendFlags, recvmsg, sendmsg,
 };
 
-/// Only a failure waits so long.
+/// Timeout of all waits; reached only if a test fails.
 const TIMEOUT: Duration = Duration::from_secs(10);
 const LOCALHOST: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-/// What the new process sends: its greeting, and the same bytes once it has everything.
+/// The bytes that the new process sends: its greeting, and the same bytes as confirmation that it has received everything.
 const NEW_TO_OLD: &str = "handover-new-to-old.bin";
 const GREETING_LENGTH: usize = 8;
-/// What the old process sends with nothing learned.
+/// The messages of an old process without learned state.
 const OLD_TO_NEW: &str = "handover-old-to-new.bin";
-/// Its first message with something learned.
+/// The first message of an old process with learned state.
 const LEARNED_STATE_MESSAGE: &str = "handover-learned-state.bin";
-/// Whether a descriptor comes with each message of `OLD_TO_NEW`.
+/// Whether each message of `OLD_TO_NEW` comes with a descriptor.
 const WITH_DESCRIPTOR: [bool; 7] = [false, true, true, true, true, true, false];
-/// The wait in `LEARNED_STATE_MESSAGE`, far from now at any run: its destination and its end, in Unix nanoseconds.
-const LEARNED_WAIT: (u64, u64) = (7, 4_102_444_800_000_000_000);
+/// The blocked destination in `LEARNED_STATE_MESSAGE`, and until when it is blocked, in Unix nanoseconds. That is in 2100, so it is
+/// in the future in every run.
+const LEARNED_BLOCKED_UNTIL: (u64, u64) = (7, 4_102_444_800_000_000_000);
 const LEARNED_STATE_EMPTY: &str = "learned-state-empty.bin";
 const DETACHED: &str = "detached.json";
-/// Stands in the committed files for the time of writing: later than any run, so it is read as the time of that run.
+/// Replaces the time of writing in the golden files, in Unix nanoseconds. It is later than any run, so it is read as the time of
+/// that run.
 const COMMITTED_TIME: u64 = 4_000_000_000_000_000_000;
 
-/// Three rows; what the test detaches is among them.
+/// Three endpoints, among them those that the tests detach.
 const CONFIG: &str = r#"{"name":"n0","seed":"1f","limits":{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":3},"known":{"version":1,"full":true,"servers":[
 {"id":"a/1 %","addr":"127.0.0.1:1","zone":"sanjose-1","kind":"station","cell":7,"state":"up","weight":0.0,"started_ms":0},
 {"id":"b","addr":"127.0.0.1:1","zone":"sanjose-1","kind":"station","cell":7,"state":"up","weight":0.0,"started_ms":0},
@@ -57,7 +59,7 @@
 "rules":{"cold":9100000000,"coldFrom":0.23,"fall":3000000000,"fallMultiple":1.5,"graceToAnswer":20000000},
 "tenants":[{"name":"onda-central","quotaRps":10.0}],"tick":5000000,"weightKind":"rough","zone":0,"zones":["sanjose-1"]}}"#;
 
-/// An empty state folder, removed in the end.
+/// An empty state folder, which is removed at the end.
 struct StateFolder(PathBuf);
 
 impl StateFolder {
@@ -109,8 +111,8 @@
     }
 }
 
-/// With a listener for Web Push, and its push service as the only destination.
-fn setup_with_push(dir: &Path) -> ReactorOptions {
+/// Options with a listener for Web Push and one push service.
+fn options_with_push(dir: &Path) -> ReactorOptions {
     let file = webpush::File {
         listen: Some(LOCALHOST.to_string()),
         vapid: None,
@@ -134,49 +136,50 @@
     }
 }
 
-/// The program's reactor in a thread of its own.
-struct Running {
+/// A sender's reactor in a separate thread.
+struct RunningSender {
     clients: SocketAddr,
-    pushes: Option<SocketAddr>,
+    web_push: Option<SocketAddr>,
     operator: SocketAddr,
     stop_handle: StopHandle,
     thread: Option<JoinHandle<std::io::Result<()>>>,
 }
 
-impl Running {
-    fn start(options: ReactorOptions) -> Running {
-        let mut reactor = Reactor::new(options).expect("the program starts");
-        let (clients, pushes) = reactor.addresses();
+impl RunningSender {
+    fn start(options: ReactorOptions) -> RunningSender {
+        let mut reactor = Reactor::new(options).expect("the sender starts");
+        let (clients, web_push) = reactor.addresses();
         let operator = reactor
             .operator_address()
             .expect("a listener for operators");
-        let stop_handle = reactor.stop_handle().expect("a halter");
+        let stop_handle = reactor.stop_handle().expect("a stop handle");
         let thread = Some(std::thread::spawn(move || reactor.run(Vec::new)));
-        Running {
+        RunningSender {
             clients: clients.expect("a listener for clients"),
-            pushes,
+            web_push,
             operator,
             stop_handle,
             thread,
         }
     }
 
-    /// Waits until it has ended by itself.
+    /// Waits until the sender has ended without being stopped.
     fn join(mut self) {
         let thread = self.thread.take().expect("a thread");
         thread.join().expect("no panic").expect("no error");
     }
 
-    fn operate(&self, path: &str) {
+    /// Sends an operator's command, which must succeed.
+    fn send_command(&self, path: &str) {
         let mut stream = connect(self.operator);
         write!(stream, "PUT {path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n").expect("written");
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer");
-        assert!(answer.starts_with("HTTP/1.1 200 "), "{path}: {answer}");
+        let mut response = String::new();
+        stream.read_to_string(&mut response).expect("a response");
+        assert!(response.starts_with("HTTP/1.1 200 "), "{path}: {response}");
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningSender {
     fn drop(&mut self) {
         self.stop_handle.stop();
         drop(self.thread.take().map(JoinHandle::join));
@@ -185,7 +188,7 @@
 
 fn connect(to: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(to).expect("a connection");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     stream
 }
 
@@ -196,8 +199,8 @@
     assert_eq!(&answer, b"+PONG\r\n");
 }
 
-/// The first part of a request, long enough for a length of two bytes on the wire.
-fn unfinished_request() -> Vec<u8> {
+/// An incomplete request. It is long enough for its length in a hand-over message to take two bytes.
+fn incomplete_request() -> Vec<u8> {
     let mut request =
         b"*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$16\r\n00000000000000a7\r\n".to_vec();
     request.extend_from_slice(b"$46\r\nc=episode-notice,t=onda-central,d=15000,dest=7\r\n$300\r\n");
@@ -205,7 +208,7 @@
     request
 }
 
-/// A message of the hand-over as it is on the wire, and the descriptor that came with its first byte.
+/// The bytes of a hand-over message, and the descriptor that came with the first one.
 struct Message {
     bytes: Vec<u8>,
     descriptor: Option<OwnedFd>,
@@ -222,17 +225,14 @@
         RecvFlags::CMSG_CLOEXEC,
     )
     .expect("a message in time");
-    assert_eq!(received.bytes, bytes.len(), "a whole length");
+    assert_eq!(received.bytes, bytes.len(), "the message's length");
     let mut descriptors = Vec::new();
     for message in control.drain() {
         if let RecvAncillaryMessage::ScmRights(received) = message {
             descriptors.extend(received);
         }
     }
-    assert!(
-        descriptors.len() <= 1,
-        "one descriptor at most with a message"
-    );
+    assert!(descriptors.len() <= 1, "at most one descriptor per message");
     let length = u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]) as usize;
     bytes.resize(4 + length, 0);
     stream
@@ -261,25 +261,27 @@
     assert_eq!(sent, bytes.len());
 }
 
-/// Plays the new process up to the old one's last message, and lets the old one end.
-fn take_over(dir: &Path) -> Vec<Message> {
+/// Requests a hand-over as a new process, and returns the old process's messages once it has ended.
+fn request_handover(dir: &Path) -> Vec<Message> {
     let greetings = golden_file::read(NEW_TO_OLD);
-    let (greeting, receipt) = greetings.split_at(GREETING_LENGTH);
-    let mut stream = UnixStream::connect(dir.join("handover")).expect("the program's socket");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    let (greeting, confirmation) = greetings.split_at(GREETING_LENGTH);
+    let mut stream = UnixStream::connect(dir.join("handover")).expect("the sender's socket");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     stream.write_all(greeting).expect("written");
     let messages = WITH_DESCRIPTOR
         .iter()
         .map(|_| receive(&mut stream))
         .collect();
-    stream.write_all(receipt).expect("written");
+    stream.write_all(confirmation).expect("written");
     let mut rest = Vec::new();
-    stream.read_to_end(&mut rest).expect("the end");
+    stream
+        .read_to_end(&mut rest)
+        .expect("the end of the connection");
     assert!(rest.is_empty(), "nothing follows the last message");
     messages
 }
 
-/// The committed messages, one by one.
+/// The messages of an old process in the golden file.
 fn committed_messages() -> Vec<Vec<u8>> {
     let (mut messages, committed) = (Vec::new(), golden_file::read(OLD_TO_NEW));
     let mut rest = &committed[..];
@@ -306,45 +308,46 @@
         .collect()
 }
 
-/// The message with the committed time in place of the time at which this run has written its one record.
+/// Replaces the time of this run by [`COMMITTED_TIME`] in a message with one record of learned state.
 fn with_committed_time(message: &[u8]) -> Vec<u8> {
     let start = message
         .windows(4)
         .position(|bytes| bytes == b"CRL\x01")
-        .expect("a learned state");
+        .expect("learned state");
     let (head, learned_state) = message.split_at(start);
-    let mut learned = unpack(learned_state).expect("a readable learned state");
+    let mut learned = unpack(learned_state).expect("valid learned state");
     let [record] = &mut learned[..] else {
-        panic!("not one record: {learned:?}")
+        panic!("expected one record: {learned:?}")
     };
     assert_eq!(
         (record.destination, record.blocked_until.map(|end| end.0)),
-        (LEARNED_WAIT.0, Some(LEARNED_WAIT.1))
+        (LEARNED_BLOCKED_UNTIL.0, Some(LEARNED_BLOCKED_UNTIL.1))
     );
     assert!(
         record.at < Time(COMMITTED_TIME),
-        "{record:?} is not of this run"
+        "{record:?} was not written in this run"
     );
     record.at = Time(COMMITTED_TIME);
     [head, &pack(&learned)].concat()
 }
 
+/// Guards against changes of the messages that the old process sends in a hand-over.
 #[test]
-fn handover_of_the_old_process_is_unchanged() {
+fn handover_messages_of_the_old_process_are_unchanged() {
     let folder = StateFolder::new();
-    let old = Running::start(setup_with_push(&folder.0));
-    // Accepted in this order, which is the order in which they are passed on.
-    let mut unfinished = connect(old.clients);
-    let mut fresh = connect(old.clients);
+    let old = RunningSender::start(options_with_push(&folder.0));
+    // Connections are handed over in the order in which they are accepted.
+    let mut incomplete = connect(old.clients);
+    let mut new_client = connect(old.clients);
     let mut idle = connect(old.clients);
-    ping(&mut unfinished);
-    unfinished
-        .write_all(&unfinished_request())
+    ping(&mut incomplete);
+    incomplete
+        .write_all(&incomplete_request())
         .expect("written");
-    fresh.write_all(b"*1\r\n").expect("written");
+    new_client.write_all(b"*1\r\n").expect("written");
     ping(&mut idle);
-    let (clients, pushes) = (old.clients, old.pushes);
-    let messages = take_over(&folder.0);
+    let (clients, web_push) = (old.clients, old.web_push);
+    let messages = request_handover(&folder.0);
     old.join();
     golden_file::assert_unchanged(OLD_TO_NEW, &joined(&messages));
     assert_eq!(with_descriptor(&messages), WITH_DESCRIPTOR);
@@ -357,57 +360,61 @@
             .expect("an address")
     };
     assert_eq!(listener(descriptors.next()), clients);
-    assert_eq!(Some(listener(descriptors.next())), pushes);
-    for (client, descriptor) in [&unfinished, &fresh, &idle].iter().zip(descriptors) {
-        let passed_on = TcpStream::from(descriptor).peer_addr().expect("connected");
-        assert_eq!(passed_on, client.local_addr().expect("an address"));
+    assert_eq!(Some(listener(descriptors.next())), web_push);
+    for (client, descriptor) in [&incomplete, &new_client, &idle].iter().zip(descriptors) {
+        let handed_over = TcpStream::from(descriptor).peer_addr().expect("connected");
+        assert_eq!(handed_over, client.local_addr().expect("an address"));
     }
 }
 
-/// The next connection; panics where none comes before the time-out.
+/// The next connection; panics if there is none before the timeout.
 fn accept_in_time(server: &UnixListener) -> UnixStream {
     server
         .set_nonblocking(true)
-        .expect("a listener that does not block");
+        .expect("a nonblocking listener");
     let deadline = Instant::now() + TIMEOUT;
     loop {
         match server.accept() {
             Ok((stream, _)) => {
-                stream.set_nonblocking(false).expect("a stream that blocks");
+                stream.set_nonblocking(false).expect("a blocking stream");
                 return stream;
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(error) => panic!("no connection: {error}"),
         }
-        assert!(Instant::now() < deadline, "nobody connects");
+        assert!(
+            Instant::now() < deadline,
+            "no connection before the timeout"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Plays the old process with the committed bytes, then a newer one: what the program has understood it passes on unchanged.
+/// Guards against a new process that misreads the messages of an earlier build: the sender receives the golden messages, and hands
+/// the same over to the next process.
 #[test]
-fn handover_of_the_new_process_is_unchanged() {
+fn handover_messages_of_earlier_builds_are_understood_by_the_new_process() {
     let folder = StateFolder::new();
     let lock = File::create(folder.path("lock")).expect("a lock");
     flock(&lock, FlockOperation::NonBlockingLockExclusive).expect("locked");
     let server = UnixListener::bind(folder.path("handover")).expect("a socket");
-    let [clients, pushes] = [(); 2].map(|()| TcpListener::bind(LOCALHOST).expect("a listener"));
+    let [clients, web_push] = [(); 2].map(|()| TcpListener::bind(LOCALHOST).expect("a listener"));
     let address = clients.local_addr().expect("an address");
     let client_ends: Vec<TcpStream> = (0..3).map(|_| connect(address)).collect();
     let server_ends: Vec<TcpStream> = (0..3)
         .map(|_| clients.accept().expect("a client").0)
         .collect();
     let new = std::thread::spawn({
-        let options = setup_with_push(&folder.0);
-        move || Running::start(options)
+        let options = options_with_push(&folder.0);
+        move || RunningSender::start(options)
     });
     let mut stream = accept_in_time(&server);
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     let mut greetings = vec![0; GREETING_LENGTH];
     stream.read_exact(&mut greetings).expect("a greeting");
     let mut committed = committed_messages();
     committed[0] = golden_file::read(LEARNED_STATE_MESSAGE);
-    let mut descriptors = [clients.as_fd(), pushes.as_fd()]
+    let mut descriptors = [clients.as_fd(), web_push.as_fd()]
         .into_iter()
         .chain(server_ends.iter().map(AsFd::as_fd));
     for (message, with_descriptor) in committed.iter().zip(WITH_DESCRIPTOR) {
@@ -419,34 +426,34 @@
     }
     stream
         .read_to_end(&mut greetings)
-        .expect("a receipt, then the end");
+        .expect("a confirmation, then the end of the connection");
     golden_file::assert_unchanged(NEW_TO_OLD, &greetings);
     drop((server, lock));
     let new = new.join().expect("it starts");
     assert_eq!(
-        (new.clients, new.pushes),
-        (address, pushes.local_addr().ok())
+        (new.clients, new.web_push),
+        (address, web_push.local_addr().ok())
     );
     ping(&mut connect(new.clients));
-    let messages = take_over(&folder.0);
+    let messages = request_handover(&folder.0);
     new.join();
-    // The wait's destination has not been called, so the wait alone is passed on, with the time of the hand-over.
+    // The blocked destination has not been called, so its learned state is unchanged except for the time of the hand-over.
     golden_file::assert_unchanged(
         LEARNED_STATE_MESSAGE,
         &with_committed_time(&messages[0].bytes),
     );
-    let passed_on = [committed_messages()[0].clone(), joined(&messages[1..])].concat();
-    golden_file::assert_unchanged(OLD_TO_NEW, &passed_on);
+    let handed_over = [committed_messages()[0].clone(), joined(&messages[1..])].concat();
+    golden_file::assert_unchanged(OLD_TO_NEW, &handed_over);
     assert_eq!(with_descriptor(&messages), WITH_DESCRIPTOR);
     for (client, message) in client_ends.iter().zip(messages.into_iter().skip(3)) {
-        let passed_on = TcpStream::from(message.descriptor.expect("a client"))
+        let handed_over = TcpStream::from(message.descriptor.expect("a client"))
             .peer_addr()
             .expect("connected");
-        assert_eq!(passed_on, client.local_addr().expect("an address"));
+        assert_eq!(handed_over, client.local_addr().expect("an address"));
     }
 }
 
-/// Puts the committed time in place of the time at which this run has written the text.
+/// Replaces the time of this run by [`COMMITTED_TIME`] in the file of detached endpoints.
 fn normalize_time(written: &str) -> String {
     let digit = |c: char| c.is_ascii_digit();
     let start = written.find("[\"b\",").expect("an attached endpoint") + "[\"b\",".len();
@@ -455,34 +462,36 @@
             .find(|c| !digit(c))
             .expect("the end of the number");
     let time: u64 = written[start..end].parse().expect("Unix nanoseconds");
-    assert!(time < COMMITTED_TIME, "{time} is not a time of this run");
+    assert!(time < COMMITTED_TIME, "{time} is later than this run");
     format!("{}{COMMITTED_TIME}{}", &written[..start], &written[end..])
 }
 
+/// Guards against changes of the format in which detached endpoints are persisted.
 #[test]
 fn detached_endpoints_file_is_written_unchanged() {
     let folder = StateFolder::new();
-    let program = Running::start(options(&folder.0));
+    let sender = RunningSender::start(options(&folder.0));
     for path in ["detach/b", "detach/a%2F1%20%25", "attach/b"] {
-        program.operate(&format!("/_endpoints/{path}"));
+        sender.send_command(&format!("/_endpoints/{path}"));
     }
     let written = std::fs::read_to_string(folder.path("detached")).expect("the state file");
     golden_file::assert_unchanged(DETACHED, normalize_time(&written).as_bytes());
 }
 
-/// The program is given the committed file; a call that changes nothing has it written again.
+/// Guards against misreading the file of an earlier build: the sender starts with the golden file, and writes it unchanged after a
+/// command without effect.
 #[test]
 fn detached_endpoints_file_is_read_unchanged() {
     let folder = StateFolder::new();
     std::fs::write(folder.path("detached"), golden_file::read(DETACHED)).expect("written");
-    let program = Running::start(options(&folder.0));
-    program.operate("/_endpoints/detach/a%2F1%20%25");
+    let sender = RunningSender::start(options(&folder.0));
+    sender.send_command("/_endpoints/detach/a%2F1%20%25");
     let written = std::fs::read_to_string(folder.path("detached")).expect("the state file");
     golden_file::assert_unchanged(DETACHED, normalize_time(&written).as_bytes());
 }
 
-/// With the learned state restored from the folder.
-fn setup_with_recovery(dir: &Path) -> ReactorOptions {
+/// Options with recovery, so that learned state is restored from the folder and persisted.
+fn options_with_recovery(dir: &Path) -> ReactorOptions {
     let age = Duration::from_secs(10);
     let fleet = Fleet {
         listen: LOCALHOST,
@@ -518,7 +527,7 @@
     }
 }
 
-/// The state file's bytes, once they are others than those.
+/// The bytes of the learned state file once it exists and differs from `before`.
 fn learned_state_after(folder: &StateFolder, before: Option<&[u8]>) -> Vec<u8> {
     let deadline = Instant::now() + TIMEOUT;
     loop {
@@ -534,15 +543,16 @@
     }
 }
 
+/// Guards against changes of the format of an empty learned state file.
 #[test]
 fn learned_state_file_is_written_unchanged() {
     let folder = StateFolder::new();
-    let _program = Running::start(setup_with_recovery(&folder.0));
+    let _sender = RunningSender::start(options_with_recovery(&folder.0));
     golden_file::assert_unchanged(LEARNED_STATE_EMPTY, &learned_state_after(&folder, None));
 }
 
-/// A wait is believed for a day at most, so the file is written for this run; its format is committed with the package
-/// `cranehill-recovery`. The program writes the wait again, with its own time.
+/// Guards against learned state that is lost in a restart. A restored block lasts a day at most, so the file is created in the test;
+/// its format is covered by the golden files of `cranehill-recovery`. The sender writes the record again with its own time.
 #[test]
 fn learned_state_file_is_read_and_written_again() {
     let folder = StateFolder::new();
@@ -550,8 +560,8 @@
         .duration_since(std::time::UNIX_EPOCH)
         .expect("after 1970");
     let now = Time(now.as_nanos() as u64);
-    let wait = LearnedState {
-        destination: LEARNED_WAIT.0,
+    let blocked = LearnedState {
+        destination: LEARNED_BLOCKED_UNTIL.0,
         route_id: None,
         at: now,
         window: None,
@@ -559,10 +569,11 @@
         blocked_until: Some(now + Duration::from_secs(3600)),
         state: None,
     };
-    let given = pack(std::slice::from_ref(&wait));
-    std::fs::write(folder.path("learnt"), &given).expect("written");
-    let _program = Running::start(setup_with_recovery(&folder.0));
-    let mut written = unpack(&learned_state_after(&folder, Some(&given))).expect("a learned state");
+    let original = pack(std::slice::from_ref(&blocked));
+    std::fs::write(folder.path("learnt"), &original).expect("written");
+    let _sender = RunningSender::start(options_with_recovery(&folder.0));
+    let mut written =
+        unpack(&learned_state_after(&folder, Some(&original))).expect("learned state");
     written.iter_mut().for_each(|learned| learned.at = now);
-    assert_eq!(written, [wait]);
+    assert_eq!(written, [blocked]);
 }
