--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -58,7 +58,7 @@
         address: SocketAddr,
     },
     /// The eviction delay is a text other than "never".
-    #[error("hold: expected a span such as \"400 ms\", or \"never\", got '{text}'")]
+    #[error("hold: '{text}' is neither a time span such as \"30 s\" nor \"never\"")]
     EvictionDelayText {
         /// The value in the file.
         text: String,
--- a/crates/daemon/src/fleet_endpoint.rs
+++ b/crates/daemon/src/fleet_endpoint.rs
@@ -120,11 +120,11 @@
             }
             Effect::ProcessPaused(pause) => {
                 log::warn!(event = "process-pause", paused_ms = pause.as_millis() as u64;
-                    "fleet: this process was paused for {pause:?}; missed probes in that time are ignored");
+                    "fleet: this process was paused for {pause:?}; membership timers are postponed by that time");
             }
             Effect::Dropped(reason) => self.on_dropped(reason, now),
             Effect::ShareDivisor(senders) => {
-                log::info!(event = "quota-divisor", senders; "fleet: quota divisor is {senders} senders");
+                log::info!(event = "quota-divisor", senders; "fleet: quota divisor is {senders}");
                 return true;
             }
         }
--- a/crates/daemon/src/journal_writer.rs
+++ b/crates/daemon/src/journal_writer.rs
@@ -120,7 +120,7 @@
             Ok(()) => Persisted::All,
             Err(e) => {
                 log::error!(records = records.len(), kept:? = e.persisted;
-                    "journal: of {} records persisted: {:?}: {e}", records.len(), e.persisted);
+                    "journal: of {} records, persisted: {:?}; append failed: {e}", records.len(), e.persisted);
                 e.persisted
             }
         }
--- a/crates/daemon/src/reactor/events.rs
+++ b/crates/daemon/src/reactor/events.rs
@@ -18,7 +18,7 @@
         let mut tokens: Vec<Token> = events.iter().map(mio::event::Event::token).collect();
         // Operators' commands are processed before everything that clients and destinations have sent.
         if self.listeners.operators.is_some() {
-            tokens.sort_by_key(|token| !self.is_operators(*token));
+            tokens.sort_by_key(|token| !self.is_operator_token(*token));
         }
         for token in tokens {
             match token {
@@ -36,7 +36,7 @@
         }
     }
 
-    fn is_operators(&self, token: Token) -> bool {
+    fn is_operator_token(&self, token: Token) -> bool {
         match token {
             OPERATOR | STATUS => true,
             Token(connection) => self
