--- a/crates/journal-tools/src/error.rs
+++ b/crates/journal-tools/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a folder can't be read.
+//! Errors of the tools.
 
 use std::path::{Path, PathBuf};
 
@@ -7,40 +7,40 @@
 
 use crate::limits::MAX_ATTEMPTS;
 
-/// Why a folder can't be read, or an export not be written.
+/// An error of reading a folder or writing an export.
 #[derive(Debug, thiserror::Error)]
 pub enum ToolError {
     /// A file operation failed.
     #[error("{path}: {source}")]
     Io {
-        /// The folder.
+        /// The folder's path.
         path: PathBuf,
         /// The error of the file system.
         source: std::io::Error,
     },
-    /// The folder's files are no journal that can be read.
+    /// The folder can't be read as a journal.
     #[error("{path}: {source}")]
     Open {
-        /// The folder.
+        /// The folder's path.
         path: PathBuf,
-        /// What is wrong with them.
+        /// The reason.
         source: OpenError,
     },
-    /// A sender changed the folder at each attempt to read it.
+    /// A sender replaced the manifest during every attempt to read the folder.
     #[error(
         "{path}: it changed {MAX_ATTEMPTS} times while it was read: try again when there is less traffic"
     )]
     Busy {
-        /// The folder.
+        /// The folder's path.
         path: PathBuf,
     },
-    /// There is no journal.
+    /// The folder has no file of a journal.
     #[error("{path}: no file of a journal is there")]
     NoJournal {
-        /// The folder.
+        /// The folder's path.
         path: PathBuf,
     },
-    /// The table can't be written.
+    /// The Parquet table can't be written.
     #[error("parquet: {0}")]
     Parquet(#[from] ParquetError),
 }
--- a/crates/journal-tools/src/export.rs
+++ b/crates/journal-tools/src/export.rs
@@ -1,4 +1,4 @@
-//! Records as JSON lines, and as a Parquet table of the same columns.
+//! Export of records as JSON lines, or as a Parquet table with the same names as columns.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 
 use crate::row::Row;
 
-/// Rows of one group: bounds what is held in memory, and what a reader must hold at once.
+/// Rows per Parquet row group, which bounds the memory needed by the writer and by readers.
 const ROWS_PER_GROUP: usize = 8192;
 
-/// One object a line.
+/// Writes each row to `to` as one line of JSON.
 ///
 /// # Errors
-/// If `to` fails.
+/// If writing to `to` fails.
 pub fn json_lines(rows: &[Row], to: &mut impl Write) -> std::io::Result<()> {
     for row in rows {
         serde_json::to_writer(&mut *to, row)?;
@@ -28,10 +28,11 @@
     Ok(())
 }
 
-/// A table with a column for each field, in groups of 8192 rows; `progress` is called with the rows written.
+/// Writes the rows to `to` as a Parquet table with a column for each field, in row groups of 8192 rows. `progress` is
+/// called with the number of rows written so far.
 ///
 /// # Errors
-/// If a row can't be encoded, or `to` fails.
+/// If a row can't be encoded, or writing to `to` fails.
 pub fn parquet(
     rows: &[Row],
     to: impl Write + Send,
@@ -50,6 +51,7 @@
     Ok(())
 }
 
+/// The rows as an Arrow record batch. All columns are nullable.
 fn batch(rows: &[Row]) -> Result<RecordBatch, ParquetError> {
     let u32s = |f: fn(&Row) -> Option<u32>| {
         Arc::new(rows.iter().map(f).collect::<UInt32Array>()) as ArrayRef
@@ -96,7 +98,7 @@
                     .collect::<BinaryArray>(),
             ),
         ),
-        // Newer columns are added at the end: readers may rely on positions.
+        // New columns are added at the end, since readers may rely on positions.
         ("order_key", texts(|r| r.ordering_key.as_deref())),
     ];
     let columns = columns.map(|(name, column)| (name, column, true));
--- a/crates/journal-tools/src/lib.rs
+++ b/crates/journal-tools/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads a journal's folder, at rest or while a sender writes to it, and never changes it.
+//! Tools that read a journal's folder, also while a sender writes to it, and never change it.
 //!
-//! Start at [`Snapshot::take`]; [`verify`], [`stats`] and [`rows`] report what it holds, [`export`] writes its records
-//! to a file.
+//! Start at [`Snapshot::take`]. [`verify`] checks the folder for damage, [`stats`] summarizes it, [`rows`] reads its
+//! records, and [`export`] writes them to a file.
 
 mod error;
 pub mod export;
--- a/crates/journal-tools/src/limits.rs
+++ b/crates/journal-tools/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits.
+//! Limits of the tools.
 
-/// Attempts to read a live folder before giving up: each change of its manifest spoils one.
+/// Attempts to read a folder that a sender writes to. An attempt fails if the manifest is replaced during it.
 pub(crate) const MAX_ATTEMPTS: u32 = 20;
--- a/crates/journal-tools/src/row.rs
+++ b/crates/journal-tools/src/row.rs
@@ -1,5 +1,5 @@
-//! One record as a person or a table reads it. Keys, columns and kinds keep the names that they had first, since other
-//! programs read them.
+//! A record in the form in which it is printed and exported. The names of JSON keys, columns and kinds are part of the
+//! interface and differ from those of the fields, since other programs read them.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -11,37 +11,39 @@
 use crate::error::ToolError;
 use crate::snapshot::Snapshot;
 
-/// A record with its location. Times are Unix time in milliseconds; what a kind of record does not have is left out.
+/// A record with its location. Times are Unix time in milliseconds. Fields that a kind of record does not have are
+/// `None`, and omitted from JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Row {
     /// The segment's sequence number.
     pub segment: u32,
     /// Offset of the record's frame, in bytes.
     pub offset: u64,
-    /// Bytes of its frame.
+    /// Bytes of the record's frame, header included.
     pub bytes: u32,
-    /// Its log number.
+    /// Log number of the record.
     pub lsn: u64,
-    /// The kind of the record: `taken`, `sent`, `back`, `closing`, `over` or `doubt`.
+    /// The kind of the record: `taken` (message accepted), `sent` (attempt started), `back` (attempt finished),
+    /// `closing` (final report due), `over` (completed) or `doubt` (possible executions).
     pub kind: &'static str,
     /// The message's id.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
-    /// Log number under which the message was accepted.
+    /// Log number of the message's acceptance.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "born")]
     pub accepted_lsn: Option<u64>,
-    /// The attempt's number, from 0; of a doubt, how many attempts may be hidden.
+    /// The attempt's number, from 0. For kind `doubt`: upper bound on one message's attempts without a readable record.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub attempt: Option<u32>,
-    /// It is known that the destination did not execute the attempt.
+    /// Whether it is known that the destination did not execute the attempt.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "never_ran")]
     pub not_executed: Option<bool>,
-    /// The endpoint that the attempt was submitted to.
+    /// The endpoint that the attempt was sent to.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<String>,
-    /// When the message was accepted, or the attempt started.
+    /// Time at which the message was accepted, or the attempt started.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub at: Option<u64>,
     /// Index of the message's class.
@@ -51,7 +53,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "station")]
     pub tenant: Option<u32>,
-    /// The message's destination.
+    /// Id of the message's destination.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "partner")]
     pub destination: Option<u64>,
@@ -65,20 +67,20 @@
     /// The message's deadline.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline: Option<u64>,
-    /// Milliseconds after which the client may submit the message again; without it, its final report says that it
-    /// failed.
+    /// For kind `closing`: milliseconds after which the client may submit the message again; `None` if it failed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub after_ms: Option<u64>,
-    /// Until when a completed id is remembered, or attempts that are hidden count.
+    /// For kind `over`: time until which the id is remembered. For `doubt`: time by which all affected messages have
+    /// ended.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub until: Option<u64>,
-    /// Of a doubt: messages accepted under this log number or a later one are not affected.
+    /// For kind `doubt`: messages accepted under this log number or a later one are not affected.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub before: Option<u64>,
-    /// Size of the body.
+    /// Size of the decompressed body in bytes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub body_bytes: Option<u32>,
-    /// The body as it was accepted.
+    /// The decompressed body; Base64 in JSON.
     #[serde(skip_serializing_if = "Option::is_none", serialize_with = "base64")]
     pub body: Option<Vec<u8>>,
 }
@@ -122,7 +124,7 @@
         row.with_details(record)
     }
 
-    /// Adds what only this kind of record has.
+    /// Sets the fields that only this kind of record has.
     fn with_details(self, record: &JournalRecord<'_>) -> Row {
         match *record {
             JournalRecord::Accepted(message) | JournalRecord::AcceptedInOrder { message, .. } => {
@@ -172,6 +174,7 @@
         }
     }
 
+    /// Sets the fields of an accepted message.
     fn with_message(self, message: AcceptedMessage<'_>) -> Row {
         let accepted_ms = message
             .deadline_ms
@@ -191,7 +194,7 @@
         }
     }
 
-    /// One line for a person; bodies by their size only.
+    /// The row as one line of text, with the body's size in place of the body.
     pub fn line(&self) -> String {
         let mut line = format!(
             "{:08x}+{} lsn {} {}",
@@ -222,16 +225,17 @@
     }
 }
 
-/// All readable records in the order of the segments; `progress` is called with bytes read so far and of how many.
+/// Reads all readable records, in the order of the segments. `progress` is called with the bytes read so far and the
+/// total.
 ///
 /// # Errors
-/// If the files are no journal that can be read at all.
+/// If the folder can't be read as a journal; damaged ranges are skipped.
 pub fn rows(
     snapshot: &Snapshot,
     mut progress: impl FnMut(u64, u64),
 ) -> Result<Vec<Row>, ToolError> {
     let mut rows = Vec::new();
-    let mut files = snapshot.files.after_death();
+    let mut files = snapshot.files.without_faults();
     scan(
         &mut files,
         snapshot.key,
--- a/crates/journal-tools/src/snapshot.rs
+++ b/crates/journal-tools/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! A folder's files read at one moment, also while a sender writes to it.
+//! A consistent copy of a folder's files, which can be taken while a sender writes to it.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -12,22 +12,22 @@
 const LEDGER: &str = "ledger";
 const SEGMENT_SUFFIX: &str = ".seg";
 
-/// All files of a folder, as they were between two equal readings of its manifest.
+/// A copy of all files of a folder. The manifest did not change while they were read.
 #[derive(Debug)]
 pub struct Snapshot {
-    /// The folder.
+    /// The folder's path.
     pub path: PathBuf,
-    /// Its files.
+    /// The folder's files.
     pub files: Memory,
-    /// An operator's key, if one is given.
+    /// The operator's key, if there is one.
     pub key: Option<Key>,
 }
 
 impl Snapshot {
-    /// Reads the folder; it is never written to. A journal is small, so its files are held in memory.
+    /// Reads all files of the folder into memory, without writing to it.
     ///
     /// # Errors
-    /// If the folder can't be read, has no journal, or changes all the time.
+    /// If the folder can't be read or has no journal, or if its manifest is replaced during each of 20 attempts.
     pub fn take(path: &Path, key: Option<Key>) -> Result<Snapshot, ToolError> {
         for _ in 0..MAX_ATTEMPTS {
             let mut folder = Folder::existing(path, u64::MAX).map_err(ToolError::io(path))?;
@@ -46,15 +46,15 @@
         })
     }
 
-    /// What a start would make of the folder.
+    /// The contents that a start of the sender would recover from the folder.
     pub(crate) fn contents(&self) -> Result<FolderContents, ToolError> {
-        // The last key only seeds a hash.
-        read_folder(&mut self.files.after_death(), self.key, &Key::default())
+        // The last argument only seeds the hashes of ids.
+        read_folder(&mut self.files.without_faults(), self.key, &Key::default())
             .map_err(ToolError::open(&self.path))
     }
 }
 
-/// All files; `None` if the folder changed while they were read.
+/// Reads all files; `None` if the manifest was replaced or a file removed during it.
 fn read_unchanged(
     folder: &mut Folder,
     path: &Path,
@@ -69,7 +69,7 @@
         });
     }
     let read = |name: &String| Some((name.clone(), folder.read(name, 0, usize::MAX).ok()?));
-    // `None` if one of them was removed in between.
+    // `None` if one of them was removed since it was listed.
     let files: Option<BTreeMap<String, Vec<u8>>> = listed.keys().map(read).collect();
     let after = folder.read(MANIFEST, 0, usize::MAX).ok();
     Ok(files.filter(|_| after == before))
--- a/crates/journal-tools/src/stats.rs
+++ b/crates/journal-tools/src/stats.rs
@@ -1,4 +1,4 @@
-//! A folder in figures.
+//! Statistics of a folder.
 
 use std::collections::BTreeMap;
 
@@ -8,64 +8,64 @@
 use crate::row::Row;
 use crate::snapshot::Snapshot;
 
-/// One segment in figures.
+/// Statistics of one segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SegmentStats {
-    /// Its file's name.
+    /// Name of the file.
     pub name: String,
     /// Size of the file in bytes.
     pub size: u64,
     /// Bytes of live frames.
     pub live: u64,
-    /// Readable frames.
+    /// Number of readable frames.
     pub frames: u32,
-    /// Readable records of accepted messages.
+    /// Number of readable records of accepted messages.
     pub accepted: u32,
-    /// Whether it is finished; else it is the head.
+    /// Whether the segment is sealed; otherwise it is the head.
     pub sealed: bool,
-    /// Lowest log number in it.
+    /// Log number of the first readable frame; 0 if there is none.
     pub first_lsn: u64,
-    /// Highest log number in it.
+    /// Highest log number of a readable frame.
     pub last_lsn: u64,
 }
 
-/// The records of one kind in figures.
+/// Statistics of the records of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KindStats {
-    /// Frames with such a record.
+    /// Number of frames with a record of the kind.
     pub frames: u64,
     /// Bytes of these frames.
     pub bytes: u64,
 }
 
-/// Bytes of all bodies.
+/// Total size of all bodies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BodyBytes {
-    /// As they were accepted.
+    /// Bytes of the bodies as accepted.
     pub accepted: u64,
-    /// As they are stored.
+    /// Bytes of the bodies as stored, possibly compressed.
     pub stored: u64,
 }
 
-/// A folder in figures.
+/// Statistics of a folder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// By sequence number.
+    /// Segments, ordered by sequence number.
     pub segments: Vec<SegmentStats>,
-    /// By the name of the records' kind.
+    /// Record statistics, by the name of the kind; see [`Row::kind`].
     pub kinds: BTreeMap<&'static str, KindStats>,
-    /// Of all accepted messages.
+    /// Bodies of all accepted messages, whatever their state.
     pub bodies: BodyBytes,
-    /// Pending messages.
+    /// Number of pending messages.
     pub open: u64,
-    /// Messages whose final report is due.
+    /// Number of messages whose final report is due.
     pub final_report: u64,
-    /// Completed messages that are remembered.
+    /// Number of completed messages whose ids are remembered.
     pub completed: u64,
 }
 
 impl Stats {
-    /// A table of segments, a line for each kind of record, and totals.
+    /// The statistics as lines of text: a table of segments, a line for each kind of record, and totals.
     pub fn lines(&self) -> Vec<String> {
         let mut lines = vec!["segment       size    live  frames  taken  lsn".to_owned()];
         lines.extend(self.segments.iter().map(SegmentStats::line));
@@ -85,6 +85,7 @@
 }
 
 impl SegmentStats {
+    /// The segment's line in the table.
     fn line(&self) -> String {
         let head = if self.sealed { "" } else { "  head" };
         format!(
@@ -100,10 +101,10 @@
     }
 }
 
-/// Counts what there is.
+/// Computes the statistics of a folder.
 ///
 /// # Errors
-/// If the files are no journal that can be read at all.
+/// If the folder can't be read as a journal; damaged ranges are skipped.
 pub fn stats(snapshot: &Snapshot) -> Result<Stats, ToolError> {
     let contents = snapshot.contents()?;
     let counts = contents.recovered.counts;
@@ -129,7 +130,7 @@
         completed: counts.completed,
         ..Stats::default()
     };
-    let mut files = snapshot.files.after_death();
+    let mut files = snapshot.files.without_faults();
     scan(
         &mut files,
         snapshot.key,
--- a/crates/journal-tools/src/verdict.rs
+++ b/crates/journal-tools/src/verdict.rs
@@ -1,45 +1,46 @@
-//! What is wrong with a folder.
+//! Verification of a folder.
 
 use cranehill_journal::{DamageCause, DamagedRange, LostMessage, TornWrite};
 
 use crate::error::ToolError;
 use crate::snapshot::Snapshot;
 
-/// A greater number of messages in a damaged range is no estimate.
+/// Above this number of messages, the bound on those in a damaged range is printed as unknown.
 const MAX_ESTIMATED_MESSAGES: u32 = 1_000_000;
 
-/// What is wrong with a folder, and what a start would make of it.
+/// The damage to a folder, and the messages that a start of the sender would recover.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// What can't be read or is missing.
+    /// Ranges that can't be read or are missing.
     pub damage: Vec<DamagedRange>,
-    /// Messages whose own record is lost.
+    /// Messages whose record of acceptance is lost.
     pub lost: Vec<LostMessage>,
-    /// Pending messages that count as possibly executed because of damage.
+    /// Number of pending messages that count as possibly executed because of damage.
     pub possibly_executed: usize,
-    /// A write that was cut off at the end of the head.
+    /// A torn write at the end of the head.
     pub torn: Option<TornWrite>,
-    /// Files signed under another key.
+    /// Names of files that are not segments of this folder, for example signed under another key.
     pub foreign: Vec<String>,
-    /// Pending messages.
+    /// Number of pending messages.
     pub open: u64,
-    /// Messages whose final report is due.
+    /// Number of messages whose final report is due.
     pub final_report: u64,
-    /// Completed messages that are remembered.
+    /// Number of completed messages whose ids are remembered.
     pub completed: u64,
-    /// Segments in the folder.
+    /// Number of segments.
     pub segments: usize,
-    /// Readable frames in them.
+    /// Number of readable frames in all segments.
     pub frames: u64,
 }
 
 impl Verdict {
-    /// Whether all that was acknowledged is there. A write that was cut off at the end is no damage.
+    /// Whether the folder has no damage and no lost message. A torn write at the end of the head is not damage, since
+    /// none of its records had been acknowledged.
     pub fn sound(&self) -> bool {
         self.damage.is_empty() && self.lost.is_empty()
     }
 
-    /// One line for each fault, then a summary.
+    /// The verdict as lines of text: one for each finding, then a summary.
     pub fn lines(&self) -> Vec<String> {
         let mut lines: Vec<String> = self.damage.iter().map(damage_line).collect();
         lines.extend(self.lost.iter().map(|lost| {
@@ -69,6 +70,7 @@
     }
 }
 
+/// The line of text for a damaged range.
 fn damage_line(range: &DamagedRange) -> String {
     let cause = match range.cause {
         DamageCause::Damaged => "no frame can be read",
@@ -88,10 +90,10 @@
     )
 }
 
-/// Reads every byte and reports what is wrong.
+/// Reads the whole folder and reports its damage.
 ///
 /// # Errors
-/// If the files are no journal that can be read at all.
+/// If the folder can't be read as a journal.
 pub fn verify(snapshot: &Snapshot) -> Result<Verdict, ToolError> {
     let contents = snapshot.contents()?;
     let segments = &contents.scan.segments;
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -1,49 +1,50 @@
-//! Why a folder can't be opened, and what a person can do about it; why a batch was not written.
+//! Errors of opening a folder, with what an operator can do about each, and of appending a batch.
 
 use std::io;
 
 use cranehill_core::Persisted;
 
-/// Why a folder can't be opened. Nothing in it has been changed, but for [`OpenError::Io`].
+/// Why a folder can't be opened. The folder is unchanged, except possibly after [`OpenError::Io`] and
+/// [`OpenError::NoRoom`].
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// A later release has written to the folder.
+    /// A file was written by a later release, in a format that this program does not know.
     #[error(
         "journal: {file} is of format {version}, this program knows up to {known}: start the newer release again, \
          or empty the folder once its messages are with others"
     )]
     Newer {
-        /// The file that is of the later format.
+        /// Name of the file in the later format.
         file: String,
         /// The file's format version.
         version: u16,
-        /// The latest version that this program knows.
+        /// The latest format version that this program knows.
         known: u16,
     },
-    /// An operator's key was given that is not the folder's.
+    /// The operator's key, or the folder's own, does not match the signature of any file.
     #[error(
         "journal: no file in the folder is signed under the key given: give the key with which it was written, \
          or an empty folder"
     )]
     WrongKey,
-    /// No copy of the folder's own key can be read.
+    /// All copies of the key in the folder's key file are damaged.
     #[error(
         "journal: the file 'key' is damaged in all of its copies: restore a copy of it, or empty the folder and \
          lose its messages"
     )]
     KeyLost,
-    /// The file of a release before 0.2 does not fit into the journal.
+    /// The records of the ledger file of a release before 0.2 do not fit into the disk budget.
     #[error(
         "journal: there is no room to migrate the old file 'ledger' ({needed} bytes more): raise disk_mb for one start"
     )]
     NoRoom {
-        /// Bytes that are missing.
+        /// Estimate, in bytes, of the room that the ledger's records need without their bodies.
         needed: u64,
     },
     /// A file operation failed.
     #[error("journal: {file}: {source}")]
     Io {
-        /// The file that it concerned.
+        /// Name of the file.
         file: String,
         /// The error of the file system.
         source: io::Error,
@@ -59,12 +60,12 @@
     }
 }
 
-/// Records that were not written, and why.
+/// A batch that was not persisted, or only in part.
 #[derive(Debug, thiserror::Error)]
 #[error("{source}")]
 pub struct AppendError {
-    /// Which of the batch's records are persisted all the same.
+    /// Which of the batch's records are persisted despite the error.
     pub persisted: Persisted,
-    /// The error of the file system, or that there is no room.
+    /// The error of the file system; [`io::ErrorKind::StorageFull`] if the disk budget is exhausted.
     pub source: io::Error,
 }
--- a/crates/journal/src/folder.rs
+++ b/crates/journal/src/folder.rs
@@ -1,4 +1,4 @@
-//! A real folder.
+//! [`Storage`] in a directory of the file system.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -7,26 +7,35 @@
 
 use crate::storage::{Storage, disk_usage};
 
-/// A real folder. Appends keep the file open, since most are to the same one.
+/// A directory of the file system with a disk budget. The file last appended to stays open, since most appends are to
+/// the same file.
 #[derive(Debug)]
 pub struct Folder {
     dir: PathBuf,
-    /// Bytes that it may hold.
+    /// Bytes that the folder may use.
     disk: u64,
+    /// File sizes in bytes, by name.
     sizes: BTreeMap<String, u64>,
-    /// What all files use, in whole blocks.
+    /// Bytes that all files use, each rounded up to whole blocks.
     used: u64,
+    /// The file last appended to, with its name.
     open: Option<(String, File)>,
 }
 
 impl Folder {
-    /// The folder at `dir`, created if need be, which may hold `disk` bytes.
+    /// Opens the folder at `dir` with a budget of `disk` bytes, and creates it if it does not exist.
+    ///
+    /// # Errors
+    /// If it can't be created or listed.
     pub fn new(dir: &Path, disk: u64) -> io::Result<Folder> {
         fs::create_dir_all(dir)?;
         Folder::existing(dir, disk)
     }
 
-    /// As [`Folder::new`], of a folder that must be there.
+    /// Opens the folder at `dir` with a budget of `disk` bytes.
+    ///
+    /// # Errors
+    /// If it does not exist or can't be listed.
     pub fn existing(dir: &Path, disk: u64) -> io::Result<Folder> {
         let mut folder = Folder {
             dir: dir.to_owned(),
@@ -40,16 +49,17 @@
         Ok(folder)
     }
 
-    /// Where the folder is.
+    /// The folder's path.
     pub fn dir(&self) -> &Path {
         &self.dir
     }
 
+    /// Closes the file if it is open for appending.
     fn close(&mut self, name: &str) {
         self.open.take_if(|(open, _)| open == name);
     }
 
-    /// Records a file's size; `None` if it was removed.
+    /// Updates a file's size in bytes and the disk usage; `None` if the file was removed.
     fn set_size(&mut self, name: &str, size: Option<u64>) {
         let before = match (self.sizes.get_mut(name), size) {
             (Some(known), Some(size)) => std::mem::replace(known, size),
@@ -59,7 +69,7 @@
         self.used = self.used + size.map_or(0, disk_usage) - disk_usage(before);
     }
 
-    /// After an error the size may be anything: it is read from the file system.
+    /// Reads a file's size from the file system: after a failed write it is unknown.
     fn refresh_size(&mut self, name: &str) {
         let size = fs::metadata(self.dir.join(name)).ok().map(|m| m.len());
         self.set_size(name, size);
@@ -85,7 +95,7 @@
         if disk_usage(after) - disk_usage(before) > self.room() {
             return Err(io::Error::new(
                 ErrorKind::StorageFull,
-                "the folder's disk budget is used",
+                "the folder's disk budget is exhausted",
             ));
         }
         let written = self.open_for_append(name)?.write_all(bytes);
@@ -138,7 +148,7 @@
         let mut files = BTreeMap::new();
         for entry in fs::read_dir(&self.dir)? {
             let entry = entry?;
-            // A file removed in the meantime is not listed.
+            // Files removed since `read_dir` are skipped.
             if let Ok(metadata) = entry.metadata()
                 && metadata.is_file()
             {
--- a/crates/journal/src/format.rs
+++ b/crates/journal/src/format.rs
@@ -1,4 +1,4 @@
-//! The bytes of a journal's files: encoding and decoding, without I/O. `docs/journal-format.md` describes them.
+//! Encoding and decoding of a journal's files, without I/O. `docs/journal-format.md` specifies them.
 
 pub(crate) mod body;
 pub(crate) mod frame;
--- a/crates/journal/src/format/body.rs
+++ b/crates/journal/src/format/body.rs
@@ -1,23 +1,24 @@
-//! Bodies of messages, compressed where that saves enough.
+//! LZ4 compression of message bodies, where it saves enough.
 
 use std::borrow::Cow;
 
-/// Shorter bodies save too little to be worth the attempt.
+/// Shorter bodies are not compressed: they save too little.
 const MIN_COMPRESSIBLE_BYTES: usize = 256;
-/// Compression must save one part in this many, or decompressing is work for nothing.
+/// The compressed form is used only if it saves at least one part in this many of the body; less does not justify the
+/// cost of decompression.
 const MIN_SAVED_PART: usize = 16;
-/// No body is larger when decompressed: a larger size is damage.
+/// Upper bound on a body's size before compression: a stored size above it is damage.
 const MAX_BODY_BYTES: usize = 128 * 1024;
 
-/// A body as it is stored.
+/// A body in its stored form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct StoredBody<'a> {
-    /// Size before compression, if it is compressed.
+    /// Size in bytes before compression; `None` if it is not compressed.
     pub(crate) uncompressed_len: Option<u32>,
     pub(crate) bytes: Cow<'a, [u8]>,
 }
 
-/// The body compressed, if that is worth it.
+/// The stored form of a body: compressed if that saves enough, else unchanged.
 pub(crate) fn compress(body: &[u8]) -> StoredBody<'_> {
     if body.len() >= MIN_COMPRESSIBLE_BYTES {
         let compressed = lz4_flex::block::compress(body);
@@ -34,8 +35,10 @@
     }
 }
 
-/// The body as it was accepted, from its size before compression and its stored bytes; `None` if it can't be
-/// decompressed.
+/// Restores a body from its size before compression and its stored bytes. `None` as size means that it is not
+/// compressed.
+///
+/// Returns `None` if the bytes can't be decompressed to exactly that size, or the size is over 128 KiB.
 pub fn decompress(uncompressed_len: Option<u32>, stored: &[u8]) -> Option<Cow<'_, [u8]>> {
     let Some(len) = uncompressed_len else {
         return Some(Cow::Borrowed(stored));
--- a/crates/journal/src/format/frame.rs
+++ b/crates/journal/src/format/frame.rs
@@ -1,10 +1,11 @@
-//! Frames: one record each, with a checked header and a checksum, so that the next one is found behind damage.
+//! Frames: each holds one record, behind a header with a check of the length and a checksum of the payload, so that a
+//! reader can find the next frame after a damaged one.
 
 use crate::format::key::Salt;
 
-/// Length of the payload in three bytes, their check, the payload's checksum in four bytes.
+/// Payload length (3 bytes, little-endian), check of the length (1 byte), checksum of the payload (4 bytes).
 pub(crate) const HEADER_BYTES: usize = 8;
-/// Longer than any record: a message's body has 64 KiB at most.
+/// Upper bound on a payload's length. A message's body has 64 KiB at most, so no record is as long.
 pub(crate) const MAX_PAYLOAD_BYTES: usize = 256 * 1024;
 
 /// Appends a frame; `write_payload` appends its payload.
@@ -15,7 +16,7 @@
     let payload = &buffer[start + HEADER_BYTES..];
     debug_assert!(
         payload.len() <= MAX_PAYLOAD_BYTES,
-        "a record of {} bytes",
+        "payload of {} bytes exceeds the limit",
         payload.len()
     );
     let length = (payload.len() as u32).to_le_bytes();
@@ -25,7 +26,7 @@
     buffer[start + 4..start + HEADER_BYTES].copy_from_slice(&checksum);
 }
 
-/// Any one changed byte of the length changes this.
+/// Check byte of a length; it changes if any one byte of the length does.
 fn length_check(salt: Salt, length: [u8; 3]) -> u8 {
     length[0].rotate_left(1)
         ^ length[1].rotate_left(3)
@@ -39,22 +40,22 @@
     hasher.finalize()
 }
 
-/// What is found at an offset of a segment.
+/// The bytes at an offset of a segment, decoded as a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DecodedFrame<'a> {
-    /// A whole frame, by its payload.
+    /// A complete frame with a matching checksum; holds its payload.
     Valid(&'a [u8]),
-    /// A valid header with too little behind it, or too little for a header: the bytes were cut off there.
+    /// The bytes end inside the header, or inside the payload of a valid header.
     Truncated,
-    /// No frame.
+    /// The header or the payload does not match its check.
     Damaged,
 }
 
-/// Reads the frame that begins at `offset`.
+/// Decodes the frame that begins at `offset`.
 pub(crate) fn decode(salt: Salt, bytes: &[u8], offset: usize) -> DecodedFrame<'_> {
     let rest = bytes.get(offset..).unwrap_or_default();
     let Some(header) = rest.get(..HEADER_BYTES) else {
-        // Three bytes and their check are enough to distinguish damage from truncation.
+        // The length and its check are enough to distinguish damage from truncation.
         return match rest {
             [a, b, c, d, ..] if !is_valid_length(salt, [*a, *b, *c], *d) => DecodedFrame::Damaged,
             _ => DecodedFrame::Truncated,
@@ -81,7 +82,8 @@
     length_check(salt, length) == check && (1..=MAX_PAYLOAD_BYTES).contains(&payload_len(length))
 }
 
-/// Where the frame at `offset` ends, if its header is valid and it does not reach beyond the bytes.
+/// The end of the frame at `offset` as its header states it; `None` if the header is invalid or the frame reaches
+/// beyond the bytes.
 pub(crate) fn end_by_header(salt: Salt, bytes: &[u8], offset: usize) -> Option<usize> {
     let header = bytes.get(offset..offset + HEADER_BYTES)?;
     let length = [header[0], header[1], header[2]];
@@ -89,9 +91,9 @@
     (is_valid_length(salt, length, header[3]) && end <= bytes.len()).then_some(end)
 }
 
-/// Where the next valid frame behind a damaged place begins, or the end of the bytes if that place's frame was the
-/// last. `None` if there is no valid one. The damaged frame's own header is tried first, since mostly it is the
-/// payload that was hit.
+/// The offset of the next valid frame after a damaged one, or the end of the bytes if the damaged frame was the last.
+/// `None` if no valid frame follows. The length in the damaged frame's header is tried first, since most damage is in
+/// payloads.
 pub(crate) fn next_valid(salt: Salt, bytes: &[u8], damaged: usize) -> Option<usize> {
     let is_valid = |offset: usize| matches!(decode(salt, bytes, offset), DecodedFrame::Valid(_));
     let by_header = end_by_header(salt, bytes, damaged);
--- a/crates/journal/src/format/key.rs
+++ b/crates/journal/src/format/key.rs
@@ -1,16 +1,16 @@
-//! The folder's key, its file, and what is derived from it: keyed hashes and the salts of frames.
+//! The folder's key, the file that stores it, and the keyed hashes and frame salts derived from it.
 
-/// The key of the keyed hashes, from an operator's file or drawn for the folder.
+/// A 32-byte key for keyed hashes: given by an operator, or generated for the folder.
 pub type Key = [u8; KEY_BYTES];
-/// A keyed hash, cut to 16 bytes.
+/// A keyed BLAKE3 hash, truncated to 16 bytes.
 pub(crate) type Mac = [u8; 16];
 
-/// The file that holds the folder's own key.
+/// Name of the file that stores the folder's own key.
 pub(crate) const FILE_NAME: &str = "key";
 const KEY_BYTES: usize = 32;
-/// Copies of the key in its file: one flipped byte must not make the whole folder unreadable.
+/// Copies of the key in its file, so that one damaged byte does not make the whole folder unreadable.
 const COPIES: usize = 3;
-/// A copy is the key and its CRC-32.
+/// Bytes of one copy: the key and its CRC-32.
 const COPY_BYTES: usize = KEY_BYTES + 4;
 
 /// The contents of the key file.
@@ -23,7 +23,7 @@
     bytes
 }
 
-/// The key from its file, from whichever copy is valid; `None` if there is no valid one.
+/// Decodes the key file: the first valid copy, or `None` if all are damaged.
 pub(crate) fn decode_file(bytes: &[u8]) -> Option<Key> {
     bytes
         .chunks_exact(COPY_BYTES)
@@ -35,7 +35,7 @@
         })
 }
 
-/// The keyed hash of `parts`, one after the other.
+/// The keyed hash of the concatenation of `parts`.
 pub(crate) fn mac(key: &Key, parts: &[&[u8]]) -> Mac {
     let mut hasher = blake3::Hasher::new_keyed(key);
     for part in parts {
@@ -44,20 +44,20 @@
     finish_mac(&hasher)
 }
 
-/// The keyed hash of what `hasher` has been given.
+/// The keyed hash of the bytes that `hasher` has consumed.
 pub(crate) fn finish_mac(hasher: &blake3::Hasher) -> Mac {
     let mut mac = Mac::default();
     mac.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
     mac
 }
 
-/// Makes the checksums of one segment's frames its own: bytes inside a message's body can't pass for a frame, nor
-/// can a frame of another segment.
+/// Secret, per-segment salt of frame checksums: neither bytes in a message's body nor a frame of another segment can be
+/// mistaken for a frame of this segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Salt {
     /// Initial value of the payloads' CRC-32.
     pub(crate) checksum_seed: u32,
-    /// Part of the check of a frame's length.
+    /// XORed into the check of a frame's length.
     pub(crate) length_check: u8,
 }
 
--- a/crates/journal/src/format/manifest.rs
+++ b/crates/journal/src/format/manifest.rs
@@ -1,4 +1,4 @@
-//! The manifest: which segments there are. Replacing it is the one step by which the set changes.
+//! The manifest lists the folder's segments. The set of segments changes only by replacing the manifest atomically.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,61 +6,63 @@
 use crate::format::segment::{VERSION, is_newer_version};
 
 pub(crate) const FILE_NAME: &str = "manifest";
-/// The next manifest while it is written; it replaces the other one by a rename.
+/// Name of the next manifest while it is written; a rename then replaces the current one.
 pub(crate) const NEXT_FILE_NAME: &str = "manifest.new";
-/// Bytes of the file that are read: more than any manifest has.
+/// Bytes of the file that are read; no valid manifest is longer.
 pub(crate) const MAX_FILE_BYTES: usize = 2 * MAX_PAYLOAD_BYTES;
 
 const MAGIC: &[u8; 8] = b"cranehmf";
 const HEADER_BYTES: usize = 14;
 const SIGNATURE_BYTES: usize = 16;
-/// No folder has segments enough for a longer one.
+/// Upper bound on the payload's length; the number of segments in a folder keeps it far below.
 const MAX_PAYLOAD_BYTES: usize = 1024 * 1024;
 
-/// The list of segments, with the counters that must not go back.
+/// The list of segments, with the counters that must never decrease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Manifest {
-    /// Grows with every change.
+    /// Incremented each time that the manifest is replaced.
     pub(crate) epoch: u64,
+    /// Sequence number of the next segment.
     pub(crate) next_sequence: u32,
-    /// No frame written later has a lower log number.
+    /// Lower bound on the log numbers of frames written after this manifest.
     pub(crate) next_lsn: u64,
-    /// By sequence number.
+    /// Ordered by sequence number.
     pub(crate) segments: Vec<ManifestEntry>,
 }
 
-/// A segment as the manifest lists it.
+/// The manifest's entry for a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ManifestEntry {
     pub(crate) sequence: u32,
-    /// As in the segment's header.
+    /// Lower than the log number of every frame in the segment; same as in its header.
     pub(crate) base_lsn: u64,
-    /// Chained hash of the one sealed before it, as in its header.
+    /// Chained hash of the segment sealed before it, as in its header.
     pub(crate) previous_chain: Mac,
-    /// `None` for the head.
+    /// `None` for the head segment.
     pub(crate) seal: Option<Seal>,
 }
 
-/// How a segment was when it was finished.
+/// The final length, counts and hash of a sealed segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Seal {
-    /// Bytes of the file that count.
+    /// Bytes of the file, header included; anything after them is ignored.
     pub(crate) len: u32,
+    /// Frames in the segment.
     pub(crate) frames: u32,
-    /// Records of accepted messages in it.
+    /// Records of accepted messages in the segment.
     pub(crate) accepted: u32,
-    /// Its chained hash.
+    /// Keyed hash of the previous segment's chained hash and of this segment's frames.
     pub(crate) chain: Mac,
 }
 
-/// What the manifest's file holds.
+/// Result of decoding the manifest file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum DecodedManifest {
-    /// A manifest of this folder.
+    /// A manifest signed under one of the folder's keys.
     Valid(Manifest),
-    /// Of a later format than this program knows.
+    /// Written in a later format than this program knows.
     NewerVersion(u16),
-    /// Damaged, or not of this folder.
+    /// Damaged, or signed under another key.
     Invalid,
 }
 
@@ -78,7 +80,7 @@
         bytes
     }
 
-    /// Reads the file, which may be signed under any of `keys`.
+    /// Decodes the file, which may be signed under any of `keys`.
     pub(crate) fn decode(bytes: &[u8], keys: &[Key]) -> DecodedManifest {
         let header = bytes.get(..HEADER_BYTES).filter(|b| b.starts_with(MAGIC));
         let Some(header) = header else {
@@ -93,7 +95,8 @@
             .max(HEADER_BYTES);
         let (signed, signature) = bytes.split_at(signed_len);
         let whole = payload_len <= MAX_PAYLOAD_BYTES && signed.len() == HEADER_BYTES + payload_len;
-        // As with a segment's header, a damaged version is put right.
+        // As with a segment's header, the signature is checked with the version that this program writes, so that a
+        // damaged version is corrected.
         let parts = [&signed[..8], &VERSION.to_le_bytes(), &signed[10..]];
         if whole && keys.iter().any(|key| mac(key, &parts) == signature) {
             return postcard::from_bytes(&signed[HEADER_BYTES..])
--- a/crates/journal/src/format/packed_id.rs
+++ b/crates/journal/src/format/packed_id.rs
@@ -1,17 +1,17 @@
-//! Ids in packed form: most are lower-case hexadecimal text and take half of its bytes.
+//! Packed ids: lower-case hexadecimal text, as most ids are, takes half as many bytes.
 
 use std::fmt;
 
-/// First byte of a packed form: what follows has two hexadecimal digits in each byte.
+/// First byte of a packed id whose other bytes encode two hexadecimal digits each.
 const HEX_TAG: u8 = 0;
-/// First byte of a packed form: what follows is the text itself.
+/// First byte of a packed id whose other bytes are the text in UTF-8.
 const TEXT_TAG: u8 = 1;
-/// Packed forms up to this long need no allocation. Ids of the platform take nine bytes.
+/// Packed ids up to this long need no allocation. Ids of the platform take nine bytes.
 const MAX_INLINE_BYTES: usize = 15;
-/// What [`HEX_VALUES`] holds for a byte that is no lower-case hexadecimal digit.
+/// Value in [`HEX_VALUES`] of a byte that is not a lower-case hexadecimal digit.
 const NOT_HEX: u8 = 16;
 
-/// Two digits for each byte, so that text is put together from pieces that are known to be text.
+/// The two digits of every byte value; slices of this string need no UTF-8 check.
 const HEX_PAIRS: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f\
 202122232425262728292a2b2c2d2e2f303132333435363738393a3b3c3d3e3f\
 404142434445464748494a4b4c4d4e4f505152535455565758595a5b5c5d5e5f\
@@ -21,7 +21,7 @@
 c0c1c2c3c4c5c6c7c8c9cacbcccdcecfd0d1d2d3d4d5d6d7d8d9dadbdcdddedf\
 e0e1e2e3e4e5e6e7e8e9eaebecedeeeff0f1f2f3f4f5f6f7f8f9fafbfcfdfeff";
 
-/// The value of each hexadecimal digit, by its byte.
+/// The value of each hexadecimal digit, indexed by its ASCII code.
 static HEX_VALUES: [u8; 256] = {
     let mut values = [NOT_HEX; 256];
     let mut digit = 0;
@@ -32,13 +32,13 @@
     values
 };
 
-/// An id, of a message or a key, in packed form. Equal texts have equal packed forms.
+/// A message id, idempotency key or ordering key in packed form. Equal texts have equal packed forms.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PackedId(Representation);
 
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Representation {
-    /// The bytes, then zeros; the last byte is their number.
+    /// The packed bytes, padded with zeros; the last byte is their number.
     Inline([u8; MAX_INLINE_BYTES + 1]),
     Heap(Box<[u8]>),
 }
@@ -48,7 +48,7 @@
     pub fn new(text: &str) -> PackedId {
         let bytes = text.as_bytes();
         if bytes.is_empty() || !bytes.len().is_multiple_of(2) {
-            return PackedId::of(&[&[TEXT_TAG], bytes].concat());
+            return PackedId::from_packed(&[&[TEXT_TAG], bytes].concat());
         }
         if bytes.len() <= 2 * (MAX_INLINE_BYTES - 1) {
             if let Some(inline) = inline_hex(bytes) {
@@ -58,12 +58,15 @@
             let pairs = bytes
                 .chunks_exact(2)
                 .map(|pair| hex_value(pair[0]) << 4 | hex_value(pair[1]));
-            return PackedId::of(&std::iter::once(HEX_TAG).chain(pairs).collect::<Vec<u8>>());
+            return PackedId::from_packed(
+                &std::iter::once(HEX_TAG).chain(pairs).collect::<Vec<u8>>(),
+            );
         }
-        PackedId::of(&[&[TEXT_TAG], bytes].concat())
+        PackedId::from_packed(&[&[TEXT_TAG], bytes].concat())
     }
 
-    fn of(packed: &[u8]) -> PackedId {
+    /// Wraps bytes that are already in packed form.
+    fn from_packed(packed: &[u8]) -> PackedId {
         if packed.len() > MAX_INLINE_BYTES {
             return PackedId(Representation::Heap(packed.into()));
         }
@@ -73,9 +76,9 @@
         PackedId(Representation::Inline(inline))
     }
 
-    /// From the packed form; `None` if it is not one that [`PackedId::new`] makes.
+    /// Reads a packed form; `None` if the bytes are not the packed form of a text.
     pub fn from_bytes(packed: &[u8]) -> Option<PackedId> {
-        is_valid(packed).then(|| PackedId::of(packed))
+        is_valid(packed).then(|| PackedId::from_packed(packed))
     }
 
     /// The packed form.
@@ -105,7 +108,7 @@
     }
 }
 
-/// The packed form of an even number of digits that fits without allocation; `None` if one of them is no digit.
+/// The inline packed form of an even number of digits; `None` if one of them is not a lower-case hexadecimal digit.
 fn inline_hex(digits: &[u8]) -> Option<[u8; MAX_INLINE_BYTES + 1]> {
     let mut inline = [0; MAX_INLINE_BYTES + 1];
     let mut all_hex = true;
@@ -118,7 +121,7 @@
     all_hex.then_some(inline)
 }
 
-/// Whether these bytes are the packed form of some id.
+/// Whether the bytes are the packed form of a text.
 pub(crate) fn is_valid(packed: &[u8]) -> bool {
     match packed {
         [HEX_TAG, _, ..] => true,
--- a/crates/journal/src/format/record.rs
+++ b/crates/journal/src/format/record.rs
@@ -1,53 +1,53 @@
-//! Journal records: what a frame's payload says. The state is the join of all records, whatever their order and
-//! however often each is there.
+//! Journal records, the payloads of frames. The state is the join of all records: it depends neither on their order nor
+//! on how often a record is present.
 
 use serde::{Deserialize, Serialize};
 
 use crate::format::frame;
 use crate::format::packed_id;
 
-/// The least that the record of an attempt takes on disk: bounds how many a damaged range may have held.
+/// Lower bound on the bytes of an attempt's frame: it bounds how many attempts a damaged range may have held.
 pub(crate) const MIN_ATTEMPT_FRAME_BYTES: usize = frame::HEADER_BYTES + 10;
 
-/// Bytes with their length before them: a packed id or a body.
+/// Bytes prefixed with their length: a packed id or a body.
 pub type RawBytes<'a> = &'a serde_bytes::Bytes;
 
-/// A message as it was accepted.
+/// The contents of the record of an accepted message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedMessage<'a> {
     /// The message's id, packed.
     #[serde(borrow)]
     pub id: RawBytes<'a>,
-    /// Log number under which it was accepted; 0 on disk for that of this very frame.
+    /// Log number of the message's acceptance; 0 on disk if it is this frame's own log number.
     pub accepted_lsn: u64,
     /// Index of its class.
     pub class: u32,
     /// Index of its tenant.
     pub tenant: u32,
-    /// Its destination's id.
+    /// The destination's id.
     pub destination: u64,
-    /// Its idempotency key, packed, if it has one.
+    /// The idempotency key, packed, if the message has one.
     pub key: Option<RawBytes<'a>>,
-    /// Unix time in milliseconds.
+    /// The deadline, as Unix time in milliseconds.
     pub deadline_ms: u64,
     /// Milliseconds from acceptance to the deadline.
     pub lifetime_ms: u32,
-    /// Size of the body before compression, if it is compressed.
+    /// Size of the body in bytes before compression; `None` if it is not compressed.
     pub uncompressed_len: Option<u32>,
-    /// The body as stored.
+    /// The body in its stored form; see [`decompress_body`](crate::decompress_body).
     pub body: RawBytes<'a>,
 }
 
-/// One journal record, borrowed from its frame. `accepted_lsn` is the log number under which the message was
-/// accepted: an id that is used again after it was forgotten is a new incarnation.
+/// One journal record, borrowed from its frame. `accepted_lsn` is the log number under which the message was accepted;
+/// it distinguishes incarnations of an id that a client uses again after the sender has forgotten it.
 ///
-/// The position of a variant is its number on disk: new ones are added at the end.
+/// The position of a variant is its number on disk: new variants are added at the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JournalRecord<'a> {
     /// A message was accepted.
     #[serde(borrow)]
     Accepted(AcceptedMessage<'a>),
-    /// An attempt was about to be submitted.
+    /// An attempt was about to be sent.
     AttemptStarted {
         /// The message's id, packed.
         #[serde(borrow)]
@@ -56,9 +56,9 @@
         accepted_lsn: u64,
         /// The attempt's number, from 0.
         attempt: u32,
-        /// The endpoint that it was submitted to.
+        /// The endpoint that the attempt was sent to.
         endpoint: &'a str,
-        /// Unix time in milliseconds.
+        /// Start of the attempt, as Unix time in milliseconds.
         started_ms: u64,
     },
     /// An attempt ended without completing its message.
@@ -70,7 +70,7 @@
         accepted_lsn: u64,
         /// The attempt's number, from 0.
         attempt: u32,
-        /// It is known that the destination did not execute it.
+        /// Whether it is known that the destination did not execute the attempt.
         not_executed: bool,
     },
     /// The message's final report is due.
@@ -93,24 +93,24 @@
         /// Unix time in milliseconds until which the id is remembered.
         remember_until_ms: u64,
     },
-    /// Damage may hide attempts of messages accepted before a log number.
+    /// Damage may have destroyed records of attempts of messages accepted before a log number.
     PossiblyExecuted {
         /// Messages accepted under this log number or a later one are not affected.
         accepted_before: u64,
-        /// Attempts that one message may have had besides those known.
+        /// Upper bound on one message's attempts without a readable record.
         attempts: u32,
-        /// Unix time in milliseconds by which all messages affected have ended.
+        /// Unix time in milliseconds by which all affected messages have ended.
         until_ms: u64,
     },
-    /// As [`JournalRecord::Accepted`], for a message that is ordered.
+    /// As [`JournalRecord::Accepted`], for a message with an ordering key.
     AcceptedInOrder {
-        /// The message.
+        /// The contents of the record.
         #[serde(borrow)]
         message: AcceptedMessage<'a>,
         /// Its ordering key, packed.
         ordering_key: RawBytes<'a>,
     },
-    /// As [`JournalRecord::FinalReportDue`], for a message that is ordered.
+    /// As [`JournalRecord::FinalReportDue`], for a message with an ordering key.
     FinalReportDueInOrder {
         /// The message's id, packed.
         #[serde(borrow)]
@@ -124,16 +124,16 @@
     },
 }
 
-/// The message that a record is about.
+/// The incarnation of a message that a record belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageRef<'a> {
-    /// Its id, packed.
+    /// The message's id, packed.
     pub id: &'a [u8],
-    /// Log number under which it was accepted.
+    /// Log number of the message's acceptance.
     pub accepted_lsn: u64,
 }
 
-/// Which of its message's records one is: the same kind twice is the same record twice.
+/// Identifies a record within its message: two records of one message with the same kind are copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecordKind {
     Accepted,
@@ -147,7 +147,7 @@
 }
 
 impl<'a> JournalRecord<'a> {
-    /// The message that it is about; `None` for [`JournalRecord::PossiblyExecuted`].
+    /// The message that the record belongs to; `None` for [`JournalRecord::PossiblyExecuted`].
     pub fn message(&self) -> Option<MessageRef<'a>> {
         let (id, accepted_lsn) = match *self {
             JournalRecord::Accepted(message) | JournalRecord::AcceptedInOrder { message, .. } => {
@@ -173,7 +173,7 @@
         Some(MessageRef { id, accepted_lsn })
     }
 
-    /// The message as it was accepted, if the record says that.
+    /// The contents of the record of an accepted message; `None` for other kinds.
     pub fn accepted(&self) -> Option<&AcceptedMessage<'a>> {
         match self {
             JournalRecord::Accepted(message) | JournalRecord::AcceptedInOrder { message, .. } => {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// The message's ordering key, packed, where the record has it.
+    /// The message's ordering key, packed; `None` for kinds that do not store it.
     pub fn ordering_key(&self) -> Option<RawBytes<'a>> {
         match self {
             JournalRecord::AcceptedInOrder { ordering_key, .. }
@@ -192,8 +192,9 @@
         }
     }
 
-    /// The latest Unix time in milliseconds that the record proves to have been reached; 0 if it proves none.
-    pub(crate) fn reached_ms(&self) -> u64 {
+    /// The Unix time in milliseconds at which the record's event happened, which the clock has therefore reached; 0 if
+    /// the record has none.
+    pub(crate) fn event_ms(&self) -> u64 {
         match *self {
             JournalRecord::Accepted(message) | JournalRecord::AcceptedInOrder { message, .. } => {
                 message
@@ -205,7 +206,7 @@
         }
     }
 
-    /// The same with `accepted_lsn` filled in, for a frame with this log number.
+    /// The record with an omitted `accepted_lsn` replaced by the log number of its frame.
     fn resolved(mut self, lsn: u64) -> JournalRecord<'a> {
         if let JournalRecord::Accepted(message) | JournalRecord::AcceptedInOrder { message, .. } =
             &mut self
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Whether its ids are valid packed ids.
+    /// Whether the message's id and keys are valid packed ids.
     fn has_valid_ids(&self) -> bool {
         let ids = [
             self.message().map(|message| message.id),
@@ -244,22 +245,22 @@
     }
 }
 
-/// A record as it was read, with its log number.
+/// A decoded record with the log number of its frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DecodedRecord<'a> {
     pub(crate) lsn: u64,
     pub(crate) record: JournalRecord<'a>,
 }
 
-/// Appends a frame's payload.
+/// Appends the payload of a record's frame.
 pub(crate) fn encode(lsn: u64, record: &JournalRecord<'_>, buffer: &mut Vec<u8>) {
-    // Neither a number nor bytes can fail to be written into a vector.
+    // Serializing these types into a vector can't fail.
     let written = postcard::to_io(&lsn, &mut *buffer).is_ok()
         && postcard::to_io(record, &mut *buffer).is_ok();
     debug_assert!(written);
 }
 
-/// Reads a frame's payload; `None` if it is none, or has ids that no message has.
+/// Decodes a frame's payload; `None` if it is not exactly one record with a positive log number and valid ids.
 pub(crate) fn decode(payload: &[u8]) -> Option<DecodedRecord<'_>> {
     let (lsn, rest) = postcard::take_from_bytes::<u64>(payload).ok()?;
     let (record, rest) = postcard::take_from_bytes::<JournalRecord<'_>>(rest).ok()?;
--- a/crates/journal/src/format/segment.rs
+++ b/crates/journal/src/format/segment.rs
@@ -1,44 +1,44 @@
-//! Segments: their file names and headers.
+//! File names and headers of segments.
 
 use crate::format::key::{Key, Mac, mac};
 
 const MAGIC: &[u8; 8] = b"cranehsg";
-/// The newest format that is understood, of segments and of the manifest.
+/// The format version that this program writes, of segments and of the manifest.
 pub(crate) const VERSION: u16 = 1;
-/// Higher versions than this many above [`VERSION`] are damage, not a later release.
+/// A version this far or further above [`VERSION`] is taken for damage, not for a later release.
 pub(crate) const MAX_VERSIONS_AHEAD: u16 = 64;
 pub(crate) const HEADER_BYTES: usize = 72;
-/// The header without its keyed hash.
+/// Bytes of the header that its signature covers.
 const SIGNED_BYTES: usize = 56;
 
-/// A segment's header. See `docs/journal-format.md`.
+/// A segment's header, as `docs/journal-format.md` specifies it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Header {
     pub(crate) sequence: u32,
-    /// The manifest's by which the segment is listed first.
+    /// Epoch of the first manifest that lists the segment.
     pub(crate) epoch: u64,
-    /// Lower than the log number of every frame in it, not lower than any before it.
+    /// Lower than the log number of every frame in the segment, and no lower than that of any frame written before it.
     pub(crate) base_lsn: u64,
-    /// Unix time in milliseconds.
+    /// Creation time, as Unix time in milliseconds.
     pub(crate) created_ms: u64,
-    /// Chained hash of the segment sealed before it.
+    /// Chained hash of the segment sealed before this one.
     pub(crate) previous_chain: Mac,
 }
 
-/// What the first bytes of a file are.
+/// Result of decoding the header of a segment file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DecodedHeader {
-    /// Of this folder.
+    /// The signature is valid under one of the folder's keys.
     Valid {
         header: Header,
-        /// Index of the key that it is signed under.
+        /// Index of the key under which the header is signed.
         key_index: usize,
     },
-    /// Signed under none of the keys.
+    /// The magic number is right, but the signature is valid under none of the keys.
     Foreign,
-    /// Of a later format than this program knows.
+    /// Written in a later format than this program knows.
     NewerVersion(u16),
-    /// Too short, or not even the magic is right.
+    /// Shorter than a header, or without the magic number.
     Invalid,
 }
 
@@ -47,7 +47,7 @@
     format!("{sequence:08x}.seg")
 }
 
-/// The sequence number by a file's name, if it is a segment's.
+/// The sequence number in a segment's file name; `None` for the name of any other file.
 pub(crate) fn sequence_of(name: &str) -> Option<u32> {
     let digits = name.strip_suffix(".seg").filter(|d| d.len() == 8)?;
     u32::from_str_radix(digits, 16)
@@ -55,7 +55,7 @@
         .filter(|&sequence| file_name(sequence) == name)
 }
 
-/// Whether this is the version of a later release, and not a damaged number.
+/// Whether this is plausibly the version of a later release, rather than a damaged number.
 pub(crate) fn is_newer_version(version: u16) -> bool {
     version > VERSION && version < VERSION + MAX_VERSIONS_AHEAD
 }
@@ -77,15 +77,15 @@
         bytes
     }
 
-    /// Reads the first bytes of a file, which may be signed under any of `keys`.
+    /// Decodes the header at the start of a file, which may be signed under any of `keys`.
     pub(crate) fn decode(bytes: &[u8], keys: &[Key]) -> DecodedHeader {
         let Some(bytes) = bytes.get(..HEADER_BYTES).filter(|b| b.starts_with(MAGIC)) else {
             return DecodedHeader::Invalid;
         };
         let (signed, signature) = bytes.split_at(SIGNED_BYTES);
         let version = u16::from_le_bytes([signed[8], signed[9]]);
-        // A bit flipped in the version of a segment of this format must not pass for a later format: with the
-        // version put right the signature is right too.
+        // A flipped bit in the version must not be mistaken for a later format: the signature is checked with the
+        // version that this program writes.
         let mut corrected: [u8; SIGNED_BYTES] = std::array::from_fn(|i| signed[i]);
         corrected[8..10].copy_from_slice(&VERSION.to_le_bytes());
         let key_index = keys
--- a/crates/journal/src/fuzzing.rs
+++ b/crates/journal/src/fuzzing.rs
@@ -1,4 +1,4 @@
-//! Entry points of the fuzz targets and of the test of their seeds. Not for other callers.
+//! Entry points for the fuzz targets and for the test that runs their seeds. Not for other callers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 /// The id of the message that [`recover`] appends.
 const NEW_ID: &str = "00000000000000ff0000ff";
 
-/// Runs every decoder on any bytes: none may panic, nor take memory that the bytes only claim to need.
+/// Runs every decoder on arbitrary bytes: none may panic, or allocate memory by a length that the bytes do not contain.
 pub fn decode(data: &[u8]) {
     let keys = [KEY, OTHER_KEY];
     let _ = Header::decode(data, &keys);
@@ -54,7 +54,7 @@
     }
 }
 
-/// What is read can be written, and is the same when it is read again.
+/// Checks that a decoded record can be encoded and decodes to the same record again.
 fn decode_record(data: &[u8]) {
     if let Some(decoded) = record::decode(data) {
         let mut bytes = Vec::new();
@@ -75,8 +75,8 @@
     }
 }
 
-/// Opens a folder put together from the data (frames with any payload, raw bytes, further segments, flipped bytes),
-/// uses it and opens it again: no less may be known of a message than before.
+/// Opens a folder built from the data (frames with arbitrary payloads, raw bytes, further segments, flipped bytes),
+/// compacts it, appends a message and opens it again. No pending message, attempt or possible execution may be lost.
 pub fn recover(data: &[u8]) {
     let options = Options {
         disk: DISK_BYTES,
@@ -92,7 +92,7 @@
     }
     let before = open_messages(&found.records);
     let persisted = journal.append(NOW_MS, &[new_message()]).is_ok();
-    let (_, again) = Journal::open(journal.storage().after_death(), &options, NOW_MS)
+    let (_, again) = Journal::open(journal.storage().without_faults(), &options, NOW_MS)
         .expect("it was opened before");
     let after = open_messages(&again.records);
     assert!(
@@ -124,14 +124,14 @@
     }
 }
 
-/// What is known of a pending message.
+/// The attempts of a pending message, as the core reads them.
 #[derive(Clone, Copy, Debug)]
 struct OpenMessage {
     attempts: u32,
     possibly_executed: bool,
 }
 
-/// Pending messages as the core reads them.
+/// The pending messages in these records, by id.
 fn open_messages(records: &[Record]) -> BTreeMap<String, OpenMessage> {
     let mut open: BTreeMap<String, (u32, Option<u32>)> = BTreeMap::new();
     for record in records {
@@ -168,7 +168,7 @@
         .collect()
 }
 
-/// A header for a segment of the folder.
+/// The encoded header of a segment of the folder.
 fn header(sequence: u32, base_lsn: u64) -> Vec<u8> {
     let header = Header {
         sequence,
@@ -180,7 +180,8 @@
     header.encode(&KEY)
 }
 
-/// Puts a folder together: each step has an operation, a length, and as many bytes.
+/// Builds a folder from the data, which is a sequence of steps: an operation (1 byte), a length (1 byte), and as many
+/// bytes.
 fn folder(data: &[u8]) -> Memory {
     let mut memory = Memory::new(DISK_BYTES);
     let files = &mut memory.files;
@@ -193,7 +194,7 @@
         match operation % 6 {
             0 | 1 => frame::encode(Salt::new(&KEY, sequence), &mut segment, |b| {
                 b.extend_from_slice(part);
-                // A frame has at least one byte.
+                // A frame's payload has at least one byte.
                 b.extend_from_slice(if part.is_empty() { &[0] } else { &[] });
             }),
             2 => segment.extend_from_slice(part),
@@ -214,7 +215,7 @@
     memory
 }
 
-/// Flips bits: each pair has a place and a mask.
+/// Flips bits of the segment: the first byte of each pair determines the position, the second is the mask.
 fn flip(segment: &mut [u8], pairs: &[u8]) {
     for pair in pairs.chunks_exact(2) {
         let at = usize::from(pair[0]) * 7 % segment.len().max(1);
@@ -224,7 +225,7 @@
     }
 }
 
-/// Data for [`recover`] that has frames with these payloads as a real folder has them: seeds for the fuzzer.
+/// Data from which [`recover`] builds a folder whose frames have these payloads, as a seed for the fuzzer.
 pub fn seed_of(payloads: &[Vec<u8>]) -> Vec<u8> {
     let mut data = Vec::new();
     for payload in payloads.iter().filter(|payload| payload.len() < 256) {
@@ -234,7 +235,7 @@
     data
 }
 
-/// The payloads of all frames in a folder in memory whose key is `key`.
+/// The payloads of all frames in a folder in memory that is signed under `key`.
 pub fn payloads(files: &Memory, key: &Key) -> Vec<Vec<u8>> {
     let mut all = Vec::new();
     for (name, bytes) in &files.files {
--- a/crates/journal/src/index.rs
+++ b/crates/journal/src/index.rs
@@ -1,4 +1,4 @@
-//! Which records are live, and where: the join of all records, by message. It does no I/O.
+//! The index: the join of all records, by message. It tracks which records are live and in which segment, without I/O.
 
 mod accounting;
 mod entry;
@@ -19,37 +19,37 @@
 pub use self::accounting::MessageCounts;
 pub(crate) use self::entry::{Entry, EntryState, StoredFrame};
 
-/// What a record changed in the index.
+/// The effect of joining a record to the index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Joined {
     /// The record is live.
     New,
-    /// The record is live and the first of a new incarnation of its id; records of the older one are dead.
+    /// The record is live and the first of a new incarnation of its id; the records of the older incarnation are dead.
     NewIncarnation,
-    /// Known already, or superseded.
+    /// The record is a copy of a known one, or superseded.
     Dead,
 }
 
-/// A record to be joined.
+/// A record to join to the index.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecordEntry {
-    /// Log number under which its message was accepted.
+    /// Log number of its message's acceptance.
     pub(crate) accepted_lsn: u64,
     pub(crate) kind: RecordKind,
-    /// For a completion only: Unix time in milliseconds until which the id is remembered.
+    /// For a completion: Unix time in milliseconds until which the id is remembered. 0 for other kinds.
     pub(crate) remember_until_ms: u64,
-    /// Where it is on disk.
+    /// The record's frame on disk.
     pub(crate) frame: StoredFrame,
 }
 
-/// The state by message, with live bytes by segment.
+/// The state of every known message, and the live bytes of every segment.
 #[derive(Debug)]
 pub(crate) struct Index {
     lookup: Lookup,
     entries: Slab,
     totals: Totals,
     live: LiveBytes,
-    /// Completed messages that are not expired, by when they are.
+    /// Completed messages that have not expired: the Unix time in milliseconds at which they do, and their slot.
     expiring: BTreeSet<(u64, u32)>,
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Makes room for this many ids.
+    /// Reserves memory for this many ids.
     pub(crate) fn reserve(&mut self, ids: usize) {
         self.lookup.reserve(ids, &self.entries);
     }
@@ -75,17 +75,17 @@
         self.lookup.find(id, self.lookup.hash(id), &self.entries)
     }
 
-    /// The entry in a slot.
+    /// The entry in a slot, if the slot is in use.
     pub(crate) fn entry(&self, slot: u32) -> Option<&Entry> {
         self.entries.get(slot)
     }
 
-    /// Messages by state.
+    /// Number of messages in each state.
     pub(crate) fn counts(&self) -> MessageCounts {
         self.totals.counts()
     }
 
-    /// Bytes that must stay free, so that every pending message can be recorded to its end.
+    /// Bytes that must stay free so that all further records of pending messages fit.
     pub(crate) fn reserved_bytes(&self) -> u64 {
         self.totals.reserved_bytes
     }
@@ -95,7 +95,7 @@
         self.live.of(sequence)
     }
 
-    /// The slot of an id, added if it is not known.
+    /// The slot of an id; an unknown id gets a new entry.
     fn slot_or_insert(&mut self, id: &PackedId) -> u32 {
         let hash = self.lookup.hash(id);
         if let Some(slot) = self.lookup.find(id, hash, &self.entries) {
@@ -108,13 +108,13 @@
         slot
     }
 
-    /// Joins a record of message `id`; returns the message's slot too.
+    /// Joins a record of message `id`; returns the message's slot and the effect.
     pub(crate) fn join(&mut self, id: &PackedId, record: RecordEntry) -> (u32, Joined) {
         let slot = self.slot_or_insert(id);
         (slot, self.join_at(slot, record))
     }
 
-    /// As [`Index::join`], for a message whose slot is known.
+    /// Joins a record of the message in a slot.
     pub(crate) fn join_at(&mut self, slot: u32, record: RecordEntry) -> Joined {
         let Some(entry) = self.entries.get_mut(slot) else {
             return Joined::Dead;
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Changes the entry's state by a record of its present incarnation; false if the record is dead.
+    /// Updates the entry's state with a record of its current incarnation; false if the record is dead.
     fn apply(&mut self, slot: u32, record: RecordEntry) -> bool {
         let Some(entry) = self.entries.get_mut(slot) else {
             return false;
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Makes the entry's frames dead. Leaves it open, without frames, and in none of the totals by state.
+    /// Makes the entry's frames dead. The entry is then open, has no frames, and is counted in no total by state.
     fn clear(&mut self, slot: u32) {
         let Some(entry) = self.entries.get_mut(slot) else {
             return;
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Whether the frame of this record in segment `sequence` is the live one.
+    /// Whether the copy of this record in segment `sequence` is the live one.
     pub(crate) fn is_live(
         &self,
         slot: u32,
@@ -244,7 +244,7 @@
         })
     }
 
-    /// A live frame in segment `from` has been written again as `to`.
+    /// Replaces a live frame in segment `from` by its copy `to`.
     pub(crate) fn relocated(&mut self, slot: u32, kind: RecordKind, from: u32, to: StoredFrame) {
         let Some(entry) = self.entries.get_mut(slot) else {
             return;
@@ -253,23 +253,23 @@
             entry.frames_on_disk += 1;
         }
         // The frame of an expired entry does not count as live bytes.
-        let counts = !entry.is_expired();
+        let is_counted = !entry.is_expired();
         let Some(frame) = entry.live_frame_mut(kind, from) else {
             return;
         };
         let old = std::mem::replace(frame, to);
-        if counts {
+        if is_counted {
             self.live.subtract(old);
             self.live.add(to);
         }
     }
 
-    /// A segment's file has been removed, and with it one frame of each of these slots' messages.
+    /// Records the removal of a segment's file. `slots` has the slot of each of its frames, except for completions.
     pub(crate) fn segment_removed(&mut self, sequence: u32, slots: &[u32]) {
         debug_assert_eq!(
             self.live_bytes(sequence),
             0,
-            "live frames in a segment that was removed"
+            "a removed segment has live frames"
         );
         self.live.forget_segment(sequence);
         for &slot in slots {
@@ -280,8 +280,8 @@
         }
     }
 
-    /// Expires completed messages whose time is over, `max` at most. Those with other records on disk stay known
-    /// until these have been removed.
+    /// Expires at most `max` completed messages that need not be remembered at `now_ms` any more. Entries with other
+    /// records on disk are kept until those have been removed.
     pub(crate) fn expire(&mut self, now_ms: u64, max: usize) {
         for _ in 0..max {
             if !self.has_expired(now_ms) {
@@ -309,7 +309,7 @@
             .is_some_and(|(until_ms, _)| *until_ms <= now_ms)
     }
 
-    /// Removes an expired entry once no other record of its message is on disk.
+    /// Removes an expired entry if no other record of its message is on disk.
     fn forget_if_unused(&mut self, slot: u32) {
         let Some(entry) = self.entries.get(slot) else {
             return;
@@ -321,12 +321,12 @@
         }
     }
 
-    /// Counts a live frame that is about no single message.
+    /// Counts a live frame that belongs to no single message.
     pub(crate) fn add_live(&mut self, frame: StoredFrame) {
         self.live.add(frame);
     }
 
-    /// A frame counted by [`Index::add_live`] is dead.
+    /// Stops counting a frame that was counted by [`Index::add_live`] and is now dead.
     pub(crate) fn subtract_live(&mut self, frame: StoredFrame) {
         self.live.subtract(frame);
     }
--- a/crates/journal/src/index/accounting.rs
+++ b/crates/journal/src/index/accounting.rs
@@ -1,4 +1,4 @@
-//! Live bytes by segment, messages by state, and the room that pending messages may still need.
+//! Totals of the index: live bytes by segment, messages by state, and the room reserved for pending messages.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,12 @@
 use crate::format::frame;
 use crate::format::packed_id::PackedId;
 
-/// Records that a pending message may still need room for: six attempts with their ends, its final report and its
-/// completion.
+/// Further records that a pending message may need: start and end of six attempts, its final report and its completion.
 const MAX_RECORDS_PER_MESSAGE: u64 = 14;
-/// Bytes of such a record besides the id.
+/// Upper bound on the bytes of such a record's frame, without the id.
 const MAX_RECORD_BYTES: u64 = (frame::HEADER_BYTES + 56) as u64;
 
-/// Bytes of live frames, by segment.
+/// Bytes of live frames, by the segment's sequence number.
 #[derive(Debug, Default)]
 pub(super) struct LiveBytes(BTreeMap<u32, u64>);
 
@@ -36,7 +35,7 @@
     }
 }
 
-/// Messages by state.
+/// Number of messages in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MessageCounts {
     /// Pending messages.
@@ -47,13 +46,14 @@
     pub completed: u64,
 }
 
-/// Entries by state.
+/// Number of entries by state, and the room reserved for pending messages.
 #[derive(Debug, Default)]
 pub(super) struct Totals {
+    /// All entries.
     pub(super) known: u64,
     pub(super) open: u64,
     pub(super) final_report_due: u64,
-    /// Room for what open messages may still need.
+    /// Bytes reserved for further records of open messages.
     pub(super) reserved_bytes: u64,
 }
 
@@ -77,6 +77,7 @@
     }
 }
 
+/// Bytes reserved for further records of an open message.
 fn reservation_for(id: &PackedId) -> u64 {
     MAX_RECORDS_PER_MESSAGE * (MAX_RECORD_BYTES + id.as_bytes().len() as u64)
 }
--- a/crates/journal/src/index/entry.rs
+++ b/crates/journal/src/index/entry.rs
@@ -1,51 +1,52 @@
-//! What the index knows of one message.
+//! The index's entry for a message.
 
 use smallvec::SmallVec;
 
 use crate::format::packed_id::PackedId;
 use crate::format::record::RecordKind;
 
-/// A frame on disk: in which segment, and its length.
+/// A frame on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StoredFrame {
     /// The segment's sequence number.
     pub(crate) sequence: u32,
-    /// Bytes of the frame with its header.
+    /// Bytes of the frame, header included.
     pub(crate) len: u32,
 }
 
-/// The state of a message, with its live frames.
+/// A message's state and its live frames.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum EntryState {
-    /// Pending; without a [`RecordKind::Accepted`] among these its own record is lost.
+    /// Pending. If no frame is of kind [`RecordKind::Accepted`], the record of the message itself is lost.
     Open(SmallVec<[(RecordKind, StoredFrame); 2]>),
-    /// Its final report is due.
+    /// The final report is due; holds the frame that records it.
     FinalReportDue(StoredFrame),
-    /// Completed; its id is remembered.
+    /// Completed; the id is remembered.
     Completed {
-        /// Unix time in milliseconds.
+        /// Unix time in milliseconds until which the id is remembered.
         remember_until_ms: u64,
+        /// The frame of the completion.
         frame: StoredFrame,
-        /// The time is over, and the entry stays only because older records of its message are still on disk. Its
-        /// frame no longer counts as live bytes, so that a segment with nothing else in it is removed.
+        /// The id need not be remembered any more; the entry is kept only while other records of its message are on
+        /// disk. Its frame is not counted as live bytes, so that a segment with only such frames can be removed.
         expired: bool,
     },
 }
 
-/// A message of the index.
+/// A message in the index.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) id: PackedId,
-    /// Log number under which it was accepted; 0 if no record of it has been joined yet.
+    /// Log number of its acceptance; 0 until a record has been joined.
     pub(crate) accepted_lsn: u64,
     pub(crate) state: EntryState,
-    /// Frames about this id on disk, live or dead, but for those of completions. While there are any, its completion
-    /// must stay on disk.
+    /// Frames of this id on disk, live or dead, other than completions. While there are any, the completion must stay
+    /// on disk, since they would make the message pending again.
     pub(crate) frames_on_disk: u32,
 }
 
 impl Entry {
-    /// An entry without records.
+    /// An entry to which no record has been joined.
     pub(crate) fn new(id: PackedId) -> Entry {
         Entry {
             id,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Whether the frame of this kind in this segment is the live one.
+    /// Whether the message's record of this kind is live in segment `sequence`.
     pub(crate) fn is_live(&self, kind: RecordKind, sequence: u32) -> bool {
         match (&self.state, kind) {
             (EntryState::Open(frames), _) => frames
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Whether its time to be remembered is over.
+    /// Whether the message is completed and its id need not be remembered any more.
     pub(crate) fn is_expired(&self) -> bool {
         matches!(self.state, EntryState::Completed { expired: true, .. })
     }
--- a/crates/journal/src/index/lookup.rs
+++ b/crates/journal/src/index/lookup.rs
@@ -1,4 +1,4 @@
-//! Slots by id.
+//! Hash tables from ids to slots.
 
 use ahash::RandomState;
 use hashbrown::HashTable;
@@ -7,10 +7,10 @@
 use crate::format::key::Key;
 use crate::format::packed_id::PackedId;
 
-/// Each table grows by itself, so that no single insertion has to move all slots.
+/// Number of hash tables. Each grows on its own, so that no single insertion has to rehash all ids.
 const TABLES: usize = 64;
 
-/// Slots by the hash of their entries' ids.
+/// Maps ids to slots. The tables store slots only; ids are compared with those of the entries.
 #[derive(Debug)]
 pub(super) struct Lookup {
     hasher: RandomState,
@@ -18,7 +18,8 @@
 }
 
 impl Lookup {
-    /// Ids are chosen by clients: their hashes depend on the folder's key.
+    /// An empty lookup whose hashes are seeded with the folder's key, since clients choose ids and could otherwise
+    /// cause collisions.
     pub(super) fn new(key: &Key) -> Lookup {
         let seed = |n: usize| u64::from_le_bytes(std::array::from_fn(|i| key[n * 8 + i]));
         Lookup {
@@ -31,20 +32,20 @@
         self.hasher.hash_one(id)
     }
 
-    /// The slot of an id; `hash` is the id's.
+    /// The slot of an id; `hash` is the hash of the id.
     pub(super) fn find(&self, id: &PackedId, hash: u64, entries: &Slab) -> Option<u32> {
         let is_same = |&slot: &u32| entries.get(slot).is_some_and(|entry| entry.id == *id);
         self.tables[table_of(hash)].find(hash, is_same).copied()
     }
 
-    /// Adds a slot; `hash` is that of its entry's id.
+    /// Adds a slot; `hash` is the hash of its entry's id.
     pub(super) fn insert(&mut self, slot: u32, hash: u64, entries: &Slab) {
         let hasher = &self.hasher;
         self.tables[table_of(hash)]
             .insert_unique(hash, slot, |&slot| hash_of(slot, entries, hasher));
     }
 
-    /// Removes a slot; `hash` is that of its entry's id.
+    /// Removes a slot; `hash` is the hash of its entry's id.
     pub(super) fn remove(&mut self, slot: u32, hash: u64) {
         let table = &mut self.tables[table_of(hash)];
         if let Ok(occupied) = table.find_entry(hash, |&other| other == slot) {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Makes room for this many ids.
+    /// Reserves memory for this many ids.
     pub(super) fn reserve(&mut self, ids: usize, entries: &Slab) {
         let hasher = &self.hasher;
         for table in &mut self.tables {
@@ -67,7 +68,7 @@
         .map_or(0, |entry| hasher.hash_one(&entry.id))
 }
 
-/// By bits in the middle of the hash: the table itself uses those at either end.
+/// The table for a hash, chosen by bits in the middle, since the tables themselves use those at either end.
 fn table_of(hash: u64) -> usize {
     (hash >> 32) as usize % TABLES
 }
--- a/crates/journal/src/index/slab.rs
+++ b/crates/journal/src/index/slab.rs
@@ -1,14 +1,15 @@
-//! The index's entries by slot.
+//! Storage of the index's entries, addressed by slot.
 
 use super::entry::Entry;
 
-/// Entries are held in blocks of this many, so that no single insertion has to move all of them.
+/// Entries per block. Storage grows by whole blocks, so that no single insertion has to move all entries.
 const BLOCK_ENTRIES: usize = 1024;
 
 /// Entries by slot, in blocks; free slots are reused.
 #[derive(Debug, Default)]
 pub(super) struct Slab {
     blocks: Vec<Vec<Option<Entry>>>,
+    /// Slots that are free for reuse.
     free: Vec<u32>,
 }
 
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -1,4 +1,4 @@
-//! [`Journal`]: an open journal. Each file here adds one job to it; `state` has what they share.
+//! [`Journal`], an open journal. `state` defines the type; each other module implements one of its functions.
 
 mod admission;
 mod append;
--- a/crates/journal/src/journal/append.rs
+++ b/crates/journal/src/journal/append.rs
@@ -11,15 +11,17 @@
 use crate::storage::Storage;
 
 impl<S: Storage> Journal<S> {
-    /// Appends a batch of records at `now` (Unix time in milliseconds).
+    /// Appends a batch of records. `now` is Unix time in milliseconds. Records that recovery has still to write are
+    /// appended before them.
     ///
     /// # Errors
-    /// Either the records of ends ([`Record::is_end`]) are persisted or none of the batch is, as the error says.
+    /// If a file operation fails or the disk budget is exhausted. [`AppendError::persisted`] says whether the records
+    /// that end a message ([`Record::is_end`]) are persisted, or none of the batch.
     pub fn append(&mut self, now: u64, records: &[Record]) -> Result<(), AppendError> {
-        self.promised_bytes = 0;
-        let mut all = std::mem::take(&mut self.concluded);
-        let concluded = all.len();
-        let result = if concluded == 0 {
+        self.admitted_bytes = 0;
+        let mut all = std::mem::take(&mut self.recovery_records);
+        let recovery_count = all.len();
+        let result = if recovery_count == 0 {
             self.write(now, records, |_| true)
         } else {
             all.extend_from_slice(records);
@@ -28,8 +30,8 @@
         let Err(source) = result else {
             return Ok(());
         };
-        all.truncate(concluded);
-        self.concluded = all;
+        all.truncate(recovery_count);
+        self.recovery_records = all;
         self.counters.rejected_batches += 1;
         let has_ends = records.iter().any(Record::is_end);
         let persisted = if has_ends && self.write(now, records, Record::is_end).is_err() {
@@ -40,7 +42,7 @@
         Err(AppendError { persisted, source })
     }
 
-    /// Appends the records that `is_selected`, all or none.
+    /// Appends those records for which `is_selected` is true: all of them, or none after an error.
     fn write(
         &mut self,
         now_ms: u64,
@@ -62,18 +64,19 @@
         buffer: &mut Vec<u8>,
     ) -> io::Result<()> {
         let selected = || records.iter().filter(|record| is_selected(record));
-        // An upper bound decides whether a new segment is needed: frames are salted by their segment.
+        // Whether a new segment is needed is decided by an upper bound, since frames can be encoded only once their
+        // segment, and so their salt, is known.
         let max_bytes: u64 = selected().map(max_frame_bytes).sum();
         if max_bytes == 0 && self.possible_executions_recorded() {
             return Ok(());
         }
-        // Without messages to accept it is tried whatever the room: ends may fit in what is left of the head's last
-        // block.
+        // Without accepted messages the write is attempted whatever the room: the records of ends may fit into the rest
+        // of the head's last block.
         let accepts = selected().any(|record| matches!(record, Record::Accepted { .. }));
         if accepts && self.storage.room() < max_bytes + self.compaction_reserve() {
             return Err(io::Error::new(
                 io::ErrorKind::StorageFull,
-                "the journal's disk budget is used",
+                "the journal's disk budget is exhausted",
             ));
         }
         let salt = self.prepare_head(now_ms, max_bytes)?;
--- a/crates/journal/src/journal/batch.rs
+++ b/crates/journal/src/journal/batch.rs
@@ -1,4 +1,4 @@
-//! A batch of records: encoded into one buffer, and joined to the index once it is on disk.
+//! A batch of records, encoded into one buffer for a single write and joined to the index after it.
 
 use cranehill_core::Record;
 
@@ -11,41 +11,42 @@
 use crate::recovery::PossibleExecutions;
 use crate::time::millis;
 
-/// A record in the buffer.
+/// A record whose frame is in the buffer.
 #[derive(Debug)]
 struct BatchRecord {
     id: PackedId,
-    /// Its message's slot, if it had one before this batch.
+    /// Its message's slot, if the index has one before this batch is applied.
     slot: Option<u32>,
-    /// The position of the batch's first record of the same message.
+    /// Position in the batch of its first record of the same message.
     first: usize,
+    /// Log number of its message's acceptance.
     accepted_lsn: u64,
     kind: RecordKind,
-    /// For a completion only.
+    /// For a completion: Unix time in milliseconds until which the id is remembered. 0 for other kinds.
     remember_until_ms: u64,
     /// Bytes of its frame.
     len: u32,
 }
 
-/// A record of possible executions in the buffer.
+/// A record of possible executions whose frame is in the buffer.
 #[derive(Debug)]
 struct BatchPossibleExecutions {
-    /// Position in the journal's list.
+    /// Position in the journal's list of possible executions.
     position: usize,
     /// Bytes of its frame.
     len: u32,
 }
 
-/// The message that a record belongs to.
+/// The message that a record is added to.
 #[derive(Clone, Copy, Debug)]
-struct Membership {
+struct TargetMessage {
     accepted_lsn: u64,
     slot: Option<u32>,
-    /// The position of the batch's first record of the same message, if there is one.
+    /// Position in the batch of its first record of the same message, if it has one already.
     first: Option<usize>,
 }
 
-/// How far a message is.
+/// The stage of a message's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Unknown,
@@ -54,19 +55,21 @@
     Completed,
 }
 
-/// Records that are in the buffer.
+/// The records whose frames are in the buffer.
 #[derive(Debug)]
 pub(super) struct Batch {
     records: Vec<BatchRecord>,
     possible_executions: Vec<BatchPossibleExecutions>,
+    /// Log number of the batch's first frame.
     first_lsn: u64,
+    /// Log number of the next frame.
     pub(super) next_lsn: u64,
-    /// Records of accepted messages.
+    /// Number of records of accepted messages.
     pub(super) accepted: u32,
 }
 
 impl Batch {
-    /// An empty batch with room for this many records.
+    /// An empty batch with memory reserved for this many records.
     pub(super) fn new(first_lsn: u64, records: usize) -> Batch {
         Batch {
             records: Vec::with_capacity(records),
@@ -77,12 +80,12 @@
         }
     }
 
-    /// Frames in the buffer.
+    /// Number of frames in the buffer.
     pub(super) fn frames(&self) -> u32 {
         (self.next_lsn - self.first_lsn) as u32
     }
 
-    /// Adds those possible executions that are not recorded yet.
+    /// Adds a record of each of the possible executions that have none on disk yet.
     pub(super) fn add_possible_executions(
         &mut self,
         salt: Salt,
@@ -104,10 +107,10 @@
         }
     }
 
-    /// Adds a record, unless it changes nothing.
+    /// Adds a record, unless it would not change its message's state.
     pub(super) fn add(&mut self, salt: Salt, record: &Record, index: &Index, buffer: &mut Vec<u8>) {
         let id = PackedId::new(record.id());
-        let Some(message) = self.membership(&id, record, index) else {
+        let Some(message) = self.target_message(&id, record, index) else {
             return;
         };
         let accepted_lsn = message.accepted_lsn;
@@ -131,18 +134,23 @@
         });
     }
 
-    /// The message that a record belongs to; `None` if the record changes nothing.
-    fn membership(&self, id: &PackedId, record: &Record, index: &Index) -> Option<Membership> {
+    /// The message that a record is added to; `None` if the record would not change its state.
+    fn target_message(
+        &self,
+        id: &PackedId,
+        record: &Record,
+        index: &Index,
+    ) -> Option<TargetMessage> {
         let slot = index.slot(id);
-        // Records of this very batch are newer than the index.
+        // Records of this batch are not in the index yet, and are newer.
         let in_batch = self.records.iter().rev().find(|earlier| earlier.id == *id);
         let (known_lsn, stage) = match (in_batch, slot.and_then(|slot| index.entry(slot))) {
             (Some(earlier), _) => (earlier.accepted_lsn, stage_after(earlier.kind)),
             (None, Some(entry)) => (entry.accepted_lsn, stage_of(&entry.state)),
             (None, None) => (0, Stage::Unknown),
         };
-        let counts = match record {
-            // An id that has ended and was forgotten by the sender is another message.
+        let changes_state = match record {
+            // An id accepted again after its message has ended is a new incarnation.
             Record::Accepted { .. } => stage != Stage::Open,
             Record::AttemptStarted { .. } | Record::AttemptFinished { .. } => stage == Stage::Open,
             Record::FinalReportDue { .. } => known_lsn == 0 || stage == Stage::Open,
@@ -153,14 +161,14 @@
             Record::FinalReportDue { .. } | Record::Completed { .. } => known_lsn == 0,
             Record::AttemptStarted { .. } | Record::AttemptFinished { .. } => false,
         };
-        counts.then_some(Membership {
+        changes_state.then_some(TargetMessage {
             accepted_lsn: if is_first { self.next_lsn } else { known_lsn },
             slot,
             first: in_batch.map(|earlier| earlier.first),
         })
     }
 
-    /// Joins the batch to the index, now that it is on disk in segment `sequence`.
+    /// Joins the batch to the index, after it has been written to segment `sequence`.
     pub(super) fn apply(
         mut self,
         sequence: u32,
@@ -195,7 +203,7 @@
     }
 }
 
-/// How far a message is after a record of this batch.
+/// The stage of a message after a record of this kind.
 fn stage_after(kind: RecordKind) -> Stage {
     match kind {
         RecordKind::Completed => Stage::Completed,
@@ -207,6 +215,7 @@
     }
 }
 
+/// The stage of a message in the index.
 fn stage_of(state: &EntryState) -> Stage {
     match state {
         EntryState::Open(_) => Stage::Open,
--- a/crates/journal/src/journal/compaction.rs
+++ b/crates/journal/src/journal/compaction.rs
@@ -1,5 +1,5 @@
-//! Compaction in bounded steps: each relocates a slice of the segment with the fewest live bytes to the head; when
-//! all that is live in it has been, the manifest is replaced, and then the file is removed.
+//! Compaction in bounded steps. Each step relocates the live frames of one slice of the selected segment to the head.
+//! Once the whole segment is done, a new manifest without it is written, and then its file is removed.
 
 use super::rotation::ManifestChange;
 use super::segments::{ObsoleteSegment, Relocation, SealedSegment};
@@ -8,34 +8,35 @@
 use crate::format::segment::HEADER_BYTES;
 use crate::storage::Storage;
 
-/// Bytes read in one step, which takes some tens of microseconds.
+/// Bytes read in one step, so that a step takes some tens of microseconds.
 const SLICE_BYTES: usize = 16 * 1024;
-/// Completed messages that are forgotten in one step.
+/// Maximum number of completed messages that expire in one step.
 const MAX_EXPIRED_PER_STEP: usize = 256;
-/// More sealed segments than these are made fewer even if all are nearly full: each takes room in the manifest.
+/// Above this number of sealed segments, segments are relocated even if their frames are nearly all live, since each
+/// takes room in the manifest.
 const MAX_SEALED_SEGMENTS: usize = 48;
-/// Segments are relocated once they use more than one part in this many of the disk budget.
-const DISK_PARTS: u64 = 3;
-/// Segments with a greater part of live bytes than this, in thousandths, are not worth relocating.
+/// Segments with live frames are relocated once all sealed segments use at least one part in this many of the disk
+/// budget.
+const DISK_BUDGET_PARTS: u64 = 3;
+/// Segments with at least this share of live bytes, in thousandths, are not worth relocating.
 const MAX_LIVE_PERMILLE: u64 = 875;
 
 impl<S: Storage> Journal<S> {
-    /// Whether [`Journal::compact`] has something to do at `now` (Unix time in milliseconds), even if nothing is
-    /// appended.
+    /// Whether [`Journal::compact`] has work at `now` (Unix time in milliseconds), even if nothing is appended.
     pub fn wants_compaction(&self, now: u64) -> bool {
         self.relocation.is_some()
             || !self.obsolete.is_empty()
             || self.index.has_expired(now)
-            || self.next_victim().is_some()
+            || self.next_segment_to_relocate().is_some()
     }
 
-    /// One bounded step of compaction, to be called once a tick. `now` is Unix time in milliseconds.
+    /// Does one bounded step of compaction; called once per tick. `now` is Unix time in milliseconds.
     pub fn compact(&mut self, now: u64) -> CompactionStep {
         let mut step = CompactionStep::default();
         self.index.expire(now, MAX_EXPIRED_PER_STEP);
         self.remove_obsolete(&mut step);
         if self.relocation.is_none() {
-            self.relocation = self.next_victim().map(|sequence| Relocation {
+            self.relocation = self.next_segment_to_relocate().map(|sequence| Relocation {
                 sequence,
                 offset: HEADER_BYTES as u64,
                 slots: Vec::new(),
@@ -44,15 +45,15 @@
         let Some(mut relocation) = self.relocation.take() else {
             return step;
         };
-        // With little room left, room matters more than short steps.
-        let slice_bytes = if self.storage.room() < self.disk / DISK_PARTS {
+        // With little room left, freeing room takes precedence over short steps.
+        let slice_bytes = if self.storage.room() < self.disk / DISK_BUDGET_PARTS {
             SLICE_BYTES * 2
         } else {
             SLICE_BYTES
         };
         let all_read = self.relocate_slice(now, &mut relocation, slice_bytes, &mut step);
-        if all_read && self.unlist(relocation.sequence, &mut step) {
-            self.retire(relocation);
+        if all_read && self.remove_from_manifest(relocation.sequence, &mut step) {
+            self.mark_obsolete(relocation);
             self.remove_obsolete(&mut step);
         } else {
             self.relocation = Some(relocation);
@@ -60,8 +61,9 @@
         step
     }
 
-    /// The segment that is most worth relocating.
-    fn next_victim(&self) -> Option<u32> {
+    /// Selects the next segment to relocate: one without live frames, else a damaged one, else the one with the
+    /// smallest share of live bytes. `None` if none is worth relocating.
+    fn next_segment_to_relocate(&self) -> Option<u32> {
         let candidates = || {
             self.sealed.iter().filter(|(sequence, _)| {
                 !self
@@ -75,7 +77,7 @@
         if let Some((&sequence, _)) = candidates().find(is_dead) {
             return Some(sequence);
         }
-        // A damaged one is relocated once the attempts that it may hide are recorded elsewhere.
+        // A damaged segment is kept until the attempts whose records it may have lost are recorded elsewhere.
         if self.possible_executions_recorded()
             && let Some((&sequence, _)) = candidates().find(|(_, segment)| segment.damaged)
         {
@@ -83,7 +85,7 @@
         }
         let too_many = self.sealed.len() > MAX_SEALED_SEGMENTS;
         let used: u64 = self.sealed.values().map(|segment| segment.len).sum();
-        if !too_many && used < self.disk / DISK_PARTS {
+        if !too_many && used < self.disk / DISK_BUDGET_PARTS {
             return None;
         }
         let live_permille =
@@ -95,17 +97,17 @@
         worth_it.then_some(sequence)
     }
 
-    /// Removes a segment from the manifest; false if that failed.
-    fn unlist(&mut self, sequence: u32, step: &mut CompactionStep) -> bool {
-        let unlisted = self
+    /// Writes a manifest without this segment; false if that failed.
+    fn remove_from_manifest(&mut self, sequence: u32, step: &mut CompactionStep) -> bool {
+        let written = self
             .write_manifest(ManifestChange::SegmentRemoved(sequence))
             .is_ok();
-        step.stuck |= !unlisted;
-        unlisted
+        step.stuck |= !written;
+        written
     }
 
-    /// Marks a segment's file for removal.
-    fn retire(&mut self, relocation: Relocation) {
+    /// Moves a relocated segment to the list of files to remove.
+    fn mark_obsolete(&mut self, relocation: Relocation) {
         if let Some(segment) = self.sealed.remove(&relocation.sequence) {
             self.obsolete.push(ObsoleteSegment {
                 sequence: relocation.sequence,
@@ -115,6 +117,7 @@
         }
     }
 
+    /// Removes the files of obsolete segments; those that can't be removed are retried in the next step.
     fn remove_obsolete(&mut self, step: &mut CompactionStep) {
         for obsolete in std::mem::take(&mut self.obsolete) {
             if self.storage.remove(&obsolete.name).is_err() {
@@ -122,8 +125,8 @@
                 self.obsolete.push(obsolete);
                 continue;
             }
-            // Only now are its frames off the disk: a completion may be forgotten only when no other record could
-            // make its message pending again.
+            // The index is updated only after the file is removed: a completion may be dropped only when no other
+            // record on disk could make its message pending again.
             self.index
                 .segment_removed(obsolete.sequence, &obsolete.slots);
             self.counters.removed_segments += 1;
--- a/crates/journal/src/journal/migration.rs
+++ b/crates/journal/src/journal/migration.rs
@@ -1,4 +1,5 @@
-//! Migration: the records of the single file of releases before 0.2 are appended, and the file is removed.
+//! Migration of the ledger, the single file of releases before 0.2: its records are appended to the journal, and then
+//! it is removed.
 
 use cranehill_core::Record;
 
@@ -10,19 +11,19 @@
 use crate::storage::Storage;
 use crate::time::nanos;
 
-/// Records that are appended at once.
+/// Records per appended batch.
 const RECORDS_PER_BATCH: usize = 256;
 
 impl<S: Storage> Journal<S> {
-    /// Appends the ledger's records, removes its files, and recovers all again.
+    /// Appends the ledger's records, removes its files, and updates `recovered` by reading the folder after_migration.
     pub(super) fn migrate(
         &mut self,
         now_ms: u64,
         mut ledger: LegacyLedger,
         recovered: &mut Recovered,
     ) -> Result<(), OpenError> {
-        // The ledger does not say until when a completed id is remembered: from now on for as long as a message may
-        // last.
+        // The ledger does not store until when a completed id is remembered. It is remembered from now on for the
+        // longest lifetime of a message.
         let remember_until = nanos(now_ms).saturating_add(LEGACY_LIFETIME_NANOS);
         for record in &mut ledger.records {
             if let Record::Completed { until, .. } = record {
@@ -40,12 +41,13 @@
             self.storage.remove(name).map_err(OpenError::io(name))?;
         }
         let FolderContents {
-            recovered: again, ..
+            recovered: after_migration,
+            ..
         } = read_folder(&mut self.storage, Some(self.key), &self.key)?;
-        let before = std::mem::replace(recovered, again);
-        recovered.damage = before.damage;
+        let before_migration = std::mem::replace(recovered, after_migration);
+        recovered.damage = before_migration.damage;
         recovered.damage.extend(ledger.damage);
-        recovered.lost.extend(before.lost);
+        recovered.lost.extend(before_migration.lost);
         recovered.migrated = ledger.records.len();
         Ok(())
     }
--- a/crates/journal/src/journal/open.rs
+++ b/crates/journal/src/journal/open.rs
@@ -1,4 +1,4 @@
-//! Opening: reads what is there, changes nothing until all is read, and begins a new segment.
+//! Opening a journal: reads the whole folder before it changes any file, and then begins a new segment.
 
 use cranehill_core::{FinalReport, Record};
 
@@ -17,11 +17,12 @@
 use crate::time::millis;
 
 impl<S: Storage> Journal<S> {
-    /// Opens the folder; returns the messages that an earlier process left in it too. `now` is Unix time in
+    /// Opens the folder; returns the journal and the messages that an earlier process left in it. `now` is Unix time in
     /// milliseconds.
     ///
     /// # Errors
-    /// If the folder is of a later format or under another key, or a file operation fails.
+    /// If a file is in a later format or signed under another key, the key file is damaged, a ledger to migrate does
+    /// not fit, or a file operation fails.
     pub fn open(
         mut storage: S,
         options: &Options,
@@ -34,22 +35,22 @@
             mut recovered,
         } = read_folder(&mut storage, options.key, &options.fresh_key)?;
         let ledger = legacy_ledger::read(&mut storage, &scan.files)?;
-        // Everything has been read: from here on files change.
+        // The folder has been read completely; files are changed only after this point.
         let key = prepare_files(&mut storage, &scan, &options.fresh_key)?;
         let mut journal = Journal::new(storage, options, key, index);
-        journal.adopt_segments(&scan);
-        journal.adopt_possible_executions(possible_executions, &recovered.records, now);
-        journal.concluded = recovered.lost.iter().map(failed_report).collect();
+        journal.add_scanned_segments(&scan);
+        journal.add_possible_executions(possible_executions, &recovered.records, now);
+        journal.recovery_records = recovered.lost.iter().map(failed_final_report).collect();
         let manifest_unusable = scan
             .damage
             .iter()
             .any(|range| range.cause == DamageCause::Unlisted);
         journal.begin_first_segment(now, manifest_unusable);
-        journal.persist_conclusions(now);
+        journal.persist_recovery_records(now);
         if let Some(ledger) = ledger {
             journal.migrate(now, ledger, &mut recovered)?;
         }
-        // A completed message whose time is over is on disk only because older records of it are.
+        // An expired completion is on disk only because other records of its message are.
         recovered.records.retain(
             |record| !matches!(record, Record::Completed { until, .. } if millis(*until) <= now),
         );
@@ -57,22 +58,22 @@
         Ok((journal, recovered))
     }
 
-    /// Takes over the segments that were found, sealed as they are, and the counters.
-    fn adopt_segments(&mut self, scan: &Scan) {
+    /// Adds the segments that the scan found, as sealed segments, and continues their counters.
+    fn add_scanned_segments(&mut self, scan: &Scan) {
         self.epoch = scan.manifest.as_ref().map_or(0, |manifest| manifest.epoch);
-        for found in scan.segments.values() {
-            let epoch = found.header.map_or(0, |header| header.epoch);
+        for scanned in scan.segments.values() {
+            let epoch = scanned.header.map_or(0, |header| header.epoch);
             self.epoch = self.epoch.max(epoch);
-            let key = scan.key_ring.get(found.key_index).unwrap_or(self.key);
+            let key = scan.key_ring.get(scanned.key_index).unwrap_or(self.key);
             let sealed = SealedSegment {
-                name: found.name.clone(),
-                salt: Salt::new(&key, found.sequence),
-                entry: sealed_entry(found),
-                len: found.len.max(HEADER_BYTES as u64),
-                damaged: found.header.is_none()
-                    || scan.damage.iter().any(|range| range.file == found.name),
+                name: scanned.name.clone(),
+                salt: Salt::new(&key, scanned.sequence),
+                entry: sealed_entry(scanned),
+                len: scanned.len.max(HEADER_BYTES as u64),
+                damaged: scanned.header.is_none()
+                    || scan.damage.iter().any(|range| range.file == scanned.name),
             };
-            self.sealed.insert(found.sequence, sealed);
+            self.sealed.insert(scanned.sequence, sealed);
         }
         self.missing = scan
             .manifest
@@ -85,9 +86,8 @@
         self.next_lsn = scan.next_lsn;
     }
 
-    /// Takes over what damage may hide. It affects messages that are pending now: without any there is nothing to
-    /// record.
-    fn adopt_possible_executions(
+    /// Adds the possible executions. They affect pending messages only: without any, none needs to be recorded.
+    fn add_possible_executions(
         &mut self,
         mut possible_executions: Vec<PossibleExecutions>,
         records: &[Record],
@@ -98,7 +98,7 @@
             possible_executions.retain(|possible| possible.frame.is_some());
             self.missing.clear();
         }
-        // Messages whose deadline has passed already are still to be concluded by this process.
+        // Messages whose deadline has passed are still pending until this process ends them.
         let until_ms = latest_deadline_ms.unwrap_or(0).max(now_ms);
         for possible in &mut possible_executions {
             possible.until_ms = possible.until_ms.max(until_ms);
@@ -106,10 +106,11 @@
         self.possible_executions = possible_executions;
     }
 
-    /// Begins the first segment of this process. If there is no room the journal starts without one, and tries again
-    /// at each batch.
+    /// Begins the first segment of this process. If that fails, for lack of room or otherwise, the journal starts
+    /// without a head and retries with each batch.
     fn begin_first_segment(&mut self, now_ms: u64, manifest_unusable: bool) {
-        // What the lack of a manifest may hide must be on disk before there is one again.
+        // If the manifest can't be used, the possible executions that follow from it must be on disk before a new
+        // manifest replaces it.
         let first: Vec<PossibleExecutions> = self
             .possible_executions
             .iter()
@@ -120,7 +121,7 @@
             Ok(frames) => frames,
             Err(e) => {
                 log::error!(
-                    "journal: no new segment can be begun, messages are rejected until it can: {e}"
+                    "journal: can't create a segment, messages are rejected until one can be created: {e}"
                 );
                 return;
             }
@@ -135,22 +136,27 @@
         }
     }
 
-    /// Writes what recovery concluded, and then a manifest without the missing segments.
-    fn persist_conclusions(&mut self, now_ms: u64) {
+    /// Writes the records that recovery added, and then a manifest that no longer lists the missing segments.
+    fn persist_recovery_records(&mut self, now_ms: u64) {
         let had_missing = !self.missing.is_empty();
         if let Err(e) = self.append(now_ms, &[]) {
-            log::error!("journal: the conclusions of recovery are not written yet: {e}");
+            log::error!(
+                "journal: can't write the records added by recovery, retrying with the next batch: {e}"
+            );
         }
         if had_missing
             && self.missing.is_empty()
             && self.write_manifest(ManifestChange::None).is_err()
         {
-            log::warn!("journal: a missing segment stays listed, and will be reported again");
+            log::warn!(
+                "journal: can't replace the manifest, the missing segments will be reported again at the next start"
+            );
         }
     }
 }
 
-/// Writes the folder's key if it has none, and removes what a kill left behind; returns the key for new segments.
+/// Writes a key file if the folder has no key, and removes files left by a killed process; returns the key for new
+/// segments.
 fn prepare_files<S: Storage>(
     storage: &mut S,
     scan: &Scan,
@@ -158,7 +164,7 @@
 ) -> Result<Key, OpenError> {
     let existing = scan.key_ring.preferred();
     if existing.is_none() {
-        // A file that a kill cut short was of no use yet.
+        // A key file that a killed process wrote in part has signed nothing, and is replaced.
         storage
             .remove(key::FILE_NAME)
             .map_err(OpenError::io(key::FILE_NAME))?;
@@ -175,18 +181,18 @@
     Ok(existing.unwrap_or(*fresh_key))
 }
 
-/// How the manifest is to list a segment that was found.
-fn sealed_entry(found: &ScannedSegment) -> ManifestEntry {
-    let seal = found.seal.unwrap_or(Seal {
-        len: found.len as u32,
-        frames: found.frames,
-        accepted: found.accepted,
-        chain: found.chain,
+/// The manifest entry of a scanned segment, which is sealed with its readable contents if it was not sealed yet.
+fn sealed_entry(scanned: &ScannedSegment) -> ManifestEntry {
+    let seal = scanned.seal.unwrap_or(Seal {
+        len: scanned.len as u32,
+        frames: scanned.frames,
+        accepted: scanned.accepted,
+        chain: scanned.chain,
     });
     ManifestEntry {
-        sequence: found.sequence,
-        base_lsn: found.base_lsn,
-        previous_chain: found.previous_chain,
+        sequence: scanned.sequence,
+        base_lsn: scanned.base_lsn,
+        previous_chain: scanned.previous_chain,
         seal: Some(seal),
     }
 }
@@ -198,8 +204,8 @@
     }
 }
 
-/// The final report of a message whose own record is lost.
-fn failed_report(lost: &LostMessage) -> Record {
+/// The final report, as failed, of a message whose record of acceptance is lost.
+fn failed_final_report(lost: &LostMessage) -> Record {
     Record::FinalReportDue {
         id: lost.id.clone(),
         final_report: FinalReport::Failed,
--- a/crates/journal/src/journal/relocation.rs
+++ b/crates/journal/src/journal/relocation.rs
@@ -1,4 +1,4 @@
-//! Relocation: the live frames of a slice of a sealed segment are written again to the head.
+//! Relocation: copies the live frames of one slice of a sealed segment to the head.
 
 use std::io;
 use std::ops::Range;
@@ -13,52 +13,54 @@
 use crate::index::StoredFrame;
 use crate::storage::Storage;
 
-/// Bytes by which a frame may grow when it is written again: its log numbers may take more.
+/// Upper bound on the growth of a frame when it is copied: its log numbers may have longer encodings.
 const MAX_FRAME_GROWTH: usize = 16;
-/// Bytes that must be free besides the slice's live frames.
+/// Bytes that must be free in addition to the room for the slice's live frames.
 const MIN_ROOM_BYTES: u64 = 1024;
-/// Milliseconds for which possible executions stay recorded after the last message that they affect has ended.
+/// Milliseconds for which a record of possible executions is kept after the last affected message has ended.
 const POSSIBLE_EXECUTIONS_GRACE_MS: u64 = 60_000;
 
-/// What a live frame belongs to.
+/// The owner of a live frame.
 #[derive(Clone, Copy, Debug)]
 enum FrameOwner {
     /// A message, by its slot.
     Message(u32),
-    /// Possible executions, by their position in the journal's list.
+    /// A record of possible executions, by its position in the journal's list.
     PossibleExecutions(usize),
 }
 
+/// A live frame in the slice.
 #[derive(Clone, Debug)]
 struct LiveFrame {
-    /// Its payload in the slice.
+    /// Range of its payload within the slice's bytes.
     payload: Range<usize>,
     owner: FrameOwner,
 }
 
-/// What a slice of a segment holds.
+/// A parsed slice of a segment.
 #[derive(Debug, Default)]
 struct Slice {
     live: Vec<LiveFrame>,
-    /// As in [`Relocation`].
+    /// The slot of each frame's message, completions excepted; see [`Relocation::slots`].
     slots: Vec<u32>,
-    /// Bytes that were passed.
+    /// Bytes parsed so far, damaged ranges included.
     len: usize,
-    /// Bytes that the live frames take at most when they are written again.
+    /// Upper bound on the bytes of the live frames' copies.
     max_bytes: u64,
 }
 
-/// A live frame in the buffer for the head.
+/// A live frame that has been copied to the buffer for the head, or dropped.
 #[derive(Debug)]
-struct RewrittenFrame {
+struct CopiedFrame {
     owner: FrameOwner,
     kind: RecordKind,
-    /// Bytes of the new frame; `None` if it was left out, since all that it affected has ended.
+    /// Bytes of the copy; `None` if the record was dropped because all messages that it affects have ended.
     len: Option<u32>,
 }
 
 impl<S: Storage> Journal<S> {
-    /// Relocates the live frames of the next slice; true if the whole segment is done.
+    /// Relocates the live frames of the next slice; true once the whole segment is done. On failure `step.stuck` is set
+    /// and the same slice is tried again in the next step.
     pub(super) fn relocate_slice(
         &mut self,
         now_ms: u64,
@@ -82,7 +84,8 @@
         };
         step.read += bytes.len() as u64;
         if unread > 0 && bytes.is_empty() {
-            // Shorter than it was sealed: recovery has counted that as damage, or it happened since.
+            // The file is shorter than when it was sealed. Recovery has reported that as damage, unless it happened
+            // since.
             return true;
         }
         let mut slice = self.parse_slice(relocation, salt, &bytes, slice_bytes, unread);
@@ -91,8 +94,8 @@
                 step.stuck = true;
                 return false;
             }
-            match self.rewrite(now_ms, relocation, &bytes, &slice) {
-                Ok(rewritten) => step.relocated += rewritten,
+            match self.copy_to_head(now_ms, relocation, &bytes, &slice) {
+                Ok(copied) => step.relocated += copied,
                 Err(e) => {
                     log::debug!(segment = self.segment_name(relocation);
                         "journal: live records can't be relocated: {e}");
@@ -112,7 +115,7 @@
             .map_or("", |segment| segment.name.as_str())
     }
 
-    /// Reads the next slice; all that is unread if its first frame is larger than a slice, or damaged.
+    /// Reads the next slice, or the whole rest of the segment if its first frame is damaged or larger than a slice.
     fn read_slice(
         &mut self,
         relocation: &Relocation,
@@ -132,8 +135,8 @@
         Ok(self.storage.read(name, offset, unread).unwrap_or(bytes))
     }
 
-    /// Finds what is live in a slice. It is written again only after that, since a frame's salt depends on the
-    /// segment that it is written to.
+    /// Finds the live frames in a slice. Copies are encoded later, since a frame's salt depends on the segment that it
+    /// is written to.
     fn parse_slice(
         &self,
         relocation: &Relocation,
@@ -162,7 +165,7 @@
         slice
     }
 
-    /// Counts a frame of the slice.
+    /// Adds a frame's message, and the frame itself if it is live, to the slice.
     fn add_frame(
         &self,
         slice: &mut Slice,
@@ -184,7 +187,7 @@
         }
     }
 
-    /// What a frame in segment `sequence` belongs to; `None` if it is dead.
+    /// The owner of a record's frame in segment `sequence`; `None` if the frame is dead.
     fn live_owner(
         &self,
         record: &JournalRecord<'_>,
@@ -207,8 +210,8 @@
             .then_some(FrameOwner::Message(slot))
     }
 
-    /// Writes a slice's live frames to the head; returns the bytes written.
-    fn rewrite(
+    /// Appends copies of a slice's live frames to the head; returns the number of bytes written.
+    fn copy_to_head(
         &mut self,
         now_ms: u64,
         relocation: &Relocation,
@@ -216,7 +219,7 @@
         slice: &Slice,
     ) -> io::Result<u64> {
         let salt = self.prepare_head(now_ms, slice.max_bytes)?;
-        let (mut buffer, mut rewritten, mut accepted) = (Vec::new(), Vec::new(), 0);
+        let (mut buffer, mut copied, mut accepted) = (Vec::new(), Vec::new(), 0);
         let first_lsn = self.next_lsn;
         let mut lsn = first_lsn;
         for live in &slice.live {
@@ -226,14 +229,14 @@
             };
             let (owner, kind) = (live.owner, record.kind());
             let mut len = None;
-            if let Some(record) = self.refresh(record, owner, now_ms) {
+            if let Some(record) = self.updated_record(record, owner, now_ms) {
                 let start = buffer.len();
                 frame::encode(salt, &mut buffer, |b| record::encode(lsn, &record, b));
                 len = Some((buffer.len() - start) as u32);
                 lsn += 1;
                 accepted += u32::from(record.accepted().is_some());
             }
-            rewritten.push(RewrittenFrame { owner, kind, len });
+            copied.push(CopiedFrame { owner, kind, len });
         }
         let sequence = if buffer.is_empty() {
             0
@@ -242,12 +245,13 @@
         };
         self.next_lsn = lsn;
         self.counters.relocated_bytes += buffer.len() as u64;
-        self.set_relocated(&rewritten, relocation.sequence, sequence);
+        self.set_relocated(&copied, relocation.sequence, sequence);
         Ok(buffer.len() as u64)
     }
 
-    /// The record as it is to be written again; `None` if nothing that it affects is left.
-    fn refresh<'a>(
+    /// The record to write to the copy. For possible executions it has the latest time; `None` if all messages that it
+    /// affects have ended.
+    fn updated_record<'a>(
         &self,
         mut record: JournalRecord<'a>,
         owner: FrameOwner,
@@ -256,7 +260,7 @@
         if let JournalRecord::PossiblyExecuted { until_ms, .. } = &mut record
             && let FrameOwner::PossibleExecutions(position) = owner
         {
-            // A later process may have found messages that it affects for longer.
+            // A later process may have found affected messages with a later deadline.
             if let Some(known) = self.possible_executions.get(position) {
                 *until_ms = known.until_ms.max(*until_ms);
             }
@@ -267,10 +271,11 @@
         Some(record)
     }
 
-    /// Records that frames of segment `from` have been written again to segment `to`, or left out.
-    fn set_relocated(&mut self, rewritten: &[RewrittenFrame], from: u32, to: u32) {
-        let mut left_out = Vec::new();
-        for frame in rewritten {
+    /// Updates the index and the possible executions after frames of segment `from` have been copied to segment `to`,
+    /// or dropped.
+    fn set_relocated(&mut self, copied: &[CopiedFrame], from: u32, to: u32) {
+        let mut dropped = Vec::new();
+        for frame in copied {
             let stored = frame.len.map(|len| StoredFrame { sequence: to, len });
             match frame.owner {
                 FrameOwner::Message(slot) => {
@@ -290,12 +295,12 @@
                             possible.frame = Some(stored);
                             self.index.add_live(stored);
                         }
-                        None => left_out.push(possible.accepted_before),
+                        None => dropped.push(possible.accepted_before),
                     }
                 }
             }
         }
         self.possible_executions
-            .retain(|possible| !left_out.contains(&possible.accepted_before));
+            .retain(|possible| !dropped.contains(&possible.accepted_before));
     }
 }
--- a/crates/journal/src/journal/rotation.rs
+++ b/crates/journal/src/journal/rotation.rs
@@ -1,4 +1,4 @@
-//! The head and its successors: appending frames, sealing, and the manifest that lists the segments.
+//! Writing to the head, rotation to a new head, and writing the manifest.
 
 use std::io;
 
@@ -13,22 +13,23 @@
 use crate::recovery::PossibleExecutions;
 use crate::storage::Storage;
 
-/// How a new manifest differs from the one on disk.
+/// How the segments listed in a new manifest differ from those in the one on disk.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ManifestChange {
-    /// Not in its segments, but for missing ones that are no longer listed.
+    /// Unchanged, except for missing segments that are no longer listed.
     None,
-    /// The head is sealed, and there is another one.
+    /// The head, if there is one, is sealed, and a new head is added.
     NewHead {
         sealed: Option<ManifestEntry>,
         head: ManifestEntry,
     },
-    /// This segment is no longer listed.
+    /// The segment with this sequence number is removed.
     SegmentRemoved(u32),
 }
 
 impl<S: Storage> Journal<S> {
-    /// Appends whole frames to the head; returns its sequence number. After an error none of them is there.
+    /// Appends complete frames to the head; returns the head's sequence number. After an error none of the frames
+    /// counts as written.
     pub(super) fn append_to_head(
         &mut self,
         bytes: &[u8],
@@ -46,7 +47,8 @@
         Ok(head.sequence)
     }
 
-    /// Makes sure that the head has room for this many bytes, and nothing torn at its end; returns its salt.
+    /// Ensures a head with room for this many bytes and without a torn write at its end, and rotates if necessary;
+    /// returns the head's salt.
     pub(super) fn prepare_head(&mut self, now_ms: u64, bytes: u64) -> io::Result<Salt> {
         if let Some(head) = self.head.as_mut().filter(|head| head.torn) {
             head.torn = self.storage.truncate(&head.name, head.len).is_err();
@@ -62,8 +64,8 @@
             .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    /// Seals the head and begins another one, with records of these possible executions in it before it is listed;
-    /// returns their frames. After an error the old head stays.
+    /// Seals the head and begins a new one. Records of the possible executions in `first` are written to the new
+    /// segment before the manifest lists it; returns their frames. After an error the old head stays in use.
     pub(super) fn rotate(
         &mut self,
         now_ms: u64,
@@ -86,7 +88,7 @@
         }
         let head = HeadSegment::new(&header, &self.key, salt, &bytes, stored.len() as u32);
         if let Err(e) = self.create_segment(&header, &head, &bytes) {
-            // If it can't be removed either, it is an unlisted file without frames: the next start removes it.
+            // If the file can't be removed either, the next start removes it, since no manifest lists it.
             let _ = self.storage.remove(&head.name);
             return Err(e);
         }
@@ -99,7 +101,7 @@
     }
 
     /// The header of the next segment. Its sequence number is not used again even if the segment can't be created,
-    /// since its file may be there.
+    /// since its file may exist.
     fn next_header(&mut self, now_ms: u64) -> Header {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -135,7 +137,7 @@
         })
     }
 
-    /// Replaces the manifest: the one step by which the set of segments changes.
+    /// Replaces the manifest atomically; the set of segments changes in no other way.
     pub(super) fn write_manifest(&mut self, change: ManifestChange) -> io::Result<()> {
         let manifest = Manifest {
             epoch: self.epoch + 1,
@@ -143,7 +145,7 @@
             next_lsn: self.next_lsn,
             segments: self.listed_segments(change),
         };
-        // A file left by a failed attempt would be appended to, and the two together be no manifest.
+        // This attempt would append to a file left by a failed one, and the result would not be a valid manifest.
         if self.stale_next_manifest {
             self.storage.remove(NEXT_FILE_NAME)?;
             self.stale_next_manifest = false;
@@ -160,6 +162,7 @@
         result
     }
 
+    /// The segments to list in the next manifest, ordered by sequence number.
     fn listed_segments(&self, change: ManifestChange) -> Vec<ManifestEntry> {
         let removed = match change {
             ManifestChange::SegmentRemoved(sequence) => Some(sequence),
--- a/crates/journal/src/journal/segments.rs
+++ b/crates/journal/src/journal/segments.rs
@@ -1,25 +1,25 @@
-//! The segments of an open journal, by the stage that they are in: head, sealed, being relocated, obsolete.
+//! The segments of an open journal, with a type for each stage: head, sealed, being relocated, obsolete.
 
 use crate::format::key::{Key, Mac, Salt, finish_mac};
 use crate::format::manifest::{ManifestEntry, Seal};
 use crate::format::segment::{self, HEADER_BYTES, Header};
 
-/// Bytes that are hashed at once: several times as fast as by the record, and it takes some microseconds.
+/// Bytes that are hashed at once, which takes some microseconds and is several times as fast as hashing each record.
 const HASH_CHUNK_BYTES: usize = 16 * 1024;
 
-/// A segment that is no longer written to.
+/// A sealed segment, which is not written to any more.
 #[derive(Debug)]
 pub(super) struct SealedSegment {
     pub(super) name: String,
     pub(super) salt: Salt,
     pub(super) entry: ManifestEntry,
-    /// Bytes of the file that count.
+    /// Bytes of the file, header included; anything after them is ignored.
     pub(super) len: u64,
-    /// It has a range that can't be read, and is to be relocated before others.
+    /// Whether it has a range that can't be read; such segments are relocated before others.
     pub(super) damaged: bool,
 }
 
-/// The segment that is written to.
+/// The head, the segment that frames are appended to.
 #[derive(Debug)]
 pub(super) struct HeadSegment {
     pub(super) sequence: u32,
@@ -28,20 +28,21 @@
     base_lsn: u64,
     /// Chained hash of the segment sealed before it.
     previous_chain: Mac,
-    /// Bytes of the file that count.
+    /// Bytes of the file, header included, without those of a failed write.
     pub(super) len: u64,
+    /// Number of frames.
     frames: u32,
-    /// Records of accepted messages in it.
+    /// Number of records of accepted messages.
     accepted: u32,
     hasher: blake3::Hasher,
-    /// Written, and not hashed yet.
+    /// Bytes that have been written but not hashed.
     unhashed: Vec<u8>,
-    /// A failed write may have left bytes behind `len`.
+    /// Whether a failed write may have left bytes after `len`.
     pub(super) torn: bool,
 }
 
 impl HeadSegment {
-    /// A segment that has just been created with these frames behind its header.
+    /// A new segment with these `count` frames after its header.
     pub(super) fn new(
         header: &Header,
         key: &Key,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Counts frames that have been written to its end.
+    /// Updates length, counts and hash after frames have been appended.
     pub(super) fn record_append(&mut self, bytes: &[u8], frames: u32, accepted: u32) {
         self.len += bytes.len() as u64;
         self.frames += frames;
@@ -79,12 +80,13 @@
         }
     }
 
-    /// Whether this many bytes may be appended to it.
+    /// Whether this many bytes may be appended. A segment without frames accepts any number, so that a batch larger
+    /// than a segment can be written.
     pub(super) fn accepts(&self, bytes: u64, segment_bytes: u64) -> bool {
         !self.torn && (self.frames == 0 || self.len + bytes <= segment_bytes)
     }
 
-    /// As the manifest lists it while it is the head.
+    /// The manifest entry of the segment while it is the head.
     pub(super) fn entry(&self) -> ManifestEntry {
         ManifestEntry {
             sequence: self.sequence,
@@ -94,7 +96,7 @@
         }
     }
 
-    /// As the manifest lists it once it is sealed.
+    /// The manifest entry of the segment once it is sealed.
     pub(super) fn sealed_entry(&self) -> ManifestEntry {
         ManifestEntry {
             seal: Some(self.seal()),
@@ -111,14 +113,14 @@
         }
     }
 
-    /// Its chained hash.
+    /// Keyed hash of the previous segment's chained hash and of this segment's frames.
     pub(super) fn chain(&self) -> Mac {
         let mut hasher = self.hasher.clone();
         hasher.update(&self.unhashed);
         finish_mac(&hasher)
     }
 
-    /// The segment sealed.
+    /// Seals the segment.
     pub(super) fn into_sealed(self) -> SealedSegment {
         let entry = self.sealed_entry();
         SealedSegment {
@@ -131,21 +133,21 @@
     }
 }
 
-/// A sealed segment whose live frames are being written to the head.
+/// The relocation of a sealed segment in progress.
 #[derive(Debug)]
 pub(super) struct Relocation {
     pub(super) sequence: u32,
-    /// Bytes of the file that are done.
+    /// Offset in the file up to which live frames have been relocated, in bytes.
     pub(super) offset: u64,
-    /// The message's slot of each frame passed so far, but for completions: removed with the file.
+    /// The slot of each frame's message so far, completions excepted: removing the file removes these frames.
     pub(super) slots: Vec<u32>,
 }
 
-/// A segment that the manifest no longer lists; its file is still to be removed.
+/// A segment that the manifest does not list any more, but whose file has not been removed.
 #[derive(Debug)]
 pub(super) struct ObsoleteSegment {
     pub(super) sequence: u32,
     pub(super) name: String,
-    /// As in [`Relocation`].
+    /// See [`Relocation::slots`].
     pub(super) slots: Vec<u32>,
 }
--- a/crates/journal/src/journal/state.rs
+++ b/crates/journal/src/journal/state.rs
@@ -12,50 +12,51 @@
 use crate::recovery::PossibleExecutions;
 use crate::storage::{BLOCK_BYTES, Storage};
 
-/// The largest frame that compaction may have to relocate.
+/// Upper bound on the bytes of the largest frame that compaction relocates.
 const MAX_FRAME_BYTES: u64 = 72 * 1024;
-/// Disk usage of a manifest besides its segments, in whole blocks.
+/// Disk usage of a manifest without its segments' entries, in bytes of whole blocks.
 const MANIFEST_FIXED_BYTES: u64 = 2 * BLOCK_BYTES;
-/// Bytes of a segment in the manifest, at most.
+/// Upper bound on the bytes of a segment's entry in the manifest.
 const MANIFEST_ENTRY_BYTES: u64 = 64;
-/// Compaction's reserve is no more than this part of the disk budget.
+/// Compaction's reserve is at most one part in this many of the disk budget.
 const DISKS_PER_RESERVE: u64 = 4;
 
-/// The durable log of the messages that a sender has accepted, in a folder of its own.
+/// An open journal: the durable log of the messages that a sender has accepted. It has its folder to itself.
 #[derive(Debug)]
 pub struct Journal<S> {
     pub(super) storage: S,
     pub(super) key: Key,
-    /// Bytes that the folder may hold.
+    /// Bytes that the folder may use.
     pub(super) disk: u64,
     /// Bytes after which a segment is sealed.
     pub(super) segment_bytes: u64,
-    /// Of the manifest on disk.
+    /// Epoch of the manifest on disk.
     pub(super) epoch: u64,
     pub(super) next_sequence: u32,
     pub(super) next_lsn: u64,
-    /// By sequence number.
+    /// Sealed segments by sequence number.
     pub(super) sealed: BTreeMap<u32, SealedSegment>,
-    /// `None` after a start without room for one.
+    /// `None` if no segment could be created since the start.
     pub(super) head: Option<HeadSegment>,
-    /// Listed and missing: kept in the manifest until the attempts that they may hide are recorded.
+    /// Segments that the manifest lists but whose files are missing. They stay listed until the attempts that they may
+    /// have recorded are covered by records of possible executions.
     pub(super) missing: Vec<ManifestEntry>,
-    /// A failed attempt to write a manifest has left its file.
+    /// Whether a failed attempt to write a manifest may have left its file.
     pub(super) stale_next_manifest: bool,
     pub(super) index: Index,
     pub(super) possible_executions: Vec<PossibleExecutions>,
-    /// What recovery concluded, to be written with the next batch.
-    pub(super) concluded: Vec<Record>,
+    /// Records that recovery added, to be written with the next batch.
+    pub(super) recovery_records: Vec<Record>,
     pub(super) relocation: Option<Relocation>,
     pub(super) obsolete: Vec<ObsoleteSegment>,
-    /// Bytes promised to messages that were admitted since the last batch.
-    pub(super) promised_bytes: u64,
+    /// Bytes set aside for messages admitted since the last batch.
+    pub(super) admitted_bytes: u64,
     pub(super) counters: Counters,
-    /// Reused by each batch.
+    /// Encoding buffer, reused by every batch.
     pub(super) buffer: Vec<u8>,
 }
 
-/// Totals since the start.
+/// Totals since the journal was opened.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Counters {
     pub(super) appended_bytes: u64,
@@ -81,38 +82,38 @@
             stale_next_manifest: false,
             index,
             possible_executions: Vec::new(),
-            concluded: Vec::new(),
+            recovery_records: Vec::new(),
             relocation: None,
             obsolete: Vec::new(),
-            promised_bytes: 0,
+            admitted_bytes: 0,
             counters: Counters::default(),
             buffer: Vec::new(),
         }
     }
 
-    /// The file that is written to, if there is one.
+    /// Name of the head's file, if there is a head.
     pub fn head(&self) -> Option<&str> {
         self.head.as_ref().map(|head| head.name.as_str())
     }
 
-    /// The files.
+    /// The storage that the journal is on.
     pub fn storage(&self) -> &S {
         &self.storage
     }
 
-    /// The files, for tests that make operations fail.
+    /// The storage that the journal is on, for tests that inject faults.
     pub fn storage_mut(&mut self) -> &mut S {
         &mut self.storage
     }
 
-    /// Bytes that compaction needs to make any progress.
+    /// Bytes that must stay free for compaction to make progress.
     pub(super) fn compaction_reserve(&self) -> u64 {
         let segments = self.sealed.len() as u64 + 2;
         let manifest = MANIFEST_FIXED_BYTES + MANIFEST_ENTRY_BYTES * segments;
         (self.segment_bytes.max(MAX_FRAME_BYTES) + manifest).min(self.disk / DISKS_PER_RESERVE)
     }
 
-    /// Whether all attempts that damage may hide are recorded.
+    /// Whether all possible executions are recorded on disk.
     pub(super) fn possible_executions_recorded(&self) -> bool {
         self.possible_executions
             .iter()
--- a/crates/journal/src/journal/stats.rs
+++ b/crates/journal/src/journal/stats.rs
@@ -1,50 +1,50 @@
-//! Figures of a running journal.
+//! Statistics of an open journal, and of a step of compaction.
 
 use super::state::Journal;
 use crate::storage::Storage;
 
-/// Figures of a running journal.
+/// Statistics of an open journal. Totals count from when it was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Segments, the head among them.
+    /// Number of segments, including the head.
     pub segments: usize,
-    /// Bytes of all segments.
+    /// Bytes of all segments, headers included.
     pub bytes: u64,
-    /// Bytes of live frames in them.
+    /// Bytes of live frames.
     pub live: u64,
-    /// Pending messages.
+    /// Number of pending messages.
     pub open: u64,
-    /// Messages whose final report is due.
+    /// Number of messages whose final report is due.
     pub final_report: u64,
-    /// Completed messages that are remembered.
+    /// Number of completed messages whose ids are remembered.
     pub completed: u64,
     /// Bytes of the disk budget that are free.
     pub room: u64,
-    /// Bytes appended since the start.
+    /// Total bytes appended in batches.
     pub appended: u64,
-    /// Bytes that compaction has relocated since the start.
+    /// Total bytes relocated by compaction.
     pub relocated: u64,
-    /// Segments removed since the start.
+    /// Total segments removed by compaction.
     pub removed: u64,
-    /// Batches that were not written whole since the start.
+    /// Total batches that were not persisted, or only in part.
     pub rejected: u64,
 }
 
-/// What one step of compaction did.
+/// The work done by one step of compaction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CompactionStep {
-    /// Bytes read.
+    /// Bytes read from segments.
     pub read: u64,
-    /// Bytes written to the head.
+    /// Bytes relocated to the head.
     pub relocated: u64,
-    /// Segments removed.
+    /// Segments whose files were removed.
     pub removed: u32,
-    /// It could not continue, for want of room or because a file operation failed. Tried again in the next step.
+    /// Whether the step stopped early, for lack of room or because a file operation failed. The next step retries.
     pub stuck: bool,
 }
 
 impl<S: Storage> Journal<S> {
-    /// The present figures.
+    /// The current statistics.
     pub fn stats(&mut self) -> Stats {
         let head = self.head.iter().map(|head| (head.sequence, head.len));
         let sealed = self.sealed.iter().map(|(&sequence, s)| (sequence, s.len));
--- a/crates/journal/src/legacy_ledger.rs
+++ b/crates/journal/src/legacy_ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger of releases before 0.2: one file of frames, `[length u32][crc32 u32][record JSON, newline, body]`.
-//! It is read once, and damage in it is skipped as in a segment.
+//! Decoder of the ledger, the single file of releases before 0.2. Its frames are `[length u32][crc32 u32][record JSON,
+//! newline, body]`. It is read once, to be migrated; damage in it is skipped as in a segment.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,22 +11,23 @@
 use crate::scan::{DamageCause, DamagedRange};
 use crate::storage::Storage;
 
-/// The file, and the one that was being written to replace it.
+/// Names of the ledger and of the file that was written to replace it.
 pub(crate) const FILE_NAMES: [&str; 2] = ["ledger", "ledger.new"];
-/// How long a message of those releases lasts at most, and so how long a completed id is remembered.
+/// Longest lifetime of a message in those releases, and so the time for which a completed id is remembered.
 pub(crate) const LEGACY_LIFETIME_NANOS: u64 = 20_000_000_000;
 
 const FRAME_HEADER_BYTES: usize = 8;
-/// Longer than any record.
+/// Upper bound on the length of a frame's payload; every record is shorter.
 const MAX_PAYLOAD_BYTES: usize = 256 * 1024;
-/// Attempts of a message that a damaged range may hide: more than any class allowed.
+/// Attempts of one message that a damaged range is assumed to have held: more than any class allowed.
 const MAX_ATTEMPTS: u32 = 64;
-/// Messages that a damaged range may hide.
+/// Records of accepted messages that a damaged range is assumed to have held.
 const MAX_MESSAGES: u32 = 64;
 
-/// The ledger's contents.
+/// The decoded contents of a ledger.
 #[derive(Debug)]
 pub(crate) struct LegacyLedger {
+    /// Readable records, and one of an attempt for each message that may have been attempted in a damaged range.
     pub(crate) records: Vec<Record>,
     pub(crate) damage: Vec<DamagedRange>,
 }
@@ -76,7 +77,7 @@
     Failed,
 }
 
-/// Reads the ledger, if there is one. Its unfinished successor never was in use.
+/// Reads the ledger, if there is one. A file `ledger.new` is ignored: the ledger is valid until it is replaced.
 pub(crate) fn read<S: Storage>(
     storage: &mut S,
     files: &BTreeMap<String, u64>,
@@ -91,8 +92,8 @@
     Ok(Some(decode(&bytes)))
 }
 
-/// All readable records. A message pending before a damaged range may have been attempted in it: it counts as possibly
-/// executed with all attempts used, since the frames have no log numbers to narrow that down.
+/// Decodes all readable records. A message accepted before a damaged range may have been attempted in it. It counts as
+/// possibly executed, with all attempts used, since frames without log numbers give no closer bound.
 pub(crate) fn decode(bytes: &[u8]) -> LegacyLedger {
     let mut ledger = LegacyLedger {
         records: Vec::new(),
@@ -107,9 +108,9 @@
         }
         let next = (offset + 1..bytes.len()).find(|&n| decode_frame(bytes, n).is_some());
         let Some(next) = next else {
-            // Without a valid frame behind it, damage can't be distinguished from a last write that was cut off.
+            // Without a valid frame after it, damage can't be distinguished from a torn last write.
             log::warn!(file = FILE_NAMES[0], offset, bytes = bytes.len() - offset;
-                "journal: {} bytes at the end of the old ledger are left out", bytes.len() - offset);
+                "journal: ignored {} bytes without a valid frame at the end of the old ledger", bytes.len() - offset);
             break;
         };
         add_possible_attempts(&mut ledger.records);
@@ -127,7 +128,7 @@
     ledger
 }
 
-/// Adds the last possible attempt of every message accepted so far.
+/// Adds a record of the last attempt that a class allowed for every message accepted so far.
 fn add_possible_attempts(records: &mut Vec<Record>) {
     let attempts: Vec<Record> = records
         .iter()
@@ -144,7 +145,7 @@
     records.extend(attempts);
 }
 
-/// The record of the frame at `offset`, and where the frame ends; `None` if there is no valid one.
+/// The record of the frame at `offset`, and the frame's end; `None` if there is no valid frame.
 fn decode_frame(bytes: &[u8], offset: usize) -> Option<(Record, usize)> {
     let field = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?));
     let (len, checksum) = (field(offset)? as usize, field(offset + 4)?);
@@ -210,7 +211,7 @@
                 },
                 ordering_key: None,
             },
-            // The time is set when the ledger is migrated.
+            // A placeholder: migration sets the time.
             LegacyRecord::Completed { id } => Record::Completed {
                 id,
                 until: LEGACY_LIFETIME_NANOS,
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,17 +1,19 @@
-//! The durable log of the messages that a sender has accepted: a message is in it before `+OK` is answered, an attempt
-//! before its last byte is sent.
+//! The durable log of the messages that a sender has accepted. A message is written to it before the client is answered
+//! `+OK`, and the start of an attempt before the request's last byte is sent.
 //!
-//! Start at [`Journal`]: [`Journal::open`] reads a folder and returns what an earlier process left ([`Recovered`]),
-//! [`Journal::append`] persists a batch of records, [`Journal::compact`] does one bounded step of compaction, and
-//! [`Journal::admit`] says whether there is room for a further message. Files are reached through [`Storage`] only:
-//! [`Folder`] is a real one, [`Memory`] can be made to fail. The package reads no clock and starts no thread.
+//! Start at [`Journal`]: [`Journal::open`] reads a folder and returns the messages of an earlier process
+//! ([`Recovered`]), [`Journal::append`] persists a batch of records, [`Journal::compact`] does one bounded step of
+//! compaction, and [`Journal::admit`] checks whether there is room for a further message. All file access goes through
+//! [`Storage`]: [`Folder`] is a directory, [`Memory`] a simulated one with fault injection. The crate reads no clock
+//! and starts no thread.
 //!
-//! The state is the join of all records on disk, whatever their order and however often each is there; so compaction
-//! may move them, and a kill at any byte leaves none out. `docs/journal-design.md` has the reasons, and
-//! `docs/journal-format.md` the files to the byte.
+//! The state is the join of all records on disk: it depends neither on their order nor on how often a record is
+//! present. Compaction may therefore move records, and a process killed at any byte loses none that was acknowledged.
+//! `docs/journal-design.md` has the reasons, and `docs/journal-format.md` specifies the files byte by byte.
 //!
-//! From below: `format` has the bytes, `storage` the files, `index` which records are live, `scan` what a folder
-//! holds, `recovery` the messages in it, and `journal` an open journal.
+//! Modules, from the lowest layer up: `format` encodes and decodes files, `storage` abstracts the file system, `index`
+//! tracks which records are live, `scan` reads a folder, `recovery` rebuilds its messages, and `journal` is an open
+//! journal.
 
 mod error;
 mod folder;
--- a/crates/journal/src/memory.rs
+++ b/crates/journal/src/memory.rs
@@ -1,58 +1,60 @@
-//! Files in memory, for tests and tools: every operation can be made to fail, or to be the last one.
+//! [`Storage`] in memory with fault injection, for tests and tools.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 
 use crate::storage::{BLOCK_BYTES, Storage, disk_usage};
 
-/// When the storage fails for good, as for a process that is killed.
+/// The point at which the storage simulates that the process is killed: all later operations fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// The operation that changes files, counted from 0, in which it happens.
+    /// Index of the operation in which it happens. Only operations that change files count, from 0.
     pub operation: u64,
-    /// Bytes of an append that are written before; for other operations, 0 is before and anything else after.
+    /// For an append, the bytes that are written before the crash. For other operations, 0 is a crash before the
+    /// operation takes effect, and any other number a crash after it.
     pub bytes: usize,
 }
 
-/// One operation that changed files, as [`Memory::log`] holds it.
+/// An operation that changes files, as recorded in [`Memory::log`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// With the number of bytes.
+    /// An append of this many bytes.
     Append(usize),
-    /// A file was cut.
+    /// A truncation.
     Truncate,
-    /// A file was renamed.
+    /// A rename.
     Rename,
-    /// A file was removed.
+    /// A removal.
     Remove,
 }
 
-/// A folder in memory.
+/// A simulated folder in memory.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
-    /// Contents by name.
+    /// File contents by name.
     pub files: BTreeMap<String, Vec<u8>>,
-    /// Bytes that it may hold, files counted in whole blocks; a write beyond is cut short there.
+    /// Bytes that the folder may use, with files rounded up to whole blocks. A write beyond is cut short at that point.
     pub disk: u64,
-    /// Appends fail, having changed nothing, while this is set.
+    /// While set, appends fail without effect.
     pub no_appends: bool,
-    /// Truncations fail, having changed nothing, while this is set.
+    /// While set, truncations fail without effect.
     pub no_truncates: bool,
-    /// Renames fail, having changed nothing, while this is set.
+    /// While set, renames fail without effect.
     pub no_renames: bool,
-    /// Removals fail, having changed nothing, while this is set.
+    /// While set, removals fail without effect.
     pub no_removes: bool,
-    /// When all operations begin to fail.
+    /// The crash to simulate, if any.
     pub crash: Option<Crash>,
-    /// All operations so far that change files.
+    /// All operations so far that change files, including those that failed.
     pub log: Vec<Change>,
-    /// Bytes appended so far.
+    /// Total bytes appended.
     pub written: u64,
-    dead: bool,
+    /// Whether the crash has happened.
+    crashed: bool,
 }
 
 impl Memory {
-    /// An empty folder that may hold `disk` bytes.
+    /// An empty folder with a budget of `disk` bytes.
     pub fn new(disk: u64) -> Memory {
         Memory {
             disk,
@@ -60,8 +62,8 @@
         }
     }
 
-    /// What a next process finds: the files, without the faults.
-    pub fn after_death(&self) -> Memory {
+    /// A copy of the files without injected faults, as the next process finds them after a crash.
+    pub fn without_faults(&self) -> Memory {
         Memory {
             files: self.files.clone(),
             disk: self.disk,
@@ -69,9 +71,9 @@
         }
     }
 
-    /// Whether the crash has happened.
-    pub fn is_dead(&self) -> bool {
-        self.dead
+    /// Whether the simulated crash has happened.
+    pub fn has_crashed(&self) -> bool {
+        self.crashed
     }
 
     fn used(&self) -> u64 {
@@ -81,112 +83,126 @@
             .sum()
     }
 
-    /// Bytes that an append to a file of `size` bytes may add. A file may fill its last block even if no further
-    /// block is free.
-    fn free_for(&self, size: u64) -> u64 {
+    /// Upper bound on the bytes that can be appended to a file of `size` bytes. The rest of its last block can be
+    /// filled even if no further block is free.
+    fn max_append(&self, size: u64) -> u64 {
         let free = self
             .disk
             .saturating_sub(self.used() - disk_usage(size) + size);
         free / BLOCK_BYTES * BLOCK_BYTES + (disk_usage(size) - size)
     }
 
-    /// Counts an operation that changes files. An error if the crash is before it; `Ok(true)` if it is after it.
+    /// Records an operation that changes files. Returns an error if the crash is before the operation takes effect, and
+    /// `Ok(true)` if it is during the operation or after it.
     fn begin(&mut self, change: Change) -> io::Result<bool> {
-        if self.dead {
-            return Err(killed());
+        if self.crashed {
+            return Err(crash_error());
         }
-        let last = self.crash.filter(|c| c.operation == self.log.len() as u64);
+        let crash_now = self.crash.filter(|c| c.operation == self.log.len() as u64);
         self.log.push(change);
-        self.dead = last.is_some();
-        match last {
-            Some(crash) if crash.bytes == 0 => Err(killed()),
+        self.crashed = crash_now.is_some();
+        match crash_now {
+            Some(crash) if crash.bytes == 0 => Err(crash_error()),
             other => Ok(other.is_some()),
         }
     }
 }
 
-/// The result of an operation that has been done: an error if the process was killed after it.
-fn done(last: bool) -> io::Result<()> {
-    if last { Err(killed()) } else { Ok(()) }
+/// The result of an operation that has taken effect: an error if the crash is after it.
+fn finish(crash_after: bool) -> io::Result<()> {
+    if crash_after {
+        Err(crash_error())
+    } else {
+        Ok(())
+    }
 }
 
-fn killed() -> io::Error {
-    io::Error::other("killed")
+fn crash_error() -> io::Error {
+    io::Error::other("simulated crash")
 }
 
-fn denied(operation: &str) -> io::Error {
+fn denied_error(operation: &str) -> io::Error {
     io::Error::new(ErrorKind::PermissionDenied, format!("{operation} denied"))
 }
 
-fn not_found(name: &str) -> io::Error {
+fn not_found_error(name: &str) -> io::Error {
     io::Error::new(ErrorKind::NotFound, format!("{name}: no such file"))
 }
 
 impl Storage for Memory {
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let last = self.begin(Change::Append(bytes.len()))?;
+        let crash_after = self.begin(Change::Append(bytes.len()))?;
         if self.no_appends {
-            return Err(denied("append"));
+            return Err(denied_error("append"));
         }
-        let before_crash = self.crash.filter(|_| last).map_or(usize::MAX, |c| c.bytes);
+        let before_crash = self
+            .crash
+            .filter(|_| crash_after)
+            .map_or(usize::MAX, |c| c.bytes);
         let size = self.files.get(name).map_or(0, Vec::len) as u64;
-        let free = self.free_for(size) as usize;
+        let free = self.max_append(size) as usize;
         let written = bytes.len().min(before_crash).min(free);
         self.files
             .entry(name.to_owned())
             .or_default()
             .extend_from_slice(&bytes[..written]);
         self.written += written as u64;
-        done(last)?;
+        finish(crash_after)?;
         if written < bytes.len() {
-            return Err(io::Error::new(ErrorKind::StorageFull, "no room"));
+            return Err(io::Error::new(
+                ErrorKind::StorageFull,
+                "the simulated disk is full",
+            ));
         }
         Ok(())
     }
 
     fn read(&mut self, name: &str, offset: u64, len: usize) -> io::Result<Vec<u8>> {
-        if self.dead {
-            return Err(killed());
+        if self.crashed {
+            return Err(crash_error());
         }
-        let file = self.files.get(name).ok_or_else(|| not_found(name))?;
+        let file = self.files.get(name).ok_or_else(|| not_found_error(name))?;
         let start = (offset as usize).min(file.len());
         Ok(file[start..start.saturating_add(len).min(file.len())].to_vec())
     }
 
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()> {
-        let last = self.begin(Change::Truncate)?;
+        let crash_after = self.begin(Change::Truncate)?;
         if self.no_truncates {
-            return Err(denied("truncate"));
+            return Err(denied_error("truncate"));
         }
         self.files
             .get_mut(name)
-            .ok_or_else(|| not_found(name))?
+            .ok_or_else(|| not_found_error(name))?
             .resize(size as usize, 0);
-        done(last)
+        finish(crash_after)
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let last = self.begin(Change::Rename)?;
+        let crash_after = self.begin(Change::Rename)?;
         if self.no_renames {
-            return Err(denied("rename"));
+            return Err(denied_error("rename"));
         }
-        let file = self.files.remove(from).ok_or_else(|| not_found(from))?;
+        let file = self
+            .files
+            .remove(from)
+            .ok_or_else(|| not_found_error(from))?;
         self.files.insert(to.to_owned(), file);
-        done(last)
+        finish(crash_after)
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        let last = self.begin(Change::Remove)?;
+        let crash_after = self.begin(Change::Remove)?;
         if self.no_removes {
-            return Err(denied("remove"));
+            return Err(denied_error("remove"));
         }
         self.files.remove(name);
-        done(last)
+        finish(crash_after)
     }
 
     fn list(&mut self) -> io::Result<BTreeMap<String, u64>> {
-        if self.dead {
-            return Err(killed());
+        if self.crashed {
+            return Err(crash_error());
         }
         Ok(self
             .files
--- a/crates/journal/src/options.rs
+++ b/crates/journal/src/options.rs
@@ -1,23 +1,24 @@
-//! How a journal is kept.
+//! Options of a journal.
 
 use crate::format::key::Key;
 
-/// Bounds of a segment's size: small segments make compaction's steps small, large ones the manifest.
+/// Bounds of a segment's size: smaller segments are compacted sooner, larger ones keep the manifest small.
 const MIN_SEGMENT_BYTES: u64 = 16 * 1024;
 const MAX_SEGMENT_BYTES: u64 = 1024 * 1024;
-/// A segment has this part of the disk budget, within those bounds.
+/// A segment gets one part in this many of the disk budget, within those bounds.
 const SEGMENTS_PER_DISK: u64 = 32;
 
-/// How a journal is kept.
+/// Options of a journal.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Bytes that the folder may hold.
+    /// Bytes that the folder may use.
     pub disk: u64,
-    /// An operator's key; without one the folder has its own.
+    /// The operator's key; without one, the folder's own key is used.
     pub key: Option<Key>,
-    /// Fresh random bytes: the folder's key, if it has none yet.
+    /// Fresh random bytes; they become the folder's own key if it has no key yet.
     pub fresh_key: Key,
-    /// Bytes of a segment; derived from `disk` if not given. Tests want small ones, which are sealed often.
+    /// Bytes after which a segment is sealed; `None` derives them from `disk`. Tests set a small size, so that segments
+    /// are sealed often.
     pub segment: Option<u64>,
 }
 
--- a/crates/journal/src/record_conversion.rs
+++ b/crates/journal/src/record_conversion.rs
@@ -1,4 +1,4 @@
-//! Between the core's records and journal records.
+//! Conversion between the core's records and journal records.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 use crate::format::record::{self, AcceptedMessage, JournalRecord, RawBytes, RecordKind};
 use crate::time::{millis, nanos};
 
-/// Bytes that a record takes at most besides its texts and its body: frame header, numbers and lengths.
+/// Upper bound on the bytes of a record's frame without its texts and body: frame header, numbers and lengths.
 pub(crate) const MAX_FIXED_BYTES: u64 = 96;
 
-/// The kind of the journal record that a core record becomes.
+/// The kind of the journal record for a core record.
 pub(crate) fn kind_of(record: &Record) -> RecordKind {
     match record {
         Record::Accepted { .. } => RecordKind::Accepted,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Bytes that the frame of a record takes at most.
+/// Upper bound on the bytes of a record's frame.
 pub(crate) fn max_frame_bytes(record: &Record) -> u64 {
     let text_len = |text: &Option<String>| text.as_ref().map_or(0, String::len);
     let variable = match record {
@@ -41,7 +41,8 @@
     MAX_FIXED_BYTES + (record.id().len() + variable) as u64
 }
 
-/// Appends the payload of a record's frame. `accepted_lsn` is the log number under which its message was accepted.
+/// Appends the payload of a record's frame, for log number `lsn`. `accepted_lsn` is the log number of its message's
+/// acceptance.
 pub(crate) fn encode(
     lsn: u64,
     accepted_lsn: u64,
@@ -163,8 +164,8 @@
     }
 }
 
-/// A journal record as the core has it. `None` if its body can't be decompressed, and for
-/// [`JournalRecord::PossiblyExecuted`], which is about no single message.
+/// Converts a journal record to a core record. `None` if its body can't be decompressed, and for
+/// [`JournalRecord::PossiblyExecuted`], which belongs to no single message.
 pub(crate) fn to_core(id: &PackedId, record: JournalRecord<'_>) -> Option<Record> {
     let id = id.text();
     let ordering_key = record.ordering_key().and_then(text_of);
@@ -231,6 +232,7 @@
     })
 }
 
+/// The text of a packed id; `None` if it is invalid.
 fn text_of(packed: RawBytes<'_>) -> Option<String> {
     PackedId::from_bytes(packed).map(|id| id.text())
 }
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -1,4 +1,5 @@
-//! From a folder's records to what an earlier process left: its messages, with attempts that damage may hide.
+//! Recovery: rebuilds the messages of an earlier process from a folder's records, and accounts for attempts whose
+//! records damage may have destroyed.
 
 mod collector;
 mod conclude;
@@ -17,21 +18,21 @@
 pub(crate) use self::possible_executions::PossibleExecutions;
 pub use self::recovered::{FolderContents, LostMessage, Recovered};
 
-/// Reads the folder and concludes what an earlier process left. `given` is an operator's key; `fresh_key` is used to
-/// hash ids if there is none, and may be any.
+/// Reads a folder, without changing it, and recovers the messages that an earlier process left. `operator_key` is the
+/// operator's key, if there is one. `fresh_key` only seeds the hashes of ids in the absence of an operator's key.
 ///
 /// # Errors
-/// If a file can't be read, or the folder is of a later format or under another key.
+/// If a file can't be read, is in a later format or signed under another key, or the key file is damaged.
 pub fn read_folder<S: Storage>(
     storage: &mut S,
-    given: Option<Key>,
+    operator_key: Option<Key>,
     fresh_key: &Key,
 ) -> Result<FolderContents, OpenError> {
-    let messages = expected_messages(storage, given);
-    let mut collector = Collector::new(given.as_ref().unwrap_or(fresh_key), messages);
+    let messages = count_accepted_records(storage, operator_key);
+    let mut collector = Collector::new(operator_key.as_ref().unwrap_or(fresh_key), messages);
     let mut scan = scan(
         storage,
-        given,
+        operator_key,
         |location, record| collector.add(location, record),
         |_, _| {},
     )?;
@@ -62,11 +63,11 @@
     })
 }
 
-/// Records of accepted messages in sealed segments, by the manifest: how much memory to reserve. 0 if it can't be
-/// read; the records are found all the same.
-fn expected_messages<S: Storage>(storage: &mut S, given: Option<Key>) -> usize {
+/// The number of records of accepted messages in sealed segments according to the manifest, for which memory is
+/// reserved. 0 if the manifest can't be read, which has no other effect.
+fn count_accepted_records<S: Storage>(storage: &mut S, operator_key: Option<Key>) -> usize {
     let Ok(files) = storage.list() else { return 0 };
-    let Ok(key_ring) = KeyRing::read(storage, given, &files) else {
+    let Ok(key_ring) = KeyRing::read(storage, operator_key, &files) else {
         return 0;
     };
     let Ok(bytes) = storage.read(manifest::FILE_NAME, 0, manifest::MAX_FILE_BYTES) else {
@@ -75,7 +76,7 @@
     let DecodedManifest::Valid(manifest) = Manifest::decode(&bytes, key_ring.keys()) else {
         return 0;
     };
-    // Each takes some tens of bytes on disk: there can't be more than that, whatever the manifest says.
+    // The size of the files bounds the number of records, should the manifest's counts be wrong.
     let possible: u64 = files.values().sum::<u64>() / MIN_ATTEMPT_FRAME_BYTES as u64;
     let accepted: u64 = manifest
         .segments
--- a/crates/journal/src/recovery/collector.rs
+++ b/crates/journal/src/recovery/collector.rs
@@ -1,4 +1,4 @@
-//! Collects the records of a folder while it is scanned.
+//! Collects a folder's records as the scan reads them.
 
 use super::live_records::{LiveRecords, RecordOrigin};
 use super::possible_executions::{PossibleExecutions, add_recorded};
@@ -9,7 +9,7 @@
 use crate::record_conversion::to_core;
 use crate::scan::{DamageCause, DamagedRange, RecordLocation, Scan};
 
-/// Records of each accepted message that room is made for.
+/// Expected records per accepted message, by which memory is reserved.
 const EXPECTED_RECORDS_PER_MESSAGE: usize = 2;
 
 /// The record of an accepted message whose body can't be decompressed.
@@ -19,18 +19,18 @@
     location: RecordLocation,
 }
 
-/// What has been found in a folder so far.
+/// The records read so far, joined to an index.
 #[derive(Debug)]
 pub(super) struct Collector {
     pub(super) index: Index,
     pub(super) live: LiveRecords,
-    /// As earlier processes recorded them.
+    /// Possible executions recorded by earlier processes.
     pub(super) possible_executions: Vec<PossibleExecutions>,
     unreadable: Vec<UnreadableMessage>,
 }
 
 impl Collector {
-    /// With room for `messages` accepted messages; ids are hashed under `key`.
+    /// An empty collector with memory reserved for `messages` accepted messages; `key` seeds the hashes of ids.
     pub(super) fn new(key: &Key, messages: usize) -> Collector {
         let mut index = Index::new(key);
         index.reserve(messages);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Adds a record.
+    /// Joins a record to the index, and keeps it if it is live.
     pub(super) fn add(&mut self, location: RecordLocation, record: JournalRecord<'_>) {
         let frame = StoredFrame {
             sequence: location.sequence,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The records of accepted messages that can't be read, as damage to the folder.
+    /// A damaged range for each record of an accepted message whose body can't be decompressed.
     pub(super) fn unreadable_messages(&self, scan: &Scan) -> Vec<DamagedRange> {
         let unreadable = self.unreadable.iter();
         unreadable
--- a/crates/journal/src/recovery/conclude.rs
+++ b/crates/journal/src/recovery/conclude.rs
@@ -1,5 +1,5 @@
-//! From live records to the records that the core starts with: attempts that damage hides are added, and messages
-//! whose own record is lost are concluded as failed.
+//! Completes the live records for the core: adds attempts whose records damage may have destroyed, and ends messages
+//! whose record of acceptance is lost with a final report as failed.
 
 use cranehill_core::{FinalReport, Record};
 
@@ -8,10 +8,10 @@
 use super::recovered::{LostMessage, Recovered};
 use crate::scan::Scan;
 
-/// More attempts than any class allows, so as good as any number.
+/// Upper bound on the attempts that are added to a message: more than any class allows.
 const MAX_ATTEMPTS: u32 = 64;
 
-/// Sets `recovered.records`, and what was lost or is possibly executed. `live` must be sorted.
+/// Fills in `recovered.records`, `recovered.lost` and `recovered.possibly_executed`. `live` must be sorted.
 pub(super) fn conclude(
     live: LiveRecords,
     scan: &Scan,
@@ -34,15 +34,15 @@
             message.push(record);
         }
         if matches!(message.first(), Some(Record::Accepted { .. })) {
-            let hidden = hidden_attempts(possible_executions, origin.accepted_lsn);
-            conclude_pending(&mut message, hidden, recovered);
+            let unrecorded = max_unrecorded_attempts(possible_executions, origin.accepted_lsn);
+            add_pending_message(&mut message, unrecorded, recovered);
         } else {
-            conclude_lost(&mut message, origin, scan, recovered);
+            fail_lost_message(&mut message, origin, scan, recovered);
         }
     }
 }
 
-/// Whether every message has its own record, and every end of an attempt the attempt's.
+/// Whether each pending message has its record of acceptance, and each finished attempt its record of the start.
 fn is_complete(records: &[Record]) -> bool {
     let first_belongs = !matches!(
         records.first(),
@@ -54,7 +54,7 @@
             .all(|pair| follows_its_message(&pair[0], &pair[1]))
 }
 
-/// Whether a record follows one that it depends on.
+/// Whether a record directly follows one that it requires, if it requires one.
 fn follows_its_message(previous: &Record, record: &Record) -> bool {
     match (previous, record) {
         (_, Record::AttemptStarted { .. }) => !is_end(previous) && previous.id() == record.id(),
@@ -69,8 +69,8 @@
     }
 }
 
-/// Attempts that a message may have had besides those known.
-fn hidden_attempts(possible_executions: &[PossibleExecutions], accepted_lsn: u64) -> u32 {
+/// Upper bound on a message's attempts without a readable record.
+fn max_unrecorded_attempts(possible_executions: &[PossibleExecutions], accepted_lsn: u64) -> u32 {
     possible_executions
         .iter()
         .filter(|possible| possible.accepted_before > accepted_lsn)
@@ -78,8 +78,8 @@
         .sum()
 }
 
-/// Concludes a message whose own record is lost as failed. Leaves `message` empty.
-fn conclude_lost(
+/// Ends a message whose record of acceptance is lost with a final report as failed. Leaves `message` empty.
+fn fail_lost_message(
     message: &mut Vec<Record>,
     origin: RecordOrigin,
     scan: &Scan,
@@ -102,33 +102,34 @@
     });
 }
 
-/// Adds the records of a pending message, with attempts that may be hidden. Leaves `message` empty.
-fn conclude_pending(message: &mut Vec<Record>, hidden: u32, recovered: &mut Recovered) {
+/// Adds the records of a pending message, and of its possible attempts without a record. Leaves `message` empty.
+fn add_pending_message(message: &mut Vec<Record>, unrecorded: u32, recovered: &mut Recovered) {
     let Some(Record::Accepted { id, at, .. }) = message.first() else {
         return;
     };
     let (id, at) = (id.clone(), *at);
-    // An attempt of which nothing is known but its number.
+    // An attempt of which only the number is known.
     let started = |attempt| Record::AttemptStarted {
         id: id.clone(),
         attempt,
         endpoint: String::new(),
         at,
     };
-    let possible = possible_attempts(message, hidden);
+    let possible = possible_attempts(message, unrecorded);
     let mut records = message.drain(..);
     recovered.records.extend(records.next());
-    if hidden > 0 {
+    if unrecorded > 0 {
         recovered.possibly_executed += 1;
-        // First, so that the message counts as executed from the earliest moment on at which it can have been; and
-        // under numbers that no known end of an attempt has.
+        // They come first, so that the message counts as possibly executed from its acceptance on, the earliest time
+        // possible. Their numbers differ from those of all known attempts, so that no known end of an attempt applies
+        // to them.
         recovered.records.extend(possible.into_iter().map(&started));
     }
     let mut last_started = None;
     for record in records {
         match &record {
             Record::AttemptStarted { attempt, .. } => last_started = Some(*attempt),
-            // The record of the attempt is lost, and the attempt was submitted.
+            // The record of the attempt's start is lost, but the attempt was sent.
             Record::AttemptFinished { attempt, .. } if last_started != Some(*attempt) => {
                 recovered.records.push(started(*attempt));
             }
@@ -138,10 +139,10 @@
     }
 }
 
-/// The numbers under which hidden attempts are added: the lowest one missing among the known, and the last one if
-/// there may be more than are missing.
-fn possible_attempts(message: &[Record], hidden: u32) -> Vec<u32> {
-    if hidden == 0 {
+/// The numbers under which attempts without a record are added: the lowest number missing among the known ones, and, if
+/// there may be more attempts than missing numbers, the highest number that an attempt may have.
+fn possible_attempts(message: &[Record], unrecorded: u32) -> Vec<u32> {
+    if unrecorded == 0 {
         return Vec::new();
     }
     let known: Vec<u32> = message.iter().filter_map(attempt_number).collect();
@@ -149,7 +150,7 @@
     let missing: Vec<u32> = (0..next.min(MAX_ATTEMPTS))
         .filter(|attempt| !known.contains(attempt))
         .collect();
-    let beyond = hidden
+    let beyond = unrecorded
         .min(MAX_ATTEMPTS)
         .saturating_sub(missing.len() as u32);
     let last = (beyond > 0).then(|| next.saturating_add(beyond) - 1);
--- a/crates/journal/src/recovery/live_records.rs
+++ b/crates/journal/src/recovery/live_records.rs
@@ -1,23 +1,23 @@
-//! Records in the order in which they are found; those that turn out to be dead are dropped in between.
+//! The live records in the order in which they are read. Records that become dead are dropped from time to time.
 
 use cranehill_core::Record;
 
 use crate::index::{EntryState, Index, Joined};
 use crate::scan::RecordLocation;
 
-/// Dead records are dropped once there are more than these.
+/// Dead records are dropped once their estimated number exceeds both this and the number of records.
 const MIN_DEAD_TO_SWEEP: usize = 4096;
-/// Records that the end of a message makes dead, as an estimate.
+/// Estimated number of records that become dead when a message ends.
 const DEAD_PER_END: usize = 3;
 
-/// The message of a record, and the record's order within it.
+/// The message that a record belongs to, and the record's rank among the message's records.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecordOrigin {
     /// The message's slot in the index.
     pub(super) slot: u32,
-    /// Log number under which the message was accepted.
+    /// Log number of the message's acceptance.
     pub(super) accepted_lsn: u64,
-    /// Orders the records of one message: its acceptance, then each attempt and its end.
+    /// Orders the records of one message: the acceptance first, then the start and end of each attempt.
     rank: u64,
     /// Where the record is on disk.
     pub(super) location: RecordLocation,
@@ -44,23 +44,23 @@
     }
 }
 
-/// Records with their origins, as two lists: the records are returned as they are.
+/// Records with their origins, in two parallel lists so that the records can be returned without copying.
 #[derive(Debug, Default)]
 pub(super) struct LiveRecords {
     pub(super) records: Vec<Record>,
     pub(super) origins: Vec<RecordOrigin>,
-    /// About how many of them are dead.
+    /// Estimated number of dead records among them.
     dead: usize,
 }
 
 impl LiveRecords {
-    /// Makes room for this many records.
+    /// Reserves memory for this many records.
     pub(super) fn reserve(&mut self, records: usize) {
         self.records.reserve(records);
         self.origins.reserve(records);
     }
 
-    /// Adds a record that was live when it was joined.
+    /// Adds a record that the index reported as live.
     pub(super) fn push(
         &mut self,
         record: Record,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Drops dead records, so that messages that have ended do not fill the memory.
+    /// Drops dead records, so that the records of ended messages do not take up memory.
     pub(super) fn sweep(&mut self, index: &Index) {
         self.dead = 0;
         let mut live = 0;
@@ -95,8 +95,8 @@
         self.origins.truncate(live);
     }
 
-    /// Completed messages by their time, final reports due, then pending messages in the order in which they were
-    /// accepted.
+    /// Sorts the records: completions by the time until which they are remembered, then final reports due and then the
+    /// records of pending messages, both in the order of acceptance.
     pub(super) fn sort(&mut self) {
         let sort_key = |(record, origin): (&Record, &RecordOrigin)| match record {
             Record::Completed { until, .. } => (0u8, *until, u64::from(origin.slot)),
@@ -119,7 +119,7 @@
     }
 }
 
-/// Whether the record ends its message for the destination.
+/// Whether no further attempt of the message follows the record.
 pub(super) fn is_end(record: &Record) -> bool {
     matches!(
         record,
@@ -127,6 +127,7 @@
     )
 }
 
+/// Whether a record is still live in the index.
 fn is_live(record: &Record, origin: RecordOrigin, index: &Index) -> bool {
     let entry = index
         .entry(origin.slot)
--- a/crates/journal/src/recovery/possible_executions.rs
+++ b/crates/journal/src/recovery/possible_executions.rs
@@ -1,24 +1,25 @@
-//! Attempts that damage may hide: until they have ended, the messages affected count as possibly executed.
+//! Possible executions: attempts whose records damage may have destroyed. The affected messages count as possibly
+//! executed until they have ended.
 
 use crate::format::record::JournalRecord;
 use crate::index::{Index, StoredFrame};
 use crate::scan::DamagedRange;
 
-/// Attempts that a damaged range may hide, as [`JournalRecord::PossiblyExecuted`] records them.
+/// Attempts whose records damage may have destroyed; persisted as [`JournalRecord::PossiblyExecuted`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PossibleExecutions {
     /// Messages accepted under this log number or a later one are not affected.
     pub(crate) accepted_before: u64,
-    /// Attempts that one message may have had besides those known.
+    /// Upper bound on one message's attempts without a readable record.
     pub(crate) attempts: u32,
-    /// Unix time in milliseconds by which all messages affected have ended.
+    /// Unix time in milliseconds by which all affected messages have ended.
     pub(crate) until_ms: u64,
-    /// The frame that records it; `None` if none does yet.
+    /// The frame of the record; `None` until it is written.
     pub(crate) frame: Option<StoredFrame>,
 }
 
 impl PossibleExecutions {
-    /// The record to be written.
+    /// The journal record for these possible executions.
     pub(crate) fn to_record(self) -> JournalRecord<'static> {
         JournalRecord::PossiblyExecuted {
             accepted_before: self.accepted_before,
@@ -28,7 +29,7 @@
     }
 }
 
-/// Adds a recorded one; where the same damage is recorded twice, the higher number of attempts counts.
+/// Adds recorded possible executions. Of two records with the same log number, the higher number of attempts applies.
 pub(super) fn add_recorded(
     all: &mut Vec<PossibleExecutions>,
     recorded: PossibleExecutions,
@@ -45,8 +46,8 @@
     }
 }
 
-/// Adds what the damage found now may hide to what earlier processes recorded. Damage that was found before yields
-/// the same log number, and counts once.
+/// Adds the possible executions that follow from `damage` to the recorded ones. Damage that an earlier process has
+/// recorded yields the same log number, and is not added again.
 pub(super) fn add_found(
     recorded: &mut Vec<PossibleExecutions>,
     damage: &[DamagedRange],
@@ -54,7 +55,7 @@
 ) {
     for found in by_log_number(damage) {
         match find(recorded, found.accepted_before) {
-            // More than is recorded: to be recorded anew.
+            // More attempts than recorded: a new record has to be written.
             Some(known) if known.attempts < found.attempts => {
                 known.attempts = found.attempts;
                 if let Some(frame) = known.frame.take() {
@@ -67,7 +68,8 @@
     }
 }
 
-/// What damage may hide, with the attempts of all ranges that affect the same messages added up.
+/// The possible executions that follow from `damage`, with the attempts of all ranges with the same log number added
+/// up.
 fn by_log_number(damage: &[DamagedRange]) -> Vec<PossibleExecutions> {
     let mut all: Vec<PossibleExecutions> = Vec::new();
     for range in damage.iter().filter(|range| range.max_attempts > 0) {
--- a/crates/journal/src/recovery/recovered.rs
+++ b/crates/journal/src/recovery/recovered.rs
@@ -1,4 +1,4 @@
-//! What recovery returns.
+//! The result of recovery.
 
 use cranehill_core::Record;
 
@@ -6,54 +6,56 @@
 use crate::index::{Index, MessageCounts};
 use crate::scan::{DamagedRange, Scan, TornWrite};
 
-/// A message whose own record is lost: known only by its attempts, and concluded as failed.
+/// A message whose record of acceptance is lost. It is known only by its attempts, and gets a final report as failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostMessage {
     /// The message's id.
     pub id: String,
-    /// The file that has the record of an attempt of it.
+    /// Name of the file with the record of one of its attempts.
     pub file: String,
     /// That record's offset in the file, in bytes.
     pub offset: u64,
 }
 
-/// What an earlier process left.
+/// The messages that an earlier process left, and the damage found.
 #[derive(Debug, Default)]
 pub struct Recovered {
-    /// For the core: completed messages that are remembered, final reports due, then pending messages in the order
-    /// in which they were accepted.
+    /// The records for the core: completed messages whose ids are remembered, then final reports due, then pending
+    /// messages in the order of acceptance.
     pub records: Vec<Record>,
-    /// What can't be read or is missing.
+    /// Ranges that can't be read or are missing.
     pub damage: Vec<DamagedRange>,
-    /// Messages whose own record is lost.
+    /// Messages whose record of acceptance is lost.
     pub lost: Vec<LostMessage>,
-    /// Pending messages that count as possibly executed because of damage.
+    /// Number of pending messages that count as possibly executed because of damage.
     pub possibly_executed: usize,
-    /// A write that was cut off at the end of the head.
+    /// A torn write at the end of the head.
     pub torn: Option<TornWrite>,
-    /// Files signed under another key, left alone.
+    /// Names of files that are not segments of this folder, for example signed under another key. They are left
+    /// unchanged.
     pub foreign: Vec<String>,
-    /// The latest Unix time known to have been reached, in milliseconds. The process's clock must start no earlier.
+    /// The latest Unix time in milliseconds that an earlier process recorded. The new process's clock must not start
+    /// earlier.
     pub latest_ms: u64,
-    /// Messages by state.
+    /// Number of messages in each state.
     pub counts: MessageCounts,
-    /// Records migrated from the single file of releases before 0.2.
+    /// Number of records migrated from the ledger of a release before 0.2.
     pub migrated: usize,
 }
 
-/// A folder as it was read; nothing in it has been changed.
+/// The contents of a folder, which was read without changing it.
 #[derive(Debug)]
 pub struct FolderContents {
-    /// The files.
+    /// The segments and their damage.
     pub scan: Scan,
-    /// The messages.
+    /// The recovered messages.
     pub recovered: Recovered,
     pub(crate) index: Index,
     pub(crate) possible_executions: Vec<PossibleExecutions>,
 }
 
 impl FolderContents {
-    /// Bytes of live frames in a segment.
+    /// Bytes of live frames in the segment with this sequence number.
     pub fn live_bytes(&self, sequence: u32) -> u64 {
         self.index.live_bytes(sequence)
     }
--- a/crates/journal/src/scan.rs
+++ b/crates/journal/src/scan.rs
@@ -1,6 +1,6 @@
-//! Reads a folder without changing it: which segments there are, the records in them, and what can't be read.
+//! Reads a folder without changing it: its segments, their records, and damage.
 //!
-//! Used by recovery and by the tools alike, so that what `verify` reports is what a start would find.
+//! Recovery and the tools both use it, so that `verify` reports what a start of the sender would find.
 
 mod contents;
 mod damage;
@@ -19,19 +19,20 @@
 pub use self::frame_walk::RecordLocation;
 pub(crate) use self::key_ring::KeyRing;
 
-/// Reads everything. `given` is an operator's key, if there is one. `on_record` is called with every readable record,
-/// segment by segment in their order; `progress` with bytes read so far and of how many.
+/// Reads a folder completely. `operator_key` is the operator's key, if there is one. `on_record` is called with every
+/// readable record, in the order of the segments and of their frames; `progress` with the bytes read so far and the
+/// total.
 ///
 /// # Errors
-/// If a file can't be read, or the folder is of a later format or under another key.
+/// If a file can't be read, is in a later format or signed under another key, or the key file is damaged.
 pub fn scan<S: Storage>(
     storage: &mut S,
-    given: Option<Key>,
+    operator_key: Option<Key>,
     mut on_record: impl FnMut(RecordLocation, JournalRecord<'_>),
     mut progress: impl FnMut(u64, u64),
 ) -> Result<Scan, OpenError> {
     let files = storage.list().map_err(OpenError::io("the folder"))?;
-    let key_ring = KeyRing::read(storage, given, &files)?;
+    let key_ring = KeyRing::read(storage, operator_key, &files)?;
     let mut scan = Scan {
         key_ring,
         next_sequence: 1,
@@ -55,7 +56,7 @@
     }
     progress(total, total);
     missing::add_unlisted(&mut scan);
-    // Messages accepted from here on can't be affected.
+    // Messages accepted from now on can't be affected.
     for range in &mut scan.damage {
         range.accepted_before = range.accepted_before.min(scan.next_lsn);
     }
--- a/crates/journal/src/scan/contents.rs
+++ b/crates/journal/src/scan/contents.rs
@@ -1,4 +1,4 @@
-//! What a folder holds, as it was scanned.
+//! The result of scanning a folder.
 
 use std::collections::BTreeMap;
 
@@ -8,77 +8,79 @@
 use crate::format::manifest::{Manifest, Seal};
 use crate::format::segment::Header;
 
-/// A segment as it was found.
+/// A scanned segment.
 #[derive(Clone, Debug)]
 pub struct ScannedSegment {
-    /// Its sequence number.
+    /// The sequence number.
     pub sequence: u32,
-    /// Its file's name.
+    /// Name of the file, which may differ from the name for the sequence number if files were renamed.
     pub name: String,
     /// Size of the file in bytes.
     pub size: u64,
-    /// Readable frames in it.
+    /// Number of readable frames.
     pub frames: u32,
-    /// Readable records of accepted messages in it.
+    /// Number of readable records of accepted messages.
     pub accepted: u32,
-    /// Lowest log number in it; 0 if it has no readable frame.
+    /// Log number of the first readable frame; 0 if there is none.
     pub first_lsn: u64,
-    /// Highest log number in it, or its base if that is higher.
+    /// Highest log number of a readable frame; the segment's base log number if there is none.
     pub last_lsn: u64,
-    /// `None` if it is damaged.
+    /// `None` if the header is damaged.
     pub(crate) header: Option<Header>,
-    /// Index of the key that it is signed under.
+    /// Index in the key ring of the key under which the segment is signed.
     pub(crate) key_index: usize,
-    /// As in its header, or in the manifest if the header is damaged.
+    /// Base log number from the header, or from the manifest if the header is damaged.
     pub(crate) base_lsn: u64,
-    /// Chained hash of the one sealed before it.
+    /// Chained hash of the segment sealed before it.
     pub(crate) previous_chain: Mac,
-    /// Bytes up to its seal, or to the end of its last whole frame.
+    /// Bytes of the file without a torn write, and at most the sealed length.
     pub(crate) len: u64,
-    /// As the manifest has it.
+    /// The seal in the manifest; `None` if the manifest does not list the segment as sealed.
     pub(crate) seal: Option<Seal>,
-    /// Chained hash of what was found.
+    /// Chained hash computed from the bytes read.
     pub(crate) chain: Mac,
 }
 
 impl ScannedSegment {
-    /// Whether the manifest lists it as finished; else it is the head.
+    /// Whether the manifest lists the segment as sealed. Otherwise it is the head, or the manifest can't be used.
     pub fn is_sealed(&self) -> bool {
         self.seal.is_some()
     }
 }
 
-/// A write that was cut off at the end of the head. Nothing in it had been acknowledged.
+/// An incomplete write at the end of the head, left by a killed process. None of its records had been acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TornWrite {
-    /// The file's name.
+    /// Name of the file.
     pub file: String,
-    /// Bytes of it that are there.
+    /// Bytes of the incomplete write that are in the file.
     pub bytes: u64,
 }
 
-/// What a folder holds.
+/// The result of scanning a folder.
 #[derive(Debug, Default)]
 pub struct Scan {
-    /// The folder's segments by sequence number.
+    /// The folder's segments, by sequence number.
     pub segments: BTreeMap<u32, ScannedSegment>,
     pub(crate) key_ring: KeyRing,
-    /// The manifest, if it is valid and not older than the segments.
+    /// The manifest; `None` if it is missing, invalid or older than the segments.
     pub(crate) manifest: Option<Manifest>,
-    /// There is a file of that name that can't be used.
+    /// Whether there is a manifest file that is invalid or older than the segments.
     pub(crate) manifest_invalid: bool,
+    /// Ranges that can't be read or are missing.
     pub(crate) damage: Vec<DamagedRange>,
-    /// A write that was cut off at the end of the head.
+    /// A torn write at the end of the head.
     pub(crate) torn: Option<TornWrite>,
-    /// Segments left behind by a kill, to be removed: all that is live in them is elsewhere.
+    /// Names of segment files that an earlier process no longer needed but was killed before it removed them. They
+    /// contain nothing live.
     pub(crate) leftovers: Vec<String>,
-    /// Segments signed under none of the keys.
+    /// Names of segment files that are not used: signed under none of the keys, or second copies of a segment.
     pub(crate) foreign: Vec<String>,
     pub(crate) next_sequence: u32,
     pub(crate) next_lsn: u64,
-    /// The latest Unix time, in milliseconds, at which something is known to have been written.
+    /// The latest Unix time in milliseconds that was recorded in the folder.
     pub(crate) latest_ms: u64,
-    /// All files with their sizes.
+    /// All files by name, with their sizes in bytes.
     pub(crate) files: BTreeMap<String, u64>,
 }
 
@@ -90,7 +92,7 @@
             .map_or_else(String::new, |segment| segment.name.clone())
     }
 
-    /// The lowest log number that a message accepted after segment `sequence` was finished can have.
+    /// The lowest log number that a message accepted after segment `sequence` was sealed can have.
     pub(super) fn lowest_lsn_after(&self, sequence: u32) -> u64 {
         let listed = self
             .manifest
--- a/crates/journal/src/scan/damage.rs
+++ b/crates/journal/src/scan/damage.rs
@@ -1,45 +1,45 @@
-//! What of a folder can't be read, or may be missing.
+//! Damage to a folder: ranges of files that can't be read or are missing.
 
 use crate::format::record::MIN_ATTEMPT_FRAME_BYTES;
 
-/// More attempts than any class allows, so as good as any number.
+/// Upper bound on the attempts that are assumed for a damaged range: more than any class allows.
 const MAX_ATTEMPTS_PER_RANGE: u64 = 32;
 
-/// Bytes that can't be read, or that may be missing.
+/// A range of a file that can't be read, or that is or may be missing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DamagedRange {
-    /// The file's name.
+    /// Name of the file.
     pub file: String,
-    /// Where it begins, in bytes.
+    /// Offset of the range in the file, in bytes.
     pub offset: u64,
-    /// Its length in bytes.
+    /// Length of the range in bytes; 0 if it is not known.
     pub len: u64,
     /// Messages accepted under this log number or a later one are not affected.
     pub accepted_before: u64,
-    /// Attempts of one message that it may have held, at most.
+    /// Upper bound on one message's attempts whose records may have been in the range.
     pub max_attempts: u32,
-    /// Records of accepted messages that it may have held, at most.
+    /// Upper bound on the records of accepted messages that may have been in the range.
     pub max_messages: u32,
-    /// How it was recognised.
+    /// The kind of damage.
     pub cause: DamageCause,
 }
 
-/// How damage was recognised.
+/// The kind of damage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DamageCause {
-    /// Bytes that are no frame.
+    /// The bytes are not a valid frame, or not a valid record.
     Damaged,
-    /// The file is shorter than when it was sealed.
+    /// The file is shorter than it was when the segment was sealed.
     Short,
-    /// Frames are valid, but are not those that were sealed: an older or altered copy.
+    /// The frames are valid but differ from those sealed: the file is an older or altered copy.
     Altered,
-    /// The manifest lists the file, and it is not there.
+    /// The manifest lists the segment, but its file is missing.
     Missing,
-    /// The manifest can't be read: it is not known what is missing.
+    /// The manifest is missing, invalid or older than the segments, so segments may be missing unnoticed.
     Unlisted,
 }
 
-/// How many attempts of one message fit in this many bytes, at least one.
+/// Upper bound on the records of one message's attempts in this many bytes; at least 1.
 pub(super) fn max_attempts_in(bytes: u64) -> u32 {
     bytes
         .div_ceil(MIN_ATTEMPT_FRAME_BYTES as u64)
