--- a/crates/journal/src/scan/frame_walk.rs
+++ b/crates/journal/src/scan/frame_walk.rs
@@ -1,4 +1,4 @@
-//! Reads one segment, frame by frame, also behind damage.
+//! Reads a segment frame by frame, and continues after damaged ranges.
 
 use super::contents::{Scan, ScannedSegment, TornWrite};
 use super::damage::{DamageCause, DamagedRange, max_attempts_in};
@@ -9,16 +9,16 @@
 use crate::format::segment::HEADER_BYTES;
 use crate::storage::Storage;
 
-/// Where a record is on disk.
+/// The location of a record on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordLocation {
     /// The segment's sequence number.
     pub sequence: u32,
-    /// Offset of its frame in the file, in bytes.
+    /// Offset of the record's frame in the file, in bytes.
     pub offset: u64,
-    /// Bytes of its whole frame.
+    /// Bytes of the frame, header included.
     pub len: u32,
-    /// Its log number.
+    /// Log number of the record.
     pub lsn: u64,
 }
 
@@ -69,7 +69,7 @@
     if damage.is_empty() {
         damage.extend(altered(segment, lowest_lsn_after));
     }
-    // Log numbers that a damaged range may have used are not used again.
+    // Log numbers of records that may have been in a damaged range are not used again.
     let possibly_used: u64 = damage
         .iter()
         .map(|range| range.len / MIN_ATTEMPT_FRAME_BYTES as u64 + 1)
@@ -86,7 +86,8 @@
     Ok(())
 }
 
-/// Valid frames that are not those that were sealed: an older copy, or one with a header of another file.
+/// The whole segment as a damaged range, if its frames are valid but are not those that were sealed: the file is an
+/// older copy, or has the header of another one.
 fn altered(segment: &ScannedSegment, lowest_lsn_after: u64) -> Option<DamagedRange> {
     let seal = segment.seal.filter(|seal| seal.chain != segment.chain)?;
     Some(DamagedRange {
@@ -100,18 +101,18 @@
     })
 }
 
-/// The frames of one segment.
+/// The state of reading one segment's frames.
 struct FrameWalk<'a> {
     salt: Salt,
     bytes: &'a [u8],
     segment: &'a mut ScannedSegment,
-    /// A cut at the end may be a write that was cut off, as in the head.
+    /// Whether a truncated frame at the end counts as a torn write, as in the head.
     may_be_torn: bool,
     /// Messages accepted under this log number or a later one are not affected by damage to the segment.
     lowest_lsn_after: u64,
-    /// The latest Unix time, in milliseconds, known to have been reached.
+    /// The latest Unix time in milliseconds recorded so far.
     latest_ms: u64,
-    /// Bytes of a write that was cut off.
+    /// Bytes of a torn write at the end.
     torn_bytes: u64,
     damage: Vec<DamagedRange>,
 }
@@ -141,7 +142,7 @@
     ) -> usize {
         let len = frame::HEADER_BYTES + payload.len();
         let Some(DecodedRecord { lsn, record }) = record::decode(payload) else {
-            // Written whole, and yet no record of this format.
+            // The checksum is right, but the payload is not a record of this format.
             self.add_damage(offset, len, self.lowest_lsn_after, 1);
             return len;
         };
@@ -152,7 +153,7 @@
             segment.first_lsn = lsn;
         }
         segment.last_lsn = segment.last_lsn.max(lsn);
-        self.latest_ms = self.latest_ms.max(record.reached_ms());
+        self.latest_ms = self.latest_ms.max(record.event_ms());
         let location = RecordLocation {
             sequence: segment.sequence,
             offset: offset as u64,
@@ -163,11 +164,11 @@
         len
     }
 
-    /// Passes over bytes that are no frame; returns their number.
+    /// Adds the damaged range that begins at `offset`; returns its length.
     fn skip_damage(&mut self, offset: usize) -> usize {
         let next = frame::next_valid(self.salt, self.bytes, offset);
         let len = next.unwrap_or(self.bytes.len()) - offset;
-        // Log numbers only grow within a file: what was lost had a lower one than the next record.
+        // Log numbers increase within a file, so lost records had lower ones than the next readable record.
         let accepted_before = next
             .and_then(|next| self.lsn_at(next))
             .unwrap_or(self.lowest_lsn_after);
@@ -182,6 +183,7 @@
         len
     }
 
+    /// The log number of the frame at `offset`, if it is valid.
     fn lsn_at(&self, offset: usize) -> Option<u64> {
         match frame::decode(self.salt, self.bytes, offset) {
             DecodedFrame::Valid(payload) => record::decode(payload).map(|decoded| decoded.lsn),
@@ -201,7 +203,7 @@
         });
     }
 
-    /// Adds what is missing at the end of a sealed segment to the damage.
+    /// Adds a damaged range if a sealed segment is shorter than its sealed length.
     fn check_length(&mut self) {
         let Some(seal) = self.segment.seal else {
             return;
--- a/crates/journal/src/scan/missing.rs
+++ b/crates/journal/src/scan/missing.rs
@@ -1,19 +1,19 @@
-//! Damage by absence: segments that the manifest lists and that are not there, and a manifest that can't be used.
+//! Missing files: segments that the manifest lists but that do not exist, and a manifest that can't be used.
 
 use super::contents::Scan;
 use super::damage::{DamageCause, DamagedRange, max_attempts_in};
 use crate::format::{manifest, segment};
 
-/// Adds the listed segments that are missing to the damage.
+/// Adds a damaged range for each segment that the manifest lists and whose file is missing.
 pub(super) fn add_missing_segments(scan: &mut Scan) {
     let Some(manifest) = &scan.manifest else {
         return;
     };
     let mut damage = Vec::new();
     for entry in &manifest.segments {
-        // A segment sealed without frames is the head of a first start that was killed before anything was written.
-        let held_nothing = entry.seal.is_some_and(|seal| seal.frames == 0);
-        if held_nothing || scan.segments.contains_key(&entry.sequence) {
+        // A segment sealed without frames was the head of a process that was killed before it wrote any record.
+        let was_empty = entry.seal.is_some_and(|seal| seal.frames == 0);
+        if was_empty || scan.segments.contains_key(&entry.sequence) {
             continue;
         }
         let len = entry.seal.map(|seal| u64::from(seal.len));
@@ -30,8 +30,8 @@
     scan.damage.extend(damage);
 }
 
-/// Adds an unusable manifest to the damage: it is not known what is missing. The exception is a first start that was
-/// killed before its first manifest; it has nothing but headers of segments begun before any frame was written.
+/// Adds a manifest that can't be used to the damage, since segments may then be missing unnoticed. The exception is a
+/// first start that was killed before it wrote a manifest: its folder has only headers of segments without frames.
 pub(super) fn add_unlisted(scan: &mut Scan) {
     if scan.manifest.is_some() {
         return;
--- a/crates/journal/src/scan/segments.rs
+++ b/crates/journal/src/scan/segments.rs
@@ -1,4 +1,4 @@
-//! Which files of a folder are its segments: by the manifest and by their headers.
+//! Finds the files that are segments of a folder, by the manifest and by the files' headers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,18 +9,18 @@
 use crate::format::segment::{self, DecodedHeader, HEADER_BYTES, Header, VERSION};
 use crate::storage::Storage;
 
-/// Headers by file name.
+/// Decoded headers, by file name.
 type Headers = BTreeMap<String, DecodedHeader>;
 
-/// A file that is a segment of this folder, unless the manifest does not list it.
+/// A file that is a segment of this folder if the manifest lists it.
 struct Candidate {
     name: String,
     sequence: u32,
-    /// The header with the index of its key; `None` if it is damaged.
+    /// The header and the index of the key under which it is signed; `None` if it is damaged.
     header: Option<(Header, usize)>,
 }
 
-/// Finds the folder's segments, and the next sequence and log numbers; reads no frames.
+/// Finds the folder's segments, and determines the next sequence number and log number. Reads no frames.
 pub(super) fn find<S: Storage>(scan: &mut Scan, storage: &mut S) -> Result<(), OpenError> {
     read_manifest(scan, storage)?;
     let headers = read_headers(scan, storage)?;
@@ -85,7 +85,7 @@
     Ok(headers)
 }
 
-/// Whether there are segments, and nothing proves that they are of this folder.
+/// Whether there are segment files, but neither the manifest nor any header is signed under one of the keys.
 fn is_signed_under_another_key(scan: &Scan, headers: &Headers) -> bool {
     let any_valid = headers
         .values()
@@ -93,7 +93,7 @@
     if scan.manifest.is_some() || headers.is_empty() || any_valid {
         return false;
     }
-    // A file without a whole header is what a kill leaves of the very first start.
+    // Files without a complete header are left by a first start that was killed.
     let first_start = !scan.manifest_invalid
         && headers
             .iter()
@@ -113,8 +113,8 @@
     size_of(scan, name) > HEADER_BYTES as u64
 }
 
-/// A manifest older than a segment that has frames is a copy that was restored, or not of the folder's latest
-/// process.
+/// Whether the manifest is older than an unlisted segment with frames, for example because it was restored from a
+/// backup.
 fn has_stale_manifest(scan: &Scan, headers: &Headers, listed: &BTreeSet<u32>) -> bool {
     let Some(manifest) = &scan.manifest else {
         return false;
@@ -127,8 +127,8 @@
     })
 }
 
-/// Sorts the files into candidates, leftovers and foreign ones. The header decides which segment a file is, since
-/// files may have been swapped; its name does where the header is damaged.
+/// Classifies the files as candidates, leftovers or foreign files. A file's header determines its sequence number,
+/// since files may have been swapped; its name does if the header is damaged.
 fn candidates(scan: &mut Scan, headers: &Headers, listed: &BTreeSet<u32>) -> Vec<Candidate> {
     let mut candidates = Vec::new();
     for (name, decoded) in headers {
@@ -148,7 +148,7 @@
         } else if !is_listed && (*decoded == DecodedHeader::Foreign || scan.manifest.is_some()) {
             scan.foreign.push(name);
         } else {
-            // Without a manifest, the frames show by their salt whether they are of this folder.
+            // Without a manifest, the frames' salts show whether the file belongs to this folder.
             candidates.push(Candidate {
                 name,
                 sequence,
@@ -159,6 +159,7 @@
     candidates
 }
 
+/// Adds a candidate to the segments, or to the leftovers or foreign files.
 fn add_segment(scan: &mut Scan, candidate: Candidate) {
     let entry = scan
         .manifest
@@ -176,7 +177,8 @@
         scan.segments.insert(sequence, segment);
         return;
     };
-    // Of two copies the one under its right name, and with a header, is used.
+    // Of two copies, one with a valid header is preferred, and among those one with the file name of its sequence
+    // number.
     let has_header = segment.header.is_some();
     let is_better =
         has_header && (segment::file_name(sequence) == segment.name || other.header.is_none());
@@ -188,7 +190,7 @@
     }
 }
 
-/// A segment whose frames have not been read yet.
+/// A segment before its frames are read.
 fn unread_segment(
     candidate: &Candidate,
     entry: Option<ManifestEntry>,
@@ -221,7 +223,8 @@
     }
 }
 
-/// `listed` counts even if the manifest turned out to be stale: no sequence number is used twice.
+/// Determines the next sequence number and log number. `listed` is taken into account even if the manifest is stale, so
+/// that no sequence number is used twice.
 fn set_next_numbers(scan: &mut Scan, listed: &BTreeSet<u32>) {
     let highest = scan
         .files
--- a/crates/journal/src/storage.rs
+++ b/crates/journal/src/storage.rs
@@ -1,30 +1,31 @@
-//! Files as the journal sees them: a trait, so that tests can make every operation fail.
+//! The [`Storage`] trait, through which the journal accesses files, so that tests can inject faults.
 
 use std::collections::BTreeMap;
 use std::io;
 
-/// Files count in whole blocks of this many bytes.
+/// Bytes of a block: disk usage is counted in whole blocks.
 pub const BLOCK_BYTES: u64 = 512;
 
-/// Bytes of the disk budget that a file of `size` bytes uses.
+/// Bytes of the disk budget used by a file of `size` bytes: its size rounded up to whole blocks.
 pub fn disk_usage(size: u64) -> u64 {
     size.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
 
-/// A flat folder of files. Names have no separators.
+/// A flat folder of files with a disk budget. File names contain no path separators.
 pub trait Storage {
-    /// Appends to a file, which is created if need be. After an error any part of the bytes may be there.
+    /// Appends to a file, and creates it if it does not exist. After an error, any prefix of the bytes may have been
+    /// written. Fails with [`io::ErrorKind::StorageFull`] if the disk budget does not allow it.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Up to `len` bytes from `offset`; fewer only at the file's end.
+    /// Reads up to `len` bytes from `offset`; returns fewer only at the file's end.
     fn read(&mut self, name: &str, offset: u64, len: usize) -> io::Result<Vec<u8>>;
-    /// Cuts a file to `size` bytes.
+    /// Truncates a file to `size` bytes.
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()>;
-    /// Renames over whatever has the new name, in one step.
+    /// Renames a file, and atomically replaces any file with the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes a file; no error if it is not there.
+    /// Removes a file; succeeds if it does not exist.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// All files with their sizes, by name.
+    /// All files by name, with their sizes in bytes.
     fn list(&mut self) -> io::Result<BTreeMap<String, u64>>;
-    /// Bytes of the disk budget that are free, files counted in whole blocks.
+    /// Bytes of the disk budget that are free, with files rounded up to whole blocks.
     fn room(&mut self) -> u64;
 }
--- a/crates/journal/src/time.rs
+++ b/crates/journal/src/time.rs
@@ -1,4 +1,4 @@
-//! Times: the core counts nanoseconds since 1970, the files on disk milliseconds.
+//! Conversion between the core's Unix time in nanoseconds and the files' in milliseconds, both counted from 1970.
 
 /// Nanoseconds in a millisecond.
 pub(crate) const NANOS_PER_MS: u64 = 1_000_000;
@@ -8,7 +8,7 @@
     nanos / NANOS_PER_MS
 }
 
-/// Milliseconds as nanoseconds; the largest value if that overflows.
+/// Milliseconds as nanoseconds, saturating at the largest value.
 pub(crate) fn nanos(millis: u64) -> u64 {
     millis.saturating_mul(NANOS_PER_MS)
 }
--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -1,7 +1,7 @@
 //! Every operation of a scenario, and every byte of its writes, as the point of a kill.
 //!
-//! The journal is killed, a next process reads the folder, and what it finds must be what was acknowledged, or that and a
-//! first part of what was being written. A failure prints seed, operation and byte: [`replay`] repeats just that.
+//! The journal is killed, a next process reads the folder, and what it finds must be what was acknowledged, or that and
+//! a first part of what was being written. A failure prints seed, operation and byte: [`replay`] repeats just that.
 
 mod common;
 
@@ -26,7 +26,7 @@
     let killed = |files: &Memory, acknowledged: Model, writing: Vec<Record>, now: u64| {
         (
             Killed {
-                files: files.after_death(),
+                files: files.without_faults(),
                 acknowledged,
                 writing,
                 now,
@@ -42,7 +42,7 @@
     for _ in 0..ticks {
         let records = scenario.tick();
         let kept = journal.append(scenario.now, &records).is_ok();
-        if journal.storage().is_dead() {
+        if journal.storage().has_crashed() {
             // What went in whole before the death may have been acknowledged or not.
             let writing = if kept { Vec::new() } else { records.clone() };
             if kept {
@@ -55,7 +55,7 @@
         for _ in 0..3 {
             journal.compact(scenario.now);
         }
-        if journal.storage().is_dead() {
+        if journal.storage().has_crashed() {
             return killed(journal.storage(), acknowledged, Vec::new(), scenario.now);
         }
     }
@@ -69,7 +69,7 @@
     let files = shared.0.borrow().clone();
     (
         Killed {
-            files: files.after_death(),
+            files: files.without_faults(),
             acknowledged: Model::default(),
             writing: Vec::new(),
             now: START,
@@ -228,7 +228,7 @@
                         {
                             compact(&mut journal, 4, killed.now);
                         }
-                        let left = shared.0.borrow().after_death();
+                        let left = shared.0.borrow().without_faults();
                         let (_, found) = open(left.clone(), killed.now);
                         if let Err(e) = check(&killed, &found) {
                             panic!(
--- a/crates/journal/tests/damage.rs
+++ b/crates/journal/tests/damage.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn a_flipped_byte_loses_one_record_and_makes_earlier_messages_possibly_executed() {
-    let files = filled(60).storage().after_death();
+    let files = filled(60).storage().without_faults();
     let all = segments(&files);
     let middle = &all[all.len() / 2];
     for at in (80..files.files[middle].len()).step_by(13) {
@@ -54,7 +54,7 @@
         .append(START, &[attempt_started("a", 0)])
         .expect("room");
     journal.append(START, &[accepted("b", 30)]).expect("room");
-    let files = journal.storage().after_death();
+    let files = journal.storage().without_faults();
     let name = segments(&files).pop().expect("a segment");
     let whole = &files.files[&name];
     // The attempt's record is the one that ends before the second message's.
@@ -77,22 +77,23 @@
         "accepted after the damaged range"
     );
     // Found again it counts once, and also when the damaged segment is removed.
-    let (mut journal, again) = open(journal.storage().after_death(), START + 20);
+    let (mut journal, again) = open(journal.storage().without_faults(), START + 20);
     assert_eq!(again.records, found.records);
     compact(&mut journal, 50, START + 20);
     assert!(
         !journal.storage().files.contains_key(&name),
         "the damaged segment goes first"
     );
-    let (_, last) = open(journal.storage().after_death(), START + 30);
+    let (_, last) = open(journal.storage().without_faults(), START + 30);
     assert_eq!((last.damage.len(), &last.records), (0, &found.records));
 }
 
-/// A sender that was down for long finds messages whose deadline has passed, concludes them, and may be killed before it
-/// has: possible executions must last that long, or a message that may have been executed is reported as not executed.
+/// A sender that was down for long finds messages whose deadline has passed, concludes them, and may be killed before
+/// it has: possible executions must last that long, or a message that may have been executed is reported as not
+/// executed.
 #[test]
 fn possible_executions_outlast_messages_that_expired_before_the_start() {
-    let mut files = filled(30).storage().after_death();
+    let mut files = filled(30).storage().without_faults();
     let name = segments(&files)[1].clone();
     files.files.get_mut(&name).expect("a segment")[200] ^= 1;
     let later = START + 3_600_000;
@@ -124,7 +125,7 @@
         "{name} {first} {:?}",
         files.keys()
     );
-    let (_, again) = open(journal.storage().after_death(), later + 60);
+    let (_, again) = open(journal.storage().without_faults(), later + 60);
     assert_eq!(
         (open_ids(&again.records)[0], again.possibly_executed),
         ("m000", 1)
@@ -133,7 +134,7 @@
 
 #[test]
 fn damaged_headers_and_manifests_are_recovered() {
-    let files = filled(60).storage().after_death();
+    let files = filled(60).storage().without_faults();
     let all = segments(&files);
     for name in [&all[0], &all[2], all.last().expect("a head")] {
         for at in [0, 9, 13, 20, 45, 60] {
@@ -162,7 +163,7 @@
             (at != 8 && at != 9, if unlisted { 60 } else { 0 }),
             "byte {at}"
         );
-        let (_, again) = open(journal.storage().after_death(), START + 110);
+        let (_, again) = open(journal.storage().without_faults(), START + 110);
         assert_eq!(
             (again.damage.len(), again.possibly_executed),
             (0, found.possibly_executed),
@@ -173,7 +174,7 @@
 
 #[test]
 fn a_missing_segment_is_noticed_with_what_it_may_have_held() {
-    let files = filled(60).storage().after_death();
+    let files = filled(60).storage().without_faults();
     let all = segments(&files);
     let mut without = files.clone();
     without.files.remove(&all[3]);
@@ -188,7 +189,7 @@
         found.possibly_executed > 0 && found.possibly_executed < known,
         "only what was accepted before its end"
     );
-    let (_, again) = open(journal.storage().after_death(), START + 110);
+    let (_, again) = open(journal.storage().without_faults(), START + 110);
     assert_eq!(
         (again.damage.len(), again.possibly_executed),
         (0, found.possibly_executed)
@@ -197,7 +198,7 @@
 
 #[test]
 fn swapped_and_duplicated_segments_keep_their_records() {
-    let files = filled(60).storage().after_death();
+    let files = filled(60).storage().without_faults();
     let all = segments(&files);
     let expected = open(files.clone(), START + 100).1.records;
     let mut swapped = files.clone();
@@ -215,7 +216,7 @@
             && !journal.storage().files.contains_key(&all[4])
     );
     assert!(
-        open(journal.storage().after_death(), START + 3000)
+        open(journal.storage().without_faults(), START + 3000)
             .1
             .records
             .is_empty()
@@ -236,11 +237,11 @@
 #[test]
 fn stale_and_foreign_segments_are_recognised() {
     let mut journal = filled(30);
-    let old = journal.storage().after_death();
+    let old = journal.storage().without_faults();
     let ends: Vec<Record> = (0..30).map(|i| completed(&format!("m{i:03}"))).collect();
     journal.append(START + 50, &ends).expect("room");
     compact(&mut journal, 500, START + 50);
-    let files = journal.storage().after_death();
+    let files = journal.storage().without_faults();
     let removed: Vec<String> = segments(&old)
         .into_iter()
         .filter(|n| !files.files.contains_key(n))
@@ -283,7 +284,7 @@
     )
     .expect("opens");
     foreign.append(START, &[accepted("x", 10)]).expect("room");
-    let theirs = foreign.storage().after_death();
+    let theirs = foreign.storage().without_faults();
     let mut mixed = files.clone();
     mixed.files.insert(
         "0000fffe.seg".into(),
@@ -297,14 +298,14 @@
 #[test]
 fn an_older_copy_of_a_finished_segment_is_noticed() {
     let mut journal = filled(4);
-    let early = journal.storage().after_death();
+    let early = journal.storage().without_faults();
     let head = segments(&early).pop().expect("a head");
     for i in 4..40 {
         journal
             .append(START, &[accepted(&format!("m{i:03}"), 100)])
             .expect("room");
     }
-    let mut files = journal.storage().after_death();
+    let mut files = journal.storage().without_faults();
     assert!(segments(&files).last() != Some(&head));
     files.files.insert(head.clone(), early.files[&head].clone());
     let (_, found) = open(files, START + 100);
@@ -317,7 +318,7 @@
 
 #[test]
 fn a_newer_format_is_rejected_and_nothing_changed() {
-    let files = filled(10).storage().after_death();
+    let files = filled(10).storage().without_faults();
     for (name, bytes) in [("manifest", [8, 20]), ("00000001.seg", [8, 60])] {
         let mut newer = files.clone();
         let file = newer.files.get_mut(name).expect("a file");
@@ -340,7 +341,7 @@
 
 #[test]
 fn a_wrong_or_lost_key_is_rejected_and_an_operators_key_replaces_the_folders() {
-    let files = filled(10).storage().after_death();
+    let files = filled(10).storage().without_faults();
     let own = Options {
         key: Some([8; 32]),
         ..options(files.disk)
@@ -349,7 +350,7 @@
     let (journal, found) = Journal::open(files.clone(), &own, START + 50).expect("opens");
     assert_eq!(open_ids(&found.records).len(), 10);
     let (_, found) =
-        Journal::open(journal.storage().after_death(), &own, START + 60).expect("opens");
+        Journal::open(journal.storage().without_faults(), &own, START + 60).expect("opens");
     assert_eq!(
         (open_ids(&found.records).len(), found.damage.len()),
         (10, 0)
--- a/crates/journal/tests/disk_budget.rs
+++ b/crates/journal/tests/disk_budget.rs
@@ -93,7 +93,7 @@
         .append(START, &[completed("b"), accepted("d", 10)])
         .expect_err("no file takes anything");
     assert_eq!(refused.persisted, Persisted::Nothing);
-    let (_, found) = open(journal.storage().after_death(), START);
+    let (_, found) = open(journal.storage().without_faults(), START);
     assert_eq!(open_ids(&found.records), ["b"]);
 }
 
@@ -122,7 +122,7 @@
         for disk in [used, used + 512, used + 1024] {
             journal.storage_mut().disk = disk;
             compact(&mut journal, 20, START + DURATION);
-            let (_, found) = open(journal.storage().after_death(), START);
+            let (_, found) = open(journal.storage().without_faults(), START);
             assert_eq!(
                 open_ids(&found.records).len(),
                 live.len(),
@@ -131,7 +131,7 @@
         }
         journal.storage_mut().disk = 64 * 1024;
         compact(&mut journal, 400, START + DURATION);
-        let (_, found) = open(journal.storage().after_death(), START);
+        let (_, found) = open(journal.storage().without_faults(), START);
         assert_eq!(
             open_ids(&found.records),
             live.iter().map(String::as_str).collect::<Vec<_>>()
--- a/crates/journal/tests/fuzz_seeds.rs
+++ b/crates/journal/tests/fuzz_seeds.rs
@@ -36,7 +36,7 @@
             let records = scenario.tick();
             journal.append(scenario.now, &records).expect("room");
         }
-        let files = journal.storage().after_death();
+        let files = journal.storage().without_faults();
         let payloads = fuzzing::payloads(&files, &KEY);
         std::fs::write(
             seeds("recover").join(format!("day{seed}")),
--- a/crates/journal/tests/lifecycle.rs
+++ b/crates/journal/tests/lifecycle.rs
@@ -19,16 +19,16 @@
         .expect("room");
     journal.append(START, &[completed("a")]).expect("room");
     compact(&mut journal, 50, START + DURATION - 1);
-    let (mut journal, found) = open(journal.storage().after_death(), START + DURATION - 1);
+    let (mut journal, found) = open(journal.storage().without_faults(), START + DURATION - 1);
     assert_eq!(found.records, [completed("a")]);
     compact(&mut journal, 50, START + DURATION);
-    let (_, found) = open(journal.storage().after_death(), START + DURATION);
+    let (_, found) = open(journal.storage().without_faults(), START + DURATION);
     assert!(found.records.is_empty(), "{:?}", found.records);
     // And if the id comes again then, it is another message.
     journal
         .append(START + 5000, &[accepted("a", 20)])
         .expect("room");
-    let (_, found) = open(journal.storage().after_death(), START + 5000);
+    let (_, found) = open(journal.storage().without_faults(), START + 5000);
     assert_eq!(open_ids(&found.records), ["a"]);
 }
 
@@ -43,7 +43,7 @@
         at: (START + 900) * MS,
     };
     journal.append(START + 900, &[late]).expect("room");
-    let (_, found) = open(journal.storage().after_death(), START - 3_600_000);
+    let (_, found) = open(journal.storage().without_faults(), START - 3_600_000);
     assert_eq!(found.latest_ms, START + 900);
 }
 
@@ -58,7 +58,7 @@
         found.records.is_empty() && found.damage.is_empty() && !journal.wants_compaction(START)
     );
     // Any bytes, also what looks like our own segment.
-    let ours = filled(3).storage().after_death();
+    let ours = filled(3).storage().without_faults();
     let name = segments(&ours).pop().expect("a segment");
     let body: Arc<[u8]> = Arc::from(ours.files[&name].clone());
     let mut record = accepted("outer", 0);
@@ -68,7 +68,7 @@
     journal
         .append(START, &[record, accepted("next", 5)])
         .expect("room");
-    let mut files = journal.storage().after_death();
+    let mut files = journal.storage().without_faults();
     let head = segments(&files).pop().expect("a head");
     // Its frame's head is hit: reading goes on inside the body.
     let bytes = files.files.get_mut(&head).expect("a head");
@@ -101,9 +101,14 @@
             model.check(&found, scenario.now).expect("the model's");
             assert_eq!(
                 found.records,
-                open(memory.storage().after_death(), scenario.now).1.records
+                open(memory.storage().without_faults(), scenario.now)
+                    .1
+                    .records
+            );
+            (real, memory) = (
+                again,
+                open(memory.storage().without_faults(), scenario.now).0,
             );
-            (real, memory) = (again, open(memory.storage().after_death(), scenario.now).0);
         }
     }
     let files: u64 = Folder::existing(dir.path(), disk)
--- a/crates/journal/tests/migration.rs
+++ b/crates/journal/tests/migration.rs
@@ -61,7 +61,7 @@
             .iter()
             .any(|r| matches!(r, Record::Completed { id, .. } if id == "c"))
     );
-    let left = journal.storage().after_death();
+    let left = journal.storage().without_faults();
     assert!(!left.files.contains_key("ledger") && !left.files.contains_key("ledger.new"));
     let (_, again) = open(left, START + 20);
     assert_eq!((again.migrated, again.records), (0, found.records));
@@ -77,7 +77,7 @@
             files.crash = Some(Crash { operation, bytes });
             let shared = SharedStorage::new(files);
             let _ = Journal::open(shared.clone(), &options(64 * 1024), START + 10);
-            let left = shared.0.borrow().after_death();
+            let left = shared.0.borrow().without_faults();
             let (_, found) = open(left, START + 20);
             assert_eq!(
                 open_ids(&found.records),
--- a/crates/journal/tests/property/main.rs
+++ b/crates/journal/tests/property/main.rs
@@ -89,7 +89,7 @@
                     self.model.append(&left);
                     return true;
                 }
-                Err(_) if self.journal.storage().is_dead() => {
+                Err(_) if self.journal.storage().has_crashed() => {
                     self.writing = left;
                     return false;
                 }
@@ -152,14 +152,14 @@
                 break;
             }
             self.journal.compact(self.scenario.now);
-            if self.journal.storage().is_dead() {
+            if self.journal.storage().has_crashed() {
                 break;
             }
         }
     }
 
     fn restart(&mut self) -> Result<(), TestCaseError> {
-        let (journal, found) = open(self.journal.storage().after_death(), self.scenario.now);
+        let (journal, found) = open(self.journal.storage().without_faults(), self.scenario.now);
         self.journal = journal;
         prop_assert_eq!(found.damage.len(), 0);
         if let Err(e) = self.model.check(&found, self.scenario.now) {
@@ -209,7 +209,7 @@
 
     /// After a kill the folder has what was acknowledged, and perhaps a first part of what was being written.
     fn restart_after_kill(&mut self) -> Result<(), TestCaseError> {
-        let (journal, found) = open(self.journal.storage().after_death(), self.scenario.now);
+        let (journal, found) = open(self.journal.storage().without_faults(), self.scenario.now);
         self.journal = journal;
         prop_assert!(
             found.damage.is_empty() && found.lost.is_empty(),
@@ -277,7 +277,7 @@
         for action in &actions {
             harness.perform(action)?;
         }
-        let mut files = harness.journal.storage().after_death();
+        let mut files = harness.journal.storage().without_faults();
         let mut head = harness.journal.head().map(str::to_owned);
         for damage in &damages {
             inflict(&mut files, damage, &mut head);
@@ -298,7 +298,7 @@
         for _ in 0..200 {
             journal.compact(now);
         }
-        let (again, later) = open(journal.storage().after_death(), now);
+        let (again, later) = open(journal.storage().without_faults(), now);
         let (first, second) = (read(&found.records), read(&later.records));
         for (id, message) in first.iter().filter(|(_, message)| message.is_open()) {
             let there = second.get(id).expect("an open message stays");
