--- a/crates/journal-tools/src/stats.rs
+++ b/crates/journal-tools/src/stats.rs
@@ -25,7 +25,7 @@
     pub sealed: bool,
     /// Log number of the first readable frame; 0 if there is none.
     pub first_lsn: u64,
-    /// Highest log number of a readable frame.
+    /// Highest log number of a readable frame; the segment's base log number if there is none.
     pub last_lsn: u64,
 }
 
--- a/crates/journal/benches/journal/append.rs
+++ b/crates/journal/benches/journal/append.rs
@@ -1,4 +1,4 @@
-//! Appending, and the bytes that it takes.
+//! Measures the time of appending a batch, and the bytes on disk per message.
 
 use std::time::Instant;
 
@@ -11,7 +11,7 @@
 };
 use crate::legacy_ledger::{LegacyLedger, LegacyRecord};
 
-/// Bytes on disk per pending message: accepted, one attempt in flight.
+/// Prints the bytes on disk per pending message with one attempt in flight.
 pub(crate) fn bytes_per_message() {
     println!("\nbytes per pending message (accepted, one attempt in flight), over 5,000 messages");
     for (size, noise) in [
@@ -46,32 +46,33 @@
     }
 }
 
+/// Prints the median time of appending a batch of 32 records.
 pub(crate) fn append() {
     const TICKS: u64 = 4000;
     let (a, b, c) = (temporary_folder(), temporary_folder(), temporary_folder());
     let mut journal = open_journal(a.path(), LARGE);
     let (mut ledger, _) = LegacyLedger::open(b.path(), LARGE).expect("opens");
     let db = Database::create(c.path().join("db")).expect("a database");
-    let (mut new, mut was, mut redb, mut next) = (Vec::new(), Vec::new(), Vec::new(), 0);
+    let (mut new, mut old, mut redb, mut next) = (Vec::new(), Vec::new(), Vec::new(), 0);
     for n in 0..TICKS {
         let records = tick(n);
         let legacy_records: Vec<LegacyRecord> = records.iter().map(to_legacy).collect();
-        // Alternating, so that whatever else the machine does affects all three.
-        let t = Instant::now();
+        // The three alternate, so that other load on the machine affects all of them.
+        let started = Instant::now();
         journal.append(NOW, &records).expect("room");
-        new.push(t.elapsed());
-        let t = Instant::now();
+        new.push(started.elapsed());
+        let started = Instant::now();
         ledger.append(&legacy_records).expect("room");
-        was.push(t.elapsed());
-        let t = Instant::now();
+        old.push(started.elapsed());
+        let started = Instant::now();
         redb_append(&db, &mut next, &records);
-        redb.push(t.elapsed());
+        redb.push(started.elapsed());
     }
-    let (new, was, redb) = (median(new), median(was), median(redb));
+    let (new, old, redb) = (median(new), median(old), median(redb));
     println!("\nappend of a batch of 32 records, median of {TICKS}");
     println!(
-        "  {new:.1} us, old {was:.1} us (old/new {:.2}), redb {redb:.1} us (redb/new {:.2})",
-        was / new,
+        "  {new:.1} us, old {old:.1} us (old/new {:.2}), redb {redb:.1} us (redb/new {:.2})",
+        old / new,
         redb / new
     );
 }
--- a/crates/journal/benches/journal/baselines.rs
+++ b/crates/journal/benches/journal/baselines.rs
@@ -1,4 +1,4 @@
-//! What the journal is compared with: the ledger of release 0.1, and redb without fsync.
+//! The baselines that the journal is compared with: the ledger of release 0.1, and redb without fsync.
 
 use cranehill_core::Record;
 use redb::{Database, Durability, TableDefinition};
@@ -68,7 +68,7 @@
     write.commit().expect("committed");
 }
 
-/// A record as redb stores it: as few bytes as the journal's, without its frame.
+/// The value stored in redb for a record: about as many bytes as the journal's record without its frame.
 fn value(record: &Record) -> Vec<u8> {
     match record {
         Record::Accepted { id, key, body, .. } => [
--- a/crates/journal/benches/journal/compaction.rs
+++ b/crates/journal/benches/journal/compaction.rs
@@ -1,4 +1,4 @@
-//! What compaction writes, and for how long a step takes.
+//! Measures the write amplification of compaction and the duration of its steps.
 
 use std::time::{Duration, Instant};
 
@@ -11,10 +11,10 @@
 };
 use crate::legacy_ledger::{LegacyLedger, LegacyRecord};
 
-/// Pending messages while steps are measured.
+/// Number of pending messages while steps are measured.
 const OPEN: u64 = 100_000;
 
-/// A folder of 0.5 MB in which messages are accepted and completed.
+/// Prints the write amplification in a folder of 0.5 MB in which messages are accepted and completed.
 pub(crate) fn amplification() {
     const DISK: u64 = 500_000;
     const TICKS: u64 = 20_000;
@@ -31,7 +31,7 @@
             let now = NOW + n * 50;
             let mut records = vec![accepted(n, body(n, 212, false)), attempt_started(n, 0)];
             if n >= pending {
-                // Some stay longer.
+                // One message in seven is completed sooner than the others.
                 let until = (now + 20_000) * MS;
                 let ends = [n - pending, n - pending / 2].into_iter().zip([0, 1]);
                 let due = ends.filter(|(older, soon)| (older % 7 == 0) == (*soon == 0));
@@ -68,7 +68,7 @@
     }
 }
 
-/// The longest time for which a tick waits for the journal, with 100,000 open messages.
+/// Prints the longest time for which a tick waits for the journal, with 100,000 pending messages.
 pub(crate) fn longest_step() {
     let (a, b) = (temporary_folder(), temporary_folder());
     let disk = 96 << 20;
@@ -86,18 +86,18 @@
     let steps = measure_steps(&mut journal);
     let mut rewritten = Vec::new();
     for _ in 0..5 {
-        let t = Instant::now();
+        let started = Instant::now();
         ledger.rewrite(&live).expect("room");
-        rewritten.push(t.elapsed());
+        rewritten.push(started.elapsed());
     }
     print_steps(&mut journal, &steps);
     println!("  old: rewriting {:.0} us, median of 5", median(rewritten));
 }
 
-/// Steps of a tick: the time of its append, and of its compaction.
+/// Runs ticks and returns, for each, the time of its append and of its step of compaction.
 fn measure_steps(journal: &mut Journal<Folder>) -> Vec<(Duration, Duration)> {
     let mut all = Vec::new();
-    // Every second message is completed, and new ones are accepted: compaction always has work.
+    // Every second message is completed and new ones are accepted, so that compaction always has work.
     for n in 0..6000u64 {
         let now = NOW + n * 5;
         let mut records = Vec::new();
@@ -110,12 +110,12 @@
                 until: (now + 20_000) * MS,
             });
         }
-        let t = Instant::now();
+        let started = Instant::now();
         journal.append(now, &records).expect("room");
-        let appended = t.elapsed();
-        let t = Instant::now();
+        let appended = started.elapsed();
+        let started = Instant::now();
         journal.compact(now);
-        all.push((appended, t.elapsed()));
+        all.push((appended, started.elapsed()));
     }
     all
 }
--- a/crates/journal/benches/journal/fixtures.rs
+++ b/crates/journal/benches/journal/fixtures.rs
@@ -1,4 +1,4 @@
-//! Records and folders that are measured.
+//! Records and folders used by the benchmarks.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 pub(crate) const NOW: u64 = 1_764_590_000_000;
 /// Nanoseconds in a millisecond.
 pub(crate) const MS: u64 = 1_000_000;
-/// A disk budget that is never used up.
+/// A disk budget, in bytes, that no benchmark exhausts.
 pub(crate) const LARGE: u64 = 256 << 20;
 
 pub(crate) fn options(disk: u64) -> Options {
@@ -27,7 +27,7 @@
     format!("{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// A body as a program of a tenant might write it; `noise` can't be compressed.
+/// A body of `size` bytes: JSON as a tenant might send it, or incompressible bytes if `noise` is set.
 pub(crate) fn body(n: u64, size: usize, noise: bool) -> Arc<[u8]> {
     let mut state = n | 1;
     let mut next = move || {
@@ -96,6 +96,7 @@
     records
 }
 
+/// Total size of the files in a folder, in bytes.
 pub(crate) fn size_of(dir: &Path) -> u64 {
     let files = std::fs::read_dir(dir).expect("a folder").flatten();
     files.map(|f| f.metadata().map_or(0, |m| m.len())).sum()
@@ -115,6 +116,7 @@
     tempfile::tempdir().expect("a folder")
 }
 
+/// The median in microseconds.
 pub(crate) fn median(mut times: Vec<Duration>) -> f64 {
     times.sort_unstable();
     times[times.len() / 2].as_secs_f64() * 1e6
--- a/crates/journal/benches/journal/legacy_ledger.rs
+++ b/crates/journal/benches/journal/legacy_ledger.rs
@@ -1,4 +1,4 @@
-//! The journal of release 0.1, kept as the baseline: one file of JSON frames, rewritten whole when it has grown.
+//! The ledger of release 0.1, kept as a baseline: one file of JSON frames, rewritten completely once it has grown.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -49,7 +49,7 @@
     pub(crate) size: u64,
     max_bytes: u64,
     rewrite_at: u64,
-    /// Bytes written, rewriting included.
+    /// Total bytes written, including rewrites.
     pub(crate) written: u64,
 }
 
--- a/crates/journal/benches/journal/main.rs
+++ b/crates/journal/benches/journal/main.rs
@@ -1,5 +1,5 @@
-//! The journal against the ledger of release 0.1 and against redb without fsync, all in one run:
-//! `cargo bench -p cranehill-journal`. The ratios matter; the times are this machine's.
+//! Compares the journal with the ledger of release 0.1 and with redb without fsync in one run:
+//! `cargo bench -p cranehill-journal`. Times depend on the machine; the ratios are comparable between machines.
 
 mod append;
 mod baselines;
@@ -9,21 +9,21 @@
 mod recovery;
 
 fn main() {
-    // One part by its name, or all of them.
+    // Arguments select benchmarks by name; without any, all run.
     let wanted: Vec<String> = std::env::args()
         .skip(1)
         .filter(|a| !a.starts_with('-'))
         .collect();
-    let parts: [(&str, fn()); 5] = [
+    let benchmarks: [(&str, fn()); 5] = [
         ("bytes", append::bytes_per_message),
         ("append", append::append),
         ("recovery", recovery::recovery),
         ("amplification", compaction::amplification),
         ("longest", compaction::longest_step),
     ];
-    for (name, part) in parts {
+    for (name, run) in benchmarks {
         if wanted.is_empty() || wanted.iter().any(|w| w == name) {
-            part();
+            run();
         }
     }
 }
--- a/crates/journal/benches/journal/recovery.rs
+++ b/crates/journal/benches/journal/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of many pending messages.
+//! Measures the recovery of 100,000 pending messages.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -13,6 +13,7 @@
 };
 use crate::legacy_ledger::LegacyLedger;
 
+/// Prints the median time of recovery.
 pub(crate) fn recovery() {
     const OPEN: u64 = 100_000;
     let (a, b, c) = (temporary_folder(), temporary_folder(), temporary_folder());
@@ -32,20 +33,20 @@
             redb_append(&db, &mut next, &records);
         }
     }
-    let (mut new, mut was, mut redb) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut new, mut old, mut redb) = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..7 {
-        let t = Instant::now();
+        let started = Instant::now();
         let folder = Folder::new(a.path(), LARGE).expect("a folder");
         let (journal, found) = Journal::open(folder, &options(LARGE), NOW).expect("opens");
-        new.push(t.elapsed());
+        new.push(started.elapsed());
         assert_eq!(found.counts.open, OPEN);
         drop(black_box((journal, found)));
-        let t = Instant::now();
+        let started = Instant::now();
         let (ledger, found) = LegacyLedger::open(b.path(), LARGE).expect("opens");
-        was.push(t.elapsed());
+        old.push(started.elapsed());
         assert_eq!(found.len() as u64, OPEN * 2);
         drop(black_box((ledger.size, found)));
-        let t = Instant::now();
+        let started = Instant::now();
         let db = Database::open(c.path().join("db")).expect("opens");
         let read = db.begin_read().expect("a transaction");
         let table = read.open_table(TABLE).expect("a table");
@@ -54,13 +55,13 @@
             .expect("rows")
             .map(|r| r.expect("a row").1.value().to_vec())
             .collect();
-        redb.push(t.elapsed());
+        redb.push(started.elapsed());
         black_box(all.len());
     }
-    let (new, was, redb) = (median(new) / 1e3, median(was) / 1e3, median(redb) / 1e3);
+    let (new, old, redb) = (median(new) / 1e3, median(old) / 1e3, median(redb) / 1e3);
     println!("\nrecovery of {OPEN} pending messages, median of 7");
     println!(
-        "  {new:.1} ms, old {was:.1} ms (old/new {:.2}), redb, read only, {redb:.1} ms",
-        was / new
+        "  {new:.1} ms, old {old:.1} ms (old/new {:.2}), redb, read only, {redb:.1} ms",
+        old / new
     );
 }
--- a/crates/journal/fuzz/fuzz_targets/decode.rs
+++ b/crates/journal/fuzz/fuzz_targets/decode.rs
@@ -1,4 +1,4 @@
 #![no_main]
-//! Every decoder of the journal on any bytes.
+//! Runs every decoder of the journal on arbitrary bytes.
 
 libfuzzer_sys::fuzz_target!(|data: &[u8]| cranehill_journal::fuzzing::decode(data));
--- a/crates/journal/fuzz/fuzz_targets/recover.rs
+++ b/crates/journal/fuzz/fuzz_targets/recover.rs
@@ -1,4 +1,4 @@
 #![no_main]
-//! A folder put together from any bytes is opened, used, and opened again.
+//! Opens a folder built from arbitrary bytes, uses it, and opens it again.
 
 libfuzzer_sys::fuzz_target!(|data: &[u8]| cranehill_journal::fuzzing::recover(data));
--- a/crates/journal/src/format/body/tests.rs
+++ b/crates/journal/src/format/body/tests.rs
@@ -1,7 +1,7 @@
 use super::{compress, decompress};
 
 #[test]
-fn bodies_are_compressed_only_where_it_pays_and_a_false_size_is_rejected() {
+fn compresses_only_where_it_saves_space_and_rejects_a_wrong_size() {
     let text = b"<episode><title>El programa de la tarde</title></episode>".repeat(8);
     let stored = compress(&text);
     let (len, bytes) = (stored.uncompressed_len, stored.bytes);
@@ -11,7 +11,7 @@
     assert_eq!(
         decompress(Some(u32::MAX), &bytes),
         None,
-        "no memory is taken for a size that is only claimed"
+        "no memory is allocated by a stored size"
     );
     let mut noise = [0; 400];
     blake3::Hasher::new().finalize_xof().fill(&mut noise);
--- a/crates/journal/src/format/frame/tests.rs
+++ b/crates/journal/src/format/frame/tests.rs
@@ -15,40 +15,40 @@
     (bytes, starts)
 }
 
-/// Reading used to stop at the first damaged frame and to leave out all that followed.
+/// A reader that stops at the first damaged frame loses all frames after it.
 #[test]
-fn whichever_byte_is_hit_only_its_own_frame_is_lost() {
+fn a_damaged_byte_loses_only_its_own_frame() {
     let (whole, starts) = three_frames();
     for at in 0..whole.len() {
         for mask in [0x01, 0x80, 0xff] {
             let mut bytes = whole.clone();
             bytes[at] ^= mask;
-            let hit = starts.iter().rposition(|&s| s <= at).expect("a frame");
+            let damaged = starts.iter().rposition(|&s| s <= at).expect("a frame");
             for (n, &start) in starts.iter().enumerate() {
                 let decoded = decode(SALT, &bytes, start);
                 assert_eq!(
                     matches!(decoded, DecodedFrame::Valid(_)),
-                    n != hit,
+                    n != damaged,
                     "byte {at}, frame {n}"
                 );
             }
             assert_eq!(
-                decode(SALT, &bytes, starts[hit]),
+                decode(SALT, &bytes, starts[damaged]),
                 DecodedFrame::Damaged,
-                "byte {at} is no truncation"
+                "byte {at}: damage, not truncation"
             );
-            // The end of the last one is known only by a valid header.
-            let end = (at - starts[hit] >= 4).then_some(bytes.len());
+            // The end of the last frame is known only if its header is valid.
+            let end = (at - starts[damaged] >= 4).then_some(bytes.len());
             assert_eq!(
-                next_valid(SALT, &bytes, starts[hit]),
-                starts.get(hit + 1).copied().or(end)
+                next_valid(SALT, &bytes, starts[damaged]),
+                starts.get(damaged + 1).copied().or(end)
             );
         }
     }
 }
 
 #[test]
-fn a_torn_tail_is_distinguished_from_damage() {
+fn a_truncated_frame_is_distinguished_from_a_damaged_one() {
     let (whole, starts) = three_frames();
     for cut in 0..whole.len() {
         let last = starts.iter().rposition(|&s| s <= cut).expect("a frame");
@@ -60,9 +60,9 @@
     }
 }
 
-/// A client chooses its message's body: a frame inside it must not pass for one of the journal's.
+/// Clients choose the bodies of messages: a frame inside a body must not be mistaken for one of the journal's.
 #[test]
-fn a_frame_under_another_salt_is_not_one() {
+fn a_frame_with_another_salt_is_rejected() {
     let (other, _) = three_frames();
     let salt = Salt {
         checksum_seed: 1,
@@ -74,7 +74,7 @@
     assert_eq!(
         next_valid(salt, &bytes, 0),
         Some(bytes.len()),
-        "its header is valid, its contents are not searched"
+        "the header is valid, so the payload is not searched"
     );
     bytes[0] ^= 1;
     assert_eq!(next_valid(salt, &bytes, 0), None);
--- a/crates/journal/src/format/key/tests.rs
+++ b/crates/journal/src/format/key/tests.rs
@@ -1,6 +1,6 @@
 use super::{COPY_BYTES, Key, decode_file, encode_file};
 
-/// Every segment is read under the key: damage in one copy must not lose them all.
+/// No segment can be read without the key: damage to one copy must not make all of them unreadable.
 #[test]
 fn one_valid_copy_of_the_key_is_enough() {
     let key: Key = std::array::from_fn(|i| i as u8 * 7);
--- a/crates/journal/src/format/manifest/tests.rs
+++ b/crates/journal/src/format/manifest/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn it_is_read_as_written_and_no_changed_byte_passes() {
+fn round_trips_and_detects_any_truncation_or_changed_byte() {
     let key = [9; 32];
     let manifest = manifest();
     let bytes = manifest.encode(&key);
--- a/crates/journal/src/format/packed_id/tests.rs
+++ b/crates/journal/src/format/packed_id/tests.rs
@@ -2,9 +2,9 @@
 
 const LONG_HEX: &str = "00112233445566778899aabbccddeeff";
 
-/// Two texts with one packed form would be one message.
+/// If two ids had the same packed form, their messages would be confused.
 #[test]
-fn every_text_is_restored_and_only_hexadecimal_is_shortened() {
+fn every_text_round_trips_and_only_hexadecimal_is_shortened() {
     for (text, size) in [
         ("", 1),
         ("00", 2),
--- a/crates/journal/src/format/record/tests.rs
+++ b/crates/journal/src/format/record/tests.rs
@@ -4,7 +4,7 @@
 use crate::format::packed_id::PackedId;
 
 #[test]
-fn records_are_read_as_written_and_never_from_other_bytes() {
+fn records_round_trip_and_truncated_or_extended_payloads_are_rejected() {
     let id = PackedId::new("9b1f03aa5c7e2d41");
     let id = Bytes::new(id.as_bytes());
     for record in one_of_each(id) {
@@ -15,7 +15,7 @@
             assert_eq!(decode(&bytes[..cut]), None, "{record:?} cut at {cut}");
         }
         bytes.push(0);
-        assert_eq!(decode(&bytes), None, "with a byte too many");
+        assert_eq!(decode(&bytes), None, "one byte appended");
     }
 }
 
--- a/crates/journal/src/format/segment/tests.rs
+++ b/crates/journal/src/format/segment/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_header_is_known_by_its_key_and_any_changed_byte() {
+fn signature_detects_another_key_and_any_changed_byte() {
     let (ours, other) = ([1; 32], [2; 32]);
     let bytes = HEADER.encode(&ours);
     assert_eq!(bytes.len(), HEADER_BYTES);
@@ -26,7 +26,7 @@
         let mut bytes = bytes.clone();
         bytes[at] ^= 0x40;
         let decoded = Header::decode(&bytes, &[ours]);
-        // A damaged version of this format is no later format.
+        // A damaged version number is corrected, and not mistaken for a later format.
         let corrected = at == 8 || at == 9;
         assert_eq!(decoded == valid(0), corrected, "byte {at}");
         assert!(
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_later_format_is_known_as_such() {
+fn a_later_format_version_is_recognized() {
     let key = [1; 32];
     let mut bytes = HEADER.encode(&key);
     bytes[8] = 2;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn names_are_sequence_numbers_and_nothing_else_is() {
+fn only_file_names_of_segments_have_a_sequence_number() {
     assert_eq!(
         (file_name(42).as_str(), sequence_of("0000002a.seg")),
         ("0000002a.seg", Some(42))
--- a/crates/journal/src/index/tests.rs
+++ b/crates/journal/src/index/tests.rs
@@ -24,7 +24,7 @@
     index.entry(index.slot(id)?)
 }
 
-/// The records of one message, each in a segment of its own.
+/// One record of each kind of a message, with the segment that it is in.
 fn records() -> [(RecordKind, u32); 5] {
     [
         (RecordKind::Accepted, 1),
@@ -35,17 +35,17 @@
     ]
 }
 
-/// The `n`th of the 120 orders of five records.
+/// The `n`th of the 120 permutations of the five records.
 fn permutation(n: usize) -> Vec<(RecordKind, u32)> {
-    let (mut left, mut order, mut rest) = (records().to_vec(), Vec::new(), n);
+    let (mut remaining, mut order, mut rest) = (records().to_vec(), Vec::new(), n);
     for of in (1..=5).rev() {
-        order.push(left.remove(rest % of));
+        order.push(remaining.remove(rest % of));
         rest /= of;
     }
     order
 }
 
-/// How far a message is, and the segment of its last record if it has ended.
+/// The stage of a message as a number. Checks that its live frames are the expected ones.
 fn stage(state: &EntryState, open_frames: usize) -> usize {
     match state {
         EntryState::Open(frames) => {
@@ -63,9 +63,9 @@
     }
 }
 
-/// Compaction changes the order of records and may leave one twice: neither must matter.
+/// Compaction changes the order of records, and a kill during it may leave two copies of one.
 #[test]
-fn any_order_of_records_and_any_repetition_give_the_same_state() {
+fn state_is_independent_of_the_order_and_repetition_of_records() {
     let id = PackedId::new("aa");
     for n in 0..120usize {
         let order = permutation(n);
@@ -89,9 +89,9 @@
     }
 }
 
-/// A completion that is removed before the other records would make its message pending again.
+/// If a completion were removed before the other records of its message, the message would be pending again.
 #[test]
-fn a_completed_record_outlasts_the_other_records_of_its_message() {
+fn a_completion_stays_live_while_other_records_of_its_message_are_on_disk() {
     let id = PackedId::new("aa");
     let mut index = Index::new(&[1; 32]);
     let slot = index.join(&id, record(7, RecordKind::Accepted, 0, 1)).0;
@@ -101,12 +101,12 @@
     index.expire(60, 10);
     assert!(
         index.is_live(slot, 7, RecordKind::Completed, 3),
-        "the attempt's record is still there"
+        "the attempt's record is still on disk"
     );
     index.relocated(slot, RecordKind::Completed, 3, frame(4));
     index.segment_removed(2, &[slot]);
     assert!(entry(&index, &id).is_none() && index.live_bytes(4) == 0);
-    // The other way round: the records are removed first, then the time is over.
+    // In the other order: first the records are removed, then the completion expires.
     let slot = index.join(&id, record(9, RecordKind::Accepted, 0, 5)).0;
     index.join(&id, record(9, RecordKind::Completed, 80, 6));
     index.segment_removed(5, &[slot]);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_reused_id_is_a_new_message() {
+fn a_reused_id_is_a_new_incarnation() {
     let id = PackedId::new("aa");
     let mut index = Index::new(&[1; 32]);
     index.join(&id, record(7, RecordKind::Accepted, 0, 1));
--- a/crates/journal/src/journal/migration.rs
+++ b/crates/journal/src/journal/migration.rs
@@ -15,7 +15,7 @@
 const RECORDS_PER_BATCH: usize = 256;
 
 impl<S: Storage> Journal<S> {
-    /// Appends the ledger's records, removes its files, and updates `recovered` by reading the folder after_migration.
+    /// Appends the ledger's records, removes its files, and updates `recovered` by reading the folder again.
     pub(super) fn migrate(
         &mut self,
         now_ms: u64,
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -39,7 +39,7 @@
 pub use format::record::{AcceptedMessage, JournalRecord, MessageRef, RawBytes};
 pub use index::MessageCounts;
 pub use journal::{CompactionStep, Journal, Stats};
-pub use memory::{Change, Crash, Memory};
+pub use memory::{Crash, FileOperation, Memory};
 pub use options::Options;
 pub use recovery::{FolderContents, LostMessage, Recovered, read_folder};
 pub use scan::{DamageCause, DamagedRange, RecordLocation, Scan, ScannedSegment, TornWrite, scan};
--- a/crates/journal/src/memory.rs
+++ b/crates/journal/src/memory.rs
@@ -15,9 +15,9 @@
     pub bytes: usize,
 }
 
-/// An operation that changes files, as recorded in [`Memory::log`].
+/// An operation that changes files, as recorded in [`Memory::operations`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum FileOperation {
     /// An append of this many bytes.
     Append(usize),
     /// A truncation.
@@ -36,17 +36,17 @@
     /// Bytes that the folder may use, with files rounded up to whole blocks. A write beyond is cut short at that point.
     pub disk: u64,
     /// While set, appends fail without effect.
-    pub no_appends: bool,
+    pub deny_appends: bool,
     /// While set, truncations fail without effect.
-    pub no_truncates: bool,
+    pub deny_truncates: bool,
     /// While set, renames fail without effect.
-    pub no_renames: bool,
+    pub deny_renames: bool,
     /// While set, removals fail without effect.
-    pub no_removes: bool,
+    pub deny_removes: bool,
     /// The crash to simulate, if any.
     pub crash: Option<Crash>,
     /// All operations so far that change files, including those that failed.
-    pub log: Vec<Change>,
+    pub operations: Vec<FileOperation>,
     /// Total bytes appended.
     pub written: u64,
     /// Whether the crash has happened.
@@ -94,12 +94,14 @@
 
     /// Records an operation that changes files. Returns an error if the crash is before the operation takes effect, and
     /// `Ok(true)` if it is during the operation or after it.
-    fn begin(&mut self, change: Change) -> io::Result<bool> {
+    fn begin(&mut self, operation: FileOperation) -> io::Result<bool> {
         if self.crashed {
             return Err(crash_error());
         }
-        let crash_now = self.crash.filter(|c| c.operation == self.log.len() as u64);
-        self.log.push(change);
+        let crash_now = self
+            .crash
+            .filter(|c| c.operation == self.operations.len() as u64);
+        self.operations.push(operation);
         self.crashed = crash_now.is_some();
         match crash_now {
             Some(crash) if crash.bytes == 0 => Err(crash_error()),
@@ -131,8 +133,8 @@
 
 impl Storage for Memory {
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let crash_after = self.begin(Change::Append(bytes.len()))?;
-        if self.no_appends {
+        let crash_after = self.begin(FileOperation::Append(bytes.len()))?;
+        if self.deny_appends {
             return Err(denied_error("append"));
         }
         let before_crash = self
@@ -167,8 +169,8 @@
     }
 
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()> {
-        let crash_after = self.begin(Change::Truncate)?;
-        if self.no_truncates {
+        let crash_after = self.begin(FileOperation::Truncate)?;
+        if self.deny_truncates {
             return Err(denied_error("truncate"));
         }
         self.files
@@ -179,8 +181,8 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let crash_after = self.begin(Change::Rename)?;
-        if self.no_renames {
+        let crash_after = self.begin(FileOperation::Rename)?;
+        if self.deny_renames {
             return Err(denied_error("rename"));
         }
         let file = self
@@ -192,8 +194,8 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        let crash_after = self.begin(Change::Remove)?;
-        if self.no_removes {
+        let crash_after = self.begin(FileOperation::Remove)?;
+        if self.deny_removes {
             return Err(denied_error("remove"));
         }
         self.files.remove(name);
--- a/crates/journal/tests/common/messages.rs
+++ b/crates/journal/tests/common/messages.rs
@@ -1,11 +1,11 @@
-//! Records and folders that several tests use.
+//! Records and journals that several tests use.
 
 use std::sync::Arc;
 
 use cranehill_core::Record;
 use cranehill_journal::{Journal, Memory};
 
-use super::{DURATION, MS, START, open};
+use super::{LIFETIME_MS, NANOS_PER_MS, START_MS, open};
 
 pub(crate) fn accepted(id: &str, size: usize) -> Record {
     Record::Accepted {
@@ -15,8 +15,8 @@
         destination: 7,
         key: Some("k".into()),
         ordering_key: None,
-        deadline: (START + DURATION) * MS,
-        at: START * MS,
+        deadline: (START_MS + LIFETIME_MS) * NANOS_PER_MS,
+        at: START_MS * NANOS_PER_MS,
         body: Arc::from(vec![7; size]),
     }
 }
@@ -26,7 +26,7 @@
         id: id.into(),
         attempt,
         endpoint: "e".into(),
-        at: (START + 5) * MS,
+        at: (START_MS + 5) * NANOS_PER_MS,
     }
 }
 
@@ -41,7 +41,7 @@
 pub(crate) fn completed(id: &str) -> Record {
     Record::Completed {
         id: id.into(),
-        until: (START + DURATION) * MS,
+        until: (START_MS + LIFETIME_MS) * NANOS_PER_MS,
     }
 }
 
@@ -62,7 +62,7 @@
         .collect()
 }
 
-/// Bytes that do not compress.
+/// `size` incompressible bytes, determined by `n`.
 pub(crate) fn noise(n: usize, size: usize) -> Arc<[u8]> {
     let mut state = (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (0..size)
@@ -75,16 +75,16 @@
         .collect()
 }
 
-/// A journal with `n` open messages in many segments, one batch each.
+/// A journal with `n` pending messages, each with one attempt, in many segments. Each message has its own batch.
 pub(crate) fn filled(n: usize) -> Journal<Memory> {
-    let (mut journal, _) = open(Memory::new(256 * 1024), START);
+    let (mut journal, _) = open(Memory::new(256 * 1024), START_MS);
     for i in 0..n {
         let id = format!("m{i:03}");
         let mut records = vec![accepted(&id, 0), attempt_started(&id, 0)];
         if let Record::Accepted { body, .. } = &mut records[0] {
             *body = noise(i, 100);
         }
-        journal.append(START + i as u64, &records).expect("room");
+        journal.append(START_MS + i as u64, &records).expect("room");
     }
     journal
 }
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! A reference model of the messages, and seeded scenarios of records to run against it.
+//! A reference model of the messages, seeded scenarios of records, and helpers shared by the tests.
 #![allow(
     dead_code,
     unused_imports,
-    reason = "each test program uses a part of it"
+    reason = "each test program uses only some of the helpers"
 )]
 
 mod messages;
@@ -21,12 +21,12 @@
 
 pub(crate) const KEY: [u8; 32] = [0x5a; 32];
 /// Nanoseconds in a millisecond.
-pub(crate) const MS: u64 = 1_000_000;
-/// Unix time in milliseconds.
-pub(crate) const START: u64 = 1_764_590_000_000;
-/// How long a message lasts here, in milliseconds.
-pub(crate) const DURATION: u64 = 2_000;
-/// Small, so that a scenario seals many segments.
+pub(crate) const NANOS_PER_MS: u64 = 1_000_000;
+/// Start of the tests, as Unix time in milliseconds.
+pub(crate) const START_MS: u64 = 1_764_590_000_000;
+/// Lifetime of a message in the tests, in milliseconds.
+pub(crate) const LIFETIME_MS: u64 = 2_000;
+/// Bytes after which a segment is sealed; small, so that a scenario seals many.
 const SEGMENT_BYTES: u64 = 1024;
 
 pub(crate) fn options(disk: u64) -> Options {
@@ -43,7 +43,7 @@
     Journal::open(files, &options, now).expect("the folder opens")
 }
 
-/// This many steps of compaction.
+/// Does this many steps of compaction.
 pub(crate) fn compact<S: Storage>(journal: &mut Journal<S>, steps: u32, now: u64) {
     for _ in 0..steps {
         journal.compact(now);
--- a/crates/journal/tests/common/model.rs
+++ b/crates/journal/tests/common/model.rs
@@ -5,20 +5,20 @@
 use cranehill_core::Record;
 use cranehill_journal::Recovered;
 
-use super::MS;
+use super::NANOS_PER_MS;
 
-/// One message, as plainly as can be.
+/// The records of one message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct MessageModel {
-    /// Its place in the order of acceptance.
+    /// The message's position in the order of acceptance.
     pub(crate) order: usize,
     pub(crate) accepted: Option<Record>,
-    /// By the attempt's number.
+    /// Records of started attempts, by the attempt's number.
     pub(crate) started: BTreeMap<u32, Record>,
-    /// By the attempt's number: whether it is known not to have been executed.
+    /// Whether a finished attempt is known not to have been executed, by the attempt's number.
     pub(crate) finished: BTreeMap<u32, bool>,
     pub(crate) final_report: Option<Record>,
-    /// Until when its id is remembered.
+    /// Unix time in nanoseconds until which the id is remembered.
     pub(crate) completed_until: Option<u64>,
 }
 
@@ -56,11 +56,11 @@
     },
     #[error("{id} is not remembered")]
     NotRemembered { id: String },
-    #[error("{id} is remembered, and is not completed")]
+    #[error("{id} is remembered, but was not completed")]
     NotCompleted { id: String },
 }
 
-/// The reference: every record ever appended, in the order in which it was.
+/// The reference model: the records appended so far, by message.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Model {
     pub(crate) messages: BTreeMap<String, MessageModel>,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// What a recovery must find of final reports that are due and of pending messages.
+    /// The records of final reports due and of pending messages that a recovery must find, in its order.
     pub(crate) fn outstanding(&self) -> Vec<Record> {
         let mut messages: Vec<(&String, &MessageModel)> = self.messages.iter().collect();
         messages.sort_by_key(|(_, message)| message.order);
@@ -122,8 +122,8 @@
         records
     }
 
-    /// Whether a recovery without damage at `now` found exactly this. A completed message whose time is over may be
-    /// remembered or not.
+    /// Checks that a recovery without damage at `now` (Unix time in milliseconds) found exactly the records that it
+    /// must. A completed message that need not be remembered any more may be found or not.
     pub(crate) fn check(&self, found: &Recovered, now: u64) -> Result<(), Mismatch> {
         let (completed, outstanding): (Vec<&Record>, Vec<&Record>) = found
             .records
@@ -140,7 +140,7 @@
         for (id, message) in &self.messages {
             let is_remembered = remembered.contains(id.as_str());
             match message.completed_until {
-                Some(until) if until > now * MS && !is_remembered => {
+                Some(until) if until > now * NANOS_PER_MS && !is_remembered => {
                     return Err(Mismatch::NotRemembered { id: id.clone() });
                 }
                 None if is_remembered => return Err(Mismatch::NotCompleted { id: id.clone() }),
--- a/crates/journal/tests/common/scenario.rs
+++ b/crates/journal/tests/common/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario of ticks with their records, drawn from a seed.
+//! Scenarios: ticks with their records, generated from a seed.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::model::Model;
-use super::{DURATION, MS, START};
+use super::{LIFETIME_MS, NANOS_PER_MS, START_MS};
 
 /// Attempts after which a message is given its final report.
 const MAX_ATTEMPTS: u32 = 6;
@@ -19,7 +19,7 @@
     in_flight: bool,
 }
 
-/// A scenario of ticks, drawn from a seed.
+/// Generates the records of a sender's ticks from a seed.
 pub(crate) struct Scenario {
     rng: ChaCha8Rng,
     /// Unix time in milliseconds.
@@ -32,7 +32,7 @@
     max_open: usize,
 }
 
-/// Half of all messages are ordered.
+/// The ordering key of a message: about a third of all messages have one.
 fn ordering_key(id: &str) -> Option<String> {
     let digit = id
         .bytes()
@@ -45,7 +45,7 @@
     pub(crate) fn new(seed: u64) -> Scenario {
         Scenario {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            now: START,
+            now: START_MS,
             open: Vec::new(),
             final_reports: Vec::new(),
             accepted: 0,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Continues as a sender does that was started with these records.
+    /// Continues as a sender does that was started with these recovered records.
     pub(crate) fn resume(&mut self, records: &[Record]) {
         let mut model = Model::default();
         model.append(records);
@@ -73,7 +73,7 @@
             .collect();
     }
 
-    /// The next tick's records.
+    /// Advances the time and returns the records of the next tick.
     pub(crate) fn tick(&mut self) -> Vec<Record> {
         self.now += self.rng.random_range(1..200);
         let mut records = Vec::new();
@@ -95,7 +95,7 @@
     }
 
     fn completed(&self, id: String) -> Record {
-        let until = (self.now + DURATION) * MS;
+        let until = (self.now + LIFETIME_MS) * NANOS_PER_MS;
         Record::Completed { id, until }
     }
 
@@ -146,7 +146,7 @@
             id: message.id.clone(),
             attempt: message.attempts,
             endpoint: format!("s-{:04x}", self.rng.random_range(0..9u32)),
-            at: self.now * MS,
+            at: self.now * NANOS_PER_MS,
         });
         self.open.push(OpenMessage {
             attempts: message.attempts + 1,
@@ -171,8 +171,8 @@
                 .random_bool(0.5)
                 .then(|| format!("k-{}", self.accepted)),
             ordering_key: ordering_key(&id),
-            deadline: (self.now + DURATION) * MS,
-            at: self.now * MS,
+            deadline: (self.now + LIFETIME_MS) * NANOS_PER_MS,
+            at: self.now * NANOS_PER_MS,
             body: Arc::from(body),
         };
         self.open.push(OpenMessage {
--- a/crates/journal/tests/common/shared_storage.rs
+++ b/crates/journal/tests/common/shared_storage.rs
@@ -1,4 +1,4 @@
-//! A folder that outlives the journal opened on it.
+//! Storage that outlives the journal opened on it.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 
 use cranehill_journal::{Memory, Storage};
 
-/// A folder that outlives the journal opened on it, also if that fails.
+/// Storage that outlives the journal opened on it, and can be inspected even if opening fails.
 #[derive(Clone)]
 pub(crate) struct SharedStorage(pub(crate) Rc<RefCell<Memory>>);
 
--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -1,15 +1,16 @@
-//! Every operation of a scenario, and every byte of its writes, as the point of a kill.
-//!
-//! The journal is killed, a next process reads the folder, and what it finds must be what was acknowledged, or that and
-//! a first part of what was being written. A failure prints seed, operation and byte: [`replay`] repeats just that.
+//! Crash tests: a scenario is killed at every file operation and at every byte of its writes. The next process must
+//! recover the acknowledged records, or those and a prefix of the batch being written. A failure prints seed, operation
+//! and byte, with which [`replay`] repeats that case.
 
 mod common;
 
-use common::{Mismatch, Model, START, Scenario, SharedStorage, compact, open, options};
+use common::{Mismatch, Model, START_MS, Scenario, SharedStorage, compact, open, options};
 use cranehill_core::Record;
-use cranehill_journal::{Change, Crash, DamagedRange, Journal, Memory, OpenError, Recovered};
+use cranehill_journal::{
+    Crash, DamagedRange, FileOperation, Journal, Memory, OpenError, Recovered,
+};
 
-/// What a kill interrupted: the folder as it was left, what was acknowledged before, and what was being written.
+/// The state at a kill: the folder, the acknowledged records, and the batch being written.
 struct Killed {
     files: Memory,
     acknowledged: Model,
@@ -17,8 +18,8 @@
     now: u64,
 }
 
-/// Plays a scenario of so many ticks, until the storage dies or the scenario ends.
-fn play(seed: u64, ticks: usize, crash: Option<Crash>) -> (Killed, Memory) {
+/// Runs a scenario until the storage crashes or `ticks` ticks have passed; returns the state and the storage.
+fn run_scenario(seed: u64, ticks: usize, crash: Option<Crash>) -> (Killed, Memory) {
     let mut files = Memory::new(24 * 1024);
     files.crash = crash;
     let mut scenario = Scenario::new(seed);
@@ -34,23 +35,28 @@
             files.clone(),
         )
     };
-    let begun = files.clone();
-    let Ok((mut journal, _)) = Journal::open(files, &options(begun.disk), START) else {
-        // Killed in its first start: the storage is lost with it, so the same start is repeated on one that is kept.
-        return first_start(begun);
+    let before_start = files.clone();
+    let Ok((mut journal, _)) = Journal::open(files, &options(before_start.disk), START_MS) else {
+        // Killed during the first start, and the storage is dropped with the journal: the start is repeated on shared
+        // storage.
+        return first_start(before_start);
     };
     for _ in 0..ticks {
         let records = scenario.tick();
-        let kept = journal.append(scenario.now, &records).is_ok();
+        let persisted = journal.append(scenario.now, &records).is_ok();
         if journal.storage().has_crashed() {
-            // What went in whole before the death may have been acknowledged or not.
-            let writing = if kept { Vec::new() } else { records.clone() };
-            if kept {
+            // A batch that was written completely before the crash may have been acknowledged.
+            let writing = if persisted {
+                Vec::new()
+            } else {
+                records.clone()
+            };
+            if persisted {
                 acknowledged.append(&records);
             }
             return killed(journal.storage(), acknowledged, writing, scenario.now);
         }
-        assert!(kept, "seed {seed}: a tick found no room");
+        assert!(persisted, "seed {seed}: no room for a tick");
         acknowledged.append(&records);
         for _ in 0..3 {
             journal.compact(scenario.now);
@@ -62,17 +68,17 @@
     killed(journal.storage(), acknowledged, Vec::new(), scenario.now)
 }
 
-/// The files after a start that was killed.
+/// The state after a first start that was killed.
 fn first_start(files: Memory) -> (Killed, Memory) {
     let shared = SharedStorage::new(files);
-    let _ = Journal::open(shared.clone(), &options(24 * 1024), START);
+    let _ = Journal::open(shared.clone(), &options(24 * 1024), START_MS);
     let files = shared.0.borrow().clone();
     (
         Killed {
             files: files.without_faults(),
             acknowledged: Model::default(),
             writing: Vec::new(),
-            now: START,
+            now: START_MS,
         },
         files,
     )
@@ -81,7 +87,7 @@
 /// Why a recovery after a kill is wrong.
 #[derive(Debug, thiserror::Error)]
 enum RecoveryFault {
-    #[error("a kill passes for damage: {0:?}")]
+    #[error("a kill is reported as damage: {0:?}")]
     Damage(Vec<DamagedRange>),
     #[error(transparent)]
     Mismatch(#[from] Mismatch),
@@ -89,7 +95,7 @@
     Open(#[from] OpenError),
 }
 
-/// What is found is what was acknowledged, and any first part of what was being written.
+/// Checks that a recovery found the acknowledged records, and any prefix of the batch being written.
 fn check(killed: &Killed, found: &Recovered) -> Result<(), RecoveryFault> {
     if !found.damage.is_empty() || found.possibly_executed > 0 || !found.lost.is_empty() {
         return Err(RecoveryFault::Damage(found.damage.clone()));
@@ -106,11 +112,11 @@
     Ok(last?)
 }
 
-/// All crash points of one operation: the folders that a kill at each byte of it leaves.
-fn images(seed: u64, ticks: usize, operation: u64, len: usize) -> Vec<(Crash, Killed)> {
+/// All crash points of one operation, with the state that a kill at each byte of it leaves.
+fn crash_points(seed: u64, ticks: usize, operation: u64, len: usize) -> Vec<(Crash, Killed)> {
     let at = |bytes| Crash { operation, bytes };
-    let (before, _) = play(seed, ticks, Some(at(0)));
-    let (after, _) = play(seed, ticks, Some(at(len.max(1))));
+    let (before, _) = run_scenario(seed, ticks, Some(at(0)));
+    let (after, _) = run_scenario(seed, ticks, Some(at(len.max(1))));
     let grown = |name: &str| before.files.files.get(name).map_or(0, Vec::len);
     let name = after
         .files
@@ -119,7 +125,7 @@
         .find(|(n, b)| b.len() > grown(n))
         .map(|(n, _)| n.clone());
     let mut all = Vec::new();
-    // A kill in the middle of an append leaves some of its bytes.
+    // A kill during an append leaves a prefix of its bytes.
     if let Some(name) = name.filter(|_| len > 1) {
         let old = grown(&name);
         for bytes in 1..len {
@@ -146,9 +152,9 @@
     all
 }
 
-/// Plays one crash point, as a failure prints it.
+/// Repeats one crash point, as printed by a failure.
 fn replay(seed: u64, ticks: usize, crash: Crash) -> Result<(), RecoveryFault> {
-    let (killed, _) = play(seed, ticks, Some(crash));
+    let (killed, _) = run_scenario(seed, ticks, Some(crash));
     recover(&killed)
 }
 
@@ -161,26 +167,31 @@
     check(killed, &found)
 }
 
-/// A crash during compaction must not forget that a message may already have been executed.
+/// Guards against records lost or duplicated by a kill, for example a crash during compaction that drops the record of
+/// an attempt, so that a message is executed twice.
 #[test]
-fn a_kill_at_any_byte_loses_nothing_acknowledged_and_adds_nothing() {
+fn a_kill_at_any_byte_loses_no_acknowledged_record_and_adds_none() {
     const TICKS: usize = 60;
     let mut tried = 0;
     for seed in [1, 2] {
-        let (whole, files) = play(seed, TICKS, None);
-        let removed = files.log.iter().filter(|c| **c == Change::Remove).count();
+        let (whole, files) = run_scenario(seed, TICKS, None);
+        let removed = files
+            .operations
+            .iter()
+            .filter(|c| **c == FileOperation::Remove)
+            .count();
         assert!(
             removed > 8,
-            "seed {seed}: the scenario has too little compaction, {removed}"
+            "seed {seed}: too little compaction, {removed} files removed"
         );
         assert!(whole.acknowledged.messages.len() > 20);
-        for (operation, change) in files.log.iter().enumerate() {
-            let len = if let Change::Append(len) = change {
+        for (operation, change) in files.operations.iter().enumerate() {
+            let len = if let FileOperation::Append(len) = change {
                 *len
             } else {
                 1
             };
-            for (crash, killed) in images(seed, TICKS, operation as u64, len) {
+            for (crash, killed) in crash_points(seed, TICKS, operation as u64, len) {
                 tried += 1;
                 if let Err(e) = recover(&killed) {
                     panic!(
@@ -195,14 +206,14 @@
     println!("{tried} crash points");
 }
 
-/// A process that is killed again and again while it starts must not lose more each time.
+/// A process that is killed repeatedly while it starts must not lose further records each time.
 #[test]
-fn recovery_that_is_itself_killed_again_and_again_loses_nothing() {
+fn repeatedly_killed_recovery_loses_no_acknowledged_record() {
     const TICKS: usize = 60;
-    let (_, files) = play(7, TICKS, None);
-    let last = files.log.len() as u64;
+    let (_, files) = run_scenario(7, TICKS, None);
+    let last = files.operations.len() as u64;
     for operation in (4..last).step_by(5) {
-        let (killed, _) = play(
+        let (killed, _) = run_scenario(
             7,
             TICKS,
             Some(Crash {
@@ -210,7 +221,7 @@
                 bytes: 30,
             }),
         );
-        // The first recovery's operations, each as a point of a second kill, and so on three deep.
+        // Each operation of the recovery is the point of another kill, to a depth of three recoveries.
         let mut folders = vec![killed.files.clone()];
         for depth in 0..3 {
             let mut next = Vec::new();
@@ -228,18 +239,18 @@
                         {
                             compact(&mut journal, 4, killed.now);
                         }
-                        let left = shared.0.borrow().without_faults();
-                        let (_, found) = open(left.clone(), killed.now);
+                        let remaining = shared.0.borrow().without_faults();
+                        let (_, found) = open(remaining.clone(), killed.now);
                         if let Err(e) = check(&killed, &found) {
                             panic!(
                                 "seed 7, operation {operation}, depth {depth}, then {op}/{bytes}: {e}"
                             );
                         }
-                        next.push(left);
+                        next.push(remaining);
                     }
                 }
             }
-            // Some of them are continued.
+            // Only some folders are continued, to bound the number of cases.
             folders = next.into_iter().step_by(11).take(2).collect();
         }
     }
--- a/crates/journal/tests/damage.rs
+++ b/crates/journal/tests/damage.rs
@@ -1,10 +1,11 @@
-//! Damage to files at rest: what is lost, what counts as possibly executed, and what is refused.
+//! Damage to files at rest: which records are lost, which messages count as possibly executed, and which folders are
+//! rejected.
 
 mod common;
 
 use common::{
-    DURATION, MS, START, SharedStorage, accepted, attempt_started, compact, completed, filled,
-    noise, open, open_ids, options, segments,
+    LIFETIME_MS, NANOS_PER_MS, START_MS, SharedStorage, accepted, attempt_started, compact,
+    completed, filled, noise, open, open_ids, options, segments,
 };
 use cranehill_core::{FinalReport, Record};
 use cranehill_journal::{DamageCause, Journal, Memory, OpenError, Options, Storage};
@@ -17,7 +18,7 @@
     for at in (80..files.files[middle].len()).step_by(13) {
         let mut files = files.clone();
         files.files.get_mut(middle).expect("a segment")[at] ^= 0x20;
-        let (_, found) = open(files, START + 100);
+        let (_, found) = open(files, START_MS + 100);
         assert_eq!(found.damage.len(), 1);
         assert_eq!(
             (found.damage[0].file.as_str(), found.damage[0].cause),
@@ -25,7 +26,7 @@
         );
         let known = open_ids(&found.records).len() + found.lost.len();
         assert!(known >= 59, "byte {at}: {known} of 60");
-        // What was accepted later can't be concerned.
+        // Messages accepted after the damaged record are not affected.
         assert!(
             found.possibly_executed >= 20 && found.possibly_executed < 60,
             "byte {at}: {} possibly executed",
@@ -39,21 +40,25 @@
             };
             assert!(
                 found.records.contains(&end),
-                "a message without its record is concluded"
+                "a message whose record of acceptance is lost gets a final report"
             );
         }
     }
 }
 
-/// The sender must not execute a message again whose attempt was recorded in the damaged range.
+/// If the record of an attempt is damaged, the message must count as possibly executed, or it may be executed twice.
 #[test]
-fn an_attempt_whose_record_was_hit_still_counts() {
-    let (mut journal, _) = open(Memory::new(64 * 1024), START);
-    journal.append(START, &[accepted("a", 30)]).expect("room");
+fn an_attempt_with_a_damaged_record_counts_as_possibly_executed() {
+    let (mut journal, _) = open(Memory::new(64 * 1024), START_MS);
     journal
-        .append(START, &[attempt_started("a", 0)])
+        .append(START_MS, &[accepted("a", 30)])
+        .expect("room");
+    journal
+        .append(START_MS, &[attempt_started("a", 0)])
+        .expect("room");
+    journal
+        .append(START_MS, &[accepted("b", 30)])
         .expect("room");
-    journal.append(START, &[accepted("b", 30)]).expect("room");
     let files = journal.storage().without_faults();
     let name = segments(&files).pop().expect("a segment");
     let whole = &files.files[&name];
@@ -63,12 +68,12 @@
         .rposition(|w| w == [1, b'b'])
         .expect("the second message")
         - 14;
-    let mut hit = files.clone();
-    hit.files.get_mut(&name).expect("a segment")[at] ^= 1;
-    let (journal, found) = open(hit, START + 10);
+    let mut damaged = files.clone();
+    damaged.files.get_mut(&name).expect("a segment")[at] ^= 1;
+    let (journal, found) = open(damaged, START_MS + 10);
     let first: Vec<&Record> = found.records.iter().filter(|r| r.id() == "a").collect();
     assert!(
-        matches!(first[..], [Record::Accepted { .. }, Record::AttemptStarted { attempt: 0, at, .. }] if *at == START * MS),
+        matches!(first[..], [Record::Accepted { .. }, Record::AttemptStarted { attempt: 0, at, .. }] if *at == START_MS * NANOS_PER_MS),
         "{first:?}"
     );
     assert_eq!(
@@ -76,34 +81,34 @@
         1,
         "accepted after the damaged range"
     );
-    // Found again it counts once, and also when the damaged segment is removed.
-    let (mut journal, again) = open(journal.storage().without_faults(), START + 20);
+    // The same damage found again is not counted twice, and still counts after the damaged segment is removed.
+    let (mut journal, again) = open(journal.storage().without_faults(), START_MS + 20);
     assert_eq!(again.records, found.records);
-    compact(&mut journal, 50, START + 20);
+    compact(&mut journal, 50, START_MS + 20);
     assert!(
         !journal.storage().files.contains_key(&name),
-        "the damaged segment goes first"
+        "the damaged segment is relocated first"
     );
-    let (_, last) = open(journal.storage().without_faults(), START + 30);
+    let (_, last) = open(journal.storage().without_faults(), START_MS + 30);
     assert_eq!((last.damage.len(), &last.records), (0, &found.records));
 }
 
-/// A sender that was down for long finds messages whose deadline has passed, concludes them, and may be killed before
-/// it has: possible executions must last that long, or a message that may have been executed is reported as not
-/// executed.
+/// After a long downtime, a sender finds messages whose deadline has passed, and may be killed before it ends them. The
+/// record of possible executions must be kept until then, or a possibly executed message is reported as not executed.
 #[test]
 fn possible_executions_outlast_messages_that_expired_before_the_start() {
     let mut files = filled(30).storage().without_faults();
     let name = segments(&files)[1].clone();
     files.files.get_mut(&name).expect("a segment")[200] ^= 1;
-    let later = START + 3_600_000;
-    // So small that what is live is more than a third of it, and segments with little live in them go.
+    let later = START_MS + 3_600_000;
+    // So small that the segments use more than a third of it, and those with few live bytes are relocated.
     files.disk = 64 * 1024;
     let (mut journal, found) = open(files, later);
     assert!(found.possibly_executed > 0);
     let first = journal.head().expect("a head").to_owned();
-    // All but one end, and others come: the segment with the possible executions has the fewest live bytes then.
-    let until = (later + 10) * MS;
+    // All messages but one are completed and others accepted, so that the segment with the record of possible
+    // executions has the fewest live bytes.
+    let until = (later + 10) * NANOS_PER_MS;
     let ends: Vec<Record> = (1..30)
         .map(|i| Record::Completed {
             id: format!("m{i:03}"),
@@ -140,20 +145,20 @@
         for at in [0, 9, 13, 20, 45, 60] {
             let mut files = files.clone();
             files.files.get_mut(name).expect("a segment")[at] ^= 0x02;
-            let (_, found) = open(files, START + 100);
+            let (_, found) = open(files, START_MS + 100);
             assert_eq!(open_ids(&found.records).len(), 60, "{name}, byte {at}");
             assert_eq!(
                 found.possibly_executed, 0,
-                "the manifest has what the header says"
+                "the manifest repeats the contents of the header"
             );
         }
     }
     for at in [0, 8, 9, 12, 30, 100] {
         let mut files = files.clone();
         files.files.get_mut("manifest").expect("a manifest")[at] ^= 0x02;
-        let (journal, found) = open(files, START + 100);
+        let (journal, found) = open(files, START_MS + 100);
         assert_eq!(open_ids(&found.records).len(), 60);
-        // A version that is put right is no damage; else it is not known what is missing.
+        // A damaged version number is corrected; any other damage makes the manifest unusable.
         let unlisted = found
             .damage
             .iter()
@@ -163,7 +168,7 @@
             (at != 8 && at != 9, if unlisted { 60 } else { 0 }),
             "byte {at}"
         );
-        let (_, again) = open(journal.storage().without_faults(), START + 110);
+        let (_, again) = open(journal.storage().without_faults(), START_MS + 110);
         assert_eq!(
             (again.damage.len(), again.possibly_executed),
             (0, found.possibly_executed),
@@ -173,12 +178,12 @@
 }
 
 #[test]
-fn a_missing_segment_is_noticed_with_what_it_may_have_held() {
+fn a_missing_segment_is_reported_with_bounds_on_its_records() {
     let files = filled(60).storage().without_faults();
     let all = segments(&files);
     let mut without = files.clone();
     without.files.remove(&all[3]);
-    let (journal, found) = open(without, START + 100);
+    let (journal, found) = open(without, START_MS + 100);
     assert_eq!(
         (found.damage.len(), found.damage[0].cause),
         (1, DamageCause::Missing)
@@ -187,9 +192,9 @@
     assert!(known < 60 && known + found.damage[0].max_messages as usize >= 60);
     assert!(
         found.possibly_executed > 0 && found.possibly_executed < known,
-        "only what was accepted before its end"
+        "only messages accepted before the segment was sealed"
     );
-    let (_, again) = open(journal.storage().without_faults(), START + 110);
+    let (_, again) = open(journal.storage().without_faults(), START_MS + 110);
     assert_eq!(
         (again.damage.len(), again.possibly_executed),
         (0, found.possibly_executed)
@@ -200,23 +205,23 @@
 fn swapped_and_duplicated_segments_keep_their_records() {
     let files = filled(60).storage().without_faults();
     let all = segments(&files);
-    let expected = open(files.clone(), START + 100).1.records;
+    let expected = open(files.clone(), START_MS + 100).1.records;
     let mut swapped = files.clone();
     let (a, b) = (files.files[&all[1]].clone(), files.files[&all[4]].clone());
     swapped.files.insert(all[1].clone(), b);
     swapped.files.insert(all[4].clone(), a);
-    let (mut journal, found) = open(swapped, START + 100);
+    let (mut journal, found) = open(swapped, START_MS + 100);
     assert_eq!((found.damage.len(), &found.records), (0, &expected));
-    // They go by their names on disk when they are compacted.
+    // Compaction removes them by their names on disk.
     let ends: Vec<Record> = (0..60).map(|i| completed(&format!("m{i:03}"))).collect();
-    journal.append(START + 200, &ends).expect("room");
-    compact(&mut journal, 500, START + 100 + DURATION);
+    journal.append(START_MS + 200, &ends).expect("room");
+    compact(&mut journal, 500, START_MS + 100 + LIFETIME_MS);
     assert!(
         !journal.storage().files.contains_key(&all[1])
             && !journal.storage().files.contains_key(&all[4])
     );
     assert!(
-        open(journal.storage().without_faults(), START + 3000)
+        open(journal.storage().without_faults(), START_MS + 3000)
             .1
             .records
             .is_empty()
@@ -226,21 +231,21 @@
     copied
         .files
         .insert("0000ffff.seg".into(), files.files[&all[1]].clone());
-    let (_, found) = open(copied, START + 100);
+    let (_, found) = open(copied, START_MS + 100);
     assert_eq!(
         (found.records, found.foreign),
         (expected, vec!["0000ffff.seg".to_owned()])
     );
 }
 
-/// An operator puts a backup's file in place: it must not bring back what has ended since.
+/// A file restored from a backup must not make messages pending that have ended since.
 #[test]
 fn stale_and_foreign_segments_are_recognised() {
     let mut journal = filled(30);
     let old = journal.storage().without_faults();
     let ends: Vec<Record> = (0..30).map(|i| completed(&format!("m{i:03}"))).collect();
-    journal.append(START + 50, &ends).expect("room");
-    compact(&mut journal, 500, START + 50);
+    journal.append(START_MS + 50, &ends).expect("room");
+    compact(&mut journal, 500, START_MS + 50);
     let files = journal.storage().without_faults();
     let removed: Vec<String> = segments(&old)
         .into_iter()
@@ -248,20 +253,20 @@
         .collect();
     assert!(
         removed.len() > 3,
-        "compaction has removed most: {removed:?}"
+        "compaction removed too few segments: {removed:?}"
     );
     let mut stale = files.clone();
     for name in &removed {
         stale.files.insert(name.clone(), old.files[name].clone());
     }
-    let (_, found) = open(stale, START + 100);
+    let (_, found) = open(stale, START_MS + 100);
     assert!(open_ids(&found.records).is_empty() && found.damage.is_empty());
-    // The whole older manifest as well: then it is not believed.
+    // With the older manifest restored as well, the manifest is detected as stale.
     let mut stale = files.clone();
     stale
         .files
         .insert("manifest".into(), old.files["manifest"].clone());
-    let (_, found) = open(stale, START + 100);
+    let (_, found) = open(stale, START_MS + 100);
     assert!(
         found
             .damage
@@ -271,7 +276,7 @@
         found.damage
     );
     assert!(open_ids(&found.records).is_empty());
-    // Somebody else's.
+    // Segments of another folder are reported as foreign.
     let mut other = Memory::new(64 * 1024);
     other.append("0000fffe.seg", &[1; 500]).expect("room");
     let (mut foreign, _) = Journal::open(
@@ -280,35 +285,37 @@
             fresh_key: [9; 32],
             ..options(64 * 1024)
         },
-        START,
+        START_MS,
     )
     .expect("opens");
-    foreign.append(START, &[accepted("x", 10)]).expect("room");
-    let theirs = foreign.storage().without_faults();
+    foreign
+        .append(START_MS, &[accepted("x", 10)])
+        .expect("room");
+    let foreign_files = foreign.storage().without_faults();
     let mut mixed = files.clone();
     mixed.files.insert(
         "0000fffe.seg".into(),
-        theirs.files[&segments(&theirs)[0]].clone(),
+        foreign_files.files[&segments(&foreign_files)[0]].clone(),
     );
-    let (_, found) = open(mixed, START + 100);
+    let (_, found) = open(mixed, START_MS + 100);
     assert_eq!(found.foreign, ["0000fffe.seg"]);
     assert!(open_ids(&found.records).is_empty());
 }
 
 #[test]
-fn an_older_copy_of_a_finished_segment_is_noticed() {
+fn an_older_copy_of_a_sealed_segment_is_detected() {
     let mut journal = filled(4);
     let early = journal.storage().without_faults();
     let head = segments(&early).pop().expect("a head");
     for i in 4..40 {
         journal
-            .append(START, &[accepted(&format!("m{i:03}"), 100)])
+            .append(START_MS, &[accepted(&format!("m{i:03}"), 100)])
             .expect("room");
     }
     let mut files = journal.storage().without_faults();
     assert!(segments(&files).last() != Some(&head));
     files.files.insert(head.clone(), early.files[&head].clone());
-    let (_, found) = open(files, START + 100);
+    let (_, found) = open(files, START_MS + 100);
     assert_eq!(
         (found.damage.len(), found.damage[0].cause),
         (1, DamageCause::Short)
@@ -317,19 +324,19 @@
 }
 
 #[test]
-fn a_newer_format_is_rejected_and_nothing_changed() {
+fn a_newer_format_is_rejected_without_changing_files() {
     let files = filled(10).storage().without_faults();
     for (name, bytes) in [("manifest", [8, 20]), ("00000001.seg", [8, 60])] {
         let mut newer = files.clone();
         let file = newer.files.get_mut(name).expect("a file");
-        // A later version, and a signature that this one can't check.
+        // A later version, and a signature that this program can't verify.
         file[bytes[0]] = 2;
         file[bytes[1]] ^= 1;
         let before = newer.files.clone();
         let shared = SharedStorage::new(newer);
-        let error = Journal::open(shared.clone(), &options(64 * 1024), START)
+        let error = Journal::open(shared.clone(), &options(64 * 1024), START_MS)
             .map(|_| ())
-            .expect_err("refused");
+            .expect_err("rejected");
         assert!(
             matches!(&error, OpenError::Newer { file, version: 2, .. } if file == name),
             "{error}"
@@ -340,31 +347,31 @@
 }
 
 #[test]
-fn a_wrong_or_lost_key_is_rejected_and_an_operators_key_replaces_the_folders() {
+fn a_wrong_or_damaged_key_is_rejected_and_an_operators_key_replaces_the_folders_own() {
     let files = filled(10).storage().without_faults();
     let own = Options {
         key: Some([8; 32]),
         ..options(files.disk)
     };
-    // The folder's own key is still there: both are tried, and from now on the operator's signs.
-    let (journal, found) = Journal::open(files.clone(), &own, START + 50).expect("opens");
+    // Both the folder's own key and the operator's are tried; new files are signed under the operator's.
+    let (journal, found) = Journal::open(files.clone(), &own, START_MS + 50).expect("opens");
     assert_eq!(open_ids(&found.records).len(), 10);
     let (_, found) =
-        Journal::open(journal.storage().without_faults(), &own, START + 60).expect("opens");
+        Journal::open(journal.storage().without_faults(), &own, START_MS + 60).expect("opens");
     assert_eq!(
         (open_ids(&found.records).len(), found.damage.len()),
         (10, 0)
     );
     let mut keyless = files.clone();
     keyless.files.remove("key");
-    let refused = Journal::open(keyless, &own, START)
+    let rejected = Journal::open(keyless, &own, START_MS)
         .map(|_| ())
-        .expect_err("refused");
-    assert!(matches!(refused, OpenError::WrongKey), "{refused}");
+        .expect_err("rejected");
+    assert!(matches!(rejected, OpenError::WrongKey), "{rejected}");
     let mut lost = files;
     lost.files.insert("key".into(), vec![0; 108]);
-    let refused = Journal::open(lost, &options(64 * 1024), START)
+    let rejected = Journal::open(lost, &options(64 * 1024), START_MS)
         .map(|_| ())
-        .expect_err("refused");
-    assert!(matches!(refused, OpenError::KeyLost), "{refused}");
+        .expect_err("rejected");
+    assert!(matches!(rejected, OpenError::KeyLost), "{rejected}");
 }
--- a/crates/journal/tests/fuzz_seeds.rs
+++ b/crates/journal/tests/fuzz_seeds.rs
@@ -1,23 +1,27 @@
-//! The fuzz targets' seeds, run by an ordinary test; `JOURNAL_SEEDS=write` makes those anew that come from a scenario.
+//! Runs the seeds of the fuzz targets as an ordinary test. With `JOURNAL_SEEDS=write` the seeds that are generated from
+//! scenarios are written again first.
 
 mod common;
 
 use std::path::{Path, PathBuf};
 
-use common::{KEY, START, Scenario, open};
+use common::{KEY, START_MS, Scenario, open};
 use cranehill_journal::{Memory, fuzzing};
 
-fn seeds(target: &str) -> PathBuf {
+fn seed_folder(target: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("fuzz/seeds")
         .join(target)
 }
 
-fn each(target: &str, run: impl Fn(&[u8])) -> usize {
+fn run_each_seed(target: &str, run: impl Fn(&[u8])) -> usize {
     let mut count = 0;
-    for entry in std::fs::read_dir(seeds(target)).expect("seeds").flatten() {
+    for entry in std::fs::read_dir(seed_folder(target))
+        .expect("seeds")
+        .flatten()
+    {
         let bytes = std::fs::read(entry.path()).expect("a seed");
-        // A panic names the file.
+        // Printed so that the output of a panic shows the file.
         println!("{}", entry.path().display());
         run(&bytes);
         for cut in 0..bytes.len().min(64) {
@@ -30,7 +34,7 @@
 
 fn write_seeds() {
     for seed in 1..=6u64 {
-        let (mut journal, _) = open(Memory::new(64 * 1024), START);
+        let (mut journal, _) = open(Memory::new(64 * 1024), START_MS);
         let mut scenario = Scenario::new(seed);
         for _ in 0..seed * 3 {
             let records = scenario.tick();
@@ -39,20 +43,23 @@
         let files = journal.storage().without_faults();
         let payloads = fuzzing::payloads(&files, &KEY);
         std::fs::write(
-            seeds("recover").join(format!("day{seed}")),
+            seed_folder("recover").join(format!("day{seed}")),
             fuzzing::seed_of(&payloads),
         )
         .expect("written");
-        std::fs::write(seeds("decode").join(format!("payload{seed}")), &payloads[0])
-            .expect("written");
         std::fs::write(
-            seeds("decode").join(format!("manifest{seed}")),
+            seed_folder("decode").join(format!("payload{seed}")),
+            &payloads[0],
+        )
+        .expect("written");
+        std::fs::write(
+            seed_folder("decode").join(format!("manifest{seed}")),
             &files.files["manifest"],
         )
         .expect("written");
         let (_, segment) = files.files.iter().next().expect("a segment");
         std::fs::write(
-            seeds("decode").join(format!("segment{seed}")),
+            seed_folder("decode").join(format!("segment{seed}")),
             &segment[..200.min(segment.len())],
         )
         .expect("written");
@@ -60,9 +67,12 @@
 }
 
 #[test]
-fn no_seed_of_the_fuzzer_breaks_a_decoder_or_a_recovery() {
+fn fuzz_seeds_pass_all_decoders_and_recovery() {
     if std::env::var("JOURNAL_SEEDS").is_ok_and(|v| v == "write") {
         write_seeds();
     }
-    assert!(each("decode", fuzzing::decode) >= 10 && each("recover", fuzzing::recover) >= 6);
+    assert!(
+        run_each_seed("decode", fuzzing::decode) >= 10
+            && run_each_seed("recover", fuzzing::recover) >= 6
+    );
 }
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -4,16 +4,17 @@
 //!
 //! - `intact`: several sealed segments, a head, the manifest and the key file. It holds every kind of record that a
 //!   caller can append, with and without idempotency key and ordering key.
-//! - `reopened`: `intact` with one damaged range, opened again. Its head holds what recovery concludes: the record of
-//!   possibly executed attempts, and the final report of a message whose own record was in the damaged range.
-//! - `compacted`: `reopened` after compaction. Records that were moved name the log number under which their message
-//!   was accepted; in their first place they leave it out.
+//! - `reopened`: `intact` with one damaged range, opened again. Its head holds the records that recovery adds: the record
+//!   of possibly executed attempts, and the final report of a message whose own record was in the damaged range.
+//! - `compacted`: `reopened` after compaction. A relocated record of acceptance contains the log number of the acceptance,
+//!   which is omitted where the record was first written.
 //!
 //! Each folder is read by recovery and compared with values spelled out here, and is written from scratch and compared
 //! byte for byte. Nothing in it varies from run to run: the folder's key (from which the segments' salts derive) and
 //! the time are arguments of the interface, and ids are the caller's. One body is compressed: should an update of
-//! `lz4_flex` compress differently, the bytes may differ while the format does not, and the tests that read decide.
-//! `compacted` also depends on the order in which compaction visits segments, which is not part of the format.
+//! `lz4_flex` compress differently, the bytes may differ although the format does not; then only the tests that read
+//! the committed folders are decisive. `compacted` also depends on the order in which compaction visits segments, which
+//! is not part of the format.
 //!
 //! On a difference the folder as written now is left in cargo's temporary directory for tests, and the failure
 //! names the file and the offset. Nothing regenerates the committed files.
@@ -38,7 +39,7 @@
 const NANOS_PER_MS: u64 = 1_000_000;
 
 const FOLDER_KEY: [u8; 32] = *b"golden journal folder key 000001";
-/// Readers offer another one: the key in the folder's own file must be used.
+/// Passed as fresh key when a folder is read: it must not be used, since the folder has a key file.
 const UNUSED_KEY: [u8; 32] = [0xee; 32];
 const DISK_BYTES: u64 = 64 * 1024;
 /// Small, so that few records fill several segments.
@@ -46,7 +47,7 @@
 /// More than the folder ever needs.
 const COMPACTION_STEPS: usize = 50;
 
-/// A byte in the record by which [`IDEMPOTENT_ID`] was accepted.
+/// The byte to damage, in the record of acceptance of [`IDEMPOTENT_ID`].
 const DAMAGED_SEGMENT: &str = "00000001.seg";
 const DAMAGED_OFFSET: usize = 160;
 const DAMAGE_MASK: u8 = 0x20;
@@ -69,7 +70,7 @@
     ms * NANOS_PER_MS
 }
 
-/// A message accepted `after_ms` behind the start.
+/// A message accepted `after_ms` milliseconds after the start.
 fn accepted(
     id: &str,
     after_ms: u64,
@@ -128,7 +129,7 @@
     b"<episode><title>El programa de la tarde</title></episode>".repeat(8)
 }
 
-/// What is appended to `intact`: one list for each call, with its time behind the start.
+/// The records appended to `intact`: one list for each call, with its time after the start in milliseconds.
 #[expect(clippy::too_many_lines, reason = "a list of data")]
 fn append_calls() -> Vec<(u64, Vec<Record>)> {
     vec![
@@ -282,7 +283,7 @@
         .collect()
 }
 
-/// Leaves the folder as it is written now where it can be inspected.
+/// Writes the folder to cargo's temporary directory for inspection; returns its path.
 fn keep_for_inspection(folder: &str, files: &Files) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join("golden")
@@ -297,7 +298,7 @@
     path
 }
 
-/// The first difference of two files: offset, and what stands there in each.
+/// Describes the first difference of two files: its offset and the byte in each; `None` if they are equal.
 fn first_difference(expected: &[u8], actual: &[u8]) -> Option<String> {
     if expected == actual {
         return None;
@@ -361,7 +362,7 @@
     assert_eq!(recovered.migrated, 0);
 }
 
-/// What recovery must find.
+/// The expected result of recovery.
 struct Expected {
     records: Vec<Record>,
     damage: Vec<DamagedRange>,
@@ -426,14 +427,13 @@
     }
 }
 
-/// The attempt that the damaged range may have held, under the number behind the last one known, from the moment of
-/// acceptance on.
+/// The attempt that the damaged range may have held: numbered after the last known one, and started at acceptance.
 fn possible_attempt_of_plain() -> Record {
     attempt_started(PLAIN_ID, 2, "", 0)
 }
 
-/// As `intact`, but the message whose own record is damaged can only be concluded, and the one accepted before it may
-/// have been executed once more. Messages accepted later are not concerned.
+/// As `intact`, but the message whose own record is damaged gets a final report as failed, and the one accepted before
+/// it may have been executed once more. Messages accepted later are not affected.
 fn expected_of_damaged() -> Expected {
     let intact = expected_of_intact();
     let mut records = intact.records;
@@ -454,7 +454,7 @@
     Expected {
         records,
         damage: vec![damaged_range()],
-        // Its first attempt is the earliest record left of it.
+        // The start of its first attempt is its earliest readable record.
         lost: vec![LostMessage {
             id: IDEMPOTENT_ID.into(),
             file: DAMAGED_SEGMENT.into(),
@@ -466,7 +466,7 @@
     }
 }
 
-/// What the first opening concluded is on disk: the lost message is one with a final report due.
+/// The records that the first opening added are on disk: the lost message now has a final report due.
 fn expected_of_reopened() -> Expected {
     let damaged = expected_of_damaged();
     let mut records = damaged.records;
@@ -487,7 +487,7 @@
     }
 }
 
-/// The damaged segment is gone; what it cast doubt on stays possibly executed.
+/// Compaction has removed the damaged segment; the affected messages still count as possibly executed.
 fn expected_of_compacted() -> Expected {
     Expected {
         damage: Vec::new(),
--- a/crates/journal/tests/migration.rs
+++ b/crates/journal/tests/migration.rs
@@ -1,12 +1,12 @@
-//! The ledger of releases before 0.2.
+//! Migration of the ledger of releases before 0.2.
 
 mod common;
 
-use common::{DURATION, MS, START, SharedStorage, open, open_ids, options};
+use common::{LIFETIME_MS, NANOS_PER_MS, START_MS, SharedStorage, open, open_ids, options};
 use cranehill_core::{FinalReport, Record};
 use cranehill_journal::{Crash, Journal, Memory};
 
-/// As release 0.1 wrote it.
+/// A ledger frame as release 0.1 wrote it.
 fn old_frame(json: &str, body: &[u8]) -> Vec<u8> {
     let payload = [json.as_bytes(), b"\n", body].concat();
     let mut bytes = (payload.len() as u32).to_le_bytes().to_vec();
@@ -16,7 +16,7 @@
 }
 
 fn old_ledger() -> Vec<Vec<u8>> {
-    let deadline = (START + DURATION) * MS;
+    let deadline = (START_MS + LIFETIME_MS) * NANOS_PER_MS;
     let accepted = |id: &str| {
         format!(
             r#"{{"taken":{{"id":"{id}","class":0,"station":1,"partner":7,"key":"k","deadline":{deadline}}}}}"#
@@ -45,7 +45,7 @@
     let mut files = Memory::new(64 * 1024);
     files.files.insert("ledger".into(), old_ledger().concat());
     files.files.insert("ledger.new".into(), b"half".to_vec());
-    let (journal, found) = open(files, START + 10);
+    let (journal, found) = open(files, START_MS + 10);
     assert_eq!(
         (found.migrated, open_ids(&found.records)),
         (8, vec!["a", "d"])
@@ -61,9 +61,9 @@
             .iter()
             .any(|r| matches!(r, Record::Completed { id, .. } if id == "c"))
     );
-    let left = journal.storage().without_faults();
-    assert!(!left.files.contains_key("ledger") && !left.files.contains_key("ledger.new"));
-    let (_, again) = open(left, START + 20);
+    let remaining = journal.storage().without_faults();
+    assert!(!remaining.files.contains_key("ledger") && !remaining.files.contains_key("ledger.new"));
+    let (_, again) = open(remaining, START_MS + 20);
     assert_eq!((again.migrated, again.records), (0, found.records));
 }
 
@@ -76,9 +76,9 @@
             files.files.insert("ledger".into(), whole.concat());
             files.crash = Some(Crash { operation, bytes });
             let shared = SharedStorage::new(files);
-            let _ = Journal::open(shared.clone(), &options(64 * 1024), START + 10);
-            let left = shared.0.borrow().without_faults();
-            let (_, found) = open(left, START + 20);
+            let _ = Journal::open(shared.clone(), &options(64 * 1024), START_MS + 10);
+            let remaining = shared.0.borrow().without_faults();
+            let (_, found) = open(remaining, START_MS + 20);
             assert_eq!(
                 open_ids(&found.records),
                 ["a", "d"],
@@ -86,13 +86,13 @@
             );
         }
     }
-    // The frame of `a`'s attempt is hit: `a` counts as possibly run, `d` was accepted later.
-    let mut hit = whole.concat();
+    // The frame of `a`'s attempt is damaged: `a` counts as possibly executed, but not `d`, which was accepted later.
+    let mut damaged = whole.concat();
     let at = whole[0].len() + 30;
-    hit[at] ^= 1;
+    damaged[at] ^= 1;
     let mut files = Memory::new(64 * 1024);
-    files.files.insert("ledger".into(), hit);
-    let (_, found) = open(files, START + 10);
+    files.files.insert("ledger".into(), damaged);
+    let (_, found) = open(files, START_MS + 10);
     assert_eq!(
         (found.damage.len(), open_ids(&found.records)),
         (1, vec!["a", "d"])
--- a/crates/journal/tests/property/file_damage.rs
+++ b/crates/journal/tests/property/file_damage.rs
@@ -3,7 +3,7 @@
 use cranehill_journal::Memory;
 use proptest::prelude::{Strategy, any, prop_oneof};
 
-/// Damage to files at rest: the journal is started again after it.
+/// Damage to files between two starts. Numbers select a file or an offset modulo how many there are.
 #[derive(Clone, Debug)]
 pub(crate) enum Damage {
     Flip { file: u8, at: u16, mask: u8 },
@@ -41,7 +41,7 @@
         }
         Damage::Remove { file } => {
             let name = pick(files, file);
-            // Without its key a folder can't be read; that it says so has a test of its own.
+            // Without its key file a folder can't be read; another test covers that error.
             if name != "key" {
                 files.files.remove(&name);
             }
@@ -69,7 +69,7 @@
         }
         Damage::Cut { file, by } => {
             let name = pick(files, file);
-            // The head's end may always be a kill's doing.
+            // A truncated head is not detectable damage: a kill may cause it too.
             if let Some(bytes) = files
                 .files
                 .get_mut(&name)
--- a/crates/journal/tests/property/guarantees.rs
+++ b/crates/journal/tests/property/guarantees.rs
@@ -1,23 +1,23 @@
-//! What a recovery guarantees, also with damage.
+//! The guarantees of recovery, which hold even if files are damaged.
 
 use std::collections::BTreeMap;
 
 use cranehill_core::{FinalReport, Record};
 use cranehill_journal::{DamagedRange, Recovered};
 
-use crate::common::{MS, MessageModel, Model};
+use crate::common::{MessageModel, Model, NANOS_PER_MS};
 
-/// What is found as the sender reads it: by message, its attempts used and whether it may have been executed.
+/// The recovered records as the sender reads them, by message.
 pub(crate) fn read(records: &[Record]) -> BTreeMap<String, MessageModel> {
     let mut model = Model::default();
     model.append(records);
     model.messages
 }
 
-/// A guarantee that a recovery breaks.
+/// A guarantee that a recovery violates.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BrokenGuarantee {
-    #[error("{id} ended, and is open again")]
+    #[error("{id} has ended, but is open again")]
     Reopened { id: String },
     #[error("{id}: {found} attempts known of {expected}")]
     AttemptsForgotten {
@@ -25,11 +25,11 @@
         found: u32,
         expected: u32,
     },
-    #[error("{id} may have been executed, and that is not known")]
+    #[error("{id} may have been executed, but does not count as possibly executed")]
     ExecutionForgotten { id: String },
-    #[error("{id} is open, and found as ended")]
+    #[error("{id} is open, but was recovered as ended")]
     Ended { id: String },
-    #[error("the final report of {id} is not due any more")]
+    #[error("{id} has a final report due, but was not recovered")]
     FinalReportForgotten { id: String },
     #[error("{id} is not remembered")]
     NotRemembered { id: String },
@@ -41,7 +41,7 @@
     },
 }
 
-/// The guarantees, weaker than equality: also with damage.
+/// Checks the guarantees that hold even with damage; without damage, equality with the model holds.
 pub(crate) fn check_guarantees(
     model: &Model,
     found: &Recovered,
@@ -77,7 +77,7 @@
     let id = id.to_owned();
     let damaged = !found.damage.is_empty();
     if message.is_open() && expected.has_ended() {
-        // Damage may have hidden its end; then it must not be attempted as if it had never been executed.
+        // Damage may have destroyed the record of its end; then it must count as possibly executed.
         return if damaged && message.is_possibly_executed() {
             Ok(())
         } else {
@@ -122,7 +122,7 @@
         return Ok(());
     }
     match expected.completed_until {
-        Some(until) if until > now * MS => Err(BrokenGuarantee::NotRemembered { id }),
+        Some(until) if until > now * NANOS_PER_MS => Err(BrokenGuarantee::NotRemembered { id }),
         None if expected.final_report.is_some() => {
             Err(BrokenGuarantee::FinalReportForgotten { id })
         }
--- a/crates/journal/tests/property/main.rs
+++ b/crates/journal/tests/property/main.rs
@@ -1,11 +1,12 @@
-//! The journal against the reference model, with kills, full disks, refusing files and damage mixed in.
+//! Property tests: compares the journal with the reference model under kills, full disks, failing file operations and
+//! damage.
 
 #[path = "../common/mod.rs"]
 mod common;
 mod file_damage;
 mod guarantees;
 
-use common::{Model, START, Scenario, compact, open, options};
+use common::{Model, START_MS, Scenario, compact, open, options};
 use cranehill_core::{Persisted, Record};
 use cranehill_journal::{BLOCK_BYTES, Crash, Journal, Memory, disk_usage};
 use file_damage::{damage, inflict};
@@ -17,13 +18,13 @@
 enum Action {
     Ticks(u8),
     Compact(u8),
-    /// Killed so many operations from now, so many bytes into it, and started again.
+    /// Kill after this many file operations and this many bytes of the last one, then start again.
     Kill(u8, u8),
-    /// Started again after an orderly end.
+    /// Start again without a kill.
     Restart,
-    /// The disk holds so many blocks more than are used.
+    /// Limit the disk to this many free blocks for one tick.
     Disk(u8),
-    /// An operation fails for so many ticks.
+    /// Make a file operation fail for this many ticks.
     Deny(DeniedOperation, u8),
 }
 
@@ -55,20 +56,20 @@
     ]
 }
 
-/// A journal with the model of what it has acknowledged.
+/// A journal and the model of the records that it has acknowledged.
 struct Harness {
     journal: Journal<Memory>,
     scenario: Scenario,
     model: Model,
     disk: u64,
-    /// What was being written when the storage died.
+    /// The records being written when the storage crashed.
     writing: Vec<Record>,
 }
 
 impl Harness {
     fn new(seed: u64) -> Harness {
         let disk = 32 * 1024;
-        let (journal, _) = open(Memory::new(disk), START);
+        let (journal, _) = open(Memory::new(disk), START_MS);
         Harness {
             journal,
             scenario: Scenario::new(seed),
@@ -78,30 +79,31 @@
         }
     }
 
-    /// One tick; false if the storage died in it.
+    /// Runs one tick; false if the storage crashed during it.
     fn tick(&mut self) -> bool {
         let records = self.scenario.tick();
-        // The model follows what a sender knows: ends that were not persisted are appended again.
-        let mut left = records;
+        // The model has the records that a sender knows to be persisted. Ends that were not persisted are appended
+        // again.
+        let mut remaining = records;
         for _ in 0..3 {
-            match self.journal.append(self.scenario.now, &left) {
+            match self.journal.append(self.scenario.now, &remaining) {
                 Ok(()) => {
-                    self.model.append(&left);
+                    self.model.append(&remaining);
                     return true;
                 }
                 Err(_) if self.journal.storage().has_crashed() => {
-                    self.writing = left;
+                    self.writing = remaining;
                     return false;
                 }
                 Err(e) => {
                     let (ends, rest): (Vec<Record>, Vec<Record>) =
-                        left.into_iter().partition(Record::is_end);
+                        remaining.into_iter().partition(Record::is_end);
                     if e.persisted == Persisted::EndsOnly {
                         self.model.append(&ends);
                     }
                     // A sender rejects the new messages and attempts; the scenario continues as if they had been
                     // persisted, so they are appended again here once there is room.
-                    left = if e.persisted == Persisted::EndsOnly {
+                    remaining = if e.persisted == Persisted::EndsOnly {
                         rest
                     } else {
                         ends.into_iter().chain(rest).collect()
@@ -145,7 +147,7 @@
 
     fn run_until_killed(&mut self, operations: u64, bytes: usize) {
         let storage = self.journal.storage_mut();
-        let operation = storage.log.len() as u64 + operations;
+        let operation = storage.operations.len() as u64 + operations;
         storage.crash = Some(Crash { operation, bytes });
         for _ in 0..200 {
             if !self.tick() {
@@ -168,7 +170,7 @@
         Ok(())
     }
 
-    /// One tick and some compaction with this many free blocks.
+    /// Runs one tick and some compaction with this many free blocks.
     fn run_with_room(&mut self, blocks: u64) {
         self.limit_disk(blocks);
         self.tick();
@@ -176,14 +178,14 @@
         self.journal.storage_mut().disk = self.disk;
     }
 
-    /// Some compaction and one tick while an operation fails, and appends are cut short.
+    /// Runs some compaction and one tick while an operation fails and one block is free, which cuts appends short.
     fn run_with_denied(&mut self, operation: DeniedOperation) {
         let storage = self.journal.storage_mut();
         match operation {
-            DeniedOperation::Appends => storage.no_appends = true,
-            DeniedOperation::Truncates => storage.no_truncates = true,
-            DeniedOperation::Renames => storage.no_renames = true,
-            DeniedOperation::Removes => storage.no_removes = true,
+            DeniedOperation::Appends => storage.deny_appends = true,
+            DeniedOperation::Truncates => storage.deny_truncates = true,
+            DeniedOperation::Renames => storage.deny_renames = true,
+            DeniedOperation::Removes => storage.deny_removes = true,
         }
         self.limit_disk(1);
         compact(&mut self.journal, 4, self.scenario.now);
@@ -203,11 +205,12 @@
     fn restore_storage(&mut self) {
         let storage = self.journal.storage_mut();
         storage.disk = self.disk;
-        (storage.no_appends, storage.no_truncates) = (false, false);
-        (storage.no_renames, storage.no_removes) = (false, false);
+        (storage.deny_appends, storage.deny_truncates) = (false, false);
+        (storage.deny_renames, storage.deny_removes) = (false, false);
     }
 
-    /// After a kill the folder has what was acknowledged, and perhaps a first part of what was being written.
+    /// Starts again after a kill: recovery must find the acknowledged records, and possibly a prefix of those being
+    /// written, or of their ends.
     fn restart_after_kill(&mut self) -> Result<(), TestCaseError> {
         let (journal, found) = open(self.journal.storage().without_faults(), self.scenario.now);
         self.journal = journal;
@@ -239,7 +242,7 @@
     }
 }
 
-/// The same cases at every run; `PROPTEST_CASES` and `PROPTEST_RNG_SEED` bring others. A failure prints the whole case.
+/// The same cases in every run, unless `PROPTEST_CASES` or `PROPTEST_RNG_SEED` is set. A failure prints the whole case.
 fn config() -> ProptestConfig {
     let set = ProptestConfig::default();
     let rng_seed = match set.rng_seed {
@@ -256,7 +259,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Whatever fails in between, what is found again is what was acknowledged.
+    /// Guards against acknowledged records that are lost, or others that appear, after failures without damage to
+    /// files.
     #[test]
     fn without_damage_the_journal_agrees_with_the_model(seed in any::<u64>(), actions in prop::collection::vec(action(), 1..25)) {
         let mut harness = Harness::new(seed);
@@ -266,7 +270,8 @@
         harness.perform(&Action::Restart)?;
     }
 
-    /// Damage hides records: what they may have recorded counts as recorded, and every lost message is counted.
+    /// Guards against damage that goes unnoticed: an attempt whose record may have been destroyed must count as
+    /// possibly executed, and every lost message must be counted.
     #[test]
     fn with_damage_possible_executions_are_known_and_every_loss_is_counted(
         seed in any::<u64>(),
@@ -283,18 +288,18 @@
             inflict(&mut files, damage, &mut head);
         }
         if !files.files.keys().any(|n| n == "manifest" || n.ends_with(".seg")) {
-            // Nothing is left that could tell that there ever was anything.
+            // Without a manifest and segments, the folder can't be distinguished from a new one.
             return Ok(());
         }
         let now = harness.scenario.now;
         let options = options(files.disk);
         let Ok((mut journal, found)) = Journal::open(files, &options, now) else {
-            // Every file that could prove the folder ours is hit: refused, and nothing touched.
+            // All files that identify the folder's key are damaged: opening is rejected.
             return Ok(());
         };
         let verdict = check_guarantees(&harness.model, &found, now);
         prop_assert!(verdict.is_ok(), "{:?}\n{:?}\n{:?}", verdict, found.damage, damages);
-        // Possible executions outlive the damaged files: they are known after compaction and a restart too.
+        // Possible executions are still known after compaction has removed the damaged files, and after a restart.
         for _ in 0..200 {
             journal.compact(now);
         }
