--- a/crates/journal/src/journal/rotation.rs
+++ b/crates/journal/src/journal/rotation.rs
@@ -88,7 +88,7 @@
         }
         let head = HeadSegment::new(&header, &self.key, salt, &bytes, stored.len() as u32);
         if let Err(e) = self.create_segment(&header, &head, &bytes) {
-            // If the file can't be removed either, the next start removes it, since no manifest lists it.
+            // If the file can't be removed either, it is unlisted and without frames, and the next start removes it.
             let _ = self.storage.remove(&head.name);
             return Err(e);
         }
--- a/crates/journal/src/legacy_ledger.rs
+++ b/crates/journal/src/legacy_ledger.rs
@@ -1,5 +1,5 @@
-//! Decoder of the ledger, the single file of releases before 0.2. It is read once, to be migrated; damage in it is skipped
-//! as in a segment.
+//! Decoder of the ledger, the single file of releases before 0.2. It is read once, to be migrated; damage in it is
+//! skipped as in a segment.
 //!
 //! Each of its frames is `[length u32][crc32 u32][record JSON, newline, body]`.
 
