--- a/crates/cranehill/src/capacity.rs
+++ b/crates/cranehill/src/capacity.rs
@@ -1,4 +1,4 @@
-//! `cranehill capacity`: the sweeps of the capacity proof against the figures that the page states.
+//! `cranehill capacity`: runs the capacity sweeps and compares their figures with those stated in docs/CAPACITY.md.
 
 use std::error::Error;
 use std::io;
@@ -15,72 +15,73 @@
 use crate::input::{InputError, current_program};
 use crate::verdict::Verdict;
 
-/// The page as it was when this program was built.
+/// The capacity page, compiled into this program.
 const PAGE: &str = include_str!("../../../docs/CAPACITY.md");
 const PAGE_NAME: &str = "docs/CAPACITY.md";
 
 /// The arguments of `capacity`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct CapacityArgs {
-    /// Small sizes; counts and bytes alone are judged, never times.
+    /// Use small sizes; compare only counts and bytes with the page, not times.
     #[arg(long)]
     quick: bool,
-    /// Print JSON in place of the table.
+    /// Print JSON instead of the table.
     #[arg(long)]
     json: bool,
-    /// Write the page's rows, the figures as JSON and a plot of each sweep there.
+    /// Write the page's rows, the figures as JSON and a plot of each sweep to this folder.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// Play this sweep alone: destinations, backlog, members, events or changes. May be given again.
+    /// Run only this sweep: destinations, backlog, members, events or changes. Can be given more than once.
     #[arg(long, value_name = "NAME")]
     sweep: Vec<String>,
-    /// A file of sizes in place of the usual ones, as `destinations = [10, 100, 1000]`.
+    /// TOML file with sizes that replace the default ones, such as `destinations = [10, 100, 1000]`.
     #[arg(long, value_name = "FILE")]
     sizes: Option<PathBuf>,
-    /// Hold the figures against this copy of docs/CAPACITY.md in place of the one that this program was built with.
+    /// Compare the figures with this copy of docs/CAPACITY.md instead of the one compiled into this program.
     #[arg(long, value_name = "FILE")]
     page: Option<PathBuf>,
-    /// Bring the figures in this copy of docs/CAPACITY.md up to date.
+    /// Replace the figures in this copy of docs/CAPACITY.md with the measured ones.
     #[arg(long, value_name = "FILE")]
     update: Option<PathBuf>,
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// The sweeps can't be played, or a file of theirs can't be read or written.
+/// The sweeps can't be run, or a file named by an option can't be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
-    /// This program's path is unknown.
+    /// The path of this program can't be determined.
     #[error(transparent)]
     Input(#[from] InputError),
-    /// There is no sweep of this name.
-    #[error("--sweep: no sweep '{name}'; there are {}", sweep_names().join(", "))]
+    /// `--sweep` names no existing sweep.
+    #[error("--sweep: no sweep '{name}'; expected one of {}", sweep_names().join(", "))]
     UnknownSweep {
-        /// The name.
+        /// The name given.
         name: String,
     },
-    /// A sweep that is asked for has no sizes.
+    /// A sweep named by `--sweep` has no sizes in this kind of run.
     #[error("--sweep: {0}")]
     NoSizes(#[source] SizesError),
-    /// The page that this program was built with is wrong.
+    /// The page compiled into this program is invalid.
     #[error("{PAGE_NAME}: {0}")]
     BuiltInPage(#[source] PageError),
-    /// A file named by an option can't be read or written, or its text is wrong.
+    /// A file named by an option can't be read or written, or its text is invalid.
     #[error("{option}: {path}: {source}")]
     File {
-        /// The option.
+        /// The option, such as `--sizes`.
         option: &'static str,
-        /// The file.
+        /// The file that it names.
         path: PathBuf,
-        /// The cause, with its line if there is one.
+        /// The cause, with the line for an invalid text.
         source: Box<dyn Error + Send + Sync>,
     },
-    /// A sweep can't be played.
+    /// A sweep can't be run, or its figures can't be fitted.
     #[error(transparent)]
     Sweep(#[from] SweepError),
 }
 
-/// The files that `--out` names can't be written.
+/// A file in the folder of `--out` can't be written.
 #[derive(Debug, thiserror::Error)]
 enum WriteError {
     #[error(transparent)]
@@ -94,12 +95,12 @@
         if self.quick { Run::Quick } else { Run::Full }
     }
 
-    /// The sweeps that are asked for; without any, all that this run has sizes for.
-    fn sweeps(&self, usual: &Sizes) -> Result<Vec<Sweep>, CapacityError> {
+    /// The sweeps named by `--sweep`; without that option, all that have default sizes in this kind of run.
+    fn sweeps(&self, default_sizes: &Sizes) -> Result<Vec<Sweep>, CapacityError> {
         if self.sweep.is_empty() {
             return Ok(Sweep::ALL
                 .into_iter()
-                .filter(|sweep| !usual.of(*sweep).is_empty())
+                .filter(|sweep| !default_sizes.of(*sweep).is_empty())
                 .collect());
         }
         let named = |name: &String| {
@@ -113,7 +114,7 @@
     Sweep::ALL.iter().map(|sweep| sweep.name()).collect()
 }
 
-/// Converts the error on a file that an option names.
+/// Adds the option and the path to an error on a file.
 fn option_file<E: Into<Box<dyn Error + Send + Sync>>>(
     option: &'static str,
     path: &Path,
@@ -125,16 +126,16 @@
     }
 }
 
-/// Plays the sweeps and prints their figures; `Failed` if a stated figure is missed.
+/// Runs the sweeps and prints their figures; `Failed` if a figure stated on the page is missed.
 pub fn run(args: &CapacityArgs) -> Result<Verdict, CapacityError> {
     let stated = stated(args)?;
-    let usual = if args.quick {
+    let default_sizes = if args.quick {
         Sizes::quick()
     } else {
         Sizes::full()
     };
-    let sweeps = args.sweeps(&usual)?;
-    let sizes = sizes(args.sizes.as_deref(), usual, &sweeps)?;
+    let sweeps = args.sweeps(&default_sizes)?;
+    let sizes = sizes(args.sizes.as_deref(), default_sizes, &sweeps)?;
     let sweep_args = SweepArgs {
         program: current_program()?,
         sizes,
@@ -143,7 +144,7 @@
         seed: args.seed,
     };
     let figures = sweep::play(&sweep_args, |what| eprintln!("capacity: {what}"))?;
-    // The built-in page states figures for the usual sizes only.
+    // The built-in page states figures for the default sizes only.
     let comparable = args.sizes.is_none() || args.page.is_some();
     let verdicts = if comparable {
         compare(args.run(), &figures, &stated)
@@ -169,12 +170,18 @@
     page::stated(&text, args.run()).map_err(option_file("--page", path))
 }
 
-fn sizes(file: Option<&Path>, usual: Sizes, sweeps: &[Sweep]) -> Result<Sizes, CapacityError> {
+fn sizes(
+    file: Option<&Path>,
+    default_sizes: Sizes,
+    sweeps: &[Sweep],
+) -> Result<Sizes, CapacityError> {
     let Some(path) = file else {
-        return usual.read("", sweeps).map_err(CapacityError::NoSizes);
+        return default_sizes
+            .read("", sweeps)
+            .map_err(CapacityError::NoSizes);
     };
     let text = std::fs::read_to_string(path).map_err(option_file("--sizes", path))?;
-    usual
+    default_sizes
         .read(&text, sweeps)
         .map_err(option_file("--sizes", path))
 }
@@ -191,13 +198,13 @@
         .iter()
         .for_each(|row| println!("{row}"));
     verdicts.iter().for_each(|v| println!("{v}"));
-    let judged = figures
+    let stated_figures = figures
         .iter()
         .filter(|f| stated.iter().any(|s| s.quantity.id == f.quantity.id))
         .count();
     let missed = verdicts.iter().filter(|v| v.fails()).count();
     println!(
-        "{judged} of {} figures are on the page; {missed} missed",
+        "{stated_figures} of {} figures are stated on the page; {missed} missed",
         figures.len()
     );
 }
--- a/crates/cranehill/src/check.rs
+++ b/crates/cranehill/src/check.rs
@@ -1,4 +1,4 @@
-//! `cranehill check`: reads a sender's files as `serve` does and prints a summary.
+//! `cranehill check`: reads a sender's files as `serve` does and prints a summary of each.
 
 use std::path::PathBuf;
 
@@ -7,13 +7,15 @@
 /// The arguments of `check`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct CheckArgs {
+    /// Web Push file to check.
     #[arg(long, value_name = "FILE")]
     webpush: Option<PathBuf>,
+    /// Fleet file to check; it needs NODE_CONFIG.
     #[arg(long, value_name = "FILE")]
     fleet: Option<PathBuf>,
 }
 
-/// A file is wrong, or none is given.
+/// A file is invalid, or none is given.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
     /// One of the sender's files can't be used.
@@ -24,7 +26,7 @@
     NothingToCheck,
 }
 
-/// Reads the files and prints a line for each; the first error ends it.
+/// Reads the files and prints a line for each; stops at the first error.
 pub fn run(args: &CheckArgs) -> Result<(), CheckError> {
     let config = configuration::load()?;
     if let Some(config) = &config {
--- a/crates/cranehill/src/cli.rs
+++ b/crates/cranehill/src/cli.rs
@@ -17,17 +17,17 @@
 use crate::serve::{self, ServeArgs};
 use crate::verdict::Verdict;
 
-/// The exit code of a command that can't be carried out. A failed verdict has 1.
+/// Exit code of a command that can't be carried out. A command whose checks fail exits with 1.
 const EXIT_BAD_INPUT: u8 = 2;
 
 #[derive(Parser)]
 #[command(
     name = "cranehill",
-    about = "Delivers messages to destinations within their deadlines, at the rate that each destination takes",
+    about = "Delivers messages to destinations within their deadlines, at the rate that each destination accepts",
     disable_version_flag = true
 )]
 struct Args {
-    /// How log lines on standard error look.
+    /// Format of the log lines on standard error.
     #[arg(long, global = true, value_enum, default_value_t = Format::Text)]
     log_format: Format,
     #[command(subcommand)]
@@ -36,27 +36,27 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run one sender, as the NODE_ variables say.
+    /// Run one sender, configured by NODE_CONFIG and the other NODE_* environment variables.
     Serve(ServeArgs),
     /// Print the version.
     Version,
-    /// Turn nginx upstream and location blocks into a Web Push file, on standard output.
+    /// Convert nginx upstream and location blocks to a Web Push file on standard output.
     ImportNginx(ImportNginxArgs),
-    /// Play days against real senders on loopback and judge every rule; without a file, a short calm day.
+    /// Run scenarios against real senders on loopback and check every rule; without a file, a short scenario without faults.
     Rehearse(RehearseArgs),
-    /// Start many senders that know each other, break ways and processes as a scenario says, and judge what came of it.
+    /// Run a scenario with a fleet of senders, inject its network and process faults, and check the outcome.
     #[command(alias = "rig")]
     FleetTest(FleetTestArgs),
-    /// Play the sweeps of the capacity proof, fit them, and hold them against docs/CAPACITY.md.
+    /// Run the capacity sweeps, fit their figures, and compare them with docs/CAPACITY.md.
     Capacity(CapacityArgs),
-    /// Look for the highest rate that one sender sustains, and tell what it costs at half of it.
+    /// Search for the highest rate that one sender, or --senders N, sustains, and measure the cost at half that rate.
     Measure(MeasureArgs),
-    /// Kill a real sender under load again and again, and check that nothing is lost, ended twice or wrongly repeated.
+    /// Kill a real sender under load repeatedly, and check that no message is lost, ends twice or is repeated although unsafe.
     #[command(alias = "kills")]
     CrashTest(CrashTestArgs),
-    /// Look into a journal's folder, at rest or live, without changing it.
+    /// Read a journal's folder, whether or not a sender uses it, without changing it.
     Journal(JournalArgs),
-    /// Read the configuration (NODE_CONFIG), a Web Push file and a fleet file, and say what is wrong with them.
+    /// Check the configuration (NODE_CONFIG), a Web Push file and a fleet file, and print a summary or the first error.
     Check(CheckArgs),
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Carries out the command line of this process. An error is one line on standard error and exit code 2.
+/// Runs the command line of this process. An error is printed as one line on standard error and gives exit code 2.
 pub fn main() -> ExitCode {
     let args = Args::parse();
     logging::start(args.log_format);
--- a/crates/cranehill/src/crash_test/client.rs
+++ b/crates/cranehill/src/crash_test/client.rs
@@ -14,29 +14,31 @@
 use super::settings::{MESSAGE_LIFETIME, TENANT};
 use crate::sync::lock;
 
-/// A sender that is alive answers within this time.
+/// A sender that has not been killed answers within this time.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_BODY_BYTES: usize = 400;
-/// The part of messages after which a client pauses.
+/// Probability of a pause after a message.
 const PAUSE_PROBABILITY: f64 = 0.3;
 const MAX_PAUSE_MICROS: u64 = 4000;
 
-/// What a client needs.
+/// A client with a connection of its own.
 pub(super) struct Client {
     pub(super) sender: SocketAddr,
     pub(super) delivery_log: SharedDeliveryLog,
-    /// Set when the sender has been killed.
+    /// Set once the sender has been killed.
     pub(super) stop: Arc<AtomicBool>,
+    /// Seed of its random choices.
     pub(super) seed: u64,
+    /// Number of destinations, from which it draws one for each message.
     pub(super) destinations: usize,
-    /// The first part of its message ids.
+    /// Prefix of its message ids, unique to this client.
     pub(super) name: String,
 }
 
 impl Client {
-    /// Submits messages until it is stopped, or the connection ends.
+    /// Submits messages until `stop` is set or the connection ends.
     pub(super) fn run(&self) {
-        // The connection ends with the sender's process, as it should.
+        // An error is expected: the connection ends when the sender is killed.
         let _ = self.submit_all();
     }
 
@@ -61,7 +63,7 @@
         let class = rng.random_range(0..CLASSES.len());
         let id = format!("{}{number:06x}{class:02x}", self.name);
         let request = self.request(&id, class, number, rng);
-        // Recorded before it is sent: a destination may receive it before the answer is here.
+        // Recorded before it is sent, as a destination may receive the message before the client has its answer.
         lock(&self.delivery_log).record(&id).class = class;
         stream.write_all(&request)?;
         let answer = read_line(stream)?;
--- a/crates/cranehill/src/crash_test/delivery_log.rs
+++ b/crates/cranehill/src/crash_test/delivery_log.rs
@@ -1,41 +1,44 @@
-//! What clients, destinations and the platform have seen of each message.
+//! A log of each message as clients, destinations and the platform observe it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
-/// Classes of messages by their effect, which is also their name.
+/// Names of the message classes. Each class has the effect of the same name.
 pub(super) const CLASSES: [&str; 3] = ["safe", "keyed", "unsafe"];
 /// The index of the class whose messages have idempotency keys.
 pub(super) const KEYED_CLASS: usize = 1;
 /// The index of the class whose messages must not be sent again after they may have been executed.
 pub(super) const UNSAFE_CLASS: usize = 2;
 
-/// How a destination treats one message of a request.
+/// How a destination handles one message of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptOutcome {
+    /// Executed, and reported as such to the sender.
     Done,
+    /// Failed or closed: for the sender, possibly executed.
     Failed,
+    /// Rejected: not executed.
     Busy,
 }
 
-/// What was seen of one message from outside the sender.
+/// What was observed of one message outside the sender.
 #[derive(Debug, Default)]
 pub(super) struct DeliveryRecord {
     pub(super) class: usize,
-    /// The sender has answered `+OK`.
+    /// The sender has answered the client with `+OK`.
     pub(super) accepted: bool,
     pub(super) attempts: usize,
-    /// Attempts after which it may have been executed.
+    /// Attempts after which the message was possibly executed.
     pub(super) executions: usize,
     pub(super) delivered: bool,
-    /// Sent again after an attempt that may have been executed.
+    /// Whether it was sent again after a possibly executed attempt.
     pub(super) repeated: bool,
-    /// The states in its final reports.
+    /// The distinct states in its final reports.
     pub(super) reports: BTreeSet<String>,
 }
 
 impl DeliveryRecord {
-    /// Whether the sender still has to deliver or report it.
+    /// Whether it was accepted and is neither delivered nor reported yet.
     pub(super) fn is_outstanding(&self) -> bool {
         self.accepted && !self.has_ended()
     }
@@ -49,14 +52,14 @@
 #[derive(Default)]
 pub(super) struct DeliveryLog {
     pub(super) messages: BTreeMap<String, DeliveryRecord>,
-    /// Messages that the sender has not accepted.
+    /// Number of submissions that the sender answered with an error.
     pub(super) rejected: u32,
 }
 
 pub(super) type SharedDeliveryLog = Arc<Mutex<DeliveryLog>>;
 
 impl DeliveryLog {
-    /// The record of a message, which may be new.
+    /// The record of a message, created if there is none.
     pub(super) fn record(&mut self, id: &str) -> &mut DeliveryRecord {
         self.messages.entry(id.to_owned()).or_default()
     }
--- a/crates/cranehill/src/crash_test/error.rs
+++ b/crates/cranehill/src/crash_test/error.rs
@@ -5,10 +5,10 @@
 
 use crate::input::InputError;
 
-/// A crash test can't be played.
+/// A crash test can't be run.
 #[derive(Debug, thiserror::Error)]
 pub enum CrashTestError {
-    /// This program's path is unknown.
+    /// The path of this program can't be determined.
     #[error(transparent)]
     Input(#[from] InputError),
     /// A socket or a file can't be used.
@@ -17,19 +17,19 @@
     /// The sender's program can't be started.
     #[error("{program}: {source}")]
     Spawn {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// The cause.
+        /// Why it can't be started.
         source: io::Error,
     },
-    /// The sender's standard error can't be read.
-    #[error("the sender has no log")]
+    /// The sender's standard error is not connected to a pipe.
+    #[error("the sender's standard error can't be read")]
     NoLog,
-    /// The sender's log names no address that can be used.
-    #[error("not an address: {0}")]
+    /// The sender's log line on listening has no valid address.
+    #[error("log of the sender: expected the address that it listens on, got '{0}'")]
     Address(String),
     /// The sender's process ended before it listened.
-    #[error("the sender did not start: {last_line}")]
+    #[error("the sender did not start; last line of its log: {last_line}")]
     NotStarted {
         /// The last line of its log.
         last_line: String,
--- a/crates/cranehill/src/crash_test/outcome.rs
+++ b/crates/cranehill/src/crash_test/outcome.rs
@@ -1,40 +1,40 @@
-//! The outcome of a crash test, and the rules that it is judged by.
+//! The outcome of a crash test, and the rules that it is checked against.
 
 use super::delivery_log::{CLASSES, DeliveryLog, UNSAFE_CLASS};
 use super::settings::MAX_ATTEMPTS;
 
-/// Ids that a line shows of a list.
+/// Largest number of ids that a line shows.
 const MAX_SHOWN_IDS: usize = 5;
 
-/// What was counted, and the messages on which a rule was broken.
+/// Counts, and the ids of the messages for which a rule was violated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
     /// Processes that were killed.
     pub kills: u32,
     /// Bytes of the journal that were changed.
     pub flips: u32,
-    /// Messages answered `+OK`, by class: safe, keyed, unsafe.
+    /// Messages that the sender answered with `+OK`, by class: safe, keyed, unsafe.
     pub accepted: [u32; 3],
-    /// Messages that were not accepted.
+    /// Submissions that the sender answered with an error.
     pub rejected: u32,
     /// Accepted messages that were delivered.
     pub delivered: u32,
     /// Accepted messages with a final report.
     pub reported: u32,
-    /// Accepted, but neither delivered nor reported.
+    /// Messages that were accepted, but neither delivered nor reported.
     pub lost: Vec<String>,
-    /// Of class `unsafe`, sent again after an attempt that may have been executed.
+    /// Messages of class `unsafe` that were sent again after a possibly executed attempt.
     pub repeated: Vec<String>,
-    /// Reported with two different states, or as not executed though they may have been.
+    /// Messages reported with two different states, or `unsafe` ones reported as not executed although possibly executed.
     pub conflicting_reports: Vec<String>,
-    /// With more attempts than the settings allow.
+    /// Messages with more attempts than the configuration allows.
     pub excess_attempts: Vec<String>,
-    /// Lines of the senders' logs on damage.
+    /// Lines about damage in the senders' logs.
     pub damage_lines: u32,
 }
 
 impl Outcome {
-    /// Whether no rule is broken. A flip may lose one message: the one whose record it hits.
+    /// Whether no rule is violated. Each changed byte may lose one message: the one whose record it hits.
     pub fn holds(&self) -> bool {
         self.lost.len() <= self.flips as usize
             && self.repeated.is_empty()
@@ -42,7 +42,7 @@
             && self.excess_attempts.is_empty()
     }
 
-    /// The outcome as text.
+    /// The lines of the printed report.
     pub fn lines(&self) -> Vec<String> {
         let accepted: Vec<String> = CLASSES
             .iter()
@@ -52,7 +52,7 @@
         let accepted = accepted.join(", ");
         let mut lines = vec![
             format!(
-                "{} kills, {} flipped bytes, {} log lines of damage",
+                "{} kills, {} flipped bytes, {} log lines about damage",
                 self.kills, self.flips, self.damage_lines
             ),
             format!("accepted: {accepted}; rejected: {}", self.rejected),
@@ -60,8 +60,11 @@
         ];
         for (what, ids) in [
             ("lost", &self.lost),
-            ("unsafe and repeated", &self.repeated),
-            ("with a second end", &self.conflicting_reports),
+            ("repeated although unsafe", &self.repeated),
+            (
+                "with contradicting final reports",
+                &self.conflicting_reports,
+            ),
             ("sent more than six times", &self.excess_attempts),
         ] {
             let shown: Vec<&str> = ids.iter().take(MAX_SHOWN_IDS).map(String::as_str).collect();
@@ -71,7 +74,7 @@
         lines
     }
 
-    /// Adds what the log shows.
+    /// Adds the counts and the rule violations that the log shows.
     pub(super) fn audit(&mut self, delivery_log: &DeliveryLog) {
         self.rejected = delivery_log.rejected;
         for (id, record) in &delivery_log.messages {
@@ -87,7 +90,7 @@
             if is_unsafe && record.repeated {
                 self.repeated.push(id.clone());
             }
-            // `returned` states to the tenant that the message was not executed.
+            // `returned` tells the platform that the message was not executed.
             let returned_after_execution =
                 is_unsafe && record.executions > 0 && record.reports.contains("returned");
             if record.reports.len() > 1 || returned_after_execution {
--- a/crates/cranehill/src/crash_test/player.rs
+++ b/crates/cranehill/src/crash_test/player.rs
@@ -1,4 +1,4 @@
-//! Plays a crash test.
+//! Runs a crash test.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -23,39 +23,39 @@
 use crate::simulated_server::SimulatedServer;
 use crate::sync::lock;
 
-/// A final report may arrive this long after the message's lifetime.
+/// A final report may arrive this long after the message has expired.
 const FINAL_REPORT_GRACE: Duration = Duration::from_millis(2000);
 const CLIENTS: usize = 3;
 const DESTINATIONS: usize = 3;
-/// Bytes of a segment's header, which is never flipped: a smaller segment holds no records.
+/// Size of a segment's header, in which no byte is changed. A segment that is not larger has no records.
 const SEGMENT_HEADER_BYTES: u64 = 72;
-/// Microseconds that a process runs under load before it is killed.
+/// How long a process runs under load before it is killed, in microseconds.
 const LIFETIME_MICROS: Range<u64> = 1_000..50_000;
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What to play.
+/// The parameters of a crash test.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The program to kill.
     pub program: PathBuf,
-    /// How often it is killed.
+    /// Number of kills.
     pub kills: u32,
     /// The seed of all random choices.
     pub seed: u64,
-    /// After this many kills a byte of the journal is flipped, each time; 0 for never.
+    /// A byte of the journal is changed after every this many kills; 0 for never.
     pub flip_every: u32,
-    /// The size that the journal's folder may have, in megabytes.
+    /// Size limit of the journal's folder, in MB.
     pub disk_mb: f64,
 }
 
 impl Plan {
-    /// Whether a byte is flipped after the kill of this number, from 0.
+    /// Whether a byte is changed after the kill with this number, from 0.
     fn flips_after(&self, kill: u32) -> bool {
         self.flip_every > 0 && kill % self.flip_every == self.flip_every - 1
     }
 }
 
-/// Plays a plan; `progress` is called after each kill with their number.
+/// Runs a crash test; `progress` is called after each kill with the number of kills so far.
 ///
 /// # Errors
 /// If a simulated server, the folder or a sender can't be started.
@@ -77,7 +77,7 @@
 }
 
 impl Player<'_> {
-    /// Starts the simulated servers and writes the configuration.
+    /// Starts the simulated servers and writes the sender's configuration.
     fn new(plan: &Plan) -> Result<Player<'_>, CrashTestError> {
         let folder = tempfile::tempdir()?;
         let delivery_log = SharedDeliveryLog::default();
@@ -101,7 +101,7 @@
         SenderProcess::start(&self.plan.program, self.folder.path())
     }
 
-    /// One process of the sender, from its start to its death, and a flip if one is due.
+    /// Starts a sender, submits messages until it is killed, and changes a byte of its journal if one is due.
     fn kill_under_load(&mut self, kill: u32) -> Result<(), CrashTestError> {
         let process = self.start_sender()?;
         let stop = Arc::new(AtomicBool::new(false));
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    /// A last process delivers or reports what is pending; then the log is audited.
+    /// Starts a last process, waits until it has delivered or reported all pending messages, and audits the log.
     fn finish(mut self) -> Result<Outcome, CrashTestError> {
         let process = self.start_sender()?;
         let end = Instant::now() + MESSAGE_LIFETIME + FINAL_REPORT_GRACE;
@@ -146,7 +146,7 @@
     }
 }
 
-/// Changes one byte of a segment; false if there is none to change.
+/// Changes one byte of a random segment; false if no segment has records.
 fn flip_byte(state: &Path, rng: &mut ChaCha8Rng) -> std::io::Result<bool> {
     let files: Vec<_> = segments(state)?
         .into_iter()
--- a/crates/cranehill/src/crash_test/sender_process.rs
+++ b/crates/cranehill/src/crash_test/sender_process.rs
@@ -1,4 +1,4 @@
-//! One process of the sender.
+//! A sender as a child process, from its start to its kill.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -8,18 +8,20 @@
 
 use super::error::CrashTestError;
 
-/// The log line before the address.
+/// Text of the log line before the address at which the sender listens for clients.
 const LISTENING: &str = "listening for clients at ";
 
+/// A running `cranehill serve`.
 pub(super) struct SenderProcess {
     child: Child,
+    /// Where it listens for clients.
     pub(super) clients: SocketAddr,
-    /// Reads the log to its end and counts the lines on damage.
+    /// Reads the log to its end and returns the number of lines about damage.
     log: JoinHandle<u32>,
 }
 
 impl SenderProcess {
-    /// Starts `program` with the configuration in `folder` and waits until it listens.
+    /// Starts `program` with the configuration and the state in `folder`, and waits until it listens for clients.
     pub(super) fn start(program: &Path, folder: &Path) -> Result<SenderProcess, CrashTestError> {
         let mut child = Command::new(program)
             .arg("serve")
@@ -42,7 +44,7 @@
             damage += u32::from(is_damage(&line));
             if let Some((_, address)) = line.split_once(LISTENING) {
                 let clients = parse_address(address)?;
-                // The pipe must not fill.
+                // The log is read to its end: if the pipe filled up, the sender would block on its next line.
                 let log = thread::spawn(move || {
                     damage + lines.filter(|line| is_damage(line)).count() as u32
                 });
@@ -58,7 +60,7 @@
         Err(CrashTestError::NotStarted { last_line })
     }
 
-    /// Kills the process; returns how many lines of its log are on damage.
+    /// Kills the process; returns the number of lines about damage in its log.
     pub(super) fn kill(mut self) -> u32 {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/cranehill/src/crash_test/servers.rs
+++ b/crates/cranehill/src/crash_test/servers.rs
@@ -1,4 +1,4 @@
-//! The simulated destinations and the platform of a crash test.
+//! The simulated destinations and the simulated platform of a crash test.
 
 use std::io;
 use std::sync::Mutex;
@@ -13,14 +13,14 @@
 use crate::simulated_server::{Reply, SimulatedServer};
 use crate::sync::lock;
 
-/// From this draw of a hundred on, an answer is delayed.
+/// Each answer has a random draw from 0 to 99; from this draw on, it is delayed.
 const FIRST_DELAYED_DRAW: u32 = 90;
-/// The delay grows by this with each further draw.
+/// Delay of the first delayed draw, and increment for each further one.
 const DELAY_STEP: Duration = Duration::from_millis(3);
-/// The `Retry-After` of rejections, in seconds.
+/// `Retry-After` of answers with status 429, in seconds.
 const RETRY_AFTER: &str = "0.02";
 
-/// A destination that fails, rejects, delays or closes by chance and records each attempt.
+/// A destination that randomly fails, rejects, delays or closes, and records each attempt.
 pub(super) fn destination(
     delivery_log: SharedDeliveryLog,
     seed: u64,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Records an attempt of each message of a request; returns their states as a batch answer has them.
+/// Records an attempt of each message of a request; returns their states in the form of a batch answer.
 fn record_attempts(
     delivery_log: &SharedDeliveryLog,
     request: &Request,
@@ -69,7 +69,7 @@
     };
     let mut states = Vec::new();
     for (n, id) in ids.iter().enumerate() {
-        // A batch that is answered message by message has mixed outcomes.
+        // A batch with an answer for each message has mixed outcomes: each third message is rejected.
         let outcome = if is_batch && outcome == AttemptOutcome::Done && n % 3 == 2 {
             AttemptOutcome::Busy
         } else {
@@ -86,7 +86,8 @@
     states
 }
 
-/// The platform: it holds watches open, records final reports, and fails on some of them so that they are sent again.
+/// The platform. It leaves watches of the endpoint list unanswered, records final reports, and answers some of them with
+/// an error so that they are sent again.
 pub(super) fn platform(delivery_log: SharedDeliveryLog) -> io::Result<SimulatedServer> {
     SimulatedServer::new(move |request, number| {
         if request.method == "GET" {
@@ -118,7 +119,7 @@
     found.map(|(_, value)| String::from_utf8_lossy(value).into_owned())
 }
 
-/// The values of `"id"` in a body of the sender. Ids are hexadecimal, so nothing in them is escaped.
+/// The values of `"id"` in a body from the sender. Ids are hexadecimal, so they have no escape sequences.
 fn ids_in(body: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(body);
     text.split(r#""id":""#)
--- a/crates/cranehill/src/crash_test/settings.rs
+++ b/crates/cranehill/src/crash_test/settings.rs
@@ -1,18 +1,18 @@
-//! The configuration of a sender that is killed: three classes and two kinds of destination.
+//! The sender's configuration in a crash test: three classes, and destinations with and without batches.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::delivery_log::CLASSES;
 
-/// How long a message may be delivered. Short, so that the last process need not run long.
+/// Time from submission until a message expires. Short, so that the last process need not run long.
 pub(super) const MESSAGE_LIFETIME: Duration = Duration::from_millis(3000);
-/// Attempts of a message, retries included.
+/// Maximum number of attempts of a message, retries included.
 pub(super) const MAX_ATTEMPTS: usize = 6;
 /// The tenant of all messages.
 pub(super) const TENANT: &str = "onda-central";
 
-/// The configuration file's text.
+/// The text of the configuration file.
 pub(super) fn configuration(
     platform: SocketAddr,
     destinations: &[SocketAddr],
@@ -46,7 +46,7 @@
     )
 }
 
-/// The first destination takes batches, the others single messages.
+/// A destination in the endpoint list. The first one accepts batches, the others single messages.
 fn server(number: usize, address: SocketAddr) -> String {
     let kind = if number == 0 {
         "bulk-directory"
--- a/crates/cranehill/src/fleet_test.rs
+++ b/crates/cranehill/src/fleet_test.rs
@@ -1,4 +1,4 @@
-//! `cranehill fleet-test`: scenarios of many senders.
+//! `cranehill fleet-test`: runs a scenario with many senders.
 
 use std::io;
 use std::path::PathBuf;
@@ -15,53 +15,54 @@
 /// The arguments of `fleet-test`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct FleetTestArgs {
-    /// A scenario's name, or a day's file. Without it, the names.
+    /// Name of a built-in scenario, or a scenario file. Without it, the built-in names are listed.
     #[arg(value_name = "SCENARIO")]
     scenario: Option<String>,
-    /// So many senders, whatever the scenario says.
+    /// Number of senders, instead of the scenario's.
     #[arg(long)]
     nodes: Option<usize>,
+    /// Seed of the scenario's random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Write the summary, the table, a plot and every sender's log there.
+    /// Write the summary, the table, a plot and every sender's log to this folder.
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// Print the summary as JSON in place of the table.
+    /// Print the summary as JSON instead of the table.
     #[arg(long)]
     json: bool,
-    /// Play the same day with senders that do not know each other.
+    /// Run the scenario with senders that do not form a fleet.
     #[arg(long)]
     alone: bool,
     #[command(flatten)]
     members: SimulatedMembersArgs,
 }
 
-/// A scenario can't be played.
+/// A scenario can't be run.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetTestError {
-    /// This program's path is unknown.
+    /// The path of this program can't be determined.
     #[error(transparent)]
     Input(#[from] InputError),
-    /// There is neither a scenario nor a file of this name.
-    #[error("{name}: neither a scenario ({}) nor a file: {source}", scenario_names().join(", "))]
+    /// The argument is neither the name of a built-in scenario nor a file that can be read.
+    #[error("{name}: neither a built-in scenario ({}) nor a readable file: {source}", scenario_names().join(", "))]
     UnknownScenario {
-        /// The name.
+        /// The argument.
         name: String,
         /// Why it can't be read as a file.
         source: io::Error,
     },
-    /// The scenario is wrong.
+    /// The scenario is invalid.
     #[error("{name}: {cause}")]
     Scenario {
-        /// Its name or file.
+        /// Its built-in name or its file.
         name: String,
         /// The cause, with its line.
         cause: ScenarioError,
     },
-    /// Simulated members are asked for beside senders without a fleet.
-    #[error("--simulated: senders that do not know each other have no other members")]
+    /// `--simulated` is combined with `--alone`: without a fleet there are no members to add.
+    #[error("--simulated: not possible with --alone, which runs senders without a fleet")]
     SimulatedWithoutFleet,
-    /// The scenario can't be run.
+    /// The senders or the simulated servers can't be started or used.
     #[error(transparent)]
     Run(#[from] RunError),
     /// The report can't be written.
@@ -72,7 +73,7 @@
     Simulated(#[from] SimulatedError),
 }
 
-/// Plays a scenario and prints its report; `Failed` if an expectation is missed. Without a scenario it prints their names.
+/// Runs a scenario and prints its report; `Failed` if an expectation is missed. Without a scenario, prints the built-in names.
 pub fn run(args: &FleetTestArgs) -> Result<Verdict, FleetTestError> {
     if args.members.members_only {
         return Ok(simulated::run(&args.members, args.seed, args.json)?);
--- a/crates/cranehill/src/import_nginx.rs
+++ b/crates/cranehill/src/import_nginx.rs
@@ -1,4 +1,4 @@
-//! `cranehill import-nginx`: an nginx configuration as a Web Push file on standard output.
+//! `cranehill import-nginx`: converts an nginx configuration to a Web Push file on standard output.
 
 use std::path::PathBuf;
 
@@ -8,6 +8,7 @@
 /// The arguments of `import-nginx`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct ImportNginxArgs {
+    /// The nginx configuration.
     #[arg(value_name = "FILE")]
     file: PathBuf,
 }
@@ -15,13 +16,13 @@
 /// The configuration can't be imported.
 #[derive(Debug, thiserror::Error)]
 pub enum ImportNginxError {
-    /// The file can't be read.
+    /// The nginx configuration can't be read.
     #[error(transparent)]
     Input(#[from] InputError),
-    /// The configuration is wrong.
+    /// The nginx configuration is invalid.
     #[error("{path}: {source}")]
     Nginx {
-        /// The file.
+        /// The nginx configuration.
         path: PathBuf,
         /// The cause, with its line.
         source: NginxError,
@@ -29,14 +30,14 @@
     /// The Web Push file can't be written as TOML.
     #[error("{path}: {source}")]
     Toml {
-        /// The file that is imported.
+        /// The nginx configuration.
         path: PathBuf,
-        /// The cause.
+        /// Why serialization failed.
         source: toml::ser::Error,
     },
 }
 
-/// Prints the Web Push file; what has no counterpart in it is listed on standard error.
+/// Prints the Web Push file; directives without a counterpart in it are listed with their lines on standard error.
 pub fn run(args: &ImportNginxArgs) -> Result<(), ImportNginxError> {
     let path = &args.file;
     let text = read_text(path)?;
--- a/crates/cranehill/src/input.rs
+++ b/crates/cranehill/src/input.rs
@@ -1,14 +1,14 @@
-//! What every sub-command reads: files, keys, and the path of this program.
+//! Inputs that the sub-commands share: text files, keys, environment variables and the path of this program.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use cranehill_journal::Key;
 
-/// Bytes of a key.
-const KEY_LENGTH: usize = 32;
+/// Length of a key.
+const KEY_BYTES: usize = 32;
 
-/// A file or the program's own path can't be read.
+/// A file can't be read, or the path of this program can't be determined.
 #[derive(Debug, thiserror::Error)]
 pub enum InputError {
     /// A file can't be read as text.
@@ -16,21 +16,24 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// The cause.
+        /// Why it can't be read.
         source: io::Error,
     },
-    /// A key file does not hold 64 hexadecimal digits.
-    #[error("{path}: line 1: not a key of 64 hexadecimal digits")]
-    NotAKey {
-        /// The file.
+    /// A key file does not contain exactly 64 hexadecimal digits.
+    #[error("{path}: line 1: expected a key of 64 hexadecimal digits")]
+    InvalidKey {
+        /// The key file.
         path: PathBuf,
     },
-    /// The path of the running program is unknown.
-    #[error("this program's own file: {0}")]
+    /// The path of the running program can't be determined.
+    #[error("the path of this program: {0}")]
     CurrentProgram(#[source] io::Error),
 }
 
-/// Reads a text file.
+/// Reads a UTF-8 text file.
+///
+/// # Errors
+/// If the file can't be read or is not UTF-8.
 pub fn read_text(path: &Path) -> Result<String, InputError> {
     std::fs::read_to_string(path).map_err(|source| InputError::Read {
         path: path.to_owned(),
@@ -38,17 +41,20 @@
     })
 }
 
-/// Reads a key file: 64 hexadecimal digits, with white space around them.
+/// Reads a key file: 64 hexadecimal digits, optionally with white space around them.
+///
+/// # Errors
+/// If the file can't be read or contains anything else.
 pub fn read_key(path: &Path) -> Result<Key, InputError> {
     let text = read_text(path)?;
-    parse_key(text.trim()).ok_or_else(|| InputError::NotAKey {
+    parse_key(text.trim()).ok_or_else(|| InputError::InvalidKey {
         path: path.to_owned(),
     })
 }
 
 fn parse_key(text: &str) -> Option<Key> {
     let digits: Vec<u32> = text.chars().map_while(|c| c.to_digit(16)).collect();
-    if digits.len() != KEY_LENGTH * 2 || text.len() != KEY_LENGTH * 2 {
+    if digits.len() != KEY_BYTES * 2 || text.len() != KEY_BYTES * 2 {
         return None;
     }
     Some(std::array::from_fn(|i| {
@@ -56,12 +62,15 @@
     }))
 }
 
-/// The path of the running program, which tests and scenarios start as further processes.
+/// The path of the running program, which scenarios and tests start again as `cranehill serve`.
+///
+/// # Errors
+/// If the operating system does not report it.
 pub fn current_program() -> Result<PathBuf, InputError> {
     std::env::current_exe().map_err(InputError::CurrentProgram)
 }
 
-/// An environment variable; an empty one counts as not set.
+/// The value of an environment variable; `None` if it is not set, empty or not UTF-8.
 pub fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
--- a/crates/cranehill/src/journal.rs
+++ b/crates/cranehill/src/journal.rs
@@ -1,4 +1,4 @@
-//! `cranehill journal`: reads a journal's folder, at rest or live, and never changes it.
+//! `cranehill journal`: reads a journal's folder, whether or not a sender uses it, and never changes it.
 
 use std::error::Error;
 use std::fs::File;
@@ -13,48 +13,53 @@
 use crate::progress::counting_bar;
 use crate::verdict::Verdict;
 
-/// Bytes of a journal up to which reading it shows no progress.
-const MAX_BYTES_WITHOUT_BAR: u64 = 8 * 1024 * 1024;
-/// Rows up to which writing a table shows no progress.
-const MAX_ROWS_WITHOUT_BAR: u64 = 100_000;
+/// A journal of at most this size is read without a progress progress_bar.
+const PROGRESS_BAR_THRESHOLD_BYTES: u64 = 8 * 1024 * 1024;
+/// A table of at most this many rows is written without a progress progress_bar.
+const PROGRESS_BAR_THRESHOLD_ROWS: u64 = 100_000;
 
 /// The arguments of `journal`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct JournalArgs {
     #[command(subcommand)]
     action: Action,
-    /// The operator's key, if the journal is signed under one: a file with 64 hexadecimal digits.
+    /// File with the operator's key (64 hexadecimal digits), if the journal was written with one.
     #[arg(long, global = true, value_name = "FILE")]
     journal_key: Option<PathBuf>,
 }
 
 #[derive(Clone, Debug, Subcommand)]
 enum Action {
-    /// Read every byte; name damage by segment and offset. Exit code 1 if there is any.
+    /// Read every byte and report damage by segment and offset. Exit code 1 if there is any.
     Verify {
+        /// The journal's folder.
         #[arg(value_name = "DIR")]
         dir: PathBuf,
     },
-    /// Sizes, live bytes and counts, by segment and by kind of fact.
+    /// Print sizes, live bytes and counts, by segment and by kind of record.
     Stats {
+        /// The journal's folder.
         #[arg(value_name = "DIR")]
         dir: PathBuf,
     },
-    /// Every readable fact, one line each.
+    /// Print every readable record, one per line.
     Dump {
+        /// The journal's folder.
         #[arg(value_name = "DIR")]
         dir: PathBuf,
-        /// Only those of this message.
+        /// Print only the records of the message with this id.
         #[arg(long, value_name = "ID")]
         id: Option<String>,
     },
-    /// Every readable fact, with bodies, as a file for other programs.
+    /// Write every readable record, with message bodies, as JSON Lines or Parquet.
     Export {
+        /// The journal's folder.
         #[arg(value_name = "DIR")]
         dir: PathBuf,
+        /// Format of the output.
         #[arg(long, value_enum, default_value_t = ExportFormat::Jsonl)]
         format: ExportFormat,
-        /// Where to; standard output if not given (JSON lines only).
+        /// Output file; standard output if not given (JSON Lines only).
         #[arg(long, value_name = "FILE")]
         out: Option<PathBuf>,
     },
@@ -78,28 +83,31 @@
     /// Standard output can't be written.
     #[error(transparent)]
     Output(io::Error),
-    /// A Parquet table does not go to standard output.
-    #[error("a Parquet table needs --out FILE")]
+    /// A Parquet table can't be written to standard output.
+    #[error("--format parquet: expected --out FILE")]
     NoOutputFile,
-    /// The exported file can't be written.
+    /// The output file can't be written.
     #[error("{path}: {source}")]
     Write {
-        /// The file.
+        /// The output file.
         path: PathBuf,
-        /// The cause.
+        /// Why it can't be written.
         source: io::Error,
     },
-    /// The exported table can't be written.
+    /// The Parquet table can't be written.
     #[error("{path}: {source}")]
     Parquet {
-        /// The file.
+        /// The output file.
         path: PathBuf,
-        /// The cause.
+        /// Why it can't be written.
         source: Box<dyn Error + Send + Sync>,
     },
 }
 
-/// Carries an action out; `Failed` if `verify` finds damage.
+/// Runs an action; `Failed` if `verify` finds damage.
+///
+/// # Errors
+/// If the key or the folder can't be read, or the output can't be written.
 pub fn run(args: &JournalArgs) -> Result<Verdict, JournalError> {
     let key = args.journal_key.as_deref().map(read_key).transpose()?;
     match &args.action {
@@ -144,13 +152,13 @@
 fn export_parquet(rows: &[Row], path: &Path) -> Result<(), JournalError> {
     let file = File::create(path).map_err(|source| write_error(path, source))?;
     let mut file = BufWriter::new(file);
-    let bar = counting_bar(rows.len() as u64, MAX_ROWS_WITHOUT_BAR, "rows");
-    let written = export::parquet(rows, &mut file, |done| bar.set_position(done));
+    let progress_bar = counting_bar(rows.len() as u64, PROGRESS_BAR_THRESHOLD_ROWS, "rows");
+    let written = export::parquet(rows, &mut file, |done| progress_bar.set_position(done));
     written.map_err(|e| JournalError::Parquet {
         path: path.to_owned(),
         source: e.into(),
     })?;
-    bar.finish_and_clear();
+    progress_bar.finish_and_clear();
     file.flush().map_err(|source| write_error(path, source))
 }
 
@@ -164,9 +172,9 @@
 fn read_rows(dir: &Path, key: Option<Key>) -> Result<Vec<Row>, JournalError> {
     let snapshot = Snapshot::take(dir, key)?;
     let size = snapshot.files.files.values().map(|f| f.len() as u64).sum();
-    let bar = counting_bar(size, MAX_BYTES_WITHOUT_BAR, "bytes");
-    let rows = rows(&snapshot, |done, _| bar.set_position(done))?;
-    bar.finish_and_clear();
+    let progress_bar = counting_bar(size, PROGRESS_BAR_THRESHOLD_BYTES, "bytes");
+    let rows = rows(&snapshot, |done, _| progress_bar.set_position(done))?;
+    progress_bar.finish_and_clear();
     Ok(rows)
 }
 
@@ -179,7 +187,7 @@
     ignore_broken_pipe(written)
 }
 
-/// Whoever reads the output may stop early, as `head` does.
+/// Treats a closed pipe as success: the reader of the output may stop early, as `head` does.
 fn ignore_broken_pipe(written: io::Result<()>) -> Result<(), JournalError> {
     match written {
         Err(e) if e.kind() != io::ErrorKind::BrokenPipe => Err(JournalError::Output(e)),
--- a/crates/cranehill/src/lib.rs
+++ b/crates/cranehill/src/lib.rs
@@ -1,4 +1,4 @@
-//! The binary's parts: the command line, start-up, logging and the tools that come with the sender.
+//! The command line, start-up and logging of the program `cranehill`, and the tools that come with the sender.
 
 pub mod capacity;
 pub mod check;
--- a/crates/cranehill/src/logging.rs
+++ b/crates/cranehill/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: for a person, or one JSON object a line with the key-values that a line carries.
+//! The formats of log lines: plain text, or one JSON object per line that includes the key-values of the log call.
 
 use std::io::Write;
 
@@ -7,17 +7,20 @@
 use log::kv::{Error, Key, Value, VisitSource, VisitValue};
 use serde_json::{Map, Value as Json};
 
-/// The form of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Format {
-    /// Time, level, place and message.
+    /// Time, level, target and message.
     #[default]
     Text,
-    /// One JSON object a line: `ts`, `level`, `target`, `msg`, and each key-value under its own name.
+    /// One JSON object per line: `ts`, `level`, `target`, `msg`, and each key-value under its own name.
     Json,
 }
 
-/// Starts logging to standard error, at `RUST_LOG` or `info`.
+/// Starts logging to standard error, at the level of `RUST_LOG` or else `info`.
+///
+/// # Panics
+/// If a logger is already installed.
 pub fn start(format: Format) {
     let mut builder =
         env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"));
@@ -35,7 +38,7 @@
     writeln!(out, "{}", object(ts, record))
 }
 
-/// Key-values come first: the line's own fields win over any of the same name.
+/// The line as an object. The line's own fields are inserted last, so that a key-value of the same name can't replace them.
 fn object(ts: &str, record: &Record<'_>) -> Json {
     let mut fields = FieldCollector(Map::new());
     // `FieldCollector` returns no error.
@@ -60,7 +63,7 @@
     }
 }
 
-/// Converts one value; what is neither a number nor a truth value becomes text.
+/// Converts one value; anything but a number or a boolean becomes a string.
 struct ValueConverter(Json);
 
 impl<'v> VisitValue<'v> for ValueConverter {
--- a/crates/cranehill/src/logging/tests.rs
+++ b/crates/cranehill/src/logging/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the JSON form.
+//! Tests of the JSON format.
 
 use log::Record;
 use log::kv::Value;
@@ -6,7 +6,7 @@
 
 use super::object;
 
-/// Clients choose message ids, so an id must neither break its line nor pass for a field.
+/// Clients choose message ids, so an id must neither end the line nor be read as another field.
 #[test]
 fn json_line_is_one_object_for_any_value() {
     let id = "a\"\n,\"level\":\"x";
--- a/crates/cranehill/src/main.rs
+++ b/crates/cranehill/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `cranehill`; its parts are in the library of the same name.
+//! The program `cranehill`. Its code is in the library of the same name.
 
 use std::process::ExitCode;
 
--- a/crates/cranehill/src/measure.rs
+++ b/crates/cranehill/src/measure.rs
@@ -1,4 +1,4 @@
-//! `cranehill measure`: the highest rate that a sender sustains.
+//! `cranehill measure`: searches for the highest rate that the senders sustain.
 
 use std::path::Path;
 use std::time::Duration;
@@ -9,26 +9,28 @@
 use crate::input::{InputError, current_program};
 use crate::verdict::Verdict;
 
-/// The final step, at half of the highest rate, lasts this many times as long as the others.
+/// The final step, at half of the highest rate, is this many times as long as the others.
 const FINAL_STEP_FACTOR: u32 = 3;
 
 /// The arguments of `measure`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct MeasureArgs {
-    /// Over Web Push in place of the first front.
+    /// Submit over Web Push instead of RESP2.
     #[arg(long)]
     push: bool,
-    /// Endpoints of the simulated destinations, two for each.
+    /// Endpoints of all simulated destinations together, two for each.
     #[arg(long, default_value_t = 100, value_parser = clap::value_parser!(u16).range(2..=2000))]
     endpoints: u16,
+    /// Number of senders that share the load.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=16))]
     senders: u16,
-    /// Seconds that each step hands in.
+    /// Seconds for which each step submits messages.
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u16).range(1..=600))]
     seconds: u16,
-    /// One step at this rate, in place of the search.
+    /// Run one step at this rate instead of the search.
     #[arg(long, value_name = "MESSAGES_A_SECOND", value_parser = clap::value_parser!(u32).range(1..=100_000))]
     rate: Option<u32>,
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
@@ -36,15 +38,15 @@
 /// The measurement can't be made.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
-    /// This program's path is unknown.
+    /// The path of this program can't be determined.
     #[error(transparent)]
     Input(#[from] InputError),
-    /// A step can't be played.
+    /// A step can't be run.
     #[error(transparent)]
     Run(#[from] RunError),
 }
 
-/// Measures and prints a line for each step; `Failed` if not even the lowest rate is sustained.
+/// Measures and prints a line for each step; `Failed` if the lowest rate, or the one of `--rate`, is not sustained.
 pub fn run(args: &MeasureArgs) -> Result<Verdict, MeasureError> {
     let program = current_program()?;
     let options = MeasureOptions {
@@ -83,7 +85,7 @@
 
 fn print_step(step: &Step) {
     println!("{}", step.line());
-    // A simulation that can't keep up proves nothing about the sender.
+    // If the runner itself was late, what it found says nothing about the sender.
     if step.clear() {
         step.wrong.iter().for_each(|wrong| println!("    {wrong}"));
     }
--- a/crates/cranehill/src/nginx/error.rs
+++ b/crates/cranehill/src/nginx/error.rs
@@ -2,80 +2,80 @@
 
 use crate::configuration::DaemonError;
 
-/// A configuration can't be imported.
+/// Why an nginx configuration can't be imported. Lines count from 1.
 #[derive(Debug, thiserror::Error)]
 pub enum NginxError {
-    /// A quotation mark has no counterpart.
-    #[error("line {line}: a quoted text does not end")]
+    /// A quoted string has no closing quotation mark.
+    #[error("line {line}: unterminated quoted string")]
     OpenQuote {
-        /// Where the text begins.
+        /// Where the string begins.
         line: usize,
     },
-    /// A closing brace without an open block.
-    #[error("line {line}: '}}' closes nothing")]
+    /// A closing brace outside of any block.
+    #[error("line {line}: '}}' without an open block")]
     UnmatchedClose {
-        /// Where it stands.
+        /// Line of the brace.
         line: usize,
     },
     /// An opening brace without a directive before it.
-    #[error("line {line}: '{{' without a directive")]
+    #[error("line {line}: '{{' without a directive before it")]
     BlockWithoutDirective {
-        /// Where it stands.
+        /// Line of the brace.
         line: usize,
     },
     /// A block has no closing brace.
-    #[error("line {line}: the block does not end")]
+    #[error("line {line}: the block has no closing '}}'")]
     OpenBlock {
-        /// Where the block begins.
+        /// Line of the opening brace.
         line: usize,
     },
-    /// Too many blocks inside each other.
-    #[error("line {line}: blocks stand too deep in one another")]
+    /// Blocks are nested more deeply than the parser allows.
+    #[error("line {line}: blocks are nested too deeply")]
     TooDeep {
-        /// Where the block begins.
+        /// Line of the opening brace of the block that is too deep.
         line: usize,
     },
     /// A directive without its semicolon.
-    #[error("line {line}: '{directive}' has no ';'")]
+    #[error("line {line}: expected ';' after '{directive}'")]
     NoSemicolon {
-        /// Where the directive begins.
+        /// Line on which the directive begins.
         line: usize,
-        /// Its name and arguments.
+        /// Name and arguments of the directive.
         directive: String,
     },
     /// An upstream without a name or a block.
-    #[error("line {line}: upstream needs a name and a block")]
+    #[error("line {line}: upstream: expected a name and a block")]
     IncompleteUpstream {
-        /// Where it stands.
+        /// Line of the directive.
         line: usize,
     },
-    /// A name that a previous upstream has.
-    #[error("line {line}: upstream '{name}' is named twice")]
+    /// Two upstreams have the same name.
+    #[error("line {line}: duplicate upstream '{name}'")]
     DuplicateUpstream {
-        /// Where the second one stands.
+        /// Line of the second one.
         line: usize,
-        /// The name.
+        /// Their name.
         name: String,
     },
     /// A location without a block.
-    #[error("line {line}: location needs a block")]
+    #[error("line {line}: location: expected a block")]
     LocationWithoutBlock {
-        /// Where it stands.
+        /// Line of the directive.
         line: usize,
     },
     /// A location without a path.
-    #[error("line {line}: location needs a path")]
+    #[error("line {line}: location: expected a path")]
     LocationWithoutPath {
-        /// Where it stands.
+        /// Line of the directive.
         line: usize,
     },
     /// A `proxy_pass` without an address, or with several.
-    #[error("line {line}: proxy_pass needs one address")]
+    #[error("line {line}: proxy_pass: expected one address")]
     ProxyPass {
-        /// Where it stands.
+        /// Line of the directive.
         line: usize,
     },
-    /// The imported file is not one that a sender can use.
+    /// The resulting Web Push file is invalid.
     #[error("{0}")]
     Unusable(#[source] DaemonError),
 }
--- a/crates/cranehill/src/nginx/mod.rs
+++ b/crates/cranehill/src/nginx/mod.rs
@@ -1,5 +1,5 @@
-//! Imports nginx `upstream` and `location` blocks into a Web Push file. What has no counterpart there is
-//! listed with its line.
+//! Converts nginx `upstream` and `location` blocks to a Web Push file. Directives without a counterpart there are
+//! listed with their lines.
 
 mod error;
 mod parser;
@@ -16,11 +16,14 @@
 pub struct Imported {
     /// The Web Push file.
     pub file: File,
-    /// What has no counterpart in the file: line and text, by line.
+    /// Directives without a counterpart in the file: line, from 1, and description; sorted by line.
     pub left_out: Vec<(usize, String)>,
 }
 
-/// Imports a configuration's text; an error names its line.
+/// Converts the text of an nginx configuration.
+///
+/// # Errors
+/// If the text is not a valid configuration, with the line, or the resulting file is invalid.
 pub fn import(text: &str) -> Result<Imported, NginxError> {
     let directives = parser::parse(text)?;
     let mut importer = Importer::default();
@@ -32,7 +35,7 @@
 struct Importer {
     file: File,
     left_out: Vec<(usize, String)>,
-    /// Locations with their lines. Their upstreams may stand behind them.
+    /// Locations with their lines. They are added at the end, as an upstream may be defined after its locations.
     locations: Vec<(usize, Location)>,
 }
 
@@ -79,7 +82,7 @@
         if servers.is_empty() {
             self.leave_out(
                 line,
-                format!("upstream {name}: no server that can be reached"),
+                format!("upstream {name}: no server with an address on this machine"),
             );
             return Ok(());
         }
@@ -140,7 +143,7 @@
         Ok(())
     }
 
-    /// The line and the target of the last `proxy_pass` of a location.
+    /// The line and the target of the last `proxy_pass` of the location with this path.
     fn proxy_pass(
         &mut self,
         path: &str,
@@ -158,7 +161,7 @@
         Ok(target)
     }
 
-    /// Connects locations with upstreams and checks the file.
+    /// Adds the locations, whose upstreams are all known by now, and checks the file.
     fn finish(mut self) -> Result<Imported, NginxError> {
         for (line, location) in std::mem::take(&mut self.locations) {
             self.add_location(line, location);
@@ -176,7 +179,7 @@
     fn add_location(&mut self, line: usize, location: Location) {
         let file = &mut self.file;
         if file.location.iter().any(|l| l.path == location.path) {
-            self.leave_out(line, format!("a second location for {}", location.path));
+            self.leave_out(line, format!("duplicate location {}", location.path));
             return;
         }
         let name = &location.upstream;
@@ -192,7 +195,7 @@
     }
 }
 
-/// proxy_pass straight to an address is an upstream of one server.
+/// The upstream for a `proxy_pass` to an address: it has this one server.
 fn upstream_of_address(address: &str) -> Upstream {
     Upstream {
         name: address.to_owned(),
@@ -209,7 +212,7 @@
         .is_ok_and(|address| address.ip().is_loopback())
 }
 
-/// A server's address. In nginx, port 80 is the default and `localhost` is this machine.
+/// Parses a server's address, where port 80 is nginx's default. `None` if it is not on this machine.
 fn loopback_address(text: &str) -> Option<SocketAddr> {
     let text = text.replace("localhost", "127.0.0.1");
     let text = if text.contains(':') {
@@ -221,12 +224,12 @@
     address.ip().is_loopback().then_some(address)
 }
 
-/// The upstream's name and the path of a `proxy_pass` target; `None` if it has no counterpart.
+/// Splits a `proxy_pass` target into the upstream's name and the path. `None` if it is not plain HTTP or contains a variable.
 fn split_target(target: &str) -> Option<(String, Option<String>)> {
     let rest = target
         .strip_prefix("http://")
         .filter(|rest| !rest.contains('$'))?;
-    // As in nginx, a path in proxy_pass replaces the location's; without one the path stays.
+    // As in nginx, a path in proxy_pass replaces the location's path; without one the request's path is kept.
     let (name, path) = match rest.find('/') {
         Some(slash) => (&rest[..slash], Some(rest[slash..].to_owned())),
         None => (rest, None),
--- a/crates/cranehill/src/nginx/parser.rs
+++ b/crates/cranehill/src/nginx/parser.rs
@@ -1,4 +1,4 @@
-//! Splits an nginx configuration into tokens, and these into directives.
+//! Splits an nginx configuration into tokens and parses these into directives.
 
 use std::iter::{Peekable, from_fn};
 use std::str::Chars;
@@ -6,26 +6,26 @@
 
 use super::error::NginxError;
 
-/// Blocks inside each other. Each one is a stack frame, so a hostile file must not choose their number.
+/// Maximum nesting depth of blocks. Parsing recurses once per level, so the file must not determine the stack depth.
 const MAX_BLOCK_DEPTH: usize = 32;
 
-/// A directive with its arguments and, if it is a block, the directives inside.
+/// A directive with its arguments and, if it has a block, the directives inside.
 #[derive(Debug)]
 pub(super) struct Directive {
     pub(super) line: usize,
-    /// The name comes first.
+    /// The directive's name, followed by its arguments.
     arguments: Vec<String>,
     pub(super) block: Option<Vec<Directive>>,
 }
 
 impl Directive {
-    /// The name and the arguments.
+    /// The directive's name, followed by its arguments.
     pub(super) fn arguments(&self) -> Vec<&str> {
         self.arguments.iter().map(String::as_str).collect()
     }
 }
 
-/// Parses a configuration's text.
+/// Parses the text of a configuration.
 pub(super) fn parse(text: &str) -> Result<Vec<Directive>, NginxError> {
     let tokens = Tokenizer::new(text).tokens()?;
     directives(&mut tokens.into_iter().peekable(), None, 0)
@@ -33,9 +33,13 @@
 
 #[derive(Debug, PartialEq)]
 enum Token {
+    /// A name or an argument.
     Text(String),
+    /// `{`
     Open,
+    /// `}`
     Close,
+    /// `;`
     End,
 }
 
@@ -113,7 +117,7 @@
 
 type Tokens = Peekable<IntoIter<(usize, Token)>>;
 
-/// The directives up to the end of the block that begins at line `opened`, or of the text.
+/// Parses the directives up to the end of the block that begins at line `opened`, or without one up to the end of the text.
 fn directives(
     tokens: &mut Tokens,
     opened: Option<usize>,
@@ -135,7 +139,7 @@
     }
 }
 
-/// The rest of the directive whose name has been read.
+/// Parses the rest of the directive called `name`: its arguments and its block, if it has one.
 fn directive(
     tokens: &mut Tokens,
     line: usize,
--- a/crates/cranehill/src/progress.rs
+++ b/crates/cranehill/src/progress.rs
@@ -1,4 +1,4 @@
-//! Progress bars on standard error. None is drawn if that is not a terminal.
+//! Progress bars on standard error. They are hidden if standard error is not a terminal.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 const REDRAW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A bar with a name and the elapsed time, redrawn also without progress.
+/// A bar with a label and the elapsed time. It is redrawn periodically, so that the time advances without progress.
 pub(crate) fn named_bar(name: &str) -> ProgressBar {
     let bar = ProgressBar::new(1);
     set_template(&bar, "{elapsed_precise} {wide_bar} {msg}");
@@ -15,7 +15,8 @@
     bar
 }
 
-/// A bar that counts up to `total` of a unit; hidden up to `threshold`, where it would vanish before it is read.
+/// A bar that counts up to `total` of `unit`. It is hidden if `total` is at most `threshold`: it would disappear
+/// before anyone could read it.
 pub(crate) fn counting_bar(total: u64, threshold: u64, unit: &str) -> ProgressBar {
     if total <= threshold {
         return ProgressBar::hidden();
--- a/crates/cranehill/src/push_script/error.rs
+++ b/crates/cranehill/src/push_script/error.rs
@@ -4,77 +4,77 @@
 
 use crate::configuration::DaemonError;
 
-/// A line of a script is wrong.
+/// A line of a script is invalid.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("line {line}: {kind}")]
 pub struct ScriptError {
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// Why the line is invalid.
     #[source]
     pub kind: ScriptErrorKind,
 }
 
-/// What is wrong with a script's line.
+/// Why a line of a script is invalid.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ScriptErrorKind {
-    /// The line has none of the known forms.
-    #[error("'{0}' is not service, push, wait or expect")]
+    /// The line does not begin with a known command, or has the wrong number of arguments.
+    #[error("'{0}': expected service, push, wait or expect")]
     UnknownLine(String),
-    /// A time that is not a number of seconds, or out of range.
-    #[error("'{0}' is not a time of 0 to 60 seconds")]
+    /// A time is not a number of seconds, or is out of range.
+    #[error("'{0}': expected a time of 0 to 60 seconds")]
     Time(String),
-    /// A push's name has characters that can't be in a path.
-    #[error("'{0}' may hold letters, digits, '-' and '_' only")]
+    /// The name of a push has characters that are not allowed in its path.
+    #[error("push '{0}': expected a name of letters, digits, '-' and '_'")]
     PushName(String),
     /// An unknown option of a push.
-    #[error("'{0}' is not ttl=, urgency=, topic= or body=")]
+    #[error("'{0}': expected ttl=, urgency=, topic= or body=")]
     PushOption(String),
     /// A second push of the same name.
-    #[error("'{0}' is pushed twice")]
+    #[error("duplicate push '{0}'")]
     DuplicatePush(String),
-    /// An expectation on a push that is not before it.
-    #[error("'{0}' has not been pushed")]
+    /// An expectation for a push that does not precede it.
+    #[error("expect '{0}': no push with this name before this line")]
     NotPushed(String),
-    /// An unknown outcome.
-    #[error("'{outcome}' is none of {known}")]
+    /// An unknown outcome in an expectation.
+    #[error("'{outcome}': expected one of {known}")]
     UnknownOutcome {
-        /// The outcome as it is written.
+        /// The outcome in the script.
         outcome: String,
-        /// The known ones.
+        /// The names of all outcomes.
         known: String,
     },
-    /// A number of attempts that is not one.
-    #[error("'{0}' is not a count")]
+    /// A number of attempts is not a whole number.
+    #[error("attempts '{0}': expected a whole number")]
     Count(String),
     /// An unknown option of an expectation.
-    #[error("'{0}' is not understood")]
+    #[error("'{0}': expected within SECONDS or attempts COUNT")]
     ExpectOption(String),
-    /// The service does none of the known things.
-    #[error("the service answers STATUS, is silent, or closes")]
+    /// An unknown kind of reply of the service.
+    #[error("service: expected answers STATUS, silent or closes")]
     Service,
-    /// A status out of range.
-    #[error("a status is a number from 200 to 599")]
+    /// A status is not a number, or is out of range.
+    #[error("service answers: expected a status from 200 to 599")]
     Status,
-    /// A `retry-after` where the service sends no response.
-    #[error("retry-after needs an answer")]
+    /// A `retry-after` for a reply that is not a response.
+    #[error("retry-after=: expected only after answers STATUS")]
     RetryAfterWithoutAnswer,
     /// An unknown option of the service.
-    #[error("'{0}' is not retry-after= or to=")]
+    #[error("'{0}': expected retry-after= or to=")]
     ServiceOption(String),
 }
 
-/// A script can't be played.
+/// A script can't be run.
 #[derive(Debug, thiserror::Error)]
 pub enum PlayError {
-    /// The simulated service or a handle of the sender can't be opened.
+    /// The simulated service can't listen, or the sender's stop handle can't be created.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The sender can't start.
     #[error("{0}")]
     Start(#[source] DaemonError),
-    /// The sender has no address for pushes.
-    #[error("the sender does not listen")]
+    /// The sender has no address for Web Push.
+    #[error("the sender does not listen for Web Push")]
     NotListening,
     /// The sender's event loop failed.
     #[error("the sender stopped: {0}")]
--- a/crates/cranehill/src/push_script/mod.rs
+++ b/crates/cranehill/src/push_script/mod.rs
@@ -1,4 +1,5 @@
-//! Push scripts: pushes and the answers of a push service, played against a real sender over loopback sockets.
+//! Push scripts: pushes, the replies of a simulated push service and the expected outcomes, run against a sender in
+//! this process over loopback sockets.
 
 mod error;
 mod player;
--- a/crates/cranehill/src/push_script/player.rs
+++ b/crates/cranehill/src/push_script/player.rs
@@ -1,4 +1,4 @@
-//! Plays a push script against a sender in this process.
+//! Runs a push script against a sender in this process.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -18,36 +18,37 @@
 use crate::simulated_server::SimulatedServer;
 use crate::sync::lock;
 
-/// Longer than any push lives: only a fault lasts so long.
+/// Longer than the time to live of any push, so a response that takes longer is a fault.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The seed of the sender's random choices, so that a script plays alike each time.
+/// Seed of the sender's random choices, the same in each run of a script.
 const SENDER_SEED: u64 = 1;
 const UPSTREAM_NAME: &str = "stand-in";
 
 /// The result of a script.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// A line for each expectation, with the script's line number.
+    /// A line for each expectation, with its line number in the script.
     pub lines: Vec<String>,
-    /// Expectations that were missed, and further faults.
+    /// Number of missed expectations, of clients that panicked, and of violations of `Retry-After` (counted once).
     pub missed: usize,
 }
 
-/// The answer to a push.
+/// The sender's answer to a push.
 #[derive(Clone, Copy)]
 struct PushAnswer {
-    /// `None` if the connection ended before a response.
+    /// `None` if the connection ended without a complete response.
     status: Option<u16>,
     /// Whether further bytes followed the response.
     trailing_bytes: bool,
+    /// From the start of the push to the answer.
     elapsed: Duration,
 }
 
-/// Answers by the names of their pushes.
+/// Answers by the name of the push.
 type Answers = Arc<Mutex<BTreeMap<String, PushAnswer>>>;
 
-/// The options of a sender that speaks Web Push alone, with one service at `address` behind `/push/`.
+/// The options of a sender of Web Push only, with one push service at `address` for pushes to `/push/`.
 pub fn push_setup(address: SocketAddr, vapid: Option<webpush::VapidFile>) -> ReactorOptions {
     let server = webpush::Server {
         address: address.to_string(),
@@ -70,7 +71,10 @@
     push_only_options(file, SENDER_SEED)
 }
 
-/// Plays a script; the report says how each push ended and which expectations were missed.
+/// Runs a script. The report has the outcome of each expected push, and whether the expectation was missed.
+///
+/// # Errors
+/// If the simulated service or the sender can't be started, or the sender fails.
 pub fn play(script: &Script) -> Result<Report, PlayError> {
     let mut player = Player::start()?;
     for (number, line) in &script.0 {
@@ -79,7 +83,7 @@
     player.finish()
 }
 
-/// A running sender with its service.
+/// A running sender with its simulated push service.
 struct Player {
     service: Arc<Mutex<PushService>>,
     server: SimulatedServer,
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Sends a push over a connection and a thread of its own.
+    /// Sends a push on a new connection, from a new thread.
     fn push(&mut self, push: &Push) {
         let headers: Vec<(&str, String)> = push
             .headers
@@ -151,7 +155,7 @@
         }));
     }
 
-    /// Waits for the answer to a push and compares it with the expectation.
+    /// Waits for the answer to a push and adds its comparison with the expectation to the report.
     fn check(&mut self, number: usize, expectation: &Expectation) {
         let end = Instant::now() + MAX_MESSAGE_LIFETIME;
         while !lock(&self.answers).contains_key(&expectation.name) && Instant::now() < end {
@@ -166,7 +170,7 @@
         self.report.missed += usize::from(!comparison.is_met);
     }
 
-    /// Requests for a push at the service.
+    /// Requests for this push that the service has received.
     fn attempts(&self, name: &str) -> usize {
         self.server
             .seen()
@@ -175,7 +179,7 @@
             .count()
     }
 
-    /// Waits for all pushes and stops the sender.
+    /// Waits for the answers to all pushes and stops the sender.
     fn finish(mut self) -> Result<Report, PlayError> {
         for client in self.clients {
             self.report.missed += usize::from(client.join().is_err());
@@ -214,9 +218,10 @@
     }
 }
 
-/// An expectation and what was seen of it.
+/// The comparison of a push's answer with its expectation.
 struct Comparison {
     is_met: bool,
+    /// For the report, without the line number.
     text: String,
 }
 
--- a/crates/cranehill/src/push_script/script.rs
+++ b/crates/cranehill/src/push_script/script.rs
@@ -1,4 +1,4 @@
-//! The lines of a push script.
+//! Parses the lines of a push script.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 use super::error::{ScriptError, ScriptErrorKind};
 use crate::simulated_server::Reply;
 
-/// The longest time to live of a push, with a margin: no expectation need wait longer.
+/// The longest time to live of a push, with a margin: an expectation waits no longer than this.
 pub(super) const MAX_MESSAGE_LIFETIME: Duration = Duration::from_secs(21);
-/// The time to live of a push that states none, in seconds.
+/// Time to live, in seconds, of a push without `ttl=`.
 const DEFAULT_TTL: &str = "20";
-/// Seconds that a script may state.
+/// Range of times in a script, in seconds.
 const TIME_RANGE: std::ops::RangeInclusive<f64> = 0.0..=60.0;
-/// The status of an answer of which only a `Retry-After` is known.
+/// Status of a reply with `retry-after=` if its own status can't be read back.
 const UNAVAILABLE: u16 = 503;
 
-/// How a push ended, by the status of its answer.
+/// How a push ended, as the status of its answer shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PushOutcome {
     Delivered,
     Rejected,
     SubscriptionRemoved,
     Expired,
-    /// Not accepted: the request itself was wrong.
+    /// Any other status, such as 400: the request was invalid.
     Invalid,
 }
 
 impl PushOutcome {
-    /// The names in scripts and reports.
+    /// The names of the outcomes in scripts and reports.
     const NAMES: [(&'static str, PushOutcome); 5] = [
         ("delivered", PushOutcome::Delivered),
         ("refused", PushOutcome::Rejected),
@@ -66,16 +66,16 @@
     }
 }
 
-/// The next answer of the service.
+/// A reply that the service is to give.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ServiceReply {
-    /// The push that it is for; `None` for any.
+    /// The push that it is a reply to; `None` for any push.
     pub(super) push: Option<String>,
     pub(super) reply: Reply,
     pub(super) retry_after: Option<Duration>,
 }
 
-/// A push, with the fields and the body of its request.
+/// A push, with the headers and the body of its request.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Push {
     pub(super) name: String,
@@ -83,12 +83,14 @@
     pub(super) body: String,
 }
 
-/// What a push is expected to end with.
+/// The expected outcome of a push.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Expectation {
     pub(super) name: String,
     pub(super) outcome: PushOutcome,
+    /// Longest time from the start of the push to its answer.
     pub(super) within: Duration,
+    /// Requests that the service receives for it; `None` for any number.
     pub(super) attempts: Option<usize>,
 }
 
@@ -100,11 +102,14 @@
     Expect(Expectation),
 }
 
-/// A script: its lines with their numbers.
+/// A parsed script: its lines with their numbers.
 #[derive(Debug, PartialEq)]
 pub struct Script(pub(super) Vec<(usize, Line)>);
 
-/// Reads a script; an error names its line.
+/// Parses a script. Empty lines are skipped, and `#` begins a comment.
+///
+/// # Errors
+/// The first line that is invalid.
 pub fn parse(text: &str) -> Result<Script, ScriptError> {
     let mut lines = Vec::new();
     let mut pushed: Vec<String> = Vec::new();
@@ -122,7 +127,7 @@
     Ok(Script(lines))
 }
 
-/// A name is pushed once, and before anything is expected of it.
+/// Checks that each push has a name of its own, and that an expectation follows its push.
 fn check_name(line: Line, pushed: &mut Vec<String>) -> Result<Line, ScriptErrorKind> {
     match &line {
         Line::Push(push) if pushed.contains(&push.name) => {
--- a/crates/cranehill/src/push_script/service.rs
+++ b/crates/cranehill/src/push_script/service.rs
@@ -8,7 +8,7 @@
 use super::script::ServiceReply;
 use crate::simulated_server::Reply;
 
-/// The answers that are still to be given, and what the service has seen of its own `Retry-After`.
+/// The replies that remain, and the requests that arrived in spite of a `Retry-After` of this service.
 #[derive(Default)]
 pub(super) struct PushService {
     replies: VecDeque<ServiceReply>,
@@ -21,12 +21,12 @@
         self.replies.push_back(reply);
     }
 
-    /// Requests that arrived before a `Retry-After` had passed.
+    /// Requests that arrived before a `Retry-After` of this service had passed.
     pub(super) fn requests_while_blocked(&self) -> usize {
         self.requests_while_blocked
     }
 
-    /// The first reply for any push or for this one; 201 if there is none.
+    /// The first remaining reply for this push or for any push; 201 if there is none.
     pub(super) fn answer(&mut self, request: &Request) -> Reply {
         let now = Instant::now();
         if self.blocked_until.is_some_and(|end| now < end) {
--- a/crates/cranehill/src/rehearse/error.rs
+++ b/crates/cranehill/src/rehearse/error.rs
@@ -11,35 +11,41 @@
 use crate::input::InputError;
 use crate::push_script::{PlayError, ScriptError};
 
-/// A scenario can't be played.
+/// A scenario can't be run as the options demand.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    /// The scenario is wrong.
+    /// The scenario is invalid.
     #[error("{0}")]
     Scenario(ScenarioError),
-    /// This program's path is unknown.
+    /// The path of this program can't be determined.
     #[error(transparent)]
     Input(#[from] InputError),
-    /// The scenario needs a fleet.
-    #[error("the day breaks ways between senders: play it with `cranehill rig`")]
+    /// The scenario has a fleet or network faults, which only `fleet-test` runs.
+    #[error(
+        "the scenario has a [fleet] table or a network fault in [[break]]: run it with `cranehill fleet-test`"
+    )]
     NeedsFleet,
-    /// An address is not on this machine.
-    #[error("{option} {address}: only on this machine (127.0.0.0/8)")]
+    /// An address is not on the loopback interface.
+    #[error("{option} {address}: expected a loopback address (127.0.0.0/8)")]
     NotLoopback {
-        /// The option.
+        /// `--against` or `--directory`.
         option: &'static str,
-        /// The address.
+        /// The address given.
         address: SocketAddr,
     },
-    /// A sender that runs already is not stopped.
-    #[error("the day ends or kills senders, which --against does not: drop its [[signal]]")]
+    /// The scenario acts on senders' processes, which is not done to the sender of `--against`.
+    #[error(
+        "the scenario signals, kills or restarts senders, which --against does not allow: remove its [[signal]] and [[break]] tables"
+    )]
     EndsSenders,
-    /// A sender that runs already does not learn of push services.
-    #[error("the scenario has push services, which a running sender can't be given")]
+    /// The scenario has push services, which the sender of `--against` does not know.
+    #[error(
+        "the scenario has push services (push = true), which can't be configured for a sender that already runs"
+    )]
     NeedsPushServices,
 }
 
-/// A rehearsal can't be played or judged.
+/// Scenarios or push scripts can't be run, or their outcome is unclear.
 #[derive(Debug, thiserror::Error)]
 pub enum RehearseError {
     /// A file can't be read.
@@ -50,57 +56,57 @@
     Io {
         /// The folder or file.
         path: PathBuf,
-        /// The cause.
+        /// Why it can't be read or written.
         source: io::Error,
     },
     /// A scenario's report can't be written.
     #[error("{path}: {source}")]
     Report {
-        /// The report's folder.
+        /// The folder of the report.
         path: PathBuf,
         /// Why it can't be written.
         source: ReportError,
     },
-    /// A folder holds no scenarios.
-    #[error("{path}: there is no day in it")]
+    /// A folder contains no scenarios.
+    #[error("{path}: expected at least one scenario (.toml) in this folder")]
     EmptyFolder {
         /// The folder.
         path: PathBuf,
     },
-    /// A scenario's file can't be played.
+    /// The scenario of a file can't be run.
     #[error("{path}: {source}")]
     Scenario {
-        /// The file.
+        /// The scenario's file.
         path: PathBuf,
-        /// The cause.
+        /// The cause, with its line for an invalid scenario.
         source: PlanError,
     },
-    /// A built-in scenario can't be played.
+    /// A built-in scenario can't be run.
     #[error(transparent)]
     BuiltInScenario(PlanError),
-    /// A push script is wrong.
+    /// A push script is invalid.
     #[error("{path}: {source}")]
     Script {
-        /// The file.
+        /// The script's file.
         path: PathBuf,
         /// The cause, with its line.
         source: ScriptError,
     },
-    /// A push script can't be played.
+    /// A push script can't be run.
     #[error(transparent)]
     Play(#[from] PlayError),
-    /// A scenario can't be run.
+    /// The senders or the simulated servers of a scenario can't be started or used.
     #[error(transparent)]
     Run(#[from] RunError),
-    /// A configuration is written for a single scenario.
-    #[error("--write-config is for one day")]
+    /// `--write-config` is given with no scenario or with several.
+    #[error("--write-config: expected exactly one scenario")]
     ConfigForSeveral,
-    /// No rule is broken, but not every one could be judged.
-    #[error("in {unclear} of {count} days the machine was too busy to judge every rule")]
+    /// No rule is violated, but not every rule could be checked.
+    #[error("in {unclear} of {count} scenarios the machine was too busy to check every rule")]
     Unclear {
-        /// Scenarios that were not judged in full.
+        /// Scenarios in which a rule could not be checked.
         unclear: usize,
-        /// All that were played.
+        /// All scenarios that were run.
         count: usize,
     },
 }
--- a/crates/cranehill/src/rehearse/mod.rs
+++ b/crates/cranehill/src/rehearse/mod.rs
@@ -1,4 +1,4 @@
-//! `cranehill rehearse`: scenarios and push scripts, played one after the other or several at once.
+//! `cranehill rehearse`: runs scenarios, one after the other or several in parallel, and push scripts.
 
 mod arguments;
 mod error;
@@ -18,15 +18,15 @@
 use plans::Workload;
 use queue::{play_all, print_table};
 
-/// Plays everything that is asked for; `Failed` if a rule is broken or an expectation missed.
+/// Runs the scenarios and scripts of a command line; `Failed` if a rule is violated or an expectation is missed.
 ///
 /// # Errors
-/// If a file can't be played, or the machine was too busy to judge.
+/// If a file is invalid or can't be run, or the machine was too busy to check every rule.
 pub fn run(args: &RehearseArgs) -> Result<Verdict, RehearseError> {
     if let Some(program) = &args.mutations {
         return mutations::run(program, args);
     }
-    // All files are checked before any is played.
+    // All files are parsed before any is run.
     let workload = Workload::load(args)?;
     if let (Some(path), Some(directory)) = (&args.write_config, args.directory) {
         return write_config(path, directory, &workload.plans);
@@ -36,7 +36,7 @@
     Ok(Verdict::passed_if(scripts_pass && scenarios_pass))
 }
 
-/// Writes the configuration of a sender that fits a scenario and polls `directory`.
+/// Writes the configuration that a sender needs for the scenario, with discovery at `directory`.
 fn write_config(
     path: &Path,
     directory: SocketAddr,
@@ -51,7 +51,7 @@
         source,
     })?;
     println!(
-        "{}: for a sender that asks the directory at {directory}",
+        "{}: configuration of a sender with discovery at {directory}",
         path.display()
     );
     Ok(Verdict::Passed)
@@ -80,7 +80,9 @@
         Ok(())
     })?;
     if count > 1 {
-        println!("{count} days played; in {unclear} the machine was too busy to judge every rule");
+        println!(
+            "{count} scenarios run; in {unclear} the machine was too busy to check every rule"
+        );
     }
     if holds && unclear > 0 {
         return Err(RehearseError::Unclear { unclear, count });
@@ -88,7 +90,7 @@
     Ok(holds)
 }
 
-/// Writes the report of one scenario to the folder of `--out`, or of several to a folder of its own in it.
+/// Writes the report of a scenario: to the folder of `--out`, or if several were run to a subfolder of it.
 fn write_report(
     args: &RehearseArgs,
     index: usize,
--- a/crates/cranehill/src/rehearse/mutations.rs
+++ b/crates/cranehill/src/rehearse/mutations.rs
@@ -1,4 +1,4 @@
-//! Plays a build with mutations: each one must break the rule that it is about.
+//! Checks the auditor: each mutation of a build must violate the rule that is meant to detect it.
 
 use std::path::Path;
 
@@ -11,9 +11,9 @@
 use super::queue::{play_all, print_table};
 use crate::verdict::Verdict;
 
-/// Plays each mutation of `mutated_program` on its scenario, and this program on the same scenarios.
+/// Runs each mutation of `mutated_program` on its scenario, and this program on the same scenarios.
 ///
-/// `Failed` if a mutation is not caught by its rule, or if this program breaks a rule.
+/// `Failed` if a mutation does not violate its rule, or if this program violates a rule.
 pub(super) fn run(mutated_program: &Path, args: &RehearseArgs) -> Result<Verdict, RehearseError> {
     let mut scenarios: Vec<&str> = CASES.iter().map(|case| case.scenario).collect();
     scenarios.sort_unstable();
@@ -34,15 +34,15 @@
         let plan = &plans[index];
         passed &= match index.checked_sub(scenarios.len()) {
             Some(case) => check_mutation(&CASES[case], plan, outcome)?,
-            None => check_sound(plan, &outcome),
+            None => check_unmutated(plan, &outcome),
         };
         Ok(())
     })?;
     Ok(Verdict::passed_if(passed))
 }
 
-/// Prints whether a program without mutations breaks no rule.
-fn check_sound(plan: &Plan, outcome: &Outcome) -> bool {
+/// Prints whether this program, without a mutation, passes a scenario; with the table of rules if not.
+fn check_unmutated(plan: &Plan, outcome: &Outcome) -> bool {
     let holds = outcome.holds();
     if !holds {
         print_table(plan, outcome);
@@ -52,10 +52,10 @@
     holds
 }
 
-/// Prints whether a mutation was caught by its rule.
+/// Prints whether a mutation violated its rule.
 fn check_mutation(case: &Case, plan: &Plan, first: Outcome) -> Result<bool, RehearseError> {
     let is_caught = |outcome: &Outcome| report::broken(outcome).contains(&case.rule);
-    // An overloaded machine gives no verdict: play it again, alone.
+    // On an overloaded machine the rule may not have been checked: run the scenario again, with no other in parallel.
     let outcome = if !is_caught(&first) && first.unclear() {
         play(plan, |_, _| {})?
     } else {
--- a/crates/cranehill/src/rehearse/plans.rs
+++ b/crates/cranehill/src/rehearse/plans.rs
@@ -1,4 +1,4 @@
-//! What `rehearse` is to play: scenarios and scripts, read and checked.
+//! Reads and checks the scenarios and scripts that `rehearse` is to run.
 
 use std::ffi::OsStr;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::input::{current_program, read_text};
 use crate::push_script::{self, Script};
 
-/// The scenario that is played if no file is given.
+/// The scenario that is run if no file is given.
 const DEFAULT_SCENARIO: &str = include_str!("../../../../rehearsals/days/calm.toml");
 
 /// The scenarios and scripts of a command line.
@@ -23,7 +23,7 @@
 }
 
 impl Workload {
-    /// Reads all files.
+    /// Reads all files; each scenario has one plan per seed.
     pub(super) fn load(args: &RehearseArgs) -> Result<Workload, RehearseError> {
         let mut workload = Workload::default();
         let seeds = args.seed..args.seed.saturating_add(args.repeat);
@@ -61,7 +61,7 @@
     path.extension() == Some(OsStr::new("toml"))
 }
 
-/// The files asked for; of a folder its scenarios, by name.
+/// The files of the command line. A folder is replaced by its scenarios, sorted by name.
 fn files(paths: &[PathBuf]) -> Result<Vec<PathBuf>, RehearseError> {
     let mut all = Vec::new();
     for path in paths {
@@ -93,7 +93,7 @@
     Ok(scenarios)
 }
 
-/// The plan of a scenario that is part of this program.
+/// The plan of a scenario that is compiled into this program.
 pub(super) fn built_in_plan(
     text: &str,
     seed: u64,
@@ -124,7 +124,8 @@
     })
 }
 
-/// A sender that runs already must be on this machine, and the scenario must leave its process and files alone.
+/// Checks that the running sender is on this machine, and that the scenario neither acts on its process nor needs push
+/// services in its configuration.
 fn check_running_sender(
     scenario: &Scenario,
     clients: SocketAddr,
--- a/crates/cranehill/src/rehearse/queue.rs
+++ b/crates/cranehill/src/rehearse/queue.rs
@@ -1,4 +1,4 @@
-//! Plays plans, several at once if asked for, and reports their outcomes in order.
+//! Runs plans, several in parallel if so chosen, and passes their outcomes on in order.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,9 +13,9 @@
 
 type Played = (usize, Result<Outcome, RunError>);
 
-/// Plays `jobs` plans at once; `on_outcome` is called with each outcome, in the order of the plans.
+/// Runs up to `jobs` plans in parallel; `on_outcome` is called with each plan's index and outcome, in the order of the plans.
 ///
-/// After an error, plans that have begun are played to their end and no further ones begin.
+/// After an error, plans that have begun are run to their end and no further ones begin. The first error is returned.
 pub(super) fn play_all(
     plans: &[Plan],
     jobs: usize,
@@ -27,16 +27,16 @@
         plans,
         next: AtomicUsize::new(0),
         is_single,
-        bar: named_bar(if is_single { "" } else { "days" }),
+        progress_bar: named_bar(if is_single { "" } else { "scenarios" }),
     };
-    queue.bar.set_length(plans.len() as u64);
+    queue.progress_bar.set_length(plans.len() as u64);
     let (outcome_sender, outcomes) = channel();
     thread::scope(|scope| {
         for _ in 0..jobs {
             let (queue, outcome_sender) = (&queue, outcome_sender.clone());
             scope.spawn(move || queue.play_until_empty(&outcome_sender));
         }
-        // The receiver ends with the last worker.
+        // Only the workers keep senders, so the receiving loop ends when the last worker does.
         drop(outcome_sender);
         let mut waiting = BTreeMap::new();
         let mut next_in_order = 0;
@@ -45,7 +45,9 @@
             waiting.insert(index, played);
             while let Some(played) = waiting.remove(&next_in_order) {
                 let handled = match played {
-                    Ok(outcome) => queue.bar.suspend(|| on_outcome(next_in_order, outcome)),
+                    Ok(outcome) => queue
+                        .progress_bar
+                        .suspend(|| on_outcome(next_in_order, outcome)),
                     Err(e) => Err(e.into()),
                 };
                 next_in_order += 1;
@@ -55,21 +57,22 @@
                 }
             }
         }
-        queue.bar.finish_and_clear();
+        queue.progress_bar.finish_and_clear();
         result
     })
 }
 
-/// The plans that workers take from, one after the other.
+/// The plans, which workers take one after the other.
 struct PlanQueue<'plans> {
     plans: &'plans [Plan],
     next: AtomicUsize,
-    /// One plan at a time: the bar shows how far it is. Of several it shows how many are done.
+    /// One plan at a time: the progress_bar shows the plan's progress. With several in parallel it shows how many are done.
     is_single: bool,
-    bar: ProgressBar,
+    progress_bar: ProgressBar,
 }
 
 impl PlanQueue<'_> {
+    /// Lets no further plan begin.
     fn stop(&self) {
         self.next.store(self.plans.len(), Ordering::Relaxed);
     }
@@ -88,22 +91,22 @@
 
     fn play(&self, plan: &Plan) -> Result<Outcome, RunError> {
         if self.is_single {
-            self.bar.set_message(plan.scenario.name.clone());
+            self.progress_bar.set_message(plan.scenario.name.clone());
         }
         let played = play(plan, |now, end| {
             if self.is_single {
-                self.bar.set_length(end.as_millis() as u64);
-                self.bar.set_position(now.as_millis() as u64);
+                self.progress_bar.set_length(end.as_millis() as u64);
+                self.progress_bar.set_position(now.as_millis() as u64);
             }
         });
         if !self.is_single {
-            self.bar.inc(1);
+            self.progress_bar.inc(1);
         }
         played
     }
 }
 
-/// Prints the table of an outcome.
+/// Prints the table of rules and figures of an outcome.
 pub(super) fn print_table(plan: &Plan, outcome: &Outcome) {
     report::table(&plan.scenario.name, plan.seed, outcome)
         .iter()
--- a/crates/cranehill/src/serve.rs
+++ b/crates/cranehill/src/serve.rs
@@ -1,4 +1,4 @@
-//! `cranehill serve`: one sender.
+//! `cranehill serve`: runs one sender.
 
 use std::io;
 use std::path::PathBuf;
@@ -15,24 +15,24 @@
 use crate::configuration::{self, ConfigurationError, DaemonError};
 use crate::input::{InputError, read_key, variable};
 
-/// Names the rule that a build with the feature `mutations` breaks.
+/// Environment variable with the name of the mutation to activate, in a build with the feature `mutations`.
 const MUTATION_VARIABLE: &str = "CRANEHILL_BREAK";
-/// No sender opens more sockets, whatever the platform allows.
+/// Upper bound on a sender's open sockets, also if its configuration allows more.
 const MAX_SOCKETS: usize = 1024;
-/// Bytes of memory for a sender of Web Push alone, which no platform limits.
+/// Memory limit in bytes of a sender of Web Push only, which has no configuration that states one.
 const PUSH_ONLY_MEMORY: usize = 192_000_000;
 const BYTES_PER_MEGABYTE: f64 = 1e6;
 
 /// The arguments of `serve`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct ServeArgs {
-    /// Also speak Web Push, as this file says. Without NODE_CONFIG, that front alone.
+    /// Also accept Web Push, as configured in this file. Without NODE_CONFIG, accept Web Push only.
     #[arg(long, value_name = "FILE")]
     webpush: Option<PathBuf>,
-    /// The key under which the journal is signed: 64 hexadecimal digits. Without it the folder has its own.
+    /// File with the key of the journal's keyed hashes (64 hexadecimal digits). Without it, the folder's own key is used.
     #[arg(long, value_name = "FILE")]
     journal_key: Option<PathBuf>,
-    /// Know the other senders, as this file says.
+    /// Join the fleet of senders that is configured in this file.
     #[arg(long, value_name = "FILE")]
     fleet: Option<PathBuf>,
 }
@@ -47,29 +47,34 @@
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
     /// Neither a configuration nor a Web Push file is given.
-    #[error("NODE_CONFIG is not set and no --webpush is given")]
+    #[error("nothing to serve: NODE_CONFIG is not set and no --webpush is given")]
     NothingToServe,
-    /// Without a configuration, the Web Push file must say where to listen.
-    #[error("the Web Push file names no address to listen on")]
+    /// Without a configuration, the Web Push file must have a `listen` address.
+    #[error(
+        "the Web Push file has no `listen` address, which is required if NODE_CONFIG is not set"
+    )]
     NoListenAddress,
     /// There is no mutation of this name.
     #[error("{MUTATION_VARIABLE}: no mutation '{0}'")]
     UnknownMutation(String),
-    /// A mutation is asked for, but this build has none.
+    /// A mutation is named, but this build has none.
     #[error("{MUTATION_VARIABLE}: this build has no mutations (feature `mutations`)")]
     BuiltWithoutMutations,
-    /// Signals can't be received.
-    #[error("signals: {0}")]
+    /// Signal handlers can't be installed or registered.
+    #[error("can't handle signals: {0}")]
     Signals(#[source] io::Error),
-    /// The sender can't start: an address, its folder or its journal.
+    /// The sender can't start: an address can't be bound, or its folder or its journal can't be used.
     #[error("{0}")]
     Start(#[source] DaemonError),
     /// The event loop failed.
-    #[error("poll: {0}")]
+    #[error("the event loop failed: {0}")]
     Poll(#[source] io::Error),
 }
 
-/// Runs a sender until a signal stops it.
+/// Runs a sender until SIGTERM or SIGINT stops it.
+///
+/// # Errors
+/// If a file or an environment variable is invalid, the sender can't start, or its event loop fails.
 pub fn run(args: &ServeArgs) -> Result<(), ServeError> {
     choose_mutation()?;
     let push = args
@@ -78,7 +83,8 @@
         .map(configuration::load_webpush)
         .transpose()?;
     let key = args.journal_key.as_deref().map(read_key).transpose()?;
-    // Before the rest of the start: a signal that comes during it must not end the process.
+    // Installed before the configuration is read and the sender starts: a signal during that time must not end the
+    // process.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(ServeError::Signals)?;
     let config = configuration::load()?;
     let fleet = args
@@ -118,7 +124,7 @@
     if !mutation::choose(mutation) {
         return Err(ServeError::BuiltWithoutMutations);
     }
-    log::warn!(mutation = name.as_str(); "this sender breaks a rule on purpose: {name}");
+    log::warn!(mutation = name.as_str(); "mutation active: {name}; this sender deliberately violates a rule");
     Ok(())
 }
 
@@ -164,7 +170,7 @@
     }
 }
 
-/// The options of a sender that speaks Web Push alone: without a platform, a journal or a fleet.
+/// The options of a sender of Web Push only: without a configuration, a journal or a fleet.
 pub(crate) fn push_only_options(push: webpush::File, seed: u64) -> ReactorOptions {
     ReactorOptions {
         platform_settings: webpush::standalone_settings(),
--- a/crates/cranehill/src/simulated.rs
+++ b/crates/cranehill/src/simulated.rs
@@ -1,4 +1,4 @@
-//! `cranehill fleet-test --members-only`: a fleet of simulated members alone, and the cost of its membership.
+//! `cranehill fleet-test --members-only`: runs a fleet of simulated members only, and measures the cost of its membership.
 
 use std::time::Duration;
 
@@ -11,24 +11,24 @@
 
 use crate::verdict::Verdict;
 
-/// Unless its duration is given, a cut heals after this part of the run; in the rest the views can agree again.
-const CUT_DIVISOR: u32 = 2;
-/// With one side of a cut evicted by the other, both together use at most this part of a limit: docs/membership.md.
+/// Without `--cut-duration`, a cut is as long as the run divided by this; in the rest of the run the views can agree again.
+const DEFAULT_CUT_DIVISOR: u32 = 2;
+/// If one side of a cut evicts the other, both together use at most this many times a limit; see docs/membership.md.
 const MAX_SHARE_AFTER_EVICTION: f64 = 1.5;
 
 /// The arguments of `fleet-test` on simulated members.
 #[derive(Clone, Debug, clap::Args)]
 pub struct SimulatedMembersArgs {
-    /// Add so many simulated members: many in one process, with real membership and decisions, and without clients.
+    /// Add this many simulated members: all in one process, with real membership and decisions, but without clients.
     #[arg(long, alias = "hollow", value_name = "M", default_value_t = 0)]
     pub(crate) simulated: usize,
-    /// Play simulated members alone, without a scenario and without real senders.
+    /// Run simulated members only, without a scenario and without real senders.
     #[arg(long, conflicts_with_all = ["scenario", "nodes", "out", "alone"])]
     pub(crate) members_only: bool,
-    /// With --members-only: what disturbs the fleet.
+    /// With --members-only: the fault that is injected.
     #[arg(long, value_enum, default_value_t = DisturbanceKind::None, requires = "members_only")]
     disturbance: DisturbanceKind,
-    /// With --members-only: seconds that are measured, after all have agreed.
+    /// With --members-only: seconds to measure, from when all views agree.
     #[arg(
         long,
         alias = "lasts",
@@ -37,7 +37,7 @@
         requires = "members_only"
     )]
     duration: u64,
-    /// With --disturbance halves: seconds until the cut heals, in place of half of the play.
+    /// With --disturbance halves: seconds until the cut heals, instead of half of the duration.
     #[arg(
         long,
         alias = "cut-lasts",
@@ -45,7 +45,7 @@
         requires = "members_only"
     )]
     cut_duration: Option<u64>,
-    /// With --members-only: the part of all packets that is lost.
+    /// With --members-only: share of all packets that is lost, 0 to 1.
     #[arg(
         long,
         value_name = "PART",
@@ -53,24 +53,25 @@
         requires = "members_only"
     )]
     loss: f64,
-    /// With --members-only: on a simulated network and clock, in place of UDP on loopback.
+    /// With --members-only: use a simulated network and clock instead of UDP on loopback.
     #[arg(long, requires = "members_only")]
     virtual_time: bool,
 }
 
-/// The disturbances by their names on the command line.
+/// Faults by their names on the command line. Members that are killed are all killed at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum DisturbanceKind {
+    /// No fault.
     None,
-    /// One in ten members is killed at once.
+    /// One in ten members is killed.
     Crashes,
-    /// One in thirty is.
+    /// One in thirty members is killed.
     Rack,
-    /// One zone of six is.
+    /// All members of one zone of six are killed.
     Zone,
     /// Two halves are cut off from each other.
     Halves,
-    /// Thirty members are restarted at once.
+    /// Thirty members are killed, and restarted shortly after.
     Restarts,
 }
 
@@ -79,7 +80,7 @@
         let duration = Duration::from_secs(self.duration);
         let cut = self
             .cut_duration
-            .map_or(duration / CUT_DIVISOR, Duration::from_secs);
+            .map_or(duration / DEFAULT_CUT_DIVISOR, Duration::from_secs);
         let disturbance = match self.disturbance {
             DisturbanceKind::None => Disturbance::None,
             DisturbanceKind::Crashes => Disturbance::Crashes { one_in: 10 },
@@ -109,7 +110,7 @@
     }
 }
 
-/// The fleet of simulated members can't be run.
+/// The options are invalid, or a socket fails.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct SimulatedError(#[from] SimulatedFleetError);
@@ -133,7 +134,8 @@
     Ok(Verdict::passed_if(failed.is_empty()))
 }
 
-/// A cut that lasts longer than the eviction delay can't be distinguished from deaths.
+/// The largest share of a limit that all members together may use. To each side, a cut as long as the eviction delay
+/// looks like crashes of the other side.
 fn max_share(plan: &SimulatedFleetPlan) -> f64 {
     match (plan.disturbance, plan.timing.eviction_delay) {
         (Disturbance::Halves { duration }, Some(delay)) if duration >= delay => {
@@ -196,11 +198,11 @@
             seconds(f.agreed_after)
         ),
         format!(
-            "  crash to down in a view: {detection}; {} never",
+            "  time from a crash until a view shows the member down: {detection}; {} never",
             f.undetected
         ),
         format!(
-            "  a member a second: {} bytes sent, {} received, {} packets sent, {:.2} ms of CPU; {} kB of memory",
+            "  per member and second: {} bytes sent, {} received, {} packets sent, {:.2} ms of CPU; {} kB of memory",
             spread(&f.bytes_sent_per_second),
             spread(&f.bytes_received_per_second),
             spread(&f.packets_sent_per_second),
@@ -208,11 +210,11 @@
             f.resident_bytes_per_member / 1024
         ),
         format!(
-            "  largest packet {} bytes; {} packets lost, {} refused; {} times held up",
+            "  largest packet {} bytes; {} packets lost, {} dropped by members; {} times a member ran late",
             f.largest_packet, f.lost, f.refused, f.held_up
         ),
         format!(
-            "  {} live members not seen at the end, {} false downs; at most {:.3} of a limit taken",
+            "  {} live members missing from a view at the end, {} times a live member was considered down; at most {:.3} of a limit used",
             f.missing_live_members, f.false_downs, f.largest_share
         ),
     ];
--- a/crates/cranehill/src/simulated_server.rs
+++ b/crates/cranehill/src/simulated_server.rs
@@ -1,6 +1,6 @@
 //! A simulated HTTP server on a loopback socket, with a thread for each connection.
 //!
-//! Push scripts, crash tests and the project's own tests run the sender against it.
+//! Push scripts, crash tests and integration tests run a sender against it.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -12,19 +12,19 @@
 
 use crate::sync::lock;
 
-/// The reason phrase of the answers. Recorded tests show it, so it keeps its old text.
+/// Reason phrase of all responses. It must not change, as recorded exchanges may contain it.
 const REASON: &str = "Stand-in";
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// The answer to one request.
+/// How the server replies to one request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// These bytes, which need not be a valid response.
     Bytes(Vec<u8>),
-    /// The connection ends without an answer.
+    /// The connection is closed without a response.
     Close,
-    /// No answer; the connection stays open until the peer closes it.
+    /// No response; the connection stays open until the peer closes it.
     Silent,
 }
 
@@ -34,7 +34,7 @@
         Reply::Bytes(http::write_response(status, REASON, &[], ""))
     }
 
-    /// A response with this status and a `Retry-After` field.
+    /// A response with this status, this `Retry-After` value and an empty body.
     pub fn wait(status: u16, retry_after: &str) -> Reply {
         let headers = [("Retry-After", retry_after.to_owned())];
         Reply::Bytes(http::write_response(status, REASON, &headers, ""))
@@ -44,24 +44,24 @@
 /// A request that a simulated server has received.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// When it was complete.
+    /// When its last byte was received.
     pub at: Instant,
-    /// The number of its connection, from 0.
+    /// Number of its connection, in the order of accepting, from 0.
     pub connection: usize,
-    /// The request itself.
+    /// The parsed request.
     pub request: Request,
 }
 
-/// A loopback HTTP server that answers by a function and records its requests.
+/// A loopback HTTP server that computes each reply with a function and records all requests. Clones share the record.
 #[derive(Clone)]
 pub struct SimulatedServer {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     seen: Arc<Mutex<Vec<Seen>>>,
 }
 
 impl SimulatedServer {
-    /// Listens on a free port; `answer` is called for each request with its number, from 0.
+    /// Listens on a free port; `answer` is called with each request and its number, from 0 over all connections.
     ///
     /// # Errors
     /// If no socket can be bound.
@@ -84,12 +84,12 @@
         Ok(server)
     }
 
-    /// The requests so far, in order of arrival.
+    /// The requests received so far, in order of arrival.
     pub fn seen(&self) -> Vec<Seen> {
         lock(&self.seen).clone()
     }
 
-    /// Waits until `count` requests have arrived; false if they don't within `timeout`.
+    /// Waits until `count` requests have arrived in total; false if `timeout` passes first.
     pub fn wait_for(&self, count: usize, timeout: Duration) -> bool {
         let end = Instant::now() + timeout;
         while lock(&self.seen).len() < count {
@@ -133,7 +133,7 @@
     }
 }
 
-/// Records a request; returns its number.
+/// Records a request and returns its number.
 fn record(seen: &Mutex<Vec<Seen>>, connection: usize, request: &Request) -> usize {
     let mut seen = lock(seen);
     seen.push(Seen {
--- a/crates/cranehill/src/verdict.rs
+++ b/crates/cranehill/src/verdict.rs
@@ -1,11 +1,11 @@
-//! The verdict of a sub-command that judges something.
+//! The result of a sub-command that checks something.
 
-/// Whether what was judged is as expected. It decides the exit code: 0 or 1.
+/// Whether all checks of a sub-command passed. It determines the exit code: 0 or 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// All expectations are met.
+    /// All checks passed.
     Passed,
-    /// An expectation is missed, or a rule is broken.
+    /// An expectation is missed, or a rule is violated.
     Failed,
 }
 
