--- a/crates/cranehill/src/crash_test/client.rs
+++ b/crates/cranehill/src/crash_test/client.rs
@@ -21,7 +21,7 @@
 const PAUSE_PROBABILITY: f64 = 0.3;
 const MAX_PAUSE_MICROS: u64 = 4000;
 
-/// A client with a connection of its own.
+/// A client that submits messages over one connection.
 pub(super) struct Client {
     pub(super) sender: SocketAddr,
     pub(super) delivery_log: SharedDeliveryLog,
--- a/crates/cranehill/src/crash_test/player.rs
+++ b/crates/cranehill/src/crash_test/player.rs
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    /// Starts a last process, waits until it has delivered or reported all pending messages, and audits the log.
+    /// Starts a last process, waits until all pending messages have ended or should have ended, and audits the log.
     fn finish(mut self) -> Result<Outcome, CrashTestError> {
         let process = self.start_sender()?;
         let end = Instant::now() + MESSAGE_LIFETIME + FINAL_REPORT_GRACE;
--- a/crates/cranehill/src/journal.rs
+++ b/crates/cranehill/src/journal.rs
@@ -13,9 +13,9 @@
 use crate::progress::counting_bar;
 use crate::verdict::Verdict;
 
-/// A journal of at most this size is read without a progress progress_bar.
+/// A journal of at most this size is read without a progress bar.
 const PROGRESS_BAR_THRESHOLD_BYTES: u64 = 8 * 1024 * 1024;
-/// A table of at most this many rows is written without a progress progress_bar.
+/// A table of at most this many rows is written without a progress bar.
 const PROGRESS_BAR_THRESHOLD_ROWS: u64 = 100_000;
 
 /// The arguments of `journal`.
--- a/crates/cranehill/src/push_script/script.rs
+++ b/crates/cranehill/src/push_script/script.rs
@@ -127,7 +127,7 @@
     Ok(Script(lines))
 }
 
-/// Checks that each push has a name of its own, and that an expectation follows its push.
+/// Checks that no two pushes have the same name, and that an expectation follows its push.
 fn check_name(line: Line, pushed: &mut Vec<String>) -> Result<Line, ScriptErrorKind> {
     match &line {
         Line::Push(push) if pushed.contains(&push.name) => {
--- a/crates/cranehill/src/rehearse/error.rs
+++ b/crates/cranehill/src/rehearse/error.rs
@@ -11,7 +11,7 @@
 use crate::input::InputError;
 use crate::push_script::{PlayError, ScriptError};
 
-/// A scenario can't be run as the options demand.
+/// A scenario can't be run, or not with the options given.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
     /// The scenario is invalid.
--- a/crates/cranehill/src/rehearse/mod.rs
+++ b/crates/cranehill/src/rehearse/mod.rs
@@ -90,7 +90,7 @@
     Ok(holds)
 }
 
-/// Writes the report of a scenario: to the folder of `--out`, or if several were run to a subfolder of it.
+/// Writes the report of a scenario: to the folder of `--out`, or if several scenarios are run, to a subfolder of it.
 fn write_report(
     args: &RehearseArgs,
     index: usize,
--- a/crates/cranehill/src/rehearse/queue.rs
+++ b/crates/cranehill/src/rehearse/queue.rs
@@ -1,4 +1,4 @@
-//! Runs plans, several in parallel if so chosen, and passes their outcomes on in order.
+//! Runs plans, up to `--jobs` in parallel, and passes their outcomes on in order.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -66,7 +66,7 @@
 struct PlanQueue<'plans> {
     plans: &'plans [Plan],
     next: AtomicUsize,
-    /// One plan at a time: the progress_bar shows the plan's progress. With several in parallel it shows how many are done.
+    /// One plan at a time: the bar shows the plan's progress. With several in parallel it shows how many are done.
     is_single: bool,
     progress_bar: ProgressBar,
 }
