--- a/crates/scenario-runner/src/error.rs
+++ b/crates/scenario-runner/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of a run.
+//! Errors that prevent a scenario from being played.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,54 +7,54 @@
 
 use cranehill_simulation::scenario::ScenarioError;
 
-/// Why a scenario could not be played. Violated rules are no errors: they are in the [`Outcome`](crate::Outcome).
+/// Why a scenario could not be played. A violated rule is not an error: the [`Outcome`](crate::Outcome) lists it.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The program of a sender could not be started.
-    #[error("{program}: {source}: is it built?")]
+    /// The sender's executable could not be started.
+    #[error("cannot start the sender program {program}: {source} (is it built?)")]
     Sender {
-        /// The program.
+        /// Path of the executable.
         program: PathBuf,
-        /// Why the system did not start it.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A sender that was started by somebody else did not request its endpoint list.
+    /// A running sender ([`Against`](crate::Against)) did not request its endpoint list in time.
     #[error(
-        "the sender at {clients} did not request its list from {directory} in {} s: its configuration must name that directory \
-         (--write-config writes one that fits the scenario)",
+        "the sender at {clients} did not request its endpoint list from the directory at {directory} within {} s: its \
+         configuration must name that directory (--write-config writes a configuration for the scenario)",
         waited.as_secs()
     )]
     NoListRequest {
-        /// Where the sender listens for clients.
+        /// Address at which the sender listens for clients.
         clients: SocketAddr,
-        /// Where the directory listens.
+        /// Address at which the simulated directory listens.
         directory: SocketAddr,
-        /// How long the runner waited.
+        /// Time for which the runner waited.
         waited: Duration,
     },
-    /// A sender's process ended before the sender was ready.
+    /// A sender's process exited before the sender was ready.
     #[error(
         "sender {sender} did not start: {}",
-        last_warning.as_deref().unwrap_or("its process ended without a warning")
+        last_warning.as_deref().unwrap_or("its process exited without logging a warning")
     )]
     SenderExited {
-        /// The sender.
+        /// Index of the sender.
         sender: usize,
-        /// The last warning of its log.
+        /// The last warning in the senders' logs, if there was one.
         last_warning: Option<String>,
     },
-    /// A sender was not ready in time.
+    /// A sender did not open all its listeners in time.
     #[error("sender {sender} did not start: it was not ready within {} s", waited.as_secs())]
     SenderNotReady {
-        /// The sender.
+        /// Index of the sender.
         sender: usize,
-        /// How long the runner waited.
+        /// Time for which the runner waited.
         waited: Duration,
     },
-    /// The scenario of a measurement is not valid.
-    #[error("the scenario of the measurement: {0}")]
+    /// The scenario that was generated for a measurement is not valid.
+    #[error("invalid scenario for a measurement: {0}")]
     Scenario(ScenarioError),
-    /// A socket, file or poll failed.
-    #[error("sockets: {0}")]
+    /// An operation on a socket, file or poll failed.
+    #[error("I/O error of the scenario runner: {0}")]
     Io(#[from] io::Error),
 }
--- a/crates/scenario-runner/src/figures.rs
+++ b/crates/scenario-runner/src/figures.rs
@@ -1,4 +1,4 @@
-//! Figures of a run over time, from its record alone.
+//! Latencies, rates and loads of a run over time, computed from its recorded events.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -10,15 +10,15 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// A curve: seconds since the start, and values.
+/// Points of a curve: seconds since the start of the scenario, and the value.
 pub type Curve = Vec<(f64, f64)>;
 
-/// Figures of a run over time.
+/// Latency distributions and curves of a run.
 #[derive(Debug)]
 pub struct Figures {
-    /// Microseconds from a message's submission to its answer.
+    /// Microseconds from a message's submission to the sender's answer.
     pub answer_latency: Histogram<u64>,
-    /// Microseconds from a message's submission to the success that a destination replied.
+    /// Microseconds from a message's submission to the successful reply of its destination.
     pub delivery_latency: Histogram<u64>,
     /// Messages submitted in each second.
     pub submitted: Curve,
@@ -26,40 +26,40 @@
     pub delivered: Curve,
     /// Messages rejected in each second.
     pub rejected: Curve,
-    /// By sender: calls in flight.
+    /// By sender: number of calls in flight.
     pub in_flight: Vec<Curve>,
-    /// Retry-After periods that run.
-    pub waits: Curve,
-    /// By destination.
+    /// Number of `Retry-After` periods that have not ended yet.
+    pub active_retry_after: Curve,
+    /// Load and capacity of each destination.
     pub destinations: Vec<DestinationCurves>,
 }
 
-/// The load of one destination.
+/// Load and capacity of one destination.
 #[derive(Debug)]
 pub struct DestinationCurves {
     /// The destination's name.
     pub name: String,
-    /// Messages sent to it in each second.
+    /// Messages that senders sent to it in each second, repeats included.
     pub sent: Curve,
-    /// Messages a second that it could execute.
+    /// Messages a second that it can execute with its scheduled faults. Its failure under overload is not included.
     pub capacity: Curve,
 }
 
-/// An hour: longer latencies count as this.
+/// One hour; longer latencies are recorded as this.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
-/// Significant digits of latencies.
+/// Significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
-/// Points of a capacity curve in each second.
+/// Points in each second of a capacity curve.
 const CAPACITY_POINTS_PER_SECOND: usize = 5;
 
-/// Computes the figures of a run from its record.
-pub fn figures(scenario: &Scenario, lines: &[AuditRecord], lasted: Duration) -> Figures {
-    let mut collector = Collector::new(scenario, lasted);
-    lines.iter().for_each(|line| collector.add(line));
+/// Computes the figures of a run of length `duration` from its recorded events.
+pub fn figures(scenario: &Scenario, records: &[AuditRecord], duration: Duration) -> Figures {
+    let mut collector = Collector::new(scenario, duration);
+    records.iter().for_each(|record| collector.add(record));
     collector.finish()
 }
 
-/// Events of one second.
+/// Numbers of events in one second.
 #[derive(Clone, Copy, Debug, Default)]
 struct SecondCounts {
     submitted: u32,
@@ -73,19 +73,20 @@
     answer_latency: Histogram<u64>,
     delivery_latency: Histogram<u64>,
     counts: Vec<SecondCounts>,
-    /// By destination, then by second.
+    /// Messages sent, by destination and second.
     sent: Vec<Vec<u32>>,
+    /// Time of submission by message id.
     submitted_at: HashMap<&'a str, Duration>,
     /// By sender: connections with a call in flight.
     busy_connections: Vec<BTreeSet<u64>>,
     in_flight: Vec<Curve>,
-    /// Starts (+1) and ends (-1) of Retry-After periods.
-    wait_changes: Vec<(Duration, i32)>,
+    /// Starts (+1) and ends (-1) of `Retry-After` periods.
+    retry_after_changes: Vec<(Duration, i32)>,
 }
 
 impl<'a> Collector<'a> {
-    fn new(scenario: &'a Scenario, lasted: Duration) -> Collector<'a> {
-        let seconds = lasted.as_secs() as usize + 1;
+    fn new(scenario: &'a Scenario, duration: Duration) -> Collector<'a> {
+        let seconds = duration.as_secs() as usize + 1;
         Collector {
             scenario,
             seconds,
@@ -96,20 +97,20 @@
             submitted_at: HashMap::new(),
             busy_connections: vec![BTreeSet::new(); scenario.senders],
             in_flight: vec![Vec::new(); scenario.senders],
-            wait_changes: Vec::new(),
+            retry_after_changes: Vec::new(),
         }
     }
 
-    fn add(&mut self, line: &'a AuditRecord) {
-        let second = (line.at.as_secs() as usize).min(self.seconds - 1);
-        let sender = line.sender.unwrap_or(0).min(self.scenario.senders - 1);
-        match &line.event {
+    fn add(&mut self, record: &'a AuditRecord) {
+        let second = (record.at.as_secs() as usize).min(self.seconds - 1);
+        let sender = record.sender.unwrap_or(0).min(self.scenario.senders - 1);
+        match &record.event {
             AuditEvent::Submitted { id, .. } | AuditEvent::Posted { id, .. } => {
                 self.counts[second].submitted += 1;
-                self.submitted_at.insert(id, line.at);
+                self.submitted_at.insert(id, record.at);
             }
             AuditEvent::Answered { id, answer } => {
-                if let Some(latency) = self.latency(id, line.at) {
+                if let Some(latency) = self.latency(id, record.at) {
                     record_latency(&mut self.answer_latency, latency);
                 }
                 let rejected = matches!(answer, Answer::Rejected { .. });
@@ -122,7 +123,7 @@
                 ..
             } => {
                 self.busy_connections[sender].insert(*connection);
-                self.add_in_flight(sender, line.at);
+                self.add_in_flight(sender, record.at);
                 if let Some(sent) = self.sent.get_mut(*destination as usize) {
                     sent[second] += ids.len() as u32;
                 }
@@ -134,24 +135,24 @@
                 ..
             } => {
                 self.busy_connections[sender].remove(connection);
-                self.add_in_flight(sender, line.at);
-                self.add_outcomes(second, line.at, outcomes);
+                self.add_in_flight(sender, record.at);
+                self.add_outcomes(second, record.at, outcomes);
                 if let Some(wait) = wait {
-                    self.wait_changes
-                        .extend([(line.at, 1), (line.at + *wait, -1)]);
+                    self.retry_after_changes
+                        .extend([(record.at, 1), (record.at + *wait, -1)]);
                 }
             }
             AuditEvent::Closed { connection } | AuditEvent::Broke { connection, .. }
                 if self.busy_connections[sender].contains(connection) =>
             {
                 self.busy_connections[sender].remove(connection);
-                self.add_in_flight(sender, line.at);
+                self.add_in_flight(sender, record.at);
             }
             _ => {}
         }
     }
 
-    /// From the submission of a message, if it was recorded, until `at`.
+    /// Time from a message's submission until `at`; `None` if the submission was not recorded.
     fn latency(&self, id: &str, at: Duration) -> Option<Duration> {
         let submitted_at = *self.submitted_at.get(id)?;
         Some(at.saturating_sub(submitted_at))
@@ -199,16 +200,16 @@
             answer_latency: self.answer_latency,
             delivery_latency: self.delivery_latency,
             in_flight: self.in_flight,
-            waits: running_waits(self.wait_changes),
+            active_retry_after: active_retry_after_curve(self.retry_after_changes),
             destinations,
         }
     }
 }
 
 fn latency_histogram() -> Histogram<u64> {
-    // The library accepts these constants.
+    // The constants are within the bounds that the library checks.
     Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS)
-        .unwrap_or_else(|_| unreachable!("fixed bounds"))
+        .unwrap_or_else(|_| unreachable!("the histogram's constant bounds are valid"))
 }
 
 fn record_latency(histogram: &mut Histogram<u64>, latency: Duration) {
@@ -222,21 +223,21 @@
         .collect()
 }
 
-fn running_waits(mut changes: Vec<(Duration, i32)>) -> Curve {
+fn active_retry_after_curve(mut changes: Vec<(Duration, i32)>) -> Curve {
     changes.sort_unstable();
-    let mut running = 0;
+    let mut active = 0;
     changes
         .into_iter()
         .map(|(at, change)| {
-            running += change;
-            (at.as_secs_f64(), f64::from(running))
+            active += change;
+            (at.as_secs_f64(), f64::from(active))
         })
         .collect()
 }
 
-/// What a destination could execute by its faults.
+/// Messages a second that a destination can execute with its scheduled faults.
 fn capacity(member: &Member, seconds: usize) -> Curve {
-    // Capacity needs no draw, so any seed serves.
+    // The capacity does not depend on random draws, so the seed does not matter.
     let rng = ChaCha8Rng::seed_from_u64(0);
     let destination = SimulatedDestination::new(member.spec.clone(), member.faults.clone(), rng);
     let interval = Duration::from_secs(1) / CAPACITY_POINTS_PER_SECOND as u32;
--- a/crates/scenario-runner/src/journal_damage.rs
+++ b/crates/scenario-runner/src/journal_damage.rs
@@ -1,4 +1,4 @@
-//! Damage to a journal, as a crash of the whole machine may leave it: a sender then starts on such a folder.
+//! Damages a sender's journal as a crash of the machine may, so that the sender restarts on a damaged state folder.
 
 use std::collections::BTreeSet;
 use std::fs::OpenOptions;
@@ -12,31 +12,36 @@
 #[cfg(test)]
 mod tests;
 
-/// The kind of a journal row by which a message was accepted.
+/// [`Row::kind`] of a record that accepts a message.
 const ACCEPTED: &str = "taken";
 
-/// Which segment was damaged, and which messages are lost by it.
+/// The damage to one segment, and the messages that are lost with it.
 #[derive(Debug)]
 pub struct Damage {
-    /// Messages that had been accepted and whose records can no longer be read.
+    /// Ids of the messages whose acceptance was readable before the damage and is not readable now.
     pub lost: BTreeSet<String>,
-    /// The segment's file name.
+    /// File name of the damaged segment.
     pub segment: String,
-    /// The segment's length in bytes after the damage.
-    pub at: u64,
-    /// The segment's length in bytes before it.
+    /// Length of the segment in bytes after the damage: shorter than [`size`](Damage::size) if truncated, longer if a torn frame was
+    /// appended.
+    pub new_size: u64,
+    /// Length of the segment in bytes before the damage.
     pub size: u64,
 }
 
-/// A journal's segments with their sizes in bytes, in the order of their names.
+/// The segment files in a state folder with their sizes in bytes, oldest first.
 ///
 /// # Errors
-/// The folder can't be read.
+/// The folder or a file's metadata can't be read.
 pub fn segments(state: &Path) -> io::Result<Vec<(PathBuf, u64)>> {
     let mut segments = Vec::new();
     for entry in std::fs::read_dir(state)? {
         let entry = entry?;
-        if entry.path().extension().is_some_and(|e| e == "seg") {
+        if entry
+            .path()
+            .extension()
+            .is_some_and(|extension| extension == "seg")
+        {
             segments.push((entry.path(), entry.metadata()?.len()));
         }
     }
@@ -44,16 +49,18 @@
     Ok(segments)
 }
 
-/// Damages a journal as a kill or a failing disk may: cuts a finished segment at any byte, or, where the draw falls into the
-/// newest one, appends an incomplete write to it. Each byte is equally likely. `None` where there is no journal yet.
+/// Damages the journal in a state folder as a crash or a failing disk may. Draws a byte of all segments, each equally likely. A
+/// segment that is not the newest is truncated there; to the newest one an incomplete frame is appended instead. `None` if there is
+/// nothing to damage: no segment, or no frame in the newest one.
 ///
-/// The newest segment is never shortened: the sender had acted on what it had written there, the end of a process does not
-/// undo that, and a journal without it could not be told from one that never had it.
+/// The newest segment is never truncated. The sender has acted on the records that it wrote there, and the end of its process does
+/// not remove them; without them the journal would be identical to one in which they were never written, so that no recovery could
+/// detect the loss.
 ///
 /// # Errors
 /// The journal can't be read or written.
 pub fn damage(state: &Path, rng: &mut ChaCha8Rng) -> io::Result<Option<Damage>> {
-    let before = read(state)?;
+    let rows_before = read_rows(state)?;
     let segments = segments(state)?;
     let total: u64 = segments.iter().map(|(_, size)| size).sum();
     if total == 0 {
@@ -66,34 +73,37 @@
             continue;
         }
         let is_newest = index + 1 == segments.len();
-        let at = if is_newest {
-            append_torn_frame(path, *size, &before, rng)?
+        let new_size = if is_newest {
+            append_torn_frame(path, *size, &rows_before, rng)?
         } else {
-            cut(path, position)?;
+            truncate(path, position)?;
             Some(position)
         };
-        let Some(at) = at else {
+        let Some(new_size) = new_size else {
             return Ok(None);
         };
-        let remaining = accepted(&read(state)?);
+        let remaining = accepted(&read_rows(state)?);
         let segment = path.file_name().unwrap_or_default().to_string_lossy();
         return Ok(Some(Damage {
-            lost: accepted(&before).difference(&remaining).cloned().collect(),
+            lost: accepted(&rows_before)
+                .difference(&remaining)
+                .cloned()
+                .collect(),
             segment: segment.into_owned(),
-            at,
+            new_size,
             size: *size,
         }));
     }
     Ok(None)
 }
 
-fn cut(path: &Path, length: u64) -> io::Result<()> {
+fn truncate(path: &Path, length: u64) -> io::Result<()> {
     let file = OpenOptions::new().read(true).append(true).open(path)?;
     file.set_len(length)
 }
 
-/// Appends the first bytes of a frame that the segment has already, as a write that was cut off leaves them: its head is
-/// valid, and too little follows. The segment's new length; `None` if it has no frame.
+/// Appends the first bytes of a copy of the segment's last frame, as an interrupted write leaves them. Returns the segment's new
+/// length; `None` if the segment has no frame.
 fn append_torn_frame(
     path: &Path,
     size: u64,
@@ -112,13 +122,13 @@
     Ok(Some(size + torn_length))
 }
 
-fn read(state: &Path) -> io::Result<Vec<Row>> {
+fn read_rows(state: &Path) -> io::Result<Vec<Row>> {
     Snapshot::take(state, None)
         .and_then(|snapshot| rows(&snapshot, |_, _| {}))
         .map_err(io::Error::other)
 }
 
-/// Messages whose acceptance can be read.
+/// Ids of the messages whose acceptance is in these rows.
 fn accepted(rows: &[Row]) -> BTreeSet<String> {
     rows.iter()
         .filter(|row| row.kind == ACCEPTED)
--- a/crates/scenario-runner/src/journal_damage/tests.rs
+++ b/crates/scenario-runner/src/journal_damage/tests.rs
@@ -1,4 +1,4 @@
-//! Damaged journals as the journal itself reads them.
+//! Compares the reported damage with what the journal recovers.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::{accepted, damage, read};
+use super::{accepted, damage, read_rows};
 
 fn record(n: u64) -> Record {
     let (id, at, deadline) = (format!("n{n}"), n, 20_000_000_000);
@@ -25,11 +25,12 @@
     }
 }
 
-/// Only what a cut removed counts as lost; the rest is recovered, and what may be missing of it is possibly executed. Each draw
-/// damages a new folder of two segments.
+/// A message reported as lost that the journal still recovers, or the reverse, would make the auditor judge the sender wrongly. Each
+/// seed damages a new folder with two segments: a truncated one loses messages and makes later ones possibly executed, a torn frame
+/// loses none.
 #[test]
-fn lost_messages_are_those_that_can_not_be_read() {
-    let (mut lost, mut torn) = (BTreeSet::new(), 0);
+fn damage_reports_exactly_the_unreadable_messages_as_lost() {
+    let (mut lost_counts, mut torn_count) = (BTreeSet::new(), 0);
     for seed in 0..40 {
         let folder = tempfile::tempdir().expect("a folder");
         let options = Options {
@@ -45,43 +46,49 @@
                 0,
             )
         };
-        for half in 0..2 {
-            let (mut journal, _) = open().expect("it opens");
+        for segment_index in 0..2 {
+            let (mut journal, _) = open().expect("the journal opens");
             for n in 0..10 {
                 journal
-                    .append(1, &[record(10 * half + n)])
+                    .append(1, &[record(10 * segment_index + n)])
                     .expect("appended");
             }
         }
-        let cut = damage(folder.path(), &mut ChaCha8Rng::seed_from_u64(seed))
-            .expect("cut")
-            .expect("a journal");
-        let left = accepted(&read(folder.path()).expect("read"));
-        assert_eq!(left.len() + cut.lost.len(), 20, "seed {seed}: {cut:?}");
-        let (_, found) = open().unwrap_or_else(|e| panic!("seed {seed}: {cut:?}: {e}"));
+        let damaged = damage(folder.path(), &mut ChaCha8Rng::seed_from_u64(seed))
+            .expect("the journal can be damaged")
+            .expect("there is a journal");
+        let remaining = accepted(&read_rows(folder.path()).expect("the journal is readable"));
         assert_eq!(
-            found.counts.open as usize,
-            left.len(),
-            "seed {seed}: {cut:?}"
+            remaining.len() + damaged.lost.len(),
+            20,
+            "seed {seed}: {damaged:?}"
         );
-        if cut.at > cut.size {
-            torn += 1;
+        let (_, recovered) = open().unwrap_or_else(|e| panic!("seed {seed}: {damaged:?}: {e}"));
+        assert_eq!(
+            recovered.counts.open as usize,
+            remaining.len(),
+            "seed {seed}: {damaged:?}"
+        );
+        if damaged.new_size > damaged.size {
+            torn_count += 1;
             assert!(
-                cut.lost.is_empty() && found.possibly_executed == 0 && found.torn.is_some(),
-                "seed {seed}: {cut:?}"
+                damaged.lost.is_empty()
+                    && recovered.possibly_executed == 0
+                    && recovered.torn.is_some(),
+                "seed {seed}: {damaged:?}"
             );
         } else {
-            // What stands in the later segment is of a later time than the damage.
+            // The records of the second segment were written after the truncated ones, so its messages are possibly executed.
             assert!(
-                found.possibly_executed >= 10 - cut.lost.len(),
-                "seed {seed}: {cut:?}: {}",
-                found.possibly_executed
+                recovered.possibly_executed >= 10 - damaged.lost.len(),
+                "seed {seed}: {damaged:?}: {}",
+                recovered.possibly_executed
             );
         }
-        lost.insert(cut.lost.len());
+        lost_counts.insert(damaged.lost.len());
     }
     assert!(
-        lost.len() > 5 && torn > 5,
-        "cuts at many places: {lost:?}, {torn} torn"
+        lost_counts.len() > 5 && torn_count > 5,
+        "too little variety: lost messages {lost_counts:?}, {torn_count} torn frames"
     );
 }
--- a/crates/scenario-runner/src/lib.rs
+++ b/crates/scenario-runner/src/lib.rs
@@ -1,8 +1,8 @@
-//! Plays scenarios on loopback: simulated destinations, directory, platform and clients in one event loop, faults by script,
+//! Plays scenarios on loopback: simulated destinations, directory, platform and clients in one event loop, scheduled faults,
 //! real senders as processes, and the auditor's verdicts.
 //!
-//! Start at [`Plan`] and [`play`]. The behaviour of simulated servers is `cranehill_simulation`'s; here are sockets, processes and the
-//! clock. Everything binds to 127.0.0.0/8.
+//! [`play`] runs a [`Plan`] and returns its [`Outcome`]. `cranehill_simulation` defines the behaviour of the simulated servers; this
+//! crate adds sockets, processes and the clock. All sockets are bound to addresses in 127.0.0.0/8.
 
 mod error;
 pub mod figures;
@@ -31,7 +31,9 @@
 pub use resource_usage::ResourceUsage;
 pub use runner::{play, play_through};
 
-/// The configuration that a sender needs for a scenario if it is started by somebody else.
+/// The configuration file, as JSON, with which to start a sender by hand before it is tested with [`Plan::against`].
+///
+/// The sender requests its endpoint list from `directory`; the configuration itself contains no endpoints.
 pub fn node_config(plan: &Plan, directory: SocketAddr) -> String {
     let config = senders::configuration(&plan.scenario, 0, directory, &Value::Null, plan.limits);
     format!("{config:#}\n")
--- a/crates/scenario-runner/src/measure.rs
+++ b/crates/scenario-runner/src/measure.rs
@@ -1,7 +1,8 @@
-//! Measurements: what one sender carries on one core, and what the simulated servers carry themselves.
+//! Measurements: the message rate that a sender sustains on one core, and the processor time that the runner itself needs.
 //!
-//! A step is a short scenario of steady load to many destinations that have more capacity than it needs. The load is open: a sender
-//! that can't sustain it shows rejections, late answers and missing deliveries, and does not slow the load down.
+//! A step is a short scenario with a steady load to many destinations that have more capacity than the load needs. The load is open:
+//! messages arrive at the same rate however slow the sender is, so one that can't sustain the rate shows rejections, late answers and
+//! missing deliveries.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -19,29 +20,31 @@
 
 /// Share of the submitted messages that must be delivered for a rate to count as sustained.
 const MIN_DELIVERED_SHARE: f64 = 0.999;
-/// 99 of 100 answers must arrive within this.
+/// Upper bound on the 99th percentile of the answer latency for a rate to count as sustained.
 const MAX_ANSWER_P99: Duration = Duration::from_millis(100);
-/// If the runner is later than this for 1 of 100 events, the step says nothing of the sender.
+/// If the runner notices more than 1 of 100 events later than this, the step's results may show the runner's delays instead of the
+/// sender's.
 const MAX_RUNNER_LATENESS: Duration = Duration::from_millis(20);
-/// Time to live of messages; a message that is held for a part of it shows as a late answer or delivery.
+/// Time to live of the messages. It is far longer than the latencies to be measured, so that a delayed message shows as a late
+/// answer or delivery and does not expire.
 const MESSAGE_DURATION_S: u64 = 8;
 /// The first rate of a search, in messages a second.
 const FIRST_RATE: f64 = 250.0;
-/// A search does not go beyond this rate, in messages a second.
+/// The highest rate that a search tries before bisection, in messages a second.
 const MAX_RATE: f64 = 64_000.0;
-/// Bisections between a rate that was sustained and one that was not.
+/// Number of bisections between the highest rate that was sustained and the lowest that was not.
 const SEARCH_STEPS: u32 = 4;
 
-/// What is measured.
+/// The load of a measurement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MeasureOptions {
-    /// Endpoints of all destinations together, two for each.
+    /// Number of endpoints of all destinations together. Each destination has two.
     pub endpoints: usize,
-    /// Senders that share the load.
+    /// Number of senders that share the load.
     pub senders: usize,
-    /// Submit over Web Push in place of RESP2.
+    /// Submit messages over Web Push instead of RESP2.
     pub push: bool,
-    /// How long messages are submitted in each step.
+    /// Duration of each step, in which messages are submitted.
     pub span: Duration,
     /// Seed of all random draws.
     pub seed: u64,
@@ -50,46 +53,46 @@
 /// Results of one step.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// Messages a second that were to be submitted.
+    /// Intended rate of submissions, in messages a second.
     pub rate: f64,
-    /// Messages that were submitted.
+    /// Number of submissions, including repeated ones.
     pub submitted: u64,
-    /// Messages that were delivered.
+    /// Number of messages that were delivered.
     pub delivered: u64,
-    /// Microseconds from submission to the answer: median, 99 and 99.9 of 100.
+    /// Microseconds from submission to the sender's answer: median, 99th and 99.9th percentile.
     pub answered: [u64; 3],
-    /// Microseconds from submission to the destination's success: median, 99 and 99.9 of 100.
+    /// Microseconds from submission to the destination's successful reply: median, 99th and 99.9th percentile.
     pub done: [u64; 3],
-    /// Cores that the runner's loop used.
+    /// Average number of cores that the runner's event loop used.
     pub runner_cores: f64,
-    /// Cores that the busiest sender used.
+    /// Average number of cores that the busiest sender used.
     pub sender_cores: f64,
     /// Largest resident memory of a sender, in kB.
     pub memory_kb: u64,
-    /// Most open descriptors of a sender at the end.
+    /// Largest number of open file descriptors of a sender at the end.
     pub descriptors: usize,
-    /// Within this the runner noticed 99 of 100 events.
+    /// 99th percentile of the delay with which the runner noticed events.
     pub late: Duration,
-    /// No rule was violated, nothing crashed, and the run was not void.
+    /// Whether no rule was violated, no sender crashed, and the run was not void.
     pub holds: bool,
-    /// The first violation of each rule, the first reason why the run is void, and the first crash.
+    /// The first crash, the first reason why the run is void, and the first violation of each rule, as text.
     pub wrong: Vec<String>,
 }
 
 impl Step {
-    /// The sender sustained the rate.
+    /// Whether the senders sustained the rate: [`holds`](Step::holds), enough messages delivered, and answers fast enough.
     pub fn sustained(&self) -> bool {
         self.holds
             && self.delivered as f64 >= self.submitted as f64 * MIN_DELIVERED_SHARE
             && Duration::from_micros(self.answered[1]) <= MAX_ANSWER_P99
     }
 
-    /// The runner was not late, so the step says something of the sender.
+    /// Whether the runner noticed events early enough for the step to be a measurement of the senders.
     pub fn clear(&self) -> bool {
         self.late <= MAX_RUNNER_LATENESS
     }
 
-    /// The step as a line of a table; its heading is [`Step::HEADING`].
+    /// The step as a row of the table whose heading is [`Step::HEADING`].
     pub fn line(&self) -> String {
         let ms = |us: [u64; 3]| us.map(|v| format!("{:.1}", v as f64 / 1e3)).join("/");
         format!(
@@ -105,21 +108,22 @@
             self.descriptors,
             self.late.as_secs_f64() * 1e3,
             match (self.clear(), self.sustained()) {
-                (false, _) => "rig too late",
+                (false, _) => "runner too late",
                 (true, true) => "kept up",
                 (true, false) => "did not keep up",
             }
         )
     }
 
-    /// The heading of the table whose rows are [`Step::line`].
+    /// The heading of the table whose rows are [`Step::line`]. `handed` counts submissions; `sender` and `rig` are the cores that the
+    /// busiest sender and the runner used.
     pub const HEADING: &str = "  rate/s   handed delivered   answered ms      delivered ms        sender     rig   mem kB    fds  late ms";
 }
 
-/// The text of the scenario of one step.
+/// The scenario file of one step.
 fn scenario_text(options: &MeasureOptions, rate: f64) -> String {
     let destinations = (options.endpoints / 2).max(1);
-    // Twice the load of each endpoint, so that the sender is what is measured.
+    // Each destination has four times the capacity that its load needs, so that the sender is the bottleneck.
     let capacity = (rate / destinations as f64 * 4.0).max(20.0);
     let seconds = options.span.as_secs_f64();
     let mut text = format!(
@@ -138,14 +142,14 @@
     text
 }
 
-/// Plays one rate against senders of this program.
+/// Plays one step, at `rate` messages a second, with the senders' executable `program`.
 ///
 /// # Errors
-/// The senders do not start, or a socket fails.
+/// A sender does not start, or a socket or file operation fails.
 pub fn step(program: &Path, options: &MeasureOptions, rate: f64) -> Result<Step, RunError> {
     let scenario =
         scenario::parse(&scenario_text(options, rate), options.seed).map_err(RunError::Scenario)?;
-    // Generous limits: neither descriptors, nor disk, nor calls in flight are measured.
+    // High limits, so that neither sockets, nor disk space, nor calls in flight bound the rate.
     let limits = Limits {
         memory_mb: 512.0,
         sockets: 4096,
@@ -162,14 +166,14 @@
         against: None,
     };
     let outcome = play(&plan, |_, _| {})?;
-    Ok(read(&plan, rate, &outcome))
+    Ok(step_results(&plan, rate, &outcome))
 }
 
-fn read(plan: &Plan, rate: f64, outcome: &Outcome) -> Step {
+fn step_results(plan: &Plan, rate: f64, outcome: &Outcome) -> Step {
     let figures = figures(&plan.scenario, &outcome.lines, outcome.lasted);
     let seconds = outcome.lasted.as_secs_f64().max(1e-9);
     let senders = &outcome.senders;
-    let busiest = senders
+    let busiest_cpu_seconds = senders
         .iter()
         .map(|usage| usage.cpu.as_secs_f64())
         .fold(0.0, f64::max);
@@ -182,12 +186,12 @@
         answered: quantiles(&figures.answer_latency),
         done: quantiles(&figures.delivery_latency),
         runner_cores: outcome.runner_cpu.as_secs_f64() / seconds,
-        sender_cores: busiest / seconds,
+        sender_cores: busiest_cpu_seconds / seconds,
         memory_kb: most_memory.unwrap_or(0),
         descriptors: most_descriptors.unwrap_or(0),
         late: outcome.late.1,
         holds: outcome.holds(),
-        wrong: wrong(outcome),
+        wrong: problems(outcome),
     }
 }
 
@@ -195,40 +199,41 @@
     [0.5, 0.99, 0.999].map(|quantile| latency.value_at_quantile(quantile))
 }
 
-fn wrong(outcome: &Outcome) -> Vec<String> {
-    let mut all: Vec<String> = outcome
+fn problems(outcome: &Outcome) -> Vec<String> {
+    let mut problems: Vec<String> = outcome
         .crashed
         .iter()
-        .map(|s| format!("sender {s} ended by itself"))
+        .map(|sender| format!("sender {sender}: its process exited unexpectedly"))
         .take(1)
         .collect();
-    all.extend(outcome.void.first().cloned());
+    problems.extend(outcome.void.first().cloned());
     for (_, verdict) in &outcome.verdicts {
         if let Verdict::Broken(violations) = verdict {
-            all.extend(
+            problems.extend(
                 violations
                     .first()
-                    .map(|b| format!("{} times: {b}", violations.len())),
+                    .map(|first| format!("{} violations, first: {first}", violations.len())),
             );
         }
     }
-    all
+    problems
 }
 
-/// Searches for the highest rate that is sustained; `each` is called with every step. `None` if not even the first rate is.
+/// Searches for the highest sustained rate: doubles the rate until a step fails or the rate exceeds 64,000 messages a second, then
+/// bisects. `on_step` is called with every step. `None` if the first rate, 250 messages a second, is not sustained.
 ///
 /// # Errors
-/// The senders do not start, or a socket fails.
+/// A sender does not start, or a socket or file operation fails.
 pub fn highest(
     program: &Path,
     options: &MeasureOptions,
-    mut each: impl FnMut(&Step),
+    mut on_step: impl FnMut(&Step),
 ) -> Result<Option<Step>, RunError> {
     let mut best: Option<Step> = None;
     let (mut rate, mut failed) = (FIRST_RATE, None);
     while failed.is_none() && rate <= MAX_RATE {
         let step = step(program, options, rate)?;
-        each(&step);
+        on_step(&step);
         if step.sustained() && step.clear() {
             rate *= 2.0;
             best = Some(step);
@@ -236,13 +241,13 @@
             failed = Some(rate);
         }
     }
-    let (Some(mut above), Some(mut below)) = (failed, best.as_ref().map(|b| b.rate)) else {
+    let (Some(mut above), Some(mut below)) = (failed, best.as_ref().map(|step| step.rate)) else {
         return Ok(best);
     };
     for _ in 0..SEARCH_STEPS {
         let rate = (above + below) / 2.0;
         let step = step(program, options, rate)?;
-        each(&step);
+        on_step(&step);
         if step.sustained() && step.clear() {
             below = rate;
             best = Some(step);
--- a/crates/scenario-runner/src/mutations.rs
+++ b/crates/scenario-runner/src/mutations.rs
@@ -1,4 +1,4 @@
-//! Mutations: deliberate faults of a build, each with a scenario and the rule that must detect it.
+//! Mutations: deliberate defects of a sender, each with a scenario and the rule that must detect it.
 
 use cranehill_simulation::audit::Rule;
 
@@ -11,15 +11,15 @@
 /// One mutation with its scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    /// The name that a build with mutations knows.
+    /// Its name, as [`Plan::mutation`](crate::Plan::mutation) and a build with mutations use it.
     pub name: &'static str,
-    /// The rule that must be violated.
+    /// The rule that the sender with the mutation must violate.
     pub rule: Rule,
-    /// The text of the scenario's file.
+    /// The text of the scenario file.
     pub scenario: &'static str,
 }
 
-/// All mutations.
+/// All mutations, in the order of the senders' own list.
 pub const CASES: [Case; 15] = [
     Case {
         name: "ignores-waits",
--- a/crates/scenario-runner/src/network.rs
+++ b/crates/scenario-runner/src/network.rs
@@ -1,4 +1,5 @@
-//! The network between senders and simulated servers. The scenario runner connects them directly; the fleet harness puts relays in between.
+//! The network between senders and simulated servers, and among senders. The scenario runner connects them directly; the fleet harness
+//! inserts a relay.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,9 +7,9 @@
 
 use cranehill_simulation::fleet::Fleet;
 
-/// Maps the address on which a simulated server or a sender listens to the address that the others use for it.
+/// Maps the address at which a simulated server or a sender listens to the address at which others reach it.
 pub trait Network {
-    /// The address (TCP) under which `sender` reaches an endpoint of `zone` that listens at `real`.
+    /// The TCP address at which `sender` reaches an endpoint in `zone` that listens at `real`.
     fn destination_address(
         &mut self,
         sender: usize,
@@ -16,20 +17,20 @@
         real: SocketAddr,
     ) -> io::Result<SocketAddr>;
 
-    /// The address (UDP) under which the other senders reach `sender`, which listens at `real`.
+    /// The UDP address at which the other members reach `sender`, which listens at `real`.
     fn sender_address(&mut self, sender: usize, real: SocketAddr) -> io::Result<SocketAddr>;
 
-    /// Starts members of the fleet that are not real senders; the senders receive packets at `senders`. Returns addresses of some
-    /// of these members, for the senders to contact first.
+    /// Starts the simulated members of the fleet; `senders` are the UDP addresses of the real ones. Returns addresses of simulated
+    /// members that the senders use as additional seeds.
     fn join(&mut self, _fleet: &Fleet, _senders: &[SocketAddr]) -> io::Result<Vec<SocketAddr>> {
         Ok(Vec::new())
     }
 
-    /// The scenario's clock starts at this instant.
+    /// Called once when the scenario starts; `at` is time zero of its clock.
     fn begin(&mut self, at: Instant);
 }
 
-/// Direct connections: every address is the real one.
+/// Direct connections: each address is the one at which the listener is bound.
 #[derive(Clone, Copy, Debug)]
 pub struct Direct;
 
--- a/crates/scenario-runner/src/outcome.rs
+++ b/crates/scenario-runner/src/outcome.rs
@@ -7,57 +7,57 @@
 
 use crate::resource_usage::ResourceUsage;
 
-/// Results of a run: verdicts, the record they come from, and what was measured.
+/// Results of a run: the auditor's verdicts, the recorded events on which they are based, and measurements.
 #[derive(Debug, Default)]
 pub struct Outcome {
     /// Each rule with the auditor's verdict.
     pub verdicts: Vec<(Rule, Verdict)>,
-    /// Every recorded event, in order.
+    /// All recorded events, in the order in which they were noticed.
     pub lines: Vec<AuditRecord>,
-    /// Priority weight of the messages that were delivered, and of those that were submitted.
+    /// Priority weight of the delivered messages, and of all submitted messages. A message that is submitted again counts once.
     pub worth: (f64, f64),
-    /// The same by the second in which a message was first submitted.
+    /// The same pair for each second of the run, by the time of a message's first submission.
     pub worth_over_time: Vec<(f64, f64)>,
-    /// Resources that each sender had used at the end.
+    /// By sender: resources that its process had used at the end.
     pub senders: Vec<ResourceUsage>,
-    /// Processor time of the runner's own loop.
+    /// Processor time of the runner's event loop.
     pub runner_cpu: Duration,
-    /// Submissions, repeated ones included.
+    /// Number of submissions, including repeated ones.
     pub submitted: u64,
-    /// Messages that a destination executed.
+    /// Number of successful deliveries that destinations replied.
     pub delivered: u64,
-    /// Senders whose process ended and was not meant to.
+    /// Indices of the senders whose process exited although the scenario did not end it.
     pub crashed: Vec<usize>,
-    /// Why the run can't be judged: calls that are not valid, or not for the endpoint that got them.
+    /// Why the run can't be judged: malformed requests, and calls to the wrong endpoint. Empty for a valid run.
     pub void: Vec<String>,
-    /// Warnings of the senders' logs, the first of each.
+    /// Distinct warnings in the senders' logs, and upgrades that could not be started.
     pub warnings: Vec<String>,
-    /// How late the runner noticed events: at most, and for 99 of 100.
+    /// Delay with which the runner noticed events: the maximum, and the delay that 99 of 100 events did not exceed.
     pub late: (Duration, Duration),
-    /// From the start to the end.
+    /// Time from the start of the scenario to the end of the run.
     pub lasted: Duration,
-    /// When the run began, since 1970.
+    /// Start of the scenario, as time since the Unix epoch (1970).
     pub began: Duration,
-    /// With a fleet: every line of the senders' logs, with its sender.
+    /// With a fleet: every line of the senders' logs, with the index of its sender.
     pub logs: Vec<(usize, String)>,
-    /// With a fleet: each sender's view of the members at the end, if it could be read.
+    /// By sender: its view of the fleet's members at the end, as JSON; `None` without a fleet, or if it could not be read.
     pub views: Vec<Option<Value>>,
 }
 
 impl Outcome {
-    /// No rule is violated, no sender crashed, and the run can be judged.
+    /// Whether no rule is violated, no sender crashed, and the run is not void. Rules that were not judged do not count.
     pub fn holds(&self) -> bool {
         self.crashed.is_empty() && self.void.is_empty() && self.violated_rules().next().is_none()
     }
 
-    /// The machine was too busy to judge some rule.
+    /// Whether the machine was too busy to judge some rule.
     pub fn unclear(&self) -> bool {
         self.verdicts
             .iter()
             .any(|(_, verdict)| matches!(verdict, Verdict::NotJudged { .. }))
     }
 
-    /// The rules that were violated.
+    /// The rules that were violated, in the order of the verdicts.
     pub fn violated_rules(&self) -> impl Iterator<Item = Rule> {
         self.verdicts
             .iter()
@@ -65,7 +65,7 @@
             .map(|(rule, _)| *rule)
     }
 
-    /// Delivered priority weight as a share of the submitted one.
+    /// Delivered priority weight as a share of the submitted one, 0 to 1; 1 if nothing was submitted.
     pub(crate) fn service(&self) -> f64 {
         let (delivered, submitted) = self.worth;
         if submitted > 0.0 {
--- a/crates/scenario-runner/src/plan.rs
+++ b/crates/scenario-runner/src/plan.rs
@@ -1,37 +1,37 @@
-//! What to play.
+//! The input of a run: a scenario, and the senders to test with it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use cranehill_simulation::scenario::Scenario;
 
-/// What to play, and with which senders.
+/// A scenario to play, and the senders to test with it.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The simulated servers, the load and the faults.
     pub scenario: Scenario,
     /// Seed of all random draws.
     pub seed: u64,
-    /// The sender's program.
+    /// Path of the sender's executable. Not used with [`against`](Plan::against).
     pub program: PathBuf,
-    /// Resources of each sender.
+    /// Resource limits of each sender.
     pub limits: Limits,
-    /// For builds with mutations: the one to play.
+    /// Name of the mutation to activate; the executable must be a build with mutations.
     pub mutation: Option<String>,
-    /// A sender that runs already, in place of starting any.
+    /// Test this running sender instead of starting processes.
     pub against: Option<Against>,
 }
 
-/// A sender that was started by somebody else, on this machine.
+/// A running sender on this machine that the runner neither starts nor stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Against {
-    /// Where it listens for clients.
+    /// Address at which the sender listens for RESP2 clients.
     pub clients: SocketAddr,
-    /// Where it requests its list of endpoints, and sends its final reports.
+    /// Address from which the sender requests its endpoint list, and to which it sends final reports. The runner listens there.
     pub directory: SocketAddr,
 }
 
-/// Resources that a sender has by its configuration.
+/// Resource limits in a sender's configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Memory in MB.
@@ -40,7 +40,7 @@
     pub sockets: usize,
     /// Disk space of the journal in MB.
     pub disk_mb: f64,
-    /// Calls in flight at once; `None` for what the scenario's load needs.
+    /// Calls in flight at once; `None` derives the number from the scenario's load.
     pub calls_out: Option<usize>,
 }
 
--- a/crates/scenario-runner/src/report.rs
+++ b/crates/scenario-runner/src/report.rs
@@ -1,15 +1,15 @@
-//! The results of a run as text: a short table, and each violation with the lines that prove it.
+//! The results of a run as text: a short table, and the first violations of each rule with the recorded events that prove them.
 
 use cranehill_simulation::audit::{Rule, Verdict};
 
 use crate::outcome::Outcome;
 
-/// Violations of one rule, and reasons why a run is void, that are shown.
+/// Violations shown for each rule, and reasons shown for a void run.
 const MAX_SHOWN_VIOLATIONS: usize = 3;
-/// Warnings of the senders' logs that are shown.
+/// Warnings shown from the senders' logs.
 const MAX_SHOWN_WARNINGS: usize = 5;
 
-/// The table of one run.
+/// The results of one run as lines of text; `name` is the scenario's name.
 pub fn table(name: &str, seed: u64, outcome: &Outcome) -> Vec<String> {
     let share = outcome.service();
     let (delivered_weight, submitted_weight) = outcome.worth;
@@ -23,7 +23,7 @@
             outcome.submitted, outcome.delivered
         ),
         format!(
-            "  rig late by {:.1} ms at most, {:.2} ms 99 of 100 times",
+            "  runner noticed events at most {:.1} ms late, 99 of 100 within {:.2} ms",
             outcome.late.0.as_secs_f64() * 1e3,
             outcome.late.1.as_secs_f64() * 1e3
         ),
@@ -44,7 +44,9 @@
         }
     }
     for sender in &outcome.crashed {
-        lines.push(format!("  CRASHED: sender {sender} ended without a signal"));
+        lines.push(format!(
+            "  CRASHED: the process of sender {sender} exited unexpectedly"
+        ));
     }
     lines.extend(
         outcome
@@ -58,12 +60,12 @@
             .warnings
             .iter()
             .take(MAX_SHOWN_WARNINGS)
-            .map(|w| format!("  log: {w}")),
+            .map(|w| format!("  warning: {w}")),
     );
     lines
 }
 
-/// The rules that were violated.
+/// The rules that were violated, in the order of the verdicts.
 pub fn broken(outcome: &Outcome) -> Vec<Rule> {
     outcome.violated_rules().collect()
 }
--- a/crates/scenario-runner/src/report_files/events.rs
+++ b/crates/scenario-runner/src/report_files/events.rs
@@ -1,4 +1,4 @@
-//! The record of a run as a Parquet table and as text.
+//! The recorded events of a run, as a Parquet table and as text.
 
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -13,86 +13,96 @@
 use parquet::errors::ParquetError;
 use parquet::file::properties::WriterProperties;
 
-/// Rows of one row group of the table.
+/// Number of rows in each row group of the Parquet table.
 const ROW_GROUP_ROWS: usize = 16 * 1024;
 
-/// Writes the record as text, one event a line.
-pub(super) fn write_text(path: &Path, lines: &[AuditRecord]) -> io::Result<()> {
+/// Writes the events as text, one on each line: seconds, sender, kind, and the text that proves the event.
+pub(super) fn write_text(path: &Path, records: &[AuditRecord]) -> io::Result<()> {
     let mut text = BufWriter::new(File::create(path)?);
-    for line in lines {
-        let sender = line
+    for record in records {
+        let sender = record
             .sender
             .map_or_else(|| "-".into(), |sender| sender.to_string());
         writeln!(
             text,
             "{:>9.3} {sender:>2} {:<9} {}",
-            line.at.as_secs_f64(),
-            kind(&line.event),
-            line.wire
+            record.at.as_secs_f64(),
+            kind(&record.event),
+            record.wire
         )?;
     }
     text.flush()
 }
 
-/// Writes the record as a Parquet table.
-pub(super) fn write_parquet(path: &Path, lines: &[AuditRecord]) -> Result<(), ParquetError> {
+/// Writes the events as a Parquet table with one row for each.
+pub(super) fn write_parquet(path: &Path, records: &[AuditRecord]) -> Result<(), ParquetError> {
     let schema = record_batch(&[])?.schema();
     let properties = WriterProperties::builder()
         .set_compression(Compression::SNAPPY)
         .build();
     let file = BufWriter::new(File::create(path)?);
     let mut writer = ArrowWriter::try_new(file, schema, Some(properties))?;
-    for rows in lines.chunks(ROW_GROUP_ROWS) {
+    for rows in records.chunks(ROW_GROUP_ROWS) {
         writer.write(&record_batch(rows)?)?;
     }
     writer.close()?;
     Ok(())
 }
 
-fn record_batch(lines: &[AuditRecord]) -> Result<RecordBatch, ParquetError> {
+fn record_batch(records: &[AuditRecord]) -> Result<RecordBatch, ParquetError> {
     let microseconds = |duration: Duration| Some(duration.as_micros() as u64);
-    let places: Vec<Place> = lines.iter().map(|line| place(&line.event)).collect();
-    let ids: Vec<Option<String>> = lines.iter().map(|line| message_ids(&line.event)).collect();
-    let senders: UInt32Array = lines
+    let locations: Vec<Location> = records
         .iter()
-        .map(|line| line.sender.map(|sender| sender as u32))
+        .map(|record| location(&record.event))
+        .collect();
+    let ids: Vec<Option<String>> = records
+        .iter()
+        .map(|record| message_ids(&record.event))
+        .collect();
+    let senders: UInt32Array = records
+        .iter()
+        .map(|record| record.sender.map(|sender| sender as u32))
         .collect();
     let columns: [(&str, ArrayRef, bool); 9] = [
         (
             "at_us",
-            numbers(lines.iter().map(|line| microseconds(line.at))),
+            numbers(records.iter().map(|record| microseconds(record.at))),
             true,
         ),
         (
             "late_us",
-            numbers(lines.iter().map(|line| microseconds(line.recording_delay))),
+            numbers(
+                records
+                    .iter()
+                    .map(|record| microseconds(record.recording_delay)),
+            ),
             true,
         ),
         ("sender", Arc::new(senders), true),
         (
             "kind",
-            texts(lines.iter().map(|line| Some(kind(&line.event)))),
+            texts(records.iter().map(|record| Some(kind(&record.event)))),
             true,
         ),
         ("notices", texts(ids.iter().map(Option::as_deref)), true),
         (
             "partner",
-            numbers(places.iter().map(|place| place.destination)),
+            numbers(locations.iter().map(|location| location.destination)),
             true,
         ),
         (
             "endpoint",
-            numbers(places.iter().map(|place| place.endpoint)),
+            numbers(locations.iter().map(|location| location.endpoint)),
             true,
         ),
         (
             "connection",
-            numbers(places.iter().map(|place| place.connection)),
+            numbers(locations.iter().map(|location| location.connection)),
             true,
         ),
         (
             "wire",
-            texts(lines.iter().map(|line| Some(line.wire.as_str()))),
+            texts(records.iter().map(|record| Some(record.wire.as_str()))),
             true,
         ),
     ];
@@ -107,7 +117,7 @@
     Arc::new(values.collect::<StringArray>())
 }
 
-/// The event's kind, as the files name it.
+/// The name of the event's kind in the files. These names are part of the file format.
 fn kind(event: &AuditEvent) -> &'static str {
     match event {
         AuditEvent::Submitted { .. } => "handed",
@@ -132,7 +142,7 @@
     }
 }
 
-/// The messages that an event is about, separated by spaces.
+/// Ids of the messages that an event is about, separated by spaces; `None` if there are none.
 fn message_ids(event: &AuditEvent) -> Option<String> {
     match event {
         AuditEvent::Submitted { id, .. }
@@ -163,15 +173,15 @@
     Some(ids.join(" ")).filter(|text| !text.is_empty())
 }
 
-/// Where an event happened.
+/// The destination, endpoint and connection of an event, as far as it has these.
 #[derive(Clone, Copy, Debug, Default)]
-struct Place {
+struct Location {
     destination: Option<u64>,
     endpoint: Option<u64>,
     connection: Option<u64>,
 }
 
-fn place(event: &AuditEvent) -> Place {
+fn location(event: &AuditEvent) -> Location {
     match event {
         AuditEvent::Opened {
             connection,
@@ -200,7 +210,7 @@
             endpoint,
             destination,
             ..
-        } => Place {
+        } => Location {
             destination: Some(*destination),
             endpoint: Some(*endpoint as u64),
             connection: Some(*connection),
@@ -209,7 +219,7 @@
             endpoint,
             destination,
             ..
-        } => Place {
+        } => Location {
             destination: Some(*destination),
             endpoint: Some(*endpoint as u64),
             connection: None,
@@ -217,14 +227,14 @@
         AuditEvent::Submitted { destination, .. }
         | AuditEvent::Posted { destination, .. }
         | AuditEvent::Fell { destination }
-        | AuditEvent::Back { destination, .. } => Place {
+        | AuditEvent::Back { destination, .. } => Location {
             destination: Some(*destination),
-            ..Place::default()
+            ..Location::default()
         },
-        AuditEvent::Closed { connection } => Place {
+        AuditEvent::Closed { connection } => Location {
             connection: Some(*connection),
-            ..Place::default()
+            ..Location::default()
         },
-        _ => Place::default(),
+        _ => Location::default(),
     }
 }
--- a/crates/scenario-runner/src/report_files/html.rs
+++ b/crates/scenario-runner/src/report_files/html.rs
@@ -1,4 +1,4 @@
-//! The report as one HTML page.
+//! The report as one self-contained HTML page.
 
 use cranehill_simulation::audit::Verdict;
 use plotters::style::RGBColor;
@@ -10,17 +10,17 @@
 use crate::outcome::Outcome;
 use crate::plan::Plan;
 
-/// Destinations that are plotted: those with most load.
+/// Number of destinations that are plotted: those to which most messages were sent.
 const MAX_DESTINATIONS: usize = 12;
-/// Violations of one rule that are shown.
+/// Violations shown for each rule.
 const MAX_SHOWN_VIOLATIONS: usize = 5;
-/// Colours of the senders' curves, in turn.
+/// Colours of the senders' curves; repeated if there are more senders.
 const SENDER_COLOURS: [RGBColor; 4] = [LINE_BLUE, LINE_GREEN, LINE_RED, LINE_GREY];
 const STYLE: &str = "body{font-family:sans-serif;max-width:920px;margin:2em auto;color:#222}table{border-collapse:collapse}\
                      td,th{border-bottom:1px solid #ddd;padding:4px 10px;text-align:left;vertical-align:top}svg{margin-top:1em}\
                      pre{white-space:pre-wrap;font-size:12px}";
 
-/// The page.
+/// The text of the page.
 pub(super) fn page(
     plan: &Plan,
     outcome: &Outcome,
@@ -56,7 +56,7 @@
     format!(
         "<h1>{}</h1><p><b>{verdict}</b></p>\
          <p>Seed {}, {} senders, {:.1} s. Service {:.3} ({delivered_weight:.1} of {submitted_weight:.0}). Answered in {} ms (median), \
-         {} ms (99%); delivered in {} ms, {} ms, {} ms (99.9%). The rig was late by {:.1} ms at most.</p>",
+         {} ms (99%); delivered in {} ms, {} ms, {} ms (99.9%). The runner noticed events at most {:.1} ms late.</p>",
         escape(&plan.scenario.name),
         plan.seed,
         plan.scenario.senders,
@@ -105,20 +105,20 @@
 
 fn service_plots(outcome: &Outcome, figures: &Figures) -> Result<String, ReportError> {
     let load = [
-        ("handed in", &figures.submitted, LINE_BLUE),
+        ("submitted", &figures.submitted, LINE_BLUE),
         ("delivered", &figures.delivered, LINE_GREEN),
-        ("refused", &figures.rejected, LINE_RED),
+        ("rejected", &figures.rejected, LINE_RED),
     ];
     let submitted_weight = weight_over_time(outcome, |weights| weights.1);
     let delivered_weight = weight_over_time(outcome, |weights| weights.0);
     let weights = [
-        ("asked for", &submitted_weight, LINE_BLUE),
+        ("submitted", &submitted_weight, LINE_BLUE),
         ("delivered", &delivered_weight, LINE_GREEN),
     ];
     let plots = [
         plot("Service: messages a second", "messages/s", &load)?,
         plot(
-            "Worth, by the second of the first handing in",
+            "Priority weight, by the second of the first submission",
             "messages' priority weight",
             &weights,
         )?,
@@ -145,10 +145,10 @@
         .zip(SENDER_COLOURS.iter().cycle())
         .map(|((name, curve), colour)| (name.as_str(), curve, *colour))
         .collect();
-    let waits = [("told", &figures.waits, LINE_RED)];
+    let active_retry_after = [("active", &figures.active_retry_after, LINE_RED)];
     let plots = [
-        plot("Calls out", "calls", &in_flight)?,
-        plot("Waits that are on", "waits", &waits)?,
+        plot("Calls in flight", "calls", &in_flight)?,
+        plot("Active Retry-After periods", "waits", &active_retry_after)?,
     ];
     Ok(plots.concat())
 }
@@ -162,11 +162,11 @@
         .take(MAX_DESTINATIONS)
         .map(|destination| {
             let curves = [
-                ("sent to it", &destination.sent, LINE_BLUE),
-                ("what it can do", &destination.capacity, LINE_GREY),
+                ("sent", &destination.sent, LINE_BLUE),
+                ("capacity", &destination.capacity, LINE_GREY),
             ];
             plot(
-                &format!("Partner {}", destination.name),
+                &format!("Destination {}", destination.name),
                 "messages/s",
                 &curves,
             )
--- a/crates/scenario-runner/src/report_files/json.rs
+++ b/crates/scenario-runner/src/report_files/json.rs
@@ -1,4 +1,4 @@
-//! The report as JSON.
+//! The report as JSON, for other programs.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 use crate::outcome::Outcome;
 use crate::plan::Plan;
 
-/// The whole report.
+/// The contents of `report.json`. Its keys are part of the file format.
 pub(super) fn report(plan: &Plan, outcome: &Outcome, figures: &Figures) -> Value {
     let rules: Vec<Value> = outcome
         .verdicts
         .iter()
         .map(|(rule, verdict)| rule_json(*rule, verdict))
         .collect();
-    let (max_lateness, usual_lateness) = outcome.late;
+    let (max_lateness, p99_lateness) = outcome.late;
     json!({
         "day": plan.scenario.name, "seed": plan.seed, "senders": plan.scenario.senders,
         "lasted_ms": outcome.lasted.as_millis() as u64,
         "worth": {"delivered": outcome.worth.0, "asked": outcome.worth.1},
         "handed": outcome.submitted, "delivered": outcome.delivered,
         "answered": quantiles(&figures.answer_latency), "delivery": quantiles(&figures.delivery_latency),
-        "rig_late_ms": {"most": milliseconds(max_lateness), "p99": milliseconds(usual_lateness)},
+        "rig_late_ms": {"most": milliseconds(max_lateness), "p99": milliseconds(p99_lateness)},
         "rules": rules, "crashed": outcome.crashed, "void": outcome.void, "warnings": outcome.warnings,
     })
 }
@@ -50,7 +50,7 @@
         "p999_ms": quantile_ms(latency, 0.999), "max_ms": latency.max() as f64 / 1e3})
 }
 
-/// A quantile in milliseconds.
+/// A quantile, 0 to 1, of latencies in microseconds, converted to milliseconds.
 pub(super) fn quantile_ms(latency: &Histogram<u64>, quantile: f64) -> f64 {
     latency.value_at_quantile(quantile) as f64 / 1e3
 }
--- a/crates/scenario-runner/src/report_files/mod.rs
+++ b/crates/scenario-runner/src/report_files/mod.rs
@@ -1,4 +1,4 @@
-//! The report of a run as files: JSON for programs, Parquet with every event, and one self-contained HTML page with plots.
+//! The report of a run as files: a JSON summary, all recorded events as Parquet and text, and a self-contained HTML page with plots.
 
 mod error;
 mod events;
@@ -14,11 +14,11 @@
 
 pub use error::ReportError;
 
-/// Writes `report.json`, `report.html`, `events.parquet` and the same as `events.txt` into a folder, which is created if it
-/// does not exist.
+/// Writes `report.json`, `report.html`, and all events as `events.parquet` and `events.txt` into the folder `dir`, which is created if
+/// it does not exist. Existing files of these names are overwritten.
 ///
 /// # Errors
-/// A file can't be written, or a plot or table can't be built.
+/// The folder can't be created, a file can't be written, or a plot or table can't be built.
 pub fn write(dir: &Path, plan: &Plan, outcome: &Outcome) -> Result<(), ReportError> {
     std::fs::create_dir_all(dir)?;
     let figures = figures(&plan.scenario, &outcome.lines, outcome.lasted);
--- a/crates/scenario-runner/src/report_files/plots.rs
+++ b/crates/scenario-runner/src/report_files/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of curves, as SVG.
+//! Line plots, as SVG.
 
 use plotters::chart::{ChartBuilder, SeriesLabelPosition};
 use plotters::drawing::IntoDrawingArea;
@@ -10,9 +10,9 @@
 use super::error::{DrawingError, ReportError};
 use crate::figures::Curve;
 
-/// Width and height in pixels.
+/// Width and height of a plot in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 260);
-/// Free space above the highest value, as a factor.
+/// Height of a plot in multiples of its highest value, so that a margin remains above the curves.
 const HEADROOM: f64 = 1.08;
 
 pub(super) const LINE_BLUE: RGBColor = RGBColor(31, 90, 180);
@@ -20,10 +20,10 @@
 pub(super) const LINE_RED: RGBColor = RGBColor(190, 50, 40);
 pub(super) const LINE_GREY: RGBColor = RGBColor(110, 110, 110);
 
-/// A curve with its name in the legend and its colour.
+/// A curve's name in the legend, its points and its colour.
 pub(super) type NamedCurve<'a> = (&'a str, &'a Curve, RGBColor);
 
-/// Curves over seconds in one plot, as SVG.
+/// Draws curves over time in seconds in one plot, and returns it as SVG. `unit` labels the y axis.
 pub(super) fn plot(
     title: &str,
     unit: &str,
@@ -75,7 +75,7 @@
     root.present()
 }
 
-/// The largest coordinate, one at least.
+/// The largest x or y coordinate of all curves, at least 1 so that the axis is not empty.
 fn largest(curves: &[NamedCurve<'_>], coordinate: fn(&(f64, f64)) -> f64) -> f64 {
     curves
         .iter()
--- a/crates/scenario-runner/src/runner.rs
+++ b/crates/scenario-runner/src/runner.rs
@@ -1,7 +1,7 @@
-//! Plays a scenario: an event loop with all simulated servers on one thread and one clock.
+//! Plays a scenario: an event loop that runs all simulated servers and clients on one thread with one clock.
 //!
 //! [`play`] starts the senders, waits until they are ready and runs the loop until the scenario is over. Every event on a connection
-//! is recorded with the time at which it was noticed, and with how late that may have been.
+//! is recorded with the time at which the loop noticed it, and with an upper bound on the delay since it happened.
 
 mod clients;
 mod clock;
@@ -34,21 +34,22 @@
 use crate::resource_usage;
 use state::Runner;
 
-/// Events that one poll returns at most.
+/// Upper bound on the events that one poll returns.
 const EVENTS_PER_POLL: usize = 1024;
 
-/// Plays a scenario. `progress` is called in each turn of the loop with the time that has passed and the latest end.
+/// Plays a scenario to its end and audits it. `progress` is called after each turn of the event loop with the time since the start
+/// of the scenario and the time at which the run ends at the latest.
 ///
 /// # Errors
-/// A sender does not start, or a socket fails.
+/// A sender does not start or is not ready in time, or an operation on a socket or file fails.
 pub fn play(plan: &Plan, progress: impl FnMut(Duration, Duration)) -> Result<Outcome, RunError> {
     play_through(plan, &mut Direct, progress)
 }
 
-/// As [`play`], over a network between senders and simulated servers.
+/// As [`play`], with the connections of the senders made through `network`.
 ///
 /// # Errors
-/// A sender does not start, or a socket fails.
+/// As for [`play`]; also if `network` fails to map an address.
 pub fn play_through(
     plan: &Plan,
     network: &mut dyn Network,
--- a/crates/scenario-runner/src/runner/clients.rs
+++ b/crates/scenario-runner/src/runner/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they submit messages to the sender that the load balancer chooses, and wait for the answer.
+//! Clients: they submit messages to the sender that the simulated load balancer chooses, and wait for the answer.
 
 use std::time::Duration;
 
@@ -14,28 +14,29 @@
     Framed, encode_post, encode_put, parse_client_answer, parse_post_answer, push_path,
 };
 
-/// A client waits this long beyond the time to live of a message that it has posted; a later answer does not count.
+/// How long after the end of a posted message's time to live its client still waits for the answer. A later answer is ignored.
 const POST_GRACE: Duration = Duration::from_secs(1);
-/// The least time to live of a post, which states whole seconds.
+/// Minimum time to live of a Web Push post in seconds; its TTL header is in whole seconds.
 const MIN_POST_TTL_S: u64 = 1;
 
-/// A message as it is written to a sender, with its entry in the record.
+/// The request that submits a message, and the event to record for it.
 struct ClientRequest {
     bytes: Vec<u8>,
     /// How long the client waits for the answer.
     patience: Duration,
     event: AuditEvent,
+    /// Text of the recorded event.
     line: String,
 }
 
-/// An answer of a sender, and its text for the record.
+/// A sender's answer, and the text to record for it.
 struct ReceivedAnswer {
     answer: Answer,
     text: String,
 }
 
 impl Runner<'_> {
-    /// Submits the messages that are due, unless the timer has been replaced by an earlier one.
+    /// Submits the messages that are due, unless the timer for `at` has been replaced by an earlier one.
     pub(super) fn on_arrival(&mut self, at: Duration) {
         if self.next_arrival != Some(at) {
             return;
@@ -49,7 +50,8 @@
         self.schedule_arrival();
     }
 
-    /// Sets the timer for the next message. There is one at most: each sets its successor when it fires.
+    /// Sets the timer for the next submission, if none is set for that time or earlier. [`on_arrival`](Runner::on_arrival) sets the next
+    /// one.
     pub(super) fn schedule_arrival(&mut self) {
         let due = self
             .clients
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Sends a message to a sender. If none can be reached, it counts as unanswered later.
+    /// Submits a message to a sender. If no sender can be reached, the client waits as long as for an answer, and then retries.
     fn submit(&mut self, message: Submission) {
         let protocol = self.protocol_for(&message);
         let chosen = match &message.ordering_key {
@@ -79,15 +81,15 @@
         };
         let timeout = self.now() + request.patience;
         let id = message.id.clone();
-        let Some(found) = self.connections.get_mut(&connection) else {
+        let Some(open_connection) = self.connections.get_mut(&connection) else {
             return;
         };
-        let sender = found.sender;
-        if let Some(client) = found.client_mut() {
+        let sender = open_connection.sender;
+        if let Some(client) = open_connection.client_mut() {
             client.in_flight = Some(message);
         }
         if protocol == ClientProtocol::WebPush {
-            // The answer completes the message, so the run waits for it.
+            // The answer to a post is the end of the message, so the run must not end before it.
             self.pending.insert(id.clone(), sender);
         }
         self.record(Some(sender), request.event, &request.line);
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The load balancer: the routed senders in turn.
+    /// The sender that the load balancer chooses, round robin; `None` if no sender is routed.
     fn next_routed_sender(&mut self) -> Option<usize> {
         let count = self.senders.len();
         let first = self.next_sender;
@@ -115,7 +117,7 @@
             .find(|&sender| self.senders[sender].routed)
     }
 
-    /// Messages of one ordering key are sent to one sender while it runs.
+    /// The sender for an ordering key: always the same one while it is routed, and otherwise the next that is.
     fn sender_of_key(&self, key: &str) -> Option<usize> {
         let count = self.senders.len();
         let first = usize::from_str_radix(key, 16).unwrap_or(0) % count;
@@ -124,7 +126,7 @@
             .find(|&sender| self.senders[sender].routed)
     }
 
-    /// An idle connection to a sender, or a new one.
+    /// An idle connection to a sender, or a new one; `None` if the sender has no address or the connection can't be opened.
     fn client_connection(
         &mut self,
         sender: usize,
@@ -144,7 +146,7 @@
         let role = ClientRole {
             protocol,
             in_flight: None,
-            used: false,
+            has_received_answer: false,
         };
         self.add_connection(stream, sender, Role::Client(role)).ok()
     }
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Reads the answers that have arrived on a client's connection.
+    /// Handles all complete answers that have arrived on a client's connection.
     pub(super) fn read_answers(&mut self, id: ConnectionId) {
         while let Some(received) = self.next_answer(id) {
             self.on_answer(id, received);
@@ -246,7 +248,7 @@
             return;
         };
         let protocol = client.protocol;
-        client.used = true;
+        client.has_received_answer = true;
         let Some(message) = client.in_flight.take() else {
             return;
         };
@@ -272,13 +274,15 @@
         self.senders[sender].idle.of(protocol).push(id);
     }
 
-    /// A sender has closed a client's connection; `any_read` says whether bytes arrived with the end.
+    /// Handles the end of a client's connection that a sender has closed. `any_read` is true if bytes of an answer
+    /// arrived with it.
     pub(super) fn on_client_closed(&mut self, sender: usize, client: ClientRole, any_read: bool) {
         let Some(message) = client.in_flight else {
             return;
         };
-        // A sender may close between requests: one that it had not read is sent once more on a new connection.
-        if client.used && !any_read {
+        // A sender may close a connection between two requests. It has not read the new one then, so the client sends it again on a
+        // new connection.
+        if client.has_received_answer && !any_read {
             return self.submit(message);
         }
         let id = message.id;
@@ -287,29 +291,35 @@
         self.record(
             Some(sender),
             dropped,
-            &format!("closed without an answer to {id}"),
+            &format!("connection closed without an answer to {id}"),
         );
         self.client_unanswered(&id);
     }
 
-    /// A client closes its connection if it still waits for the answer to this message.
+    /// Closes a client's connection if it still waits for the answer to this message.
     pub(super) fn on_client_timeout(&mut self, connection: ConnectionId, id: &str) {
-        let Some(found) = self.connections.get(&connection) else {
+        let Some(open_connection) = self.connections.get(&connection) else {
             return;
         };
-        let in_flight = found.client().and_then(|client| client.in_flight.as_ref());
+        let in_flight = open_connection
+            .client()
+            .and_then(|client| client.in_flight.as_ref());
         if in_flight.is_none_or(|message| message.id != id) {
             return;
         }
-        let sender = found.sender;
+        let sender = open_connection.sender;
         self.remove_connection(connection);
         self.pending.remove(id);
         let abandoned = AuditEvent::Abandoned { id: id.to_owned() };
-        self.record(Some(sender), abandoned, &format!("no answer to {id}"));
+        self.record(
+            Some(sender),
+            abandoned,
+            &format!("client timed out without an answer to {id}"),
+        );
         self.client_unanswered(id);
     }
 
-    /// The client of a message gets no answer.
+    /// Tells the client model that a submission will not be answered, so that it submits the message again.
     pub(super) fn client_unanswered(&mut self, id: &str) {
         let now = self.now();
         self.clients.answered(now, id, ClientAnswer::Nothing);
--- a/crates/scenario-runner/src/runner/connection.rs
+++ b/crates/scenario-runner/src/runner/connection.rs
@@ -1,4 +1,4 @@
-//! Listeners and connections, without the loop that drives them.
+//! Listeners and connections of the event loop, and the state of the simulated server or client at each.
 
 use std::io::{ErrorKind, Read, Write};
 use std::time::Duration;
@@ -10,25 +10,25 @@
 
 use crate::wire::{Framed, Request, WireError, parse_request};
 
-/// Token of the waker, by which the threads that read the senders' logs interrupt a poll.
+/// Token of the waker with which the threads that read the senders' logs interrupt a poll.
 pub(super) const WAKE: Token = Token(usize::MAX);
-/// Bytes of one read.
+/// Size of the buffer for one read from a socket, in bytes.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// A connection's number, which is its token as well.
+/// The number of a connection, which is also its token in the poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct ConnectionId(pub usize);
 
-/// A listening socket and what accepts its connections.
+/// A listening socket, and the simulated server that accepts its connections.
 #[derive(Debug)]
 pub(super) struct Listener {
     pub socket: TcpListener,
-    pub serves: Service,
+    pub owner: ListenerOwner,
 }
 
-/// What a listener serves. Each sender has listeners of its own.
+/// The simulated server of a listener. Each sender has listeners of its own, so the listener identifies the sender of a connection.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Service {
+pub(super) enum ListenerOwner {
     Endpoint { sender: usize, endpoint: usize },
     Directory { sender: usize },
 }
@@ -39,33 +39,36 @@
     pub stream: TcpStream,
     pub sender: usize,
     pub role: Role,
+    /// Bytes that were read and not parsed yet.
     pub input: Vec<u8>,
+    /// Bytes that the socket has not accepted yet.
     pub output: Vec<u8>,
-    /// When it was last used.
-    pub used: Duration,
+    /// When it was opened, or a complete call or its reply last passed on it.
+    pub last_used: Duration,
 }
 
-/// The simulated server or client of a connection.
+/// The state of the simulated server or client at a connection.
 #[derive(Debug)]
 pub(super) enum Role {
     Destination(DestinationRole),
-    Directory { watch: Option<HeldWatch> },
+    Directory { watch: Option<PendingWatch> },
     Client(ClientRole),
 }
 
-/// A connection that an endpoint of a destination has accepted.
+/// The state of a connection that an endpoint of a destination has accepted.
 #[derive(Debug)]
 pub(super) struct DestinationRole {
+    /// Index into [`Runner::endpoints`](super::state::Runner::endpoints).
     pub endpoint: usize,
-    pub names: AuditNames,
-    /// A part of a request has arrived.
+    pub audit_numbers: AuditNumbers,
+    /// Whether bytes of a call have arrived that is not complete yet.
     pub request_started: bool,
     pub in_flight: Option<Call>,
 }
 
-/// The names of a connection and its endpoint in the record.
+/// The auditor's numbers for a connection and its endpoint.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AuditNames {
+pub(super) struct AuditNumbers {
     pub connection: u64,
     pub endpoint: usize,
     pub destination: u64,
@@ -74,47 +77,50 @@
 /// A call that has arrived and is not answered yet.
 #[derive(Debug)]
 pub(super) struct Call {
+    /// Ids of its messages.
     pub ids: Vec<String>,
     pub batch: bool,
+    /// Number of the call; unique in the run.
     pub serial: u64,
 }
 
-/// A watch of the directory that is held until there is a change.
+/// A watch of the directory whose response is delayed until the list changes.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HeldWatch {
-    /// The version that the sender has.
-    pub from: u64,
-    pub asked: Duration,
-    pub hold: Duration,
+pub(super) struct PendingWatch {
+    /// Version of the list that the sender has.
+    pub known_version: u64,
+    pub received_at: Duration,
+    /// How long after `received_at` the watch is answered without a change.
+    pub max_hold: Duration,
 }
 
-/// A connection of a client to a sender.
+/// The state of a client's connection to a sender.
 #[derive(Debug)]
 pub(super) struct ClientRole {
     pub protocol: ClientProtocol,
-    /// The message that waits for its answer.
+    /// The message that has no answer yet.
     pub in_flight: Option<Submission>,
-    /// An answer has arrived on it.
-    pub used: bool,
+    /// Whether an answer has arrived on this connection.
+    pub has_received_answer: bool,
 }
 
-/// How a client submits messages.
+/// The protocol with which a client submits messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientProtocol {
     Resp,
     WebPush,
 }
 
-/// How a connection is closed from our side.
+/// How the runner closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CloseMode {
-    /// By FIN.
+    /// With a FIN.
     Orderly,
-    /// By RST.
+    /// With a RST.
     Reset,
 }
 
-/// Connections of clients without a request, by protocol.
+/// Open client connections to one sender without a request in flight, by protocol. Some may be closed already.
 #[derive(Debug, Default)]
 pub(super) struct IdleConnections {
     resp: Vec<ConnectionId>,
@@ -122,7 +128,7 @@
 }
 
 impl IdleConnections {
-    /// The idle connections of a protocol.
+    /// The idle connections that use a protocol.
     pub(super) fn of(&mut self, protocol: ClientProtocol) -> &mut Vec<ConnectionId> {
         match protocol {
             ClientProtocol::Resp => &mut self.resp,
@@ -132,7 +138,7 @@
 }
 
 impl Connection {
-    /// The destination's side, on a connection to an endpoint.
+    /// The destination's state, if this is a connection to an endpoint.
     pub(super) fn destination(&self) -> Option<&DestinationRole> {
         match &self.role {
             Role::Destination(role) => Some(role),
@@ -140,7 +146,7 @@
         }
     }
 
-    /// As [`Connection::destination`].
+    /// As [`Connection::destination`], mutable.
     pub(super) fn destination_mut(&mut self) -> Option<&mut DestinationRole> {
         match &mut self.role {
             Role::Destination(role) => Some(role),
@@ -148,7 +154,7 @@
         }
     }
 
-    /// The client's side, on a connection of a client.
+    /// The client's state, if this is a connection of a client.
     pub(super) fn client(&self) -> Option<&ClientRole> {
         match &self.role {
             Role::Client(role) => Some(role),
@@ -156,7 +162,7 @@
         }
     }
 
-    /// As [`Connection::client`].
+    /// As [`Connection::client`], mutable.
     pub(super) fn client_mut(&mut self) -> Option<&mut ClientRole> {
         match &mut self.role {
             Role::Client(role) => Some(role),
@@ -164,8 +170,8 @@
         }
     }
 
-    /// The held watch, on a connection to the directory that has one.
-    pub(super) fn watch(&self) -> Option<HeldWatch> {
+    /// The watch that is not answered yet, if this is a connection to the directory and has one.
+    pub(super) fn watch(&self) -> Option<PendingWatch> {
         if let Role::Directory { watch } = &self.role {
             *watch
         } else {
@@ -173,7 +179,7 @@
         }
     }
 
-    /// Takes the next request from the input; `None` if it is not complete.
+    /// Removes the next request from the input; `None` if it is not complete yet.
     pub(super) fn take_request(&mut self) -> Result<Option<Request>, WireError> {
         let Some(Framed { value, length }) = parse_request(&self.input)? else {
             return Ok(None);
@@ -182,8 +188,8 @@
         Ok(Some(value))
     }
 
-    /// Reads all bytes that have arrived; true if the peer has closed the connection.
-    pub(super) fn fill(&mut self) -> bool {
+    /// Reads all bytes that have arrived into the input; true if the peer has closed or reset the connection.
+    pub(super) fn read_available(&mut self) -> bool {
         let mut chunk = [0u8; READ_CHUNK_BYTES];
         loop {
             match self.stream.read(&mut chunk) {
@@ -197,22 +203,22 @@
         }
     }
 
-    /// Writes as much as the socket accepts.
+    /// Writes as much of the output as the socket accepts.
     pub(super) fn flush(&mut self) {
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
                 Ok(0) => return,
                 Ok(n) => drop(self.output.drain(..n)),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // Not established yet, full, or broken: the last is found by reading.
+                // Not established yet, full or failed; a failure is detected by the next read.
                 Err(_) => return,
             }
         }
     }
 }
 
-impl AuditNames {
-    /// The connection was accepted.
+impl AuditNumbers {
+    /// The event of an accepted connection.
     pub(super) fn opened(self) -> AuditEvent {
         AuditEvent::Opened {
             connection: self.connection,
@@ -221,7 +227,7 @@
         }
     }
 
-    /// The first byte of a call has arrived.
+    /// The event of the first byte of a call.
     pub(super) fn started(self) -> AuditEvent {
         AuditEvent::Begun {
             connection: self.connection,
@@ -230,7 +236,7 @@
         }
     }
 
-    /// A call with these messages has arrived.
+    /// The event of a complete call with these messages.
     pub(super) fn called(self, ids: Vec<String>) -> AuditEvent {
         AuditEvent::Called {
             connection: self.connection,
@@ -240,7 +246,7 @@
         }
     }
 
-    /// The connection ends without a valid reply to the call with these messages.
+    /// The event of a connection that the destination ends without a valid reply to the call with these messages, if any.
     pub(super) fn broke(self, ids: Vec<String>, executed: bool) -> AuditEvent {
         AuditEvent::Broke {
             connection: self.connection,
@@ -251,7 +257,7 @@
         }
     }
 
-    /// The connection was closed.
+    /// The event of a closed connection.
     pub(super) fn closed(self) -> AuditEvent {
         AuditEvent::Closed {
             connection: self.connection,
--- a/crates/scenario-runner/src/runner/connections.rs
+++ b/crates/scenario-runner/src/runner/connections.rs
@@ -1,4 +1,4 @@
-//! Sockets of the loop: connections accepted, read, written and closed.
+//! Accepts, reads, writes and closes the connections of the event loop.
 
 use std::io::{self, ErrorKind};
 use std::time::Duration;
@@ -9,26 +9,27 @@
 use socket2::SockRef;
 
 use super::connection::{
-    AuditNames, CloseMode, Connection, ConnectionId, DestinationRole, Listener, Role, Service,
+    AuditNumbers, CloseMode, Connection, ConnectionId, DestinationRole, Listener, ListenerOwner,
+    Role,
 };
 use super::state::Runner;
 
 impl Runner<'_> {
-    /// Accepts all connections that wait at a listener.
+    /// Accepts all connections that are waiting at a listener.
     pub(super) fn accept(&mut self, listener: usize) {
         loop {
-            let Listener { socket, serves } = &self.listeners[listener];
-            let serves = *serves;
+            let Listener { socket, owner } = &self.listeners[listener];
+            let owner = *owner;
             let stream = match socket.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
                 Err(_) => return,
             };
-            match serves {
-                Service::Directory { sender } => {
+            match owner {
+                ListenerOwner::Directory { sender } => {
                     let _ = self.add_connection(stream, sender, Role::Directory { watch: None });
                 }
-                Service::Endpoint { sender, endpoint } => {
+                ListenerOwner::Endpoint { sender, endpoint } => {
                     self.accept_at_endpoint(stream, sender, endpoint);
                 }
             }
@@ -36,23 +37,28 @@
     }
 
     fn accept_at_endpoint(&mut self, stream: TcpStream, sender: usize, endpoint: usize) {
-        let place = &self.endpoints[endpoint];
-        let (destination, number, audited) = (place.destination, place.number, place.audited);
+        let endpoint_entry = &self.endpoints[endpoint];
+        let (destination, number, audit_number) = (
+            endpoint_entry.destination,
+            endpoint_entry.number,
+            endpoint_entry.audit_number,
+        );
         let now = self.now();
         let connect = self.destinations[destination].connect(now, number);
         self.next_serial += 1;
-        let names = AuditNames {
+        let audit_numbers = AuditNumbers {
             connection: self.next_serial,
-            endpoint: audited,
+            endpoint: audit_number,
             destination: destination as u64,
         };
-        let connection = names.connection;
+        let connection = audit_numbers.connection;
         match connect {
-            // The kernel has accepted already: a refused connection is reset, and one that is never established stays silent.
+            // The kernel has established the connection already. A refused one is reset instead, and one that should never be
+            // established gets no replies.
             Connect::Refused => {
                 let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 drop(stream);
-                let refused = names.broke(Vec::new(), false);
+                let refused = audit_numbers.broke(Vec::new(), false);
                 self.record(
                     Some(sender),
                     refused,
@@ -60,11 +66,11 @@
                 );
             }
             Connect::Up | Connect::Nothing => {
-                let line = format!("connection {connection} to endpoint {audited}");
-                self.record(Some(sender), names.opened(), &line);
+                let line = format!("connection {connection} to endpoint {audit_number}");
+                self.record(Some(sender), audit_numbers.opened(), &line);
                 let role = DestinationRole {
                     endpoint,
-                    names,
+                    audit_numbers,
                     request_started: false,
                     in_flight: None,
                 };
@@ -73,6 +79,7 @@
         }
     }
 
+    /// Registers a connection with the poll.
     pub(super) fn add_connection(
         &mut self,
         mut stream: TcpStream,
@@ -87,20 +94,20 @@
             Token(id.0),
             Interest::READABLE | Interest::WRITABLE,
         )?;
-        let used = self.now();
+        let last_used = self.now();
         let connection = Connection {
             stream,
             sender,
             role,
             input: Vec::new(),
             output: Vec::new(),
-            used,
+            last_used,
         };
         self.connections.insert(id, connection);
         Ok(id)
     }
 
-    /// Writes bytes, now as far as the socket accepts them.
+    /// Writes bytes to a connection; what the socket does not accept now is written when it is writable.
     pub(super) fn send(&mut self, id: ConnectionId, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.output.extend_from_slice(bytes);
@@ -108,14 +115,14 @@
         }
     }
 
-    /// A socket can be read or written.
+    /// Handles a connection that can be read or written.
     pub(super) fn on_socket(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         connection.flush();
         let before = connection.input.len();
-        let ended = connection.fill();
+        let ended = connection.read_available();
         let any_read = connection.input.len() > before;
         match &connection.role {
             Role::Destination(_) => self.read_calls(id),
@@ -127,22 +134,25 @@
         }
     }
 
-    /// The sender has closed a connection, or broken it.
+    /// Handles a connection that the sender has closed or reset.
     fn on_peer_closed(&mut self, id: ConnectionId, any_read: bool) {
         let Some(Connection { sender, role, .. }) = self.remove_connection(id) else {
             return;
         };
         match role {
             Role::Client(client) => self.on_client_closed(sender, client, any_read),
-            Role::Destination(DestinationRole { names, .. }) => {
-                let line = format!("connection {} closed", names.connection);
-                self.record(Some(sender), names.closed(), &line);
+            Role::Destination(DestinationRole { audit_numbers, .. }) => {
+                let line = format!(
+                    "connection {} closed by the sender",
+                    audit_numbers.connection
+                );
+                self.record(Some(sender), audit_numbers.closed(), &line);
             }
             Role::Directory { .. } => {}
         }
     }
 
-    /// Closes a connection from our side.
+    /// Closes a connection on the runner's side.
     pub(super) fn close_connection(&mut self, id: ConnectionId, mode: CloseMode) {
         let Some(connection) = self.remove_connection(id) else {
             return;
@@ -150,12 +160,16 @@
         if mode == CloseMode::Reset {
             let _ = SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
         }
-        if let Role::Destination(DestinationRole { names, .. }) = connection.role {
-            let line = format!("connection {} closed here", names.connection);
-            self.record(Some(connection.sender), names.closed(), &line);
+        if let Role::Destination(DestinationRole { audit_numbers, .. }) = connection.role {
+            let line = format!(
+                "connection {} closed by the endpoint",
+                audit_numbers.connection
+            );
+            self.record(Some(connection.sender), audit_numbers.closed(), &line);
         }
     }
 
+    /// Removes a connection without recording an event. Its socket is closed when the result is dropped.
     pub(super) fn remove_connection(&mut self, id: ConnectionId) -> Option<Connection> {
         let mut connection = self.connections.remove(&id)?;
         let _ = self.poll.registry().deregister(&mut connection.stream);
@@ -166,14 +180,14 @@
         Some(connection)
     }
 
-    /// The connections for which `wanted` holds.
+    /// The connections that match a predicate.
     pub(super) fn connections_where(
         &self,
-        wanted: impl Fn(&Connection) -> bool,
+        matches: impl Fn(&Connection) -> bool,
     ) -> Vec<ConnectionId> {
         self.connections
             .iter()
-            .filter(|(_, c)| wanted(c))
+            .filter(|(_, connection)| matches(connection))
             .map(|(&id, _)| id)
             .collect()
     }
--- a/crates/scenario-runner/src/runner/destinations.rs
+++ b/crates/scenario-runner/src/runner/destinations.rs
@@ -1,4 +1,4 @@
-//! Destinations: they read calls, and their connections break by the faults of the scenario.
+//! Simulated destinations: they read calls, and close or reset connections as the scenario's faults require.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use super::timers::Timer;
 use crate::wire::{DestinationCall, Request, encode_response, push_path};
 
-/// A call that is answered with this status at once.
+/// A call that is not passed to the simulated destination but answered immediately with this HTTP status.
 struct RejectedCall {
     status: u16,
 }
 
 impl Runner<'_> {
-    /// Reads calls, one at a time: the next one after the reply.
+    /// Handles the calls that have arrived on a connection, one at a time: the next one is read after the reply to the last.
     pub(super) fn read_calls(&mut self, id: ConnectionId) {
         while self.has_call_to_read(id) {
             let Some(connection) = self.connections.get_mut(&id) else {
@@ -31,21 +31,21 @@
                     self.on_call(id, &request);
                 }
                 Err(why) => {
-                    self.void(format!("a call that can't be read: {why}"));
+                    self.void(format!("malformed call to a destination: {why}"));
                     return self.close_connection(id, CloseMode::Reset);
                 }
             }
         }
     }
 
-    /// Whether bytes of a call wait to be read. Records its first byte.
+    /// Whether bytes of a call can be parsed: there are some, and no call is in flight. Records the first byte of a call.
     fn has_call_to_read(&mut self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else {
             return false;
         };
-        let (sender, used, empty) = (
+        let (sender, last_used, empty) = (
             connection.sender,
-            connection.used,
+            connection.last_used,
             connection.input.is_empty(),
         );
         let Some(role) = connection.destination_mut() else {
@@ -54,28 +54,30 @@
         if empty || role.in_flight.is_some() {
             return false;
         }
-        let names = role.names;
+        let audit_numbers = role.audit_numbers;
         if !std::mem::replace(&mut role.request_started, true) {
-            let idle = self.now().saturating_sub(used).as_millis();
+            let idle = self.now().saturating_sub(last_used).as_millis();
             let line = format!(
                 "first byte of a call on connection {}, idle for {idle} ms",
-                names.connection
+                audit_numbers.connection
             );
-            self.record(Some(sender), names.started(), &line);
+            self.record(Some(sender), audit_numbers.started(), &line);
         }
         true
     }
 
-    /// A complete call has arrived.
+    /// Handles a complete call: checks and records it, and schedules the reply.
     fn on_call(&mut self, id: ConnectionId, request: &Request) {
-        let used = self.now();
+        let last_used = self.now();
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        connection.used = used;
+        connection.last_used = last_used;
         let sender = connection.sender;
         let Some(&DestinationRole {
-            endpoint, names, ..
+            endpoint,
+            audit_numbers,
+            ..
         }) = connection.destination()
         else {
             return;
@@ -90,9 +92,9 @@
             "{} {} on connection {}",
             request.path,
             ids.join(" "),
-            names.connection
+            audit_numbers.connection
         );
-        self.record(Some(sender), names.called(ids.clone()), &line);
+        self.record(Some(sender), audit_numbers.called(ids.clone()), &line);
         let reply = self.call_destination(endpoint, ids.len());
         self.next_serial += 1;
         let serial = self.next_serial;
@@ -122,7 +124,8 @@
         }
     }
 
-    /// Checks that a call is valid at this endpoint. One that no sender may make voids the run.
+    /// Checks that a call is valid at this endpoint. A malformed call, or one to the wrong endpoint, makes the run void; a GET (404) and
+    /// a batch that is too large (413) do not.
     fn check_call(
         &mut self,
         sender: usize,
@@ -133,7 +136,9 @@
             return Err(RejectedCall { status: 404 });
         }
         let call = DestinationCall::parse(request).map_err(|why| {
-            self.void(format!("sender {sender} to endpoint {endpoint}: {why}"));
+            self.void(format!(
+                "sender {sender}: malformed call to endpoint {endpoint}: {why}"
+            ));
             RejectedCall { status: 400 }
         })?;
         let destination = self.endpoints[endpoint].destination;
@@ -141,7 +146,7 @@
         if member.push != request.path.starts_with(&push_path(destination as u64)) {
             let path = &request.path;
             self.void(format!(
-                "sender {sender}: {path} to endpoint {endpoint}, which is another destination's"
+                "sender {sender}: call to {path} at endpoint {endpoint}, which belongs to another destination"
             ));
             return Err(RejectedCall { status: 404 });
         }
@@ -151,25 +156,30 @@
         Ok(call)
     }
 
-    /// The reply of the destination to a call.
+    /// The destination's reply to a call. Records if the call makes the destination fail under overload.
     fn call_destination(&mut self, endpoint: usize, messages: usize) -> Reply {
         let now = self.now();
-        let place = &self.endpoints[endpoint];
-        let asked = Asked {
-            endpoint: place.number,
+        let endpoint_entry = &self.endpoints[endpoint];
+        let call = Asked {
+            endpoint: endpoint_entry.number,
             messages,
         };
-        let (reply, fell) = self.destinations[place.destination].call(now, asked);
+        let (reply, fell) = self.destinations[endpoint_entry.destination].call(now, call);
         if fell {
-            let name = &self.scenario.destinations[place.destination].name;
-            log::warn!(destination = name.as_str(); "{name} has fallen over");
-            let destination = place.destination as u64;
-            self.record(None, AuditEvent::Fell { destination }, "has fallen over");
+            let name = &self.scenario.destinations[endpoint_entry.destination].name;
+            log::warn!(destination = name.as_str(); "destination {name} failed under overload while it warmed up");
+            let destination = endpoint_entry.destination as u64;
+            self.record(
+                None,
+                AuditEvent::Fell { destination },
+                "failed under overload while it warmed up",
+            );
         }
         reply
     }
 
-    /// Records that a connection ends without a proper reply to its call.
+    /// Records that the destination ends a connection without a valid reply to its call. `how` is the first word of the recorded text;
+    /// `executed` is whether the call was possibly executed.
     pub(super) fn break_call(&mut self, id: ConnectionId, executed: bool, how: &str) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -178,21 +188,26 @@
         let Some(role) = connection.destination_mut() else {
             return;
         };
-        let names = role.names;
+        let audit_numbers = role.audit_numbers;
         let ids = role
             .in_flight
             .take()
             .map(|call| call.ids)
             .unwrap_or_default();
-        let line = format!("{how} {} on connection {}", ids.join(" "), names.connection);
-        self.record(Some(sender), names.broke(ids, executed), &line);
+        let line = format!(
+            "{how} {} on connection {}",
+            ids.join(" "),
+            audit_numbers.connection
+        );
+        self.record(Some(sender), audit_numbers.broke(ids, executed), &line);
     }
 
-    /// Resets all connections of an endpoint, at the start of an outage that refuses and at the end of one that is silent.
+    /// Resets all connections of an endpoint, unless it is unreachable now: at the start of an outage in which connections are refused,
+    /// and at the end of one in which the endpoint was unreachable.
     pub(super) fn reset_connections_of(&mut self, endpoint: usize) {
-        let place = &self.endpoints[endpoint];
-        if self.destinations[place.destination]
-            .state(place.number, self.now())
+        let endpoint_entry = &self.endpoints[endpoint];
+        if self.destinations[endpoint_entry.destination]
+            .state(endpoint_entry.number, self.now())
             .vanished
         {
             return;
@@ -207,9 +222,13 @@
         }
     }
 
-    /// Closes a connection that has been idle since `used`.
-    pub(super) fn close_idle(&mut self, id: ConnectionId, used: Duration) {
-        let Some(connection) = self.connections.get(&id).filter(|c| c.used == used) else {
+    /// Closes a connection if it has been idle since `last_used`.
+    pub(super) fn close_idle(&mut self, id: ConnectionId, last_used: Duration) {
+        let Some(connection) = self
+            .connections
+            .get(&id)
+            .filter(|c| c.last_used == last_used)
+        else {
             return;
         };
         let idle = |role: &DestinationRole| role.in_flight.is_none() && !role.request_started;
@@ -218,7 +237,7 @@
         }
     }
 
-    /// Records that a destination is back after an outage, for the rules on slow starts.
+    /// Records that all endpoints of a destination are up after an outage, for the audit of its slow start.
     pub(super) fn record_recovery(&mut self, destination: usize) {
         let now = self.now();
         let Some(since) = self.destinations[destination].back(now) else {
@@ -230,18 +249,18 @@
             .iter()
             .flatten();
         let outages = faults.filter(|f| f.is_outage() && f.end() <= now);
-        let first = outages.map(|f| f.start).min().unwrap_or(since);
+        let first_start = outages.map(|f| f.start).min().unwrap_or(since);
         let back = AuditEvent::Back {
             destination: destination as u64,
             since,
-            down: since.saturating_sub(first),
+            down: since.saturating_sub(first_start),
             capacity: spec.capacity,
             cold: spec.back.cold,
             warm: spec.back.warm,
             item: spec.item_cost,
         };
         let line = format!(
-            "destination {destination} is back since {:.3} s",
+            "destination {destination} has been back since {:.3} s",
             since.as_secs_f64()
         );
         self.record(None, back, &line);
--- a/crates/scenario-runner/src/runner/directory.rs
+++ b/crates/scenario-runner/src/runner/directory.rs
@@ -1,4 +1,4 @@
-//! The directory and the platform: the list of endpoints with its watches, and final reports.
+//! The simulated directory and platform: the endpoint list and its watches, and final reports.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 use cranehill_simulation::scenario::{ListChange, To};
 use serde_json::{Value, json};
 
-use super::connection::{CloseMode, ConnectionId, HeldWatch, Role};
+use super::connection::{CloseMode, ConnectionId, PendingWatch, Role};
 use super::state::{Endpoint, Runner, endpoint_id};
 use super::timers::Timer;
 use crate::senders::listed_rate;
 use crate::wire::{FinalReportLine, Request, WatchRequest, encode_response, parse_final_reports};
 
-/// A held watch is not checked again sooner than this.
+/// Minimum time between two checks of a pending watch.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The state of one endpoint in a list that a sender receives.
+/// The state of one endpoint in a list that a sender receives; `endpoint` is the auditor's number.
 struct NotifiedState {
     endpoint: usize,
     destination: u64,
@@ -25,7 +25,7 @@
 }
 
 impl Runner<'_> {
-    /// Reads requests, one at a time while no watch is held.
+    /// Handles the requests that have arrived on a connection, one at a time while no watch is pending.
     pub(super) fn read_directory_requests(&mut self, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else {
@@ -40,9 +40,7 @@
                     self.on_directory_request(id, &request);
                 }
                 Err(why) => {
-                    self.void(format!(
-                        "a request to the directory that can't be read: {why}"
-                    ));
+                    self.void(format!("malformed request to the directory: {why}"));
                     return self.close_connection(id, CloseMode::Reset);
                 }
             }
@@ -74,9 +72,7 @@
                 self.send(id, &encode_response(204, &[], ""));
             }
             Err(why) => {
-                self.void(format!(
-                    "sender {sender}: a report that can't be read: {why}"
-                ));
+                self.void(format!("sender {sender}: invalid final report: {why}"));
                 self.send(id, &encode_response(400, &[], ""));
             }
         }
@@ -104,38 +100,55 @@
     }
 
     fn on_watch(&mut self, id: ConnectionId, request: &Request) {
-        let WatchRequest { from, hold } =
-            WatchRequest::parse(&request.path).unwrap_or(WatchRequest {
-                from: 0,
-                hold: Duration::ZERO,
-            });
-        let asked = self.now();
-        self.hold_watch(id, Some(HeldWatch { from, asked, hold }));
+        let WatchRequest {
+            known_version,
+            max_hold,
+        } = WatchRequest::parse(&request.path).unwrap_or(WatchRequest {
+            known_version: 0,
+            max_hold: Duration::ZERO,
+        });
+        let received_at = self.now();
+        self.set_watch(
+            id,
+            Some(PendingWatch {
+                known_version,
+                received_at,
+                max_hold,
+            }),
+        );
         self.answer_watch(id);
     }
 
-    fn hold_watch(&mut self, id: ConnectionId, held: Option<HeldWatch>) {
+    fn set_watch(&mut self, id: ConnectionId, pending_watch: Option<PendingWatch>) {
         if let Some(Role::Directory { watch }) = self.connections.get_mut(&id).map(|c| &mut c.role)
         {
-            *watch = held;
+            *watch = pending_watch;
         }
     }
 
-    /// Answers a held watch if the list has changed, or checks it again later.
+    /// Answers a pending watch if the list has changed for this sender or the watch has expired; otherwise schedules another check.
     pub(super) fn answer_watch(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
         let sender = connection.sender;
-        let Some(HeldWatch { from, asked, hold }) = connection.watch() else {
+        let Some(PendingWatch {
+            known_version,
+            received_at,
+            max_hold,
+        }) = connection.watch()
+        else {
             return;
         };
         let now = self.now();
-        match self.directory.watch(now, sender, from, asked, hold) {
+        match self
+            .directory
+            .watch(now, sender, known_version, received_at, max_hold)
+        {
             Watch::Now(list) => {
                 self.record_notified(sender, &list);
                 let body = self.list_json(&list, sender).to_string();
-                self.hold_watch(id, None);
+                self.set_watch(id, None);
                 self.send(id, &encode_response(200, &[], &body));
                 self.read_directory_requests(id);
             }
@@ -148,7 +161,7 @@
         }
     }
 
-    /// Records the endpoints whose state is new to a sender by this list.
+    /// Records the endpoints whose state changes for a sender with this list. Endpoints that a full list lacks count as removed.
     fn record_notified(&mut self, sender: usize, list: &List) {
         let mut states: Vec<NotifiedState> = list
             .rows
@@ -156,9 +169,11 @@
             .map(|row| self.notified_state(row))
             .collect();
         if list.full {
-            let named: BTreeSet<usize> = states.iter().map(|state| state.endpoint).collect();
-            let known = self.senders[sender].notified.keys();
-            let removed = known.filter(|endpoint| !named.contains(endpoint));
+            let listed_endpoints: BTreeSet<usize> =
+                states.iter().map(|state| state.endpoint).collect();
+            let notified_endpoints = self.senders[sender].notified.keys();
+            let removed =
+                notified_endpoints.filter(|endpoint| !listed_endpoints.contains(endpoint));
             states.extend(removed.map(|&endpoint| NotifiedState {
                 endpoint,
                 destination: 0,
@@ -185,10 +200,10 @@
     }
 
     fn notified_state(&self, row: &Row) -> NotifiedState {
-        let place = &self.endpoints[row.endpoint];
-        // A row with another id is of an endpoint that has been replaced.
-        let endpoint = if place.id == row.id {
-            place.audited
+        let endpoint_entry = &self.endpoints[row.endpoint];
+        // A row with another id belongs to the original endpoint, which has been replaced since. Its auditor's number equals its index.
+        let endpoint = if endpoint_entry.id == row.id {
+            endpoint_entry.audit_number
         } else {
             row.endpoint
         };
@@ -199,7 +214,7 @@
         }
     }
 
-    /// A list as the directory sends it to a sender.
+    /// The endpoint list in the directory's JSON format, with the addresses for one sender.
     pub(super) fn list_json(&self, list: &List, sender: usize) -> Value {
         let rows: Vec<Value> = list
             .rows
@@ -210,8 +225,8 @@
     }
 
     fn row_json(&self, row: &Row, sender: usize) -> Value {
-        let place = &self.endpoints[row.endpoint];
-        let member = &self.scenario.destinations[place.destination];
+        let endpoint_entry = &self.endpoints[row.endpoint];
+        let member = &self.scenario.destinations[endpoint_entry.destination];
         let state = match row.listed {
             Listed::Up => "up",
             Listed::Draining => "draining",
@@ -220,12 +235,12 @@
         let started = row
             .started
             .map_or(0, |s| (self.started_unix + s).as_millis() as u64);
-        let zone = &self.scenario.zones[member.zones[place.number]];
-        json!({"id": row.id, "addr": place.addresses[sender].to_string(), "zone": zone, "kind": member.kind,
+        let zone = &self.scenario.zones[member.zones[endpoint_entry.number]];
+        json!({"id": row.id, "addr": endpoint_entry.addresses[sender].to_string(), "zone": zone, "kind": member.kind,
             "cell": row.destination, "state": state, "weight": listed_rate(member), "started_ms": started})
     }
 
-    /// Makes a scheduled change to the list.
+    /// Makes a scheduled change of the endpoint list and answers the watches that wait for it.
     pub(super) fn change_list(&mut self, change: usize) {
         let ListChange {
             destination,
@@ -233,8 +248,8 @@
             to,
             ..
         } = self.scenario.changes[change];
-        let is_meant = |e: &Endpoint| e.destination == destination && e.number == number;
-        let Some(endpoint) = self.endpoints.iter().position(is_meant) else {
+        let is_changed = |e: &Endpoint| e.destination == destination && e.number == number;
+        let Some(endpoint) = self.endpoints.iter().position(is_changed) else {
             return;
         };
         let now = self.now();
@@ -251,26 +266,27 @@
         self.answer_watches();
     }
 
+    /// Changes the state of an endpoint in the list.
     fn list_endpoint(&mut self, now: Duration, endpoint: usize, listed: Listed) {
-        let place = &self.endpoints[endpoint];
+        let endpoint_entry = &self.endpoints[endpoint];
         let started = (listed == Listed::Up).then_some(now);
         let row = Row {
-            id: place.id.clone(),
+            id: endpoint_entry.id.clone(),
             endpoint,
-            destination: place.destination as u64,
+            destination: endpoint_entry.destination as u64,
             listed,
             started,
         };
         self.directory.change(now, row);
     }
 
-    /// Another endpoint replaces this one at its address.
+    /// Replaces an endpoint by a new one, with a new id, at the same address.
     fn replace_endpoint(&mut self, endpoint: usize) {
-        let audited = self.next_audited_endpoint;
-        self.next_audited_endpoint += 1;
-        let place = &mut self.endpoints[endpoint];
-        place.id = endpoint_id(audited);
-        place.audited = audited;
+        let audit_number = self.next_audit_number;
+        self.next_audit_number += 1;
+        let endpoint_entry = &mut self.endpoints[endpoint];
+        endpoint_entry.id = endpoint_id(audit_number);
+        endpoint_entry.audit_number = audit_number;
     }
 
     fn answer_watches(&mut self) {
--- a/crates/scenario-runner/src/runner/event_log.rs
+++ b/crates/scenario-runner/src/runner/event_log.rs
@@ -1,36 +1,37 @@
-//! The record of a run: each event with the time at which it was noticed and how late that may have been.
+//! The recorded events of a run, each with the time at which it was noticed and an upper bound on the delay until then.
 
 use std::time::Duration;
 
 use cranehill_simulation::audit::{AuditEvent, AuditRecord};
 
-/// Characters of a line's text that are kept.
+/// Upper bound on the length of an event's text, in characters; the rest is dropped.
 const MAX_WIRE_CHARS: usize = 120;
 
-/// All events in order, for the auditor.
+/// All events in the order in which they were noticed, for the auditor.
 #[derive(Debug, Default)]
 pub(super) struct EventLog {
-    pub lines: Vec<AuditRecord>,
-    /// How late the event that is being handled may have been noticed.
-    pub late: Duration,
-    lateness: Vec<Duration>,
+    pub records: Vec<AuditRecord>,
+    /// Upper bound on the delay with which the event that is being handled was noticed.
+    pub current_lateness: Duration,
+    /// All measured delays.
+    lateness_samples: Vec<Duration>,
 }
 
-/// How late the loop noticed events.
+/// The delays with which the event loop noticed events.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Lateness {
-    pub most: Duration,
-    /// 99 of 100 events were noticed within this.
-    pub usual: Duration,
+    pub max: Duration,
+    /// 99 of 100 delays are at most this.
+    pub p99: Duration,
 }
 
 impl EventLog {
-    /// Records an event that is noticed now.
+    /// Records an event that is noticed at `now`. `wire` is the text that proves it; control characters are removed.
     pub(super) fn record(
         &mut self,
         now: Duration,
         sender: Option<usize>,
-        what: AuditEvent,
+        event: AuditEvent,
         wire: &str,
     ) {
         let wire: String = wire
@@ -38,40 +39,40 @@
             .filter(|c| !c.is_control())
             .take(MAX_WIRE_CHARS)
             .collect();
-        self.lines.push(AuditRecord {
+        self.records.push(AuditRecord {
             at: now,
-            recording_delay: self.late,
+            recording_delay: self.current_lateness,
             sender,
-            event: what,
+            event,
             wire,
         });
     }
 
-    /// The event that is handled next is late by this much.
-    pub(super) fn set_late(&mut self, late: Duration) {
-        self.late = late;
-        self.note_lateness(late);
+    /// Sets and counts the delay of the event that is handled next.
+    pub(super) fn set_current_lateness(&mut self, lateness: Duration) {
+        self.current_lateness = lateness;
+        self.add_lateness(lateness);
     }
 
-    /// Counts one more measured lateness.
-    pub(super) fn note_lateness(&mut self, late: Duration) {
-        self.lateness.push(late);
+    /// Counts a measured delay.
+    pub(super) fn add_lateness(&mut self, lateness: Duration) {
+        self.lateness_samples.push(lateness);
     }
 
-    /// Removes all events from before the scenario began.
+    /// Removes all events and delays, which are from before the start of the scenario.
     pub(super) fn clear(&mut self) {
-        self.lines.clear();
-        self.lateness.clear();
+        self.records.clear();
+        self.lateness_samples.clear();
     }
 
-    /// The lateness of all events so far.
+    /// Maximum and 99th percentile of all delays so far; zero if there are none.
     pub(super) fn lateness(&mut self) -> Lateness {
-        self.lateness.sort_unstable();
+        self.lateness_samples.sort_unstable();
         Lateness {
-            most: self.lateness.last().copied().unwrap_or_default(),
-            usual: self
-                .lateness
-                .get(self.lateness.len() * 99 / 100)
+            max: self.lateness_samples.last().copied().unwrap_or_default(),
+            p99: self
+                .lateness_samples
+                .get(self.lateness_samples.len() * 99 / 100)
                 .copied()
                 .unwrap_or_default(),
         }
--- a/crates/scenario-runner/src/runner/event_loop.rs
+++ b/crates/scenario-runner/src/runner/event_loop.rs
@@ -1,4 +1,4 @@
-//! One turn of the event loop: sockets, then timers.
+//! One turn of the event loop: first the events of sockets, then the timers that are due.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -11,33 +11,33 @@
 use super::timers::Timer;
 use crate::error::RunError;
 
-/// The longest poll without a timer.
+/// Timeout of a poll if no timer is due earlier.
 const MAX_POLL: Duration = Duration::from_millis(50);
-/// An event that a poll returns sooner than this was there before the poll began.
+/// A poll that returns within this had an event that may have happened before the poll began.
 const IMMEDIATE_POLL: Duration = Duration::from_micros(50);
-/// Time after the last deadline in which answers and final reports may still arrive.
+/// How long the run waits after the last deadline for answers and final reports.
 const SETTLE_TIME: Duration = Duration::from_millis(700);
 
 impl Runner<'_> {
-    /// By then the time to live of every message is over.
+    /// The latest end of the run: the time to live of every message has ended, and answers and final reports have had time to arrive.
     pub(super) fn latest_end(&self) -> Duration {
         let longest = self
             .scenario
             .load
             .classes
             .iter()
-            .map(|c| c.time_to_live)
+            .map(|class| class.time_to_live)
             .max()
             .unwrap_or_default();
         self.scenario.duration + longest + SETTLE_TIME
     }
 
-    /// The scenario's duration is over, and every message is completed.
+    /// Whether the scenario's duration is over, no message is pending, and no submission is scheduled.
     pub(super) fn is_settled(&self, now: Duration) -> bool {
         now >= self.scenario.duration && self.pending.is_empty() && self.clients.next().is_none()
     }
 
-    /// Waits until the next timer at most, handles the events of sockets, and then the timers that are due.
+    /// Polls until an event or the next timer, handles the events of sockets, and then the timers that are due.
     pub(super) fn turn(&mut self, events: &mut Events) -> Result<(), RunError> {
         let now = self.now();
         let until_timer = self
@@ -46,13 +46,14 @@
             .map_or(MAX_POLL, |at| at.saturating_sub(now));
         self.poll_once(events, until_timer.min(MAX_POLL))?;
         while let Some((due, timer)) = self.timers.pop_due(self.now()) {
-            self.log.set_late(self.now().saturating_sub(due));
+            self.log
+                .set_current_lateness(self.now().saturating_sub(due));
             self.on_timer(timer)?;
         }
         Ok(())
     }
 
-    /// Waits for sockets and handles their events.
+    /// Polls once and handles the events of sockets and senders' processes.
     pub(super) fn poll_once(
         &mut self,
         events: &mut Events,
@@ -64,17 +65,17 @@
             other => other?,
         }
         let after = self.now();
-        // An event that was there before the poll may have arrived at any time since the last one.
+        // An event that happened before this poll may have happened at any time since the end of the last poll.
         let last_poll = self.outcome.lasted;
-        let waited = if after - before <= IMMEDIATE_POLL {
+        let max_delay = if after - before <= IMMEDIATE_POLL {
             before.saturating_sub(last_poll)
         } else {
             Duration::ZERO
         };
-        self.log.note_lateness(waited);
+        self.log.add_lateness(max_delay);
         let tokens: Vec<Token> = events.iter().map(Event::token).collect();
         for token in tokens {
-            self.log.late = waited + (self.now() - after);
+            self.log.current_lateness = max_delay + (self.now() - after);
             match token {
                 WAKE => self.on_process_events(),
                 Token(n) if n < self.listeners.len() => self.accept(n),
@@ -91,7 +92,10 @@
             Timer::ClientTimeout { connection, id } => self.on_client_timeout(connection, &id),
             Timer::Unrouted { id } => self.client_unanswered(&id),
             Timer::Reply { connection, serial } => self.on_reply_due(connection, serial),
-            Timer::CloseIdle { connection, used } => self.close_idle(connection, used),
+            Timer::CloseIdle {
+                connection,
+                last_used,
+            } => self.close_idle(connection, last_used),
             Timer::Watch { connection } => self.answer_watch(connection),
             Timer::ListChange(n) => self.change_list(n),
             Timer::Signal(n) => self.on_signal(n),
--- a/crates/scenario-runner/src/runner/fleet.rs
+++ b/crates/scenario-runner/src/runner/fleet.rs
@@ -1,4 +1,4 @@
-//! Senders that are members of a fleet: their addresses, scheduled actions on their processes, and their views at the end.
+//! Senders that are members of a fleet: their addresses, scheduled actions on their processes, and their views of the fleet at the end.
 
 use std::io::{self, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -14,9 +14,9 @@
 use crate::network::Network;
 use crate::senders::FleetSettings;
 
-/// How long the request for a sender's view may last.
+/// Timeout for connecting to a sender, and for reading its view of the fleet.
 const VIEW_TIMEOUT: Duration = Duration::from_secs(1);
-/// Members that each sender contacts first.
+/// Number of senders in each sender's list of seeds, which it contacts first.
 const SEEDS: usize = 3;
 
 /// The fleet settings of each sender; empty for a scenario without a fleet.
@@ -27,34 +27,37 @@
     let Some(fleet) = &scenario.fleet else {
         return Ok(Vec::new());
     };
-    let mut places = Vec::new();
+    let mut settings = Vec::new();
     for sender in 0..scenario.senders {
-        // No other run on this machine uses the address, so the port is still free when the sender starts, or starts again.
+        // The address depends on this process's id, so that concurrent runs do not use the same one. The port that the system chose is
+        // therefore still free when the sender starts or restarts.
         let ip = Ipv4Addr::new(127, 1, (std::process::id() % 250) as u8, 1 + sender as u8);
         let listen = UdpSocket::bind((ip, 0))?.local_addr()?;
         let advertise = network.sender_address(sender, listen)?;
-        places.push(FleetSettings {
+        settings.push(FleetSettings {
             listen,
             advertise,
             seeds: Vec::new(),
             fleet: fleet.clone(),
         });
     }
-    let senders: Vec<SocketAddr> = places.iter().map(|p| p.advertise).collect();
+    let senders: Vec<SocketAddr> = settings.iter().map(|member| member.advertise).collect();
     let others = network.join(fleet, &senders)?;
     let seeds: Vec<SocketAddr> = senders.into_iter().take(SEEDS).chain(others).collect();
-    places.iter_mut().for_each(|p| p.seeds.clone_from(&seeds));
-    Ok(places)
+    settings
+        .iter_mut()
+        .for_each(|member| member.seeds.clone_from(&seeds));
+    Ok(settings)
 }
 
 impl Runner<'_> {
-    /// Carries out a scheduled action on senders' processes.
+    /// Performs a scheduled action on senders' processes.
     pub(super) fn on_fleet_action(&mut self, index: usize) {
         let ScheduledAction {
             senders, action, ..
         } = self.scenario.scheduled_actions[index].clone();
         let now = self.now();
-        // The network that has simulated members carries it out on them.
+        // Higher numbers are simulated members; the network performs the action on them.
         for sender in senders
             .into_iter()
             .filter(|&sender| sender < self.scenario.senders)
@@ -89,36 +92,39 @@
         }
     }
 
+    /// Stops a sender's process by SIGSTOP.
     fn stop(&mut self, sender: usize) {
         self.record(Some(sender), AuditEvent::Signalled, "SIGSTOP");
         self.senders[sender].process.signal("STOP");
-        // The load balancer notices that nobody answers.
+        // The load balancer detects that the sender does not respond.
         self.senders[sender].routed = false;
     }
 
-    /// Continues a stopped process.
+    /// Continues a stopped process by SIGCONT.
     pub(super) fn resume(&mut self, sender: usize) {
         self.record(Some(sender), AuditEvent::Ready, "SIGCONT");
-        let one = &mut self.senders[sender];
-        one.process.signal("CONT");
-        one.routed = one.process.is_ready();
+        let entry = &mut self.senders[sender];
+        entry.process.signal("CONT");
+        entry.routed = entry.process.is_ready();
     }
 
-    /// Starts a second process of a sender beside the first.
+    /// Starts a second process of a sender, to which the first one hands its state over.
     fn upgrade(&mut self, sender: usize) {
         let mutation = self.plan.mutation.as_deref();
         let sink = self.event_sink.clone();
         let started = self.senders[sender].process.start_successor(sink, mutation);
         if let Err(e) = started {
-            self.outcome.warnings.push(format!("sender {sender}: {e}"));
+            self.outcome
+                .warnings
+                .push(format!("sender {sender}: upgrade failed: {e}"));
         }
     }
 
-    /// Kills one of the two processes of an upgrade, at any point of the hand-over.
+    /// Kills one of the two processes of an upgrade, whether or not the hand-over is complete.
     pub(super) fn kill_during_upgrade(&mut self, sender: usize, which: Which) {
         let process = &mut self.senders[sender].process;
         match which {
-            // The new one recovers as after a crash.
+            // The new process recovers as after a crash.
             Which::Old => {
                 if process.kill_predecessor() {
                     self.record(
@@ -130,25 +136,25 @@
             }
             Which::New => {
                 if process.kill_successor() {
-                    // The state that it had inherited is lost with it; the old one continues.
+                    // The old process still has the state that it handed over, and continues.
                     self.record(
                         Some(sender),
                         AuditEvent::ProcessExited,
                         "the new process was killed",
                     );
-                    self.record(Some(sender), AuditEvent::Ready, "the old one goes on");
+                    self.record(Some(sender), AuditEvent::Ready, "the old process continues");
                 } else {
-                    self.kill(sender, Restart::USUAL);
+                    self.kill(sender, Restart::DEFAULT);
                 }
             }
         }
     }
 
-    /// Requests the view of the fleet of each sender that runs.
+    /// Requests each sender's view of the fleet's members; `None` for a sender that does not respond.
     pub(super) fn fleet_views(&self) -> Vec<Option<Value>> {
         self.senders
             .iter()
-            .map(|s| fetch_view(s.process.status_address?).ok())
+            .map(|sender| fetch_view(sender.process.status_address?).ok())
             .collect()
     }
 }
--- a/crates/scenario-runner/src/runner/losses.rs
+++ b/crates/scenario-runner/src/runner/losses.rs
@@ -1,4 +1,4 @@
-//! Messages that a sender loses with its state folder or a part of its journal, and that clients submit again.
+//! Loss of a sender's messages with its state folder or a part of its journal, and their resubmission by clients.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use super::state::Runner;
 use crate::journal_damage::Damage;
 
-/// A lost message is submitted again after this.
+/// How long after a loss clients submit the lost messages again.
 const RETRY_AFTER_LOSS: Duration = Duration::from_secs(1);
 
 impl Runner<'_> {
-    /// Damages a sender's journal at a place that the seed draws.
+    /// Damages a sender's journal at a random place, and records the messages that are lost with it.
     pub(super) fn damage_journal(&mut self, sender: usize) {
         match self.senders[sender]
             .process
@@ -22,22 +22,27 @@
             Ok(Some(Damage {
                 lost,
                 segment,
-                at,
+                new_size,
                 size,
             })) => {
                 let count = lost.len();
-                let line =
-                    format!("{segment} cut at {at} of {size} bytes, {count} messages lost with it");
-                self.lose_messages(sender, Some(lost), &line);
+                let text = format!(
+                    "{segment} damaged: {size} bytes before, {new_size} after; {count} messages lost"
+                );
+                self.lose_messages(sender, Some(lost), &text);
             }
             Ok(None) => {}
-            // The lost messages are not known, so all of them count as lost.
-            Err(e) => self.lose_messages(sender, None, &format!("its journal can't be read: {e}")),
+            // It is unknown which messages are lost, so all count as lost.
+            Err(e) => self.lose_messages(
+                sender,
+                None,
+                &format!("journal can't be read or written, all messages count as lost: {e}"),
+            ),
         }
     }
 
-    /// A sender loses all its messages, or `only` these. Clients submit them again, to a sender that runs, unless a
-    /// message may have been executed and must not be executed twice.
+    /// Records that a sender has lost all its messages, or `only` these. Clients submit them again to a running sender, except those
+    /// that were possibly executed and must not be executed twice.
     pub(super) fn lose_messages(
         &mut self,
         sender: usize,
@@ -45,12 +50,13 @@
         why: &str,
     ) {
         let is_lost = |id: &str| only.as_ref().is_none_or(|only| only.contains(id));
-        let held = self
+        let lost_entries = self
             .pending
             .iter()
-            .filter(|(id, by)| **by == sender && is_lost(id));
-        let lost: Vec<String> = held.map(|(id, _)| id.clone()).collect();
-        self.pending.retain(|id, by| *by != sender || !is_lost(id));
+            .filter(|(id, owner)| **owner == sender && is_lost(id));
+        let lost: Vec<String> = lost_entries.map(|(id, _)| id.clone()).collect();
+        self.pending
+            .retain(|id, owner| *owner != sender || !is_lost(id));
         let resubmitted = self.repeatable(lost);
         let event = AuditEvent::Lost {
             only: only.map(|ids| ids.into_iter().collect()),
@@ -63,8 +69,8 @@
         self.schedule_arrival();
     }
 
-    /// Those of the messages that may be executed again. Classes are not distinguished: if the scenario has an unsafe one, no message that
-    /// has been called is repeated.
+    /// The messages that may be executed again. If the scenario has an unsafe class, these are the messages without an attempt, whatever
+    /// their own class; otherwise all.
     fn repeatable(&self, mut ids: Vec<String>) -> Vec<String> {
         if self
             .scenario
@@ -78,12 +84,16 @@
         ids
     }
 
-    /// All messages of which an attempt has been made.
+    /// Ids of all messages that a destination has received in a call.
     fn called_messages(&self) -> BTreeSet<&str> {
-        let calls = self.log.lines.iter().filter_map(|line| match &line.event {
-            AuditEvent::Called { ids, .. } => Some(ids),
-            _ => None,
-        });
+        let calls = self
+            .log
+            .records
+            .iter()
+            .filter_map(|record| match &record.event {
+                AuditEvent::Called { ids, .. } => Some(ids),
+                _ => None,
+            });
         calls.flatten().map(String::as_str).collect()
     }
 }
--- a/crates/scenario-runner/src/runner/processes.rs
+++ b/crates/scenario-runner/src/runner/processes.rs
@@ -1,4 +1,4 @@
-//! The senders' processes: started, watched, ended, started again.
+//! Starts, ends and restarts the senders' processes, and handles the events that their logs show.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,35 +12,35 @@
 use crate::error::RunError;
 use crate::senders::{ProcessEvent, ProcessEventKind};
 
-/// A sender that runs this long after SIGTERM is killed.
+/// A sender that still runs this long after SIGTERM is killed.
 const TERM_TIMEOUT: Duration = Duration::from_millis(3700);
-/// The load balancer sends connections to a sender for this long after SIGTERM.
+/// How long after SIGTERM the load balancer still sends messages to the sender.
 const ROUTING_AFTER_TERM: Duration = Duration::from_millis(300);
-/// How often the loop checks whether a process has ended after SIGTERM.
+/// Interval between checks whether a process has exited after SIGTERM.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Distinct warnings of the senders' logs that are kept.
+/// Upper bound on the distinct warnings that are kept from the senders' logs.
 const MAX_WARNINGS: usize = 50;
 
 impl Runner<'_> {
-    /// Starts a sender, or uses the one that runs already.
+    /// Starts a sender, or uses the running one of [`Plan::against`](crate::Plan::against).
     pub(super) fn start(&mut self, sender: usize) -> Result<(), RunError> {
         let mutation = self.plan.mutation.as_deref();
-        let one = &mut self.senders[sender];
-        one.end_expected = false;
+        let entry = &mut self.senders[sender];
+        entry.end_expected = false;
         if let Some(against) = &self.plan.against {
-            one.process.client_address = Some(against.clients);
-            one.routed = true;
+            entry.process.client_address = Some(against.clients);
+            entry.routed = true;
             return Ok(());
         }
-        one.process.has_operator_address = self
+        entry.process.has_operator_address = self
             .scenario
             .scheduled_actions
             .iter()
-            .any(|a| matches!(a.action, MemberAction::Upgrade { .. }));
-        one.process.start(self.event_sink.clone(), mutation)
+            .any(|scheduled| matches!(scheduled.action, MemberAction::Upgrade { .. }));
+        entry.process.start(self.event_sink.clone(), mutation)
     }
 
-    /// Starts a sender again, unless another restart has done so already.
+    /// Starts a sender again, unless it runs because another restart was due earlier.
     pub(super) fn restart(&mut self, sender: usize) -> Result<(), RunError> {
         if self.senders[sender].process.is_running() {
             return Ok(());
@@ -48,7 +48,7 @@
         self.start(sender)
     }
 
-    /// Handles the events of processes that have arrived.
+    /// Handles all events of processes that are in the channel.
     pub(super) fn on_process_events(&mut self) {
         while let Ok(event) = self.process_events.try_recv() {
             self.on_process_event(event);
@@ -62,14 +62,14 @@
             kind,
         } = event;
         let process = &mut self.senders[sender].process;
-        if kind.is_of_one_process() && !process.is_current(incarnation) {
+        if kind.is_process_specific() && !process.is_current(incarnation) {
             return log::debug!(
-                "an event of an earlier process of sender {sender} is ignored: {kind:?}"
+                "sender {sender}: ignored an event of an earlier process: {kind:?}"
             );
         }
         match kind {
             ProcessEventKind::ClientListener(address) => {
-                // In an upgrade the old process is ended once the new one is ready.
+                // In an upgrade the old process is ended once the new one accepts clients.
                 process.terminate_predecessor();
                 process.client_address = Some(address);
                 self.on_listening(sender, address);
@@ -85,55 +85,55 @@
         }
     }
 
-    /// A listener of a sender is open; with the last one the sender accepts messages.
+    /// Handles a listener that a sender has opened. Once all are open, the load balancer uses the sender.
     fn on_listening(&mut self, sender: usize, address: SocketAddr) {
         if self.senders[sender].process.is_ready() {
             self.senders[sender].routed = true;
             self.record(
                 Some(sender),
                 AuditEvent::Ready,
-                &format!("listens at {address}"),
+                &format!("listening at {address}"),
             );
         }
     }
 
-    /// Keeps the first of each warning; warnings differ by the text behind the log's head.
+    /// Keeps a warning unless it is known already. Warnings are compared without the prefix of the log line, which contains the time.
     fn keep_warning(&mut self, sender: usize, line: &str) {
         let text = line.split_once("] ").map_or(line, |(_, text)| text);
         let warnings = &mut self.outcome.warnings;
-        if warnings.len() < MAX_WARNINGS && !warnings.iter().any(|w| w.ends_with(text)) {
+        if warnings.len() < MAX_WARNINGS && !warnings.iter().any(|known| known.ends_with(text)) {
             warnings.push(format!("sender {sender}: {text}"));
         }
     }
 
-    /// A sender's log has ended, and so does its process a moment later.
+    /// Handles the end of a sender's log, which means that its process is exiting: a crash, unless the end was expected.
     fn on_process_ended(&mut self, sender: usize) {
-        let one = &mut self.senders[sender];
-        if one.end_expected {
+        let entry = &mut self.senders[sender];
+        if entry.end_expected {
             return;
         }
-        one.end_expected = true;
-        one.routed = false;
-        one.process.kill();
+        entry.end_expected = true;
+        entry.routed = false;
+        entry.process.kill();
         self.outcome.crashed.push(sender);
         self.record(
             Some(sender),
             AuditEvent::ProcessExited,
-            "ended without a signal",
+            "process exited unexpectedly",
         );
     }
 
-    /// Sends a scheduled signal.
+    /// Sends the scheduled signal with this index.
     pub(super) fn on_signal(&mut self, signal: usize) {
         let ScheduledSignal { sender, signal, .. } = self.scenario.signals[signal];
         match signal {
             Signal::Hup => self.senders[sender].process.signal("HUP"),
-            Signal::Kill => self.kill(sender, Restart::USUAL),
-            Signal::Term => self.terminate(sender, Restart::USUAL),
+            Signal::Kill => self.kill(sender, Restart::DEFAULT),
+            Signal::Term => self.terminate(sender, Restart::DEFAULT),
         }
     }
 
-    /// Ends a sender by SIGKILL.
+    /// Kills a sender's process by SIGKILL.
     pub(super) fn kill(&mut self, sender: usize, restart: Restart) {
         self.senders[sender].end_expected = true;
         self.senders[sender].restart = restart;
@@ -142,7 +142,7 @@
         self.on_exit(sender);
     }
 
-    /// Ends a sender by SIGTERM.
+    /// Terminates a sender's process by SIGTERM; it is killed if it does not exit in time.
     pub(super) fn terminate(&mut self, sender: usize, restart: Restart) {
         let now = self.now();
         self.senders[sender].end_expected = true;
@@ -160,14 +160,14 @@
         );
     }
 
-    /// The load balancer notices that a sender is ending.
+    /// The load balancer detects that a sender is shutting down.
     pub(super) fn stop_routing(&mut self, sender: usize) {
         if self.senders[sender].end_expected {
             self.senders[sender].routed = false;
         }
     }
 
-    /// Checks whether a process has ended, and kills it at `kill_at`.
+    /// Checks whether a process has exited, and kills it at `kill_at`.
     pub(super) fn await_exit(&mut self, sender: usize, kill_at: Duration) {
         let now = self.now();
         if self.senders[sender].process.is_running() {
@@ -182,22 +182,19 @@
         self.on_exit(sender);
     }
 
-    /// A process has ended as scheduled: its folder is kept, removed or damaged by the scenario, and it starts again if it is to.
+    /// Handles the scheduled end of a process: keeps, deletes or damages its state folder as the scenario requires, and schedules the
+    /// restart, if any.
     fn on_exit(&mut self, sender: usize) {
         let now = self.now();
         self.senders[sender].routed = false;
-        self.record(
-            Some(sender),
-            AuditEvent::ProcessExited,
-            "its process has ended",
-        );
+        self.record(Some(sender), AuditEvent::ProcessExited, "process exited");
         self.senders[sender].notified.clear();
         let Restart { after, folder } = self.senders[sender].restart;
         if folder == Folder::Wiped {
             self.senders[sender].process.remove_state();
         }
         if folder == Folder::Wiped || after.is_none() {
-            self.lose_messages(sender, None, "what it held is lost");
+            self.lose_messages(sender, None, "all its messages are lost");
         } else if folder == Folder::Cut {
             self.damage_journal(sender);
         }
--- a/crates/scenario-runner/src/runner/readiness.rs
+++ b/crates/scenario-runner/src/runner/readiness.rs
@@ -1,4 +1,4 @@
-//! The wait for the senders, before a scenario begins.
+//! Waits until the senders are ready, before a scenario starts.
 
 use std::time::{Duration, Instant};
 
@@ -7,15 +7,18 @@
 use super::state::Runner;
 use crate::error::RunError;
 
-/// All senders must be ready within this.
+/// How long the runner waits for all senders to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often the wait for the senders is checked.
+/// Interval between checks whether the senders are ready.
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Events that one poll returns at most.
+/// Upper bound on the events that one poll returns.
 const READY_EVENTS_PER_POLL: usize = 256;
 
 impl Runner<'_> {
-    /// Runs the loop until all senders are ready.
+    /// Runs the event loop until all senders are ready.
+    ///
+    /// # Errors
+    /// A sender's process exits, or the senders are not ready within [`READY_TIMEOUT`].
     pub(super) fn wait_ready(&mut self) -> Result<(), RunError> {
         let since = Instant::now();
         let mut events = Events::with_capacity(READY_EVENTS_PER_POLL);
@@ -35,7 +38,7 @@
         Ok(())
     }
 
-    /// A sender that was started by somebody else is ready once it has requested its list.
+    /// Whether all senders listen for clients. One that the runner did not start must also have requested its endpoint list.
     fn all_ready(&self) -> bool {
         let has_list = self.plan.against.is_none() || !self.senders[0].notified.is_empty();
         has_list && self.senders.iter().all(|sender| sender.process.is_ready())
--- a/crates/scenario-runner/src/runner/replies.rs
+++ b/crates/scenario-runner/src/runner/replies.rs
@@ -1,26 +1,27 @@
-//! Replies of destinations to calls, valid or malformed.
+//! Replies of simulated destinations to calls, valid or malformed.
 
 use std::time::Duration;
 
 use cranehill_simulation::audit::{self, AuditEvent};
 use cranehill_simulation::destination::{DeliveryOutcome, Reply, Spoilt};
 
-use super::connection::{AuditNames, Call, CloseMode, ConnectionId};
+use super::connection::{AuditNumbers, Call, CloseMode, ConnectionId};
 use super::state::Runner;
 use super::timers::Timer;
 use crate::wire::{CallReply, batch_state};
 
-/// A reply as it is written.
+/// An encoded reply, with the data to record for it.
 struct WrittenReply {
     bytes: Vec<u8>,
-    /// By message, in the order of the call.
+    /// The outcome of each message, in the order of the call.
     outcomes: Vec<DeliveryOutcome>,
     retry_after: Option<Duration>,
+    /// Whether more bytes follow the reply, so that the sender must not use the connection again.
     spoilt: bool,
 }
 
 impl Runner<'_> {
-    /// The reply to a call is due. A destination that is silent by then does not send it.
+    /// Sends the reply to a call that is due now, unless the endpoint has become silent or unreachable.
     pub(super) fn on_reply_due(&mut self, id: ConnectionId, serial: u64) {
         let Some(reply) = self.replies.remove(&serial) else {
             return;
@@ -35,12 +36,13 @@
         {
             return;
         }
-        let place = &self.endpoints[role.endpoint];
-        let state = self.destinations[place.destination].state(place.number, self.now());
+        let endpoint_entry = &self.endpoints[role.endpoint];
+        let state =
+            self.destinations[endpoint_entry.destination].state(endpoint_entry.number, self.now());
         if state.silent || state.vanished {
             return;
         }
-        let push = self.scenario.destinations[place.destination].push;
+        let push = self.scenario.destinations[endpoint_entry.destination].push;
         match reply {
             Reply::Answer {
                 outcomes,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Writes the reply to the call in flight, records it, and reads the next call.
+    /// Writes the reply to the call in flight, records it, and handles the next call.
     fn write_reply(&mut self, id: ConnectionId, reply: impl FnOnce(&Call) -> WrittenReply) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -84,7 +86,7 @@
         let Some(role) = connection.destination_mut() else {
             return;
         };
-        let (endpoint, names) = (role.endpoint, role.names);
+        let (endpoint, audit_numbers) = (role.endpoint, role.audit_numbers);
         let Some(call) = role.in_flight.take() else {
             return;
         };
@@ -92,8 +94,12 @@
         let now = self.now();
         self.send(id, &reply.bytes);
         self.count_deliveries(now, &call, &reply);
-        let line = reply_line(&call, &reply, names);
-        self.record(Some(sender), audited_reply(call, reply, names), &line);
+        let line = reply_line(&call, &reply, audit_numbers);
+        self.record(
+            Some(sender),
+            audited_reply(call, reply, audit_numbers),
+            &line,
+        );
         self.schedule_idle_close(id, endpoint);
         self.read_calls(id);
     }
@@ -111,27 +117,27 @@
         }
     }
 
-    /// The connection is used now; the destination may close it when it stays idle.
+    /// Notes that the connection is in use now, and schedules its end in case it stays idle, if the destination closes idle connections.
     fn schedule_idle_close(&mut self, id: ConnectionId, endpoint: usize) {
-        let used = self.now();
+        let last_used = self.now();
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.used = used;
+            connection.last_used = last_used;
         }
-        let place = &self.endpoints[endpoint];
-        if let Some(patience) =
-            self.destinations[place.destination].idle_patience(used, place.number)
+        let endpoint_entry = &self.endpoints[endpoint];
+        if let Some(patience) = self.destinations[endpoint_entry.destination]
+            .idle_patience(last_used, endpoint_entry.number)
         {
             self.timers.push(
-                used + patience,
+                last_used + patience,
                 Timer::CloseIdle {
                     connection: id,
-                    used,
+                    last_used,
                 },
             );
         }
     }
 
-    /// Writes bytes that are not a valid reply, and closes the connection unless the reply stalls.
+    /// Writes bytes that are not a valid reply, and closes the connection unless the reply is to stall.
     fn write_broken_reply(&mut self, id: ConnectionId, how: Spoilt) {
         let bytes: &[u8] = match how {
             Spoilt::Garbage => b"\x16\x03\x01garbage\r\n\r\n",
@@ -146,12 +152,12 @@
     }
 }
 
-/// A push service states whole seconds.
+/// Rounds a `Retry-After` up to whole seconds, as a push service sends it.
 fn in_whole_seconds(wait: Duration) -> Duration {
     Duration::from_secs(wait.as_millis().div_ceil(1000) as u64)
 }
 
-/// A valid reply with more bytes behind it.
+/// A valid successful reply that is followed by further bytes.
 fn trailing_reply(call: &Call, push: bool) -> WrittenReply {
     let outcomes = vec![DeliveryOutcome::Done; call.ids.len()];
     let reply = CallReply {
@@ -172,7 +178,7 @@
     }
 }
 
-fn reply_line(call: &Call, reply: &WrittenReply, names: AuditNames) -> String {
+fn reply_line(call: &Call, reply: &WrittenReply, audit_numbers: AuditNumbers) -> String {
     let shown: Vec<&str> = reply
         .outcomes
         .iter()
@@ -180,21 +186,21 @@
         .collect();
     let (outcomes, ids) = (shown.join(" "), call.ids.join(" "));
     format!(
-        "{outcomes} to {ids} on connection {}, wait {:?}",
-        names.connection, reply.retry_after
+        "{outcomes} to {ids} on connection {}, Retry-After {:?}",
+        audit_numbers.connection, reply.retry_after
     )
 }
 
-fn audited_reply(call: Call, reply: WrittenReply, names: AuditNames) -> AuditEvent {
+fn audited_reply(call: Call, reply: WrittenReply, audit_numbers: AuditNumbers) -> AuditEvent {
     let outcomes = call
         .ids
         .into_iter()
         .zip(reply.outcomes.into_iter().map(audited_outcome))
         .collect();
     AuditEvent::Replied {
-        connection: names.connection,
-        endpoint: names.endpoint,
-        destination: names.destination,
+        connection: audit_numbers.connection,
+        endpoint: audit_numbers.endpoint,
+        destination: audit_numbers.destination,
         outcomes,
         wait: reply.retry_after,
         spoilt: reply.spoilt,
--- a/crates/scenario-runner/src/runner/schedule.rs
+++ b/crates/scenario-runner/src/runner/schedule.rs
@@ -1,4 +1,4 @@
-//! The timers of a scenario: changes, signals, actions and faults.
+//! Sets the timers of a scenario: list changes, signals, actions and faults.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 use super::timers::Timer;
 
 impl Runner<'_> {
-    /// The scenario begins: its clock starts, and its timers are set.
+    /// Starts the scenario: sets its clock to zero, discards what was recorded before, and sets the timers.
     pub(super) fn begin(&mut self) {
         self.started = Instant::now();
         self.started_unix = unix_time();
@@ -29,10 +29,11 @@
         self.schedule_arrival();
     }
 
-    /// Faults that reset an endpoint's connections, at their beginning and end.
+    /// Sets timers for the start and end of each fault that resets an endpoint's connections.
     fn schedule_fault_edges(&mut self) {
-        for (endpoint, place) in self.endpoints.iter().enumerate() {
-            let faults = &self.scenario.destinations[place.destination].faults[place.number];
+        for (endpoint, endpoint_entry) in self.endpoints.iter().enumerate() {
+            let faults = &self.scenario.destinations[endpoint_entry.destination].faults
+                [endpoint_entry.number];
             for fault in faults
                 .iter()
                 .filter(|f| matches!(f.kind, Kind::Refuse | Kind::Vanish))
--- a/crates/scenario-runner/src/runner/setup.rs
+++ b/crates/scenario-runner/src/runner/setup.rs
@@ -1,4 +1,4 @@
-//! Before a scenario begins: simulated servers with their listeners, and senders with their configurations.
+//! Sets a scenario up: opens the listeners of the simulated servers, and configures and starts the senders.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -16,7 +16,7 @@
 use serde_json::Value;
 
 use super::clock::unix_time;
-use super::connection::{ConnectionId, Listener, Service, WAKE};
+use super::connection::{ConnectionId, Listener, ListenerOwner, WAKE};
 use super::endpoint_listeners::{Destinations, bind, rng_stream};
 use super::event_log::EventLog;
 use super::fleet;
@@ -28,16 +28,20 @@
 use crate::plan::Plan;
 use crate::senders::{EventSink, Process, configuration, web_push_file};
 
-/// Last byte of the address of a sender's directory: 127.0.N.2.
+/// Last byte of the address at which a sender's directory listens: 127.0.N.2.
 const DIRECTORY_HOST: u8 = 2;
 
-/// Streams of the seeded generator. Each user has its own, so that its draws do not change those of the others. Destinations
-/// have the streams from 0 on.
+/// Stream of the clients' random generator. Each user of random numbers has a stream of its own, so that its draws do not change those
+/// of the others. Destinations have the streams from 0 on.
 const CLIENT_STREAM: u64 = 1 << 32;
+/// Stream of the random generator that draws where journals are damaged.
 const DAMAGE_STREAM: u64 = 1 << 33;
 
 impl<'a> Runner<'a> {
-    /// Opens all listeners, configures the senders and starts them.
+    /// Opens all listeners, then configures and starts the senders.
+    ///
+    /// # Errors
+    /// A listener can't be opened, a configuration can't be written, or a sender can't be started.
     pub(super) fn prepare(
         plan: &'a Plan,
         folder: &Path,
@@ -84,7 +88,7 @@
             connections: HashMap::new(),
             next_connection: ConnectionId(0),
             next_serial: 0,
-            next_audited_endpoint: destinations.endpoints.len(),
+            next_audit_number: destinations.endpoints.len(),
             endpoints: destinations.endpoints,
             destinations: destinations.models,
             replies: HashMap::new(),
@@ -113,18 +117,18 @@
         };
         self.listeners.push(Listener {
             socket,
-            serves: Service::Directory { sender },
+            owner: ListenerOwner::Directory { sender },
         });
         Ok(address)
     }
 
-    /// The list that stands in a sender's configuration.
+    /// The endpoint list for a sender's configuration; `Value::Null` if the directory is down at the start.
     fn first_list(&self, sender: usize) -> Value {
         let list = self.directory.whole(Duration::ZERO, sender);
         list.map_or(Value::Null, |list| self.list_json(&list, sender))
     }
 
-    /// Listeners have the first tokens, connections those that follow.
+    /// Registers the listeners with the poll. Their tokens are their indices; connections have the tokens that follow.
     fn register_listeners(&mut self) -> io::Result<()> {
         self.next_connection = ConnectionId(self.listeners.len());
         for (n, listener) in self.listeners.iter_mut().enumerate() {
@@ -136,16 +140,16 @@
     }
 }
 
-/// The directory's rows at the beginning: all endpoints but those of push services.
+/// The directory's rows at the start: all endpoints except those of push services.
 fn first_rows(scenario: &Scenario, endpoints: &[Endpoint]) -> Vec<Row> {
     let listed = endpoints
         .iter()
         .enumerate()
         .filter(|(_, e)| !scenario.destinations[e.destination].push);
-    let row = |(endpoint, place): (usize, &Endpoint)| Row {
-        id: place.id.clone(),
+    let row = |(endpoint, endpoint_entry): (usize, &Endpoint)| Row {
+        id: endpoint_entry.id.clone(),
         endpoint,
-        destination: place.destination as u64,
+        destination: endpoint_entry.destination as u64,
         listed: Listed::Up,
         started: None,
     };
--- a/crates/scenario-runner/src/runner/state.rs
+++ b/crates/scenario-runner/src/runner/state.rs
@@ -1,4 +1,4 @@
-//! State of the event loop.
+//! The state of the event loop.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -21,92 +21,93 @@
 use crate::plan::Plan;
 use crate::senders::{EventSink, Process, ProcessEvent};
 
-/// A sender is started again this long after its end, where the scenario does not say otherwise.
+/// How long after its end a sender is restarted, unless the scenario specifies another delay.
 const RESTART_DELAY: Duration = Duration::from_millis(600);
-/// Reasons for a void run that are kept.
+/// Upper bound on the reasons that are kept for a void run.
 const MAX_VOID_REASONS: usize = 50;
 
-/// All simulated servers and senders of a scenario, and what the loop knows of them.
+/// The event loop of a run, with the simulated servers, the clients and the senders under test.
 pub(super) struct Runner<'a> {
     pub(super) plan: &'a Plan,
     pub(super) scenario: &'a Scenario,
     pub(super) poll: Poll,
-    /// When the scenario began.
+    /// Start of the scenario; until then, the time at which the runner was created.
     pub(super) started: Instant,
-    /// The same since 1970.
+    /// The same as time since the Unix epoch (1970).
     pub(super) started_unix: Duration,
-    /// By token, from 0; connections have the tokens that follow.
+    /// All listeners. The token of a listener is its index, from 0; connections have the tokens that follow.
     pub(super) listeners: Vec<Listener>,
     pub(super) connections: HashMap<ConnectionId, Connection>,
     pub(super) next_connection: ConnectionId,
-    /// Numbers calls, and connections for the auditor.
+    /// The last number that was given to a call or, for the auditor, to a connection.
     pub(super) next_serial: u64,
-    /// All destinations' endpoints.
+    /// The endpoints of all destinations.
     pub(super) endpoints: Vec<Endpoint>,
-    /// The auditor's number of the next endpoint.
-    pub(super) next_audited_endpoint: usize,
+    /// The auditor's number for the next endpoint that replaces another.
+    pub(super) next_audit_number: usize,
     pub(super) destinations: Vec<SimulatedDestination>,
-    /// Replies of destinations that are not due yet, by the serial of their call.
+    /// Replies of destinations that are not due yet, by the serial number of their call.
     pub(super) replies: HashMap<u64, Reply>,
     pub(super) directory: Directory,
     pub(super) clients: Clients,
-    /// When the next message is submitted, if a timer is set for it.
+    /// The time for which the timer of the next submission is set, if one is set.
     pub(super) next_arrival: Option<Duration>,
-    /// Messages that were accepted, or posted, and are not completed, with the sender that has them.
+    /// Messages that were accepted, or posted over Web Push, and are not completed: id, and index of the sender that has the message.
     pub(super) pending: BTreeMap<String, usize>,
     pub(super) senders: Vec<Sender>,
-    /// The sender that the load balancer chooses next.
+    /// Index of the sender with which the load balancer's next choice begins.
     pub(super) next_sender: usize,
     pub(super) event_sink: EventSink,
     pub(super) process_events: Receiver<ProcessEvent>,
     pub(super) timers: Timers,
     pub(super) log: EventLog,
-    /// Draws where journals are damaged.
+    /// Draws the places at which journals are damaged.
     pub(super) damage_rng: ChaCha8Rng,
     pub(super) outcome: Outcome,
 }
 
-/// One endpoint of a destination.
+/// An endpoint of a simulated destination.
 #[derive(Debug)]
 pub(super) struct Endpoint {
+    /// Index into [`Runner::destinations`].
     pub(super) destination: usize,
-    /// Its number at the destination.
+    /// Its number among the endpoints of its destination.
     pub(super) number: usize,
-    /// Its id in the directory's list. An endpoint that replaces it has a new one.
+    /// Its id in the directory's list. Changes when another endpoint replaces it.
     pub(super) id: String,
-    /// Its number for the auditor. An endpoint that replaces it has a new one.
-    pub(super) audited: usize,
-    /// Its address for each sender.
+    /// The auditor's number for it. Changes when another endpoint replaces it.
+    pub(super) audit_number: usize,
+    /// By sender: the address at which it reaches the endpoint.
     pub(super) addresses: Vec<SocketAddr>,
 }
 
-/// One sender under test.
+/// A sender under test.
 #[derive(Debug)]
 pub(super) struct Sender {
     pub(super) process: Process,
-    /// The load balancer sends it new connections.
+    /// Whether the load balancer sends messages to it.
     pub(super) routed: bool,
-    /// Its end is scheduled, or was reported already.
+    /// Whether the scenario has ended its process, or its crash has been recorded already.
     pub(super) end_expected: bool,
     pub(super) restart: Restart,
-    /// Connections of clients without a request.
+    /// Connections of clients to it without a request in flight.
     pub(super) idle: IdleConnections,
-    /// The state of each endpoint in the lists that it has received.
+    /// By the auditor's number of an endpoint: its latest state in the lists that the sender has received.
     pub(super) notified: BTreeMap<usize, Listed>,
 }
 
-/// What follows the end of a sender's process.
+/// What the runner does after the end of a sender's process.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Restart {
-    /// It is started again after this time, if at all.
+    /// Delay until the sender is started again; `None` for never.
     pub(super) after: Option<Duration>,
-    /// What happens to its state folder.
+    /// What the runner does with its state folder.
     pub(super) folder: Folder,
 }
 
 impl Restart {
-    /// What follows an end that the scenario does not describe further.
-    pub(super) const USUAL: Restart = Restart {
+    /// Restart after the default delay with the state folder unchanged.
+    pub(super) const DEFAULT: Restart = Restart {
         after: Some(RESTART_DELAY),
         folder: Folder::Kept,
     };
@@ -119,7 +120,7 @@
             process,
             routed: false,
             end_expected: false,
-            restart: Restart::USUAL,
+            restart: Restart::DEFAULT,
             idle: IdleConnections::default(),
             notified: BTreeMap::new(),
         }
@@ -127,18 +128,18 @@
 }
 
 impl Runner<'_> {
-    /// Time since the scenario began.
+    /// Time since the start of the scenario.
     pub(super) fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Records an event that is noticed now.
-    pub(super) fn record(&mut self, sender: Option<usize>, what: AuditEvent, wire: &str) {
+    /// Records an event that is noticed now; `wire` is the text that proves it.
+    pub(super) fn record(&mut self, sender: Option<usize>, event: AuditEvent, wire: &str) {
         let now = self.now();
-        self.log.record(now, sender, what, wire);
+        self.log.record(now, sender, event, wire);
     }
 
-    /// Notes why the run can't be judged.
+    /// Makes the run void, for the reason `why`.
     pub(super) fn void(&mut self, why: String) {
         if self.outcome.void.len() < MAX_VOID_REASONS {
             self.outcome.void.push(why);
@@ -146,7 +147,7 @@
     }
 }
 
-/// The id in the directory's list of the endpoint with this number for the auditor.
-pub(super) fn endpoint_id(audited: usize) -> String {
-    format!("s-{audited:08x}")
+/// The id in the directory's list of the endpoint with this auditor's number.
+pub(super) fn endpoint_id(audit_number: usize) -> String {
+    format!("s-{audit_number:08x}")
 }
--- a/crates/scenario-runner/src/runner/timers.rs
+++ b/crates/scenario-runner/src/runner/timers.rs
@@ -1,4 +1,4 @@
-//! What the timers of the loop do.
+//! The timers of the event loop.
 
 use std::time::Duration;
 
@@ -7,51 +7,51 @@
 use super::connection::ConnectionId;
 use crate::timer_queue::TimerQueue;
 
-/// What is due at some time.
+/// What to do when a timer is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
-    /// Messages are due to be submitted; by `at` a timer that was replaced is known.
+    /// Messages are due to be submitted at `at`. The timer is ignored if an earlier one has replaced it.
     Arrival { at: Duration },
-    /// A client stops waiting for the answer to a message.
+    /// A client gives up waiting for the answer to the message `id`.
     ClientTimeout {
         connection: ConnectionId,
         id: String,
     },
-    /// A message for which no sender was reachable counts as unanswered.
+    /// A message that could not be submitted, because no sender was reachable, counts as unanswered.
     Unrouted { id: String },
-    /// The reply of a destination to a call.
+    /// A destination replies to a call.
     Reply {
         connection: ConnectionId,
         serial: u64,
     },
-    /// A destination closes a connection that was last used at `used`.
+    /// A destination closes a connection if it was last used at `last_used`.
     CloseIdle {
         connection: ConnectionId,
-        used: Duration,
+        last_used: Duration,
     },
-    /// A held watch of the directory may have an answer.
+    /// A pending watch of the directory is checked.
     Watch { connection: ConnectionId },
-    /// A change of the directory's list, by its index in the scenario.
+    /// The directory's list changes; index into the scenario's changes.
     ListChange(usize),
-    /// A signal to a sender, by its index in the scenario.
+    /// A sender gets a signal; index into the scenario's signals.
     Signal(usize),
-    /// A fault that resets an endpoint's connections begins or ends.
+    /// A fault that resets an endpoint's connections starts or ends.
     FaultEdge { endpoint: usize },
     /// An outage of a destination ends.
     OutageEnd { destination: usize },
-    /// A sender that got SIGTERM is killed if it runs at `kill_at`.
+    /// The runner checks whether a sender has exited after SIGTERM, and kills it if it still runs at `kill_at`.
     AwaitExit { sender: usize, kill_at: Duration },
-    /// The load balancer stops sending connections to a sender that got SIGTERM.
+    /// The load balancer stops sending messages to a sender that got SIGTERM.
     StopRouting { sender: usize },
     /// A sender is started again.
     Start { sender: usize },
-    /// An action on senders' processes, by its index in the scenario.
+    /// An action on senders' processes is performed; index into the scenario's actions.
     FleetAction(usize),
     /// One of the two processes of an upgrade is killed.
     KillDuringUpgrade { sender: usize, which: Which },
-    /// A stopped sender continues.
+    /// A stopped sender gets SIGCONT.
     Resume { sender: usize },
 }
 
-/// The timers of the loop, by the time since the scenario began.
+/// The timers of the event loop, by time since the start of the scenario.
 pub(super) type Timers = TimerQueue<Duration, Timer>;
--- a/crates/scenario-runner/src/runner/verdicts.rs
+++ b/crates/scenario-runner/src/runner/verdicts.rs
@@ -1,4 +1,4 @@
-//! The end of a run: the senders are killed, and the record is audited.
+//! The end of a run: kills the senders and audits the recorded events.
 
 use cranehill_simulation::audit::{Auditor, Class, Figures};
 use cranehill_simulation::scenario::Effect;
@@ -7,7 +7,7 @@
 use crate::outcome::Outcome;
 
 impl Runner<'_> {
-    /// Ends the senders and audits the record.
+    /// Collects the senders' resource usage and views of the fleet, kills the senders, and audits the recorded events.
     pub(super) fn finish(mut self) -> Outcome {
         let end = self.now();
         self.outcome.began = self.started_unix;
@@ -15,25 +15,30 @@
         self.outcome.senders = self
             .senders
             .iter()
-            .map(|s| s.process.resource_usage())
+            .map(|sender| sender.process.resource_usage())
             .collect();
-        self.senders.iter_mut().for_each(|s| s.process.kill());
+        self.senders
+            .iter_mut()
+            .for_each(|sender| sender.process.kill());
         let classes = self
             .scenario
             .classes
             .iter()
-            .map(|c| audited_class(c.effect))
+            .map(|class| audited_class(class.effect))
             .collect();
         let mut auditor = Auditor::new(Figures::default(), classes);
-        self.log.lines.iter().for_each(|l| auditor.hear(l));
+        self.log
+            .records
+            .iter()
+            .for_each(|record| auditor.hear(record));
         let lateness = self.log.lateness();
         Outcome {
-            verdicts: auditor.verdicts(end, lateness.usual),
+            verdicts: auditor.verdicts(end, lateness.p99),
             worth: self.clients.worth(),
             worth_over_time: self.clients.worth_over_time(),
-            late: (lateness.most, lateness.usual),
+            late: (lateness.max, lateness.p99),
             lasted: end,
-            lines: self.log.lines,
+            lines: self.log.records,
             ..self.outcome
         }
     }
--- a/crates/scenario-runner/src/senders/configuration.rs
+++ b/crates/scenario-runner/src/senders/configuration.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration of a sender.
+//! The JSON configuration of a sender (`config.json`), which in production comes from the platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,18 +9,19 @@
 
 use crate::plan::Limits;
 
-/// How long an idempotency key is not used again after an attempt that may still be executed.
+/// Setting `keyQuiet`: how long a sender does not repeat an idempotency key after an attempt that may still be executed.
 const KEY_QUIET_TIME: Duration = Duration::from_millis(100);
-/// Factor from the calls that the load keeps in flight on average to those that are allowed.
+/// Allowed calls in flight, in multiples of the average number that the load keeps in flight.
 const IN_FLIGHT_HEADROOM: f64 = 2.2;
 const MIN_CALLS_IN_FLIGHT: f64 = 6.0;
 const MAX_CALLS_IN_FLIGHT: usize = 400;
-/// Seconds of a sender's load that it may hold.
-const HELD_SECONDS: f64 = 10.0;
-const MIN_HELD_MESSAGES: f64 = 12.0;
-const MAX_HELD_MESSAGES: usize = 20_000;
+/// Allowed pending messages, in seconds of a sender's share of the load.
+const PENDING_LOAD_SECONDS: f64 = 10.0;
+const MIN_PENDING_MESSAGES: f64 = 12.0;
+const MAX_PENDING_MESSAGES: usize = 20_000;
 
-/// The configuration of one sender; `list` is the directory's list with the addresses that the sender is to use.
+/// The configuration of the sender number `index`. `list` is the directory's endpoint list with the addresses at which this sender
+/// reaches the endpoints; `Value::Null` makes the sender request it from `discovery` first.
 pub(crate) fn configuration(
     scenario: &Scenario,
     index: usize,
@@ -55,7 +56,7 @@
         "models": scenario.kinds,
         "nInstances": scenario.members(),
         "policyLimits": {"attemptsCap": 6, "connIdle": 15_000_000_000u64, "connectTimeout": 1_500_000_000u64,
-            "maxRetryAfter": 2_000_000_000u64, "mostHeld": size.held_messages, "probes": false, "retryAfter": true},
+            "maxRetryAfter": 2_000_000_000u64, "mostHeld": size.pending_messages, "probes": false, "retryAfter": true},
         "rules": {"cold": nanoseconds(recovery.warm), "coldFrom": recovery.cold, "fall": nanoseconds(recovery.fall),
             "fallMultiple": recovery.multiple, "graceToAnswer": 20_000_000, "keyQuiet": nanoseconds(KEY_QUIET_TIME)},
         "tenants": tenants(scenario),
@@ -70,7 +71,7 @@
     duration.as_nanos() as u64
 }
 
-/// The classes of the messages that are submitted over RESP2; Web Push has classes of its own.
+/// The classes of the messages that are submitted over RESP2. Those for Web Push are defined by the sender, not by its configuration.
 fn classes(scenario: &Scenario) -> Vec<Value> {
     let count = scenario.load.push.unwrap_or(scenario.classes.len());
     scenario
@@ -91,7 +92,7 @@
         .collect()
 }
 
-/// By kind: the most messages in one call.
+/// By kind of destination: the largest number of messages in one call.
 fn batch_sizes(scenario: &Scenario) -> Vec<usize> {
     let batch_size = |kind: &String| {
         members_of_kind(scenario, kind)
@@ -102,7 +103,7 @@
     scenario.kinds.iter().map(batch_size).collect()
 }
 
-/// By kind: no destination shares its limit between endpoints.
+/// By kind of destination: whether each endpoint has its own limit at every destination of the kind.
 fn unshared_kinds(scenario: &Scenario) -> Vec<bool> {
     let is_unshared =
         |kind: &String| members_of_kind(scenario, kind).all(|member| !member.spec.shared);
@@ -125,14 +126,15 @@
         .collect()
 }
 
-/// What one sender may have in flight and hold.
+/// Limits on the calls in flight and the pending messages of one sender.
 struct SenderSize {
     calls_in_flight: usize,
-    held_messages: usize,
+    pending_messages: usize,
 }
 
 impl SenderSize {
-    /// Twice the calls that its part of the load keeps in flight, and ten seconds of that part.
+    /// Limits for one sender's share of the scenario's load: somewhat more than twice the calls that it keeps in flight on average, and
+    /// ten seconds of messages.
     fn of(scenario: &Scenario) -> SenderSize {
         let targets = &scenario.load.targets;
         let weight: f64 = targets.iter().map(|target| target.weight).sum();
@@ -145,15 +147,17 @@
             / weight.max(1e-9);
         let rate = scenario.load.rate / scenario.senders as f64;
         let calls = (rate * mean_service_time * IN_FLIGHT_HEADROOM).ceil();
-        let held = (rate * HELD_SECONDS).ceil();
+        let pending = (rate * PENDING_LOAD_SECONDS).ceil();
         SenderSize {
             calls_in_flight: (calls.max(MIN_CALLS_IN_FLIGHT) as usize).min(MAX_CALLS_IN_FLIGHT),
-            held_messages: (held.max(MIN_HELD_MESSAGES) as usize).min(MAX_HELD_MESSAGES),
+            pending_messages: (pending.max(MIN_PENDING_MESSAGES) as usize)
+                .min(MAX_PENDING_MESSAGES),
         }
     }
 }
 
-/// The rate that the directory lists for a destination, in messages a second: an estimate.
+/// The rate that the directory lists as a destination's weight, in messages a second: the lower of its capacity and its limit, in
+/// full batches.
 pub(crate) fn listed_rate(member: &Member) -> f64 {
     let batch = member.spec.batch as f64;
     match member.spec.limit {
--- a/crates/scenario-runner/src/senders/events.rs
+++ b/crates/scenario-runner/src/senders/events.rs
@@ -1,4 +1,4 @@
-//! What a sender's log shows of its process.
+//! Events of senders' processes, read from their logs (standard error).
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -7,40 +7,41 @@
 
 use mio::Waker;
 
-/// Text by which a log line is a warning.
-const WARNING_MARKS: [&str; 3] = ["WARN", "ERROR", "panicked"];
+/// A log line that contains one of these is a warning.
+const WARNING_MARKERS: [&str; 3] = ["WARN", "ERROR", "panicked"];
 
-/// One observation of a sender's process.
+/// One event of a sender's process.
 #[derive(Clone, Debug)]
 pub(crate) struct ProcessEvent {
-    /// The sender.
+    /// Index of the sender.
     pub sender: usize,
-    /// The incarnation of the process; see [`Process::is_current`](super::Process::is_current).
+    /// The incarnation of the process that wrote the log; see [`Process::is_current`](super::Process::is_current).
     pub incarnation: u32,
-    /// What was observed.
+    /// The kind of event, with its data.
     pub kind: ProcessEventKind,
 }
 
-/// What was observed of a process.
+/// What the log of a process has shown.
 #[derive(Clone, Debug)]
 pub(crate) enum ProcessEventKind {
-    /// It listens for clients there.
+    /// It listens for RESP2 clients at this address.
     ClientListener(SocketAddr),
-    /// It listens for Web Push there.
+    /// It listens for Web Push at this address.
     WebPushListener(SocketAddr),
-    /// It answers requests for its view of the fleet there.
+    /// It serves its view of the fleet's members at this address.
     StatusListener(SocketAddr),
-    /// A line of its log that warns.
+    /// A warning in its log: the whole line.
     Warning(String),
-    /// Any line, where all are kept.
+    /// Any line of its log; see [`LogReader::keep_lines`].
     LogLine(String),
-    /// Its log has ended.
+    /// Its log has ended, so it is exiting or has exited.
     Ended,
 }
 
 impl ProcessEventKind {
-    /// The event says something of one process; a line of a log counts for the sender, whichever process wrote it.
-    pub(crate) fn is_of_one_process(&self) -> bool {
+    /// Whether the event is void once another process has replaced the one that wrote the log. Log lines are not: they belong to the
+    /// sender, whichever of its processes wrote them.
+    pub(crate) fn is_process_specific(&self) -> bool {
         match self {
             ProcessEventKind::ClientListener(_)
             | ProcessEventKind::WebPushListener(_)
@@ -50,7 +51,7 @@
         }
     }
 
-    /// What a line of a log shows, if anything.
+    /// The event that a log line shows; `None` for most lines.
     fn parse(line: &str) -> Option<ProcessEventKind> {
         if let Some(address) = address_after(line, "listening for clients at ") {
             return Some(ProcessEventKind::ClientListener(address));
@@ -61,9 +62,9 @@
         if let Some(address) = address_after(line, "fleet: status at ") {
             return Some(ProcessEventKind::StatusListener(address));
         }
-        WARNING_MARKS
+        WARNING_MARKERS
             .iter()
-            .any(|mark| line.contains(mark))
+            .any(|marker| line.contains(marker))
             .then(|| ProcessEventKind::Warning(line.to_owned()))
     }
 }
@@ -76,7 +77,7 @@
     rest[..end].parse().ok()
 }
 
-/// Passes events from the threads that read logs to the event loop.
+/// Sends events from the threads that read logs to the event loop.
 #[derive(Clone, Debug)]
 pub(crate) struct EventSink {
     channel: Channel<ProcessEvent>,
@@ -84,32 +85,32 @@
 }
 
 impl EventSink {
-    /// Events go to `channel`; `waker` interrupts the poll of the loop that reads it.
+    /// Sends events to `channel`; `waker` interrupts the poll of the event loop, which reads the channel.
     pub(crate) fn new(channel: Channel<ProcessEvent>, waker: Arc<Waker>) -> EventSink {
         EventSink { channel, waker }
     }
 
-    /// False once the loop has ended.
+    /// Sends an event; false once the event loop has ended.
     fn send(&self, event: ProcessEvent) -> bool {
         self.channel.send(event).is_ok()
     }
 
-    /// False once the loop has ended.
+    /// Interrupts the event loop's poll; false once the loop has ended.
     fn wake(&self) -> bool {
         self.waker.wake().is_ok()
     }
 }
 
-/// Reads the log of one process to its end.
+/// Reads the log of one process to its end, on a thread of its own.
 #[derive(Debug)]
 pub(super) struct LogReader {
-    /// The sender.
+    /// Index of the sender.
     pub sender: usize,
     /// The incarnation of the process.
     pub incarnation: u32,
-    /// Every line becomes an event.
+    /// Every line becomes a [`ProcessEventKind::LogLine`].
     pub keep_lines: bool,
-    /// Where events go.
+    /// Receives the events.
     pub sink: EventSink,
 }
 
--- a/crates/scenario-runner/src/senders/fleet.rs
+++ b/crates/scenario-runner/src/senders/fleet.rs
@@ -1,22 +1,22 @@
-//! The operators' file of a sender that is a member of a fleet.
+//! The file `fleet.toml` of a sender that is a member of a fleet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use cranehill_simulation::fleet::Fleet;
 
-/// The key of simulated fleets: nothing secret is sent between their members.
+/// The fleet key that all members of a scenario share. It is public, because scenarios send no secrets.
 pub(super) const FLEET_KEY: &str =
     "7265686561727365206f6e206c6f6f706261636b2c207265686561727365212e";
 
-/// How a sender reaches the other members, and they reach it.
+/// The addresses and shared settings with which a sender joins its fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetSettings {
-    /// Where it receives packets.
+    /// UDP address at which it receives packets.
     pub listen: SocketAddr,
-    /// Where the others send packets for it.
+    /// UDP address to which the other members send packets for it.
     pub advertise: SocketAddr,
-    /// Members that it contacts first.
+    /// Addresses of the members that it contacts first.
     pub seeds: Vec<SocketAddr>,
     /// The settings that all members share.
     pub fleet: Fleet,
--- a/crates/scenario-runner/src/senders/mod.rs
+++ b/crates/scenario-runner/src/senders/mod.rs
@@ -1,4 +1,4 @@
-//! Real senders as processes, and the files that configure them.
+//! Senders under test: their processes, and the files that configure them.
 
 mod configuration;
 mod events;
--- a/crates/scenario-runner/src/senders/process.rs
+++ b/crates/scenario-runner/src/senders/process.rs
@@ -1,4 +1,4 @@
-//! The process of a sender: configured, started, signalled, started again.
+//! The process of a sender: its configuration files, start, upgrade, signals and end.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,32 +15,32 @@
 use crate::journal_damage::{Damage, damage};
 use crate::resource_usage::{self, ResourceUsage};
 
-/// One sender: its folder, and its process while it has one.
+/// One sender: its folder, its process while it has one, and a second process during an upgrade.
 #[derive(Debug)]
 pub(crate) struct Process {
     index: usize,
     program: PathBuf,
     folder: PathBuf,
     child: Option<Child>,
-    /// During an upgrade: the process that is replaced.
+    /// During an upgrade: the old process, which hands its state over.
     predecessor: Option<Predecessor>,
-    /// The next process listens for operators.
+    /// Whether processes that are started from now on listen for operators.
     pub has_operator_address: bool,
-    /// Counts starts and kills.
+    /// Number of starts and kills so far; identifies the current process, see [`Process::is_current`].
     incarnation: u32,
-    /// It accepts Web Push.
+    /// Whether it accepts Web Push.
     has_web_push: bool,
-    /// It is a member of a fleet; every line of its log is kept.
+    /// Whether it is a member of a fleet; if so, its log is JSON and all lines are kept.
     has_fleet: bool,
-    /// Where it listens for clients.
+    /// Address at which it listens for RESP2 clients, once its log has shown it.
     pub client_address: Option<SocketAddr>,
-    /// Where it listens for Web Push.
+    /// Address at which it listens for Web Push, once its log has shown it.
     pub web_push_address: Option<SocketAddr>,
-    /// Where it answers requests for its view of the fleet.
+    /// Address at which it serves its view of the fleet's members, once its log has shown it.
     pub status_address: Option<SocketAddr>,
 }
 
-/// A process that is replaced by its successor.
+/// The old process of an upgrade.
 #[derive(Debug)]
 struct Predecessor {
     child: Child,
@@ -48,7 +48,7 @@
 }
 
 impl Process {
-    /// A sender without a process, with a folder of its own in `folder`.
+    /// A sender that is not started yet. It uses the subfolder `sender-INDEX` of `folder`.
     pub(crate) fn new(index: usize, program: &Path, folder: &Path) -> Process {
         Process {
             index,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Writes its configuration, and the files for Web Push and for its fleet if it has these.
+    /// Writes its configuration, and those for Web Push and for its fleet if given, into its folder.
     pub(crate) fn configure(
         &mut self,
         config: &Value,
@@ -86,7 +86,10 @@
         std::fs::write(self.folder.join("config.json"), config.to_string())
     }
 
-    /// Starts its process; a mutation is for builds that have some.
+    /// Starts its process. A `mutation` requires an executable that was built with mutations.
+    ///
+    /// # Errors
+    /// The executable can't be started.
     pub(crate) fn start(
         &mut self,
         sink: EventSink,
@@ -149,7 +152,7 @@
         self.folder.join("state")
     }
 
-    /// Resources that its process has used; zero if there is none.
+    /// Resources that its process has used; zero if it has no process.
     pub(crate) fn resource_usage(&self) -> ResourceUsage {
         self.child
             .as_ref()
@@ -158,12 +161,12 @@
             })
     }
 
-    /// It listens for clients, and for Web Push if it accepts that.
+    /// Whether it listens for clients, and for Web Push if it accepts that.
     pub(crate) fn is_ready(&self) -> bool {
         self.client_address.is_some() && (self.web_push_address.is_some() || !self.has_web_push)
     }
 
-    /// Its process runs.
+    /// Whether its process runs; if not, its addresses are cleared.
     pub(crate) fn is_running(&mut self) -> bool {
         let running = self.child.as_mut().is_some_and(is_running);
         if !running {
@@ -173,16 +176,16 @@
         running
     }
 
-    /// The present process has this incarnation. An event of an earlier process may be read after its end; were its address
-    /// used, clients would connect to where nobody, or another sender, listens by then.
+    /// Whether the current process has this incarnation. Events of an earlier process may be read after its end and must be ignored:
+    /// clients would connect to an address at which nothing listens any more, or another sender.
     pub(crate) fn is_current(&self, incarnation: u32) -> bool {
         incarnation == self.incarnation
     }
 
-    /// Kills its process, and a predecessor.
+    /// Kills its process by SIGKILL, and during an upgrade the old one too, and waits for their end.
     pub(crate) fn kill(&mut self) {
         self.incarnation += 1;
-        let predecessor = self.predecessor.take().map(|old| old.child);
+        let predecessor = self.predecessor.take().map(|predecessor| predecessor.child);
         self.child
             .take()
             .into_iter()
@@ -197,7 +200,7 @@
         self.status_address = None;
     }
 
-    /// Starts a second process beside the present one, which becomes its predecessor.
+    /// Starts an upgrade: a second process over the same state folder. The current process becomes the predecessor.
     pub(crate) fn start_successor(
         &mut self,
         sink: EventSink,
@@ -211,39 +214,41 @@
         self.start(sink, mutation)
     }
 
-    /// Ends a predecessor by SIGTERM, if it runs; the successor has its state by then.
+    /// Sends SIGTERM to the old process of an upgrade, if there is one. To be called once the new process is ready, as it has the state
+    /// then.
     pub(crate) fn terminate_predecessor(&mut self) {
-        if let Some(old) = &self.predecessor {
-            send_signal(&old.child, "TERM");
+        if let Some(predecessor) = &self.predecessor {
+            send_signal(&predecessor.child, "TERM");
         }
     }
 
-    /// Kills the predecessor; false if it had ended already.
+    /// Kills the old process of an upgrade; false if there is none, or it had exited already.
     pub(crate) fn kill_predecessor(&mut self) -> bool {
-        let Some(mut old) = self.predecessor.take() else {
+        let Some(mut predecessor) = self.predecessor.take() else {
             return false;
         };
-        let running = is_running(&mut old.child);
-        kill_and_wait(old.child);
+        let running = is_running(&mut predecessor.child);
+        kill_and_wait(predecessor.child);
         running
     }
 
-    /// Kills the successor, so that the predecessor is the sender's process again; false if that had ended already.
+    /// Kills the new process of an upgrade, so that the old one is the current process again. Returns false, and kills nothing, if there
+    /// is no old process or it has exited already.
     pub(crate) fn kill_successor(&mut self) -> bool {
-        let Some(mut old) = self.predecessor.take() else {
+        let Some(mut predecessor) = self.predecessor.take() else {
             return false;
         };
-        if !is_running(&mut old.child) {
+        if !is_running(&mut predecessor.child) {
             return false;
         }
-        if let Some(child) = self.child.replace(old.child) {
+        if let Some(child) = self.child.replace(predecessor.child) {
             kill_and_wait(child);
         }
-        self.incarnation = old.incarnation;
+        self.incarnation = predecessor.incarnation;
         true
     }
 
-    /// Removes its state folder.
+    /// Deletes its state folder.
     pub(crate) fn remove_state(&self) {
         let _ = std::fs::remove_dir_all(self.state_folder());
     }
@@ -253,7 +258,7 @@
         damage(&self.state_folder(), rng)
     }
 
-    /// Sends a signal by its name.
+    /// Sends a signal to its process; `name` is without `SIG`, as for kill(1).
     pub(crate) fn signal(&self, name: &str) {
         if let Some(child) = &self.child {
             send_signal(child, name);
--- a/crates/scenario-runner/src/senders/web_push.rs
+++ b/crates/scenario-runner/src/senders/web_push.rs
@@ -1,4 +1,4 @@
-//! The operators' file of a sender that accepts Web Push.
+//! The file `webpush.toml` of a sender that accepts Web Push.
 
 use std::net::SocketAddr;
 
@@ -7,12 +7,12 @@
 use super::configuration::listed_rate;
 use crate::wire::push_path;
 
-/// A push service as one sender reaches it.
+/// A push service, with the addresses at which one sender reaches it.
 #[derive(Clone, Debug)]
 pub(crate) struct PushService {
     /// Index into [`Scenario::destinations`].
     pub destination: usize,
-    /// Its servers.
+    /// Addresses of its servers.
     pub addresses: Vec<SocketAddr>,
 }
 
--- a/crates/scenario-runner/src/timer_queue.rs
+++ b/crates/scenario-runner/src/timer_queue.rs
@@ -1,41 +1,41 @@
-//! Events in the order of their times.
+//! A priority queue of events by the time at which they are due.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Events by time, and by insertion among those of one time.
+/// Events ordered by due time; events with the same due time are in insertion order.
 #[derive(Debug)]
 pub struct TimerQueue<Time, Event> {
     entries: BinaryHeap<Reverse<Entry<Time, Event>>>,
-    inserted: u64,
+    insertions: u64,
 }
 
 impl<Time: Copy + Ord, Event> Default for TimerQueue<Time, Event> {
     fn default() -> TimerQueue<Time, Event> {
         TimerQueue {
             entries: BinaryHeap::new(),
-            inserted: 0,
+            insertions: 0,
         }
     }
 }
 
 impl<Time: Copy + Ord, Event> TimerQueue<Time, Event> {
-    /// Adds an event.
+    /// Adds an event that is due at `due`.
     pub fn push(&mut self, due: Time, event: Event) {
-        self.inserted += 1;
+        self.insertions += 1;
         self.entries.push(Reverse(Entry {
             due,
-            number: self.inserted,
+            insertion_number: self.insertions,
             event,
         }));
     }
 
-    /// The time of the first event.
+    /// The due time of the first event; `None` if the queue is empty.
     pub fn next_due(&self) -> Option<Time> {
         self.entries.peek().map(|Reverse(entry)| entry.due)
     }
 
-    /// The first event, with its time, if that is `until` at the latest.
+    /// Removes the first event and returns it with its due time, if it is due at `until` or earlier.
     pub fn pop_due(&mut self, until: Time) -> Option<(Time, Event)> {
         if self.next_due()? > until {
             return None;
@@ -45,11 +45,11 @@
     }
 }
 
-/// Ordered by time and insertion alone.
+/// An event in the queue. Entries compare by due time and insertion number; the event itself is ignored.
 #[derive(Debug)]
 struct Entry<Time, Event> {
     due: Time,
-    number: u64,
+    insertion_number: u64,
     event: Event,
 }
 
@@ -69,6 +69,6 @@
 
 impl<Time: Ord, Event> Ord for Entry<Time, Event> {
     fn cmp(&self, other: &Self) -> Ordering {
-        (&self.due, self.number).cmp(&(&other.due, other.number))
+        (&self.due, self.insertion_number).cmp(&(&other.due, other.insertion_number))
     }
 }
--- a/crates/scenario-runner/src/wire/client.rs
+++ b/crates/scenario-runner/src/wire/client.rs
@@ -1,4 +1,4 @@
-//! RESP2 submissions of clients to senders, and the answers.
+//! Submissions of clients to senders over RESP2, and the answers.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 
 use super::framed::Framed;
 
-/// The first argument of a request whose class is not ordered.
+/// The ordering key, which is the first argument, of a message that has none.
 const NO_ORDERING_KEY: &str = "0000000000000000";
 const LINE_END: &[u8] = b"\r\n";
 
-/// A message as a tenant's program submits it.
+/// Encodes the `MSG.PUT` request with which a client submits a message.
 pub(crate) fn encode_put(submission: &Submission, class: &str, tenant: &str) -> Vec<u8> {
     let ordering_key = submission
         .ordering_key
@@ -52,7 +52,7 @@
     attributes
 }
 
-/// Text that compresses about as well as a real message's.
+/// A body that compresses about as well as a real message.
 fn body(submission: &Submission) -> Vec<u8> {
     submission
         .id
@@ -64,7 +64,8 @@
         .collect()
 }
 
-/// A sender's answer to a client; `None` if it is not complete.
+/// Parses a sender's answer to a submission at the start of a buffer; `None` if it is not complete yet. An error reply other than
+/// `-BUSY` is [`ClientAnswer::Error`].
 pub(crate) fn parse_client_answer(bytes: &[u8]) -> Option<Framed<ClientAnswer>> {
     let line_length = bytes
         .windows(LINE_END.len())
