--- a/crates/scenario-runner/src/wire/destination.rs
+++ b/crates/scenario-runner/src/wire/destination.rs
@@ -1,4 +1,4 @@
-//! Calls of senders to destinations, and the replies.
+//! Calls of senders to destinations over HTTP, and the replies.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 use super::error::WireError;
 use super::http::{Request, encode_response};
 
-/// The messages of a call.
+/// The messages that a call delivers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct DestinationCall {
     /// Ids of the messages, in the order of the call.
     pub ids: Vec<String>,
-    /// The call is a batch, and its reply lists each message.
+    /// Whether the call is a batch, whose reply lists the state of each message.
     pub batch: bool,
 }
 
 impl DestinationCall {
-    /// Reads a single call, a batch or a Web Push post.
+    /// Parses a call of one message (`/hook`), a batch (`/hook/batch`) or a Web Push post (`/p/DESTINATION/ID`).
     ///
     /// # Errors
-    /// The request is none of these, or a message of it is incomplete.
+    /// The request is none of these, lacks the id or body of a message, or is a batch that is empty or repeats an id.
     pub(crate) fn parse(request: &Request) -> Result<DestinationCall, WireError> {
         match request.path.as_str() {
             "/hook" => {
                 let id = request
                     .header("X-Txn")
-                    .ok_or(WireError::Missing("X-Txn of a call"))?;
+                    .ok_or(WireError::Missing("X-Txn header of a call"))?;
                 Ok(DestinationCall::single(id))
             }
             "/hook/batch" => DestinationCall::parse_batch(&request.body),
@@ -48,10 +48,10 @@
         let items: Value = serde_json::from_slice(body)?;
         let items = items
             .as_array()
-            .ok_or(WireError::Missing("the array of a batch"))?;
+            .ok_or(WireError::Missing("JSON array of a batch"))?;
         let mut ids = Vec::with_capacity(items.len());
         for item in items {
-            let id = batch_item(item)?;
+            let id = parse_batch_item(item)?;
             if ids.contains(&id) {
                 return Err(WireError::RepeatedId(id));
             }
@@ -74,14 +74,14 @@
     }
 }
 
-/// The id of a batch's item, whose body must be Base64.
-fn batch_item(item: &Value) -> Result<String, WireError> {
+/// The id of a message in a batch. Its body must be valid Base64.
+fn parse_batch_item(item: &Value) -> Result<String, WireError> {
     let id = item["id"]
         .as_str()
-        .ok_or(WireError::Missing("the id of a batch's item"))?;
+        .ok_or(WireError::Missing("id of a message in a batch"))?;
     let body = item["body"]
         .as_str()
-        .ok_or(WireError::Missing("the body of a batch's item"))?;
+        .ok_or(WireError::Missing("body of a message in a batch"))?;
     STANDARD.decode(body).map_err(|source| WireError::Base64 {
         id: id.to_owned(),
         source,
@@ -94,20 +94,20 @@
 pub(crate) struct CallReply<'a> {
     /// Ids of the messages, in the order of the call.
     pub ids: &'a [String],
-    /// The call was a batch.
+    /// Whether the call was a batch.
     pub batch: bool,
-    /// What became of each message.
+    /// The outcome of each message, in the order of `ids`.
     pub outcomes: &'a [DeliveryOutcome],
-    /// For how long the sender is to send nothing.
+    /// Value of `Retry-After`: how long the sender must not call the destination.
     pub retry_after: Option<Duration>,
-    /// The load report: what remains, and the limit.
+    /// Load report: the share of the limit that is left, 0 to 1, and the limit in calls a second.
     pub load_report: Option<(f64, f64)>,
-    /// The destination is a push service.
+    /// Whether the destination is a push service.
     pub push: bool,
 }
 
 impl CallReply<'_> {
-    /// The bytes of the reply.
+    /// Encodes the reply. The status is 429 or 503 if all messages were rejected, 500 if all failed, and otherwise a success.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let headers = self.headers();
         let all = |outcome: DeliveryOutcome| self.outcomes.iter().all(|each| *each == outcome);
@@ -142,7 +142,7 @@
     }
 }
 
-/// An outcome as the reply to a batch states it.
+/// The value of `state` for an outcome in the reply to a batch.
 pub(crate) fn batch_state(outcome: DeliveryOutcome) -> &'static str {
     match outcome {
         DeliveryOutcome::Done => "done",
--- a/crates/scenario-runner/src/wire/directory.rs
+++ b/crates/scenario-runner/src/wire/directory.rs
@@ -1,4 +1,4 @@
-//! Requests of senders to the directory and the platform: watches and final reports.
+//! Requests of senders to the directory and the platform: watches of the endpoint list, and final reports.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 
 use super::error::WireError;
 
-/// No watch is held for longer, whatever it asks for.
+/// Upper bound on `hold_ms`; a larger value is reduced to it.
 const MAX_HOLD_MS: u64 = 60_000;
 
-/// A sender's request for changes of the endpoint list.
+/// A sender's long poll for changes of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct WatchRequest {
-    /// The version of the list that the sender has.
-    pub from: u64,
-    /// How long the request is held if there is no change.
-    pub hold: Duration,
+    /// Version of the list that the sender has already; it requests later changes.
+    pub known_version: u64,
+    /// How long the response is delayed if there is no change.
+    pub max_hold: Duration,
 }
 
 impl WatchRequest {
-    /// Reads `from` and `hold_ms` of a path's query; `None` without `from`.
+    /// Parses `from` and `hold_ms` in the path's query; `None` without a valid `from`.
     pub(crate) fn parse(path: &str) -> Option<WatchRequest> {
         let (_, query) = path.split_once('?')?;
         let value = |name: &str| {
@@ -29,28 +29,28 @@
                 value.parse::<u64>().ok()
             })
         };
-        let from = value("from")?;
+        let known_version = value("from")?;
         let hold_ms = value("hold_ms").unwrap_or(0).min(MAX_HOLD_MS);
         Some(WatchRequest {
-            from,
-            hold: Duration::from_millis(hold_ms),
+            known_version,
+            max_hold: Duration::from_millis(hold_ms),
         })
     }
 }
 
-/// One line of a request with final reports.
+/// The final report of one message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct FinalReportLine {
-    /// The message.
+    /// Id of the message.
     pub id: String,
-    /// How it ended.
+    /// How the message ended.
     pub report: FinalReport,
 }
 
-/// The final reports of a request's body, one JSON object a line.
+/// Parses the final reports in a request body: one JSON object on each line.
 ///
 /// # Errors
-/// A line is not JSON, or has no id or no known state.
+/// A line is not JSON, or lacks an id or a valid state.
 pub(crate) fn parse_final_reports(body: &[u8]) -> Result<Vec<FinalReportLine>, WireError> {
     String::from_utf8_lossy(body)
         .lines()
@@ -63,7 +63,7 @@
     let fields: Value = serde_json::from_str(line)?;
     let id = fields["id"]
         .as_str()
-        .ok_or(WireError::Missing("the id of a final report"))?;
+        .ok_or(WireError::Missing("id of a final report"))?;
     let report = match fields["state"].as_str() {
         Some("returned") => FinalReport::Returned {
             after: fields["after_ms"].as_u64().map(Duration::from_millis),
--- a/crates/scenario-runner/src/wire/framed.rs
+++ b/crates/scenario-runner/src/wire/framed.rs
@@ -1,10 +1,10 @@
-//! A value that was parsed from the front of a buffer.
+//! A value that was parsed from the start of a buffer.
 
-/// A parsed value, and the number of bytes that it took at the front of the buffer.
+/// A parsed value, and its length at the start of the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Framed<T> {
-    /// The parsed value.
+    /// The value.
     pub value: T,
-    /// Bytes of the buffer that belong to the value.
+    /// Number of bytes to remove from the start of the buffer.
     pub length: usize,
 }
--- a/crates/scenario-runner/src/wire/http.rs
+++ b/crates/scenario-runner/src/wire/http.rs
@@ -1,29 +1,30 @@
-//! HTTP/1.1 requests and responses.
+//! Parsing of HTTP/1.1 requests, and encoding of responses. Request bodies must have a `Content-Length`; chunked ones are not read.
 
 use super::error::WireError;
 use super::framed::Framed;
 
-/// Longer heads and bodies are not from a sender under test.
+/// A sender under test sends no longer request line and headers.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// A sender under test sends no longer request body.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Headers of one request.
+/// Number of headers that a request may have.
 const MAX_HEADERS: usize = 64;
 
-/// A complete request.
+/// A complete HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Request {
-    /// The method, as it was sent.
+    /// The method, in the case in which it was sent.
     pub method: String,
-    /// The path with its query.
+    /// The request target: path and query.
     pub path: String,
-    /// Names and values in the order in which they were sent.
+    /// Names and values of the headers, in the order in which they were sent.
     pub headers: Vec<(String, String)>,
-    /// The body; empty without `Content-Length`.
+    /// The body; empty without a `Content-Length`.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// The value of the first header of this name, in any case.
+    /// The value of the first header with this name; the case of the name is ignored.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         find_header(&self.headers, name)
     }
@@ -36,10 +37,10 @@
         .map(|(_, value)| value.as_str())
 }
 
-/// The first request in the buffer; `None` if it is not complete.
+/// Parses the request at the start of a buffer; `None` if it is not complete yet.
 ///
 /// # Errors
-/// The bytes are not a request, or its head or body is too long.
+/// The bytes are not an HTTP request, or its headers or body exceed their limits.
 pub(crate) fn parse_request(bytes: &[u8]) -> Result<Option<Framed<Request>>, WireError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
@@ -92,7 +93,7 @@
     Ok(length)
 }
 
-/// The bytes of a response with a body.
+/// Encodes a response. `Content-Length` is added to `headers`.
 pub(crate) fn encode_response(status: u16, headers: &[(&str, String)], body: &str) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
--- a/crates/scenario-runner/src/wire/mod.rs
+++ b/crates/scenario-runner/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! What simulated servers and clients read and write: requests, replies and lists in the platform's formats. Pure functions over
-//! bytes.
+//! Parsers and encoders for the protocols of the simulated servers and clients: RESP2, Web Push, calls to destinations, and the
+//! directory's requests. They do no I/O.
 
 mod client;
 mod destination;
--- a/crates/scenario-runner/src/wire/tests.rs
+++ b/crates/scenario-runner/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Parsers and encoders by examples.
+//! Parsers and encoders against example requests and answers.
 
 use std::time::Duration;
 
@@ -12,18 +12,20 @@
 };
 
 #[test]
-fn requests_are_parsed_whole_or_not_at_all() {
+fn incomplete_requests_are_not_parsed() {
     let bytes = b"POST /hook HTTP/1.1\r\nX-Txn: aa\r\nContent-Length: 3\r\n\r\nabcGET";
-    for cut in 0..bytes.len() - 3 {
-        let parsed = parse_request(&bytes[..cut]).expect("no error");
-        assert_eq!(parsed, None, "cut at {cut}");
+    for length in 0..bytes.len() - 3 {
+        let parsed = parse_request(&bytes[..length]).expect("an incomplete request is no error");
+        assert_eq!(parsed, None, "first {length} bytes");
     }
-    let parsed = parse_request(bytes).expect("good").expect("whole");
+    let parsed = parse_request(bytes)
+        .expect("a valid request")
+        .expect("a complete request");
     assert_eq!(
         (parsed.value.body.as_slice(), parsed.length),
         (&b"abc"[..], bytes.len() - 3)
     );
-    let call = DestinationCall::parse(&parsed.value).expect("a call");
+    let call = DestinationCall::parse(&parsed.value).expect("a valid call");
     assert_eq!((call.ids, call.batch), (vec!["aa".to_owned()], false));
     assert!(parse_request(b"\0\0\r\n\r\n").is_err());
 }
@@ -39,7 +41,7 @@
         load_report: None,
         push: false,
     };
-    let text = String::from_utf8(reply.encode()).expect("text");
+    let text = String::from_utf8(reply.encode()).expect("UTF-8");
     assert!(
         text.starts_with("HTTP/1.1 200 ") && text.contains(r#"{"id":"b","state":"busy"}"#),
         "{text}"
@@ -50,7 +52,7 @@
         load_report: Some((0.4, 25.0)),
         ..reply
     };
-    let text = String::from_utf8(busy.encode()).expect("text");
+    let text = String::from_utf8(busy.encode()).expect("UTF-8");
     assert!(
         text.starts_with("HTTP/1.1 429 ") && text.contains("Retry-After: 0.700000"),
         "{text}"
@@ -68,17 +70,17 @@
             body: body.as_bytes().to_vec(),
         })
     };
-    let call = parse(r#"[{"id":"a","body":"eA=="},{"id":"b","body":""}]"#).expect("good");
+    let call = parse(r#"[{"id":"a","body":"eA=="},{"id":"b","body":""}]"#).expect("a valid batch");
     let ids = vec!["a".to_owned(), "b".to_owned()];
     assert_eq!(call, DestinationCall { ids, batch: true });
-    for bad in [
+    for invalid in [
         "[]",
         "{",
         r#"[{"id":"a"}]"#,
         r#"[{"id":"a","body":"?"}]"#,
         r#"[{"id":"a","body":""},{"id":"a","body":""}]"#,
     ] {
-        assert!(parse(bad).is_err(), "{bad}");
+        assert!(parse(invalid).is_err(), "{invalid}");
     }
 }
 
@@ -113,7 +115,7 @@
 fn final_reports_are_parsed_line_by_line() {
     let lines =
         b"{\"id\":\"a\",\"state\":\"failed\"}\n{\"id\":\"b\",\"state\":\"returned\",\"after_ms\":5}\n";
-    let reports = parse_final_reports(lines).expect("good");
+    let reports = parse_final_reports(lines).expect("valid reports");
     let after = Some(Duration::from_millis(5));
     assert_eq!(reports[1].id, "b");
     assert_eq!(reports[1].report, FinalReport::Returned { after });
@@ -121,19 +123,19 @@
 }
 
 #[test]
-fn watches_are_parsed() {
+fn watch_requests_are_parsed() {
     assert_eq!(
         WatchRequest::parse("/v1/endpoints?from=41&hold_ms=20000"),
         Some(WatchRequest {
-            from: 41,
-            hold: Duration::from_secs(20)
+            known_version: 41,
+            max_hold: Duration::from_secs(20)
         })
     );
     assert_eq!(WatchRequest::parse("/v1/endpoints"), None);
 }
 
 #[test]
-fn answers_to_posts_are_parsed() {
+fn answers_to_web_push_posts_are_parsed() {
     let rejected =
         b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 2\r\nContent-Length: 3\r\n\r\nno\n";
     let after = Some(Duration::from_secs(2));
--- a/crates/scenario-runner/src/wire/web_push.rs
+++ b/crates/scenario-runner/src/wire/web_push.rs
@@ -1,4 +1,4 @@
-//! Web Push posts of clients to senders, and the answers.
+//! Submissions of clients to senders over Web Push (RFC 8030), and the answers.
 
 use std::str::from_utf8;
 use std::time::Duration;
@@ -8,15 +8,16 @@
 
 use super::framed::Framed;
 
-/// Headers of one answer.
+/// Number of headers that an answer may have.
 const MAX_HEADERS: usize = 32;
 
-/// The path under which posts for a destination are accepted and sent on.
+/// The path prefix of a destination's push resources, both at the sender and at the push service.
 pub(crate) fn push_path(destination: u64) -> String {
     format!("/p/{destination}/")
 }
 
-/// A Web Push post. Its TTL is in whole seconds, one at least.
+/// Encodes the request that posts a message. `ttl` is sent in whole seconds, rounded down; `topic` adds a `Topic` header with the
+/// message id.
 pub(crate) fn encode_post(submission: &Submission, ttl: Duration, topic: bool) -> Vec<u8> {
     let path = push_path(submission.destination);
     let topic = if topic {
@@ -35,7 +36,8 @@
     bytes
 }
 
-/// A sender's one answer to a post; `None` if it is not complete.
+/// Parses a sender's answer to a post at the start of a buffer; `None` if it is not complete yet. Bytes that are not an HTTP response,
+/// and unexpected statuses, are [`Answer::Error`].
 pub(crate) fn parse_post_answer(bytes: &[u8]) -> Option<Framed<Answer>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
