--- a/crates/scenario-runner/src/figures.rs
+++ b/crates/scenario-runner/src/figures.rs
@@ -37,7 +37,7 @@
 /// Load and capacity of one destination.
 #[derive(Debug)]
 pub struct DestinationCurves {
-    /// The destination's name.
+    /// Name of the destination in the scenario.
     pub name: String,
     /// Messages that senders sent to it in each second, repeats included.
     pub sent: Curve,
--- a/crates/scenario-runner/src/measure.rs
+++ b/crates/scenario-runner/src/measure.rs
@@ -219,8 +219,9 @@
     problems
 }
 
-/// Searches for the highest sustained rate: doubles the rate until a step fails or the rate exceeds 64,000 messages a second, then
-/// bisects. `on_step` is called with every step. `None` if the first rate, 250 messages a second, is not sustained.
+/// Searches for the highest sustained rate: doubles the rate until a step is not sustained or the runner is too late in it, then
+/// bisects. Ends without bisection once the rate exceeds 64,000 messages a second. `on_step` is called with every step. `None` if the
+/// first step, with 250 messages a second, fails.
 ///
 /// # Errors
 /// A sender does not start, or a socket or file operation fails.
--- a/crates/scenario-runner/src/runner/connection.rs
+++ b/crates/scenario-runner/src/runner/connection.rs
@@ -33,7 +33,7 @@
     Directory { sender: usize },
 }
 
-/// A connection between a sender and a simulated server.
+/// A connection between a sender and a simulated server or client.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub stream: TcpStream,
