--- a/crates/simulation/src/audit/auditor.rs
+++ b/crates/simulation/src/audit/auditor.rs
@@ -10,7 +10,7 @@
 use super::rule::Rule;
 use super::rules;
 
-/// Reads the record of a run and judges it.
+/// Checks the records of a run against all rules.
 #[derive(Debug)]
 pub struct Auditor {
     limits: Figures,
@@ -20,7 +20,7 @@
 }
 
 impl Auditor {
-    /// An auditor of a run whose messages are of these classes; records name a class by its index.
+    /// Creates an auditor with the bounds of the rules and the classes of messages; records refer to a class by its index.
     pub fn new(figures: Figures, classes: Vec<Class>) -> Auditor {
         Auditor {
             limits: figures,
@@ -30,25 +30,27 @@
         }
     }
 
-    /// Reads the next record. Records are in the order of time.
-    pub fn hear(&mut self, line: &AuditRecord) {
+    /// Processes the next record. Records must be in the order of time.
+    pub fn hear(&mut self, record: &AuditRecord) {
         let observed = Observation {
-            record: line,
+            record,
             limits: &self.limits,
             messages: &self.messages,
         };
         for rule in &mut self.rules {
             rule.observe(&observed, &mut self.findings);
         }
-        // After the rules: they judge a record against what was known before it.
-        self.messages.observe(line, &self.limits);
+        // Updated last, because the rules judge a record against the state before it.
+        self.messages.observe(record, &self.limits);
     }
 
-    /// The verdict on each rule of a run that ended at `end`, when the recording was delayed by up to `late`.
-    pub fn verdicts(mut self, end: Duration, late: Duration) -> Vec<(Rule, Verdict)> {
+    /// Returns the verdict on each rule, in the order of [`Rule::ALL`].
+    ///
+    /// `end` is when the run ended, since the start of the scenario; `recording_delay` is the largest delay of a record.
+    pub fn verdicts(mut self, end: Duration, recording_delay: Duration) -> Vec<(Rule, Verdict)> {
         let end = RunEnd {
             at: end,
-            recording_delay: late,
+            recording_delay,
             limits: &self.limits,
             messages: &self.messages,
         };
--- a/crates/simulation/src/audit/calls.rs
+++ b/crates/simulation/src/audit/calls.rs
@@ -11,21 +11,21 @@
     pub(super) possibly_executed: bool,
 }
 
-/// A call that has ended, in whatever way.
+/// A call that has ended with a reply, a reset or a closed connection.
 #[derive(Debug)]
 pub(super) struct EndedCall {
     pub(super) connection: u64,
     pub(super) attempts: Vec<EndedAttempt>,
 }
 
-/// The messages of the call in flight on each connection.
+/// Ids of the messages of the call in flight, by connection.
 #[derive(Debug, Default)]
 pub(super) struct CallsInFlight {
     ids: BTreeMap<u64, Vec<String>>,
 }
 
 impl CallsInFlight {
-    /// Follows an event; returns the call that it ends, if any.
+    /// Updates the calls in flight from an event, and returns the call that it ends, if any.
     pub(super) fn observe(&mut self, event: &AuditEvent) -> Option<EndedCall> {
         let (connection, attempts) = match event {
             AuditEvent::Called {
@@ -55,7 +55,7 @@
                 self.ids.remove(connection);
                 (connection, ended(ids.clone(), *executed))
             }
-            // The sender closed the connection before the reply: the call may be executed all the same.
+            // The sender closed the connection before the reply arrived: the call was possibly executed.
             AuditEvent::Closed { connection } => {
                 let ids = self.ids.remove(connection).unwrap_or_default();
                 (connection, ended(ids, true))
--- a/crates/simulation/src/audit/findings.rs
+++ b/crates/simulation/src/audit/findings.rs
@@ -1,4 +1,4 @@
-//! What the rules' auditors find, and the verdicts that follow.
+//! Cases and violations that the rules' auditors find, and the resulting verdicts.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,23 +6,23 @@
 
 use super::rule::Rule;
 
-/// Violations of one rule that a verdict lists; one is enough to fail, and further ones only help to find the cause.
+/// Violations of one rule that a verdict lists. One is enough to fail; further ones only help to find the cause.
 const MAX_LISTED_VIOLATIONS: usize = 100;
 
-/// One violation of a rule, with its proof.
+/// A violation of a rule, with the records that prove it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The rule that was broken.
+    /// The violated rule.
     pub rule: Rule,
-    /// The message that it is about.
+    /// Id of the message concerned, if there is one.
     pub id: Option<String>,
-    /// The destination that it is about.
+    /// Number of the destination concerned, if there is one.
     pub destination: Option<u64>,
-    /// When it was noticed, since the start of the scenario.
+    /// Time of the record that shows the violation, since the start of the scenario.
     pub at: Duration,
-    /// What was wrong, in one phrase.
+    /// Description of the violation in one phrase.
     pub why: String,
-    /// Recorded bytes or sentences that prove it, the oldest first.
+    /// Evidence from the records: bytes from the wire, or sentences.
     pub wire: Vec<String>,
 }
 
@@ -40,19 +40,19 @@
     }
 }
 
-/// The result of an audit for one rule.
+/// The result of an audit of one rule.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// No violation.
+    /// The rule was kept in all cases.
     Kept {
-        /// How often the rule could have been broken.
+        /// Number of cases in which the rule could have been violated.
         cases: u64,
     },
-    /// At least one violation; a bounded number of them is listed.
+    /// The rule was violated. Lists the first violations, a bounded number of them.
     Broken(Vec<Violation>),
-    /// No violation, but the recording was too late to judge some cases.
+    /// No violation was found, but the delay of the recording left some cases undecided.
     NotJudged {
-        /// How many cases were not judged.
+        /// Number of undecided cases.
         cases: u64,
     },
 }
@@ -71,7 +71,7 @@
 }
 
 impl Findings {
-    /// Counts a case in which the rule could have been broken, and was not.
+    /// Counts a case in which the rule was kept.
     pub(super) fn kept(&mut self, rule: Rule) {
         self.cases.entry(rule).or_default().kept += 1;
     }
@@ -81,7 +81,8 @@
         self.violations.push(violation);
     }
 
-    /// Judges a bound that was exceeded by `excess`, if at all, given the delay of the recording.
+    /// Judges one case of a time bound. It is kept if there is no `excess`, undecided if the excess is within the delay of the
+    /// recording, and otherwise a violation.
     pub(super) fn judge(
         &mut self,
         rule: Rule,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The verdict on one rule.
+    /// The verdict on a rule from all cases so far.
     pub(super) fn verdict(&self, rule: Rule) -> Verdict {
         let of_rule = self.violations.iter().filter(|v| v.rule == rule);
         let violations: Vec<Violation> = of_rule.take(MAX_LISTED_VIOLATIONS).cloned().collect();
@@ -115,7 +116,7 @@
     }
 }
 
-/// By how much `elapsed` exceeds `bound`; `None` if it does not.
+/// The time by which `elapsed` exceeds `bound`; `None` if it does not.
 pub(super) fn excess(elapsed: Duration, bound: Duration) -> Option<Duration> {
     elapsed.checked_sub(bound).filter(|e| !e.is_zero())
 }
--- a/crates/simulation/src/audit/limits.rs
+++ b/crates/simulation/src/audit/limits.rs
@@ -1,35 +1,35 @@
-//! The figures of the operators' rules, and what each class of messages allows.
+//! The bounds of the operators' rules, and the repeats that each class of messages allows.
 
 use std::time::Duration;
 
-/// The bounds of the rules, from the operators' pages.
+/// The bounds that the operators set for the rules. [`Default`] has the operators' values.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figures {
-    /// Attempts that a message may have.
+    /// Largest number of attempts of a message.
     pub max_attempts: u32,
-    /// How long new calls to an endpoint may go on after the sender was notified that it drains or is removed.
+    /// How long new calls to an endpoint may begin after the sender was notified that it drains or is removed.
     pub drain_grace: Duration,
-    /// A call that arrives this soon after a `Retry-After` was already on its way.
+    /// A call that arrives within this time after a `Retry-After` counts as sent before the sender received it.
     pub retry_after_grace: Duration,
-    /// How long a connection may have been idle when a call begins on it.
+    /// Longest idle time of a connection on which a call begins.
     pub max_idle: Duration,
-    /// How long after its time to live a message must have ended.
+    /// Time after its time to live within which a message must have ended.
     pub end_grace: Duration,
-    /// How long after a restarted sender is ready no end is overdue.
+    /// Time after a restarted sender is ready in which none of its messages counts as overdue.
     pub restart_grace: Duration,
     /// How long a client waits for the answer to a submission.
     pub answer_timeout: Duration,
-    /// Added to the bounds of rules whose timers also include a round trip on sockets.
+    /// Tolerance of time bounds that include a round trip over sockets.
     pub socket_slack: Duration,
-    /// A sender that knew of an outage is to blame for an overload if its like sent more than this share of it, 0 to 1.
+    /// An overload counts as a violation if senders that saw the outage caused more than this share of it, 0 to 1.
     pub informed_share: f64,
-    /// A warming destination fails at more than this many times its present capacity.
+    /// A destination that warms up fails at a load above this multiple of its current capacity.
     pub overload_factor: f64,
-    /// Over how long the overload of a warming destination is measured.
+    /// Window over which the load on a destination that warms up is measured.
     pub overload_window: Duration,
-    /// How long an ordering key rests after an attempt that is possibly still being executed.
-    pub key_rest: Duration,
-    /// Of N expected calls, this many times the root of N, and this many more, are put down to chance.
+    /// Pause of an ordering key after an attempt that is possibly still being executed.
+    pub ordering_key_pause: Duration,
+    /// Tolerance for random arrivals: with this value c and N expected calls, c * sqrt(N) + c further calls are allowed.
     pub chance_margin: f64,
 }
 
@@ -48,22 +48,22 @@
             informed_share: 2.0 / 3.0,
             overload_factor: 1.5,
             overload_window: ms(3000),
-            key_rest: ms(100),
+            ordering_key_pause: ms(100),
             chance_margin: 2.0,
         }
     }
 }
 
-/// What a class of messages allows after an attempt that was possibly executed.
+/// The repeats that a class of messages allows after an attempt that was possibly executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Any number of repeats.
+    /// Repeats are harmless and always allowed.
     Safe,
-    /// Repeats that the destination drops by their idempotency key.
+    /// Repeats are allowed while the destination drops duplicates by the idempotency key.
     Keyed {
-        /// How long the destination drops them, from the first possible execution.
+        /// How long the destination drops duplicates, from the first possible execution.
         window: Duration,
     },
-    /// No repeat.
+    /// Repeats are forbidden.
     Unsafe,
 }
--- a/crates/simulation/src/audit/messages.rs
+++ b/crates/simulation/src/audit/messages.rs
@@ -1,4 +1,4 @@
-//! What the record shows of each message so far: submission, answer, delivery and final report.
+//! The recorded state of each message: submission, answer, delivery and final report.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,36 +6,36 @@
 use super::limits::Figures;
 use super::record::{Answer, AuditEvent, AuditRecord, DeliveryOutcome, FinalReport};
 
-/// A final report as it was first sent.
+/// The first final report of a message; later ones are resent copies.
 #[derive(Debug)]
 pub(super) struct FirstReport {
     pub(super) final_report: FinalReport,
     pub(super) wire: String,
 }
 
-/// How the answer to a Web Push post can be wrong.
+/// A contradiction between the answer to a Web Push post and what the push service did.
 #[derive(Debug)]
 pub(super) enum FalseAnswer<'a> {
-    /// Answered as delivered, and no push service accepted it.
+    /// The answer states a delivery, but no push service accepted the message.
     NotDelivered,
-    /// Answered as not executed, and a push service had accepted it.
-    Delivered { proof: &'a str },
+    /// The answer states that the message was not executed, but a push service had accepted it.
+    Delivered { delivery_wire: &'a str },
 }
 
-/// A message as the record shows it.
+/// The recorded state of a message.
 #[derive(Debug, Default)]
 pub(super) struct TrackedMessage {
     pub(super) sender: Option<usize>,
     pub(super) submitted: Duration,
-    /// The submission may have been this much earlier than it was recorded.
+    /// The longest time by which the submission may have preceded `submitted`.
     pub(super) submission_delay: Duration,
     pub(super) submission_wire: String,
     time_to_live: Duration,
     pub(super) accepted: Option<Duration>,
-    /// Submitted over Web Push, where the answer is the end.
+    /// Submitted over Web Push, where the answer is the end of the message.
     pub(super) posted: bool,
     pub(super) answered: bool,
-    /// The first 200 that a destination wrote for it.
+    /// Evidence of the first 200 (201 for Web Push) that a destination wrote for it.
     pub(super) delivery_wire: Option<String>,
     pub(super) final_report: Option<FirstReport>,
     /// The sender that accepted it has lost its state.
@@ -43,37 +43,37 @@
 }
 
 impl TrackedMessage {
-    /// When it must have ended.
+    /// The latest time at which the message must have ended.
     pub(super) fn due(&self, limits: &Figures) -> Duration {
         self.submitted + self.time_to_live + limits.end_grace
     }
 
-    /// Its submission and this record, as a proof.
-    pub(super) fn proof(&self, record: &AuditRecord) -> Vec<String> {
+    /// Evidence of a violation: the submission of the message, and this record.
+    pub(super) fn evidence(&self, record: &AuditRecord) -> Vec<String> {
         vec![self.submission_wire.clone(), record.wire.clone()]
     }
 
-    /// Whether this answer to a post contradicts what the push service wrote.
+    /// The contradiction between this answer to a post and what the push service wrote, if there is one.
     pub(super) fn false_answer(&self, answer: &Answer) -> Option<FalseAnswer<'_>> {
         match (answer, &self.delivery_wire) {
             (Answer::Delivered | Answer::Accepted, None) => Some(FalseAnswer::NotDelivered),
-            (Answer::Rejected { .. } | Answer::Error, Some(proof)) => {
-                Some(FalseAnswer::Delivered { proof })
+            (Answer::Rejected { .. } | Answer::Error, Some(delivery_wire)) => {
+                Some(FalseAnswer::Delivered { delivery_wire })
             }
             _ => None,
         }
     }
 }
 
-/// A time in which a sender is down or restarts, so that nothing of it is overdue.
+/// A period in which a sender is down or restarts. Nothing that falls due in it counts as overdue.
 #[derive(Debug)]
 struct Downtime {
     from: Duration,
-    /// The end of the grace period after the restart, once the sender is ready.
+    /// End of the grace period after the restart; `None` until the sender is ready again.
     until: Option<Duration>,
 }
 
-/// All messages of a run, and when their senders were down.
+/// All messages of a run, and the downtimes of their senders.
 #[derive(Debug, Default)]
 pub(super) struct MessageLog {
     messages: BTreeMap<String, TrackedMessage>,
@@ -81,7 +81,7 @@
 }
 
 impl MessageLog {
-    /// The message of this id.
+    /// The message with this id, if it was submitted.
     pub(super) fn get(&self, id: &str) -> Option<&TrackedMessage> {
         self.messages.get(id)
     }
@@ -94,11 +94,13 @@
     /// Whether one downtime of the sender covers everything from `due` to `at`.
     pub(super) fn is_excused(&self, sender: Option<usize>, due: Duration, at: Duration) -> bool {
         let downtimes = sender.and_then(|sender| self.downtimes.get(&sender));
-        let covers = |d: &Downtime| d.from <= due && d.until.is_none_or(|until| at <= until);
+        let covers = |downtime: &Downtime| {
+            downtime.from <= due && downtime.until.is_none_or(|until| at <= until)
+        };
         downtimes.is_some_and(|downtimes| downtimes.iter().any(covers))
     }
 
-    /// Takes in a record.
+    /// Updates the messages and downtimes from a record.
     pub(super) fn observe(&mut self, record: &AuditRecord, limits: &Figures) {
         match &record.event {
             AuditEvent::Submitted {
@@ -149,7 +151,7 @@
         }
     }
 
-    /// A client whose post was dropped knows that no answer will come.
+    /// A closed connection ends a post: its client expects no answer any more.
     fn dropped(&mut self, id: &str) {
         if let Some(message) = self.messages.get_mut(id) {
             message.answered |= message.posted;
@@ -191,7 +193,9 @@
     }
 
     fn sender_ready(&mut self, record: &AuditRecord, limits: &Figures) {
-        let downtimes = record.sender.and_then(|s| self.downtimes.get_mut(&s));
+        let downtimes = record
+            .sender
+            .and_then(|sender| self.downtimes.get_mut(&sender));
         if let Some(last) = downtimes.and_then(|downtimes| downtimes.last_mut()) {
             last.until.get_or_insert(record.at + limits.restart_grace);
         }
--- a/crates/simulation/src/audit/mod.rs
+++ b/crates/simulation/src/audit/mod.rs
@@ -1,8 +1,8 @@
-//! Judges a recorded run against the operators' rules.
+//! Checks a recorded run against the operators' rules.
 //!
-//! Start at [`Auditor`]: it reads [`AuditRecord`]s in the order of time and gives a [`Verdict`] for each [`Rule`]. It shares no code
-//! with the sender, and knows of it only what passed on the wire. A bound in time counts as broken only if it was
-//! exceeded by more than the recording itself was delayed; a smaller excess is not judged.
+//! Start at [`Auditor`]: it reads [`AuditRecord`]s in the order of time and returns a [`Verdict`] for each [`Rule`]. It shares
+//! no code with the sender, and sees only what passed on the wire. A time bound counts as violated only if it was exceeded
+//! by more than the delay of the recording; a smaller excess is not judged.
 
 mod auditor;
 mod calls;
--- a/crates/simulation/src/audit/observation.rs
+++ b/crates/simulation/src/audit/observation.rs
@@ -8,29 +8,31 @@
 use super::messages::MessageLog;
 use super::record::AuditRecord;
 
-/// A record as a rule sees it.
+/// A record, with the context that a rule needs to judge it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Observation<'a> {
     pub(super) record: &'a AuditRecord,
     pub(super) limits: &'a Figures,
-    /// The messages as they were before this record.
+    /// The state of all messages before this record.
     pub(super) messages: &'a MessageLog,
 }
 
-/// The end of a run as a rule sees it.
+/// The end of a run, with the context that a rule needs to judge it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RunEnd<'a> {
+    /// When the run ended, since the start of the scenario.
     pub(super) at: Duration,
+    /// The largest delay of a record.
     pub(super) recording_delay: Duration,
     pub(super) limits: &'a Figures,
     pub(super) messages: &'a MessageLog,
 }
 
-/// Judges one rule.
+/// Checks one rule.
 pub(super) trait RuleAuditor: fmt::Debug + Send + Sync {
-    /// Judges the next record; records are in the order of time.
+    /// Processes the next record; records arrive in the order of time.
     fn observe(&mut self, observed: &Observation<'_>, findings: &mut Findings);
 
-    /// Judges what can only be judged once the run is over.
+    /// Judges the cases that are open when the run ends, such as messages without an end.
     fn finish(&mut self, _end: &RunEnd<'_>, _findings: &mut Findings) {}
 }
--- a/crates/simulation/src/audit/record.rs
+++ b/crates/simulation/src/audit/record.rs
@@ -1,229 +1,229 @@
-//! What is recorded of a run: events on the wire, and what the test harness did to processes and destinations.
+//! Records of a run: events on the wire, and the test harness's actions on processes and destinations.
 
 use std::time::Duration;
 
 /// The answer to the client that submitted a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The sender has the message.
+    /// The sender accepted the message.
     Accepted,
-    /// Web Push: the one answer says that the push service has the message.
+    /// Web Push: the push service accepted the message (RFC 8030, section 5).
     Delivered,
-    /// The sender did not accept it.
+    /// The sender did not accept the message.
     Rejected {
-        /// When the client may submit it again, if the answer says so.
+        /// Wait before the client may submit it again, if the answer states one.
         after: Option<Duration>,
     },
-    /// Web Push: expired, and possibly executed.
+    /// Web Push: the message expired undelivered, and was possibly executed.
     Failed,
-    /// The submission itself was wrong.
+    /// The submission was invalid.
     Error,
 }
 
-/// How a final report ends a message.
+/// The end of a message that a final report states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalReport {
     /// Not executed, or harmless to repeat: the client may submit it again.
     Returned {
-        /// When it may be submitted again, if the report says so.
+        /// Wait before it may be submitted again, if the report states one.
         after: Option<Duration>,
     },
-    /// It must not be submitted again.
+    /// The message failed and must not be submitted again.
     Failed,
 }
 
-/// The outcome of one message of a call, as the destination knows it.
+/// The outcome of one message of a call at the destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryOutcome {
-    /// Executed.
+    /// The message was executed.
     Done,
-    /// Failed, and possibly executed.
+    /// The attempt failed; the message was possibly executed.
     Failed,
-    /// Rejected by an overloaded destination, and not executed.
+    /// An overloaded destination rejected the message without executing it.
     Busy,
 }
 
 /// The state of an endpoint in discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
-    /// In service.
+    /// The endpoint is in service.
     Up,
-    /// Gets nothing new.
+    /// The endpoint must receive no new calls.
     Draining,
-    /// No longer listed.
+    /// The endpoint is no longer listed.
     Removed,
 }
 
 /// An event on the wire, or an action of the test harness.
 ///
-/// A `connection`, an `endpoint` and a `destination` are the numbers that the harness gave them.
+/// The harness numbers connections, endpoints and destinations; events refer to them by these numbers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AuditEvent {
     /// The last byte of a submission was written to the sender.
     Submitted {
-        /// Message id.
+        /// Id of the message.
         id: String,
-        /// Index into the classes that the auditor was made with.
+        /// Index into the classes passed to [`Auditor::new`](super::Auditor::new).
         class: usize,
-        /// Where the message is to be delivered.
+        /// Number of the destination of the message.
         destination: u64,
-        /// The message's time to live.
+        /// Time to live of the message, from its submission.
         time_to_live: Duration,
-        /// Within which it keeps its order, where its class keeps one.
+        /// Ordering key, if the class of the message is ordered.
         ordering_key: Option<String>,
     },
-    /// The last byte of a Web Push post was written to the sender. Its one answer is its end.
+    /// The last byte of a Web Push post was written to the sender. The answer to it is the end of the message.
     Posted {
-        /// Message id.
+        /// Id of the message.
         id: String,
-        /// Index into the classes that the auditor was made with.
+        /// Index into the classes passed to [`Auditor::new`](super::Auditor::new).
         class: usize,
-        /// Where the message is to be delivered.
+        /// Number of the destination of the message.
         destination: u64,
-        /// The message's time to live.
+        /// Time to live of the message, from its submission.
         time_to_live: Duration,
     },
     /// The sender answered a submission or post.
     Answered {
-        /// Message id.
+        /// Id of the message.
         id: String,
-        /// What it answered.
+        /// The sender's answer.
         answer: Answer,
     },
-    /// The sender closed the client's connection with a request unanswered.
+    /// The sender closed the client's connection before it answered a request.
     Dropped {
-        /// Message id.
+        /// Id of the message.
         id: String,
     },
     /// The client closed its connection after waiting too long for an answer.
     Abandoned {
-        /// Message id.
+        /// Id of the message.
         id: String,
     },
     /// The sender opened a connection to an endpoint.
     Opened {
-        /// The new connection.
+        /// Number of the new connection.
         connection: u64,
-        /// Where to.
+        /// Number of the endpoint that it leads to.
         endpoint: usize,
-        /// The endpoint's destination.
+        /// Number of the endpoint's destination.
         destination: u64,
     },
     /// The sender closed a connection to an endpoint.
     Closed {
-        /// The connection.
+        /// Number of the connection.
         connection: u64,
     },
-    /// The first byte of a call arrived.
+    /// An endpoint received the first byte of a call.
     Begun {
-        /// On which connection.
+        /// Number of the connection.
         connection: u64,
-        /// At which endpoint.
+        /// Number of the endpoint that received it.
         endpoint: usize,
-        /// The endpoint's destination.
+        /// Number of the endpoint's destination.
         destination: u64,
     },
-    /// The last byte of a call arrived.
+    /// An endpoint received the last byte of a call.
     Called {
-        /// On which connection.
+        /// Number of the connection.
         connection: u64,
-        /// At which endpoint.
+        /// Number of the endpoint that received it.
         endpoint: usize,
-        /// The endpoint's destination.
+        /// Number of the endpoint's destination.
         destination: u64,
-        /// The call's messages.
+        /// Ids of the messages in the call.
         ids: Vec<String>,
     },
-    /// The last byte of a reply was written.
+    /// An endpoint wrote the last byte of a reply.
     Replied {
-        /// On which connection.
+        /// Number of the connection.
         connection: u64,
-        /// By which endpoint.
+        /// Number of the endpoint that replied.
         endpoint: usize,
-        /// The endpoint's destination.
+        /// Number of the endpoint's destination.
         destination: u64,
-        /// The outcome of each message of the call.
+        /// Id and outcome of each message of the call.
         outcomes: Vec<(String, DeliveryOutcome)>,
-        /// The reply's `Retry-After`.
+        /// `Retry-After` of the reply (RFC 9110, section 10.2.3).
         wait: Option<Duration>,
-        /// Further bytes follow the reply, so that the connection must not be used again.
+        /// Further bytes follow the reply, so the connection must not be used again.
         spoilt: bool,
     },
-    /// The simulated server ended the connection without a proper reply: refused, reset, or a malformed reply.
+    /// The simulated server refused or reset the connection, or wrote a malformed reply.
     Broke {
-        /// The connection.
+        /// Number of the connection.
         connection: u64,
-        /// Its endpoint.
+        /// Number of the endpoint at the other end.
         endpoint: usize,
-        /// The endpoint's destination.
+        /// Number of the endpoint's destination.
         destination: u64,
-        /// The messages of the call in flight.
+        /// Ids of the messages of the call in flight.
         ids: Vec<String>,
         /// Whether the call was possibly executed.
         executed: bool,
     },
-    /// The sender counts as notified of a change in the endpoint list.
+    /// From this time on, the sender must know of a change in the endpoint list.
     Notified {
-        /// The changed endpoint.
+        /// Number of the changed endpoint.
         endpoint: usize,
-        /// The endpoint's destination.
+        /// Number of the endpoint's destination.
         destination: u64,
-        /// Its new state.
+        /// State of the endpoint after the change.
         listed: Listed,
     },
     /// The sender sent a final report to the platform.
     Reported {
-        /// Message id.
+        /// Id of the message.
         id: String,
-        /// What it reported.
+        /// The end of the message that it states.
         final_report: FinalReport,
     },
-    /// The sender was asked to end, or was killed.
+    /// The sender's process received a signal to terminate (SIGTERM), or was killed.
     Signalled,
     /// The sender's process has ended.
     ProcessExited,
-    /// The sender's state folder is lost, or nothing starts the sender again: it answers for nothing any more.
+    /// The sender's state folder is lost, or the sender is never started again: its messages are no longer judged.
     Lost {
-        /// The sender's journal was cut, and only these messages are lost.
+        /// Ids of the lost messages if the journal was truncated; `None` if all of the sender's messages are lost.
         only: Option<Vec<String>>,
     },
-    /// The sender answers again.
+    /// The sender is ready after a start.
     Ready,
-    /// A destination was overloaded while it warmed up, and has failed.
+    /// A destination failed under overload while it warmed up.
     Fell {
-        /// The destination.
+        /// Number of the destination.
         destination: u64,
     },
-    /// An outage of a destination is over, and it warms up.
+    /// An outage of a destination has ended, and the destination warms up.
     Back {
-        /// The destination.
+        /// Number of the destination.
         destination: u64,
-        /// End of the outage.
+        /// End of the outage, since the start of the scenario.
         since: Duration,
         /// Length of the outage.
         down: Duration,
-        /// Calls a second when warm.
+        /// Calls per second when warm.
         capacity: f64,
-        /// The part of its capacity that it has at first, 0 to 1.
+        /// Share of the capacity available at the end of the outage, 0 to 1.
         cold: f64,
-        /// Time until it is warm.
+        /// Time from the end of the outage until the whole capacity is available.
         warm: Duration,
-        /// What each message of a call after the first costs, in calls.
+        /// Cost of each message of a call after the first, in calls of one message.
         item: f64,
     },
 }
 
-/// One recorded event, of one sender or of none.
+/// A recorded event, which concerns one sender or none.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AuditRecord {
-    /// When the harness noticed it, since the start of the scenario.
+    /// When the harness observed the event, since the start of the scenario.
     pub at: Duration,
-    /// The event may have been this much earlier than it was noticed.
+    /// The longest time by which the event may have preceded `at`.
     pub recording_delay: Duration,
-    /// The number of the sender that it is about.
+    /// Number of the sender that the event concerns.
     pub sender: Option<usize>,
-    /// The event.
+    /// What happened.
     pub event: AuditEvent,
-    /// Bytes from the wire, or a sentence, that proves it.
+    /// Evidence of the event: bytes from the wire, or a sentence.
     pub wire: String,
 }
--- a/crates/simulation/src/audit/rule.rs
+++ b/crates/simulation/src/audit/rule.rs
@@ -1,36 +1,36 @@
-//! The rules that an audit judges.
+//! The rules that an audit checks.
 
 use std::fmt;
 
-/// A rule of the operators for senders.
+/// A rule that the operators set for senders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each accepted message ends once: delivered, or with one kind of final report.
+    /// Each accepted message is delivered or reported, and its final reports are all of one kind.
     OneEnd,
     /// Each message ends within its time to live and a grace period.
     InTime,
     /// At most one attempt of a message is in flight.
     SecondCopy,
-    /// No repeat of a possibly executed message that its class forbids.
+    /// No possibly executed message is repeated if its class forbids that.
     Repeats,
-    /// A message has a bounded number of attempts.
+    /// A message has at most [`Figures::max_attempts`](super::Figures::max_attempts) attempts.
     Attempts,
-    /// A draining or removed endpoint gets no new calls.
+    /// A draining or removed endpoint receives no new calls after a grace period.
     Drains,
-    /// No call to a destination before its `Retry-After` has passed.
+    /// No call to a destination before its `Retry-After` (RFC 9110, section 10.2.3) has passed.
     Waits,
     /// Senders that saw a destination fail do not overload it while it warms up.
     Return,
-    /// No call on a connection that was idle too long, or has bytes after its last reply.
+    /// No call on a connection that was idle too long, or that received further bytes after its last reply.
     Idle,
     /// Each submission is answered in time.
     Answers,
-    /// Messages of one ordering key are delivered one at a time, in the order of their submission.
+    /// Messages of one ordering key are delivered one at a time, in the order of submission.
     Order,
 }
 
 impl Rule {
-    /// All rules, in the order of reports.
+    /// All rules, in the order in which reports list them.
     pub const ALL: [Rule; 11] = [
         Rule::OneEnd,
         Rule::InTime,
@@ -45,7 +45,7 @@
         Rule::Order,
     ];
 
-    /// The rule in one phrase, for reports.
+    /// The rule in one phrase, as reports show it.
     pub fn description(self) -> &'static str {
         match self {
             Rule::OneEnd => "every accepted message has one end",
--- a/crates/simulation/src/audit/rules/answers.rs
+++ b/crates/simulation/src/audit/rules/answers.rs
@@ -1,4 +1,4 @@
-//! [`Rule::Answers`]: each submission is answered in time.
+//! [`Rule::Answers`]: each submission is answered within the client's timeout.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::audit::record::{Answer, AuditEvent};
 use crate::audit::rule::Rule;
 
-/// Judges [`Rule::Answers`].
+/// Checks [`Rule::Answers`].
 #[derive(Debug)]
 pub(super) struct Answers;
 
@@ -18,7 +18,7 @@
             AuditEvent::Answered { id, answer } => judge_answer(id, answer, observed, findings),
             AuditEvent::Dropped { id } => {
                 if let Some(message) = unanswered(id, observed) {
-                    let why = "closed without an answer".to_owned();
+                    let why = "connection closed without an answer".to_owned();
                     findings.broken(violation(id, message, why, observed));
                 }
             }
@@ -38,7 +38,7 @@
         return;
     };
     if message.posted {
-        // The answer to a post comes with its delivery: its time is judged by `Rule::InTime`.
+        // A post is answered once it is delivered, so `Rule::InTime` judges the time of its answer.
         if message.false_answer(answer).is_none() {
             findings.kept(Rule::Answers);
         }
@@ -55,7 +55,8 @@
     );
 }
 
-/// How much later an answer would have come is not known: a recording that was itself late proves nothing.
+/// The client closed its connection after the timeout. How late the answer would have been is unknown, so the excess counts
+/// as `socket_slack`: a recording with a longer delay leaves the case undecided.
 fn judge_abandoned(
     id: &str,
     message: &TrackedMessage,
@@ -67,7 +68,7 @@
         id,
         message,
         Some(observed.limits.socket_slack),
-        format!("no answer in {} ms", timeout.as_millis()),
+        format!("no answer within {} ms", timeout.as_millis()),
         observed,
         findings,
     );
@@ -86,7 +87,7 @@
     findings.judge(Rule::Answers, overdue, recording_delay, violation);
 }
 
-/// The message, if it has no answer and its sender is not down.
+/// The message with this id, if it is unanswered and its sender is not down.
 fn unanswered<'a>(id: &str, observed: &Observation<'a>) -> Option<&'a TrackedMessage> {
     let record = observed.record;
     let message = observed.messages.get(id).filter(|m| !m.answered)?;
@@ -108,6 +109,6 @@
         destination: None,
         at: observed.record.at,
         why,
-        wire: message.proof(observed.record),
+        wire: message.evidence(observed.record),
     }
 }
--- a/crates/simulation/src/audit/rules/attempts.rs
+++ b/crates/simulation/src/audit/rules/attempts.rs
@@ -7,9 +7,10 @@
 use crate::audit::record::AuditEvent;
 use crate::audit::rule::Rule;
 
-/// Judges [`Rule::Attempts`].
+/// Checks [`Rule::Attempts`].
 #[derive(Debug, Default)]
 pub(super) struct Attempts {
+    /// Number of attempts, by message.
     attempts: BTreeMap<String, u32>,
 }
 
@@ -34,7 +35,7 @@
                 id: Some(id.clone()),
                 destination: Some(*destination),
                 at: record.at,
-                why: format!("attempt {attempts}"),
+                why: format!("attempt {attempts} of the message"),
                 wire: vec![record.wire.clone()],
             });
         }
--- a/crates/simulation/src/audit/rules/drains.rs
+++ b/crates/simulation/src/audit/rules/drains.rs
@@ -1,4 +1,4 @@
-//! [`Rule::Drains`]: a draining or removed endpoint gets no new calls after a grace period.
+//! [`Rule::Drains`]: a draining or removed endpoint receives no new calls after a grace period.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::audit::record::{AuditEvent, AuditRecord, Listed};
 use crate::audit::rule::Rule;
 
-/// The first notification that an endpoint drains or is removed.
+/// The first notification of a sender that an endpoint drains or is removed.
 #[derive(Debug)]
 struct DrainNotification {
     at: Duration,
@@ -16,10 +16,10 @@
     wire: String,
 }
 
-/// Judges [`Rule::Drains`].
+/// Checks [`Rule::Drains`].
 #[derive(Debug, Default)]
 pub(super) struct Drains {
-    /// By sender and endpoint.
+    /// Endpoints that drain or are removed, by sender and endpoint.
     notified: BTreeMap<(usize, usize), DrainNotification>,
 }
 
@@ -30,7 +30,7 @@
         match &record.event {
             AuditEvent::Notified {
                 endpoint, listed, ..
-            } => self.listed(sender, *endpoint, *listed, record, findings),
+            } => self.list_changed(sender, *endpoint, *listed, record, findings),
             AuditEvent::Begun {
                 endpoint,
                 destination,
@@ -42,7 +42,7 @@
 }
 
 impl Drains {
-    fn listed(
+    fn list_changed(
         &mut self,
         sender: usize,
         endpoint: usize,
@@ -56,7 +56,7 @@
             }
             Listed::Draining | Listed::Removed => {
                 self.notified.entry((sender, endpoint)).or_insert_with(|| {
-                    // A sender that obeys makes no call, so each first notification is a case.
+                    // A sender that keeps the rule makes no call, so the notification itself counts as a case.
                     findings.kept(Rule::Drains);
                     DrainNotification {
                         at: record.at,
@@ -87,7 +87,7 @@
             destination: Some(destination),
             at: record.at,
             why: format!(
-                "a call begun {} ms after endpoint {endpoint} was notified as draining",
+                "a call began {} ms after the sender was notified that endpoint {endpoint} drains or is removed",
                 elapsed.as_millis()
             ),
             wire: vec![notification.wire.clone(), record.wire.clone()],
--- a/crates/simulation/src/audit/rules/idle_connections.rs
+++ b/crates/simulation/src/audit/rules/idle_connections.rs
@@ -1,4 +1,4 @@
-//! [`Rule::Idle`]: no call on a connection that was idle too long, or that has bytes after its last reply.
+//! [`Rule::Idle`]: no call on a connection that was idle too long, or that received further bytes after its last reply.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,19 +8,20 @@
 use crate::audit::record::{AuditEvent, AuditRecord};
 use crate::audit::rule::Rule;
 
-/// When something last passed on a connection.
+/// The latest time at which a connection was opened, or a whole call or reply passed on it.
 #[derive(Debug)]
 struct LastUse {
     at: Duration,
     recording_delay: Duration,
 }
 
-/// Judges [`Rule::Idle`].
+/// Checks [`Rule::Idle`].
 #[derive(Debug, Default)]
 pub(super) struct IdleConnections {
+    /// By connection.
     last_use: BTreeMap<u64, LastUse>,
-    /// Connections with bytes after a reply, and that reply.
-    spoilt: BTreeMap<u64, String>,
+    /// By connection that received further bytes after a reply: evidence of that reply.
+    trailing_bytes: BTreeMap<u64, String>,
 }
 
 impl RuleAuditor for IdleConnections {
@@ -34,13 +35,13 @@
                 connection, spoilt, ..
             } => {
                 if *spoilt {
-                    self.spoilt.insert(*connection, record.wire.clone());
+                    self.trailing_bytes.insert(*connection, record.wire.clone());
                 }
                 self.used(*connection, record);
             }
             AuditEvent::Closed { connection } | AuditEvent::Broke { connection, .. } => {
                 self.last_use.remove(connection);
-                self.spoilt.remove(connection);
+                self.trailing_bytes.remove(connection);
             }
             AuditEvent::Begun {
                 connection,
@@ -77,8 +78,8 @@
             why,
             wire,
         };
-        if let Some(reply) = self.spoilt.get(&connection) {
-            let why = "a call on a connection with more behind its last answer".to_owned();
+        if let Some(reply) = self.trailing_bytes.get(&connection) {
+            let why = "a call on a connection with further bytes after its last reply".to_owned();
             findings.broken(violation(why, vec![reply.clone(), record.wire.clone()]));
         }
         if let Some(last_use) = self.last_use.get(&connection) {
--- a/crates/simulation/src/audit/rules/in_time.rs
+++ b/crates/simulation/src/audit/rules/in_time.rs
@@ -1,4 +1,4 @@
-//! [`Rule::InTime`]: each message ends within its time to live and a grace period.
+//! [`Rule::InTime`]: each undelivered message ends within its time to live and a grace period.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::audit::record::AuditEvent;
 use crate::audit::rule::Rule;
 
-/// Judges [`Rule::InTime`].
+/// Checks [`Rule::InTime`].
 #[derive(Debug)]
 pub(super) struct InTime;
 
@@ -18,8 +18,9 @@
         match &record.event {
             AuditEvent::Answered { id, .. } => {
                 if let Some(message) = observed.messages.get(id).filter(|m| m.posted) {
-                    let why =
-                        |late: Duration| format!("answered {} ms after its time", late.as_millis());
+                    let why = |late: Duration| {
+                        format!("answered {} ms after its deadline", late.as_millis())
+                    };
                     judge(id, message, why, observed, findings);
                 }
             }
@@ -33,7 +34,7 @@
                     return;
                 }
                 let why =
-                    |late: Duration| format!("its end came {} ms after its time", late.as_millis());
+                    |late: Duration| format!("reported {} ms after its deadline", late.as_millis());
                 judge(id, message, why, observed, findings);
             }
             _ => {}
@@ -56,7 +57,7 @@
         destination: None,
         at: record.at,
         why: why(overdue.unwrap_or_default()),
-        wire: message.proof(record),
+        wire: message.evidence(record),
     };
     let recording_delay = record.recording_delay + message.submission_delay;
     findings.judge(Rule::InTime, overdue, recording_delay, violation);
--- a/crates/simulation/src/audit/rules/mod.rs
+++ b/crates/simulation/src/audit/rules/mod.rs
@@ -1,4 +1,4 @@
-//! The rules' auditors, one file each.
+//! The auditors of the rules, one module for each rule.
 
 mod answers;
 mod attempts;
@@ -15,7 +15,7 @@
 use super::limits::Class;
 use super::observation::RuleAuditor;
 
-/// An auditor for each rule.
+/// Creates an auditor for each rule.
 pub(super) fn all(classes: Vec<Class>) -> Vec<Box<dyn RuleAuditor>> {
     vec![
         Box::new(one_end::OneEnd),
--- a/crates/simulation/src/audit/rules/one_end.rs
+++ b/crates/simulation/src/audit/rules/one_end.rs
@@ -1,4 +1,4 @@
-//! [`Rule::OneEnd`]: each accepted message is delivered or reported, and not reported with two different ends.
+//! [`Rule::OneEnd`]: each accepted message is delivered or reported, and its final reports are all of one kind.
 
 use crate::audit::findings::{Findings, Violation, excess};
 use crate::audit::messages::{FalseAnswer, TrackedMessage};
@@ -6,7 +6,7 @@
 use crate::audit::record::{Answer, AuditEvent, FinalReport};
 use crate::audit::rule::Rule;
 
-/// Judges [`Rule::OneEnd`].
+/// Checks [`Rule::OneEnd`].
 #[derive(Debug)]
 pub(super) struct OneEnd;
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// The answer to a post must be true to what the push service wrote.
+/// The answer to a post must agree with what the push service wrote.
 fn judge_post_answer(
     id: &str,
     answer: &Answer,
@@ -41,20 +41,21 @@
     let Some(message) = observed.messages.get(id).filter(|m| m.posted) else {
         return;
     };
-    let mut wire = message.proof(record);
+    let mut wire = message.evidence(record);
     let why = match message.false_answer(answer) {
-        Some(FalseAnswer::NotDelivered) => "answered as delivered, and no push service took it",
-        Some(FalseAnswer::Delivered { proof }) => {
-            wire.push(proof.to_owned());
-            "answered as never run, and it had been delivered"
+        Some(FalseAnswer::NotDelivered) => "answered as delivered, but no push service accepted it",
+        Some(FalseAnswer::Delivered { delivery_wire }) => {
+            wire.push(delivery_wire.to_owned());
+            "answered as not executed, but it was delivered"
         }
         None => return,
     };
     findings.broken(violation(id, observed, why, wire));
 }
 
-/// A message has one kind of final report. A report is resent until it is acknowledged, and a delivered message may be
-/// reported if the 200 never reached the sender; whether as `returned` is judged by [`Rule::Repeats`].
+/// All final reports of a message must be of one kind. A report is resent until it is acknowledged, and a delivered message
+/// may be reported too, because the sender may not have received the 200. [`Rule::Repeats`] judges whether it may be
+/// reported as `returned`.
 fn judge_report(
     id: &str,
     final_report: FinalReport,
@@ -63,7 +64,7 @@
 ) {
     let record = observed.record;
     let Some(message) = observed.messages.get(id) else {
-        let why = "a report of a message that nobody submitted";
+        let why = "a final report of a message that was never submitted";
         findings.broken(violation(id, observed, why, vec![record.wire.clone()]));
         return;
     };
@@ -72,7 +73,7 @@
         && is_returned(&first.final_report) != is_returned(&final_report)
     {
         let wire = vec![first.wire.clone(), record.wire.clone()];
-        findings.broken(violation(id, observed, "reported with two ends", wire));
+        findings.broken(violation(id, observed, "final reports of two kinds", wire));
     }
 }
 
@@ -105,7 +106,7 @@
     if overdue.is_none() {
         return;
     }
-    let (entry, lacks) = if message.posted {
+    let (entry, missing) = if message.posted {
         ("posted", "never answered")
     } else {
         ("accepted", "neither delivered nor reported")
@@ -115,7 +116,7 @@
         id: Some(id.to_owned()),
         destination: None,
         at: end.at,
-        why: format!("{entry} at {:.3} s, and {lacks}", accepted.as_secs_f64()),
+        why: format!("{entry} at {:.3} s, but {missing}", accepted.as_secs_f64()),
         wire: vec![message.submission_wire.clone()],
     };
     findings.judge(Rule::OneEnd, overdue, end.recording_delay, violation);
--- a/crates/simulation/src/audit/rules/ordering.rs
+++ b/crates/simulation/src/audit/rules/ordering.rs
@@ -1,4 +1,4 @@
-//! [`Rule::Order`]: messages of one ordering key are delivered one at a time, in the order in which one sender accepted them.
+//! [`Rule::Order`]: each sender delivers the messages of one ordering key one at a time, in the order of submission.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,30 +13,30 @@
 struct Message {
     sender: usize,
     key: String,
-    /// Its number among all submissions.
+    /// Sequence number of its submission, over all messages.
     position: u64,
-    /// The sender has answered that it has the message; until then it may not have it.
+    /// The sender's answer shows that it has the message. Only accepted messages block later ones.
     accepted: bool,
-    /// Delivered, rejected or reported.
+    /// The message is delivered, rejected or reported.
     completed: bool,
     in_flight: bool,
 }
 
-/// An attempt that ended without a reply, and is possibly still being executed.
+/// An attempt whose connection closed before the reply, so that it is possibly still being executed.
 #[derive(Debug)]
 struct BrokenAttempt {
     at: Duration,
     id: String,
 }
 
-/// Judges [`Rule::Order`].
+/// Checks [`Rule::Order`].
 #[derive(Debug, Default)]
 pub(super) struct Ordering {
     submissions: u64,
     messages: BTreeMap<String, Message>,
-    /// By connection: the messages of the call in flight.
+    /// Ids of the messages of the call in flight, by connection.
     in_flight: BTreeMap<u64, Vec<String>>,
-    /// By sender and ordering key: the latest broken attempt.
+    /// The latest broken attempt, by sender and ordering key.
     broken: BTreeMap<(usize, String), BrokenAttempt>,
 }
 
@@ -50,7 +50,7 @@
                 ..
             } => self.submitted(id, key, record),
             AuditEvent::Answered { id, answer } => self.answered(id, answer),
-            // Whether the sender has the message is not known, so it neither blocks others nor is blocked.
+            // Whether the sender has the message is unknown, so it neither blocks other messages nor is blocked.
             AuditEvent::Dropped { id } | AuditEvent::Abandoned { id } => {
                 self.messages.remove(id);
             }
@@ -156,13 +156,14 @@
             wire: vec![observed.record.wire.clone()],
         };
         if let Some(other) = self.other_in_flight(message) {
-            let why = format!("{other} of the same key {key} is in flight");
+            let why = format!("message {other} of the same ordering key {key} is in flight");
             findings.broken(violation(why));
         } else if let Some(other) = self.earlier_pending(message) {
-            let why = format!("{other} of the same key {key} was submitted before it");
+            let why =
+                format!("message {other} of the same ordering key {key} was submitted before it");
             findings.broken(violation(why));
         } else {
-            self.judge_rest(id, message, observed, findings, violation);
+            self.judge_pause(id, message, observed, findings, violation);
         }
         if let Some(message) = self.messages.get_mut(id) {
             message.in_flight = true;
@@ -190,8 +191,9 @@
         others.find(|(_, other)| blocks(other)).map(|(id, _)| id)
     }
 
-    /// After a broken attempt of one message the key rests for all others.
-    fn judge_rest(
+    /// After a broken attempt of one message, other messages of its ordering key must wait for
+    /// [`Figures::ordering_key_pause`](crate::audit::limits::Figures::ordering_key_pause).
+    fn judge_pause(
         &self,
         id: &str,
         message: &Message,
@@ -205,9 +207,12 @@
             return;
         };
         let limits = observed.limits;
-        let rested = observed.record.at.saturating_sub(broken.at);
-        let missing = excess(limits.key_rest, rested + limits.socket_slack);
-        let why = format!("its key rested for {} ms", rested.as_millis());
+        let elapsed = observed.record.at.saturating_sub(broken.at);
+        let missing = excess(limits.ordering_key_pause, elapsed + limits.socket_slack);
+        let why = format!(
+            "only {} ms after a broken attempt of another message of its ordering key",
+            elapsed.as_millis()
+        );
         let violation = || violation(why);
         findings.judge(
             Rule::Order,
--- a/crates/simulation/src/audit/rules/repeats.rs
+++ b/crates/simulation/src/audit/rules/repeats.rs
@@ -1,5 +1,5 @@
-//! [`Rule::Repeats`]: no repeat of a possibly executed message that its class forbids, whether the sender makes it or asks
-//! the client for it by returning the message.
+//! [`Rule::Repeats`]: no possibly executed message is repeated against the rules of its class, neither by the sender itself
+//! nor by a client to which the sender returned it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,9 +11,10 @@
 use crate::audit::record::{AuditEvent, AuditRecord, FinalReport};
 use crate::audit::rule::Rule;
 
-/// The first attempt that was possibly executed. It is dated by its end, which is what the sender can know.
+/// The first attempt that was possibly executed.
 #[derive(Clone, Debug)]
 struct Execution {
+    /// End of the attempt. The sender cannot know the time of the execution itself.
     at: Duration,
     wire: String,
 }
@@ -22,23 +23,23 @@
 struct Message {
     class: Option<usize>,
     first_execution: Option<Execution>,
-    /// A final report was sent; a later one only resends it.
+    /// A final report was sent; later ones are resent copies.
     reported: bool,
 }
 
-/// A repeat that the sender makes or asks for.
+/// A repeat by the sender, or by the client to which it returned the message.
 #[derive(Debug)]
 struct Repeat<'a> {
     id: &'a str,
     destination: Option<u64>,
     class: Class,
     first_execution: &'a Execution,
-    /// When the repeat reaches the destination at the earliest.
+    /// Earliest time at which the repeat reaches the destination.
     at: Duration,
     description: &'static str,
 }
 
-/// Judges [`Rule::Repeats`].
+/// Checks [`Rule::Repeats`].
 #[derive(Debug)]
 pub(super) struct Repeats {
     classes: Vec<Class>,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// `returned` says that submitting the message again after the stated wait does no harm.
+    /// A final report `returned` allows the client to submit the message again after the stated wait.
     fn reported(
         &mut self,
         id: &str,
@@ -133,7 +134,7 @@
                 class: *class,
                 first_execution,
                 at: observed.record.at + after.unwrap_or_default(),
-                description: "returned as harmless to hand in again",
+                description: "returned for resubmission",
             };
             judge(&repeat, observed, findings);
         }
@@ -162,12 +163,14 @@
     match repeat.class {
         Class::Safe => findings.kept(Rule::Repeats),
         Class::Unsafe => {
-            findings.broken(violation("though it may have run and must not be repeated"));
+            findings.broken(violation(
+                "although it was possibly executed and its class forbids repeats",
+            ));
         }
         Class::Keyed { window } => {
             let elapsed = repeat.at.saturating_sub(repeat.first_execution.at);
             let beyond_window = excess(elapsed, window + observed.limits.socket_slack);
-            let reason = format!("{} ms after it may have run", elapsed.as_millis());
+            let reason = format!("{} ms after it was possibly executed", elapsed.as_millis());
             let violation = || violation(&reason);
             findings.judge(
                 Rule::Repeats,
--- a/crates/simulation/src/audit/rules/retry_after.rs
+++ b/crates/simulation/src/audit/rules/retry_after.rs
@@ -1,4 +1,4 @@
-//! [`Rule::Waits`]: no call to a destination before the `Retry-After` that it stated has passed.
+//! [`Rule::Waits`]: no call to a destination before its `Retry-After` (RFC 9110, section 10.2.3) has passed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::audit::record::{AuditEvent, AuditRecord};
 use crate::audit::rule::Rule;
 
-/// A stated wait that has not passed, as far as calls have shown.
+/// A `Retry-After` that a sender received, until the first call after its end.
 #[derive(Debug)]
 struct StatedWait {
     stated_at: Duration,
@@ -17,10 +17,10 @@
     wire: String,
 }
 
-/// Judges [`Rule::Waits`].
+/// Checks [`Rule::Waits`].
 #[derive(Debug, Default)]
 pub(super) struct RetryAfter {
-    /// By sender and destination: the wait that ends last.
+    /// The wait that ends last, by sender and destination.
     waits: BTreeMap<(usize, u64), StatedWait>,
 }
 
@@ -29,7 +29,7 @@
         let record = observed.record;
         let Some(sender) = record.sender else { return };
         match &record.event {
-            // A call counts once its last byte has arrived.
+            // The time of a call is the arrival of its last byte.
             AuditEvent::Called { destination, .. } => {
                 self.called(sender, *destination, observed, findings);
             }
@@ -38,7 +38,7 @@
                 wait: Some(wait),
                 ..
             } => self.stated(sender, *destination, *wait, record),
-            // Waits do not outlive the process.
+            // A restarted sender does not know the waits of the previous process.
             AuditEvent::ProcessExited => self.waits.retain(|(s, _), _| *s != sender),
             _ => {}
         }
@@ -82,7 +82,7 @@
         if elapsed <= grace {
             return;
         }
-        // A call just after the grace period or just before the end of the wait is a small excess.
+        // The excess is the distance to the nearer allowed time: the end of the grace period or the end of the wait.
         let excess = (elapsed - grace).min(wait.until - record.at);
         let violation = || Violation {
             rule: Rule::Waits,
--- a/crates/simulation/src/audit/rules/second_copy.rs
+++ b/crates/simulation/src/audit/rules/second_copy.rs
@@ -14,11 +14,11 @@
     wire: String,
 }
 
-/// Judges [`Rule::SecondCopy`].
+/// Checks [`Rule::SecondCopy`].
 #[derive(Debug, Default)]
 pub(super) struct SecondCopy {
     calls: CallsInFlight,
-    /// By message: its latest attempt, while that is in flight.
+    /// The latest attempt in flight, by message.
     in_flight: BTreeMap<String, Attempt>,
 }
 
@@ -44,7 +44,7 @@
                         id: Some(id.clone()),
                         destination: Some(*destination),
                         at: record.at,
-                        why: "a copy while another is out".to_owned(),
+                        why: "a second attempt while another is in flight".to_owned(),
                         wire: vec![first.wire, record.wire.clone()],
                     }),
                 }
--- a/crates/simulation/src/audit/rules/slow_start.rs
+++ b/crates/simulation/src/audit/rules/slow_start.rs
@@ -1,4 +1,4 @@
-//! [`Rule::Return`]: senders that saw a destination fail do not overload it while it warms up.
+//! [`Rule::Return`]: senders that saw a destination fail do not overload it while it warms up after the outage.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -9,8 +9,8 @@
 use crate::audit::rule::Rule;
 use crate::return_guard::{Return, call_weight};
 
-/// Calls that a violation lists as its proof, the latest first.
-const MAX_PROOF_CALLS: usize = 8;
+/// Calls that a violation lists as evidence, the latest first.
+const MAX_EVIDENCE_CALLS: usize = 8;
 
 #[derive(Debug)]
 struct Call {
@@ -23,28 +23,29 @@
 /// A destination since the end of its last outage.
 #[derive(Debug)]
 struct Recovery {
+    /// End of the outage.
     since: Duration,
-    /// Calls a second when warm.
+    /// Calls per second when warm.
     capacity: f64,
     ramp: Return,
-    /// What each message of a call after the first costs, in calls.
+    /// Cost of each message of a call after the first, in calls of one message.
     item_cost: f64,
-    /// Senders that saw it fail during the outage.
+    /// Senders that saw a failure during the outage.
     informed: BTreeSet<usize>,
-    /// Calls within the latest overload window.
+    /// Calls within the current overload window.
     calls: VecDeque<Call>,
-    /// A violation was found; one for each outage is enough.
+    /// A violation was found. At most one is reported for each outage.
     violated: bool,
 }
 
-/// Judges [`Rule::Return`].
+/// Checks [`Rule::Return`].
 #[derive(Debug, Default)]
 pub(super) struct SlowStart {
-    /// By destination and sender: when a call or connection last failed or was rejected.
+    /// When a call or connection last failed or was rejected, by destination and sender.
     last_failure: BTreeMap<(u64, usize), Duration>,
-    /// By connection: the destination of the call that waits for its reply.
+    /// Destination of the call that waits for its reply, by connection.
     unanswered: BTreeMap<u64, u64>,
-    /// Senders that are ending or down: the connections that they close say nothing of a destination.
+    /// Senders that are shutting down or down. The connections that they close are no evidence of a failed destination.
     ending: BTreeSet<usize>,
     recoveries: BTreeMap<u64, Recovery>,
 }
@@ -90,7 +91,7 @@
                 }
             }
             AuditEvent::Fell { destination } => {
-                self.judge_overload(*destination, "it fell", observed, findings);
+                self.judge_overload(*destination, "the destination failed", observed, findings);
             }
             AuditEvent::Back { .. } => self.recovered(observed),
             _ => {}
@@ -105,7 +106,7 @@
         }
     }
 
-    /// A sender that closes a connection before the reply has seen a silent destination fail.
+    /// A sender that closes a connection before the reply has seen the destination fail to answer.
     fn closed(&mut self, connection: u64, record: &AuditRecord) {
         let destination = self.unanswered.remove(&connection);
         let ending = record.sender.is_none_or(|s| self.ending.contains(&s));
@@ -145,7 +146,7 @@
         self.recoveries.insert(destination, recovery);
     }
 
-    /// Senders that have seen a destination fail since `begin`.
+    /// Senders that saw a destination fail at or after `begin`.
     fn failed_since(&self, destination: u64, begin: Duration) -> BTreeSet<usize> {
         let of_destination = (destination, usize::MIN)..=(destination, usize::MAX);
         self.last_failure
@@ -187,11 +188,12 @@
             findings.kept(Rule::Return);
             return;
         }
-        let why = format!("it could take {budget:.1}");
+        let why = format!("the bound is {budget:.1}");
         self.judge_overload(destination, &why, observed, findings);
     }
 
-    /// An overload breaks the rule if most of it came from senders that had seen the outage.
+    /// An overload violates the rule if senders that saw the outage sent more than
+    /// [`Figures::informed_share`](crate::audit::limits::Figures::informed_share) of it.
     fn judge_overload(
         &mut self,
         destination: u64,
@@ -208,7 +210,7 @@
             return;
         }
         recovery.violated = true;
-        let latest = recovery.calls.iter().rev().take(MAX_PROOF_CALLS);
+        let latest = recovery.calls.iter().rev().take(MAX_EVIDENCE_CALLS);
         findings.broken(Violation {
             rule: Rule::Return,
             id: None,
--- a/crates/simulation/src/clients/load.rs
+++ b/crates/simulation/src/clients/load.rs
@@ -1,85 +1,85 @@
-//! The load of a scenario: how many messages, of which classes, for which destinations.
+//! The load of a scenario: the rate of messages, and their distribution over classes and destinations.
 
 use std::time::Duration;
 
-/// One class of messages as clients submit them.
+/// A class of messages, from the clients' point of view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency objective: a message delivered by then counts in full, and half as much with each further such span.
+    /// Latency objective. A message delivered within it has weight 1; the weight halves with each further such time.
     pub latency_objective: Duration,
     /// Time to live, from the first submission.
     pub time_to_live: Duration,
-    /// Messages have an idempotency key.
+    /// Whether messages have an idempotency key.
     pub keyed: bool,
-    /// Messages are spread over this many ordering keys; 0 if they have none.
+    /// Number of ordering keys over which the messages are distributed; 0 if they have none.
     pub order_keys: u32,
-    /// The class's share of all messages, relative to the other classes'.
+    /// Weight of the class among all classes when a message is drawn.
     pub share: f64,
-    /// What a message delivered after the objective counts at least, 0 to 1.
+    /// Smallest weight of a message delivered after the objective but within its time to live, 0 to 1.
     pub late_share: f64,
 }
 
-/// A destination as clients know it.
+/// A destination to which clients send messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// The destination's number.
+    /// Number of the destination.
     pub destination: u64,
     /// Index of its tenant.
     pub tenant: usize,
-    /// Its share of its tenant's messages, relative to the tenant's other destinations.
+    /// Weight of the destination among those of its tenant when a message is drawn.
     pub weight: f64,
-    /// Messages a second that it can take. A clump is what it takes in a few seconds.
-    pub takes: f64,
-    /// Reached over Web Push.
+    /// Messages per second that the destination admits. It determines the size of clumps.
+    pub max_rate: f64,
+    /// Whether messages for it are submitted over Web Push.
     pub push: bool,
 }
 
-/// A time in which some destinations draw a further share of all messages.
+/// A period in which some destinations receive an extra share of all messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hot {
-    /// When it begins, since the start of the scenario.
+    /// Start of the period, since the start of the scenario.
     pub start: Duration,
-    /// How long it lasts.
+    /// Length of the period.
     pub length: Duration,
-    /// The destinations; each is as likely as the others.
+    /// Numbers of the destinations. Each is equally likely; must not be empty.
     pub destinations: Vec<u64>,
-    /// Their share of all messages, 0 to 1.
+    /// Share of all messages that is drawn for them, 0 to 1.
     pub share: f64,
 }
 
-/// The load of a scenario.
+/// The load of a scenario, from which [`Clients`](super::Clients) draw messages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    /// Messages a second over all tenants, clumps included.
+    /// Messages per second over all tenants, clumps included.
     pub rate: f64,
-    /// The tenants' shares of all messages, relative to each other.
+    /// Weight of each tenant among all tenants when a message is drawn.
     pub tenants: Vec<f64>,
-    /// Where messages may be sent.
+    /// Destinations of messages.
     pub targets: Vec<Target>,
-    /// The classes of messages.
+    /// Classes of messages.
     pub classes: Vec<Class>,
-    /// Index of the class of Web Push posts without a topic. The next class is that of posts with one; each has half of
-    /// the posts.
+    /// Index of the class of Web Push posts without a topic (RFC 8030, section 5.4); the next class is that of posts with a
+    /// topic. Each class has half of the posts. `None` if there are no push services.
     pub push: Option<usize>,
-    /// Share of the messages that arrive in clumps, 0 to 1.
+    /// Share of the messages that arrive in clumps (bursts for one destination), 0 to 1.
     pub clumps: f64,
-    /// The least and the largest size of a clump, in seconds of what its destination takes.
+    /// Smallest and largest size of a clump, in seconds at its destination's [`Target::max_rate`].
     pub clump: (f64, f64),
-    /// Times at which some destinations draw more.
+    /// Periods in which some destinations receive an extra share.
     pub hot: Vec<Hot>,
-    /// The least and the largest size of a body, in bytes.
+    /// Smallest and largest size of a body, in bytes.
     pub body: (usize, usize),
-    /// Resubmissions of a message, at most.
+    /// Largest number of resubmissions of a message.
     pub retries: u32,
-    /// How long a client waits before a resubmission where the rejection does not say.
+    /// Wait before a resubmission if the rejection states none.
     pub pause: Duration,
-    /// How long a client waits for an answer before it closes the connection and submits again.
+    /// Timeout of a client for an answer, after which it closes the connection and submits again.
     pub patience: Duration,
-    /// No new messages arrive from then on.
+    /// End of the arrivals of new messages, since the start of the scenario.
     pub until: Duration,
 }
 
-/// Weights by Zipf's law: the n-th of `count` is proportional to `1 / n^exponent`, and their sum is 1.
+/// Returns `count` weights by Zipf's law: the n-th is proportional to `1 / n^exponent`, and their sum is 1.
 pub fn zipf(count: usize, exponent: f64) -> Vec<f64> {
     let raw: Vec<f64> = (1..=count).map(|n| (n as f64).powf(-exponent)).collect();
     let sum: f64 = raw.iter().sum();
--- a/crates/simulation/src/clients/mod.rs
+++ b/crates/simulation/src/clients/mod.rs
@@ -1,7 +1,7 @@
-//! The clients of a scenario: arrivals drawn from a load, resubmissions after rejections, and their patience.
+//! The clients of a scenario: random arrivals, resubmissions, and the weight of delivered messages.
 //!
-//! The load is open: when a message is submitted does not depend on how fast the sender answers, so a slow sender does not
-//! slow down its own measurement. Start at [`Clients`], which is made from a [`Load`].
+//! The load is open: arrivals of new messages do not depend on how fast the sender answers, so a slow sender does not reduce
+//! the load by which it is measured. Start at [`Clients`], which is made from a [`Load`].
 
 mod load;
 mod population;
--- a/crates/simulation/src/clients/population.rs
+++ b/crates/simulation/src/clients/population.rs
@@ -11,34 +11,35 @@
 use super::submission::{ClientAnswer, Origin, Submission};
 use super::weight::delivered_weight;
 
-/// The messages of a clump arrive evenly within this.
+/// The messages of a clump arrive evenly over this time.
 const CLUMP_LENGTH: Duration = Duration::from_millis(200);
 
-/// A submission whose end is not known.
+/// A submission whose outcome the client does not know yet.
 #[derive(Clone, Debug)]
 struct OpenSubmission {
     origin: usize,
     accepted: bool,
-    /// Delivered before the client knew that it was accepted.
+    /// Time of a delivery that preceded the answer to the submission.
     delivered_early: Option<Duration>,
 }
 
-/// All clients of a scenario: they submit messages, and learn what becomes of them.
+/// All clients of a scenario: they submit messages and process answers and final reports. Times are since the start of the
+/// scenario.
 #[derive(Clone, Debug)]
 pub struct Clients {
     sampler: LoadSampler,
     schedule: Schedule,
     next_single: Duration,
     next_clump: Duration,
-    /// Every message that was drawn, in the order of their first submission.
+    /// All messages drawn so far, in the order of their first submission.
     pub origins: Vec<Origin>,
     open: BTreeMap<String, OpenSubmission>,
-    /// By ordering key with an unanswered submission: the attempts that wait for that answer.
+    /// Submissions that wait for the answer to an earlier one of their ordering key, by key with an unanswered submission.
     waiting_by_key: BTreeMap<String, VecDeque<Attempt>>,
 }
 
 impl Clients {
-    /// Clients with this load. The generator is theirs alone, so that nothing else changes their draws.
+    /// Creates clients with this load. They have a generator of their own, so that their draws do not depend on other models.
     pub fn new(load: Load, rng: ChaCha8Rng) -> Clients {
         let mut sampler = LoadSampler::new(load, rng);
         let next_single = sampler.next_single(Duration::ZERO);
@@ -54,7 +55,7 @@
         }
     }
 
-    /// When the next submission is due, if there is any.
+    /// When [`hand_in`](Self::hand_in) is due next; `None` if no arrival or resubmission is scheduled.
     pub fn next(&self) -> Option<Duration> {
         let until = self.sampler.load().until;
         let arrivals = [self.next_single, self.next_clump];
@@ -62,7 +63,8 @@
         arrivals.chain(self.schedule.next_at()).min()
     }
 
-    /// All submissions that are due by `now`, each with its time.
+    /// Returns all submissions that are due by `now`, each with its time. They count as unanswered until
+    /// [`answered`](Self::answered).
     pub fn hand_in(&mut self, now: Duration) -> Vec<(Duration, Submission)> {
         let until = self.sampler.load().until;
         let mut submissions = Vec::new();
@@ -84,7 +86,7 @@
         submissions
     }
 
-    /// The sender answered a submission, or will not answer it.
+    /// Processes the answer to the submission with this id, or the end of its connection without one. Unknown ids are ignored.
     pub fn answered(&mut self, now: Duration, id: &str, client_answer: ClientAnswer) {
         let Some(submission) = self.open.get_mut(id) else {
             return;
@@ -108,7 +110,7 @@
                 self.release_key(now, origin);
                 self.origins[origin].failed = true;
             }
-            // Whatever the sender does under this id from now on does not count.
+            // A resubmission has a new id, so later events of this id are ignored.
             ClientAnswer::Nothing => {
                 self.open.remove(id);
                 self.release_key(now, origin);
@@ -117,7 +119,7 @@
         }
     }
 
-    /// A destination wrote a 200 for a message.
+    /// Processes a successful reply of a destination to a message. Unknown ids are ignored.
     pub fn delivered(&mut self, now: Duration, id: &str) {
         let Some(submission) = self.open.get_mut(id) else {
             return;
@@ -130,7 +132,8 @@
         }
     }
 
-    /// The platform received a final report of a message; it is submitted again if it was returned, after the given wait.
+    /// Processes a final report of a message. `returned` is the wait before the resubmission if the message was returned;
+    /// `None` means that it failed. Unknown ids are ignored.
     pub fn closed(&mut self, now: Duration, id: &str, returned: Option<Duration>) {
         let Some(submission) = self.open.remove(id) else {
             return;
@@ -141,13 +144,13 @@
         }
     }
 
-    /// The weight of all delivered messages, and the number of all messages.
+    /// Returns the total weight of the delivered messages, and the number of all messages.
     pub fn worth(&self) -> (f64, f64) {
         let delivered = self.origins.iter().map(|o| self.weight(o)).sum();
         (delivered, self.origins.len() as f64)
     }
 
-    /// As [`Clients::worth`], by the second in which a message was first submitted.
+    /// Returns the figures of [`Clients::worth`] for each second, by the time of a message's first submission.
     pub fn worth_over_time(&self) -> Vec<(f64, f64)> {
         let mut seconds: Vec<(f64, f64)> = Vec::new();
         for origin in &self.origins {
@@ -186,7 +189,7 @@
         self.submit(at, attempt)
     }
 
-    /// Submits a message, unless it has expired or waits for an earlier one of its ordering key.
+    /// Submits a message, unless it has expired or must wait for an earlier submission of its ordering key.
     fn submit(&mut self, at: Duration, attempt: Attempt) -> Option<(Duration, Submission)> {
         let origin = &self.origins[attempt.origin];
         let time_to_live = self.sampler.load().classes[origin.class].time_to_live;
@@ -221,7 +224,7 @@
         Some((at, submission))
     }
 
-    /// Whether an attempt has to wait for the answer to an earlier one of its ordering key. If not, later ones wait for it.
+    /// Whether a submission must wait for the answer to an earlier one of its ordering key. If not, later ones wait for it.
     fn waits_for_key(&mut self, attempt: Attempt) -> bool {
         let Some(key) = self.origins[attempt.origin].ordering_key.clone() else {
             return false;
@@ -234,7 +237,7 @@
         false
     }
 
-    /// A submission has its answer: the attempts that waited for it are due, in their order.
+    /// Schedules the submissions that waited for the answer to this message, in their order.
     fn release_key(&mut self, now: Duration, origin: usize) {
         let Some(key) = &self.origins[origin].ordering_key else {
             return;
@@ -248,7 +251,7 @@
         let load = self.sampler.load();
         let message = &mut self.origins[origin];
         if message.submissions > load.retries || message.delivered.is_some() {
-            message.refused = true;
+            message.abandoned = true;
             return;
         }
         let attempt = Attempt {
--- a/crates/simulation/src/clients/sampler.rs
+++ b/crates/simulation/src/clients/sampler.rs
@@ -1,6 +1,6 @@
 //! Random draws from a load: arrival times, targets, and the properties of messages.
 //!
-//! All draws come from one generator, so their order decides what a seed plays.
+//! All draws come from one generator, so the result for a seed depends on their order.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use super::submission::Origin;
 use crate::time::seconds;
 
-/// Draws from a load.
+/// Draws arrival times and messages from a load.
 #[derive(Clone, Debug)]
 pub(super) struct LoadSampler {
     load: Load,
@@ -28,16 +28,17 @@
         &self.load
     }
 
-    /// When the first single message after `at` arrives.
+    /// Draws the time of the next message after `at` that is not part of a clump.
     pub(super) fn next_single(&mut self, at: Duration) -> Duration {
         self.next_arrival(at, self.load.rate * (1.0 - self.load.clumps))
     }
 
-    /// When the first clump after `at` begins.
+    /// Draws the time of the next clump after `at`.
     pub(super) fn next_clump(&mut self, at: Duration) -> Duration {
         self.next_arrival(at, self.clump_rate())
     }
 
+    /// Draws the next arrival of a Poisson process with this rate per second; [`Duration::MAX`] if the rate is 0.
     fn next_arrival(&mut self, at: Duration, rate: f64) -> Duration {
         match Exp::new(rate) {
             Ok(gap) if rate > 0.0 => at.saturating_add(seconds(gap.sample(&mut self.rng))),
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Clumps a second, so that their messages make up their share.
+    /// Clumps per second for which their messages make up the share [`Load::clumps`].
     fn clump_rate(&self) -> f64 {
         let (least, most) = self.load.clump;
         let mean_span = (least + most) / 2.0;
@@ -53,12 +54,12 @@
             .load
             .targets
             .iter()
-            .map(|t| t.weight * (t.takes * mean_span).max(1.0))
+            .map(|t| t.weight * (t.max_rate * mean_span).max(1.0))
             .sum();
         self.load.rate * self.load.clumps / mean_size.max(1.0)
     }
 
-    /// The number of messages in a clump for a target.
+    /// Draws the number of messages in a clump for a target.
     pub(super) fn clump_size(&mut self, target: usize) -> u64 {
         let (least, most) = self.load.clump;
         let span = if most > least {
@@ -66,10 +67,10 @@
         } else {
             least
         };
-        (self.load.targets[target].takes * span).round().max(1.0) as u64
+        (self.load.targets[target].max_rate * span).round().max(1.0) as u64
     }
 
-    /// The index of the target of a message that arrives at `at`.
+    /// Draws the index of the target of a message that arrives at `at`.
     pub(super) fn target(&mut self, at: Duration) -> usize {
         if let Some(hot) = self.hot_target(at) {
             return hot;
@@ -83,7 +84,7 @@
         pick(&mut self.rng, &weights)
     }
 
-    /// The index of a target that is hot at `at`, if one is drawn.
+    /// Draws the index of a target from the periods of extra load at `at`; `None` if no such target is drawn.
     fn hot_target(&mut self, at: Duration) -> Option<usize> {
         let is_on = |h: &&Hot| (h.start..h.start + h.length).contains(&at);
         let mut draw: f64 = self.rng.random();
@@ -102,7 +103,7 @@
         None
     }
 
-    /// A new message for a target, first submitted at `at`.
+    /// Draws a new message for a target, first submitted at `at`.
     pub(super) fn message(&mut self, at: Duration, target: usize) -> Origin {
         let class = self.class(target);
         let body = self.body_size();
@@ -124,11 +125,12 @@
             body,
             submissions: 0,
             delivered: None,
-            refused: false,
+            abandoned: false,
             failed: false,
         }
     }
 
+    /// Draws the index of the class of a message for a target.
     fn class(&mut self, target: usize) -> usize {
         if let Some(without_topic) = self.load.push
             && self.load.targets[target].push
@@ -148,13 +150,13 @@
         }
     }
 
-    /// 64 random bits in hexadecimal, as a message id or an idempotency key.
+    /// Draws a message id or an idempotency key: 64 random bits in hexadecimal.
     pub(super) fn random_id(&mut self) -> String {
         format!("{:016x}", self.rng.random::<u64>())
     }
 }
 
-/// An index drawn by weights; the first one if all weights are 0.
+/// Draws an index by weights; 0 if all weights are 0.
 fn pick(rng: &mut impl Rng, weights: &[f64]) -> usize {
     let sum: f64 = weights.iter().sum();
     let mut draw = rng.random::<f64>() * sum;
--- a/crates/simulation/src/clients/submission.rs
+++ b/crates/simulation/src/clients/submission.rs
@@ -1,69 +1,69 @@
-//! Messages as they are submitted, and what became of each.
+//! Submissions, the answers to them, and the outcome of each message.
 
 use std::time::Duration;
 
-/// One submission of a message.
+/// A submission of a message to a sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
-    /// The message id, new with each submission.
+    /// Id of the message, new with each submission.
     pub id: String,
     /// Index into [`Clients::origins`](super::Clients::origins).
     pub origin: usize,
-    /// Index of its class.
+    /// Index of the message's class in [`Load::classes`](super::Load::classes).
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the message's tenant in [`Load::tenants`](super::Load::tenants).
     pub tenant: usize,
-    /// Where it is to be delivered.
+    /// Number of the message's destination.
     pub destination: u64,
-    /// Idempotency key.
+    /// Idempotency key, the same with each submission, if the class has one.
     pub key: Option<String>,
-    /// Within which it keeps its order.
+    /// Ordering key, if the class is ordered.
     pub ordering_key: Option<String>,
-    /// Bytes of its body.
+    /// Size of the body in bytes.
     pub body: usize,
-    /// What remains of its time to live.
+    /// Remaining time to live.
     pub time_to_live: Duration,
-    /// Submitted again after a rejection.
+    /// Submitted again after a rejection or a returned message.
     pub retry: bool,
-    /// Submitted again after a sender that did not answer.
+    /// Submitted again because the sender did not answer.
     pub again: bool,
 }
 
-/// The sender's answer to a submission, as the client sees it.
+/// The sender's answer to a submission, or its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientAnswer {
-    /// The sender has the message.
+    /// The sender accepted the message.
     Accepted,
-    /// The sender did not accept it.
+    /// The sender did not accept the message.
     Rejected {
-        /// When it may be submitted again, if the answer says so.
+        /// Wait before it may be submitted again, if the answer states one.
         after: Option<Duration>,
     },
-    /// The submission itself was wrong; it is not repeated.
+    /// The submission was invalid; the client does not repeat it.
     Error,
-    /// The connection ended without an answer, or could not be made.
+    /// The connection ended without an answer, or could not be established.
     Nothing,
 }
 
-/// A message as it was drawn, over all its submissions.
+/// A message with its state over all its submissions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Origin {
     /// When it was first submitted, since the start of the scenario.
     pub at: Duration,
-    /// Index of its class.
+    /// Index of the message's class in [`Load::classes`](super::Load::classes).
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the message's tenant in [`Load::tenants`](super::Load::tenants).
     pub tenant: usize,
-    /// Where it is to be delivered.
+    /// Number of the message's destination.
     pub destination: u64,
     pub(super) key: Option<String>,
     pub(super) ordering_key: Option<String>,
     pub(super) body: usize,
     pub(super) submissions: u32,
-    /// When its delivery counted: a destination had written a 200, and the client knew that the message was accepted.
+    /// The time from which it counts as delivered: a destination wrote a 200, and the sender accepted the message.
     pub delivered: Option<Duration>,
-    /// Rejected for the last time.
-    pub refused: bool,
-    /// Ended by an error or a final report.
+    /// The client does not submit the message again, because it was delivered or has no resubmissions left.
+    pub abandoned: bool,
+    /// The submission was invalid, or a final report states that the message failed.
     pub failed: bool,
 }
--- a/crates/simulation/src/destination/endpoint.rs
+++ b/crates/simulation/src/destination/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: its workers, and the calls that wait for one.
+//! One endpoint of a simulated destination: its workers, and the queue of calls that wait for a worker.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
     pub(super) faults: Vec<Fault>,
-    /// Connections that are up.
+    /// Number of established connections.
     pub(super) connections: usize,
-    /// When each of its workers is free.
+    /// Time from which each worker is free.
     workers: Vec<Duration>,
-    /// When each call that waits for a worker starts.
+    /// Start of each call that waits for a worker.
     queued_starts: Vec<Duration>,
 }
 
 impl Endpoint {
-    /// An idle endpoint with these faults and this many workers, at least one.
+    /// Creates an idle endpoint with at least one worker.
     pub(super) fn new(faults: Vec<Fault>, workers: usize) -> Endpoint {
         Endpoint {
             faults,
@@ -27,12 +27,13 @@
         }
     }
 
-    /// The faults that are on, combined.
+    /// The combined effect of the faults that are active at `now`.
     pub(super) fn state(&self, now: Duration) -> State {
         State::of(&self.faults, now)
     }
 
-    /// Assigns a call to the first free worker and returns when it is done; `None` if more than `max_queued` would wait.
+    /// Assigns a call that takes `work` to the worker that is free first, and returns the time of its completion. Returns
+    /// `None` if the call would have to wait and `max_queued` calls wait already.
     pub(super) fn assign(
         &mut self,
         now: Duration,
--- a/crates/simulation/src/destination/mod.rs
+++ b/crates/simulation/src/destination/mod.rs
@@ -1,4 +1,4 @@
-//! Simulated destinations: what they admit, how fast they are, and what they reply.
+//! Simulated destinations: admission limits, service times, faults and replies.
 
 mod endpoint;
 mod reply;
--- a/crates/simulation/src/destination/reply.rs
+++ b/crates/simulation/src/destination/reply.rs
@@ -2,81 +2,81 @@
 
 use std::time::Duration;
 
-/// What becomes of a connection that is opened.
+/// The result of opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connect {
-    /// Established.
+    /// The connection is established.
     Up,
-    /// Reset at once.
+    /// The connection is refused (reset) at once.
     Refused,
-    /// Never established, and never reset.
+    /// The attempt to connect is never answered.
     Nothing,
 }
 
-/// How a reply is malformed.
+/// The defect of a malformed reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spoilt {
-    /// No HTTP at all.
+    /// The bytes are not HTTP.
     Garbage,
-    /// A head that promises more bytes than follow, and then the end of the connection.
+    /// The connection ends before the whole body announced in the head.
     CutOff,
-    /// A head that never ends.
+    /// The head is never completed, and the connection stays open.
     Stalls,
-    /// Further bytes after a whole reply.
+    /// Further bytes follow a complete reply.
     Trailing,
 }
 
 /// The outcome of one message of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryOutcome {
-    /// Executed.
+    /// The message was executed.
     Done,
-    /// Failed, and possibly executed.
+    /// The attempt failed; the message was possibly executed.
     Failed,
-    /// Rejected, and not executed.
+    /// The message was rejected without being executed.
     Busy,
 }
 
 /// The reply to a call. Times are since the start of the scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// A proper reply.
+    /// A well-formed reply.
     Answer {
-        /// When it is sent.
+        /// Time at which it is sent.
         at: Duration,
         /// The outcome of each message, in the order of the call.
         outcomes: Vec<DeliveryOutcome>,
-        /// `Retry-After`.
+        /// `Retry-After` as a duration (RFC 9110, section 10.2.3); `None` if the reply has none.
         wait: Option<Duration>,
-        /// Load report: the part of the limit that is left (0 to 1), and the limit in calls a second.
+        /// Load report: the unused share of the limit (0 to 1), and the limit in calls per second.
         report: Option<(f64, f64)>,
     },
-    /// A malformed reply; the call has been executed.
+    /// A malformed reply to a call that was executed.
     Spoilt {
-        /// When it is sent.
+        /// Time at which it is sent.
         at: Duration,
-        /// What is wrong with it.
+        /// The defect of the reply.
         how: Spoilt,
     },
-    /// The connection is reset.
+    /// The connection is reset instead of a reply.
     Reset {
-        /// When it is reset.
+        /// Time of the reset.
         at: Duration,
         /// Whether the call was possibly executed.
         executed: bool,
     },
-    /// No reply at all; the call is possibly executed all the same.
+    /// No reply is ever sent; the call is possibly executed.
     Nothing,
 }
 
-/// A call that has arrived whole.
+/// A call that the destination has received completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Asked {
-    /// Number of the endpoint at its destination.
+    /// Index of the endpoint at its destination.
     pub endpoint: usize,
-    /// Messages in the call.
+    /// Number of messages in the call.
     pub messages: usize,
 }
 
-/// Whether a call has just made a warming destination fail under overload.
+/// Whether this call made a destination that warms up fail under overload.
 pub type Fell = bool;
--- a/crates/simulation/src/destination/simulated.rs
+++ b/crates/simulation/src/destination/simulated.rs
@@ -1,4 +1,4 @@
-//! A simulated destination.
+//! The model of a destination: it receives connections and calls, and determines the replies and their times.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,36 +15,37 @@
 use crate::return_guard::{OverloadGuard, call_weight};
 use crate::time::seconds;
 
-/// Failures and rejections take no work, and are sent within this.
+/// Failures and rejections occupy no worker and are sent within this time.
 const MAX_QUICK_REPLY: Duration = Duration::from_millis(4);
-/// The shortest `Retry-After`.
+/// The shortest `Retry-After`, so that a stated wait is never 0.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(1);
 
-/// A load report, and when it was read.
+/// A load report and the time at which it was computed.
 #[derive(Clone, Copy, Debug)]
 struct CachedReport {
-    read_at: Duration,
+    computed_at: Duration,
     report: (f64, f64),
 }
 
-/// A destination in use. Times are since the start of the scenario.
+/// A simulated destination with its current state. All times are since the start of the scenario.
 #[derive(Clone, Debug)]
 pub struct SimulatedDestination {
     spec: Spec,
     endpoints: Vec<Endpoint>,
-    /// One for all endpoints, or one for each.
+    /// One limiter for all endpoints, or one for each endpoint.
     limiters: Vec<CallLimiter>,
     guard: OverloadGuard,
-    /// By index of the allowance.
+    /// By index of the limiter.
     reports: BTreeMap<usize, CachedReport>,
     rng: ChaCha8Rng,
 }
 
 impl SimulatedDestination {
-    /// A destination with these faults, by endpoint. The generator is its own, so that nothing else changes its draws.
+    /// Creates a destination; `faults` are listed by endpoint. It has a generator of its own, so that its draws do not depend
+    /// on other models.
     pub fn new(spec: Spec, faults: Vec<Vec<Fault>>, rng: ChaCha8Rng) -> SimulatedDestination {
         let count = spec.endpoints.max(1);
-        // As many workers as use an endpoint's part of the capacity up at the mean pace.
+        // Little's law: an endpoint's share of the capacity times the mean service time is the number of busy workers.
         let concurrency = spec.capacity * spec.pace.as_secs_f64() / count as f64;
         let workers = concurrency.ceil() as usize;
         let mut faults = faults.into_iter();
@@ -62,14 +63,14 @@
         }
     }
 
-    /// What it was set up with.
+    /// The properties of the destination.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
-    /// Messages a second that it can execute at `now`: 0 while down and once it has failed under overload.
+    /// Capacity at `now` in messages per second: 0 during an outage, and after a failure under overload.
     pub fn capacity(&self, now: Duration) -> f64 {
-        if self.guard.fallen() {
+        if self.guard.has_failed() {
             return 0.0;
         }
         let each = self.spec.capacity / self.endpoints.len() as f64;
@@ -78,19 +79,19 @@
             if state.is_down() {
                 0.0
             } else {
-                each * self.warm_share(endpoint, now) / state.slow.max(1e-9)
+                each * self.warm_share(endpoint, now) / state.slowdown.max(1e-9)
             }
         };
         self.endpoints.iter().map(capacity).sum()
     }
 
-    /// The part of its capacity that an endpoint has while it warms up.
+    /// The available share of an endpoint's capacity, 0 to 1: below 1 while it warms up.
     fn warm_share(&self, endpoint: &Endpoint, now: Duration) -> f64 {
         let recovered_at = latest_recovery(&endpoint.faults, now);
         recovered_at.map_or(1.0, |at| self.spec.back.share(now - at))
     }
 
-    /// The end of the latest outage of all its endpoints; `None` during one, or if there was none.
+    /// The end of the latest outage; `None` while any endpoint has an outage, or if some endpoint had none yet.
     pub fn back(&self, now: Duration) -> Option<Duration> {
         let mut latest = None;
         for endpoint in &self.endpoints {
@@ -99,20 +100,20 @@
         latest
     }
 
-    /// The faults of an endpoint that are on at `now`, combined.
+    /// The combined effect of the faults of an endpoint that are active at `now`.
     pub fn state(&self, endpoint: usize, now: Duration) -> State {
         let endpoint = self.endpoints.get(endpoint);
         endpoint.map_or_else(|| State::of(&[], now), |endpoint| endpoint.state(now))
     }
 
-    /// Whether it has failed under overload; it stays so.
-    pub fn fallen(&self) -> bool {
-        self.guard.fallen()
+    /// Whether the destination has failed under overload. The failure is permanent.
+    pub fn has_failed(&self) -> bool {
+        self.guard.has_failed()
     }
 
-    /// A connection to an endpoint is opened; it counts if it is [`Connect::Up`].
+    /// Opens a connection to an endpoint. Each result [`Connect::Up`] needs a [`disconnect`](Self::disconnect) later.
     pub fn connect(&mut self, now: Duration, endpoint: usize) -> Connect {
-        let fallen = self.guard.fallen();
+        let has_failed = self.guard.has_failed();
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
             return Connect::Refused;
         };
@@ -122,27 +123,27 @@
         }
         let max_connections = self.spec.connections;
         let is_full = max_connections.is_some_and(|max| endpoint.connections >= max);
-        if state.refusing || fallen || is_full {
+        if state.refusing || has_failed || is_full {
             return Connect::Refused;
         }
         endpoint.connections += 1;
         Connect::Up
     }
 
-    /// A connection to an endpoint that was up is closed.
+    /// Closes an established connection to an endpoint.
     pub fn disconnect(&mut self, endpoint: usize) {
         if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
             endpoint.connections = endpoint.connections.saturating_sub(1);
         }
     }
 
-    /// How long a connection may be idle from `now` on before the endpoint closes it, if it does.
+    /// The idle timeout of a connection that becomes idle at `now`; `None` if the endpoint keeps idle connections open.
     pub fn idle_patience(&mut self, now: Duration, endpoint: usize) -> Option<Duration> {
         let (least, most) = self.state(endpoint, now).close_idle?;
         Some(between(&mut self.rng, least, most))
     }
 
-    /// A call has arrived whole: the reply to it, and whether it made the destination fail under overload.
+    /// Processes a complete call; returns the reply, and whether the call made the destination fail under overload.
     pub fn call(&mut self, now: Duration, asked: Asked) -> (Reply, Fell) {
         let messages = asked.messages.max(1);
         let state = self.state(asked.endpoint, now);
@@ -153,10 +154,10 @@
             at: now,
             executed: false,
         };
-        if state.refusing || self.guard.fallen() || asked.endpoint >= self.endpoints.len() {
+        if state.refusing || self.guard.has_failed() || asked.endpoint >= self.endpoints.len() {
             return (reset, false);
         }
-        // Also a call that is rejected is load on a destination that warms up.
+        // Rejected calls also count as load on a destination that warms up.
         let recovered_at = self.back(now);
         let weight = call_weight(messages, self.spec.item_cost);
         let ramp = &self.spec.back;
@@ -176,21 +177,21 @@
         }
         let limiter = self.limiter_index(endpoint);
         let limiter = &mut self.limiters[limiter];
-        limiter.lower(now, state.lower);
-        if let Err(full) = limiter.admit(now, self.spec.charge_refused) {
-            return self.rejection(now, endpoint, messages, Some(full.retry_at));
+        limiter.scale(now, state.lower);
+        if let Err(reached) = limiter.admit(now, self.spec.charge_refused) {
+            return self.rejection(now, endpoint, messages, Some(reached.retry_at));
         }
-        if self.rng.random_bool(state.fail.clamp(0.0, 1.0)) {
+        if self.rng.random_bool(state.failing_share.clamp(0.0, 1.0)) {
             let at = quick_reply_at(&mut self.rng, now);
             let outcomes = vec![DeliveryOutcome::Failed; messages];
             return self.answer(now, endpoint, at, outcomes, None);
         }
-        let work = self.work(now, endpoint, messages, state);
+        let work = self.service_time(now, endpoint, messages, state);
         let max_queued = self.spec.queue;
         let Some(done_at) = self.endpoints[endpoint].assign(now, work, max_queued) else {
             return self.rejection(now, endpoint, messages, None);
         };
-        if self.rng.random_bool(state.spoil.clamp(0.0, 1.0)) {
+        if self.rng.random_bool(state.malformed_share.clamp(0.0, 1.0)) {
             let how = self.malformation();
             return Reply::Spoilt { at: done_at, how };
         }
@@ -207,16 +208,23 @@
         }
     }
 
-    /// How long a worker needs for a call: log-normal about the mean, longer when slow, warming up or with many messages.
-    fn work(&mut self, now: Duration, endpoint: usize, messages: usize, state: &State) -> Duration {
+    /// Draws the service time of a call from a log-normal distribution. Its mean grows with the number of messages and with
+    /// the slowdown of the endpoint, and while the endpoint warms up.
+    fn service_time(
+        &mut self,
+        now: Duration,
+        endpoint: usize,
+        messages: usize,
+        state: &State,
+    ) -> Duration {
         let spread = self.spec.spread.max(0.0);
         let draw = LogNormal::from_mean_cv(1.0, spread).map_or(1.0, |d| d.sample(&mut self.rng));
         let weight = call_weight(messages, self.spec.item_cost);
         let warm_share = self.warm_share(&self.endpoints[endpoint], now).max(1e-3);
-        seconds(self.spec.pace.as_secs_f64() * draw * weight * state.slow / warm_share)
+        seconds(self.spec.pace.as_secs_f64() * draw * weight * state.slowdown / warm_share)
     }
 
-    /// A rejection of a call that may be repeated from `retry_at` on, if that is known.
+    /// Rejects a call. `retry_at` is when the limit admits the next call, if the limit determines that.
     fn rejection(
         &mut self,
         now: Duration,
@@ -252,18 +260,23 @@
         }
     }
 
-    /// The load report of an endpoint, read again once it is as old as `refresh`.
+    /// The load report of an endpoint, computed again once it is as old as `refresh`.
     fn load_report(&mut self, now: Duration, endpoint: usize, refresh: Duration) -> (f64, f64) {
         let limiter = self.limiter_index(endpoint);
         if let Some(cached) = self.reports.get(&limiter)
-            && now.saturating_sub(cached.read_at) < refresh
+            && now.saturating_sub(cached.computed_at) < refresh
         {
             return cached.report;
         }
         let report = self.limiters[limiter].load_report(now);
-        let read_at = now;
-        self.reports
-            .insert(limiter, CachedReport { read_at, report });
+        let computed_at = now;
+        self.reports.insert(
+            limiter,
+            CachedReport {
+                computed_at,
+                report,
+            },
+        );
         report
     }
 
@@ -272,12 +285,12 @@
     }
 }
 
-/// When a reply that takes no work is sent.
+/// Draws the time of a reply that needs no worker.
 fn quick_reply_at(rng: &mut impl Rng, now: Duration) -> Duration {
     now + between(rng, MAX_QUICK_REPLY / 4, MAX_QUICK_REPLY)
 }
 
-/// A duration drawn evenly between two.
+/// Draws a duration from a uniform distribution, bounds included.
 fn between(rng: &mut impl Rng, least: Duration, most: Duration) -> Duration {
     if most <= least {
         return least;
--- a/crates/simulation/src/destination/spec.rs
+++ b/crates/simulation/src/destination/spec.rs
@@ -5,38 +5,38 @@
 use crate::limit::Limit;
 use crate::return_guard::Return;
 
-/// A destination as it is set up for a scenario.
+/// The properties of a simulated destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spec {
-    /// Number of its endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// Its endpoints have one limit together; otherwise each has its own.
+    /// All endpoints share one limit; otherwise each has its own.
     pub shared: bool,
-    /// The limit on calls.
+    /// Admission limit on the calls of all senders together.
     pub limit: Limit,
-    /// Rejected calls use the limit up too.
+    /// Rejected calls count towards the limit too.
     pub charge_refused: bool,
-    /// Messages a second when warm, over all its endpoints.
+    /// Messages per second when warm, over all endpoints.
     pub capacity: f64,
-    /// Calls that may wait at one endpoint.
+    /// Calls that may wait for a worker at one endpoint.
     pub queue: usize,
-    /// Mean time for a call of one message.
+    /// Mean service time of a call of one message.
     pub pace: Duration,
-    /// Coefficient of variation of that time: the standard deviation over the mean, log-normal.
+    /// Coefficient of variation (standard deviation over mean) of the service time, which is log-normal.
     pub spread: f64,
-    /// Connections that one endpoint accepts, idle ones included; `None` for no bound.
+    /// Largest number of connections to one endpoint, idle ones included; `None` for no bound.
     pub connections: Option<usize>,
     /// Probability that a rejection has a `Retry-After`, 0 to 1.
     pub sends_retry_after: f64,
-    /// The least and the longest `Retry-After`, where the limit does not determine it.
+    /// Shortest and longest `Retry-After`, where the limit does not determine it.
     pub wait: (Duration, Duration),
-    /// Messages that one call may hold.
+    /// Largest number of messages in one call.
     pub batch: usize,
-    /// What each message of a call after the first adds to its work, in calls of one message.
+    /// Cost of each message of a call after the first, in calls of one message.
     pub item_cost: f64,
-    /// How often the load report in replies is refreshed; `None` if replies have none.
+    /// Interval at which the load report in replies is refreshed; `None` if replies have no load report.
     pub reports: Option<Duration>,
-    /// How it warms up after an outage.
+    /// Slow start after an outage.
     pub back: Return,
 }
 
--- a/crates/simulation/src/directory.rs
+++ b/crates/simulation/src/directory.rs
@@ -1,55 +1,55 @@
-//! Simulated discovery: the endpoint list, which each sender learns with a delay, and not at all during an outage.
+//! Simulated discovery: an endpoint list that each sender receives with a delay, and not at all during an outage.
 
 use std::time::Duration;
 
-/// The state of an endpoint in the list.
+/// The state of an endpoint in discovery's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
-    /// In service.
+    /// The endpoint is in service.
     Up,
-    /// Gets nothing new.
+    /// The endpoint must receive no new calls.
     Draining,
-    /// No longer listed.
+    /// The endpoint is no longer listed.
     Removed,
 }
 
-/// One endpoint in the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Its id; an endpoint that replaces another has a new one.
+    /// Id of the endpoint; an endpoint that replaces another at the same address has a new id.
     pub id: String,
-    /// Number of the simulated server.
+    /// Number of the simulated server that plays the endpoint.
     pub endpoint: usize,
-    /// Number of its destination.
+    /// Number of the endpoint's destination.
     pub destination: u64,
-    /// Its state.
+    /// State of the endpoint.
     pub listed: Listed,
-    /// Its latest start, since the start of the scenario; `None` if that was long before.
+    /// Latest start of the endpoint, since the start of the scenario; `None` if it started long before the scenario.
     pub started: Option<Duration>,
 }
 
-/// The whole list, or changes of it.
+/// The whole endpoint list, or changes to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct List {
     /// Version of the list after these changes.
     pub version: u64,
-    /// The whole list; otherwise only changed endpoints.
+    /// Whether `rows` is the whole list; otherwise it has only changed endpoints.
     pub full: bool,
-    /// The endpoints.
+    /// Entries of the list.
     pub rows: Vec<Row>,
 }
 
-/// The response to a watch.
+/// The response to a watch, a request for changes that discovery holds until there are some.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Watch {
-    /// To be answered at once.
+    /// Discovery answers at once with this list.
     Now(List),
-    /// To be held.
+    /// Discovery holds the watch.
     Hold {
-        /// When to look again, unless a change is made before.
+        /// When to evaluate the watch again, unless a change is made before.
         until: Duration,
     },
-    /// Not answered, because discovery is down.
+    /// Discovery is down and does not answer.
     Silent {
         /// The end of the outage.
         until: Duration,
@@ -59,37 +59,38 @@
 /// The properties of discovery in a scenario.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Spec {
-    /// The delay with which each sender learns of a change; the last one also applies to all further senders.
+    /// Delay between a change and its visibility, by sender; the last delay also applies to all further senders.
     pub delays: Vec<Duration>,
-    /// Beginning and end of each outage, since the start of the scenario.
+    /// Start and end (exclusive) of each outage, since the start of the scenario.
     pub outages: Vec<(Duration, Duration)>,
-    /// Changes that can be sent one by one; a watch from an older version gets the whole list.
+    /// Number of changes kept for incremental answers; a watch from an older version receives the whole list. At least 1 is
+    /// kept.
     pub history: usize,
 }
 
-/// A change of the list.
+/// A change to one entry of the list.
 #[derive(Clone, Debug)]
 struct Change {
-    /// Version of the list from then on.
+    /// Version of the list after the change.
     version: u64,
     made_at: Duration,
     row: Row,
 }
 
-/// Discovery in use. Times are since the start of the scenario.
+/// Simulated discovery with its current list. All times are since the start of the scenario.
 #[derive(Clone, Debug)]
 pub struct Directory {
     spec: Spec,
-    /// The list before any change.
+    /// The list as of version 1.
     initial_rows: Vec<Row>,
     rows: Vec<Row>,
-    /// All changes, the oldest first.
+    /// All changes, oldest first.
     changes: Vec<Change>,
     version: u64,
 }
 
 impl Directory {
-    /// Discovery with this list, which is version 1.
+    /// Creates discovery with this list as version 1.
     pub fn new(spec: Spec, rows: Vec<Row>) -> Directory {
         Directory {
             spec,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Changes the list at `now`; a row with a new id is a new endpoint.
+    /// Updates the entry with the id of `row` at `now`, or adds it if the id is new.
     pub fn change(&mut self, now: Duration, row: Row) {
         self.version += 1;
         match self.rows.iter_mut().find(|r| r.id == row.id) {
@@ -114,6 +115,7 @@
         });
     }
 
+    /// Delay with which changes become visible to a sender.
     fn delay(&self, sender: usize) -> Duration {
         let delays = &self.spec.delays;
         delays
@@ -123,19 +125,20 @@
             .unwrap_or_default()
     }
 
+    /// End of the current outage; `None` if discovery is up.
     fn down_until(&self, now: Duration) -> Option<Duration> {
         let on = |&&(from, to): &&(Duration, Duration)| (from..to).contains(&now);
         self.spec.outages.iter().filter(on).map(|o| o.1).max()
     }
 
-    /// The newest version that a sender can know of at `now`.
+    /// The newest version that is visible to a sender at `now`.
     pub fn version(&self, now: Duration, sender: usize) -> u64 {
         let delay = self.delay(sender);
         let known = self.changes.iter().filter(|c| c.made_at + delay <= now);
         known.map(|c| c.version).max().unwrap_or(1)
     }
 
-    /// The whole list as a sender can know it at `now`; `None` while discovery is down.
+    /// The whole list as it is visible to a sender at `now`; `None` while discovery is down.
     pub fn whole(&self, now: Duration, sender: usize) -> Option<List> {
         if self.down_until(now).is_some() {
             return None;
@@ -149,7 +152,7 @@
         })
     }
 
-    /// An endpoint as it was at a version; `None` if it was not listed yet.
+    /// The entry of an endpoint at a version; `None` if it was not listed yet.
     fn row_at(&self, row: &Row, version: u64) -> Option<Row> {
         let changes = || self.changes.iter().filter(|c| c.row.id == row.id);
         let known = changes().rfind(|c| c.version <= version);
@@ -163,13 +166,14 @@
         initial_rows.find(|r| r.id == row.id).cloned()
     }
 
-    /// A watch for versions after `from`, begun at `asked` and held for up to `hold`.
+    /// Evaluates at `now` a watch that `sender` began at `started` for changes after version `from`. Discovery holds it for up
+    /// to `hold`, and then answers without changes.
     pub fn watch(
         &self,
         now: Duration,
         sender: usize,
         from: u64,
-        asked: Duration,
+        started: Duration,
         hold: Duration,
     ) -> Watch {
         if let Some(until) = self.down_until(now) {
@@ -177,9 +181,9 @@
         }
         let version = self.version(now, sender);
         if version > from {
-            return self.news(now, sender, from, version);
+            return self.changes_since(now, sender, from, version);
         }
-        let until = asked + hold;
+        let until = started + hold;
         if now >= until {
             return Watch::Now(List {
                 version: from,
@@ -192,8 +196,8 @@
         }
     }
 
-    /// The changes after version `from`, or the whole list if some of these are no longer kept.
-    fn news(&self, now: Duration, sender: usize, from: u64, version: u64) -> Watch {
+    /// The changes after version `from`, or the whole list if `from` is 0 or some of the changes are no longer kept.
+    fn changes_since(&self, now: Duration, sender: usize, from: u64, version: u64) -> Watch {
         let oldest = self.changes.len().saturating_sub(self.spec.history.max(1));
         let oldest = self.changes.get(oldest);
         let is_covered = oldest.is_none_or(|c| c.version <= from + 1);
@@ -210,7 +214,7 @@
         })
     }
 
-    /// When the sender next learns of a change, or an outage begins.
+    /// When the next change becomes visible to the sender, or the next outage begins.
     fn next_event(&self, now: Duration, sender: usize) -> Option<Duration> {
         let delay = self.delay(sender);
         let changes = self.changes.iter().map(|c| c.made_at + delay);
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,46 +1,46 @@
-//! Faults of endpoints, and how several at once combine.
+//! Faults of endpoints, and the combined effect of overlapping faults.
 
 use std::time::Duration;
 
-/// A destination of which more calls than this share fail counts as down, 0 to 1.
+/// An endpoint counts as down if more than this share of its calls fail.
 const MAX_FAILING_SHARE_UP: f64 = 0.5;
 
-/// One kind of fault.
+/// A kind of fault, with its parameters.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// The machine is unreachable: connections are never established, open ones are silent, nothing is reset.
+    /// The machine is unreachable: new connections are never established, open ones receive nothing, and none is reset.
     Vanish,
-    /// The process is dead: connections are refused, open ones are reset.
+    /// The process is not running: new connections are refused, and open ones are reset.
     Refuse,
-    /// Connections are accepted and calls are read; nothing is ever answered.
+    /// The process hangs: connections are accepted and calls are read, but never answered.
     Silent,
     /// Every call is rejected as overloaded.
     Closed,
-    /// Some calls fail quickly, and are possibly executed.
+    /// Some calls fail quickly and are possibly executed.
     Fail {
-        /// Share of the calls, 0 to 1.
+        /// Share of the calls that fail, 0 to 1.
         share: f64,
     },
     /// Some replies are malformed HTTP.
     Spoil {
-        /// Share of the replies, 0 to 1.
+        /// Share of the replies that are malformed, 0 to 1.
         share: f64,
     },
-    /// Each call takes longer.
+    /// The service time of each call is longer.
     Slow {
-        /// How many times as long.
+        /// Factor by which the service time is multiplied, at least 0.
         factor: f64,
     },
-    /// The limit is lower, and load reports say so.
+    /// The admission limit is lower; load reports contain the lower limit.
     Lower {
-        /// The part of the limit that remains, 0 to 1.
+        /// Share of the limit that remains, 0 to 1.
         factor: f64,
     },
     /// Idle connections are closed.
     CloseIdle {
-        /// After at least this long.
+        /// Shortest idle timeout.
         least: Duration,
-        /// After at most this long.
+        /// Longest idle timeout.
         most: Duration,
     },
 }
@@ -48,26 +48,27 @@
 /// A fault at one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// What is wrong.
+    /// The kind of fault.
     pub kind: Kind,
-    /// When it begins, since the start of the scenario.
+    /// When the fault begins, since the start of the scenario.
     pub start: Duration,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub length: Duration,
 }
 
 impl Fault {
-    /// When it is over, since the start of the scenario.
+    /// When the fault ends (exclusive), since the start of the scenario.
     pub fn end(&self) -> Duration {
         self.start.saturating_add(self.length)
     }
 
-    /// Whether it is on at `now`.
+    /// Whether the fault is active at `now`.
     pub fn is_on(&self, now: Duration) -> bool {
         (self.start..self.end()).contains(&now)
     }
 
-    /// Whether the endpoint warms up after it: it was down, silent or rejected everything, or most calls failed.
+    /// Whether the fault is an outage, after which the endpoint warms up: the endpoint is down, answers nothing, rejects every
+    /// call, or fails most calls.
     pub fn is_outage(&self) -> bool {
         match self.kind {
             Kind::Vanish | Kind::Refuse | Kind::Silent | Kind::Closed => true,
@@ -80,43 +81,43 @@
     }
 }
 
-/// The faults of an endpoint that are on, combined.
+/// The combined effect of the active faults of an endpoint.
 ///
-/// The gravest decides whether there is a reply at all. Factors multiply, and the shares of calls that fail or are
-/// malformed are independent of each other.
+/// Factors of overlapping faults multiply. Shares of failing calls or malformed replies combine as probabilities of
+/// independent events. The order of the faults does not matter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct State {
-    /// Unreachable.
+    /// The endpoint is unreachable.
     pub vanished: bool,
-    /// Connections are refused.
+    /// New connections are refused, and open ones are reset.
     pub refusing: bool,
-    /// Nothing is answered.
+    /// Calls are never answered.
     pub silent: bool,
-    /// Every call is rejected until the end of the last fault that does so.
+    /// Every call is rejected until then, the latest end of the faults [`Kind::Closed`]; `None` if there is no such fault.
     pub blocked_until: Option<Duration>,
     /// Share of the calls that fail, 0 to 1.
-    pub fail: f64,
+    pub failing_share: f64,
     /// Share of the replies that are malformed, 0 to 1.
-    pub spoil: f64,
-    /// How many times as long each call takes.
-    pub slow: f64,
-    /// The part of the limit that remains, 0 to 1.
+    pub malformed_share: f64,
+    /// Factor by which the service time of each call is multiplied.
+    pub slowdown: f64,
+    /// Share of the admission limit that remains, 0 to 1.
     pub lower: f64,
-    /// The shortest and the longest time after which an idle connection is closed.
+    /// Shortest and longest timeout of idle connections; `None` if they stay open.
     pub close_idle: Option<(Duration, Duration)>,
 }
 
 impl State {
-    /// What these faults come to at `now`.
+    /// Combines the faults that are active at `now`.
     pub fn of(faults: &[Fault], now: Duration) -> State {
         let mut state = State {
             vanished: false,
             refusing: false,
             silent: false,
             blocked_until: None,
-            fail: 0.0,
-            spoil: 0.0,
-            slow: 1.0,
+            failing_share: 0.0,
+            malformed_share: 0.0,
+            slowdown: 1.0,
             lower: 1.0,
             close_idle: None,
         };
@@ -132,9 +133,9 @@
             Kind::Refuse => self.refusing = true,
             Kind::Silent => self.silent = true,
             Kind::Closed => self.blocked_until = self.blocked_until.max(Some(fault.end())),
-            Kind::Fail { share } => self.fail = either(self.fail, share),
-            Kind::Spoil { share } => self.spoil = either(self.spoil, share),
-            Kind::Slow { factor } => self.slow *= factor.max(0.0),
+            Kind::Fail { share } => self.failing_share = either(self.failing_share, share),
+            Kind::Spoil { share } => self.malformed_share = either(self.malformed_share, share),
+            Kind::Slow { factor } => self.slowdown *= factor.max(0.0),
             Kind::Lower { factor } => self.lower *= factor.clamp(0.0, 1.0),
             Kind::CloseIdle { least, most } => {
                 let (other_least, other_most) = self.close_idle.unwrap_or((least, most));
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Whether nothing that is sent now is replied to as it should be.
+    /// Whether no call can succeed: the endpoint is unreachable, refuses connections, answers nothing or rejects every call.
     pub fn is_down(&self) -> bool {
         self.vanished || self.refusing || self.silent || self.blocked_until.is_some()
     }
@@ -154,14 +155,15 @@
     1.0 - (1.0 - one) * (1.0 - other)
 }
 
+/// The faults that are outages and have a duration.
 fn outages(faults: &[Fault]) -> impl Iterator<Item = &Fault> {
     faults
         .iter()
         .filter(|f| f.is_outage() && f.length > Duration::ZERO)
 }
 
-/// When the latest outage that has ended by `now` ended; `None` during one, or if there was none. Faults that overlap or
-/// touch are one outage.
+/// The end of the latest outage that ended by `now`; `None` during an outage, or if there was none. Faults that overlap or
+/// adjoin count as one outage.
 pub fn latest_recovery(faults: &[Fault], now: Duration) -> Option<Duration> {
     if outages(faults).any(|f| f.is_on(now)) {
         return None;
@@ -170,7 +172,8 @@
     ends.filter(|&end| end <= now).max()
 }
 
-/// The outage that is on at `now`, or the latest one before: from the first fault's start to the last one's end.
+/// Start and end of the current outage at `now`, or of the latest one before. Faults that overlap or adjoin and have begun
+/// by `now` count as one outage.
 pub fn latest_outage(faults: &[Fault], now: Duration) -> Option<(Duration, Duration)> {
     let begun = outages(faults).filter(|f| f.start <= now);
     let mut spans: Vec<(Duration, Duration)> = begun.map(|f| (f.start, f.end())).collect();
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -1,74 +1,74 @@
-//! The fleet of a scenario: how senders know each other, and faults between and under them.
+//! The fleet of a scenario: membership settings, faults of network paths, and actions on the senders' processes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How the senders know each other.
+/// The fleet's settings for membership and recovery.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fleet {
-    /// Membership's protocol period.
+    /// Protocol period of membership (SWIM).
     pub period: Duration,
-    /// Membership's bound on a round trip between members.
+    /// Upper bound that membership assumes for a round trip between members.
     pub round_trip: Duration,
-    /// How long a silent member is suspected; the sender's default if `None`.
+    /// How long a silent member is suspected before it counts as down; `None` for the sender's default.
     pub suspicion: Option<Duration>,
-    /// Eviction delay.
+    /// Eviction delay of members that are down.
     pub hold: Duration,
-    /// Senders recover in phases after a restart.
+    /// Whether senders recover in phases after a restart.
     pub recovery: bool,
-    /// Senders evacuate zones, and return to them, together.
+    /// Whether senders evacuate zones, and return to them, together.
     pub zones: bool,
 }
 
 /// A fault of a network path.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PathFault {
-    /// Nothing passes.
+    /// All packets are lost.
     Cut,
-    /// Some packets are lost; on a connection they are delayed instead.
+    /// A share of the packets is lost; data on a connection is delayed instead.
     Drop {
-        /// Share of the packets, 0 to 1.
+        /// Share of the packets that are lost, 0 to 1.
         share: f64,
     },
-    /// Everything is delayed.
+    /// All traffic is delayed.
     Delay {
-        /// By this much.
+        /// Added delay.
         by: Duration,
     },
-    /// Everything is held back until the end of the fault.
+    /// All traffic is held until the fault ends.
     Stall,
-    /// Connections are reset at the beginning of the fault.
+    /// Connections are reset when the fault begins.
     Reset,
 }
 
-/// The other side of a network path.
+/// The peers on the other side of a network path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// These senders.
+    /// The senders with these numbers.
     Senders(BTreeSet<usize>),
-    /// All endpoints, or those of one zone.
+    /// All endpoints of destinations, or those in the zone with this index.
     Destinations(Option<usize>),
 }
 
 /// A fault of the network paths between two sides. Times are since the start of the scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkFault {
-    /// When it begins.
+    /// When the fault begins.
     pub at: Duration,
-    /// When it is over.
+    /// When the fault ends (exclusive).
     pub until: Duration,
-    /// The senders on one side.
+    /// Numbers of the senders on one side of the paths.
     pub from: BTreeSet<usize>,
-    /// The other side.
+    /// The other side of the paths.
     pub to: Side,
-    /// It affects only what is sent from `from` to `to`.
+    /// Whether it affects only traffic from `from` to `to`; otherwise both directions.
     pub one_way: bool,
-    /// What is wrong.
+    /// The kind of fault.
     pub path_fault: PathFault,
 }
 
 impl NetworkFault {
-    /// Whether it affects what one sender sends to another.
+    /// Whether the fault affects traffic from sender `from` to sender `to`.
     pub fn between(&self, from: usize, to: usize) -> bool {
         let Side::Senders(others) = &self.to else {
             return false;
@@ -78,7 +78,8 @@
         forward || (!self.one_way && backward)
     }
 
-    /// Whether it affects what a sender sends to the endpoints of a zone, or what comes `back` from them.
+    /// Whether the fault affects traffic from a sender to the endpoints of a zone or, if `back` is set, from them to the
+    /// sender.
     pub fn at_destinations(&self, sender: usize, zone: usize, back: bool) -> bool {
         let Side::Destinations(only) = self.to else {
             return false;
@@ -88,62 +89,62 @@
         affects_zone && affects_direction && self.from.contains(&sender)
     }
 
-    /// Whether it is a fault between senders.
+    /// Whether the fault is between senders, not between senders and destinations.
     pub fn among_senders(&self) -> bool {
         matches!(self.to, Side::Senders(_))
     }
 
-    /// Whether it is on at `now`.
+    /// Whether the fault is active at `now`, a time since the start of the scenario.
     pub fn is_on(&self, now: Duration) -> bool {
         self.at <= now && now < self.until
     }
 }
 
-/// What becomes of a sender's state folder once its process has ended.
+/// The state of a sender's state folder after its process has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Folder {
-    /// It stays.
+    /// The folder is unchanged.
     Kept,
-    /// It is lost.
+    /// The folder's contents are deleted.
     Wiped,
-    /// One of the journal's segments is truncated at a place that the seed draws.
+    /// One of the journal's segments is truncated at an offset drawn from the seed.
     Cut,
 }
 
 /// One of the two processes of a sender during an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Which {
-    /// The process that was running.
+    /// The process that ran before the upgrade.
     Old,
-    /// The process that takes over.
+    /// The process that the upgrade starts.
     New,
 }
 
-/// What is done to a sender's process.
+/// An action on a sender's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberAction {
     /// SIGSTOP, and later SIGCONT.
     Stop {
-        /// Time between the two.
+        /// Time between the two signals.
         duration: Duration,
     },
     /// SIGKILL.
     Kill {
-        /// How long after its end it is started again; `None` for never.
+        /// Time from the end of the process until the sender is started again; `None` for never.
         back: Option<Duration>,
-        /// What becomes of its state folder.
+        /// State of its state folder afterwards.
         folder: Folder,
     },
     /// SIGTERM.
     Term {
-        /// How long after its end it is started again; `None` for never.
+        /// Time from the end of the process until the sender is started again; `None` for never.
         back: Option<Duration>,
-        /// What becomes of its state folder.
+        /// State of its state folder afterwards.
         folder: Folder,
     },
-    /// A second process is started over the same state folder, as for a new version.
+    /// A second process is started on the same state folder, as in an upgrade to a new version.
     Upgrade {
-        /// Which of the two is killed, and how long after the start of the second one.
+        /// Which of the two processes is killed, and how long after the start of the second one; `None` if neither is.
         kill: Option<(Which, Duration)>,
     },
 }
@@ -151,10 +152,10 @@
 /// An action on the processes of some senders.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledAction {
-    /// When, since the start of the scenario.
+    /// Time of the action, since the start of the scenario.
     pub at: Duration,
-    /// To whose processes.
+    /// Numbers of the senders whose processes are affected.
     pub senders: BTreeSet<usize>,
-    /// What is done.
+    /// The action.
     pub action: MemberAction,
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,12 +1,13 @@
-//! Models of what a sender meets: destinations, clients, discovery and faults; scenarios that combine them; and the
-//! auditor that judges a recorded run against the operators' rules.
+//! Models of a sender's surroundings: destinations, clients, discovery and faults; scenarios that combine them; and the
+//! auditor that checks a recorded run against the operators' rules.
 //!
-//! Nothing here has a clock, socket, thread or file. Time is a [`Duration`](std::time::Duration) since the start of the
-//! scenario, so that the same models are driven by sockets (`cranehill-scenario-runner`) and by virtual time
+//! Nothing here uses a clock, socket, thread or file. Time is a [`Duration`](std::time::Duration) since the start of the
+//! scenario, so that the same models run over sockets (`cranehill-scenario-runner`) and in virtual time
 //! (`cranehill-core`'s tests).
 //!
-//! Start at [`SimulatedDestination`]: it is given a call at an instant and returns the reply and when it is due. [`fault`]
-//! says what may go wrong and how overlapping faults combine; [`limit`] is what a destination admits.
+//! Start at [`SimulatedDestination`]: it takes a call and its time of arrival, and returns the reply with the time at which
+//! to send it. [`fault`] defines the kinds of faults and how overlapping ones combine; [`limit`] is the admission limit of a
+//! destination.
 
 pub mod audit;
 pub mod clients;
--- a/crates/simulation/src/limit.rs
+++ b/crates/simulation/src/limit.rs
@@ -1,52 +1,52 @@
-//! Limits of a destination on the calls of all senders together: a rate, a count in each span, or none.
+//! Admission limits of a destination on the calls of all senders together: a token bucket, a fixed window, or none.
 
 use std::time::Duration;
 
 use crate::time::seconds;
 
-/// A limit as a destination's operator would state it.
+/// An admission limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Limit {
-    /// No limit but the destination's capacity.
+    /// No limit; only the capacity of the destination bounds the calls.
     None,
     /// A token bucket.
     Rate {
-        /// Calls a second.
+        /// Tokens added per second; each call takes one.
         per_second: f64,
-        /// Calls that can be saved up.
+        /// Capacity of the bucket, in calls.
         burst: f64,
     },
-    /// A count in fixed spans that follow one another from the start of the scenario.
+    /// A count of calls in fixed windows, the first of which begins at the start of the scenario.
     Count {
-        /// Calls in each span.
+        /// Calls admitted in each window.
         calls: u32,
-        /// Length of a span.
+        /// Length of a window.
         span: Duration,
     },
 }
 
-/// A limit in use.
+/// A limit with its current use. All times are since the start of the scenario.
 #[derive(Clone, Debug)]
 pub struct CallLimiter {
-    /// The limit without faults.
+    /// The limit while no fault reduces it.
     nominal: Limit,
-    /// The limit as it is now.
+    /// The limit in force, possibly reduced by a fault.
     limit: Limit,
-    /// Calls saved up, for a rate; calls used in the present span, for a count.
+    /// For a rate: tokens in the bucket. For a count: calls counted in the current window.
     level: f64,
     /// When `level` was last updated.
     updated_at: Duration,
 }
 
-/// A call was rejected by the limit.
+/// The limit rejected a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitReached {
-    /// When a call is admitted again, if there is no other one before.
+    /// When the next call is admitted, unless other calls use the limit up before.
     pub retry_at: Duration,
 }
 
 impl CallLimiter {
-    /// A limit that is not used up.
+    /// Creates a limiter with the whole limit available.
     pub fn new(limit: Limit) -> CallLimiter {
         let level = if let Limit::Rate { burst, .. } = limit {
             burst
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Sets the limit to a part of the nominal one from `now` on; a count is at least one call.
-    pub fn lower(&mut self, now: Duration, factor: f64) {
+    /// Scales the nominal limit by `factor` (0 to 1) from `now` on. A count stays at one call or more.
+    pub fn scale(&mut self, now: Duration, factor: f64) {
         self.advance(now);
         self.limit = match self.nominal {
             Limit::None => Limit::None,
@@ -77,7 +77,7 @@
         };
     }
 
-    /// Admits or rejects a call at `now`. With `charge_refused`, rejected calls use the limit up too.
+    /// Admits or rejects a call at `now`. With `charge_refused`, rejected calls count towards the limit too.
     ///
     /// # Errors
     /// [`LimitReached`] if the limit is used up.
@@ -91,7 +91,7 @@
                     return Ok(());
                 }
                 if charge_refused {
-                    // At most one whole burst below 0, so that the limit recovers in bounded time.
+                    // The level never falls below minus one burst, so that the limit recovers in bounded time.
                     self.level = (self.level - 1.0).max(-burst);
                 }
                 let missing = (1.0 - self.level) / per_second.max(f64::MIN_POSITIVE);
@@ -108,14 +108,14 @@
                     Ok(())
                 } else {
                     Err(LimitReached {
-                        retry_at: span_start(now, span) + span,
+                        retry_at: window_start(now, span) + span,
                     })
                 }
             }
         }
     }
 
-    /// A load report: the part of the limit that is left (0 to 1) and the limit in calls a second; zeros if there is none.
+    /// The load report: the unused share of the limit (0 to 1), and the limit in calls per second; zeros without a limit.
     pub fn load_report(&mut self, now: Duration) -> (f64, f64) {
         self.advance(now);
         match self.limit {
@@ -133,6 +133,7 @@
         }
     }
 
+    /// Refills the bucket, or begins a new window, for the time since the last update.
     fn advance(&mut self, now: Duration) {
         match self.limit {
             Limit::None => {}
@@ -141,7 +142,7 @@
                 self.level = (self.level + passed * per_second).min(burst);
             }
             Limit::Count { span, .. } => {
-                if span_start(now, span) > span_start(self.updated_at, span) {
+                if window_start(now, span) > window_start(self.updated_at, span) {
                     self.level = 0.0;
                 }
             }
@@ -150,8 +151,8 @@
     }
 }
 
-/// The start of the span that contains `at`.
-fn span_start(at: Duration, span: Duration) -> Duration {
+/// The start of the window of length `span` that contains `at`.
+fn window_start(at: Duration, span: Duration) -> Duration {
     let span = span.as_nanos().max(1);
     Duration::from_nanos((at.as_nanos() / span * span) as u64)
 }
--- a/crates/simulation/src/return_guard.rs
+++ b/crates/simulation/src/return_guard.rs
@@ -1,4 +1,4 @@
-//! Slow start of a destination after an outage: its reduced capacity, and the overload at which it fails.
+//! Slow start of a destination after an outage: its reduced capacity, and the overload that makes it fail.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,15 +6,15 @@
 /// How a destination warms up after an outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Return {
-    /// The part of its capacity that it has at the end of the outage, 0 to 1.
+    /// Share of the capacity available at the end of the outage, 0 to 1.
     pub cold: f64,
-    /// Time until it has its whole capacity.
+    /// Time from the end of the outage until the whole capacity is available.
     pub warm: Duration,
-    /// It fails at more than this many times its present capacity.
+    /// The destination fails at a load above this multiple of its current capacity.
     pub multiple: f64,
-    /// Over how long the overload is measured.
+    /// Window over which the load is measured.
     pub fall: Duration,
-    /// Of N expected calls, this many times the root of N, and this many more, are put down to chance.
+    /// Tolerance for random arrivals: with this value c and N expected calls, c * sqrt(N) + c further calls are allowed.
     pub slack: f64,
 }
 
@@ -31,20 +31,21 @@
 }
 
 impl Return {
-    /// The part of the capacity that is there this long after the outage: it rises linearly to 1.
-    pub fn share(&self, since: Duration) -> f64 {
+    /// The available share of the capacity at this time after the outage; it rises linearly from `cold` to 1.
+    pub fn share(&self, elapsed: Duration) -> f64 {
         let warm = self.warm.as_secs_f64().max(1e-9);
-        (self.cold + (1.0 - self.cold) * since.as_secs_f64() / warm).min(1.0)
+        (self.cold + (1.0 - self.cold) * elapsed.as_secs_f64() / warm).min(1.0)
     }
 
-    /// The calls that are tolerated in the window that ends this long after the outage, given the calls a second when warm.
-    pub fn budget(&self, since: Duration, capacity: f64) -> f64 {
-        let expected = self.multiple * self.share(since) * capacity * self.fall.as_secs_f64();
+    /// The number of calls allowed in the window that ends at this time after the outage; `capacity` is in calls per second
+    /// when warm.
+    pub fn budget(&self, elapsed: Duration, capacity: f64) -> f64 {
+        let expected = self.multiple * self.share(elapsed) * capacity * self.fall.as_secs_f64();
         expected + self.slack * expected.sqrt() + self.slack
     }
 }
 
-/// What a call costs, in calls of one message: each message after the first adds `item_cost`.
+/// The cost of a call, in calls of one message: each message after the first adds `item_cost`.
 pub(crate) fn call_weight(messages: usize, item_cost: f64) -> f64 {
     1.0 + item_cost * (messages as f64 - 1.0)
 }
@@ -55,20 +56,20 @@
     weight: f64,
 }
 
-/// Measures the load on one warming destination, and decides when it fails.
+/// Measures the load on a destination that warms up, and detects the overload that makes it fail.
 #[derive(Clone, Debug, Default)]
 pub struct OverloadGuard {
-    /// The end of the outage whose slow start is measured.
+    /// The end of the outage whose slow start is being measured.
     recovered_at: Option<Duration>,
-    /// Calls within the latest window.
+    /// Calls within the current window.
     calls: VecDeque<WeightedCall>,
     total_weight: f64,
-    fallen: bool,
+    has_failed: bool,
 }
 
 impl OverloadGuard {
-    /// Counts a call of this weight at `now` to a destination that has recovered at `recovered_at`, if it has; true if the
-    /// call makes the destination fail.
+    /// Counts a call of this weight at `now`; returns true if the call makes the destination fail. `recovered_at` is the end
+    /// of the latest outage, `capacity` is in calls per second when warm.
     pub fn record_call(
         &mut self,
         ramp: &Return,
@@ -95,13 +96,13 @@
             self.total_weight -= call.weight;
         }
         let overloaded = self.total_weight > ramp.budget(now - recovered_at, capacity);
-        let falls = overloaded && !self.fallen;
-        self.fallen |= overloaded;
-        falls
+        let fails_now = overloaded && !self.has_failed;
+        self.has_failed |= overloaded;
+        fails_now
     }
 
-    /// Whether the destination has failed under overload; it stays so.
-    pub fn fallen(&self) -> bool {
-        self.fallen
+    /// Whether the destination has failed under overload. The failure is permanent.
+    pub fn has_failed(&self) -> bool {
+        self.has_failed
     }
 }
--- a/crates/simulation/src/scenario/bounds.rs
+++ b/crates/simulation/src/scenario/bounds.rs
@@ -1,16 +1,17 @@
-//! The bounds of what a scenario may ask for.
+//! Bounds on the size of a scenario.
 
 use std::time::Duration;
 
-/// Longer runs are for the simulator.
+/// Longest duration of a scenario, which is played in real time. Longer runs belong in the simulator.
 pub(super) const MAX_DURATION: Duration = Duration::from_secs(3600);
-/// Each sender has an address of its own in 127.0.0.0/8 for each simulated server.
+/// Largest number of senders. Each has an address of its own in 127.0.0.0/8 for each simulated server.
 pub(super) const MAX_SENDERS: usize = 250;
-/// Senders and simulated members together.
+/// Largest number of senders and simulated members together.
 pub(super) const MAX_MEMBERS: usize = 2_000;
-/// Endpoints of all destinations together, and destinations that one table makes: each endpoint is a listening socket.
+/// Largest number of endpoints of all destinations together, and of destinations from one table. Each endpoint is a listening
+/// socket.
 pub(super) const MAX_ENDPOINTS: usize = 100_000;
-/// Endpoints of one destination.
+/// Largest number of endpoints of one destination.
 pub(super) const MAX_DESTINATION_ENDPOINTS: usize = 64;
-/// Messages in one call.
+/// Largest number of messages in one call.
 pub(super) const MAX_CALL_MESSAGES: usize = 64;
--- a/crates/simulation/src/scenario/classes.rs
+++ b/crates/simulation/src/scenario/classes.rs
@@ -1,4 +1,4 @@
-//! Classes of messages.
+//! Reads the classes of messages of a scenario file.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use super::types::{Effect, MessageClass};
 use crate::clients;
 
-/// The class of a scenario that names none.
+/// Name of the class of a scenario without `[[class]]` tables.
 const DEFAULT_NAME: &str = "episode-notice";
 const DEFAULT_LATENCY_OBJECTIVE: Duration = Duration::from_secs(4);
 const DEFAULT_TIME_TO_LIVE: Duration = Duration::from_secs(20);
 const DEFAULT_LATE_SHARE: f64 = 0.4;
 
-/// The same classes in the same order, for the auditor and for the clients.
+/// The classes of a scenario, for the auditor and for the clients. Both lists have the same order.
 #[derive(Default)]
 pub(super) struct Classes {
     pub(super) effects: Vec<MessageClass>,
@@ -22,8 +22,8 @@
 }
 
 impl Classes {
-    /// Adds the classes of Web Push posts and returns the index of the first one. A post without a topic must not be shown
-    /// twice.
+    /// Adds the classes of Web Push posts, without and with a topic, and returns the index of the first one. A user agent shows
+    /// a repeated post twice unless it has a topic, so posts without one must not be repeated.
     pub(super) fn add_push_classes(&mut self) -> usize {
         let first = self.effects.len();
         let class = clients::Class {
@@ -46,7 +46,7 @@
     }
 }
 
-/// The classes of a file; a default one if it names none.
+/// Reads the classes of a file, or the default one if it has none.
 pub(super) fn read(source: &Source<'_>, file: &File) -> Result<Classes, ScenarioError> {
     let mut classes = Classes::default();
     for class in &file.class {
--- a/crates/simulation/src/scenario/destinations.rs
+++ b/crates/simulation/src/scenario/destinations.rs
@@ -1,4 +1,4 @@
-//! Destinations with their tenants, kinds and zones.
+//! Reads the destinations of a scenario file, with their tenants, kinds and zones.
 
 use std::collections::BTreeSet;
 
@@ -12,13 +12,13 @@
 use crate::destination::Spec;
 use crate::limit::Limit;
 
-/// A tenant, and its share of the load.
+/// A tenant and its weight in the load.
 pub(super) struct TenantShare {
     pub(super) name: String,
     pub(super) share: f64,
 }
 
-/// The file's tenants; a default one if it names none.
+/// The tenants of a file, or a default one if it has none.
 pub(super) fn tenants(file: &File) -> Vec<TenantShare> {
     if file.tenant.is_empty() {
         return vec![TenantShare {
@@ -26,17 +26,17 @@
             share: 1.0,
         }];
     }
-    let tenant = |s: &Tenant| TenantShare {
-        name: s.name.get_ref().clone(),
-        share: s.share,
+    let tenant = |table: &Tenant| TenantShare {
+        name: table.name.get_ref().clone(),
+        share: table.share,
     };
     file.tenant.iter().map(tenant).collect()
 }
 
-/// The names of the zones, in the order in which destinations name them.
+/// The names of the zones, in the order of their first use in the file; a default one if it has none.
 pub(super) fn zones(file: &File) -> Vec<String> {
     let mut zones: Vec<String> = Vec::new();
-    for name in file.destination.iter().flat_map(|p| &p.zones) {
+    for name in file.destination.iter().flat_map(|table| &table.zones) {
         if !zones.contains(name) {
             zones.push(name.clone());
         }
@@ -48,7 +48,7 @@
     }
 }
 
-/// The kinds of the destinations that discovery lists.
+/// The distinct kinds of the destinations that discovery lists.
 pub(super) fn kinds(destinations: &[Member]) -> Vec<String> {
     let mut kinds: Vec<String> = Vec::new();
     for member in destinations {
@@ -59,7 +59,7 @@
     kinds
 }
 
-/// All destinations of a file: a table makes one, or `count` of them.
+/// Reads all destinations of a file. A table defines one destination, or `count` of them.
 pub(super) fn read(
     source: &Source<'_>,
     file: &File,
@@ -93,7 +93,7 @@
     Ok(members)
 }
 
-/// An error if there are more endpoints than can be simulated.
+/// Checks that the total number of endpoints is within its bound.
 pub(super) fn check_total(destinations: &[Member]) -> Result<(), ScenarioError> {
     let total: usize = destinations.iter().map(|m| m.spec.endpoints).sum();
     if total > MAX_ENDPOINTS {
@@ -103,26 +103,26 @@
     Ok(())
 }
 
-/// The indexes of the destinations of this name, or of this name with a number added.
+/// Finds the indexes of the destinations with this name, or with this name and a number appended (`name-0`).
 pub(super) fn named(
     source: &Source<'_>,
     destinations: &[Member],
     name: &Spanned<String>,
 ) -> Result<Vec<usize>, ScenarioError> {
     let wanted = name.get_ref();
-    let matches = |m: &Member| {
-        let number = m
+    let matches = |member: &Member| {
+        let number = member
             .name
             .strip_prefix(wanted.as_str())
             .and_then(|rest| rest.strip_prefix('-'));
-        m.name == *wanted
+        member.name == *wanted
             || number.is_some_and(|n| !n.is_empty() && n.bytes().all(|b| b.is_ascii_digit()))
     };
     let found: Vec<usize> = destinations
         .iter()
         .enumerate()
-        .filter(|(_, m)| matches(m))
-        .map(|(n, _)| n)
+        .filter(|(_, member)| matches(member))
+        .map(|(index, _)| index)
         .collect();
     if found.is_empty() {
         let wanted = wanted.clone();
@@ -132,11 +132,12 @@
     Ok(found)
 }
 
-/// How many destinations a table makes.
+/// The number of destinations that a table defines, unchecked.
 pub(super) fn table_count(table: &DestinationFile) -> usize {
     table.count.as_ref().map_or(1, |c| *c.get_ref())
 }
 
+/// The number of destinations that a table defines, checked against its bound.
 fn count(source: &Source<'_>, table: &DestinationFile) -> Result<usize, ScenarioError> {
     let count = table_count(table);
     match &table.count {
@@ -147,7 +148,7 @@
     }
 }
 
-/// What the destinations of one table have in common. Unless one is named, tables are assigned to the tenants in turn.
+/// The destination that a table defines. A table without a tenant is assigned one in rotation.
 fn member(
     source: &Source<'_>,
     table: &DestinationFile,
@@ -238,7 +239,7 @@
     Ok(endpoints)
 }
 
-/// The zone of each endpoint: those that the table names, in turn.
+/// The zone index of each endpoint: the zones of the table in rotation, or the first zone of the file.
 fn endpoint_zones(table: &DestinationFile, endpoints: usize, zones: &[String]) -> Vec<usize> {
     let named = (0..endpoints).map(|e| table.zones.get(e % table.zones.len().max(1)));
     named
--- a/crates/simulation/src/scenario/error.rs
+++ b/crates/simulation/src/scenario/error.rs
@@ -1,212 +1,217 @@
-//! Why a scenario file is rejected, and where.
+//! Errors in scenario files.
 
 use super::bounds::{MAX_DESTINATION_ENDPOINTS, MAX_ENDPOINTS, MAX_SENDERS};
 
-/// Why a scenario file is rejected, and where.
+/// An error in a scenario file, with its line.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("line {line}: {problem}")]
 pub struct ScenarioError {
-    /// The line in the file, from 1.
+    /// Line number in the file, from 1; 1 for problems of the whole file.
     pub line: usize,
-    /// What is wrong there.
+    /// The problem at that line.
     pub problem: ScenarioProblem,
 }
 
 impl ScenarioError {
-    /// An error of the whole file.
+    /// Creates an error that concerns the whole file.
     pub(super) fn in_file(problem: ScenarioProblem) -> ScenarioError {
         ScenarioError { line: 1, problem }
     }
 }
 
-/// What is wrong with a scenario file. Texts use the words of the file's keys.
+/// A problem in a scenario file. Error messages use the file's own terms: a day is a scenario, a partner is a destination, a
+/// station is a tenant.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ScenarioProblem {
-    /// Not TOML, an unknown or missing key, or a value of the wrong form.
+    /// The file is not TOML, a key is unknown or missing, or a value has the wrong form.
     #[error("{message}")]
     Syntax {
-        /// The parser's message.
+        /// Message of the TOML parser.
         message: String,
     },
-    /// The scenario's duration is out of bounds.
-    #[error("a day lasts from 1 ms to 60 min")]
+    /// The duration of the scenario is out of bounds.
+    #[error("lasts: expected a duration above 0 and up to 60 min")]
     Duration,
     /// The number of senders is out of bounds.
     #[error("a day has 1 to {MAX_SENDERS} senders, not {senders}")]
     SenderCount {
-        /// The number that was asked for.
+        /// The requested number of senders.
         senders: usize,
     },
-    /// Simulated members without a fleet.
-    #[error("simulated members need a [fleet]")]
+    /// Simulated members were requested, but the file has no fleet.
+    #[error("simulated members need a [fleet] table")]
     FleetMissing,
-    /// More simulated members than a fleet may have.
+    /// Too many simulated members were requested.
     #[error("{simulated} simulated members beside {senders} senders: {max} at most")]
     SimulatedCount {
-        /// Simulated members that were asked for.
+        /// The requested number of simulated members.
         simulated: usize,
-        /// Senders.
+        /// The number of senders.
         senders: usize,
-        /// The largest number of simulated members.
+        /// The largest number of simulated members beside these senders.
         max: usize,
     },
-    /// A class whose messages expire at once.
-    #[error("a notice lasts some time")]
+    /// The time to live of a class is 0.
+    #[error("lasts: expected a time to live above 0")]
     TimeToLive,
-    /// An unknown effect of a class.
-    #[error("'{effect}' is not safe, keyed or unsafe")]
+    /// The effect of a class is unknown.
+    #[error("effect: '{effect}' is not safe, keyed or unsafe")]
     Effect {
-        /// As in the file.
+        /// The value in the file.
         effect: String,
     },
-    /// Two destinations of one name.
-    #[error("there are two partners '{name}'")]
+    /// Two destinations have the same name.
+    #[error("name: there are two partners '{name}'")]
     DuplicateDestination {
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
-    /// No destination at all.
-    #[error("a day has partners: [[partner]]")]
+    /// The file has no destinations.
+    #[error("expected at least one [[partner]] table")]
     NoDestinations,
-    /// More endpoints than can be simulated.
-    #[error("{total} endpoints; {MAX_ENDPOINTS} at most")]
+    /// The destinations have too many endpoints altogether.
+    #[error("expected at most {MAX_ENDPOINTS} endpoints over all partners, got {total}")]
     TotalEndpoints {
-        /// Endpoints of all destinations.
+        /// Number of endpoints of all destinations.
         total: usize,
     },
-    /// A number of like destinations that is out of bounds.
-    #[error("count is from 1 to {MAX_ENDPOINTS}")]
+    /// The number of destinations of one table is out of bounds.
+    #[error("count: expected 1 to {MAX_ENDPOINTS} partners")]
     DestinationCount,
-    /// No destination of this name.
-    #[error("no partner '{name}'")]
+    /// No destination has this name.
+    #[error("partners: there is no partner '{name}'")]
     UnknownDestination {
-        /// As in the file.
+        /// The name in the file.
         name: String,
     },
-    /// No destination of this kind.
-    #[error("no partner is of kind '{kind}'")]
+    /// No destination has this kind.
+    #[error("of_kind: there is no partner of kind '{kind}'")]
     UnknownKind {
-        /// As in the file.
+        /// The kind in the file.
         kind: String,
     },
-    /// No tenant of this name.
-    #[error("no station '{name}'")]
+    /// No tenant has this name.
+    #[error("station: there is no station '{name}'")]
     UnknownTenant {
-        /// As in the file.
+        /// The name in the file.
         name: String,
     },
-    /// No endpoint is in this zone.
-    #[error("no partner has an endpoint in a zone '{name}'")]
+    /// No endpoint of any destination is in this zone.
+    #[error("zone '{name}' has no endpoint of any partner")]
     UnknownZone {
-        /// As in the file.
+        /// The name in the file.
         name: String,
     },
-    /// A push service with batches, or with a limit for each endpoint.
-    #[error("a push service takes no batches, and its endpoints share its limit")]
+    /// A push service has batches, or a limit for each endpoint.
+    #[error(
+        "push: a push service supports no batches and no limit for each endpoint (expected batch = 1, shared = true)"
+    )]
     PushService,
     /// The number of a destination's endpoints is out of bounds.
-    #[error("a partner has 1 to {MAX_DESTINATION_ENDPOINTS} endpoints")]
+    #[error("endpoints: expected 1 to {MAX_DESTINATION_ENDPOINTS} endpoints")]
     EndpointCount,
-    /// A destination without capacity.
-    #[error("a partner can do something")]
+    /// The capacity of a destination is 0.
+    #[error("capacity: expected a rate above 0")]
     Capacity,
-    /// A load without messages.
-    #[error("there is some load")]
+    /// The rate of the load is 0.
+    #[error("rate: expected a rate above 0")]
     NoLoad,
-    /// A `[[hot]]` table that names no destinations.
-    #[error("partners are named for it")]
+    /// A `[[hot]]` table names no destinations.
+    #[error("partners: a [[hot]] table needs at least one partner")]
     HotDestinations,
-    /// A share that is not from 0 to 1.
-    #[error("{key} is a share from 0 to 1, not {share}")]
+    /// A share is not from 0 to 1.
+    #[error("{key}: expected a share from 0 to 1, got {share}")]
     Share {
-        /// The key.
+        /// The key in the file.
         key: &'static str,
-        /// As in the file.
+        /// The value in the file.
         share: f64,
     },
-    /// An unknown kind of fault of an endpoint.
-    #[error("'{kind}' is not vanish, refuse, silent, shut, fail, spoil, slow, lower or close-idle")]
+    /// The kind of a fault of an endpoint is unknown.
+    #[error(
+        "kind: '{kind}' is not vanish, refuse, silent, shut, fail, spoil, slow, lower or close-idle"
+    )]
     FaultKind {
-        /// As in the file.
+        /// The kind in the file.
         kind: String,
     },
-    /// Not the name of an endpoint.
-    #[error("'{text}' is not an endpoint such as \"onda-1/0\"")]
+    /// The text does not name an endpoint of the scenario.
+    #[error("endpoint: '{text}' is not an endpoint of this file, such as \"onda-1/0\"")]
     UnknownEndpoint {
-        /// As in the file.
+        /// The value in the file.
         text: String,
     },
-    /// A change of the list that is about a push service.
-    #[error("a push service is not in the directory's list")]
+    /// A change of the endpoint list names a push service.
+    #[error("endpoint: a push service is not in the directory's list")]
     PushServiceListed,
-    /// An unknown state in the list.
-    #[error("'{state}' is not up, draining, removed or replaced")]
+    /// The state of an endpoint in the list is unknown.
+    #[error("to: '{state}' is not up, draining, removed or replaced")]
     ListedState {
-        /// As in the file.
+        /// The value in the file.
         state: String,
     },
-    /// No sender of this number.
-    #[error("sender {sender}: there are {senders}, from 0")]
+    /// No sender has this number.
+    #[error("sender {sender}: expected a number from 0 and below {senders}")]
     UnknownSender {
-        /// As in the file.
+        /// The number in the file.
         sender: usize,
         /// The number of senders.
         senders: usize,
     },
-    /// An unknown signal.
-    #[error("'{signal}' is not TERM, KILL or HUP")]
+    /// The signal is unknown.
+    #[error("send: '{signal}' is not TERM, KILL or HUP")]
     UnknownSignal {
-        /// As in the file.
+        /// The value in the file.
         signal: String,
     },
-    /// An unknown kind of fault of the network or of processes.
-    #[error("'{kind}' is not cut, drop, delay, stall, reset, stop, kill, term or upgrade")]
+    /// The kind of a fault of the network or of processes is unknown.
+    #[error("kind: '{kind}' is not cut, drop, delay, stall, reset, stop, kill, term or upgrade")]
     NetworkFaultKind {
-        /// As in the file.
+        /// The kind in the file.
         kind: String,
     },
-    /// A fault of the network without its duration.
-    #[error("it says for how long: lasts")]
+    /// A fault of the network has no duration.
+    #[error("lasts: missing duration of the fault")]
     DurationMissing,
-    /// A loss of packets without its share.
-    #[error("it says how many: share")]
+    /// A fault of kind `drop` has no share.
+    #[error("share: missing share of lost packets")]
     ShareMissing,
-    /// A delay without its length.
-    #[error("it says by how much: by")]
+    /// A fault of kind `delay` has no length of the delay.
+    #[error("by: missing length of the delay")]
     DelayMissing,
-    /// An unknown time of a restart.
-    #[error("'{keyword}' is neither a span nor \"never\"")]
+    /// The time of a restart is unknown.
+    #[error("back: '{keyword}' is neither a duration such as \"6.5 s\" nor \"never\"")]
     Restart {
-        /// As in the file.
+        /// The value in the file.
         keyword: String,
     },
-    /// Two things are to be done to one state folder.
+    /// A state folder cannot be both deleted and truncated.
     #[error("wipe and cut_journal exclude each other")]
     StateFolder,
-    /// An unknown process of an upgrade.
-    #[error("'{keyword}' is neither \"old\" nor \"new\"")]
+    /// The process of an upgrade is unknown.
+    #[error("kill: '{keyword}' is neither \"old\" nor \"new\"")]
     UpgradeProcess {
-        /// As in the file.
+        /// The value in the file.
         keyword: String,
     },
-    /// Numbers of senders that are out of bounds.
-    #[error("senders {numbers:?}: there are {senders}, from 0")]
+    /// Numbers of senders are out of bounds.
+    #[error("senders {numbers:?}: expected numbers from 0 and below {senders}")]
     SenderNumbers {
-        /// As in the file.
+        /// The numbers in the file.
         numbers: Vec<usize>,
         /// The number of senders.
         senders: usize,
     },
-    /// A share of the senders that is not from 0 to 1.
-    #[error("{share} is no share from 0 to 1")]
+    /// A share of the senders is not from 0 to 1.
+    #[error("expected a share of the senders from 0 to 1, got {share}")]
     SenderShare {
-        /// As in the file.
+        /// The value in the file.
         share: f64,
     },
-    /// An unknown keyword for senders.
+    /// The keyword for senders is unknown.
     #[error("'{keyword}' is not \"all\", numbers such as [0, 1], or a share such as 0.4")]
     SenderKeyword {
-        /// As in the file.
+        /// The value in the file.
         keyword: String,
     },
 }
--- a/crates/simulation/src/scenario/faults.rs
+++ b/crates/simulation/src/scenario/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of endpoints.
+//! Reads the `[[fault]]` tables of a scenario file: faults of endpoints.
 
 use std::time::Duration;
 
@@ -12,11 +12,12 @@
 use super::types::Member;
 use crate::fault::{Fault, Kind};
 
-/// The shortest and the longest time after which an idle connection is closed, where the file does not say.
+/// Default shortest and longest timeout of idle connections.
 const DEFAULT_CLOSE_IDLE: (Duration, Duration) =
     (Duration::from_millis(200), Duration::from_secs(3));
 
-/// Adds the faults to the destinations' endpoints in the order of the file, which is the order in which the seed draws.
+/// Reads all faults and adds them to the endpoints of the destinations. The order of the file is the order of the random
+/// draws, so it must be kept.
 pub(super) fn read(
     source: &Source<'_>,
     file: &File,
@@ -94,7 +95,8 @@
     }
 }
 
-/// The destinations that a fault affects, each once: those named and those of a kind, or all if the file says neither.
+/// The indexes of the destinations that a fault affects, without duplicates: those with a given name or kind, or all
+/// destinations if the table has neither.
 fn affected_destinations(
     source: &Source<'_>,
     table: &FaultFile,
--- a/crates/simulation/src/scenario/file.rs
+++ b/crates/simulation/src/scenario/file.rs
@@ -1,4 +1,4 @@
-//! The tables of a scenario file, as they are written.
+//! The tables of a scenario file, as deserialized from TOML. Keys that differ from the field names are given by `rename`.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::source::Source;
 use super::units::{LimitText, Rate, Span};
 
-/// A whole file.
+/// A whole scenario file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct File {
@@ -36,13 +36,13 @@
     pub(super) directory: DirectoryFile,
     #[serde(default)]
     pub(super) signal: Vec<SignalFile>,
-    /// How the senders know each other.
+    /// Membership of the senders; without it they do not know each other.
     pub(super) fleet: Option<FleetFile>,
     #[serde(default, rename = "break")]
     pub(super) network_faults: Vec<NetworkFaultFile>,
 }
 
-/// `[load]`
+/// `[load]`: the rate and the distribution of messages.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct LoadFile {
@@ -59,7 +59,7 @@
     pub(super) body: Option<(usize, usize)>,
 }
 
-/// `[[station]]`
+/// `[[station]]`: a tenant.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Tenant {
@@ -67,7 +67,7 @@
     pub(super) share: f64,
 }
 
-/// `[[class]]`
+/// `[[class]]`: a class of messages.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ClassFile {
@@ -76,19 +76,21 @@
     pub(super) effect: Spanned<String>,
     #[serde(default)]
     pub(super) window: Option<Span>,
+    /// Latency objective.
     pub(super) aim: Span,
+    /// Time to live.
     #[serde(rename = "lasts")]
     pub(super) duration: Spanned<Span>,
     #[serde(default = "whole_share")]
     pub(super) share: f64,
     #[serde(default)]
     pub(super) late_share: Option<f64>,
-    /// Number of ordering keys over which its messages are spread.
+    /// Number of ordering keys over which its messages are distributed.
     #[serde(default)]
     pub(super) order_keys: u32,
 }
 
-/// `[[partner]]`
+/// `[[partner]]`: a destination, or several similar ones.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DestinationFile {
@@ -97,7 +99,7 @@
     pub(super) tenant: Option<Spanned<String>>,
     #[serde(default)]
     pub(super) kind: Option<Spanned<String>>,
-    /// Number of like destinations; a number is added to their names.
+    /// Number of destinations with these properties. A number is appended to the name of each, from `-0` on.
     #[serde(default)]
     pub(super) count: Option<Spanned<usize>>,
     #[serde(default)]
@@ -130,15 +132,15 @@
     pub(super) reports: Option<Span>,
     #[serde(default)]
     pub(super) weight: Option<f64>,
-    /// The zones of its endpoints, in turn.
+    /// Zones to which the endpoints are assigned in rotation.
     #[serde(default)]
     pub(super) zones: Vec<String>,
-    /// A push service: posts for it arrive over Web Push, and discovery does not list it.
+    /// Whether it is a push service: clients submit its messages over Web Push, and discovery does not list it.
     #[serde(default)]
     pub(super) push: Option<Spanned<bool>>,
 }
 
-/// `[[fault]]`
+/// `[[fault]]`: a fault of endpoints.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FaultFile {
@@ -146,32 +148,32 @@
     pub(super) at: Spanned<Span>,
     #[serde(rename = "lasts")]
     pub(super) duration: Span,
-    /// Without this and `of_kind`: all destinations.
+    /// Names of the affected destinations. Without this and `of_kind`, all destinations are affected.
     #[serde(default, rename = "partners")]
     pub(super) destinations: Vec<Spanned<String>>,
     #[serde(default)]
     pub(super) of_kind: Option<Spanned<String>>,
-    /// Only endpoints of this zone.
+    /// Affects only endpoints in this zone.
     #[serde(default)]
     pub(super) of_zone: Option<Spanned<String>>,
-    /// Only these endpoints of each destination, from 0.
+    /// Affects only the endpoints with these indexes (from 0) at each destination.
     #[serde(default)]
     pub(super) endpoints: Option<Vec<usize>>,
-    /// Share of the endpoints that it affects, drawn by the seed.
+    /// Probability with which each of these endpoints is affected, drawn from the seed.
     #[serde(default)]
     pub(super) part: Option<Spanned<f64>>,
-    /// For `fail` and `spoil`: share of the calls.
+    /// For `fail` and `spoil`: share of the calls or replies affected.
     #[serde(default)]
     pub(super) share: Option<Spanned<f64>>,
-    /// For `slow`: how many times as long; for `lower`: the part of the limit that remains.
+    /// For `slow`: factor of the service time. For `lower`: share of the limit that remains.
     #[serde(default)]
     pub(super) factor: Option<f64>,
-    /// For `close-idle`.
+    /// For `close-idle`: shortest and longest idle timeout.
     #[serde(default)]
     pub(super) after: Option<(Span, Span)>,
 }
 
-/// `[[hot]]`
+/// `[[hot]]`: a period in which some destinations receive an extra share of the messages.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct HotFile {
@@ -183,17 +185,17 @@
     pub(super) share: Spanned<f64>,
 }
 
-/// `[[change]]`
+/// `[[change]]`: a change of discovery's endpoint list.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ChangeFile {
     pub(super) at: Spanned<Span>,
-    /// A destination's name and the number of its endpoint: `onda-1/0`.
+    /// Name of the destination and index of the endpoint, such as `onda-1/0`.
     pub(super) endpoint: Spanned<String>,
     pub(super) to: Spanned<String>,
 }
 
-/// `[directory]`
+/// `[directory]`: properties of discovery.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DirectoryFile {
@@ -203,7 +205,7 @@
     pub(super) outage: Vec<OutageFile>,
 }
 
-/// `[[directory.outage]]`
+/// `[[directory.outage]]`: a period in which discovery does not answer.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct OutageFile {
@@ -212,7 +214,7 @@
     pub(super) duration: Span,
 }
 
-/// `[[signal]]`
+/// `[[signal]]`: a signal to a sender's process.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct SignalFile {
@@ -223,7 +225,10 @@
 }
 
 impl File {
-    /// Reads the tables; an unknown or missing key is an error.
+    /// Deserializes the tables.
+    ///
+    /// # Errors
+    /// Returns [`ScenarioProblem::Syntax`] for invalid TOML, an unknown or missing key, or a value of the wrong form.
     pub(super) fn read(source: &Source<'_>) -> Result<File, ScenarioError> {
         toml::from_str(source.text).map_err(|e| ScenarioError {
             line: e.span().map_or(1, |span| source.line(span)),
--- a/crates/simulation/src/scenario/fleet_tables.rs
+++ b/crates/simulation/src/scenario/fleet_tables.rs
@@ -1,4 +1,4 @@
-//! The tables of a scenario file that are about the fleet.
+//! The tables of a scenario file that concern the fleet.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::units::Span;
 use crate::fleet::Fleet;
 
-/// `[fleet]`
+/// `[fleet]`: settings for membership and recovery.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FleetFile {
@@ -25,7 +25,7 @@
 }
 
 impl FleetFile {
-    /// The fleet, with defaults for what the file leaves out.
+    /// The fleet settings, with defaults for the keys that the file omits.
     pub(super) fn fleet(&self) -> Fleet {
         let span = |span: Option<Span>, default_ms| {
             span.map_or(Duration::from_millis(default_ms), |span| span.0)
@@ -52,15 +52,15 @@
     #[serde(alias = "senders")]
     pub(super) from: Option<Spanned<SenderSelection>>,
     pub(super) to: Option<Spanned<SenderSelection>>,
-    /// With `to = "partners"`: only endpoints of this zone.
+    /// With `to = "partners"`: affects only endpoints in this zone.
     pub(super) zone: Option<Spanned<String>>,
     #[serde(default)]
     pub(super) one_way: bool,
-    /// For `drop`: share of the packets.
+    /// For `drop`: share of the packets that are lost.
     pub(super) share: Option<Spanned<f64>>,
-    /// For `delay`.
+    /// For `delay`: the added delay.
     pub(super) by: Option<Span>,
-    /// For `kill` and `term`.
+    /// For `kill` and `term`: time until the sender is started again.
     pub(super) back: Option<Spanned<Restart>>,
     #[serde(default)]
     pub(super) wipe: bool,
@@ -68,23 +68,27 @@
     pub(super) cut_journal: bool,
     /// For `upgrade`: which process is killed.
     pub(super) kill: Option<Spanned<String>>,
-    /// For `upgrade`: how long after its start.
+    /// For `upgrade`: time of the kill after the start of the new process.
     pub(super) after: Option<Span>,
 }
 
 impl NetworkFaultFile {
-    /// How long it lasts, where its kind needs that.
+    /// The duration of a fault whose kind requires one.
+    ///
+    /// # Errors
+    /// Fails if the table has no duration.
     pub(super) fn duration(&self, source: &Source<'_>) -> Result<Duration, ScenarioError> {
         let missing = || source.error(&self.kind, ScenarioProblem::DurationMissing);
         self.duration.map(|d| d.0).ok_or_else(missing)
     }
 }
 
-/// Which senders: `all`, `others`, `partners`, numbers, or a share that the seed draws.
+/// A selection of senders: the keyword `all`, numbers, or a share drawn from the seed. For the other side of a path, also the
+/// keywords `others` and `partners`.
 #[derive(Debug, Deserialize)]
 #[serde(
     untagged,
-    expecting = "senders are \"all\", numbers such as [0, 1], or a share such as 0.4"
+    expecting = "expected senders: \"all\", numbers such as [0, 1], or a share such as 0.4"
 )]
 pub(super) enum SenderSelection {
     Share(f64),
@@ -92,9 +96,12 @@
     Keyword(String),
 }
 
-/// When a process is started again.
+/// When a sender is started again after its process has ended.
 #[derive(Debug, Deserialize)]
-#[serde(untagged, expecting = "back is a span such as \"6.5 s\", or \"never\"")]
+#[serde(
+    untagged,
+    expecting = "back: expected a duration such as \"6.5 s\", or \"never\""
+)]
 pub(super) enum Restart {
     After(Span),
     Keyword(String),
--- a/crates/simulation/src/scenario/load.rs
+++ b/crates/simulation/src/scenario/load.rs
@@ -1,4 +1,4 @@
-//! The load: how many messages arrive, for which destinations, and when more of them.
+//! Reads the load of a scenario file: the rate of messages, and their distribution over destinations.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 use crate::clients::{self, Hot, Load, Target, zipf};
 use crate::limit::Limit;
 
-/// Share of the messages in clumps, where the file does not say.
+/// Default share of the messages that arrive in clumps.
 const DEFAULT_CLUMPS: f64 = 0.1;
-/// The least and the largest size of a clump.
+/// Default smallest and largest size of a clump, as time at the rate that its destination admits.
 const DEFAULT_CLUMP: (Duration, Duration) =
     (Duration::from_millis(1200), Duration::from_millis(3500));
-/// Exponent of the weights of a tenant's destinations.
+/// Default exponent of Zipf's law for the weights of a tenant's destinations.
 const DEFAULT_ZIPF: f64 = 1.0;
-/// The least and the largest size of a body, in bytes.
+/// Default smallest and largest size of a body, in bytes.
 const DEFAULT_BODY: (usize, usize) = (80, 400);
-/// Resubmissions of a message, at most.
+/// Default largest number of resubmissions of a message.
 const DEFAULT_RETRIES: u32 = 3;
-/// How long clients wait after a rejection that does not say.
+/// Wait of clients before a resubmission if the rejection states none.
 const RESUBMISSION_DELAY: Duration = Duration::from_millis(500);
-/// How long clients wait for an answer.
+/// Timeout of clients for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The load; `push` is the index of the first class of Web Push posts.
+/// Reads the load. `push` is the index of the first class of Web Push posts, if there are push services.
 pub(super) fn read(
     source: &Source<'_>,
     file: &File,
@@ -56,7 +56,7 @@
         .map_or(DEFAULT_CLUMP, |(least, most)| (least.0, most.0));
     Ok(Load {
         rate,
-        tenants: tenants.iter().map(|s| s.share).collect(),
+        tenants: tenants.iter().map(|tenant| tenant.share).collect(),
         targets: targets(file, destinations, tenants.len()),
         classes,
         push,
@@ -77,13 +77,13 @@
         destination: n as u64,
         tenant: member.tenant,
         weight: weights[n],
-        takes: rate_taken(member),
+        max_rate: max_rate(member),
         push: member.push,
     };
     destinations.iter().enumerate().map(target).collect()
 }
 
-/// The weights of all destinations: those in the file, or else by Zipf's law within each tenant.
+/// The weights of all destinations: from the file, or else by Zipf's law within each tenant.
 fn weights(file: &File, destinations: &[Member], tenants: usize) -> Vec<f64> {
     let mut given: Vec<Option<f64>> = Vec::new();
     for table in &file.destination {
@@ -103,8 +103,8 @@
     weights
 }
 
-/// Messages a second that a destination can take.
-fn rate_taken(member: &Member) -> f64 {
+/// Messages per second that a destination admits: the smaller of its limit and its capacity.
+fn max_rate(member: &Member) -> f64 {
     let capacity = member.spec.capacity;
     match member.spec.limit {
         Limit::None => capacity,
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,7 +1,7 @@
-//! Scenarios as files: what a test run or an experiment plays. A file is checked whole before anything starts, and an
-//! error names its line.
+//! Scenario files (TOML): the load, destinations and faults of a test run. A file is checked completely before the run
+//! starts, and an error names its line.
 //!
-//! Start at [`parse`], which makes a [`Scenario`] of a file's text. Each part of a file is read by a module of its own.
+//! Start at [`parse`], which reads a [`Scenario`] from the text of a file. Each part of a file has a module of its own.
 
 mod bounds;
 mod classes;
@@ -31,29 +31,32 @@
 pub use error::{ScenarioError, ScenarioProblem};
 pub use types::{Effect, ListChange, Member, MessageClass, Scenario, ScheduledSignal, Signal, To};
 
-/// Changes that simulated discovery keeps: more than a scenario makes within a watch, fewer than a long one makes in all.
+/// Number of changes that simulated discovery keeps for incremental answers. It exceeds the changes within one watch, and is
+/// below the total of a long scenario, so that whole lists are sent as well.
 const DISCOVERY_HISTORY: usize = 64;
 
-/// Reads a scenario, and draws what it leaves open from the seed.
+/// Reads a scenario from the text of a file. Random choices, such as the endpoints that a fault affects, depend on the seed
+/// alone.
 ///
 /// # Errors
-/// The first problem in the file, with its line.
+/// Returns the first problem in the file, with its line.
 pub fn parse(text: &str, seed: u64) -> Result<Scenario, ScenarioError> {
     parse_for(text, seed, None)
 }
 
-/// As [`parse`], with this number of senders instead of the file's.
+/// Like [`parse`], but with this number of senders instead of the file's if it is given.
 ///
 /// # Errors
-/// As [`parse`]; or the number of senders is out of bounds.
+/// Fails like [`parse`], or if the number of senders is not from 1 to 250.
 pub fn parse_for(text: &str, seed: u64, senders: Option<usize>) -> Result<Scenario, ScenarioError> {
     parse_with_simulated(text, seed, senders, 0)
 }
 
-/// As [`parse_for`], with simulated members besides the senders: faults may affect all of them.
+/// Like [`parse_for`], with a number of simulated members besides the senders. Faults may affect all of them.
 ///
 /// # Errors
-/// As [`parse_for`]; or there are too many simulated members, or no fleet.
+/// Fails like [`parse_for`], or if senders and simulated members exceed 2000 together, or if there are simulated members but
+/// no `[fleet]` table.
 pub fn parse_with_simulated(
     text: &str,
     seed: u64,
@@ -111,9 +114,9 @@
 fn sender_count(
     source: &Source<'_>,
     file: &File,
-    wanted: Option<usize>,
+    requested: Option<usize>,
 ) -> Result<usize, ScenarioError> {
-    let senders = wanted.unwrap_or(*file.senders.get_ref());
+    let senders = requested.unwrap_or(*file.senders.get_ref());
     if !(1..=MAX_SENDERS).contains(&senders) {
         return Err(source.error(&file.senders, ScenarioProblem::SenderCount { senders }));
     }
@@ -143,11 +146,11 @@
 
 fn discovery(file: &DirectoryFile) -> directory::Spec {
     directory::Spec {
-        delays: file.delays.iter().map(|d| d.0).collect(),
+        delays: file.delays.iter().map(|delay| delay.0).collect(),
         outages: file
             .outage
             .iter()
-            .map(|o| (o.at.0, o.at.0 + o.duration.0))
+            .map(|outage| (outage.at.0, outage.at.0 + outage.duration.0))
             .collect(),
         history: DISCOVERY_HISTORY,
     }
--- a/crates/simulation/src/scenario/network_faults.rs
+++ b/crates/simulation/src/scenario/network_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of network paths between senders and to destinations, and actions on senders' processes.
+//! Reads the `[[break]]` tables of a scenario file: faults of network paths, and actions on senders' processes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use super::source::Source;
 use crate::fleet::{NetworkFault, PathFault, ScheduledAction, Side};
 
-/// A reset happens at an instant; as a fault it needs some duration.
+/// Duration of a reset: it happens at an instant, but a fault must have a duration to be active.
 const RESET_DURATION: Duration = Duration::from_millis(1);
 
-/// All `[[break]]` tables of a file.
+/// The contents of all `[[break]]` tables of a file.
 #[derive(Debug, Default)]
 pub(super) struct FleetFaults {
     /// In the order of the file.
@@ -25,7 +25,7 @@
     pub(super) scheduled_actions: Vec<ScheduledAction>,
 }
 
-/// Reads all `[[break]]` tables in the order of the file, which is the order in which the seed draws.
+/// Reads all `[[break]]` tables. The order of the file is the order of the random draws, so it must be kept.
 pub(super) fn read(
     source: &Source<'_>,
     tables: &[NetworkFaultFile],
@@ -91,7 +91,7 @@
     }
 }
 
-/// The other side of the path.
+/// The other side of the path: all senders if the file does not say.
 fn side(
     source: &Source<'_>,
     table: &NetworkFaultFile,
@@ -117,7 +117,7 @@
     }
 }
 
-/// The numbers of the selected senders.
+/// The numbers of the selected senders. A share is drawn from the seed.
 fn senders(
     source: &Source<'_>,
     selection: &Spanned<SenderSelection>,
--- a/crates/simulation/src/scenario/process_actions.rs
+++ b/crates/simulation/src/scenario/process_actions.rs
@@ -1,4 +1,4 @@
-//! Actions on processes: stops, kills and upgrades.
+//! Reads actions on senders' processes: stop, kill, term and upgrade.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use super::source::Source;
 use crate::fleet::{Folder, MemberAction, Which};
 
-/// How long after its end a process is started again, where the file does not say.
+/// Time from the end of a process until its sender is started again, unless the file sets it.
 const DEFAULT_RESTART_DELAY: Duration = Duration::from_millis(600);
 
-/// The action on processes, if the table's kind is one.
+/// Reads the action on processes; `None` if the kind of the table is not such an action.
 pub(super) fn read(
     source: &Source<'_>,
     table: &NetworkFaultFile,
@@ -33,6 +33,7 @@
     })
 }
 
+/// Time from the end of the process until the restart; `None` for never.
 fn restart_delay(
     source: &Source<'_>,
     table: &NetworkFaultFile,
@@ -59,7 +60,7 @@
     }
 }
 
-/// Which of the two processes of an upgrade is killed.
+/// The process that is killed during an upgrade; `None` if neither is.
 fn killed_process(
     source: &Source<'_>,
     table: &NetworkFaultFile,
--- a/crates/simulation/src/scenario/schedule.rs
+++ b/crates/simulation/src/scenario/schedule.rs
@@ -1,11 +1,11 @@
-//! Events at a set time: changes of discovery's endpoint list, and signals to senders.
+//! Reads scheduled events: changes of discovery's endpoint list, and signals to senders.
 
 use super::error::{ScenarioError, ScenarioProblem};
 use super::file::{ChangeFile, File, SignalFile};
 use super::source::Source;
 use super::types::{ListChange, Member, ScheduledSignal, Signal, To};
 
-/// The changes of the endpoint list, in the order of time.
+/// Reads the changes of the endpoint list and sorts them by time.
 pub(super) fn changes(
     source: &Source<'_>,
     file: &File,
@@ -20,7 +20,7 @@
     Ok(changes)
 }
 
-/// The signals to senders, in the order of time.
+/// Reads the signals to senders and sorts them by time.
 pub(super) fn signals(
     source: &Source<'_>,
     file: &File,
--- a/crates/simulation/src/scenario/source.rs
+++ b/crates/simulation/src/scenario/source.rs
@@ -1,4 +1,4 @@
-//! The text of a scenario file, for errors at a place in it.
+//! The text of a scenario file, for errors that name a line.
 
 use std::ops::Range;
 
@@ -6,22 +6,22 @@
 
 use super::error::{ScenarioError, ScenarioProblem};
 
-/// A file's text.
+/// The text of a scenario file.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Source<'a> {
     pub(super) text: &'a str,
 }
 
 impl Source<'_> {
-    /// An error at the place of a value.
-    pub(super) fn error<T>(&self, at: &Spanned<T>, problem: ScenarioProblem) -> ScenarioError {
+    /// Creates an error at the line of a value.
+    pub(super) fn error<T>(&self, value: &Spanned<T>, problem: ScenarioProblem) -> ScenarioError {
         ScenarioError {
-            line: self.line(at.span()),
+            line: self.line(value.span()),
             problem,
         }
     }
 
-    /// A share from 0 to 1.
+    /// Checks that the value of `key` is a share from 0 to 1.
     pub(super) fn share(
         &self,
         value: &Spanned<f64>,
@@ -34,13 +34,13 @@
         Err(self.error(value, ScenarioProblem::Share { key, share }))
     }
 
-    /// The index of a zone.
+    /// Finds the index of a zone by its name.
     pub(super) fn zone(
         &self,
         zones: &[String],
         name: &Spanned<String>,
     ) -> Result<usize, ScenarioError> {
-        let index = zones.iter().position(|z| z == name.get_ref());
+        let index = zones.iter().position(|zone| zone == name.get_ref());
         index.ok_or_else(|| {
             let name_text = name.get_ref().clone();
             self.error(name, ScenarioProblem::UnknownZone { name: name_text })
--- a/crates/simulation/src/scenario/types.rs
+++ b/crates/simulation/src/scenario/types.rs
@@ -1,4 +1,4 @@
-//! A scenario as it is played: checked, and drawn by its seed.
+//! A checked scenario, with all random choices drawn from the seed.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
 use crate::fault::Fault;
 use crate::fleet::{Fleet, NetworkFault, ScheduledAction};
 
-/// A scenario, checked and drawn: the same file and seed give the same one. Times are since its start.
+/// A checked scenario. The same file and seed always give the same scenario. Times are since its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name, for reports.
+    /// Name of the scenario, for reports.
     pub name: String,
-    /// How long messages arrive.
+    /// Time for which new messages arrive.
     pub duration: Duration,
     /// Number of senders.
     pub senders: usize,
-    /// Members of the fleet that deliver nothing; their numbers follow the senders'.
+    /// Number of simulated members, which take part in membership but deliver nothing. Their numbers follow the senders'.
     pub simulated: usize,
     /// Names of the tenants.
     pub tenants: Vec<String>,
     /// Classes of messages, in the order of [`Load::classes`].
     pub classes: Vec<MessageClass>,
-    /// Destinations, by their number.
+    /// Destinations; the index of each is its number.
     pub destinations: Vec<Member>,
-    /// Kinds of the destinations that discovery lists.
+    /// Distinct kinds of the destinations that discovery lists, in the order of the file.
     pub kinds: Vec<String>,
-    /// Names of the zones.
+    /// Names of the zones of endpoints.
     pub zones: Vec<String>,
-    /// What clients submit.
+    /// Load from the clients.
     pub load: Load,
     /// Delays and outages of discovery.
     pub directory: directory::Spec,
@@ -37,7 +37,7 @@
     pub changes: Vec<ListChange>,
     /// Signals to senders, in the order of time.
     pub signals: Vec<ScheduledSignal>,
-    /// How the senders know each other, if they do.
+    /// Fleet settings; `None` if the senders do not know each other.
     pub fleet: Option<Fleet>,
     /// Faults of network paths, in the order of the file.
     pub network_faults: Vec<NetworkFault>,
@@ -52,92 +52,92 @@
     }
 }
 
-/// One destination of a scenario.
+/// A destination of a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the destination.
     pub name: String,
-    /// Its kind.
+    /// Kind of the destination, by which discovery and settings group destinations.
     pub kind: String,
-    /// Index of its tenant.
+    /// Index of its tenant in [`Scenario::tenants`].
     pub tenant: usize,
-    /// Its properties.
+    /// Properties of the simulated destination.
     pub spec: Spec,
-    /// A push service, which discovery does not list.
+    /// Whether it is a push service, which discovery does not list.
     pub push: bool,
-    /// By endpoint: its faults.
+    /// Faults of each endpoint.
     pub faults: Vec<Vec<Fault>>,
-    /// By endpoint: the index of its zone.
+    /// Index of each endpoint's zone in [`Scenario::zones`].
     pub zones: Vec<usize>,
 }
 
 /// A class of messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MessageClass {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// What a repeat of its messages does.
+    /// Effect of a repeated delivery.
     pub effect: Effect,
 }
 
-/// What a class allows after an attempt that was possibly executed.
+/// The repeats that a class allows after an attempt that was possibly executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Any number of repeats.
+    /// Repeats are harmless and always allowed.
     Safe,
-    /// Repeats that the destination drops by their idempotency key.
+    /// Repeats are allowed while the destination drops duplicates by the idempotency key.
     Keyed {
-        /// How long the destination drops them.
+        /// How long the destination drops duplicates.
         window: Duration,
     },
-    /// No repeat.
+    /// Repeats are forbidden.
     Unsafe,
 }
 
 /// A change of discovery's endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListChange {
-    /// When it is made.
+    /// Time of the change.
     pub at: Duration,
-    /// Index into [`Scenario::destinations`].
+    /// Index of the endpoint's destination in [`Scenario::destinations`].
     pub destination: usize,
-    /// Number of the endpoint at its destination.
+    /// Index of the endpoint at its destination.
     pub endpoint: usize,
-    /// Its state from then on.
+    /// State of the endpoint after the change.
     pub to: To,
 }
 
 /// The state of an endpoint in the list after a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum To {
-    /// In service.
+    /// The endpoint is in service.
     Up,
-    /// Gets nothing new.
+    /// The endpoint must receive no new calls.
     Draining,
-    /// No longer listed.
+    /// The endpoint is no longer listed.
     Removed,
-    /// Replaced by another endpoint, with a new id, at the same address.
+    /// The endpoint is replaced by another one with a new id at the same address.
     Replaced,
 }
 
 /// A signal to a sender's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScheduledSignal {
-    /// When it is sent.
+    /// Time of the signal.
     pub at: Duration,
-    /// To which sender.
+    /// Number of the sender that receives it.
     pub sender: usize,
-    /// Which signal.
+    /// The signal.
     pub signal: Signal,
 }
 
 /// The signals that a scenario may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM
+    /// SIGTERM: terminate gracefully.
     Term,
-    /// SIGKILL
+    /// SIGKILL: terminate at once.
     Kill,
-    /// SIGHUP
+    /// SIGHUP.
     Hup,
 }
--- a/crates/simulation/src/scenario/units.rs
+++ b/crates/simulation/src/scenario/units.rs
@@ -1,4 +1,4 @@
-//! Units in a scenario file: spans of time, rates and limits, each written as text.
+//! Quantities in a scenario file, written as strings with a unit: durations, rates and limits.
 
 use std::time::Duration;
 
@@ -6,36 +6,36 @@
 
 use crate::limit::Limit;
 
-/// Why a text is not what its unit asks for.
+/// The reason why a string is not a valid quantity.
 #[derive(Debug, thiserror::Error)]
 enum UnitError {
-    #[error("'{text}' has no unit (ms, s, min)")]
+    #[error("'{text}' has no unit: expected ms, s or min")]
     TimeUnitMissing { text: String },
-    #[error("'{unit}' is no unit of time (ms, s, min)")]
+    #[error("'{unit}' is not a unit of time: expected ms, s or min")]
     TimeUnit { unit: String },
-    #[error("'{text}' is not a time such as \"6.5 s\"")]
+    #[error("'{text}' is not a duration such as \"6.5 s\"")]
     Time { text: String },
-    #[error("'{text}' is too long")]
+    #[error("'{text}' is too long for a duration")]
     TooLong { text: String },
     #[error("'{text}' is not a rate such as \"26/s\"")]
     Rate { text: String },
-    #[error("'{unit}' is not s or min")]
+    #[error("'{unit}' is not the unit of a rate: expected s or min")]
     RateUnit { unit: String },
-    #[error("'{text}' is not a count")]
+    #[error("'{text}' is not a number of calls")]
     Count { text: String },
-    #[error("'{text}' takes nothing")]
+    #[error("'{text}' admits no calls")]
     AdmitsNothing { text: String },
 }
 
-/// A span of time with its unit: `400 ms`, `6.5 s`, `2 min`.
+/// A duration, such as `400 ms`, `6.5 s` or `2 min`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Span(pub(super) Duration);
 
-/// A rate, as a number a second: `26/s`, `90/min`.
+/// A rate, such as `26/s` or `90/min`, converted to a number per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Rate(pub(super) f64);
 
-/// `none`, `4/s`, `4/s burst 2` or `5 in 1 s`.
+/// A limit: `none`, `4/s`, `4/s burst 2` or `5 in 1 s`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct LimitText(pub(super) Limit);
 
@@ -54,7 +54,7 @@
 from_text!(Rate, rate);
 from_text!(LimitText, limit);
 
-/// A finite number that is not negative.
+/// Parses a finite number that is not negative.
 fn number(text: &str) -> Option<f64> {
     let number = text.trim().parse::<f64>().ok();
     number.filter(|n| n.is_finite() && *n >= 0.0)
