--- a/crates/simulation/tests/audit.rs
+++ b/crates/simulation/tests/audit.rs
@@ -1,4 +1,4 @@
-//! Each rule on recorded logs: one that breaks it, and one that just keeps it.
+//! Each audit rule on handwritten records: a run that violates the rule, and one that barely keeps it.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     Duration::from_millis(ms)
 }
 
-/// A log in the making.
+/// A builder of the records of a run.
 struct Log(Vec<AuditRecord>);
 
 impl Log {
@@ -27,22 +27,24 @@
         self
     }
 
-    fn from(mut self, sender: usize) -> Log {
-        if let Some(line) = self.0.last_mut() {
-            line.sender = Some(sender);
+    /// Attributes the latest record to another sender.
+    fn by_sender(mut self, sender: usize) -> Log {
+        if let Some(record) = self.0.last_mut() {
+            record.sender = Some(sender);
         }
         self
     }
 
-    fn late(mut self, late: u64) -> Log {
-        if let Some(line) = self.0.last_mut() {
-            line.recording_delay = ms(late);
+    /// Sets the recording delay of the latest record.
+    fn recorded_late(mut self, delay: u64) -> Log {
+        if let Some(record) = self.0.last_mut() {
+            record.recording_delay = ms(delay);
         }
         self
     }
 
-    /// Submitted at `at` and accepted 5 ms later.
-    fn taken(self, at: u64, id: &str, class: usize) -> Log {
+    /// Adds a message that is submitted at `at` and accepted 5 ms later.
+    fn accepted(self, at: u64, id: &str, class: usize) -> Log {
         let submitted = AuditEvent::Submitted {
             id: id.into(),
             class,
@@ -120,7 +122,7 @@
             Class::Unsafe,
         ];
         let mut auditor = Auditor::new(Figures::default(), classes);
-        self.0.iter().for_each(|l| auditor.hear(l));
+        self.0.iter().for_each(|record| auditor.hear(record));
         let verdicts = auditor.verdicts(ms(end), Duration::ZERO);
         verdicts
             .into_iter()
@@ -168,60 +170,62 @@
 #[test]
 fn each_message_has_one_end() {
     log()
-        .taken(0, "a", 0)
+        .accepted(0, "a", 0)
         .call(10, 1, &["a"])
         .reply(300, 1, "a", DeliveryOutcome::Done, None)
         .keeps(Rule::OneEnd);
     log()
-        .taken(0, "a", 0)
+        .accepted(0, "a", 0)
         .report(20_200, "a", FinalReport::Failed)
         .keeps(Rule::OneEnd);
-    // Resent until it is answered.
+    // A final report is resent until it is acknowledged.
     log()
-        .taken(0, "a", 0)
+        .accepted(0, "a", 0)
         .report(900, "a", RETURNED)
         .report(1200, "a", RETURNED)
         .keeps(Rule::OneEnd);
-    log().taken(0, "a", 0).violates(Rule::OneEnd);
+    log().accepted(0, "a", 0).violates(Rule::OneEnd);
     log()
-        .taken(0, "a", 0)
+        .accepted(0, "a", 0)
         .report(900, "a", RETURNED)
         .report(1200, "a", FinalReport::Failed)
         .violates(Rule::OneEnd);
     log().report(900, "nobody", RETURNED).violates(Rule::OneEnd);
-    // The 200 may never have reached the sender.
-    let delivered =
-        log()
-            .taken(0, "a", 2)
-            .call(10, 1, &["a"])
-            .reply(300, 1, "a", DeliveryOutcome::Done, None);
+    // The sender may not have received the 200, so it may also report the message.
+    let delivered = log().accepted(0, "a", 2).call(10, 1, &["a"]).reply(
+        300,
+        1,
+        "a",
+        DeliveryOutcome::Done,
+        None,
+    );
     delivered
         .report(900, "a", FinalReport::Failed)
         .keeps(Rule::OneEnd);
-    // A day that ends before a message's time says nothing.
-    let verdict = log().taken(0, "a", 0).verdict(Rule::OneEnd, 20_000);
+    // A run that ends before the message is due leaves it unjudged.
+    let verdict = log().accepted(0, "a", 0).verdict(Rule::OneEnd, 20_000);
     assert_eq!(verdict, Verdict::Kept { cases: 0 });
 }
 
 #[test]
 fn every_message_ends_in_time() {
     log()
-        .taken(0, "a", 0)
+        .accepted(0, "a", 0)
         .report(20_300, "a", FinalReport::Failed)
         .keeps(Rule::InTime);
     log()
-        .taken(0, "a", 0)
+        .accepted(0, "a", 0)
         .report(20_301, "a", FinalReport::Failed)
         .violates(Rule::InTime);
     log()
-        .taken(0, "a", 0)
+        .accepted(0, "a", 0)
         .report(20_310, "a", FinalReport::Failed)
-        .late(30)
+        .recorded_late(30)
         .is_not_judged(Rule::InTime);
-    // Killed, and back: nothing is overdue until 1.5 s after it is ready.
+    // Nothing of a killed sender is overdue until 1.5 s after it is ready again.
     let killed = |at| {
         log()
-            .taken(0, "a", 0)
+            .accepted(0, "a", 0)
             .add(19_000, AuditEvent::ProcessExited)
             .add(21_000, AuditEvent::Ready)
             .report(at, "a", RETURNED)
@@ -235,13 +239,13 @@
 
 #[test]
 fn at_most_one_attempt_is_in_flight() {
-    let first = || log().taken(0, "a", 0).call(10, 1, &["a"]);
+    let first = || log().accepted(0, "a", 0).call(10, 1, &["a"]);
     first().call(20, 2, &["a"]).violates(Rule::SecondCopy);
     first()
         .reply(19, 1, "a", DeliveryOutcome::Busy, None)
         .call(20, 2, &["a"])
         .keeps(Rule::SecondCopy);
-    // A call that is broken off is no longer out.
+    // A call on a closed connection is no longer in flight.
     first()
         .add(19, AuditEvent::Closed { connection: 1 })
         .call(20, 2, &["a"])
@@ -249,9 +253,9 @@
 }
 
 #[test]
-fn no_repeat_that_the_class_forbids() {
+fn possibly_executed_messages_are_repeated_only_if_their_class_allows() {
     let failed = |class| {
-        log().taken(0, "a", class).call(10, 1, &["a"]).reply(
+        log().accepted(0, "a", class).call(10, 1, &["a"]).reply(
             50,
             1,
             "a",
@@ -265,33 +269,35 @@
     failed(1).call(20_110, 1, &["a"]).violates(Rule::Repeats);
     failed(1)
         .call(20_110, 1, &["a"])
-        .late(20)
+        .recorded_late(20)
         .is_not_judged(Rule::Repeats);
     failed(2).call(60, 1, &["a"]).violates(Rule::Repeats);
-    // What was turned away was not executed.
-    let busy =
-        log()
-            .taken(0, "a", 2)
-            .call(10, 1, &["a"])
-            .reply(50, 1, "a", DeliveryOutcome::Busy, None);
+    // A rejected message was not executed.
+    let busy = log().accepted(0, "a", 2).call(10, 1, &["a"]).reply(
+        50,
+        1,
+        "a",
+        DeliveryOutcome::Busy,
+        None,
+    );
     assert!(matches!(
         busy.call(60, 1, &["a"]).verdict(Rule::Repeats, 60_000),
         Verdict::Kept { .. }
     ));
-    // A call that the sender gave up may be executed all the same, also when the answer comes later.
-    let given_up = log()
-        .taken(0, "a", 2)
+    // A call on a connection that the sender closed before the reply was possibly executed.
+    let abandoned = log()
+        .accepted(0, "a", 2)
         .call(10, 1, &["a"])
         .add(3000, AuditEvent::Closed { connection: 1 });
-    given_up.call(3100, 2, &["a"]).violates(Rule::Repeats);
+    abandoned.call(3100, 2, &["a"]).violates(Rule::Repeats);
 }
 
-/// Who is told `returned` hands the message in again: that is a repeat that the sender asked for.
+/// A client resubmits a message that is reported as `returned`, so returning a possibly executed message repeats it.
 #[test]
-fn no_message_is_returned_that_must_not_be_repeated() {
+fn possibly_executed_messages_are_returned_only_if_their_class_allows_repeats() {
     let executed = |class, outcome| {
         log()
-            .taken(0, "a", class)
+            .accepted(0, "a", class)
             .call(10, 1, &["a"])
             .reply(50, 1, "a", outcome, None)
     };
@@ -310,12 +316,12 @@
             .violates(Rule::Repeats);
         executed(1, outcome)
             .report(19_000, "a", after(1110))
-            .late(20)
+            .recorded_late(20)
             .is_not_judged(Rule::Repeats);
         executed(2, outcome)
             .report(900, "a", RETURNED)
             .violates(Rule::Repeats);
-        // Resent until it is answered: the same report.
+        // The second report is a resent copy, which is not judged again.
         executed(1, outcome)
             .report(19_000, "a", after(500))
             .report(25_000, "a", after(500))
@@ -329,9 +335,9 @@
 }
 
 #[test]
-fn six_attempts_at_most() {
-    let tried = |count: u64| {
-        (0..count).fold(log().taken(0, "a", 0), |log, n| {
+fn a_message_has_at_most_six_attempts() {
+    let attempted = |count: u64| {
+        (0..count).fold(log().accepted(0, "a", 0), |log, n| {
             log.call(n * 100 + 10, 1, &["a"]).reply(
                 n * 100 + 50,
                 1,
@@ -341,12 +347,12 @@
             )
         })
     };
-    tried(6).keeps(Rule::Attempts);
-    tried(7).violates(Rule::Attempts);
+    attempted(6).keeps(Rule::Attempts);
+    attempted(7).violates(Rule::Attempts);
 }
 
 #[test]
-fn nothing_new_to_a_draining_endpoint() {
+fn a_draining_endpoint_receives_no_new_calls() {
     let notified = || {
         log().add(
             1000,
@@ -359,8 +365,8 @@
     };
     notified().call(1500, 1, &["a"]).keeps(Rule::Drains);
     notified().call(1501, 1, &["a"]).violates(Rule::Drains);
-    // The first of several tellings counts.
-    let again = notified().add(
+    // The grace period begins with the first of several notifications.
+    let notified_twice = notified().add(
         1400,
         AuditEvent::Notified {
             endpoint: 0,
@@ -368,8 +374,8 @@
             listed: Listed::Removed,
         },
     );
-    again.call(1600, 1, &["a"]).violates(Rule::Drains);
-    // Only who was told.
+    notified_twice.call(1600, 1, &["a"]).violates(Rule::Drains);
+    // The rule binds only the senders that were notified.
     let other = notified()
         .add(
             1600,
@@ -379,7 +385,7 @@
                 destination: 7,
             },
         )
-        .from(1);
+        .by_sender(1);
     assert_eq!(
         other.verdict(Rule::Drains, 60_000),
         Verdict::Kept { cases: 1 }
@@ -400,8 +406,8 @@
 
 #[test]
 fn retry_after_waits_are_respected() {
-    let notified = || {
-        log().taken(0, "a", 0).call(10, 1, &["a"]).reply(
+    let rejected = || {
+        log().accepted(0, "a", 0).call(10, 1, &["a"]).reply(
             1000,
             1,
             "a",
@@ -409,28 +415,28 @@
             Some(700),
         )
     };
-    notified().call(1700, 1, &["a"]).keeps(Rule::Waits);
-    notified().call(1500, 1, &["b"]).violates(Rule::Waits);
-    // On its way as the wait was told, on another connection.
+    rejected().call(1700, 1, &["a"]).keeps(Rule::Waits);
+    rejected().call(1500, 1, &["b"]).violates(Rule::Waits);
+    // A call on another connection within 100 ms counts as sent before the Retry-After arrived.
     assert_eq!(
-        notified()
+        rejected()
             .call(1100, 2, &["b"])
             .verdict(Rule::Waits, 60_000),
         Verdict::Kept { cases: 0 }
     );
-    notified().call(1101, 2, &["b"]).violates(Rule::Waits);
-    notified()
+    rejected().call(1101, 2, &["b"]).violates(Rule::Waits);
+    rejected()
         .call(1110, 2, &["b"])
-        .late(20)
+        .recorded_late(20)
         .is_not_judged(Rule::Waits);
-    // A shorter wait told later does not end a longer one.
+    // A shorter Retry-After received later does not shorten a longer one.
     let shorter =
-        notified()
+        rejected()
             .call(1050, 2, &["b"])
             .reply(1060, 2, "b", DeliveryOutcome::Busy, Some(50));
     shorter.call(1400, 1, &["a"]).violates(Rule::Waits);
-    // A restart ends it.
-    let restarted = notified()
+    // A restarted sender does not know of the wait.
+    let restarted = rejected()
         .add(1200, AuditEvent::ProcessExited)
         .add(1300, AuditEvent::Ready)
         .call(1400, 3, &["a"]);
@@ -440,12 +446,12 @@
     );
 }
 
-/// So many calls, 60 ms apart, to a destination that is back since the first of them and could take three a second then. N is
-/// 1.5 times what it can do in 3 s: 16.2 at the 26th call, so that 26.3 calls are let through.
-fn pushed(calls: u64, saw: bool, others: u64) -> Log {
+/// Calls 60 ms apart to a destination whose outage ends at the first of them. N is 1.5 times its capacity over 3 s: 16.2 at
+/// the 26th call, so that 26.3 calls are allowed. The first `others` calls are from sender 1, the rest from sender 0, which saw
+/// the outage if `saw_outage` is set.
+fn calls_after_outage(calls: u64, saw_outage: bool, others: u64) -> Log {
     let mut log = log();
-    // Sender 0 sees it fail, if it is to.
-    if saw {
+    if saw_outage {
         log = log
             .call(3000, 1, &["x"])
             .reply(3005, 1, "x", DeliveryOutcome::Busy, None);
@@ -463,60 +469,63 @@
     for n in 0..calls {
         log = log
             .call(5000 + n * 60, 1, &["y"])
-            .from(usize::from(n < others));
+            .by_sender(usize::from(n < others));
     }
     log
 }
 
-/// The bound is N + 2 x root of N + 2, over all senders; it is broken if over two thirds came from those that were told.
+/// The bound over all senders is N + 2 * sqrt(N) + 2 calls. Exceeding it is a violation if more than two thirds of the calls
+/// are from senders that saw the outage.
 #[test]
 fn senders_that_saw_an_outage_do_not_overload_the_returning_destination() {
-    pushed(26, true, 0).keeps(Rule::Return);
-    pushed(27, true, 0).violates(Rule::Return);
-    // Of 27 calls 19 are over two thirds, and 18 are not.
-    pushed(27, true, 8).violates(Rule::Return);
+    calls_after_outage(26, true, 0).keeps(Rule::Return);
+    calls_after_outage(27, true, 0).violates(Rule::Return);
+    // 19 of 27 calls are more than two thirds, 18 are not.
+    calls_after_outage(27, true, 8).violates(Rule::Return);
     assert!(matches!(
-        pushed(27, true, 9).verdict(Rule::Return, 60_000),
+        calls_after_outage(27, true, 9).verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
     ));
     assert!(matches!(
-        pushed(27, false, 0).verdict(Rule::Return, 60_000),
+        calls_after_outage(27, false, 0).verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
     ));
-    // One that falls tells so itself, in the very call that would be one too many.
-    let fallen =
-        |saw, others| pushed(26, saw, others).add(6600, AuditEvent::Fell { destination: 7 });
-    fallen(true, 0).violates(Rule::Return);
+    // A recorded failure of the destination counts as an overload even if the recorded calls are within the bound.
+    let failed = |saw_outage, others| {
+        calls_after_outage(26, saw_outage, others).add(6600, AuditEvent::Fell { destination: 7 })
+    };
+    failed(true, 0).violates(Rule::Return);
     assert!(matches!(
-        fallen(false, 0).verdict(Rule::Return, 60_000),
+        failed(false, 0).verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
     ));
     assert!(matches!(
-        fallen(true, 9).verdict(Rule::Return, 60_000),
+        failed(true, 9).verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
     ));
-    // What fails after its return takes nothing back, however often: a flood is refused in the end.
-    let refused = |log: Log| {
+    // Rejections after the outage do not excuse the calls: an overloaded destination rejects them in the end.
+    let rejected = |log: Log| {
         (0..200).fold(log, |log, n| {
             log.reply(6570 + n / 10, 1, "y", DeliveryOutcome::Busy, None)
         })
     };
-    refused(pushed(26, true, 0))
+    rejected(calls_after_outage(26, true, 0))
         .add(6600, AuditEvent::Fell { destination: 7 })
         .violates(Rule::Return);
-    // And a sender that sees it fail only after its return was not told of the outage.
-    let later = refused(pushed(26, false, 0)).add(6600, AuditEvent::Fell { destination: 7 });
+    // A sender that sees failures only after the outage is not informed of it.
+    let later =
+        rejected(calls_after_outage(26, false, 0)).add(6600, AuditEvent::Fell { destination: 7 });
     assert!(matches!(
         later.verdict(Rule::Return, 60_000),
         Verdict::Kept { .. }
     ));
-    // A destination that is silent fails by calls that are given up, but not by those that a sender's own end cuts off.
-    let silent = |given_up: Log| {
-        let mut all = given_up
+    // A sender that closes a connection before the reply saw the destination fail, unless the sender itself was ending.
+    let silent = |closed: Log| {
+        let mut all = closed
             .add(3100, AuditEvent::Closed { connection: 1 })
             .add(3200, AuditEvent::Ready)
             .0;
-        all.extend(pushed(27, false, 0).0);
+        all.extend(calls_after_outage(27, false, 0).0);
         Log(all)
     };
     silent(log().call(3000, 1, &["x"])).violates(Rule::Return);
@@ -531,12 +540,12 @@
     ));
 }
 
-/// Each message of a call after the first weighs a tenth of a call: twelve calls of five messages weigh 16.8, and not 60.
+/// Each message of a call after the first has a weight of 0.1: twelve calls of five messages weigh 16.8, not 60.
 #[test]
-fn messages_of_one_call_weigh_less_than_calls() {
+fn further_messages_of_a_call_weigh_less_than_calls() {
     let batched = |calls: u64| {
-        let back = pushed(0, true, 0).0;
-        (0..calls).fold(Log(back), |log, n| {
+        let outage = calls_after_outage(0, true, 0).0;
+        (0..calls).fold(Log(outage), |log, n| {
             log.call(5000 + n * 60, 1, &["a", "b", "c", "d", "e"])
         })
     };
@@ -544,7 +553,7 @@
         batched(1)
             .0
             .iter()
-            .any(|l| matches!(l.event, AuditEvent::Back { .. }))
+            .any(|record| matches!(record.event, AuditEvent::Back { .. }))
     );
     batched(9).keeps(Rule::Return);
     batched(20).violates(Rule::Return);
@@ -566,10 +575,10 @@
     };
     idle(15_000).keeps(Rule::Idle);
     idle(15_001).violates(Rule::Idle);
-    // More came than an answer: whatever is read there next is anybody's guess.
-    let spoilt = |spoilt| {
+    // Bytes after a reply could be taken for the reply to the next call on the connection.
+    let replied = |spoilt| {
         let outcomes = vec![("a".to_owned(), DeliveryOutcome::Done)];
-        let replied = AuditEvent::Replied {
+        let reply = AuditEvent::Replied {
             connection: 1,
             endpoint: 0,
             destination: 7,
@@ -577,17 +586,20 @@
             wait: None,
             spoilt,
         };
-        log().taken(0, "a", 0).call(10, 1, &["a"]).add(300, replied)
+        log()
+            .accepted(0, "a", 0)
+            .call(10, 1, &["a"])
+            .add(300, reply)
     };
-    spoilt(true).call(400, 1, &["b"]).violates(Rule::Idle);
-    spoilt(false).call(400, 1, &["b"]).keeps(Rule::Idle);
-    spoilt(true)
+    replied(true).call(400, 1, &["b"]).violates(Rule::Idle);
+    replied(false).call(400, 1, &["b"]).keeps(Rule::Idle);
+    replied(true)
         .add(310, AuditEvent::Closed { connection: 1 })
         .call(400, 2, &["b"])
         .keeps(Rule::SecondCopy);
 }
 
-/// A sender that is gone for good owes nothing more; the others owe what they owed.
+/// The messages that a sender lost with its state are not judged; all others are.
 #[test]
 fn messages_of_a_lost_state_folder_are_not_judged() {
     let other = AuditEvent::Submitted {
@@ -599,24 +611,24 @@
     };
     let lost = || {
         log()
-            .taken(0, "a", 0)
+            .accepted(0, "a", 0)
             .add(50, AuditEvent::Lost { only: None })
     };
     assert_eq!(
         lost().verdict(Rule::OneEnd, 60_000),
         Verdict::Kept { cases: 0 }
     );
-    let taken = AuditEvent::Answered {
+    let accepted = AuditEvent::Answered {
         id: "b".into(),
         answer: Answer::Accepted,
     };
     lost()
         .add(100, other)
-        .add(110, taken)
+        .add(110, accepted)
         .violates(Rule::OneEnd);
-    // A journal that was cut: what it still had is owed.
-    let cut = |id: &str| {
-        log().taken(0, "a", 0).add(
+    // After a truncation of the journal, only the lost messages are exempt.
+    let truncated = |id: &str| {
+        log().accepted(0, "a", 0).add(
             50,
             AuditEvent::Lost {
                 only: Some(vec![id.into()]),
@@ -624,10 +636,10 @@
         )
     };
     assert_eq!(
-        cut("a").verdict(Rule::OneEnd, 60_000),
+        truncated("a").verdict(Rule::OneEnd, 60_000),
         Verdict::Kept { cases: 0 }
     );
-    cut("b").violates(Rule::OneEnd);
+    truncated("b").violates(Rule::OneEnd);
 }
 
 #[test]
@@ -644,7 +656,7 @@
             },
         )
     };
-    let refused = |at| {
+    let rejected = |at| {
         submitted().add(
             at,
             AuditEvent::Answered {
@@ -653,13 +665,13 @@
             },
         )
     };
-    refused(400).keeps(Rule::Answers);
-    refused(401).violates(Rule::Answers);
-    refused(410).late(20).is_not_judged(Rule::Answers);
+    rejected(400).keeps(Rule::Answers);
+    rejected(401).violates(Rule::Answers);
+    rejected(410).recorded_late(20).is_not_judged(Rule::Answers);
     submitted()
         .add(10, AuditEvent::Dropped { id: "a".into() })
         .violates(Rule::Answers);
-    // A sender that was killed can't answer.
+    // A sender that was killed cannot answer.
     let killed = submitted()
         .add(5, AuditEvent::ProcessExited)
         .add(6, AuditEvent::Dropped { id: "a".into() });
@@ -670,7 +682,7 @@
 }
 
 #[test]
-fn the_one_answer_to_a_post_is_true_and_in_time() {
+fn the_answer_to_a_post_states_its_outcome_in_time() {
     let posted = || {
         log().add(
             0,
@@ -691,32 +703,32 @@
             },
         )
     };
-    let taken = || {
+    let delivered = || {
         posted()
             .call(10, 1, &["a"])
             .reply(100, 1, "a", DeliveryOutcome::Done, None)
     };
-    answered(taken(), 101, Answer::Delivered).keeps(Rule::OneEnd);
-    // Answered from thin air, or told to come again although the user has seen it.
+    answered(delivered(), 101, Answer::Delivered).keeps(Rule::OneEnd);
+    // Answered as delivered without a delivery, or as rejected after one.
     answered(posted(), 101, Answer::Delivered).violates(Rule::OneEnd);
-    answered(taken(), 101, Answer::Rejected { after: None }).violates(Rule::OneEnd);
-    // A 201 of the service that never reached the sender.
-    answered(taken(), 4200, Answer::Failed).keeps(Rule::OneEnd);
+    answered(delivered(), 101, Answer::Rejected { after: None }).violates(Rule::OneEnd);
+    // The sender may not have received the 201 of the push service.
+    answered(delivered(), 4200, Answer::Failed).keeps(Rule::OneEnd);
     answered(posted(), 4300, Answer::Failed).keeps(Rule::InTime);
     answered(posted(), 4301, Answer::Failed).violates(Rule::InTime);
     posted().violates(Rule::OneEnd);
-    // What a connection's end tells the poster is no answer, but after it none is owed.
+    // A closed connection is not an answer, but after it no answer is expected.
     let dropped = |log: Log| log.add(50, AuditEvent::Dropped { id: "a".into() });
     dropped(posted()).violates(Rule::Answers);
     dropped(posted().add(40, AuditEvent::ProcessExited)).keeps(Rule::OneEnd);
-    // Without a topic the user would see it twice.
+    // A repeated post without a topic would be shown twice.
     let failed = posted()
         .call(10, 1, &["a"])
         .reply(100, 1, "a", DeliveryOutcome::Failed, None);
     failed.call(300, 1, &["a"]).violates(Rule::Repeats);
 }
 
-/// Submitted at `at` with an ordering key and accepted 5 ms later.
+/// Adds a message with an ordering key that is submitted at `at` and accepted 5 ms later.
 fn ordered(log: Log, at: u64, id: &str, key: &str) -> Log {
     let ordering_key = Some(key.to_owned());
     let submitted = AuditEvent::Submitted {
@@ -734,54 +746,61 @@
 }
 
 /// Two messages of one ordering key.
-fn two() -> Log {
+fn two_messages_of_one_key() -> Log {
     ordered(ordered(log(), 0, "a", "k"), 10, "b", "k")
 }
 
 #[test]
 fn messages_of_one_ordering_key_are_delivered_in_order() {
     let first_done = || {
-        two()
-            .call(20, 1, &["a"])
-            .reply(300, 1, "a", DeliveryOutcome::Done, None)
+        two_messages_of_one_key().call(20, 1, &["a"]).reply(
+            300,
+            1,
+            "a",
+            DeliveryOutcome::Done,
+            None,
+        )
     };
     first_done().call(301, 1, &["b"]).keeps(Rule::Order);
-    two()
+    two_messages_of_one_key()
         .call(20, 1, &["a"])
         .call(200, 2, &["b"])
         .violates(Rule::Order);
-    two().call(20, 1, &["b"]).violates(Rule::Order);
-    // Refused is not over; reported is.
-    let refused = || {
-        two()
+    two_messages_of_one_key()
+        .call(20, 1, &["b"])
+        .violates(Rule::Order);
+    // A rejected attempt does not complete the message; a final report does.
+    let rejected = || {
+        two_messages_of_one_key()
             .call(20, 1, &["a"])
             .reply(30, 1, "a", DeliveryOutcome::Busy, None)
     };
-    refused().call(40, 1, &["b"]).violates(Rule::Order);
-    refused()
+    rejected().call(40, 1, &["b"]).violates(Rule::Order);
+    rejected()
         .report(900, "a", RETURNED)
         .call(901, 1, &["b"])
         .keeps(Rule::Order);
-    // After an attempt that may still run the key rests for 100 ms, and 50 ms of slack, for others alone.
-    let cut = || {
-        two()
+    // After an attempt that is possibly still being executed, other messages of the key wait for 100 ms, less 50 ms of
+    // tolerance.
+    let broken = || {
+        two_messages_of_one_key()
             .call(20, 1, &["a"])
             .add(500, AuditEvent::Closed { connection: 1 })
     };
-    let reported = || cut().report(510, "a", FinalReport::Failed);
+    let reported = || broken().report(510, "a", FinalReport::Failed);
     reported().call(549, 2, &["b"]).violates(Rule::Order);
     reported().call(550, 2, &["b"]).keeps(Rule::Order);
     reported()
         .call(540, 2, &["b"])
-        .late(20)
+        .recorded_late(20)
         .is_not_judged(Rule::Order);
-    cut().call(501, 2, &["a"]).keeps(Rule::Order);
+    broken().call(501, 2, &["a"]).keeps(Rule::Order);
 }
 
-/// Another key, and the same key at another sender, are lines of their own.
+/// The order applies to the messages of one key at one sender.
 #[test]
 fn ordering_keys_are_independent_of_other_keys_and_senders() {
-    ordered(two(), 20, "c", "other")
+    ordered(two_messages_of_one_key(), 20, "c", "other")
         .call(20, 1, &["a"])
         .call(30, 2, &["c"])
         .keeps(Rule::Order);
@@ -792,20 +811,20 @@
         time_to_live: ms(20_000),
         ordering_key: Some("k".into()),
     };
-    let elsewhere = two()
+    let elsewhere = two_messages_of_one_key()
         .add(20, elsewhere)
-        .from(1)
+        .by_sender(1)
         .call(30, 1, &["a"])
         .call(40, 2, &["d"])
-        .from(1);
+        .by_sender(1);
     elsewhere.keeps(Rule::Order);
-    // Whether a sender has what its client gave up is not known.
-    let abandoned = two().add(15, AuditEvent::Abandoned { id: "a".into() });
+    // Whether the sender has a message is unknown after its client closed the connection without an answer.
+    let abandoned = two_messages_of_one_key().add(15, AuditEvent::Abandoned { id: "a".into() });
     abandoned.call(20, 1, &["b"]).keeps(Rule::Order);
     // Messages without a key have no order.
     let plain = log()
-        .taken(0, "a", 0)
-        .taken(10, "b", 0)
+        .accepted(0, "a", 0)
+        .accepted(10, "b", 0)
         .call(20, 1, &["b"])
         .call(30, 2, &["a"]);
     assert_eq!(
--- a/crates/simulation/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Scenario files as people have written them: each must read as it always did, whatever the code calls its parts.
+//! Golden scenario files: the keys, values and defaults of the file format must keep their meaning when the code changes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 const DIRECTORY_DOWN: &str = include_str!("golden/directory-down.toml");
 const ZONE_KILLED: &str = include_str!("golden/zone-killed.toml");
 
-/// The seed decides which endpoints and senders a share strikes.
+/// The seed determines which endpoints and senders a share selects.
 const SEED: u64 = 1;
 
 fn read(text: &str) -> Scenario {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn every_key_of_a_scenario_reads_as_before() {
+fn every_key_of_a_scenario_keeps_its_meaning() {
     let Scenario {
         name,
         duration,
@@ -77,7 +77,7 @@
     assert_eq!(simulated, 0);
     assert_eq!(tenants, ["north", "south"]);
     assert_eq!(classes, expected_classes());
-    assert_eq!(destinations, expected_partners());
+    assert_eq!(destinations, expected_destinations());
     assert_eq!(kinds, ["bulk-directory", "station"]);
     assert_eq!(zones, ["east", "west"]);
     assert_eq!(load, expected_load());
@@ -85,8 +85,8 @@
     assert_eq!(changes, expected_changes());
     assert_eq!(signals, expected_signals());
     assert_eq!(fleet, Some(expected_fleet()));
-    assert_eq!(network_faults, expected_breaks());
-    assert_eq!(scheduled_actions, expected_acts());
+    assert_eq!(network_faults, expected_network_faults());
+    assert_eq!(scheduled_actions, expected_scheduled_actions());
 }
 
 fn expected_classes() -> Vec<MessageClass> {
@@ -98,7 +98,7 @@
         class("ordered", Effect::Keyed { window: secs(3) }),
         class("repeatable", Effect::Safe),
         class("single", Effect::Unsafe),
-        // Web Push adds these two: without a topic, and with one.
+        // Classes of Web Push posts without and with a topic, which a push service adds.
         class("push", Effect::Unsafe),
         class("push-topic", Effect::Safe),
     ]
@@ -132,7 +132,7 @@
         name: "web".into(),
         kind: "push".into(),
         tenant: 0,
-        // The defaults, spelled out: a file that leaves a key out relies on them.
+        // The defaults are written out because files that omit a key rely on them.
         spec: Spec {
             endpoints: 1,
             shared: true,
@@ -173,7 +173,7 @@
     }
 }
 
-fn expected_partners() -> Vec<Member> {
+fn expected_destinations() -> Vec<Member> {
     let bulk = bulk_spec();
     let vanished = fault(Kind::Vanish, 1, 2);
     let refusing = fault(Kind::Refuse, 2, 3);
@@ -200,7 +200,7 @@
         ..web.clone()
     };
     vec![
-        // Of three endpoints each, the seed draws the first two for the silence with `part = 0.5`.
+        // With `part = 0.5`, the seed selects the first two of three endpoints for the fault `silent`.
         member(
             "bulk-0",
             vec![vec![silent], vec![vanished, refusing, silent], vec![]],
@@ -212,9 +212,9 @@
 }
 
 fn expected_load_classes() -> Vec<Class> {
-    let class = |aim_s, lasts_s, share| Class {
-        latency_objective: secs(aim_s),
-        time_to_live: secs(lasts_s),
+    let class = |objective_s, time_to_live_s, share| Class {
+        latency_objective: secs(objective_s),
+        time_to_live: secs(time_to_live_s),
         keyed: false,
         order_keys: 0,
         share,
@@ -244,7 +244,7 @@
         destination,
         tenant: 1,
         weight: 6.0,
-        takes: 12.5,
+        max_rate: 12.5,
         push: false,
     };
     Load {
@@ -257,14 +257,14 @@
                 destination: 2,
                 tenant: 0,
                 weight: 0.8,
-                takes: 4.0,
+                max_rate: 4.0,
                 push: true,
             },
             Target {
                 destination: 3,
                 tenant: 0,
                 weight: 0.2,
-                takes: 10.0,
+                max_rate: 10.0,
                 push: false,
             },
         ],
@@ -318,7 +318,7 @@
     vec![
         scheduled(16, 1, Signal::Term),
         scheduled(17, 2, Signal::Kill),
-        // Without a number: the first sender.
+        // A signal without a number is sent to the first sender.
         scheduled(18, 0, Signal::Hup),
     ]
 }
@@ -334,9 +334,9 @@
     }
 }
 
-fn expected_breaks() -> Vec<NetworkFault> {
+fn expected_network_faults() -> Vec<NetworkFault> {
     let all = senders([0, 1, 2, 3]);
-    let whole = |at_s, from, to, path_fault| NetworkFault {
+    let network_fault = |at_s, from, to, path_fault| NetworkFault {
         at: secs(at_s),
         until: secs(at_s + 2),
         from,
@@ -347,44 +347,44 @@
     vec![
         NetworkFault {
             one_way: true,
-            ..whole(
+            ..network_fault(
                 20,
                 senders([0]),
                 Side::Senders(senders([1, 2, 3])),
                 PathFault::Cut,
             )
         },
-        whole(
+        network_fault(
             21,
             all.clone(),
             Side::Destinations(Some(1)),
             PathFault::Drop { share: 0.4 },
         ),
-        whole(
+        network_fault(
             22,
             senders([0, 1]),
             Side::Senders(senders([2, 3])),
             PathFault::Delay { by: ms(150) },
         ),
-        whole(23, all.clone(), Side::Destinations(None), PathFault::Stall),
-        // A reset is a moment.
+        network_fault(23, all.clone(), Side::Destinations(None), PathFault::Stall),
+        // A reset lasts 1 ms.
         NetworkFault {
             until: ms(24_001),
-            ..whole(24, senders([3]), Side::Senders(all), PathFault::Reset)
+            ..network_fault(24, senders([3]), Side::Senders(all), PathFault::Reset)
         },
     ]
 }
 
-fn expected_acts() -> Vec<ScheduledAction> {
-    let act = |at_s, senders, action| ScheduledAction {
+fn expected_scheduled_actions() -> Vec<ScheduledAction> {
+    let scheduled = |at_s, senders, action| ScheduledAction {
         at: secs(at_s),
         senders,
         action,
     };
     vec![
-        act(25, senders([2]), MemberAction::Stop { duration: secs(2) }),
-        // The seed draws these two of the four.
-        act(
+        scheduled(25, senders([2]), MemberAction::Stop { duration: secs(2) }),
+        // The seed selects these two of the four senders.
+        scheduled(
             26,
             senders([1, 3]),
             MemberAction::Kill {
@@ -392,7 +392,7 @@
                 folder: Folder::Wiped,
             },
         ),
-        act(
+        scheduled(
             27,
             senders([1]),
             MemberAction::Term {
@@ -400,14 +400,14 @@
                 folder: Folder::Cut,
             },
         ),
-        act(
+        scheduled(
             28,
             senders([0]),
             MemberAction::Upgrade {
                 kill: Some((Which::Old, ms(100))),
             },
         ),
-        act(
+        scheduled(
             29,
             senders([0]),
             MemberAction::Upgrade {
@@ -417,7 +417,7 @@
     ]
 }
 
-/// The text with one key, or the name of one table, misspelt; each with its line.
+/// Variants of the text, each with one key or table name misspelt, and the line of that mistake.
 fn misspelt(text: &str) -> Vec<(usize, String)> {
     let lines: Vec<&str> = text.lines().collect();
     let mut variants = Vec::new();
@@ -456,15 +456,15 @@
 }
 
 #[test]
-fn keys_left_out_of_a_scenario_have_their_old_defaults() {
+fn omitted_keys_of_a_scenario_keep_their_defaults() {
     let scenario = read("name = \"Least\"\n[load]\nrate = \"2/s\"\n[[partner]]\nname = \"one\"\n");
     assert_eq!((scenario.duration, scenario.senders), (secs(30), 1));
     assert_eq!(scenario.tenants, ["onda-central"]);
-    let usual = MessageClass {
+    let default_class = MessageClass {
         name: "episode-notice".into(),
         effect: Effect::Keyed { window: secs(20) },
     };
-    assert_eq!(scenario.classes, [usual]);
+    assert_eq!(scenario.classes, [default_class]);
     let class = Class {
         latency_objective: secs(4),
         time_to_live: secs(20),
@@ -502,7 +502,7 @@
 }
 
 #[test]
-fn the_short_window_scenario_reads_as_before() {
+fn the_short_window_scenario_keeps_its_meaning() {
     let scenario = read(SHORT_WINDOW);
     assert_eq!(scenario.name, "Restarts with a window of one second");
     assert_eq!(
@@ -523,7 +523,7 @@
     let names: Vec<&str> = scenario
         .destinations
         .iter()
-        .map(|p| p.name.as_str())
+        .map(|destination| destination.name.as_str())
         .collect();
     assert_eq!(names, ["slow-0", "slow-1", "slow-2", "limited"]);
     assert_eq!(
@@ -557,7 +557,7 @@
 }
 
 #[test]
-fn the_upgrade_scenario_reads_as_before() {
+fn the_upgrade_scenario_keeps_its_meaning() {
     let scenario = read(UPGRADE);
     assert_eq!(
         (scenario.senders, scenario.duration, scenario.load.rate),
@@ -582,12 +582,12 @@
 }
 
 #[test]
-fn the_web_push_scenario_reads_as_before() {
+fn the_web_push_scenario_keeps_its_meaning() {
     let scenario = read(WEB_PUSH);
     let services: Vec<(&str, bool)> = scenario
         .destinations
         .iter()
-        .map(|p| (p.name.as_str(), p.push))
+        .map(|destination| (destination.name.as_str(), destination.push))
         .collect();
     assert_eq!(services[4..], [("servicio-0", true), ("servicio-1", true)]);
     assert_eq!(scenario.load.push, Some(1));
@@ -596,10 +596,10 @@
         (service.spec.sends_retry_after, service.spec.wait),
         (1.0, (secs(1), secs(1)))
     );
-    let shut = fault(Kind::Closed, 4, 3);
+    let rejecting = fault(Kind::Closed, 4, 3);
     assert_eq!(
         service.faults,
-        [vec![shut, fault(Kind::Silent, 11, 2)], vec![shut]]
+        [vec![rejecting, fault(Kind::Silent, 11, 2)], vec![rejecting]]
     );
     assert_eq!(
         scenario.destinations[5].faults,
@@ -608,7 +608,7 @@
 }
 
 #[test]
-fn the_directory_scenario_reads_as_before() {
+fn the_directory_scenario_keeps_its_meaning() {
     let scenario = read(DIRECTORY_DOWN);
     assert_eq!(
         scenario.tenants,
@@ -637,7 +637,7 @@
 }
 
 #[test]
-fn the_killed_zone_scenario_reads_as_before() {
+fn the_killed_zone_scenario_keeps_its_meaning() {
     let scenario = read(ZONE_KILLED);
     assert_eq!((scenario.senders, scenario.zones), (10, texts(["a", "b"])));
     assert_eq!(scenario.destinations[4].zones, [0, 1]);
@@ -649,7 +649,7 @@
     };
     assert_eq!(scenario.fleet, Some(fleet));
     let [kill] = scenario.scheduled_actions.as_slice() else {
-        panic!("one act: {:?}", scenario.scheduled_actions)
+        panic!("expected one action: {:?}", scenario.scheduled_actions)
     };
     assert_eq!((kill.at, kill.senders.len()), (secs(10), 2));
     assert_eq!(
--- a/crates/simulation/tests/invariants.rs
+++ b/crates/simulation/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Laws that the models keep whatever they are asked. Draws have fixed seeds: a failure prints the case.
+//! Properties of the models under random inputs. The generators have fixed seeds, and a failure prints its case.
 
 use std::time::Duration;
 
@@ -55,9 +55,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A rate lets through what it says and a burst more; a count lets through no more than it says in any span.
+    /// A rate admits its calls per second and one burst more; a count admits its calls in each window. The next call is
+    /// admitted at the stated time.
     #[test]
-    fn a_limit_admits_its_rate(
+    fn a_limit_admits_at_most_its_rate_or_count(
         per_second in 0.5..20.0f64, burst in 1.0..4.0f64, calls in 1..8u32, span in 200..2000u64,
         gaps in prop::collection::vec(0..400u64, 1..200),
     ) {
@@ -68,15 +69,15 @@
             now += gap;
             match rate.admit(ms(now), false) {
                 Ok(()) => by_rate += 1,
-                // At the end of a wait there is room, unless others have taken it.
-                Err(full) => prop_assert!(rate.clone().admit(full.retry_at + Duration::from_nanos(10), false).is_ok()),
+                // The stated time is exact if no other call comes first.
+                Err(reached) => prop_assert!(rate.clone().admit(reached.retry_at + Duration::from_nanos(10), false).is_ok()),
             }
             prop_assert!(f64::from(by_rate) <= per_second * now as f64 / 1000.0 + burst + 1e-6);
             match count.admit(ms(now), false) {
                 Ok(()) => *by_span.entry(now / span).or_default() += 1,
-                Err(full) => {
-                    prop_assert!(full.retry_at > ms(now) && full.retry_at <= ms(now + span));
-                    prop_assert!(count.clone().admit(full.retry_at, false).is_ok());
+                Err(reached) => {
+                    prop_assert!(reached.retry_at > ms(now) && reached.retry_at <= ms(now + span));
+                    prop_assert!(count.clone().admit(reached.retry_at, false).is_ok());
                 }
             }
             let (left, _) = count.load_report(ms(now));
@@ -85,30 +86,30 @@
         prop_assert!(by_span.values().all(|&n| n <= calls));
     }
 
-    /// Faults compose the same in whatever order they are written, and one more never makes things better.
+    /// The combined effect of faults does not depend on their order, and a further fault never reduces it.
     #[test]
     fn overlapping_faults_compose_in_any_order(faults in prop::collection::vec(fault(), 0..6), more in fault(), at in 0..30_000u64) {
         let now = ms(at);
         let state = State::of(&faults, now);
-        let mut turned = faults.clone();
-        turned.reverse();
-        let other = State::of(&turned, now);
-        prop_assert!((state.fail - other.fail).abs() < 1e-9 && (state.slow - other.slow).abs() < 1e-9);
+        let mut reversed = faults.clone();
+        reversed.reverse();
+        let other = State::of(&reversed, now);
+        prop_assert!((state.failing_share - other.failing_share).abs() < 1e-9 && (state.slowdown - other.slowdown).abs() < 1e-9);
         prop_assert_eq!((state.vanished, state.refusing, state.silent, state.blocked_until), (other.vanished, other.refusing, other.silent, other.blocked_until));
-        let mut with = faults.clone();
-        with.push(more);
-        let worse = State::of(&with, now);
-        prop_assert!(worse.fail >= state.fail - 1e-9 && worse.slow >= state.slow - 1e-9 && (!state.is_down() || worse.is_down()));
-        // Back means: no outage is on, and one has ended.
-        if let Some(back) = latest_recovery(&faults, now) {
-            prop_assert!(back <= now && !faults.iter().any(|f| f.is_outage() && f.is_on(now)));
+        let mut with_more = faults.clone();
+        with_more.push(more);
+        let worse = State::of(&with_more, now);
+        prop_assert!(worse.failing_share >= state.failing_share - 1e-9 && worse.slowdown >= state.slowdown - 1e-9 && (!state.is_down() || worse.is_down()));
+        // A recovery means that no outage is active and one has ended.
+        if let Some(recovered_at) = latest_recovery(&faults, now) {
+            prop_assert!(recovered_at <= now && !faults.iter().any(|f| f.is_outage() && f.is_on(now)));
             let (start, end) = latest_outage(&faults, now).expect("an outage");
-            prop_assert!(start < end && end == back);
+            prop_assert!(start < end && end == recovered_at);
         }
     }
 
-    /// Whatever a destination is asked, answers do not come before the question, have one outcome a message, and a destination
-    /// that is silent or vanished says nothing.
+    /// A reply is never earlier than its call and has one outcome for each message. A silent or unreachable destination does
+    /// not reply.
     #[test]
     fn a_destination_answers_calls_unless_silent(
         seed in any::<u64>(), faults in prop::collection::vec(fault(), 0..5),
@@ -120,16 +121,16 @@
         for (gap, endpoint, messages) in calls {
             now += ms(gap);
             let state = destination.state(endpoint, now);
-            let up = destination.connect(now, endpoint);
-            if state.vanished { prop_assert_eq!(up, Connect::Nothing); }
-            if up == Connect::Up { destination.disconnect(endpoint); }
+            let connect = destination.connect(now, endpoint);
+            if state.vanished { prop_assert_eq!(connect, Connect::Nothing); }
+            if connect == Connect::Up { destination.disconnect(endpoint); }
             let (reply, _) = destination.call(now, Asked { endpoint, messages });
             match reply {
                 Reply::Answer { at, outcomes, wait, .. } => {
                     prop_assert!(at >= now && outcomes.len() == messages);
                     prop_assert!(!state.vanished && !state.silent && !state.refusing);
                     prop_assert!(wait.is_none_or(|w| w > Duration::ZERO));
-                    if state.blocked_until.is_some() { prop_assert!(outcomes.iter().all(|f| *f == DeliveryOutcome::Busy)); }
+                    if state.blocked_until.is_some() { prop_assert!(outcomes.iter().all(|outcome| *outcome == DeliveryOutcome::Busy)); }
                 }
                 Reply::Nothing => prop_assert!(state.vanished || state.silent),
                 Reply::Spoilt { at, .. } | Reply::Reset { at, .. } => prop_assert!(at >= now),
@@ -137,9 +138,9 @@
         }
     }
 
-    /// The same seed gives the same day, and a message is submitted no more often than clients may.
+    /// The same seed gives the same submissions, and a message is submitted at most four times.
     #[test]
-    fn clients_are_the_same_for_the_same_seed_and_give_up(seed in any::<u64>(), answers in prop::collection::vec(0..4u8, 1..60)) {
+    fn clients_repeat_for_the_same_seed_and_bound_resubmissions(seed in any::<u64>(), answers in prop::collection::vec(0..4u8, 1..60)) {
         let play = || {
             let mut clients = Clients::new(load(), rng(seed));
             let (mut log, mut n) = (Vec::new(), 0);
@@ -163,8 +164,8 @@
         let (log, worth, origins) = play();
         prop_assert_eq!(&(log.clone(), worth, origins), &play());
         for origin in 0..origins {
-            let tries = log.iter().filter(|h| h.origin == origin).count();
-            prop_assert!((1..=4).contains(&tries), "{} tries", tries);
+            let submissions = log.iter().filter(|submission| submission.origin == origin).count();
+            prop_assert!((1..=4).contains(&submissions), "{} submissions", submissions);
         }
         prop_assert!(f64::from_bits(worth) <= origins as f64);
     }
@@ -181,7 +182,7 @@
                 destination: n,
                 tenant: n as usize % 3,
                 weight: weights[n as usize],
-                takes: 4.0,
+                max_rate: 4.0,
                 push: false,
             })
             .collect(),
@@ -204,9 +205,9 @@
     }
 }
 
-/// The load is what it says, clumps included.
+/// Draws of many seeds have the configured rate, shares and clumps.
 #[test]
-fn the_load_has_its_rate_and_tenant_shares() {
+fn the_load_has_its_configured_rate_and_tenant_shares() {
     let (mut count, mut by_tenant, mut clumped) = (0, [0; 3], 0);
     for seed in 0..40 {
         let mut clients = Clients::new(load(), rng(seed));
@@ -227,15 +228,16 @@
         "{count} of {expected}"
     );
     for (n, share) in [0.35, 0.34, 0.31].iter().enumerate() {
-        let got = f64::from(by_tenant[n]) / f64::from(count);
-        assert!((got - share).abs() < 0.06, "station {n}: {got}");
+        let actual = f64::from(by_tenant[n]) / f64::from(count);
+        assert!((actual - share).abs() < 0.06, "tenant {n}: {actual}");
     }
     assert!(clumped > 300, "{clumped}");
 }
 
-/// Cold at 23%, warm after 9.1 s, and pushed over by more than half as much again for 3 s, N calls, and 2 x root of N + 2 beyond.
+/// Capacity is 23% after an outage and whole after 9.1 s. With N calls for 1.5 times the capacity over 3 s, the destination
+/// fails at more than N + 2 * sqrt(N) + 2 calls.
 #[test]
-fn a_returning_destination_is_cold_and_fails_when_overloaded() {
+fn a_destination_that_warms_up_has_reduced_capacity_and_fails_when_overloaded() {
     let outage = Fault {
         kind: Kind::Refuse,
         start: ms(1000),
@@ -255,16 +257,16 @@
     assert!((destination.capacity(ms(5000)) - 23.0).abs() < 1e-9);
     assert!((destination.capacity(ms(5000 + 4550)) - 61.5).abs() < 1e-6);
     assert!((destination.capacity(ms(5000 + 9100)) - 100.0).abs() < 1e-9);
-    // 1.5 times what it can do, all the way up, is let through.
-    let mut careful = new(2);
+    // A load just below 1.5 times the capacity is tolerated throughout the slow start.
+    let mut paced = new(2);
     let mut backlog = 0.0;
     for step in 0..9100u64 {
         let now = ms(5000 + step);
-        backlog += careful.capacity(now) * 1.45 / 1000.0;
+        backlog += paced.capacity(now) * 1.45 / 1000.0;
         while backlog >= 1.0 {
             backlog -= 1.0;
             assert!(
-                !careful
+                !paced
                     .call(
                         now,
                         Asked {
@@ -277,30 +279,32 @@
             );
         }
     }
-    assert!(!careful.fallen());
-    // Its warm rate at once is not: the 250th call comes after 2.49 s, when N is 198 and 228 calls are let through.
-    let mut hasty = new(3);
-    let fell = (0..600u64).find(|n| {
-        hasty
-            .call(
-                ms(5000 + n * 10),
-                Asked {
-                    endpoint: 0,
-                    messages: 1,
-                },
-            )
-            .1
+    assert!(!paced.has_failed());
+    // The rate of a warm destination is not: the 250th call comes after 2.49 s, when N is 198 and 228 calls are tolerated.
+    let mut fast = new(3);
+    let failed = (0..600u64).find(|n| {
+        fast.call(
+            ms(5000 + n * 10),
+            Asked {
+                endpoint: 0,
+                messages: 1,
+            },
+        )
+        .1
     });
-    assert!(fell.is_some_and(|n| (200..250).contains(&n)), "{fell:?}");
+    assert!(
+        failed.is_some_and(|n| (200..250).contains(&n)),
+        "{failed:?}"
+    );
     assert_eq!(
-        (hasty.capacity(ms(30_000)), hasty.connect(ms(30_000), 0)),
+        (fast.capacity(ms(30_000)), fast.connect(ms(30_000), 0)),
         (0.0, Connect::Refused)
     );
 }
 
-/// With more calls than its capacity the queue fills, and what is beyond it is turned away, not lost.
+/// Calls beyond the workers wait in the queue, and calls beyond the queue are rejected, not left unanswered.
 #[test]
-fn a_full_queue_turns_away() {
+fn calls_beyond_a_full_queue_are_rejected() {
     let spec = Spec {
         capacity: 5.0,
         queue: 3,
--- a/crates/simulation/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Days as files, and the directory of a day.
+//! Scenario files: errors, random choices and Web Push classes; and simulated discovery.
 
 use std::time::Duration;
 
@@ -54,19 +54,23 @@
 back = "never"
 "#;
 
-/// What stands in [`SCENARIO`], a mistake in its place, and a part of the error.
+/// A part of [`SCENARIO`], an invalid replacement for it, and a part of the expected error message.
 const MISTAKES: [(&str, &str, &str); 25] = [
     (r#"lasts = "4 s""#, r#"lasts = "4""#, "no unit"),
     (r#"lasts = "4 s""#, r#"lasts = "2000 min""#, "60 min"),
     ("senders = 2", "senders = 0", "1 to 250 senders"),
     ("senders = 2", "senders = 2\nsender = 2", "unknown field"),
     (r#"rate = "20/s""#, r#"rate = "20""#, "not a rate"),
-    (r#"rate = "20/s""#, r#"rate = "0/s""#, "some load"),
+    (
+        r#"rate = "20/s""#,
+        r#"rate = "0/s""#,
+        "rate: expected a rate above 0",
+    ),
     ("endpoints = 2", "endpoints = 65", "64 endpoints"),
     (
         r#"limit = "4/s burst 2""#,
         r#"limit = "0 in 1 s""#,
-        "takes nothing",
+        "admits no calls",
     ),
     (
         r#"limit = "4/s burst 2""#,
@@ -104,41 +108,44 @@
     ("sender = 1", "sender = 2", "sender 2"),
     (r#"send = "TERM""#, r#"send = "STOP""#, "'STOP' is not"),
     (r#"kind = "drop""#, r#"kind = "drip""#, "'drip' is not cut"),
-    (r#"kind = "drop""#, r#"kind = "delay""#, "by how much"),
+    (r#"kind = "drop""#, r#"kind = "delay""#, "by: missing"),
     ("share = 0.25", "share = 2.5", "0 to 1"),
-    ("from = [0, 1]", "from = [0, 2]", "there are 2"),
+    ("from = [0, 1]", "from = [0, 2]", "below 2"),
     (r#"to = "others""#, r#"to = "some""#, "'some' is not"),
     (r#"back = "never""#, r#"back = "ever""#, "'ever' is neither"),
 ];
 
-/// A mistake in a file names its line, so that a person finds it; nothing is played then.
+/// An invalid file is rejected with the line of the error, so that the author finds it.
 #[test]
-fn a_parse_error_names_its_line() {
+fn an_error_in_a_file_names_its_line() {
     assert!(scenario::parse(SCENARIO, 1).is_ok());
-    for (good, bad, why) in MISTAKES {
-        assert!(SCENARIO.contains(good), "{good}");
-        let text = SCENARIO.replacen(good, bad, 1);
-        let error = scenario::parse(&text, 1).expect_err(bad);
-        assert!(error.problem.to_string().contains(why), "{bad}: {error}");
-        // The mistake is on the line that was changed, or, with a line more, on one of the two.
-        let at = SCENARIO[..SCENARIO.find(good).expect("there")]
+    for (valid, invalid, message) in MISTAKES {
+        assert!(SCENARIO.contains(valid), "{valid}");
+        let text = SCENARIO.replacen(valid, invalid, 1);
+        let error = scenario::parse(&text, 1).expect_err(invalid);
+        assert!(
+            error.problem.to_string().contains(message),
+            "{invalid}: {error}"
+        );
+        // The error is on one of the lines of the replacement.
+        let first_line = SCENARIO[..SCENARIO.find(valid).expect("contained")]
             .matches('\n')
             .count()
             + 1;
         assert!(
-            (at..=at + bad.matches('\n').count()).contains(&error.line),
-            "{bad}: {error}"
+            (first_line..=first_line + invalid.matches('\n').count()).contains(&error.line),
+            "{invalid}: {error}"
         );
     }
 }
 
-/// Two destinations of one name would share what is judged of each.
+/// Names refer to destinations in faults and reports, so a duplicate would be ambiguous.
 #[test]
 fn destination_names_are_unique() {
-    let twice = SCENARIO.replacen(r#"name = "servicio""#, r#"name = "grande""#, 1);
+    let duplicate = SCENARIO.replacen(r#"name = "servicio""#, r#"name = "grande""#, 1);
     assert!(
-        scenario::parse(&twice, 1)
-            .expect_err("twice")
+        scenario::parse(&duplicate, 1)
+            .expect_err("duplicate name")
             .problem
             .to_string()
             .contains("two partners 'grande'")
@@ -150,7 +157,7 @@
 }
 
 #[test]
-fn a_scenario_is_determined_by_its_seed() {
+fn the_seed_determines_which_endpoints_are_affected() {
     assert_eq!(scenario::parse(SCENARIO, 7), scenario::parse(SCENARIO, 7));
     let half = SCENARIO
         .replace("share = 0.5\n", "part = 0.5\n")
@@ -164,10 +171,14 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(affected(3), affected(3));
-    assert_ne!(affected(3), affected(4), "another seed strikes others");
+    assert_ne!(
+        affected(3),
+        affected(4),
+        "another seed affects other endpoints"
+    );
 }
 
-/// What the second front makes of posts is judged by classes of their own, which the platform never hears of.
+/// A push service adds two classes for its posts, and its kind is not among those that discovery lists.
 #[test]
 fn push_classes_are_added_for_posts() {
     let scenario = scenario::parse(SCENARIO, 1).expect("good");
@@ -213,7 +224,7 @@
         .collect()
 }
 
-/// Each sender knows what the delay lets it know, whether it asks for changes or for the whole list.
+/// A change is visible to each sender after the sender's delay, both in whole lists and in watches.
 #[test]
 fn senders_learn_of_changes_after_their_delay() {
     let spec = Spec {
@@ -224,7 +235,7 @@
     let first = vec![row("a", 0, Listed::Up, None), row("b", 1, Listed::Up, None)];
     let mut directory = Directory::new(spec, first);
     directory.change(ms(1000), row("a", 0, Listed::Draining, None));
-    // Another one at the same address.
+    // Endpoint c replaces endpoint b at the same address.
     directory.change(ms(1100), row("b", 1, Listed::Removed, None));
     directory.change(ms(1100), row("c", 1, Listed::Up, Some(1100)));
     let whole = |at, sender| directory.whole(ms(at), sender).expect("it is up");
@@ -240,13 +251,13 @@
         ids(&whole(1550, 1)),
         vec![("a", Listed::Draining), ("b", Listed::Up)]
     );
-    // An endpoint that is up again was there before.
+    // Before the delay has passed, the endpoint is listed in its initial state, not in its latest one.
     directory.change(ms(1300), row("a", 0, Listed::Up, Some(1300)));
     assert_eq!(
         ids(&directory.whole(ms(1400), 1).expect("up")),
         vec![("a", Listed::Up), ("b", Listed::Up)]
     );
-    // A watch is answered with the change as soon as the sender may know of it, not before.
+    // A watch is answered as soon as a change is visible to the sender, not before.
     let watch = |at, sender, from| directory.watch(ms(at), sender, from, ms(1000), ms(9000));
     assert_eq!(watch(1350, 1, 1), Watch::Hold { until: ms(1500) });
     let Watch::Now(list) = watch(1810, 1, 3) else {
@@ -256,16 +267,16 @@
         (list.full, list.version, ids(&list)),
         (false, 5, vec![("c", Listed::Up), ("a", Listed::Up)])
     );
-    // From before what is kept: the whole list.
+    // A watch from a version older than the kept changes receives the whole list.
     let Watch::Now(list) = watch(1810, 1, 1) else {
         panic!("a change is known")
     };
     assert!(list.full);
-    // Down: silence; and a watch that is held hears of it.
+    // Discovery does not answer during an outage, and a held watch is evaluated again when the outage begins.
     assert_eq!(watch(5500, 0, 5), Watch::Silent { until: ms(6000) });
     assert_eq!(directory.whole(ms(5500), 0), None);
     assert_eq!(watch(4000, 0, 5), Watch::Hold { until: ms(5000) });
-    // Held in vain: an answer without a change.
+    // A watch without changes is answered with an empty list once its hold time has passed.
     assert_eq!(
         watch(10_000, 0, 5),
         Watch::Now(List {
