--- a/crates/simulation/src/audit/messages.rs
+++ b/crates/simulation/src/audit/messages.rs
@@ -38,7 +38,7 @@
     /// Evidence of the first 200 (201 for Web Push) that a destination wrote for it.
     pub(super) delivery_wire: Option<String>,
     pub(super) final_report: Option<FirstReport>,
-    /// The sender that accepted it has lost its state.
+    /// The message was lost with the state of its sender.
     pub(super) lost: bool,
 }
 
--- a/crates/simulation/src/audit/rules/idle_connections.rs
+++ b/crates/simulation/src/audit/rules/idle_connections.rs
@@ -18,9 +18,9 @@
 /// Checks [`Rule::Idle`].
 #[derive(Debug, Default)]
 pub(super) struct IdleConnections {
-    /// By connection.
+    /// Latest use, by connection.
     last_use: BTreeMap<u64, LastUse>,
-    /// By connection that received further bytes after a reply: evidence of that reply.
+    /// Replies that were followed by further bytes, by connection.
     trailing_bytes: BTreeMap<u64, String>,
 }
 
--- a/crates/simulation/src/audit/rules/slow_start.rs
+++ b/crates/simulation/src/audit/rules/slow_start.rs
@@ -45,7 +45,7 @@
     last_failure: BTreeMap<(u64, usize), Duration>,
     /// Destination of the call that waits for its reply, by connection.
     unanswered: BTreeMap<u64, u64>,
-    /// Senders that are shutting down or down. The connections that they close are no evidence of a failed destination.
+    /// Senders that are shutting down or not running. The connections that they close are no evidence of a failed destination.
     ending: BTreeSet<usize>,
     recoveries: BTreeMap<u64, Recovery>,
 }
--- a/crates/simulation/src/destination/simulated.rs
+++ b/crates/simulation/src/destination/simulated.rs
@@ -35,7 +35,7 @@
     /// One limiter for all endpoints, or one for each endpoint.
     limiters: Vec<CallLimiter>,
     guard: OverloadGuard,
-    /// By index of the limiter.
+    /// Latest load report, by index of the limiter.
     reports: BTreeMap<usize, CachedReport>,
     rng: ChaCha8Rng,
 }
@@ -45,7 +45,7 @@
     /// on other models.
     pub fn new(spec: Spec, faults: Vec<Vec<Fault>>, rng: ChaCha8Rng) -> SimulatedDestination {
         let count = spec.endpoints.max(1);
-        // Little's law: an endpoint's share of the capacity times the mean service time is the number of busy workers.
+        // Little's law: an endpoint's share of the capacity times the mean service time is the mean number of busy workers.
         let concurrency = spec.capacity * spec.pace.as_secs_f64() / count as f64;
         let workers = concurrency.ceil() as usize;
         let mut faults = faults.into_iter();
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// An endpoint counts as down if more than this share of its calls fail.
-const MAX_FAILING_SHARE_UP: f64 = 0.5;
+/// A fault that fails more than this share of the calls (0 to 1) is an outage.
+const OUTAGE_FAILING_SHARE: f64 = 0.5;
 
 /// A kind of fault, with its parameters.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -72,7 +72,7 @@
     pub fn is_outage(&self) -> bool {
         match self.kind {
             Kind::Vanish | Kind::Refuse | Kind::Silent | Kind::Closed => true,
-            Kind::Fail { share } => share > MAX_FAILING_SHARE_UP,
+            Kind::Fail { share } => share > OUTAGE_FAILING_SHARE,
             Kind::Spoil { .. }
             | Kind::Slow { .. }
             | Kind::Lower { .. }
--- a/crates/simulation/src/scenario/classes.rs
+++ b/crates/simulation/src/scenario/classes.rs
@@ -22,8 +22,8 @@
 }
 
 impl Classes {
-    /// Adds the classes of Web Push posts, without and with a topic, and returns the index of the first one. A user agent shows
-    /// a repeated post twice unless it has a topic, so posts without one must not be repeated.
+    /// Adds the classes of Web Push posts, without and with a topic, and returns the index of the first one. A repeated
+    /// post without a topic (RFC 8030, section 5.4) would be shown twice, so its class forbids repeats.
     pub(super) fn add_push_classes(&mut self) -> usize {
         let first = self.effects.len();
         let class = clients::Class {
--- a/crates/simulation/src/scenario/network_faults.rs
+++ b/crates/simulation/src/scenario/network_faults.rs
@@ -19,9 +19,9 @@
 /// The contents of all `[[break]]` tables of a file.
 #[derive(Debug, Default)]
 pub(super) struct FleetFaults {
-    /// In the order of the file.
+    /// Faults of network paths, in the order of the file.
     pub(super) network_faults: Vec<NetworkFault>,
-    /// In the order of time.
+    /// Actions on processes, in the order of time.
     pub(super) scheduled_actions: Vec<ScheduledAction>,
 }
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// The other side of the path: all senders if the file does not say.
+/// Reads the other side of the path; by default, all senders.
 fn side(
     source: &Source<'_>,
     table: &NetworkFaultFile,
