--- a/crates/fleet-harness/src/invalid_settings.rs
+++ b/crates/fleet-harness/src/invalid_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a sender, from JSON.
+//! Parses a sender's settings from JSON.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 use cranehill_scheduler::profile::Profile;
 use serde_json::Value;
 
-/// The scheduler or the reducer does not accept settings.
+/// The scheduler or the reducer rejected settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct InvalidSettings {
@@ -21,7 +21,7 @@
     }
 }
 
-/// The scheduler's settings of a settings object.
+/// Parses the scheduler's settings from a JSON settings object.
 pub(crate) fn parse_settings(settings: Value) -> Result<Settings, InvalidSettings> {
     let profile: Profile = serde_json::from_value(settings).map_err(InvalidSettings::new)?;
     profile.into_settings().map_err(InvalidSettings::new)
--- a/crates/fleet-harness/src/lib.rs
+++ b/crates/fleet-harness/src/lib.rs
@@ -1,5 +1,5 @@
-//! Plays scenarios with many real senders that are members of one fleet, and a relay on every path between them and to the
-//! destinations. Network faults are in the scenario's file (`[[break]]`); their draws depend on the seed.
+//! Runs scenarios with many real senders that are members of one fleet. A relay on every path between them and to the
+//! destinations applies the network faults of the scenario's file (`[[break]]`). Their random draws depend on the seed.
 //!
 //! Start at [`play`] and [`Report`]. The simulated servers, the processes and the auditor are `cranehill_scenario_runner`'s.
 
@@ -9,7 +9,7 @@
 mod path_faults;
 pub mod relay;
 mod report;
-mod returns;
+mod restarts;
 mod scenarios;
 mod shares;
 pub mod simulated;
@@ -28,18 +28,18 @@
 pub use invalid_settings::InvalidSettings;
 pub use network::FleetTraffic;
 pub use relay::{Passed, Relay};
-pub use report::{Part, Report, table, write};
-pub use returns::{Peak, Returns};
+pub use report::{CutSideLoad, Report, table, write};
+pub use restarts::{DestinationPeak, Restarts};
 pub use scenarios::{SCENARIOS, scenario};
 pub use simulated_costs::SimulatedFleetCosts;
 pub use timeline::{StateChange, Timeline};
 pub use zones::Outage;
 
-/// Plays a scenario through relays, with its simulated members. `progress` is called with the time that has passed and the latest
-/// end.
+/// Runs a scenario through a relay, with its simulated members. `progress` is called with the elapsed time and the latest time
+/// at which the run ends.
 ///
 /// # Errors
-/// A sender or a simulated member does not start, or a socket fails.
+/// A sender or a simulated member can't be started, or a socket operation fails.
 pub fn play(
     plan: &Plan,
     progress: impl FnMut(Duration, Duration),
--- a/crates/fleet-harness/src/network.rs
+++ b/crates/fleet-harness/src/network.rs
@@ -14,17 +14,17 @@
 /// Traffic between the members of a fleet.
 #[derive(Clone, Debug, Default)]
 pub struct FleetTraffic {
-    /// By member: packets that it sent through the relay. Real senders send all of theirs through it.
+    /// Packets that each member sent through the relay, by member number. Real senders send all their packets through it.
     pub packets: Vec<u64>,
-    /// By member: bytes that it sent through the relay.
+    /// Bytes that each member sent through the relay, by member number.
     pub bytes: Vec<u64>,
-    /// Packets that the relay lost by network faults.
+    /// Packets that the relay dropped because of network faults.
     pub lost: u64,
-    /// Observations and traffic of the simulated members, in a scenario with some.
+    /// Observations and traffic of the simulated members; `None` in a scenario without any.
     pub simulated: Option<SimulatedFleetPlay>,
 }
 
-/// The relay, and the simulated members that it connects.
+/// The relay, and the simulated members that it connects to the real senders.
 pub(crate) struct HarnessNetwork<'a> {
     scenario: &'a Scenario,
     seed: u64,
@@ -33,7 +33,7 @@
 }
 
 impl HarnessNetwork<'_> {
-    /// Starts the relay.
+    /// Starts the relay; simulated members start in [`Network::join`].
     pub(crate) fn start(plan: &Plan) -> io::Result<HarnessNetwork<'_>> {
         let relay = Relay::start(
             plan.scenario.members(),
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Ends the simulated members; the traffic of the run.
+    /// Stops the simulated members and returns the traffic of the run.
     pub(crate) fn end(self) -> io::Result<FleetTraffic> {
         let simulated = self
             .simulated
--- a/crates/fleet-harness/src/path_faults.rs
+++ b/crates/fleet-harness/src/path_faults.rs
@@ -6,19 +6,20 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// What happens to a packet.
+/// The effect of the network faults on a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PacketOutcome {
-    /// It is delivered.
+    /// The packet is delivered.
     Through {
-        /// Not before this time, on the clock of the faults; zero if it is not delayed.
+        /// Earliest delivery, as time since the clock of the faults started; zero if the packet is not delayed.
         at: Duration,
     },
-    /// It is dropped.
+    /// The packet is dropped.
     Lost,
 }
 
-/// What happens to a packet that is sent at `now`, on the clock of the faults.
+/// Applies all active faults to a packet that is sent at `now`, the time since the clock of the faults started. The longest
+/// delay counts; `rng` decides random drops.
 pub(crate) fn outcome(
     network_faults: &[NetworkFault],
     from: usize,
--- a/crates/fleet-harness/src/report/agreement.rs
+++ b/crates/fleet-harness/src/report/agreement.rs
@@ -1,4 +1,4 @@
-//! Agreement of the members' views, after each event and at the end.
+//! Checks that the members' views agree after each event and at the end of a run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,7 +11,8 @@
 use crate::units::seconds;
 
 impl Report {
-    /// When all views agreed again after each event.
+    /// Determines when all views agreed again after each event. It is a failure if they did not, unless the next event came
+    /// within the detection bound or a fault between members was active.
     pub(super) fn evaluate_agreement(&mut self, plan: &Plan, outcome: &Outcome) {
         let scenario = &plan.scenario;
         let events = self.events(plan);
@@ -22,25 +23,26 @@
             }
             let next = times.get(n + 1).copied().unwrap_or(outcome.lasted);
             let until = next.min(outcome.lasted);
-            let since = self.timeline.agreed_since(scenario.members(), at, until);
+            let agreed_since = self.timeline.agreed_since(scenario.members(), at, until);
             let faulty = scenario
                 .network_faults
                 .iter()
                 .any(|fault| fault.is_on(at) && fault.among_senders());
-            // No failure if the next event comes before the views could agree.
-            if since.is_none() && (faulty || until - at < self.bound) {
+            // The views could not agree before the next event, or while a fault disturbs them.
+            if agreed_since.is_none() && (faulty || until - at < self.bound) {
                 continue;
             }
-            if since.is_none() {
+            if agreed_since.is_none() {
                 self.failed
-                    .push(format!("the views did not agree after: {event}"));
+                    .push(format!("views did not agree after {event}"));
             }
-            let took = since.map(|since| since.saturating_sub(at));
+            let took = agreed_since.map(|since| since.saturating_sub(at));
             self.agreed.push((event.clone(), took));
         }
     }
 
-    /// Events that change the views. Those with an empty text only end the time in which views can agree.
+    /// Events that change the views, by time. An event with an empty text is not evaluated; it only ends the time in which the
+    /// views can agree after the event before it.
     fn events(&self, plan: &Plan) -> BTreeMap<Duration, String> {
         let mut events: BTreeMap<Duration, String> = BTreeMap::new();
         events.insert(Duration::ZERO, "start".into());
@@ -50,22 +52,22 @@
             events.insert(fault.at, String::new());
             events.insert(fault.until, end);
         }
-        for &(removed, back) in self.timeline.away.values().flatten() {
-            events.entry(removed).or_default();
-            if let Some(back) = back {
+        for &(stopped, restarted) in self.timeline.away.values().flatten() {
+            events.entry(stopped).or_default();
+            if let Some(restarted) = restarted {
                 events
-                    .entry(back)
-                    .or_insert_with(|| format!("return at {:.1} s", seconds(back)));
+                    .entry(restarted)
+                    .or_insert_with(|| format!("return at {:.1} s", seconds(restarted)));
             }
         }
         events
     }
 
-    /// Compares the views at the end with the members that run.
+    /// Compares the views at the end with the members that were running during the last detection bound.
     pub(super) fn evaluate_last_views(&mut self, plan: &Plan, outcome: &Outcome) {
         let since = outcome.lasted.saturating_sub(self.bound);
         let running: BTreeSet<usize> = (0..plan.scenario.members())
-            .filter(|&member| self.timeline.there(member, since, outcome.lasted))
+            .filter(|&member| self.timeline.ran_throughout(member, since, outcome.lasted))
             .collect();
         self.views_agree = true;
         for &viewer in &running {
@@ -76,7 +78,8 @@
                 self.compare_view(viewer, &running, &alive_in(view));
             } else {
                 self.views_agree = false;
-                self.failed.push(format!("sender {viewer} gave no view"));
+                self.failed
+                    .push(format!("sender {viewer}: no status at the end of the run"));
             }
         }
     }
@@ -89,13 +92,13 @@
         if !missing.is_empty() {
             self.views_agree = false;
             self.failed.push(format!(
-                "at the end sender {viewer} does not see {missing:?} as alive"
+                "at the end member {viewer} does not see these running members as alive: {missing:?}"
             ));
         }
     }
 }
 
-/// Members that are alive in a sender's status.
+/// The members that a sender's status lists as alive.
 fn alive_in(view: &Value) -> BTreeSet<usize> {
     view["members"]
         .as_array()
--- a/crates/fleet-harness/src/report/detection.rs
+++ b/crates/fleet-harness/src/report/detection.rs
@@ -1,4 +1,4 @@
-//! Detection of crashes, and members that are held to be down without a cause.
+//! Checks how fast crashes are detected, and that no running member is held to be down without a cause.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,20 +11,21 @@
 use crate::timeline::StateChange;
 use crate::units::{seconds, whole_milliseconds};
 
-/// When each member held each other one to be down, by viewer and member.
+/// Times at which a viewer began to hold a member to be down, by viewer and member.
 type DownTimes = BTreeMap<(usize, usize), Vec<Duration>>;
 
-/// A sudden end of a member.
+/// A member that was killed.
 #[derive(Clone, Copy)]
 struct Kill {
     member: usize,
     at: Duration,
-    /// Until the member ran again, or the end of the run.
+    /// When the member ran again, or the end of the run.
     until: Duration,
 }
 
 impl Report {
-    /// How long after each kill the others held the member to be down.
+    /// Records how long after each kill the others held the member to be down. Fails if the longest time exceeds the bound, or if
+    /// a member did not detect a crash.
     pub(super) fn evaluate_detection(&mut self, plan: &Plan, outcome: &Outcome) {
         let down_times = self.down_times();
         for kill in self.kills(outcome) {
@@ -37,12 +38,12 @@
         if latest > whole_milliseconds(self.bound) {
             let bound = self.bound;
             self.failed.push(format!(
-                "a crash was known to all after {latest} ms; the bound is {bound:?}"
+                "crash detection took up to {latest} ms; expected at most {bound:?}"
             ));
         }
         if self.undetected > 0 {
             self.failed.push(format!(
-                "{} members never heard of a crash",
+                "{} crashes were never detected, counted once for each viewer",
                 self.undetected
             ));
         }
@@ -51,8 +52,8 @@
     fn down_times(&self) -> DownTimes {
         let mut times = DownTimes::new();
         for change in self.downs() {
-            let viewed = (change.by, change.of);
-            times.entry(viewed).or_default().push(change.at);
+            let viewer_and_member = (change.by, change.of);
+            times.entry(viewer_and_member).or_default().push(change.at);
         }
         times
     }
@@ -67,11 +68,11 @@
     fn kills(&self, outcome: &Outcome) -> Vec<Kill> {
         let kill = |&(member, at): &(usize, Duration)| {
             let away = self.timeline.away.get(&member);
-            let back = away.and_then(|away| away.iter().find(|span| span.0 >= at)?.1);
+            let restarted = away.and_then(|away| away.iter().find(|span| span.0 >= at)?.1);
             Kill {
                 member,
                 at,
-                until: back.unwrap_or(outcome.lasted).min(outcome.lasted),
+                until: restarted.unwrap_or(outcome.lasted).min(outcome.lasted),
             }
         };
         self.timeline.killed.iter().map(kill).collect()
@@ -80,25 +81,27 @@
     fn evaluate_kill(&mut self, plan: &Plan, kill: Kill, viewer: usize, down_times: &[Duration]) {
         let Kill { member, at, until } = kill;
         let deadline = at + self.bound;
-        if !self.timeline.there(viewer, at, until.min(deadline))
-            || is_cut_off(&plan.scenario.network_faults, viewer, member, at)
+        if !self
+            .timeline
+            .ran_throughout(viewer, at, until.min(deadline))
+            || has_fault_between(&plan.scenario.network_faults, viewer, member, at)
         {
             return;
         }
         match down_times.iter().find(|time| (at..=until).contains(time)) {
             Some(time) => record(&mut self.detection, *time - at),
-            // The member ran again, or the run ended, before the crash had to be known.
+            // The member ran again, or the run ended, before the crash had to be detected.
             None if until < deadline => {}
             None => self.undetected += 1,
         }
     }
 
-    /// Counts members that were held to be down and were not.
+    /// Counts how often a running member was held to be down, with and without a fault that explains it.
     pub(super) fn evaluate_false_downs(&mut self, plan: &Plan) {
         let downs: Vec<StateChange> = self.downs().cloned().collect();
         for StateChange { at, by, of, .. } in downs {
             let since = at.saturating_sub(self.bound);
-            if !self.timeline.there(of, since, at) {
+            if !self.timeline.ran_throughout(of, since, at) {
                 continue;
             }
             let explains = |fault: &NetworkFault| {
@@ -114,14 +117,19 @@
             self.false_downs += 1;
             let at = seconds(at);
             self.failed.push(format!(
-                "{at:.3} s: sender {by} held {of} to be down, and nothing was broken"
+                "{at:.3} s: member {by} held running member {of} to be down without a network fault"
             ));
         }
     }
 }
 
-/// A network fault lies between the two about that time.
-fn is_cut_off(network_faults: &[NetworkFault], one: usize, other: usize, at: Duration) -> bool {
+/// Whether a network fault was active between two members at that time, in either direction.
+fn has_fault_between(
+    network_faults: &[NetworkFault],
+    one: usize,
+    other: usize,
+    at: Duration,
+) -> bool {
     network_faults
         .iter()
         .filter(|fault| fault.at <= at && at <= fault.until)
--- a/crates/fleet-harness/src/report/detection_bound.rs
+++ b/crates/fleet-harness/src/report/detection_bound.rs
@@ -4,30 +4,30 @@
 
 use cranehill_scenario_runner::Plan;
 
-/// Periods from a crash until some member probes the crashed one, but for a chance of e^-7 (7); of the probe (1); and of the
-/// gossip (2).
+/// Periods until a crash is suspected and known to all: 7 until some member probes the crashed one, except with a probability
+/// of e^-7; 1 for the probe; 2 for the gossip.
 const DETECTION_PERIODS: f64 = 10.0;
-/// Rounds of all members within which the others are probed where many crash at once.
+/// Rounds through the member list until all crashed members are probed when many crash at once.
 const PROBE_ROUNDS: f64 = 2.0;
-/// A suspicion lasts this many periods, and more from ten members on.
+/// Default duration of a suspicion in periods. It grows with the logarithm of the fleet size from ten members on.
 const SUSPICION_PERIODS: u32 = 4;
 
-/// The longest time from a crash until every member knows of it.
+/// The longest time allowed from a crash until every member holds the crashed one to be down; zero without a fleet.
 pub(super) fn detection_bound(plan: &Plan) -> Duration {
     let Some(fleet) = &plan.scenario.fleet else {
         return Duration::ZERO;
     };
-    let count = plan.scenario.members();
-    let most_removed = plan
+    let members = plan.scenario.members();
+    let max_killed = plan
         .scenario
         .scheduled_actions
         .iter()
         .map(|action| action.senders.len())
         .max()
         .unwrap_or(0)
-        .min(count.saturating_sub(1));
-    let rounds = PROBE_ROUNDS * count as f64 / (count - most_removed).max(1) as f64;
-    let scale = (count as f64).log10().max(1.0);
+        .min(members.saturating_sub(1));
+    let rounds = PROBE_ROUNDS * members as f64 / (members - max_killed).max(1) as f64;
+    let scale = (members as f64).log10().max(1.0);
     let suspicion = fleet
         .suspicion
         .unwrap_or((fleet.period * SUSPICION_PERIODS).mul_f64(scale));
--- a/crates/fleet-harness/src/report/files.rs
+++ b/crates/fleet-harness/src/report/files.rs
@@ -1,4 +1,4 @@
-//! The report as files.
+//! Writes the report to files.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,10 +11,11 @@
 use super::summary::Report;
 use super::table::table;
 
-/// The summary as JSON; with a folder, `summary.json`, `report.txt`, `members.svg` and each sender's log there.
+/// Returns the summary as JSON. With a folder, also writes `summary.json`, `report.txt`, `members.svg` and each sender's log
+/// (`n0.jsonl` and so on) there, and creates the folder if it is missing.
 ///
 /// # Errors
-/// A file can't be written, or the plot can't be drawn.
+/// The folder or a file can't be written, or the plot can't be drawn.
 pub fn write(
     dir: Option<&Path>,
     plan: &Plan,
--- a/crates/fleet-harness/src/report/limits.rs
+++ b/crates/fleet-harness/src/report/limits.rs
@@ -1,4 +1,4 @@
-//! Shared limits: what all members allowed themselves, and what each side of a cut sent.
+//! Checks shared limits: the share that all members allowed themselves together, and the calls of each side of a cut.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -9,26 +9,26 @@
 use cranehill_simulation::fleet::{NetworkFault, PathFault, Side};
 use cranehill_simulation::limit::Limit;
 
-use super::part::Part;
+use super::cut_side::CutSideLoad;
 use super::summary::Report;
 use crate::shares::largest_share;
 use crate::timeline::Timeline;
 use crate::units::seconds;
 
-/// If one side of a cut has evicted the other, both together use at most this share of a limit: docs/membership.md.
+/// If one side of a cut has evicted the other, both sides together use at most this share of a limit (docs/membership.md).
 const MAX_SHARE_AFTER_EVICTION: f64 = 1.5;
-/// Calls that a full token bucket allows at once; see `PACE_DEPTH` of the scheduler.
+/// Calls that a full token bucket allows at once: `PACE_DEPTH` of the scheduler.
 const TOKEN_BUCKET_DEPTH: f64 = 2.0;
 
 impl Report {
-    /// All members together allowed themselves no more than a shared limit, or than evictions allow if a member was away or
-    /// cut off for longer than the eviction delay.
+    /// Checks that all members together allowed themselves at most the whole of a shared limit, or
+    /// [`MAX_SHARE_AFTER_EVICTION`] if a member was down or cut off for at least the eviction delay.
     pub(super) fn evaluate_shares(&mut self, plan: &Plan) {
         let Some(fleet) = &plan.scenario.fleet else {
             return;
         };
         self.largest_share = largest_share(&self.timeline, plan.scenario.members());
-        let max_share = if longest_absence(plan, &self.timeline) < fleet.hold {
+        let max_share = if longest_unreachable(plan, &self.timeline) < fleet.hold {
             1.0
         } else {
             MAX_SHARE_AFTER_EVICTION
@@ -36,12 +36,12 @@
         if self.largest_share > max_share {
             let share = self.largest_share;
             self.failed.push(format!(
-                "all together took {share:.3} of a shared limit; {max_share:.3} at most"
+                "all members together allowed themselves {share:.3} of a shared limit; expected at most {max_share:.3}"
             ));
         }
     }
 
-    /// What each side of a cut sent to the destinations that share a limit.
+    /// Checks for each cut that neither side called a destination more often than its senders' share of the limit allows.
     pub(super) fn evaluate_cut_limits(&mut self, plan: &Plan, outcome: &Outcome) {
         for fault in &plan.scenario.network_faults {
             if fault.path_fault != PathFault::Cut || fault.one_way {
@@ -71,35 +71,35 @@
         let Limit::Rate { per_second, .. } = member.spec.limit else {
             return;
         };
-        // Simulated members have a part as well, and send nothing.
+        // Simulated members have a share of the limit as well, and send nothing.
         let senders = side.iter().filter(|&&s| s < scenario.senders).count();
         if senders == 0 {
             return;
         }
-        let length = cut.until - cut.at;
-        let before = cut.at.saturating_sub(length)..cut.at;
+        let duration = cut.until - cut.at;
+        let before = cut.at.saturating_sub(duration)..cut.at;
         let during = cut.at..cut.until;
-        let part = Part {
+        let load = CutSideLoad {
             destination: member.name.clone(),
             senders,
             before: calls_per_second(lines, destination, side, &before),
             during: calls_per_second(lines, destination, side, &during),
             allowed: per_second * senders as f64 / scenario.members() as f64,
         };
-        // Buckets may be full when the cut begins.
-        let max_rate = part.allowed + TOKEN_BUCKET_DEPTH * senders as f64 / seconds(length);
-        if part.during > max_rate {
-            let (name, during, allowed) = (&part.destination, part.during, part.allowed);
+        // Token buckets may be full when the cut begins.
+        let max_rate = load.allowed + TOKEN_BUCKET_DEPTH * senders as f64 / seconds(duration);
+        if load.during > max_rate {
+            let (name, during, allowed) = (&load.destination, load.during, load.allowed);
             self.failed.push(format!(
-                "{senders} senders sent {during:.2} calls/s to {name} while cut off; their part is {allowed:.2}"
+                "{senders} senders sent {during:.2} calls/s to {name} while cut off; their share of the limit is {allowed:.2} calls/s"
             ));
         }
-        self.parts.push(part);
+        self.cut_sides.push(load);
     }
 }
 
-/// The longest time for which a member was away or cut off.
-fn longest_absence(plan: &Plan, timeline: &Timeline) -> Duration {
+/// The longest time for which a member was down or cut off; `Duration::MAX` if one did not run again.
+fn longest_unreachable(plan: &Plan, timeline: &Timeline) -> Duration {
     let is_cut = |fault: &&NetworkFault| {
         matches!(fault.path_fault, PathFault::Cut | PathFault::Stall) && fault.among_senders()
     };
@@ -107,21 +107,22 @@
     let longest_cut = cuts.map(|fault| fault.until - fault.at).max();
     let away = timeline.away.values().flatten();
     let longest_away = away
-        .map(|(removed, back)| match back {
-            Some(back) => back.saturating_sub(*removed),
+        .map(|(stopped, restarted)| match restarted {
+            Some(restarted) => restarted.saturating_sub(*stopped),
             None => Duration::MAX,
         })
         .max();
     longest_cut.max(longest_away).unwrap_or_default()
 }
 
+/// Average calls per second of these senders to a destination within a span.
 fn calls_per_second(
     lines: &[AuditRecord],
     destination: usize,
     senders: &BTreeSet<usize>,
     span: &Range<Duration>,
 ) -> f64 {
-    let is_call = |what: &AuditEvent| matches!(what, AuditEvent::Called { destination: called, .. } if *called == destination as u64);
+    let is_call = |event: &AuditEvent| matches!(event, AuditEvent::Called { destination: called, .. } if *called == destination as u64);
     let calls = lines
         .iter()
         .filter(|line| span.contains(&line.at))
--- a/crates/fleet-harness/src/report/plot.rs
+++ b/crates/fleet-harness/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! The plot of the members that each sender sees.
+//! Plots how many members each sender sees over time.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -16,10 +16,10 @@
 /// Width and height in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 320);
 
-/// Points: seconds, and members.
+/// Points of seconds since the run began and number of members.
 type Curve = Vec<(f64, f64)>;
 
-/// Members that each sender does not hold to be down, over time, as SVG.
+/// Draws the number of other members that each sender does not hold to be down, over time, as SVG.
 pub(super) fn members_plot(plan: &Plan, outcome: &Outcome, report: &Report) -> io::Result<String> {
     let end = seconds(outcome.lasted);
     let curves = curves(report, plan.scenario.senders, end);
--- a/crates/fleet-harness/src/report/summary.rs
+++ b/crates/fleet-harness/src/report/summary.rs
@@ -1,4 +1,4 @@
-//! The figures of a scenario and what is checked of them.
+//! The figures of a scenario and the checks on them.
 
 use std::time::Duration;
 
@@ -6,70 +6,70 @@
 use cranehill_simulation::audit::{Rule, Verdict, Violation};
 use hdrhistogram::Histogram;
 
+use super::cut_side::CutSideLoad;
 use super::detection_bound::detection_bound;
-use super::part::Part;
 use crate::histograms::histogram;
 use crate::network::FleetTraffic;
-use crate::returns::Returns;
+use crate::restarts::Restarts;
 use crate::simulated_costs::SimulatedFleetCosts;
 use crate::timeline::Timeline;
 use crate::units::{milliseconds, seconds};
 use crate::zones::{Outage, outages};
 
-/// Results of a scenario.
+/// The figures of a scenario's run, and the expectations that were not met.
 #[derive(Debug)]
 pub struct Report {
-    /// A crash must be known to all members within this.
+    /// The longest time allowed from a crash until all members hold the crashed one to be down.
     pub bound: Duration,
-    /// Milliseconds from a kill until each other member held the killed one to be down.
+    /// Milliseconds from a kill until another member held the killed one to be down, one value for each kill and viewer.
     pub detection: Histogram<u64>,
-    /// Members that did not hold a killed one to be down in time, counted by kill.
+    /// Number of pairs of a kill and a viewer where the viewer did not hold the killed member to be down.
     pub undetected: u64,
-    /// Times that a member was held to be down, and was neither away nor cut off.
+    /// Times that a member was held to be down although it ran and was not cut off.
     pub false_downs: u64,
-    /// Times that a member was held to be down because of a cut.
+    /// Times that a running member was held to be down because of a cut or stall.
     pub explained: u64,
-    /// Hours that the members ran, together.
+    /// Duration of the run in hours, multiplied by the number of members.
     pub member_hours: f64,
-    /// By event: how long after it all views agreed again; `None` if they did not.
+    /// Events, each with the time after which all views agreed again; `None` if they did not.
     pub agreed: Vec<(String, Option<Duration>)>,
-    /// At the end all views agree.
+    /// Whether all views agreed with the running members at the end.
     pub views_agree: bool,
-    /// Times that a member rejoined with a new incarnation while its process ran on.
+    /// Times that a member rejoined with a new incarnation while its process kept running.
     pub rejoined: usize,
-    /// Calls of each side of a cut.
-    pub parts: Vec<Part>,
-    /// Restarts of senders.
-    pub returns: Returns,
-    /// Outages of zones.
+    /// Rates of calls from each side of each cut.
+    pub cut_sides: Vec<CutSideLoad>,
+    /// Durations of the senders' recoveries, and the load during restarts.
+    pub restarts: Restarts,
+    /// Outages of zones, and how the senders reacted.
     pub outages: Vec<Outage>,
-    /// Bytes of membership that a member sent in a second, on average.
-    pub bytes_a_second: f64,
-    /// Packets of membership that a member sent in a second, on average.
-    pub packets_a_second: f64,
-    /// Packets that were lost by network faults.
+    /// Average bytes of membership traffic that a member sent per second.
+    pub bytes_per_second: f64,
+    /// Average packets of membership traffic that a member sent per second.
+    pub packets_per_second: f64,
+    /// Packets that were dropped because of network faults.
     pub lost: u64,
-    /// The cost of simulated members, in a scenario with some.
+    /// The cost of simulated members; `None` in a scenario without any.
     pub simulated: Option<SimulatedFleetCosts>,
     /// The largest share of a shared limit that all running members allowed themselves together; 1.0 is the limit.
     pub largest_share: f64,
-    /// Milliseconds of processor time in a second, on average of the senders that ran throughout.
+    /// Average processor time of the senders that ran throughout, in milliseconds per second.
     pub cpu_ms: f64,
-    /// Resident memory of these senders in kB: median and largest.
+    /// Resident memory of the senders that ran throughout, in kB: median and maximum.
     pub memory_kb: (u64, u64),
-    /// Expectations that were not met.
+    /// The expectations that were not met, one text for each.
     pub failed: Vec<String>,
     pub(super) timeline: Timeline,
 }
 
 impl Report {
-    /// Evaluates a run.
-    pub fn of(plan: &Plan, outcome: &Outcome, passed: &FleetTraffic) -> Report {
+    /// Evaluates a run: computes all figures and checks the expectations.
+    pub fn of(plan: &Plan, outcome: &Outcome, traffic: &FleetTraffic) -> Report {
         let mut timeline = Timeline::read(&outcome.logs, &outcome.lines, outcome.began);
-        if let Some(simulated) = &passed.simulated {
+        if let Some(simulated) = &traffic.simulated {
             timeline.add_simulated(simulated);
         }
-        let mut report = Report::new(plan, outcome, passed, timeline);
+        let mut report = Report::new(plan, outcome, traffic, timeline);
         report.evaluate_costs(outcome);
         if plan.scenario.fleet.is_some() {
             report.evaluate_detection(plan, outcome);
@@ -83,12 +83,12 @@
         report
     }
 
-    fn new(plan: &Plan, outcome: &Outcome, passed: &FleetTraffic, timeline: Timeline) -> Report {
+    fn new(plan: &Plan, outcome: &Outcome, traffic: &FleetTraffic, timeline: Timeline) -> Report {
         let scenario = &plan.scenario;
         let members = scenario.members() as f64;
         let lasted = seconds(outcome.lasted);
-        let sent = SentTotals::of(scenario.senders, passed);
-        let simulated = passed.simulated.as_ref();
+        let sent = SentTotals::of(scenario.senders, traffic);
+        let simulated = traffic.simulated.as_ref();
         Report {
             bound: detection_bound(plan),
             detection: histogram(),
@@ -99,14 +99,14 @@
             agreed: Vec::new(),
             views_agree: false,
             rejoined: timeline.rejoined.len(),
-            parts: Vec::new(),
-            returns: Returns::of(scenario, &outcome.lines, &timeline, outcome.lasted),
+            cut_sides: Vec::new(),
+            restarts: Restarts::of(scenario, &outcome.lines, &timeline, outcome.lasted),
             outages: outages(scenario, &outcome.lines, &timeline),
-            bytes_a_second: sent.bytes as f64 / lasted / members,
-            packets_a_second: sent.packets as f64 / lasted / members,
-            simulated: simulated.map(|play| SimulatedFleetCosts::of(play, outcome.lasted)),
+            bytes_per_second: sent.bytes as f64 / lasted / members,
+            packets_per_second: sent.packets as f64 / lasted / members,
+            simulated: simulated.map(|run| SimulatedFleetCosts::of(run, outcome.lasted)),
             largest_share: 0.0,
-            lost: passed.lost + simulated.map_or(0, |play| play.lost),
+            lost: traffic.lost + simulated.map_or(0, |run| run.lost),
             cpu_ms: 0.0,
             memory_kb: (0, 0),
             failed: Vec::new(),
@@ -114,12 +114,12 @@
         }
     }
 
-    /// All expectations were met.
+    /// Whether all expectations were met.
     pub fn holds(&self) -> bool {
         self.failed.is_empty()
     }
 
-    /// Violated rules, crashes, and reasons why the run can't be judged.
+    /// Adds violated rules, crashed senders, and reasons why the run is not valid.
     fn add_run_failures(&mut self, outcome: &Outcome) {
         for (rule, verdict) in &outcome.verdicts {
             if let Verdict::Broken(violations) = verdict {
@@ -127,16 +127,20 @@
             }
         }
         let crashed = outcome.crashed.iter();
-        self.failed
-            .extend(crashed.map(|sender| format!("sender {sender} ended without a signal")));
+        self.failed.extend(
+            crashed.map(|sender| format!("sender {sender}: process ended without a signal")),
+        );
         let void = outcome.void.iter();
         self.failed
-            .extend(void.map(|reason| format!("void: {reason}")));
+            .extend(void.map(|reason| format!("run not valid: {reason}")));
     }
 
-    /// Processor time and memory of the senders that ran throughout.
+    /// Computes processor time and memory of the senders that ran throughout.
     fn evaluate_costs(&mut self, outcome: &Outcome) {
-        let ran = |sender: usize| self.timeline.there(sender, Duration::ZERO, outcome.lasted);
+        let ran = |sender: usize| {
+            self.timeline
+                .ran_throughout(sender, Duration::ZERO, outcome.lasted)
+        };
         let usages: Vec<&ResourceUsage> = outcome
             .senders
             .iter()
@@ -161,26 +165,26 @@
         .map(ToString::to_string)
         .unwrap_or_default();
     format!(
-        "broken {} times: {}; {first}",
+        "{} violations of the rule: {}; first: {first}",
         violations.len(),
         rule.description()
     )
 }
 
-/// What all members sent.
+/// Membership traffic that all members sent.
 struct SentTotals {
     bytes: u64,
     packets: u64,
 }
 
 impl SentTotals {
-    /// Simulated members count at their own sockets, as the relay sees only a part of their packets.
-    fn of(senders: usize, passed: &FleetTraffic) -> SentTotals {
+    /// Adds up the traffic. Simulated members are counted at their own sockets, since the relay sees only some of their packets.
+    fn of(senders: usize, traffic: &FleetTraffic) -> SentTotals {
         let of_senders = |counts: &[u64]| counts.iter().take(senders).sum::<u64>();
-        let simulated = passed.simulated.as_ref();
+        let simulated = traffic.simulated.as_ref();
         SentTotals {
-            bytes: of_senders(&passed.bytes) + simulated.map_or(0, |play| play.bytes_sent),
-            packets: of_senders(&passed.packets) + simulated.map_or(0, |play| play.packets_sent),
+            bytes: of_senders(&traffic.bytes) + simulated.map_or(0, |run| run.bytes_sent),
+            packets: of_senders(&traffic.packets) + simulated.map_or(0, |run| run.packets_sent),
         }
     }
 }
--- a/crates/fleet-harness/src/report/table.rs
+++ b/crates/fleet-harness/src/report/table.rs
@@ -1,4 +1,4 @@
-//! The results as text.
+//! The report as lines of text.
 
 use cranehill_scenario_runner::{Outcome, Plan, report as run_report};
 
@@ -7,22 +7,22 @@
 use crate::units::seconds;
 use crate::zones::Outage;
 
-/// The figures as lines of text, then the table of the run itself.
+/// The figures of the fleet as lines of text, followed by the scenario runner's table of the run.
 pub fn table(plan: &Plan, outcome: &Outcome, report: &Report) -> Vec<String> {
     let mut lines = membership_lines(plan, report);
     lines.extend(report.simulated.as_ref().map(SimulatedFleetCosts::line));
     for (event, took) in &report.agreed {
-        let took = took.map_or("never".into(), |t| format!("{:.2} s", seconds(t)));
+        let took = took.map_or("never".into(), |took| format!("{:.2} s", seconds(took)));
         lines.push(format!("  views agreed after {event}: {took}"));
     }
-    for part in &report.parts {
+    for side in &report.cut_sides {
         lines.push(format!(
-            "  {} senders cut off, to {}: {:.2} calls/s before, {:.2} during; their part {:.2}",
-            part.senders, part.destination, part.before, part.during, part.allowed
+            "  {} senders cut off, to {}: {:.2} calls/s before, {:.2} during; their share of the limit {:.2}",
+            side.senders, side.destination, side.before, side.during, side.allowed
         ));
     }
     if !report.timeline.killed.is_empty() {
-        lines.extend(report.returns.lines());
+        lines.extend(report.restarts.lines());
     }
     lines.extend(report.outages.iter().map(Outage::line));
     lines.extend(
@@ -30,7 +30,12 @@
             .into_iter()
             .skip(1),
     );
-    lines.extend(report.failed.iter().map(|f| format!("  FAILED: {f}")));
+    lines.extend(
+        report
+            .failed
+            .iter()
+            .map(|failure| format!("  FAILED: {failure}")),
+    );
     lines
 }
 
@@ -44,7 +49,7 @@
             plan.seed
         ),
         format!(
-            "  crash to down in a view: {} times, p50 {} ms, p99 {} ms, at most {} ms (bound {} ms); {} never",
+            "  crash to down in a view: {} times, p50 {} ms, p99 {} ms, at most {} ms (bound {} ms); {} not detected",
             detection.len(),
             detection.value_at_quantile(0.5),
             detection.value_at_quantile(0.99),
@@ -53,13 +58,13 @@
             report.undetected
         ),
         format!(
-            "  false downs: {} in {:.2} member-hours; {} by cuts; {} came back under another life",
+            "  false downs: {} in {:.2} member-hours; {} because of cuts; {} rejoined with a new incarnation",
             report.false_downs, report.member_hours, report.explained, report.rejoined
         ),
         format!(
-            "  a member a second: {:.0} bytes in {:.1} packets, {:.1} ms of CPU; memory {} kB, {} at most",
-            report.bytes_a_second,
-            report.packets_a_second,
+            "  each member per second: {:.0} bytes in {:.1} packets, {:.1} ms of CPU; memory {} kB (median), {} kB at most",
+            report.bytes_per_second,
+            report.packets_per_second,
             report.cpu_ms,
             report.memory_kb.0,
             report.memory_kb.1
--- a/crates/fleet-harness/src/returns.rs
+++ b/crates/fleet-harness/src/restarts.rs
@@ -1,4 +1,4 @@
-//! Restarts of senders: how long they took, and the load of the destinations meanwhile.
+//! Restarts of senders: the duration of their recovery, and the load of the destinations during it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Range;
@@ -14,61 +14,62 @@
 use crate::histograms::{histogram, record};
 use crate::timeline::Timeline;
 
-/// Time after a sender is ready again that counts as its restart.
-const RETURN_TIME: Duration = Duration::from_secs(6);
-/// Rates are counted over this.
+/// The load of the destinations is still attributed to a restart for this long after the sender is ready again.
+const RESTART_TIME: Duration = Duration::from_secs(6);
+/// Length of the sliding window in which events are counted for a rate.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// The load of one destination while senders were away or restarted.
+/// The largest load of one destination while senders were down or had just been restarted.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Peak {
-    /// The destination's name.
+pub struct DestinationPeak {
+    /// Name of the destination.
     pub destination: String,
-    /// Calls that its limit allows in any one second, with its burst; `None` if it has no limit.
+    /// Calls that its limit allows in any one second, including the burst; `None` without a limit.
     pub limit: Option<f64>,
-    /// The most calls in any second.
+    /// The largest number of calls in any second.
     pub calls: u32,
-    /// The most connections opened in any second.
+    /// The largest number of connections opened in any second.
     pub opened: u32,
-    /// The most calls in flight at once.
-    pub out: usize,
-    /// Calls that it rejected.
-    pub refused: u32,
-    /// The most calls in any second as a share of the limit at that time: above 1, it was exceeded.
-    pub over: f64,
+    /// The largest number of calls in flight at the same time.
+    pub in_flight: usize,
+    /// Calls that the destination rejected because it was busy.
+    pub rejected: u32,
+    /// The largest number of calls in any second, divided by the limit at that time; above 1 the limit was exceeded.
+    pub limit_share: f64,
 }
 
-/// Restarts of senders.
+/// Durations of the senders' recoveries, and the load that restarts put on destinations.
 #[derive(Debug)]
-pub struct Returns {
-    /// Milliseconds from a start until the sender logged that its recovery was complete.
-    pub full: Histogram<u64>,
-    /// From the first kill until nine tenths of the usual deliveries were made again; `None` if that was never so.
-    pub service: Option<Duration>,
-    /// By destination.
-    pub peaks: Vec<Peak>,
+pub struct Restarts {
+    /// Milliseconds from the start of a process until it logged that its recovery was complete, from the first kill on.
+    pub recovery: Histogram<u64>,
+    /// Time from the first kill until the delivery rate was back at nine tenths of the usual rate; `None` if it was not disturbed
+    /// or did not recover.
+    pub service_recovered_after: Option<Duration>,
+    /// The largest load of each destination.
+    pub peaks: Vec<DestinationPeak>,
 }
 
-impl Returns {
-    /// Evaluates a run.
+impl Restarts {
+    /// Evaluates the records of a run of this duration.
     pub fn of(
         scenario: &Scenario,
         lines: &[AuditRecord],
         timeline: &Timeline,
         lasted: Duration,
-    ) -> Returns {
-        let mut full = histogram();
-        let first = timeline.killed.iter().map(|k| k.1).min();
-        for (at, _, took) in &timeline.full {
-            if first.is_some_and(|first| *at >= first) {
-                record(&mut full, *took);
+    ) -> Restarts {
+        let mut recovery = histogram();
+        let first_kill = timeline.killed.iter().map(|kill| kill.1).min();
+        for (at, _, took) in &timeline.recoveries {
+            if first_kill.is_some_and(|kill| *at >= kill) {
+                record(&mut recovery, *took);
             }
         }
         let spans: Vec<Range<Duration>> = timeline
             .away
             .values()
             .flatten()
-            .filter_map(|(removed, back)| Some(*removed..(*back)? + RETURN_TIME))
+            .filter_map(|(stopped, restarted)| Some(*stopped..(*restarted)? + RESTART_TIME))
             .collect();
         let peaks = (0..scenario.destinations.len())
             .map(|n| {
@@ -77,58 +78,58 @@
                 load.finish()
             })
             .collect();
-        Returns {
-            full,
-            service: first.and_then(|at| recovered_after(lines, at, lasted)),
+        Restarts {
+            recovery,
+            service_recovered_after: first_kill.and_then(|at| recovered_after(lines, at, lasted)),
             peaks,
         }
     }
 
-    /// For the summary.
+    /// The figures as a JSON object of the summary.
     pub fn json(&self) -> Value {
-        let f = &self.full;
+        let recovery = &self.recovery;
         let peaks: Vec<Value> = self
             .peaks
             .iter()
             .map(|p| {
                 json!({"partner": p.destination, "limit": p.limit, "calls_a_second": p.calls, "opened_a_second": p.opened,
-                    "out": p.out, "refused": p.refused, "of_limit": p.over})
+                    "out": p.in_flight, "refused": p.rejected, "of_limit": p.limit_share})
             })
             .collect();
-        json!({"full_ms": {"count": f.len(), "p50": f.value_at_quantile(0.5), "p99": f.value_at_quantile(0.99),
-                "max": f.max()},
-            "service_ms": self.service.map(|s| s.as_millis() as u64), "peaks": peaks})
+        json!({"full_ms": {"count": recovery.len(), "p50": recovery.value_at_quantile(0.5), "p99": recovery.value_at_quantile(0.99),
+                "max": recovery.max()},
+            "service_ms": self.service_recovered_after.map(|after| after.as_millis() as u64), "peaks": peaks})
     }
 
-    /// For the table.
+    /// The figures as lines of the text report.
     pub fn lines(&self) -> Vec<String> {
-        let f = &self.full;
+        let recovery = &self.recovery;
         let mut lines = Vec::new();
-        if !f.is_empty() {
+        if !recovery.is_empty() {
             lines.push(format!(
-                "  start to full: {} times, p50 {} ms, p99 {} ms",
-                f.len(),
-                f.value_at_quantile(0.5),
-                f.value_at_quantile(0.99)
+                "  start to complete recovery: {} times, p50 {} ms, p99 {} ms",
+                recovery.len(),
+                recovery.value_at_quantile(0.5),
+                recovery.value_at_quantile(0.99)
             ));
         }
-        if let Some(service) = self.service {
+        if let Some(after) = self.service_recovered_after {
             lines.push(format!(
-                "  nine tenths of the service were back {:.1} s after the first crash",
-                service.as_secs_f64()
+                "  nine tenths of the usual delivery rate {:.1} s after the first crash",
+                after.as_secs_f64()
             ));
         }
         for p in self.peaks.iter().filter(|p| p.calls > 0) {
             lines.push(format!(
-                "  {} during returns, at most in a second: {} calls (limit {}; {:.2} of it as it was), {} opened, {} out at once; \
-                 {} refused",
+                "  {} during restarts, at most per second: {} calls (limit {}; {:.2} of the limit at that time), {} connections opened; \
+                 {} calls in flight at once; {} rejected",
                 p.destination,
                 p.calls,
                 p.limit.map_or("none".into(), |l| format!("{l:.0}")),
-                p.over,
+                p.limit_share,
                 p.opened,
-                p.out,
-                p.refused
+                p.in_flight,
+                p.rejected
             ));
         }
         lines
@@ -139,12 +140,12 @@
 #[derive(Default)]
 struct SlidingCount {
     times: VecDeque<Duration>,
-    /// The largest count so far.
+    /// The largest number of events in any window so far.
     max: u32,
 }
 
 impl SlidingCount {
-    /// Adds an event; the count with it.
+    /// Adds an event and restarts the number of events in the window, including this one.
     fn add(&mut self, at: Duration) -> u32 {
         self.times.push_back(at);
         while self
@@ -160,16 +161,16 @@
     }
 }
 
-/// The load of one destination, counted in some spans.
+/// Accumulates the load of one destination during the given spans of time.
 struct DestinationLoad<'a> {
     number: u64,
     member: &'a Member,
     spans: &'a [Range<Duration>],
     calls: SlidingCount,
     opened: SlidingCount,
-    /// Connections with a call in flight.
+    /// Connections that carry a call in flight.
     in_flight: BTreeSet<u64>,
-    peak: Peak,
+    peak: DestinationPeak,
 }
 
 impl<'a> DestinationLoad<'a> {
@@ -186,10 +187,10 @@
             calls: SlidingCount::default(),
             opened: SlidingCount::default(),
             in_flight: BTreeSet::new(),
-            peak: Peak {
+            peak: DestinationPeak {
                 destination: member.name.clone(),
                 limit: calls_in_window(member.spec.limit),
-                ..Peak::default()
+                ..DestinationPeak::default()
             },
         }
     }
@@ -219,7 +220,7 @@
                 self.in_flight.remove(connection);
                 let is_busy = |outcome: &DeliveryOutcome| *outcome == DeliveryOutcome::Busy;
                 if counts && outcomes.iter().all(|(_, outcome)| is_busy(outcome)) {
-                    self.peak.refused += 1;
+                    self.peak.rejected += 1;
                 }
             }
             AuditEvent::Closed { connection } | AuditEvent::Broke { connection, .. } => {
@@ -234,13 +235,13 @@
         if let Limit::Rate { per_second, burst } = self.member.spec.limit {
             let lowered_to = State::of(&self.member.faults[0], at).lower;
             let limit = per_second * lowered_to + burst;
-            self.peak.over = self.peak.over.max(f64::from(count) / limit);
+            self.peak.limit_share = self.peak.limit_share.max(f64::from(count) / limit);
         }
-        self.peak.out = self.peak.out.max(self.in_flight.len());
+        self.peak.in_flight = self.peak.in_flight.max(self.in_flight.len());
     }
 
-    fn finish(self) -> Peak {
-        Peak {
+    fn finish(self) -> DestinationPeak {
+        DestinationPeak {
             calls: self.calls.max,
             opened: self.opened.max,
             ..self.peak
@@ -248,7 +249,7 @@
     }
 }
 
-/// Calls that a limit allows within [`RATE_WINDOW`].
+/// Calls that a limit allows within [`RATE_WINDOW`]; `None` without a limit.
 fn calls_in_window(limit: Limit) -> Option<f64> {
     let window = RATE_WINDOW.as_secs_f64();
     match limit {
@@ -260,17 +261,17 @@
     }
 }
 
-/// Seconds before the first kill over which the usual rate is counted.
+/// Seconds before the first kill over which the usual rate is averaged.
 const USUAL_RATE_SECONDS: u64 = 4;
-/// Seconds over which the rate is compared with the usual one.
+/// Seconds over which the rate after a kill is averaged for the comparison with the usual rate.
 const RECOVERED_RATE_SECONDS: u64 = 3;
-/// Below this part of the usual rate, service is disturbed.
+/// Below this fraction of the usual rate, service counts as disturbed.
 const DISTURBED_SERVICE: f64 = 0.7;
-/// From this part of the usual rate on, service has recovered.
+/// From this fraction of the usual rate on, service counts as recovered.
 const RECOVERED_SERVICE: f64 = 0.9;
 
-/// How long after `at` nine tenths of the usual deliveries were made again, over three seconds. Messages that are lost meanwhile
-/// are not counted as missing later.
+/// Time from `at` until the rate of deliveries, averaged over three seconds, was back at nine tenths of the usual rate. Only the
+/// rate counts: messages that were lost in between do not lower it later.
 fn recovered_after(lines: &[AuditRecord], at: Duration, lasted: Duration) -> Option<Duration> {
     let delivered = deliveries_by_second(lines);
     let rate = |seconds: Range<u64>| -> f64 {
--- a/crates/fleet-harness/src/scenarios.rs
+++ b/crates/fleet-harness/src/scenarios.rs
@@ -1,6 +1,6 @@
-//! The scenarios that are part of the program.
+//! The scenarios that are built into the program.
 
-/// Names and the texts of the files.
+/// Name and TOML text of each built-in scenario.
 pub const SCENARIOS: [(&str, &str); 17] = [
     (
         "membership",
@@ -66,7 +66,7 @@
     ),
 ];
 
-/// The text of the scenario of that name.
+/// The TOML text of the built-in scenario of this name.
 pub fn scenario(name: &str) -> Option<&'static str> {
     SCENARIOS
         .iter()
--- a/crates/fleet-harness/src/shares.rs
+++ b/crates/fleet-harness/src/shares.rs
@@ -1,42 +1,43 @@
-//! The share of a limit that all members together allow themselves.
+//! The share of a shared limit that all members together allow themselves. Each allows itself the limit divided by the number
+//! of senders that it assumes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::timeline::Timeline;
 
-/// A change of a member's part.
+/// A change of one member's share.
 enum Change {
-    /// It divides limits by this number of senders.
-    Divides(u64),
-    /// It stops.
-    Leaves,
-    /// It starts again, and divides by the number in its settings.
-    Returns,
+    /// The member divides limits by this number of senders from now on.
+    DivisorChanged(u64),
+    /// The member stops.
+    Stopped,
+    /// The member starts again, and divides by the number of senders in its settings.
+    Restarted,
 }
 
-/// The largest share at any time, over the members that ran; 1.0 is the limit.
+/// The largest sum of the running members' shares at any time; 1.0 is the whole limit.
 pub(crate) fn largest_share(timeline: &Timeline, members: usize) -> f64 {
     let mut divisors: Vec<Option<u64>> = vec![Some(members as u64); members];
-    let mut divided_by: BTreeMap<u64, usize> = BTreeMap::from([(members as u64, members)]);
+    let mut members_by_divisor: BTreeMap<u64, usize> = BTreeMap::from([(members as u64, members)]);
     let mut largest: f64 = 1.0;
     for (_, member, change) in changes(timeline, members) {
         let after = match change {
-            Change::Divides(by) => divisors[member].map(|_| by.max(1)),
-            Change::Leaves => None,
-            Change::Returns => Some(members as u64),
+            Change::DivisorChanged(by) => divisors[member].map(|_| by.max(1)),
+            Change::Stopped => None,
+            Change::Restarted => Some(members as u64),
         };
         if let Some(before) = std::mem::replace(&mut divisors[member], after)
-            && let Some(count) = divided_by.get_mut(&before)
+            && let Some(count) = members_by_divisor.get_mut(&before)
         {
             *count -= 1;
         }
         if let Some(after) = after {
-            *divided_by.entry(after).or_default() += 1;
+            *members_by_divisor.entry(after).or_default() += 1;
         }
-        divided_by.retain(|_, count| *count > 0);
-        // Summed by divisor: as many members as there are come to exactly one.
-        let share = divided_by
+        members_by_divisor.retain(|_, count| *count > 0);
+        // Summed by divisor, so that n members that divide by n add up to exactly 1.0 without rounding errors.
+        let share = members_by_divisor
             .iter()
             .map(|(by, count)| *count as f64 / *by as f64)
             .sum();
@@ -46,15 +47,15 @@
 }
 
 fn changes(timeline: &Timeline, members: usize) -> Vec<(Duration, usize, Change)> {
-    let reported = timeline
+    let divisor_changes = timeline
         .senders
         .iter()
-        .map(|&(at, by, senders)| (at, by, Change::Divides(senders)));
-    let mut changes: Vec<(Duration, usize, Change)> = reported.collect();
+        .map(|&(at, by, senders)| (at, by, Change::DivisorChanged(senders)));
+    let mut changes: Vec<(Duration, usize, Change)> = divisor_changes.collect();
     for (&member, away) in &timeline.away {
         for &(removed, back) in away {
-            changes.push((removed, member, Change::Leaves));
-            changes.extend(back.map(|back| (back, member, Change::Returns)));
+            changes.push((removed, member, Change::Stopped));
+            changes.extend(back.map(|back| (back, member, Change::Restarted)));
         }
     }
     changes.retain(|change| change.1 < members);
--- a/crates/fleet-harness/src/simulated_costs.rs
+++ b/crates/fleet-harness/src/simulated_costs.rs
@@ -6,25 +6,25 @@
 
 use crate::simulated::{Observed, SimulatedFleetPlay};
 
-/// The average cost of a simulated member in a second.
+/// The average cost per second of one simulated member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SimulatedFleetCosts {
-    /// Simulated members.
+    /// Number of simulated members.
     pub members: usize,
-    /// Bytes sent in a second.
+    /// Bytes sent per second by one member.
     pub bytes_sent: f64,
-    /// Bytes received in a second.
+    /// Bytes received per second by one member.
     pub bytes_received: f64,
-    /// Packets sent in a second.
+    /// Packets sent per second by one member.
     pub packets_sent: f64,
-    /// Milliseconds of processor time in a second.
+    /// Processor time of one member, in milliseconds per second.
     pub cpu_ms: f64,
-    /// Times that a member ran more than a period late: the machine was too busy.
+    /// Times that any member ran more than one membership period late, because the machine was too busy.
     pub held_up: usize,
 }
 
 impl SimulatedFleetCosts {
-    /// The cost over a run.
+    /// The average cost over a run of this duration.
     pub fn of(simulated: &SimulatedFleetPlay, lasted: Duration) -> SimulatedFleetCosts {
         let member_seconds = lasted.as_secs_f64() * simulated.members as f64;
         let each = |sum: u64| sum as f64 / member_seconds;
@@ -43,17 +43,17 @@
         }
     }
 
-    /// For the summary.
+    /// The costs as a JSON object of the summary.
     pub fn json(&self) -> Value {
         json!({"members": self.members, "bytes_sent": self.bytes_sent, "bytes_received": self.bytes_received,
             "packets_sent": self.packets_sent, "cpu_ms": self.cpu_ms, "held_up": self.held_up})
     }
 
-    /// For the table.
+    /// The costs as a line of the text report.
     pub fn line(&self) -> String {
         format!(
-            "  a simulated member a second: {:.0} bytes sent, {:.0} received, {:.1} packets sent, {:.2} ms of CPU; {} times \
-             held up",
+            "  each simulated member per second: {:.0} bytes sent, {:.0} received, {:.1} packets sent, {:.2} ms of CPU; members ran \
+             late {} times",
             self.bytes_sent, self.bytes_received, self.packets_sent, self.cpu_ms, self.held_up
         )
     }
--- a/crates/fleet-harness/src/timeline.rs
+++ b/crates/fleet-harness/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The members' views of each other over time, and what was done to the members.
+//! The members' views of each other over time, and the times at which members were stopped and started.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, UNIX_EPOCH};
@@ -12,46 +12,46 @@
 /// A change of one member in another's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StateChange {
-    /// Since the run began.
+    /// Time since the run began.
     pub at: Duration,
     /// The member whose view changed.
     pub by: usize,
-    /// The member that is seen.
+    /// The member whose state changed in that view.
     pub of: usize,
-    /// The state from then on, as the log names it.
+    /// The new state, by its name in the log: `alive`, `suspect`, `down` or `left`.
     pub state: String,
-    /// The incarnation of the member that is seen.
+    /// The incarnation of the member in `of`.
     pub incarnation: u64,
 }
 
-/// Events of a fleet; times are since the run began.
+/// Events of a fleet. Times are durations since the run began.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
-    /// In the order of time.
+    /// Changes of the members' views, ordered by time.
     pub state_changes: Vec<StateChange>,
-    /// By member: when it ended or was stopped, and when it ran again.
+    /// For each member: when it ended or was stopped, and when it ran again, if it did.
     pub away: BTreeMap<usize, Vec<(Duration, Option<Duration>)>>,
     /// Members that were killed, and when.
     pub killed: Vec<(usize, Duration)>,
-    /// Numbers of senders that limits are divided by: when, by which member, the number.
+    /// Changes of the number of senders that limits are divided by: time, member, the new number.
     pub senders: Vec<(Duration, usize, u64)>,
-    /// Times that a member rejoined with a new incarnation while its process ran on.
+    /// Time and member of each rejoin with a new incarnation of a process that kept running.
     pub rejoined: Vec<(Duration, usize)>,
-    /// States of zones: when, of which sender, the zone, the state from then on.
+    /// Changes of a zone's state: time, sender, name of the zone, the new state.
     pub zones: Vec<(Duration, usize, String, String)>,
-    /// Completed recoveries: when, of which sender, how long they took.
-    pub full: Vec<(Duration, usize, Duration)>,
+    /// Completed recoveries: time of completion, sender, duration.
+    pub recoveries: Vec<(Duration, usize, Duration)>,
 }
 
-/// The number in the name of a sender or simulated member.
+/// The member number in a name such as `n12`; `None` for other names.
 pub(crate) fn member_number(name: &str) -> Option<usize> {
     name.strip_prefix('n')?.parse().ok()
 }
 
 impl Timeline {
-    /// Reads the senders' logs and the record of the run. `began`: when the run began, since 1970. Lines that are not JSON, as those of
-    /// a panic, are ignored.
-    pub fn read(logs: &[(usize, String)], lines: &[AuditRecord], began: Duration) -> Timeline {
+    /// Reads the senders' logs and the audit records of the run. `began` is the start of the run as time since 1970. Log lines that
+    /// are not JSON, such as those of a panic, are ignored.
+    pub fn read(logs: &[(usize, String)], records: &[AuditRecord], began: Duration) -> Timeline {
         let mut timeline = Timeline::default();
         for (by, line) in logs {
             if let Some(event) = LogEvent::parse(line, began) {
@@ -59,7 +59,9 @@
             }
         }
         timeline.state_changes.sort_by_key(|change| change.at);
-        lines.iter().for_each(|line| timeline.add_line(line));
+        records
+            .iter()
+            .for_each(|record| timeline.add_record(record));
         timeline
     }
 
@@ -70,7 +72,7 @@
             "quota-divisor" => self.senders.push((at, by, event.number("senders"))),
             "recovery-complete" => {
                 let took = Duration::from_millis(event.number("took_ms"));
-                self.full.push((at, by, took));
+                self.recoveries.push((at, by, took));
             }
             "zone" => {
                 let (zone, state) = (event.text("zone"), event.text("state"));
@@ -81,21 +83,21 @@
         }
     }
 
-    fn add_line(&mut self, line: &AuditRecord) {
-        let Some(sender) = line.sender else { return };
-        match &line.event {
-            AuditEvent::Ready => self.come_back(sender, line.at),
+    fn add_record(&mut self, record: &AuditRecord) {
+        let Some(sender) = record.sender else { return };
+        match &record.event {
+            AuditEvent::Ready => self.record_start(sender, record.at),
             AuditEvent::Signalled => {
-                self.leave(sender, line.at);
-                if line.wire == "SIGKILL" {
-                    self.killed.push((sender, line.at));
+                self.record_stop(sender, record.at);
+                if record.wire == "SIGKILL" {
+                    self.killed.push((sender, record.at));
                 }
             }
             _ => {}
         }
     }
 
-    /// Adds what simulated members reported; numbers are those of the whole fleet.
+    /// Adds the observations of simulated members. Member numbers are those of the whole fleet.
     pub fn add_simulated(&mut self, simulated: &SimulatedFleetPlay) {
         for observation in &simulated.observations {
             self.add_observation(simulated.began, observation);
@@ -127,22 +129,22 @@
             Observed::Rejoined => self.rejoined.push((at, by)),
             Observed::Crashed => {
                 self.killed.push((by, at));
-                self.leave(by, at);
+                self.record_stop(by, at);
             }
-            Observed::Ended | Observed::Stopped => self.leave(by, at),
-            Observed::Started | Observed::Resumed => self.come_back(by, at),
+            Observed::Ended | Observed::Stopped => self.record_stop(by, at),
+            Observed::Started | Observed::Resumed => self.record_start(by, at),
             Observed::Incarnation(_) | Observed::ProcessPaused | Observed::PacketDropped => {}
         }
     }
 
-    fn leave(&mut self, sender: usize, at: Duration) {
+    fn record_stop(&mut self, sender: usize, at: Duration) {
         let away = self.away.entry(sender).or_default();
         if away.last().is_none_or(|last| last.1.is_some()) {
             away.push((at, None));
         }
     }
 
-    fn come_back(&mut self, sender: usize, at: Duration) {
+    fn record_start(&mut self, sender: usize, at: Duration) {
         if let Some(last) = self.away.get_mut(&sender).and_then(|away| away.last_mut())
             && last.1.is_none()
         {
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Members that are alive in the last view of a member.
+    /// Members that are alive in the last view of the member `by`.
     pub fn seen_alive(&self, by: usize) -> BTreeSet<usize> {
         let mut alive = BTreeSet::new();
         for change in self.state_changes.iter().filter(|change| change.by == by) {
@@ -163,27 +165,32 @@
         alive
     }
 
-    /// A member ran throughout this time.
-    pub fn there(&self, sender: usize, from: Duration, to: Duration) -> bool {
+    /// Whether a member ran during the whole time from `from` to `to`.
+    pub fn ran_throughout(&self, sender: usize, from: Duration, to: Duration) -> bool {
         self.away.get(&sender).is_none_or(|all| {
-            all.iter()
-                .all(|(removed, back)| *removed > to || back.is_some_and(|back| back <= from))
+            all.iter().all(|(stopped, restarted)| {
+                *stopped > to || restarted.is_some_and(|restarted| restarted <= from)
+            })
         })
     }
 
-    /// Since when, between `from` and `until`, all members that ran throughout saw each other alive.
+    /// The time between `from` and `until` from which on all members that ran throughout saw each other alive; `None` if they did
+    /// not at `until`.
     pub fn agreed_since(&self, count: usize, from: Duration, until: Duration) -> Option<Duration> {
-        let there: Vec<bool> = (0..count).map(|s| self.there(s, from, until)).collect();
-        let present = there.iter().filter(|there| **there).count();
+        let ran: Vec<bool> = (0..count)
+            .map(|member| self.ran_throughout(member, from, until))
+            .collect();
+        let present = ran.iter().filter(|ran| **ran).count();
         let mut alive = vec![false; count * count];
-        // Pairs that do not see each other, updated by each change: a large fleet has as many changes as pairs.
+        // Pairs in which one does not see the other alive. Updated with each change and not counted again, since a large fleet
+        // has as many changes as pairs.
         let mut missing = present * present.saturating_sub(1);
         let mut since = None;
         for change in &self.state_changes {
             if change.at > until || change.by >= count || change.of >= count {
                 continue;
             }
-            if there[change.by] && there[change.of] && change.by != change.of {
+            if ran[change.by] && ran[change.of] && change.by != change.of {
                 let seen = &mut alive[change.by * count + change.of];
                 let is_alive = change.state == "alive";
                 missing = missing + usize::from(*seen) - usize::from(is_alive);
@@ -201,7 +208,7 @@
         let unchanged = self
             .state_changes
             .iter()
-            .all(|s| s.at < from || s.at > until);
+            .all(|change| change.at < from || change.at > until);
         since.or_else(|| (unchanged && missing == 0).then_some(from))
     }
 }
@@ -213,7 +220,7 @@
 }
 
 impl LogEvent {
-    /// `None` for lines that are not JSON, or have no event or time.
+    /// Parses a line; `None` if it is not JSON, or has no event or time.
     fn parse(line: &str, began: Duration) -> Option<LogEvent> {
         let fields: Value = serde_json::from_str(line).ok()?;
         fields["event"].as_str()?;
@@ -227,12 +234,12 @@
         self.fields["event"].as_str().unwrap_or_default()
     }
 
-    /// A field's number; zero if it has none.
+    /// The number in a field; zero if the field is missing or not a number.
     fn number(&self, key: &str) -> u64 {
         self.fields[key].as_u64().unwrap_or(0)
     }
 
-    /// A field's text; empty if it has none.
+    /// The text in a field; empty if the field is missing or not a string.
     fn text(&self, key: &str) -> String {
         self.fields[key].as_str().unwrap_or_default().to_owned()
     }
--- a/crates/fleet-harness/src/units.rs
+++ b/crates/fleet-harness/src/units.rs
@@ -1,4 +1,4 @@
-//! Durations as numbers.
+//! Converts durations to numbers.
 
 use std::time::Duration;
 
--- a/crates/fleet-harness/src/zones.rs
+++ b/crates/fleet-harness/src/zones.rs
@@ -1,4 +1,4 @@
-//! Outages of zones: calls that were still sent there, probes, and the load when the zone is back.
+//! Outages of zones: calls that were still sent into the zone, probe calls, and the load after the outage.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -14,45 +14,47 @@
 use crate::timeline::Timeline;
 use crate::units::whole_milliseconds;
 
-/// Time after an outage in which the load of the zone is observed.
+/// Time after an outage during which the load of the zone is observed.
 const RECOVERY_TIME: Duration = Duration::from_secs(14);
-/// Rates are counted over this.
+/// Length of the sliding window in which calls are counted for a rate.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
-/// Calls into the zone this long after a failure are probes.
+/// Calls into the zone from this time after its failure on count as probe calls.
 const EVACUATION_TIME: Duration = Duration::from_secs(4);
-/// Seconds before an outage over which the usual rate is counted.
+/// Seconds before an outage over which the usual rate is averaged.
 const USUAL_RATE_SECONDS: u64 = 4;
-/// Seconds over which the rate after an outage is compared with the usual one.
+/// Seconds over which the rate after an outage is averaged for the comparison with the usual rate.
 const RECOVERED_RATE_SECONDS: u64 = 2;
-/// The part of the usual rate from which on the zone counts as fully used.
+/// From this fraction of the usual rate on, the zone counts as fully used.
 const FULL_USE: f64 = 0.9;
 
-/// One zone's failure.
+/// The outage of one zone, and how the senders reacted. Times are durations since the run began.
 #[derive(Debug)]
 pub struct Outage {
-    /// The zone's name.
+    /// Name of the zone.
     pub zone: String,
     /// When the zone failed.
     pub from: Duration,
-    /// When the zone was back.
+    /// When the outage ended.
     pub until: Duration,
     /// Milliseconds from the failure until a sender logged that it had evacuated the zone.
     pub left: Histogram<u64>,
-    /// Senders that did not evacuate the zone.
+    /// Number of senders that did not evacuate the zone.
     pub stayed: usize,
-    /// Milliseconds from the failure until the last call of each sender into the zone before its end.
-    pub last: Histogram<u64>,
-    /// Calls and refused connections into the zone during the outage.
-    pub sent: u64,
-    /// The same in a second, from four seconds after the failure on.
-    pub probes: f64,
-    /// After the outage: the most calls in any second to one destination's endpoints in the zone, as a share of the limit.
-    pub peak: f64,
-    /// From the end of the outage until nine tenths of the usual calls were sent there; `None` if that was never so.
-    pub full: Option<Duration>,
+    /// Milliseconds from the failure until the last call of each sender into the zone before the outage ended.
+    pub last_call: Histogram<u64>,
+    /// Calls and refused connections into the zone during the outage, together.
+    pub calls: u64,
+    /// Calls and refused connections per second, from four seconds after the failure until the end of the outage.
+    pub probes_per_second: f64,
+    /// The largest number of calls in any second after the outage to one destination's endpoints in the zone, divided by the
+    /// destination's limit.
+    pub peak_limit_share: f64,
+    /// Time from the end of the outage until nine tenths of the usual calls were sent into the zone; `None` if that rate was not
+    /// reached.
+    pub full_use_after: Option<Duration>,
 }
 
-/// The outages that affect most of a zone's endpoints.
+/// The outages that affect at least four fifths of a zone's endpoints; none with fewer than two zones.
 pub(crate) fn outages(
     scenario: &Scenario,
     lines: &[AuditRecord],
@@ -72,7 +74,7 @@
     found
 }
 
-/// Times in which at least four fifths of a zone's endpoints have an outage.
+/// Spans of time in which at least four fifths of a zone's endpoints have an outage.
 fn outage_spans(scenario: &Scenario, zone: usize) -> Vec<Range<Duration>> {
     let endpoint_faults = || {
         scenario
@@ -94,21 +96,22 @@
         .collect()
 }
 
-/// Calls into a zone, before, during and after an outage.
+/// Accumulates calls into a zone before, during and after an outage.
 struct OutageCalls<'a> {
     scenario: &'a Scenario,
     zone: usize,
     span: Range<Duration>,
-    /// By the auditor's number of an endpoint: its destination and zone. Scenarios with outages of zones replace no endpoint.
+    /// Destination and zone of each endpoint, by the auditor's endpoint number. Scenarios with outages of zones replace no
+    /// endpoint, so the numbers stay valid.
     endpoints: Vec<(usize, usize)>,
-    sent: u64,
+    calls: u64,
     probes: u32,
-    /// By sender: its last call during the outage.
-    last: BTreeMap<usize, Duration>,
+    /// Time of each sender's last call during the outage.
+    last_call: BTreeMap<usize, Duration>,
     calls_by_second: BTreeMap<u64, u32>,
-    /// By destination: calls after the outage, in the last [`RATE_WINDOW`].
+    /// Times of the calls after the outage within the last [`RATE_WINDOW`], by destination.
     recent: BTreeMap<usize, Vec<Duration>>,
-    peak: f64,
+    peak_limit_share: f64,
 }
 
 impl<'a> OutageCalls<'a> {
@@ -124,12 +127,12 @@
             zone,
             span,
             endpoints,
-            sent: 0,
+            calls: 0,
             probes: 0,
-            last: BTreeMap::new(),
+            last_call: BTreeMap::new(),
             calls_by_second: BTreeMap::new(),
             recent: BTreeMap::new(),
-            peak: 0.0,
+            peak_limit_share: 0.0,
         }
     }
 
@@ -140,9 +143,10 @@
         let at = line.at;
         *self.calls_by_second.entry(at.as_secs()).or_default() += 1;
         if self.span.contains(&at) {
-            self.sent += 1;
+            self.calls += 1;
             self.probes += u32::from(at >= self.span.start + EVACUATION_TIME);
-            self.last.extend(line.sender.map(|sender| (sender, at)));
+            self.last_call
+                .extend(line.sender.map(|sender| (sender, at)));
         }
         if (self.span.end..self.span.end + RECOVERY_TIME).contains(&at) {
             self.add_after_outage(destination, at);
@@ -153,7 +157,7 @@
     fn destination_in_zone(&self, line: &AuditRecord) -> Option<usize> {
         let endpoint = match &line.event {
             AuditEvent::Called { endpoint, .. } => *endpoint,
-            // A connection that was refused.
+            // A connection that was refused: no message was sent on it.
             AuditEvent::Broke {
                 endpoint,
                 ids,
@@ -171,7 +175,7 @@
         recent.push(at);
         recent.retain(|time| at.saturating_sub(*time) < RATE_WINDOW);
         let limit = calls_per_second(&self.scenario.destinations[destination]);
-        self.peak = self.peak.max(recent.len() as f64 / limit);
+        self.peak_limit_share = self.peak_limit_share.max(recent.len() as f64 / limit);
     }
 
     fn finish(self, timeline: &Timeline) -> Outage {
@@ -184,10 +188,10 @@
                 None => stayed += 1,
             }
         }
-        let mut last = histogram();
-        self.last
+        let mut last_call = histogram();
+        self.last_call
             .values()
-            .for_each(|at| record(&mut last, *at - start));
+            .for_each(|at| record(&mut last_call, *at - start));
         let probe_seconds = end.saturating_sub(start + EVACUATION_TIME).as_secs_f64();
         Outage {
             zone: name.clone(),
@@ -195,11 +199,11 @@
             until: end,
             left,
             stayed,
-            last,
-            sent: self.sent,
-            probes: f64::from(self.probes) / probe_seconds.max(1.0),
-            peak: self.peak,
-            full: self.full_use_after(),
+            last_call,
+            calls: self.calls,
+            probes_per_second: f64::from(self.probes) / probe_seconds.max(1.0),
+            peak_limit_share: self.peak_limit_share,
+            full_use_after: self.full_use_after(),
         }
     }
 
@@ -214,7 +218,7 @@
         Some(Duration::from_secs(full).saturating_sub(self.span.end))
     }
 
-    /// Calls a second over some seconds.
+    /// Average calls per second over a range of whole seconds.
     fn rate(&self, seconds: Range<u64>) -> f64 {
         let count = seconds.end - seconds.start;
         let calls: u32 = seconds
@@ -224,7 +228,7 @@
     }
 }
 
-/// The most calls that a destination's limit allows in a second.
+/// Calls that a destination's limit allows in a second; its capacity if it has no limit.
 fn calls_per_second(member: &Member) -> f64 {
     match member.spec.limit {
         Limit::Rate { per_second, burst } => per_second + burst,
@@ -233,7 +237,7 @@
     }
 }
 
-/// When a sender logged that it had evacuated the zone.
+/// When a sender logged that it had evacuated the zone; `None` if it did not within the span.
 fn evacuated_at(
     timeline: &Timeline,
     sender: usize,
@@ -250,26 +254,26 @@
 }
 
 impl Outage {
-    /// For the summary.
+    /// The outage as a JSON object of the summary.
     pub fn json(&self) -> Value {
-        let shown = |times: &Histogram<u64>| {
+        let quantiles = |times: &Histogram<u64>| {
             json!({"count": times.len(), "p50": times.value_at_quantile(0.5), "p99": times.value_at_quantile(0.99),
                 "max": times.max()})
         };
-        json!({"zone": self.zone, "from_ms": whole_milliseconds(self.from), "until_ms": whole_milliseconds(self.until), "left_ms": shown(&self.left),
-            "stayed": self.stayed, "last_call_ms": shown(&self.last), "sent_into": self.sent,
-            "probes_a_second": self.probes, "peak_of_limit": self.peak, "full_use_ms": self.full.map(whole_milliseconds)})
+        json!({"zone": self.zone, "from_ms": whole_milliseconds(self.from), "until_ms": whole_milliseconds(self.until), "left_ms": quantiles(&self.left),
+            "stayed": self.stayed, "last_call_ms": quantiles(&self.last_call), "sent_into": self.calls,
+            "probes_a_second": self.probes_per_second, "peak_of_limit": self.peak_limit_share, "full_use_ms": self.full_use_after.map(whole_milliseconds)})
     }
 
-    /// For the table.
+    /// The outage as a line of the text report.
     pub fn line(&self) -> String {
-        let (left, last) = (&self.left, &self.last);
-        let full = self.full.map_or("never".into(), |full| {
-            format!("{:.0} s", full.as_secs_f64())
+        let (left, last_call) = (&self.left, &self.last_call);
+        let full = self.full_use_after.map_or("never".into(), |after| {
+            format!("{:.0} s", after.as_secs_f64())
         });
         format!(
-            "  zone {} down from {:.1} to {:.1} s: left by {} senders after p50 {} ms, p99 {} ms ({} stayed); {} calls into it, \
-             the last of each sender after p50 {} ms, p99 {} ms; {:.1} a second from 4 s on; on its return at most {:.2} of a \
+            "  zone {} down from {:.1} to {:.1} s: evacuated by {} senders after p50 {} ms, p99 {} ms ({} did not); {} calls into it, \
+             the last of each sender after p50 {} ms, p99 {} ms; {:.1} per second from 4 s on; after the outage at most {:.2} of a \
              limit in a second, full use after {full}",
             self.zone,
             self.from.as_secs_f64(),
@@ -278,11 +282,11 @@
             left.value_at_quantile(0.5),
             left.value_at_quantile(0.99),
             self.stayed,
-            self.sent,
-            last.value_at_quantile(0.5),
-            last.value_at_quantile(0.99),
-            self.probes,
-            self.peak
+            self.calls,
+            last_call.value_at_quantile(0.5),
+            last_call.value_at_quantile(0.99),
+            self.probes_per_second,
+            self.peak_limit_share
         )
     }
 }
