--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -8,7 +8,7 @@
 use crate::sample::{Sample, SampleError, Samples};
 
 /// Samples that a fit needs.
-pub const STRAIGHT_LEAST: usize = 3;
+pub const MIN_SAMPLES: usize = 3;
 /// Samples that a quadratic needs: one more than it has coefficients.
 const MIN_QUADRATIC_SAMPLES: usize = 4;
 /// Samples that a step needs: two more than a straight line with a step of known place has coefficients, the place being
@@ -109,10 +109,10 @@
 /// There are too few samples.
 pub fn fit(samples: &Samples) -> Result<Fit, FitError> {
     let given = samples.as_slice().len();
-    if given < STRAIGHT_LEAST {
+    if given < MIN_SAMPLES {
         return Err(SampleError::TooFew {
             given,
-            least: STRAIGHT_LEAST,
+            least: MIN_SAMPLES,
         });
     }
     let weighted = Weighted::new(samples);
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -20,6 +20,6 @@
 pub mod table;
 
 pub use figure::{Figure, Finding};
-pub use fit::{Fit, FitError, STRAIGHT_LEAST, Shape, fit};
+pub use fit::{Fit, FitError, MIN_SAMPLES, Shape, fit};
 pub use quantity::{Axis, Consequence, Direction, Kind, Quantity, Role, Sweep, Unit};
 pub use sample::{Sample, SampleError, Samples};
--- a/crates/capacity/src/sizes.rs
+++ b/crates/capacity/src/sizes.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::fit::STRAIGHT_LEAST;
+use crate::fit::MIN_SAMPLES;
 use crate::quantity::Sweep;
 
 /// Sizes of each sweep, ascending.
@@ -60,7 +60,7 @@
         size: u64,
     },
     /// Too few sizes for a fit.
-    #[error("line {line}: {sweep}: {given} sizes; a fit needs at least {STRAIGHT_LEAST}")]
+    #[error("line {line}: {sweep}: {given} sizes; a fit needs at least {MIN_SAMPLES}")]
     TooFew {
         /// Where.
         line: usize,
@@ -198,7 +198,7 @@
     }
     match sizes.len() {
         0 => Err(SizesError::Missing { sweep }),
-        given if given < STRAIGHT_LEAST => Err(SizesError::TooFew {
+        given if given < MIN_SAMPLES => Err(SizesError::TooFew {
             line: first_line,
             sweep,
             given,
--- a/crates/fleet-harness/src/sweep/backlog.rs
+++ b/crates/fleet-harness/src/sweep/backlog.rs
@@ -1,4 +1,5 @@
-//! The backlog of one sender: memory, disk, time to ready after a restart, time in steps, and the order of its work queue after it.
+//! Sweeps the backlog of one sender: memory, disk, time until it is ready after a restart, processor time of the reducer's steps,
+//! and the order of its work queue after a restart.
 
 use std::collections::BTreeSet;
 use std::error::Error;
@@ -14,62 +15,62 @@
 use super::args::SweepArgs;
 use super::directory::{Directory, FIRST_VERSION};
 use super::error::{MeasurementError, SweepError};
-use super::gathered::{Gathered, limit_figure};
 use super::reducer::{SteppedReducer, event, mixed};
+use super::samples::{SweepSamples, limit_figure};
 use super::sender::{Sender, SenderOptions, StartError};
 use crate::units::{milliseconds, seconds};
 
 const SWEEP: &str = "backlog";
-/// Destinations that the backlog is for.
+/// Number of destinations of the backlog's events.
 const DESTINATIONS: u64 = 100;
-/// Bytes of an event's body: assumed, as the operators' table does not give it.
+/// Bytes of an event's body. The operators' table does not give this size, so it is an assumption.
 const BODY_BYTES: usize = 256;
-/// Records that are written to a journal at once.
+/// Number of records in one append to the journal.
 const RECORDS_PER_APPEND: u64 = 1_000;
-/// Far more than any sweep writes.
+/// Disk limit of the journal in bytes: far more than any sweep writes.
 const DISK_BYTES: u64 = 20_000_000_000;
-/// Sizes for which a process would need more bytes of memory are not measured; the fit covers them.
+/// Sizes at which a process would need more bytes of memory are not measured; the fit covers them.
 const MAX_RESIDENT_BYTES: f64 = 2e9;
-/// If a process takes longer to be ready, larger sizes are not measured; the fit covers them.
+/// If a process takes longer until it is ready, this size and larger ones are not measured; the fit covers them.
 const READY_TIMEOUT: Duration = Duration::from_secs(90);
-/// How long a sender may use processor time before its memory is read.
-const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// The time over which the processor time of an idle sender is measured.
-const IDLE_TIME: Duration = Duration::from_secs(2);
-/// Turns over which the time of a later turn is averaged.
+/// How long to wait at most for a sender to become idle before its processor time is measured.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Duration over which the processor time of an idle sender is measured.
+const IDLE_SPAN: Duration = Duration::from_secs(2);
+/// Number of turns after the first one over which the processor time of a turn is averaged.
 const TURNS: u32 = 5;
-/// Events whose order is compared with that of their deadlines.
+/// Number of events, sent first, whose order is compared with that of their deadlines.
 const FIRST_SENT: usize = 1_000;
-/// The order of larger backlogs is not measured: it takes too long.
+/// The order of larger backlogs is not measured, as that takes too long.
 const MAX_ORDER_EVENTS: u64 = 100_000;
-/// Turns in which these events must be sent.
+/// Turns within which the first [`FIRST_SENT`] events must be sent.
 const ORDER_TURNS: u32 = 5_000;
-/// Events that a sender may hold by the settings of scenarios, at most.
+/// The largest bound on held events in the settings of scenarios.
 const MAX_HELD_EVENTS: u64 = 20_000;
 
-/// Plays the sweep; `progress` is called with a text for each size.
+/// Runs the sweep; `progress` is called with a short text before each measurement.
 pub(super) fn play(
     args: &SweepArgs,
     progress: &mut impl FnMut(&str),
 ) -> Result<Vec<Figure>, SweepError> {
-    let mut gathered = Gathered::new(args.quick);
-    let mut before: Option<(u64, f64)> = None;
+    let mut samples = SweepSamples::new(args.quick);
+    let mut previous: Option<(u64, f64)> = None;
     for &size in &args.sizes.backlog {
-        let expected = before.map_or(0.0, |(size_before, resident)| {
-            resident / size_before as f64 * size as f64
+        let expected_resident = previous.map_or(0.0, |(previous_size, resident)| {
+            resident / previous_size as f64 * size as f64
         });
-        if expected > MAX_RESIDENT_BYTES {
-            gathered.remark(
+        if expected_resident > MAX_RESIDENT_BYTES {
+            samples.remark(
                 SWEEP,
                 format!("from {size} on by the fit: resident memory would pass 2 GB"),
             );
             break;
         }
-        progress(&format!("{size} events of backlog, a process"));
-        match process(args, size, &mut gathered)? {
-            Some(resident) => before = Some((size, resident)),
+        progress(&format!("backlog of {size} events, sender process"));
+        match measure_process(args, size, &mut samples)? {
+            Some(resident) => previous = Some((size, resident)),
             None => {
-                gathered.remark(
+                samples.remark(
                     SWEEP,
                     format!(
                         "{size} was not ready within {READY_TIMEOUT:?}; from there on by the fit"
@@ -78,16 +79,16 @@
                 break;
             }
         }
-        progress(&format!("{size} events of backlog, the reducer"));
-        reducer(args, size, &mut gathered)?;
+        progress(&format!("backlog of {size} events, reducer alone"));
+        measure_reducer(args, size, &mut samples)?;
     }
-    let mut figures = gathered.figures()?;
-    progress("largest backlog taken up under the bound on held events");
+    let mut figures = samples.figures()?;
+    progress("largest backlog restored under the bound on held events");
     figures.push(largest_backlog()?);
     Ok(figures)
 }
 
-/// A body that does not compress, so that the journal's size is an upper bound for it.
+/// A body that does not compress, so that the measured journal size is an upper bound for events of this length.
 fn body(number: u64) -> Arc<[u8]> {
     let blocks = 0..(BODY_BYTES / size_of::<u64>()) as u64;
     blocks
@@ -104,12 +105,12 @@
     MeasurementError::Journal(Box::new(source)).at(SWEEP, size)
 }
 
-/// Room for the backlog and some more: the bound on held events is not what is measured here.
-fn room_for(size: u64) -> u64 {
+/// A bound on held events that is above the backlog, since that bound is not what is measured.
+fn max_held_above(size: u64) -> u64 {
     size + size / 4 + 1_000
 }
 
-/// Writes the state folder of a sender that was killed with this backlog; the bytes of its files.
+/// Writes the state folder of a sender that was killed with this backlog, and returns the bytes of its files.
 fn write_folder(dir: &Path, size: u64) -> Result<u64, SweepError> {
     let folder = Folder::new(dir, DISK_BYTES)?;
     let options = Options {
@@ -141,43 +142,43 @@
         .map_err(SweepError::from)
 }
 
-/// Measures a process on such a folder; its resident memory, or `None` if it was not ready in time.
-fn process(
+/// Measures a process that starts with such a folder. Returns its resident memory in bytes, or `None` if it was not ready in time.
+fn measure_process(
     args: &SweepArgs,
     size: u64,
-    gathered: &mut Gathered,
+    samples: &mut SweepSamples,
 ) -> Result<Option<f64>, SweepError> {
     let folder = tempfile::tempdir()?;
     let disk = write_folder(&folder.path().join("state"), size)?;
-    // The system accepts connections, and nobody answers: the backlog stays.
-    let silent = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
+    // The operating system accepts connections to this listener and no process answers them, so the backlog stays pending.
+    let unanswered = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let directory = Directory::new()?;
-    let known = list_at(&silent)?;
+    let endpoint_list = list_at(&unanswered)?;
     let options = SenderOptions {
         directory: directory.address,
-        known,
-        max_held: room_for(size),
+        endpoint_list,
+        max_held: max_held_above(size),
     };
     let sender = match Sender::start(&args.program, folder.path(), &options, READY_TIMEOUT) {
         Ok(sender) => sender,
         Err(StartError::NotReady { .. }) => return Ok(None),
         Err(other) => return Err(MeasurementError::from(other).at(SWEEP, size)),
     };
-    gathered.note("backlog.disk", size, disk as f64)?;
-    gathered.note("backlog.ready", size, seconds(sender.ready))?;
-    sender.settled(SETTLE_TIME);
+    samples.add("backlog.disk", size, disk as f64)?;
+    samples.add("backlog.ready", size, seconds(sender.ready))?;
+    sender.wait_until_idle(IDLE_TIMEOUT);
     let before = sender.used();
     let started = Instant::now();
-    std::thread::sleep(IDLE_TIME);
+    std::thread::sleep(IDLE_SPAN);
     let after = sender.used();
     let busy = milliseconds(after.cpu - before.cpu) / seconds(started.elapsed());
-    gathered.note("backlog.waiting-processor", size, busy)?;
+    samples.add("backlog.waiting-processor", size, busy)?;
     let resident = after.memory_kb as f64 * 1024.0;
-    gathered.note("backlog.resident", size, resident)?;
+    samples.add("backlog.resident", size, resident)?;
     Ok(Some(resident))
 }
 
-/// The list of the destinations, all at one address.
+/// The endpoint list of all destinations, at one address.
 fn list_at(listener: &TcpListener) -> std::io::Result<String> {
     let address = listener.local_addr()?;
     let row = |n: u64| {
@@ -192,30 +193,34 @@
     ))
 }
 
-/// Measures the reducer alone: time of its steps, and the order of its work queue.
-fn reducer(args: &SweepArgs, size: u64, gathered: &mut Gathered) -> Result<(), SweepError> {
+/// Measures the reducer alone: processor time of its steps, and the order of its work queue.
+fn measure_reducer(
+    args: &SweepArgs,
+    size: u64,
+    samples: &mut SweepSamples,
+) -> Result<(), SweepError> {
     if !args.quick {
-        let mut reducer = new_reducer(room_for(size), size)?;
+        let mut reducer = new_reducer(max_held_above(size), size)?;
         let step = reducer.recover(size, DESTINATIONS, &body(0));
-        gathered.note("backlog.recover-step", size, seconds(step))?;
-        gathered.note("backlog.first-turn", size, seconds(reducer.turn().took))?;
+        samples.add("backlog.recover-step", size, seconds(step))?;
+        samples.add("backlog.first-turn", size, seconds(reducer.turn().took))?;
         let later: Duration = (0..TURNS).map(|_| reducer.turn().took).sum();
-        gathered.note("backlog.turn", size, seconds(later / TURNS))?;
+        samples.add("backlog.turn", size, seconds(later / TURNS))?;
     }
     if size <= MAX_ORDER_EVENTS && size >= FIRST_SENT as u64 {
-        gathered.note("backlog.out-of-order", size, out_of_order(size)?)?;
+        samples.add("backlog.out-of-order", size, out_of_order(size)?)?;
     }
     Ok(())
 }
 
-/// The share of the events that are sent first and are not among those with the earliest deadlines.
+/// The share of the first [`FIRST_SENT`] events sent that are not among as many events with the earliest deadlines.
 fn out_of_order(size: u64) -> Result<f64, SweepError> {
-    let mut reducer = new_reducer(room_for(size), size)?;
+    let mut reducer = new_reducer(max_held_above(size), size)?;
     reducer.recover(size, DESTINATIONS, &body(0));
     let mut sent: Vec<String> = Vec::new();
     for _ in 0..ORDER_TURNS {
         let turn = reducer.turn();
-        sent.extend(turn.calls.iter().map(|c| c.0.clone()));
+        sent.extend(turn.calls.iter().map(|call| call.0.clone()));
         reducer.serve(turn.calls);
         if sent.len() >= FIRST_SENT {
             break;
@@ -238,24 +243,29 @@
         })
         .collect();
     events.sort();
-    let earliest: BTreeSet<&String> = events.iter().take(FIRST_SENT).map(|e| &e.1).collect();
-    let other = sent.iter().filter(|id| !earliest.contains(id)).count();
-    Ok(other as f64 / FIRST_SENT as f64)
+    let earliest: BTreeSet<&String> = events
+        .iter()
+        .take(FIRST_SENT)
+        .map(|event| &event.1)
+        .collect();
+    let out_of_order = sent.iter().filter(|id| !earliest.contains(id)).count();
+    Ok(out_of_order as f64 / FIRST_SENT as f64)
 }
 
-/// The largest backlog of which at most half expires without an attempt at a restart, with the bound of the settings on held events.
+/// Searches the largest backlog of which at most half expires without an attempt at a restart, under the settings' bound on held
+/// events.
 fn largest_backlog() -> Result<Figure, SweepError> {
     let planned = Axis::Backlog.planned() as u64;
-    let mut tried: Vec<Sample> = Vec::new();
+    let mut measured: Vec<Sample> = Vec::new();
     let (mut holds, mut fails) = (MAX_HELD_EVENTS / 2, planned);
     let mut size = MAX_HELD_EVENTS;
     while fails - holds > 1 {
-        let part = expired(size)?;
-        tried.push(Sample {
+        let share = expired_share(size)?;
+        measured.push(Sample {
             size: size as f64,
-            value: part,
+            value: share,
         });
-        if part <= 0.5 {
+        if share <= 0.5 {
             holds = size;
         } else {
             fails = size;
@@ -277,15 +287,15 @@
         fails,
     ]
     .map(|s| s as f64);
-    tried.retain(|s| reported.contains(&s.size));
+    measured.retain(|s| reported.contains(&s.size));
     let fails = (holds < planned).then_some(fails);
-    limit_figure("backlog.taken-up", tried, holds, fails)
+    limit_figure("backlog.taken-up", measured, holds, fails)
 }
 
-/// The share of a backlog that expires without an attempt at a restart.
-fn expired(size: u64) -> Result<f64, SweepError> {
+/// The share of a backlog that expires without an attempt within [`TURNS`] turns after a restart.
+fn expired_share(size: u64) -> Result<f64, SweepError> {
     let mut reducer = new_reducer(MAX_HELD_EVENTS, size)?;
     reducer.recover(size, DESTINATIONS, &body(0));
-    let reports: u64 = (0..TURNS).map(|_| reducer.turn().expired).sum();
-    Ok(reports as f64 / size as f64)
+    let expired: u64 = (0..TURNS).map(|_| reducer.turn().expired).sum();
+    Ok(expired as f64 / size as f64)
 }
--- a/crates/fleet-harness/src/sweep/destinations.rs
+++ b/crates/fleet-harness/src/sweep/destinations.rs
@@ -1,4 +1,5 @@
-//! Destinations listed: memory, time to ready, and what a change and a whole list cost.
+//! Sweeps the number of destinations in the endpoint list: memory, time until the sender is ready, and the cost of a change and of
+//! a full list.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -6,41 +7,41 @@
 use cranehill_capacity::{Axis, Figure, Sample};
 
 use super::args::SweepArgs;
-use super::directory::{self, Directory, FIRST_VERSION, Reception};
+use super::directory::{self, Directory, FIRST_VERSION, ListOutcome};
 use super::error::{MeasurementError, SweepError};
-use super::gathered::{Gathered, limit_figure};
 use super::reducer::SteppedReducer;
+use super::samples::{SweepSamples, limit_figure};
 use super::sender::{Sender, SenderOptions};
 use crate::units::{milliseconds, seconds};
 
 const SWEEP: &str = "destinations";
-/// A sender must be ready, and idle again after changes, within this.
+/// A sender must be ready within this time; it is also the longest wait until it is idle again after changes.
 const READY_TIMEOUT: Duration = Duration::from_secs(120);
-/// A sender must apply a change within this.
+/// A sender must apply a change within this time.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
-/// A sender must accept or reject a whole list within this.
+/// A sender must accept or reject a full list within this time.
 const LIST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Changes one after the other, over which the cost of one is averaged.
+/// Number of successive changes over which the cost of one is averaged.
 const CHANGES: u64 = 10;
-/// Time between two changes: longer than a turn, so that each is applied in a turn of its own.
+/// Time between two changes. It is longer than a turn, so that each change is applied in a separate turn.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(12);
-/// Changes at once.
+/// Number of changes that are made at once.
 const CHANGES_AT_ONCE: u64 = 10;
-/// Events that a sender may hold.
+/// Largest number of events that the sender may hold.
 const MAX_HELD_EVENTS: u64 = 1000;
 
-/// Plays the sweep; `progress` is called with a text for each size.
+/// Runs the sweep; `progress` is called with a short text before each measurement.
 pub(super) fn play(
     args: &SweepArgs,
     progress: &mut impl FnMut(&str),
 ) -> Result<Vec<Figure>, SweepError> {
-    let mut gathered = Gathered::new(args.quick);
+    let mut samples = SweepSamples::new(args.quick);
     for &size in &args.sizes.destinations {
         progress(&format!("{size} destinations"));
-        measure(args, size, &mut gathered)?;
+        measure(args, size, &mut samples)?;
     }
-    let mut figures = gathered.figures()?;
-    progress("largest whole list taken");
+    let mut figures = samples.figures()?;
+    progress("largest full endpoint list that a sender accepts");
     figures.push(largest_list(&args.program)?);
     Ok(figures)
 }
@@ -49,16 +50,17 @@
     error.into().at(SWEEP, size)
 }
 
+/// Starts a sender with a list of this many destinations, and waits until it watches the directory.
 fn start(
     program: &Path,
     folder: &Path,
     directory: &Directory,
     destinations: u64,
 ) -> Result<Sender, SweepError> {
-    let known = directory::whole(FIRST_VERSION, destinations);
+    let endpoint_list = directory::full_list(FIRST_VERSION, destinations);
     let options = SenderOptions {
         directory: directory.address,
-        known,
+        endpoint_list,
         max_held: MAX_HELD_EVENTS,
     };
     let sender = Sender::start(program, folder, &options, READY_TIMEOUT)
@@ -69,13 +71,13 @@
     Ok(sender)
 }
 
-fn measure(args: &SweepArgs, size: u64, gathered: &mut Gathered) -> Result<(), SweepError> {
+fn measure(args: &SweepArgs, size: u64, samples: &mut SweepSamples) -> Result<(), SweepError> {
     let folder = tempfile::tempdir()?;
     let directory = Directory::new()?;
     let sender = start(&args.program, folder.path(), &directory, size)?;
-    gathered.note("destinations.ready", size, seconds(sender.ready))?;
-    let idle = sender.settled(READY_TIMEOUT);
-    gathered.note(
+    samples.add("destinations.ready", size, seconds(sender.ready))?;
+    let idle = sender.wait_until_idle(READY_TIMEOUT);
+    samples.add(
         "destinations.resident",
         size,
         idle.resident_kb as f64 * 1024.0,
@@ -86,33 +88,33 @@
     if !directory.all_watch(1, CHANGE_TIMEOUT) {
         return Err(failed(size, MeasurementError::ChangeNotApplied));
     }
-    gathered.note(
+    samples.add(
         "destinations.change-bytes",
         size,
         (directory.change_bytes() - before) as f64,
     )?;
     if !args.quick {
-        changes(&sender, &directory, size, gathered)?;
+        measure_changes(&sender, &directory, size, samples)?;
         let mut reducer =
             SteppedReducer::new(MAX_HELD_EVENTS, size).map_err(|e| failed(size, e))?;
-        gathered.note("destinations.list-step", size, seconds(reducer.list(size)))?;
+        samples.add("destinations.list-step", size, seconds(reducer.list(size)))?;
     }
-    let body = directory::whole(FIRST_VERSION, size);
-    gathered.note(
+    let body = directory::full_list(FIRST_VERSION, size);
+    samples.add(
         "destinations.list-bytes",
         size,
         directory::response(&body).len() as f64,
     )
 }
 
-/// The cost of one change, and the time until ten at once are in force.
-fn changes(
+/// Measures the processor time of one change, and the time until ten simultaneous changes are applied.
+fn measure_changes(
     sender: &Sender,
     directory: &Directory,
     size: u64,
-    gathered: &mut Gathered,
+    samples: &mut SweepSamples,
 ) -> Result<(), SweepError> {
-    let before = sender.settled(READY_TIMEOUT);
+    let before = sender.wait_until_idle(READY_TIMEOUT);
     for number in 0..CHANGES {
         let state = if number % 2 == 0 { "draining" } else { "up" };
         directory.change(vec![directory::row(number / 2 % size, state)]);
@@ -121,9 +123,9 @@
         }
         std::thread::sleep(CHANGE_INTERVAL);
     }
-    let after = sender.settled(READY_TIMEOUT);
+    let after = sender.wait_until_idle(READY_TIMEOUT);
     let each = (after.cpu - before.cpu) / CHANGES as u32;
-    gathered.note("destinations.change-processor", size, milliseconds(each))?;
+    samples.add("destinations.change-processor", size, milliseconds(each))?;
     let started = Instant::now();
     for number in 0..CHANGES_AT_ONCE {
         directory.change(vec![directory::row(number % size, "up")]);
@@ -134,31 +136,31 @@
         };
         return Err(failed(size, error));
     }
-    gathered.note(
+    samples.add(
         "destinations.change-in-force",
         size,
         seconds(started.elapsed()),
     )
 }
 
-/// The largest whole list that a running sender accepts, up to the planned size.
+/// Searches the largest full list that a running sender accepts, up to the planned size.
 fn largest_list(program: &Path) -> Result<Figure, SweepError> {
     let folder = tempfile::tempdir()?;
     let directory = Directory::new()?;
     let planned = Axis::Destinations.planned() as u64;
     let _sender = start(program, folder.path(), &directory, 1)?;
-    let mut tried: Vec<Sample> = Vec::new();
+    let mut measured: Vec<Sample> = Vec::new();
     let mut accepts = |size: u64| -> Result<bool, SweepError> {
-        let reception = directory.send_whole(size, LIST_TIMEOUT);
-        if reception == Reception::Unknown {
-            return Err(failed(size, MeasurementError::ListUnanswered));
+        let outcome = directory.send_full_list(size, LIST_TIMEOUT);
+        if outcome == ListOutcome::Unknown {
+            return Err(failed(size, MeasurementError::NoListOutcome));
         }
-        let accepted = reception == Reception::Accepted;
-        tried.push(Sample {
+        let accepted = outcome == ListOutcome::Accepted;
+        measured.push(Sample {
             size: size as f64,
             value: f64::from(u8::from(accepted)),
         });
-        // The sender must watch again before the next list.
+        // The next list must not be sent before the sender watches again.
         if !directory.all_watch(1, LIST_TIMEOUT) {
             return Err(failed(size, MeasurementError::NotWatching));
         }
@@ -177,7 +179,7 @@
         }
     }
     let reported = |s: &Sample| [holds as f64, fails as f64, planned as f64].contains(&s.size);
-    tried.retain(reported);
+    measured.retain(reported);
     let fails = (holds < planned).then_some(fails);
-    limit_figure("destinations.list-taken", tried, holds, fails)
+    limit_figure("destinations.list-taken", measured, holds, fails)
 }
--- a/crates/fleet-harness/src/sweep/directory.rs
+++ b/crates/fleet-harness/src/sweep/directory.rs
@@ -1,5 +1,5 @@
-//! A simulated directory that any number of senders may watch. It counts its bytes, and knows the version from which each
-//! sender watches.
+//! A simulated discovery directory that any number of senders may watch. It counts the bytes of changes, and records the version
+//! of the endpoint list from which each sender watches.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -8,12 +8,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Versions begin here, so that all that a sweep uses have as many digits and messages of one kind are equally long.
+/// The first version. All versions in a sweep have the same number of digits, so that messages of one kind have the same length.
 pub(super) const FIRST_VERSION: u64 = 100_000;
-/// A longer request is not from a sender.
+/// Longest head of a request; senders send far shorter ones.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// One destination as it is listed, with an endpoint of its own. All rows have the same length.
+/// The row of the endpoint list for one destination, which has one endpoint. Rows with equally long states have the same length.
 pub(super) fn row(number: u64, state: &str) -> String {
     let octet = |power: u32| 100 + (number / 100u64.pow(power)) % 100;
     let (a, b, c, zone) = (octet(2), octet(1), octet(0), number % 6);
@@ -22,8 +22,8 @@
     )
 }
 
-/// A whole list in the directory's form.
-pub(super) fn whole(version: u64, destinations: u64) -> String {
+/// A full endpoint list as the body of an answer.
+pub(super) fn full_list(version: u64, destinations: u64) -> String {
     let rows: Vec<String> = (0..destinations).map(|n| row(n, "up")).collect();
     format!(
         r#"{{"version":{version},"full":true,"servers":[{}]}}"#,
@@ -31,7 +31,7 @@
     )
 }
 
-/// The bytes of an answer with this body.
+/// The HTTP answer with this body.
 pub(super) fn response(body: &str) -> String {
     let length = body.len();
     format!(
@@ -39,6 +39,7 @@
     )
 }
 
+/// The rows that changed, as the body of an answer.
 fn changes(version: u64, rows: &[String]) -> String {
     format!(
         r#"{{"version":{version},"full":false,"servers":[{}]}}"#,
@@ -49,21 +50,21 @@
 /// The last request of a connection.
 #[derive(Clone, Copy, Debug)]
 struct WatchRequest {
-    /// The version that the sender has; `None` for a request of the whole list.
+    /// The version that the sender has; `None` in a request for the full list.
     from: Option<u64>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     version: u64,
-    /// Changes by the version that each made.
+    /// Changed rows, by the version that the change made.
     changed: BTreeMap<u64, Vec<String>>,
-    /// The body that answers a sender that lacks the present version, in place of changes.
-    whole: Option<Arc<str>>,
-    /// By connection that is open.
+    /// Body that is sent in place of changes to a sender with an earlier version.
+    full_list_body: Option<Arc<str>>,
+    /// The last request of each open connection that has not been answered with changes since.
     requests: BTreeMap<u64, WatchRequest>,
-    /// Requests from an earlier version since the present one was made.
-    behind: u64,
+    /// Requests from an earlier version since the current one was made.
+    outdated_requests: u64,
     /// Bytes of answers with changes, and of the requests that followed them.
     change_bytes: u64,
     connections: u64,
@@ -71,13 +72,13 @@
 }
 
 impl State {
-    /// The answer that a sender with this version gets now, if there is one.
+    /// The body of the answer for a sender with this version; `None` if it has the current one and must wait.
     fn answer(&self, from: Option<u64>) -> Option<String> {
         if from.is_some_and(|from| from >= self.version) {
             return None;
         }
-        if let Some(whole) = &self.whole {
-            return Some(whole.to_string());
+        if let Some(full_list_body) = &self.full_list_body {
+            return Some(full_list_body.to_string());
         }
         let newer = self
             .changed
@@ -86,6 +87,7 @@
         Some(changes(self.version, &newer.collect::<Vec<_>>()))
     }
 
+    /// Number of connections that watch from the current version.
     fn watching(&self) -> usize {
         self.requests
             .values()
@@ -94,22 +96,22 @@
     }
 }
 
-/// The directory; its threads end with their connections once it is dropped.
+/// A running directory. Dropping it ends its threads and connections.
 #[derive(Debug)]
 pub(super) struct Directory {
-    /// Where it listens.
+    /// Address at which the directory listens.
     pub address: SocketAddr,
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
-/// What the one sender that watches did with a whole list.
+/// The reaction of the only watching sender to a full list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reception {
-    /// The sender watches from the new version on.
+pub(super) enum ListOutcome {
+    /// The sender watches from the new version.
     Accepted,
     /// The sender requested changes from an earlier version again.
     Rejected,
-    /// Neither in time.
+    /// The sender did neither in time.
     Unknown,
 }
 
@@ -132,49 +134,50 @@
         Ok(Directory { address, shared })
     }
 
-    /// Bytes so far of answers with changes, and of the requests that followed them. A watch that times out without a change does
-    /// not count, as that depends on the clock.
+    /// Bytes so far of answers with changes, and of the requests that followed them. Watches that time out without a change are not
+    /// counted, since their number depends on the clock.
     pub(super) fn change_bytes(&self) -> u64 {
         lock(&self.shared).change_bytes
     }
 
-    /// Makes one change of these rows; all senders that watch are notified.
+    /// Makes a new version with these changed rows, and answers all waiting watches.
     pub(super) fn change(&self, rows: Vec<String>) {
         let mut state = lock(&self.shared);
         state.version += 1;
-        state.behind = 0;
+        state.outdated_requests = 0;
         let version = state.version;
         state.changed.insert(version, rows);
         self.shared.1.notify_all();
     }
 
-    /// Waits until `senders` senders watch from the present version on; false if they don't in time.
+    /// Waits until `senders` senders watch from the current version; false on timeout.
     pub(super) fn all_watch(&self, senders: usize, timeout: Duration) -> bool {
         self.wait(timeout, |state| (state.watching() >= senders).then_some(()))
             .is_some()
     }
 
-    /// Answers the next request with a whole list of `destinations`, as after a gap in the versions.
-    pub(super) fn send_whole(&self, destinations: u64, timeout: Duration) -> Reception {
+    /// Answers the waiting watch with a full list of `destinations`, as after a gap in the versions, and waits for the reaction.
+    pub(super) fn send_full_list(&self, destinations: u64, timeout: Duration) -> ListOutcome {
         {
             let mut state = lock(&self.shared);
             state.version += 1;
-            state.behind = 0;
-            state.whole = Some(whole(state.version, destinations).into());
+            state.outdated_requests = 0;
+            state.full_list_body = Some(full_list(state.version, destinations).into());
             self.shared.1.notify_all();
         }
-        let received = self.wait(timeout, |state| {
-            // The held watch is answered without a new request; the first one after it shows the result.
-            match (state.watching(), state.behind) {
-                (1.., _) => Some(Reception::Accepted),
-                (_, 1..) => Some(Reception::Rejected),
+        let outcome = self.wait(timeout, |state| {
+            // The waiting watch is answered; the sender's next request shows the result.
+            match (state.watching(), state.outdated_requests) {
+                (1.., _) => Some(ListOutcome::Accepted),
+                (_, 1..) => Some(ListOutcome::Rejected),
                 _ => None,
             }
         });
-        lock(&self.shared).whole = None;
-        received.unwrap_or(Reception::Unknown)
+        lock(&self.shared).full_list_body = None;
+        outcome.unwrap_or(ListOutcome::Unknown)
     }
 
+    /// Waits until `found` returns a value; `None` on timeout.
     fn wait<T>(&self, timeout: Duration, mut found: impl FnMut(&State) -> Option<T>) -> Option<T> {
         let end = Instant::now() + timeout;
         let mut state = lock(&self.shared);
@@ -193,7 +196,7 @@
     fn drop(&mut self) {
         lock(&self.shared).closed = true;
         self.shared.1.notify_all();
-        // Wakes the thread that accepts.
+        // Ends the blocking accept of the listener's thread.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -211,7 +214,7 @@
         };
         let shared = shared.clone();
         thread::spawn(move || {
-            // A connection that breaks is of a sender that has ended or connects again.
+            // An error on the connection means that the sender ended or reconnects.
             let _ = serve(stream, number, &shared);
             lock(&shared).requests.remove(&number);
             shared.1.notify_all();
@@ -239,20 +242,20 @@
             Answer::Changes(body) | Answer::NoChange(body) => response(body),
         };
         if had_changes {
-            // Counted before it is written: whoever has read it may act at once.
+            // Counted before the write, since a sender that has read the answer may cause a reading of the counter at once.
             lock(shared).change_bytes += text.len() as u64;
         }
         stream.write_all(text.as_bytes())?;
     }
 }
 
-/// The body of an answer.
+/// The body of an answer, with or without changes.
 enum Answer {
     Changes(String),
     NoChange(String),
 }
 
-/// Waits for the answer to a request; `None` once the directory has ended.
+/// Waits for the answer to a request, for at most `hold_ms` if there is no change; `None` once the directory is closed.
 fn answered(
     number: u64,
     from: Option<u64>,
@@ -263,7 +266,7 @@
     let mut state = lock(shared);
     state.requests.insert(number, WatchRequest { from });
     if from.is_none_or(|from| from < state.version) {
-        state.behind += 1;
+        state.outdated_requests += 1;
     }
     shared.1.notify_all();
     loop {
@@ -271,7 +274,7 @@
             return None;
         }
         if let Some(body) = state.answer(from) {
-            // It does not watch until its next request.
+            // The connection does not watch until its next request.
             state.requests.remove(&number);
             return Some(Answer::Changes(body));
         }
@@ -289,7 +292,7 @@
     }
 }
 
-/// The head of the next request; `None` at the connection's end.
+/// Reads the head of the next request; `None` when the connection has ended.
 fn read_head(stream: &mut TcpStream, input: &mut Vec<u8>) -> io::Result<Option<String>> {
     let mut chunk = [0; 4096];
     loop {
@@ -298,7 +301,7 @@
             return Ok(Some(String::from_utf8_lossy(&head).into_owned()));
         }
         if input.len() > MAX_HEAD_BYTES {
-            return Err(io::Error::other("a request without an end"));
+            return Err(io::Error::other("request head is too long"));
         }
         match stream.read(&mut chunk)? {
             0 => return Ok(None),
@@ -307,6 +310,7 @@
     }
 }
 
+/// The number after `name` in the request line.
 fn number_in(head: &str, name: &str) -> Option<u64> {
     let (_, rest) = head.lines().next()?.split_once(name)?;
     let end = rest
--- a/crates/fleet-harness/src/sweep/error.rs
+++ b/crates/fleet-harness/src/sweep/error.rs
@@ -10,33 +10,33 @@
 use crate::invalid_settings::InvalidSettings;
 use crate::simulated::SimulatedFleetError;
 
-/// Why a sweep could not be played.
+/// Why a sweep could not be completed.
 #[derive(Debug, thiserror::Error)]
 pub enum SweepError {
-    /// A file or socket fails.
+    /// A file or socket operation failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A measurement fails.
+    /// A measurement failed.
     #[error("{sweep} at size {size}: {source}")]
     Failed {
-        /// The sweep.
+        /// Name of the sweep.
         sweep: &'static str,
         /// The size that was measured.
         size: u64,
         /// Why it failed.
         source: MeasurementError,
     },
-    /// The samples of a quantity can't be fitted.
+    /// The samples of a quantity could not be fitted.
     #[error("{id}: {source}")]
     Fit {
-        /// The quantity.
+        /// Id of the quantity.
         id: &'static str,
         /// Why the fit failed.
         source: FitError,
     },
     /// A measured quantity is not in the catalog.
-    #[error("no quantity '{0}' in the catalog")]
-    Unknown(&'static str),
+    #[error("quantity '{0}' is measured and missing from the catalog")]
+    UnknownQuantity(&'static str),
 }
 
 /// Why a measurement failed.
@@ -45,48 +45,48 @@
     /// A sender did not start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// A scenario could not be played.
+    /// The scenario runner failed.
     #[error(transparent)]
     Run(#[from] RunError),
-    /// A fleet of simulated members could not be played.
+    /// A fleet of simulated members could not be run.
     #[error(transparent)]
     Members(#[from] SimulatedFleetError),
-    /// The reducer does not accept its settings.
+    /// The reducer rejected its settings.
     #[error(transparent)]
     Settings(#[from] InvalidSettings),
-    /// The journal of a backlog can't be written.
-    #[error("the journal: {0}")]
+    /// The journal of a backlog could not be written.
+    #[error("can't write the journal of the backlog: {0}")]
     Journal(#[source] Box<dyn Error + Send + Sync>),
-    /// A sender does not watch the directory.
-    #[error("the sender does not watch the directory")]
+    /// A sender did not begin to watch the directory in time.
+    #[error("the sender did not watch the directory in time")]
     NotWatching,
-    /// Not all senders watch the directory.
-    #[error("not all senders watch the directory")]
+    /// Not all senders began to watch the directory in time.
+    #[error("not all senders watched the directory in time")]
     NotAllWatching,
     /// A sender did not apply a change of the endpoint list in time.
-    #[error("a change of the list was not applied in time")]
+    #[error("a change of the endpoint list was not applied in time")]
     ChangeNotApplied,
     /// A sender did not apply several changes at once in time.
-    #[error("{changes} changes at once were not applied in time")]
+    #[error("{changes} simultaneous changes of the endpoint list were not applied in time")]
     ChangesNotApplied {
-        /// The number of changes.
+        /// Number of changes.
         changes: u64,
     },
-    /// A sender neither accepted nor rejected a whole list in time.
-    #[error("a whole list was neither accepted nor rejected in time")]
-    ListUnanswered,
+    /// A sender neither accepted nor rejected a full endpoint list in time.
+    #[error("a full endpoint list was neither accepted nor rejected in time")]
+    NoListOutcome,
     /// The reducer sent too few events of a backlog.
-    #[error("only {sent} events were sent in {turns} turns")]
+    #[error("the reducer sent only {sent} events of the backlog in {turns} turns")]
     TooFewSent {
-        /// Events that were sent.
+        /// Number of events that were sent.
         sent: usize,
-        /// Turns of the reducer.
+        /// Number of turns of the reducer.
         turns: u32,
     },
 }
 
 impl MeasurementError {
-    /// As the error of a sweep at a size.
+    /// Converts to the error of a sweep at a size.
     pub(super) fn at(self, sweep: &'static str, size: u64) -> SweepError {
         SweepError::Failed {
             sweep,
--- a/crates/fleet-harness/src/sweep/events.rs
+++ b/crates/fleet-harness/src/sweep/events.rs
@@ -1,4 +1,4 @@
-//! Events a second of one sender, up to several times its planned mean.
+//! Sweeps the rate of events of one sender, up to several times its planned average.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 
 use super::args::SweepArgs;
 use super::error::{MeasurementError, SweepError};
-use super::gathered::Gathered;
+use super::samples::SweepSamples;
 
 const SWEEP: &str = "events";
-/// Endpoints of the simulated destinations, two for each.
+/// Number of endpoints of the simulated destinations, two for each destination.
 const ENDPOINTS: usize = 100;
-/// How long each rate is reducer.
+/// How long each rate is measured.
 const RATE_DURATION: Duration = Duration::from_secs(6);
 
-/// Plays the sweep; `progress` is called with a text for each size.
+/// Runs the sweep; `progress` is called with a short text before each measurement.
 pub(super) fn play(
     args: &SweepArgs,
     progress: &mut impl FnMut(&str),
 ) -> Result<Vec<Figure>, SweepError> {
-    let mut gathered = Gathered::new(args.quick);
+    let mut samples = SweepSamples::new(args.quick);
     for &size in &args.sizes.events {
         progress(&format!("{size} events a second"));
         let options = MeasureOptions {
@@ -38,12 +38,12 @@
             } else {
                 "the machine was too busy"
             };
-            gathered.remark(SWEEP, format!("{size}: {reason}"));
+            samples.remark(SWEEP, format!("{size}: {reason}"));
             continue;
         }
-        gathered.note("events.cores", size, step.sender_cores)?;
-        gathered.note("events.answered", size, step.answered[1] as f64 / 1e3)?;
-        gathered.note("events.resident", size, step.memory_kb as f64 * 1024.0)?;
+        samples.add("events.cores", size, step.sender_cores)?;
+        samples.add("events.answered", size, step.answered[1] as f64 / 1e3)?;
+        samples.add("events.resident", size, step.memory_kb as f64 * 1024.0)?;
     }
-    gathered.figures()
+    samples.figures()
 }
--- a/crates/fleet-harness/src/sweep/members.rs
+++ b/crates/fleet-harness/src/sweep/members.rs
@@ -1,4 +1,5 @@
-//! Members of the fleet: what membership costs each, and whether the views agree, in the quiet state and under failures.
+//! Sweeps the number of members of the fleet: the cost of membership for each, and whether the views agree, without and with
+//! disturbances.
 
 use std::time::Duration;
 
@@ -6,19 +7,19 @@
 
 use super::args::SweepArgs;
 use super::error::{MeasurementError, SweepError};
-use super::gathered::Gathered;
+use super::samples::SweepSamples;
 use crate::simulated::{self, Disturbance, SimulatedFleetFigures, SimulatedFleetPlan, Transport};
 
-/// One in this many members crashes.
+/// One in this many members crashes at once.
 const CRASHED_ONE_IN: u32 = 10;
-/// Zones, of which one fails.
+/// Number of zones, of which one fails.
 const ZONES: u32 = 6;
-/// One in this many members is restarted at once: thirty of 490.
+/// One in this many members is restarted at once, which is thirty of 490.
 const RESTARTED_ONE_IN: u64 = 16;
 
-/// A state of the fleet, with its disturbance and duration.
+/// One run of a fleet: the state that is measured, its disturbance, and the measured duration.
 #[derive(Clone, Copy)]
-struct Scene {
+struct StateRun {
     state: State,
     disturbance: Disturbance,
     duration: Duration,
@@ -34,30 +35,30 @@
     Halves,
 }
 
-/// How long a state is played, unless it needs longer: the effects of the start are a small part of it.
-const SCENE_DURATION: Duration = Duration::from_secs(45);
+/// Measured duration of a run, unless its state needs longer. Within it, the effects of the start are small.
+const RUN_DURATION: Duration = Duration::from_secs(45);
 
-/// The states of the operators' table for a fleet of this size. The cut lasts longer than the eviction delay of 30 s: a shorter
-/// one can't raise a share.
-fn scenes(size: u64) -> [Scene; 6] {
+/// The runs for the states of the operators' table, with a fleet of this size. The cut lasts longer than the eviction delay of
+/// 30 s, since a shorter one can't raise the share of a limit.
+fn state_runs(size: u64) -> [StateRun; 6] {
     let restarted = (size / RESTARTED_ONE_IN).max(1) as u32;
-    let scene = |state, disturbance| Scene {
+    let run = |state, disturbance| StateRun {
         state,
         disturbance,
-        duration: SCENE_DURATION,
+        duration: RUN_DURATION,
     };
     [
-        scene(State::Quiet, Disturbance::None),
-        scene(
+        run(State::Quiet, Disturbance::None),
+        run(
             State::Crashes,
             Disturbance::Crashes {
                 one_in: CRASHED_ONE_IN,
             },
         ),
-        scene(State::Zone, Disturbance::ZoneDown { zones: ZONES }),
-        scene(State::Rack, Disturbance::RackDown),
-        scene(State::Restarts, Disturbance::Restarts { count: restarted }),
-        Scene {
+        run(State::Zone, Disturbance::ZoneDown { zones: ZONES }),
+        run(State::Rack, Disturbance::RackDown),
+        run(State::Restarts, Disturbance::Restarts { count: restarted }),
+        StateRun {
             state: State::Halves,
             disturbance: Disturbance::Halves {
                 duration: Duration::from_secs(40),
@@ -67,35 +68,40 @@
     ]
 }
 
-/// Plays the sweep; `progress` is called with a text for each size.
+/// Runs the sweep; `progress` is called with a short text before each measurement.
 pub(super) fn play(
     args: &SweepArgs,
     progress: &mut impl FnMut(&str),
 ) -> Result<Vec<Figure>, SweepError> {
-    let mut gathered = Gathered::new(args.quick);
+    let mut samples = SweepSamples::new(args.quick);
     for &size in &args.sizes.members {
-        for scene in scenes(size) {
-            progress(&format!("{size} members, {}", scene.state.name()));
-            let figures = measure(args, size, scene)?;
-            // Members that ran late say nothing of the protocol.
+        for run in state_runs(size) {
+            progress(&format!("{size} members, {}", run.state.name()));
+            let figures = measure(args, size, run)?;
+            // The machine was too busy, so the figures do not show the cost of the protocol.
             if figures.held_up > 0 {
                 let times = figures.held_up;
-                let why = format!("{size} is left out: the machine ran members late {times} times");
-                gathered.remark(scene.state.id_prefix(), why);
+                let reason =
+                    format!("{size} is left out: the machine ran members late {times} times");
+                samples.remark(run.state.id_prefix(), reason);
                 continue;
             }
-            note(&mut gathered, size, scene.state, &figures)?;
+            add_figures(&mut samples, size, run.state, &figures)?;
         }
     }
-    gathered.figures()
+    samples.figures()
 }
 
-fn measure(args: &SweepArgs, size: u64, scene: Scene) -> Result<SimulatedFleetFigures, SweepError> {
+fn measure(
+    args: &SweepArgs,
+    size: u64,
+    run: StateRun,
+) -> Result<SimulatedFleetFigures, SweepError> {
     let plan = SimulatedFleetPlan {
         members: size as usize,
-        duration: scene.duration,
-        disturbance: scene.disturbance,
-        // Bytes and packets are exact by the seed in virtual time; their cost is measured with real sockets.
+        duration: run.duration,
+        disturbance: run.disturbance,
+        // In virtual time, bytes and packets depend on the seed alone. Processor time is measured with real sockets.
         transport: if args.quick {
             Transport::Virtual
         } else {
@@ -107,71 +113,72 @@
     simulated::play(&plan).map_err(|e| MeasurementError::from(e).at("members", size))
 }
 
-fn note(
-    gathered: &mut Gathered,
+/// Adds the figures of one run to the samples of its state's quantities.
+fn add_figures(
+    samples: &mut SweepSamples,
     size: u64,
     state: State,
     figures: &SimulatedFleetFigures,
 ) -> Result<(), SweepError> {
     let bytes = figures.bytes_sent_per_second.mean + figures.bytes_received_per_second.mean;
     let missing = figures.missing_live_members as f64;
-    let processor = figures.cpu_milliseconds_per_second;
+    let cpu = figures.cpu_milliseconds_per_second;
     match state {
         State::Quiet => {
-            gathered.note("members.quiet.bytes", size, bytes)?;
-            gathered.note(
+            samples.add("members.quiet.bytes", size, bytes)?;
+            samples.add(
                 "members.quiet.packets",
                 size,
                 figures.packets_sent_per_second.mean,
             )?;
-            gathered.note("members.quiet.processor", size, processor)?;
-            if !gathered.quick {
-                // In virtual time the memory is the simulated network's as well.
-                gathered.note(
+            samples.add("members.quiet.processor", size, cpu)?;
+            if !samples.quick {
+                // In virtual time the resident memory includes that of the simulated network.
+                samples.add(
                     "members.quiet.resident",
                     size,
                     figures.resident_bytes_per_member as f64,
                 )?;
             }
-            gathered.note("members.quiet.missing", size, missing)
+            samples.add("members.quiet.missing", size, missing)
         }
         State::Crashes => {
-            gathered.note("members.crashes.bytes", size, bytes)?;
-            gathered.note("members.crashes.processor", size, processor)?;
+            samples.add("members.crashes.bytes", size, bytes)?;
+            samples.add("members.crashes.processor", size, cpu)?;
             if let Some(detection) = figures.detection {
-                gathered.note("members.crashes.detection", size, detection.p99)?;
+                samples.add("members.crashes.detection", size, detection.p99)?;
             }
-            gathered.note("members.crashes.missing", size, missing)
+            samples.add("members.crashes.missing", size, missing)
         }
         State::Zone => {
-            gathered.note("members.zone.bytes", size, bytes)?;
-            gathered.note("members.zone.missing", size, missing)
+            samples.add("members.zone.bytes", size, bytes)?;
+            samples.add("members.zone.missing", size, missing)
         }
         State::Rack => {
-            gathered.note("members.rack.bytes", size, bytes)?;
-            gathered.note("members.rack.missing", size, missing)
+            samples.add("members.rack.bytes", size, bytes)?;
+            samples.add("members.rack.missing", size, missing)
         }
         State::Restarts => {
-            gathered.note("members.restarts.bytes", size, bytes)?;
-            gathered.note("members.restarts.missing", size, missing)
+            samples.add("members.restarts.bytes", size, bytes)?;
+            samples.add("members.restarts.missing", size, missing)
         }
         State::Halves => {
-            gathered.note("members.halves.bytes", size, bytes)?;
+            samples.add("members.halves.bytes", size, bytes)?;
             match figures.agreed_after {
-                Some(after) => gathered.note("members.halves.agreed", size, after.as_secs_f64())?,
-                None => gathered.remark(
+                Some(after) => samples.add("members.halves.agreed", size, after.as_secs_f64())?,
+                None => samples.remark(
                     "members.halves",
                     format!("{size}: the views did not agree again in the play"),
                 ),
             }
-            gathered.note("members.halves.missing", size, missing)?;
-            gathered.note("members.halves.share", size, figures.largest_share)
+            samples.add("members.halves.missing", size, missing)?;
+            samples.add("members.halves.share", size, figures.largest_share)
         }
     }
 }
 
 impl State {
-    /// The prefix of the ids of its quantities.
+    /// The prefix of the ids of the state's quantities.
     fn id_prefix(self) -> &'static str {
         match self {
             State::Quiet => "members.quiet",
@@ -183,14 +190,15 @@
         }
     }
 
+    /// The state as the progress text names it.
     fn name(self) -> &'static str {
         match self {
             State::Quiet => "quiet",
-            State::Crashes => "one in ten crashing",
-            State::Zone => "a zone of six gone",
-            State::Rack => "one in thirty gone",
-            State::Restarts => "restarts",
-            State::Halves => "halves cut",
+            State::Crashes => "one in ten crashed",
+            State::Zone => "one zone of six down",
+            State::Rack => "one in thirty down",
+            State::Restarts => "one in sixteen restarted",
+            State::Halves => "two halves cut off from each other",
         }
     }
 }
--- a/crates/fleet-harness/src/sweep/mod.rs
+++ b/crates/fleet-harness/src/sweep/mod.rs
@@ -1,4 +1,5 @@
-//! Sweeps for the capacity plan: the real code at several sizes, measured. `cranehill_capacity` evaluates the measurements.
+//! Sweeps for the capacity plan: run the real code at several sizes and measure its cost. `cranehill_capacity` evaluates the
+//! measurements.
 //!
 //! Start at [`play`].
 
@@ -8,9 +9,9 @@
 mod directory;
 mod error;
 mod events;
-mod gathered;
 mod members;
 mod reducer;
+mod samples;
 mod sender;
 mod watchers;
 
@@ -20,21 +21,21 @@
 pub use error::{MeasurementError, SweepError};
 pub use sender::StartError;
 
-/// Plays the sweeps one after the other; `progress` is called with a text for each size.
+/// Runs the sweeps one after the other and returns their figures. `progress` is called with a short text before each measurement.
 ///
 /// # Errors
-/// A measurement fails, or its figures can't be fitted.
+/// A measurement fails, or its samples can't be fitted.
 pub fn play(args: &SweepArgs, mut progress: impl FnMut(&str)) -> Result<Vec<Figure>, SweepError> {
     let mut figures = Vec::new();
     for &sweep in &args.sweeps {
-        let played = match sweep {
+        let measured = match sweep {
             Sweep::Destinations => destinations::play(args, &mut progress)?,
             Sweep::Backlog => backlog::play(args, &mut progress)?,
             Sweep::Members => members::play(args, &mut progress)?,
             Sweep::Events => events::play(args, &mut progress)?,
             Sweep::Changes => watchers::play(args, &mut progress)?,
         };
-        figures.extend(played);
+        figures.extend(measured);
     }
     Ok(figures)
 }
--- a/crates/fleet-harness/src/sweep/reducer.rs
+++ b/crates/fleet-harness/src/sweep/reducer.rs
@@ -1,4 +1,5 @@
-//! The reducer alone, with the clock as an input: the processor time of its steps, and the order of its work queue.
+//! Runs the reducer alone, with the clock as an input, to measure the processor time of its steps and the order of its work
+//! queue.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,12 +12,12 @@
 use crate::invalid_settings::{InvalidSettings, parse_settings};
 use crate::simulated::usage::thread_cpu;
 
-/// When the clock of the reducer starts.
+/// Start of the reducer's clock.
 const START: Time = Time(1_764_590_000_000_000_000);
-/// Between two turns.
+/// Time between two turns.
 const TICK: Duration = Duration::from_millis(5);
 
-/// A list of destinations with one endpoint each.
+/// An endpoint list of this many destinations, with one endpoint each.
 pub(super) fn listings(destinations: u64) -> Vec<Listing> {
     let listing = |number: u64| Listing {
         entry: Entry {
@@ -32,7 +33,7 @@
     (0..destinations).map(listing).collect()
 }
 
-/// A well-mixed number for each number, the same in every run.
+/// Hashes a number with the mixing function of SplitMix64, so that ids and deadlines are spread and the same in every run.
 pub(super) fn mixed(number: u64) -> u64 {
     let mut state = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     state = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -40,7 +41,8 @@
     state ^ (state >> 31)
 }
 
-/// One event of a backlog, accepted at `now` (ns since 1970): half of its time at least remains.
+/// The journal record of one event of a backlog, accepted at `now` (ns since 1970). Its deadline is at least half of
+/// [`EVENT_DURATION`] away.
 pub(super) fn event(number: u64, destinations: u64, now: u64, body: &Arc<[u8]>) -> Record {
     let duration = EVENT_DURATION.as_nanos() as u64;
     Record::Accepted {
@@ -56,7 +58,7 @@
     }
 }
 
-/// A reducer with a list, stepped by hand.
+/// A reducer with an endpoint list, whose clock advances only with [`SteppedReducer::turn`].
 pub(super) struct SteppedReducer {
     core: Core,
     now: Time,
@@ -65,16 +67,16 @@
 /// The result of one turn.
 #[derive(Debug, Default)]
 pub(super) struct Turn {
-    /// Processor time.
+    /// Processor time of the turn.
     pub took: Duration,
-    /// Attempts by the id of the event and the number of the attempt.
+    /// Attempts that were started: id of the event and number of the attempt.
     pub calls: Vec<(String, u32)>,
-    /// Final reports of events that were never sent.
+    /// Number of final reports. A backlog's events are reported when they expire.
     pub expired: u64,
 }
 
 impl SteppedReducer {
-    /// A reducer that may hold `max_held` events, with a list of destinations.
+    /// A reducer that may hold `max_held` events, with an endpoint list of this many destinations.
     pub(super) fn new(max_held: u64, destinations: u64) -> Result<SteppedReducer, InvalidSettings> {
         let settings = parse_settings(settings(max_held))?;
         let core = Core::new(settings, 1, START).map_err(InvalidSettings::new)?;
@@ -83,7 +85,7 @@
         Ok(reducer)
     }
 
-    /// Applies a whole list; the processor time of the step and of the turn after it.
+    /// Applies a full endpoint list. Returns the processor time of the step and of the turn after it.
     pub(super) fn list(&mut self, destinations: u64) -> Duration {
         let list = listings(destinations);
         let cpu_before = thread_cpu();
@@ -93,7 +95,7 @@
         step + self.turn().took
     }
 
-    /// Restores a backlog from records; the processor time of the step.
+    /// Restores a backlog of this many events from journal records. Returns the processor time of the step.
     pub(super) fn recover(&mut self, events: u64, destinations: u64, body: &Arc<[u8]>) -> Duration {
         let records: Vec<Record> = (0..events)
             .map(|n| event(n, destinations, START.0, body))
@@ -103,7 +105,7 @@
         thread_cpu() - cpu_before
     }
 
-    /// One turn with a journal that persists everything.
+    /// Runs one turn, with a journal that persists all records at once.
     pub(super) fn turn(&mut self) -> Turn {
         self.now = self.now + TICK;
         let cpu_before = thread_cpu();
@@ -120,8 +122,11 @@
         for effect in effects {
             match effect {
                 Effect::Call { attempts, .. } => {
-                    turn.calls
-                        .extend(attempts.into_iter().map(|a| (a.id, a.number)));
+                    turn.calls.extend(
+                        attempts
+                            .into_iter()
+                            .map(|attempt| (attempt.id, attempt.number)),
+                    );
                 }
                 Effect::SendFinalReport { .. } => turn.expired += 1,
                 _ => {}
@@ -130,7 +135,7 @@
         turn
     }
 
-    /// The destinations execute these calls.
+    /// Reports these attempts as executed by the destinations.
     pub(super) fn serve(&mut self, calls: Vec<(String, u32)>) {
         let end = |(id, attempt)| AttemptOutcome {
             id,
--- a/crates/fleet-harness/src/sweep/sender.rs
+++ b/crates/fleet-harness/src/sweep/sender.rs
@@ -1,4 +1,4 @@
-//! One real sender as a process, with the configuration that a sweep needs.
+//! Starts a real sender as a process, with the configuration that a sweep needs.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -11,27 +11,27 @@
 use cranehill_scenario_runner::resource_usage::{self, ResourceUsage};
 use serde_json::{Value, json};
 
-/// How often the processor time of a sender is checked.
+/// Interval between two readings of a sender's processor time.
 const USAGE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A sender that used no processor time for this long is idle.
+/// A sender that used no processor time for this long counts as idle.
 const IDLE_TIME: Duration = Duration::from_millis(200);
-/// Time to live of the events of a sweep: none may expire while it is measured.
+/// Deadline of the events of a sweep after their acceptance. None may expire while it is measured.
 pub(super) const EVENT_DURATION: Duration = Duration::from_secs(3600);
-/// Far more than any sweep writes.
+/// Disk limit of a sender in MB: far more than any sweep writes.
 const DISK_MB: f64 = 20_000.0;
 
 /// The configuration of a sender.
 #[derive(Clone, Debug)]
 pub(super) struct SenderOptions {
-    /// Where the directory listens.
+    /// Address at which the directory listens.
     pub directory: SocketAddr,
-    /// The list in its configuration, as JSON.
-    pub known: String,
-    /// Events that it may hold.
+    /// The endpoint list in the configuration, as JSON.
+    pub endpoint_list: String,
+    /// Largest number of events that the sender may hold.
     pub max_held: u64,
 }
 
-/// The settings object of a sweep.
+/// The settings object of a sender or reducer in a sweep, with a bound on held events.
 pub(super) fn settings(max_held: u64) -> Value {
     let nanos = EVENT_DURATION.as_nanos() as u64;
     let zones: Vec<String> = (0..6).map(|n| format!("zone-{n}")).collect();
@@ -60,7 +60,7 @@
         format!(
             r#"{{"name":"n0","seed":"1f","listen":"127.0.0.1:0","discovery":"{}","limits":{limits},"known":{},"settings":{}}}"#,
             self.directory,
-            self.known,
+            self.endpoint_list,
             settings(self.max_held)
         )
     }
@@ -70,31 +70,31 @@
 #[derive(Debug)]
 pub(super) struct Sender {
     child: Child,
-    /// From the start of the process until it listened for clients.
+    /// Time from the start of the process until it listened for clients.
     pub ready: Duration,
 }
 
 /// Why a sender did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The system did not start its process, or its folder can't be written.
+    /// The process could not be started, or its folder could not be written.
     #[error("{program}: {source}")]
     Spawn {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// What the system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Its process ended.
-    #[error("the sender ended: {last_line}")]
+    /// The process ended before it listened for clients.
+    #[error("the sender process ended before it listened for clients; last log line: {last_line}")]
     Ended {
         /// The last line of its log.
         last_line: String,
     },
-    /// It did not listen for clients in time.
-    #[error("the sender was not ready after {timeout:?}")]
+    /// The process did not listen for clients in time.
+    #[error("the sender did not listen for clients within {timeout:?}")]
     NotReady {
-        /// How long it was waited for.
+        /// How long was waited.
         timeout: Duration,
     },
 }
@@ -127,12 +127,12 @@
             .stderr(Stdio::piped())
             .spawn()
             .map_err(failed)?;
-        let (sender_lines, lines) = channel();
+        let (line_sender, lines) = channel();
         if let Some(stderr) = child.stderr.take() {
-            // Read to its end: a full pipe would stop the sender.
+            // Read until the end of the stream: a full pipe would block the sender.
             thread::spawn(move || {
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    let _ = sender_lines.send(line);
+                    let _ = line_sender.send(line);
                 }
             });
         }
@@ -145,7 +145,7 @@
         Ok(sender)
     }
 
-    /// Waits until the log shows that it listens for clients.
+    /// Waits until the log shows that the sender listens for clients.
     fn wait_ready(
         &self,
         lines: &Receiver<String>,
@@ -166,23 +166,23 @@
         }
     }
 
-    /// What its process has used so far.
+    /// Processor time and memory that the process has used so far.
     pub(super) fn used(&self) -> ResourceUsage {
         resource_usage::of_process(self.child.id())
     }
 
-    /// Waits until it uses no processor time, or for `timeout` at most; what it has used by then.
-    pub(super) fn settled(&self, timeout: Duration) -> ResourceUsage {
+    /// Waits until the process is idle, or for at most `timeout`, and returns what it has used by then.
+    pub(super) fn wait_until_idle(&self, timeout: Duration) -> ResourceUsage {
         let end = Instant::now() + timeout;
-        let (mut since, mut before) = (Instant::now(), self.used());
-        while since.elapsed() < IDLE_TIME && Instant::now() < end {
+        let (mut idle_since, mut last) = (Instant::now(), self.used());
+        while idle_since.elapsed() < IDLE_TIME && Instant::now() < end {
             thread::sleep(USAGE_CHECK_INTERVAL);
             let used = self.used();
-            if used.cpu != before.cpu {
-                (since, before) = (Instant::now(), used);
+            if used.cpu != last.cpu {
+                (idle_since, last) = (Instant::now(), used);
             }
         }
-        before
+        last
     }
 }
 
--- a/crates/fleet-harness/src/sweep/watchers.rs
+++ b/crates/fleet-harness/src/sweep/watchers.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration to many real senders that watch one directory.
+//! Sweeps the number of real senders that watch one directory, and measures how changes of the endpoint list reach them.
 
 use std::time::{Duration, Instant};
 
@@ -7,42 +7,42 @@
 use super::args::SweepArgs;
 use super::directory::{self, Directory, FIRST_VERSION};
 use super::error::{MeasurementError, SweepError};
-use super::gathered::Gathered;
+use super::samples::SweepSamples;
 use super::sender::{Sender, SenderOptions};
 use crate::units::seconds;
 
 const SWEEP: &str = "changes";
-/// Destinations in the list.
+/// Number of destinations in the endpoint list.
 const DESTINATIONS: u64 = 100;
-/// Events that a sender may hold.
+/// Largest number of events that a sender may hold.
 const MAX_HELD_EVENTS: u64 = 1000;
 /// All senders must be ready within this.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// All senders must apply a change within this.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Changes at once.
+/// Number of changes that are made at once.
 const CHANGES_AT_ONCE: u64 = 10;
 
-/// Plays the sweep; `progress` is called with a text for each size.
+/// Runs the sweep; `progress` is called with a short text before each measurement.
 pub(super) fn play(
     args: &SweepArgs,
     progress: &mut impl FnMut(&str),
 ) -> Result<Vec<Figure>, SweepError> {
-    let mut gathered = Gathered::new(args.quick);
+    let mut samples = SweepSamples::new(args.quick);
     for &size in &args.sizes.changes {
         progress(&format!("{size} senders that watch"));
-        measure(args, size, &mut gathered)?;
+        measure(args, size, &mut samples)?;
     }
-    gathered.figures()
+    samples.figures()
 }
 
-fn measure(args: &SweepArgs, size: u64, gathered: &mut Gathered) -> Result<(), SweepError> {
+fn measure(args: &SweepArgs, size: u64, samples: &mut SweepSamples) -> Result<(), SweepError> {
     let failed = |error: MeasurementError| error.at(SWEEP, size);
     let directory = Directory::new()?;
-    let known = directory::whole(FIRST_VERSION, DESTINATIONS);
+    let endpoint_list = directory::full_list(FIRST_VERSION, DESTINATIONS);
     let options = SenderOptions {
         directory: directory.address,
-        known,
+        endpoint_list,
         max_held: MAX_HELD_EVENTS,
     };
     let mut senders = Vec::new();
@@ -54,7 +54,7 @@
     if !directory.all_watch(senders.len(), READY_TIMEOUT) {
         return Err(failed(MeasurementError::NotAllWatching));
     }
-    let in_force = |rows: Vec<String>| -> Result<Duration, SweepError> {
+    let time_to_apply = |rows: Vec<String>| -> Result<Duration, SweepError> {
         let started = Instant::now();
         rows.into_iter().for_each(|row| directory.change(vec![row]));
         if !directory.all_watch(senders.len(), CHANGE_TIMEOUT) {
@@ -63,15 +63,15 @@
         Ok(started.elapsed())
     };
     let before = directory.change_bytes();
-    let took = in_force(vec![directory::row(0, "up")])?;
-    gathered.note(
+    let took = time_to_apply(vec![directory::row(0, "up")])?;
+    samples.add(
         "changes.discovery-bytes",
         size,
         (directory.change_bytes() - before) as f64,
     )?;
-    gathered.note("changes.one-in-force", size, seconds(took))?;
+    samples.add("changes.one-in-force", size, seconds(took))?;
     let ten = (0..CHANGES_AT_ONCE)
         .map(|n| directory::row(n % DESTINATIONS, "up"))
         .collect();
-    gathered.note("changes.ten-in-force", size, seconds(in_force(ten)?))
+    samples.add("changes.ten-in-force", size, seconds(time_to_apply(ten)?))
 }
