--- a/crates/fleet-harness/src/lib.rs
+++ b/crates/fleet-harness/src/lib.rs
@@ -27,7 +27,7 @@
 
 pub use invalid_settings::InvalidSettings;
 pub use network::FleetTraffic;
-pub use relay::{Passed, Relay};
+pub use relay::{Relay, RelayTraffic};
 pub use report::{CutSideLoad, Report, table, write};
 pub use restarts::{DestinationPeak, Restarts};
 pub use scenarios::{SCENARIOS, scenario};
--- a/crates/fleet-harness/src/network.rs
+++ b/crates/fleet-harness/src/network.rs
@@ -9,7 +9,7 @@
 use cranehill_simulation::scenario::Scenario;
 
 use crate::relay::Relay;
-use crate::simulated::{SimulatedFleet, SimulatedFleetError, SimulatedFleetPlay};
+use crate::simulated::{SimulatedFleet, SimulatedFleetError, SimulatedFleetRun};
 
 /// Traffic between the members of a fleet.
 #[derive(Clone, Debug, Default)]
@@ -21,7 +21,7 @@
     /// Packets that the relay dropped because of network faults.
     pub lost: u64,
     /// Observations and traffic of the simulated members; `None` in a scenario without any.
-    pub simulated: Option<SimulatedFleetPlay>,
+    pub simulated: Option<SimulatedFleetRun>,
 }
 
 /// The relay, and the simulated members that it connects to the real senders.
@@ -55,11 +55,11 @@
             .map(SimulatedFleet::end)
             .transpose()
             .map_err(io_error)?;
-        let passed = self.relay.passed();
+        let relayed = self.relay.traffic();
         Ok(FleetTraffic {
-            packets: passed.packets,
-            bytes: passed.bytes,
-            lost: passed.lost,
+            packets: relayed.packets,
+            bytes: relayed.bytes,
+            lost: relayed.lost,
             simulated,
         })
     }
--- a/crates/fleet-harness/src/relay/command.rs
+++ b/crates/fleet-harness/src/relay/command.rs
@@ -1,4 +1,4 @@
-//! Commands to the relay's thread.
+//! Commands from the relay's owner to its thread.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -7,11 +7,11 @@
 
 /// A command to the relay's thread.
 pub(super) enum Command {
-    /// Relay packets to a member.
+    /// Begin to relay packets to a member.
     AddPacketPath(PacketPath),
-    /// Relay connections of a sender to an endpoint.
+    /// Begin to relay connections from a sender to an endpoint.
     AddConnectionPath(ConnectionPath),
-    /// The clock of the faults starts.
+    /// Start the clock of the network faults at this time.
     Begin(Instant),
     /// End the thread.
     End,
@@ -19,22 +19,22 @@
 
 /// The path of packets to one member, from all others.
 pub(super) struct PacketPath {
-    /// Receives the others' packets.
+    /// Socket that receives the other members' packets.
     pub socket: UdpSocket,
-    /// The member.
+    /// Number of the receiving member.
     pub to: usize,
-    /// Where the member receives packets.
+    /// Address at which the member receives packets.
     pub real: SocketAddr,
 }
 
 /// The path of connections from one sender to one endpoint.
 pub(super) struct ConnectionPath {
-    /// Accepts the sender's connections.
+    /// Listener that accepts the sender's connections.
     pub listener: TcpListener,
-    /// The sender.
+    /// Number of the sender.
     pub sender: usize,
-    /// The zone of the endpoint.
+    /// Number of the endpoint's zone.
     pub zone: usize,
-    /// Where the endpoint listens.
+    /// Address at which the endpoint listens.
     pub real: SocketAddr,
 }
--- a/crates/fleet-harness/src/relay/connections.rs
+++ b/crates/fleet-harness/src/relay/connections.rs
@@ -1,4 +1,4 @@
-//! Connections between senders and destinations.
+//! Relays connections between senders and destinations, and applies network faults to them.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -13,11 +13,12 @@
 use super::pair::{Direction, Pair};
 use super::worker::{RelaySocket, RelayWorker, TimerEvent};
 
-/// The least time after which TCP sends a lost segment again (RFC 6298, with the minimum of Linux).
+/// Minimum retransmission timeout of TCP: the time after which a lost segment is sent again (RFC 6298, with the minimum of
+/// Linux).
 const MIN_RETRANSMISSION_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl RelayWorker {
-    /// Accepts all connections that wait at a listener.
+    /// Accepts all pending connections of a listener, and connects each to the endpoint.
     pub(super) fn accept(&mut self, token: usize) {
         loop {
             let Some(RelaySocket::Listener(path)) = self.sockets.get(&token) else {
@@ -31,9 +32,9 @@
             } = path;
             let (sender, zone, real) = (*sender, *zone, *real);
             match listener.accept() {
-                Ok((near, _)) => {
-                    if let Ok(far) = TcpStream::connect(real) {
-                        self.add_pair(sender, zone, [near, far]);
+                Ok((sender_side, _)) => {
+                    if let Ok(destination_side) = TcpStream::connect(real) {
+                        self.add_pair(sender, zone, [sender_side, destination_side]);
                     }
                 }
                 Err(e)
@@ -66,11 +67,12 @@
         self.pump(first);
     }
 
+    /// Whether a cut is active on the path from the sender to destinations in the zone.
     fn is_cut(&self, sender: usize, zone: usize, now: Duration) -> bool {
         self.has_fault(PathFault::Cut, sender, zone, now)
     }
 
-    /// This fault is active on the path from the sender to destinations in the zone.
+    /// Whether this fault is active on the path from the sender to destinations in the zone.
     fn has_fault(&self, path_fault: PathFault, sender: usize, zone: usize, now: Duration) -> bool {
         self.network_faults.iter().any(|fault| {
             fault.path_fault == path_fault
@@ -79,14 +81,16 @@
         })
     }
 
-    /// The time until which bytes are delayed in one direction.
+    /// Time on the clock of the faults until which bytes are delayed in one direction; zero without a delay. A dropped segment is a
+    /// delay, since TCP sends it again.
     fn delayed_until(&mut self, sender: usize, zone: usize, direction: Direction) -> Duration {
         let Some(now) = self.now() else {
             return Duration::ZERO;
         };
-        let back = direction == Direction::ToSender;
-        let is_active =
-            |fault: &&NetworkFault| fault.is_on(now) && fault.at_destinations(sender, zone, back);
+        let to_sender = direction == Direction::ToSender;
+        let is_active = |fault: &&NetworkFault| {
+            fault.is_on(now) && fault.at_destinations(sender, zone, to_sender)
+        };
         let mut until = Duration::ZERO;
         for fault in self.network_faults.iter().filter(is_active) {
             match fault.path_fault {
@@ -101,21 +105,21 @@
         until
     }
 
-    /// Moves bytes in both directions of a connection, and closes it when a side has ended.
+    /// Copies bytes in both directions of a connection, and closes it when a side has ended or failed. A cut connection stays open.
     pub(super) fn pump(&mut self, token: usize) {
         let Some(RelaySocket::Pair(mut pair)) = self.sockets.remove(&token) else {
             return;
         };
         let now = self.now().unwrap_or_default();
-        let mut broken = false;
+        let mut failed = false;
         for direction in Direction::BOTH {
-            broken |= self.read_all(token, &mut pair, direction, now).is_err();
-            broken |= pair.write_due(direction, now).is_err();
+            failed |= self.read_all(token, &mut pair, direction, now).is_err();
+            failed |= pair.write_due(direction, now).is_err();
         }
-        if pair.cut || !(broken || pair.is_finished()) {
+        if pair.cut || !(failed || pair.is_finished()) {
             self.sockets.insert(token, RelaySocket::Pair(pair));
         } else {
-            self.close_pair(*pair, broken);
+            self.close_pair(*pair, failed);
         }
     }
 
@@ -136,6 +140,7 @@
         Ok(())
     }
 
+    /// Closes both sides, with a TCP reset if `reset` is set.
     fn close_pair(&mut self, mut pair: Pair, reset: bool) {
         for side in &mut pair.sides {
             let _ = self.poll.registry().deregister(side);
@@ -146,7 +151,8 @@
         self.sockets.remove(&pair.second);
     }
 
-    /// A network fault begins or ends: connections are reset or cut.
+    /// Applies the beginning or end of a network fault: marks connections as cut, and resets those under a reset fault or whose cut
+    /// has ended.
     pub(super) fn on_fault_edge(&mut self, now: Duration) {
         let (mut reset, mut cut) = (Vec::new(), Vec::new());
         for (&token, socket) in &self.sockets {
--- a/crates/fleet-harness/src/relay/handle.rs
+++ b/crates/fleet-harness/src/relay/handle.rs
@@ -1,4 +1,4 @@
-//! The owner's side of the relay.
+//! The handle by which the owner controls the relay's thread.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,13 +13,13 @@
 use mio::{Poll, Waker};
 
 use super::command::{Command, ConnectionPath, PacketPath};
-use super::traffic::{Passed, SharedTraffic};
+use super::traffic::{RelayTraffic, SharedTraffic};
 use super::worker::{RelayWorker, WAKE};
 
-/// Addresses of one /24 network that are used before the next one is.
+/// Number of host addresses that are used in each /24 loopback network.
 const HOSTS_PER_NETWORK: usize = 250;
 
-/// A running relay; its thread ends when it is dropped.
+/// A running relay. Dropping it ends its thread.
 pub struct Relay {
     commands: Sender<Command>,
     waker: Arc<Waker>,
@@ -29,10 +29,10 @@
 }
 
 impl Relay {
-    /// Starts the relay's thread, for members numbered up to `members`. `seed` draws the packets that are dropped.
+    /// Starts the relay's thread for `members` members, numbered from 0. `seed` determines the random drops.
     ///
     /// # Errors
-    /// The poll can't be created.
+    /// The operating system can't create the poll or its waker.
     pub fn start(
         members: usize,
         network_faults: Vec<NetworkFault>,
@@ -45,7 +45,7 @@
         let worker = RelayWorker::new(poll, received, network_faults, seed, traffic.clone());
         let thread = std::thread::spawn(move || {
             if let Err(e) = worker.run() {
-                log::error!("relay: {e}");
+                log::error!("the relay's thread failed: {e}");
             }
         });
         Ok(Relay {
@@ -57,15 +57,15 @@
         })
     }
 
-    /// The packets so far.
-    pub fn passed(&self) -> Passed {
-        self.traffic.passed()
+    /// Packets that the relay has received so far.
+    pub fn traffic(&self) -> RelayTraffic {
+        self.traffic.snapshot()
     }
 
     fn send(&self, command: Command) -> io::Result<()> {
         self.commands
             .send(command)
-            .map_err(|_| io::Error::other("the relay has ended"))?;
+            .map_err(|_| io::Error::other("the relay's thread has ended"))?;
         self.waker.wake()
     }
 }
@@ -86,10 +86,10 @@
         zone: usize,
         real: SocketAddr,
     ) -> io::Result<SocketAddr> {
-        // Spread over addresses, so that none of them runs out of ports.
+        // Listeners are spread over several addresses, so that no address runs out of ports.
         self.listeners += 1;
-        let network = (self.listeners % HOSTS_PER_NETWORK) as u8;
-        let ip = Ipv4Addr::new(127, 2, network, 1);
+        let third_octet = (self.listeners % HOSTS_PER_NETWORK) as u8;
+        let ip = Ipv4Addr::new(127, 2, third_octet, 1);
         let listener = TcpListener::bind(SocketAddr::from((ip, 0)))?;
         let address = listener.local_addr()?;
         self.send(Command::AddConnectionPath(ConnectionPath {
--- a/crates/fleet-harness/src/relay/mod.rs
+++ b/crates/fleet-harness/src/relay/mod.rs
@@ -1,9 +1,10 @@
-//! The relay: one thread with a socket for each path, between every two senders (UDP) and between each sender and each
-//! endpoint (TCP). It applies the scenario's network faults.
+//! A network relay on one thread, which applies the scenario's network faults. It relays UDP packets between members, and TCP
+//! connections from each sender to each endpoint.
 //!
-//! The source address of a packet identifies its sender, the address that it was sent to its receiver: one socket for each
-//! receiver serves all pairs. Packets arrive from the relay's address; members use what a packet contains, not its
-//! source. A cut connection is silent, as when a machine is disconnected, and reset once the cut ends.
+//! The source address of a packet identifies the member that sent it, and the address to which it was sent identifies the
+//! receiver, so one socket for each receiver serves all pairs. Packets arrive from the relay's address; members identify each
+//! other by a packet's content and not by its source. A cut connection carries no bytes, as when a machine is disconnected, and
+//! is reset when the cut ends.
 
 mod command;
 mod connections;
@@ -14,4 +15,4 @@
 mod worker;
 
 pub use handle::Relay;
-pub use traffic::Passed;
+pub use traffic::RelayTraffic;
--- a/crates/fleet-harness/src/relay/packets.rs
+++ b/crates/fleet-harness/src/relay/packets.rs
@@ -1,4 +1,4 @@
-//! Packets between members.
+//! Relays packets between members, and applies network faults to them.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use super::worker::{RelaySocket, RelayWorker, TimerEvent};
 use crate::path_faults::{PacketOutcome, outcome};
 
-/// Larger than any packet of a member.
+/// Size of the receive buffer: larger than any packet of a member.
 const MAX_PACKET_BYTES: usize = 2048;
 
 impl RelayWorker {
-    /// Receives all packets that have arrived at a socket.
+    /// Receives and relays all packets that have arrived at a socket.
     pub(super) fn receive_packets(&mut self, token: usize) {
         let mut bytes = [0; MAX_PACKET_BYTES];
         loop {
@@ -24,7 +24,7 @@
             let (length, source) = match socket.recv_from(&mut bytes) {
                 Ok(received) => received,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // Nobody listened where an earlier packet was sent.
+                // An ICMP error for an earlier packet, to a port without a listener.
                 Err(_) => continue,
             };
             if let Some(&from) = self.members.get(&source) {
@@ -52,10 +52,10 @@
         }
     }
 
-    /// Sends a packet to the member of a socket.
+    /// Sends a packet to the member that the socket serves.
     pub(super) fn deliver(&mut self, token: usize, bytes: &[u8]) {
         if let Some(RelaySocket::Packets(path)) = self.sockets.get(&token) {
-            // A packet to a member that does not run is lost.
+            // An error means that the member does not run; the packet is lost, as on a real network.
             let _ = path.socket.send_to(bytes, path.real);
         }
     }
--- a/crates/fleet-harness/src/relay/pair.rs
+++ b/crates/fleet-harness/src/relay/pair.rs
@@ -1,4 +1,4 @@
-//! A relayed connection: the sender's and the destination's side, and the bytes between them.
+//! A relayed connection: its sockets to the sender and the destination, and the bytes buffered between them.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Read, Write};
@@ -6,12 +6,12 @@
 
 use mio::net::TcpStream;
 
-/// Bytes of one read.
+/// Largest number of bytes in one read.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes that may be read from one side and not yet written to the other.
+/// Largest number of bytes that are buffered in one direction before reading stops.
 const MAX_UNSENT_BYTES: usize = 256 * 1024;
 
-/// A direction of a connection.
+/// A direction in which bytes flow through a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
     ToDestination,
@@ -21,7 +21,7 @@
 impl Direction {
     pub(super) const BOTH: [Direction; 2] = [Direction::ToDestination, Direction::ToSender];
 
-    /// Index of the side that is read, and of the direction's flow.
+    /// Index of the side that is read, and of this direction's flow.
     fn source(self) -> usize {
         match self {
             Direction::ToDestination => 0,
@@ -29,24 +29,24 @@
         }
     }
 
-    /// Index of the side that is written.
+    /// Index of the side that is written to.
     fn target(self) -> usize {
         1 - self.source()
     }
 }
 
-/// Bytes that are written from a time on.
+/// Bytes that must not be written before `due`, a time on the clock of the faults.
 struct DelayedChunk {
     due: Duration,
     bytes: Vec<u8>,
 }
 
-/// One direction of a connection.
+/// The bytes buffered in one direction of a connection.
 #[derive(Default)]
 struct Flow {
     chunks: VecDeque<DelayedChunk>,
     unsent_bytes: usize,
-    /// The side that is read has ended.
+    /// Whether the side that is read has reached its end.
     ended: bool,
 }
 
@@ -63,15 +63,15 @@
 /// A relayed connection.
 pub(super) struct Pair {
     pub(super) sender: usize,
-    /// The zone of the endpoint.
+    /// Number of the endpoint's zone.
     pub(super) zone: usize,
-    /// The token of the destination's side.
+    /// Token of the destination's side.
     pub(super) second: usize,
-    /// The sender's side and the destination's.
+    /// The sockets to the sender and to the destination.
     pub(super) sides: [TcpStream; 2],
-    /// From the sender to the destination, and back.
+    /// Buffered bytes to the destination, and to the sender.
     flows: [Flow; 2],
-    /// It was cut at some time, and is reset when the cut ends.
+    /// Whether the connection was cut; if so, it is reset when the cut ends.
     pub(super) cut: bool,
 }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Reads one chunk, if there is one and the flow accepts more; `None` if not.
+    /// Reads one chunk; `None` if no bytes are available, the side has ended, or the buffer is full.
     pub(super) fn read_chunk(&mut self, direction: Direction) -> io::Result<Option<Vec<u8>>> {
         let source = direction.source();
         if !self.flows[source].accepts_more() {
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Queues bytes that are written from `due` on, and not before those that were read earlier. Returns that time.
+    /// Buffers bytes that must not be written before `due`, nor before bytes that were read earlier. Returns the time from which
+    /// they may be written.
     pub(super) fn queue(
         &mut self,
         direction: Direction,
@@ -146,13 +147,13 @@
         Ok(())
     }
 
-    /// A side has ended, and its last bytes were written to the other.
+    /// Whether a side has ended and all its bytes were written to the other.
     pub(super) fn is_finished(&self) -> bool {
         self.flows.iter().any(Flow::is_finished)
     }
 }
 
-/// The result of a read or write; `None` if the socket is not ready for it.
+/// Runs a read or write, and repeats it if it is interrupted; `None` if the socket is not ready.
 fn unless_blocked(mut transfer: impl FnMut() -> io::Result<usize>) -> io::Result<Option<usize>> {
     loop {
         match transfer() {
--- a/crates/fleet-harness/src/relay/worker.rs
+++ b/crates/fleet-harness/src/relay/worker.rs
@@ -1,4 +1,4 @@
-//! The relay's thread: its poll, its sockets and its timers.
+//! The relay's thread: its event loop, sockets and timers.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
@@ -16,30 +16,30 @@
 use super::pair::Pair;
 use super::traffic::SharedTraffic;
 
-/// Token of the waker, by which the owner's commands interrupt a poll. Sockets have the tokens that follow.
+/// Token of the waker, which interrupts the poll after a command. Sockets have the tokens after it.
 pub(super) const WAKE: Token = Token(0);
-/// Events that one poll returns at most.
+/// Largest number of events that one poll returns.
 const EVENTS_PER_POLL: usize = 1024;
 
 /// A socket of the relay.
 pub(super) enum RelaySocket {
+    /// Receives packets for one member.
     Packets(PacketPath),
+    /// Accepts connections from one sender to one endpoint.
     Listener(ConnectionPath),
-    /// A connection, at the token of the sender's side.
+    /// A connection, under the token of the sender's side.
     Pair(Box<Pair>),
-    /// The destination's side of the connection at this token.
-    SecondSide {
-        first: usize,
-    },
+    /// The destination's side of the connection under the token `first`.
+    SecondSide { first: usize },
 }
 
-/// What a timer does.
+/// The action of a timer.
 pub(super) enum TimerEvent {
     /// Delivers a delayed packet through the socket with this token.
     Deliver { token: usize, bytes: Vec<u8> },
-    /// Continues a connection whose delayed bytes are due.
+    /// Continues to copy bytes of a connection whose delayed bytes are due.
     Pump { token: usize },
-    /// A network fault begins or ends.
+    /// Applies the beginning or end of a network fault.
     FaultEdge,
 }
 
@@ -51,9 +51,9 @@
     began: Option<Instant>,
     pub(super) rng: ChaCha8Rng,
     next_token: usize,
-    /// By token.
+    /// Sockets by token.
     pub(super) sockets: HashMap<usize, RelaySocket>,
-    /// Members by the address from which they send.
+    /// Member numbers by the address from which the member sends.
     pub(super) members: HashMap<SocketAddr, usize>,
     timers: TimerQueue<Duration, TimerEvent>,
     pub(super) traffic: SharedTraffic,
@@ -81,16 +81,17 @@
         }
     }
 
-    /// Time since the clock of the faults started.
+    /// Time since the clock of the faults started; `None` before.
     pub(super) fn now(&self) -> Option<Duration> {
         self.began.map(|began| began.elapsed())
     }
 
+    /// Schedules a timer, at a time on the clock of the faults.
     pub(super) fn schedule(&mut self, at: Duration, event: TimerEvent) {
         self.timers.push(at, event);
     }
 
-    /// Runs until the command to end.
+    /// Runs the event loop until [`Command::End`].
     pub(super) fn run(mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         loop {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// False at the command to end.
+    /// Executes all queued commands; false after [`Command::End`].
     fn run_commands(&mut self) -> io::Result<bool> {
         while let Ok(command) = self.commands.try_recv() {
             match command {
--- a/crates/fleet-harness/src/simulated/engine.rs
+++ b/crates/fleet-harness/src/simulated/engine.rs
@@ -1,4 +1,4 @@
-//! Runs members on any network: their timers, scheduled actions on them, and network faults on their packets.
+//! Runs simulated members on a network: their timers, the scheduled actions on them, and the network faults on their packets.
 
 use std::collections::HashMap;
 use std::io;
@@ -13,34 +13,34 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::member::{Member, Output, Packet, Report, Setup};
-use super::observer::{Observation, Observed};
+use super::observer::{MemberEvent, Observation};
 use super::plan::SimulatedFleetError;
 use super::script::Script;
 use super::traffic::Traffic;
 use super::usage;
 use crate::path_faults::{PacketOutcome, outcome};
 
-/// Carries packets between members.
+/// A network that carries packets between members.
 pub(super) trait Network {
-    /// A member begins to listen.
+    /// Opens a member's socket.
     fn open(&mut self, member: usize) -> io::Result<()>;
 
-    /// A member's process has ended.
+    /// Closes the socket of a member that has ended.
     fn close(&mut self, member: usize);
 
-    /// Sends a packet; `to` is `None` for a receiver outside of the engine's address book. Returns the latency after
-    /// which the engine itself is to deliver it, on a network that does not.
+    /// Sends a packet; `to` is `None` if the receiver is not in the address book. A simulated network, which does not deliver
+    /// packets, returns the latency after which the engine must deliver this one.
     fn send(&mut self, from: usize, to: Option<usize>, packet: &Packet) -> Option<Duration>;
 }
 
-/// Where members reach each other.
+/// Member numbers by the address at which the member receives packets.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AddressBook {
     by_address: HashMap<SocketAddr, usize>,
 }
 
 impl AddressBook {
-    /// Addresses by the index of the member.
+    /// An address book of these addresses, given by member number.
     pub(super) fn new(addresses: &[SocketAddr]) -> AddressBook {
         AddressBook {
             by_address: addresses
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The member with this address.
+    /// The number of the member with this address.
     pub(super) fn member(&self, address: &SocketAddr) -> Option<usize> {
         self.by_address.get(address).copied()
     }
@@ -60,13 +60,13 @@
 /// State that all engines of a fleet share.
 #[derive(Clone, Debug)]
 pub(super) struct Common {
-    /// Members by address.
+    /// Member numbers by address.
     pub addresses: Arc<AddressBook>,
-    /// Counters.
+    /// Counters of the members' packets.
     pub traffic: Arc<Traffic>,
     /// Network faults and scheduled actions.
     pub script: Arc<Script>,
-    /// Members before this one are real processes: the relay applies faults of paths to them.
+    /// Members with a smaller number are real processes; the relay applies network faults to packets to them.
     pub first_simulated: usize,
     /// Seed of all random draws.
     pub seed: u64,
@@ -74,9 +74,10 @@
 
 #[derive(Debug)]
 enum State {
+    /// Not started, or ended.
     Absent,
     Running(Box<Member>),
-    /// As after SIGSTOP.
+    /// Stopped as by SIGSTOP: it runs no timers and receives no packets.
     Stopped(Box<Member>),
 }
 
@@ -85,7 +86,7 @@
     setup: Setup,
     starts: u64,
     state: State,
-    /// The time of the one entry in the queue by which it is woken.
+    /// Due time of the queue's entry that wakes the member. Wake entries with another time are outdated and ignored.
     wakes_at: Option<Time>,
 }
 
@@ -102,22 +103,23 @@
 /// Runs a contiguous range of the fleet's members.
 #[derive(Debug)]
 pub(super) struct Engine<N> {
-    /// Carries packets.
+    /// The network that carries packets.
     pub network: N,
     common: Common,
-    /// Index of the first slot's member.
+    /// Number of the member in the first slot.
     first: usize,
     slots: Vec<Slot>,
     queue: TimerQueue<Time, Event>,
     began: Option<Time>,
     rng: ChaCha8Rng,
     observations: Vec<Observation>,
-    /// Processor time of the members' steps, where it is measured.
+    /// Processor time of the members' steps; `None` if it is not measured.
     steps_cpu: Option<Duration>,
 }
 
 impl<N: Network> Engine<N> {
-    /// `setups` are those of consecutive members.
+    /// An engine for the members in `setups`, which must have consecutive numbers. `measure_steps` measures the processor time of
+    /// their steps.
     pub(super) fn new(
         common: Common,
         setups: Vec<Setup>,
@@ -152,15 +154,15 @@
             .try_for_each(|member| self.start(now, member))
     }
 
-    /// Starts all members one after the other.
-    pub(super) fn start_later(&mut self, at: Time, between: Duration) {
+    /// Schedules the starts of all members, from `at` on with this interval.
+    pub(super) fn start_later(&mut self, at: Time, interval: Duration) {
         for slot in 0..self.slots.len() {
             self.queue
-                .push(at + between * slot as u32, Event::Start(self.first + slot));
+                .push(at + interval * slot as u32, Event::Start(self.first + slot));
         }
     }
 
-    /// The script's clock starts.
+    /// Starts the script's clock and schedules its actions.
     pub(super) fn begin(&mut self, at: Time) {
         self.began = Some(at);
         let scheduled_actions: Vec<Duration> = self
@@ -175,12 +177,12 @@
         }
     }
 
-    /// When the next event is due.
+    /// Due time of the next event; `None` if the queue is empty.
     pub(super) fn due(&self) -> Option<Time> {
         self.queue.next_due()
     }
 
-    /// Runs the next event, if it is due by `until`; `now` is that or later.
+    /// Runs the next event if it is due by `until`; false if none is. `now` must not be before `until`.
     pub(super) fn run_next(&mut self, until: Time, now: Time) -> Result<bool, SimulatedFleetError> {
         let Some((at, event)) = self.queue.pop_due(until) else {
             return Ok(false);
@@ -196,31 +198,35 @@
         Ok(true)
     }
 
-    /// A packet has arrived at a member's socket.
+    /// Passes a packet to a member; one that does not run ignores it.
     pub(super) fn receive(&mut self, now: Time, member: usize, bytes: Vec<u8>) {
         let State::Running(running) = &mut self.slots[member - self.first].state else {
             return;
         };
-        self.common.traffic.received(member, bytes.len());
+        self.common.traffic.add_received(member, bytes.len());
         let mut output = Output::default();
-        let before = self.steps_cpu.map(|_| usage::thread_cpu());
+        let cpu_before = self.steps_cpu.map(|_| usage::thread_cpu());
         running.receive(now, bytes, &mut output);
-        self.note_cpu(before);
-        self.carry_out(now, member, output);
+        self.add_step_cpu(cpu_before);
+        self.execute(now, member, output);
     }
 
-    /// Observations since the last call.
+    /// Removes and returns the observations since the last call.
     pub(super) fn observations(&mut self) -> std::vec::Drain<'_, Observation> {
         self.observations.drain(..)
     }
 
-    /// Processor time of the members' steps, where it is measured.
+    /// Processor time of the members' steps; zero if it is not measured.
     pub(super) fn steps_cpu(&self) -> Duration {
         self.steps_cpu.unwrap_or_default()
     }
 
-    fn observe(&mut self, at: Time, by: usize, what: Observed) {
-        self.observations.push(Observation { at, by, what });
+    fn observe(&mut self, at: Time, reporter: usize, event: MemberEvent) {
+        self.observations.push(Observation {
+            at,
+            reporter,
+            event,
+        });
     }
 
     fn start(&mut self, now: Time, member: usize) -> Result<(), SimulatedFleetError> {
@@ -240,12 +246,12 @@
             &mut output,
         )?;
         self.slots[member - self.first].state = State::Running(Box::new(started));
-        self.observe(now, member, Observed::Started);
-        self.carry_out(now, member, output);
+        self.observe(now, member, MemberEvent::Started);
+        self.execute(now, member, output);
         Ok(())
     }
 
-    /// Ends a member that sends nothing of it.
+    /// Ends a member without an announcement to the others.
     fn crash(&mut self, now: Time, member: usize) {
         let slot = &mut self.slots[member - self.first];
         if matches!(slot.state, State::Absent) {
@@ -254,10 +260,10 @@
         slot.state = State::Absent;
         slot.wakes_at = None;
         self.network.close(member);
-        self.observe(now, member, Observed::Crashed);
+        self.observe(now, member, MemberEvent::Crashed);
     }
 
-    /// Ends a member that announces it.
+    /// Ends a member after it has announced its end to the others.
     fn end(&mut self, now: Time, member: usize) {
         let slot = &mut self.slots[member - self.first];
         let State::Running(mut running) = std::mem::replace(&mut slot.state, State::Absent) else {
@@ -266,20 +272,20 @@
         slot.wakes_at = None;
         let mut output = Output::default();
         running.leave(now, &mut output);
-        self.observe(now, member, Observed::Ended);
-        self.carry_out(now, member, output);
+        self.observe(now, member, MemberEvent::Ended);
+        self.execute(now, member, output);
         self.network.close(member);
     }
 
-    /// Carries out a scheduled action on the members here.
+    /// Executes a scheduled action on those of its members that this engine runs.
     fn run_action(&mut self, now: Time, number: usize) {
         let script = Arc::clone(&self.common.script);
         let scheduled = &script.scheduled_actions[number];
-        let here = self.first..self.first + self.slots.len();
+        let own_members = self.first..self.first + self.slots.len();
         for &member in scheduled
             .senders
             .iter()
-            .filter(|member| here.contains(member))
+            .filter(|member| own_members.contains(member))
         {
             match scheduled.action {
                 MemberAction::Kill { back, .. } => {
@@ -294,7 +300,7 @@
                     self.stop(now, member);
                     self.queue.push(now + duration, Event::Resume(member));
                 }
-                // A simulated member has no process to replace.
+                // A simulated member has no process that could be upgraded.
                 MemberAction::Upgrade { .. } => {}
             }
         }
@@ -307,7 +313,7 @@
     }
 
     fn stop(&mut self, now: Time, member: usize) {
-        self.observe(now, member, Observed::Stopped);
+        self.observe(now, member, MemberEvent::Stopped);
         let slot = &mut self.slots[member - self.first];
         slot.state = match std::mem::replace(&mut slot.state, State::Absent) {
             State::Running(member) => State::Stopped(member),
@@ -316,7 +322,7 @@
     }
 
     fn resume(&mut self, now: Time, member: usize) {
-        self.observe(now, member, Observed::Resumed);
+        self.observe(now, member, MemberEvent::Resumed);
         let slot = &mut self.slots[member - self.first];
         slot.state = match std::mem::replace(&mut slot.state, State::Absent) {
             State::Stopped(member) => State::Running(member),
@@ -336,22 +342,22 @@
             return;
         };
         let mut output = Output::default();
-        let before = self.steps_cpu.map(|_| usage::thread_cpu());
+        let cpu_before = self.steps_cpu.map(|_| usage::thread_cpu());
         running.wake(now, &mut output);
-        self.note_cpu(before);
-        self.carry_out(now, member, output);
+        self.add_step_cpu(cpu_before);
+        self.execute(now, member, output);
     }
 
-    fn note_cpu(&mut self, before: Option<Duration>) {
-        if let (Some(sum), Some(before)) = (&mut self.steps_cpu, before) {
-            *sum += usage::thread_cpu().saturating_sub(before);
+    fn add_step_cpu(&mut self, cpu_before: Option<Duration>) {
+        if let (Some(sum), Some(cpu_before)) = (&mut self.steps_cpu, cpu_before) {
+            *sum += usage::thread_cpu().saturating_sub(cpu_before);
         }
     }
 
-    fn carry_out(&mut self, now: Time, member: usize, output: Output) {
+    fn execute(&mut self, now: Time, member: usize, output: Output) {
         for report in output.reports {
-            if let Some(what) = self.observed(report) {
-                self.observe(now, member, what);
+            if let Some(event) = self.member_event(report) {
+                self.observe(now, member, event);
             }
         }
         for packet in output.packets {
@@ -370,30 +376,31 @@
         }
     }
 
-    fn observed(&self, report: Report) -> Option<Observed> {
+    /// The event for a member's report; `None` if it is about an unknown address.
+    fn member_event(&self, report: Report) -> Option<MemberEvent> {
         Some(match report {
-            Report::Incarnation(incarnation) => Observed::Incarnation(incarnation),
+            Report::Incarnation(incarnation) => MemberEvent::Incarnation(incarnation),
             Report::Sees {
                 address,
                 incarnation,
                 seen,
-            } => Observed::Sees {
+            } => MemberEvent::Sees {
                 member: self.common.addresses.member(&address)?,
                 incarnation,
                 seen,
             },
-            Report::Senders(senders) => Observed::Senders(senders),
-            Report::ProcessPaused => Observed::ProcessPaused,
-            Report::PacketDropped => Observed::PacketDropped,
-            Report::Rejoined => Observed::Rejoined,
+            Report::Senders(senders) => MemberEvent::Senders(senders),
+            Report::ProcessPaused => MemberEvent::ProcessPaused,
+            Report::PacketDropped => MemberEvent::PacketDropped,
+            Report::Rejoined => MemberEvent::Rejoined,
         })
     }
 
-    /// A member sends a packet: it is counted, and lost or delayed by network faults.
+    /// Counts a packet that a member sends, applies network faults, and delivers it now or later.
     fn transmit(&mut self, now: Time, from: usize, packet: Packet) {
-        self.common.traffic.sent(from, packet.bytes.len());
+        self.common.traffic.add_sent(from, packet.bytes.len());
         match self.outcome(now, from, &packet) {
-            PacketOutcome::Lost => self.common.traffic.lose(),
+            PacketOutcome::Lost => self.common.traffic.add_lost(),
             PacketOutcome::Through { at } => match self.began {
                 Some(began) if began + at > now => {
                     self.queue
--- a/crates/fleet-harness/src/simulated/figures.rs
+++ b/crates/fleet-harness/src/simulated/figures.rs
@@ -1,25 +1,25 @@
-//! Figures of a run.
+//! The figures of a run of simulated members.
 
 use std::time::Duration;
 
-/// A figure over all members: its mean, 99th percentile and maximum.
+/// Mean, 99th percentile and maximum of a set of values.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Spread {
-    /// The mean.
+    /// Arithmetic mean of the values.
     pub mean: f64,
-    /// 99 of 100 values do not exceed this.
+    /// The 99th percentile: 99 of 100 values do not exceed it.
     pub p99: f64,
-    /// The largest value.
+    /// Maximum of the values.
     pub most: f64,
 }
 
 impl Spread {
-    /// `None` without any value.
+    /// Summarizes values; `None` without any value.
     pub fn of(mut values: Vec<f64>) -> Option<Spread> {
         values.sort_by(f64::total_cmp);
         let most = *values.last()?;
         let mean = values.iter().sum::<f64>() / values.len() as f64;
-        // The smallest value that 99 of 100 do not exceed.
+        // The rank of the smallest value that 99 of 100 do not exceed.
         let rank = (values.len() * 99).div_ceil(100);
         Some(Spread {
             mean,
@@ -29,79 +29,80 @@
     }
 }
 
-/// Figures of a run. Rates are those of members that ran throughout, over the measured duration.
+/// Figures of a run of simulated members. Rates are averages over the measured duration, of the members that ran throughout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SimulatedFleetFigures {
-    /// Members of the fleet.
+    /// Number of members of the fleet.
     pub members: usize,
-    /// From the first start to the same view everywhere; `None`: not within [`super::START_TIMEOUT`].
+    /// Time from the first start until all views agreed; `None` if they did not within [`super::START_TIMEOUT`].
     pub agreed_at_start: Option<Duration>,
-    /// Bytes that a member sent in a second.
+    /// Bytes sent per second by a member.
     pub bytes_sent_per_second: Spread,
-    /// Bytes that a member received in a second.
+    /// Bytes received per second by a member.
     pub bytes_received_per_second: Spread,
-    /// Packets that a member sent in a second.
+    /// Packets sent per second by a member.
     pub packets_sent_per_second: Spread,
-    /// Mean over members: CPU of the run's threads (`Udp`), of the members' steps alone (`Virtual`).
+    /// Average processor time of a member, in milliseconds per second: of the run's threads with `Transport::Udp`, of the
+    /// members' steps alone with `Transport::Virtual`.
     pub cpu_milliseconds_per_second: f64,
-    /// Growth of the resident memory.
+    /// Growth of the process's resident memory during the run, in bytes per member.
     pub resident_bytes_per_member: u64,
-    /// Seconds from a crash to "down" in each other live view.
+    /// Seconds from a crash until a running member held the crashed one to be down; `None` without any.
     pub detection: Option<Spread>,
-    /// From the end of the disturbance to the same view everywhere; `None`: not within the run.
+    /// Time from the end of the disturbance until all views agreed; `None` if they did not within the run.
     pub agreed_after: Option<Duration>,
-    /// At the end: pairs of a viewer and a live member that the viewer does not see alive.
+    /// Number of pairs, at the end, of a running viewer and a running member that the viewer does not see alive.
     pub missing_live_members: usize,
-    /// The most that all live members together allowed themselves of a shared limit; 1.0 is the limit.
+    /// The largest share of a shared limit that all running members together allowed themselves; 1.0 is the whole limit.
     pub largest_share: f64,
-    /// At the end: pairs of a viewer and a crashed member that the viewer does not hold to be down.
+    /// Number of pairs, at the end, of a running viewer and a crashed member that the viewer does not hold to be down.
     pub undetected: usize,
-    /// Times that a member was held to be down that was neither away nor cut off.
+    /// Times that a running member was held to be down although it had not ended before and no cut had begun.
     pub false_downs: usize,
-    /// The largest datagram.
+    /// Size of the largest datagram in bytes.
     pub largest_packet: usize,
-    /// Times that a member ran more than a period late: above zero, the machine was too busy for the run.
+    /// Times that a member ran more than one period late. Above zero, the machine was too busy and the figures are not valid.
     pub held_up: usize,
-    /// Packets that members dropped.
+    /// Received packets that members dropped.
     pub refused: usize,
-    /// Packets that were lost by network faults.
+    /// Packets that were dropped by network faults.
     pub lost: u64,
 }
 
 impl SimulatedFleetFigures {
-    /// One line for each rule that does not hold, whatever the members' cost: all agree at the start and after the
-    /// disturbance, none is missing at the end, no crash is unknown, nobody is held to be down without a cause, and no
-    /// more of a shared limit is used than `max_share`.
+    /// One line for each violated expectation: the views agree after the start and after the disturbance, no running member is
+    /// missing from a view at the end, every crash is detected, no running member is held to be down without a cause, and at most
+    /// `max_share` of a shared limit is used. The members' cost is not checked.
     pub fn failed(&self, max_share: f64) -> Vec<String> {
         let mut failed = Vec::new();
         if self.agreed_at_start.is_none() {
-            failed.push("the views did not agree after the start".to_owned());
+            failed.push("views did not agree after the start".to_owned());
         }
         if self.agreed_after.is_none() {
-            failed.push("the views did not agree after the disturbance".to_owned());
+            failed.push("views did not agree after the disturbance".to_owned());
         }
         if self.missing_live_members > 0 {
             let missing = self.missing_live_members;
             failed.push(format!(
-                "at the end {missing} live members are not seen alive, counted by viewer"
+                "at the end {missing} pairs of running members in which one does not see the other alive; expected 0"
             ));
         }
         if self.undetected > 0 {
             failed.push(format!(
-                "{} views never held a crashed member to be down",
+                "at the end {} pairs of a running and a crashed member in which the crash is not detected; expected 0",
                 self.undetected
             ));
         }
         if self.false_downs > 0 {
             failed.push(format!(
-                "{} times a live member was held to be down",
+                "a running member was held to be down {} times without a cause; expected 0",
                 self.false_downs
             ));
         }
         if self.largest_share > max_share {
             let share = self.largest_share;
             failed.push(format!(
-                "{share:.3} of a shared limit was taken; {max_share:.3} at most"
+                "members together allowed themselves {share:.3} of a shared limit; expected at most {max_share:.3}"
             ));
         }
         failed
--- a/crates/fleet-harness/src/simulated/fleet.rs
+++ b/crates/fleet-harness/src/simulated/fleet.rs
@@ -1,7 +1,8 @@
-//! Simulated members beside real senders, in one fleet and under one scenario.
+//! Simulated members that form one fleet with real senders, in one scenario.
 //!
-//! Packets between a real sender and a simulated member pass the relay in both directions, which applies network faults and counts as
-//! between two real senders. Packets between two simulated members do not, and the engine applies network faults.
+//! Packets between a real sender and a simulated member pass through the relay in both directions. It counts them and applies network
+//! faults, as it does between two real senders. Packets between two simulated members do not pass through the relay; the engine
+//! applies network faults to them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,50 +18,50 @@
 use super::observer::Observation;
 use super::plan::{SimulatedFleetError, Timing};
 use super::script::Script;
-use super::traffic::{Passed, Traffic};
+use super::traffic::{MemberTraffic, Traffic};
 use super::udp::{Clock, Running, free_addresses};
 
-/// Simulated members, and as many real senders, that each simulated member contacts first.
+/// Number of simulated members, and as many real senders, that each simulated member contacts first.
 const SEEDS_OF_EACH: usize = 2;
 
-/// The simulated members of a scenario.
+/// The running simulated members of a scenario.
 pub struct SimulatedFleet {
     running: Running,
     traffic: Arc<Traffic>,
     first: usize,
     members: usize,
-    began: Option<(Time, Vec<Passed>)>,
-    /// Addresses of some of them, for others to contact first.
+    began: Option<(Time, Vec<MemberTraffic>)>,
+    /// Addresses of some simulated members, which real senders contact first.
     pub seeds: Vec<SocketAddr>,
 }
 
 /// Observations and traffic of the simulated members of a scenario.
 #[derive(Clone, Debug)]
-pub struct SimulatedFleetPlay {
-    /// Simulated members.
+pub struct SimulatedFleetRun {
+    /// Number of simulated members.
     pub members: usize,
-    /// When the scenario began, on the observations' clock.
+    /// Time at which the scenario began, on the clock of the observations.
     pub began: Time,
-    /// Their observations.
+    /// Observations of the simulated members, in the order in which they were reported.
     pub observations: Vec<Observation>,
-    /// Bytes that they sent, together.
+    /// Bytes sent by all simulated members together.
     pub bytes_sent: u64,
-    /// Bytes that they received, together.
+    /// Bytes received by all simulated members together.
     pub bytes_received: u64,
-    /// Packets that they sent, together.
+    /// Packets sent by all simulated members together.
     pub packets_sent: u64,
-    /// Packets that were lost between them by network faults.
+    /// Packets between simulated members that were dropped by network faults.
     pub lost: u64,
-    /// Processor time of their threads.
+    /// Processor time of the simulated members' threads.
     pub cpu: Duration,
 }
 
 impl SimulatedFleet {
-    /// Starts the simulated members of a scenario. The real senders receive packets at `senders`; `between` is the network between
-    /// them and the simulated members.
+    /// Starts the simulated members of a scenario. `senders` are the addresses at which the real senders receive packets; `between`
+    /// is the network between real senders and simulated members.
     ///
     /// # Errors
-    /// The timing is not valid, or a socket fails.
+    /// The timing of the membership is not valid, or a socket operation fails.
     pub fn start(
         scenario: &Scenario,
         seed: u64,
@@ -116,37 +117,37 @@
         })
     }
 
-    /// The scenario begins.
+    /// Starts the clock of the scenario's faults and actions.
     pub fn begin(&mut self, at: Instant) {
         let at = self.running.clock.time(at);
-        self.began = Some((at, self.traffic.passed()));
+        self.began = Some((at, self.traffic.snapshot()));
         self.running.begin(at);
     }
 
-    /// Ends all simulated members.
+    /// Stops all simulated members and returns their observations and traffic.
     ///
     /// # Errors
-    /// One of their threads has failed.
-    pub fn end(self) -> Result<SimulatedFleetPlay, SimulatedFleetError> {
-        let now = self.traffic.passed();
+    /// A thread that runs simulated members failed.
+    pub fn end(self) -> Result<SimulatedFleetRun, SimulatedFleetError> {
+        let now = self.traffic.snapshot();
         let (began, before) = self
             .began
             .unwrap_or_else(|| (self.running.clock.now(), now.clone()));
-        let passed: Vec<Passed> = now
+        let traffic: Vec<MemberTraffic> = now
             .iter()
             .zip(&before)
             .skip(self.first)
             .map(|(now, before)| now.since(*before))
             .collect();
-        let sum = |of: fn(&Passed) -> u64| passed.iter().map(of).sum();
+        let sum = |of: fn(&MemberTraffic) -> u64| traffic.iter().map(of).sum();
         let observations = self.running.observations.try_iter().collect();
-        Ok(SimulatedFleetPlay {
+        Ok(SimulatedFleetRun {
             members: self.members,
             began,
             observations,
-            bytes_sent: sum(|passed| passed.bytes_sent),
-            bytes_received: sum(|passed| passed.bytes_received),
-            packets_sent: sum(|passed| passed.packets_sent),
+            bytes_sent: sum(|member| member.bytes_sent),
+            bytes_received: sum(|member| member.bytes_received),
+            packets_sent: sum(|member| member.packets_sent),
             lost: self.traffic.lost(),
             cpu: self.running.end()?,
         })
--- a/crates/fleet-harness/src/simulated/member.rs
+++ b/crates/fleet-harness/src/simulated/member.rs
@@ -1,6 +1,6 @@
-//! One simulated member: the real reducer with its real membership, without I/O. The engine provides packets, clock and timers.
+//! One simulated member: the real reducer with real membership, without I/O. The engine provides packets, clock and timers.
 //!
-//! This is the only file here that uses the membership.
+//! Only this file of the simulated members uses `cranehill_membership`.
 
 use std::net::SocketAddr;
 
@@ -13,24 +13,25 @@
 use super::plan::{SimulatedFleetError, Timing, ZONES};
 use crate::invalid_settings::{InvalidSettings, parse_settings};
 
-/// The key of simulated fleets, as the scenario runner gives it to real processes: nothing secret is sent between their members.
+/// Key of simulated fleets: the one that the scenario runner gives to real processes, so that both can form one fleet. Their members
+/// exchange no secrets.
 const KEY: membership::Key = *b"rehearse on loopback, rehearse!.";
 
 /// The state of another member in a member's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seen {
-    /// It answers probes.
+    /// The member answers probes.
     Alive,
-    /// It did not answer, and may still refute that.
+    /// The member did not answer a probe, and may still refute the suspicion.
     Suspect,
-    /// It did not refute the suspicion.
+    /// The member did not refute the suspicion in time.
     Down,
-    /// It has announced its end.
+    /// The member has announced its end.
     Left,
 }
 
 impl Seen {
-    /// As a sender's log names it.
+    /// Name of the state in a sender's log.
     pub fn name(self) -> &'static str {
         match self {
             Seen::Alive => "alive",
@@ -41,57 +42,57 @@
     }
 }
 
-/// What a member reports of itself and of the others.
+/// A member's report on itself or on another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Report {
-    /// It has this incarnation from now on.
+    /// The member has this incarnation from now on.
     Incarnation(u64),
-    /// The state of another member in its view has changed.
+    /// The state of another member changed in its view.
     Sees {
         address: SocketAddr,
         incarnation: u64,
         seen: Seen,
     },
-    /// It divides shared limits by this number of senders.
+    /// The member divides shared limits by this number of senders from now on.
     Senders(u32),
-    /// It ran late, and draws no conclusion from that time.
+    /// The member ran late, and ignores the missing answers of that time.
     ProcessPaused,
-    /// It dropped a packet.
+    /// The member dropped a received packet.
     PacketDropped,
-    /// The others held it to be down; it has rejoined.
+    /// The member rejoined with a new incarnation after others held it to be down.
     Rejoined,
 }
 
 /// A packet that a member sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Packet {
-    /// The receiver.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// The datagram.
+    /// Content of the datagram.
     pub bytes: Vec<u8>,
 }
 
-/// The result of one step.
+/// Output of a member's steps.
 #[derive(Debug, Default)]
 pub(super) struct Output {
     /// Packets to send.
     pub packets: Vec<Packet>,
-    /// Reports in order.
+    /// Reports, in the order in which they were made.
     pub reports: Vec<Report>,
 }
 
 /// The configuration of a member.
 #[derive(Clone, Debug)]
 pub(super) struct Setup {
-    /// Its number.
+    /// Number of the member.
     pub index: usize,
-    /// Where the others reach it.
+    /// Address at which the others reach the member.
     pub address: SocketAddr,
-    /// Members that it contacts first.
+    /// Addresses of the members that this member contacts first.
     pub seeds: Vec<SocketAddr>,
-    /// Members of the fleet, by the settings.
+    /// Configured number of members of the fleet.
     pub fleet_size: usize,
-    /// Settings of the membership.
+    /// Time settings of the membership.
     pub timing: Timing,
 }
 
@@ -106,12 +107,12 @@
             round_trip: self.timing.round_trip,
             suspicion: self.timing.suspicion,
             eviction_delay: self.timing.eviction_delay,
-            max_packet_age: self.timing.late,
+            max_packet_age: self.timing.max_packet_age,
             configured_members: self.fleet_size as u32,
         }
     }
 
-    /// A sender's settings with one class, one kind and no destination.
+    /// Settings of a sender with one class and one kind of destination, and no destinations.
     fn decisions(&self) -> Result<Settings, SimulatedFleetError> {
         let zones: Vec<String> = (1..=ZONES).map(|zone| format!("zone-{zone}")).collect();
         let settings = json!({
@@ -135,18 +136,21 @@
     }
 }
 
-/// A member that runs.
+/// A running member.
 #[derive(Debug)]
 pub(super) struct Member {
     core: Core,
     incarnation: u64,
-    /// When the membership is due, and when the decisions are.
+    /// When the timer of the membership is due, and that of the decisions.
     membership_due: Option<Time>,
     decisions_due: Option<Time>,
 }
 
 impl Member {
     /// Starts a member.
+    ///
+    /// # Errors
+    /// The reducer rejected the member's settings.
     pub(super) fn start(
         setup: &Setup,
         seed: u64,
@@ -162,13 +166,13 @@
             membership_due: Some(now),
             decisions_due: None,
         };
-        member.note_incarnation(output);
+        member.report_incarnation(output);
         member.end_tick(now, output);
         member.wake(now, output);
         Ok(member)
     }
 
-    /// When it is to be woken next.
+    /// When [`Member::wake`] must be called next; `None` without a timer.
     pub(super) fn due(&self) -> Option<Time> {
         self.membership_due
             .into_iter()
@@ -176,12 +180,12 @@
             .min()
     }
 
-    /// A packet has arrived.
+    /// Processes a received packet.
     pub(super) fn receive(&mut self, now: Time, bytes: Vec<u8>, output: &mut Output) {
         self.step_membership(now, membership::Input::PacketReceived(bytes), output);
     }
 
-    /// The time of [`Member::due`] has come.
+    /// Runs the timers that are due; to be called at the time of [`Member::due`].
     pub(super) fn wake(&mut self, now: Time, output: &mut Output) {
         if self.membership_due.take_if(|due| *due <= now).is_some() {
             self.step_membership(now, membership::Input::TimerFired, output);
@@ -192,43 +196,43 @@
         }
     }
 
-    /// It announces its end.
+    /// Announces the member's end to the others.
     pub(super) fn leave(&mut self, now: Time, output: &mut Output) {
         self.step_membership(now, membership::Input::Leave, output);
     }
 
     fn step_membership(&mut self, now: Time, input: membership::Input, output: &mut Output) {
-        let divided = self.step(now, Input::Fleet(input), output);
-        self.note_incarnation(output);
-        if divided {
+        let divisor_changed = self.step(now, Input::Fleet(input), output);
+        self.report_incarnation(output);
+        if divisor_changed {
             self.end_tick(now, output);
         }
     }
 
-    /// Lets the reducer decide on all inputs so far.
+    /// Ends the tick, so that the reducer decides on all inputs so far.
     fn end_tick(&mut self, now: Time, output: &mut Output) {
         self.step(now, Input::TickEnded, output);
     }
 
-    /// True if shared limits are divided anew.
+    /// Runs one step of the reducer. True if the number of senders that divide shared limits changed.
     fn step(&mut self, now: Time, input: Input, output: &mut Output) -> bool {
-        let mut divided = false;
+        let mut divisor_changed = false;
         let mut effects = self.core.step(now, input);
         while !effects.is_empty() {
             let mut persisted = false;
             for effect in effects.drain(..) {
                 match effect {
                     Effect::Fleet(membership::Effect::ShareDivisor(senders)) => {
-                        divided = true;
+                        divisor_changed = true;
                         output.reports.push(Report::Senders(senders));
                     }
-                    Effect::Fleet(effect) => self.carry_out(effect, output),
+                    Effect::Fleet(effect) => self.execute(effect, output),
                     Effect::WakeAt(at) => {
                         self.decisions_due = Some(self.decisions_due.map_or(at, |due| due.min(at)));
                     }
-                    // There is no journal: all records are persisted at once.
+                    // Without a journal, all records count as persisted at once.
                     Effect::Persist(_) => persisted = true,
-                    // There are no clients and no destinations.
+                    // Other effects concern clients and destinations, of which there are none.
                     _ => {}
                 }
             }
@@ -236,10 +240,10 @@
                 effects = self.core.step(now, Input::Persisted(Persisted::All));
             }
         }
-        divided
+        divisor_changed
     }
 
-    fn carry_out(&mut self, effect: membership::Effect, output: &mut Output) {
+    fn execute(&mut self, effect: membership::Effect, output: &mut Output) {
         match effect {
             membership::Effect::Send { to, bytes } => output.packets.push(Packet { to, bytes }),
             membership::Effect::WakeAt(at) => self.membership_due = Some(at),
@@ -255,7 +259,7 @@
         }
     }
 
-    fn note_incarnation(&mut self, output: &mut Output) {
+    fn report_incarnation(&mut self, output: &mut Output) {
         let incarnation = self
             .core
             .members()
--- a/crates/fleet-harness/src/simulated/observer.rs
+++ b/crates/fleet-harness/src/simulated/observer.rs
@@ -1,4 +1,5 @@
-//! Compares the members' reports with what was done to them: agreement, detection, shares.
+//! Compares the members' reports with the starts, stops and faults of the run, to evaluate agreement, detection of crashes and
+//! shares of limits.
 
 use std::collections::BTreeMap;
 
@@ -6,58 +7,58 @@
 
 use super::member::Seen;
 
-/// A report of one member, with members by their index.
+/// An event of one member. Members are given by number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// When it was made.
+    /// Time of the event.
     pub at: Time,
-    /// The member that reports.
-    pub by: usize,
-    /// What it reports.
-    pub what: Observed,
+    /// Number of the member that the event belongs to.
+    pub reporter: usize,
+    /// The event.
+    pub event: MemberEvent,
 }
 
-/// What was observed of a member.
+/// An event of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Observed {
-    /// It was started, and sees nobody yet.
+pub enum MemberEvent {
+    /// The member was started, and sees no other member yet.
     Started,
-    /// Its process was killed.
+    /// The member was killed without an announcement.
     Crashed,
-    /// It has announced its end, and ended.
+    /// The member announced its end and ended.
     Ended,
-    /// It was stopped, as by SIGSTOP.
+    /// The member was stopped, as by SIGSTOP.
     Stopped,
-    /// It continues after a stop.
+    /// The member continues after a stop.
     Resumed,
-    /// It has this incarnation from now on.
+    /// The member has this incarnation from now on.
     Incarnation(u64),
-    /// The state of another member in its view has changed.
+    /// The state of another member changed in its view.
     Sees {
-        /// The other member.
+        /// Number of the other member.
         member: usize,
-        /// The incarnation of the other member.
+        /// Incarnation of the other member.
         incarnation: u64,
-        /// The state from now on.
+        /// The new state of the other member.
         seen: Seen,
     },
-    /// It divides shared limits by this number of senders.
+    /// The member divides shared limits by this number of senders from now on.
     Senders(u32),
-    /// It ran late, and draws no conclusion from that time.
+    /// The member ran late, and ignores the missing answers of that time.
     ProcessPaused,
-    /// It dropped a packet.
+    /// The member dropped a received packet.
     PacketDropped,
-    /// The others held it to be down; it has rejoined.
+    /// The member rejoined with a new incarnation after others held it to be down.
     Rejoined,
 }
 
-/// One member in another's view.
+/// State of a member in another member's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum View {
     Unknown,
-    /// Alive, in its present incarnation.
+    /// Alive in its current incarnation.
     Alive,
-    /// Alive, in an earlier incarnation.
+    /// Alive in an earlier incarnation.
     AliveBefore,
     Suspect,
     Down,
@@ -70,111 +71,115 @@
     Away { since: Time, crashed: bool },
 }
 
-/// The views of all members, and what was done to the members.
+/// The current views of all members, and the figures that follow from all observations so far.
 #[derive(Debug)]
 pub struct Observer {
     count: usize,
-    /// By viewer, then by member.
+    /// Views at index `viewer * count + member`.
     views: Vec<View>,
     presence: Vec<Presence>,
     incarnation: Vec<u64>,
-    /// Members that were away at some time: their traffic is no measure, their downs have a cause.
-    away_once: Vec<bool>,
-    /// Pairs of a running viewer and a member where the view is not what it should be.
+    /// Members that ended at some time. Their traffic is not measured, and a view that holds them to be down is not false.
+    has_ended: Vec<bool>,
+    /// Number of pairs of a running viewer and a member whose view does not match the member's presence.
     wrong: usize,
     not_started: usize,
-    /// Starts and ends of members.
+    /// Number of starts and ends of members.
     presence_changes: usize,
-    /// Number of senders that a member divides shared limits by, and how many running members divide by each number.
+    /// Number of senders by which each member divides shared limits, and how many running members divide by each number.
     divisors: Vec<u32>,
-    divided_by: BTreeMap<u32, usize>,
+    members_by_divisor: BTreeMap<u32, usize>,
     largest_share: f64,
-    /// Seconds from a crash to a view.
+    /// Seconds from a crash until a view held the member to be down.
     detections: Vec<f64>,
-    /// From then on, a down may be explained by a cut.
+    /// Start of a cut. From then on, a view that holds a running member to be down is not counted as false.
     cut_from: Option<Time>,
     false_downs: usize,
-    held_up: usize,
-    refused: usize,
+    late_runs: usize,
+    dropped_packets: usize,
 }
 
 impl Observer {
-    /// No member has started.
+    /// An observer of `count` members, of which none has started.
     pub fn new(count: usize) -> Observer {
         Observer {
             count,
             views: vec![View::Unknown; count * count],
             presence: vec![Presence::NotStarted; count],
             incarnation: vec![0; count],
-            away_once: vec![false; count],
+            has_ended: vec![false; count],
             wrong: 0,
             not_started: count,
             presence_changes: 0,
             divisors: vec![count as u32; count],
-            divided_by: BTreeMap::new(),
+            members_by_divisor: BTreeMap::new(),
             largest_share: 0.0,
             detections: Vec::new(),
             cut_from: None,
             false_downs: 0,
-            held_up: 0,
-            refused: 0,
+            late_runs: 0,
+            dropped_packets: 0,
         }
     }
 
-    /// Paths between members are cut from then on, for some time.
+    /// Marks the start of a cut between members. From then on no view counts as a false down.
     pub fn cut_from(&mut self, at: Time) {
         self.cut_from = Some(at);
     }
 
-    /// Every running member sees all running members alive, and no other.
+    /// Whether all members have been started, and every running one sees all running members alive and no others.
     pub fn agrees(&self) -> bool {
         self.wrong == 0 && self.not_started == 0
     }
 
     /// Adds an observation.
-    pub fn note(&mut self, observation: &Observation) {
-        let Observation { at, by, what } = observation;
-        let by = *by;
-        match what {
-            Observed::Started => self.set_presence(by, Presence::Running),
-            Observed::Crashed => self.set_presence(
-                by,
+    pub fn add(&mut self, observation: &Observation) {
+        let Observation {
+            at,
+            reporter,
+            event,
+        } = observation;
+        let reporter = *reporter;
+        match event {
+            MemberEvent::Started => self.set_presence(reporter, Presence::Running),
+            MemberEvent::Crashed => self.set_presence(
+                reporter,
                 Presence::Away {
                     since: *at,
                     crashed: true,
                 },
             ),
-            Observed::Ended => self.set_presence(
-                by,
+            MemberEvent::Ended => self.set_presence(
+                reporter,
                 Presence::Away {
                     since: *at,
                     crashed: false,
                 },
             ),
-            Observed::Incarnation(incarnation) => self.set_generation(by, *incarnation),
-            Observed::Sees {
+            MemberEvent::Incarnation(incarnation) => self.set_incarnation(reporter, *incarnation),
+            MemberEvent::Sees {
                 member,
                 incarnation,
                 seen,
-            } => self.sees(*at, by, *member, *incarnation, *seen),
-            Observed::Senders(senders) => self.divides(by, *senders),
-            Observed::ProcessPaused => self.held_up += 1,
-            Observed::PacketDropped => self.refused += 1,
-            Observed::Rejoined | Observed::Stopped | Observed::Resumed => {}
+            } => self.update_view(*at, reporter, *member, *incarnation, *seen),
+            MemberEvent::Senders(senders) => self.set_divisor(reporter, *senders),
+            MemberEvent::ProcessPaused => self.late_runs += 1,
+            MemberEvent::PacketDropped => self.dropped_packets += 1,
+            MemberEvent::Rejoined | MemberEvent::Stopped | MemberEvent::Resumed => {}
         }
     }
 
-    /// The member ran throughout.
-    pub fn never_away(&self, member: usize) -> bool {
-        !self.away_once[member]
+    /// Whether the member has not ended so far.
+    pub fn never_ended(&self, member: usize) -> bool {
+        !self.has_ended[member]
     }
 
-    /// Starts and ends of members so far.
+    /// Number of starts and ends of members so far.
     pub fn presence_changes(&self) -> usize {
         self.presence_changes
     }
 
-    /// The largest share of a shared limit that all running members allowed themselves together.
+    /// The largest share of a shared limit that all running members together allowed themselves; 1.0 is the whole limit.
     pub fn largest_share(&self) -> f64 {
         self.largest_share
     }
@@ -184,22 +189,22 @@
         self.detections.clone()
     }
 
-    /// Times that a member was held to be down that was neither away nor cut off.
+    /// Times that a running member was held to be down although it had not ended before and no cut had begun.
     pub fn false_downs(&self) -> usize {
         self.false_downs
     }
 
-    /// Times that a member ran late.
-    pub fn held_up(&self) -> usize {
-        self.held_up
+    /// Times that a member ran more than one period late.
+    pub fn late_runs(&self) -> usize {
+        self.late_runs
     }
 
-    /// Packets that members dropped.
-    pub fn refused(&self) -> usize {
-        self.refused
+    /// Received packets that members dropped.
+    pub fn dropped_packets(&self) -> usize {
+        self.dropped_packets
     }
 
-    /// Pairs of a running viewer and a running member that it does not see alive.
+    /// Number of pairs of a running viewer and a running member that the viewer does not see alive.
     pub fn missing(&self) -> usize {
         let running = |member: &usize| self.presence[*member] == Presence::Running;
         self.pairs()
@@ -207,7 +212,7 @@
             .count()
     }
 
-    /// Pairs of a running viewer and a crashed member that it knows and does not hold to be down.
+    /// Number of pairs of a running viewer and a crashed member that the viewer knows and does not hold to be down.
     pub fn undetected(&self) -> usize {
         let crashed =
             |member: &usize| matches!(self.presence[*member], Presence::Away { crashed: true, .. });
@@ -233,12 +238,12 @@
         }
     }
 
-    /// Wrong pairs with this member, as viewer or as viewed.
+    /// Number of wrong pairs with this member as viewer or as viewed member.
     fn wrong_with(&self, member: usize) -> usize {
-        let either = |other: &usize| {
+        let wrong_pairs = |other: &usize| {
             usize::from(self.is_wrong(member, *other)) + usize::from(self.is_wrong(*other, member))
         };
-        (0..self.count).map(|other| either(&other)).sum()
+        (0..self.count).map(|other| wrong_pairs(&other)).sum()
     }
 
     fn set_presence(&mut self, member: usize, presence: Presence) {
@@ -248,22 +253,27 @@
         self.presence_changes += 1;
         self.presence[member] = presence;
         if presence == Presence::Running {
-            // Its view is lost with its last process.
+            // A member that starts again has no view of the others yet.
             self.views[member * self.count..][..self.count].fill(View::Unknown);
             self.divisors[member] = self.count as u32;
         } else {
-            self.away_once[member] = true;
+            self.has_ended[member] = true;
         }
         self.wrong += self.wrong_with(member);
         match (was_running, presence == Presence::Running) {
-            (false, true) => *self.divided_by.entry(self.divisors[member]).or_default() += 1,
-            (true, false) => self.divides_no_more(member),
+            (false, true) => {
+                *self
+                    .members_by_divisor
+                    .entry(self.divisors[member])
+                    .or_default() += 1
+            }
+            (true, false) => self.remove_divisor(member),
             _ => {}
         }
-        self.note_share();
+        self.update_largest_share();
     }
 
-    fn set_generation(&mut self, member: usize, incarnation: u64) {
+    fn set_incarnation(&mut self, member: usize, incarnation: u64) {
         if incarnation <= self.incarnation[member] {
             return;
         }
@@ -278,12 +288,19 @@
         self.wrong += self.wrong_with(member);
     }
 
-    fn sees(&mut self, at: Time, viewer: usize, member: usize, incarnation: u64, seen: Seen) {
-        // Reports of two members may overtake each other: a member has the incarnation that it is seen in.
-        self.set_generation(member, incarnation);
-        let present = incarnation == self.incarnation[member];
+    fn update_view(
+        &mut self,
+        at: Time,
+        viewer: usize,
+        member: usize,
+        incarnation: u64,
+        seen: Seen,
+    ) {
+        // This report may arrive before the other member's report of its new incarnation.
+        self.set_incarnation(member, incarnation);
+        let is_current = incarnation == self.incarnation[member];
         let view = match seen {
-            Seen::Alive if present => View::Alive,
+            Seen::Alive if is_current => View::Alive,
             Seen::Alive => View::AliveBefore,
             Seen::Suspect => View::Suspect,
             Seen::Down | Seen::Left => View::Down,
@@ -293,11 +310,11 @@
         self.views[viewer * self.count + member] = view;
         self.wrong += usize::from(self.is_wrong(viewer, member));
         if view == View::Down && before != View::Down {
-            self.note_down(at, member);
+            self.add_down(at, member);
         }
     }
 
-    fn note_down(&mut self, at: Time, member: usize) {
+    fn add_down(&mut self, at: Time, member: usize) {
         match self.presence[member] {
             Presence::Away {
                 since,
@@ -306,7 +323,7 @@
                 self.detections.push((at - since).as_secs_f64());
             }
             Presence::Running
-                if !self.away_once[member] && self.cut_from.is_none_or(|cut| at < cut) =>
+                if !self.has_ended[member] && self.cut_from.is_none_or(|cut| at < cut) =>
             {
                 self.false_downs += 1;
             }
@@ -314,28 +331,28 @@
         }
     }
 
-    fn divides(&mut self, member: usize, senders: u32) {
+    fn set_divisor(&mut self, member: usize, senders: u32) {
         if self.presence[member] == Presence::Running {
-            self.divides_no_more(member);
-            *self.divided_by.entry(senders).or_default() += 1;
+            self.remove_divisor(member);
+            *self.members_by_divisor.entry(senders).or_default() += 1;
         }
         self.divisors[member] = senders;
-        self.note_share();
+        self.update_largest_share();
     }
 
-    fn divides_no_more(&mut self, member: usize) {
+    fn remove_divisor(&mut self, member: usize) {
         let divisor = self.divisors[member];
-        if let Some(count) = self.divided_by.get_mut(&divisor) {
+        if let Some(count) = self.members_by_divisor.get_mut(&divisor) {
             *count -= 1;
             if *count == 0 {
-                self.divided_by.remove(&divisor);
+                self.members_by_divisor.remove(&divisor);
             }
         }
     }
 
-    fn note_share(&mut self) {
+    fn update_largest_share(&mut self) {
         let share = self
-            .divided_by
+            .members_by_divisor
             .iter()
             .map(|(divisor, count)| *count as f64 / f64::from(*divisor))
             .sum();
--- a/crates/fleet-harness/src/simulated/course.rs
+++ b/crates/fleet-harness/src/simulated/phases.rs
@@ -1,4 +1,4 @@
-//! The phases of a run: a start until all views agree, and the measured duration with its disturbance.
+//! The phases of a run: the start, until all views agree, and then the measured duration with its disturbance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,80 +11,81 @@
 use super::observer::{Observation, Observer};
 use super::plan::SimulatedFleetPlan;
 use super::script::Script;
-use super::traffic::{Passed, Traffic};
+use super::traffic::{MemberTraffic, Traffic};
 
-/// If the views do not agree this long after the start, the measured duration begins without.
+/// The measured duration begins this long after the start even if the views do not agree by then.
 pub const START_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Resources that a run has used.
+/// Resources used by a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Usage {
-    /// Processor time.
+    /// Processor time during the measured duration.
     pub cpu: Duration,
-    /// Growth of the resident memory.
+    /// Growth of the process's resident memory in bytes.
     pub resident_bytes: u64,
 }
 
-/// The phases of a run.
+/// Tracks the phase of a run, and collects its observations.
 #[derive(Debug)]
-pub(super) struct Course {
+pub(super) struct RunPhases {
     plan: SimulatedFleetPlan,
     script: Arc<Script>,
     traffic: Arc<Traffic>,
     observer: Observer,
     started: Time,
     agreed_at_start: Option<Duration>,
-    measured: Option<Measured>,
+    measurement_start: Option<MeasurementStart>,
     agreed_after: Option<Duration>,
 }
 
+/// The state when the measured duration began.
 #[derive(Debug)]
-struct Measured {
+struct MeasurementStart {
     at: Time,
-    passed: Vec<Passed>,
+    traffic: Vec<MemberTraffic>,
     presence_changes: usize,
 }
 
-impl Course {
-    pub(super) fn new(plan: &SimulatedFleetPlan, common: &Common, started: Time) -> Course {
-        Course {
+impl RunPhases {
+    pub(super) fn new(plan: &SimulatedFleetPlan, common: &Common, started: Time) -> RunPhases {
+        RunPhases {
             observer: Observer::new(plan.members),
             plan: plan.clone(),
             script: Arc::clone(&common.script),
             traffic: Arc::clone(&common.traffic),
             started,
             agreed_at_start: None,
-            measured: None,
+            measurement_start: None,
             agreed_after: None,
         }
     }
 
     /// Adds an observation.
-    pub(super) fn note(&mut self, observation: &Observation) {
-        self.observer.note(observation);
+    pub(super) fn add(&mut self, observation: &Observation) {
+        self.observer.add(observation);
     }
 
-    /// Checks the views, after all observations until now; true when the measured duration is to begin.
+    /// Evaluates the views after all observations until now. True if the measured duration is to begin now.
     pub(super) fn check(&mut self, now: Time) -> bool {
         let agrees = self.observer.agrees();
-        let Some(measured) = &self.measured else {
+        let Some(start) = &self.measurement_start else {
             let since = now - self.started;
             if agrees {
                 self.agreed_at_start = Some(since);
             }
             return agrees || since >= START_TIMEOUT;
         };
-        let ended = measured.at + self.script.ended_after();
-        let all_changed =
-            self.observer.presence_changes() - measured.presence_changes >= self.presence_changes();
-        if agrees && all_changed && now > ended && self.agreed_after.is_none() {
-            self.agreed_after = Some(now - ended);
+        let disturbance_end = start.at + self.script.end();
+        let all_changed = self.observer.presence_changes() - start.presence_changes
+            >= self.expected_presence_changes();
+        if agrees && all_changed && now > disturbance_end && self.agreed_after.is_none() {
+            self.agreed_after = Some(now - disturbance_end);
         }
         false
     }
 
-    /// The measured duration begins.
-    pub(super) fn begin(&mut self, at: Time) {
+    /// Begins the measured duration.
+    pub(super) fn begin_measurement(&mut self, at: Time) {
         if let Some(cut) = self
             .script
             .network_faults
@@ -96,22 +97,22 @@
             self.observer.cut_from(at + cut);
         }
         let presence_changes = self.observer.presence_changes();
-        self.measured = Some(Measured {
+        self.measurement_start = Some(MeasurementStart {
             at,
-            passed: self.traffic.passed(),
+            traffic: self.traffic.snapshot(),
             presence_changes,
         });
     }
 
-    /// When the measured duration ends, once it has begun.
-    pub(super) fn ends(&self) -> Option<Time> {
-        self.measured
+    /// End of the measured duration; `None` before it has begun.
+    pub(super) fn measurement_end(&self) -> Option<Time> {
+        self.measurement_start
             .as_ref()
-            .map(|measured| measured.at + self.plan.duration)
+            .map(|start| start.at + self.plan.duration)
     }
 
-    /// Ends and starts of members by the script.
-    fn presence_changes(&self) -> usize {
+    /// Number of starts and ends of members that the script causes.
+    fn expected_presence_changes(&self) -> usize {
         let each = |action: &MemberAction| match action {
             MemberAction::Kill { back, .. } | MemberAction::Term { back, .. } => {
                 1 + usize::from(back.is_some())
@@ -125,26 +126,26 @@
             .sum()
     }
 
-    /// The figures of the run; `used` are the resources of its measured duration.
+    /// The figures of the run; `used` are the resources that it used.
     pub(super) fn figures(self, used: Usage) -> SimulatedFleetFigures {
         let seconds = self.plan.duration.as_secs_f64();
         let before = self
-            .measured
-            .map(|measured| measured.passed)
+            .measurement_start
+            .map(|start| start.traffic)
             .unwrap_or_default();
-        let now = self.traffic.passed();
-        let undisturbed: Vec<Passed> = now
+        let now = self.traffic.snapshot();
+        let never_stopped: Vec<MemberTraffic> = now
             .iter()
             .zip(&before)
             .enumerate()
-            .filter(|(member, _)| self.observer.never_away(*member))
+            .filter(|(member, _)| self.observer.never_ended(*member))
             .map(|(_, (now, before))| now.since(*before))
             .collect();
-        let rate = |of: fn(&Passed) -> u64| {
+        let rate = |of: fn(&MemberTraffic) -> u64| {
             Spread::of(
-                undisturbed
+                never_stopped
                     .iter()
-                    .map(|passed| of(passed) as f64 / seconds)
+                    .map(|traffic| of(traffic) as f64 / seconds)
                     .collect(),
             )
             .unwrap_or_default()
@@ -153,9 +154,9 @@
         SimulatedFleetFigures {
             members,
             agreed_at_start: self.agreed_at_start,
-            bytes_sent_per_second: rate(|passed| passed.bytes_sent),
-            bytes_received_per_second: rate(|passed| passed.bytes_received),
-            packets_sent_per_second: rate(|passed| passed.packets_sent),
+            bytes_sent_per_second: rate(|traffic| traffic.bytes_sent),
+            bytes_received_per_second: rate(|traffic| traffic.bytes_received),
+            packets_sent_per_second: rate(|traffic| traffic.packets_sent),
             cpu_milliseconds_per_second: used.cpu.as_secs_f64() * 1e3 / seconds / members as f64,
             resident_bytes_per_member: used.resident_bytes / members as u64,
             detection: Spread::of(self.observer.detections()),
@@ -164,9 +165,9 @@
             largest_share: self.observer.largest_share(),
             undetected: self.observer.undetected(),
             false_downs: self.observer.false_downs(),
-            largest_packet: self.traffic.largest(),
-            held_up: self.observer.held_up(),
-            refused: self.observer.refused(),
+            largest_packet: self.traffic.largest_datagram(),
+            held_up: self.observer.late_runs(),
+            refused: self.observer.dropped_packets(),
             lost: self.traffic.lost(),
         }
     }
--- a/crates/fleet-harness/src/simulated/plan.rs
+++ b/crates/fleet-harness/src/simulated/plan.rs
@@ -1,58 +1,58 @@
-//! What to play: the number of simulated members, the network, and the disturbance.
+//! The plan of a run: the number of simulated members, the network, and the disturbance.
 
 use std::time::Duration;
 
 use crate::invalid_settings::InvalidSettings;
 
-/// The largest fleet.
+/// Largest number of members of a fleet.
 pub const MAX_MEMBERS: usize = 2_000;
-/// The smallest fleet.
+/// Smallest number of members of a fleet.
 pub const MIN_MEMBERS: usize = 2;
-/// The longest measured duration.
+/// Longest measured duration.
 pub(super) const MAX_DURATION: Duration = Duration::from_secs(3600);
-/// The shortest measured duration: below it, a rate per second says nothing.
+/// Shortest measured duration; over less than this, a rate per second has no meaning.
 pub(super) const MIN_DURATION: Duration = Duration::from_secs(1);
-/// Zones of the members, by their index.
+/// Number of zones; a member's zone is its number modulo this.
 pub const ZONES: usize = 6;
 /// One in this many members is in the rack that fails.
 pub(super) const MEMBERS_PER_RACK: usize = 30;
-/// The disturbance begins after this fraction of the measured duration.
-pub(super) const UNDISTURBED_FRACTION: u32 = 10;
+/// The disturbance begins after the measured duration divided by this.
+pub(super) const UNDISTURBED_DIVISOR: u32 = 10;
 
-/// What carries packets between the members.
+/// The network and clock of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
-    /// A socket for each member, on loopback, and the wall clock.
+    /// One UDP socket for each member on loopback, and the wall clock.
     Udp,
-    /// A simulated network and a simulated clock: the same seed plays the same.
+    /// A simulated network and a simulated clock. The same seed gives the same run.
     Virtual,
 }
 
-/// What happens to the fleet, once, after a tenth of the measured duration.
+/// The disturbance of the fleet, which begins once, after a tenth of the measured duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
-    /// Nothing.
+    /// No disturbance.
     None,
-    /// Some members are killed at once, and stay away.
+    /// Some members, drawn by the seed, are killed at the same time and not started again.
     Crashes {
-        /// One in this many members.
+        /// One in this many members is killed.
         one_in: u32,
     },
-    /// One in `MEMBERS_PER_RACK` members is killed at once, and stays away.
+    /// One in `MEMBERS_PER_RACK` members is killed at the same time and not started again.
     RackDown,
-    /// All members of one zone are killed at once, and stay away.
+    /// All members of one zone are killed at the same time and not started again.
     ZoneDown {
-        /// Zones of the fleet.
+        /// Number of zones of the fleet.
         zones: u32,
     },
     /// Two halves, drawn by the seed, are cut off from each other.
     Halves {
-        /// How long the cut lasts.
+        /// Duration of the cut.
         duration: Duration,
     },
-    /// Some members are killed at once, and started again after [`super::RESTART_DELAY`].
+    /// Some members are killed at the same time, and started again after [`super::RESTART_DELAY`].
     Restarts {
-        /// How many.
+        /// Number of members that are restarted.
         count: u32,
     },
 }
@@ -60,16 +60,16 @@
 /// The settings of the membership that a run may vary; the defaults are those of `deploy/fleet.toml`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Each period a member probes one other.
+    /// Interval at which a member probes one other member.
     pub period: Duration,
-    /// If a probe takes longer, other members probe as well.
+    /// If a probe is not answered within this time, other members are asked to probe as well.
     pub round_trip: Duration,
-    /// Time to refute a suspicion; `None`: four periods, and more from ten members on.
+    /// Time to refute a suspicion; `None` for the default, which is four periods, and more from ten members on.
     pub suspicion: Option<Duration>,
-    /// A majority must agree for this long before a member is evicted; `None`: never.
+    /// A majority must hold a member to be down for this long before it is evicted; `None` to never evict.
     pub eviction_delay: Option<Duration>,
-    /// A packet that was sent longer ago is dropped.
-    pub late: Duration,
+    /// A packet that was sent longer ago than this is dropped.
+    pub max_packet_age: Duration,
 }
 
 impl Default for Timing {
@@ -79,17 +79,17 @@
             round_trip: Duration::from_millis(300),
             suspicion: None,
             eviction_delay: Some(Duration::from_secs(30)),
-            late: Duration::from_secs(5),
+            max_packet_age: Duration::from_secs(5),
         }
     }
 }
 
-/// The simulated network. Loopback has neither latency nor loss of its own; `loss` is applied there as well.
+/// Latency and loss of the network. `latency` applies only to the simulated network, `loss` also to packets over loopback.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Conditions {
-    /// One way, drawn evenly from this range.
+    /// Smallest and largest one-way latency; each packet's is drawn uniformly between them.
     pub latency: [Duration; 2],
-    /// The share of all packets that is lost.
+    /// Probability that a packet is dropped, from 0 to below 1.
     pub loss: f64,
 }
 
@@ -102,22 +102,22 @@
     }
 }
 
-/// What to play.
+/// The plan of a run of simulated members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SimulatedFleetPlan {
-    /// Members of the fleet.
+    /// Number of members of the fleet.
     pub members: usize,
-    /// The measured duration, after the views have agreed at the start.
+    /// The measured duration, which begins when the views agree after the start.
     pub duration: Duration,
-    /// What happens to the fleet.
+    /// The disturbance of the fleet.
     pub disturbance: Disturbance,
-    /// What carries packets.
+    /// The network and the clock.
     pub transport: Transport,
     /// Seed of all random draws.
     pub seed: u64,
-    /// Settings of the membership.
+    /// Time settings of the membership.
     pub timing: Timing,
-    /// Latency and loss.
+    /// Latency and loss of the network.
     pub conditions: Conditions,
 }
 
@@ -135,7 +135,7 @@
     }
 }
 
-/// Why a fleet of simulated members could not be played.
+/// Why a fleet of simulated members could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulatedFleetError {
     /// The number of members is out of range.
@@ -147,27 +147,30 @@
     /// The disturbance does not fit the fleet.
     #[error("disturbance: {0}")]
     Disturbance(String),
-    /// A time of the membership is out of range.
+    /// A time setting of the membership is out of range.
     #[error("timing: {0}")]
     Timing(&'static str),
     /// Latency or loss is out of range.
     #[error("conditions: {0}")]
     Conditions(&'static str),
-    /// The reducer does not accept the settings of a member.
-    #[error("a member's settings: {0}")]
+    /// The reducer rejected the settings of a member.
+    #[error("settings of a simulated member: {0}")]
     Settings(#[from] InvalidSettings),
-    /// A socket fails.
-    #[error("sockets: {0}")]
+    /// A socket operation failed, or a thread that runs members panicked.
+    #[error("sockets of simulated members: {0}")]
     Io(#[from] std::io::Error),
 }
 
 impl SimulatedFleetPlan {
-    /// When the disturbance begins, after the start.
+    /// Time from the start of the measured duration to the disturbance.
     pub fn disturbed_after(&self) -> Duration {
-        self.duration / UNDISTURBED_FRACTION
+        self.duration / UNDISTURBED_DIVISOR
     }
 
-    /// Checks every value; nothing is started before.
+    /// Checks that every value is in range.
+    ///
+    /// # Errors
+    /// The first value that is out of range.
     pub fn check(&self) -> Result<(), SimulatedFleetError> {
         if !(MIN_MEMBERS..=MAX_MEMBERS).contains(&self.members) {
             return Err(SimulatedFleetError::Members(self.members));
@@ -181,23 +184,25 @@
     }
 
     fn check_disturbance(&self) -> Result<(), SimulatedFleetError> {
-        let wrong = |why: String| Err(SimulatedFleetError::Disturbance(why));
+        let invalid = |reason: String| Err(SimulatedFleetError::Disturbance(reason));
         let members = self.members;
         match self.disturbance {
-            Disturbance::Crashes { one_in } if one_in < 2 => {
-                wrong(format!("one in {one_in} crashes: at least one in 2"))
+            Disturbance::Crashes { one_in } if one_in < 2 => invalid(format!(
+                "one in {one_in} crashes: expected one in at least 2"
+            )),
+            Disturbance::ZoneDown { zones } if zones < 2 || zones as usize > members => {
+                invalid(format!(
+                    "one zone of {zones}: expected 2 to {members} zones, as the fleet has {members} members"
+                ))
             }
-            Disturbance::ZoneDown { zones } if zones < 2 || zones as usize > members => wrong(
-                format!("one zone of {zones}: from 2 zones to one for each of {members} members"),
-            ),
             Disturbance::Restarts { count } if count == 0 || count as usize >= members => {
-                wrong(format!("{count} restarts: from 1 to {}", members - 1))
+                invalid(format!("{count} restarts: expected 1 to {}", members - 1))
             }
             Disturbance::Halves { duration } => {
-                let room = self.duration - self.disturbed_after();
-                if duration.is_zero() || duration >= room {
-                    return wrong(format!(
-                        "halves for {duration:?}: above zero and less than {room:?}"
+                let max_duration = self.duration - self.disturbed_after();
+                if duration.is_zero() || duration >= max_duration {
+                    return invalid(format!(
+                        "halves for {duration:?}: expected above zero and less than {max_duration:?}"
                     ));
                 }
                 Ok(())
@@ -208,7 +213,10 @@
 }
 
 impl Timing {
-    /// The bounds of the operators' file.
+    /// Checks the bounds that also apply to the operators' file.
+    ///
+    /// # Errors
+    /// The first setting that is out of range.
     pub fn check(&self) -> Result<(), SimulatedFleetError> {
         let bounds = Duration::from_millis(50)..=Duration::from_secs(60);
         if !bounds.contains(&self.period) {
@@ -225,10 +233,14 @@
             .suspicion
             .is_some_and(|suspicion| suspicion < self.period)
         {
-            return Err(SimulatedFleetError::Timing("suspicion is below a period"));
+            return Err(SimulatedFleetError::Timing(
+                "suspicion is shorter than a period",
+            ));
         }
-        if self.late < self.period {
-            return Err(SimulatedFleetError::Timing("late is below a period"));
+        if self.max_packet_age < self.period {
+            return Err(SimulatedFleetError::Timing(
+                "max_packet_age is shorter than a period",
+            ));
         }
         Ok(())
     }
@@ -238,7 +250,7 @@
     fn check(&self) -> Result<(), SimulatedFleetError> {
         if self.latency[0] > self.latency[1] {
             return Err(SimulatedFleetError::Conditions(
-                "the least latency is above the most",
+                "latency: the lower bound is above the upper bound",
             ));
         }
         if !(0.0..1.0).contains(&self.loss) {
--- a/crates/fleet-harness/src/simulated/script.rs
+++ b/crates/fleet-harness/src/simulated/script.rs
@@ -1,4 +1,4 @@
-//! The disturbance of a run, as network faults and scheduled actions.
+//! Converts the disturbance of a plan to network faults and scheduled actions.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,22 +12,22 @@
 
 use super::plan::{Disturbance, MEMBERS_PER_RACK, SimulatedFleetPlan};
 
-/// A member that is restarted is away this long, as a real process in a scenario.
+/// Time from the kill of a member to its start in a restart, about as long as for a real process in a scenario.
 pub const RESTART_DELAY: Duration = Duration::from_millis(600);
-/// Loss lasts longer than any run.
+/// Duration of packet loss: longer than any run.
 const LOSS_DURATION: Duration = Duration::from_secs(100_000);
 
-/// Network faults and actions, on a clock that starts with the measured duration.
+/// Network faults and scheduled actions, on a clock that starts with the measured duration.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Script {
-    /// Faults of paths between members.
+    /// Faults on the paths between members.
     pub network_faults: Vec<NetworkFault>,
-    /// Actions on members.
+    /// Actions on members, such as kills.
     pub scheduled_actions: Vec<ScheduledAction>,
 }
 
 impl Script {
-    /// The script of a plan.
+    /// The script of a plan's loss and disturbance.
     pub(super) fn of(plan: &SimulatedFleetPlan) -> Script {
         let mut script = Script::default();
         if plan.conditions.loss > 0.0 {
@@ -40,17 +40,17 @@
                 script.network_faults.push(halves(plan, at, duration));
             }
             Disturbance::Restarts { count } => {
-                let senders = drawn(plan, count as usize);
+                let senders = draw_members(plan, count as usize);
                 script
                     .scheduled_actions
                     .push(kill(at, senders, Some(RESTART_DELAY)));
             }
             Disturbance::Crashes { one_in } => {
-                let senders = drawn(plan, plan.members / one_in as usize);
+                let senders = draw_members(plan, plan.members / one_in as usize);
                 script.scheduled_actions.push(kill(at, senders, None));
             }
             Disturbance::RackDown => {
-                let senders = drawn(plan, plan.members / MEMBERS_PER_RACK);
+                let senders = draw_members(plan, plan.members / MEMBERS_PER_RACK);
                 script.scheduled_actions.push(kill(at, senders, None));
             }
             Disturbance::ZoneDown { zones } => {
@@ -65,8 +65,8 @@
         script
     }
 
-    /// When the last disturbance ends, after the start.
-    pub(super) fn ended_after(&self) -> Duration {
+    /// Time from the start of the clock to the end of the last cut or action; zero without any. Loss is not included.
+    pub(super) fn end(&self) -> Duration {
         let cuts = self
             .network_faults
             .iter()
@@ -100,8 +100,8 @@
     }
 }
 
-/// This number of members, one at least, drawn by the seed.
-fn drawn(plan: &SimulatedFleetPlan, count: usize) -> BTreeSet<usize> {
+/// Draws this number of members, but at least one, by the seed.
+fn draw_members(plan: &SimulatedFleetPlan, count: usize) -> BTreeSet<usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let mut all: Vec<usize> = (0..plan.members).collect();
     all.shuffle(&mut rng);
@@ -110,7 +110,7 @@
 }
 
 fn halves(plan: &SimulatedFleetPlan, at: Duration, duration: Duration) -> NetworkFault {
-    let from = drawn(plan, plan.members / 2);
+    let from = draw_members(plan, plan.members / 2);
     let to = Side::Senders(
         (0..plan.members)
             .filter(|member| !from.contains(member))
--- a/crates/fleet-harness/src/simulated/setup.rs
+++ b/crates/fleet-harness/src/simulated/setup.rs
@@ -1,4 +1,4 @@
-//! The members of a fleet that is played alone, and what their engines share.
+//! The configuration of a fleet that consists of simulated members alone.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,19 +9,19 @@
 use super::script::Script;
 use super::traffic::Traffic;
 
-/// Members that each member contacts first.
+/// Number of members that each member contacts first.
 const SEEDS: usize = 3;
 
-/// The members of a fleet.
+/// The configuration of a fleet's members.
 pub(super) struct FleetSetup {
-    /// What the engines share.
+    /// State that all engines share.
     pub(super) common: Common,
-    /// By index.
+    /// Configurations by member number.
     pub(super) members: Vec<Setup>,
 }
 
 impl FleetSetup {
-    /// All members of a plan; `addresses` are theirs, by index.
+    /// Configures all members of a plan. `addresses` are given by member number.
     pub(super) fn of(plan: &SimulatedFleetPlan, addresses: &[SocketAddr]) -> FleetSetup {
         let seeds: Vec<SocketAddr> = addresses.iter().copied().take(SEEDS).collect();
         let setup = |(index, address): (usize, &SocketAddr)| Setup {
--- a/crates/fleet-harness/src/simulated/traffic.rs
+++ b/crates/fleet-harness/src/simulated/traffic.rs
@@ -1,14 +1,14 @@
-//! Counters of each member's packets, in both directions.
+//! Counters of each simulated member's packets, in both directions.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Shared by the threads that drive members and the one that reads them.
+/// Counters shared by the threads that run members and the one that reads the figures.
 #[derive(Debug, Default)]
 pub(super) struct Traffic {
     counters: Vec<Counters>,
-    /// Packets that were lost by network faults.
+    /// Packets that were dropped by network faults.
     lost: AtomicU64,
-    /// Bytes of the largest datagram.
+    /// Size of the largest datagram in bytes.
     largest: AtomicU64,
 }
 
@@ -19,9 +19,9 @@
     packets_sent: AtomicU64,
 }
 
-/// One member's counters at some time.
+/// One member's counters at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Passed {
+pub(super) struct MemberTraffic {
     /// Bytes sent.
     pub bytes_sent: u64,
     /// Bytes received.
@@ -30,10 +30,10 @@
     pub packets_sent: u64,
 }
 
-impl Passed {
-    /// The difference to earlier counters.
-    pub(super) fn since(self, before: Passed) -> Passed {
-        Passed {
+impl MemberTraffic {
+    /// The difference from earlier counters of the same member.
+    pub(super) fn since(self, before: MemberTraffic) -> MemberTraffic {
+        MemberTraffic {
             bytes_sent: self.bytes_sent - before.bytes_sent,
             bytes_received: self.bytes_received - before.bytes_received,
             packets_sent: self.packets_sent - before.packets_sent,
@@ -42,7 +42,7 @@
 }
 
 impl Traffic {
-    /// Counters of this number of members, all zero.
+    /// Counters for this number of members, all zero.
     pub(super) fn new(members: usize) -> Traffic {
         Traffic {
             counters: (0..members).map(|_| Counters::default()).collect(),
@@ -51,7 +51,7 @@
     }
 
     /// Counts a packet that a member sent.
-    pub(super) fn sent(&self, member: usize, bytes: usize) {
+    pub(super) fn add_sent(&self, member: usize, bytes: usize) {
         self.counters[member]
             .bytes_sent
             .fetch_add(bytes as u64, Relaxed);
@@ -60,34 +60,34 @@
     }
 
     /// Counts a packet that a member received.
-    pub(super) fn received(&self, member: usize, bytes: usize) {
+    pub(super) fn add_received(&self, member: usize, bytes: usize) {
         self.counters[member]
             .bytes_received
             .fetch_add(bytes as u64, Relaxed);
     }
 
-    /// Counts a packet that was lost by a network fault.
-    pub(super) fn lose(&self) {
+    /// Counts a packet that was dropped by a network fault.
+    pub(super) fn add_lost(&self) {
         self.lost.fetch_add(1, Relaxed);
     }
 
-    /// Packets that were lost by network faults.
+    /// Packets that were dropped by network faults.
     pub(super) fn lost(&self) -> u64 {
         self.lost.load(Relaxed)
     }
 
-    /// Bytes of the largest datagram.
-    pub(super) fn largest(&self) -> usize {
+    /// Size of the largest datagram in bytes.
+    pub(super) fn largest_datagram(&self) -> usize {
         self.largest.load(Relaxed) as usize
     }
 
-    /// All members' counters, by index.
-    pub(super) fn passed(&self) -> Vec<Passed> {
-        let passed = |c: &Counters| Passed {
-            bytes_sent: c.bytes_sent.load(Relaxed),
-            bytes_received: c.bytes_received.load(Relaxed),
-            packets_sent: c.packets_sent.load(Relaxed),
+    /// All members' current counters, by index.
+    pub(super) fn snapshot(&self) -> Vec<MemberTraffic> {
+        let counted = |counters: &Counters| MemberTraffic {
+            bytes_sent: counters.bytes_sent.load(Relaxed),
+            bytes_received: counters.bytes_received.load(Relaxed),
+            packets_sent: counters.packets_sent.load(Relaxed),
         };
-        self.counters.iter().map(passed).collect()
+        self.counters.iter().map(counted).collect()
     }
 }
--- a/crates/fleet-harness/src/simulated/udp.rs
+++ b/crates/fleet-harness/src/simulated/udp.rs
@@ -1,4 +1,4 @@
-//! Plays a fleet over real UDP sockets on loopback: few threads, each with one poll for all sockets of its members.
+//! Runs a fleet over real UDP sockets on loopback. Each of a few threads has one event loop for all sockets of its members.
 
 use std::io::{self, ErrorKind};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,27 +11,28 @@
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Registry, Token, Waker};
 
-use super::course::{Course, Usage};
 use super::engine::{Common, Engine, Network};
 use super::figures::SimulatedFleetFigures;
 use super::member::{Packet, Setup};
 use super::observer::Observation;
+use super::phases::{RunPhases, Usage};
 use super::plan::{SimulatedFleetError, SimulatedFleetPlan};
 use super::setup::FleetSetup;
 use super::usage;
 
-/// Members that one thread drives, unless that takes more threads than the machine has processors: beside a crash, a
-/// fleet of 200 keeps a hundredth of a processor busy with each member.
+/// Number of members that one thread runs, unless that takes more threads than the machine has processors. During a crash, each
+/// member of a fleet of 200 uses a hundredth of a processor.
 const MEMBERS_PER_THREAD: usize = 32;
-/// Packets read from one socket before the others have their turn.
+/// Largest number of packets read from one socket before the other sockets are read.
 const PACKETS_PER_TURN: usize = 64;
-/// Larger than any that a member sends.
+/// Size of the receive buffer: larger than any packet of a member.
 const MAX_PACKET_BYTES: usize = 2048;
-/// The longest wait for an observation.
+/// Longest wait for an observation before the phase of the run is checked again.
 const MAX_WAIT: Duration = Duration::from_millis(50);
+/// Token of the waker, which interrupts the poll after a command.
 const WAKE: Token = Token(usize::MAX);
 
-/// The wall clock at the start, and a clock that does not jump since.
+/// A clock that starts at the wall clock's time and then advances monotonically.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     started: Instant,
@@ -50,37 +51,42 @@
         }
     }
 
-    /// The present time.
+    /// The current time.
     pub(super) fn now(&self) -> Time {
         self.time(Instant::now())
     }
 
-    /// The time of an instant.
+    /// Converts an instant to a time on this clock.
     pub(super) fn time(&self, instant: Instant) -> Time {
         let unix = self.unix + instant.saturating_duration_since(self.started);
         Time(unix.as_nanos() as u64)
     }
 }
 
-/// Free addresses for `members` members from the member `first` on. Each member has an IP address to itself on loopback, so
-/// that its port is still free when it starts again.
+/// Finds free addresses for `members` members, beginning with the member number `first`. Each member has its own loopback IP
+/// address, so that its port is still free when it starts again.
 pub(super) fn free_addresses(first: usize, members: usize) -> io::Result<Vec<SocketAddr>> {
-    let second = 10 + (std::process::id() % 200) as u8;
+    let second_octet = 10 + (std::process::id() % 200) as u8;
     let free = |member: usize| {
-        let ip = Ipv4Addr::new(127, second, (member / 250) as u8, 1 + (member % 250) as u8);
+        let ip = Ipv4Addr::new(
+            127,
+            second_octet,
+            (member / 250) as u8,
+            1 + (member % 250) as u8,
+        );
         std::net::UdpSocket::bind((ip, 0))?.local_addr()
     };
     (first..first + members).map(free).collect()
 }
 
-/// Sockets of consecutive members.
+/// Sockets of members with consecutive numbers.
 #[derive(Debug)]
 struct Sockets {
     registry: Registry,
-    /// Index of the first simulated member of the fleet, and of the first here.
+    /// Number of the fleet's first simulated member, and of the first member with a socket here.
     first_simulated: usize,
     first: usize,
-    /// Where each simulated member of the fleet listens.
+    /// Address at which each simulated member of the fleet listens.
     listen: Arc<Vec<SocketAddr>>,
     open: Vec<Option<UdpSocket>>,
 }
@@ -97,7 +103,7 @@
 
     fn close(&mut self, member: usize) {
         if let Some(mut socket) = self.open[member - self.first].take() {
-            // It is closed in any case.
+            // The socket is closed in any case, so an error does not matter.
             let _ = self.registry.deregister(&mut socket);
         }
     }
@@ -107,7 +113,7 @@
             .filter(|to| *to >= self.first_simulated)
             .map(|to| self.listen[to - self.first_simulated]);
         if let Some(socket) = &self.open[from - self.first] {
-            // A packet that can't be sent is lost.
+            // A packet that can't be sent is lost, as on a real network.
             let _ = socket.send_to(&packet.bytes, direct.unwrap_or(packet.to));
         }
         None
@@ -121,27 +127,32 @@
             match socket.recv_from(bytes) {
                 Ok((len, _)) => return Some(len),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return None,
-                // Nobody listened where an earlier packet was sent.
+                // An ICMP error for an earlier packet, to a port without a listener.
                 Err(_) => {}
             }
         }
     }
 }
 
+/// A command to a thread that runs members.
 enum Command {
+    /// Start the script's clock at this time.
     Begin(Time),
+    /// End the thread.
     End,
 }
 
-/// Processor time of a thread.
+/// Processor time of a thread at two times.
 struct ThreadCpu {
     /// When the script's clock started.
     at_begin: Duration,
+    /// When the thread ended.
     at_end: Duration,
 }
 
 type ThreadResult = Result<ThreadCpu, SimulatedFleetError>;
 
+/// One thread's members, with their sockets and timers.
 struct Shard {
     engine: Engine<Sockets>,
     poll: Poll,
@@ -149,8 +160,8 @@
     commands: Receiver<Command>,
     observations: Sender<Observation>,
     cpu_at_begin: Duration,
-    /// Sockets with packets that were not read yet.
-    more: Vec<usize>,
+    /// Sockets that may have packets that were not read yet.
+    unread: Vec<usize>,
 }
 
 impl Shard {
@@ -158,16 +169,16 @@
         self.engine.start_all(self.clock.now())?;
         let mut events = Events::with_capacity(1024);
         while self.run_commands() {
-            // Packets that have arrived by then are read before timers that are due by then: a reply that waits in a socket must
-            // arrive before its timeout.
+            // Packets that have arrived by `reached` are read before the timers due by then run: a reply that is already in a
+            // socket must be processed before its timeout.
             let reached = self.clock.now();
-            match self.poll.poll(&mut events, self.patience(reached)) {
+            match self.poll.poll(&mut events, self.poll_timeout(reached)) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
                 other => other?,
             }
             self.read_ready(&events);
             while self.engine.run_next(reached, self.clock.now())? {}
-            self.notify();
+            self.send_observations();
         }
         Ok(ThreadCpu {
             at_begin: self.cpu_at_begin,
@@ -176,7 +187,7 @@
     }
 
     fn read_ready(&mut self, events: &Events) {
-        let mut ready = std::mem::take(&mut self.more);
+        let mut ready = std::mem::take(&mut self.unread);
         ready.extend(
             events
                 .iter()
@@ -189,16 +200,16 @@
         ready.into_iter().for_each(|slot| self.read(slot));
     }
 
-    fn notify(&mut self) {
+    fn send_observations(&mut self) {
         for observation in self.engine.observations() {
-            // Nobody receives observations once the run is over.
+            // The receiver is dropped when the run is over.
             let _ = self.observations.send(observation);
         }
     }
 
-    /// How long to wait for packets.
-    fn patience(&self, now: Time) -> Option<Duration> {
-        if !self.more.is_empty() {
+    /// How long to wait for packets; `None` to wait without a timeout.
+    fn poll_timeout(&self, now: Time) -> Option<Duration> {
+        if !self.unread.is_empty() {
             return Some(Duration::ZERO);
         }
         self.engine.due().map(|due| due - now)
@@ -214,10 +225,10 @@
             self.engine
                 .receive(self.clock.now(), first + slot, bytes[..len].to_vec());
         }
-        self.more.push(slot);
+        self.unread.push(slot);
     }
 
-    /// False at the end.
+    /// Executes all queued commands; false if the thread must end.
     fn run_commands(&mut self) -> bool {
         loop {
             match self.commands.try_recv() {
@@ -226,7 +237,7 @@
                     self.engine.begin(at);
                 }
                 Err(TryRecvError::Empty) => return true,
-                // The owner of the threads has ended.
+                // A disconnected channel means that the owner has been dropped.
                 Ok(Command::End) | Err(TryRecvError::Disconnected) => return false,
             }
         }
@@ -239,7 +250,7 @@
     handle: JoinHandle<ThreadResult>,
 }
 
-/// Members that run on threads of their own until they are ended.
+/// Members that run on separate threads until [`Running::end`].
 pub(super) struct Running {
     threads: Vec<Thread>,
     /// The clock of the observations.
@@ -249,14 +260,17 @@
 }
 
 impl Running {
-    /// Starts all members; `listen` are their addresses.
+    /// Starts all members; `listen` are the addresses of the simulated members, by number.
+    ///
+    /// # Errors
+    /// The operating system can't create a poll or waker.
     pub(super) fn start(
         common: &Common,
         setups: Vec<Setup>,
         listen: Vec<SocketAddr>,
         clock: Clock,
     ) -> Result<Running, SimulatedFleetError> {
-        let (reported, observations) = channel();
+        let (observation_sender, observations) = channel();
         let listen = Arc::new(listen);
         let processors = std::thread::available_parallelism().map_or(1, usize::from);
         let threads = (setups.len() / MEMBERS_PER_THREAD + 1).min(processors);
@@ -282,9 +296,9 @@
                 poll,
                 clock,
                 commands: received,
-                observations: reported.clone(),
+                observations: observation_sender.clone(),
                 cpu_at_begin: Duration::ZERO,
-                more: Vec::new(),
+                unread: Vec::new(),
             };
             let handle = std::thread::spawn(move || shard.run());
             running.threads.push(Thread {
@@ -296,24 +310,27 @@
         Ok(running)
     }
 
-    /// The script's clock starts.
+    /// Starts the script's clock at this time.
     pub(super) fn begin(&self, at: Time) {
         self.threads
             .iter()
-            .for_each(|thread| thread.notify(Command::Begin(at)));
+            .for_each(|thread| thread.send(Command::Begin(at)));
     }
 
-    /// Ends all members; the processor time of their threads since the script's clock started.
+    /// Ends all members. Returns the processor time of their threads since the script's clock started.
+    ///
+    /// # Errors
+    /// A thread failed or panicked.
     pub(super) fn end(self) -> Result<Duration, SimulatedFleetError> {
         self.threads
             .iter()
-            .for_each(|thread| thread.notify(Command::End));
+            .for_each(|thread| thread.send(Command::End));
         let mut cpu = Duration::ZERO;
         for thread in self.threads {
             let ended = thread
                 .handle
                 .join()
-                .map_err(|_| io::Error::other("a thread of members panicked"))?;
+                .map_err(|_| io::Error::other("a thread that runs simulated members panicked"))?;
             let ThreadCpu { at_begin, at_end } = ended?;
             cpu += at_end.saturating_sub(at_begin);
         }
@@ -322,53 +339,55 @@
 }
 
 impl Thread {
-    fn notify(&self, command: Command) {
-        // The error of a thread that has ended is returned when it is joined.
+    fn send(&self, command: Command) {
+        // If the thread has ended, its error is returned when it is joined.
         let _ = self.commands.send(command);
         let _ = self.waker.wake();
     }
 }
 
-/// Plays a fleet.
+/// Runs a fleet to the end of its measured duration.
 pub(super) fn play(
     plan: &SimulatedFleetPlan,
 ) -> Result<SimulatedFleetFigures, SimulatedFleetError> {
-    let resident = usage::resident_bytes();
+    let resident_before = usage::resident_bytes();
     let listen = free_addresses(0, plan.members)?;
     let setup = FleetSetup::of(plan, &listen);
     let clock = Clock::start();
     let running = Running::start(&setup.common, setup.members, listen, clock)?;
-    let mut course = Course::new(plan, &setup.common, clock.now());
-    watch(&running, &mut course)?;
-    let resident_bytes = usage::resident_bytes().saturating_sub(resident);
+    let mut phases = RunPhases::new(plan, &setup.common, clock.now());
+    watch(&running, &mut phases)?;
+    let resident_bytes = usage::resident_bytes().saturating_sub(resident_before);
     let cpu = running.end()?;
-    Ok(course.figures(Usage {
+    Ok(phases.figures(Usage {
         cpu,
         resident_bytes,
     }))
 }
 
-/// Passes observations to the course until its end.
-fn watch(running: &Running, course: &mut Course) -> Result<(), SimulatedFleetError> {
+/// Collects observations and advances the phases until the measured duration ends.
+fn watch(running: &Running, phases: &mut RunPhases) -> Result<(), SimulatedFleetError> {
     loop {
         let now = running.clock.now();
-        let left = course.ends().map_or(MAX_WAIT, |end| end - now.min(end));
-        match running.observations.recv_timeout(left.min(MAX_WAIT)) {
-            Ok(observation) => course.note(&observation),
+        let remaining = phases
+            .measurement_end()
+            .map_or(MAX_WAIT, |end| end - now.min(end));
+        match running.observations.recv_timeout(remaining.min(MAX_WAIT)) {
+            Ok(observation) => phases.add(&observation),
             Err(RecvTimeoutError::Timeout) => {}
-            // A thread has ended too early; its error is returned when it is joined.
+            // All threads have ended too early; their errors are returned when they are joined.
             Err(RecvTimeoutError::Disconnected) => return Ok(()),
         }
         running
             .observations
             .try_iter()
-            .for_each(|observation| course.note(&observation));
+            .for_each(|observation| phases.add(&observation));
         let now = running.clock.now();
-        if course.check(now) {
-            course.begin(now);
+        if phases.check(now) {
+            phases.begin_measurement(now);
             running.begin(now);
         }
-        if course.ends().is_some_and(|end| now >= end) {
+        if phases.measurement_end().is_some_and(|end| now >= end) {
             return Ok(());
         }
     }
--- a/crates/fleet-harness/src/simulated_costs.rs
+++ b/crates/fleet-harness/src/simulated_costs.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Value, json};
 
-use crate::simulated::{Observed, SimulatedFleetPlay};
+use crate::simulated::{MemberEvent, SimulatedFleetRun};
 
 /// The average cost per second of one simulated member.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,18 +20,18 @@
     /// Processor time of one member, in milliseconds per second.
     pub cpu_ms: f64,
     /// Times that any member ran more than one membership period late, because the machine was too busy.
-    pub held_up: usize,
+    pub late_runs: usize,
 }
 
 impl SimulatedFleetCosts {
     /// The average cost over a run of this duration.
-    pub fn of(simulated: &SimulatedFleetPlay, lasted: Duration) -> SimulatedFleetCosts {
+    pub fn of(simulated: &SimulatedFleetRun, lasted: Duration) -> SimulatedFleetCosts {
         let member_seconds = lasted.as_secs_f64() * simulated.members as f64;
         let each = |sum: u64| sum as f64 / member_seconds;
-        let held_up = simulated
+        let late_runs = simulated
             .observations
             .iter()
-            .filter(|seen| seen.what == Observed::ProcessPaused)
+            .filter(|observation| observation.event == MemberEvent::ProcessPaused)
             .count();
         SimulatedFleetCosts {
             members: simulated.members,
@@ -39,14 +39,14 @@
             bytes_received: each(simulated.bytes_received),
             packets_sent: each(simulated.packets_sent),
             cpu_ms: simulated.cpu.as_secs_f64() * 1e3 / member_seconds,
-            held_up,
+            late_runs,
         }
     }
 
     /// The costs as a JSON object of the summary.
     pub fn json(&self) -> Value {
         json!({"members": self.members, "bytes_sent": self.bytes_sent, "bytes_received": self.bytes_received,
-            "packets_sent": self.packets_sent, "cpu_ms": self.cpu_ms, "held_up": self.held_up})
+            "packets_sent": self.packets_sent, "cpu_ms": self.cpu_ms, "held_up": self.late_runs})
     }
 
     /// The costs as a line of the text report.
@@ -54,7 +54,7 @@
         format!(
             "  each simulated member per second: {:.0} bytes sent, {:.0} received, {:.1} packets sent, {:.2} ms of CPU; members ran \
              late {} times",
-            self.bytes_sent, self.bytes_received, self.packets_sent, self.cpu_ms, self.held_up
+            self.bytes_sent, self.bytes_received, self.packets_sent, self.cpu_ms, self.late_runs
         )
     }
 }
--- a/crates/fleet-harness/src/timeline.rs
+++ b/crates/fleet-harness/src/timeline.rs
@@ -7,7 +7,7 @@
 use cranehill_simulation::audit::{AuditEvent, AuditRecord};
 use serde_json::Value;
 
-use crate::simulated::{Observation, Observed, SimulatedFleetPlay};
+use crate::simulated::{MemberEvent, Observation, SimulatedFleetRun};
 
 /// A change of one member in another's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -98,7 +98,7 @@
     }
 
     /// Adds the observations of simulated members. Member numbers are those of the whole fleet.
-    pub fn add_simulated(&mut self, simulated: &SimulatedFleetPlay) {
+    pub fn add_simulated(&mut self, simulated: &SimulatedFleetRun) {
         for observation in &simulated.observations {
             self.add_observation(simulated.began, observation);
         }
@@ -108,10 +108,14 @@
     }
 
     fn add_observation(&mut self, began: Time, observation: &Observation) {
-        let Observation { at, by, what } = observation;
-        let (at, by) = (*at - began, *by);
-        match what {
-            Observed::Sees {
+        let Observation {
+            at,
+            reporter,
+            event,
+        } = observation;
+        let (at, by) = (*at - began, *reporter);
+        match event {
+            MemberEvent::Sees {
                 member,
                 incarnation,
                 seen,
@@ -125,15 +129,17 @@
                     incarnation: *incarnation,
                 });
             }
-            Observed::Senders(senders) => self.senders.push((at, by, u64::from(*senders))),
-            Observed::Rejoined => self.rejoined.push((at, by)),
-            Observed::Crashed => {
+            MemberEvent::Senders(senders) => self.senders.push((at, by, u64::from(*senders))),
+            MemberEvent::Rejoined => self.rejoined.push((at, by)),
+            MemberEvent::Crashed => {
                 self.killed.push((by, at));
                 self.record_stop(by, at);
             }
-            Observed::Ended | Observed::Stopped => self.record_stop(by, at),
-            Observed::Started | Observed::Resumed => self.record_start(by, at),
-            Observed::Incarnation(_) | Observed::ProcessPaused | Observed::PacketDropped => {}
+            MemberEvent::Ended | MemberEvent::Stopped => self.record_stop(by, at),
+            MemberEvent::Started | MemberEvent::Resumed => self.record_start(by, at),
+            MemberEvent::Incarnation(_)
+            | MemberEvent::ProcessPaused
+            | MemberEvent::PacketDropped => {}
         }
     }
 
--- a/crates/fleet-harness/tests/simulated_members.rs
+++ b/crates/fleet-harness/tests/simulated_members.rs
@@ -1,9 +1,9 @@
-//! Simulated members in virtual time: the seed decides everything, and each disturbance must show in the figures.
+//! Simulated members in virtual time: the figures depend on the seed alone, and show the effect of each disturbance.
 
 use std::time::Duration;
 
 use cranehill_fleet_harness::simulated::{
-    Conditions, Disturbance, MAX_MEMBERS, Observation, Observed, Observer, Seen,
+    Conditions, Disturbance, MAX_MEMBERS, MemberEvent, Observation, Observer, Seen,
     SimulatedFleetError, SimulatedFleetFigures, SimulatedFleetPlan, Timing, Transport, play,
 };
 use cranehill_scheduler::Time;
@@ -21,13 +21,14 @@
     }
 }
 
-fn played(plan: &SimulatedFleetPlan) -> SimulatedFleetFigures {
+/// Runs a plan, and prints it for the case of a failure.
+fn run(plan: &SimulatedFleetPlan) -> SimulatedFleetFigures {
     println!("{plan:?}");
-    play(plan).expect("it plays")
+    play(plan).expect("the fleet runs")
 }
 
-/// Without the figures that the machine decides, not the seed.
-fn by_seed(figures: SimulatedFleetFigures) -> SimulatedFleetFigures {
+/// The figures without those that depend on the machine.
+fn seed_dependent(figures: SimulatedFleetFigures) -> SimulatedFleetFigures {
     SimulatedFleetFigures {
         cpu_milliseconds_per_second: 0.0,
         resident_bytes_per_member: 0,
@@ -35,7 +36,7 @@
     }
 }
 
-/// No clock, thread or map order may influence a run in virtual time.
+/// A clock, thread or map order that influences a run in virtual time would make it impossible to repeat.
 #[test]
 fn figures_depend_on_the_seed_alone() {
     let conditions = Conditions {
@@ -46,46 +47,47 @@
         conditions,
         ..plan(Disturbance::Crashes { one_in: 10 }, seed)
     };
-    let first = by_seed(played(&plan(3)));
-    assert_eq!(first, by_seed(played(&plan(3))));
-    assert_ne!(first, by_seed(played(&plan(4))));
+    let first = seed_dependent(run(&plan(3)));
+    assert_eq!(first, seed_dependent(run(&plan(3))));
+    assert_ne!(first, seed_dependent(run(&plan(4))));
     assert!(first.lost > 0, "{first:?}");
 }
 
-/// Each is down in every live view, after a suspicion at least and before the run ends.
+/// A crash that is detected before a suspicion can end, or not by all, would be wrong. All views agree only after the last
+/// detection.
 #[test]
-fn crashed_members_are_seen_down_by_all_others() {
-    let figures = played(&plan(Disturbance::Crashes { one_in: 10 }, 1));
+fn crashed_members_are_detected_by_all_others() {
+    let figures = run(&plan(Disturbance::Crashes { one_in: 10 }, 1));
     assert_eq!(figures.failed(1.0), Vec::<String>::new(), "{figures:?}");
-    let detection = figures.detection.expect("three have crashed");
+    let detection = figures.detection.expect("three members have crashed");
     let suspicion = 4.0 * (MEMBERS as f64).log10();
     assert!(
         detection.mean > suspicion && detection.most < 54.0,
         "{detection:?}"
     );
-    let agreed = figures.agreed_after.expect("it agreed");
+    let agreed = figures.agreed_after.expect("the views agreed");
     assert!(
         agreed.as_secs_f64() >= detection.most - 0.1,
-        "no agreement before the last view: {figures:?}"
+        "agreement before the last detection: {figures:?}"
     );
 }
 
-/// During a cut nobody sees the other half, and no half exceeds its share of a limit before the
-/// eviction delay. A cut that outlasts the play never heals, and the figures must show it.
+/// During a cut no half may exceed its share of a limit before the eviction delay, and the views agree again after it. If there
+/// is no time left after the cut, the figures show the missing members.
 #[test]
 fn cut_halves_exceed_no_limit_and_agree_after_the_cut() {
-    let healed = played(&plan(
+    let ended = run(&plan(
         Disturbance::Halves {
             duration: Duration::from_secs(25),
         },
         2,
     ));
-    assert_eq!(healed.failed(1.0), Vec::<String>::new(), "{healed:?}");
+    assert_eq!(ended.failed(1.0), Vec::<String>::new(), "{ended:?}");
     assert!(
-        healed.lost > 100 && healed.agreed_after.is_some_and(|after| !after.is_zero()),
-        "{healed:?}"
+        ended.lost > 100 && ended.agreed_after.is_some_and(|after| !after.is_zero()),
+        "{ended:?}"
     );
-    // It heals a tenth of a second before the end.
+    // The cut ends a tenth of a second before the run.
     let cut = Disturbance::Halves {
         duration: Duration::from_millis(53_900),
     };
@@ -93,7 +95,7 @@
         eviction_delay: None,
         ..Timing::default()
     };
-    let open = played(&SimulatedFleetPlan {
+    let open = run(&SimulatedFleetPlan {
         timing,
         ..plan(cut, 2)
     });
@@ -105,62 +107,62 @@
     assert!(open.largest_share <= 1.0, "{open:?}");
 }
 
-/// Two members that have started and see each other alive.
+/// An observer of two members that have started and see each other alive.
 fn pair() -> Observer {
     let mut observer = Observer::new(2);
     for by in [0, 1] {
-        note(&mut observer, 0, by, Observed::Started);
-        note(&mut observer, 0, by, Observed::Incarnation(1));
+        observe(&mut observer, 0, by, MemberEvent::Started);
+        observe(&mut observer, 0, by, MemberEvent::Incarnation(1));
     }
-    note(&mut observer, 1, 0, sees(1, 1, Seen::Alive));
-    assert!(!observer.agrees(), "one of two sees the other");
-    note(&mut observer, 1, 1, sees(0, 1, Seen::Alive));
+    observe(&mut observer, 1, 0, sees(1, 1, Seen::Alive));
+    assert!(!observer.agrees(), "only one member sees the other");
+    observe(&mut observer, 1, 1, sees(0, 1, Seen::Alive));
     assert!(observer.agrees());
     observer
 }
 
-fn note(observer: &mut Observer, second: u64, by: usize, what: Observed) {
-    observer.note(&Observation {
+fn observe(observer: &mut Observer, second: u64, reporter: usize, event: MemberEvent) {
+    observer.add(&Observation {
         at: Time(second * 1_000_000_000),
-        by,
-        what,
+        reporter,
+        event,
     });
 }
 
-fn sees(member: usize, incarnation: u64, seen: Seen) -> Observed {
-    Observed::Sees {
+fn sees(member: usize, incarnation: u64, seen: Seen) -> MemberEvent {
+    MemberEvent::Sees {
         member,
         incarnation,
         seen,
     }
 }
 
-/// A member that is alive in an earlier incarnation is not seen, nor is one that is suspected.
+/// A member does not count as seen if it is alive in an earlier incarnation or suspected.
 #[test]
-fn a_view_of_an_earlier_incarnation_is_no_agreement() {
+fn views_of_an_earlier_incarnation_do_not_agree() {
     let mut observer = pair();
-    note(&mut observer, 2, 1, Observed::Incarnation(2));
+    observe(&mut observer, 2, 1, MemberEvent::Incarnation(2));
     assert_eq!((observer.agrees(), observer.missing()), (false, 1));
-    note(&mut observer, 3, 0, sees(1, 2, Seen::Alive));
+    observe(&mut observer, 3, 0, sees(1, 2, Seen::Alive));
     assert!(observer.agrees());
-    note(&mut observer, 4, 0, sees(1, 2, Seen::Suspect));
+    observe(&mut observer, 4, 0, sees(1, 2, Seen::Suspect));
     assert_eq!((observer.agrees(), observer.missing()), (false, 1));
-    // A late report of the earlier incarnation changes nothing.
-    note(&mut observer, 5, 0, sees(1, 1, Seen::Alive));
+    // A late report of the earlier incarnation does not restore agreement.
+    observe(&mut observer, 5, 0, sees(1, 1, Seen::Alive));
     assert!(!observer.agrees());
 }
 
-/// a crash that a view misses is undetected, a down without a cause is false, and a limit is divided
-/// among those that are there.
+/// A crash that a view does not show is undetected, a running member that is held to be down is a false down, and the share of
+/// a limit is summed over the running members.
 #[test]
-fn a_report_lists_crashes_false_downs_and_quotas() {
+fn observer_counts_detections_false_downs_and_shares() {
     let mut observer = pair();
-    note(&mut observer, 2, 0, sees(1, 1, Seen::Down));
+    observe(&mut observer, 2, 0, sees(1, 1, Seen::Down));
     assert_eq!((observer.false_downs(), observer.missing()), (1, 1));
-    note(&mut observer, 3, 0, sees(1, 1, Seen::Alive));
-    note(&mut observer, 10, 1, Observed::Crashed);
+    observe(&mut observer, 3, 0, sees(1, 1, Seen::Alive));
+    observe(&mut observer, 10, 1, MemberEvent::Crashed);
     assert_eq!((observer.agrees(), observer.undetected()), (false, 1));
-    note(&mut observer, 17, 0, sees(1, 1, Seen::Down));
+    observe(&mut observer, 17, 0, sees(1, 1, Seen::Down));
     assert_eq!(
         (
             observer.agrees(),
@@ -170,16 +172,22 @@
         (true, 0, vec![7.0])
     );
     assert_eq!((observer.false_downs(), observer.largest_share()), (1, 1.0));
-    note(&mut observer, 20, 0, Observed::Senders(1));
-    assert!(observer.largest_share() <= 1.0, "one alone may have all");
-    note(&mut observer, 21, 1, Observed::Started);
-    assert!(observer.largest_share() > 1.4, "one has all, and one half");
+    observe(&mut observer, 20, 0, MemberEvent::Senders(1));
+    assert!(
+        observer.largest_share() <= 1.0,
+        "a single running member may use the whole limit"
+    );
+    observe(&mut observer, 21, 1, MemberEvent::Started);
+    assert!(
+        observer.largest_share() > 1.4,
+        "one member uses the whole limit and the other half of it"
+    );
 }
 
-/// A restarted member counts as seen only in its present incarnation.
+/// A restarted member counts as seen only in its new incarnation.
 #[test]
 fn restarted_members_are_seen_in_their_new_incarnation() {
-    let figures = played(&plan(Disturbance::Restarts { count: 10 }, 5));
+    let figures = run(&plan(Disturbance::Restarts { count: 10 }, 5));
     assert_eq!(figures.failed(1.0), Vec::<String>::new(), "{figures:?}");
     assert!(
         figures.agreed_after.is_some_and(|after| !after.is_zero()),
@@ -187,17 +195,17 @@
     );
     assert_eq!(
         figures.detection, None,
-        "back long before a suspicion is over, so nobody holds them to be down"
+        "the members restart before a suspicion ends, so no view holds them to be down"
     );
 }
 
-/// All members of a rack or zone go down.
+/// The loss of a rack or a zone is detected, and the views of the remaining members agree.
 #[test]
-fn all_members_of_a_rack_or_zone_go_down() {
+fn loss_of_a_rack_or_zone_is_detected() {
     let detected = |disturbance| {
-        let figures = played(&plan(disturbance, 7));
+        let figures = run(&plan(disturbance, 7));
         assert_eq!(figures.failed(1.0), Vec::<String>::new(), "{figures:?}");
-        figures.detection.expect("some have crashed")
+        figures.detection.expect("some members have crashed")
     };
     let (rack, zone) = (
         detected(Disturbance::RackDown),
@@ -206,12 +214,12 @@
     assert!(rack.most > 0.0 && zone.most > 0.0);
 }
 
-/// Without faults every packet arrives, so both directions count the same.
+/// Without faults every packet arrives, so the bytes sent and received are equal.
 #[test]
 fn bytes_are_counted_in_both_directions() {
-    // Packets in flight as the measured duration begins are received and not sent: few, compared with ten minutes.
+    // Packets in flight when the measured duration begins count as received and not as sent; over ten minutes they are few.
     let duration = Duration::from_secs(600);
-    let figures = played(&SimulatedFleetPlan {
+    let figures = run(&SimulatedFleetPlan {
         duration,
         ..plan(Disturbance::None, 8)
     });
@@ -229,31 +237,31 @@
     );
 }
 
-/// A plan that can't be played is an error before anything starts, on one line.
-fn assert_rejected(plan: &SimulatedFleetPlan, start: &str) {
-    let error: SimulatedFleetError = play(plan).expect_err(start);
+/// Checks that an invalid plan is rejected with a one-line error that has this prefix.
+fn assert_rejected(plan: &SimulatedFleetPlan, prefix: &str) {
+    let error: SimulatedFleetError = play(plan).expect_err(prefix);
     let text = error.to_string();
     assert!(
-        text.starts_with(start) && !text.contains('\n'),
+        text.starts_with(prefix) && !text.contains('\n'),
         "{plan:?}: {text}"
     );
 }
 
-fn sized(members: usize) -> SimulatedFleetPlan {
+fn with_members(members: usize) -> SimulatedFleetPlan {
     SimulatedFleetPlan {
         members,
         ..plan(Disturbance::None, 1)
     }
 }
 
-fn lasting(duration: Duration) -> SimulatedFleetPlan {
+fn with_duration(duration: Duration) -> SimulatedFleetPlan {
     SimulatedFleetPlan {
         duration,
         ..plan(Disturbance::None, 1)
     }
 }
 
-fn timed(timing: Timing) -> SimulatedFleetPlan {
+fn with_timing(timing: Timing) -> SimulatedFleetPlan {
     SimulatedFleetPlan {
         timing,
         ..plan(Disturbance::None, 1)
@@ -261,21 +269,21 @@
 }
 
 #[test]
-fn fleets_and_durations_out_of_range_are_errors() {
-    assert_rejected(&sized(0), "members: 0 ");
-    assert_rejected(&sized(1), "members: 1 ");
-    assert_rejected(&sized(MAX_MEMBERS + 1), "members: 2001 ");
+fn plans_with_members_or_duration_out_of_range_are_rejected() {
+    assert_rejected(&with_members(0), "members: 0 ");
+    assert_rejected(&with_members(1), "members: 1 ");
+    assert_rejected(&with_members(MAX_MEMBERS + 1), "members: 2001 ");
     let udp = SimulatedFleetPlan {
         transport: Transport::Udp,
-        ..sized(usize::MAX)
+        ..with_members(usize::MAX)
     };
     assert_rejected(&udp, "members: ");
-    assert_rejected(&lasting(Duration::ZERO), "duration: ");
-    assert_rejected(&lasting(Duration::MAX), "duration: ");
+    assert_rejected(&with_duration(Duration::ZERO), "duration: ");
+    assert_rejected(&with_duration(Duration::MAX), "duration: ");
 }
 
 #[test]
-fn disturbances_that_do_not_fit_the_fleet_are_errors() {
+fn disturbances_that_do_not_fit_the_fleet_are_rejected() {
     let halves = Disturbance::Halves {
         duration: Duration::MAX,
     };
@@ -300,7 +308,7 @@
 }
 
 #[test]
-fn timings_and_conditions_out_of_range_are_errors() {
+fn timings_and_conditions_out_of_range_are_rejected() {
     let second = Duration::from_secs(1);
     let usual = Timing::default();
     let period = Timing {
@@ -315,14 +323,14 @@
         suspicion: Some(second / 2),
         ..usual
     };
-    let late = Timing {
-        late: Duration::ZERO,
+    let max_packet_age = Timing {
+        max_packet_age: Duration::ZERO,
         ..usual
     };
-    assert_rejected(&timed(period), "timing: period");
-    assert_rejected(&timed(round_trip), "timing: round_trip");
-    assert_rejected(&timed(suspicion), "timing: suspicion");
-    assert_rejected(&timed(late), "timing: late");
+    assert_rejected(&with_timing(period), "timing: period");
+    assert_rejected(&with_timing(round_trip), "timing: round_trip");
+    assert_rejected(&with_timing(suspicion), "timing: suspicion");
+    assert_rejected(&with_timing(max_packet_age), "timing: max_packet_age");
     let loss = SimulatedFleetPlan {
         conditions: Conditions {
             loss: f64::NAN,
