--- a/crates/capacity/src/catalog.rs
+++ b/crates/capacity/src/catalog.rs
@@ -1,19 +1,19 @@
-//! All quantities that sweeps measure.
+//! The catalog of all quantities that sweeps measure.
 
 use crate::plan;
 use crate::quantity::{Axis, Consequence, Direction, Kind, Quantity, Role, Sweep, Unit};
 
-/// How far a count or the exact size of a message may move between runs.
+/// How much worse a count or the size of a message may be in a later run, as a fraction of the stated figure.
 const EXACT_BOUND: f64 = 0.02;
-/// How far memory may move: allocators and page sizes differ.
+/// How much worse a memory figure may be: allocators and page sizes differ.
 const MEMORY_BOUND: f64 = 0.25;
-/// How far a time may move on the same machine.
+/// How much worse a time may be on the same machine.
 const TIME_BOUND: f64 = 1.0;
 
-/// How far the traffic of membership may move: its gossip is random.
+/// How much worse a traffic figure of membership may be: gossip is random.
 const MEMBERSHIP_BOUND: f64 = 0.2;
 
-/// What most quantities have in common.
+/// Default values of a quantity.
 const BASE: Quantity = Quantity {
     id: "",
     sweep: Sweep::Destinations,
@@ -25,25 +25,29 @@
     description: "",
     budget: None,
     consequence: Consequence::Budget,
-    ceiling: f64::INFINITY,
+    max_value: f64::INFINITY,
     bound: EXACT_BOUND,
 };
+/// Default values of a time.
 const TIMED: Quantity = Quantity {
     kind: Kind::Time,
     unit: Unit::Seconds,
     bound: TIME_BOUND,
     ..BASE
 };
+/// Default values of a count or size in the backlog sweep.
 const BACKLOG: Quantity = Quantity {
     sweep: Sweep::Backlog,
     axis: Axis::Backlog,
     ..BASE
 };
+/// Default values of a time in the backlog sweep.
 const BACKLOG_TIMED: Quantity = Quantity {
     sweep: Sweep::Backlog,
     axis: Axis::Backlog,
     ..TIMED
 };
+/// Default values of a count or size in the members sweep.
 const MEMBERS: Quantity = Quantity {
     sweep: Sweep::Members,
     axis: Axis::Members,
@@ -51,6 +55,7 @@
     bound: MEMBERSHIP_BOUND,
     ..BASE
 };
+/// Default values of a time in the members sweep.
 const MEMBERS_TIMED: Quantity = Quantity {
     sweep: Sweep::Members,
     axis: Axis::Members,
@@ -58,7 +63,7 @@
     ..TIMED
 };
 
-/// All quantities, in the order of the page.
+/// All quantities, in the order of the page's rows.
 pub const QUANTITIES: &[Quantity] = &[
     Quantity {
         id: "destinations.resident",
@@ -176,7 +181,7 @@
         id: "backlog.out-of-order",
         unit: Unit::Part,
         description: "part of the first 1,000 sent that is not among the 1,000 with the earliest deadlines",
-        ceiling: 1.0,
+        max_value: 1.0,
         ..BACKLOG
     },
     Quantity {
@@ -371,7 +376,7 @@
     },
 ];
 
-/// The quantity of this id.
+/// The quantity with this id; `None` if the catalog has none.
 pub fn quantity(id: &str) -> Option<&'static Quantity> {
-    QUANTITIES.iter().find(|q| q.id == id)
+    QUANTITIES.iter().find(|quantity| quantity.id == id)
 }
--- a/crates/capacity/src/compare.rs
+++ b/crates/capacity/src/compare.rs
@@ -1,4 +1,4 @@
-//! Comparison of a fresh run with the figures that the page states.
+//! Compares the figures of a new run with those that the page states.
 
 use std::fmt;
 
@@ -7,49 +7,52 @@
 use crate::stated::{Run, Stated};
 use crate::table::number;
 
-/// A difference between a fresh figure and a stated one.
+/// A difference between a new figure and the stated one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Worse by more than the stated bound.
+    /// The value is worse than the stated one by more than the stated bound.
     Missed {
-        /// The quantity.
+        /// Id of the quantity.
         id: &'static str,
-        /// The value on the page.
+        /// Value on the page.
         stated: f64,
-        /// The measured value.
+        /// Value of the new run at the planned size.
         fresh: f64,
-        /// By how much it may be worse, as a part of the stated value.
+        /// How much worse the value may be, as a fraction of the stated value.
         bound: f64,
     },
-    /// The page says that the budget holds, and it does not.
-    BudgetLost {
-        /// The quantity.
+    /// The budget holds by the page, and does not hold in the new run.
+    BudgetExceeded {
+        /// Id of the quantity.
         id: &'static str,
-        /// Its budget.
+        /// Budget of the quantity.
         budget: f64,
-        /// The measured value.
+        /// Value of the new run at the planned size.
         fresh: f64,
     },
-    /// Better by more than the bound: the page should be brought up to date.
+    /// The value is better than the stated one by more than the bound, so the page should be updated.
     Better {
-        /// The quantity.
+        /// Id of the quantity.
         id: &'static str,
-        /// The value on the page.
+        /// Value on the page.
         stated: f64,
-        /// The measured value.
+        /// Value of the new run at the planned size.
         fresh: f64,
     },
-    /// Measured and not on the page.
-    Unstated {
-        /// The quantity.
+    /// The quantity was measured and is missing from the page.
+    NotOnPage {
+        /// Id of the quantity.
         id: &'static str,
     },
 }
 
 impl Verdict {
-    /// Whether the run fails by it.
+    /// Whether this difference makes the run fail.
     pub fn fails(&self) -> bool {
-        matches!(self, Verdict::Missed { .. } | Verdict::BudgetLost { .. })
+        matches!(
+            self,
+            Verdict::Missed { .. } | Verdict::BudgetExceeded { .. }
+        )
     }
 }
 
@@ -66,13 +69,13 @@
                     (number(*stated), number(*fresh), number(bound * 100.0));
                 write!(
                     f,
-                    "MISSED: {id}: {fresh}, stated {stated}, which is worse by more than {percent}%"
+                    "MISSED: {id}: {fresh}, stated {stated}; worse by more than {percent}%"
                 )
             }
-            Verdict::BudgetLost { id, budget, fresh } => {
+            Verdict::BudgetExceeded { id, budget, fresh } => {
                 write!(
                     f,
-                    "BUDGET LOST: {id}: {} of a budget of {}",
+                    "BUDGET LOST: {id}: {}, budget {}",
                     number(*fresh),
                     number(*budget)
                 )
@@ -85,40 +88,42 @@
                     number(*stated)
                 )
             }
-            Verdict::Unstated { id } => write!(f, "not on the page: {id}"),
+            Verdict::NotOnPage { id } => write!(f, "not on the page: {id}"),
         }
     }
 }
 
-/// Compares fresh figures with the page. A quick run compares only counts and bytes.
+/// Compares new figures with those of the page. In a quick run, only counts and bytes are compared.
 pub fn compare(run: Run, figures: &[Figure], stated: &[Stated]) -> Vec<Verdict> {
-    let judged = figures
+    let compared = figures
         .iter()
-        .filter(|f| run == Run::Full || f.quantity.kind == Kind::CountOrBytes);
-    judged.flat_map(|figure| verdicts(figure, stated)).collect()
+        .filter(|figure| run == Run::Full || figure.quantity.kind == Kind::CountOrBytes);
+    compared
+        .flat_map(|figure| verdicts(figure, stated))
+        .collect()
 }
 
 fn verdicts(figure: &Figure, stated: &[Stated]) -> Vec<Verdict> {
     let id = figure.quantity.id;
-    let Some(stated) = stated.iter().find(|s| s.quantity.id == id) else {
-        return vec![Verdict::Unstated { id }];
+    let Some(stated) = stated.iter().find(|stated| stated.quantity.id == id) else {
+        return vec![Verdict::NotOnPage { id }];
     };
     let fresh = figure.planned();
-    let mut all = Vec::new();
+    let mut verdicts = Vec::new();
     let margin = stated.planned.abs() * stated.bound;
     let excess = match figure.quantity.direction {
         Direction::Cost => fresh - stated.planned,
         Direction::Benefit => stated.planned - fresh,
     };
     if excess > margin {
-        all.push(Verdict::Missed {
+        verdicts.push(Verdict::Missed {
             id,
             stated: stated.planned,
             fresh,
             bound: stated.bound,
         });
     } else if excess < -margin {
-        all.push(Verdict::Better {
+        verdicts.push(Verdict::Better {
             id,
             stated: stated.planned,
             fresh,
@@ -126,7 +131,7 @@
     }
     if let (Some(true), Some(false), Some(budget)) = (stated.holds, figure.holds(), figure.budget())
     {
-        all.push(Verdict::BudgetLost { id, budget, fresh });
+        verdicts.push(Verdict::BudgetExceeded { id, budget, fresh });
     }
-    all
+    verdicts
 }
--- a/crates/capacity/src/derived.rs
+++ b/crates/capacity/src/derived.rs
@@ -1,18 +1,18 @@
-//! Figures that are derived from several measured ones, at the planned size.
+//! Derives further figures at the planned size from several measured ones.
 
 use crate::figure::Figure;
 use crate::plan;
 use crate::stated::Stated;
 use crate::table::number;
 
-/// How long discovery holds a watch without a change, in seconds.
+/// Seconds for which discovery holds a watch open without a change.
 const WATCH_HOLD: f64 = 3.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// Changes of configuration a second.
+/// Changes of configuration per second.
 const CHANGES_PER_SECOND: f64 = plan::CHANGES_PER_DAY / SECONDS_PER_DAY;
 
-/// States of the fleet in which a sender's control bytes are derived: the row's label, and a part of the ids of the
-/// figures of membership.
+/// States of the fleet for which a sender's control bytes are derived: the row's label, and the part of the ids of the membership
+/// figures that names the state.
 const FLEET_STATES: [(&str, &str); 6] = [
     ("control bytes of a sender, quiet", "quiet"),
     ("control bytes of a sender, one in ten crashed", "crashes"),
@@ -28,7 +28,7 @@
 /// A derived figure.
 struct Derived {
     label: &'static str,
-    /// What it is derived from.
+    /// The figures from which the value is derived, as the row names them.
     from: &'static str,
     value: f64,
     unit: &'static str,
@@ -51,23 +51,23 @@
     }
 }
 
-/// What can be derived from the figures of a run, as a Markdown table.
+/// All figures that can be derived from those of a run, as a Markdown table.
 pub fn of_run(figures: &[Figure]) -> Vec<String> {
     rows(&|id| {
-        let figure = figures.iter().find(|f| f.quantity.id == id);
+        let figure = figures.iter().find(|figure| figure.quantity.id == id);
         figure.map(Figure::planned)
     })
 }
 
-/// What can be derived from the figures that a page states, as a Markdown table.
+/// All figures that can be derived from those that a page states, as a Markdown table.
 pub fn of_page(stated: &[Stated]) -> Vec<String> {
     rows(&|id| {
-        let stated = stated.iter().find(|s| s.quantity.id == id);
-        stated.map(|s| s.planned)
+        let stated = stated.iter().find(|stated| stated.quantity.id == id);
+        stated.map(|stated| stated.planned)
     })
 }
 
-/// A measured figure at the planned size, by its id.
+/// Returns the value of a measured figure at the planned size, by its id; `None` if it was not measured.
 type Measured<'a> = &'a dyn Fn(&str) -> Option<f64>;
 
 fn rows(measured: Measured<'_>) -> Vec<String> {
@@ -86,8 +86,8 @@
     head.into_iter().map(str::to_owned).chain(rows).collect()
 }
 
-/// Bytes a second between a sender and discovery. A watch without a change is answered by a list without rows, which is
-/// shorter than one with a change.
+/// Upper bound of the bytes per second between a sender and discovery. Every watch is counted as one with a change; the answer to a
+/// watch without a change is a list without rows, which is shorter.
 fn discovery_bytes(measured: Measured<'_>) -> Option<f64> {
     let watches = CHANGES_PER_SECOND + 1.0 / WATCH_HOLD;
     Some(measured("destinations.change-bytes")? * watches)
@@ -162,7 +162,7 @@
     })
 }
 
-/// What follows from the plan alone.
+/// Figures that follow from the plan alone.
 fn event_rates() -> [Derived; 2] {
     let to_destination = plan::EVENTS_PER_SECOND / plan::DESTINATIONS;
     [
--- a/crates/capacity/src/figure.rs
+++ b/crates/capacity/src/figure.rs
@@ -1,4 +1,4 @@
-//! A quantity with its samples, and what follows from them at the planned size.
+//! A quantity with its samples, and the value that follows from them at the planned size.
 
 use serde::Serialize;
 
@@ -6,39 +6,39 @@
 use crate::quantity::{Direction, Quantity};
 use crate::sample::{Sample, Samples};
 
-/// Halvings after which an interval of sizes is below the precision of its ends.
+/// Steps of a bisection, after which the interval is smaller than the precision of `f64`.
 const BISECTION_STEPS: u32 = 64;
 
-/// What follows from the samples of a quantity.
+/// The evaluation of a quantity's samples.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(tag = "finding", rename_all = "kebab-case")]
 pub enum Finding {
-    /// A cost that grows with the size.
+    /// A fitted function of the size.
     Fitted(Fit),
-    /// It works up to this size, and fails at `fails` where that was reached.
+    /// The largest size up to which something works.
     Limit {
-        /// The largest size that works.
+        /// Largest size that works.
         holds: f64,
-        /// The smallest size that fails.
+        /// Smallest size that fails; `None` if none was found.
         fails: Option<f64>,
     },
 }
 
-/// One row of the page.
+/// A quantity's samples and their evaluation: one row of the page.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Figure {
-    /// What it is a figure of.
+    /// The quantity that was measured.
     pub quantity: &'static Quantity,
-    /// What was measured.
+    /// The measurements.
     pub samples: Samples,
-    /// What follows from that.
+    /// The evaluation of the measurements.
     pub finding: Finding,
-    /// What a reader must know of the measurement: sizes that were not played, or not as they should have been.
+    /// Remark on the measurement, such as on sizes that were skipped.
     pub remark: Option<String>,
 }
 
 impl Figure {
-    /// A figure whose value at the planned size is read off a fit.
+    /// A figure whose samples are fitted as a function of the size.
     ///
     /// # Errors
     /// There are too few samples for a fit.
@@ -52,7 +52,7 @@
         })
     }
 
-    /// A figure of the size up to which something works.
+    /// A figure of the largest size up to which something works.
     pub fn limit(
         quantity: &'static Quantity,
         samples: Samples,
@@ -67,36 +67,36 @@
         }
     }
 
-    /// The value at the planned size: of a limit, the largest size that works; otherwise the sample at that size, or
-    /// else the fit.
+    /// The value at the planned size. For a limit it is the largest size that works; otherwise it is the sample at the planned
+    /// size or, without one, the value of the fit, capped at the quantity's largest possible value.
     pub fn planned(&self) -> f64 {
         let planned = self.quantity.axis.planned();
         match self.finding {
             Finding::Limit { holds, .. } => holds,
             Finding::Fitted(fit) => match self.planned_sample() {
                 Some(sample) => sample.value,
-                None => fit.shape.at(planned).min(self.quantity.ceiling),
+                None => fit.shape.at(planned).min(self.quantity.max_value),
             },
         }
     }
 
-    /// Whether the value at the planned size was measured there.
+    /// Whether a sample at the planned size exists.
     pub fn is_measured(&self) -> bool {
         self.planned_sample().is_some()
     }
 
-    /// The sample at the planned size, to the nearest whole number.
+    /// The sample at the planned size, rounded to a whole number.
     fn planned_sample(&self) -> Option<&Sample> {
         let planned = self.quantity.axis.planned();
         let mut samples = self.samples.as_slice().iter();
         samples.find(|s| (s.size - planned).abs() < 0.5)
     }
 
-    /// The budget; for a limit, the planned size.
+    /// The budget of the value; for a limit it is the planned size.
     pub fn budget(&self) -> Option<f64> {
         match self.finding {
             Finding::Limit { .. } => Some(self.quantity.axis.planned()),
-            Finding::Fitted(_) => self.quantity.budget.map(|b| b.max),
+            Finding::Fitted(_) => self.quantity.budget.map(|budget| budget.max),
         }
     }
 
@@ -108,7 +108,8 @@
         })
     }
 
-    /// How many times the planned cost fits into the budget; below 1 it does not.
+    /// The budget divided by the planned cost (for a benefit, the inverse); below 1 the budget does not hold. `None` without a
+    /// budget.
     pub fn factor_left(&self) -> Option<f64> {
         let (planned, budget) = (self.planned(), self.budget()?);
         Some(match self.quantity.direction {
@@ -118,8 +119,8 @@
         })
     }
 
-    /// The smallest measured or fitted part of the planned size at which the budget no longer holds; `None` if it holds
-    /// at the planned size.
+    /// The smallest size at which the budget does not hold, by measurement or fit, as a fraction of the planned size; `None` if it
+    /// holds at the planned size or there is no budget.
     pub fn fails_at(&self) -> Option<f64> {
         if self.holds()? {
             return None;
@@ -131,30 +132,30 @@
         }
     }
 
-    /// Where the cost passes its budget: between the two samples where it does, by the fit if that agrees and else by a
-    /// line; or beyond the last one, by the fit.
+    /// The size at which the cost exceeds its budget. Between the two samples where it does, the size is found by the fit if the fit
+    /// crosses the budget there, and by linear interpolation if not. Beyond the last sample it is found by the fit.
     fn crossing(&self, fit: &Fit) -> Option<f64> {
         let budget = self.budget()?;
         let samples = self.samples.as_slice();
         let over = samples.iter().position(|s| s.value > budget);
         let (below, above) = match over {
             Some(0) => return samples.first().map(|s| s.size),
-            Some(place) => (samples[place - 1].size, samples[place].size),
+            Some(index) => (samples[index - 1].size, samples[index].size),
             None => (self.samples.largest_size(), self.quantity.axis.planned()),
         };
         let fitted = fit.shape.at(below) <= budget && fit.shape.at(above) > budget;
         match over {
-            Some(place) if !fitted => {
-                let pair = &samples[place - 1..=place];
-                let part = (budget - pair[0].value) / (pair[1].value - pair[0].value);
-                Some(below + part * (above - below))
+            Some(index) if !fitted => {
+                let pair = &samples[index - 1..=index];
+                let fraction = (budget - pair[0].value) / (pair[1].value - pair[0].value);
+                Some(below + fraction * (above - below))
             }
             _ => Some(bisect(below, above, |size| fit.shape.at(size) > budget)),
         }
     }
 }
 
-/// The size between these two from which on `over` holds, by bisection.
+/// The size between `below` and `above` from which on `over` is true, by bisection.
 fn bisect(mut below: f64, mut above: f64, over: impl Fn(f64) -> bool) -> f64 {
     for _ in 0..BISECTION_STEPS {
         let middle = (below + above) / 2.0;
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,34 +1,34 @@
-//! Least-squares fits of a value over a size: straight, quadratic, or straight with a step.
+//! Least-squares fits of a value as a function of a size: a straight line, a quadratic, or a straight line with a step.
 //!
-//! Sizes lie decades apart, so squares are weighted by the value itself: the residual is relative, and small sizes count
-//! as much as large ones.
+//! Sizes differ by orders of magnitude, so each residual is divided by the value: residuals are relative, and small sizes count as
+//! much as large ones.
 
 use serde::Serialize;
 
 use crate::sample::{Sample, SampleError, Samples};
 
-/// Samples that a fit needs.
+/// Smallest number of samples for a fit.
 pub const MIN_SAMPLES: usize = 3;
-/// Samples that a quadratic needs: one more than it has coefficients.
+/// Smallest number of samples for a quadratic: one more than its coefficients.
 const MIN_QUADRATIC_SAMPLES: usize = 4;
-/// Samples that a step needs: two more than a straight line with a step of known place has coefficients, the place being
-/// a choice of its own.
+/// Smallest number of samples for a step: two more than the coefficients of a straight line with a step at a known size, since
+/// that size is chosen as well.
 const MIN_STEP_SAMPLES: usize = 5;
-/// A value below this part of the largest one is weighted as if it were this large.
+/// Values below this fraction of the largest one are weighted as if they were this large.
 const WEIGHT_FLOOR: f64 = 0.01;
-/// Up to this relative residual a straight line explains the samples.
+/// A straight line is accepted up to this relative residual.
 const MAX_STRAIGHT_RESIDUAL: f64 = 0.05;
-/// Beyond this relative residual a shape says little of other sizes.
-const MAX_CLOSE_RESIDUAL: f64 = 0.15;
-/// A bent shape is preferred if its residual is at most this part of the straight line's.
-const MAX_BENT_RESIDUAL_SHARE: f64 = 0.5;
-/// A bend or step that makes up less than this part of the largest value is taken for noise.
-const MIN_BEND_SHARE: f64 = 0.1;
+/// Above this relative residual a fit does not predict values at other sizes well.
+const MAX_GOOD_RESIDUAL: f64 = 0.15;
+/// A quadratic or step is preferred if its residual is at most this fraction of the straight line's.
+const MAX_ALTERNATIVE_RESIDUAL_SHARE: f64 = 0.5;
+/// A quadratic term or step below this fraction of the largest value is treated as noise.
+const MIN_ALTERNATIVE_SHARE: f64 = 0.1;
 
-/// Why nothing was fitted.
+/// Why samples could not be fitted.
 pub type FitError = SampleError;
 
-/// The shape that fits best.
+/// The shape of a fitted function of the size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(tag = "shape", rename_all = "kebab-case")]
 pub enum Shape {
@@ -36,7 +36,7 @@
     Straight {
         /// Value at size 0.
         base: f64,
-        /// Growth for each unit of the size.
+        /// Increase for each unit of the size.
         slope: f64,
     },
     /// `base + slope * size + square * size^2`
@@ -48,31 +48,31 @@
         /// Coefficient of the size's square.
         square: f64,
     },
-    /// `base + slope * size`, and `step` more from `from` on.
+    /// `base + slope * size`, plus `step` for sizes of at least `from`.
     Step {
         /// Value at size 0.
         base: f64,
-        /// Growth for each unit of the size.
+        /// Increase for each unit of the size.
         slope: f64,
         /// Height of the step.
         step: f64,
-        /// Size of the step.
+        /// Size at which the step begins.
         from: f64,
     },
 }
 
-/// A shape and how far the samples lie from it.
+/// A fitted shape and its residual.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    /// The shape.
+    /// The fitted shape.
     #[serde(flatten)]
     pub shape: Shape,
-    /// Root mean square of the relative distances of the samples.
+    /// Root mean square of the samples' relative deviations from the shape.
     pub residual: f64,
 }
 
 impl Shape {
-    /// The value at a size.
+    /// The value of the shape at a size.
     pub fn at(&self, size: f64) -> f64 {
         match *self {
             Shape::Straight { base, slope } => base + slope * size,
@@ -90,29 +90,29 @@
         }
     }
 
-    /// Whether it is a straight line.
+    /// Whether the shape is a straight line.
     pub fn is_straight(&self) -> bool {
         matches!(self, Shape::Straight { .. })
     }
 }
 
 impl Fit {
-    /// Whether the samples lie so far off that the shape says little of other sizes.
+    /// Whether the residual is so large that the fit does not predict values at other sizes well.
     pub fn is_rough(&self) -> bool {
-        self.residual > MAX_CLOSE_RESIDUAL
+        self.residual > MAX_GOOD_RESIDUAL
     }
 }
 
-/// Fits the simplest shape that explains the samples.
+/// Fits a straight line or, if its residual is large, a quadratic or step that fits clearly better.
 ///
 /// # Errors
-/// There are too few samples.
+/// There are fewer than [`MIN_SAMPLES`] samples.
 pub fn fit(samples: &Samples) -> Result<Fit, FitError> {
     let given = samples.as_slice().len();
     if given < MIN_SAMPLES {
         return Err(SampleError::TooFew {
             given,
-            least: MIN_SAMPLES,
+            required: MIN_SAMPLES,
         });
     }
     let weighted = Weighted::new(samples);
@@ -120,17 +120,19 @@
     if straight.residual <= MAX_STRAIGHT_RESIDUAL {
         return Ok(straight);
     }
-    let bent = [weighted.quadratic(), weighted.step()];
-    let best = bent
+    let alternatives = [weighted.quadratic(), weighted.step()];
+    let best = alternatives
         .into_iter()
         .flatten()
         .min_by(|a, b| a.residual.total_cmp(&b.residual));
     Ok(best
-        .filter(|b| b.residual <= straight.residual * MAX_BENT_RESIDUAL_SHARE)
+        .filter(|alternative| {
+            alternative.residual <= straight.residual * MAX_ALTERNATIVE_RESIDUAL_SHARE
+        })
         .unwrap_or(straight))
 }
 
-/// Samples with the weight of each.
+/// Samples with their weights.
 struct Weighted<'a> {
     samples: &'a [Sample],
     weights: Vec<f64>,
@@ -161,7 +163,7 @@
     fn straight(&self) -> Fit {
         let solved = self.solve(|s| [1.0, s.size / self.largest_size]);
         let [base, slope] = solved.unwrap_or([self.mean(), 0.0]);
-        self.judged(Shape::Straight {
+        self.with_residual(Shape::Straight {
             base,
             slope: slope / self.largest_size,
         })
@@ -173,37 +175,40 @@
         }
         let scaled = |s: &Sample| s.size / self.largest_size;
         let [base, slope, square] = self.solve(|s| [1.0, scaled(s), scaled(s) * scaled(s)])?;
-        if square < self.largest_value * MIN_BEND_SHARE {
+        if square < self.largest_value * MIN_ALTERNATIVE_SHARE {
             return None;
         }
         let (slope, square) = (
             slope / self.largest_size,
             square / self.largest_size.powi(2),
         );
-        Some(self.judged(Shape::Quadratic {
+        Some(self.with_residual(Shape::Quadratic {
             base,
             slope,
             square,
         }))
     }
 
+    /// The best fit of a straight line with a step; `None` with too few samples or only small steps.
     fn step(&self) -> Option<Fit> {
         if self.samples.len() < MIN_STEP_SAMPLES {
             return None;
         }
-        // A step at the first or the last sample can't be told from noise of that sample.
-        let places = self.samples.get(2..self.samples.len() - 1)?;
-        let fits = places.iter().filter_map(|place| self.step_from(place.size));
+        // A step that separates only one sample can't be distinguished from noise of that sample.
+        let candidates = self.samples.get(2..self.samples.len() - 1)?;
+        let fits = candidates
+            .iter()
+            .filter_map(|sample| self.step_from(sample.size));
         fits.min_by(|a, b| a.residual.total_cmp(&b.residual))
     }
 
     fn step_from(&self, from: f64) -> Option<Fit> {
         let above = |s: &Sample| if s.size >= from { 1.0 } else { 0.0 };
         let [base, slope, step] = self.solve(|s| [1.0, s.size / self.largest_size, above(s)])?;
-        if step.abs() < self.largest_value * MIN_BEND_SHARE {
+        if step.abs() < self.largest_value * MIN_ALTERNATIVE_SHARE {
             return None;
         }
-        Some(self.judged(Shape::Step {
+        Some(self.with_residual(Shape::Step {
             base,
             slope: slope / self.largest_size,
             step,
@@ -215,10 +220,16 @@
         self.samples.iter().map(|s| s.value).sum::<f64>() / self.samples.len() as f64
     }
 
-    fn judged(&self, shape: Shape) -> Fit {
-        let distance =
+    /// Adds the residual of the samples to a shape.
+    fn with_residual(&self, shape: Shape) -> Fit {
+        let weighted_square =
             |(s, weight): (&Sample, &f64)| ((shape.at(s.size) - s.value) * weight).powi(2);
-        let squares: f64 = self.samples.iter().zip(&self.weights).map(distance).sum();
+        let squares: f64 = self
+            .samples
+            .iter()
+            .zip(&self.weights)
+            .map(weighted_square)
+            .sum();
         Fit {
             shape,
             residual: (squares / self.samples.len() as f64).sqrt(),
@@ -241,7 +252,7 @@
     }
 }
 
-/// Gaussian elimination with partial pivoting.
+/// Solves `matrix * x = right` by Gaussian elimination with partial pivoting; `None` if the matrix is singular.
 fn eliminate<const N: usize>(mut matrix: [[f64; N]; N], mut right: [f64; N]) -> Option<[f64; N]> {
     for column in 0..N {
         let pivot = (column..N)
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,7 +1,8 @@
-//! The planned size and its cost for each role: budgets, fits of measured sweeps, and the figures of `docs/CAPACITY.md`.
+//! The planned size of a fleet and its cost for each role: budgets, fits of measured sweeps, and the figures of
+//! `docs/CAPACITY.md`.
 //!
-//! Start at [`Figure`]: a [`Quantity`] of the [`catalog`], the samples that a sweep measured, and what follows from them at
-//! the planned size. [`page`] reads the figures that the page states, and [`compare`] compares a fresh run with them.
+//! Start at [`Figure`]: a [`Quantity`] of the [`catalog`], the samples that a sweep measured, and the value that follows from them
+//! at the planned size. [`page`] reads the figures that the page states, and [`compare`] compares a new run with them.
 //! Nothing here reads a clock, a file or a socket; the sweeps themselves are `cranehill_fleet_harness::sweep`.
 
 pub mod catalog;
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -1,4 +1,4 @@
-//! The capacity page: its stated figures, and its update after a run.
+//! Reads the capacity page's figures, and updates the page after a run.
 
 use crate::catalog::QUANTITIES;
 use crate::derived;
@@ -9,35 +9,35 @@
 
 pub use crate::stated::{PageError, Run, Stated, stated};
 
-/// The lines before and after what is derived from the full run's figures.
+/// Marker lines before and after the figures that are derived from those of the full run.
 const DERIVED_MARKS: (&str, &str) = (
     "<!-- worked out from the full run -->",
     "<!-- end of what is worked out -->",
 );
 
-/// The lines before and after the list of failing figures.
+/// Marker lines before and after the table of failing figures.
 const FAILURES_MARKS: (&str, &str) = (
     "<!-- what fails first -->",
     "<!-- end of what fails first -->",
 );
 
-/// The page with these figures in place of those with the same ids; all other rows stay. After a full run, what the page
-/// derives from its figures is derived anew.
+/// Returns the page with these figures in place of those with the same ids; all other rows are kept. After a full run, the derived
+/// figures and the failing figures are updated as well.
 ///
 /// # Errors
-/// The page can't be read, or has no tables for these figures.
+/// The page can't be parsed, or has no marked table for the run.
 pub fn updated(page: &str, run: Run, figures: &[Figure]) -> Result<String, PageError> {
     let before = stated(page, run)?;
     let row = |quantity: &Quantity| {
         let fresh = figures
             .iter()
-            .find(|f| f.quantity.id == quantity.id)
+            .find(|figure| figure.quantity.id == quantity.id)
             .map(table::row);
         fresh.or_else(|| {
             before
                 .iter()
-                .find(|s| s.quantity.id == quantity.id)
-                .map(|s| s.row.clone())
+                .find(|stated| stated.quantity.id == quantity.id)
+                .map(|stated| stated.row.clone())
         })
     };
     let rows: Vec<String> = QUANTITIES.iter().filter_map(row).collect();
@@ -54,7 +54,7 @@
     replaced_if_marked(page, FAILURES_MARKS, &earliest_failures::of_page(&now))
 }
 
-/// The page with these lines between two marks, if it has the marks.
+/// Replaces the lines between two marker lines, if the page has the first one.
 fn replaced_if_marked(
     page: String,
     marks: (&'static str, &'static str),
@@ -67,14 +67,16 @@
     }
 }
 
-/// The page with this text between two marks.
+/// Replaces the text between two marker lines.
 fn replaced(
     page: &str,
     marks: (&'static str, &'static str),
     text: &str,
 ) -> Result<String, PageError> {
     let (begin, end) = marks;
-    let (before, rest) = page.split_once(begin).ok_or(PageError::NoMark(begin))?;
-    let (_, after) = rest.split_once(end).ok_or(PageError::NoMark(end))?;
+    let (before, rest) = page
+        .split_once(begin)
+        .ok_or(PageError::MissingMark(begin))?;
+    let (_, after) = rest.split_once(end).ok_or(PageError::MissingMark(end))?;
     Ok(format!("{before}{begin}\n\n{text}\n\n{end}{after}"))
 }
--- a/crates/capacity/src/plot.rs
+++ b/crates/capacity/src/plot.rs
@@ -1,47 +1,49 @@
-//! The figures of a sweep over its size, as SVG.
+//! Plots the fitted figures of a sweep over its size, as SVG.
 
 use plotters::prelude::*;
 
 use crate::figure::{Figure, Finding};
 use crate::fit::Fit;
 
+/// Width of the image in pixels.
 const WIDTH: u32 = 900;
-/// Height of one figure.
+/// Height of one figure in pixels.
 const HEIGHT: u32 = 320;
 const SAMPLE_COLOR: RGBColor = RGBColor(31, 90, 180);
 const FIT_COLOR: RGBColor = RGBColor(110, 110, 110);
 const BUDGET_COLOR: RGBColor = RGBColor(190, 50, 40);
-/// Segments of a fitted curve.
+/// Number of line segments of a fitted curve.
 const CURVE_SEGMENTS: u32 = 120;
-/// The range of values where none is positive.
+/// Range of the value axis if no value is positive.
 const DEFAULT_RANGE: (f64, f64) = (0.1, 10.0);
 
 /// An error of the drawing library.
 pub type DrawError = DrawingAreaErrorKind<std::io::Error>;
 
-/// Why nothing was drawn.
+/// Why a plot could not be drawn.
 #[derive(Debug, thiserror::Error)]
 pub enum PlotError {
-    /// The background of the image.
+    /// The background of the image could not be drawn.
     #[error("plot of background: {0}")]
     Background(#[source] DrawError),
-    /// One figure.
+    /// One figure could not be drawn.
     #[error("plot of {id}: {source}")]
     Figure {
-        /// The figure's quantity.
+        /// Id of the figure's quantity.
         id: &'static str,
-        /// Why.
+        /// Error of the drawing library.
         source: DrawError,
     },
-    /// The end of the image.
-    #[error("plot of page: {0}")]
-    Page(#[source] DrawError),
+    /// The image could not be completed.
+    #[error("plot of image: {0}")]
+    Image(#[source] DrawError),
 }
 
-/// The fitted figures, one below the other. Both axes are logarithmic, since sizes lie decades apart.
+/// Draws the fitted figures one below the other, and skips limits. Both axes are logarithmic, since sizes differ by orders of
+/// magnitude.
 ///
 /// # Errors
-/// The drawing library failed.
+/// The drawing library fails.
 pub fn svg(figures: &[&Figure]) -> Result<String, PlotError> {
     let fitted: Vec<(&Figure, Fit)> = figures
         .iter()
@@ -60,7 +62,7 @@
             let id = figure.quantity.id;
             draw(area, figure, fit).map_err(|source| PlotError::Figure { id, source })?;
         }
-        root.present().map_err(PlotError::Page)?;
+        root.present().map_err(PlotError::Image)?;
     }
     Ok(text)
 }
@@ -88,9 +90,9 @@
         .x_desc(quantity.axis.name())
         .y_desc(quantity.unit.name())
         .draw()?;
-    let shown = |(size, value): &(f64, f64)| (*size, value.max(low));
+    let clamped = |(size, value): &(f64, f64)| (*size, value.max(low));
     chart.draw_series(LineSeries::new(
-        curve.iter().map(shown),
+        curve.iter().map(clamped),
         FIT_COLOR.stroke_width(1),
     ))?;
     if let Some(budget) = figure.budget().filter(|b| *b > 0.0) {
@@ -104,7 +106,7 @@
     Ok(())
 }
 
-/// Points of the fitted curve, evenly spaced on a logarithmic axis.
+/// Points of size and value on the fitted curve, evenly spaced on a logarithmic axis.
 fn curve(fit: &Fit, first: f64, last: f64) -> Vec<(f64, f64)> {
     (0..=CURVE_SEGMENTS)
         .map(|n| first * (last / first).powf(f64::from(n) / f64::from(CURVE_SEGMENTS)))
@@ -112,17 +114,17 @@
         .collect()
 }
 
-/// The range of all positive values, with some margin.
+/// The range of all positive values, with a factor of two as margin on both sides.
 fn value_range(figure: &Figure, curve: &[(f64, f64)]) -> (f64, f64) {
     let samples = figure.samples.as_slice().iter().map(|s| s.value);
     let values = samples
         .chain(curve.iter().map(|(_, value)| *value))
         .chain(figure.budget());
     let positive: Vec<f64> = values.filter(|v| *v > 0.0).collect();
-    let least = positive.iter().copied().fold(f64::INFINITY, f64::min);
-    if !least.is_finite() {
+    let min = positive.iter().copied().fold(f64::INFINITY, f64::min);
+    if !min.is_finite() {
         return DEFAULT_RANGE;
     }
     let max = positive.iter().copied().fold(0.0, f64::max);
-    (least / 2.0, max * 2.0)
+    (min / 2.0, max * 2.0)
 }
--- a/crates/capacity/src/quantity.rs
+++ b/crates/capacity/src/quantity.rs
@@ -1,24 +1,24 @@
-//! A measured quantity: what it is, who pays for it, by which size it grows, and which budget bounds it.
+//! A measured quantity: its description, the role that bears the cost, the size on which it depends, and its budget.
 
 use serde::Serialize;
 
 use crate::plan::{self, Budget};
 
-/// Who pays for a quantity.
+/// The component that bears the cost of a quantity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// A sender.
+    /// A sender as a whole.
     Sender,
     /// A sender as a member of the fleet.
     Member,
-    /// Discovery.
+    /// The discovery service.
     Discovery,
     /// A sender's journal.
     Journal,
-    /// Whoever submits.
+    /// A client that submits messages.
     Client,
-    /// A destination.
+    /// A destination that messages are delivered to.
     Destination,
 }
 
@@ -26,19 +26,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Axis {
-    /// Destinations in the endpoint list.
+    /// Number of destinations in the endpoint list.
     Destinations,
-    /// Pending messages of one sender.
+    /// Number of pending messages of one sender.
     Backlog,
-    /// Members of the fleet.
+    /// Number of members of the fleet.
     Members,
-    /// Messages a second of one sender.
+    /// Messages per second of one sender.
     EventsPerSecond,
-    /// Real processes that watch one discovery.
+    /// Number of real senders that watch one discovery service.
     Watchers,
 }
 
-/// A group of measurements that is played together.
+/// A group of measurements that vary the same size and run together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Sweep {
@@ -50,7 +50,7 @@
     Members,
     /// Different rates of messages.
     Events,
-    /// Changes of the endpoint list that different numbers of senders watch for.
+    /// Changes of the endpoint list, with different numbers of watching senders.
     Changes,
 }
 
@@ -59,10 +59,10 @@
 pub enum Unit {
     /// Bytes.
     Bytes,
-    /// Bytes a second.
+    /// Bytes per second.
     #[serde(rename = "B/s")]
     BytesPerSecond,
-    /// Packets a second.
+    /// Packets per second.
     #[serde(rename = "packets/s")]
     PacketsPerSecond,
     /// Seconds.
@@ -71,25 +71,25 @@
     /// Milliseconds.
     #[serde(rename = "ms")]
     Milliseconds,
-    /// Processor time in milliseconds a second.
+    /// Processor time in milliseconds per second.
     #[serde(rename = "ms/s")]
     MillisecondsPerSecond,
     /// Processor cores.
     #[serde(rename = "cores")]
     Cores,
-    /// A plain number.
+    /// A number without a unit.
     #[serde(rename = "count")]
     Count,
-    /// A part of a whole, 1 being all.
+    /// A share of a whole, from 0 to 1.
     #[serde(rename = "part")]
     Part,
 }
 
-/// What a figure depends on besides the program: what `--quick` may judge and what it may not.
+/// Whether a figure depends on the machine. A `--quick` run compares only figures that do not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// The same in every run, but for bounded noise of the allocator.
+    /// The same in every run, except for small differences of memory allocation.
     CountOrBytes,
     /// Depends on the machine and its load.
     Time,
@@ -105,47 +105,47 @@
     Benefit,
 }
 
-/// What is broken by a quantity beyond its budget, the gravest first.
+/// The consequence of a quantity that exceeds its budget, the most severe first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Consequence {
-    /// A rule; or messages are lost.
+    /// A rule is violated, or messages are lost.
     Rule,
-    /// Only the budget itself.
+    /// Only the budget is exceeded.
     Budget,
 }
 
-/// One measured quantity.
+/// A measured quantity and its budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quantity {
-    /// Names the row on the page; it never changes.
+    /// Identifies the row on the page, and must not change.
     pub id: &'static str,
-    /// The sweep that measures it.
+    /// The sweep that measures the quantity.
     pub sweep: Sweep,
-    /// Who pays for it.
+    /// The component that bears the cost.
     pub role: Role,
-    /// The size that it depends on.
+    /// The size on which the quantity depends.
     pub axis: Axis,
-    /// Its unit.
+    /// The unit of its values.
     pub unit: Unit,
-    /// Whether it depends on the machine.
+    /// Whether its values depend on the machine.
     pub kind: Kind,
     /// Whether a larger value is worse or better.
     pub direction: Direction,
-    /// What it is, in one phrase.
+    /// Short description for the page.
     pub description: &'static str,
-    /// What bounds it, if anything does.
+    /// The budget of a [`crate::Finding::Fitted`] value, if there is one.
     pub budget: Option<Budget>,
-    /// What is broken beyond the budget.
+    /// The consequence of an exceeded budget.
     pub consequence: Consequence,
-    /// No value is above this, whatever a fit says.
-    pub ceiling: f64,
-    /// By how much a later run may be worse than the stated figure, as a part of that figure.
+    /// Largest possible value; a fitted value is capped at it.
+    pub max_value: f64,
+    /// How much worse a later run may be than the stated figure, as a fraction of that figure.
     pub bound: f64,
 }
 
 impl Axis {
-    /// The planned size.
+    /// The planned size on this axis.
     pub fn planned(self) -> f64 {
         match self {
             Axis::Destinations => plan::DESTINATIONS,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// The size as the page names it.
+    /// Name of the size on the page.
     pub fn name(self) -> &'static str {
         match self {
             Axis::Destinations => "destinations listed",
@@ -168,7 +168,7 @@
 }
 
 impl Sweep {
-    /// All sweeps, in the order in which they are played.
+    /// All sweeps, in the order in which they run.
     pub const ALL: [Sweep; 5] = [
         Sweep::Destinations,
         Sweep::Backlog,
@@ -177,7 +177,7 @@
         Sweep::Changes,
     ];
 
-    /// Its name on the command line.
+    /// Name of the sweep on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Sweep::Destinations => "destinations",
@@ -188,14 +188,14 @@
         }
     }
 
-    /// The sweep of this name.
+    /// The sweep with this name on the command line; `None` if there is none.
     pub fn named(name: &str) -> Option<Sweep> {
-        Sweep::ALL.into_iter().find(|s| s.name() == name)
+        Sweep::ALL.into_iter().find(|sweep| sweep.name() == name)
     }
 }
 
 impl Role {
-    /// As on the page.
+    /// Name of the role on the page.
     pub fn name(self) -> &'static str {
         match self {
             Role::Sender => "sender",
@@ -209,7 +209,7 @@
 }
 
 impl Consequence {
-    /// As on the page.
+    /// Name of the consequence on the page.
     pub fn name(self) -> &'static str {
         match self {
             Consequence::Rule => "a rule, or a loss",
@@ -219,7 +219,7 @@
 }
 
 impl Unit {
-    /// As on the page; empty for a plain number.
+    /// Name of the unit on the page; empty for [`Unit::Count`].
     pub fn name(self) -> &'static str {
         match self {
             Unit::Bytes => "B",
--- a/crates/capacity/src/sample.rs
+++ b/crates/capacity/src/sample.rs
@@ -1,8 +1,8 @@
-//! What a sweep has measured.
+//! The measurements of a sweep.
 
 use serde::Serialize;
 
-/// One measurement: a size and what was measured there.
+/// One measurement of a quantity at one size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Sample {
     /// The size, on the quantity's axis.
@@ -11,58 +11,58 @@
     pub value: f64,
 }
 
-/// Why samples can't be used. The place of a sample counts from 1.
+/// Why samples are not valid. Positions of samples count from 1.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SampleError {
     /// A size that is not above 0.
-    #[error("sample {place}: size {size} is not above zero")]
+    #[error("sample {position}: size {size} is not a positive number")]
     NotPositive {
-        /// Which sample.
-        place: usize,
-        /// Its size.
+        /// Position of the sample.
+        position: usize,
+        /// Size of the sample.
         size: f64,
     },
-    /// A size that no sweep reaches.
-    #[error("sample {place}: size {size} is above {max}, which no sweep reaches")]
-    Absurd {
-        /// Which sample.
-        place: usize,
-        /// Its size.
+    /// A size that is larger than that of any sweep.
+    #[error("sample {position}: size {size} is too large; expected at most {max}")]
+    TooLarge {
+        /// Position of the sample.
+        position: usize,
+        /// Size of the sample.
         size: f64,
-        /// The largest size.
+        /// Largest valid size.
         max: f64,
     },
-    /// A size that is not above the one before it.
-    #[error("sample {place}: size {size} is not above the one before it, {before}")]
+    /// A size that is not larger than the previous one.
+    #[error("sample {position}: size {size} is not larger than the previous size, {before}")]
     NotAscending {
-        /// Which sample.
-        place: usize,
-        /// Its size.
+        /// Position of the sample.
+        position: usize,
+        /// Size of the sample.
         size: f64,
-        /// The size of the sample before it.
+        /// Size of the previous sample.
         before: f64,
     },
     /// A value that is not a finite number.
-    #[error("sample {place}: the value {value} at size {size} is not a finite number")]
+    #[error("sample {position}: the value {value} at size {size} is not a finite number")]
     NotFinite {
-        /// Which sample.
-        place: usize,
-        /// Its size.
+        /// Position of the sample.
+        position: usize,
+        /// Size of the sample.
         size: f64,
-        /// Its value.
+        /// Value of the sample.
         value: f64,
     },
     /// Too few samples for a fit.
-    #[error("{given} samples; a fit needs at least {least}")]
+    #[error("{given} samples; a fit needs at least {required}")]
     TooFew {
-        /// Number of samples.
+        /// Number of samples given.
         given: usize,
-        /// The smallest number for a fit.
-        least: usize,
+        /// Smallest number of samples for a fit.
+        required: usize,
     },
 }
 
-/// Larger sizes are taken for a mistake: this is over 600 times the backlog of all senders.
+/// Larger sizes are rejected as mistakes: this is over 600 times the backlog of all senders.
 const MAX_SIZE: f64 = 1e12;
 
 /// Samples in ascending order of size, each finite.
@@ -71,33 +71,37 @@
 pub struct Samples(Vec<Sample>);
 
 impl Samples {
-    /// Checks the samples.
+    /// Checks that sizes are positive and ascending, and values finite.
     ///
     /// # Errors
-    /// The first sample that is wrong.
+    /// The first sample that is not valid.
     pub fn new(samples: Vec<Sample>) -> Result<Samples, SampleError> {
         let mut before = 0.0;
         for (index, &Sample { size, value }) in samples.iter().enumerate() {
-            let place = index + 1;
+            let position = index + 1;
             if size.is_nan() || size <= 0.0 {
-                return Err(SampleError::NotPositive { place, size });
+                return Err(SampleError::NotPositive { position, size });
             }
             if size > MAX_SIZE {
-                return Err(SampleError::Absurd {
-                    place,
+                return Err(SampleError::TooLarge {
+                    position,
                     size,
                     max: MAX_SIZE,
                 });
             }
             if size <= before {
                 return Err(SampleError::NotAscending {
-                    place,
+                    position,
                     size,
                     before,
                 });
             }
             if !value.is_finite() {
-                return Err(SampleError::NotFinite { place, size, value });
+                return Err(SampleError::NotFinite {
+                    position,
+                    size,
+                    value,
+                });
             }
             before = size;
         }
@@ -109,13 +113,16 @@
         &self.0
     }
 
-    /// The largest absolute value.
+    /// Largest absolute value; 0 without samples.
     pub fn largest_value(&self) -> f64 {
-        self.0.iter().map(|s| s.value.abs()).fold(0.0, f64::max)
+        self.0
+            .iter()
+            .map(|sample| sample.value.abs())
+            .fold(0.0, f64::max)
     }
 
-    /// The largest size; 0 without samples.
+    /// Largest size; 0 without samples.
     pub fn largest_size(&self) -> f64 {
-        self.0.last().map_or(0.0, |s| s.size)
+        self.0.last().map_or(0.0, |sample| sample.size)
     }
 }
--- a/crates/capacity/src/sizes.rs
+++ b/crates/capacity/src/sizes.rs
@@ -1,4 +1,4 @@
-//! The sizes that sweeps play: the default ones, or those of an operator's file.
+//! The sizes that sweeps measure: the default ones, or those of an operator's file.
 
 use std::ops::Range;
 
@@ -11,73 +11,73 @@
 /// Sizes of each sweep, ascending.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sizes {
-    /// Destinations in the endpoint list.
+    /// Numbers of destinations in the endpoint list.
     pub destinations: Vec<u64>,
-    /// Pending messages of one sender.
+    /// Numbers of pending messages of one sender.
     pub backlog: Vec<u64>,
-    /// Members of the fleet.
+    /// Numbers of members of the fleet.
     pub members: Vec<u64>,
-    /// Messages a second of one sender.
+    /// Messages per second of one sender.
     pub events: Vec<u64>,
-    /// Senders that watch for changes.
+    /// Numbers of senders that watch for changes.
     pub changes: Vec<u64>,
 }
 
-/// Why a file of sizes can't be used. Lines count from 1.
+/// Why a file of sizes is not valid. Lines count from 1.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SizesError {
-    /// Not TOML, an unknown key, or a value of the wrong form; the text names the line.
+    /// The file is not TOML, or has an unknown key or a value of the wrong type. The text names the line.
     #[error("{0}")]
     Syntax(String),
     /// A size of 0.
     #[error("line {line}: {sweep}: the size 0 measures nothing")]
     Zero {
-        /// Where.
+        /// Line of the size or list.
         line: usize,
-        /// Of which sweep.
+        /// Name of the sweep.
         sweep: &'static str,
     },
-    /// A size beyond what one machine can play.
+    /// A size that is too large to measure on one machine.
     #[error("line {line}: {sweep}: the size {size} is absurd; at most {max}")]
-    Absurd {
-        /// Where.
+    TooLarge {
+        /// Line of the size or list.
         line: usize,
-        /// Of which sweep.
+        /// Name of the sweep.
         sweep: &'static str,
-        /// The size.
+        /// The size in the file.
         size: u64,
-        /// The sweep's largest size.
+        /// Largest valid size of the sweep.
         max: u64,
     },
-    /// A size that is not above the one before it.
-    #[error("line {line}: {sweep}: {size} is not above the size before it")]
+    /// A size that is not larger than the previous one.
+    #[error("line {line}: {sweep}: the size {size} is not larger than the previous size")]
     NotAscending {
-        /// Where.
+        /// Line of the size or list.
         line: usize,
-        /// Of which sweep.
+        /// Name of the sweep.
         sweep: &'static str,
-        /// The size.
+        /// The size in the file.
         size: u64,
     },
     /// Too few sizes for a fit.
     #[error("line {line}: {sweep}: {given} sizes; a fit needs at least {MIN_SAMPLES}")]
     TooFew {
-        /// Where.
+        /// Line of the size or list.
         line: usize,
-        /// Of which sweep.
+        /// Name of the sweep.
         sweep: &'static str,
-        /// Number of sizes.
+        /// Number of sizes given.
         given: usize,
     },
-    /// A sweep that is to be played has no sizes.
+    /// A sweep that is to run has no sizes.
     #[error("{sweep}: no sizes")]
     Missing {
-        /// Which sweep.
+        /// Name of the sweep.
         sweep: &'static str,
     },
 }
 
-/// A file of sizes, with the place of each value.
+/// A file of sizes, with the position of each value in the text.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -89,7 +89,7 @@
 }
 
 impl Sizes {
-    /// Sizes about a decade apart, up to the planned size where one machine can play it.
+    /// Sizes about a factor of ten apart, up to the planned size where one machine can measure it.
     pub fn full() -> Sizes {
         Sizes {
             destinations: vec![10, 100, 1_000, 10_000, 57_000],
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Sizes whose counts and bytes are measured within two minutes.
+    /// Small sizes, at which counts and bytes can be measured within two minutes.
     pub fn quick() -> Sizes {
         Sizes {
             destinations: vec![10, 100, 1_000, 10_000],
@@ -122,11 +122,11 @@
         }
     }
 
-    /// Reads a file of sizes; sweeps that it does not name keep the sizes that they have here.
+    /// Reads the text of a file of sizes. Sweeps that it does not name keep the sizes of `self`.
     ///
     /// # Errors
-    /// The first thing that is wrong in the file, or a sweep of `played` without sizes.
-    pub fn read(self, text: &str, played: &[Sweep]) -> Result<Sizes, SizesError> {
+    /// The first fault in the file, or a sweep of `required` without sizes.
+    pub fn read(self, text: &str, required: &[Sweep]) -> Result<Sizes, SizesError> {
         let syntax = |e: toml::de::Error| {
             let line = e.span().map_or(1, |span| line_of(text, span));
             SizesError::Syntax(format!("line {line}: {}", e.message()))
@@ -144,7 +144,7 @@
             events: checked(text, Sweep::Events, file.events, self.events)?,
             changes: checked(text, Sweep::Changes, file.changes, self.changes)?,
         };
-        match played.iter().find(|s| sizes.of(**s).is_empty()) {
+        match required.iter().find(|sweep| sizes.of(**sweep).is_empty()) {
             Some(sweep) => Err(SizesError::Missing {
                 sweep: sweep.name(),
             }),
@@ -153,7 +153,7 @@
     }
 }
 
-/// The largest size that one machine can play.
+/// The largest size that one machine can measure.
 fn max_size(sweep: Sweep) -> u64 {
     match sweep {
         Sweep::Destinations => 200_000,
@@ -164,7 +164,7 @@
     }
 }
 
-/// The sizes of a sweep as the file gives them, or the default ones.
+/// Checks the sizes that the file gives for a sweep; the default sizes if it gives none.
 fn checked(
     text: &str,
     sweep: Sweep,
@@ -184,7 +184,7 @@
             return Err(SizesError::Zero { line, sweep });
         }
         if size > max {
-            return Err(SizesError::Absurd {
+            return Err(SizesError::TooLarge {
                 line,
                 sweep,
                 size,
--- a/crates/capacity/src/stated.rs
+++ b/crates/capacity/src/stated.rs
@@ -1,19 +1,19 @@
-//! The figures that `docs/CAPACITY.md` states, read from its two marked tables.
+//! Parses the figures that `docs/CAPACITY.md` states, from its two marked tables.
 
 use crate::catalog::quantity;
 use crate::quantity::Quantity;
 
-/// Which run a table is of.
+/// The kind of run; each has its own table on the page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Run {
-    /// All sizes, times as well.
+    /// All sizes, with times.
     Full,
-    /// `--quick`: small sizes, counts and bytes alone.
+    /// `--quick`: small sizes, only counts and bytes.
     Quick,
 }
 
 impl Run {
-    /// The lines before and after its table.
+    /// Marker lines before and after the run's table.
     pub fn marks(self) -> (&'static str, &'static str) {
         match self {
             Run::Full => (
@@ -28,66 +28,66 @@
     }
 }
 
-/// A figure as the page gives it.
+/// A figure as the page states it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stated {
-    /// What it is a figure of.
+    /// The quantity of the figure.
     pub quantity: &'static Quantity,
     /// The value at the planned size.
     pub planned: f64,
-    /// Whether the budget held; `None` where there is none.
+    /// Whether the budget holds; `None` without a budget.
     pub holds: Option<bool>,
-    /// The smallest part of the planned size at which the budget does not hold, where it does not.
+    /// Smallest size at which the budget does not hold, as a fraction of the planned size; `None` if it holds.
     pub fails_at: Option<f64>,
-    /// By how much a run may be worse, as a part of the figure.
+    /// How much worse a run may be, as a fraction of the figure.
     pub bound: f64,
-    /// The row's text, which stays where a run does not measure the figure.
+    /// Text of the row, which an update keeps if the run did not measure the figure.
     pub(crate) row: String,
 }
 
-/// Why the page can't be read. Lines count from 1.
+/// Why the page can't be parsed. Lines count from 1.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PageError {
-    /// A line before or after a table is missing.
-    #[error("the line '{0}' is missing")]
-    NoMark(&'static str),
-    /// A table has no such column.
+    /// A marker line before or after a table is missing.
+    #[error("marker line '{0}' is missing")]
+    MissingMark(&'static str),
+    /// A table lacks a column.
     #[error("line {line}: no column '{column}'")]
-    NoColumn {
-        /// The table's head.
+    MissingColumn {
+        /// Line of the table's header.
         line: usize,
-        /// The column.
+        /// Name of the column.
         column: &'static str,
     },
-    /// A row is of no quantity of the catalog.
+    /// A row has an id that is not in the catalog.
     #[error("line {line}: no quantity '{id}'")]
-    Unknown {
-        /// The row.
+    UnknownQuantity {
+        /// Line of the row.
         line: usize,
-        /// Its id.
+        /// Id of the row.
         id: String,
     },
-    /// Two rows are of one quantity.
-    #[error("line {line}: '{id}' is stated twice")]
-    Twice {
-        /// The second row.
+    /// Two rows have the same id.
+    #[error("line {line}: duplicate row for '{id}'")]
+    DuplicateRow {
+        /// Line of the second row.
         line: usize,
-        /// Its id.
+        /// Id of the row.
         id: String,
     },
-    /// A cell has the wrong form.
-    #[error("line {line}: {column}: '{text}' can't be read")]
-    Unreadable {
-        /// The row.
+    /// The text of a cell has the wrong format.
+    #[error("line {line}: column '{column}': invalid value '{text}'")]
+    InvalidCell {
+        /// Line of the row.
         line: usize,
-        /// The cell's column.
+        /// Name of the cell's column.
         column: &'static str,
-        /// The cell.
+        /// Text of the cell.
         text: String,
     },
 }
 
-/// Positions of the columns that are read.
+/// Indices of the columns that are parsed.
 struct Columns {
     id: usize,
     planned: usize,
@@ -97,13 +97,14 @@
 }
 
 impl Columns {
+    /// Finds the columns in a table's header.
     fn of(line: usize, head: &str) -> Result<Columns, PageError> {
         let cells = cells(head);
         let position = |column: &'static str| {
             cells
                 .iter()
                 .position(|c| *c == column)
-                .ok_or(PageError::NoColumn { line, column })
+                .ok_or(PageError::MissingColumn { line, column })
         };
         Ok(Columns {
             id: position("id")?,
@@ -115,21 +116,21 @@
     }
 }
 
-/// The figures of one run's table.
+/// Parses the figures of one run's table; none if the table is empty.
 ///
 /// # Errors
-/// The first line that can't be read.
+/// The first fault on the page.
 pub fn stated(page: &str, run: Run) -> Result<Vec<Stated>, PageError> {
     let (begin, end) = run.marks();
     let lines: Vec<&str> = page.lines().collect();
     let first = lines
         .iter()
         .position(|l| l.trim() == begin)
-        .ok_or(PageError::NoMark(begin))?;
+        .ok_or(PageError::MissingMark(begin))?;
     let length = lines[first..]
         .iter()
         .position(|l| l.trim() == end)
-        .ok_or(PageError::NoMark(end))?;
+        .ok_or(PageError::MissingMark(end))?;
     let inside = lines[first..first + length].iter().enumerate();
     let mut rows = inside
         .filter(|(_, l)| l.trim_start().starts_with('|'))
@@ -142,7 +143,7 @@
     for (line, row) in rows.filter(|(_, row)| !row.contains("| --- |")) {
         let figure = read_row(line, row, &columns)?;
         if found.iter().any(|f| f.quantity.id == figure.quantity.id) {
-            return Err(PageError::Twice {
+            return Err(PageError::DuplicateRow {
                 line,
                 id: figure.quantity.id.into(),
             });
@@ -155,13 +156,13 @@
 fn read_row(line: usize, row: &str, columns: &Columns) -> Result<Stated, PageError> {
     let cells = cells(row);
     let cell = |column: usize| cells.get(column).copied().unwrap_or_default();
-    let unreadable = |column, text: &str| PageError::Unreadable {
+    let invalid = |column, text: &str| PageError::InvalidCell {
         line,
         column,
         text: text.into(),
     };
     let id = cell(columns.id).trim_matches('`');
-    let quantity = quantity(id).ok_or_else(|| PageError::Unknown {
+    let quantity = quantity(id).ok_or_else(|| PageError::UnknownQuantity {
         line,
         id: id.into(),
     })?;
@@ -170,16 +171,15 @@
         "yes" => Some(true),
         "NO" => Some(false),
         "-" => None,
-        other => return Err(unreadable("holds", other)),
+        other => return Err(invalid("holds", other)),
     };
     let fails_at = match cell(columns.fails_at) {
         "-" => None,
-        text => Some(percent(text).ok_or_else(|| unreadable("fails at", text))?),
+        text => Some(percent(text).ok_or_else(|| invalid("fails at", text))?),
     };
     let bound = cell(columns.bound);
-    let bound = percent(bound).ok_or_else(|| unreadable("bound", bound))?;
-    let value =
-        leading_number(planned).ok_or_else(|| unreadable("at the planned size", planned))?;
+    let bound = percent(bound).ok_or_else(|| invalid("bound", bound))?;
+    let value = leading_number(planned).ok_or_else(|| invalid("at the planned size", planned))?;
     Ok(Stated {
         quantity,
         planned: value,
@@ -190,6 +190,7 @@
     })
 }
 
+/// The trimmed cells of a table row.
 fn cells(row: &str) -> Vec<&str> {
     row.trim()
         .trim_matches('|')
@@ -198,7 +199,7 @@
         .collect()
 }
 
-/// The number that a cell begins with, given in percent, as a part of 1.
+/// The percentage at the beginning of a cell, as a fraction; `None` if there is none or it is negative.
 fn percent(cell: &str) -> Option<f64> {
     let number = cell.split_whitespace().next()?.strip_suffix('%')?;
     leading_number(number)
@@ -206,7 +207,7 @@
         .map(|p| p / 100.0)
 }
 
-/// The number that a cell begins with.
+/// The number at the beginning of a cell, which may have thousands separators.
 fn leading_number(cell: &str) -> Option<f64> {
     let first = cell.split_whitespace().next()?;
     first
--- a/crates/capacity/src/table.rs
+++ b/crates/capacity/src/table.rs
@@ -1,4 +1,4 @@
-//! Figures as rows of the page, of the command's output and of JSON.
+//! Formats figures as rows of the page, of the command's output and of JSON.
 
 use serde::Serialize;
 
@@ -7,7 +7,7 @@
 use crate::quantity::{Kind, Unit};
 use crate::sample::Sample;
 
-/// The page's columns. [`crate::page::stated`] reads `id`, `at the planned size`, `holds`, `fails at` and `bound`.
+/// Names of the page's columns. [`crate::page::stated`] parses `id`, `at the planned size`, `holds`, `fails at` and `bound`.
 pub const COLUMNS: [&str; 12] = [
     "id",
     "role",
@@ -23,46 +23,46 @@
     "bound",
 ];
 
-/// A figure as it is written to JSON.
+/// A figure in the form in which it is serialized to JSON.
 #[derive(Debug, Serialize)]
 pub struct Row<'a> {
-    /// The quantity.
+    /// Id of the quantity.
     pub id: &'a str,
-    /// The sweep that measures it.
+    /// Name of the sweep that measures the quantity.
     pub sweep: &'a str,
-    /// Who pays for it.
+    /// Name of the component that bears the cost.
     pub role: &'a str,
-    /// What it is.
+    /// Short description of the quantity.
     #[serde(rename = "what")]
     pub description: &'a str,
-    /// Its unit.
+    /// Unit of the values.
     pub unit: Unit,
-    /// Whether it depends on the machine.
+    /// Whether the values depend on the machine.
     pub kind: Kind,
-    /// The size that it depends on.
+    /// Name of the size on which the quantity depends.
     pub axis: &'a str,
-    /// What was measured.
+    /// The measurements.
     pub samples: &'a [Sample],
-    /// What follows from the samples.
+    /// The evaluation of the measurements.
     #[serde(flatten)]
     pub finding: Finding,
     /// The planned size.
     pub planned_size: f64,
     /// The value at the planned size.
     pub planned: f64,
-    /// Whether that value was measured there.
+    /// Whether that value was measured at the planned size.
     pub measured_at_planned_size: bool,
-    /// The budget, in the same unit.
+    /// The budget, in the unit of the values.
     pub budget: Option<f64>,
-    /// Where the budget is given.
+    /// Source of the budget.
     pub budget_source: Option<&'a str>,
-    /// How many times the cost fits into the budget, if it is finite.
+    /// The budget divided by the cost, if that is finite; see [`Figure::factor_left`].
     pub factor_left: Option<f64>,
-    /// Whether the budget holds.
+    /// Whether the budget holds at the planned size.
     pub holds: Option<bool>,
-    /// The smallest part of the planned size at which it does not hold.
+    /// Smallest size at which the budget does not hold, as a fraction of the planned size.
     pub fails_at_part_of_plan: Option<f64>,
-    /// What a reader must know of the measurement.
+    /// Remark on the measurement.
     pub remark: Option<&'a str>,
 }
 
@@ -84,8 +84,8 @@
             planned: figure.planned(),
             measured_at_planned_size: figure.is_measured(),
             budget: figure.budget(),
-            budget_source: quantity.budget.map(|b| b.source),
-            // JSON has no infinity.
+            budget_source: quantity.budget.map(|budget| budget.source),
+            // JSON has no representation of infinity.
             factor_left: figure.factor_left().filter(|f| f.is_finite()),
             holds: figure.holds(),
             fails_at_part_of_plan: figure.fails_at(),
@@ -94,13 +94,17 @@
     }
 }
 
-/// The table's head, as Markdown.
+/// The header of the page's table, as Markdown.
 pub fn head() -> String {
-    let rule: Vec<&str> = COLUMNS.iter().map(|_| "---").collect();
-    format!("| {} |\n| {} |", COLUMNS.join(" | "), rule.join(" | "))
+    let separators: Vec<&str> = COLUMNS.iter().map(|_| "---").collect();
+    format!(
+        "| {} |\n| {} |",
+        COLUMNS.join(" | "),
+        separators.join(" | ")
+    )
 }
 
-/// One figure as a row of Markdown.
+/// A figure as a row of the page's table, as Markdown.
 pub fn row(figure: &Figure) -> String {
     let quantity = figure.quantity;
     let with_unit = |value: f64| {
@@ -110,18 +114,18 @@
     };
     let samples: Vec<String> = figure.samples.as_slice().iter().map(sample).collect();
     let mut measured = samples.join("; ");
-    if let Some(why) = &figure.remark {
-        measured.push_str(&format!(" ({why})"));
+    if let Some(remark) = &figure.remark {
+        measured.push_str(&format!(" ({remark})"));
     }
     let (fit, residual) = finding(figure);
-    let from = if figure.is_measured() {
+    let origin = if figure.is_measured() {
         "measured"
     } else {
         "by the fit"
     };
     let planned = match figure.finding {
         Finding::Limit { .. } => with_unit(figure.planned()),
-        Finding::Fitted(_) => format!("{} {from}", with_unit(figure.planned())),
+        Finding::Fitted(_) => format!("{} {origin}", with_unit(figure.planned())),
     };
     let cells = [
         format!("`{}`", quantity.id),
@@ -134,15 +138,15 @@
         figure.budget().map_or("-".into(), with_unit),
         figure.factor_left().map_or("-".into(), factor),
         holds(figure.holds()).to_owned(),
-        figure.fails_at().map_or("-".into(), |part| {
-            format!("{}% of the plan", number(part * 100.0))
+        figure.fails_at().map_or("-".into(), |fraction| {
+            format!("{}% of the plan", number(fraction * 100.0))
         }),
         format!("{}%", number(quantity.bound * 100.0)),
     ];
     format!("| {} |", cells.join(" | "))
 }
 
-/// The cell in the column `holds`.
+/// Text of the cell in the column `holds`.
 pub fn holds(holds: Option<bool>) -> &'static str {
     match holds {
         Some(true) => "yes",
@@ -176,12 +180,12 @@
 fn shape(fit: &Fit) -> String {
     match fit.shape {
         Shape::Straight { base, slope } => {
-            let doubt = if fit.is_rough() {
+            let prefix = if fit.is_rough() {
                 "**not clearly straight**: "
             } else {
                 ""
             };
-            format!("{doubt}{} + {} n", number(base), number(slope))
+            format!("{prefix}{} + {} n", number(base), number(slope))
         }
         Shape::Quadratic {
             base,
@@ -211,10 +215,11 @@
     }
 }
 
-/// Whole numbers below this are written to their last digit.
+/// Whole numbers below this are written with all digits.
 const MAX_EXACT: f64 = 1e9;
 
-/// Four significant digits, or all of a whole number; thousands are set apart.
+/// Formats a number with four significant digits, or all digits of a whole number below [`MAX_EXACT`], and with thousands
+/// separators. Very large and small numbers are written with an exponent.
 pub fn number(value: f64) -> String {
     if value.fract() == 0.0 && value.abs() < MAX_EXACT {
         return grouped(&format!("{value:.0}"), "");
@@ -223,28 +228,28 @@
     if !(-3..15).contains(&magnitude) {
         return format!("{value:.3e}");
     }
-    let decimals = (3 - magnitude).max(0);
+    let decimal_places = (3 - magnitude).max(0);
     let scale = 10f64.powi(3 - magnitude);
     let rounded = (value * scale).round() / scale;
-    let text = format!("{:.*}", decimals as usize, rounded);
-    let (whole, part) = text.split_once('.').unwrap_or((&text, ""));
-    let part = part.trim_end_matches('0');
-    grouped(whole, part)
+    let text = format!("{:.*}", decimal_places as usize, rounded);
+    let (whole, decimals) = text.split_once('.').unwrap_or((&text, ""));
+    let decimals = decimals.trim_end_matches('0');
+    grouped(whole, decimals)
 }
 
-/// Digits with thousands set apart, and decimals.
-fn grouped(whole: &str, part: &str) -> String {
+/// Joins digits, with thousands separators, and decimals.
+fn grouped(whole: &str, decimals: &str) -> String {
     let (sign, digits) = whole.strip_prefix('-').map_or(("", whole), |d| ("-", d));
     let mut grouped = String::new();
-    for (place, digit) in digits.chars().enumerate() {
-        if place > 0 && (digits.len() - place).is_multiple_of(3) {
+    for (index, digit) in digits.chars().enumerate() {
+        if index > 0 && (digits.len() - index).is_multiple_of(3) {
             grouped.push(',');
         }
         grouped.push(digit);
     }
-    if part.is_empty() {
+    if decimals.is_empty() {
         format!("{sign}{grouped}")
     } else {
-        format!("{sign}{grouped}.{part}")
+        format!("{sign}{grouped}.{decimals}")
     }
 }
--- a/crates/capacity/tests/fits.rs
+++ b/crates/capacity/tests/fits.rs
@@ -1,4 +1,4 @@
-//! Fits recover what the samples were made of, and say how far off they are.
+//! Fits recover the function that generated the samples, and their residual shows the noise.
 
 use cranehill_capacity::{Sample, SampleError, Samples, Shape, fit};
 use proptest::prelude::*;
@@ -13,13 +13,13 @@
     Samples::new(samples.collect()).expect("finite samples")
 }
 
-fn near(found: f64, made: f64, part: f64) -> bool {
-    (found - made).abs() <= part * made.abs().max(1e-12)
+fn near(found: f64, expected: f64, tolerance: f64) -> bool {
+    (found - expected).abs() <= tolerance * expected.abs().max(1e-12)
 }
 
 proptest! {
     #[test]
-    fn a_line_is_recovered(base in 1.0..1e7f64, slope in 0.01..1e4f64) {
+    fn a_straight_line_is_recovered(base in 1.0..1e7f64, slope in 0.01..1e4f64) {
         let fit = fit(&samples(|n| base + slope * n)).expect("a fit");
         let Shape::Straight { base: found, slope: rise } = fit.shape else {
             return Err(TestCaseError::fail(format!("{fit:?}")));
@@ -29,10 +29,10 @@
     }
 
     #[test]
-    fn a_quadratic_fit_is_not_reported_as_linear(
+    fn a_quadratic_is_not_fitted_as_a_straight_line(
         base in 0.01..10.0f64, slope in 1e-6..1e-4f64, part in 0.5..1.0f64,
     ) {
-        // The square makes up half of the largest value or more.
+        // The quadratic term makes up at least half of the largest value.
         let square = part * 2.0 * (base + slope * SIZES[5]) / SIZES[5].powi(2);
         let fit = fit(&samples(|n| base + slope * n + square * n * n)).expect("a fit");
         prop_assert!(!fit.shape.is_straight(), "{fit:?}");
@@ -45,7 +45,7 @@
     }
 
     #[test]
-    fn a_step_is_found_where_it_is(base in 1.0..10.0f64, slope in 1e-6..1e-5f64, times in 3.0..20.0f64) {
+    fn a_step_is_found_at_its_size(base in 1.0..10.0f64, slope in 1e-6..1e-5f64, times in 3.0..20.0f64) {
         let step = base * times;
         let fit = fit(&samples(|n| base + slope * n + if n >= 5_000.0 { step } else { 0.0 })).expect("a fit");
         let Shape::Step { step: found, from, .. } = fit.shape else {
@@ -55,7 +55,7 @@
     }
 
     #[test]
-    fn noise_shows_in_the_residual(base in 1.0..1e3f64, slope in 0.01..10.0f64, noise in 0.001..0.04f64) {
+    fn the_residual_measures_the_noise(base in 1.0..1e3f64, slope in 0.01..10.0f64, noise in 0.001..0.04f64) {
         let mut sign = -1.0;
         let noisy: Vec<Sample> = SIZES.iter().map(|&size| {
             sign = -sign;
@@ -66,7 +66,7 @@
     }
 
     #[test]
-    fn nothing_that_is_measured_makes_a_fit_panic(
+    fn arbitrary_samples_do_not_cause_a_panic(
         values in prop::collection::vec((0.0..1e13f64, prop::num::f64::ANY), 0..8),
     ) {
         let samples = values.into_iter().map(|(size, value)| Sample { size, value }).collect();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn wrong_sizes_are_errors_with_their_place() {
+fn invalid_samples_are_rejected_with_their_position() {
     let made = |sizes: &[f64]| {
         let samples = sizes
             .iter()
@@ -88,25 +88,28 @@
     assert_eq!(
         made(&[1.0, 0.0]).unwrap_err(),
         SampleError::NotPositive {
-            place: 2,
+            position: 2,
             size: 0.0
         }
     );
     assert!(matches!(
         made(&[f64::NAN]),
-        Err(SampleError::NotPositive { place: 1, .. })
+        Err(SampleError::NotPositive { position: 1, .. })
     ));
     assert!(matches!(
         made(&[1.0, 2.0, 1e13]),
-        Err(SampleError::Absurd { place: 3, .. })
+        Err(SampleError::TooLarge { position: 3, .. })
     ));
     assert!(matches!(
         made(&[5.0, 5.0]),
-        Err(SampleError::NotAscending { place: 2, .. })
+        Err(SampleError::NotAscending { position: 2, .. })
     ));
     assert_eq!(
         made(&[]).expect("no samples"),
-        Err(SampleError::TooFew { given: 0, least: 3 })
+        Err(SampleError::TooFew {
+            given: 0,
+            required: 3
+        })
     );
     let infinite = Samples::new(vec![Sample {
         size: 1.0,
@@ -114,6 +117,6 @@
     }]);
     assert!(matches!(
         infinite,
-        Err(SampleError::NotFinite { place: 1, .. })
+        Err(SampleError::NotFinite { position: 1, .. })
     ));
 }
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -1,4 +1,4 @@
-//! The page's figures against a fresh run, and files of sizes.
+//! Update and parsing of the page, comparison of a new run with it, and files of sizes.
 
 use cranehill_capacity::compare::{Verdict, compare};
 use cranehill_capacity::page::{PageError, Run, stated, updated};
@@ -33,12 +33,16 @@
     )
 }
 
-fn memory(a_destination: f64) -> Figure {
-    figure("destinations.resident", |n| 6e6 + a_destination * n)
+fn memory(bytes_per_destination: f64) -> Figure {
+    figure("destinations.resident", |n| 6e6 + bytes_per_destination * n)
 }
 
 fn verdicts(page: &str, run: Run, fresh: &[Figure]) -> Vec<Verdict> {
-    compare(run, fresh, &stated(page, run).expect("the page is read"))
+    compare(
+        run,
+        fresh,
+        &stated(page, run).expect("the page can be parsed"),
+    )
 }
 
 #[test]
@@ -48,17 +52,20 @@
         verdicts(&page, Run::Full, &[memory(300.0), list_taken(500.0)]),
         []
     );
-    // A quarter is its bound.
+    // The bound of this quantity is a quarter.
     assert_eq!(verdicts(&page, Run::Full, &[memory(360.0)]), []);
     let worse = verdicts(&page, Run::Full, &[memory(480.0)]);
     assert!(
         worse.iter().any(|v| matches!(v, Verdict::Missed { .. })),
         "{worse:?}"
     );
-    let lost = worse
+    let budget_exceeded = worse
         .iter()
-        .any(|v| matches!(v, Verdict::BudgetLost { budget: 32e6, .. }));
-    assert!(lost, "23.1 of 32 MB held, 33.4 MB does not: {worse:?}");
+        .any(|v| matches!(v, Verdict::BudgetExceeded { budget: 32e6, .. }));
+    assert!(
+        budget_exceeded,
+        "23.1 MB fit into 32 MB, 33.4 MB do not: {worse:?}"
+    );
     let fewer = verdicts(&page, Run::Full, &[list_taken(450.0)]);
     assert!(
         matches!(fewer[..], [Verdict::Missed { .. }]) && fewer[0].fails(),
@@ -71,13 +78,13 @@
     );
     let other = verdicts(&page, Run::Quick, &[memory(300.0)]);
     assert!(
-        matches!(other[..], [Verdict::Unstated { .. }]),
+        matches!(other[..], [Verdict::NotOnPage { .. }]),
         "each run has its own table: {other:?}"
     );
 }
 
 #[test]
-fn a_quick_run_judges_no_times() {
+fn a_quick_run_compares_no_times() {
     let slow = |factor: f64| figure("destinations.list-step", |n| factor * n);
     let (quick, full) = (Run::Quick, Run::Full);
     let page = updated(EMPTY, quick, &[slow(1e-6)]).expect("updated");
@@ -91,7 +98,7 @@
 }
 
 #[test]
-fn rows_that_a_run_does_not_measure_stay() {
+fn an_update_keeps_rows_that_the_run_did_not_measure() {
     let page = updated(EMPTY, Run::Full, &[memory(300.0)]).expect("updated");
     let page = updated(&page, Run::Full, &[list_taken(500.0)]).expect("updated");
     assert_eq!(stated(&page, Run::Full).expect("read").len(), 2);
@@ -106,44 +113,47 @@
     );
     assert!(
         page.expect("updated").contains("over 13 KB/s | 609.5 s |"),
-        "from rows of this run and of earlier ones"
+        "derived from rows of this run and of earlier ones"
     );
 }
 
 #[test]
 fn page_errors_name_the_line() {
     let page = updated(EMPTY, Run::Full, &[memory(300.0), list_taken(500.0)]).expect("updated");
-    let read = |page: &str| stated(page, Run::Full).expect_err("not to be read");
+    let read = |page: &str| stated(page, Run::Full).expect_err("a fault on the page");
     assert!(matches!(
         read(&page.replace("| yes |", "| maybe |")),
-        PageError::Unreadable { line: 7, .. }
+        PageError::InvalidCell { line: 7, .. }
     ));
     assert!(matches!(
         read(&page.replace("| 25% |", "| much |")),
-        PageError::Unreadable { line: 7, .. }
+        PageError::InvalidCell { line: 7, .. }
     ));
     let unknown = read(&page.replace("destinations.list-taken", "destinations.hope"));
     assert!(
-        matches!(unknown, PageError::Unknown { line: 8, .. }),
+        matches!(unknown, PageError::UnknownQuantity { line: 8, .. }),
         "{unknown}"
     );
     let twice = read(&page.replace("destinations.list-taken", "destinations.resident"));
-    assert!(matches!(twice, PageError::Twice { line: 8, .. }), "{twice}");
+    assert!(
+        matches!(twice, PageError::DuplicateRow { line: 8, .. }),
+        "{twice}"
+    );
     assert!(matches!(
         read(&page.replace("| holds |", "| hopes |")),
-        PageError::NoColumn { line: 5, .. }
+        PageError::MissingColumn { line: 5, .. }
     ));
-    assert!(matches!(read("# Page\n"), PageError::NoMark(_)));
+    assert!(matches!(read("# Page\n"), PageError::MissingMark(_)));
 }
 
 #[test]
-fn fails_at_is_a_part_of_the_planned_size() {
+fn fails_at_is_a_fraction_of_the_planned_size() {
     assert_eq!(list_taken(570.0).fails_at(), Some(0.01));
     assert_eq!(memory(300.0).fails_at(), None);
-    let part = memory(1_000.0)
+    let fraction = memory(1_000.0)
         .fails_at()
         .expect("63 MB do not fit into 32");
-    assert!((part - 26_000.0 / 57_000.0).abs() < 1e-3, "{part}");
+    assert!((fraction - 26_000.0 / 57_000.0).abs() < 1e-3, "{fraction}");
 }
 
 #[test]
@@ -159,14 +169,14 @@
         read("\ndestinations = [10, 0]"),
         Err(SizesError::Zero { line: 2, sweep })
     );
-    let absurd = read("backlog = [1,\n 2,\n 99999999999]");
-    let expected = SizesError::Absurd {
+    let too_large = read("backlog = [1,\n 2,\n 99999999999]");
+    let expected = SizesError::TooLarge {
         line: 3,
         sweep: "backlog",
         size: 99_999_999_999,
         max: 10_000_000,
     };
-    assert_eq!(absurd, Err(expected));
+    assert_eq!(too_large, Err(expected));
     assert_eq!(
         read("members = [5, 5, 6]"),
         Err(SizesError::NotAscending {
@@ -187,15 +197,15 @@
         read("destinations = []"),
         Err(SizesError::Missing { sweep })
     );
-    for wrong in [
+    for text in [
         "destinations = [-1]",
         "destinations = \"many\"",
         "hopes = [1]",
         "destinations = [",
     ] {
         assert!(
-            matches!(read(wrong), Err(SizesError::Syntax(why)) if why.starts_with("line 1: ")),
-            "{wrong}"
+            matches!(read(text), Err(SizesError::Syntax(error)) if error.starts_with("line 1: ")),
+            "{text}"
         );
     }
     let none = Sizes::quick().read("", &[Sweep::Events]);
@@ -203,7 +213,7 @@
 }
 
 #[test]
-fn a_sweep_is_drawn_whatever_its_values() {
+fn zero_values_and_limits_do_not_fail_a_plot() {
     let drawn = [
         memory(300.0),
         figure("destinations.list-step", |_| 0.0),
@@ -217,7 +227,7 @@
     assert_eq!(
         derived::of_run(&drawn).len(),
         4,
-        "two lines of head, and what follows from the plan alone"
+        "two header lines, and two rows that follow from the plan alone"
     );
     assert_eq!(
         [0.0, 73_256_789.0, 73_256_789.5, -0.012_346, 1e-9, 999.96]
--- a/crates/fleet-harness/src/simulated/observer.rs
+++ b/crates/fleet-harness/src/simulated/observer.rs
@@ -88,7 +88,7 @@
     presence_changes: usize,
     /// Number of senders by which each member divides shared limits, and how many running members divide by each number.
     divisors: Vec<u32>,
-    members_by_divisor: BTreeMap<u32, usize>,
+    by_divisor: BTreeMap<u32, usize>,
     largest_share: f64,
     /// Seconds from a crash until a view held the member to be down.
     detections: Vec<f64>,
@@ -112,7 +112,7 @@
             not_started: count,
             presence_changes: 0,
             divisors: vec![count as u32; count],
-            members_by_divisor: BTreeMap::new(),
+            by_divisor: BTreeMap::new(),
             largest_share: 0.0,
             detections: Vec::new(),
             cut_from: None,
@@ -261,12 +261,7 @@
         }
         self.wrong += self.wrong_with(member);
         match (was_running, presence == Presence::Running) {
-            (false, true) => {
-                *self
-                    .members_by_divisor
-                    .entry(self.divisors[member])
-                    .or_default() += 1
-            }
+            (false, true) => *self.by_divisor.entry(self.divisors[member]).or_default() += 1,
             (true, false) => self.remove_divisor(member),
             _ => {}
         }
@@ -334,7 +329,7 @@
     fn set_divisor(&mut self, member: usize, senders: u32) {
         if self.presence[member] == Presence::Running {
             self.remove_divisor(member);
-            *self.members_by_divisor.entry(senders).or_default() += 1;
+            *self.by_divisor.entry(senders).or_default() += 1;
         }
         self.divisors[member] = senders;
         self.update_largest_share();
@@ -342,17 +337,17 @@
 
     fn remove_divisor(&mut self, member: usize) {
         let divisor = self.divisors[member];
-        if let Some(count) = self.members_by_divisor.get_mut(&divisor) {
+        if let Some(count) = self.by_divisor.get_mut(&divisor) {
             *count -= 1;
             if *count == 0 {
-                self.members_by_divisor.remove(&divisor);
+                self.by_divisor.remove(&divisor);
             }
         }
     }
 
     fn update_largest_share(&mut self) {
         let share = self
-            .members_by_divisor
+            .by_divisor
             .iter()
             .map(|(divisor, count)| *count as f64 / f64::from(*divisor))
             .sum();
