--- a/crates/capacity/src/table.rs
+++ b/crates/capacity/src/table.rs
@@ -218,7 +218,7 @@
 /// Whole numbers below this are written with all digits.
 const MAX_EXACT: f64 = 1e9;
 
-/// Formats a number with four significant digits, or all digits of a whole number below [`MAX_EXACT`], and with thousands
+/// Formats a number with four significant digits, or all digits of a whole number below `MAX_EXACT`, and with thousands
 /// separators. Very large and small numbers are written with an exponent.
 pub fn number(value: f64) -> String {
     if value.fract() == 0.0 && value.abs() < MAX_EXACT {
