--- a/crates/fleet-harness/src/report/agreement.rs
+++ b/crates/fleet-harness/src/report/agreement.rs
@@ -52,7 +52,7 @@
             events.insert(fault.at, String::new());
             events.insert(fault.until, end);
         }
-        for &(stopped, restarted) in self.timeline.away.values().flatten() {
+        for &(stopped, restarted) in self.timeline.absences.values().flatten() {
             events.entry(stopped).or_default();
             if let Some(restarted) = restarted {
                 events
--- a/crates/fleet-harness/src/report/detection.rs
+++ b/crates/fleet-harness/src/report/detection.rs
@@ -67,8 +67,9 @@
 
     fn kills(&self, outcome: &Outcome) -> Vec<Kill> {
         let kill = |&(member, at): &(usize, Duration)| {
-            let away = self.timeline.away.get(&member);
-            let restarted = away.and_then(|away| away.iter().find(|span| span.0 >= at)?.1);
+            let absences = self.timeline.absences.get(&member);
+            let restarted =
+                absences.and_then(|absences| absences.iter().find(|span| span.0 >= at)?.1);
             Kill {
                 member,
                 at,
--- a/crates/fleet-harness/src/report/limits.rs
+++ b/crates/fleet-harness/src/report/limits.rs
@@ -105,14 +105,14 @@
     };
     let cuts = plan.scenario.network_faults.iter().filter(is_cut);
     let longest_cut = cuts.map(|fault| fault.until - fault.at).max();
-    let away = timeline.away.values().flatten();
-    let longest_away = away
+    let absences = timeline.absences.values().flatten();
+    let longest_absence = absences
         .map(|(stopped, restarted)| match restarted {
             Some(restarted) => restarted.saturating_sub(*stopped),
             None => Duration::MAX,
         })
         .max();
-    longest_cut.max(longest_away).unwrap_or_default()
+    longest_cut.max(longest_absence).unwrap_or_default()
 }
 
 /// Average calls per second of these senders to a destination within a span.
--- a/crates/fleet-harness/src/restarts.rs
+++ b/crates/fleet-harness/src/restarts.rs
@@ -66,7 +66,7 @@
             }
         }
         let spans: Vec<Range<Duration>> = timeline
-            .away
+            .absences
             .values()
             .flatten()
             .filter_map(|(stopped, restarted)| Some(*stopped..(*restarted)? + RESTART_TIME))
@@ -145,7 +145,7 @@
 }
 
 impl SlidingCount {
-    /// Adds an event and restarts the number of events in the window, including this one.
+    /// Adds an event and returns the number of events in the window, including this one.
     fn add(&mut self, at: Duration) -> u32 {
         self.times.push_back(at);
         while self
--- a/crates/fleet-harness/src/shares.rs
+++ b/crates/fleet-harness/src/shares.rs
@@ -46,16 +46,17 @@
     largest
 }
 
+/// All members' changes, ordered by time.
 fn changes(timeline: &Timeline, members: usize) -> Vec<(Duration, usize, Change)> {
     let divisor_changes = timeline
         .senders
         .iter()
         .map(|&(at, by, senders)| (at, by, Change::DivisorChanged(senders)));
     let mut changes: Vec<(Duration, usize, Change)> = divisor_changes.collect();
-    for (&member, away) in &timeline.away {
-        for &(removed, back) in away {
-            changes.push((removed, member, Change::Stopped));
-            changes.extend(back.map(|back| (back, member, Change::Restarted)));
+    for (&member, absences) in &timeline.absences {
+        for &(stopped, restarted) in absences {
+            changes.push((stopped, member, Change::Stopped));
+            changes.extend(restarted.map(|restarted| (restarted, member, Change::Restarted)));
         }
     }
     changes.retain(|change| change.1 < members);
--- a/crates/fleet-harness/src/simulated/member.rs
+++ b/crates/fleet-harness/src/simulated/member.rs
@@ -55,7 +55,7 @@
     },
     /// The member divides shared limits by this number of senders from now on.
     Senders(u32),
-    /// The member ran late, and ignores the missing answers of that time.
+    /// The member ran late, as after a process pause, and postponed its timers by that time.
     ProcessPaused,
     /// The member dropped a received packet.
     PacketDropped,
--- a/crates/fleet-harness/src/simulated/observer.rs
+++ b/crates/fleet-harness/src/simulated/observer.rs
@@ -14,7 +14,7 @@
     pub at: Time,
     /// Number of the member that the event belongs to.
     pub reporter: usize,
-    /// The event.
+    /// The kind of event, with its values.
     pub event: MemberEvent,
 }
 
@@ -44,7 +44,7 @@
     },
     /// The member divides shared limits by this number of senders from now on.
     Senders(u32),
-    /// The member ran late, and ignores the missing answers of that time.
+    /// The member ran late, as after a process pause, and postponed its timers by that time.
     ProcessPaused,
     /// The member dropped a received packet.
     PacketDropped,
--- a/crates/fleet-harness/src/simulated/udp.rs
+++ b/crates/fleet-harness/src/simulated/udp.rs
@@ -253,7 +253,7 @@
 /// Members that run on separate threads until [`Running::end`].
 pub(super) struct Running {
     threads: Vec<Thread>,
-    /// The clock of the observations.
+    /// Clock of the observations' times.
     pub clock: Clock,
     /// Observations of all members.
     pub observations: Receiver<Observation>,
--- a/crates/fleet-harness/src/sweep/backlog.rs
+++ b/crates/fleet-harness/src/sweep/backlog.rs
@@ -105,7 +105,7 @@
     MeasurementError::Journal(Box::new(source)).at(SWEEP, size)
 }
 
-/// A bound on held events that is above the backlog, since that bound is not what is measured.
+/// A bound on held events that is well above the backlog, so that it does not affect the measurement.
 fn max_held_above(size: u64) -> u64 {
     size + size / 4 + 1_000
 }
--- a/crates/fleet-harness/src/sweep/directory.rs
+++ b/crates/fleet-harness/src/sweep/directory.rs
@@ -201,7 +201,7 @@
     }
 }
 
-/// Serves each connection on a thread of its own, until the directory is closed.
+/// Accepts connections and serves each on a separate thread, until the directory is closed.
 fn accept_all(listener: &TcpListener, shared: &Arc<(Mutex<State>, Condvar)>) {
     for stream in listener.incoming().map_while(Result::ok) {
         let number = {
@@ -255,7 +255,7 @@
     NoChange(String),
 }
 
-/// Waits for the answer to a request, for at most `hold_ms` if there is no change; `None` once the directory is closed.
+/// Waits for the answer to a request, for at most `hold_ms` if there is no change; `None` if the directory is closed.
 fn answered(
     number: u64,
     from: Option<u64>,
--- a/crates/fleet-harness/src/sweep/events.rs
+++ b/crates/fleet-harness/src/sweep/events.rs
@@ -12,7 +12,7 @@
 const SWEEP: &str = "events";
 /// Number of endpoints of the simulated destinations, two for each destination.
 const ENDPOINTS: usize = 100;
-/// How long each rate is measured.
+/// Duration of the measurement at each rate.
 const RATE_DURATION: Duration = Duration::from_secs(6);
 
 /// Runs the sweep; `progress` is called with a short text before each measurement.
--- a/crates/fleet-harness/src/sweep/reducer.rs
+++ b/crates/fleet-harness/src/sweep/reducer.rs
@@ -64,7 +64,7 @@
     now: Time,
 }
 
-/// The result of one turn.
+/// Processor time, attempts and final reports of one turn.
 #[derive(Debug, Default)]
 pub(super) struct Turn {
     /// Processor time of the turn.
--- a/crates/fleet-harness/src/sweep/sender.rs
+++ b/crates/fleet-harness/src/sweep/sender.rs
@@ -94,7 +94,7 @@
     /// The process did not listen for clients in time.
     #[error("the sender did not listen for clients within {timeout:?}")]
     NotReady {
-        /// How long was waited.
+        /// The time limit.
         timeout: Duration,
     },
 }
--- a/crates/fleet-harness/src/timeline.rs
+++ b/crates/fleet-harness/src/timeline.rs
@@ -30,7 +30,7 @@
     /// Changes of the members' views, ordered by time.
     pub state_changes: Vec<StateChange>,
     /// For each member: when it ended or was stopped, and when it ran again, if it did.
-    pub away: BTreeMap<usize, Vec<(Duration, Option<Duration>)>>,
+    pub absences: BTreeMap<usize, Vec<(Duration, Option<Duration>)>>,
     /// Members that were killed, and when.
     pub killed: Vec<(usize, Duration)>,
     /// Changes of the number of senders that limits are divided by: time, member, the new number.
@@ -144,14 +144,17 @@
     }
 
     fn record_stop(&mut self, sender: usize, at: Duration) {
-        let away = self.away.entry(sender).or_default();
-        if away.last().is_none_or(|last| last.1.is_some()) {
-            away.push((at, None));
+        let absences = self.absences.entry(sender).or_default();
+        if absences.last().is_none_or(|last| last.1.is_some()) {
+            absences.push((at, None));
         }
     }
 
     fn record_start(&mut self, sender: usize, at: Duration) {
-        if let Some(last) = self.away.get_mut(&sender).and_then(|away| away.last_mut())
+        if let Some(last) = self
+            .absences
+            .get_mut(&sender)
+            .and_then(|absences| absences.last_mut())
             && last.1.is_none()
         {
             last.1 = Some(at);
@@ -173,7 +176,7 @@
 
     /// Whether a member ran during the whole time from `from` to `to`.
     pub fn ran_throughout(&self, sender: usize, from: Duration, to: Duration) -> bool {
-        self.away.get(&sender).is_none_or(|all| {
+        self.absences.get(&sender).is_none_or(|all| {
             all.iter().all(|(stopped, restarted)| {
                 *stopped > to || restarted.is_some_and(|restarted| restarted <= from)
             })
