--- a/crates/fleet-harness/src/report/summary.rs
+++ b/crates/fleet-harness/src/report/summary.rs
@@ -132,7 +132,7 @@
         );
         let void = outcome.void.iter();
         self.failed
-            .extend(void.map(|reason| format!("run not valid: {reason}")));
+            .extend(void.map(|reason| format!("void: {reason}")));
     }
 
     /// Computes processor time and memory of the senders that ran throughout.
