--- a/crates/cranehill/tests/capacity.rs
+++ b/crates/cranehill/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! `cranehill capacity`: bad input, and what a run with small sizes comes to against a page.
+//! `cranehill capacity`: invalid input, and a run with small sizes compared with the figures of a page.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -10,7 +10,7 @@
         .args(args)
         .env_remove("NODE_CONFIG")
         .output()
-        .expect("it runs")
+        .expect("the program runs")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -23,9 +23,9 @@
 
 #[test]
 fn invalid_sizes_are_one_line_with_the_place_and_exit_code_2() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("sizes.toml");
-    for (sizes, notified) in [
+    for (sizes, expected) in [
         (
             "# sizes\nmembers = [10, 0, 30]\n",
             "line 2: members: the size 0 measures nothing",
@@ -46,14 +46,14 @@
             "{line}"
         );
         assert!(
-            line.contains(path(&file)) && line.contains(notified),
+            line.contains(path(&file)) && line.contains(expected),
             "{line}"
         );
     }
     let out = run(&["--sweep", "hopes"]);
     assert_eq!(out.status.code(), Some(2));
     assert!(text(&out.stderr).contains("--sweep: no sweep 'hopes'"));
-    // A quick run has no sizes for what is measured by time alone.
+    // The `events` sweep has no sizes, so a quick run of it is an error.
     assert_eq!(
         run(&["--quick", "--sweep", "events"]).status.code(),
         Some(2)
@@ -62,17 +62,17 @@
 
 #[test]
 fn run_writes_figures_and_fails_if_the_page_states_better_ones() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let [sizes, page, out_dir] =
         ["sizes.toml", "page.md", "out"].map(|name| folder.path().join(name));
     std::fs::write(&sizes, "changes = [1, 2, 3]\n").expect("written");
-    let marks = "<!-- figures of the full run -->\n<!-- end of the full run -->\n\
+    let empty_page = "<!-- figures of the full run -->\n<!-- end of the full run -->\n\
                  <!-- figures of the quick run -->\n<!-- end of the quick run -->\n";
-    std::fs::write(&page, marks).expect("written");
-    let usual = ["--quick", "--sweep", "changes", "--sizes", path(&sizes)];
-    let with = |more: &[&str]| run(&[&usual[..], more].concat());
+    std::fs::write(&page, empty_page).expect("written");
+    let common_args = ["--quick", "--sweep", "changes", "--sizes", path(&sizes)];
+    let run_with = |more: &[&str]| run(&[&common_args[..], more].concat());
 
-    let first = with(&["--update", path(&page), "--out", path(&out_dir)]);
+    let first = run_with(&["--update", path(&page), "--out", path(&out_dir)]);
     assert_eq!(first.status.code(), Some(0), "{}", text(&first.stderr));
     for name in ["figures.md", "figures.json", "changes.svg"] {
         assert!(out_dir.join(name).is_file(), "{name}");
@@ -81,13 +81,13 @@
     let row = stated
         .lines()
         .find(|l| l.contains("`changes.discovery-bytes`"))
-        .expect("its row");
+        .expect("a row for changes.discovery-bytes");
     let planned = row.split('|').nth(7).expect("a cell").to_owned();
 
-    let again = with(&["--page", path(&page)]);
+    let again = run_with(&["--page", path(&page)]);
     assert_eq!(again.status.code(), Some(0), "{}", text(&again.stdout));
     std::fs::write(&page, stated.replace(&planned, " 1,000 B ")).expect("written");
-    let missed = with(&["--page", path(&page)]);
+    let missed = run_with(&["--page", path(&page)]);
     assert_eq!(missed.status.code(), Some(1), "{}", text(&missed.stdout));
     assert!(text(&missed.stdout).contains("MISSED: changes.discovery-bytes"));
     std::fs::write(
@@ -95,7 +95,7 @@
         stated.replace("changes.discovery-bytes", "changes.hope"),
     )
     .expect("written");
-    let unknown = with(&["--page", path(&page)]);
+    let unknown = run_with(&["--page", path(&page)]);
     assert_eq!(unknown.status.code(), Some(2));
     assert!(
         text(&unknown.stderr).contains("line 7: no quantity 'changes.hope'"),
--- a/crates/cranehill/tests/cli.rs
+++ b/crates/cranehill/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what it prints and how it exits.
+//! The command line: output and exit codes.
 
 mod common;
 
@@ -13,7 +13,7 @@
         .env_remove("NODE_CONFIG")
         .env("RUST_LOG", "error")
         .output()
-        .expect("it runs")
+        .expect("the program runs")
 }
 
 fn file(text: &str) -> tempfile::NamedTempFile {
@@ -101,12 +101,13 @@
     assert!(text(&run(&["version"]).stdout).starts_with("cranehill "));
 }
 
-/// Of no sender or of billions, a part of a limit would be all of it or nothing.
+/// Each sender uses its part of the fleet's limits: of 0 senders the part would be undefined, of billions it would be
+/// nothing.
 #[test]
 fn invalid_sender_count_is_an_error_with_its_key() {
-    let state = tempfile::tempdir().expect("a folder");
+    let state = tempfile::tempdir().expect("a temporary folder");
     let good = common::config_text(&common::list(1, &[]));
-    for (senders, why) in [
+    for (senders, expected_error) in [
         (r#""nInstances":0"#, "settings.nInstances: 0 senders"),
         (
             r#""nInstances":4000000000"#,
@@ -123,18 +124,18 @@
             .env("NODE_DISCOVERY", "127.0.0.1:1")
             .env("NODE_STATE", state.path())
             .output()
-            .expect("it runs");
+            .expect("the program runs");
         let printed = text(&out.stderr);
         assert_eq!(
             (out.status.code(), printed.lines().count()),
             (Some(2), 1),
             "{senders}: {printed}"
         );
-        assert!(printed.contains(why), "{senders}: {printed}");
+        assert!(printed.contains(expected_error), "{senders}: {printed}");
     }
 }
 
-/// The names of 0.2 and before stay as aliases of the present ones.
+/// Names used up to version 0.2 remain aliases of the present ones.
 #[test]
 fn renamed_commands_and_options_accept_their_old_names() {
     let renamed: [(&[&str], &[&str], i32, &str); 5] = [
@@ -171,12 +172,12 @@
             "invalid value 'x' for '--cut-duration",
         ),
     ];
-    for (present, old, code, shown) in renamed {
+    for (present, old, code, expected) in renamed {
         for arguments in [present, old] {
             let out = run(arguments);
             let printed = text(&out.stdout) + &text(&out.stderr);
             assert_eq!(out.status.code(), Some(code), "{arguments:?}: {printed}");
-            assert!(printed.contains(shown), "{arguments:?}: {printed}");
+            assert!(printed.contains(expected), "{arguments:?}: {printed}");
         }
     }
 }
--- a/crates/cranehill/tests/cold_fleet.rs
+++ b/crates/cranehill/tests/cold_fleet.rs
@@ -1,4 +1,5 @@
-//! Two, twenty and thirty real senders return to one cold destination; some were restarted meanwhile, some never saw it fail.
+//! 2, 20 and 30 real senders call one destination again after its outage. Some were restarted meanwhile, some never saw it
+//! fail.
 
 use std::collections::BTreeSet;
 use std::thread;
@@ -9,12 +10,12 @@
 use cranehill_simulation::scenario;
 
 const SEED: u64 = 1;
-/// The destination that fails.
+/// The number of the destination with the outage.
 const COLD: u64 = 0;
 
-fn played(senders: usize) -> Outcome {
-    let text = scenario("cold-return").expect("a scenario of the program");
-    let scenario = scenario::parse_for(text, SEED, Some(senders)).expect("a good day");
+fn run_scenario(senders: usize) -> Outcome {
+    let text = scenario("cold-return").expect("a built-in scenario");
+    let scenario = scenario::parse_for(text, SEED, Some(senders)).expect("a valid scenario");
     let program = env!("CARGO_BIN_EXE_cranehill").into();
     let limits = Limits::default();
     let plan = Plan {
@@ -25,53 +26,54 @@
         mutation: None,
         against: None,
     };
-    play(&plan, |_, _| {}).expect("it plays")
+    play(&plan, |_, _| {}).expect("the run completes")
 }
 
-/// Senders that called the destination once it was back, and those of them to which it had failed before.
-fn returned(outcome: &Outcome) -> (BTreeSet<usize>, BTreeSet<usize>) {
-    let (mut back, mut after, mut notified) = (false, BTreeSet::new(), BTreeSet::new());
+/// The senders that called the destination after its outage, and those of them that had seen it fail.
+fn senders_after_outage(outcome: &Outcome) -> (BTreeSet<usize>, BTreeSet<usize>) {
+    let (mut recovered, mut callers, mut saw_failure) = (false, BTreeSet::new(), BTreeSet::new());
     for line in &outcome.lines {
         match &line.event {
-            AuditEvent::Back { .. } => back = true,
+            AuditEvent::Back { .. } => recovered = true,
             AuditEvent::Broke {
                 destination: COLD, ..
-            } if !back => notified.extend(line.sender),
+            } if !recovered => saw_failure.extend(line.sender),
             AuditEvent::Called {
                 destination: COLD, ..
-            } if back => after.extend(line.sender),
+            } if recovered => callers.extend(line.sender),
             _ => {}
         }
     }
-    let returned_notified = after.intersection(&notified).copied().collect();
-    (after, returned_notified)
+    let callers_that_saw_failure = callers.intersection(&saw_failure).copied().collect();
+    (callers, callers_that_saw_failure)
 }
 
-/// The bound is on the sum of all processes, so that more of them must not mean more calls. Judged by the auditor, which sees the
-/// wire alone.
+/// Guards a cold destination against the sum of all senders: more senders must not mean more calls. The auditor checks this
+/// from the recorded traffic alone.
 #[test]
 fn senders_together_do_not_overload_a_cold_destination() {
     thread::scope(|scope| {
         for senders in [2, 20, 30] {
             scope.spawn(move || {
-                let outcome = played(senders);
+                let outcome = run_scenario(senders);
                 let table = report::table(&format!("{senders} senders"), SEED, &outcome).join("\n");
                 assert!(outcome.holds(), "{table}");
                 let verdict = outcome
                     .verdicts
                     .iter()
                     .find(|(rule, _)| *rule == Rule::Return);
-                let judged = matches!(verdict, Some((_, Verdict::Kept { cases })) if *cases > 50);
-                assert!(judged, "too few calls to a cold destination: {table}");
-                let (after, notified) = returned(&outcome);
+                let has_cases =
+                    matches!(verdict, Some((_, Verdict::Kept { cases })) if *cases > 50);
+                assert!(has_cases, "too few calls to a cold destination: {table}");
+                let (callers, saw_failure) = senders_after_outage(&outcome);
                 assert!(
-                    !notified.is_empty(),
-                    "{senders} senders: nobody had been told: {table}"
+                    !saw_failure.is_empty(),
+                    "{senders} senders: no caller had seen it fail: {table}"
                 );
-                let never_saw = after.len() - notified.len();
+                let without_failure = callers.len() - saw_failure.len();
                 assert!(
-                    senders == 2 || never_saw > 0,
-                    "{senders} senders: all had been told: {table}"
+                    senders == 2 || without_failure > 0,
+                    "{senders} senders: every caller had seen it fail: {table}"
                 );
             });
         }
--- a/crates/cranehill/tests/common/process.rs
+++ b/crates/cranehill/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! The program itself, as a process.
+//! The `cranehill serve` program as a process of its own.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::{Arc, Mutex};
 
-/// A sender's process; it is killed in the end.
+/// A sender process; dropping it kills it.
 pub(crate) struct Process {
     pub(crate) child: Child,
     pub(crate) clients: SocketAddr,
@@ -20,7 +20,8 @@
 }
 
 impl Process {
-    /// Starts it with this configuration file; its state lies beside it. `descriptors`: as many as it may open.
+    /// Starts a sender with the configuration file `config`, its state folder beside that file and at most `descriptors`
+    /// open descriptors. Returns once it listens for clients.
     pub(crate) fn start(config: &Path, discovery: SocketAddr, descriptors: usize) -> Process {
         let mut child = Command::new("sh")
             .args([
@@ -38,24 +39,24 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
+        let mut lines = BufReader::new(child.stderr.take().expect("a piped log")).lines();
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
         let clients = loop {
             let line = lines
                 .next()
-                .expect("it says where it listens")
-                .expect("text");
-            log.lock().expect("log").push(line.clone());
+                .expect("a line with the listening address")
+                .expect("UTF-8 text");
+            log.lock().expect("log lock").push(line.clone());
             if let Some((_, address)) = line.split_once("listening for clients at ") {
                 break address.parse().expect("an address");
             }
         };
         let kept = log.clone();
-        // The pipe must not fill.
+        // Keeps reading: the process would block on a full pipe.
         std::thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .for_each(|line| kept.lock().expect("log").push(line));
+                .for_each(|line| kept.lock().expect("log lock").push(line));
         });
         Process {
             child,
@@ -64,20 +65,21 @@
         }
     }
 
+    /// Kills the process with SIGKILL and waits for its end.
     pub(crate) fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// The lines of its log so far.
+    /// The log lines so far.
     pub(crate) fn log(&self) -> Vec<String> {
-        self.log.lock().expect("log").clone()
+        self.log.lock().expect("log lock").clone()
     }
 
-    /// Descriptors that it has open.
+    /// The number of descriptors that the process has open.
     pub(crate) fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
-            .expect("its descriptors")
+            .expect("/proc/PID/fd")
             .count()
     }
 }
--- a/crates/cranehill/tests/crash_test.rs
+++ b/crates/cranehill/tests/crash_test.rs
@@ -1,4 +1,4 @@
-//! Real processes on loopback, killed at random instants under load. The long runs are `cranehill crash-test`.
+//! Real processes on loopback, killed at random instants under load. For longer runs: `cranehill crash-test`.
 
 use cranehill::crash_test::{Plan, play};
 
@@ -13,10 +13,10 @@
     }
 }
 
-/// A hundred kills: nothing accepted is lost, nothing ends twice, nothing `unsafe` goes out again.
+/// After 100 kills no accepted message is lost or ends twice, and no `unsafe` message is sent again.
 #[test]
 fn hundred_kills_lose_nothing_and_repeat_no_unsafe_message() {
-    let outcome = play(&plan(100, 3, 0), |_| {}).expect("it plays");
+    let outcome = play(&plan(100, 3, 0), |_| {}).expect("the run completes");
     assert!(
         outcome.holds() && outcome.lost.is_empty(),
         "seed 3: {outcome:#?}"
@@ -24,10 +24,11 @@
     assert!(outcome.accepted.iter().all(|&n| n > 0), "{outcome:#?}");
 }
 
-/// A byte flipped after each third kill used to lose hundreds, and to repeat what must not be.
+/// Guards against a byte flipped in the journal after each third kill: it caused the loss of hundreds of messages and
+/// forbidden repeats.
 #[test]
 fn flipped_bytes_lose_only_the_records_they_hit() {
-    let outcome = play(&plan(30, 4, 3), |_| {}).expect("it plays");
+    let outcome = play(&plan(30, 4, 3), |_| {}).expect("the run completes");
     assert_eq!(outcome.flips, 10);
     assert!(outcome.holds(), "seed 4: {outcome:#?}");
 }
--- a/crates/cranehill/tests/descriptors.rs
+++ b/crates/cranehill/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! Idle clients hold all descriptors that they can get while discovery is down.
+//! Idle clients use all descriptors that the sender gives to clients while discovery is down.
 
 mod common;
 
@@ -9,29 +9,30 @@
 use std::time::{Duration, Instant};
 
 use common::process::Process;
-use common::{Client, config_text, list, soon};
+use common::{Client, config_text, list, wait_until};
 use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 
-/// Descriptors that the process may open, and that its configuration names.
+/// The limit of open descriptors of the process, also stated in its configuration.
 const DESCRIPTORS: usize = 256;
-/// Idle clients: more than it has descriptors.
-const IDLE: usize = 400;
-/// Destinations, each with an endpoint and so with a connection of its own.
+/// Idle clients, more than there are descriptors.
+const IDLE_CLIENTS: usize = 400;
+/// Destinations; each has its own endpoint and so its own connection.
 const DESTINATIONS: u64 = 10;
+/// A destination that only the newer endpoint list has.
 const NEW_DESTINATION: u64 = 99;
 
-/// Clients that connect and ask nothing, and come again as soon as they are closed, until told to stop.
+/// Keeps connections open that send nothing, and replaces each that the sender closes, until `stop` is set.
 fn idle_clients(to: SocketAddr, stop: &AtomicBool) {
     let mut clients: Vec<TcpStream> = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         let open = |client: &mut TcpStream| matches!(client.read(&mut [0]), Err(e) if e.kind() == ErrorKind::WouldBlock);
         clients.retain_mut(open);
-        while clients.len() < IDLE {
+        while clients.len() < IDLE_CLIENTS {
             let Ok(client) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else {
                 break;
             };
-            client.set_nonblocking(true).expect("set");
+            client.set_nonblocking(true).expect("socket option set");
             clients.push(client);
         }
         std::thread::sleep(Duration::from_millis(20));
@@ -42,8 +43,8 @@
     format!("c=episode-notice,d=20000,k=5c0f,dest={destination}")
 }
 
-/// Hands one message in for each destination, each over a connection of its own; it must be accepted and delivered.
-fn work(
+/// Submits one message for each destination, each over a new connection; every message must be accepted and delivered.
+fn submit_and_expect_delivery(
     sender: &Process,
     endpoint: &SimulatedServer,
     round: &str,
@@ -58,7 +59,7 @@
             "{:?}",
             sender.log()
         );
-        soon(&format!("{body} is delivered"), || {
+        wait_until(&format!("{body} is delivered"), || {
             endpoint
                 .seen()
                 .iter()
@@ -67,14 +68,14 @@
     }
 }
 
-/// Discovery that answers with `newer` once it is up.
+/// Discovery that fails until `is_up` is set and then answers with the list `newer`.
 fn discovery(is_up: Arc<AtomicBool>, newer: String) -> SimulatedServer {
     SimulatedServer::new(move |request, number| {
         match (is_up.load(Ordering::Relaxed), number % 2) {
             _ if request.method == "POST" => Reply::status(204),
             _ if request.path.contains("from=9&") => Reply::Silent,
             (true, _) => Reply::Bytes(http::write_response(200, "OK", &[], &newer)),
-            // Some connections end, some stay silent.
+            // While down, it closes every second connection and leaves the others unanswered.
             (false, 0) => Reply::Close,
             (false, _) => Reply::Silent,
         }
@@ -84,7 +85,7 @@
 
 #[test]
 fn discovery_and_delivery_continue_while_idle_clients_hold_all_descriptors() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let endpoint = SimulatedServer::new(|_, _| Reply::status(200)).expect("endpoints");
     let names: Vec<String> = (0..=DESTINATIONS).map(|d| format!("e{d}")).collect();
     let row = |d: u64| (names[d as usize].as_str(), endpoint.address, d, "station");
@@ -101,33 +102,33 @@
     let sender = Process::start(&config, discovery.address, DESCRIPTORS);
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        // Also where an assertion fails, so that the scope ends.
+        // Stops the idle clients also if an assertion fails; otherwise the scope would never end.
         let _stop = StopAtEnd(&stop);
         scope.spawn(|| idle_clients(sender.clients, &stop));
-        soon("idle clients take all places", || {
+        wait_until("idle clients hold all places", || {
             sender
                 .log()
                 .iter()
                 .any(|line| line.contains("places taken"))
         });
-        work(&sender, &endpoint, "down", 0..DESTINATIONS);
-        let asked = discovery.seen().len();
-        soon("discovery is asked while it is down", || {
-            discovery.seen().len() > asked
+        submit_and_expect_delivery(&sender, &endpoint, "down", 0..DESTINATIONS);
+        let requests_before = discovery.seen().len();
+        wait_until("discovery is polled while it is down", || {
+            discovery.seen().len() > requests_before
         });
         up.store(true, Ordering::Relaxed);
         let since = Instant::now();
-        soon("discovery is reached again", || {
+        wait_until("discovery is reached again", || {
             discovery
                 .seen()
                 .iter()
                 .any(|seen| seen.request.path.contains("from=9&"))
         });
         println!(
-            "the new list was taken {:?} after discovery was up",
+            "the new list was applied {:?} after discovery was up",
             since.elapsed()
         );
-        work(
+        submit_and_expect_delivery(
             &sender,
             &endpoint,
             "up",
@@ -135,13 +136,13 @@
         );
         assert!(sender.descriptors() <= DESCRIPTORS);
     });
-    // Nobody was kept from a descriptor: neither the journal, nor connections to endpoints or discovery.
-    let lacking =
+    // Neither the journal nor connections to endpoints or discovery lacked a descriptor.
+    let descriptor_error =
         |line: &&String| line.contains("Too many open files") || line.contains("journal: of ");
-    assert_eq!(sender.log().iter().find(lacking), None);
+    assert_eq!(sender.log().iter().find(descriptor_error), None);
 }
 
-/// Sets its flag when it is dropped.
+/// Sets the flag when dropped.
 struct StopAtEnd<'a>(&'a AtomicBool);
 
 impl Drop for StopAtEnd<'_> {
--- a/crates/cranehill/tests/directory.rs
+++ b/crates/cranehill/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The watch on the directory, before a simulated server that fails.
+//! The discovery watch against a simulated server that fails.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use common::{Client, SOON, list, start};
+use common::{Client, TIMEOUT, list, start};
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
 const NAMES: &str = "c=episode-notice,d=20000,k=5c0f,dest=7";
@@ -21,28 +21,28 @@
     )
 }
 
-/// Waits until the directory has been asked for what is newer than this version.
+/// Waits for a watch for changes since `version`; false if none arrives in time.
 fn watches_from(platform: &SimulatedServer, version: u64) -> bool {
-    let question = format!("from={version}&");
-    let asked = || {
+    let query = format!("from={version}&");
+    let is_requested = || {
         platform
             .seen()
             .iter()
-            .any(|s| s.request.path.contains(&question))
+            .any(|s| s.request.path.contains(&query))
     };
-    let until = Instant::now() + SOON;
-    while !asked() && Instant::now() < until {
+    let until = Instant::now() + TIMEOUT;
+    while !is_requested() && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(5));
     }
-    asked()
+    is_requested()
 }
 
 #[test]
 fn last_endpoint_list_is_kept_while_discovery_fails() {
-    let old = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
-    let new = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
+    let old = SimulatedServer::new(|_, _| Reply::status(200)).expect("destination server");
+    let new = SimulatedServer::new(|_, _| Reply::status(200)).expect("destination server");
     let next = list(9, &[("b", new.address, 7, "station")]);
-    // Errors of several sorts, then the new list once it is let out, then a watch that is held.
+    // Stage 0: several kinds of errors. Stage 1: the new list, then no answer to the watch that continues from it.
     let stage = Arc::new(AtomicUsize::new(0));
     let at = stage.clone();
     let platform = SimulatedServer::new(move |request, number| {
@@ -62,16 +62,16 @@
     let known = list(4, &[("a", old.address, 7, "station")]);
     let sender = start(&known, &platform);
     let mut client = Client::new(sender.clients);
-    assert!(platform.wait_for(5, SOON), "it asks again and again");
+    assert!(platform.wait_for(5, TIMEOUT), "failed polls are repeated");
     assert_eq!(client.put("m1", NAMES, b"one"), "+OK");
-    assert!(old.wait_for(1, SOON), "the last list is kept");
+    assert!(old.wait_for(1, TIMEOUT), "the last list is kept");
     stage.store(1, Ordering::Relaxed);
     assert!(
         watches_from(&platform, 9),
-        "the next watch goes on from the new list"
+        "the next watch continues from the new list"
     );
     assert_eq!(client.put("m2", NAMES, b"two"), "+OK");
-    assert!(new.wait_for(1, SOON), "the new list is used");
+    assert!(new.wait_for(1, TIMEOUT), "the new list is used");
     assert_eq!(old.seen().len(), 1);
     let first = &platform.seen()[0].request.path;
     assert!(
@@ -83,18 +83,18 @@
 #[test]
 fn discovery_that_holds_no_watch_is_not_polled_in_a_tight_loop() {
     let same = list(4, &[]).replace("\"full\":true", "\"full\":false");
-    // Every other answer ends its connection too.
-    let final_report = format!(
+    // Every second answer also closes its connection.
+    let closing_response = format!(
         "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{same}",
         same.len()
     );
     let platform = SimulatedServer::new(move |_, number| match number % 2 {
         0 => body(&same),
-        _ => Reply::Bytes(final_report.clone().into_bytes()),
+        _ => Reply::Bytes(closing_response.clone().into_bytes()),
     })
     .expect("platform");
     let _sender = start(&list(4, &[]), &platform);
-    assert!(platform.wait_for(4, SOON));
+    assert!(platform.wait_for(4, TIMEOUT));
     let seen = platform.seen();
     for pair in seen.windows(2) {
         assert!(
@@ -104,13 +104,13 @@
     }
 }
 
-/// The whole list of the planned size comes over the watch: it is taken, and its last destination gets its message.
+/// Guards a full list of the planned size: it arrives over the watch, and a message for its last destination is delivered.
 #[test]
 fn endpoint_list_of_the_planned_size_is_read() {
-    const LISTED: usize = 57_000;
+    const DESTINATIONS: usize = 57_000;
     let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("destination");
     let at = destination.address;
-    let ids: Vec<String> = (0..LISTED).map(|n| format!("s-{n:08x}")).collect();
+    let ids: Vec<String> = (0..DESTINATIONS).map(|n| format!("s-{n:08x}")).collect();
     let rows: Vec<_> = ids
         .iter()
         .enumerate()
@@ -128,13 +128,13 @@
     let sender = start(&list(4, &[]), &platform);
     assert!(
         watches_from(&platform, 9),
-        "the next watch goes on from the whole list"
+        "the next watch continues from the full list"
     );
     let mut client = Client::new(sender.clients);
-    let last = format!("c=episode-notice,d=20000,k=5c0f,dest={}", LISTED - 1);
+    let last = format!("c=episode-notice,d=20000,k=5c0f,dest={}", DESTINATIONS - 1);
     assert_eq!(client.put("m1", &last, b"one"), "+OK");
     assert!(
-        destination.wait_for(1, SOON),
-        "the last one listed gets its message"
+        destination.wait_for(1, TIMEOUT),
+        "the last listed destination receives its message"
     );
 }
--- a/crates/cranehill/tests/endings.rs
+++ b/crates/cranehill/tests/endings.rs
@@ -1,5 +1,5 @@
-//! Paths that end something, with the crossing forced: what is still owed at that instant is kept. `docs/endings.md` has the
-//! rows; those about late connections, clients, restarts and the directory have files of their own.
+//! Connections, endpoints and watches that end while messages are outstanding: nothing outstanding is lost. Each test forces
+//! the race. `docs/endings.md` lists the cases; those about late connections, clients, restarts and discovery are in other files.
 
 mod common;
 
@@ -8,7 +8,8 @@
 use std::sync::atomic::Ordering;
 
 use common::{
-    Client, Running, SOON, changing, list, platform, prepare, put, reports, soon, start, start_as,
+    Client, RunningSender, TIMEOUT, list, platform, prepare, put, reports, start,
+    start_with_options, updating_platform, wait_until,
 };
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
@@ -22,15 +23,15 @@
         .collect()
 }
 
-/// The states of all messages in a call's body.
-fn states(body: &[u8], state: &str) -> String {
+/// A batch response that gives every message of the request `body` this state.
+fn batch_states(body: &[u8], state: &str) -> String {
     let items: Vec<serde_json::Value> = serde_json::from_slice(body).expect("a batch");
     let one = |item: &serde_json::Value| serde_json::json!({"id": item["id"], "state": state});
     serde_json::Value::from(items.iter().map(one).collect::<Vec<_>>()).to_string()
 }
 
-/// A sender that finds m1 and m2, of a client each, at once: they share a call where the destination takes several.
-fn two_at_once(known: &str, platform: &SimulatedServer) -> (Running, [Client; 2]) {
+/// Starts a sender after two clients have sent m1 and m2, so that both share a call if the destination accepts batches.
+fn start_with_two_pending(known: &str, platform: &SimulatedServer) -> (RunningSender, [Client; 2]) {
     let prepared = prepare(known, platform, |_| {});
     let mut clients = [Client::new(prepared.clients), Client::new(prepared.clients)];
     for (n, client) in clients.iter_mut().enumerate() {
@@ -41,18 +42,18 @@
     (sender, clients)
 }
 
-/// Guards a batch whose answer breaks off: its first line says 200, and for several messages only the whole answer says what
-/// became of each. Both messages are there before the sender runs, so that they share a call.
+/// Guards a batch response that is cut off after its status 200: only the complete body has the outcome of each message, so
+/// both must be retried. Both arrive before the sender runs, so that they share a call.
 #[test]
 fn truncated_batch_response_delivers_nothing() {
-    for cut in [
+    for truncated in [
         "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n[{\"id\":\"m1\",\"state\":\"done\"},",
         "HTTP/1.1 200 OK\r\n",
     ] {
         let destination = SimulatedServer::new(move |request, number| match number {
-            0 => Reply::Bytes(cut.as_bytes().to_vec()),
+            0 => Reply::Bytes(truncated.as_bytes().to_vec()),
             _ if request.path == "/hook/batch" => {
-                let text = states(&request.body, "done");
+                let text = batch_states(&request.body, "done");
                 Reply::Bytes(cranehill_daemon::http::write_response(
                     200,
                     "OK",
@@ -62,22 +63,22 @@
             }
             _ => Reply::status(200),
         })
-        .expect("partner");
+        .expect("destination server");
         let platform = platform();
         let known = list(1, &[("a", destination.address, 7, "bulk-directory")]);
-        let _running = two_at_once(&known, &platform);
+        let _running = start_with_two_pending(&known, &platform);
         let both = |bodies: &[String]| {
             ["m1", "m2"]
                 .iter()
                 .all(|id| bodies.iter().any(|b| b.contains(id)))
         };
-        assert!(destination.wait_for(1, SOON));
+        assert!(destination.wait_for(1, TIMEOUT));
         assert!(
             both(&seen_bodies(&destination)[..1]),
-            "they share a call: {:?}",
+            "m1 and m2 share a call: {:?}",
             seen_bodies(&destination)
         );
-        let again = |ids: &[&str]| {
+        let resent = |ids: &[&str]| {
             let after = destination.seen()[1..].to_vec();
             ids.iter().all(|id| {
                 after.iter().any(|s| {
@@ -86,12 +87,12 @@
                 })
             })
         };
-        soon("both go again", || again(&["m1", "m2"]));
+        wait_until("both messages are retried", || resent(&["m1", "m2"]));
         assert!(reports(&platform).is_empty(), "{:?}", reports(&platform));
     }
 }
 
-/// Guards a whole answer that leaves one message out or says it failed: the others are delivered, that one goes again.
+/// Guards a complete batch response without one of the messages: the others are delivered, that one is retried.
 #[test]
 fn message_missing_from_a_batch_response_is_possibly_executed() {
     let destination = SimulatedServer::new(|request, number| match number {
@@ -102,16 +103,16 @@
         }
         _ => Reply::status(200),
     })
-    .expect("partner");
+    .expect("destination server");
     let platform = platform();
     let known = list(1, &[("a", destination.address, 7, "bulk-directory")]);
-    let (_sender, mut clients) = two_at_once(&known, &platform);
-    assert!(destination.wait_for(2, SOON));
-    let again = &destination.seen()[1].request;
-    assert!(again.headers.iter().any(|h| h.1 == b"m2"), "{again:?}");
-    // A further message shows that nothing else was to come before it.
+    let (_sender, mut clients) = start_with_two_pending(&known, &platform);
+    assert!(destination.wait_for(2, TIMEOUT));
+    let resent = &destination.seen()[1].request;
+    assert!(resent.headers.iter().any(|h| h.1 == b"m2"), "{resent:?}");
+    // The next call is for a new message: nothing else was retried.
     assert_eq!(clients[0].put("m4", NAMES, b"y"), "+OK");
-    assert!(destination.wait_for(3, SOON));
+    assert!(destination.wait_for(3, TIMEOUT));
     assert!(
         destination.seen()[2]
             .request
@@ -121,37 +122,38 @@
     );
 }
 
-/// Guards what a client leaves behind: a whole request that is there when its client has already gone is accepted and owed;
-/// a part of one is nothing.
+/// Guards requests of clients that have disconnected before the sender reads: a complete one is accepted and delivered, an
+/// incomplete one is discarded.
 #[test]
 fn only_complete_requests_of_a_closed_client_are_accepted() {
-    let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
+    let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("destination server");
     let platform = platform();
     let prepared = prepare(
         &list(1, &[("a", destination.address, 7, "station")]),
         &platform,
         |_| {},
     );
-    let mut half = Client::new(prepared.clients);
+    let mut incomplete = Client::new(prepared.clients);
     let request = put("half", NAMES, b"half of it");
-    half.send(&request[..request.len() - 1]);
-    drop(half);
-    let mut whole = Client::new(prepared.clients);
-    whole.send(&put("whole", NAMES, b"whole"));
-    drop(whole);
+    incomplete.send(&request[..request.len() - 1]);
+    drop(incomplete);
+    let mut complete = Client::new(prepared.clients);
+    complete.send(&put("whole", NAMES, b"whole"));
+    drop(complete);
     let sender = prepared.run();
-    assert!(destination.wait_for(1, SOON));
+    assert!(destination.wait_for(1, TIMEOUT));
     let mut other = Client::new(sender.clients);
     assert_eq!(other.put("m1", NAMES, b"after"), "+OK");
-    assert!(destination.wait_for(2, SOON));
+    assert!(destination.wait_for(2, TIMEOUT));
     assert_eq!(seen_bodies(&destination), ["whole", "after"]);
 }
 
-/// Guards a new endpoint at an old address: it is another, and gets no connection of the old one.
+/// Guards a new endpoint at the address of a removed one: connections of the old endpoint are not used for it.
 #[test]
 fn new_endpoint_at_a_known_address_gets_its_own_connection() {
-    let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
-    let (platform, change) = changing(list(2, &[("b", destination.address, 7, "station")]));
+    let destination = SimulatedServer::new(|_, _| Reply::status(200)).expect("destination server");
+    let (platform, publish_list) =
+        updating_platform(list(2, &[("b", destination.address, 7, "station")]));
     let sender = start(
         &list(1, &[("a", destination.address, 7, "station")]),
         &platform,
@@ -159,17 +161,17 @@
     let mut client = Client::new(sender.clients);
     for id in ["m1", "m2"] {
         assert_eq!(client.put(id, NAMES, b"x"), "+OK");
-        assert!(destination.wait_for(if id == "m1" { 1 } else { 2 }, SOON));
+        assert!(destination.wait_for(if id == "m1" { 1 } else { 2 }, TIMEOUT));
     }
-    change.store(true, Ordering::Relaxed);
-    soon("the watch that continues", || {
+    publish_list.store(true, Ordering::Relaxed);
+    wait_until("the watch that continues from the new list", || {
         platform
             .seen()
             .iter()
             .any(|s| s.request.path.contains("from=2&"))
     });
     assert_eq!(client.put("m3", NAMES, b"x"), "+OK");
-    assert!(destination.wait_for(3, SOON));
+    assert!(destination.wait_for(3, TIMEOUT));
     let connections: Vec<usize> = destination.seen().iter().map(|s| s.connection).collect();
     assert!(
         !connections[..2].contains(&connections[2]),
@@ -177,48 +179,55 @@
     );
 }
 
-/// What has come on a connection, up to the end of a request without a body.
-fn question(stream: &mut TcpStream) -> String {
-    stream.set_read_timeout(Some(SOON)).expect("set");
+/// Reads one request without a body.
+fn read_request(stream: &mut TcpStream) -> String {
+    stream
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("socket option set");
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        stream.read_exact(&mut byte).expect("a question");
+        stream.read_exact(&mut byte).expect("a complete request");
         bytes.push(byte[0]);
     }
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Guards a first watch that is silent from the start: it is given up and put anew, one watch at a time, and what the old one
-/// says late is not heard.
+/// Guards a first watch that is never answered: it is closed and replaced, never two at once, and a late response to it is
+/// ignored.
 #[test]
 fn silent_first_watch_is_replaced_and_its_late_response_ignored() {
     let (old, new) = (
         SimulatedServer::new(|_, _| Reply::status(200)),
         SimulatedServer::new(|_, _| Reply::status(200)),
     );
-    let (old, new) = (old.expect("partner"), new.expect("partner"));
+    let (old, new) = (
+        old.expect("destination server"),
+        new.expect("destination server"),
+    );
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("an address");
     let known = list(4, &[("a", old.address, 7, "station")]);
     let platform = platform();
-    let sender = start_as(&known, &platform, |setup| setup.discovery = Some(address));
+    let sender = start_with_options(&known, &platform, |options| {
+        options.discovery = Some(address)
+    });
     let (mut first, _) = listener.accept().expect("the first watch");
-    assert!(question(&mut first).contains("from=4&"));
-    // Without the guard nobody comes: the test must end all the same.
-    listener.set_nonblocking(true).expect("set");
+    assert!(read_request(&mut first).contains("from=4&"));
+    // Non-blocking, so that the test ends even if no second watch arrives.
+    listener.set_nonblocking(true).expect("socket option set");
     let mut second = None;
-    soon("the watch is put anew", || {
+    wait_until("a second watch", || {
         second = second.take().or_else(|| listener.accept().ok());
         second.is_some()
     });
-    let (mut second, _) = second.expect("there");
-    second.set_nonblocking(false).expect("set");
-    assert!(question(&mut second).contains("from=4&"));
+    let (mut second, _) = second.expect("a second watch");
+    second.set_nonblocking(false).expect("socket option set");
+    assert!(read_request(&mut second).contains("from=4&"));
     assert_eq!(
-        first.read(&mut [0]).expect("its end"),
+        first.read(&mut [0]).expect("end of stream"),
         0,
-        "no two watches at once"
+        "the first watch is closed before the second"
     );
     let answer = |version, entry| {
         let body = list(version, &[entry]);
@@ -229,11 +238,11 @@
         .write_all(&answer(5, ("b", new.address, 7, "station")))
         .expect("written");
     assert!(
-        question(&mut second).contains("from=5&"),
-        "it goes on from the new one's answer"
+        read_request(&mut second).contains("from=5&"),
+        "the watch continues from the second response"
     );
     let mut client = Client::new(sender.clients);
     assert_eq!(client.put("m1", NAMES, b"x"), "+OK");
-    assert!(new.wait_for(1, SOON));
+    assert!(new.wait_for(1, TIMEOUT));
     assert!(old.seen().is_empty());
 }
--- a/crates/cranehill/tests/exchanges.rs
+++ b/crates/cranehill/tests/exchanges.rs
@@ -1,15 +1,19 @@
-//! Recorded exchanges, `tests/exchanges/*.txt`, played against the sender; what each party saw is compared.
+//! Runs the exchanges in `tests/exchanges/*.txt` against a sender and compares the resulting transcripts with snapshots.
 //!
-//! Lines: `endpoint ID DESTINATION KIND`; `ID < BYTES` an answer that the endpoint gives next (`close`: it ends
-//! the connection instead; `200` otherwise); `client > BYTES`; `client < N` wait for so many answer lines;
-//! `ID = N` and `platform = N` wait for so many requests there. Escapes: \r \n \\.
+//! One instruction a line:
+//! - `endpoint ID DESTINATION KIND` defines a simulated endpoint.
+//! - `ID < BYTES` queues an answer of that endpoint; `close` closes the connection instead. Without one it answers 200.
+//! - `client > BYTES` sends bytes; `client < N` waits for N answer lines.
+//! - `ID = N` and `platform = N` wait until N requests have arrived there.
+//!
+//! Escapes in BYTES: `\r`, `\n`, `\\`.
 
 mod common;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex};
 
-use common::{Client, SOON, list, platform, shown, start};
+use common::{Client, TIMEOUT, list, platform, start, transcript_entry};
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
 fn unescape(text: &str) -> Vec<u8> {
@@ -27,7 +31,7 @@
     bytes
 }
 
-/// A simulated endpoint and the answers that it gives next.
+/// A simulated endpoint and its queued answers.
 struct Endpoint {
     server: SimulatedServer,
     answers: Arc<Mutex<VecDeque<Reply>>>,
@@ -36,13 +40,13 @@
 }
 
 impl Endpoint {
-    /// `description`: the destination and its kind.
+    /// `description`: the number of the destination and its kind, with a space between.
     fn new(description: &str) -> Endpoint {
         let (destination, kind) = description.split_once(' ').expect("destination and kind");
         let answers: Arc<Mutex<VecDeque<Reply>>> = Arc::default();
         let next = answers.clone();
         let server = SimulatedServer::new(move |_, _| {
-            let answer = next.lock().expect("answers").pop_front();
+            let answer = next.lock().expect("answers lock").pop_front();
             answer.unwrap_or_else(|| Reply::status(200))
         });
         Endpoint {
@@ -59,7 +63,7 @@
         } else {
             Reply::Bytes(unescape(bytes))
         };
-        self.answers.lock().expect("answers").push_back(reply);
+        self.answers.lock().expect("answers lock").push_back(reply);
     }
 }
 
@@ -67,7 +71,8 @@
     text.parse().expect("a count")
 }
 
-fn play(text: &str) -> String {
+/// Runs one exchange and returns its transcript.
+fn run_exchange(text: &str) -> String {
     let lines: Vec<Vec<&str>> = text
         .lines()
         .filter(|l| !l.is_empty() && !l.starts_with('#'))
@@ -98,32 +103,35 @@
                 }
             }
             ["platform", "=", requests] => {
-                // Besides the one watch that is held.
-                assert!(platform.wait_for(count(requests) + 1, SOON), "{line:?}");
+                // One more than the final reports: the watch is a request too.
+                assert!(platform.wait_for(count(requests) + 1, TIMEOUT), "{line:?}");
             }
             [id, "<", bytes] => endpoints[id].add_answer(bytes),
             [id, "=", requests] => {
                 let server = &endpoints[id].server;
-                assert!(server.wait_for(count(requests), SOON), "{line:?}");
+                assert!(server.wait_for(count(requests), TIMEOUT), "{line:?}");
             }
-            _ => panic!("not understood: {line:?}"),
+            _ => panic!("unknown instruction: {line:?}"),
         }
     }
     transcript.push_str(&received(&endpoints, &platform));
     transcript
 }
 
-/// The requests that endpoints and the platform have received.
+/// The requests that the endpoints have received, then the final reports.
 fn received(endpoints: &BTreeMap<&str, Endpoint>, platform: &SimulatedServer) -> String {
     let mut text = String::new();
     for (id, endpoint) in endpoints {
         for seen in endpoint.server.seen() {
-            text.push_str(&format!("--- {id}\n{}", shown(&seen.request)));
+            text.push_str(&format!("--- {id}\n{}", transcript_entry(&seen.request)));
         }
     }
     for seen in platform.seen() {
         if seen.request.method == "POST" {
-            text.push_str(&format!("--- platform\n{}", shown(&seen.request)));
+            text.push_str(&format!(
+                "--- platform\n{}",
+                transcript_entry(&seen.request)
+            ));
         }
     }
     text
@@ -132,7 +140,7 @@
 #[test]
 fn recorded_exchanges() {
     insta::glob!("exchanges/*.txt", |path| {
-        let text = std::fs::read_to_string(path).expect("an exchange");
-        insta::assert_snapshot!(play(&text));
+        let text = std::fs::read_to_string(path).expect("a readable exchange file");
+        insta::assert_snapshot!(run_exchange(&text));
     });
 }
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Several real senders that know each other, with faults between them. Larger fleets are runs of `cranehill rig`.
+//! Fleets of several real senders with faults between them. For larger fleets: `cranehill fleet-test`.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -16,7 +16,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
 
-const DAY: &str = r#"name = "five senders, one killed, one stopped, two cut off"
+const SCENARIO: &str = r#"name = "five senders, one killed, one stopped, two cut off"
 lasts = "20 s"
 senders = 5
 [load]
@@ -58,7 +58,7 @@
 "#;
 
 fn plan() -> Plan {
-    let scenario = scenario::parse(DAY, 1).expect("a good day");
+    let scenario = scenario::parse(SCENARIO, 1).expect("a valid scenario");
     Plan {
         scenario,
         seed: 1,
@@ -69,17 +69,17 @@
     }
 }
 
-/// Guards the whole way: sockets, reducer, votes. What is expected is an order of events, never a time: the day is long
-/// enough for each by a wide margin.
+/// Guards failure detection end to end: sockets, membership state machine, votes. Expects an order of events, not times; the
+/// scenario is long enough for each by a wide margin.
 #[test]
 fn crashes_pauses_and_partitions_are_detected_without_exceeding_limits() {
     let plan = plan();
-    let (outcome, passed) = play(&plan, |_, _| {}).expect("it plays");
-    let judged = Report::of(&plan, &outcome, &passed);
-    let shown = table(&plan, &outcome, &judged).join("\n");
+    let (outcome, traffic) = play(&plan, |_, _| {}).expect("the run completes");
+    let fleet_report = Report::of(&plan, &outcome, &traffic);
+    let summary = table(&plan, &outcome, &fleet_report).join("\n");
     assert!(
         outcome.holds() && report::broken(&outcome).is_empty(),
-        "{shown}"
+        "{summary}"
     );
     let timeline = Timeline::read(&outcome.logs, &outcome.lines, outcome.began);
     let states = |by: usize, of: usize| -> Vec<(&str, u64)> {
@@ -89,33 +89,35 @@
             .filter(|s| s.by == by && s.of == of);
         about.map(|s| (s.state.as_str(), s.incarnation)).collect()
     };
-    // The killed one is down for all that live, and stays so.
+    // The killed sender ends as down at all live senders.
     for by in 0..4 {
         assert_eq!(
             states(by, 4).last().map(|s| s.0),
             Some("down"),
-            "{by} of 4: {shown}"
+            "sender 4 as seen by {by}: {summary}"
         );
     }
-    // The stopped one is suspected, then down, then back under a higher life.
-    let printed = states(0, 3);
+    // The paused sender is suspected, then down, then alive with a higher incarnation.
+    let observed = states(0, 3);
     let first = |state: &str| {
-        printed
+        observed
             .iter()
             .position(|s| s.0 == state)
-            .unwrap_or_else(|| panic!("{printed:?}: {shown}"))
+            .unwrap_or_else(|| panic!("{observed:?}: {summary}"))
     };
     let (suspect, down) = (first("suspect"), first("down"));
     assert!(
-        suspect < down && printed[down + 1].0 == "alive" && printed[down + 1].1 > printed[down].1,
-        "{printed:?}"
+        suspect < down
+            && observed[down + 1].0 == "alive"
+            && observed[down + 1].1 > observed[down].1,
+        "{observed:?}"
     );
-    // Across the cut they lose sight of each other, and find each other again.
-    assert!(states(0, 2).iter().any(|s| s.0 == "down"), "{shown}");
+    // Senders across the partition hold each other to be down, and alive again after it.
+    assert!(states(0, 2).iter().any(|s| s.0 == "down"), "{summary}");
     for by in 0..4 {
         let view = outcome.views[by]
             .as_ref()
-            .unwrap_or_else(|| panic!("{by} told no view: {shown}"));
+            .unwrap_or_else(|| panic!("sender {by} reported no status: {summary}"));
         let alive: BTreeSet<&str> = view["members"]
             .as_array()
             .into_iter()
@@ -126,17 +128,18 @@
         assert_eq!(alive.len(), 3, "{view}");
         assert_eq!(
             view["senders"], 5,
-            "nobody was given up, so nobody takes more: {view}"
+            "no sender was evicted, so each keeps its quota: {view}"
         );
     }
     assert!(timeline.senders.is_empty(), "{:?}", timeline.senders);
     assert!(
-        outcome.delivered > 100 && passed.packets.iter().all(|p| *p > 0),
-        "{shown}"
+        outcome.delivered > 100 && traffic.packets.iter().all(|p| *p > 0),
+        "{summary}"
     );
 }
 
-fn alone(folder: &std::path::Path, fleet: &str, key: &str) -> Command {
+/// A `serve --fleet` command with these files in `folder`.
+fn serve_command(folder: &std::path::Path, fleet: &str, key: &str) -> Command {
     let config = node_config(&plan(), SocketAddr::from(([127, 0, 0, 1], 9)));
     fs::write(folder.join("config.json"), config).expect("written");
     fs::write(folder.join("fleet.toml"), fleet).expect("written");
@@ -152,18 +155,18 @@
 }
 
 fn status(at: SocketAddr, request: &str) -> String {
-    let mut stream = TcpStream::connect(at).expect("it listens");
+    let mut stream = TcpStream::connect(at).expect("connected to the status address");
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
-        .expect("set");
+        .expect("socket option set");
     stream.write_all(request.as_bytes()).expect("written");
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("read");
     text
 }
 
-/// A free address that is this test's alone.
-fn free(last: u8) -> SocketAddr {
+/// A free address on a loopback IP that only this test uses.
+fn free_address(last: u8) -> SocketAddr {
     UdpSocket::bind(("127.0.9.1", 0))
         .and_then(|s| s.local_addr())
         .map_or_else(
@@ -175,31 +178,32 @@
         )
 }
 
-/// Strangers' packets are counted by cause, and the sender goes on; its status answers any call with a bound.
+/// Guards a sender against foreign packets: each is dropped and counted by cause. Unsupported requests to the status address
+/// get an error response.
 #[test]
-fn packets_of_strangers_are_dropped_and_counted() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let (listen, view) = (free(2), free(3));
+fn foreign_packets_are_dropped_and_counted() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    let (listen, view) = (free_address(2), free_address(3));
     let fleet = format!("listen = \"{listen}\"\nkey = \"fleet.key\"\nstatus = \"{view}\"\n");
-    let mut child = alone(folder.path(), &fleet, &"5e".repeat(32))
+    let mut child = serve_command(folder.path(), &fleet, &"5e".repeat(32))
         .spawn()
-        .expect("it starts");
-    let since = Instant::now();
+        .expect("the sender starts");
+    let started = Instant::now();
     while TcpStream::connect(view).is_err() {
         assert!(
-            since.elapsed() < Duration::from_secs(30),
-            "it did not listen"
+            started.elapsed() < Duration::from_secs(30),
+            "the status address did not listen within 30 s"
         );
         thread::sleep(Duration::from_millis(20));
     }
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a socket");
+    let foreign_socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
     let sealed = seal(&[1; 32], 0, 0, Kind::Swim, b"something");
     for packet in [
         b"GET / HTTP/1.1\r\nHost: fleet.example\r\n\r\n".as_slice(),
         b"CM",
         &sealed,
     ] {
-        stranger.send_to(packet, listen).expect("sent");
+        foreign_socket.send_to(packet, listen).expect("sent");
     }
     let body = loop {
         let text = status(view, "GET /_status HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -208,7 +212,7 @@
         if json["refused"].as_object().is_some_and(|r| r.len() == 3) {
             break json;
         }
-        assert!(since.elapsed() < Duration::from_secs(60), "{body}");
+        assert!(started.elapsed() < Duration::from_secs(60), "{body}");
     };
     assert_eq!(
         body["refused"],
@@ -298,22 +302,25 @@
     ]
 }
 
-/// What can't be used is one line with its place, and exit code 2.
+/// An invalid fleet file or key is one line with its place, and exit code 2.
 #[test]
 fn invalid_fleet_file_is_one_line_and_exit_code_2() {
-    for (fleet, key, why) in bad_fleets() {
-        let folder = tempfile::tempdir().expect("a folder");
-        let output = alone(folder.path(), &fleet, key).output().expect("it runs");
-        let printed = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{fleet}: {printed}");
+    for (fleet, key, expected_error) in bad_fleets() {
+        let folder = tempfile::tempdir().expect("a temporary folder");
+        let output = serve_command(folder.path(), &fleet, key)
+            .output()
+            .expect("the program runs");
+        let observed = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{fleet}: {observed}");
         assert!(
-            printed.lines().count() == 1 && printed.contains(why),
-            "{fleet}: {printed}"
+            observed.lines().count() == 1 && observed.contains(expected_error),
+            "{fleet}: {observed}"
         );
     }
 }
 
-/// Three of five senders are killed, while discovery is silent and a destination lowers its limit.
+/// Three of five senders are killed, one with its state folder wiped, while discovery is unreachable and a destination lowers
+/// its limit.
 const KILLED_MAJORITY: &str = r#"[[break]]
 kind = "kill"
 senders = [0, 1]
@@ -338,26 +345,26 @@
 lasts = "4 s"
 "#;
 
-/// Three of five are killed at once under load, one of them without its folder, while the directory is silent and a destination
-/// lowers its limit. Guards the whole way back: every owed message ends once and in time, and each sender says that it is full.
+/// Guards recovery after three of five senders are killed under load, one with its state folder wiped, while discovery is
+/// unreachable and a destination lowers its limit: every accepted message ends once and in time, and all recoveries complete.
 #[test]
 fn majority_recovers_after_simultaneous_kill() {
-    let (head, _) = DAY.split_once("[[break]]").expect("breaks");
+    let (head, _) = SCENARIO.split_once("[[break]]").expect("a [[break]] table");
     let text = format!(
         "{}{}",
         head.replace("hold = \"60 s\"", "hold = \"60 s\"\nrecovery = true"),
         KILLED_MAJORITY
     );
     let plan = Plan {
-        scenario: scenario::parse(&text, 2).expect("a good day"),
+        scenario: scenario::parse(&text, 2).expect("a valid scenario"),
         ..plan()
     };
-    let (outcome, passed) = play(&plan, |_, _| {}).expect("it plays");
-    let judged = Report::of(&plan, &outcome, &passed);
-    let shown = table(&plan, &outcome, &judged).join("\n");
+    let (outcome, traffic) = play(&plan, |_, _| {}).expect("the run completes");
+    let fleet_report = Report::of(&plan, &outcome, &traffic);
+    let summary = table(&plan, &outcome, &fleet_report).join("\n");
     assert!(
         outcome.holds() && report::broken(&outcome).is_empty(),
-        "{shown}"
+        "{summary}"
     );
     let log = |sender: usize, what: &str| {
         outcome
@@ -368,27 +375,27 @@
     };
     for sender in 0..5 {
         let processes = if sender < 3 { 2 } else { 1 };
-        let full = log(sender, "\"event\":\"recovery-complete\"");
+        let recoveries = log(sender, "\"event\":\"recovery-complete\"");
         assert_eq!(
-            (log(sender, "\"event\":\"recovery-started\""), full),
+            (log(sender, "\"event\":\"recovery-started\""), recoveries),
             (processes, processes),
-            "{sender}: {shown}"
+            "{sender}: {summary}"
         );
         let view = outcome.views[sender]
             .as_ref()
-            .unwrap_or_else(|| panic!("{sender} told no view: {shown}"));
+            .unwrap_or_else(|| panic!("sender {sender} reported no status: {summary}"));
         assert_eq!(view["recovery"]["state"], "full", "{view}");
     }
-    // The first lives had nothing; the second ones remember, but for the one without its folder.
+    // Only a second process with its state folder restores learned state.
     let completed: Vec<usize> = (0..3).map(|s| log(s, "routes restored")).collect();
-    assert_eq!(completed, [1, 1, 0], "{shown}");
+    assert_eq!(completed, [1, 1, 0], "{summary}");
 }
 
-/// Guards recovery over journals that end too early, each at another place: what can still be read is owed and ends in time,
-/// nothing goes out against its class, and each sender is full again, the one that is cut twice as well.
+/// Guards recovery from journals truncated at different places: readable messages end in time, none is repeated against its
+/// class, and every sender completes recovery, also the one whose journal is truncated twice.
 #[test]
 fn senders_recover_from_truncated_journals() {
-    let (head, _) = DAY.split_once("[[break]]").expect("breaks");
+    let (head, _) = SCENARIO.split_once("[[break]]").expect("a [[break]] table");
     let text = format!(
         "{}{}",
         head.replace("hold = \"60 s\"", "hold = \"60 s\"\nrecovery = true")
@@ -408,40 +415,40 @@
 "#
     );
     let plan = Plan {
-        scenario: scenario::parse(&text, 4).expect("a good day"),
+        scenario: scenario::parse(&text, 4).expect("a valid scenario"),
         ..plan()
     };
-    let (outcome, passed) = play(&plan, |_, _| {}).expect("it plays");
-    let shown = table(&plan, &outcome, &Report::of(&plan, &outcome, &passed)).join("\n");
+    let (outcome, traffic) = play(&plan, |_, _| {}).expect("the run completes");
+    let summary = table(&plan, &outcome, &Report::of(&plan, &outcome, &traffic)).join("\n");
     assert!(
         outcome.holds() && report::broken(&outcome).is_empty(),
-        "{shown}"
+        "{summary}"
     );
-    let cut = |sender| {
+    let truncations = |sender| {
         let of = outcome.lines.iter().filter(|l| l.sender == Some(sender));
         of.filter(|l| matches!(&l.event, AuditEvent::Lost { only: Some(_) }))
             .count()
     };
     assert_eq!(
-        (0..5).map(cut).collect::<Vec<_>>(),
+        (0..5).map(truncations).collect::<Vec<_>>(),
         [1, 2, 1, 0, 0],
-        "{shown}"
+        "{summary}"
     );
     for (sender, processes) in [2, 3, 2, 1, 1].into_iter().enumerate() {
-        let full = outcome
+        let recoveries = outcome
             .logs
             .iter()
             .filter(|l| l.0 == sender && l.1.contains("\"event\":\"recovery-complete\""))
             .count();
-        // A sender that is killed while it comes back need not have been full between.
+        // A sender that is killed during recovery need not have completed it.
         assert!(
-            full + 1 >= processes && full >= 1,
-            "{sender}: full {full} times in {processes} lives: {shown}"
+            recoveries + 1 >= processes && recoveries >= 1,
+            "{sender}: {recoveries} completed recoveries in {processes} processes: {summary}"
         );
     }
 }
 
-const ZONES: &str = r#"name = "one sender cut off from a zone, then the zone fails"
+const ZONE_SCENARIO: &str = r#"name = "one sender cut off from a zone, then the zone fails"
 lasts = "30 s"
 senders = 4
 [load]
@@ -488,25 +495,25 @@
 lasts = "5 s"
 "#;
 
-/// Guards the whole way: evidence, words, quorum, gates and probes. One that is cut off from a zone moves nobody; a zone that fails
-/// is left by all and returned to by all; every message ends in time, and the returning destinations are not pushed over.
+/// Guards zone evacuation end to end: evidence, votes, quorum, limits and probes. One sender cut off from a zone causes no
+/// evacuation; all senders leave and re-enter a zone that fails, messages end in time, returning destinations aren't overloaded.
 #[test]
 fn zone_is_evacuated_only_if_all_senders_see_it_fail() {
     let plan = Plan {
-        scenario: scenario::parse(ZONES, 3).expect("a good day"),
+        scenario: scenario::parse(ZONE_SCENARIO, 3).expect("a valid scenario"),
         ..plan()
     };
-    let (outcome, passed) = play(&plan, |_, _| {}).expect("it plays");
-    let judged = Report::of(&plan, &outcome, &passed);
+    let (outcome, traffic) = play(&plan, |_, _| {}).expect("the run completes");
+    let fleet_report = Report::of(&plan, &outcome, &traffic);
     let timeline = Timeline::read(&outcome.logs, &outcome.lines, outcome.began);
-    let shown = format!(
+    let summary = format!(
         "{}\n{:?}",
-        table(&plan, &outcome, &judged).join("\n"),
+        table(&plan, &outcome, &fleet_report).join("\n"),
         timeline.zones
     );
     assert!(
         outcome.holds() && report::broken(&outcome).is_empty(),
-        "{shown}"
+        "{summary}"
     );
     let failed_at = Duration::from_secs(12);
     assert!(
@@ -514,27 +521,27 @@
             .zones
             .iter()
             .all(|z| z.0 >= failed_at && z.2 == "b"),
-        "{shown}"
+        "{summary}"
     );
     for sender in 0..4 {
-        let printed: Vec<&str> = timeline
+        let observed: Vec<&str> = timeline
             .zones
             .iter()
             .filter(|z| z.1 == sender)
             .map(|z| z.3.as_str())
             .collect();
         assert!(
-            printed.starts_with(&["evacuated", "recovery-ramp"]),
-            "{sender}: {printed:?}: {shown}"
+            observed.starts_with(&["evacuated", "recovery-ramp"]),
+            "{sender}: {observed:?}: {summary}"
         );
         let view = outcome.views[sender]
             .as_ref()
-            .unwrap_or_else(|| panic!("{sender} told no view: {shown}"));
+            .unwrap_or_else(|| panic!("sender {sender} reported no status: {summary}"));
         assert!(
             view["zones"].as_array().is_some_and(|z| z.len() == 2),
             "{view}"
         );
     }
-    let zone = &judged.outages[0];
-    assert!(zone.stayed == 0 && zone.left.len() == 4, "{shown}");
+    let zone = &fleet_report.outages[0];
+    assert!(zone.stayed == 0 && zone.left.len() == 4, "{summary}");
 }
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -1,5 +1,5 @@
-//! Files as people have written them, and files that the program writes for other programs: each must be read, or
-//! written, as it always was, whatever the code calls its parts.
+//! Compatibility of file formats: files that operators have written must parse as before, and files that the program writes
+//! for other programs must keep their keys and columns, whatever names the code uses.
 
 mod common;
 
@@ -28,7 +28,7 @@
 const EXPORTED: &str = include_str!("golden/exported.jsonl");
 const REPORT_KEYS: &str = include_str!("golden/report-keys.txt");
 
-/// A fleet's key, as its file spells it.
+/// The text of a key file with [`KEY`].
 const KEY_FILE: &str = "0707070707070707070707070707070707070707070707070707070707070707\n";
 const KEY: [u8; 32] = [7; 32];
 
@@ -66,7 +66,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// What a program printed, once it has ended well.
+/// Standard output of a program that exited with success.
 fn printed(output: &Output) -> String {
     assert!(output.status.success(), "{output:?}");
     text(&output.stdout)
@@ -84,7 +84,7 @@
     text.parse().expect("an address")
 }
 
-/// What a fleet file comes to for a sender of the usual test settings.
+/// The fleet settings that a fleet file gives for a sender with the default test configuration.
 fn fleet_of(text: &str) -> Fleet {
     let config = common::config("null", address("127.0.0.1:1"));
     let file = fleet::parse(text).expect("a fleet file");
@@ -92,8 +92,8 @@
         .expect("a fleet")
 }
 
-/// The text with one key, or the name of one table, misspelt; each with its line.
-fn misspelt(text: &str) -> Vec<(usize, String)> {
+/// Variants of the text with one key or table name misspelt, each with the number of that line.
+fn misspelt_variants(text: &str) -> Vec<(usize, String)> {
     let lines: Vec<&str> = text.lines().collect();
     let mut variants = Vec::new();
     for (index, line) in lines.iter().enumerate() {
@@ -117,7 +117,7 @@
         fleet::parse(FLEET_EVERY_KEY).expect("a fleet file").key,
         Path::new("keys/fleet.key")
     );
-    // Whole patterns: a new field must be added here.
+    // Complete patterns, so that the compiler asks for each new field here.
     let Fleet {
         listen,
         status,
@@ -203,14 +203,14 @@
 
 #[test]
 fn keys_left_out_of_a_fleet_file_have_their_old_defaults() {
-    let least = "listen = \"127.0.0.1:7946\"\nkey = \"fleet.key\"\n";
+    let minimal = "listen = \"127.0.0.1:7946\"\nkey = \"fleet.key\"\n";
     let Fleet {
         status,
         settings,
         recovery,
         zones,
         ..
-    } = fleet_of(&format!("{least}[recovery]\n[zones]\n"));
+    } = fleet_of(&format!("{minimal}[recovery]\n[zones]\n"));
     assert_eq!(status, None);
     assert!(settings.seeds.is_empty());
     assert_eq!(
@@ -237,13 +237,13 @@
         (secs(2), ms(300), 4.0)
     );
     assert_eq!((zones.out, zones.calm), ([secs(2), secs(60)], secs(30)));
-    let never = fleet_of(&format!("{least}hold = \"never\"\n"));
+    let never = fleet_of(&format!("{minimal}hold = \"never\"\n"));
     assert_eq!(never.settings.eviction_delay, None);
 }
 
 #[test]
 fn every_misspelt_key_of_a_fleet_file_is_an_error() {
-    let variants = misspelt(FLEET_EVERY_KEY);
+    let variants = misspelt_variants(FLEET_EVERY_KEY);
     assert_eq!(variants.len(), 24);
     for (line, text) in variants {
         let error = fleet::parse(&text)
@@ -258,7 +258,7 @@
 
 #[test]
 fn check_accepts_the_deployed_files_and_names_a_misspelt_key() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let config = folder.path().join("config.json");
     std::fs::write(&config, WRITTEN_CONFIG).expect("written");
     std::fs::write(folder.path().join("fleet.key"), KEY_FILE).expect("written");
@@ -279,7 +279,7 @@
         .env("NODE_CONFIG", &config)
         .env("NODE_STATE", folder.path())
         .output()
-        .expect("it runs")
+        .expect("the program runs")
     };
     let accepted = printed(&check(FLEET, WEB_PUSH));
     assert_eq!(accepted.lines().count(), 3, "{accepted}");
@@ -360,7 +360,7 @@
 
 #[test]
 fn every_misspelt_key_of_a_web_push_file_is_an_error() {
-    let variants = misspelt(WEB_PUSH_EVERY_KEY);
+    let variants = misspelt_variants(WEB_PUSH_EVERY_KEY);
     assert_eq!(variants.len(), 19);
     for (line, text) in variants {
         let error = webpush::parse_file(&text)
@@ -385,7 +385,7 @@
 fn an_imported_web_push_file_is_written_and_read_as_before() {
     let output = program(&["import-nginx", path_text(&golden("nginx.conf"))])
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     assert_eq!(printed(&output), IMPORTED);
     let file = webpush::parse_file(IMPORTED).expect("a Web Push file");
     assert_eq!(file.upstream[0].server.len(), 2);
@@ -397,14 +397,14 @@
 fn hard_cases_script_plays_as_before() {
     let output = program(&["rehearse", path_text(&golden("hard-cases.txt"))])
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     assert_eq!(printed(&output).lines().count(), 6);
 }
 
 #[test]
 fn every_keyword_of_a_push_script_reads_as_before() {
     let script = push_script::parse(EVERY_WORD).expect("a script");
-    let report = push_script::play(&script).expect("played");
+    let report = push_script::play(&script).expect("the script runs");
     let missed: Vec<&String> = report
         .lines
         .iter()
@@ -419,7 +419,7 @@
         missed[0].ends_with("expected refused within 5.00 s in 9 attempts"),
         "{missed:?}"
     );
-    // What is left out is the same as these.
+    // An omitted argument has the same meaning as its default.
     let push =
         |arguments: &str| push_script::parse(&format!("push one{arguments}")).expect("a script");
     assert_eq!(push(""), push(" ttl=20 body=one"));
@@ -456,25 +456,23 @@
         "given-up",
         "invalid",
     ];
-    let is_word = |token: &str, text_token: &str| {
-        token == text_token || token.starts_with(&format!("{text_token}="))
-    };
-    for text_token in arguments {
+    let is_keyword =
+        |token: &str, keyword: &str| token == keyword || token.starts_with(&format!("{keyword}="));
+    for keyword in arguments {
         let mut found = 0;
         for (index, line) in EVERY_WORD
             .lines()
             .enumerate()
             .filter(|(_, l)| !l.starts_with('#'))
         {
-            // The second word of a push or an expectation is a name.
+            // The second word of `push` and `expect` is the name of a push, not a keyword.
             let named = line.starts_with("push") || line.starts_with("expect");
             let mut tokens: Vec<String> = line.split_whitespace().map(str::to_owned).collect();
             let place =
-                (0..tokens.len()).find(|&n| !(named && n == 1) && is_word(&tokens[n], text_token));
+                (0..tokens.len()).find(|&n| !(named && n == 1) && is_keyword(&tokens[n], keyword));
             let Some(place) = place else { continue };
             found += 1;
-            tokens[place] =
-                tokens[place].replacen(text_token, &format!("{text_token}-misspelt"), 1);
+            tokens[place] = tokens[place].replacen(keyword, &format!("{keyword}-misspelt"), 1);
             let mut lines: Vec<&str> = EVERY_WORD.lines().collect();
             let changed = tokens.join(" ");
             lines[index] = &changed;
@@ -486,13 +484,13 @@
                 "{changed}: {error}"
             );
         }
-        assert!(found > 0, "{text_token} is not in the script");
+        assert!(found > 0, "{keyword} is not in the script");
     }
 }
 
 #[test]
 fn the_configuration_for_a_scenario_is_written_as_before() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let written = folder.path().join("config.json");
     let output = program(&[
         "rehearse",
@@ -502,7 +500,7 @@
     ])
     .args(["--write-config", path_text(&written)])
     .output()
-    .expect("it runs");
+    .expect("the program runs");
     printed(&output);
     assert_eq!(
         std::fs::read_to_string(&written).expect("written"),
@@ -519,12 +517,14 @@
         segment: Some(4096),
     };
     let open = Journal::open(
-        Folder::new(folder, options.disk).expect("a folder"),
+        Folder::new(folder, options.disk).expect("the journal folder"),
         &options,
         NOW,
     );
-    let mut journal = open.expect("opens").0;
-    journal.append(NOW, &journal_records()).expect("room");
+    let mut journal = open.expect("the journal opens").0;
+    journal
+        .append(NOW, &journal_records())
+        .expect("records appended");
 }
 
 fn accepted(id: &str, key: Option<&str>, ordering_key: Option<&str>) -> Record {
@@ -587,17 +587,17 @@
 
 #[test]
 fn an_exported_journal_is_written_as_before() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     write_journal(folder.path());
     let output = program(&["journal", "export", path_text(folder.path())])
         .output()
-        .expect("it runs");
-    let exported: String = printed(&output).lines().map(without_place).collect();
+        .expect("the program runs");
+    let exported: String = printed(&output).lines().map(without_location).collect();
     assert_eq!(exported, EXPORTED);
 }
 
-/// A row with `N` for each number that tells where the journal put it. The journal's files have tests of their own.
-fn without_place(row: &str) -> String {
+/// A row with `N` for each number that depends on the layout of the journal, which has tests of its own.
+fn without_location(row: &str) -> String {
     let mut row = format!("{row}\n");
     for key in ["segment", "offset", "bytes", "lsn", "born"] {
         let start = row
@@ -613,9 +613,9 @@
 
 #[test]
 fn the_columns_of_an_exported_table_are_as_before() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let elsewhere = tempfile::tempdir().expect("a folder");
-    let table = elsewhere.path().join("records.parquet");
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    let output_folder = tempfile::tempdir().expect("a temporary folder");
+    let table = output_folder.path().join("records.parquet");
     write_journal(folder.path());
     let output = program(&[
         "journal",
@@ -626,7 +626,7 @@
     ])
     .args(["--out", path_text(&table)])
     .output()
-    .expect("it runs");
+    .expect("the program runs");
     printed(&output);
     let expected = "segment offset bytes lsn kind id born attempt never_ran endpoint at class station partner key deadline \
                     after_ms until before body_bytes body order_key";
@@ -646,7 +646,7 @@
         .collect()
 }
 
-/// The paths of all keys; places in a list are one path.
+/// Collects the paths of all keys; all elements of a list share the path `*`.
 fn key_paths(value: &Value, at: &str, found: &mut BTreeSet<String>) {
     match value {
         Value::Object(map) => {
@@ -665,7 +665,7 @@
 
 #[test]
 fn a_report_has_the_same_keys_and_columns_as_before() {
-    let out = tempfile::tempdir().expect("a folder");
+    let out = tempfile::tempdir().expect("a temporary folder");
     let output = program(&[
         "rehearse",
         path_text(&golden("short.toml")),
@@ -673,14 +673,14 @@
         path_text(out.path()),
     ])
     .output()
-    .expect("it runs");
+    .expect("the program runs");
     let report = std::fs::read_to_string(out.path().join("report.json"));
     let report = report.unwrap_or_else(|e| panic!("{e}: {output:?}"));
     let report: Value = serde_json::from_str(&report).expect("JSON");
     assert_eq!(report["day"], "A short scenario, for its report");
     let mut found = BTreeSet::new();
     key_paths(&report, "", &mut found);
-    // A violation that a busy machine brings has keys of its own, which a quiet one never shows.
+    // Violations, which a busy machine can cause, have keys that a run without violations lacks.
     found.retain(|path| !path.starts_with("/rules/*/breaches/"));
     let found: String = found.iter().map(|path| format!("{path}\n")).collect();
     assert_eq!(found, REPORT_KEYS);
--- a/crates/cranehill/tests/journal.rs
+++ b/crates/cranehill/tests/journal.rs
@@ -1,4 +1,4 @@
-//! `cranehill journal`, and what the program says of a folder that it can't use.
+//! `cranehill journal`, and the error for a journal of an unsupported format.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -13,19 +13,23 @@
 const NOW: u64 = 1_764_590_000_000;
 const DISK: u64 = 400_000;
 
-fn begin(dir: &Path) -> Journal<Folder> {
+fn open_journal(dir: &Path) -> Journal<Folder> {
     let options = Options {
         disk: DISK,
         key: None,
         fresh_key: [7; 32],
         segment: Some(4096),
     };
-    Journal::open(Folder::new(dir, DISK).expect("a folder"), &options, NOW)
-        .expect("opens")
-        .0
+    Journal::open(
+        Folder::new(dir, DISK).expect("the journal folder"),
+        &options,
+        NOW,
+    )
+    .expect("the journal opens")
+    .0
 }
 
-fn taken(id: &str) -> Record {
+fn accepted_record(id: &str) -> Record {
     Record::Accepted {
         id: id.into(),
         class: 0,
@@ -39,7 +43,7 @@
     }
 }
 
-fn turn(n: u32) -> Vec<Record> {
+fn message_records(n: u32) -> Vec<Record> {
     let id = format!("{n:016x}");
     let sent = Record::AttemptStarted {
         id: id.clone(),
@@ -47,7 +51,7 @@
         endpoint: "s-1".into(),
         at: NOW * 1_000_000,
     };
-    let mut records = vec![taken(&id), sent];
+    let mut records = vec![accepted_record(&id), sent];
     if n.is_multiple_of(2) {
         records.push(Record::Completed {
             id,
@@ -61,7 +65,7 @@
     Command::new(env!("CARGO_BIN_EXE_cranehill"))
         .args(args)
         .output()
-        .expect("it runs")
+        .expect("the program runs")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -70,11 +74,13 @@
 
 #[test]
 fn damage_is_reported_by_segment_and_offset_without_changing_the_folder() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a temporary folder");
     let path = dir.path().to_str().expect("a path");
-    let mut journal = begin(dir.path());
+    let mut journal = open_journal(dir.path());
     for n in 0..200 {
-        journal.append(NOW, &turn(n)).expect("room");
+        journal
+            .append(NOW, &message_records(n))
+            .expect("records appended");
     }
     let files = || {
         Folder::existing(dir.path(), DISK)
@@ -82,12 +88,12 @@
             .expect("a list")
     };
     let before = files();
-    let whole = run(&["journal", "verify", path]);
-    assert_eq!(whole.status.code(), Some(0), "{}", text(&whole.stdout));
+    let intact = run(&["journal", "verify", path]);
+    assert_eq!(intact.status.code(), Some(0), "{}", text(&intact.stdout));
     assert!(
-        text(&whole.stdout).contains("100 notices open (0 in doubt)"),
+        text(&intact.stdout).contains("100 notices open (0 in doubt)"),
         "{}",
-        text(&whole.stdout)
+        text(&intact.stdout)
     );
     let name = before
         .keys()
@@ -97,9 +103,9 @@
     let mut bytes = std::fs::read(dir.path().join(&name)).expect("a segment");
     bytes[1000] ^= 4;
     std::fs::write(dir.path().join(&name), bytes).expect("written");
-    let hit = run(&["journal", "verify", path]);
-    let printed = text(&hit.stdout);
-    assert_eq!(hit.status.code(), Some(1));
+    let damaged = run(&["journal", "verify", path]);
+    let printed = text(&damaged.stdout);
+    assert_eq!(damaged.status.code(), Some(1));
     assert!(
         printed
             .lines()
@@ -107,7 +113,7 @@
             .is_some_and(|l| l.starts_with(&format!("{name} at "))),
         "{printed}"
     );
-    assert_eq!(files(), before, "it only reads");
+    assert_eq!(files(), before, "verify changed the folder");
     let stats = text(&run(&["journal", "stats", path]).stdout);
     assert!(
         stats.contains("head") && stats.contains("taken: "),
@@ -115,14 +121,16 @@
     );
     let dump = text(&run(&["journal", "dump", path, "--id", "0000000000000003"]).stdout);
     assert_eq!(dump.lines().count(), 2, "{dump}");
-    for (args, why) in [
+    for (args, expected_error) in [
         (vec!["verify", "/nonexistent"], "No such file"),
         (vec!["export", path, "--format", "parquet"], "--out"),
     ] {
         let out = run(&[&["journal"], &args[..]].concat());
         let printed = text(&out.stderr);
         assert!(
-            out.status.code() == Some(2) && printed.lines().count() == 1 && printed.contains(why),
+            out.status.code() == Some(2)
+                && printed.lines().count() == 1
+                && printed.contains(expected_error),
             "{printed}"
         );
     }
@@ -130,21 +138,26 @@
 
 #[test]
 fn exports_hold_every_record_in_both_formats() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a temporary folder");
     let path = dir.path().to_str().expect("a path");
-    let mut journal = begin(dir.path());
+    let mut journal = open_journal(dir.path());
     for n in 0..100 {
-        journal.append(NOW, &turn(n)).expect("room");
+        journal
+            .append(NOW, &message_records(n))
+            .expect("records appended");
     }
     let lines = text(&run(&["journal", "export", path]).stdout);
     let rows: Vec<serde_json::Value> = lines
         .lines()
-        .map(|l| serde_json::from_str(l).expect("an object"))
+        .map(|l| serde_json::from_str(l).expect("a JSON object"))
         .collect();
     assert_eq!(rows.len(), 250);
-    let of = |kind: &str| rows.iter().filter(|r| r["kind"] == kind).count();
-    assert_eq!((of("taken"), of("sent"), of("over")), (100, 100, 50));
-    let elsewhere = tempfile::tempdir().expect("a folder");
+    let count_of = |kind: &str| rows.iter().filter(|r| r["kind"] == kind).count();
+    assert_eq!(
+        (count_of("taken"), count_of("sent"), count_of("over")),
+        (100, 100, 50)
+    );
+    let elsewhere = tempfile::tempdir().expect("a temporary folder");
     let table = elsewhere.path().join("facts.parquet");
     let out = run(&[
         "journal",
@@ -185,12 +198,12 @@
     assert_eq!(seen, 250);
 }
 
-/// On call one looks while the sender runs: what is read must not pass for damage.
+/// Guards `verify` on the folder of a running sender: concurrent writes and compaction must not be reported as damage.
 #[test]
 fn live_folder_is_read_as_sound() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a temporary folder");
     let path = dir.path().to_str().expect("a path");
-    let mut journal = begin(dir.path());
+    let mut journal = open_journal(dir.path());
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
     let writer = std::thread::spawn(move || {
@@ -198,14 +211,16 @@
             if stopped.load(Ordering::Relaxed) {
                 return n;
             }
-            let mut records = turn(n);
+            let mut records = message_records(n);
             if n >= 40 {
                 records.push(Record::Completed {
                     id: format!("{:016x}", n - 40),
                     until: (NOW + 1) * 1_000_000,
                 });
             }
-            journal.append(NOW + u64::from(n), &records).expect("room");
+            journal
+                .append(NOW + u64::from(n), &records)
+                .expect("records appended");
             journal.compact(NOW + u64::from(n));
             std::thread::sleep(std::time::Duration::from_micros(300));
         }
@@ -227,15 +242,15 @@
 
 #[test]
 fn newer_journal_format_fails_start_and_json_logs_are_objects() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a temporary folder");
     let state = dir.path().join("state");
-    drop(begin(&state));
+    drop(open_journal(&state));
     let settings = common::config_text(&common::list(1, &[]));
     let config = dir.path().join("config.json");
     std::fs::write(&config, settings).expect("written");
     let manifest = state.join("manifest");
-    let whole = std::fs::read(&manifest).expect("a manifest");
-    let mut newer = whole.clone();
+    let intact = std::fs::read(&manifest).expect("a manifest");
+    let mut newer = intact.clone();
     newer[8] = 2;
     newer[20] ^= 1;
     std::fs::write(&manifest, &newer).expect("written");
@@ -249,9 +264,9 @@
             .env("RUST_LOG", "info")
             .stderr(std::process::Stdio::piped())
             .spawn()
-            .expect("it runs")
+            .expect("the program runs")
     };
-    let out = serve().wait_with_output().expect("it ends");
+    let out = serve().wait_with_output().expect("process ends");
     let printed = text(&out.stderr);
     assert!(
         out.status.code() == Some(2)
@@ -262,23 +277,25 @@
     assert_eq!(
         std::fs::read(&manifest).expect("a manifest"),
         newer,
-        "nothing is touched"
+        "the manifest was changed"
     );
-    std::fs::write(&manifest, whole).expect("written");
+    std::fs::write(&manifest, intact).expect("written");
     let mut child = serve();
     std::io::BufRead::lines(std::io::BufReader::new(
-        child.stderr.take().expect("its log"),
+        child.stderr.take().expect("a piped log"),
     ))
-    .map(|l| serde_json::from_str::<serde_json::Value>(&l.expect("text")).expect("an object"))
+    .map(|l| {
+        serde_json::from_str::<serde_json::Value>(&l.expect("UTF-8 text")).expect("a JSON object")
+    })
     .find(|l| {
         l["msg"]
             .as_str()
             .is_some_and(|m| m.starts_with("started: "))
             && l["pending"] == 0
     })
-    .expect("the line of its start, with its values");
+    .expect("a 'started' line with pending = 0");
     child.kill().expect("killed");
-    child.wait().expect("gone");
+    child.wait().expect("process exits");
 }
 
 mod common;
--- a/crates/cranehill/tests/late_connections.rs
+++ b/crates/cranehill/tests/late_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that come up after their reason has gone: nothing may be written on them.
+//! Connections that are established too late: the request that they were opened for must no longer be written.
 
 mod common;
 
@@ -8,21 +8,24 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use common::{Client, SOON, changing, full_listener, list, reports, start, start_as, wait_for};
+use common::{
+    Client, TIMEOUT, full_listener, list, reports, start, start_with_options, updating_platform,
+    wait_for,
+};
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
 const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
-/// Lets what waits for `late` come up, and reads all that is written there until `over`, or until `id` is.
+/// Accepts connections at `late` and returns all bytes received there, until `over` returns true or `id` has arrived.
 fn written(late: &TcpListener, id: &str, over: impl Fn() -> bool) -> String {
-    late.set_nonblocking(true).expect("set");
-    let end = Instant::now() + SOON;
+    late.set_nonblocking(true).expect("socket option set");
+    let end = Instant::now() + TIMEOUT;
     let (mut streams, mut bytes) = (Vec::new(), Vec::new());
     loop {
-        // Looked at first: what was written before it was over is read.
+        // Checked before reading, so that everything written by then is read.
         let last = over();
         while let Ok((stream, _)) = late.accept() {
-            stream.set_nonblocking(true).expect("set");
+            stream.set_nonblocking(true).expect("socket option set");
             streams.push(stream);
         }
         for stream in &mut streams {
@@ -32,51 +35,54 @@
         if last || text.contains(id) {
             return text;
         }
-        assert!(Instant::now() < end, "neither over nor written");
+        assert!(
+            Instant::now() < end,
+            "neither the end condition nor the message arrived in time"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Guards the window for repeats: the decision to repeat was in time, the connection came up when it no longer was, and the
-/// repeat went out all the same (narrow days of the other customer: "sent again outside its group or window").
+/// Guards the time window for repeats: a retry was decided within the window, its connection was established after the window,
+/// and the retry was still written (a scenario with a narrow window reported "sent again outside its group or window").
 #[test]
 fn retry_is_not_written_if_its_connection_is_established_too_late() {
-    let fail = Arc::new(AtomicBool::new(false));
-    let fails = fail.clone();
+    let release_failure = Arc::new(AtomicBool::new(false));
+    let failure_released = release_failure.clone();
     let first = SimulatedServer::new(move |_, _| {
-        wait_for(&fails);
+        wait_for(&failure_released);
         Reply::status(500)
     })
-    .expect("partner");
-    let (late, fill) = full_listener();
+    .expect("destination server");
+    let (late, queued_connections) = full_listener();
     let late_address = late.local_addr().expect("an address");
     let window = Duration::from_millis(900);
     let (a, b) = (
         ("a", first.address, 7, "station"),
         ("b", late_address, 7, "station"),
     );
-    let (platform, change) = changing(list(2, &[a, b]));
-    let sender = start_as(&list(1, &[a]), &platform, |setup| {
-        let class = &mut setup.platform_settings.settings.classes[0];
-        // A call is waited for for a quarter of the aim at least: longer than the connection takes.
+    let (platform, publish_list) = updating_platform(list(2, &[a, b]));
+    let sender = start_with_options(&list(1, &[a]), &platform, |options| {
+        let class = &mut options.platform_settings.settings.classes[0];
+        // The call timeout is at least a quarter of the latency objective: 5 s, longer than the connection takes.
         (class.window, class.latency_objective) = (window, Duration::from_secs(20));
     });
     let mut client = Client::new(sender.clients);
     assert_eq!(client.put("m1", NAMES, b"x"), "+OK");
-    assert!(first.wait_for(1, SOON));
-    let executed = first.seen()[0].at;
-    change.store(true, Ordering::Relaxed);
+    assert!(first.wait_for(1, TIMEOUT));
+    let first_attempt = first.seen()[0].at;
+    publish_list.store(true, Ordering::Relaxed);
     assert!(
-        platform.wait_for(2, SOON),
+        platform.wait_for(2, TIMEOUT),
         "the watch that continues from the new list"
     );
-    // It failed at the first endpoint, so the repeat goes to the second, whose connection does not come up yet.
-    fail.store(true, Ordering::Relaxed);
-    // The window's end is a moment of the clock, and the listener lets nothing up before it.
-    while executed.elapsed() < window {
+    // The first endpoint fails, so the retry goes to the second, whose connection is not established yet.
+    release_failure.store(true, Ordering::Relaxed);
+    // The listener accepts nothing until the window has passed.
+    while first_attempt.elapsed() < window {
         std::thread::sleep(Duration::from_millis(5));
     }
-    drop(fill);
+    drop(queued_connections);
     let failed = || {
         reports(&platform)
             .iter()
@@ -86,12 +92,13 @@
     assert_eq!(first.seen().len(), 1);
 }
 
-/// Guards an endpoint that drains while a connection to it is on its way: what waits for it must not arrive there.
+/// Guards an endpoint that starts draining while a connection to it is being established: the waiting request must not be
+/// written there.
 #[test]
 fn request_to_a_draining_endpoint_is_not_written() {
-    let (late, fill) = full_listener();
+    let (late, queued_connections) = full_listener();
     let late_address = late.local_addr().expect("an address");
-    let other = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
+    let other = SimulatedServer::new(|_, _| Reply::status(200)).expect("destination server");
     let listed = list(
         2,
         &[
@@ -99,16 +106,17 @@
             ("c", other.address, 7, "station"),
         ],
     );
-    let (platform, change) =
-        changing(listed.replacen(r#""state":"up""#, r#""state":"draining""#, 1));
+    let (platform, publish_list) =
+        updating_platform(listed.replacen(r#""state":"up""#, r#""state":"draining""#, 1));
     let sender = start(&list(1, &[("b", late_address, 7, "station")]), &platform);
     let mut client = Client::new(sender.clients);
     assert_eq!(client.put("m1", NAMES, b"x"), "+OK");
-    change.store(true, Ordering::Relaxed);
-    // Once it asks from the new list on, the list has been read.
-    assert!(platform.wait_for(2, SOON), "the watch that continues");
-    drop(fill);
-    // It goes elsewhere, and nothing is written on what is on its way when the system has tried it again, after a second.
+    publish_list.store(true, Ordering::Relaxed);
+    // The watch that continues from the new list shows that the list has been applied.
+    assert!(platform.wait_for(2, TIMEOUT), "the watch that continues");
+    drop(queued_connections);
+    // The message goes to the other endpoint. The kernel retries the late connection after one second; nothing may be written
+    // on it.
     let settled = Instant::now() + Duration::from_millis(1200);
     assert_eq!(
         written(&late, "m1", || Instant::now() > settled
--- a/crates/cranehill/tests/notified_in_time.rs
+++ b/crates/cranehill/tests/notified_in_time.rs
@@ -1,4 +1,4 @@
-//! What discovery has to tell is here within 6 s of when it could be reached, whatever became of the call before.
+//! A newer endpoint list arrives within 6 s after discovery becomes reachable, however the polls before it failed.
 
 mod common;
 
@@ -9,42 +9,42 @@
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::{ControlCommand, Reactor, ReactorOptions};
 
-/// A change counts as told so long after discovery had it and could be reached.
-const NOTIFIED: Duration = Duration::from_secs(6);
-/// Longer than all that a play takes: several times [`NOTIFIED`].
-const STUCK: Duration = Duration::from_secs(40);
+/// Limit from the last failed poll until the newer list has been applied.
+const LIST_DEADLINE: Duration = Duration::from_secs(6);
+/// Wait after which a case fails without a measurement: several times [`LIST_DEADLINE`].
+const CASE_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// What becomes of the first calls.
+/// How the first polls fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum DeliveryOutcome {
-    /// Accepted, and never answered.
+enum PollFailure {
+    /// The request is read and never answered.
     Silent,
-    /// Answered 503 with a wait far beyond what counts.
+    /// Answered 503 with a `Retry-After` of 30 s, far beyond [`LIST_DEADLINE`].
     RefusedWithWait,
-    /// Answered 503, where so many senders share the pauses that they would be long.
+    /// Answered 503 without `Retry-After`. With 300 senders, pauses shared among them would be long.
     Refused,
-    /// Closed without an answer.
+    /// The connection is closed without an answer.
     Closed,
 }
 
-/// Discovery that fails its first calls and then has a newer list.
-fn discovery(outcome: DeliveryOutcome, failures: usize) -> SimulatedServer {
+/// Discovery that fails the first polls and then answers with a newer list.
+fn discovery(failure: PollFailure, failures: usize) -> SimulatedServer {
     let newer = list(9, &[]);
-    SimulatedServer::new(move |request, number| match outcome {
+    SimulatedServer::new(move |request, number| match failure {
         _ if request.method == "POST" => Reply::status(204),
         _ if request.path.contains("from=9&") => Reply::Silent,
         _ if number >= failures => Reply::Bytes(http::write_response(200, "OK", &[], &newer)),
-        DeliveryOutcome::Silent => Reply::Silent,
-        DeliveryOutcome::RefusedWithWait => Reply::wait(503, "30"),
-        DeliveryOutcome::Refused => Reply::status(503),
-        DeliveryOutcome::Closed => Reply::Close,
+        PollFailure::Silent => Reply::Silent,
+        PollFailure::RefusedWithWait => Reply::wait(503, "30"),
+        PollFailure::Refused => Reply::status(503),
+        PollFailure::Closed => Reply::Close,
     })
     .expect("discovery")
 }
 
-/// From when the last call that failed arrived until the watch that continues from the newer list does.
-fn taken(discovery: &SimulatedServer, failures: usize) -> Duration {
-    let end = Instant::now() + STUCK;
+/// The time between the arrival of the last failed poll and that of the watch that continues from the newer list.
+fn time_to_newer_list(discovery: &SimulatedServer, failures: usize) -> Duration {
+    let end = Instant::now() + CASE_TIMEOUT;
     let continues = |seen: &Seen| seen.request.path.contains("from=9&");
     loop {
         let seen = discovery.seen();
@@ -53,18 +53,19 @@
         }
         assert!(
             Instant::now() < end,
-            "the newer list was not asked for: {seen:?}"
+            "no watch continued from the newer list: {seen:?}"
         );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Plays one case: with lists pushed or asked for, and from the start or after a SIGHUP that moves discovery.
-fn play(outcome: DeliveryOutcome, failures: usize, asked_for: bool, moved: bool) -> Duration {
-    let failing = discovery(outcome, failures);
-    let before = SimulatedServer::new(|_, _| Reply::Silent).expect("discovery");
+/// Runs one case and returns the time to the newer list. `polled`: lists are polled, else watched. `moved`: a reload moves
+/// discovery to the failing server, else it is there from the start.
+fn run_case(failure: PollFailure, failures: usize, polled: bool, moved: bool) -> Duration {
+    let failing = discovery(failure, failures);
+    let old_discovery = SimulatedServer::new(|_, _| Reply::Silent).expect("discovery");
     let first = if moved {
-        before.address
+        old_discovery.address
     } else {
         failing.address
     };
@@ -73,8 +74,8 @@
     (
         platform_settings.settings.ask_for_list,
         platform_settings.settings.instances,
-    ) = (asked_for, 300);
-    let now_at = failing.address;
+    ) = (polled, 300);
+    let new_address = failing.address;
     let mut reactor = Reactor::new(ReactorOptions {
         platform_settings,
         seed: config.seed,
@@ -88,47 +89,53 @@
         push: None,
         sockets: 1024,
         memory: 192_000_000,
-        read_config: Some(Box::new(move || Ok(now_at))),
+        read_config: Some(Box::new(move || Ok(new_address))),
     })
     .expect("the sender starts");
-    let stop_handle = reactor.stop_handle().expect("halter");
-    let mut orders = if moved {
+    let stop_handle = reactor.stop_handle().expect("stop handle");
+    let mut commands = if moved {
         vec![ControlCommand::Reload]
     } else {
         Vec::new()
     };
     std::thread::scope(|scope| {
-        let running = scope.spawn(move || reactor.run(|| std::mem::take(&mut orders)));
-        let taken = taken(&failing, failures);
+        let running = scope.spawn(move || reactor.run(|| std::mem::take(&mut commands)));
+        let time_to_newer_list = time_to_newer_list(&failing, failures);
         stop_handle.stop();
-        running.join().expect("it runs").expect("it ends");
-        taken
+        running
+            .join()
+            .expect("the sender thread does not panic")
+            .expect("the sender stops without an error");
+        time_to_newer_list
     })
 }
 
 #[test]
 fn newer_endpoint_list_arrives_in_time_after_failed_polls() {
-    let outcomes = [
-        (DeliveryOutcome::Silent, 1),
-        (DeliveryOutcome::RefusedWithWait, 1),
-        (DeliveryOutcome::Refused, 2),
-        (DeliveryOutcome::Closed, 3),
+    let failure_cases = [
+        (PollFailure::Silent, 1),
+        (PollFailure::RefusedWithWait, 1),
+        (PollFailure::Refused, 2),
+        (PollFailure::Closed, 3),
     ];
     std::thread::scope(|scope| {
-        let mut plays = Vec::new();
-        for (outcome, failures) in outcomes {
-            for (asked_for, moved) in [(false, false), (false, true), (true, false), (true, true)] {
-                let played = scope.spawn(move || play(outcome, failures, asked_for, moved));
-                plays.push((
-                    format!("{outcome:?}, asked for: {asked_for}, moved: {moved}"),
-                    played,
+        let mut running_cases = Vec::new();
+        for (failure, failures) in failure_cases {
+            for (polled, moved) in [(false, false), (false, true), (true, false), (true, true)] {
+                let running_case = scope.spawn(move || run_case(failure, failures, polled, moved));
+                running_cases.push((
+                    format!("{failure:?}, polled: {polled}, moved: {moved}"),
+                    running_case,
                 ));
             }
         }
-        for (what, played) in plays {
-            let taken = played.join().expect("played");
-            println!("{what}: {taken:?}");
-            assert!(taken < NOTIFIED, "{what}: {taken:?}");
+        for (case, running_case) in running_cases {
+            let time_to_newer_list = running_case.join().expect("the case completes");
+            println!("{case}: {time_to_newer_list:?}");
+            assert!(
+                time_to_newer_list < LIST_DEADLINE,
+                "{case}: {time_to_newer_list:?}"
+            );
         }
     });
 }
--- a/crates/cranehill/tests/operator.rs
+++ b/crates/cranehill/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' address: what each call does, and what it must not do.
+//! The operators' address: effect and limits of each request.
 
 mod common;
 
@@ -7,15 +7,15 @@
 use std::path::Path;
 use std::sync::mpsc::{Receiver, channel};
 
-use common::{Client, Running, SOON, list, platform, put, start_as};
+use common::{Client, RunningSender, TIMEOUT, list, platform, put, start_with_options};
 use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::State;
 
-fn operated(known: &str, platform: &SimulatedServer, state: Option<&Path>) -> Running {
-    start_as(known, platform, |setup| {
-        setup.operator = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
-        setup.state = state.map(|dir| State {
+fn start_operated(known: &str, platform: &SimulatedServer, state: Option<&Path>) -> RunningSender {
+    start_with_options(known, platform, |options| {
+        options.operator = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
+        options.state = state.map(|dir| State {
             dir: dir.to_owned(),
             disk: 1_000_000,
             key: None,
@@ -23,20 +23,22 @@
     })
 }
 
-fn ask(sender: &Running, bytes: &[u8]) -> String {
+fn send_request(sender: &RunningSender, bytes: &[u8]) -> String {
     let mut stream =
         TcpStream::connect(sender.operator.expect("an operators' address")).expect("connect");
-    stream.set_read_timeout(Some(SOON)).expect("time-out");
+    stream
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("read timeout set");
     stream.write_all(bytes).expect("write");
     let mut text = String::new();
     stream
         .read_to_string(&mut text)
-        .expect("an answer, then the end");
+        .expect("an answer, then end of stream");
     text
 }
 
-fn call(sender: &Running, method: &str, path: &str) -> u16 {
-    let text = ask(
+fn call(sender: &RunningSender, method: &str, path: &str) -> u16 {
+    let text = send_request(
         sender,
         format!("{method} {path} HTTP/1.1\r\nHost: o\r\nContent-Length: 0\r\n\r\n").as_bytes(),
     );
@@ -46,19 +48,19 @@
         .unwrap_or_else(|| panic!("{path}: {text}"))
 }
 
-/// Two endpoints of destination 7 that say who was called with what.
+/// Two endpoints of destination 7, and a channel with the endpoint and message id of each call.
 fn destination() -> (SimulatedServer, SimulatedServer, Receiver<(char, String)>) {
-    let (printed, heard) = channel();
+    let (call_log, calls) = channel();
     let endpoint = |name: char| {
-        let printed = printed.clone();
+        let call_log = call_log.clone();
         SimulatedServer::new(move |request, _| {
             let id = http::header(&request.headers, "X-Txn").unwrap_or_default();
-            let _ = printed.send((name, id.to_owned()));
+            let _ = call_log.send((name, id.to_owned()));
             Reply::status(200)
         })
         .expect("endpoint")
     };
-    (endpoint('a'), endpoint('b'), heard)
+    (endpoint('a'), endpoint('b'), calls)
 }
 
 fn rows(a: &SimulatedServer, b: &SimulatedServer) -> String {
@@ -75,9 +77,9 @@
 
 #[test]
 fn each_operator_request_is_accepted_and_rejected_as_specified() {
-    let (a, b, _heard) = destination();
+    let (a, b, _calls) = destination();
     let platform = platform();
-    let sender = operated(&rows(&a, &b), &platform, None);
+    let sender = start_operated(&rows(&a, &b), &platform, None);
     let mut transcript = String::new();
     for bytes in [
         "GET /_ready HTTP/1.1\r\n\r\n",
@@ -100,29 +102,30 @@
         "GET /elsewhere HTTP/1.1\r\n\r\n",
         "\u{1}\u{2} no HTTP\r\n\r\n",
         "PUT /_lameduck/on HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n",
-        // A second call on the same connection is not heard.
+        // A second request on the same connection is ignored.
         "GET /_ready HTTP/1.1\r\n\r\nPUT /_lameduck/on HTTP/1.1\r\n\r\n",
         "GET /_ready HTTP/1.1\r\n\r\n",
     ] {
         transcript.push_str(&format!(
             "> {}\n{}\n",
             bytes.escape_debug(),
-            ask(&sender, bytes.as_bytes())
+            send_request(&sender, bytes.as_bytes())
         ));
     }
     insta::assert_snapshot!(transcript.replace('\r', ""));
 }
 
-/// Guards the operators' maintenance: nothing new goes to what is out, a whole list and a restart included, until the call
-/// back; one call back is enough however many took it out.
+/// Guards maintenance of endpoints: a detached one gets no new calls until it is attached, also after a full list and a
+/// restart. One attach undoes any number of detaches.
 #[test]
 fn detached_endpoint_receives_nothing_until_reattached() {
-    let (a, b, heard) = destination();
+    let (a, b, calls) = destination();
     let (known, platform) = (rows(&a, &b), platform());
-    let folder = tempfile::tempdir().expect("a folder");
-    let put = |sender: &Running, id: &str| Client::new(sender.clients).put(id, NAMES, b"body");
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    let put =
+        |sender: &RunningSender, id: &str| Client::new(sender.clients).put(id, NAMES, b"body");
     {
-        let sender = operated(&known, &platform, Some(folder.path()));
+        let sender = start_operated(&known, &platform, Some(folder.path()));
         for path in [
             "detach/a%2F1%20%25",
             "detach/b",
@@ -134,36 +137,39 @@
         for n in 0..6 {
             assert_eq!(put(&sender, &format!("{n:016x}")), "+OK");
         }
-        assert!((0..6).all(|_| heard.recv_timeout(SOON).is_ok_and(|call| call.0 == 'a')));
+        assert!((0..6).all(|_| calls.recv_timeout(TIMEOUT).is_ok_and(|call| call.0 == 'a')));
     }
-    // The next process has the whole list from its configuration, and what is out from the folder.
-    let sender = operated(&known, &platform, Some(folder.path()));
+    // The next process reads the full list from its configuration and the detached endpoints from the state folder.
+    let sender = start_operated(&known, &platform, Some(folder.path()));
     assert_eq!(call(&sender, "PUT", "/_endpoints/detach/a%2F1%20%25"), 200);
-    // What the halt left open may go to `a` once more before that.
-    let held = "00000000000000ff";
-    assert_eq!(put(&sender, held), "+OK");
-    let of_it = |call: &(char, String)| call.1 == held;
+    // Messages pending at the restart may be sent to `a` again before it is detached.
+    let pending_id = "00000000000000ff";
+    assert_eq!(put(&sender, pending_id), "+OK");
+    let is_pending_message = |call: &(char, String)| call.1 == pending_id;
     let wait = std::time::Duration::from_millis(700);
-    let early: Vec<_> = std::iter::from_fn(|| heard.recv_timeout(wait).ok())
-        .filter(of_it)
+    let early: Vec<_> = std::iter::from_fn(|| calls.recv_timeout(wait).ok())
+        .filter(is_pending_message)
         .collect();
-    assert!(early.is_empty(), "both are out: it is held, {early:?}");
+    assert!(
+        early.is_empty(),
+        "both endpoints are detached, but called with {early:?}"
+    );
     assert_eq!(call(&sender, "PUT", "/_endpoints/attach/b"), 200);
-    let first = std::iter::from_fn(|| heard.recv_timeout(SOON).ok()).find(of_it);
+    let first = std::iter::from_fn(|| calls.recv_timeout(TIMEOUT).ok()).find(is_pending_message);
     assert_eq!(first.map(|call| call.0), Some('b'));
     assert_eq!(
         call(&sender, "PUT", "/_endpoints/attach/b"),
         200,
-        "it is in, and held by the list"
+        "attaching an attached endpoint succeeds"
     );
 }
 
-/// Guards the drain: who asks hears a no, connections end between requests, and what was written is answered.
+/// Guards draining: `PING` gets an error, connections close between requests, and every request received is answered.
 #[test]
 fn draining_sender_answers_pending_requests_and_closes_connections() {
-    let (a, b, _heard) = destination();
+    let (a, b, _calls) = destination();
     let platform = platform();
-    let sender = operated(&rows(&a, &b), &platform, None);
+    let sender = start_operated(&rows(&a, &b), &platform, None);
     let (mut idle, mut busy) = (Client::new(sender.clients), Client::new(sender.clients));
     assert_eq!(idle.put("00000000000000a0", NAMES, b"x"), "+OK");
     assert_eq!(call(&sender, "PUT", "/_lameduck/on"), 200);
@@ -173,17 +179,17 @@
         (pings.line(), pings.line()),
         ("-ERR emptying, for operators".into(), "<end>".into())
     );
-    // Half a request is waited for, and what follows a whole one goes nowhere unanswered: the connection ends after an answer.
+    // A begun request is awaited; its connection closes after the last answer.
     let request = put("00000000000000b0", NAMES, b"slow");
     busy.send(&request[..20]);
     assert_eq!(idle.line(), "<end>");
-    // With a second one behind it in the same write: neither goes unanswered.
+    // A second request in the same write is answered too.
     busy.send(&[&request[20..], &put("00000000000000b1", NAMES, b"next")].concat());
     assert_eq!(
         (busy.line(), busy.line(), busy.line()),
         ("+OK".into(), "+OK".into(), "<end>".into())
     );
-    // The front may still send somebody here.
+    // A load balancer may still route new connections here.
     assert_eq!(
         Client::new(sender.clients).put("00000000000000c0", NAMES, b"late"),
         "+OK"
@@ -195,22 +201,24 @@
     assert_eq!(again.put("00000000000000d0", NAMES, b"x"), "+OK");
 }
 
-/// Guards the address against callers who open connections and ask nothing: they neither keep others out nor stay.
+/// Guards the address against connections without a request: they do not block others, and are closed.
 #[test]
-fn silent_operator_connections_keep_nobody_out() {
-    let (a, b, _heard) = destination();
+fn silent_operator_connections_do_not_block_others() {
+    let (a, b, _calls) = destination();
     let platform = platform();
-    let sender = operated(&rows(&a, &b), &platform, None);
+    let sender = start_operated(&rows(&a, &b), &platform, None);
     let at = sender.operator.expect("an address");
     let mut silent: Vec<TcpStream> = (0..40)
         .map(|_| TcpStream::connect(at).expect("connect"))
         .collect();
     assert_eq!(call(&sender, "GET", "/_ready"), 200);
     for stream in &mut silent {
-        stream.set_read_timeout(Some(SOON)).expect("time-out");
+        stream
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("read timeout set");
         assert!(
             matches!(stream.read(&mut [0]), Ok(0) | Err(_)),
-            "it is ended"
+            "the silent connection is closed"
         );
     }
     assert_eq!(call(&sender, "GET", "/_ready"), 200);
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! The parsers: whole, in pieces, and wrong.
+//! The parsers, with complete, partial and invalid input.
 
 mod common;
 
@@ -19,7 +19,7 @@
     ];
     let (first, used) = client_protocol::parse(&bytes.concat())
         .expect("valid")
-        .expect("whole");
+        .expect("a complete message");
     assert_eq!(used, bytes[0].len());
     assert!(
         matches!(&first, Request::Put { id, body, .. } if id == "m1" && body == b"any\r\nbytes\0")
@@ -53,7 +53,7 @@
     ] {
         assert!(client_protocol::parse(bad.as_bytes()).is_err(), "{bad:?}");
     }
-    // A body of 64 KiB is taken, one byte more is not.
+    // A body of 64 KiB is accepted, one byte more is not.
     let of = |len: usize| common::put("m", "c=episode-notice,dest=7", &vec![b'x'; len]);
     assert!(matches!(client_protocol::parse(&of(65536)), Ok(Some(_))));
     assert!(client_protocol::parse(&of(65537)).is_err());
@@ -100,7 +100,7 @@
 fn response(text: &str) -> Response {
     http::response(text.as_bytes(), true)
         .expect("valid")
-        .expect("whole")
+        .expect("a complete message")
         .0
 }
 
@@ -178,14 +178,14 @@
         " x0=-3,x1=5",
         " x0=0.5,x1=1e300",
     ] {
-        let notified =
+        let outcome =
             destination_protocol::read_response(&response(&text(bad)), &["a"], Duration::ZERO);
         assert_eq!(
-            (notified.verdicts[0].status, notified.wait),
+            (outcome.verdicts[0].status, outcome.wait),
             (Status::Overloaded, Some(Duration::from_secs(2))),
             "{bad:?}"
         );
-        assert!(notified.report.is_none(), "{bad:?}");
+        assert!(outcome.report.is_none(), "{bad:?}");
     }
     assert!(
         destination_protocol::read_response(
@@ -197,12 +197,12 @@
         .is_some()
     );
     let batch = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[{";
-    let notified =
+    let outcome =
         destination_protocol::read_response(&response(batch), &["a", "b"], Duration::ZERO);
     assert_eq!(
-        notified.verdicts,
+        outcome.verdicts,
         [Verdict::of(Status::Spoilt); 2],
-        "a spoilt answer of several may have run"
+        "after a malformed batch response each message is possibly executed"
     );
 }
 
@@ -256,7 +256,7 @@
         }; 2]
     );
     assert_eq!(full.wait, Some(Duration::from_millis(750)));
-    let limit = full.report.expect("a reading");
+    let limit = full.report.expect("a load report");
     assert_eq!((limit.left, limit.limit), (0.4, 25.0));
 }
 
@@ -276,7 +276,7 @@
             (Status::Error, false),
             (Status::NotSent, true),
             (Status::NotSent, false),
-            // Missing in the answer: it may have been executed.
+            // Missing in the response: possibly executed.
             (Status::Error, false),
         ]
     );
@@ -348,7 +348,7 @@
     let imported = nginx::import(NGINX).expect("valid");
     let text = toml::to_string(&imported.file).expect("a file");
     assert_eq!(
-        webpush::parse_file(&text).expect("it reads back"),
+        webpush::parse_file(&text).expect("the written file parses"),
         imported.file
     );
     insta::assert_snapshot!(format!("{text}\n{:#?}", imported.left_out));
@@ -413,7 +413,7 @@
         ("wait soon", 1),
         ("jump", 1),
         ("push a colour=red", 1),
-        // Once an index out of bounds: the default TTL was gone by the second word.
+        // Caused an index out of bounds: the first `ttl` argument had already removed the default.
         ("push a ttl=none ttl=5 ttl", 1),
     ] {
         let error = push_script::parse(bad).expect_err(bad).to_string();
@@ -426,21 +426,21 @@
 
 #[test]
 fn push_script_report_counts_missed_expectations() {
-    let played = |text: &str| {
-        push_script::play(&push_script::parse(text).expect("a script")).expect("played")
+    let run_script = |text: &str| {
+        push_script::play(&push_script::parse(text).expect("a script")).expect("the script runs")
     };
-    let good = played(
+    let good = run_script(
         "service answers 410 to=left\npush left\npush here\nexpect left gone\nexpect here delivered attempts 1",
     );
     assert_eq!((good.missed, good.lines.len()), (0, 2), "{good:?}");
-    let bad = played("push a\nexpect a gone\nexpect a delivered attempts 2");
+    let bad = run_script("push a\nexpect a gone\nexpect a delivered attempts 2");
     assert_eq!(bad.missed, 2, "{bad:?}");
     assert!(bad.lines.iter().all(|l| l.contains("MISSED")));
 }
 
 #[test]
 fn parsers_neither_panic_nor_read_past_their_input() {
-    // Valid inputs with a few bytes changed, cut or doubled, always the same ones.
+    // Valid inputs with a few bytes changed, inserted, removed or cut off; the fixed seed makes each run the same.
     let mut state = 0x5eed_u64;
     let mut next = move |below: usize| {
         state = state
--- a/crates/cranehill/tests/rehearse.rs
+++ b/crates/cranehill/tests/rehearse.rs
@@ -1,4 +1,4 @@
-//! Days against real senders on loopback. Long sets, and the broken builds, are commands.
+//! Short scenarios against real senders on loopback. Long runs and the mutations are options of `cranehill rehearse`.
 
 use std::fs;
 use std::path::Path;
@@ -15,7 +15,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
 
 fn plan(text: &str, seed: u64) -> Plan {
-    let scenario = scenario::parse(text, seed).expect("a good day");
+    let scenario = scenario::parse(text, seed).expect("a valid scenario");
     Plan {
         scenario,
         seed,
@@ -26,7 +26,7 @@
     }
 }
 
-fn judged(outcome: &Outcome, rule: Rule) -> bool {
+fn has_cases(outcome: &Outcome, rule: Rule) -> bool {
     use cranehill_simulation::audit::Verdict;
     let (_, verdict) = outcome
         .verdicts
@@ -36,11 +36,11 @@
     !matches!(verdict, Verdict::Kept { cases: 0 })
 }
 
-/// What destinations ask for, unsafe classes, restarts and Web Push, all at once: the sound build breaks no rule. Whatever the
-/// machine is busy with can make a rule unclear, and never broken.
+/// Runs scenarios on limits and Retry-After, restarts, unsafe classes and Web Push at once: the unmutated program breaks no rule.
+/// A busy machine can make a rule undecided, but not broken.
 #[test]
 fn short_scenarios_break_no_rule() {
-    // What each day is sure to have cases of.
+    // Each scenario, and rules that it certainly has cases of.
     let scenarios = [
         ("broken-partners", vec![Rule::Waits, Rule::Idle]),
         ("broken-restarts", vec![Rule::OneEnd, Rule::Answers]),
@@ -54,11 +54,11 @@
                     .join("../../rehearsals/days")
                     .join(format!("{name}.toml"));
                 let plan = plan(&fs::read_to_string(path).expect("a file"), 1);
-                let outcome = play(&plan, |_, _| {}).expect("it plays");
+                let outcome = play(&plan, |_, _| {}).expect("the run completes");
                 let table = report::table(name, 1, &outcome).join("\n");
                 assert!(outcome.holds(), "{table}");
                 assert!(
-                    rules.iter().all(|&r| judged(&outcome, r)),
+                    rules.iter().all(|&r| has_cases(&outcome, r)),
                     "a rule had no case: {table}"
                 );
                 assert!(outcome.delivered > 0 && outcome.submitted > 50, "{table}");
@@ -67,7 +67,7 @@
     });
 }
 
-const SHORT: &str = r#"name = "one second"
+const ONE_SECOND_SCENARIO: &str = r#"name = "one second"
 lasts = "1 s"
 [load]
 rate = "30/s"
@@ -82,12 +82,12 @@
 pace = "20 ms"
 "#;
 
-/// The report says what the table says, and every event is in the Parquet file, once.
+/// The report agrees with the outcome, and the Parquet file has every event once.
 #[test]
 fn report_holds_every_event() {
-    let dir = tempfile::tempdir().expect("a folder");
-    let plan = plan(SHORT, 3);
-    let outcome = play(&plan, |_, _| {}).expect("it plays");
+    let dir = tempfile::tempdir().expect("a temporary folder");
+    let plan = plan(ONE_SECOND_SCENARIO, 3);
+    let outcome = play(&plan, |_, _| {}).expect("the run completes");
     report_files::write(dir.path(), &plan, &outcome).expect("written");
     let text = fs::read_to_string(dir.path().join("report.json")).expect("a report");
     let json: serde_json::Value = serde_json::from_str(&text).expect("JSON");
@@ -107,12 +107,15 @@
     assert!(page.contains("<svg") && page.contains("one second") && page.contains("onda"));
     assert!(
         !page.contains("http://") || !page.contains("src="),
-        "legible by itself"
+        "the page needs no other resource"
     );
 }
 
 fn cranehill(args: &[&str]) -> (Option<i32>, String) {
-    let output = Command::new(PROGRAM).args(args).output().expect("it runs");
+    let output = Command::new(PROGRAM)
+        .args(args)
+        .output()
+        .expect("the program runs");
     let printed = String::from_utf8_lossy(&output.stderr).into_owned();
     (
         output.status.code(),
@@ -120,12 +123,12 @@
     )
 }
 
-/// A bad file stops everything before a sender is started, with its line and exit code 2.
+/// An invalid scenario file is an error with its line and exit code 2, before any sender starts.
 #[test]
 fn invalid_scenario_is_an_error_before_anything_starts() {
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a temporary folder");
     let bad = dir.path().join("bad.toml");
-    fs::write(&bad, SHORT.replace("30/s", "30")).expect("written");
+    fs::write(&bad, ONE_SECOND_SCENARIO.replace("30/s", "30")).expect("written");
     let bad = bad.to_str().expect("UTF-8");
     let (code, printed) = cranehill(&["rehearse", bad]);
     assert_eq!(code, Some(2), "{printed}");
@@ -133,7 +136,7 @@
         printed.contains("bad.toml: line 4: ") && printed.contains("not a rate"),
         "{printed}"
     );
-    let empty = tempfile::tempdir().expect("a folder");
+    let empty = tempfile::tempdir().expect("a temporary folder");
     for args in [
         vec!["rehearse", "no-such-day.toml"],
         vec!["rehearse", empty.path().to_str().expect("UTF-8")],
@@ -155,18 +158,18 @@
     }
 }
 
-/// Mutations are never in the shipped binary: one that is told to break something does not start.
+/// The shipped program has no mutations: a sender started with one does not start.
 #[test]
 fn shipped_program_has_no_mutations() {
     let plan = Plan {
         mutation: Some("two-copies".into()),
-        ..plan(SHORT, 1)
+        ..plan(ONE_SECOND_SCENARIO, 1)
     };
     let error = play(&plan, |_, _| {}).expect_err("a sender that does not start");
     assert!(error.to_string().contains("did not start"), "{error}");
 }
 
-/// A mutation that no day plays would never be seen to be caught.
+/// Guards against a mutation that no scenario is meant to detect.
 #[test]
 fn each_mutation_has_a_scenario() {
     let known: Vec<&str> = Mutation::ALL.iter().map(|(name, _)| *name).collect();
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the directory and the final reports move to where the configuration says now.
+//! Reload on SIGHUP: discovery and final reports move to the address in the changed configuration.
 
 mod common;
 
@@ -7,22 +7,23 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-use common::{Client, SOON, config, config_text, list, reports, soon};
+use common::{Client, TIMEOUT, config, config_text, list, reports, wait_until};
 use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::config;
 use cranehill_daemon::reactor::{ControlCommand, Reactor, ReactorOptions};
 
-type Answers = Arc<Mutex<VecDeque<Result<SocketAddr, String>>>>;
+/// The results of the next reads of the configuration.
+type ConfigResults = Arc<Mutex<VecDeque<Result<SocketAddr, String>>>>;
 
-/// A platform that tells this whole list when asked for it, and holds every watch.
-fn listing(whole: String) -> SimulatedServer {
+/// A platform that answers a request for the full list with `full_list` and leaves every watch unanswered.
+fn platform_with_list(full_list: String) -> SimulatedServer {
     SimulatedServer::new(
         move |request, _| match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/v1/endpoints") => Reply::Bytes(cranehill_daemon::http::write_response(
                 200,
                 "OK",
                 &[],
-                &whole,
+                &full_list,
             )),
             ("GET", _) => Reply::Silent,
             _ => Reply::status(204),
@@ -31,11 +32,11 @@
     .expect("platform")
 }
 
-/// A sender whose configuration, read again, says this; and how to tell it to read.
-fn start_with(
+/// Starts a sender whose reloads read the queued results. Returns its address and a flag that triggers a reload.
+fn start_reloadable(
     known: &str,
     platform: &SimulatedServer,
-    description: Answers,
+    config_results: ConfigResults,
 ) -> (SocketAddr, Arc<AtomicBool>) {
     let config = config(known, platform.address);
     let mut reactor = Reactor::new(ReactorOptions {
@@ -52,92 +53,92 @@
         sockets: 1024,
         memory: 192_000_000,
         read_config: Some(Box::new(move || {
-            let mut description = description.lock().expect("answers");
-            description
+            let mut config_results = config_results.lock().expect("answers lock");
+            config_results
                 .pop_front()
                 .unwrap_or(Err("no configuration".into()))
                 .map_err(Into::into)
         })),
     })
     .expect("the sender starts");
-    let clients = reactor.addresses().0.expect("it listens");
-    let asked = Arc::new(AtomicBool::new(false));
-    let ask = asked.clone();
+    let clients = reactor.addresses().0.expect("a listening address");
+    let reload_requested = Arc::new(AtomicBool::new(false));
+    let reload_flag = reload_requested.clone();
     std::thread::spawn(move || {
         reactor.run(|| {
-            if ask.swap(false, Ordering::Relaxed) {
+            if reload_flag.swap(false, Ordering::Relaxed) {
                 vec![ControlCommand::Reload]
             } else {
                 Vec::new()
             }
         })
     });
-    (clients, asked)
+    (clients, reload_requested)
 }
 
 #[test]
 fn reload_switches_discovery_and_resends_unacknowledged_reports() {
-    let destination = SimulatedServer::new(|_, _| Reply::status(400)).expect("partner");
-    let other = SimulatedServer::new(|_, _| Reply::status(200)).expect("partner");
-    // The first platform takes no report: it must go to the second.
+    let destination = SimulatedServer::new(|_, _| Reply::status(400)).expect("destination server");
+    let other = SimulatedServer::new(|_, _| Reply::status(200)).expect("destination server");
+    // The first platform acknowledges no report, so it must be resent to the second.
     let first = SimulatedServer::new(|_, _| Reply::Silent).expect("platform");
-    let second = listing(list(3, &[("b", other.address, 7, "station")]));
-    let third = listing(list(2, &[("a", destination.address, 7, "station")]));
-    let description = Answers::default();
+    let second = platform_with_list(list(3, &[("b", other.address, 7, "station")]));
+    let third = platform_with_list(list(2, &[("a", destination.address, 7, "station")]));
+    let config_results = ConfigResults::default();
     let known = list(50, &[("a", destination.address, 7, "station")]);
-    let (clients, ask) = start_with(&known, &first, description.clone());
+    let (clients, reload_flag) = start_reloadable(&known, &first, config_results.clone());
     let mut client = Client::new(clients);
     let names = "c=episode-notice,d=20000,k=aa,dest=7";
     assert_eq!(client.put("m1", names, b"x"), "+OK");
     assert!(
-        first.wait_for(2, SOON),
-        "the watch, and the report of what the partner rejects"
+        first.wait_for(2, TIMEOUT),
+        "the watch and the report of the message that the destination rejects"
     );
     let reload = |answers: Vec<Result<SocketAddr, String>>, client: &mut Client| {
-        description.lock().expect("answers").extend(answers);
-        ask.store(true, Ordering::Relaxed);
-        // Wakes it, as the signal does.
+        config_results.lock().expect("answers lock").extend(answers);
+        reload_flag.store(true, Ordering::Relaxed);
+        // Wakes the event loop, as the signal does.
         client.send(b"*1\r\n$4\r\nPING\r\n");
         assert_eq!(client.line(), "+PONG");
     };
-    // The file is found half written at first.
+    // The first read finds an incomplete file.
     reload(
         vec![Err("half a file".into()), Ok(second.address)],
         &mut client,
     );
-    soon("the report goes to the new platform", || {
+    wait_until("the report goes to the new platform", || {
         reports(&second).iter().any(|r| r.contains("m1"))
     });
-    soon("a watch from the new list's version", || {
+    wait_until("a watch from the new list's version", || {
         second
             .seen()
             .iter()
             .any(|s| s.request.path.contains("from=3"))
     });
     assert_eq!(client.put("m2", names, b"y"), "+OK");
-    soon("the new list holds", || other.seen().len() == 1);
+    wait_until("the new list is applied", || other.seen().len() == 1);
     reload(vec![Ok(third.address)], &mut client);
-    soon("a second reload holds too", || {
+    wait_until("a second reload is applied too", || {
         third
             .seen()
             .iter()
             .any(|s| s.request.path.contains("from=2"))
     });
     assert_eq!(client.put("m3", names, b"z"), "+OK");
-    soon("by the third platform's list", || {
+    wait_until("the report goes to the third platform", || {
         reports(&third).iter().any(|r| r.contains("m3"))
     });
-    // A bad file changes nothing.
+    // An invalid file changes nothing.
     reload(vec![Err("not JSON".into())], &mut client);
     assert_eq!(client.put("m4", names, b"z"), "+OK");
-    soon("the old one is kept", || {
+    wait_until("the old platform is kept", || {
         reports(&third).iter().any(|r| r.contains("m4"))
     });
 }
 
 #[test]
 fn reload_prefers_the_file_over_the_variable() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let path = folder.path().join("config.json");
     let var = |name: &str| match name {
         "NODE_CONFIG" => Some(path.display().to_string()),
@@ -161,6 +162,6 @@
     std::fs::write(&path, &text[..text.len() - 2]).expect("written");
     assert!(
         config::current_discovery_address(var).is_err(),
-        "half a file names nothing"
+        "an incomplete file gives no address"
     );
 }
--- a/crates/cranehill/tests/restart.rs
+++ b/crates/cranehill/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What was accepted outlasts its process: the program itself, killed and ended, and started again.
+//! Accepted messages survive their process: the program is killed or shut down and started again.
 
 mod common;
 
@@ -11,13 +11,14 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use common::{Client, SOON, config_text, list, platform, put, reports, soon};
+use common::{Client, TIMEOUT, config_text, list, platform, put, reports, wait_until};
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
+/// A sender process; dropping it kills it.
 struct Process {
     child: Child,
     clients: SocketAddr,
-    /// Reads the rest of its log.
+    /// Collects the rest of the log.
     log: Option<JoinHandle<Vec<String>>>,
 }
 
@@ -38,6 +39,7 @@
     }
 }
 
+/// Starts a sender process with its configuration and state in `folder`; returns once it listens for clients.
 fn spawn(folder: &Path, known: &str, platform: &SimulatedServer) -> Process {
     let config = folder.join("config.json");
     std::fs::write(&config, config_text(known)).expect("configuration");
@@ -52,14 +54,17 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    let mut log = BufReader::new(child.stderr.take().expect("its log")).lines();
+    let mut log = BufReader::new(child.stderr.take().expect("a piped log")).lines();
     let clients = loop {
-        let line = log.next().expect("it says where it listens").expect("text");
+        let line = log
+            .next()
+            .expect("a line with the listening address")
+            .expect("UTF-8 text");
         if let Some((_, address)) = line.split_once("listening for clients at ") {
             break address.parse().expect("an address");
         }
     };
-    // The pipe must not fill.
+    // Keeps reading: the process would block on a full pipe.
     let log = std::thread::spawn(move || log.map_while(Result::ok).collect());
     Process {
         child,
@@ -68,7 +73,7 @@
     }
 }
 
-/// A destination that is silent until it is opened.
+/// A destination that does not answer until the returned flag is set.
 fn destination() -> (SimulatedServer, Arc<AtomicBool>) {
     let open = Arc::new(AtomicBool::new(false));
     let is_open = open.clone();
@@ -79,7 +84,10 @@
             Reply::Silent
         }
     };
-    (SimulatedServer::new(answer).expect("partner"), open)
+    (
+        SimulatedServer::new(answer).expect("destination server"),
+        open,
+    )
 }
 
 const NAMES: &str = "c=episode-notice,t=onda-central,d=20000,k=5c0f,dest=7";
@@ -94,7 +102,7 @@
 
 #[test]
 fn an_accepted_message_is_delivered_after_sigkill() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let folder = folder.path();
     let (destination, open) = destination();
     let platform = platform();
@@ -104,20 +112,23 @@
         Client::new(first.clients).put("m1", NAMES, b"one\r\n\0two"),
         "+OK"
     );
-    assert!(destination.wait_for(1, SOON));
+    assert!(destination.wait_for(1, TIMEOUT));
     first.child.kill().expect("killed");
-    first.child.wait().expect("gone");
+    first.child.wait().expect("process exits");
     open.store(true, Ordering::Relaxed);
     let _second = spawn(folder, &known, &platform);
-    assert!(destination.wait_for(2, SOON), "the notice is sent again");
+    assert!(
+        destination.wait_for(2, TIMEOUT),
+        "the message is sent again"
+    );
     assert_eq!(bodies(&destination), [b"one\r\n\0two", b"one\r\n\0two"]);
 }
 
 #[test]
 fn final_report_is_resent_after_sigkill_until_acknowledged() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let folder = folder.path();
-    // The platform takes the report at the second try only.
+    // The platform acknowledges the report at the second attempt only.
     let tries = AtomicUsize::new(0);
     let platform = SimulatedServer::new(move |request, _| match request.method.as_str() {
         "GET" => Reply::Silent,
@@ -138,9 +149,9 @@
     let names = "c=episode-notice,d=700,k=5c0f,dest=7";
     assert_eq!(Client::new(first.clients).put("m1", names, b"x"), "+OK");
     first.child.kill().expect("killed");
-    first.child.wait().expect("gone");
+    first.child.wait().expect("process exits");
     let _second = spawn(folder, &known, &platform);
-    soon("it is reported again", || reports(&platform).len() >= 2);
+    wait_until("the report is resent", || reports(&platform).len() >= 2);
     let reports = reports(&platform);
     assert!(
         reports
@@ -149,13 +160,13 @@
     );
     assert!(
         reports[0].contains(r#""after_ms":"#),
-        "it tells when to come back: {reports:?}"
+        "the report has a time for the next submission: {reports:?}"
     );
 }
 
 #[test]
 fn sigterm_drains_and_exits_with_the_rest_in_the_journal() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let folder = folder.path();
     let (destination, open) = destination();
     let platform = platform();
@@ -163,25 +174,25 @@
     let mut first = spawn(folder, &known, &platform);
     let mut client = Client::new(first.clients);
     assert_eq!(client.put("m1", NAMES, b"one"), "+OK");
-    // A request that has begun is answered, whenever its rest comes.
+    // A request that began before the signal is answered.
     let mut late = Client::new(first.clients);
     let request = put("m2", NAMES, b"two");
     late.send(&request[..40]);
     assert_eq!(
         client.put("m1", NAMES, b"one"),
         "+OK",
-        "the same notice again is no new one"
+        "a repeated submission is accepted"
     );
     first.signal("-TERM");
     late.send(&request[40..]);
     assert_eq!(late.line(), "+OK");
-    assert!(first.child.wait().expect("it ends").success());
+    assert!(first.child.wait().expect("process ends").success());
     open.store(true, Ordering::Relaxed);
     let seen = destination.seen().len();
     let _second = spawn(folder, &known, &platform);
     assert!(
-        destination.wait_for(seen + 2, SOON),
-        "both are delivered by the next life"
+        destination.wait_for(seen + 2, TIMEOUT),
+        "the next process delivers both messages"
     );
     let mut after = bodies(&destination)[seen..].to_vec();
     after.sort();
@@ -190,9 +201,9 @@
 
 #[test]
 fn every_accepted_message_ends_despite_repeated_sigkill() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let folder = folder.path();
-    // Slow enough that each kill finds attempts out and messages held; some answers are errors and refusals.
+    // Slow enough that each kill finds attempts in flight and messages pending; some answers are errors or rejections.
     let destination = SimulatedServer::new(|_, number| {
         std::thread::sleep(Duration::from_millis(15));
         match number % 7 {
@@ -201,41 +212,41 @@
             _ => Reply::status(200),
         }
     })
-    .expect("partner");
+    .expect("destination server");
     let platform = platform();
     let known = list(1, &[("a", destination.address, 7, "station")]);
-    let mut taken = Vec::new();
-    for sender_process in 0..4 {
+    let mut accepted = Vec::new();
+    for run_number in 0..4 {
         let mut process = spawn(folder, &known, &platform);
         let mut client = Client::new(process.clients);
         for n in 0..12 {
-            let id = format!("life{sender_process}-{n}");
+            let id = format!("life{run_number}-{n}");
             if client.put(&id, NAMES, id.as_bytes()) == "+OK" {
-                taken.push(id);
+                accepted.push(id);
             }
         }
         process.child.kill().expect("killed");
-        process.child.wait().expect("gone");
+        process.child.wait().expect("process exits");
     }
-    assert!(taken.len() >= 24, "{taken:?}");
+    assert!(accepted.len() >= 24, "{accepted:?}");
     let mut last = spawn(folder, &known, &platform);
     let ended = || {
         let seen: std::collections::BTreeSet<Vec<u8>> = bodies(&destination).into_iter().collect();
-        taken.iter().all(|id| seen.contains(id.as_bytes()))
+        accepted.iter().all(|id| seen.contains(id.as_bytes()))
     };
-    let until = Instant::now() + SOON * 2;
+    let until = Instant::now() + TIMEOUT * 2;
     while !ended() && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(ended());
-    // It goes on working on what is owed while it ends, and says what it leaves.
+    // On shutdown the sender finishes pending work and logs what remains.
     last.signal("-TERM");
-    assert!(last.child.wait().expect("it ends").success());
+    assert!(last.child.wait().expect("process ends").success());
     let log = last.log.take().expect("a log").join().expect("read");
     let stopped = log
         .iter()
         .find(|l| l.contains("stopped:"))
-        .expect("its last line");
+        .expect("a 'stopped' line in the log");
     assert!(
         stopped.contains("second_copy: 0, unknown_message: 0, unlisted_endpoint: 0"),
         "{stopped}"
@@ -248,7 +259,7 @@
 
 #[test]
 fn torn_last_record_is_dropped_and_the_rest_kept() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let folder = folder.path();
     let (destination, open) = destination();
     let platform = platform();
@@ -256,10 +267,10 @@
     let mut first = spawn(folder, &known, &platform);
     assert_eq!(Client::new(first.clients).put("m1", NAMES, b"one"), "+OK");
     first.child.kill().expect("killed");
-    first.child.wait().expect("gone");
-    // The head of a frame, as a kill in the middle of a write leaves it.
+    first.child.wait().expect("process exits");
+    // The first bytes of a frame, as a kill during a write leaves them.
     let mut files: Vec<_> = std::fs::read_dir(folder.join("state"))
-        .expect("a folder")
+        .expect("the state folder")
         .map(|f| f.expect("a file").path())
         .collect();
     files.retain(|f| f.extension().is_some_and(|e| e == "seg"));
@@ -270,12 +281,12 @@
     open.store(true, Ordering::Relaxed);
     let before = destination.seen().len();
     let _second = spawn(folder, &known, &platform);
-    assert!(destination.wait_for(before + 1, SOON));
+    assert!(destination.wait_for(before + 1, TIMEOUT));
 }
 
 #[test]
 fn bad_configuration_is_one_line_and_exit_code_2() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let folder = folder.path();
     let config = folder.join("config.json");
     for text in [
@@ -293,7 +304,7 @@
             .env("NODE_DISCOVERY", "127.0.0.1:1")
             .env("NODE_STATE", folder.join("state"))
             .output()
-            .expect("it runs");
+            .expect("the program runs");
         let err = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!(out.status.code(), Some(2), "{err}");
         assert_eq!(err.lines().count(), 1, "{err}");
@@ -303,7 +314,7 @@
 #[test]
 fn push_only_sender_answers_waiting_clients_on_shutdown() {
     let service = SimulatedServer::new(|_, _| Reply::Silent).expect("service");
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("webpush.toml");
     let text = format!(
         "listen = \"127.0.0.1:0\"\n[[upstream]]\nname = \"s\"\n[[upstream.server]]\naddress = \"{}\"\n[[location]]\npath = \"/push/\"\nupstream = \"s\"\n",
@@ -317,7 +328,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    let mut log = BufReader::new(child.stderr.take().expect("its log")).lines();
+    let mut log = BufReader::new(child.stderr.take().expect("a piped log")).lines();
     let address: SocketAddr = log
         .find_map(|l| {
             Some(
@@ -328,7 +339,7 @@
                     .expect("an address"),
             )
         })
-        .expect("it says where it listens");
+        .expect("a line with the listening address");
     let mut process = Process {
         child,
         clients: address,
@@ -336,16 +347,16 @@
     };
     let mut client = Client::new(address);
     client.send(b"POST /push/a HTTP/1.1\r\nTTL: 20\r\nTopic: t\r\nContent-Length: 1\r\n\r\nx");
-    assert!(service.wait_for(1, SOON));
+    assert!(service.wait_for(1, TIMEOUT));
     process.signal("-TERM");
     assert_eq!(client.line(), "HTTP/1.1 503 Service Unavailable");
     assert_eq!(client.line(), "Retry-After: 5");
-    assert!(process.child.wait().expect("it ends").success());
+    assert!(process.child.wait().expect("process ends").success());
 }
 
 #[test]
 fn sighup_with_an_invalid_file_does_not_end_the_process() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let folder = folder.path();
     let (destination, open) = destination();
     open.store(true, Ordering::Relaxed);
@@ -362,18 +373,18 @@
     std::fs::write(&config, text).expect("written");
     first.signal("-HUP");
     assert!(
-        other.wait_for(1, SOON),
-        "the file goes before the variable that was told at start"
+        other.wait_for(1, TIMEOUT),
+        "the file takes precedence over the environment variable"
     );
     assert_eq!(Client::new(first.clients).put("m2", NAMES, b"two"), "+OK");
-    assert!(destination.wait_for(2, SOON));
+    assert!(destination.wait_for(2, TIMEOUT));
     first.signal("-TERM");
-    assert!(first.child.wait().expect("it ends").success());
+    assert!(first.child.wait().expect("process ends").success());
 }
 
-/// A process whose call for m1 is answered so after the wait for it: it is stopped over the moment, so that it finds the
-/// end of the wait and the answer at once.
-fn answered_late(
+/// A process whose call for m1 gets `answer` after the call has timed out. The process is paused (SIGSTOP) over both, so that it
+/// sees the timeout and the answer in the same tick.
+fn answer_after_timeout(
     folder: &Path,
     platform: &SimulatedServer,
     answer: &[u8],
@@ -391,65 +402,69 @@
     let process = spawn(folder, &known, platform);
     let names = "c=episode-notice,d=900,k=5c0f,dest=7";
     assert_eq!(Client::new(process.clients).put("m1", names, b"one"), "+OK");
-    let (mut call, _) = destination.accept().expect("its connection");
+    let (mut call, _) = destination.accept().expect("a connection for m1");
     let mut request = Vec::new();
     while !request.ends_with(b"one") {
         let mut byte = [0];
-        call.read_exact(&mut byte).expect("the call");
+        call.read_exact(&mut byte).expect("bytes of the call");
         request.push(byte[0]);
     }
     process.signal("-STOP");
-    let over = Instant::now() + Duration::from_millis(900);
-    while Instant::now() < over {
+    let call_timeout_end = Instant::now() + Duration::from_millis(900);
+    while Instant::now() < call_timeout_end {
         std::thread::sleep(Duration::from_millis(5));
     }
     call.write_all(answer).expect("written");
     process.signal("-CONT");
-    soon("its end is reported", || {
+    wait_until("m1 is reported", || {
         reports(platform).iter().any(|r| r.contains(r#""id":"m1""#))
     });
     (process, destination)
 }
 
-/// Guards an answer that comes as the wait for it ends: the destination, which was told how long the sender waits, held the
-/// call for given up, and the sender took the answer for a delivery and told nobody (narrow days of an own site, seed 205:
-/// one message lost).
+/// Guards an answer that arrives as its call times out: the destination, which knows the timeout from the request, had dropped
+/// the call, but the sender recorded a delivery and sent no final report (one message lost; narrow scenario, seed 205).
 #[test]
 fn response_after_the_timeout_is_ignored() {
-    let folder = tempfile::tempdir().expect("a folder");
-    answered_late(
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    answer_after_timeout(
         folder.path(),
         &platform(),
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
     );
 }
 
-/// Guards a wait that is told by such an answer: it binds all the same.
+/// Guards the Retry-After of an answer that arrives after its call timed out: it still applies.
 #[test]
 fn retry_after_in_a_late_response_is_respected() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let platform = platform();
     let answer = b"HTTP/1.1 429 No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n";
-    let (process, destination) = answered_late(folder.path(), &platform, answer);
+    let (process, destination) = answer_after_timeout(folder.path(), &platform, answer);
     let names = "c=episode-notice,d=900,k=5c10,dest=7";
     assert_eq!(Client::new(process.clients).put("m2", names, b"two"), "+OK");
-    soon("it is given up", || {
+    wait_until("m2 is reported", || {
         reports(&platform)
             .iter()
             .any(|r| r.contains(r#""id":"m2""#))
     });
-    destination.set_nonblocking(true).expect("set");
-    assert!(destination.accept().is_err(), "a call inside the wait");
+    destination
+        .set_nonblocking(true)
+        .expect("socket option set");
+    assert!(
+        destination.accept().is_err(),
+        "a call during the Retry-After wait"
+    );
 }
 
-/// Guards an end that is asked for more than once, with a reload between, while the endpoint hangs and the platform takes no
-/// reports: the process ends by itself, and the next process has all that is owed, the report too.
+/// Guards shutdown against repeated signals and a reload in between, while the endpoint hangs and the platform acknowledges no
+/// report: the process exits by itself, and the next one delivers the pending message and the report.
 #[test]
 fn repeated_signals_during_shutdown_change_nothing() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let folder = folder.path();
     let (destination, open) = destination();
-    let rejects = SimulatedServer::new(|_, _| Reply::status(400)).expect("partner");
+    let rejects = SimulatedServer::new(|_, _| Reply::status(400)).expect("destination server");
     let silent = SimulatedServer::new(|_, _| Reply::Silent).expect("platform");
     let known = list(
         1,
@@ -465,16 +480,16 @@
         client.put("m2", &NAMES.replace("dest=7", "dest=8"), b"two"),
         "+OK"
     );
-    soon("a report is out", || !reports(&silent).is_empty());
+    wait_until("a report is sent", || !reports(&silent).is_empty());
     for signal in ["-TERM", "-HUP", "-TERM"] {
         first.signal(signal);
     }
-    assert!(first.child.wait().expect("it ends").success());
+    assert!(first.child.wait().expect("process ends").success());
     let log = first.log.take().expect("a log").join().expect("read");
     let stopped = log
         .iter()
         .find(|l| l.contains("stopped:"))
-        .expect("its last line");
+        .expect("a 'stopped' line in the log");
     assert!(
         stopped.contains(" 1 messages and 1 final reports"),
         "{stopped}"
@@ -483,8 +498,11 @@
     let before = destination.seen().len();
     let platform = platform();
     let _second = spawn(folder, &known, &platform);
-    assert!(destination.wait_for(before + 1, SOON), "the notice");
-    soon("the report", || {
+    assert!(
+        destination.wait_for(before + 1, TIMEOUT),
+        "the pending message"
+    );
+    wait_until("the pending report", || {
         reports(&platform)
             .iter()
             .any(|r| r.contains(r#""id":"m2","state":"failed""#))
--- a/crates/cranehill/tests/short_window.rs
+++ b/crates/cranehill/tests/short_window.rs
@@ -1,4 +1,4 @@
-//! Real senders are killed and told to end where repeats are dropped for one second only.
+//! Real senders are killed or terminated while destinations drop repeats for one second only.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -11,18 +11,18 @@
 use cranehill_simulation::scenario;
 
 const SEED: u64 = 1;
-/// Of the day's classes, the one that may be repeated at any time, and its ends by SIGKILL.
-const SAFE: usize = 1;
+/// The index of the scenario's class that may be repeated at any time, and the number of SIGKILLs in the scenario.
+const REPEATABLE_CLASS: usize = 1;
 const KILLS: usize = 4;
-/// What is reported so long before its time is over, or later, had no chance any more.
-const SOON_OVER: Duration = Duration::from_millis(100);
+/// A message reported less than this before its deadline, or later, could not have been delivered any more.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(100);
 
-fn played(by_steps: bool) -> Outcome {
+fn run_scenario(recovery_in_steps: bool) -> Outcome {
     let path =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../rehearsals/days/short-window.toml");
     let text = std::fs::read_to_string(path).expect("a file");
-    let mut scenario = scenario::parse(&text, SEED).expect("a good day");
-    if by_steps {
+    let mut scenario = scenario::parse(&text, SEED).expect("a valid scenario");
+    if recovery_in_steps {
         let period = Duration::from_millis(500);
         let (round_trip, hold) = (Duration::from_millis(150), Duration::from_secs(10));
         scenario.fleet = Some(Fleet {
@@ -43,21 +43,21 @@
         mutation: None,
         against: None,
     };
-    play(&plan, |_, _| {}).expect("it plays")
+    play(&plan, |_, _| {}).expect("the run completes")
 }
 
-/// Messages that were accepted, may go at any time and were reported with time left: those that nothing was seen of at the
-/// destinations, and those that may be repeated without end.
+/// Accepted messages that were reported with time left although an attempt was allowed: those that may be repeated at any time,
+/// and those that no destination can have executed.
 #[derive(Debug, Default)]
-struct Lost {
+struct NeedlesslyReported {
     repeatable: Vec<String>,
-    untried: Vec<String>,
+    not_executed: Vec<String>,
 }
 
-fn lost_by_caution(outcome: &Outcome) -> Lost {
-    let (mut times, mut accepted, mut may_have_run) =
+fn find_needlessly_reported(outcome: &Outcome) -> NeedlesslyReported {
+    let (mut deadlines, mut accepted, mut possibly_executed) =
         (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
-    let mut lost = Lost::default();
+    let mut needless = NeedlesslyReported::default();
     for line in &outcome.lines {
         match &line.event {
             AuditEvent::Submitted {
@@ -66,7 +66,7 @@
                 time_to_live,
                 ..
             } => {
-                times
+                deadlines
                     .entry(id.clone())
                     .or_insert((line.at + *time_to_live, *class));
             }
@@ -76,44 +76,50 @@
             } => {
                 accepted.insert(id.clone());
             }
-            AuditEvent::Called { ids, .. } => may_have_run.extend(ids.iter().cloned()),
+            AuditEvent::Called { ids, .. } => possibly_executed.extend(ids.iter().cloned()),
             AuditEvent::Replied { outcomes, .. } => {
                 for (id, _) in outcomes
                     .iter()
                     .filter(|(_, delivery_outcome)| *delivery_outcome == DeliveryOutcome::Busy)
                 {
-                    may_have_run.remove(id);
+                    possibly_executed.remove(id);
                 }
             }
             AuditEvent::Reported { id, .. } if accepted.contains(id) => {
-                let Some((over, class)) = times
+                let Some((deadline, class)) = deadlines
                     .get(id)
-                    .filter(|(over, _)| line.at + SOON_OVER < *over)
+                    .filter(|(deadline, _)| line.at + EXPIRY_MARGIN < *deadline)
                 else {
                     continue;
                 };
-                let what = format!("{id} at {:?}, its time was over at {over:?}", line.at);
-                if *class == SAFE {
-                    lost.repeatable.push(what);
-                } else if !may_have_run.contains(id) {
-                    lost.untried.push(what);
+                let description =
+                    format!("{id} reported at {:?}, deadline at {deadline:?}", line.at);
+                if *class == REPEATABLE_CLASS {
+                    needless.repeatable.push(description);
+                } else if !possibly_executed.contains(id) {
+                    needless.not_executed.push(description);
                 }
             }
             _ => {}
         }
     }
-    lost
+    needless
 }
 
-/// All at once, as the platform has it, and by steps. The auditor judges the repeats; what is lost by caution is read off the wire.
+/// Restarts with recovery all at once, as on the platform, and in steps. The auditor checks the repeats; needlessly reported
+/// messages are found from the recorded traffic.
 #[test]
 fn restarts_respect_a_one_second_window_and_lose_nothing_deliverable() {
     thread::scope(|scope| {
-        for by_steps in [false, true] {
+        for recovery_in_steps in [false, true] {
             scope.spawn(move || {
-                let outcome = played(by_steps);
-                let table =
-                    report::table(&format!("by steps: {by_steps}"), SEED, &outcome).join("\n");
+                let outcome = run_scenario(recovery_in_steps);
+                let table = report::table(
+                    &format!("recovery in steps: {recovery_in_steps}"),
+                    SEED,
+                    &outcome,
+                )
+                .join("\n");
                 assert!(outcome.holds(), "{table}");
                 let repeats = outcome
                     .verdicts
@@ -121,13 +127,16 @@
                     .find(|(rule, _)| *rule == Rule::Repeats);
                 assert!(
                     !matches!(repeats, Some((_, Verdict::Kept { cases: 0 }))),
-                    "no repeat: {table}"
+                    "the rule on repeats had no case: {table}"
                 );
-                let lost = lost_by_caution(&outcome);
-                assert!(lost.repeatable.is_empty(), "{lost:?}\n{table}");
-                // A kill may come between an attempt's record and its bytes: the next process has to take it for one that ran.
-                assert!(lost.untried.len() <= KILLS, "{lost:?}\n{table}");
-                println!("by steps: {by_steps}: {lost:?}");
+                let needless = find_needlessly_reported(&outcome);
+                assert!(needless.repeatable.is_empty(), "{needless:?}\n{table}");
+                // A kill may fall between the record of an attempt and its request; the next process must then assume that it ran.
+                assert!(
+                    needless.not_executed.len() <= KILLS,
+                    "{needless:?}\n{table}"
+                );
+                println!("recovery in steps: {recovery_in_steps}: {needless:?}");
             });
         }
     });
--- a/crates/cranehill/tests/simulated_members.rs
+++ b/crates/cranehill/tests/simulated_members.rs
@@ -1,4 +1,4 @@
-//! Simulated members and real senders in one fleet, and simulated members over sockets alone.
+//! Fleets of real senders and simulated members, and of simulated members alone over UDP sockets.
 
 use std::process::Command;
 use std::time::Duration;
@@ -12,9 +12,9 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
 
-/// Two real senders are 0 and 1, simulated members 2 to 21. The cut leaves one real sender and some simulated members on each
-/// side, and lasts longer than a suspicion.
-const DAY: &str = r#"name = "two senders and twenty simulated members"
+/// Members 0 and 1 are real senders, 2 to 21 simulated. The cut leaves one real sender and some simulated members on each side
+/// and lasts longer than the suspicion timeout.
+const SCENARIO: &str = r#"name = "two senders and twenty simulated members"
 lasts = "32 s"
 senders = 2
 [load]
@@ -54,12 +54,12 @@
 const KILLED_REAL: usize = 1;
 const KILLED_SIMULATED: usize = 7;
 
-/// Guards the mixed fleet: both kinds find each other by their seeds, a cut between them takes effect in each of the four
-/// directions, and each kind holds a killed member of the other to be down. What is expected is an order of events, never
-/// a time.
+/// Guards a mixed fleet: both kinds of member join through their seeds, a cut works in all four directions between the kinds, and
+/// each kind detects a killed member of the other. Expects an order of events, not times.
 #[test]
 fn real_senders_and_simulated_members_form_one_fleet() {
-    let scenario = scenario::parse_with_simulated(DAY, 1, None, SIMULATED).expect("a good day");
+    let scenario =
+        scenario::parse_with_simulated(SCENARIO, 1, None, SIMULATED).expect("a valid scenario");
     let plan = Plan {
         scenario,
         seed: 1,
@@ -68,12 +68,12 @@
         mutation: None,
         against: None,
     };
-    let (outcome, traffic) = play(&plan, |_, _| {}).expect("it plays");
-    let judged = Report::of(&plan, &outcome, &traffic);
-    let shown = table(&plan, &outcome, &judged).join("\n");
+    let (outcome, traffic) = play(&plan, |_, _| {}).expect("the run completes");
+    let fleet_report = Report::of(&plan, &outcome, &traffic);
+    let summary = table(&plan, &outcome, &fleet_report).join("\n");
     assert!(
         outcome.holds() && report::broken(&outcome).is_empty(),
-        "{shown}"
+        "{summary}"
     );
     let simulated = traffic
         .simulated
@@ -85,28 +85,28 @@
         let about = timeline
             .state_changes
             .iter()
-            .filter(|printed| printed.by == by && printed.of == of);
-        about.map(|printed| printed.state.as_str()).collect()
+            .filter(|observed| observed.by == by && observed.of == of);
+        about.map(|observed| observed.state.as_str()).collect()
     };
-    check_views(&states, &shown);
-    check_cut(&states, &shown);
-    assert!(judged.largest_share <= 1.0, "{shown}");
+    check_views(&states, &summary);
+    check_partition(&states, &summary);
+    assert!(fleet_report.largest_share <= 1.0, "{summary}");
     assert!(
         simulated.bytes_sent > 0 && simulated.bytes_received > 0 && simulated.lost > 0,
-        "{shown}"
+        "{summary}"
     );
     assert!(
         traffic.packets[0] > 0
-            && judged
+            && fleet_report
                 .simulated
                 .as_ref()
                 .is_some_and(|h| h.members == SIMULATED),
-        "{shown}"
+        "{summary}"
     );
 }
 
-/// Every live member has seen each other member alive, and ends with a view that has the killed ones down.
-fn check_views<'log>(states: &impl Fn(usize, usize) -> Vec<&'log str>, shown: &str) {
+/// Checks that every live member has seen each other member alive, and finally only the killed ones as down.
+fn check_views<'log>(states: &impl Fn(usize, usize) -> Vec<&'log str>, summary: &str) {
     let killed = [KILLED_REAL, KILLED_SIMULATED];
     for by in (0..SENDERS + SIMULATED).filter(|by| !killed.contains(by)) {
         for of in (0..SENDERS + SIMULATED).filter(|of| *of != by) {
@@ -115,33 +115,34 @@
             } else {
                 "alive"
             };
-            let printed = states(by, of);
+            let observed = states(by, of);
             assert!(
-                printed.contains(&"alive"),
-                "{by} never saw {of}: {printed:?}\n{shown}"
+                observed.contains(&"alive"),
+                "{by} never saw {of}: {observed:?}\n{summary}"
             );
             assert_eq!(
-                printed.last(),
+                observed.last(),
                 Some(&last),
-                "{of} as {by} sees it: {printed:?}\n{shown}"
+                "{of} as {by} sees it: {observed:?}\n{summary}"
             );
         }
     }
 }
 
-/// Across the cut, a member is down and then alive again: real to simulated, simulated to real, and among simulated ones.
-fn check_cut<'log>(states: &impl Fn(usize, usize) -> Vec<&'log str>, shown: &str) {
+/// Checks that a member across the cut is seen down and then alive again: real by simulated, simulated by real, and both
+/// simulated.
+fn check_partition<'log>(states: &impl Fn(usize, usize) -> Vec<&'log str>, summary: &str) {
     for (by, of) in [(0, 10), (10, 0), (2, 10), (10, 2)] {
-        let printed = states(by, of);
-        let down = printed.iter().position(|state| *state == "down");
+        let observed = states(by, of);
+        let down = observed.iter().position(|state| *state == "down");
         assert!(
-            down.is_some_and(|down| printed[down..].contains(&"alive")),
-            "{by} of {of}: {printed:?}\n{shown}"
+            down.is_some_and(|down| observed[down..].contains(&"alive")),
+            "{by} of {of}: {observed:?}\n{summary}"
         );
     }
 }
 
-/// Guards sockets, threads and timers: what virtual time shows holds over UDP as well.
+/// Guards the sockets, threads and timers of simulated members, which runs in virtual time leave out.
 #[test]
 fn simulated_members_agree_over_sockets() {
     let timing = Timing {
@@ -159,7 +160,7 @@
         timing,
         ..SimulatedFleetPlan::default()
     };
-    let figures = play_simulated(&plan).expect("it plays");
+    let figures = play_simulated(&plan).expect("the run completes");
     assert!(
         figures.agreed_at_start.is_some() && figures.agreed_after.is_some(),
         "{figures:?}"
@@ -178,7 +179,7 @@
     );
 }
 
-/// What can't be played is one line and exit code 2, before anything starts.
+/// An invalid plan is one line and exit code 2, before anything starts.
 #[test]
 fn invalid_simulated_fleets_are_one_line_and_exit_code_2() {
     let cases: [(&[&str], &str); 10] = [
@@ -220,17 +221,17 @@
             "disturbance: 30 restarts",
         ),
     ];
-    for (arguments, why) in cases {
+    for (arguments, expected_error) in cases {
         let output = Command::new(PROGRAM)
             .arg("rig")
             .args(arguments)
             .output()
-            .expect("it runs");
-        let printed = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {printed}");
+            .expect("the program runs");
+        let observed = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {observed}");
         assert!(
-            printed.lines().count() == 1 && printed.contains(why),
-            "{arguments:?}: {printed}"
+            observed.lines().count() == 1 && observed.contains(expected_error),
+            "{arguments:?}: {observed}"
         );
     }
 }
--- a/crates/cranehill/tests/spoilt.rs
+++ b/crates/cranehill/tests/spoilt.rs
@@ -1,17 +1,17 @@
-//! Answers that come spoilt: the attempt failed and may have been executed, and its connection is not used again.
+//! Malformed responses: the attempt has failed and is possibly executed, and its connection is not used again.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::{Client, SOON, list, platform, start, start_as};
+use common::{Client, TIMEOUT, list, platform, start, start_with_options};
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
 const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
-/// What the destination was sent when it answers the first requests so, and 200 from then on: for each request
-/// its connection and how long after the first it came.
-fn play(
+/// Submits `messages` to a destination that gives `answers` to its first requests and 200 to the rest, and waits for `requests`
+/// requests. Returns the connection of each request and its time after the first.
+fn requests_for_answers(
     answers: &'static [&'static str],
     messages: usize,
     requests: usize,
@@ -20,24 +20,24 @@
         Some(text) => Reply::Bytes(text.as_bytes().to_vec()),
         None => Reply::status(200),
     })
-    .expect("partner");
+    .expect("destination server");
     let platform = platform();
-    // A call is waited for for a quarter of the aim at least: 5 s, so that what ends sooner did not end by that.
+    // The call timeout is at least a quarter of the latency objective: 5 s, so that a sooner end is no timeout.
     let known = list(1, &[("a", destination.address, 7, "station")]);
-    let sender = start_as(&known, &platform, |setup| {
-        setup.platform_settings.settings.classes[0].latency_objective = Duration::from_secs(20);
+    let sender = start_with_options(&known, &platform, |options| {
+        options.platform_settings.settings.classes[0].latency_objective = Duration::from_secs(20);
     });
     let mut client = Client::new(sender.clients);
     for n in 0..messages {
         assert_eq!(client.put(&format!("m{n}"), NAMES, b"x"), "+OK");
-        assert!(destination.wait_for((n + 1).min(requests), SOON));
+        assert!(destination.wait_for((n + 1).min(requests), TIMEOUT));
     }
     assert!(
-        destination.wait_for(requests, SOON),
+        destination.wait_for(requests, TIMEOUT),
         "{} of {requests} requests",
         destination.seen().len()
     );
-    // Nothing more comes, unless something is wrong.
+    // Time for requests beyond the expected ones.
     std::thread::sleep(Duration::from_millis(700));
     let seen = destination.seen();
     let first: Instant = seen[0].at;
@@ -46,7 +46,7 @@
 
 #[test]
 fn malformed_response_is_retried_soon_at_another_endpoint() {
-    let seen = play(
+    let seen = requests_for_answers(
         &[
             "\u{1}\u{2}noise\r\n\r\n",
             "HTTP/1.1 500 Oops\r\nContent-Length: 3000000000\r\n\r\nxxxx",
@@ -60,17 +60,17 @@
     assert_eq!(
         connections,
         [0, 1, 2, 3, 4],
-        "no connection is used after a spoilt answer"
+        "no connection is reused after a malformed response"
     );
     assert!(
         seen[4].1 < Duration::from_secs(4),
-        "not at a call's time-out: {seen:?}"
+        "retried only after the call timeout: {seen:?}"
     );
 }
 
 #[test]
 fn status_200_delivers_even_with_a_malformed_body() {
-    let seen = play(
+    let seen = requests_for_answers(
         &[
             "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx",
             "HTTP/1.1 200 OK\r\n\u{1}: \r\n",
@@ -85,7 +85,7 @@
     assert_eq!(
         connections,
         [0, 1, 2, 3, 3, 3],
-        "one request a notice; whole answers keep the connection"
+        "one request per message; complete responses keep the connection"
     );
 }
 
@@ -98,7 +98,7 @@
             Reply::status(200)
         }
     })
-    .expect("partner");
+    .expect("destination server");
     let platform = platform();
     let sender = start(
         &list(1, &[("a", destination.address, 7, "station")]),
@@ -107,7 +107,7 @@
     let mut client = Client::new(sender.clients);
     for (n, requests) in [1, 3, 4].into_iter().enumerate() {
         assert_eq!(client.put(&format!("m{n}"), NAMES, b"x"), "+OK");
-        assert!(destination.wait_for(requests, SOON));
+        assert!(destination.wait_for(requests, TIMEOUT));
         std::thread::sleep(Duration::from_millis(400));
     }
     let connections: Vec<usize> = destination.seen().iter().map(|s| s.connection).collect();
--- a/crates/cranehill/tests/webpush.rs
+++ b/crates/cranehill/tests/webpush.rs
@@ -1,4 +1,4 @@
-//! The Web Push front, from an app destination's post to its one answer, before a simulated server push service.
+//! The Web Push front end, from the POST of an application server to its one answer, with a simulated push service.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
-use common::SOON;
+use common::TIMEOUT;
 use cranehill::push_script::push_setup;
 use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http::{self, Response, header};
@@ -18,6 +18,7 @@
 use p256::ecdsa::signature::Verifier;
 use p256::ecdsa::{Signature, SigningKey, VerifyingKey};
 
+/// A running Web Push front end; dropping it stops it.
 struct Front {
     address: SocketAddr,
     stop_handle: StopHandle,
@@ -31,8 +32,8 @@
 
 fn front(service: SocketAddr, vapid: Option<VapidFile>) -> Front {
     let mut reactor = Reactor::new(push_setup(service, vapid)).expect("the sender starts");
-    let address = reactor.addresses().1.expect("it listens");
-    let stop_handle = reactor.stop_handle().expect("halter");
+    let address = reactor.addresses().1.expect("a listening address");
+    let stop_handle = reactor.stop_handle().expect("stop handle");
     thread::spawn(move || reactor.run(Vec::new));
     Front {
         address,
@@ -40,7 +41,7 @@
     }
 }
 
-/// A post of `text`, whose one answer is read on the same connection.
+/// Posts a push to subscription `name` and reads its one answer on the same connection.
 fn post(front: &Front, name: &str, headers: &[(&str, &str)], body: &[u8]) -> Response {
     let headers: Vec<(&str, String)> = headers.iter().map(|(n, v)| (*n, (*v).to_owned())).collect();
     exchange(
@@ -49,11 +50,12 @@
     )
 }
 
+/// Sends a request and returns its one answer.
 fn exchange(front: &Front, bytes: &[u8]) -> Response {
     let mut stream = TcpStream::connect(front.address).expect("connect");
     stream
         .set_read_timeout(Some(Duration::from_secs(25)))
-        .expect("time-out");
+        .expect("read timeout set");
     stream.write_all(bytes).expect("write");
     let (mut input, mut chunk) = (Vec::new(), [0u8; 4096]);
     loop {
@@ -68,7 +70,7 @@
 }
 
 fn always(reply: Reply) -> SimulatedServer {
-    SimulatedServer::new(move |_, _| reply.clone()).expect("stand-in")
+    SimulatedServer::new(move |_, _| reply.clone()).expect("push service")
 }
 
 #[test]
@@ -94,14 +96,16 @@
             ("POST", "/subscription/abc")
         );
         assert_eq!(r.body, sealed);
-        let notified = |name| header(&r.headers, name);
-        assert_eq!(notified("Urgency"), Some("high"));
-        assert_eq!(notified("Topic"), Some("show_1"));
-        assert_eq!(notified("Content-Encoding"), Some("aes128gcm"));
-        let ttl: u64 = notified("TTL").and_then(|t| t.parse().ok()).expect("a TTL");
+        let forwarded = |name| header(&r.headers, name);
+        assert_eq!(forwarded("Urgency"), Some("high"));
+        assert_eq!(forwarded("Topic"), Some("show_1"));
+        assert_eq!(forwarded("Content-Encoding"), Some("aes128gcm"));
+        let ttl: u64 = forwarded("TTL")
+            .and_then(|t| t.parse().ok())
+            .expect("a TTL");
         assert!(
             (30..=60).contains(&ttl),
-            "the time that is left, not more than was given: {ttl}"
+            "the remaining time, at most the TTL of the post: {ttl}"
         );
         assert_eq!(s.connection, 0);
     }
@@ -158,16 +162,16 @@
         0 => Reply::wait(429, "1.5"),
         _ => Reply::status(201),
     })
-    .expect("stand-in");
+    .expect("push service");
     let front = front(service.address, None);
     let first = thread::scope(|s| {
-        let notified = s.spawn(|| post(&front, "one", &[("TTL", "15")], b"x"));
-        assert!(service.wait_for(1, SOON));
+        let forwarded = s.spawn(|| post(&front, "one", &[("TTL", "15")], b"x"));
+        assert!(service.wait_for(1, TIMEOUT));
         // Another message for the same service, while the wait lasts.
         thread::sleep(Duration::from_millis(100));
         let other = s.spawn(|| post(&front, "two", &[("TTL", "15")], b"y"));
         assert_eq!(other.join().expect("answered").status, 201);
-        notified.join().expect("answered")
+        forwarded.join().expect("answered")
     });
     assert_eq!(first.status, 201);
     let seen = service.seen();
@@ -176,7 +180,7 @@
         let after = later.at - seen[0].at;
         assert!(
             after >= Duration::from_millis(1500),
-            "sent {after:?} after the wait was told"
+            "sent {after:?} after the request that got the Retry-After"
         );
     }
 }
@@ -190,7 +194,7 @@
         }
         _ => Reply::status(201),
     })
-    .expect("stand-in");
+    .expect("push service");
     let front = front(service.address, None);
     assert_eq!(post(&front, "one", &[("TTL", "15")], b"x").status, 201);
     let seen = service.seen();
@@ -202,9 +206,9 @@
 fn retry_after_beyond_the_ttl_expires_the_message_in_time() {
     let service = always(Reply::wait(429, "60"));
     let front = front(service.address, None);
-    let begun = Instant::now();
+    let started = Instant::now();
     assert_eq!(post(&front, "one", &[("TTL", "2")], b"x").status, 504);
-    assert!(begun.elapsed() < Duration::from_secs(20));
+    assert!(started.elapsed() < Duration::from_secs(20));
     assert_eq!(service.seen().len(), 1);
 }
 
@@ -215,9 +219,9 @@
             "/subscription/left" => Reply::status(status),
             _ => Reply::status(201),
         })
-        .expect("stand-in");
+        .expect("push service");
         let front = front(service.address, None);
-        // More in a row than would make an outage of any real failure.
+        // More in a row than failures that would count as an outage.
         for _ in 0..8 {
             assert_eq!(
                 post(&front, "left", &[("TTL", "9"), ("Topic", "t")], b"x").status,
@@ -254,9 +258,9 @@
                 Reply::status(201)
             }
         })
-        .expect("stand-in");
+        .expect("push service");
         let front = front(service.address, None);
-        // Without a topic the message may have been shown already.
+        // Without a topic a repeat could show the message twice.
         assert_eq!(
             post(&front, "a", &[("TTL", "9")], b"x").status,
             504,
@@ -270,7 +274,7 @@
                 Reply::status(201)
             }
         })
-        .expect("stand-in");
+        .expect("push service");
         let front = self::front(service.address, None);
         assert_eq!(
             post(&front, "a", &[("TTL", "9"), ("Topic", "t")], b"x").status,
@@ -297,9 +301,9 @@
 fn silent_service_expires_the_message_before_the_ttl() {
     let service = always(Reply::Silent);
     let front = front(service.address, None);
-    let begun = Instant::now();
+    let started = Instant::now();
     assert_eq!(post(&front, "a", &[("TTL", "2")], b"x").status, 504);
-    assert!(begun.elapsed() < Duration::from_secs(20));
+    assert!(started.elapsed() < Duration::from_secs(20));
 }
 
 #[test]
@@ -318,7 +322,7 @@
         0 => Reply::wait(429, "3"),
         _ => Reply::status(201),
     })
-    .expect("stand-in");
+    .expect("push service");
     let front = front(service.address, None);
     let mut stream = TcpStream::connect(front.address).expect("connect");
     let bytes = http::write_request(
@@ -329,7 +333,7 @@
         b"x",
     );
     stream.write_all(&bytes).expect("write");
-    assert!(service.wait_for(1, SOON));
+    assert!(service.wait_for(1, TIMEOUT));
     drop(stream);
     assert_eq!(post(&front, "stays", &[("TTL", "15")], b"y").status, 201);
     let paths: Vec<String> = service.seen().into_iter().map(|s| s.request.path).collect();
@@ -347,14 +351,17 @@
     let front = front(service.address, Some(vapid));
     assert_eq!(post(&front, "a", &[("TTL", "9")], b"x").status, 201);
     let request = &service.seen()[0].request;
-    let text = header(&request.headers, "Authorization").expect("signed");
+    let text = header(&request.headers, "Authorization").expect("an Authorization header");
     let (token, key) = text
         .strip_prefix("vapid t=")
         .and_then(|t| t.split_once(", k="))
         .expect("t and k");
     let key = URL_SAFE_NO_PAD.decode(key).expect("base64url");
-    let ours = SigningKey::from_slice(&secret).expect("a key");
-    assert_eq!(key, ours.verifying_key().to_sec1_point(false).as_bytes());
+    let signing_key = SigningKey::from_slice(&secret).expect("a key");
+    assert_eq!(
+        key,
+        signing_key.verifying_key().to_sec1_point(false).as_bytes()
+    );
     let (signed, signature) = token.rsplit_once('.').expect("three parts");
     let signature = Signature::from_slice(&URL_SAFE_NO_PAD.decode(signature).expect("base64url"))
         .expect("64 bytes");
@@ -403,20 +410,20 @@
     })
     .expect("the sender starts");
     let (clients, pushes) = reactor.addresses();
-    let stop_handle = reactor.stop_handle().expect("halter");
+    let stop_handle = reactor.stop_handle().expect("stop handle");
     thread::spawn(move || reactor.run(Vec::new));
     let front = Front {
-        address: pushes.expect("it listens"),
+        address: pushes.expect("a listening address"),
         stop_handle,
     };
-    // The second watch shows that the new list has been taken.
-    assert!(platform.wait_for(2, SOON));
-    let mut client = common::Client::new(clients.expect("it listens"));
+    // The second watch shows that the new list has been applied.
+    assert!(platform.wait_for(2, TIMEOUT));
+    let mut client = common::Client::new(clients.expect("a listening address"));
     assert_eq!(
         client.put("m1", "c=episode-notice,d=8000,k=aa,dest=7", b"x"),
         "+OK"
     );
-    assert!(destination.wait_for(1, SOON));
+    assert!(destination.wait_for(1, TIMEOUT));
     assert_eq!(post(&front, "a", &[("TTL", "9")], b"y").status, 201);
     assert_eq!((destination.seen().len(), service.seen().len()), (1, 1));
 }
