--- a/crates/cranehill/tests/common/mod.rs
+++ b/crates/cranehill/tests/common/mod.rs
@@ -95,7 +95,7 @@
     platform: &SimulatedServer,
     sockets: usize,
 ) -> RunningSender {
-    start_with_options(known, platform, |options| options.sockets = sockets)
+    start_with(known, platform, |options| options.sockets = sockets)
 }
 
 /// A sender that listens but does not run yet. It finds everything that peers send before [`PreparedSender::run`] in its
@@ -154,7 +154,7 @@
 }
 
 /// Starts a sender; `change` adapts its options.
-pub(crate) fn start_with_options(
+pub(crate) fn start_with(
     known: &str,
     platform: &SimulatedServer,
     change: impl FnOnce(&mut ReactorOptions),
--- a/crates/cranehill/tests/endings.rs
+++ b/crates/cranehill/tests/endings.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::Ordering;
 
 use common::{
-    Client, RunningSender, TIMEOUT, list, platform, prepare, put, reports, start,
-    start_with_options, updating_platform, wait_until,
+    Client, RunningSender, TIMEOUT, list, platform, prepare, put, reports, start, start_with,
+    updating_platform, wait_until,
 };
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
@@ -209,9 +209,7 @@
     let address = listener.local_addr().expect("an address");
     let known = list(4, &[("a", old.address, 7, "station")]);
     let platform = platform();
-    let sender = start_with_options(&known, &platform, |options| {
-        options.discovery = Some(address)
-    });
+    let sender = start_with(&known, &platform, |setup| setup.discovery = Some(address));
     let (mut first, _) = listener.accept().expect("the first watch");
     assert!(read_request(&mut first).contains("from=4&"));
     // Non-blocking, so that the test ends even if no second watch arrives.
--- a/crates/cranehill/tests/handover.rs
+++ b/crates/cranehill/tests/handover.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use common::{Client, RunningSender, TIMEOUT, list, platform, put, start_with_options};
+use common::{Client, RunningSender, TIMEOUT, list, platform, put, start_with};
 use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::State;
@@ -20,7 +20,7 @@
 
 /// Starts a sender with the state folder `dir` and an operators' address.
 fn start_with_state(known: &str, platform: &SimulatedServer, dir: &Path) -> RunningSender {
-    start_with_options(known, platform, |options| {
+    start_with(known, platform, |options| {
         options.operator = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
         options.state = Some(State {
             dir: dir.to_owned(),
--- a/crates/cranehill/tests/late_connections.rs
+++ b/crates/cranehill/tests/late_connections.rs
@@ -9,8 +9,7 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    Client, TIMEOUT, full_listener, list, reports, start, start_with_options, updating_platform,
-    wait_for,
+    Client, TIMEOUT, full_listener, list, reports, start, start_with, updating_platform, wait_for,
 };
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
@@ -62,7 +61,7 @@
         ("b", late_address, 7, "station"),
     );
     let (platform, publish_list) = updating_platform(list(2, &[a, b]));
-    let sender = start_with_options(&list(1, &[a]), &platform, |options| {
+    let sender = start_with(&list(1, &[a]), &platform, |options| {
         let class = &mut options.platform_settings.settings.classes[0];
         // The call timeout is at least a quarter of the latency objective: 5 s, longer than the connection takes.
         (class.window, class.latency_objective) = (window, Duration::from_secs(20));
--- a/crates/cranehill/tests/operator.rs
+++ b/crates/cranehill/tests/operator.rs
@@ -7,13 +7,13 @@
 use std::path::Path;
 use std::sync::mpsc::{Receiver, channel};
 
-use common::{Client, RunningSender, TIMEOUT, list, platform, put, start_with_options};
+use common::{Client, RunningSender, TIMEOUT, list, platform, put, start_with};
 use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::State;
 
 fn start_operated(known: &str, platform: &SimulatedServer, state: Option<&Path>) -> RunningSender {
-    start_with_options(known, platform, |options| {
+    start_with(known, platform, |options| {
         options.operator = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
         options.state = state.map(|dir| State {
             dir: dir.to_owned(),
--- a/crates/cranehill/tests/order.rs
+++ b/crates/cranehill/tests/order.rs
@@ -10,8 +10,7 @@
 
 use common::process::Process;
 use common::{
-    Client, TIMEOUT, config_text, list, platform, reports, start, start_with_options, wait_for,
-    wait_until,
+    Client, TIMEOUT, config_text, list, platform, reports, start, start_with, wait_for, wait_until,
 };
 use cranehill::simulated_server::{Reply, SimulatedServer};
 use cranehill_daemon::http;
@@ -120,7 +119,7 @@
 fn messages_of_one_ordering_key_are_sent_one_at_a_time() {
     let (destination, release) = destination("a1", || Reply::status(200));
     let platform = platform();
-    let sender = start_with_options(&known(&destination), &platform, keep_order);
+    let sender = start_with(&known(&destination), &platform, keep_order);
     submit(sender.clients, "aa01", "a1");
     assert!(destination.wait_for(1, TIMEOUT));
     submit(sender.clients, "aa01", "a2");
@@ -149,7 +148,7 @@
         _ => Reply::status(500),
     })
     .expect("platform");
-    let sender = start_with_options(&known(&destination), &platform, keep_order);
+    let sender = start_with(&known(&destination), &platform, keep_order);
     submit(sender.clients, "aa01", "a1");
     assert!(destination.wait_for(1, TIMEOUT));
     submit(sender.clients, "aa01", "a2");
@@ -229,7 +228,7 @@
     let (destination, release) = destination("a1", || Reply::status(200));
     let (platform, folder) = (platform(), tempfile::tempdir().expect("a temporary folder"));
     let start_with_state = || {
-        start_with_options(&known(&destination), &platform, |options| {
+        start_with(&known(&destination), &platform, |options| {
             keep_order(options);
             options.operator = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
             options.state = Some(State {
@@ -277,7 +276,7 @@
     let (destination, release) = destination("none", || Reply::status(200));
     release.store(true, Ordering::Relaxed);
     let platform = platform();
-    let sender = start_with_options(&known(&destination), &platform, keep_order);
+    let sender = start_with(&known(&destination), &platform, keep_order);
     let mut client = Client::new(sender.clients);
     for key in ["", "with a space", "k\u{e9}y", &"k".repeat(65)] {
         client.send(&in_order(key, "bad"));
--- a/crates/cranehill/tests/spoilt.rs
+++ b/crates/cranehill/tests/spoilt.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Client, TIMEOUT, list, platform, start, start_with_options};
+use common::{Client, TIMEOUT, list, platform, start, start_with};
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
 const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
@@ -24,7 +24,7 @@
     let platform = platform();
     // The call timeout is at least a quarter of the latency objective: 5 s, so that a sooner end is no timeout.
     let known = list(1, &[("a", destination.address, 7, "station")]);
-    let sender = start_with_options(&known, &platform, |options| {
+    let sender = start_with(&known, &platform, |options| {
         options.platform_settings.settings.classes[0].latency_objective = Duration::from_secs(20);
     });
     let mut client = Client::new(sender.clients);
