--- a/crates/cranehill/tests/common/mod.rs
+++ b/crates/cranehill/tests/common/mod.rs
@@ -15,7 +15,7 @@
 use cranehill_daemon::reactor::{Reactor, ReactorOptions, StopHandle};
 use socket2::{Domain, Socket, Type};
 
-/// Limit of every wait. Longer than any step takes, so that only a failing test reaches it.
+/// Limit of each wait for an event. Longer than any takes, so that only a failing test reaches it.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The `settings` object of the configuration: one class, one tenant, one zone.
--- a/crates/cranehill/tests/exchanges.rs
+++ b/crates/cranehill/tests/exchanges.rs
@@ -4,7 +4,7 @@
 //! - `endpoint ID DESTINATION KIND` defines a simulated endpoint.
 //! - `ID < BYTES` queues an answer of that endpoint; `close` closes the connection instead. Without one it answers 200.
 //! - `client > BYTES` sends bytes; `client < N` waits for N answer lines.
-//! - `ID = N` and `platform = N` wait until N requests have arrived there.
+//! - `ID = N` waits until the endpoint has received N requests, `platform = N` until the platform has received N final reports.
 //!
 //! Escapes in BYTES: `\r`, `\n`, `\\`.
 
