--- a/crates/core/src/completed.rs
+++ b/crates/core/src/completed.rs
@@ -7,10 +7,10 @@
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::MessageId;
 
-/// Bounds the memory; beyond it the oldest ids are dropped.
+/// Maximum number of ids, which bounds the memory; beyond it the oldest ids are dropped.
 const MAX_COMPLETED_IDS: usize = 8192;
 
-/// When an id is dropped.
+/// An id, and the time at which it is dropped.
 #[derive(Debug)]
 struct Expiry {
     at: Time,
--- a/crates/core/src/mutation.rs
+++ b/crates/core/src/mutation.rs
@@ -1,15 +1,15 @@
-//! Mutations: a build with the feature `mutations` can break one rule on purpose, to show that the auditor detects it.
-//! Other builds can't enable a mutation.
+//! Mutations: a build with the feature `mutations` can violate one invariant on purpose, to test that the auditor detects
+//! the violation. Other builds can't enable a mutation.
 
 use cranehill_scheduler::api::{Condition, Effect, Settings, Status};
 
 use crate::input::AttemptOutcome;
 use crate::message::Listing;
 
-/// A limit on attempts beyond that of any valid settings.
+/// The limit on attempts with [`Mutation::SeventhAttempt`]. The crash test, for example, allows 6.
 const TOO_MANY_ATTEMPTS: u32 = 9;
 
-/// One way to break a rule.
+/// One deliberate fault, which violates an invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     /// Retry-after times of destinations are hidden from the scheduler.
@@ -25,19 +25,20 @@
     AnswersFirst,
     /// Final reports are not sent.
     DropsReports,
-    /// Failures are hidden from the scheduler, so that a destination receives the full load at once when it recovers.
+    /// Failed attempts are reported to the scheduler as not sent, and listed rates as unknown, so that a destination
+    /// receives the full load at once when it recovers.
     FloodsCold,
     /// Answers are withheld until the client has disconnected.
     HoldsAnswers,
-    /// A connection is reused although bytes follow an answer on it.
+    /// A connection is reused even if bytes that belong to no answer were received after an answer.
     ReusesSpoilt,
-    /// Possibly executed messages are sent again even if their class does not allow it.
+    /// Possibly executed messages are sent again even if their class is not safe to repeat.
     RepeatsUnsafe,
-    /// Messages get more attempts than allowed.
+    /// Messages get more attempts than the settings allow.
     SeventhAttempt,
-    /// Pending messages are recorded as completed at SIGTERM, and so lost.
+    /// Pending messages are recorded as completed at SIGTERM, so that no later process delivers them.
     LeaksAtStop,
-    /// Some clients are disconnected without an answer.
+    /// Some answers are not sent, and their clients are disconnected instead.
     ClosesClients,
     /// Ordering keys are ignored.
     IgnoresOrder,
@@ -100,8 +101,8 @@
     }
 }
 
-/// True for one in `calls` invocations of this function, counted over the whole process: for mutations that break a
-/// rule only sometimes.
+/// Returns true for the first of every `calls` invocations, counted over the whole process. For mutations that act on
+/// only some of the occasions.
 pub fn one_in(calls: u64) -> bool {
     static CALLS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
     CALLS
@@ -121,7 +122,7 @@
     }
 }
 
-/// Applies the enabled mutation to the outcome of an attempt, to hide its result from the scheduler.
+/// Applies the enabled mutation to the outcome of an attempt before the scheduler receives it.
 pub(crate) fn apply_to_outcome(outcome: &mut AttemptOutcome) {
     if is(Mutation::IgnoresWaits) {
         outcome.retry_after = None;
@@ -137,10 +138,11 @@
     }
 }
 
-/// Applies the enabled mutation to an endpoint list, to hide entries from the scheduler. `whole` is whether the list is
-/// a full one; returns whether it still is.
+/// Applies the enabled mutation to an endpoint list before the scheduler receives it. `whole` is whether the list
+/// replaces the previous one; returns whether the changed list does. With [`Mutation::SendsToDrained`] it does not, since
+/// the scheduler would remove the endpoints that are left out.
 pub(crate) fn apply_to_endpoint_list(whole: bool, list: &mut Vec<Listing>) -> bool {
-    // A rate of 0 means that none is listed: the scheduler then derives no token bucket from it.
+    // A rate of 0 means that it is unknown: the scheduler then derives no limit from it.
     if is(Mutation::FloodsCold) {
         for listing in list.iter_mut() {
             listing.entry.rate = 0.0;
--- a/crates/core/src/outbox.rs
+++ b/crates/core/src/outbox.rs
@@ -62,7 +62,7 @@
     /// Handles the result of the journal's write. Returns the deferred effects.
     pub(crate) fn on_persisted(&mut self, persisted: Persisted) -> Vec<Effect> {
         let unpersisted = std::mem::take(&mut self.unpersisted);
-        // If the end of an attempt or message were never written, the next process would treat it as open.
+        // If the end of an attempt or message were never written, the next process would treat it as unfinished.
         if persisted == Persisted::Nothing {
             self.records.extend(unpersisted);
         }
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -26,7 +26,8 @@
 }
 
 impl RecoveryProgress {
-    /// Starts the recovery: learned state, first calls and recovered messages are spread over time.
+    /// Enables and starts the recovery. Until it is complete, learned state is collected and restored, and first calls and
+    /// recovered messages are spread over time.
     pub(crate) fn enable(&mut self, now: Time, settings: Settings) {
         self.recovery = Some(Recovery::new(settings, now));
     }
@@ -36,7 +37,7 @@
         self.recovery.as_ref().map(Recovery::phase)
     }
 
-    /// Handles the state file of an earlier process. An unreadable file is logged and ignored.
+    /// Handles the content of the state file that an earlier process wrote. Content that can't be decoded is logged and ignored.
     pub(crate) fn on_restored(&mut self, now: Time, bytes: &[u8]) {
         let Some(recovery) = &mut self.recovery else {
             return;
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Handles the learned state that the previous process sent in a hand-over. Unreadable state is logged and ignored.
+    /// Handles the learned state that the previous process sent in a hand-over. State that can't be decoded is logged and
+    /// ignored.
     pub(crate) fn on_inherited(&mut self, bytes: &[u8]) {
         match recovery::unpack(bytes) {
             Ok(learned_state) => self.inherited = learned_state,
@@ -59,7 +61,8 @@
         }
     }
 
-    /// Handles a piece of learned state from another member. An unreadable piece is logged and ignored.
+    /// Handles a reply of another member: `piece` is one encoded part of its learned state. A part that can't be decoded
+    /// is logged and ignored. Returns a request for a tick at once, in which the state is restored.
     pub(crate) fn on_peer_reply(
         &mut self,
         now: Time,
@@ -86,15 +89,16 @@
         }
     }
 
-    /// Handles a message that has been sent or has ended: the next one of its destination may be released.
+    /// Handles a message that has been sent or has ended: the work queue may release the next one of its destination.
     pub(crate) fn on_sent_or_ended(&mut self, destination: DestinationId, id: &MessageId) {
         if let Some(recovery) = &mut self.recovery {
             recovery.work_queue.on_sent_or_ended(destination, id);
         }
     }
 
-    /// Adds a recovered message to the work queue. Returns false if recovery is not enabled: there is no work queue
-    /// then.
+    /// Adds a recovered message to the work queue. `hand_over_by` is the latest time to hand it over to the scheduler;
+    /// messages with the earliest time are released first. Returns false if recovery is not enabled: there is no work
+    /// queue then.
     pub(crate) fn enqueue(
         &mut self,
         destination: DestinationId,
@@ -130,8 +134,8 @@
             actions: Vec::new(),
             remaining,
         };
-        // Endpoint lists would be handled before a cancellation in the same tick, and a cancelled message could be
-        // sent: the state is restored in the next tick instead.
+        // The scheduler would send messages when it handles the endpoint lists, before it handles a cancellation in the
+        // same tick. The state is therefore restored in a later tick.
         if events.iter().any(|e| matches!(e, Event::Cancelled(_))) {
             return nothing_restored(events);
         }
@@ -149,8 +153,8 @@
         };
         let (list_events, remaining) = split_list_events(events);
         let actions = scheduler.handle(now, list_events);
-        let last_first_call = scheduler.restore(now, &learned_state);
-        recovery.spread_first_calls_until(last_first_call);
+        let first_calls_until = scheduler.restore(now, &learned_state);
+        recovery.spread_first_calls_until(first_calls_until);
         RestoredTick { actions, remaining }
     }
 
@@ -162,7 +166,8 @@
     }
 
     /// Called at the end of a tick: persists learned state if that is due, and checks whether the recovery is complete.
-    /// `has_handed_over` is whether messages of the work queue have been handed over for the next tick.
+    /// `has_handed_over` is whether messages of the work queue were handed over in this tick for the scheduler to handle
+    /// in the next one, which is then requested at once.
     pub(crate) fn end_tick(
         &mut self,
         now: Time,
@@ -193,7 +198,8 @@
     }
 }
 
-/// Splits events into those about endpoints and the number of senders, which are handled first, and all others.
+/// Splits events into those that must be handled before learned state is restored (endpoint lists and the number of
+/// senders, on which quotas depend), and all others.
 fn split_list_events(events: Vec<Event>) -> (Vec<Event>, Vec<Event>) {
     events
         .into_iter()
--- a/crates/recovery/src/learned_state_cache.rs
+++ b/crates/recovery/src/learned_state_cache.rs
@@ -1,5 +1,5 @@
-//! [`LearnedStateCache`]: the latest learned state of each route from before the start, of an earlier process of this
-//! sender or of other members. Each part is used until it reaches its maximum age.
+//! [`LearnedStateCache`]: the latest learned state of each route that was received since the start, from an earlier
+//! process of this sender or from other members. Each part is used until it reaches its maximum age.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,21 +7,21 @@
 use cranehill_scheduler::api::DestinationId;
 use cranehill_scheduler::{LearnedState, Time};
 
-/// Longer retry-after times are ignored; no destination can send a longer one.
+/// Longer retry-after times are invalid and ignored: senders shorten those in answers to one day.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(86_400);
-/// Bounds the memory; further routes are ignored.
+/// Maximum number of routes in the cache, which bounds its memory. Learned state of further routes is ignored.
 const MAX_CACHED_ROUTES: usize = 4096;
 
-/// Maximum ages at which the parts of learned state are used.
+/// Maximum ages at which the parts of learned state are used, and the tolerated clock difference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Maximum age of a window of concurrent calls.
+    /// Maximum age of a route's window (the number of calls that may be in flight).
     pub window: Duration,
     /// Maximum age of a rate limit.
     pub limit: Duration,
-    /// Maximum age of a destination's health.
+    /// Maximum age of a route's health (up, down or warming up).
     pub state: Duration,
-    /// Tolerated clock difference between members: state learned further in the future than this is ignored.
+    /// Tolerated clock difference between members: state whose time is further in the future is ignored.
     pub ahead: Duration,
 }
 
@@ -59,8 +59,9 @@
         }
     }
 
-    /// Adds learned state. The cache keeps the latest state of each route, and the retry-after time that ends last.
-    /// State from the future beyond [`Bounds::ahead`] and invalid values are ignored.
+    /// Adds learned state. The cache keeps the latest state of each route, and of its retry-after times the one that
+    /// ends last. Ignored are state that is further in the future than [`Bounds::ahead`], windows and limits that are not
+    /// positive, and retry-after times of more than a day.
     pub fn merge(&mut self, now: Time, learned_state: Vec<LearnedState>) {
         for mut learned in learned_state {
             if learned.at > now + self.bounds.ahead {
--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -45,7 +45,7 @@
             && message.may_repeat(&self.settings, self.now)
     }
 
-    /// Whether a repeat is no problem at this endpoint: the message was not executed, or the endpoint's deduplication covers it.
+    /// Whether sending the message to this endpoint cannot execute it twice: the message was not executed, or the endpoint's deduplication covers it.
     fn is_deduplicated_at(&self, message: &Message, endpoint_index: EndpointIndex) -> bool {
         let class = message.class(&self.settings);
         let Some(first) = message.possibly_executed else {
@@ -99,7 +99,7 @@
             HealthState::Down { next_probe, .. } => self.now >= next_probe && route.in_flight == 0,
             HealthState::Up | HealthState::WarmingUp { .. } => {
                 route.window.has_room(route.in_flight)
-                    && (route.draw_won || route.window.chance().is_none())
+                    && (route.call_drawn || route.window.chance().is_none())
                     && route.token_bucket.has_token()
             }
         }
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -226,7 +226,7 @@
         }
         endpoint.record_call(self.now);
         route.in_flight += 1;
-        route.draw_won = false;
+        route.call_drawn = false;
         route.was_called = true;
         route.token_bucket.take();
     }
--- a/crates/scheduler/src/learned_state.rs
+++ b/crates/scheduler/src/learned_state.rs
@@ -1,7 +1,8 @@
-//! Learned state: what a sender's calls have shown of its destinations, for other senders and for itself after a restart.
+//! Learned state: the window, limit, health and Retry-After wait of each route, as a sender observed them. Other senders and
+//! restarted processes restore it.
 //!
-//! Until a destination answers, restored state only reduces what a sender sends compared with one without learned state. State
-//! handed over by another process of this sender ([`SchedulerState::inherit`]) may also enlarge the window.
+//! Restored state never makes a sender send more than one that starts without learned state, until the destination answers.
+//! State handed over by another process of the same sender ([`SchedulerState::inherit`]) may also enlarge the window.
 
 use std::collections::BTreeMap;
 
@@ -14,11 +15,11 @@
 use crate::state::SchedulerState;
 use crate::token_bucket::TokenBucket;
 
-/// The first call to a destination is sent within this many mean times between calls at this sender's quota. All senders
-/// together then send at a quarter of the limit, and do not exceed one that was meanwhile reduced to that.
+/// Period over which senders spread their first calls, as a multiple of the mean time between calls at a sender's quota. All
+/// senders together then send first calls at a quarter of the limit, in case it was reduced to that meanwhile.
 const FIRST_CALL_GAPS: f64 = 4.0;
-/// Maximum spread of the first calls, in seconds, so that pending messages are not delayed for long. If one mean time between
-/// calls is longer, the spread is that time, so that no sender exceeds its quota.
+/// Maximum of that period, in seconds, so that pending messages are not delayed for long. The period is never shorter than one
+/// mean time between calls, so that no sender exceeds its quota.
 const MAX_FIRST_CALL_SPREAD_SECONDS: f64 = 5.0;
 
 /// Learned state of one destination, or of one endpoint if endpoints are separate routes.
@@ -35,7 +36,7 @@
     /// The most recently reported limit, in calls a second for all senders together: infinite if an answer reported no limit,
     /// `None` without a report.
     pub limit: Option<f64>,
-    /// The end of a Retry-After wait, if one is in force.
+    /// When the route's current Retry-After wait ends; `None` without a wait.
     pub blocked_until: Option<Time>,
     /// Health of the route; `None` if the sender made no call.
     pub state: Option<ObservedHealth>,
@@ -44,9 +45,9 @@
 /// Health of a destination, as observed by a sender.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ObservedHealth {
-    /// In service.
+    /// Neither in an outage nor in a slow start.
     Up,
-    /// In an outage.
+    /// In an outage: the destination does not serve calls.
     Down,
     /// In the slow start after an outage that ended at this time.
     WarmingUp(Time),
@@ -80,7 +81,7 @@
 }
 
 impl SchedulerState {
-    /// Learned state of the routes that this sender has called, and Retry-After waits still in force.
+    /// Learned state of the routes that this process has called, and of those with a Retry-After wait.
     pub(crate) fn learned_state(&self) -> Vec<LearnedState> {
         let mut learned = Vec::new();
         for destination in self.routes.learned_destinations() {
@@ -98,6 +99,7 @@
     ) -> Option<LearnedState> {
         let route = &self.routes[route_index];
         let blocked_until = Some(route.blocked_until).filter(|until| *until > self.now);
+        // A failed or rejected call reduces the window, so `window_reduced_at` is the time of the last one.
         let last_contact = route
             .endpoints
             .iter()
@@ -105,8 +107,8 @@
             .filter(|endpoint| endpoint.calls_sent > 0)
             .map(|endpoint| endpoint.last_answer_at.max(route.window_reduced_at))
             .max();
-        // A Retry-After wait that was restored, or came from an endpoint removed since, is still in force. It is the only thing
-        // known of a route that this process has not called.
+        // A route that this process has not called can still have a Retry-After wait: a restored one, or one sent by an endpoint
+        // that is removed by now. Nothing else is known of such a route.
         if last_contact.is_none() && blocked_until.is_none() {
             return None;
         }
@@ -147,7 +149,7 @@
         route_index: RouteIndex,
         learned: Option<&LearnedState>,
     ) -> Option<Time> {
-        let spread_share = self.rng.f64();
+        let random_fraction = self.rng.f64();
         let jitter = self.jitter();
         let (now, rules) = (self.now, &self.settings.rules);
         let untried = self.routes[route_index]
@@ -165,13 +167,16 @@
         if !untried {
             return None;
         }
+        // First calls are not spread without a rate limit, nor if the bucket is not full, as after an earlier restore, which
+        // has set the time of the first call.
         let gap = 1.0 / route.allowed_rate(now, rules, self.settings.instances);
         if gap <= 0.0 || !gap.is_finite() || !route.token_bucket.is_full() {
             return None;
         }
         // The first call is sent at a random time within the spread.
         let spread = (FIRST_CALL_GAPS * gap).min(MAX_FIRST_CALL_SPREAD_SECONDS.max(gap));
-        route.token_bucket = TokenBucket::with_first_token_after(now, gap, spread * spread_share);
+        route.token_bucket =
+            TokenBucket::with_first_token_after(now, gap, spread * random_fraction);
         Some(route.token_bucket.next_token_at())
     }
 
@@ -225,7 +230,8 @@
 }
 
 impl Route {
-    /// Restores learned state as far as it reduces what this sender sends.
+    /// Restores the parts of the learned state that lower the rate of calls. An outage or slow start that this process has
+    /// observed itself takes precedence over the learned health.
     fn restore(&mut self, learned: &LearnedState, now: Time, rules: &Rules, jitter: f64) {
         if let Some(size) = learned.window {
             self.window.lower_to(size);
--- a/crates/scheduler/src/profile.rs
+++ b/crates/scheduler/src/profile.rs
@@ -6,11 +6,11 @@
 
 use crate::api::{Class, Decay, DedupScope, Effect, Kind, Rules, Settings, Tenant};
 
-/// Maximum number of senders. With more, each would get less than one call in 100 s of a limit of a thousand calls a second,
-/// which is far beyond the deadline of any message.
+/// Maximum number of senders. With this many, each may send one call in 100 s under a shared limit of 1000 calls a second. That
+/// is far longer than the deadline of any message, so more senders could not use their quotas.
 const MAX_SENDERS: u32 = 100_000;
 
-/// A settings object that is well-formed JSON but has an invalid value.
+/// A settings object that was deserialized but has an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProfileError {
     /// The number of senders is out of range.
@@ -34,14 +34,16 @@
     Duration::from_nanos(nanoseconds)
 }
 
-/// The settings object. Keys that are not used are ignored.
+/// The settings object. Unknown keys are ignored, and optional keys default to zero, false or empty.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Profile {
     classes: Vec<WireClass>,
     family_info: FamilyInfo,
+    /// How changes of the endpoint list arrive: "ask" if the sender must poll, pushed with any other value.
     membership_mode: String,
     n_instances: u32,
+    /// See [`Settings::over_share_worth`].
     #[serde(default)]
     over_share_worth: f64,
     policy_limits: PolicyLimits,
@@ -49,14 +51,15 @@
     #[serde(default)]
     tenants: Vec<WireTenant>,
     tick: u64,
-    #[serde(default)]
-    weight_kind: String,
+    /// "nominal" or "rough" if the endpoint list has rates.
+    #[serde(rename = "weightKind", default)]
+    listed_rate_kind: String,
     #[serde(default)]
     zone: u32,
-    #[serde(default)]
-    models: Vec<String>,
-    #[serde(default)]
-    zones: Vec<String>,
+    #[serde(rename = "models", default)]
+    kind_names: Vec<String>,
+    #[serde(rename = "zones", default)]
+    zone_names: Vec<String>,
 }
 
 /// A message class: see [`Class`].
@@ -81,20 +84,24 @@
     late_share: f64,
 }
 
-/// The sender's number of slots, the destination kinds and the decay of the priority weight.
+/// The object `familyInfo`: the sender's number of slots, the destination kinds and the decay of the priority weight.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct FamilyInfo {
-    calls_out: u32,
-    #[serde(default)]
-    kind_apart: Vec<bool>,
-    #[serde(default)]
-    loses_worth: String,
+    #[serde(rename = "callsOut")]
+    slots: u32,
+    /// By destination kind: whether each endpoint is a separate route.
+    #[serde(rename = "kindApart", default)]
+    separate_routes: Vec<bool>,
+    /// "halving", or any other value for a linear decay.
+    #[serde(rename = "losesWorth", default)]
+    priority_weight_decay: String,
+    /// By destination kind: maximum number of messages in one call.
     #[serde(default)]
     per_call: Vec<u32>,
 }
 
-/// Limits of the sender: see [`Settings`].
+/// Limits of the sender: see the fields of the same names in [`Settings`].
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct PolicyLimits {
@@ -110,7 +117,7 @@
     retry_after: bool,
 }
 
-/// What is assumed of destinations, and timing limits: see [`Rules`].
+/// What is assumed of destinations, and timing limits: see the fields of the same names in [`Rules`].
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct WireRules {
@@ -167,12 +174,13 @@
                 .iter()
                 .map(|tenant| tenant.name.clone())
                 .collect(),
-            kinds: self.models.clone(),
-            zones: self.zones.clone(),
+            kinds: self.kind_names.clone(),
+            zones: self.zone_names.clone(),
         }
     }
 
-    /// Converts the object to the scheduler's settings. Unknown values other than a class's effect are read as defaults.
+    /// Converts the object to the scheduler's settings. An unknown effect is an error. Other unknown values are read as the
+    /// narrowest deduplication scope, a linear decay, an endpoint list that is pushed, and no listed rates.
     ///
     /// # Errors
     ///
@@ -196,7 +204,7 @@
             tenants,
             over_share_worth: self.over_share_worth,
             decay: self.family_info.decay(),
-            slots: self.family_info.calls_out,
+            slots: self.family_info.slots,
             max_pending: limits.max_pending,
             attempts_cap: limits.attempts_cap,
             connect_timeout: duration(limits.connect_timeout),
@@ -204,7 +212,7 @@
             instances: self.n_instances,
             zone: self.zone,
             ask_for_list: self.membership_mode == "ask",
-            rates_listed: matches!(self.weight_kind.as_str(), "nominal" | "rough"),
+            rates_listed: matches!(self.listed_rate_kind.as_str(), "nominal" | "rough"),
             probes: limits.probes,
             retry_after: limits.retry_after,
             max_retry_after: duration(limits.max_retry_after),
@@ -215,19 +223,20 @@
 }
 
 impl FamilyInfo {
-    /// The destination kinds: as many as the longer of the two lists has. Missing values of the other are read as defaults.
+    /// The destination kinds, as many as the longer of `perCall` and `kindApart` has. Values missing from the shorter one default
+    /// to 1 message in a call and to a shared route.
     fn kinds(&self) -> Vec<Kind> {
-        let count = self.per_call.len().max(self.kind_apart.len());
+        let count = self.per_call.len().max(self.separate_routes.len());
         (0..count)
             .map(|index| Kind {
                 per_call: self.per_call.get(index).copied().unwrap_or(1),
-                apart: self.kind_apart.get(index).copied().unwrap_or(false),
+                apart: self.separate_routes.get(index).copied().unwrap_or(false),
             })
             .collect()
     }
 
     fn decay(&self) -> Decay {
-        if self.loses_worth == "halving" {
+        if self.priority_weight_decay == "halving" {
             Decay::Halving
         } else {
             Decay::Linear
--- a/crates/scheduler/src/routes.rs
+++ b/crates/scheduler/src/routes.rs
@@ -17,20 +17,22 @@
 use crate::token_bucket::TokenBucket;
 use crate::window::Window;
 
-/// Maximum time until a pending message is considered for dispatch again. Earlier wake-ups are computed from the state.
+/// Maximum time until a pending message is considered for dispatch again, in case no earlier time can be derived from the state
+/// of its routes. Also the minimum time between the draws of [`Route::draw_call`].
 pub(crate) const RETEST_INTERVAL: Duration = Duration::from_millis(500);
 /// Fraction of a limit that all senders together aim at, since reports are noisy.
 const LIMIT_SHARE: f64 = 0.95;
-/// Each consecutive rejection lengthens the time between calls by this fraction of the time without rejections.
+/// Increase of the time between calls for each consecutive rejection, as a fraction of the time without rejections.
 const OVERLOAD_SLOWDOWN: f64 = 0.5;
 /// Maximum number of consecutive rejections that lengthen the time between calls.
 const MAX_SLOWDOWN_STEPS: u32 = 4;
 /// Rate of calls to a route without a limit that rejected a call, as a multiple of the sender's own demand.
 const UNLIMITED_DEMAND_MULTIPLE: f64 = 2.0;
-/// Minimum demand for computing the time between draws, in messages a second.
+/// Lower bound of the demand from which the time between the draws of [`Route::draw_call`] is computed, in messages a second.
 const MIN_DRAW_RATE: f64 = 0.1;
 
-/// A route (a proxy, in the terms of the paper that [`crate::window`] implements).
+/// What limits, health and Retry-After waits apply to: a destination, or one of its endpoints. The paper that [`crate::window`]
+/// implements calls it a proxy.
 #[derive(Debug)]
 pub(crate) struct Route {
     pub(crate) destination: DestinationId,
@@ -52,15 +54,15 @@
     pub(crate) connect_failed_at: Option<Time>,
     /// One estimator for each message class.
     pub(crate) round_trips: Vec<RoundTripEstimator>,
-    /// Earliest time of the next draw for a probabilistic call.
+    /// Earliest time of the next draw: see [`Route::draw_call`].
     pub(crate) next_draw_at: Time,
     /// When the window was last reduced.
     pub(crate) window_reduced_at: Time,
-    /// Whether a draw allowed a probabilistic call that was not sent yet.
-    pub(crate) draw_won: bool,
+    /// Whether a draw allowed a call that was not sent yet. Set in each tick while the window is at least one.
+    pub(crate) call_drawn: bool,
     /// Whether a call was ever sent on this route.
     pub(crate) was_called: bool,
-    /// Number of pending messages without an attempt in flight, at the start of this tick's dispatch.
+    /// Pending messages of the destination that have no attempt in flight, counted at the start of this tick's dispatch.
     pub(crate) backlog: usize,
 }
 
@@ -90,7 +92,7 @@
             round_trips: vec![RoundTripEstimator::default(); settings.classes.len()],
             next_draw_at: now,
             window_reduced_at: now,
-            draw_won: false,
+            call_drawn: false,
             was_called: false,
             backlog: 0,
         }
@@ -112,8 +114,8 @@
     }
 
     /// Rate at which this sender may call the route, in calls a second. Consecutive rejections lower it, because an overload ends
-    /// only when all senders together stay below the limit. In a slow start, the sender stays within its quota of the
-    /// destination's present capacity, which leaves the other senders theirs.
+    /// only when all senders together stay below the limit. In a slow start, the rate is within the sender's quota of the
+    /// destination's present capacity.
     pub(crate) fn allowed_rate(&self, now: Time, rules: &Rules, instances: u32) -> f64 {
         let steps = f64::from(self.consecutive_overloads.min(MAX_SLOWDOWN_STEPS));
         let slowdown = 1.0 / (1.0 + OVERLOAD_SLOWDOWN * steps);
@@ -145,25 +147,25 @@
         let rate = self.allowed_rate(now, rules, settings.instances);
         self.token_bucket.refill(now, rate);
         match self.window.chance() {
-            None => self.draw_won = true,
+            None => self.call_drawn = true,
             Some(probability) => self.draw_call(now, probability, rules, rng),
         }
     }
 
-    /// Draws whether a probabilistic call may be sent, as the paper does for a window below one. A call that was allowed may be
-    /// sent until there is a free slot.
+    /// For a window below one: draws whether a call may be sent, as in the paper that [`crate::window`] implements. An allowed
+    /// call stays allowed until it is sent, even if no slot is free now.
     fn draw_call(&mut self, now: Time, probability: f64, rules: &Rules, rng: &mut fastrand::Rng) {
-        let wanted = self.backlog > 0 && !self.draw_won && self.in_flight == 0;
+        let wanted = self.backlog > 0 && !self.call_drawn && self.in_flight == 0;
         if !wanted || now < self.next_draw_at.max(self.blocked_until) {
             return;
         }
         // The probability grows with the time since the window was reduced. Otherwise a sender with few calls would need
-        // minutes to get enough answers for a window of one.
+        // minutes until enough answers have enlarged the window to one call.
         let aged_probability =
             (now - self.window_reduced_at).as_secs_f64() / rules.cold.as_secs_f64().max(1.0);
-        self.draw_won = rng.f64() < probability.max(aged_probability);
-        // The paper draws once for each arriving call. Draws at the mean time between arrivals at most double the number of
-        // draws, however many senders there are.
+        self.call_drawn = rng.f64() < probability.max(aged_probability);
+        // The paper draws once for each arriving call, as each accepted message does here (`SchedulerState::on_accept`). Further
+        // draws at the mean time between arrivals at most double the number of draws, independent of the number of senders.
         let mean_gap = Duration::from_secs_f64(1.0 / self.demand.rate(now).max(MIN_DRAW_RATE));
         self.next_draw_at = now + mean_gap.max(RETEST_INTERVAL);
     }
@@ -175,15 +177,15 @@
     }
 }
 
-/// All routes by index. Settled routes, which are idle with a full token bucket, are skipped by [`RouteTable::active_mut`]. A
-/// mutable borrow makes a route active.
+/// All routes by index. [`RouteTable::active_mut`] skips settled routes (see [`Route::is_settled`]). A mutable borrow makes a
+/// route active.
 #[derive(Debug, Default)]
 pub(crate) struct RouteTable {
     slots: Vec<Route>,
     free: Vec<usize>,
     by_destination: BTreeMap<DestinationId, Vec<RouteIndex>>,
     active: BTreeSet<RouteIndex>,
-    /// Includes every route with learned state that is not active.
+    /// Includes every inactive route with learned state; may include others.
     learned: BTreeSet<RouteIndex>,
     /// Time of the latest tick, until which the token buckets of settled routes were full.
     settled_at: Time,
@@ -220,7 +222,7 @@
         self.free.push(route_index.0);
     }
 
-    /// Number of slots, in use or free.
+    /// Number of entries in the table, including free ones.
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
@@ -258,6 +260,7 @@
 
     /// The active routes, which a tick may change, ordered by index.
     pub(crate) fn active_mut(&mut self) -> impl Iterator<Item = &mut Route> {
+        // Splits the table at each active index, in ascending order. `offset` is the index of the first route in `rest`.
         let (mut rest, mut offset) = (self.slots.as_mut_slice(), 0);
         self.active.iter().filter_map(move |&index| {
             let (_, tail) = std::mem::take(&mut rest).split_at_mut(index.0 - offset);
@@ -267,7 +270,7 @@
         })
     }
 
-    /// All destinations with learned state, and perhaps others.
+    /// Destinations of all routes with learned state. May include destinations without it.
     pub(crate) fn learned_destinations(&self) -> BTreeSet<DestinationId> {
         self.learned
             .iter()
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -120,7 +120,7 @@
 
 /// Methods for learned state.
 impl Scheduler {
-    /// Learned state of the routes that this sender has called, and Retry-After waits still in force.
+    /// Learned state of the routes that this process has called, and of those with a Retry-After wait.
     pub fn learned_state(&self) -> Vec<LearnedState> {
         self.state.learned_state()
     }
--- a/crates/scheduler/src/wakeup.rs
+++ b/crates/scheduler/src/wakeup.rs
@@ -16,7 +16,7 @@
         self.next_wakeup.take_if(|wakeup| *wakeup <= latest);
     }
 
-    /// Starts a timer for the next such time, unless an earlier timer is running.
+    /// Starts a timer for the next time at which a pending message may become sendable or must expire, unless an earlier timer is running.
     pub(crate) fn schedule_wakeup(&mut self) {
         let messages = self.messages.waiting();
         let next = messages
--- a/crates/scheduler/src/zones.rs
+++ b/crates/scheduler/src/zones.rs
@@ -1,8 +1,8 @@
 //! Gates: token buckets in front of the endpoints of an evacuated zone, or of an endpoint that operators reattach after
 //! detaching it.
 //!
-//! The fleet as a whole decides elsewhere when to evacuate a zone; this module applies the decision to this sender's calls. A
-//! gate admits a call for each whole token. A closed gate has less than one token; an endpoint without a gate is not limited.
+//! The crate `cranehill-zone-failover` decides when the fleet evacuates a zone; this module applies the decision to this
+//! sender's calls. A gate admits a call for each whole token. A closed gate has less than one token; an endpoint without a gate is not limited.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -169,7 +169,7 @@
         let quota = Some(limit / instances)
             .filter(|quota| quota.is_finite())
             .unwrap_or_else(|| route.demand.rate(now));
-        // Independently of the capacity, all senders together may send the tolerated calls in each such period.
+        // In addition to the capacity, all senders together may send the tolerated calls in each period of `Rules::fall`.
         let tolerated =
             TOLERATED_CALLS / rules.fall.as_secs_f64().max(MIN_SPAN_SECONDS) / instances;
         slow_start_rate(rules, elapsed, quota) + tolerated
--- a/crates/zone-failover/src/tally.rs
+++ b/crates/zone-failover/src/tally.rs
@@ -5,8 +5,8 @@
 use crate::announcement::{MemberAnnouncements, State, View, ZoneAnnouncement};
 
 /// Lower and upper bound of the quorum, in members. At least two, as one member can be cut off from a zone by itself.
-/// At most five: even among a thousand members, five that see a zone fail are no coincidence, and with little traffic
-/// no more members may notice it within a window.
+/// At most five: even among a thousand members, five are unlikely to see a zone fail by chance, and with little traffic
+/// a failure may not be observed by more members within a window.
 const QUORUM_BOUNDS: [usize; 2] = [2, 5];
 /// Between these bounds, the quorum is one member in this many, rounded up.
 const MEMBERS_PER_QUORUM_VOTE: usize = 10;
@@ -66,7 +66,7 @@
             own_serving: own.iter().any(|a| a.view == View::Serving),
             announcing: theirs.len(),
             evacuated: theirs.iter().filter(|a| a.is_evacuated()).count(),
-            // Counts announced outside an evacuation say nothing about its probe calls.
+            // Counts announced outside an evacuation are not counts of its probe calls.
             served: all().filter(|a| a.is_evacuated()).map(|a| a.served).sum(),
             returning: theirs.iter().filter_map(returning).collect(),
         }
@@ -79,7 +79,7 @@
 
     /// Whether a member that joined later, or missed announcements, must follow the evacuation: a quorum of others has
     /// evacuated the zone, and at least half of those that announce it. A member that receives answers from the zone
-    /// does not follow, as the others, which send nothing there, know less.
+    /// does not follow: the others send only probe calls there, so their evidence is weaker.
     pub(crate) fn is_evacuated_by_others(&self) -> bool {
         self.evacuated >= self.quorum && self.evacuated * 2 >= self.announcing && !self.own_serving
     }
