--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -116,6 +116,7 @@
         }
         let mut effects = Vec::new();
         let mut entry = None;
+        // A request for the state that the endpoint is already in has no effect.
         if known && listed && was_detached == attach {
             if attach {
                 self.detached.start_warm_up(now, &id);
--- a/crates/core/src/mutation.rs
+++ b/crates/core/src/mutation.rs
@@ -1,5 +1,5 @@
-//! Mutations: a build with the feature `mutations` can violate one invariant on purpose, to test that the auditor detects
-//! the violation. Other builds can't enable a mutation.
+//! Mutations: a build with the feature `mutations` can violate one invariant on purpose, to test that the auditor
+//! detects the violation. Other builds can't enable a mutation.
 
 use cranehill_scheduler::api::{Condition, Effect, Settings, Status};
 
@@ -139,8 +139,8 @@
 }
 
 /// Applies the enabled mutation to an endpoint list before the scheduler receives it. `whole` is whether the list
-/// replaces the previous one; returns whether the changed list does. With [`Mutation::SendsToDrained`] it does not, since
-/// the scheduler would remove the endpoints that are left out.
+/// replaces the previous one; returns whether the changed list does. With [`Mutation::SendsToDrained`] it does not,
+/// since the scheduler would remove the endpoints that are left out.
 pub(crate) fn apply_to_endpoint_list(whole: bool, list: &mut Vec<Listing>) -> bool {
     // A rate of 0 means that it is unknown: the scheduler then derives no limit from it.
     if is(Mutation::FloodsCold) {
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -26,8 +26,8 @@
 }
 
 impl RecoveryProgress {
-    /// Enables and starts the recovery. Until it is complete, learned state is collected and restored, and first calls and
-    /// recovered messages are spread over time.
+    /// Enables and starts the recovery. Until it is complete, learned state is collected and restored, and first calls
+    /// and recovered messages are spread over time.
     pub(crate) fn enable(&mut self, now: Time, settings: Settings) {
         self.recovery = Some(Recovery::new(settings, now));
     }
@@ -37,7 +37,8 @@
         self.recovery.as_ref().map(Recovery::phase)
     }
 
-    /// Handles the content of the state file that an earlier process wrote. Content that can't be decoded is logged and ignored.
+    /// Handles the content of the state file that an earlier process wrote. Content that can't be decoded is logged and
+    /// ignored.
     pub(crate) fn on_restored(&mut self, now: Time, bytes: &[u8]) {
         let Some(recovery) = &mut self.recovery else {
             return;
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Handles the learned state that the previous process sent in a hand-over. State that can't be decoded is logged and
-    /// ignored.
+    /// Handles the learned state that the previous process sent in a hand-over. State that can't be decoded is logged
+    /// and ignored.
     pub(crate) fn on_inherited(&mut self, bytes: &[u8]) {
         match recovery::unpack(bytes) {
             Ok(learned_state) => self.inherited = learned_state,
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Handles a reply of another member: `piece` is one encoded part of its learned state. A part that can't be decoded
-    /// is logged and ignored. Returns a request for a tick at once, in which the state is restored.
+    /// Handles a reply of another member: `piece` is one encoded part of its learned state. A part that can't be
+    /// decoded is logged and ignored. Returns a request for a tick at once, in which the state is restored.
     pub(crate) fn on_peer_reply(
         &mut self,
         now: Time,
@@ -166,8 +167,8 @@
     }
 
     /// Called at the end of a tick: persists learned state if that is due, and checks whether the recovery is complete.
-    /// `has_handed_over` is whether messages of the work queue were handed over in this tick for the scheduler to handle
-    /// in the next one, which is then requested at once.
+    /// `has_handed_over` is whether messages of the work queue were handed over in this tick for the scheduler to
+    /// handle in the next one, which is then requested at once.
     pub(crate) fn end_tick(
         &mut self,
         now: Time,
--- a/crates/core/tests/cold_fleet.rs
+++ b/crates/core/tests/cold_fleet.rs
@@ -1,6 +1,6 @@
-//! Fleets that resume calls to a cold destination after an outage, in virtual time. Guards against senders that were
-//! notified of the outage overloading the destination together while it warms up. "The rule" is the limit on calls in
-//! that time ([`Return`]).
+//! Fleets that resume calls after an outage to a cold destination, one with reduced capacity, in virtual time. Guards
+//! against senders that were notified of the outage (one of their calls failed) overloading the destination together
+//! while it warms up. "The rule" is the limit on calls in that time ([`Return`]).
 
 mod virtual_fleet;
 
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Robustness against wrong settings: a value that is missing, of another type, zero or absurd either is an error with
-//! its place, or leaves a sender that works.
+//! Robustness against wrong settings: a value that is missing, of another type, zero or out of range either is an error
+//! with its place, or leaves a sender that works.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -151,7 +151,7 @@
 /// Guards against a panic at the start with unusual settings: whatever one value is, there is an error or a working
 /// sender.
 #[test]
-fn a_missing_or_absurd_value_is_an_error_or_harmless() {
+fn a_missing_or_out_of_range_value_is_an_error_or_harmless() {
     let valid: Value = serde_json::from_str(SETTINGS).expect("settings");
     let mut pointers = Vec::new();
     collect_pointers(&valid, "", &mut pointers);
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -69,8 +69,8 @@
     /// When learned state is next requested from other members.
     next_request: Time,
     peer_replied: bool,
-    /// When the last destination's first call may be sent: first calls are spread over time.
-    last_first_call: Time,
+    /// End of the period over which the scheduler spreads the first calls to destinations.
+    first_calls_until: Time,
     /// When learned state is next persisted, unless a newly blocked route requires it earlier.
     next_persist: Time,
     /// The blocked routes as of the last time that learned state was persisted.
@@ -88,7 +88,7 @@
             restore_pending: true,
             next_request: now,
             peer_replied: false,
-            last_first_call: now,
+            first_calls_until: now,
             next_persist: now,
             persisted_blocks: Vec::new(),
         }
@@ -126,8 +126,8 @@
         self.restore_pending = true;
     }
 
-    /// Returns the learned state that the scheduler must restore now; `None` if nothing has changed since the last
-    /// time, or in full service.
+    /// Returns the learned state that the scheduler must restore now; `None` if neither learned state nor the
+    /// endpoint list has changed since the last call, or in full service.
     pub fn take_state_to_restore(&mut self, now: Time) -> Option<Vec<LearnedState>> {
         self.recovering_since()?;
         std::mem::take(&mut self.restore_pending).then(|| self.cache.usable(now))
@@ -135,7 +135,7 @@
 
     /// Records that the scheduler spreads first calls until `until`, after restoring learned state.
     pub fn spread_first_calls_until(&mut self, until: Time) {
-        self.last_first_call = self.last_first_call.max(until);
+        self.first_calls_until = self.first_calls_until.max(until);
     }
 
     /// Whether to request learned state from other members now; `has_peers` is whether there are live ones. If true,
@@ -160,7 +160,7 @@
         let is_waiting_for_peers = !self.peer_replied && took < self.settings.alone;
         if is_waiting_for_peers
             || self.restore_pending
-            || now < self.last_first_call
+            || now < self.first_calls_until
             || self.work_queue.waiting() > 0
         {
             return None;
@@ -174,7 +174,7 @@
         let since = self.recovering_since()?;
         let peers_timeout_at = since + self.settings.alone;
         let next_step = if self.peer_replied || now >= peers_timeout_at {
-            self.last_first_call
+            self.first_calls_until
         } else {
             self.next_request.max(now).min(peers_timeout_at)
         };
@@ -183,7 +183,7 @@
     }
 
     /// Whether to persist learned state now: at regular intervals, and at once if a route is newly blocked. If true,
-    /// the state counts as persisted.
+    /// the caller must persist it.
     pub fn should_persist(&mut self, now: Time, learned_state: &[LearnedState]) -> bool {
         let blocks: Vec<BlockedRoute> = learned_state.iter().filter_map(BlockedRoute::of).collect();
         let has_new_block = blocks
--- a/crates/scheduler/src/discovery_polls.rs
+++ b/crates/scheduler/src/discovery_polls.rs
@@ -8,8 +8,9 @@
 const BASE_BACKOFF: Duration = Duration::from_millis(300);
 /// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Minimum number of backoffs in the maximum time between polls, [`Rules::must_ask_in`](crate::api::Rules::must_ask_in).
-const BACKOFFS_PER_POLL_LIMIT: u32 = 2;
+/// The backoff is at most the maximum time between polls, [`Rules::must_ask_in`](crate::api::Rules::must_ask_in), divided by
+/// this, so that a retry is sent within that time.
+const MAX_BACKOFF_DIVISOR: u32 = 2;
 
 /// The time of the next poll, and the failed polls since the last success.
 #[derive(Debug)]
@@ -32,7 +33,7 @@
         self.next_poll
     }
 
-    /// Whether a poll is due. If so, the caller must make it: it is no longer scheduled.
+    /// Whether a poll is due. If true, the caller must poll now, and no further poll is scheduled.
     pub(crate) fn take_due(&mut self, now: Time) -> bool {
         self.next_poll.take_if(|due| *due <= now).is_some()
     }
@@ -42,13 +43,13 @@
         self.consecutive_failures = 0;
     }
 
-    /// Records a failed poll and schedules the next one after a backoff, multiplied by `jitter`: an immediate retry would add to
-    /// the load that may have caused the failure.
+    /// Records a failed poll and schedules the next one after a backoff, multiplied by `jitter`: an immediate retry would add
+    /// to the load that may have caused the failure.
     pub(crate) fn record_failure(&mut self, settings: &Settings, now: Time, jitter: f64) {
         self.consecutive_failures += 1;
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         let backoff = (BASE_BACKOFF * (1 << doublings))
-            .min(settings.rules.must_ask_in / BACKOFFS_PER_POLL_LIMIT)
+            .min(settings.rules.must_ask_in / MAX_BACKOFF_DIVISOR)
             .mul_f64(jitter);
         self.next_poll = settings.ask_for_list.then_some(now + backoff);
     }
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -16,7 +16,8 @@
 const MIN_BACKLOG_WAIT: f64 = 0.5;
 /// Maximum expected waiting time in a backlog, in seconds.
 const MAX_BACKLOG_WAIT: f64 = 10.0;
-/// Fraction of the priority weight that counts as urgency even if waiting would not reduce the weight.
+/// Fraction of the priority weight that is added to the loss by waiting, so that messages that lose nothing are still ordered
+/// by weight.
 const BASE_URGENCY: f64 = 0.01;
 /// Minimum usual time of a call by which urgency is divided, in seconds.
 const MIN_USUAL_SECONDS: f64 = 1e-3;
@@ -29,8 +30,11 @@
     /// Consecutive failures of an ejected endpoint, else zero. If all are ejected, the one with the fewest failures is
     /// preferred, since an outage may not affect all endpoints.
     recent_failures: u32,
+    /// See [`Endpoint::distance`](crate::endpoints::Endpoint::distance).
     distance: u8,
+    /// Calls in flight to the endpoint.
     in_flight: u32,
+    /// Position in this sender's random order of endpoints.
     rank: u64,
     index: EndpointIndex,
 }
--- a/crates/scheduler/src/expiry.rs
+++ b/crates/scheduler/src/expiry.rs
@@ -1,11 +1,11 @@
-//! Gives pending messages their final answer when they can no longer be delivered, and sheds load when too many are pending.
+//! Ends pending messages that can no longer be delivered, with a final answer, and sheds load when too many are pending.
 
 use crate::api::{Action, DedupScope, Effect, Status};
 use crate::indices::MessageNumber;
 use crate::messages::{RankedMessage, sort_highest_first};
 use crate::state::SchedulerState;
 
-/// The bound on pending messages divided by this is kept free for new messages.
+/// Part of the bound on pending messages that is kept free for new messages, as a divisor of the bound.
 const FREE_PART_DIVISOR: usize = 16;
 /// A message expires this many ticks before its deadline, so that its final answer is in time.
 const EXPIRY_MARGIN_TICKS: u32 = 2;
--- a/crates/scheduler/src/learned_state.rs
+++ b/crates/scheduler/src/learned_state.rs
@@ -107,8 +107,8 @@
             .filter(|endpoint| endpoint.calls_sent > 0)
             .map(|endpoint| endpoint.last_answer_at.max(route.window_reduced_at))
             .max();
-        // A route that this process has not called can still have a Retry-After wait: a restored one, or one sent by an endpoint
-        // that is removed by now. Nothing else is known of such a route.
+        // A route that this process has not called can still have a Retry-After wait: a restored one, or one sent by an
+        // endpoint that is removed by now. Nothing else is known of such a route.
         if last_contact.is_none() && blocked_until.is_none() {
             return None;
         }
--- a/crates/scheduler/src/profile.rs
+++ b/crates/scheduler/src/profile.rs
@@ -223,8 +223,8 @@
 }
 
 impl FamilyInfo {
-    /// The destination kinds, as many as the longer of `perCall` and `kindApart` has. Values missing from the shorter one default
-    /// to 1 message in a call and to a shared route.
+    /// The destination kinds, as many as the longer of `perCall` and `kindApart` has. Values missing from the shorter one
+    /// default to 1 message in a call and to a shared route.
     fn kinds(&self) -> Vec<Kind> {
         let count = self.per_call.len().max(self.separate_routes.len());
         (0..count)
--- a/crates/scheduler/src/routes.rs
+++ b/crates/scheduler/src/routes.rs
@@ -113,8 +113,8 @@
         self.blocked_until = self.blocked_until.max(until);
     }
 
-    /// Rate at which this sender may call the route, in calls a second. Consecutive rejections lower it, because an overload ends
-    /// only when all senders together stay below the limit. In a slow start, the rate is within the sender's quota of the
+    /// Rate at which this sender may call the route, in calls a second. Consecutive rejections lower it, because an overload
+    /// ends only when all senders together stay below the limit. In a slow start, the rate is within the sender's quota of the
     /// destination's present capacity.
     pub(crate) fn allowed_rate(&self, now: Time, rules: &Rules, instances: u32) -> f64 {
         let steps = f64::from(self.consecutive_overloads.min(MAX_SLOWDOWN_STEPS));
@@ -164,8 +164,9 @@
         let aged_probability =
             (now - self.window_reduced_at).as_secs_f64() / rules.cold.as_secs_f64().max(1.0);
         self.call_drawn = rng.f64() < probability.max(aged_probability);
-        // The paper draws once for each arriving call, as each accepted message does here (`SchedulerState::on_accept`). Further
-        // draws at the mean time between arrivals at most double the number of draws, independent of the number of senders.
+        // The paper draws once for each arriving call, as each accepted message does here (`SchedulerState::on_accept`).
+        // Further draws at the mean time between arrivals at most double the number of draws, independent of the number of
+        // senders.
         let mean_gap = Duration::from_secs_f64(1.0 / self.demand.rate(now).max(MIN_DRAW_RATE));
         self.next_draw_at = now + mean_gap.max(RETEST_INTERVAL);
     }
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -6,7 +6,7 @@
 
 /// Fraction of the load at which a destination fails ([`Rules::fall_multiple`]) that all senders together aim at.
 const BUDGET_SHARE: f64 = 0.8;
-/// Minimum duration by which a value is divided, in seconds.
+/// Lower bound of durations that are used as a divisor, in seconds, since they may be zero in the settings.
 pub(crate) const MIN_SPAN_SECONDS: f64 = 1e-9;
 
 /// The rate for one sender, in calls a second, `elapsed` after the end of the outage. `quota` is the sender's quota of the
--- a/crates/scheduler/src/zones.rs
+++ b/crates/scheduler/src/zones.rs
@@ -2,7 +2,8 @@
 //! detaching it.
 //!
 //! The crate `cranehill-zone-failover` decides when the fleet evacuates a zone; this module applies the decision to this
-//! sender's calls. A gate admits a call for each whole token. A closed gate has less than one token; an endpoint without a gate is not limited.
+//! sender's calls. A gate admits a call for each whole token. A closed gate has less than one token; an endpoint without a gate
+//! is not limited.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/scheduler/tests/failures.rs
+++ b/crates/scheduler/tests/failures.rs
@@ -1,4 +1,5 @@
-//! Regression tests for failures found in scenarios. Identifiers in the comments are those of the scenario days.
+//! Regression tests for failures found in scenarios. Names and numbers after "day" or "days" in the comments identify simulated
+//! days.
 
 mod common;
 use common::*;
@@ -165,7 +166,7 @@
     }
 }
 
-/// Guards against an endpoint that stays_up ejected for good after a failure because another one works (reload day of
+/// Guards against an endpoint that stays ejected permanently after a failure because another one works (reload day of
 /// 1 December).
 #[test]
 fn a_failed_endpoint_is_tried_again_although_another_one_works() {
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Fleets of hundreds of senders with few slots and few messages each. Calls are counted over all senders.
+//! Fleets of hundreds of senders with few slots and few messages each. Calls are counted over all senders. Names after "day" or
+//! "days" in the comments identify simulated days, and names with "+" are scenarios.
 
 mod common;
 use common::*;
--- a/crates/scheduler/tests/learned_state.rs
+++ b/crates/scheduler/tests/learned_state.rs
@@ -1,4 +1,4 @@
-//! Learned state restored after a restart only reduces what a sender sends, compared with a sender without learned state.
+//! Learned state restored after a restart never makes a sender send more than a sender without learned state.
 
 mod common;
 use common::*;
--- a/crates/scheduler/tests/repeats.rs
+++ b/crates/scheduler/tests/repeats.rs
@@ -203,8 +203,8 @@
     }
 }
 
-/// Guards against a repeat that is written after the deduplication window because its connection opened late (narrow days of
-/// the other customer: up to 10 repeats a day). A possibly executed idempotent message has a time limit for writing; messages
+/// Guards against a repeat that is written after the deduplication window because its connection opened late (up to 10 repeats a
+/// day on narrow days of the other customer). Only a possibly executed idempotent message has a time limit for writing; messages
 /// that were not executed, or may be executed twice, have none.
 #[test]
 fn a_repeat_must_be_written_within_its_window() {
--- a/crates/scheduler/tests/routes.rs
+++ b/crates/scheduler/tests/routes.rs
@@ -1,4 +1,5 @@
 //! Separate routes, reported limits and Retry-After waits. Calls to each route or destination are counted over all senders.
+//! Names in parentheses in the comments identify the scenario, or the simulated day, in which a failure occurred.
 
 mod common;
 use std::time::Duration;
@@ -19,8 +20,9 @@
 /// The simulated answer to a call: status, Retry-After time in ms (0 for none) and report on the limit.
 type Answer = (Status, u64, Option<Report>);
 
-/// Simulates a fleet of senders with two slots for `until` ms. Each accepts one message every `interval` ms, at staggered times.
-/// `answer(ms, endpoint)` gives the answer to each call, which arrives 50 ms later. Returns all calls as (ms, endpoint, served).
+/// Simulates a fleet of senders with two slots for `until` ms. Each accepts one message every `interval` ms, at staggered
+/// times. `answer(ms, endpoint)` gives the answer to each call, which arrives 50 ms later. Returns all calls as (ms, endpoint,
+/// served).
 fn fleet(
     senders: u64,
     entries: &[Entry],
@@ -342,7 +344,7 @@
 /// no period of `Rules::fall` may it get more than `Rules::fall_multiple` times its capacity in that period.
 #[test]
 fn three_hundred_senders_do_not_overload_a_cold_destination() {
-    // The values at the operators' sites.
+    // The values in the operators' settings.
     let (cold_from, cold, fall_multiple) = (0.23, Duration::from_millis(9_100), 1.5);
     let rules = Rules {
         cold_from,
--- a/crates/zone-failover/src/attempt_history.rs
+++ b/crates/zone-failover/src/attempt_history.rs
@@ -7,8 +7,8 @@
 
 use crate::announcement::View;
 
-/// Maximum number of attempts in the history, which bounds its memory; older ones are dropped. A sender usually makes fewer
-/// attempts to one zone within a window.
+/// Maximum number of attempts in the history, which bounds its memory; older ones are dropped. A sender usually makes
+/// fewer attempts to one zone within a window.
 const MAX_ATTEMPTS: usize = 256;
 /// Minimum number of unanswered attempts for a view of failing: a single one is no evidence of a zone failure.
 const MIN_UNANSWERED: usize = 2;
