--- a/crates/daemon/src/client_ingress.rs
+++ b/crates/daemon/src/client_ingress.rs
@@ -134,7 +134,7 @@
     }
     let timeout = if !connection.is_written() {
         TRANSFER_TIMEOUT
-    } else if !connection.has_requested {
+    } else if !connection.request_received {
         FIRST_REQUEST_TIMEOUT
     } else if !connection.input.is_empty() {
         TRANSFER_TIMEOUT
@@ -161,7 +161,7 @@
     let waited = now - connection.waiting_since;
     let class = if matches!(connection.kind, ConnectionKind::Closing { .. }) {
         0
-    } else if connection.has_requested {
+    } else if connection.request_received {
         if waited >= TRANSFER_TIMEOUT { 2 } else { 3 }
     } else if waited >= NEW_CLIENT_GRACE {
         1
--- a/crates/daemon/src/client_ingress/resp.rs
+++ b/crates/daemon/src/client_ingress/resp.rs
@@ -31,7 +31,7 @@
         match client_protocol::parse(&connection.input) {
             Ok(Some((request, length))) => {
                 connection.consume(length);
-                connection.has_requested = true;
+                connection.request_received = true;
                 self.on_request(connections, id, request, admission)
             }
             Ok(None) if connection.ended || connection.input.len() >= MAX_REQUEST_BYTES => {
--- a/crates/daemon/src/client_ingress/web_push.rs
+++ b/crates/daemon/src/client_ingress/web_push.rs
@@ -3,11 +3,11 @@
 use cranehill_scheduler::Time;
 
 use super::{ClientIngress, Progress, reject_malformed, reject_request};
-use crate::connection::{Connection, ConnectionKind, MAX_RESPONSE_BYTES};
+use crate::connection::{Connection, ConnectionKind, MAX_HTTP_MESSAGE_BYTES};
 use crate::connection_table::ConnectionTable;
 use crate::http::{self, Request};
 use crate::platform_settings::PlatformSettings;
-use crate::webpush::{self, WebPushFront};
+use crate::webpush::{self, WebPushGateway};
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -17,7 +17,7 @@
         &self,
         connections: &mut ConnectionTable,
         id: usize,
-        front: Option<&mut WebPushFront>,
+        gateway: Option<&mut WebPushGateway>,
         platform_settings: &PlatformSettings,
         now: Time,
     ) -> Progress {
@@ -31,7 +31,7 @@
             if !connection.ended {
                 return Progress::Waiting;
             }
-            // The client has disconnected, so nobody would receive the message's result.
+            // The client has disconnected and can't receive the message's result.
             let message = std::mem::take(message);
             connections.close(id);
             return Progress::Cancelled(message);
@@ -45,10 +45,10 @@
         match http::request(&connection.input) {
             Ok(Some((request, length))) => {
                 connection.consume(length);
-                connection.has_requested = true;
-                on_post(connections, id, request, front, platform_settings, now)
+                connection.request_received = true;
+                submit(connections, id, request, gateway, platform_settings, now)
             }
-            Ok(None) if connection.ended || connection.input.len() >= MAX_RESPONSE_BYTES => {
+            Ok(None) if connection.ended || connection.input.len() >= MAX_HTTP_MESSAGE_BYTES => {
                 Progress::Close
             }
             Ok(None) => {
@@ -71,19 +71,21 @@
     }
 }
 
-fn on_post(
+/// Converts a request to a message for the caller to submit, or answers it with an error.
+fn submit(
     connections: &mut ConnectionTable,
     id: usize,
     request: Request,
-    front: Option<&mut WebPushFront>,
+    gateway: Option<&mut WebPushGateway>,
     platform_settings: &PlatformSettings,
     now: Time,
 ) -> Progress {
     let close_requested = request.close;
-    let Some(front) = front else {
+    // Without Web Push there is no listener for such clients.
+    let Some(gateway) = gateway else {
         return Progress::Waiting;
     };
-    match front.accept(request, id, platform_settings, now) {
+    match gateway.accept(request, id, platform_settings, now) {
         Ok(message) => {
             if let Some(connection) = connections.get_mut(id) {
                 connection.kind = ConnectionKind::WebPushClient {
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -10,10 +10,10 @@
 
 use crate::{client_protocol, http};
 
-/// Allowance for the head of a response and the framing of chunks, in addition to the body.
+/// Allowance for the head of an HTTP message and the framing of chunks, in addition to the body.
 const MAX_FRAMING_BYTES: usize = 32 * 1024;
-/// Limit of the input buffer of a connection, except those of clients and of discovery.
-pub(crate) const MAX_RESPONSE_BYTES: usize = http::MAX_BODY_BYTES + MAX_FRAMING_BYTES;
+/// Limit on the bytes of an HTTP request or response, and so of the input buffers except those of RESP clients and of discovery.
+pub(crate) const MAX_HTTP_MESSAGE_BYTES: usize = http::MAX_BODY_BYTES + MAX_FRAMING_BYTES;
 /// Bytes read by one system call.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// An empty buffer with a larger capacity is freed, since hundreds of connections each have one.
@@ -136,7 +136,7 @@
     /// Clients and operators only: since when this sender waits for the peer.
     pub(crate) waiting_since: Time,
     /// Clients only: a complete request has been received.
-    pub(crate) has_requested: bool,
+    pub(crate) request_received: bool,
     /// Clients only: requests answered with an error.
     pub(crate) request_errors: u32,
     /// The connection is closed once its output is written.
@@ -162,7 +162,7 @@
             responses: 0,
             idle_before_call: Duration::ZERO,
             waiting_since: now,
-            has_requested: false,
+            request_received: false,
             request_errors: 0,
             close_after_write: false,
         }
@@ -173,7 +173,7 @@
         match self.kind {
             ConnectionKind::Client { .. } => client_protocol::MAX_REQUEST_BYTES,
             ConnectionKind::Discovery { max_body_bytes } => max_body_bytes + MAX_FRAMING_BYTES,
-            _ => MAX_RESPONSE_BYTES,
+            _ => MAX_HTTP_MESSAGE_BYTES,
         }
     }
 
@@ -250,7 +250,7 @@
             self.last_used = now;
         }
         // A further request begins. The first request's timeout counts from the connect instead.
-        if first && self.has_requested && self.is_written() {
+        if first && self.request_received && self.is_written() {
             self.waiting_since = now;
         }
     }
--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -58,7 +58,7 @@
             return Vec::new();
         };
         let is_new = |connection: &Connection| {
-            !connection.has_requested
+            !connection.request_received
                 && now - connection.waiting_since < NEW_CLIENT_GRACE
                 && connection.waiting_since >= since
         };
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -13,7 +13,7 @@
 use crate::time_span::TimeSpan;
 use crate::toml_file::{self, TomlError};
 
-/// With a shorter probe period, senders would spend their time on probes.
+/// With a shorter probe period, senders would use too much of their processing time for probes.
 const MIN_PERIOD: Duration = Duration::from_millis(50);
 /// With a longer probe period, failures would be detected too late to be useful.
 const MAX_PERIOD: Duration = Duration::from_secs(60);
@@ -33,9 +33,9 @@
         /// The value in the file.
         period: Duration,
     },
-    /// The round trip is zero, or leaves no time in the probe period for the indirect probe.
+    /// The round trip is zero, or more than half of the probe period, so that no time is left for the indirect probe.
     #[error(
-        "round_trip: expected above zero and at most half of period, since an indirect probe takes as long again; got {round_trip:?}"
+        "round_trip: expected above zero and at most half of period, so that a direct and an indirect probe fit into one period; got {round_trip:?}"
     )]
     RoundTrip {
         /// The value in the file.
@@ -83,7 +83,7 @@
     ZoneSpans,
 }
 
-/// The file's text, parsed but not yet checked.
+/// A parsed fleet file, whose values are not checked yet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
@@ -118,22 +118,22 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Zones {
-    /// How long the result of an attempt counts.
+    /// How long the result of an attempt counts when a sender judges whether a zone fails.
     window: Option<TimeSpan>,
-    /// How long a quorum must see the zone fail before it is evacuated.
+    /// How long a quorum must continuously see the zone fail before it is evacuated.
     settle: Option<TimeSpan>,
     /// Probe calls a second into an evacuated zone, from the whole fleet.
     probes: Option<f64>,
-    /// The shortest evacuation.
+    /// Minimum duration of an evacuation, doubled if the zone fails again soon; see `calm`.
     out: Option<TimeSpan>,
-    /// The longest evacuation.
+    /// Upper bound of the doubled minimum duration.
     out_most: Option<TimeSpan>,
-    /// A zone that fails again within this time after its return is evacuated for twice as long.
+    /// If a zone fails again within this time after it is back in service, the minimum duration of the evacuation is doubled.
     calm: Option<TimeSpan>,
 }
 
 impl Zones {
-    /// `warm_up` is how long a destination warms up after it has returned. The reasons for the defaults are in docs/zones.md.
+    /// `warm_up` is the duration of the recovery ramp: the time in which a destination warms up after it has returned. The reasons for the defaults are in docs/zones.md.
     fn settings(&self, warm_up: Duration) -> Result<zones::Settings, FleetFileError> {
         let settings = zones::Settings {
             window: TimeSpan::or_millis(self.window, 2000),
@@ -162,7 +162,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Recovery {
-    /// Maximum age of a window of concurrent calls.
+    /// Maximum age of a destination's window, the limit on its concurrent calls.
     window: Option<TimeSpan>,
     /// Maximum age of a rate limit.
     limit: Option<TimeSpan>,
@@ -170,7 +170,7 @@
     state: Option<TimeSpan>,
     /// Interval between requests to other members for their learned state.
     ask: Option<TimeSpan>,
-    /// Time without a reply after which recovery continues.
+    /// Time without a reply after which recovery continues without other members' learned state.
     alone: Option<TimeSpan>,
     /// Interval between writes of the learned state.
     remember: Option<TimeSpan>,
@@ -198,6 +198,7 @@
     }
 }
 
+/// The value of `hold`: a time span, or a text, of which only "never" is valid.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 enum EvictionDelay {
@@ -223,7 +224,7 @@
 /// Parses the file's text.
 ///
 /// # Errors
-/// The first line that is not valid.
+/// If the text is not valid TOML, or a key is unknown or has an invalid value; the error names the first one.
 pub fn parse(text: &str) -> Result<File, FleetFileError> {
     Ok(toml_file::parse(text)?)
 }
--- a/crates/daemon/src/handover/client.rs
+++ b/crates/daemon/src/handover/client.rs
@@ -42,7 +42,7 @@
     /// Bytes of the client's next request that the old process has read.
     pub(crate) input: Vec<u8>,
     /// The client has sent a complete request before.
-    pub(crate) has_requested: bool,
+    pub(crate) request_received: bool,
 }
 
 /// Everything received from the old process.
@@ -113,7 +113,7 @@
                 sockets.connections.push(InheritedClient {
                     stream: descriptor.into(),
                     input,
-                    has_requested: asked,
+                    request_received: asked,
                 });
             }
             (HandoverMessage::LearnedState(bytes), None) => sockets.learned_state = Some(bytes),
--- a/crates/daemon/src/handover/server.rs
+++ b/crates/daemon/src/handover/server.rs
@@ -74,11 +74,11 @@
         &mut self,
         stream: BorrowedFd<'_>,
         input: Vec<u8>,
-        has_requested: bool,
+        request_received: bool,
     ) -> io::Result<()> {
         let message = HandoverMessage::Client {
             input,
-            asked: has_requested,
+            asked: request_received,
         };
         self.send(&message, Some(stream))
     }
@@ -96,7 +96,7 @@
     }
 
     /// Disconnects the requester, which may request the hand-over again.
-    pub(crate) fn abort(&mut self) {
+    pub(crate) fn disconnect_requester(&mut self) {
         self.requester = None;
     }
 
--- a/crates/daemon/src/handover_endpoint.rs
+++ b/crates/daemon/src/handover_endpoint.rs
@@ -1,4 +1,4 @@
-//! The hand-over of this process to a new version: when it begins, when attempts are held back, and what is handed over.
+//! The hand-over of this process to a new version: when it begins, when no new attempts are started, and what is handed over.
 
 use std::io;
 use std::os::fd::{AsFd, AsRawFd};
@@ -15,18 +15,18 @@
 use crate::listeners::Listeners;
 use crate::tokens::HANDOVER;
 
-/// Limit on the time that attempts are held back. Most calls are answered by then. Waiting for calls that hang would stop all
-/// sending until their deadlines.
+/// Limit on the time for which no new attempts are started. Most calls are answered by then. Waiting for calls without a response
+/// would stop all sending until their deadlines.
 const MAX_QUIESCED: Duration = Duration::from_millis(400);
 
 /// The next action of the reactor.
 pub(crate) enum HandoverStep {
     /// No action.
     None,
-    /// A new process has requested a hand-over: new attempts must be held back.
+    /// A new process has requested a hand-over: no new attempts may be started.
     Quiesce,
     /// The new process has disconnected: the hand-over is cancelled.
-    Abandon,
+    Cancel,
     /// No call is in flight, or [`MAX_QUIESCED`] has passed: everything must be handed over now.
     HandOver,
 }
@@ -36,7 +36,7 @@
     server: HandoverServer,
     /// The poll reported an event on the socket.
     notified: bool,
-    /// Since when attempts are held back; `None` without a hand-over in progress.
+    /// Since when no new attempts are started; `None` without a hand-over in progress.
     quiesced_since: Option<Time>,
 }
 
@@ -83,7 +83,7 @@
                 self.quiesced_since = Some(now);
                 HandoverStep::Quiesce
             }
-            (false, Some(_)) => HandoverStep::Abandon,
+            (false, Some(_)) => HandoverStep::Cancel,
             (true, Some(since)) if attempts_in_flight == 0 || now >= since + MAX_QUIESCED => {
                 HandoverStep::HandOver
             }
@@ -91,10 +91,10 @@
         }
     }
 
-    /// Cancels the hand-over: this process continues.
-    pub(crate) fn abort(&mut self) {
+    /// Cancels the hand-over, so that this process continues to serve its clients.
+    pub(crate) fn cancel(&mut self) {
         self.quiesced_since = None;
-        self.server.abort();
+        self.server.disconnect_requester();
     }
 
     /// Hands over everything except the folder's lock; returns the number of client connections that were handed over.
@@ -119,7 +119,7 @@
             self.server.send_client(
                 connection.stream.as_fd(),
                 connection.input.clone(),
-                connection.has_requested,
+                connection.request_received,
             )?;
             // The connection is removed here, so that both processes together hold no more connections than one did.
             connections.release(id);
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -50,7 +50,7 @@
 use crate::state_store::StateStore;
 use crate::tokens::STOP;
 use crate::upstream::UpstreamPool;
-use crate::webpush::WebPushFront;
+use crate::webpush::WebPushGateway;
 
 pub use self::control::{ControlCommand, StopHandle};
 pub use self::options::{ReactorOptions, StartError};
@@ -78,7 +78,7 @@
     connections: ConnectionTable,
     listeners: Listeners,
     ingress: ClientIngress,
-    web_push: Option<WebPushFront>,
+    web_push: Option<WebPushGateway>,
     drain: Drain,
     upstream: UpstreamPool,
     discovery: DiscoveryClient,
@@ -168,7 +168,7 @@
         self.connections.wait(events, timeout)?;
         self.dispatch(events);
         for id in self.connections.take_resumed() {
-            self.pump(id);
+            self.process_connection(id);
         }
         self.run_timers();
         self.close_draining_clients();
--- a/crates/daemon/src/reactor/clients.rs
+++ b/crates/daemon/src/reactor/clients.rs
@@ -33,7 +33,7 @@
             };
             let now = self.clock.now();
             match self.connections.add(stream, kind, true, now) {
-                Ok(connection) => self.pump(connection),
+                Ok(connection) => self.process_connection(connection),
                 Err(e) => log::error!("accept: client connection not registered: {e}"),
             }
         }
@@ -54,7 +54,7 @@
             let candidate = client_ingress::eviction_candidate(&self.connections, now);
             let Some(id) = candidate else { return false };
             // A request that has arrived but is not read yet must not be lost by closing its connection.
-            self.pump(id);
+            self.process_connection(id);
             let connection = self.connections.get(id);
             if connection.is_none_or(Connection::is_idle_client) {
                 self.connections.close(id);
@@ -129,13 +129,13 @@
     /// Half-closes a client's connection, then waits for the client to close its side.
     fn close_client(&mut self, id: usize) {
         if client_ingress::begin_close(&mut self.connections, id, self.clock.now()) {
-            self.pump(id);
+            self.process_connection(id);
         }
     }
 
     /// Closes a client's connection unless a request is in progress on it.
     pub(super) fn close_between_requests(&mut self, id: usize) {
-        self.pump(id);
+        self.process_connection(id);
         let is_closable = |connection: &Connection| {
             connection.is_idle_client()
                 && connection.input.is_empty()
--- a/crates/daemon/src/reactor/destinations.rs
+++ b/crates/daemon/src/reactor/destinations.rs
@@ -13,8 +13,8 @@
     pub(super) fn call(&mut self, endpoint: &EndpointId, address: &str, attempts: Vec<Attempt>) {
         let now = self.clock.now();
         let bytes = match (&mut self.web_push, attempts.first()) {
-            (Some(front), Some(first)) if first.envelope.is_some() => {
-                front.write_call(address, first, now)
+            (Some(gateway), Some(first)) if first.envelope.is_some() => {
+                gateway.write_call(address, first, now)
             }
             _ => destination_protocol::write_call(address, &attempts, now),
         };
@@ -24,7 +24,7 @@
             .upstream
             .start_call(&mut self.connections, target, call, bytes, now);
         match started {
-            Ok(id) => self.pump(id),
+            Ok(id) => self.process_connection(id),
             Err(finished) => self.finish_call(*finished),
         }
     }
--- a/crates/daemon/src/reactor/events.rs
+++ b/crates/daemon/src/reactor/events.rs
@@ -31,7 +31,7 @@
                 }
                 FLEET => self.receive_from_fleet(),
                 STATUS | OPERATOR => self.accept_operators(token),
-                Token(connection) => self.pump(connection),
+                Token(connection) => self.process_connection(connection),
             }
         }
     }
@@ -47,7 +47,7 @@
     }
 
     /// Sends and receives on a connection, and processes what has arrived.
-    pub(super) fn pump(&mut self, id: usize) {
+    pub(super) fn process_connection(&mut self, id: usize) {
         let now = self.clock.now();
         let write_deadline = self
             .connections
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -11,7 +11,8 @@
 use crate::handover_endpoint::HandoverStep;
 
 impl Reactor {
-    /// Holds back attempts while a hand-over is in progress; true once everything is handed over and this process may end.
+    /// Carries out the next step of a hand-over in progress, during which no attempts are started; true once everything is handed over
+    /// and this process may end.
     pub(super) fn continue_handover(&mut self) -> bool {
         let now = self.clock.now();
         let Some(handover) = &mut self.handover else {
@@ -24,30 +25,31 @@
                 log::info!(event = "handover-requested", pending, out; "hand-over: requested, {pending} messages pending, {out} attempts in flight");
                 self.step(Input::Quiesced(true));
             }
-            HandoverStep::Abandon => self.abort_handover("the requesting process disconnected"),
+            HandoverStep::Cancel => self.cancel_handover("the requesting process disconnected"),
             HandoverStep::HandOver => match self.hand_over() {
                 Ok(()) => return true,
-                Err(e) => self.abort_handover(&e.to_string()),
+                Err(e) => self.cancel_handover(&e.to_string()),
             },
         }
         false
     }
 
-    fn abort_handover(&mut self, why: &str) {
-        log::warn!("hand-over: cancelled, {why}; this process continues");
+    fn cancel_handover(&mut self, reason: &str) {
+        log::warn!("hand-over: cancelled, {reason}; this process continues");
         if let Some(handover) = &mut self.handover {
-            handover.abort();
+            handover.cancel();
         }
         self.step(Input::Quiesced(false));
     }
 
     fn hand_over(&mut self) -> io::Result<()> {
         self.interrupt_all_calls();
-        // Everything that clients have sent is read, persisted and answered before the hand-over.
+        // Requests that have arrived are read, persisted and answered by this process.
         let clients = self.connections.ids(Connection::is_client);
         for &id in &clients {
-            self.pump(id);
+            self.process_connection(id);
         }
+        // Persists the records of these requests. No attempts may be started, so no tick is needed.
         self.step_without_tick(Input::TickEnded);
         let Some(handover) = &mut self.handover else {
             return Ok(());
@@ -66,7 +68,8 @@
         Ok(())
     }
 
-    /// Ends the calls in flight, as at a shutdown. Their messages are possibly executed, and the journal records them as such.
+    /// Closes the connections with calls in flight. The journal records their messages as possibly executed, except those of calls
+    /// whose connection was not yet established: these are not executed.
     fn interrupt_all_calls(&mut self) {
         for id in self
             .connections
--- a/crates/daemon/src/reactor/operators.rs
+++ b/crates/daemon/src/reactor/operators.rs
@@ -38,7 +38,7 @@
         let kind = ConnectionKind::Operator { all_commands };
         let now = self.clock.now();
         match self.connections.add(stream, kind, true, now) {
-            Ok(connection) => self.pump(connection),
+            Ok(connection) => self.process_connection(connection),
             Err(e) => log::error!("operator: connection not registered: {e}"),
         }
     }
--- a/crates/daemon/src/reactor/platform.rs
+++ b/crates/daemon/src/reactor/platform.rs
@@ -7,7 +7,7 @@
 use super::Reactor;
 use crate::connection::{Connection, ConnectionKind};
 use crate::http::{self, Response};
-use crate::webpush::WebPushFront;
+use crate::webpush::WebPushGateway;
 
 impl Reactor {
     /// Processes the input on a connection to the platform.
@@ -53,7 +53,7 @@
             .on_response(response, &self.platform_settings, now);
         if let Some(mut change) = change {
             if change.whole {
-                let listings = self.web_push.iter().flat_map(WebPushFront::listings);
+                let listings = self.web_push.iter().flat_map(WebPushGateway::listings);
                 change.list.extend(listings);
             }
             self.step(Input::EndpointsChanged {
--- a/crates/daemon/src/reactor/start.rs
+++ b/crates/daemon/src/reactor/start.rs
@@ -33,7 +33,7 @@
 use crate::tokens::{CLIENTS, OPERATOR, WEB_PUSH};
 use crate::upstream::UpstreamPool;
 use crate::watch::Watch;
-use crate::webpush::{self, WebPushFront};
+use crate::webpush::{self, WebPushGateway};
 
 /// File descriptors for other uses than clients and destinations: listeners, the poll, signals, discovery, final reports, the
 /// journal's open segment and other files, and the fleet's sockets.
@@ -115,7 +115,7 @@
         let now = clock.now();
         let mut platform_settings = options.platform_settings;
         let web_push = match options.push {
-            Some(file) => Some(WebPushFront::new(file, &mut platform_settings)?),
+            Some(file) => Some(WebPushGateway::new(file, &mut platform_settings)?),
             None => None,
         };
         let settings = &platform_settings.settings;
@@ -164,7 +164,7 @@
     ) -> Result<(), StartError> {
         let now = self.clock.now();
         let mut list = known;
-        list.extend(self.web_push.iter().flat_map(WebPushFront::listings));
+        list.extend(self.web_push.iter().flat_map(WebPushGateway::listings));
         self.core
             .step(now, Input::EndpointsChanged { whole: true, list });
         if let Some(fleet) = fleet {
@@ -277,7 +277,7 @@
         let InheritedClient {
             stream,
             input,
-            has_requested,
+            request_received,
         } = client;
         let now = self.clock.now();
         let added = stream.set_nonblocking(true).and_then(|()| {
@@ -289,7 +289,7 @@
             Ok(id) => {
                 if let Some(connection) = self.connections.get_mut(id) {
                     connection.input = input;
-                    connection.has_requested = has_requested;
+                    connection.request_received = request_received;
                 }
                 self.connections.resume(id);
             }
--- a/crates/daemon/src/reactor/timers.rs
+++ b/crates/daemon/src/reactor/timers.rs
@@ -94,7 +94,7 @@
 
     fn on_deadline(&mut self, id: usize, now: Time) {
         // The response may have arrived while the event loop was busy.
-        self.pump(id);
+        self.process_connection(id);
         let Some(connection) = self.connections.get(id) else {
             return;
         };
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -10,7 +10,7 @@
 use cranehill_scheduler::api::{EndpointId, Settings, Status};
 
 use crate::clock::since_unix_epoch;
-use crate::connection::{Connection, ConnectionKind, InFlightCall, MAX_RESPONSE_BYTES};
+use crate::connection::{Connection, ConnectionKind, InFlightCall, MAX_HTTP_MESSAGE_BYTES};
 use crate::connection_table::ConnectionTable;
 use crate::destination_protocol::{DestinationResponse, Verdict};
 use crate::finished_call::{self, FinishedCall};
@@ -304,7 +304,7 @@
             Ok(Some((response, used))) => {
                 self.finish_call(connections, id, ended, (&response, used), now)
             }
-            Ok(None) if !ended && !stalled && connection.input.len() < MAX_RESPONSE_BYTES => {
+            Ok(None) if !ended && !stalled && connection.input.len() < MAX_HTTP_MESSAGE_BYTES => {
                 call.delivered = call.is_delivered_by(&connection.input);
                 None
             }
@@ -404,7 +404,7 @@
     match http::response(&connection.input, ended) {
         Ok(Some((response, _))) if response.status == 200 => Some(Status::Served),
         Ok(Some(_)) => Some(Status::Overloaded),
-        Ok(None) if !ended && connection.input.len() < MAX_RESPONSE_BYTES => None,
+        Ok(None) if !ended && connection.input.len() < MAX_HTTP_MESSAGE_BYTES => None,
         _ => Some(Status::Reset),
     }
 }
--- a/crates/daemon/src/webpush/front.rs
+++ b/crates/daemon/src/webpush/gateway.rs
@@ -47,7 +47,7 @@
 
 /// Converts Web Push requests to messages and back, according to the Web Push file.
 #[derive(Debug)]
-pub(crate) struct WebPushFront {
+pub(crate) struct WebPushGateway {
     file: File,
     vapid: Option<Vapid>,
     /// Position in the settings of the class for messages without a topic; that for messages with a topic follows. A repeat of a
@@ -59,12 +59,12 @@
     messages: u64,
 }
 
-impl WebPushFront {
-    /// Creates the front, and adds the classes and the endpoint kind of Web Push to the settings.
+impl WebPushGateway {
+    /// Creates the gateway, and adds the classes and the endpoint kind of Web Push to the settings.
     pub(crate) fn new(
         file: File,
         platform_settings: &mut PlatformSettings,
-    ) -> Result<WebPushFront, VapidError> {
+    ) -> Result<WebPushGateway, VapidError> {
         let settings = &mut platform_settings.settings;
         let (class, kind) = (settings.classes.len(), settings.kinds.len());
         let without_topic = Class {
@@ -87,7 +87,7 @@
             apart: false,
         });
         let vapid = file.vapid.as_ref().map(Vapid::new).transpose()?;
-        Ok(WebPushFront {
+        Ok(WebPushGateway {
             file,
             vapid,
             class,
--- a/crates/daemon/src/webpush/mod.rs
+++ b/crates/daemon/src/webpush/mod.rs
@@ -2,13 +2,13 @@
 //! forwards them to push services. No I/O; the reactor owns the connections.
 
 mod file;
-mod front;
+mod gateway;
 mod responses;
 mod standalone;
 mod vapid;
 
 pub use file::{File, Location, Server, Upstream, WebPushFileError, parse_file};
-pub(crate) use front::WebPushFront;
+pub(crate) use gateway::WebPushGateway;
 pub(crate) use responses::{read_response, write_answer, write_error};
 pub use standalone::standalone_settings;
 pub use vapid::{Vapid, VapidError, VapidFile};
--- a/crates/journal/src/format/segment.rs
+++ b/crates/journal/src/format/segment.rs
@@ -8,7 +8,7 @@
 /// A version this far or further above [`VERSION`] is taken for damage, not for a later release.
 pub(crate) const MAX_VERSIONS_AHEAD: u16 = 64;
 pub(crate) const HEADER_BYTES: usize = 72;
-/// Bytes of the header that its signature covers.
+/// Bytes at the start of the header that its signature covers. The signature is a MAC under a key of the folder.
 const SIGNED_BYTES: usize = 56;
 
 /// A segment's header, as `docs/journal-format.md` specifies it.
@@ -17,7 +17,7 @@
     pub(crate) sequence: u32,
     /// Epoch of the first manifest that lists the segment.
     pub(crate) epoch: u64,
-    /// Lower than the log number of every frame in the segment, and no lower than that of any frame written before it.
+    /// Lower than the log number of every frame in the segment, and no lower than that of any frame in earlier segments.
     pub(crate) base_lsn: u64,
     /// Creation time, as Unix time in milliseconds.
     pub(crate) created_ms: u64,
@@ -66,6 +66,7 @@
         let mut bytes = Vec::with_capacity(HEADER_BYTES);
         bytes.extend_from_slice(MAGIC);
         bytes.extend_from_slice(&VERSION.to_le_bytes());
+        // Reserved.
         bytes.extend_from_slice(&[0, 0]);
         bytes.extend_from_slice(&self.sequence.to_le_bytes());
         bytes.extend_from_slice(&self.epoch.to_le_bytes());
@@ -84,8 +85,8 @@
         };
         let (signed, signature) = bytes.split_at(SIGNED_BYTES);
         let version = u16::from_le_bytes([signed[8], signed[9]]);
-        // A flipped bit in the version must not be mistaken for a later format: the signature is checked with the
-        // version that this program writes.
+        // The signature is checked with the version that this program writes in place of the one read: if it is valid,
+        // the version was damaged, and must not be mistaken for a later format.
         let mut corrected: [u8; SIGNED_BYTES] = std::array::from_fn(|i| signed[i]);
         corrected[8..10].copy_from_slice(&VERSION.to_le_bytes());
         let key_index = keys
@@ -95,6 +96,7 @@
             let header = Header::from_signed(signed);
             return DecodedHeader::Valid { header, key_index };
         }
+        // Bytes 10 and 11 are reserved and 0.
         if is_newer_version(version) && signed[10..12] == [0, 0] {
             return DecodedHeader::NewerVersion(version);
         }
--- a/crates/journal/src/legacy_ledger.rs
+++ b/crates/journal/src/legacy_ledger.rs
@@ -15,21 +15,21 @@
 
 /// Names of the ledger and of the file that was written to replace it.
 pub(crate) const FILE_NAMES: [&str; 2] = ["ledger", "ledger.new"];
-/// Longest lifetime of a message in those releases, and so the time for which a completed id is remembered.
+/// Longest lifetime of a message in releases before 0.2, and therefore the time for which the id of a completed message is kept.
 pub(crate) const LEGACY_LIFETIME_NANOS: u64 = 20_000_000_000;
 
 const FRAME_HEADER_BYTES: usize = 8;
 /// Upper bound on the length of a frame's payload; every record is shorter.
 const MAX_PAYLOAD_BYTES: usize = 256 * 1024;
-/// Attempts of one message that a damaged range is assumed to have held: more than any class allowed.
+/// Upper bound on the attempts of one message recorded in a damaged range: more than any class allowed.
 const MAX_ATTEMPTS: u32 = 64;
-/// Records of accepted messages that a damaged range is assumed to have held.
+/// Upper bound that is assumed for the records of accepted messages in a damaged range.
 const MAX_MESSAGES: u32 = 64;
 
 /// The decoded contents of a ledger.
 #[derive(Debug)]
 pub(crate) struct LegacyLedger {
-    /// Readable records, and one of an attempt for each message that may have been attempted in a damaged range.
+    /// The readable records, and added records of attempts that damaged ranges may have contained; see [`decode`].
     pub(crate) records: Vec<Record>,
     pub(crate) damage: Vec<DamagedRange>,
 }
@@ -94,8 +94,9 @@
     Ok(Some(decode(&bytes)))
 }
 
-/// Decodes all readable records. A message accepted before a damaged range may have been attempted in it. It counts as
-/// possibly executed, with all attempts used, since frames without log numbers give no closer bound.
+/// Decodes all readable records. A damaged range may have contained records of attempts of every message accepted before
+/// it. Each of these messages counts as possibly executed, with all attempts used: the ledger's frames have no log
+/// numbers, from which the number of lost records could be calculated.
 pub(crate) fn decode(bytes: &[u8]) -> LegacyLedger {
     let mut ledger = LegacyLedger {
         records: Vec::new(),
@@ -120,6 +121,7 @@
             file: FILE_NAMES[0].into(),
             offset: offset as u64,
             len: (next - offset) as u64,
+            // The affected messages are marked by the records just added, not by a log number.
             accepted_before: 0,
             max_attempts: MAX_ATTEMPTS,
             max_messages: MAX_MESSAGES,
@@ -165,6 +167,7 @@
 }
 
 impl LegacyRecord {
+    /// The record in the present format; `body` is the message's body, which only an accepted message has.
     fn into_core(self, body: &[u8]) -> Record {
         match self {
             LegacyRecord::Accepted {
@@ -182,6 +185,7 @@
                 key,
                 ordering_key: None,
                 deadline,
+                // The ledger has no acceptance times; this is the earliest possible one.
                 at: deadline.saturating_sub(LEGACY_LIFETIME_NANOS),
                 body: Arc::from(body),
             },
@@ -213,7 +217,7 @@
                 },
                 ordering_key: None,
             },
-            // A placeholder: migration sets the time.
+            // The ledger has no completion times; migration replaces `until`.
             LegacyRecord::Completed { id } => Record::Completed {
                 id,
                 until: LEGACY_LIFETIME_NANOS,
--- a/crates/journal/src/recovery/possible_executions.rs
+++ b/crates/journal/src/recovery/possible_executions.rs
@@ -14,7 +14,7 @@
     pub(crate) attempts: u32,
     /// Unix time in milliseconds by which all affected messages have ended.
     pub(crate) until_ms: u64,
-    /// The frame of the record; `None` until it is written.
+    /// The frame that contains the record; `None` until it is written.
     pub(crate) frame: Option<StoredFrame>,
 }
 
@@ -29,7 +29,8 @@
     }
 }
 
-/// Adds recorded possible executions. Of two records with the same log number, the higher number of attempts applies.
+/// Adds possible executions from a journal record. Of two records with the same `accepted_before`, the higher number of
+/// attempts applies.
 pub(super) fn add_recorded(
     all: &mut Vec<PossibleExecutions>,
     recorded: PossibleExecutions,
@@ -47,13 +48,13 @@
 }
 
 /// Adds the possible executions that follow from `damage` to the recorded ones. Damage that an earlier process has
-/// recorded yields the same log number, and is not added again.
+/// recorded yields the same `accepted_before`, and is not added again.
 pub(super) fn add_found(
     recorded: &mut Vec<PossibleExecutions>,
     damage: &[DamagedRange],
     index: &mut Index,
 ) {
-    for found in by_log_number(damage) {
+    for found in by_accepted_before(damage) {
         match find(recorded, found.accepted_before) {
             // More attempts than recorded: a new record has to be written.
             Some(known) if known.attempts < found.attempts => {
@@ -68,9 +69,9 @@
     }
 }
 
-/// The possible executions that follow from `damage`, with the attempts of all ranges with the same log number added
-/// up.
-fn by_log_number(damage: &[DamagedRange]) -> Vec<PossibleExecutions> {
+/// The possible executions that follow from `damage`: one for each value of `accepted_before`, with the sum of the attempts
+/// of all ranges that have it.
+fn by_accepted_before(damage: &[DamagedRange]) -> Vec<PossibleExecutions> {
     let mut all: Vec<PossibleExecutions> = Vec::new();
     for range in damage.iter().filter(|range| range.max_attempts > 0) {
         match find(&mut all, range.accepted_before) {
@@ -78,6 +79,7 @@
             None => all.push(PossibleExecutions {
                 accepted_before: range.accepted_before,
                 attempts: range.max_attempts,
+                // Set once the deadlines of all recovered messages are known.
                 until_ms: 0,
                 frame: None,
             }),
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -6,8 +6,8 @@
 
 use crate::identity::Identity;
 
-/// The number of buckets of a digest. At the planned 490 members a bucket has about eight entries, so a single difference
-/// requires sending few entries.
+/// The number of buckets of a digest. In a fleet of 490 members, the size that the protocol is designed for, a bucket has about
+/// eight entries, so for a single difference few entries must be sent.
 pub const BUCKETS: usize = 64;
 
 /// The encoding of a bucket's sum in messages: its low four bytes, little-endian.
@@ -41,7 +41,7 @@
     }
 }
 
-/// The hash of a member's address and incarnation, which identifies that incarnation in votes, sets and digests.
+/// The hash of a member's address and incarnation, which identifies that incarnation in votes, sets of down members and digests.
 pub fn identity_hash(member: &Identity) -> ShortHash {
     let address = address_bytes(member.at);
     ShortHash::of(&[&address, &member.incarnation.to_le_bytes()])
@@ -115,7 +115,7 @@
         *sum = sum.wrapping_sub(entry.as_u64());
     }
 
-    /// The hash of all sums. Two digests with the same root are taken as equal.
+    /// The hash of all sums. Members whose digests have the same root consider their states equal, and don't compare the buckets.
     pub fn root(&self) -> ShortHash {
         let bytes: Vec<u8> = self.sums.iter().flat_map(|sum| sum.to_le_bytes()).collect();
         ShortHash::of(&[&bytes])
--- a/crates/membership/src/members/context.rs
+++ b/crates/membership/src/members/context.rs
@@ -16,10 +16,11 @@
 use crate::timers::Timers;
 use crate::token_bucket::{TokenBucket, TrafficClass};
 
-/// The limit on the bytes a member sends per second, apart from urgent packets, which are not limited. On average a member
-/// receives as much as it sends; with urgent packets that is at most 13 kB per second in both directions together.
+/// The limit on the bytes a member sends per second. Urgent packets, such as probes and their answers (see [`TokenBucket`]), are
+/// not limited. On average a member receives as much as it sends; with urgent packets that is at most 13 kB per second in both
+/// directions together.
 const MAX_BYTES_PER_SECOND: u32 = 5_000;
-/// How long unused bytes accumulate: the capacity of the token bucket as a time.
+/// The capacity of the token bucket, as the time in which it fills at [`MAX_BYTES_PER_SECOND`].
 const MAX_BURST: Duration = Duration::from_secs(2);
 /// The range of the random factor of a delay with jitter.
 const JITTER: std::ops::Range<f64> = 0.75..1.25;
@@ -47,7 +48,7 @@
     pub(super) rng: ChaCha8Rng,
     pub(super) timers: Timers<Timer>,
     bandwidth: TokenBucket,
-    /// The number of the next packet to send.
+    /// The number of the next packet to send, by which receivers detect replayed packets.
     packet_number: u64,
     effects: Vec<Effect>,
 }
@@ -81,7 +82,7 @@
         self.bandwidth.allows(self.now, class)
     }
 
-    /// Seals and sends a message that already contains its sender and receiver.
+    /// Seals and sends a message that already begins with the identity of its sender and the address of its receiver.
     pub(super) fn send(&mut self, kind: Kind, to: SocketAddr, message: &[u8]) {
         let (key, now_ms) = (&self.settings.key, to_ms(self.now));
         let bytes = seal(key, now_ms, self.packet_number, kind, message);
@@ -90,7 +91,7 @@
         self.effects.push(Effect::Send { to, bytes });
     }
 
-    /// Prefixes a body with its sender and receiver, then seals and sends the message.
+    /// Prefixes a body with the sender's identity and the receiver's address, then seals and sends the message.
     pub(super) fn send_addressed(
         &mut self,
         from: &Identity,
@@ -111,9 +112,9 @@
         }
     }
 
-    /// Reports an event to the caller of [`crate::Members::step`].
-    pub(super) fn report(&mut self, event: Effect) {
-        self.effects.push(event);
+    /// Adds an effect to those that [`crate::Members::step`] returns.
+    pub(super) fn report(&mut self, effect: Effect) {
+        self.effects.push(effect);
     }
 
     /// Takes the effects collected since the last call, with a wake-up request if the next wake-up has changed.
@@ -124,10 +125,11 @@
     }
 }
 
-/// The maximum size in bytes of the body of an addressed message from a sender, so that the message fits into a packet.
+/// The maximum size in bytes of the body that `from` can send with [`Context::send_addressed`], so that the message fits into a
+/// packet. The receiver's address is assumed to be encoded in as many bytes as that of `from`.
 pub(super) fn max_body(from: &Identity) -> usize {
-    let frame = encode(&(from, from.at)).map_or(0, |bytes| bytes.len());
-    MAX_MESSAGE_BYTES.saturating_sub(frame)
+    let prefix_bytes = encode(&(from, from.at)).map_or(0, |bytes| bytes.len());
+    MAX_MESSAGE_BYTES.saturating_sub(prefix_bytes)
 }
 
 /// Encodes a value. Never `None` for the types used here, whose encoding to memory can't fail.
--- a/crates/membership/src/members/fleet_view.rs
+++ b/crates/membership/src/members/fleet_view.rs
@@ -28,8 +28,9 @@
     table: MemberTable,
     /// Whether `foca`'s state may have changed since the table was refreshed.
     is_stale: bool,
-    /// For how long members have been down by the reports received since the table was refreshed.
+    /// How long each member has been down, as reported by other members since the table was last refreshed.
     down_for: BTreeMap<SocketAddr, Duration>,
+    /// The members that this member's own probes made suspect; they are notified until the suspicion ends.
     accusations: Accusations,
     /// The number of times that a member became active or inactive, or returned in another incarnation.
     active_changes: u64,
@@ -49,17 +50,17 @@
         self.table.expire_announcements(now);
     }
 
-    /// Marks the table as stale if `may_have_changed`: whether `foca`'s state may have changed.
+    /// Marks the table as stale if `may_have_changed` is true: `foca`'s state may have changed.
     pub(super) fn mark_stale_if(&mut self, may_have_changed: bool) {
         self.is_stale |= may_have_changed;
     }
 
-    /// Whether the table is stale; clears the mark.
+    /// Returns whether the table is stale, and marks it as up to date, since the caller refreshes it.
     pub(super) fn take_stale(&mut self) -> bool {
         std::mem::take(&mut self.is_stale)
     }
 
-    /// Records how long a member has been down by another member's report, for the next refresh.
+    /// Stores how long a member has been down, as reported by another member, until the next refresh.
     pub(super) fn record_down_for(&mut self, address: SocketAddr, down_for: Duration) {
         self.down_for.insert(address, down_for);
     }
@@ -69,17 +70,23 @@
         self.accusations.add(address, swim_incarnation);
     }
 
-    /// Whether an entry is newer than our view. `known` is the number of known members; it is increased by each unknown one, and
-    /// unknown members beyond [`MAX_MEMBERS`] are not accepted.
-    pub(super) fn is_newer(&self, entry: &MemberEntry, me: &Identity, known: &mut usize) -> bool {
+    /// Whether an entry is newer than our view, so that it must be passed to `foca`. `known_members` counts the members in the table
+    /// and the unknown members in the same message; unknown members beyond [`MAX_MEMBERS`] are not accepted.
+    pub(super) fn is_newer(
+        &self,
+        entry: &MemberEntry,
+        me: &Identity,
+        known_members: &mut usize,
+    ) -> bool {
         if entry.member.at == me.at {
+            // `foca` must learn that others consider this incarnation suspect or down: it refutes that, or rejoins.
             return entry.member.incarnation == me.incarnation && !entry.is_alive();
         }
         if let Some(view) = self.table.get(&entry.member.at) {
             return MemberEntry::of(view, Duration::ZERO).rank() < entry.rank();
         }
-        *known += 1;
-        *known <= MAX_MEMBERS
+        *known_members += 1;
+        *known_members <= MAX_MEMBERS
     }
 
     /// Updates the table from `foca`'s members, and reports changes of state. True if the table has changed.
@@ -96,8 +103,9 @@
             .filter(|member| member.id().at != me.at)
             .filter_map(|member| changed_view(context.now, &self.table, votes, member))
             .collect();
-        let has_forgotten = members.len() < self.table.member_count();
-        let has_changed = has_forgotten || !changes.is_empty();
+        // `foca` removes a member some time after it went down.
+        let has_removals = members.len() < self.table.member_count();
+        let has_changed = has_removals || !changes.is_empty();
         for ViewChange {
             view,
             is_state_change,
@@ -110,8 +118,8 @@
             self.table
                 .update(context.now, view, down_for.unwrap_or_default());
         }
-        if has_forgotten {
-            self.remove_forgotten(members);
+        if has_removals {
+            self.remove_members_not_in(members);
         }
         has_changed
     }
@@ -137,15 +145,16 @@
         }
     }
 
-    fn remove_forgotten(&mut self, members: &[&Member<Identity>]) {
+    /// Removes the members from the table that are not among `foca`'s `members`.
+    fn remove_members_not_in(&mut self, members: &[&Member<Identity>]) {
         let stored: BTreeSet<SocketAddr> = members.iter().map(|member| member.id().at).collect();
-        let forgotten: Vec<SocketAddr> = self
+        let removed: Vec<SocketAddr> = self
             .table
             .iter()
             .map(|view| view.member.at)
             .filter(|address| !stored.contains(address))
             .collect();
-        for address in &forgotten {
+        for address in &removed {
             self.table.remove(address);
         }
     }
