--- a/crates/daemon/src/client_ingress.rs
+++ b/crates/daemon/src/client_ingress.rs
@@ -64,7 +64,7 @@
     pub(crate) platform_settings: &'a PlatformSettings,
     pub(crate) core: &'a Core,
     pub(crate) journal: &'a mut JournalWriter,
-    /// This sender drains, so clients are told to use another one.
+    /// This sender is draining: `PING` is answered with an error, after which clients use another sender.
     pub(crate) draining: bool,
     pub(crate) now: Time,
 }
@@ -206,7 +206,7 @@
 
 /// Answers an incomplete request whose timeout has expired.
 pub(crate) fn answer_timeout(connections: &mut ConnectionTable, id: usize, now: Time) {
-    const WHY: &str = "the request did not come whole in time";
+    const REASON: &str = "the request did not come whole in time";
     let Some(connection) = connections.get(id) else {
         return;
     };
@@ -214,8 +214,8 @@
         return;
     }
     let bytes = match connection.kind {
-        ConnectionKind::Client { .. } => client_protocol::write_error(WHY),
-        _ => webpush::write_error(408, WHY),
+        ConnectionKind::Client { .. } => client_protocol::write_error(REASON),
+        _ => webpush::write_error(408, REASON),
     };
     connections.send(id, &bytes, now);
 }
--- a/crates/daemon/src/client_ingress/resp.rs
+++ b/crates/daemon/src/client_ingress/resp.rs
@@ -57,7 +57,7 @@
         let now = admission.now;
         match request {
             Request::Ping if admission.draining => {
-                // The error tells the client to use another sender; requests that it still sends here are served.
+                // After this error the client uses another sender; requests that it still sends here are served.
                 if let Some(connection) = connections.get_mut(id) {
                     connection.close_after_write = connection.has_nothing_unread();
                 }
--- a/crates/daemon/src/discovery_protocol.rs
+++ b/crates/daemon/src/discovery_protocol.rs
@@ -11,7 +11,7 @@
 use crate::http;
 use crate::platform_settings::PlatformSettings;
 
-/// Limit on the entries of one list; entries beyond it are skipped and counted. The planned size of a list is 57,000.
+/// Limit on the entries of one list; entries beyond it are skipped and counted. Lists of up to 57,000 entries are expected.
 pub const MAX_ENTRIES: usize = 100_000;
 /// Estimated bytes of an entry in a list: id, address, zone, kind and numbers take about 140.
 const ENTRY_BYTES: usize = 160;
--- a/crates/daemon/src/final_report_protocol.rs
+++ b/crates/daemon/src/final_report_protocol.rs
@@ -1,4 +1,4 @@
-//! The HTTP protocol of final reports, which tell the platform of messages that ended undelivered. No I/O.
+//! The HTTP protocol of final reports, by which the platform is notified of messages that ended undelivered. No I/O.
 
 use cranehill_core::FinalReport;
 
--- a/crates/daemon/src/handover/client.rs
+++ b/crates/daemon/src/handover/client.rs
@@ -28,7 +28,7 @@
         /// The I/O error.
         source: io::Error,
     },
-    /// Another process uses the folder and did not hand it over in time.
+    /// Another process holds the folder's lock, and did not release it within the time limit.
     #[error("{}: another process uses this state folder and did not hand it over within {MAX_WAIT:?}", dir.display())]
     NotHandedOver {
         /// The state folder.
--- a/crates/daemon/src/reactor/shutdown.rs
+++ b/crates/daemon/src/reactor/shutdown.rs
@@ -53,7 +53,8 @@
         nothing_pending && reports == 0 && !connections.any(Connection::delays_shutdown)
     }
 
-    /// Tells clients that still wait for a message's result to retry. Their messages have not been accepted.
+    /// Answers Web Push clients that still wait for a message's result with an error and a `Retry-After`. Their messages have not been
+    /// accepted.
     pub(super) fn reject_waiting_clients(&mut self) {
         let waits = |connection: &Connection| {
             matches!(
--- a/crates/daemon/src/watch.rs
+++ b/crates/daemon/src/watch.rs
@@ -7,7 +7,7 @@
 use crate::discovery_protocol;
 
 /// Limit on the interval between two requests, however the first one fails. A sender counts as notified of a change 6 s after
-/// discovery had it and was reachable; the remaining half second is for the connect, the response and delays of the machine.
+/// discovery had it and was reachable; the remaining half second is for the connect, the response and scheduling delays.
 pub const MAX_REQUEST_INTERVAL: Duration = Duration::from_millis(5500);
 /// The time that [`MAX_REQUEST_INTERVAL`] leaves for a backoff after a request that timed out. A backoff may always be this long,
 /// so that senders which are rejected at the same time spread their retries.
--- a/crates/journal-tools/src/error.rs
+++ b/crates/journal-tools/src/error.rs
@@ -34,8 +34,8 @@
         /// The folder's path.
         path: PathBuf,
     },
-    /// The folder has no file of a journal.
-    #[error("{path}: no file of a journal is there")]
+    /// The folder contains no journal files.
+    #[error("{path}: contains no journal files")]
     NoJournal {
         /// The folder's path.
         path: PathBuf,
--- a/crates/journal-tools/src/row.rs
+++ b/crates/journal-tools/src/row.rs
@@ -70,7 +70,7 @@
     /// For kind `closing`: milliseconds after which the client may submit the message again; `None` if it failed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub after_ms: Option<u64>,
-    /// For kind `over`: time until which the id is remembered. For `doubt`: time by which all affected messages have
+    /// For kind `over`: time until which the id is retained. For `doubt`: time by which all affected messages have
     /// ended.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub until: Option<u64>,
--- a/crates/journal-tools/src/verdict.rs
+++ b/crates/journal-tools/src/verdict.rs
@@ -25,7 +25,7 @@
     pub open: u64,
     /// Number of messages whose final report is due.
     pub final_report: u64,
-    /// Number of completed messages whose ids are remembered.
+    /// Number of completed messages whose ids are retained.
     pub completed: u64,
     /// Number of segments.
     pub segments: usize,
--- a/crates/journal/src/format/body.rs
+++ b/crates/journal/src/format/body.rs
@@ -4,9 +4,9 @@
 
 /// Shorter bodies are not compressed: they save too little.
 const MIN_COMPRESSIBLE_BYTES: usize = 256;
-/// The compressed form is used only if it saves at least one part in this many of the body; less does not justify the
-/// cost of decompression.
-const MIN_SAVED_PART: usize = 16;
+/// The compressed form is used only if it saves at least this fraction of the body's size, as a divisor; less does not
+/// justify the cost of decompression.
+const MIN_SAVED_DIVISOR: usize = 16;
 /// Upper bound on a body's size before compression: a stored size above it is damage.
 const MAX_BODY_BYTES: usize = 128 * 1024;
 
@@ -22,7 +22,7 @@
 pub(crate) fn compress(body: &[u8]) -> StoredBody<'_> {
     if body.len() >= MIN_COMPRESSIBLE_BYTES {
         let compressed = lz4_flex::block::compress(body);
-        if compressed.len() + body.len() / MIN_SAVED_PART < body.len() {
+        if compressed.len() + body.len() / MIN_SAVED_DIVISOR < body.len() {
             return StoredBody {
                 uncompressed_len: Some(body.len() as u32),
                 bytes: Cow::Owned(compressed),
--- a/crates/journal/src/format/record.rs
+++ b/crates/journal/src/format/record.rs
@@ -6,7 +6,7 @@
 use crate::format::frame;
 use crate::format::packed_id;
 
-/// Lower bound on the bytes of an attempt's frame: it bounds how many attempts a damaged range may have held.
+/// Lower bound on the bytes of an attempt's frame: it bounds how many attempts' records a damaged range may have contained.
 pub(crate) const MIN_ATTEMPT_FRAME_BYTES: usize = frame::HEADER_BYTES + 10;
 
 /// Bytes prefixed with their length: a packed id or a body.
@@ -39,7 +39,7 @@
 }
 
 /// One journal record, borrowed from its frame. `accepted_lsn` is the log number under which the message was accepted;
-/// it distinguishes incarnations of an id that a client uses again after the sender has forgotten it.
+/// it distinguishes incarnations of an id that a client uses again after the sender no longer retains it.
 ///
 /// The position of a variant is its number on disk: new variants are added at the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -90,7 +90,7 @@
         id: RawBytes<'a>,
         /// Log number of the message's acceptance.
         accepted_lsn: u64,
-        /// Unix time in milliseconds until which the id is remembered.
+        /// Unix time in milliseconds until which the id is retained.
         remember_until_ms: u64,
     },
     /// Damage may have destroyed records of attempts of messages accepted before a log number.
--- a/crates/journal/src/index.rs
+++ b/crates/journal/src/index.rs
@@ -36,7 +36,7 @@
     /// Log number of its message's acceptance.
     pub(crate) accepted_lsn: u64,
     pub(crate) kind: RecordKind,
-    /// For a completion: Unix time in milliseconds until which the id is remembered. 0 for other kinds.
+    /// For a completion: Unix time in milliseconds until which the id is retained. 0 for other kinds.
     pub(crate) remember_until_ms: u64,
     /// The record's frame on disk.
     pub(crate) frame: StoredFrame,
@@ -271,16 +271,16 @@
             0,
             "a removed segment has live frames"
         );
-        self.live.forget_segment(sequence);
+        self.live.remove_segment(sequence);
         for &slot in slots {
             if let Some(entry) = self.entries.get_mut(slot) {
                 entry.frames_on_disk = entry.frames_on_disk.saturating_sub(1);
             }
-            self.forget_if_unused(slot);
+            self.remove_if_unused(slot);
         }
     }
 
-    /// Expires at most `max` completed messages that need not be remembered at `now_ms` any more. Entries with other
+    /// Expires at most `max` completed messages that need not be retained at `now_ms` any more. Entries with other
     /// records on disk are kept until those have been removed.
     pub(crate) fn expire(&mut self, now_ms: u64, max: usize) {
         for _ in 0..max {
@@ -298,7 +298,7 @@
                 *expired = true;
                 self.live.subtract(*frame);
             }
-            self.forget_if_unused(slot);
+            self.remove_if_unused(slot);
         }
     }
 
@@ -310,7 +310,7 @@
     }
 
     /// Removes an expired entry if no other record of its message is on disk.
-    fn forget_if_unused(&mut self, slot: u32) {
+    fn remove_if_unused(&mut self, slot: u32) {
         let Some(entry) = self.entries.get(slot) else {
             return;
         };
--- a/crates/journal/src/index/accounting.rs
+++ b/crates/journal/src/index/accounting.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    pub(super) fn forget_segment(&mut self, sequence: u32) {
+    pub(super) fn remove_segment(&mut self, sequence: u32) {
         self.0.remove(&sequence);
     }
 }
@@ -42,7 +42,7 @@
     pub open: u64,
     /// Messages whose final report is due.
     pub final_report_due: u64,
-    /// Completed messages that are remembered.
+    /// Completed messages that are retained.
     pub completed: u64,
 }
 
--- a/crates/journal/src/index/entry.rs
+++ b/crates/journal/src/index/entry.rs
@@ -21,13 +21,13 @@
     Open(SmallVec<[(RecordKind, StoredFrame); 2]>),
     /// The final report is due; holds the frame that records it.
     FinalReportDue(StoredFrame),
-    /// Completed; the id is remembered.
+    /// Completed; the id is retained.
     Completed {
-        /// Unix time in milliseconds until which the id is remembered.
+        /// Unix time in milliseconds until which the id is retained.
         remember_until_ms: u64,
         /// The frame of the completion.
         frame: StoredFrame,
-        /// The id need not be remembered any more; the entry is kept only while other records of its message are on
+        /// The id need not be retained any more; the entry is kept only while other records of its message are on
         /// disk. Its frame is not counted as live bytes, so that a segment with only such frames can be removed.
         expired: bool,
     },
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Whether the message is completed and its id need not be remembered any more.
+    /// Whether the message is completed and its id need not be retained any more.
     pub(crate) fn is_expired(&self) -> bool {
         matches!(self.state, EntryState::Completed { expired: true, .. })
     }
--- a/crates/journal/src/journal/batch.rs
+++ b/crates/journal/src/journal/batch.rs
@@ -22,7 +22,7 @@
     /// Log number of its message's acceptance.
     accepted_lsn: u64,
     kind: RecordKind,
-    /// For a completion: Unix time in milliseconds until which the id is remembered. 0 for other kinds.
+    /// For a completion: Unix time in milliseconds until which the id is retained. 0 for other kinds.
     remember_until_ms: u64,
     /// Bytes of its frame.
     len: u32,
--- a/crates/journal/src/journal/compaction.rs
+++ b/crates/journal/src/journal/compaction.rs
@@ -15,10 +15,10 @@
 /// Above this number of sealed segments, segments are relocated even if their frames are nearly all live, since each
 /// takes room in the manifest.
 const MAX_SEALED_SEGMENTS: usize = 48;
-/// Segments with live frames are relocated once all sealed segments use at least one part in this many of the disk
-/// budget.
-const DISK_BUDGET_PARTS: u64 = 3;
-/// Segments with at least this share of live bytes, in thousandths, are not worth relocating.
+/// Segments with live frames are relocated once the sealed segments together use at least this fraction of the disk
+/// budget, as a divisor.
+const MIN_SEALED_USAGE_DIVISOR: u64 = 3;
+/// Segments with at least this share of live bytes, in thousandths, are not relocated: that would free too little space.
 const MAX_LIVE_PERMILLE: u64 = 875;
 
 impl<S: Storage> Journal<S> {
@@ -46,7 +46,7 @@
             return step;
         };
         // With little room left, freeing room takes precedence over short steps.
-        let slice_bytes = if self.storage.room() < self.disk / DISK_BUDGET_PARTS {
+        let slice_bytes = if self.storage.room() < self.disk / MIN_SEALED_USAGE_DIVISOR {
             SLICE_BYTES * 2
         } else {
             SLICE_BYTES
@@ -85,7 +85,7 @@
         }
         let too_many = self.sealed.len() > MAX_SEALED_SEGMENTS;
         let used: u64 = self.sealed.values().map(|segment| segment.len).sum();
-        if !too_many && used < self.disk / DISK_BUDGET_PARTS {
+        if !too_many && used < self.disk / MIN_SEALED_USAGE_DIVISOR {
             return None;
         }
         let live_permille =
--- a/crates/journal/src/journal/migration.rs
+++ b/crates/journal/src/journal/migration.rs
@@ -22,8 +22,8 @@
         mut ledger: LegacyLedger,
         recovered: &mut Recovered,
     ) -> Result<(), OpenError> {
-        // The ledger does not store until when a completed id is remembered. It is remembered from now on for the
-        // longest lifetime of a message.
+        // The ledger does not store until when the id of a completed message is retained. It is retained for the longest
+        // lifetime of a message, counted from now.
         let remember_until = nanos(now_ms).saturating_add(LEGACY_LIFETIME_NANOS);
         for record in &mut ledger.records {
             if let Record::Completed { until, .. } = record {
--- a/crates/journal/src/journal/state.rs
+++ b/crates/journal/src/journal/state.rs
@@ -18,8 +18,8 @@
 const MANIFEST_FIXED_BYTES: u64 = 2 * BLOCK_BYTES;
 /// Upper bound on the bytes of a segment's entry in the manifest.
 const MANIFEST_ENTRY_BYTES: u64 = 64;
-/// Compaction's reserve is at most one part in this many of the disk budget.
-const DISKS_PER_RESERVE: u64 = 4;
+/// The disk space reserved for compaction is at most this fraction of the disk budget, as a divisor.
+const MAX_RESERVE_DIVISOR: u64 = 4;
 
 /// An open journal: the durable log of the messages that a sender has accepted. It has its folder to itself.
 #[derive(Debug)]
@@ -110,7 +110,7 @@
     pub(super) fn compaction_reserve(&self) -> u64 {
         let segments = self.sealed.len() as u64 + 2;
         let manifest = MANIFEST_FIXED_BYTES + MANIFEST_ENTRY_BYTES * segments;
-        (self.segment_bytes.max(MAX_FRAME_BYTES) + manifest).min(self.disk / DISKS_PER_RESERVE)
+        (self.segment_bytes.max(MAX_FRAME_BYTES) + manifest).min(self.disk / MAX_RESERVE_DIVISOR)
     }
 
     /// Whether all possible executions are recorded on disk.
--- a/crates/journal/src/journal/stats.rs
+++ b/crates/journal/src/journal/stats.rs
@@ -16,7 +16,7 @@
     pub open: u64,
     /// Number of messages whose final report is due.
     pub final_report: u64,
-    /// Number of completed messages whose ids are remembered.
+    /// Number of completed messages whose ids are retained.
     pub completed: u64,
     /// Bytes of the disk budget that are free.
     pub room: u64,
--- a/crates/journal/src/legacy_ledger.rs
+++ b/crates/journal/src/legacy_ledger.rs
@@ -15,7 +15,7 @@
 
 /// Names of the ledger and of the file that was written to replace it.
 pub(crate) const FILE_NAMES: [&str; 2] = ["ledger", "ledger.new"];
-/// Longest lifetime of a message in releases before 0.2, and therefore the time for which the id of a completed message is kept.
+/// Longest lifetime of a message in releases before 0.2, and therefore the time for which the id of a completed message is retained.
 pub(crate) const LEGACY_LIFETIME_NANOS: u64 = 20_000_000_000;
 
 const FRAME_HEADER_BYTES: usize = 8;
--- a/crates/journal/src/recovery/live_records.rs
+++ b/crates/journal/src/recovery/live_records.rs
@@ -95,7 +95,7 @@
         self.origins.truncate(live);
     }
 
-    /// Sorts the records: completions by the time until which they are remembered, then final reports due and then the
+    /// Sorts the records: completions by the time until which they are retained, then final reports due and then the
     /// records of pending messages, both in the order of acceptance.
     pub(super) fn sort(&mut self) {
         let sort_key = |(record, origin): (&Record, &RecordOrigin)| match record {
--- a/crates/journal/src/recovery/recovered.rs
+++ b/crates/journal/src/recovery/recovered.rs
@@ -20,7 +20,7 @@
 /// The messages that an earlier process left, and the damage found.
 #[derive(Debug, Default)]
 pub struct Recovered {
-    /// The records for the core: completed messages whose ids are remembered, then final reports due, then pending
+    /// The records for the core: completed messages whose ids are retained, then final reports due, then pending
     /// messages in the order of acceptance.
     pub records: Vec<Record>,
     /// Ranges that can't be read or are missing.
--- a/crates/journal/tests/lifecycle.rs
+++ b/crates/journal/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A journal over several starts: remembered ids, the recovered time, new folders, and folders on disk.
+//! A journal over several starts: retained ids, the recovered time, new folders, and folders on disk.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use cranehill_journal::{Folder, Journal, Memory, Options, Storage};
 
 #[test]
-fn completed_ids_are_remembered_for_the_lifetime_of_a_message() {
+fn completed_ids_are_retained_for_the_lifetime_of_a_message() {
     let (mut journal, _) = open(Memory::new(64 * 1024), START_MS);
     journal
         .append(START_MS, &[accepted("a", 10), attempt_started("a", 0)])
--- a/crates/membership/src/anti_entropy/message.rs
+++ b/crates/membership/src/anti_entropy/message.rs
@@ -45,7 +45,7 @@
 pub struct Entries {
     /// The states of members, the sender's own among them if its bucket is included.
     pub members: Vec<MemberEntry>,
-    /// The votes of members.
+    /// The newest votes of members.
     pub votes: Vec<VoteEntry>,
     /// The hashes of the sets of down members that the votes refer to by index.
     pub sets: Vec<ShortHash>,
--- a/crates/membership/src/member_entry.rs
+++ b/crates/membership/src/member_entry.rs
@@ -21,7 +21,7 @@
     pub swim_incarnation: u16,
     /// 0: alive, 1: suspect, 2: down or left. Other values are invalid.
     pub state: u8,
-    /// For how many seconds the member has been down, at most 65,535.
+    /// Seconds since the member went down, at most 65,535.
     pub down_seconds: u16,
 }
 
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -11,13 +11,13 @@
 use crate::view::View;
 
 /// The maximum number of members in the table, down ones included. Bounds memory if a faulty member announces members that don't
-/// exist; eight times the planned 490 members.
+/// exist; eight times the 490 members that the protocol is designed for.
 pub const MAX_MEMBERS: usize = 4096;
 /// The number of superseded incarnations that are stored. Bounds memory; sets of down members contain a superseded incarnation
 /// only for a short time.
 const MAX_SUPERSEDED: usize = 1024;
-/// The maximum time that a member is announced to others after it went down. Half of the time after which `foca` forgets it, so that
-/// a member that has just forgotten it doesn't learn it from others again.
+/// How long a member is announced to others after it went down. Half of the time after which `foca` removes it, so that a member
+/// whose `foca` has just removed it doesn't learn it from others again.
 pub const MAX_ANNOUNCED_DOWN_TIME: Duration = Duration::from_secs(1800);
 
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
     bucket: usize,
     /// The hash of the row's entry, if it is in the digest; `None` if the member isn't announced to others.
     announced: Option<ShortHash>,
-    /// When the member went down, by the report of the first member that detected it; `None` if this incarnation was never down.
+    /// When the member went down, according to the first member that detected it; `None` if this incarnation was never down.
     down_since: Option<Time>,
 }
 
@@ -107,8 +107,8 @@
         self.announced.contains(&incarnation)
     }
 
-    /// Inserts a member's view or replaces the previous one. `down_for` is how long the member has been down by the report that
-    /// changed the view, zero if it went down just now.
+    /// Inserts a member's view or replaces the previous one. `down_for` is how long the member has been down, according to the
+    /// entry that changed the view; zero if it went down just now.
     pub fn update(&mut self, now: Time, view: View, down_for: Duration) {
         let address = view.member.at;
         let hash = identity_hash(&view.member);
@@ -116,7 +116,7 @@
         if let Some(previous) = &previous {
             self.withdraw_announcement(previous);
             if previous.hash != hash {
-                self.remember_superseded(previous.hash);
+                self.add_superseded(previous.hash);
             }
         }
         let same_incarnation = previous.filter(|row| row.hash == hash);
@@ -144,7 +144,7 @@
         self.rows.insert(address, row);
     }
 
-    fn remember_superseded(&mut self, incarnation: ShortHash) {
+    fn add_superseded(&mut self, incarnation: ShortHash) {
         self.superseded.push_back(incarnation);
         if self.superseded.len() > MAX_SUPERSEDED {
             self.superseded.pop_front();
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -263,7 +263,7 @@
         self.replica.quorum.set_payload(payload);
         self.anti_entropy.cast_vote(&mut self.replica, false);
         self.replica.broadcast_vote();
-        // Other members make joint decisions from payloads, so it is sent at once instead of with the next round of gossip.
+        // The members' decisions depend on each other's payloads, so a change is sent immediately instead of with the next round.
         self.replica.swim.gossip();
     }
 
--- a/crates/membership/src/members/quorum.rs
+++ b/crates/membership/src/members/quorum.rs
@@ -32,7 +32,7 @@
     vote_number: u32,
     /// When the next decision on our vote is due; `None` if none is scheduled.
     decide_at: Option<Time>,
-    /// The payload of our votes.
+    /// The payload that our votes contain, as set by the caller; see [`Vote::payload`].
     payload: Vec<u8>,
     quota: QuotaDivisor,
     divisor: u32,
--- a/crates/membership/src/members/set_requests.rs
+++ b/crates/membership/src/members/set_requests.rs
@@ -16,7 +16,7 @@
 /// count as this many voters together.
 const NON_VOTER_WEIGHT: usize = 8;
 
-/// The requests sent in the current period, and the members that are known to have missing sets.
+/// The requests sent in the current period, and the members that are known to have the sets that are missing here.
 #[derive(Debug, Default)]
 pub(super) struct SetRequests {
     /// The sets requested in this period. A set is removed when the requested page arrives and further pages are missing.
--- a/crates/membership/src/members/swim.rs
+++ b/crates/membership/src/members/swim.rs
@@ -27,7 +27,7 @@
 /// A member that has received no packet for more than this many periods may be isolated itself.
 const MAX_SILENCE_PERIODS: u32 = 2;
 /// A member that may be isolated declares no other down until it has received no packet for this many suspicion timeouts. By then
-/// either its own packets don't arrive either, so that it can do no harm, or the others have really stopped.
+/// either its own packets don't arrive either, so that its suspicions have no effect on the others, or the others have stopped.
 const MAX_ISOLATION_SUSPICION_TIMEOUTS: u32 = 4;
 
 /// `foca`, with its pending requests and this member's view of the fleet.
--- a/crates/membership/src/quota.rs
+++ b/crates/membership/src/quota.rs
@@ -62,7 +62,7 @@
             self.track(view);
         }
         self.evict(now, table, votes, sets);
-        // An evicted member that the table has forgotten no longer reduces the configured number.
+        // An evicted member that has been removed from the table no longer reduces the configured number.
         self.tracked
             .retain(|address, tracked| !tracked.evicted || table.get(address).is_some());
         let evicted = self.evicted() as u32;
