--- a/crates/daemon/src/client_ingress.rs
+++ b/crates/daemon/src/client_ingress.rs
@@ -64,7 +64,7 @@
     pub(crate) platform_settings: &'a PlatformSettings,
     pub(crate) core: &'a Core,
     pub(crate) journal: &'a mut JournalWriter,
-    /// This sender drains, so clients are told to use another one.
+    /// This sender is draining: `PING` is answered with an error, after which clients use another sender.
     pub(crate) draining: bool,
     pub(crate) now: Time,
 }
@@ -134,7 +134,7 @@
     }
     let timeout = if !connection.is_written() {
         TRANSFER_TIMEOUT
-    } else if !connection.has_requested {
+    } else if !connection.request_received {
         FIRST_REQUEST_TIMEOUT
     } else if !connection.input.is_empty() {
         TRANSFER_TIMEOUT
@@ -161,7 +161,7 @@
     let waited = now - connection.waiting_since;
     let class = if matches!(connection.kind, ConnectionKind::Closing { .. }) {
         0
-    } else if connection.has_requested {
+    } else if connection.request_received {
         if waited >= TRANSFER_TIMEOUT { 2 } else { 3 }
     } else if waited >= NEW_CLIENT_GRACE {
         1
@@ -206,7 +206,7 @@
 
 /// Answers an incomplete request whose timeout has expired.
 pub(crate) fn answer_timeout(connections: &mut ConnectionTable, id: usize, now: Time) {
-    const WHY: &str = "the request did not come whole in time";
+    const REASON: &str = "the request did not come whole in time";
     let Some(connection) = connections.get(id) else {
         return;
     };
@@ -214,8 +214,8 @@
         return;
     }
     let bytes = match connection.kind {
-        ConnectionKind::Client { .. } => client_protocol::write_error(WHY),
-        _ => webpush::write_error(408, WHY),
+        ConnectionKind::Client { .. } => client_protocol::write_error(REASON),
+        _ => webpush::write_error(408, REASON),
     };
     connections.send(id, &bytes, now);
 }
