--- a/crates/capacity/src/compare.rs
+++ b/crates/capacity/src/compare.rs
@@ -21,7 +21,7 @@
         /// How much worse the value may be, as a fraction of the stated value.
         bound: f64,
     },
-    /// The budget holds by the page, and does not hold in the new run.
+    /// The stated value is within the budget, and the new one exceeds it.
     BudgetExceeded {
         /// Id of the quantity.
         id: &'static str,
@@ -39,7 +39,7 @@
         /// Value of the new run at the planned size.
         fresh: f64,
     },
-    /// The quantity was measured and is missing from the page.
+    /// The new run has a figure for a quantity that the page does not state.
     NotOnPage {
         /// Id of the quantity.
         id: &'static str,
--- a/crates/capacity/src/derived.rs
+++ b/crates/capacity/src/derived.rs
@@ -5,8 +5,8 @@
 use crate::stated::Stated;
 use crate::table::number;
 
-/// Seconds for which discovery holds a watch open without a change.
-const WATCH_HOLD: f64 = 3.0;
+/// Seconds after which discovery answers a watch without a change.
+const WATCH_HOLD_SECONDS: f64 = 3.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
 /// Changes of configuration per second.
 const CHANGES_PER_SECOND: f64 = plan::CHANGES_PER_DAY / SECONDS_PER_DAY;
@@ -25,7 +25,7 @@
     ("control bytes of a sender, halves cut", "halves"),
 ];
 
-/// A derived figure.
+/// A figure computed from measured figures or from the plan, as a row of the page.
 struct Derived {
     label: &'static str,
     /// The figures from which the value is derived, as the row names them.
@@ -89,7 +89,7 @@
 /// Upper bound of the bytes per second between a sender and discovery. Every watch is counted as one with a change; the answer to a
 /// watch without a change is a list without rows, which is shorter.
 fn discovery_bytes(measured: Measured<'_>) -> Option<f64> {
-    let watches = CHANGES_PER_SECOND + 1.0 / WATCH_HOLD;
+    let watches = CHANGES_PER_SECOND + 1.0 / WATCH_HOLD_SECONDS;
     Some(measured("destinations.change-bytes")? * watches)
 }
 
--- a/crates/capacity/src/earliest_failures.rs
+++ b/crates/capacity/src/earliest_failures.rs
@@ -1,4 +1,4 @@
-//! The figures whose budget does not hold at the planned size, ordered by consequence and then by the size at which they fail.
+//! The figures whose budget is exceeded at the planned size, ordered by consequence and then by the size at which they fail.
 
 use crate::stated::Stated;
 use crate::table::number;
--- a/crates/capacity/src/figure.rs
+++ b/crates/capacity/src/figure.rs
@@ -9,7 +9,7 @@
 /// Steps of a bisection, after which the interval is smaller than the precision of `f64`.
 const BISECTION_STEPS: u32 = 64;
 
-/// The evaluation of a quantity's samples.
+/// The result that a quantity's samples lead to.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(tag = "finding", rename_all = "kebab-case")]
 pub enum Finding {
@@ -29,9 +29,9 @@
 pub struct Figure {
     /// The quantity that was measured.
     pub quantity: &'static Quantity,
-    /// The measurements.
+    /// The measured values, in ascending order of size.
     pub samples: Samples,
-    /// The evaluation of the measurements.
+    /// The fit to the samples, or the limit that they show.
     pub finding: Finding,
     /// Remark on the measurement, such as on sizes that were skipped.
     pub remark: Option<String>,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Whether the budget holds at the planned size; `None` without a budget.
+    /// Whether the value at the planned size is within the budget; `None` without a budget.
     pub fn holds(&self) -> Option<bool> {
         Some(match self.quantity.direction {
             Direction::Cost => self.planned() <= self.budget()?,
@@ -108,7 +108,7 @@
         })
     }
 
-    /// The budget divided by the planned cost (for a benefit, the inverse); below 1 the budget does not hold. `None` without a
+    /// The budget divided by the planned cost (for a benefit, the inverse); below 1 the budget is exceeded. `None` without a
     /// budget.
     pub fn factor_left(&self) -> Option<f64> {
         let (planned, budget) = (self.planned(), self.budget()?);
@@ -119,8 +119,8 @@
         })
     }
 
-    /// The smallest size at which the budget does not hold, by measurement or fit, as a fraction of the planned size; `None` if it
-    /// holds at the planned size or there is no budget.
+    /// The smallest size at which the budget is exceeded, by measurement or fit, as a fraction of the planned size; `None` if it is
+    /// not exceeded at the planned size, or there is no budget.
     pub fn fails_at(&self) -> Option<f64> {
         if self.holds()? {
             return None;
--- a/crates/capacity/src/quantity.rs
+++ b/crates/capacity/src/quantity.rs
@@ -1,10 +1,11 @@
-//! A measured quantity: its description, the role that bears the cost, the size on which it depends, and its budget.
+//! A measured quantity: its description, the role whose resource or performance it measures, the size on which it depends, and its
+//! budget.
 
 use serde::Serialize;
 
 use crate::plan::{self, Budget};
 
-/// The component that bears the cost of a quantity.
+/// The component whose resource or performance a quantity measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
@@ -122,11 +123,11 @@
     pub id: &'static str,
     /// The sweep that measures the quantity.
     pub sweep: Sweep,
-    /// The component that bears the cost.
+    /// The component whose resource or performance is measured.
     pub role: Role,
     /// The size on which the quantity depends.
     pub axis: Axis,
-    /// The unit of its values.
+    /// Unit of the quantity's values and of its budget.
     pub unit: Unit,
     /// Whether its values depend on the machine.
     pub kind: Kind,
--- a/crates/capacity/src/sample.rs
+++ b/crates/capacity/src/sample.rs
@@ -1,4 +1,4 @@
-//! The measurements of a sweep.
+//! Measured values of a quantity at several sizes.
 
 use serde::Serialize;
 
--- a/crates/capacity/src/sizes.rs
+++ b/crates/capacity/src/sizes.rs
@@ -30,7 +30,7 @@
     #[error("{0}")]
     Syntax(String),
     /// A size of 0.
-    #[error("line {line}: {sweep}: the size 0 measures nothing")]
+    #[error("line {line}: {sweep}: the size is 0; expected at least 1")]
     Zero {
         /// Line of the size or list.
         line: usize,
@@ -38,7 +38,7 @@
         sweep: &'static str,
     },
     /// A size that is too large to measure on one machine.
-    #[error("line {line}: {sweep}: the size {size} is absurd; at most {max}")]
+    #[error("line {line}: {sweep}: the size {size} is too large; expected at most {max}")]
     TooLarge {
         /// Line of the size or list.
         line: usize,
--- a/crates/capacity/src/stated.rs
+++ b/crates/capacity/src/stated.rs
@@ -35,9 +35,9 @@
     pub quantity: &'static Quantity,
     /// The value at the planned size.
     pub planned: f64,
-    /// Whether the budget holds; `None` without a budget.
+    /// Whether the value is within the budget; `None` without a budget.
     pub holds: Option<bool>,
-    /// Smallest size at which the budget does not hold, as a fraction of the planned size; `None` if it holds.
+    /// Smallest size at which the budget is exceeded, as a fraction of the planned size; `None` if it is not exceeded.
     pub fails_at: Option<f64>,
     /// How much worse a run may be, as a fraction of the figure.
     pub bound: f64,
--- a/crates/capacity/src/table.rs
+++ b/crates/capacity/src/table.rs
@@ -30,7 +30,7 @@
     pub id: &'a str,
     /// Name of the sweep that measures the quantity.
     pub sweep: &'a str,
-    /// Name of the component that bears the cost.
+    /// Name of the component whose resource or performance is measured.
     pub role: &'a str,
     /// Short description of the quantity.
     #[serde(rename = "what")]
@@ -58,9 +58,9 @@
     pub budget_source: Option<&'a str>,
     /// The budget divided by the cost, if that is finite; see [`Figure::factor_left`].
     pub factor_left: Option<f64>,
-    /// Whether the budget holds at the planned size.
+    /// Whether the value at the planned size is within the budget.
     pub holds: Option<bool>,
-    /// Smallest size at which the budget does not hold, as a fraction of the planned size.
+    /// Smallest size at which the budget is exceeded, as a fraction of the planned size.
     pub fails_at_part_of_plan: Option<f64>,
     /// Remark on the measurement.
     pub remark: Option<&'a str>,
--- a/crates/cranehill/tests/capacity.rs
+++ b/crates/cranehill/tests/capacity.rs
@@ -28,11 +28,11 @@
     for (sizes, notified) in [
         (
             "# sizes\nmembers = [10, 0, 30]\n",
-            "line 2: members: the size 0 measures nothing",
+            "line 2: members: the size is 0; expected at least 1",
         ),
         (
             "backlog = [1, 2, 3000000000]\n",
-            "line 1: backlog: the size 3000000000 is absurd",
+            "line 1: backlog: the size 3000000000 is too large; expected at most 10000000",
         ),
         ("destinations = []\n", "destinations: no sizes"),
         ("destinations = [ten]\n", "line 1: "),
--- a/crates/fleet-harness/src/path_faults.rs
+++ b/crates/fleet-harness/src/path_faults.rs
@@ -9,18 +9,18 @@
 /// The effect of the network faults on a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PacketOutcome {
-    /// The packet is delivered.
-    Through {
+    /// The packet reaches its receiver, perhaps delayed.
+    Delivered {
         /// Earliest delivery, as time since the clock of the faults started; zero if the packet is not delayed.
         at: Duration,
     },
-    /// The packet is dropped.
+    /// A fault dropped the packet.
     Lost,
 }
 
 /// Applies all active faults to a packet that is sent at `now`, the time since the clock of the faults started. The longest
 /// delay counts; `rng` decides random drops.
-pub(crate) fn outcome(
+pub(crate) fn apply_faults(
     network_faults: &[NetworkFault],
     from: usize,
     to: usize,
@@ -40,5 +40,5 @@
             PathFault::Drop { .. } | PathFault::Reset => {}
         }
     }
-    PacketOutcome::Through { at }
+    PacketOutcome::Delivered { at }
 }
--- a/crates/fleet-harness/src/relay/command.rs
+++ b/crates/fleet-harness/src/relay/command.rs
@@ -7,9 +7,9 @@
 
 /// A command to the relay's thread.
 pub(super) enum Command {
-    /// Begin to relay packets to a member.
+    /// Relay packets to a member.
     AddPacketPath(PacketPath),
-    /// Begin to relay connections from a sender to an endpoint.
+    /// Relay connections from a sender to an endpoint.
     AddConnectionPath(ConnectionPath),
     /// Start the clock of the network faults at this time.
     Begin(Instant),
--- a/crates/fleet-harness/src/relay/packets.rs
+++ b/crates/fleet-harness/src/relay/packets.rs
@@ -5,7 +5,7 @@
 
 use super::command::PacketPath;
 use super::worker::{RelaySocket, RelayWorker, TimerEvent};
-use crate::path_faults::{PacketOutcome, outcome};
+use crate::path_faults::{PacketOutcome, apply_faults};
 
 /// Size of the receive buffer: larger than any packet of a member.
 const MAX_PACKET_BYTES: usize = 2048;
@@ -37,8 +37,8 @@
     fn relay_packet(&mut self, token: usize, from: usize, to: usize, bytes: &[u8]) {
         match self.packet_outcome(from, to) {
             PacketOutcome::Lost => self.traffic.add_lost(),
-            PacketOutcome::Through { at } if at.is_zero() => self.deliver(token, bytes),
-            PacketOutcome::Through { at } => {
+            PacketOutcome::Delivered { at } if at.is_zero() => self.deliver(token, bytes),
+            PacketOutcome::Delivered { at } => {
                 let bytes = bytes.to_vec();
                 self.schedule(at, TimerEvent::Deliver { token, bytes });
             }
@@ -47,8 +47,8 @@
 
     fn packet_outcome(&mut self, from: usize, to: usize) -> PacketOutcome {
         match self.now() {
-            Some(now) => outcome(&self.network_faults, from, to, now, &mut self.rng),
-            None => PacketOutcome::Through { at: Duration::ZERO },
+            Some(now) => apply_faults(&self.network_faults, from, to, now, &mut self.rng),
+            None => PacketOutcome::Delivered { at: Duration::ZERO },
         }
     }
 
--- a/crates/fleet-harness/src/relay/pair.rs
+++ b/crates/fleet-harness/src/relay/pair.rs
@@ -65,7 +65,7 @@
     pub(super) sender: usize,
     /// Number of the endpoint's zone.
     pub(super) zone: usize,
-    /// Token of the destination's side.
+    /// Token of the socket to the destination.
     pub(super) second: usize,
     /// The sockets to the sender and to the destination.
     pub(super) sides: [TcpStream; 2],
--- a/crates/fleet-harness/src/relay/worker.rs
+++ b/crates/fleet-harness/src/relay/worker.rs
@@ -33,7 +33,7 @@
     SecondSide { first: usize },
 }
 
-/// The action of a timer.
+/// What the relay does when a timer is due.
 pub(super) enum TimerEvent {
     /// Delivers a delayed packet through the socket with this token.
     Deliver { token: usize, bytes: Vec<u8> },
@@ -48,6 +48,7 @@
     pub(super) poll: Poll,
     commands: Receiver<Command>,
     pub(super) network_faults: Vec<NetworkFault>,
+    /// Start of the clock of the network faults; `None` before [`Command::Begin`].
     began: Option<Instant>,
     pub(super) rng: ChaCha8Rng,
     next_token: usize,
--- a/crates/fleet-harness/src/report/detection.rs
+++ b/crates/fleet-harness/src/report/detection.rs
@@ -1,4 +1,4 @@
-//! Checks how fast crashes are detected, and that no running member is held to be down without a cause.
+//! Checks how fast crashes are detected, and that no running member is considered down without a cause.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::timeline::StateChange;
 use crate::units::{seconds, whole_milliseconds};
 
-/// Times at which a viewer began to hold a member to be down, by viewer and member.
+/// Times at which a viewer began to consider a member down, by viewer and member.
 type DownTimes = BTreeMap<(usize, usize), Vec<Duration>>;
 
 /// A member that was killed.
@@ -24,7 +24,7 @@
 }
 
 impl Report {
-    /// Records how long after each kill the others held the member to be down. Fails if the longest time exceeds the bound, or if
+    /// Records how long after each kill the others considered the member down. Fails if the longest time exceeds the bound, or if
     /// a member did not detect a crash.
     pub(super) fn evaluate_detection(&mut self, plan: &Plan, outcome: &Outcome) {
         let down_times = self.down_times();
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Counts how often a running member was held to be down, with and without a fault that explains it.
+    /// Counts how often a running member was considered down, with and without a fault that explains it.
     pub(super) fn evaluate_false_downs(&mut self, plan: &Plan) {
         let downs: Vec<StateChange> = self.downs().cloned().collect();
         for StateChange { at, by, of, .. } in downs {
@@ -118,7 +118,7 @@
             self.false_downs += 1;
             let at = seconds(at);
             self.failed.push(format!(
-                "{at:.3} s: member {by} held running member {of} to be down without a network fault"
+                "{at:.3} s: member {by} considered running member {of} down without a network fault"
             ));
         }
     }
--- a/crates/fleet-harness/src/report/detection_bound.rs
+++ b/crates/fleet-harness/src/report/detection_bound.rs
@@ -7,12 +7,12 @@
 /// Periods until a crash is suspected and known to all: 7 until some member probes the crashed one, except with a probability
 /// of e^-7; 1 for the probe; 2 for the gossip.
 const DETECTION_PERIODS: f64 = 10.0;
-/// Rounds through the member list until all crashed members are probed when many crash at once.
+/// Number of passes of the probes over the member list until all crashed members are probed, if many crash simultaneously.
 const PROBE_ROUNDS: f64 = 2.0;
 /// Default duration of a suspicion in periods. It grows with the logarithm of the fleet size from ten members on.
 const SUSPICION_PERIODS: u32 = 4;
 
-/// The longest time allowed from a crash until every member holds the crashed one to be down; zero without a fleet.
+/// The longest time allowed from a crash until every member considers the crashed one down; zero without a fleet.
 pub(super) fn detection_bound(plan: &Plan) -> Duration {
     let Some(fleet) = &plan.scenario.fleet else {
         return Duration::ZERO;
--- a/crates/fleet-harness/src/report/limits.rs
+++ b/crates/fleet-harness/src/report/limits.rs
@@ -1,4 +1,4 @@
-//! Checks shared limits: the share that all members allowed themselves together, and the calls of each side of a cut.
+//! Checks shared limits: the sum of all members' shares, and the call rate of each side of a cut between members.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -17,7 +17,7 @@
 
 /// If one side of a cut has evicted the other, both sides together use at most this share of a limit (docs/membership.md).
 const MAX_SHARE_AFTER_EVICTION: f64 = 1.5;
-/// Calls that a full token bucket allows at once: `PACE_DEPTH` of the scheduler.
+/// Number of calls that a full token bucket admits without a wait: `PACE_DEPTH` of the scheduler.
 const TOKEN_BUCKET_DEPTH: f64 = 2.0;
 
 impl Report {
@@ -67,8 +67,8 @@
         side: &BTreeSet<usize>,
     ) {
         let scenario = &plan.scenario;
-        let member = &scenario.destinations[destination];
-        let Limit::Rate { per_second, .. } = member.spec.limit else {
+        let destination_spec = &scenario.destinations[destination];
+        let Limit::Rate { per_second, .. } = destination_spec.spec.limit else {
             return;
         };
         // Simulated members have a share of the limit as well, and send nothing.
@@ -80,7 +80,7 @@
         let before = cut.at.saturating_sub(duration)..cut.at;
         let during = cut.at..cut.until;
         let load = CutSideLoad {
-            destination: member.name.clone(),
+            destination: destination_spec.name.clone(),
             senders,
             before: calls_per_second(lines, destination, side, &before),
             during: calls_per_second(lines, destination, side, &during),
--- a/crates/fleet-harness/src/report/plot.rs
+++ b/crates/fleet-harness/src/report/plot.rs
@@ -19,7 +19,7 @@
 /// Points of seconds since the run began and number of members.
 type Curve = Vec<(f64, f64)>;
 
-/// Draws the number of other members that each sender does not hold to be down, over time, as SVG.
+/// Draws the number of other members that each sender does not consider down, over time, as SVG.
 pub(super) fn members_plot(plan: &Plan, outcome: &Outcome, report: &Report) -> io::Result<String> {
     let end = seconds(outcome.lasted);
     let curves = curves(report, plan.scenario.senders, end);
--- a/crates/fleet-harness/src/report/summary.rs
+++ b/crates/fleet-harness/src/report/summary.rs
@@ -19,15 +19,15 @@
 /// The figures of a scenario's run, and the expectations that were not met.
 #[derive(Debug)]
 pub struct Report {
-    /// The longest time allowed from a crash until all members hold the crashed one to be down.
+    /// The longest time allowed from a crash until all members consider the crashed one down.
     pub bound: Duration,
-    /// Milliseconds from a kill until another member held the killed one to be down, one value for each kill and viewer.
+    /// Milliseconds from a kill until another member considered the killed one down, one value for each kill and viewer.
     pub detection: Histogram<u64>,
-    /// Number of pairs of a kill and a viewer where the viewer did not hold the killed member to be down.
+    /// Number of pairs of a kill and a viewer where the viewer did not consider the killed member down.
     pub undetected: u64,
-    /// Times that a member was held to be down although it ran and was not cut off.
+    /// Number of times that another member considered a member down although it ran and was not cut off.
     pub false_downs: u64,
-    /// Times that a running member was held to be down because of a cut or stall.
+    /// Number of times that another member considered a running member down because of a cut or stall.
     pub explained: u64,
     /// Duration of the run in hours, multiplied by the number of members.
     pub member_hours: f64,
@@ -35,7 +35,7 @@
     pub agreed: Vec<(String, Option<Duration>)>,
     /// Whether all views agreed with the running members at the end.
     pub views_agree: bool,
-    /// Times that a member rejoined with a new incarnation while its process kept running.
+    /// Number of times that a member rejoined with a new incarnation while its process kept running.
     pub rejoined: usize,
     /// Rates of calls from each side of each cut.
     pub cut_sides: Vec<CutSideLoad>,
@@ -51,7 +51,7 @@
     pub lost: u64,
     /// The cost of simulated members; `None` in a scenario without any.
     pub simulated: Option<SimulatedFleetCosts>,
-    /// The largest share of a shared limit that all running members allowed themselves together; 1.0 is the limit.
+    /// Largest sum, at any time, of the running members' shares of a shared limit; 1.0 is the whole limit.
     pub largest_share: f64,
     /// Average processor time of the senders that ran throughout, in milliseconds per second.
     pub cpu_ms: f64,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Whether all expectations were met.
+    /// Whether the run met all expectations: [`Report::failed`] is empty.
     pub fn holds(&self) -> bool {
         self.failed.is_empty()
     }
@@ -178,7 +178,7 @@
 }
 
 impl SentTotals {
-    /// Adds up the traffic. Simulated members are counted at their own sockets, since the relay sees only some of their packets.
+    /// Adds up the traffic. Simulated members are counted at their own sockets, since only some of their packets pass through the relay.
     fn of(senders: usize, traffic: &FleetTraffic) -> SentTotals {
         let of_senders = |counts: &[u64]| counts.iter().take(senders).sum::<u64>();
         let simulated = traffic.simulated.as_ref();
--- a/crates/fleet-harness/src/restarts.rs
+++ b/crates/fleet-harness/src/restarts.rs
@@ -54,7 +54,7 @@
     /// Evaluates the records of a run of this duration.
     pub fn of(
         scenario: &Scenario,
-        lines: &[AuditRecord],
+        records: &[AuditRecord],
         timeline: &Timeline,
         lasted: Duration,
     ) -> Restarts {
@@ -74,13 +74,13 @@
         let peaks = (0..scenario.destinations.len())
             .map(|n| {
                 let mut load = DestinationLoad::new(scenario, n, &spans);
-                lines.iter().for_each(|line| load.add(line));
+                records.iter().for_each(|record| load.add(record));
                 load.finish()
             })
             .collect();
         Restarts {
             recovery,
-            service_recovered_after: first_kill.and_then(|at| recovered_after(lines, at, lasted)),
+            service_recovered_after: first_kill.and_then(|at| recovered_after(records, at, lasted)),
             peaks,
         }
     }
@@ -161,7 +161,7 @@
     }
 }
 
-/// Accumulates the load of one destination during the given spans of time.
+/// Accumulates the load of one destination during `spans`: each sender's absence and the [`RESTART_TIME`] after it.
 struct DestinationLoad<'a> {
     number: u64,
     member: &'a Member,
@@ -195,21 +195,21 @@
         }
     }
 
-    fn add(&mut self, line: &AuditRecord) {
-        let counts = self.spans.iter().any(|span| span.contains(&line.at));
-        match &line.event {
+    fn add(&mut self, record: &AuditRecord) {
+        let in_span = self.spans.iter().any(|span| span.contains(&record.at));
+        match &record.event {
             AuditEvent::Called {
                 destination,
                 connection,
                 ..
             } if *destination == self.number => {
                 self.in_flight.insert(*connection);
-                if counts {
-                    self.add_call(line.at);
+                if in_span {
+                    self.add_call(record.at);
                 }
             }
-            AuditEvent::Opened { destination, .. } if *destination == self.number && counts => {
-                self.opened.add(line.at);
+            AuditEvent::Opened { destination, .. } if *destination == self.number && in_span => {
+                self.opened.add(record.at);
             }
             AuditEvent::Replied {
                 destination,
@@ -219,7 +219,7 @@
             } if *destination == self.number => {
                 self.in_flight.remove(connection);
                 let is_busy = |outcome: &DeliveryOutcome| *outcome == DeliveryOutcome::Busy;
-                if counts && outcomes.iter().all(|(_, outcome)| is_busy(outcome)) {
+                if in_span && outcomes.iter().all(|(_, outcome)| is_busy(outcome)) {
                     self.peak.rejected += 1;
                 }
             }
@@ -272,8 +272,8 @@
 
 /// Time from `at` until the rate of deliveries, averaged over three seconds, was back at nine tenths of the usual rate. Only the
 /// rate counts: messages that were lost in between do not lower it later.
-fn recovered_after(lines: &[AuditRecord], at: Duration, lasted: Duration) -> Option<Duration> {
-    let delivered = deliveries_by_second(lines);
+fn recovered_after(records: &[AuditRecord], at: Duration, lasted: Duration) -> Option<Duration> {
+    let delivered = deliveries_by_second(records);
     let rate = |seconds: Range<u64>| -> f64 {
         let count = seconds.end - seconds.start;
         let sum: u32 = seconds
@@ -290,15 +290,15 @@
     Some(Duration::from_secs(recovered).saturating_sub(at))
 }
 
-fn deliveries_by_second(lines: &[AuditRecord]) -> BTreeMap<u64, u32> {
+fn deliveries_by_second(records: &[AuditRecord]) -> BTreeMap<u64, u32> {
     let mut deliveries: BTreeMap<u64, u32> = BTreeMap::new();
-    for line in lines {
-        if let AuditEvent::Replied { outcomes, .. } = &line.event {
+    for record in records {
+        if let AuditEvent::Replied { outcomes, .. } = &record.event {
             let delivered = outcomes
                 .iter()
                 .filter(|(_, outcome)| *outcome == DeliveryOutcome::Done)
                 .count();
-            *deliveries.entry(line.at.as_secs()).or_default() += delivered as u32;
+            *deliveries.entry(record.at.as_secs()).or_default() += delivered as u32;
         }
     }
     deliveries
--- a/crates/fleet-harness/src/shares.rs
+++ b/crates/fleet-harness/src/shares.rs
@@ -1,5 +1,4 @@
-//! The share of a shared limit that all members together allow themselves. Each allows itself the limit divided by the number
-//! of senders that it assumes.
+//! The sum of all members' shares of a shared limit. A member's share is the limit divided by the member's quota divisor.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,11 +7,11 @@
 
 /// A change of one member's share.
 enum Change {
-    /// The member divides limits by this number of senders from now on.
+    /// The member's quota divisor changed to this number of senders.
     DivisorChanged(u64),
-    /// The member stops.
+    /// The member ended or was suspended, and has no share.
     Stopped,
-    /// The member starts again, and divides by the number of senders in its settings.
+    /// The member runs again. Its quota divisor is the number of senders in its settings.
     Restarted,
 }
 
--- a/crates/fleet-harness/src/simulated/engine.rs
+++ b/crates/fleet-harness/src/simulated/engine.rs
@@ -1,4 +1,5 @@
-//! Runs simulated members on a network: their timers, the scheduled actions on them, and the network faults on their packets.
+//! Runs simulated members: fires their timers, passes packets between them and a network, and applies the script's scheduled
+//! actions and network faults.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,18 +19,18 @@
 use super::script::Script;
 use super::traffic::Traffic;
 use super::usage;
-use crate::path_faults::{PacketOutcome, outcome};
+use crate::path_faults::{PacketOutcome, apply_faults};
 
 /// A network that carries packets between members.
 pub(super) trait Network {
-    /// Opens a member's socket.
+    /// Opens a member's socket, before the member starts.
     fn open(&mut self, member: usize) -> io::Result<()>;
 
     /// Closes the socket of a member that has ended.
     fn close(&mut self, member: usize);
 
-    /// Sends a packet; `to` is `None` if the receiver is not in the address book. A simulated network, which does not deliver
-    /// packets, returns the latency after which the engine must deliver this one.
+    /// Sends a packet; `to` is `None` if the receiver's address is not in the address book. A network of real sockets returns
+    /// `None`. A simulated network only draws a latency and returns it, and the engine passes the packet to the receiver after it.
     fn send(&mut self, from: usize, to: Option<usize>, packet: &Packet) -> Option<Duration>;
 }
 
@@ -46,7 +47,7 @@
             by_address: addresses
                 .iter()
                 .enumerate()
-                .map(|(n, at)| (*at, n))
+                .map(|(member, address)| (*address, member))
                 .collect(),
         }
     }
@@ -57,16 +58,17 @@
     }
 }
 
-/// State that all engines of a fleet share.
+/// What all engines of a fleet share. Each engine runs a part of the members.
 #[derive(Clone, Debug)]
-pub(super) struct Common {
+pub(super) struct SharedContext {
     /// Member numbers by address.
     pub addresses: Arc<AddressBook>,
-    /// Counters of the members' packets.
+    /// Counters of each member's packets and bytes.
     pub traffic: Arc<Traffic>,
     /// Network faults and scheduled actions.
     pub script: Arc<Script>,
-    /// Members with a smaller number are real processes; the relay applies network faults to packets to them.
+    /// Members with a smaller number are real processes. The relay applies network faults to the packets that they receive, so an
+    /// engine does not.
     pub first_simulated: usize,
     /// Seed of all random draws.
     pub seed: u64,
@@ -77,56 +79,68 @@
     /// Not started, or ended.
     Absent,
     Running(Box<Member>),
-    /// Stopped as by SIGSTOP: it runs no timers and receives no packets.
-    Stopped(Box<Member>),
+    /// Suspended, as a process by SIGSTOP: it runs no timers and receives no packets.
+    Suspended(Box<Member>),
 }
 
+/// A member of the engine, whether it runs or not.
 #[derive(Debug)]
 struct Slot {
     setup: Setup,
+    /// Number of starts so far. Each start of a member has a different seed.
     starts: u64,
     state: State,
-    /// Due time of the queue's entry that wakes the member. Wake entries with another time are outdated and ignored.
+    /// Due time of the member's valid [`Event::Wake`]. Others in the queue are outdated and ignored.
     wakes_at: Option<Time>,
 }
 
+/// An entry of the engine's timer queue. Members are given by number.
 #[derive(Debug)]
 enum Event {
-    Deliver { to: usize, bytes: Vec<u8> },
-    Transmit { from: usize, packet: Packet },
+    /// The latency of a simulated network has passed: the member receives a packet.
+    Receive { to: usize, bytes: Vec<u8> },
+    /// The delay of a network fault has passed: the network sends the packet.
+    SendDelayed { from: usize, packet: Packet },
+    /// A timer of the member is due.
     Wake(usize),
+    /// The scheduled action with this index in the script is due.
     ScheduledAction(usize),
+    /// The member starts, for the first time or again.
     Start(usize),
+    /// The member continues after it was suspended.
     Resume(usize),
 }
 
-/// Runs a contiguous range of the fleet's members.
+/// Runs the members of a contiguous range of numbers.
 #[derive(Debug)]
 pub(super) struct Engine<N> {
     /// The network that carries packets.
     pub network: N,
-    common: Common,
+    context: SharedContext,
     /// Number of the member in the first slot.
-    first: usize,
+    first_member: usize,
     slots: Vec<Slot>,
     queue: TimerQueue<Time, Event>,
-    began: Option<Time>,
+    /// Start of the script's clock; `None` before [`Engine::start_script`].
+    script_start: Option<Time>,
+    /// Decides which packets a network fault drops.
     rng: ChaCha8Rng,
+    /// Observations since the last call of [`Engine::observations`].
     observations: Vec<Observation>,
-    /// Processor time of the members' steps; `None` if it is not measured.
-    steps_cpu: Option<Duration>,
+    /// Processor time that members used to process packets and timers; `None` without measurement.
+    member_cpu: Option<Duration>,
 }
 
 impl<N: Network> Engine<N> {
-    /// An engine for the members in `setups`, which must have consecutive numbers. `measure_steps` measures the processor time of
-    /// their steps.
+    /// An engine for the members in `setups`, which must have consecutive numbers. With `measure_cpu`, it measures the processor
+    /// time that they use to process packets and timers.
     pub(super) fn new(
-        common: Common,
+        context: SharedContext,
         setups: Vec<Setup>,
         network: N,
-        measure_steps: bool,
+        measure_cpu: bool,
     ) -> Engine<N> {
-        let first = setups.first().map_or(0, |setup| setup.index);
+        let first_member = setups.first().map_or(0, |setup| setup.index);
         let slot = |setup| Slot {
             setup,
             starts: 0,
@@ -135,45 +149,47 @@
         };
         Engine {
             network,
-            rng: ChaCha8Rng::seed_from_u64(common.seed ^ (first as u64).rotate_left(32)),
-            common,
-            first,
+            rng: ChaCha8Rng::seed_from_u64(context.seed ^ (first_member as u64).rotate_left(32)),
+            context,
+            first_member,
             slots: setups.into_iter().map(slot).collect(),
             queue: TimerQueue::default(),
-            began: None,
+            script_start: None,
             observations: Vec::new(),
-            steps_cpu: measure_steps.then_some(Duration::ZERO),
+            member_cpu: measure_cpu.then_some(Duration::ZERO),
         }
     }
 
     /// Starts all members.
     pub(super) fn start_all(&mut self, now: Time) -> Result<(), SimulatedFleetError> {
-        let members = self.first..self.first + self.slots.len();
+        let members = self.first_member..self.first_member + self.slots.len();
         members
             .into_iter()
             .try_for_each(|member| self.start(now, member))
     }
 
-    /// Schedules the starts of all members, from `at` on with this interval.
-    pub(super) fn start_later(&mut self, at: Time, interval: Duration) {
+    /// Schedules the start of the first member at `at`, and of each further one `interval` after the one before.
+    pub(super) fn schedule_starts(&mut self, at: Time, interval: Duration) {
         for slot in 0..self.slots.len() {
-            self.queue
-                .push(at + interval * slot as u32, Event::Start(self.first + slot));
+            self.queue.push(
+                at + interval * slot as u32,
+                Event::Start(self.first_member + slot),
+            );
         }
     }
 
-    /// Starts the script's clock and schedules its actions.
-    pub(super) fn begin(&mut self, at: Time) {
-        self.began = Some(at);
+    /// Starts the script's clock at `at` and schedules the script's actions. Network faults have no effect before.
+    pub(super) fn start_script(&mut self, at: Time) {
+        self.script_start = Some(at);
         let scheduled_actions: Vec<Duration> = self
-            .common
+            .context
             .script
             .scheduled_actions
             .iter()
             .map(|scheduled| scheduled.at)
             .collect();
-        for (number, after) in scheduled_actions.into_iter().enumerate() {
-            self.queue.push(at + after, Event::ScheduledAction(number));
+        for (index, after) in scheduled_actions.into_iter().enumerate() {
+            self.queue.push(at + after, Event::ScheduledAction(index));
         }
     }
 
@@ -182,33 +198,34 @@
         self.queue.next_due()
     }
 
-    /// Runs the next event if it is due by `until`; false if none is. `now` must not be before `until`.
+    /// Runs the first event of the queue if it is due at or before `until`, with `now` as the current time, which must not be before
+    /// `until`. Returns whether an event was due.
     pub(super) fn run_next(&mut self, until: Time, now: Time) -> Result<bool, SimulatedFleetError> {
         let Some((at, event)) = self.queue.pop_due(until) else {
             return Ok(false);
         };
         match event {
-            Event::Deliver { to, bytes } => self.receive(now, to, bytes),
-            Event::Transmit { from, packet } => self.deliver(now, from, packet),
+            Event::Receive { to, bytes } => self.receive(now, to, bytes),
+            Event::SendDelayed { from, packet } => self.send_on_network(now, from, packet),
             Event::Wake(member) => self.wake(now, at, member),
-            Event::ScheduledAction(number) => self.run_action(now, number),
+            Event::ScheduledAction(index) => self.run_action(now, index),
             Event::Start(member) => self.start(now, member)?,
             Event::Resume(member) => self.resume(now, member),
         }
         Ok(true)
     }
 
-    /// Passes a packet to a member; one that does not run ignores it.
+    /// Passes a received packet to a member. A member that is absent or suspended loses it.
     pub(super) fn receive(&mut self, now: Time, member: usize, bytes: Vec<u8>) {
-        let State::Running(running) = &mut self.slots[member - self.first].state else {
+        let State::Running(running) = &mut self.slots[member - self.first_member].state else {
             return;
         };
-        self.common.traffic.add_received(member, bytes.len());
+        self.context.traffic.add_received(member, bytes.len());
         let mut output = Output::default();
-        let cpu_before = self.steps_cpu.map(|_| usage::thread_cpu());
+        let cpu_before = self.member_cpu.map(|_| usage::thread_cpu());
         running.receive(now, bytes, &mut output);
-        self.add_step_cpu(cpu_before);
-        self.execute(now, member, output);
+        self.add_member_cpu(cpu_before);
+        self.execute_output(now, member, output);
     }
 
     /// Removes and returns the observations since the last call.
@@ -216,11 +233,12 @@
         self.observations.drain(..)
     }
 
-    /// Processor time of the members' steps; zero if it is not measured.
-    pub(super) fn steps_cpu(&self) -> Duration {
-        self.steps_cpu.unwrap_or_default()
+    /// Processor time that members used to process packets and timers; zero without measurement.
+    pub(super) fn member_cpu(&self) -> Duration {
+        self.member_cpu.unwrap_or_default()
     }
 
+    /// Adds an observation of the member with number `reporter`.
     fn observe(&mut self, at: Time, reporter: usize, event: MemberEvent) {
         self.observations.push(Observation {
             at,
@@ -229,31 +247,32 @@
         });
     }
 
+    /// Starts a member unless it runs or is suspended.
     fn start(&mut self, now: Time, member: usize) -> Result<(), SimulatedFleetError> {
-        let slot = &mut self.slots[member - self.first];
+        let slot = &mut self.slots[member - self.first_member];
         if !matches!(slot.state, State::Absent) {
             return Ok(());
         }
         slot.starts += 1;
         let seed =
-            self.common.seed ^ (member as u64 + 1).rotate_left(20) ^ slot.starts.rotate_left(50);
+            self.context.seed ^ (member as u64 + 1).rotate_left(20) ^ slot.starts.rotate_left(50);
         self.network.open(member)?;
         let mut output = Output::default();
         let started = Member::start(
-            &self.slots[member - self.first].setup,
+            &self.slots[member - self.first_member].setup,
             seed,
             now,
             &mut output,
         )?;
-        self.slots[member - self.first].state = State::Running(Box::new(started));
+        self.slots[member - self.first_member].state = State::Running(Box::new(started));
         self.observe(now, member, MemberEvent::Started);
-        self.execute(now, member, output);
+        self.execute_output(now, member, output);
         Ok(())
     }
 
     /// Ends a member without an announcement to the others.
     fn crash(&mut self, now: Time, member: usize) {
-        let slot = &mut self.slots[member - self.first];
+        let slot = &mut self.slots[member - self.first_member];
         if matches!(slot.state, State::Absent) {
             return;
         }
@@ -263,9 +282,9 @@
         self.observe(now, member, MemberEvent::Crashed);
     }
 
-    /// Ends a member after it has announced its end to the others.
+    /// Ends a running member after it announced to the others that it leaves.
     fn end(&mut self, now: Time, member: usize) {
-        let slot = &mut self.slots[member - self.first];
+        let slot = &mut self.slots[member - self.first_member];
         let State::Running(mut running) = std::mem::replace(&mut slot.state, State::Absent) else {
             return;
         };
@@ -273,15 +292,15 @@
         let mut output = Output::default();
         running.leave(now, &mut output);
         self.observe(now, member, MemberEvent::Ended);
-        self.execute(now, member, output);
+        self.execute_output(now, member, output);
         self.network.close(member);
     }
 
-    /// Executes a scheduled action on those of its members that this engine runs.
-    fn run_action(&mut self, now: Time, number: usize) {
-        let script = Arc::clone(&self.common.script);
-        let scheduled = &script.scheduled_actions[number];
-        let own_members = self.first..self.first + self.slots.len();
+    /// Executes a scheduled action on those of its members that belong to this engine.
+    fn run_action(&mut self, now: Time, index: usize) {
+        let script = Arc::clone(&self.context.script);
+        let scheduled = &script.scheduled_actions[index];
+        let own_members = self.first_member..self.first_member + self.slots.len();
         for &member in scheduled
             .senders
             .iter()
@@ -290,14 +309,14 @@
             match scheduled.action {
                 MemberAction::Kill { back, .. } => {
                     self.crash(now, member);
-                    self.start_again(now, member, back);
+                    self.schedule_restart(now, member, back);
                 }
                 MemberAction::Term { back, .. } => {
                     self.end(now, member);
-                    self.start_again(now, member, back);
+                    self.schedule_restart(now, member, back);
                 }
                 MemberAction::Stop { duration } => {
-                    self.stop(now, member);
+                    self.suspend(now, member);
                     self.queue.push(now + duration, Event::Resume(member));
                 }
                 // A simulated member has no process that could be upgraded.
@@ -306,34 +325,35 @@
         }
     }
 
-    fn start_again(&mut self, now: Time, member: usize, back: Option<Duration>) {
-        if let Some(back) = back {
-            self.queue.push(now + back, Event::Start(member));
+    fn schedule_restart(&mut self, now: Time, member: usize, restart_delay: Option<Duration>) {
+        if let Some(restart_delay) = restart_delay {
+            self.queue.push(now + restart_delay, Event::Start(member));
         }
     }
 
-    fn stop(&mut self, now: Time, member: usize) {
+    fn suspend(&mut self, now: Time, member: usize) {
         self.observe(now, member, MemberEvent::Stopped);
-        let slot = &mut self.slots[member - self.first];
+        let slot = &mut self.slots[member - self.first_member];
         slot.state = match std::mem::replace(&mut slot.state, State::Absent) {
-            State::Running(member) => State::Stopped(member),
+            State::Running(member) => State::Suspended(member),
             other => other,
         };
     }
 
     fn resume(&mut self, now: Time, member: usize) {
         self.observe(now, member, MemberEvent::Resumed);
-        let slot = &mut self.slots[member - self.first];
+        let slot = &mut self.slots[member - self.first_member];
         slot.state = match std::mem::replace(&mut slot.state, State::Absent) {
-            State::Stopped(member) => State::Running(member),
+            State::Suspended(member) => State::Running(member),
             other => other,
         };
         slot.wakes_at = Some(now);
         self.queue.push(now, Event::Wake(member));
     }
 
+    /// Runs the member's due timers, unless the wake event from time `at` is outdated.
     fn wake(&mut self, now: Time, at: Time, member: usize) {
-        let slot = &mut self.slots[member - self.first];
+        let slot = &mut self.slots[member - self.first_member];
         if slot.wakes_at != Some(at) {
             return;
         }
@@ -342,28 +362,29 @@
             return;
         };
         let mut output = Output::default();
-        let cpu_before = self.steps_cpu.map(|_| usage::thread_cpu());
+        let cpu_before = self.member_cpu.map(|_| usage::thread_cpu());
         running.wake(now, &mut output);
-        self.add_step_cpu(cpu_before);
-        self.execute(now, member, output);
+        self.add_member_cpu(cpu_before);
+        self.execute_output(now, member, output);
     }
 
-    fn add_step_cpu(&mut self, cpu_before: Option<Duration>) {
-        if let (Some(sum), Some(cpu_before)) = (&mut self.steps_cpu, cpu_before) {
+    fn add_member_cpu(&mut self, cpu_before: Option<Duration>) {
+        if let (Some(sum), Some(cpu_before)) = (&mut self.member_cpu, cpu_before) {
             *sum += usage::thread_cpu().saturating_sub(cpu_before);
         }
     }
 
-    fn execute(&mut self, now: Time, member: usize, output: Output) {
+    /// Records a member's reports, sends its packets, and schedules its next wake event.
+    fn execute_output(&mut self, now: Time, member: usize, output: Output) {
         for report in output.reports {
             if let Some(event) = self.member_event(report) {
                 self.observe(now, member, event);
             }
         }
         for packet in output.packets {
-            self.transmit(now, member, packet);
+            self.send_with_faults(now, member, packet);
         }
-        let slot = &mut self.slots[member - self.first];
+        let slot = &mut self.slots[member - self.first_member];
         let State::Running(running) = &slot.state else {
             return;
         };
@@ -376,7 +397,7 @@
         }
     }
 
-    /// The event for a member's report; `None` if it is about an unknown address.
+    /// Converts a member's report to an event; `None` if the address in it is not in the address book.
     fn member_event(&self, report: Report) -> Option<MemberEvent> {
         Some(match report {
             Report::Incarnation(incarnation) => MemberEvent::Incarnation(incarnation),
@@ -385,7 +406,7 @@
                 incarnation,
                 seen,
             } => MemberEvent::Sees {
-                member: self.common.addresses.member(&address)?,
+                member: self.context.addresses.member(&address)?,
                 incarnation,
                 seen,
             },
@@ -396,47 +417,49 @@
         })
     }
 
-    /// Counts a packet that a member sends, applies network faults, and delivers it now or later.
-    fn transmit(&mut self, now: Time, from: usize, packet: Packet) {
-        self.common.traffic.add_sent(from, packet.bytes.len());
-        match self.outcome(now, from, &packet) {
-            PacketOutcome::Lost => self.common.traffic.add_lost(),
-            PacketOutcome::Through { at } => match self.began {
-                Some(began) if began + at > now => {
+    /// Counts a packet that a member sends, applies network faults, and sends it on the network now or after a delay.
+    fn send_with_faults(&mut self, now: Time, from: usize, packet: Packet) {
+        self.context.traffic.add_sent(from, packet.bytes.len());
+        match self.packet_outcome(now, from, &packet) {
+            PacketOutcome::Lost => self.context.traffic.add_lost(),
+            PacketOutcome::Delivered { at } => match self.script_start {
+                Some(script_start) if script_start + at > now => {
                     self.queue
-                        .push(began + at, Event::Transmit { from, packet });
+                        .push(script_start + at, Event::SendDelayed { from, packet });
                 }
-                _ => self.deliver(now, from, packet),
+                _ => self.send_on_network(now, from, packet),
             },
         }
     }
 
-    fn outcome(&mut self, now: Time, from: usize, packet: &Packet) -> PacketOutcome {
-        let through = PacketOutcome::Through { at: Duration::ZERO };
-        let Some(began) = self.began else {
-            return through;
+    /// The effect of the script's network faults on a packet. Before the script starts there are none.
+    fn packet_outcome(&mut self, now: Time, from: usize, packet: &Packet) -> PacketOutcome {
+        let undelayed = PacketOutcome::Delivered { at: Duration::ZERO };
+        let Some(script_start) = self.script_start else {
+            return undelayed;
         };
-        let Some(to) = self.common.addresses.member(&packet.to) else {
-            return through;
+        let Some(to) = self.context.addresses.member(&packet.to) else {
+            return undelayed;
         };
-        if to < self.common.first_simulated || self.common.script.network_faults.is_empty() {
-            return through;
+        if to < self.context.first_simulated || self.context.script.network_faults.is_empty() {
+            return undelayed;
         }
-        outcome(
-            &self.common.script.network_faults,
+        apply_faults(
+            &self.context.script.network_faults,
             from,
             to,
-            now - began,
+            now - script_start,
             &mut self.rng,
         )
     }
 
-    fn deliver(&mut self, now: Time, from: usize, packet: Packet) {
-        let to = self.common.addresses.member(&packet.to);
+    /// Sends a packet on the network. If the network is simulated, schedules its arrival.
+    fn send_on_network(&mut self, now: Time, from: usize, packet: Packet) {
+        let to = self.context.addresses.member(&packet.to);
         if let (Some(latency), Some(to)) = (self.network.send(from, to, &packet), to) {
             self.queue.push(
                 now + latency,
-                Event::Deliver {
+                Event::Receive {
                     to,
                     bytes: packet.bytes,
                 },
--- a/crates/fleet-harness/src/simulated/figures.rs
+++ b/crates/fleet-harness/src/simulated/figures.rs
@@ -47,7 +47,7 @@
     pub cpu_milliseconds_per_second: f64,
     /// Growth of the process's resident memory during the run, in bytes per member.
     pub resident_bytes_per_member: u64,
-    /// Seconds from a crash until a running member held the crashed one to be down; `None` without any.
+    /// Seconds from a crash until a running member considered the crashed one down; `None` without any.
     pub detection: Option<Spread>,
     /// Time from the end of the disturbance until all views agreed; `None` if they did not within the run.
     pub agreed_after: Option<Duration>,
@@ -55,9 +55,9 @@
     pub missing_live_members: usize,
     /// The largest share of a shared limit that all running members together allowed themselves; 1.0 is the whole limit.
     pub largest_share: f64,
-    /// Number of pairs, at the end, of a running viewer and a crashed member that the viewer does not hold to be down.
+    /// Number of pairs, at the end, of a running viewer and a crashed member that the viewer does not consider down.
     pub undetected: usize,
-    /// Times that a running member was held to be down although it had not ended before and no cut had begun.
+    /// Number of times that a viewer began to consider a running member down although it had not ended before and no cut had begun.
     pub false_downs: usize,
     /// Size of the largest datagram in bytes.
     pub largest_packet: usize,
@@ -71,7 +71,7 @@
 
 impl SimulatedFleetFigures {
     /// One line for each violated expectation: the views agree after the start and after the disturbance, no running member is
-    /// missing from a view at the end, every crash is detected, no running member is held to be down without a cause, and at most
+    /// missing from a view at the end, every crash is detected, no running member is considered down without a cause, and at most
     /// `max_share` of a shared limit is used. The members' cost is not checked.
     pub fn failed(&self, max_share: f64) -> Vec<String> {
         let mut failed = Vec::new();
@@ -95,7 +95,7 @@
         }
         if self.false_downs > 0 {
             failed.push(format!(
-                "a running member was held to be down {} times without a cause; expected 0",
+                "running members were considered down {} times without a cause; expected 0",
                 self.false_downs
             ));
         }
--- a/crates/fleet-harness/src/simulated/fleet.rs
+++ b/crates/fleet-harness/src/simulated/fleet.rs
@@ -13,7 +13,7 @@
 use cranehill_simulation::fleet::Fleet;
 use cranehill_simulation::scenario::Scenario;
 
-use super::engine::{AddressBook, Common};
+use super::engine::{AddressBook, SharedContext};
 use super::member::Setup;
 use super::observer::Observation;
 use super::plan::{SimulatedFleetError, Timing};
@@ -28,8 +28,10 @@
 pub struct SimulatedFleet {
     running: Running,
     traffic: Arc<Traffic>,
+    /// Number of the first simulated member.
     first: usize,
     members: usize,
+    /// Start of the scenario, and the traffic up to then; `None` before it starts.
     began: Option<(Time, Vec<MemberTraffic>)>,
     /// Addresses of some simulated members, which real senders contact first.
     pub seeds: Vec<SocketAddr>,
@@ -95,7 +97,7 @@
         };
         let setups = (scenario.senders..scenario.members()).map(setup).collect();
         let traffic = Arc::new(Traffic::new(scenario.members()));
-        let common = Common {
+        let context = SharedContext {
             addresses: Arc::new(AddressBook::new(&addresses)),
             traffic: Arc::clone(&traffic),
             script: Arc::new(Script {
@@ -105,7 +107,7 @@
             first_simulated: scenario.senders,
             seed,
         };
-        let running = Running::start(&common, setups, listen, Clock::start())?;
+        let running = Running::start(&context, setups, listen, Clock::start())?;
         let (first, members) = (scenario.senders, scenario.simulated);
         Ok(SimulatedFleet {
             running,
--- a/crates/fleet-harness/src/simulated/member.rs
+++ b/crates/fleet-harness/src/simulated/member.rs
@@ -20,13 +20,13 @@
 /// The state of another member in a member's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seen {
-    /// The member answers probes.
+    /// The member is not suspected: it answers probes, or has refuted the last suspicion.
     Alive,
     /// The member did not answer a probe, and may still refute the suspicion.
     Suspect,
     /// The member did not refute the suspicion in time.
     Down,
-    /// The member has announced its end.
+    /// The member announced that it leaves.
     Left,
 }
 
@@ -45,7 +45,7 @@
 /// A member's report on itself or on another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Report {
-    /// The member has this incarnation from now on.
+    /// The member's own incarnation changed to this one.
     Incarnation(u64),
     /// The state of another member changed in its view.
     Sees {
@@ -53,13 +53,14 @@
         incarnation: u64,
         seen: Seen,
     },
-    /// The member divides shared limits by this number of senders from now on.
+    /// The member's quota divisor changed: it divides shared limits by this number of senders.
     Senders(u32),
-    /// The member ran late, as after a process pause, and postponed its timers by that time.
+    /// The member's timer fired more than one membership period late, as after a process pause. The member postponed all its
+    /// timers by the delay.
     ProcessPaused,
     /// The member dropped a received packet.
     PacketDropped,
-    /// The member rejoined with a new incarnation after others held it to be down.
+    /// The member rejoined with a new incarnation after other members had considered it down.
     Rejoined,
 }
 
@@ -72,7 +73,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// Output of a member's steps.
+/// What the engine must do after it called a member.
 #[derive(Debug, Default)]
 pub(super) struct Output {
     /// Packets to send.
@@ -81,7 +82,7 @@
     pub reports: Vec<Report>,
 }
 
-/// The configuration of a member.
+/// Number, address and membership settings with which a member starts.
 #[derive(Clone, Debug)]
 pub(super) struct Setup {
     /// Number of the member.
@@ -141,8 +142,9 @@
 pub(super) struct Member {
     core: Core,
     incarnation: u64,
-    /// When the timer of the membership is due, and that of the decisions.
+    /// Due time of the membership's next timer.
     membership_due: Option<Time>,
+    /// Due time of the next timer for decisions on messages and destinations.
     decisions_due: Option<Time>,
 }
 
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Announces the member's end to the others.
+    /// Announces to the other members that this one leaves.
     pub(super) fn leave(&mut self, now: Time, output: &mut Output) {
         self.step_membership(now, membership::Input::Leave, output);
     }
@@ -230,7 +232,7 @@
                     Effect::WakeAt(at) => {
                         self.decisions_due = Some(self.decisions_due.map_or(at, |due| due.min(at)));
                     }
-                    // Without a journal, all records count as persisted at once.
+                    // A simulated member has no journal: each record is confirmed as persisted immediately.
                     Effect::Persist(_) => persisted = true,
                     // Other effects concern clients and destinations, of which there are none.
                     _ => {}
--- a/crates/fleet-harness/src/simulated/observer.rs
+++ b/crates/fleet-harness/src/simulated/observer.rs
@@ -1,5 +1,5 @@
-//! Compares the members' reports with the starts, stops and faults of the run, to evaluate agreement, detection of crashes and
-//! shares of limits.
+//! Compares each member's view of the fleet with the members that run, and measures when all views agree, how fast crashes are
+//! detected, and which share of a limit all members use together.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use super::member::Seen;
 
-/// An event of one member. Members are given by number.
+/// An event of one member. Members are numbered from 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// Time of the event.
@@ -25,13 +25,13 @@
     Started,
     /// The member was killed without an announcement.
     Crashed,
-    /// The member announced its end and ended.
+    /// The member announced to the others that it leaves, and ended.
     Ended,
-    /// The member was stopped, as by SIGSTOP.
+    /// The member was suspended, as a process by SIGSTOP; it neither runs timers nor receives packets.
     Stopped,
-    /// The member continues after a stop.
+    /// The member continues after it was suspended, as a process after SIGCONT.
     Resumed,
-    /// The member has this incarnation from now on.
+    /// The member's own incarnation changed to this one.
     Incarnation(u64),
     /// The state of another member changed in its view.
     Sees {
@@ -42,97 +42,116 @@
         /// The new state of the other member.
         seen: Seen,
     },
-    /// The member divides shared limits by this number of senders from now on.
+    /// The member's quota divisor changed: it divides shared limits by this number of senders.
     Senders(u32),
-    /// The member ran late, as after a process pause, and postponed its timers by that time.
+    /// The member's timer fired more than one membership period late, as after a process pause. The member postponed all its
+    /// timers by the delay.
     ProcessPaused,
-    /// The member dropped a received packet.
+    /// The member received a packet and dropped it, such as an invalid or outdated one.
     PacketDropped,
-    /// The member rejoined with a new incarnation after others held it to be down.
+    /// The member rejoined with a new incarnation after other members had considered it down.
     Rejoined,
 }
 
 /// State of a member in another member's view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum View {
+    /// The viewer has not reported on the member since it started.
     Unknown,
-    /// Alive in its current incarnation.
+    /// Considered alive in its current incarnation.
     Alive,
-    /// Alive in an earlier incarnation.
-    AliveBefore,
+    /// Considered alive in an earlier incarnation.
+    AliveInEarlierIncarnation,
+    /// Suspected to be down in any incarnation.
     Suspect,
+    /// Considered down, or known to have left the fleet.
     Down,
 }
 
+/// Whether a member runs. A suspended member counts as running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Presence {
     NotStarted,
     Running,
-    Away { since: Time, crashed: bool },
+    /// Crashed, or ended after an announcement, and not started again.
+    Ended {
+        since: Time,
+        crashed: bool,
+    },
 }
 
 /// The current views of all members, and the figures that follow from all observations so far.
 #[derive(Debug)]
 pub struct Observer {
-    count: usize,
-    /// Views at index `viewer * count + member`.
+    member_count: usize,
+    /// Each member's view of each member, at index `viewer * member_count + member`.
     views: Vec<View>,
     presence: Vec<Presence>,
+    /// Latest known incarnation of each member.
     incarnation: Vec<u64>,
-    /// Members that ended at some time. Their traffic is not measured, and a view that holds them to be down is not false.
+    /// Whether each member ended at least once. Such a member is left out of the traffic averages, and a view that considers it
+    /// down is not counted as false even after it runs again.
     has_ended: Vec<bool>,
-    /// Number of pairs of a running viewer and a member whose view does not match the member's presence.
-    wrong: usize,
+    /// Number of pairs of a running viewer and another member for which the viewer's view contradicts whether the member runs.
+    wrong_views: usize,
+    /// Number of members that have never been started.
     not_started: usize,
-    /// Number of starts and ends of members.
+    /// Number of starts, crashes and other ends of members.
     presence_changes: usize,
-    /// Number of senders by which each member divides shared limits, and how many running members divide by each number.
+    /// Quota divisor of each member: the number of senders by which it divides shared limits.
     divisors: Vec<u32>,
+    /// Number of running members for each quota divisor.
     by_divisor: BTreeMap<u32, usize>,
+    /// Largest sum, at any time so far, of the running members' shares of a shared limit; 1.0 is the whole limit.
     largest_share: f64,
-    /// Seconds from a crash until a view held the member to be down.
+    /// Seconds from a crash until a viewer considered the member down, for each such viewer.
     detections: Vec<f64>,
-    /// Start of a cut. From then on, a view that holds a running member to be down is not counted as false.
-    cut_from: Option<Time>,
+    /// Time from which members are cut off from each other. From then on, a view that considers a running member down is not
+    /// counted as false.
+    cut_start: Option<Time>,
+    /// Number of times that a view changed to down for a running member that had never ended, before any cut.
     false_downs: usize,
+    /// Number of [`MemberEvent::ProcessPaused`] events.
     late_runs: usize,
     dropped_packets: usize,
 }
 
 impl Observer {
-    /// An observer of `count` members, of which none has started.
-    pub fn new(count: usize) -> Observer {
+    /// An observer of `member_count` members, of which none has started.
+    pub fn new(member_count: usize) -> Observer {
         Observer {
-            count,
-            views: vec![View::Unknown; count * count],
-            presence: vec![Presence::NotStarted; count],
-            incarnation: vec![0; count],
-            has_ended: vec![false; count],
-            wrong: 0,
-            not_started: count,
+            member_count,
+            views: vec![View::Unknown; member_count * member_count],
+            presence: vec![Presence::NotStarted; member_count],
+            incarnation: vec![0; member_count],
+            has_ended: vec![false; member_count],
+            wrong_views: 0,
+            not_started: member_count,
             presence_changes: 0,
-            divisors: vec![count as u32; count],
+            // Until it reports another divisor, a member divides by the configured number of members.
+            divisors: vec![member_count as u32; member_count],
             by_divisor: BTreeMap::new(),
             largest_share: 0.0,
             detections: Vec::new(),
-            cut_from: None,
+            cut_start: None,
             false_downs: 0,
             late_runs: 0,
             dropped_packets: 0,
         }
     }
 
-    /// Marks the start of a cut between members. From then on no view counts as a false down.
-    pub fn cut_from(&mut self, at: Time) {
-        self.cut_from = Some(at);
+    /// Sets the time at which members are cut off from each other. From then on no view is counted as a false down.
+    pub fn set_cut_start(&mut self, at: Time) {
+        self.cut_start = Some(at);
     }
 
-    /// Whether all members have been started, and every running one sees all running members alive and no others.
+    /// Whether all members have been started, and every running member considers exactly the running members alive, each in its
+    /// current incarnation. Members that ended must be considered down, or be unknown to the viewer.
     pub fn agrees(&self) -> bool {
-        self.wrong == 0 && self.not_started == 0
+        self.wrong_views == 0 && self.not_started == 0
     }
 
-    /// Adds an observation.
+    /// Updates views and figures with an observation. Those of one member must be added in the order of their times.
     pub fn add(&mut self, observation: &Observation) {
         let Observation {
             at,
@@ -144,14 +163,14 @@
             MemberEvent::Started => self.set_presence(reporter, Presence::Running),
             MemberEvent::Crashed => self.set_presence(
                 reporter,
-                Presence::Away {
+                Presence::Ended {
                     since: *at,
                     crashed: true,
                 },
             ),
             MemberEvent::Ended => self.set_presence(
                 reporter,
-                Presence::Away {
+                Presence::Ended {
                     since: *at,
                     crashed: false,
                 },
@@ -169,97 +188,109 @@
         }
     }
 
-    /// Whether the member has not ended so far.
+    /// Whether the member has neither crashed nor ended so far.
     pub fn never_ended(&self, member: usize) -> bool {
         !self.has_ended[member]
     }
 
-    /// Number of starts and ends of members so far.
+    /// Number of starts, crashes and other ends of members so far.
     pub fn presence_changes(&self) -> usize {
         self.presence_changes
     }
 
-    /// The largest share of a shared limit that all running members together allowed themselves; 1.0 is the whole limit.
+    /// Largest sum, at any time so far, of the running members' shares of a shared limit; 1.0 is the whole limit. A member's share
+    /// is one divided by its quota divisor.
     pub fn largest_share(&self) -> f64 {
         self.largest_share
     }
 
-    /// Seconds from each crash to each view that held the member to be down.
+    /// Seconds from a crash until a viewer considered the member down, one value for each crash and viewer.
     pub fn detections(&self) -> Vec<f64> {
         self.detections.clone()
     }
 
-    /// Times that a running member was held to be down although it had not ended before and no cut had begun.
+    /// Number of times that a viewer began to consider a running member down although that member had never ended and no cut had
+    /// begun.
     pub fn false_downs(&self) -> usize {
         self.false_downs
     }
 
-    /// Times that a member ran more than one period late.
+    /// Number of times that a member's timer fired more than one membership period late.
     pub fn late_runs(&self) -> usize {
         self.late_runs
     }
 
-    /// Received packets that members dropped.
+    /// Number of packets that members received and dropped.
     pub fn dropped_packets(&self) -> usize {
         self.dropped_packets
     }
 
-    /// Number of pairs of a running viewer and a running member that the viewer does not see alive.
-    pub fn missing(&self) -> usize {
+    /// Number of pairs of a running viewer and a running member that the viewer does not consider alive in its current incarnation.
+    pub fn missing_live_members(&self) -> usize {
         let running = |member: &usize| self.presence[*member] == Presence::Running;
         self.pairs()
-            .filter(|(viewer, member)| running(member) && self.is_wrong(*viewer, *member))
+            .filter(|(viewer, member)| running(member) && self.is_view_wrong(*viewer, *member))
             .count()
     }
 
-    /// Number of pairs of a running viewer and a crashed member that the viewer knows and does not hold to be down.
-    pub fn undetected(&self) -> usize {
-        let crashed =
-            |member: &usize| matches!(self.presence[*member], Presence::Away { crashed: true, .. });
+    /// Number of pairs of a running viewer and a crashed member that the viewer considers alive or suspects.
+    pub fn undetected_crashes(&self) -> usize {
+        let crashed = |member: &usize| {
+            matches!(
+                self.presence[*member],
+                Presence::Ended { crashed: true, .. }
+            )
+        };
         self.pairs()
-            .filter(|(viewer, member)| crashed(member) && self.is_wrong(*viewer, *member))
+            .filter(|(viewer, member)| crashed(member) && self.is_view_wrong(*viewer, *member))
             .count()
     }
 
+    /// All pairs of a viewer and a viewed member, including each member with itself.
     fn pairs(&self) -> impl Iterator<Item = (usize, usize)> {
-        (0..self.count).flat_map(|viewer| (0..self.count).map(move |member| (viewer, member)))
+        (0..self.member_count)
+            .flat_map(|viewer| (0..self.member_count).map(move |member| (viewer, member)))
     }
 
-    fn is_wrong(&self, viewer: usize, member: usize) -> bool {
+    /// Whether a running viewer's view contradicts whether the other member runs.
+    fn is_view_wrong(&self, viewer: usize, member: usize) -> bool {
         if viewer == member || self.presence[viewer] != Presence::Running {
             return false;
         }
-        let view = self.views[viewer * self.count + member];
+        let view = self.views[viewer * self.member_count + member];
         match self.presence[member] {
             Presence::Running => view != View::Alive,
-            Presence::NotStarted | Presence::Away { .. } => {
+            Presence::NotStarted | Presence::Ended { .. } => {
                 !matches!(view, View::Unknown | View::Down)
             }
         }
     }
 
-    /// Number of wrong pairs with this member as viewer or as viewed member.
-    fn wrong_with(&self, member: usize) -> usize {
-        let wrong_pairs = |other: &usize| {
-            usize::from(self.is_wrong(member, *other)) + usize::from(self.is_wrong(*other, member))
+    /// Number of wrong views that this member has of others, or that others have of it.
+    fn wrong_views_with(&self, member: usize) -> usize {
+        let wrong_with_other = |other: &usize| {
+            usize::from(self.is_view_wrong(member, *other))
+                + usize::from(self.is_view_wrong(*other, member))
         };
-        (0..self.count).map(|other| wrong_pairs(&other)).sum()
+        (0..self.member_count)
+            .map(|other| wrong_with_other(&other))
+            .sum()
     }
 
     fn set_presence(&mut self, member: usize, presence: Presence) {
-        self.wrong -= self.wrong_with(member);
+        self.wrong_views -= self.wrong_views_with(member);
         let was_running = self.presence[member] == Presence::Running;
         self.not_started -= usize::from(self.presence[member] == Presence::NotStarted);
         self.presence_changes += 1;
         self.presence[member] = presence;
         if presence == Presence::Running {
             // A member that starts again has no view of the others yet.
-            self.views[member * self.count..][..self.count].fill(View::Unknown);
-            self.divisors[member] = self.count as u32;
+            self.views[member * self.member_count..][..self.member_count].fill(View::Unknown);
+            self.divisors[member] = self.member_count as u32;
         } else {
             self.has_ended[member] = true;
         }
-        self.wrong += self.wrong_with(member);
+        self.wrong_views += self.wrong_views_with(member);
         match (was_running, presence == Presence::Running) {
             (false, true) => *self.by_divisor.entry(self.divisors[member]).or_default() += 1,
             (true, false) => self.remove_divisor(member),
@@ -268,19 +299,20 @@
         self.update_largest_share();
     }
 
+    /// Records a member's incarnation unless it is outdated. Views of an earlier incarnation are no longer current.
     fn set_incarnation(&mut self, member: usize, incarnation: u64) {
         if incarnation <= self.incarnation[member] {
             return;
         }
-        self.wrong -= self.wrong_with(member);
+        self.wrong_views -= self.wrong_views_with(member);
         self.incarnation[member] = incarnation;
-        for viewer in 0..self.count {
-            let view = &mut self.views[viewer * self.count + member];
+        for viewer in 0..self.member_count {
+            let view = &mut self.views[viewer * self.member_count + member];
             if *view == View::Alive {
-                *view = View::AliveBefore;
+                *view = View::AliveInEarlierIncarnation;
             }
         }
-        self.wrong += self.wrong_with(member);
+        self.wrong_views += self.wrong_views_with(member);
     }
 
     fn update_view(
@@ -291,34 +323,35 @@
         incarnation: u64,
         seen: Seen,
     ) {
-        // This report may arrive before the other member's report of its new incarnation.
+        // The viewer's report may be processed before the other member's report of its new incarnation.
         self.set_incarnation(member, incarnation);
         let is_current = incarnation == self.incarnation[member];
         let view = match seen {
             Seen::Alive if is_current => View::Alive,
-            Seen::Alive => View::AliveBefore,
+            Seen::Alive => View::AliveInEarlierIncarnation,
             Seen::Suspect => View::Suspect,
             Seen::Down | Seen::Left => View::Down,
         };
-        let before = self.views[viewer * self.count + member];
-        self.wrong -= usize::from(self.is_wrong(viewer, member));
-        self.views[viewer * self.count + member] = view;
-        self.wrong += usize::from(self.is_wrong(viewer, member));
+        let before = self.views[viewer * self.member_count + member];
+        self.wrong_views -= usize::from(self.is_view_wrong(viewer, member));
+        self.views[viewer * self.member_count + member] = view;
+        self.wrong_views += usize::from(self.is_view_wrong(viewer, member));
         if view == View::Down && before != View::Down {
-            self.add_down(at, member);
+            self.record_down(at, member);
         }
     }
 
-    fn add_down(&mut self, at: Time, member: usize) {
+    /// Counts a view that changed to down as a detected crash or a false down.
+    fn record_down(&mut self, at: Time, member: usize) {
         match self.presence[member] {
-            Presence::Away {
+            Presence::Ended {
                 since,
                 crashed: true,
             } => {
                 self.detections.push((at - since).as_secs_f64());
             }
             Presence::Running
-                if !self.has_ended[member] && self.cut_from.is_none_or(|cut| at < cut) =>
+                if !self.has_ended[member] && self.cut_start.is_none_or(|cut| at < cut) =>
             {
                 self.false_downs += 1;
             }
--- a/crates/fleet-harness/src/simulated/phases.rs
+++ b/crates/fleet-harness/src/simulated/phases.rs
@@ -6,7 +6,7 @@
 use cranehill_scheduler::Time;
 use cranehill_simulation::fleet::{MemberAction, PathFault};
 
-use super::engine::Common;
+use super::engine::SharedContext;
 use super::figures::{SimulatedFleetFigures, Spread};
 use super::observer::{Observation, Observer};
 use super::plan::SimulatedFleetPlan;
@@ -47,12 +47,16 @@
 }
 
 impl RunPhases {
-    pub(super) fn new(plan: &SimulatedFleetPlan, common: &Common, started: Time) -> RunPhases {
+    pub(super) fn new(
+        plan: &SimulatedFleetPlan,
+        context: &SharedContext,
+        started: Time,
+    ) -> RunPhases {
         RunPhases {
             observer: Observer::new(plan.members),
             plan: plan.clone(),
-            script: Arc::clone(&common.script),
-            traffic: Arc::clone(&common.traffic),
+            script: Arc::clone(&context.script),
+            traffic: Arc::clone(&context.traffic),
             started,
             agreed_at_start: None,
             measurement_start: None,
@@ -94,7 +98,7 @@
             .map(|fault| fault.at)
             .min()
         {
-            self.observer.cut_from(at + cut);
+            self.observer.set_cut_start(at + cut);
         }
         let presence_changes = self.observer.presence_changes();
         self.measurement_start = Some(MeasurementStart {
@@ -161,9 +165,9 @@
             resident_bytes_per_member: used.resident_bytes / members as u64,
             detection: Spread::of(self.observer.detections()),
             agreed_after: self.agreed_after,
-            missing_live_members: self.observer.missing(),
+            missing_live_members: self.observer.missing_live_members(),
             largest_share: self.observer.largest_share(),
-            undetected: self.observer.undetected(),
+            undetected: self.observer.undetected_crashes(),
             false_downs: self.observer.false_downs(),
             largest_packet: self.traffic.largest_datagram(),
             held_up: self.observer.late_runs(),
--- a/crates/fleet-harness/src/simulated/plan.rs
+++ b/crates/fleet-harness/src/simulated/plan.rs
@@ -66,7 +66,7 @@
     pub round_trip: Duration,
     /// Time to refute a suspicion; `None` for the default, which is four periods, and more from ten members on.
     pub suspicion: Option<Duration>,
-    /// A majority must hold a member to be down for this long before it is evicted; `None` to never evict.
+    /// A majority must consider a member down for this long before it is evicted; `None` to never evict.
     pub eviction_delay: Option<Duration>,
     /// A packet that was sent longer ago than this is dropped.
     pub max_packet_age: Duration,
--- a/crates/fleet-harness/src/simulated/setup.rs
+++ b/crates/fleet-harness/src/simulated/setup.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::engine::{AddressBook, Common};
+use super::engine::{AddressBook, SharedContext};
 use super::member::Setup;
 use super::plan::SimulatedFleetPlan;
 use super::script::Script;
@@ -15,7 +15,7 @@
 /// The configuration of a fleet's members.
 pub(super) struct FleetSetup {
     /// State that all engines share.
-    pub(super) common: Common,
+    pub(super) context: SharedContext,
     /// Configurations by member number.
     pub(super) members: Vec<Setup>,
 }
@@ -32,7 +32,7 @@
             timing: plan.timing,
         };
         FleetSetup {
-            common: Common {
+            context: SharedContext {
                 addresses: Arc::new(AddressBook::new(addresses)),
                 traffic: Arc::new(Traffic::new(plan.members)),
                 script: Arc::new(Script::of(plan)),
--- a/crates/fleet-harness/src/simulated/udp.rs
+++ b/crates/fleet-harness/src/simulated/udp.rs
@@ -11,7 +11,7 @@
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Registry, Token, Waker};
 
-use super::engine::{Common, Engine, Network};
+use super::engine::{Engine, Network, SharedContext};
 use super::figures::SimulatedFleetFigures;
 use super::member::{Packet, Setup};
 use super::observer::Observation;
@@ -36,18 +36,19 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     started: Instant,
-    unix: Duration,
+    /// Wall clock time at `started`, since 1970.
+    started_unix: Duration,
 }
 
 impl Clock {
     /// Starts the clock.
     pub(super) fn start() -> Clock {
-        let unix = SystemTime::now()
+        let started_unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
             started: Instant::now(),
-            unix,
+            started_unix,
         }
     }
 
@@ -58,7 +59,7 @@
 
     /// Converts an instant to a time on this clock.
     pub(super) fn time(&self, instant: Instant) -> Time {
-        let unix = self.unix + instant.saturating_duration_since(self.started);
+        let unix = self.started_unix + instant.saturating_duration_since(self.started);
         Time(unix.as_nanos() as u64)
     }
 }
@@ -83,11 +84,13 @@
 #[derive(Debug)]
 struct Sockets {
     registry: Registry,
-    /// Number of the fleet's first simulated member, and of the first member with a socket here.
+    /// Number of the fleet's first simulated member.
     first_simulated: usize,
+    /// Number of the first member whose socket belongs to this thread.
     first: usize,
     /// Address at which each simulated member of the fleet listens.
     listen: Arc<Vec<SocketAddr>>,
+    /// Open sockets of this thread's members; `None` for a member that does not run.
     open: Vec<Option<UdpSocket>>,
 }
 
@@ -153,18 +156,18 @@
 type ThreadResult = Result<ThreadCpu, SimulatedFleetError>;
 
 /// One thread's members, with their sockets and timers.
-struct Shard {
+struct MemberThread {
     engine: Engine<Sockets>,
     poll: Poll,
     clock: Clock,
     commands: Receiver<Command>,
     observations: Sender<Observation>,
     cpu_at_begin: Duration,
-    /// Sockets that may have packets that were not read yet.
+    /// Indices of sockets that were not read to the end, and may hold more packets.
     unread: Vec<usize>,
 }
 
-impl Shard {
+impl MemberThread {
     fn run(mut self) -> ThreadResult {
         self.engine.start_all(self.clock.now())?;
         let mut events = Events::with_capacity(1024);
@@ -234,7 +237,7 @@
             match self.commands.try_recv() {
                 Ok(Command::Begin(at)) => {
                     self.cpu_at_begin = usage::thread_cpu();
-                    self.engine.begin(at);
+                    self.engine.start_script(at);
                 }
                 Err(TryRecvError::Empty) => return true,
                 // A disconnected channel means that the owner has been dropped.
@@ -244,7 +247,8 @@
     }
 }
 
-struct Thread {
+/// The owner's end of a [`MemberThread`].
+struct ThreadHandle {
     commands: Sender<Command>,
     waker: Waker,
     handle: JoinHandle<ThreadResult>,
@@ -252,7 +256,7 @@
 
 /// Members that run on separate threads until [`Running::end`].
 pub(super) struct Running {
-    threads: Vec<Thread>,
+    threads: Vec<ThreadHandle>,
     /// Clock of the observations' times.
     pub clock: Clock,
     /// Observations of all members.
@@ -265,7 +269,7 @@
     /// # Errors
     /// The operating system can't create a poll or waker.
     pub(super) fn start(
-        common: &Common,
+        context: &SharedContext,
         setups: Vec<Setup>,
         listen: Vec<SocketAddr>,
         clock: Clock,
@@ -285,14 +289,14 @@
             let waker = Waker::new(poll.registry(), WAKE)?;
             let network = Sockets {
                 registry: poll.registry().try_clone()?,
-                first_simulated: common.first_simulated,
+                first_simulated: context.first_simulated,
                 first: setups[0].index,
                 listen: Arc::clone(&listen),
                 open: setups.iter().map(|_| None).collect(),
             };
             let (commands, received) = channel();
-            let shard = Shard {
-                engine: Engine::new(common.clone(), setups.to_vec(), network, false),
+            let member_thread = MemberThread {
+                engine: Engine::new(context.clone(), setups.to_vec(), network, false),
                 poll,
                 clock,
                 commands: received,
@@ -300,8 +304,8 @@
                 cpu_at_begin: Duration::ZERO,
                 unread: Vec::new(),
             };
-            let handle = std::thread::spawn(move || shard.run());
-            running.threads.push(Thread {
+            let handle = std::thread::spawn(move || member_thread.run());
+            running.threads.push(ThreadHandle {
                 commands,
                 waker,
                 handle,
@@ -338,7 +342,7 @@
     }
 }
 
-impl Thread {
+impl ThreadHandle {
     fn send(&self, command: Command) {
         // If the thread has ended, its error is returned when it is joined.
         let _ = self.commands.send(command);
@@ -354,8 +358,8 @@
     let listen = free_addresses(0, plan.members)?;
     let setup = FleetSetup::of(plan, &listen);
     let clock = Clock::start();
-    let running = Running::start(&setup.common, setup.members, listen, clock)?;
-    let mut phases = RunPhases::new(plan, &setup.common, clock.now());
+    let running = Running::start(&setup.context, setup.members, listen, clock)?;
+    let mut phases = RunPhases::new(plan, &setup.context, clock.now());
     watch(&running, &mut phases)?;
     let resident_bytes = usage::resident_bytes().saturating_sub(resident_before);
     let cpu = running.end()?;
--- a/crates/fleet-harness/src/simulated/virtual_time.rs
+++ b/crates/fleet-harness/src/simulated/virtual_time.rs
@@ -59,15 +59,15 @@
     let resident_before = usage::resident_bytes();
     let addresses: Vec<SocketAddr> = (0..plan.members).map(address).collect();
     let setup = FleetSetup::of(plan, &addresses);
-    let mut phases = RunPhases::new(plan, &setup.common, START);
+    let mut phases = RunPhases::new(plan, &setup.context, START);
     let network = SimulatedNetwork {
         conditions: plan.conditions,
         rng: ChaCha8Rng::seed_from_u64(plan.seed.rotate_left(17)),
     };
-    let mut engine = Engine::new(setup.common, setup.members, network, true);
-    engine.start_later(START, START_INTERVAL);
+    let mut engine = Engine::new(setup.context, setup.members, network, true);
+    engine.schedule_starts(START, START_INTERVAL);
     let cpu_before = run(&mut engine, &mut phases)?;
-    let cpu = engine.steps_cpu().saturating_sub(cpu_before);
+    let cpu = engine.member_cpu().saturating_sub(cpu_before);
     let resident_bytes = usage::resident_bytes().saturating_sub(resident_before);
     Ok(phases.figures(Usage {
         cpu,
@@ -75,7 +75,8 @@
     }))
 }
 
-/// Runs all events until the measured duration ends. Returns the processor time of the steps before it began.
+/// Runs all events until the measured duration ends. Returns the processor time that members had used
+/// when it began.
 fn run(
     engine: &mut Engine<SimulatedNetwork>,
     phases: &mut RunPhases,
@@ -91,8 +92,8 @@
             .for_each(|observation| phases.add(&observation));
         if phases.check(now) {
             phases.begin_measurement(now);
-            engine.begin(now);
-            cpu_before = engine.steps_cpu();
+            engine.start_script(now);
+            cpu_before = engine.member_cpu();
         }
     }
     Ok(cpu_before)
--- a/crates/fleet-harness/src/simulated_costs.rs
+++ b/crates/fleet-harness/src/simulated_costs.rs
@@ -19,7 +19,7 @@
     pub packets_sent: f64,
     /// Processor time of one member, in milliseconds per second.
     pub cpu_ms: f64,
-    /// Times that any member ran more than one membership period late, because the machine was too busy.
+    /// Number of times that a member's timer fired more than one membership period late, because the machine was too busy.
     pub late_runs: usize,
 }
 
--- a/crates/fleet-harness/src/sweep/backlog.rs
+++ b/crates/fleet-harness/src/sweep/backlog.rs
@@ -1,5 +1,5 @@
-//! Sweeps the backlog of one sender: memory, disk, time until it is ready after a restart, processor time of the reducer's steps,
-//! and the order of its work queue after a restart.
+//! Measures, for several backlogs of one sender: memory, disk, time until it is ready after a restart, processor time of the
+//! reducer's steps, and the order of its work queue after a restart.
 
 use std::collections::BTreeSet;
 use std::error::Error;
@@ -29,11 +29,12 @@
 const RECORDS_PER_APPEND: u64 = 1_000;
 /// Disk limit of the journal in bytes: far more than any sweep writes.
 const DISK_BYTES: u64 = 20_000_000_000;
-/// Sizes at which a process would need more bytes of memory are not measured; the fit covers them.
+/// Sizes at which a sender is expected to need more bytes of memory are not measured and have only fitted values.
 const MAX_RESIDENT_BYTES: f64 = 2e9;
-/// If a process takes longer until it is ready, this size and larger ones are not measured; the fit covers them.
+/// Longest time until a sender is ready. If one takes longer, its size and larger ones are not measured and have only fitted
+/// values.
 const READY_TIMEOUT: Duration = Duration::from_secs(90);
-/// How long to wait at most for a sender to become idle before its processor time is measured.
+/// Longest wait until a sender is idle, before its processor time is measured.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Duration over which the processor time of an idle sender is measured.
 const IDLE_SPAN: Duration = Duration::from_secs(2);
@@ -45,8 +46,8 @@
 const MAX_ORDER_EVENTS: u64 = 100_000;
 /// Turns within which the first [`FIRST_SENT`] events must be sent.
 const ORDER_TURNS: u32 = 5_000;
-/// The largest bound on held events in the settings of scenarios.
-const MAX_HELD_EVENTS: u64 = 20_000;
+/// The largest limit of pending events in the settings of scenarios.
+const MAX_PENDING_EVENTS: u64 = 20_000;
 
 /// Runs the sweep; `progress` is called with a short text before each measurement.
 pub(super) fn play(
@@ -96,8 +97,8 @@
         .collect()
 }
 
-fn new_reducer(max_held: u64, size: u64) -> Result<SteppedReducer, SweepError> {
-    SteppedReducer::new(max_held, DESTINATIONS)
+fn new_reducer(max_pending: u64, size: u64) -> Result<SteppedReducer, SweepError> {
+    SteppedReducer::new(max_pending, DESTINATIONS)
         .map_err(|e| MeasurementError::from(e).at(SWEEP, size))
 }
 
@@ -105,8 +106,8 @@
     MeasurementError::Journal(Box::new(source)).at(SWEEP, size)
 }
 
-/// A bound on held events that is well above the backlog, so that it does not affect the measurement.
-fn max_held_above(size: u64) -> u64 {
+/// A limit of pending events well above the backlog, so that it does not affect the measurement.
+fn max_pending_above(size: u64) -> u64 {
     size + size / 4 + 1_000
 }
 
@@ -157,7 +158,7 @@
     let options = SenderOptions {
         directory: directory.address,
         endpoint_list,
-        max_held: max_held_above(size),
+        max_pending: max_pending_above(size),
     };
     let sender = match Sender::start(&args.program, folder.path(), &options, READY_TIMEOUT) {
         Ok(sender) => sender,
@@ -200,7 +201,7 @@
     samples: &mut SweepSamples,
 ) -> Result<(), SweepError> {
     if !args.quick {
-        let mut reducer = new_reducer(max_held_above(size), size)?;
+        let mut reducer = new_reducer(max_pending_above(size), size)?;
         let step = reducer.recover(size, DESTINATIONS, &body(0));
         samples.add("backlog.recover-step", size, seconds(step))?;
         samples.add("backlog.first-turn", size, seconds(reducer.turn().took))?;
@@ -215,7 +216,7 @@
 
 /// The share of the first [`FIRST_SENT`] events sent that are not among as many events with the earliest deadlines.
 fn out_of_order(size: u64) -> Result<f64, SweepError> {
-    let mut reducer = new_reducer(max_held_above(size), size)?;
+    let mut reducer = new_reducer(max_pending_above(size), size)?;
     reducer.recover(size, DESTINATIONS, &body(0));
     let mut sent: Vec<String> = Vec::new();
     for _ in 0..ORDER_TURNS {
@@ -252,13 +253,13 @@
     Ok(out_of_order as f64 / FIRST_SENT as f64)
 }
 
-/// Searches the largest backlog of which at most half expires without an attempt at a restart, under the settings' bound on held
-/// events.
+/// Finds the largest backlog of which at most half expires without an attempt after a restart, with at most
+/// [`MAX_PENDING_EVENTS`] pending events.
 fn largest_backlog() -> Result<Figure, SweepError> {
     let planned = Axis::Backlog.planned() as u64;
     let mut measured: Vec<Sample> = Vec::new();
-    let (mut holds, mut fails) = (MAX_HELD_EVENTS / 2, planned);
-    let mut size = MAX_HELD_EVENTS;
+    let (mut holds, mut fails) = (MAX_PENDING_EVENTS / 2, planned);
+    let mut size = MAX_PENDING_EVENTS;
     while fails - holds > 1 {
         let share = expired_share(size)?;
         measured.push(Sample {
@@ -280,9 +281,9 @@
         }
     }
     let reported = [
-        MAX_HELD_EVENTS,
-        MAX_HELD_EVENTS * 2,
-        MAX_HELD_EVENTS * 4,
+        MAX_PENDING_EVENTS,
+        MAX_PENDING_EVENTS * 2,
+        MAX_PENDING_EVENTS * 4,
         holds,
         fails,
     ]
@@ -294,7 +295,7 @@
 
 /// The share of a backlog that expires without an attempt within [`TURNS`] turns after a restart.
 fn expired_share(size: u64) -> Result<f64, SweepError> {
-    let mut reducer = new_reducer(MAX_HELD_EVENTS, size)?;
+    let mut reducer = new_reducer(MAX_PENDING_EVENTS, size)?;
     reducer.recover(size, DESTINATIONS, &body(0));
     let expired: u64 = (0..TURNS).map(|_| reducer.turn().expired).sum();
     Ok(expired as f64 / size as f64)
--- a/crates/fleet-harness/src/sweep/directory.rs
+++ b/crates/fleet-harness/src/sweep/directory.rs
@@ -1,5 +1,5 @@
-//! A simulated discovery directory that any number of senders may watch. It counts the bytes of changes, and records the version
-//! of the endpoint list from which each sender watches.
+//! A simulated discovery service, the directory, which any number of senders watch by long polling. It counts the bytes of
+//! changes, and records the endpoint list version in each sender's last request.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -150,8 +150,9 @@
         self.shared.1.notify_all();
     }
 
-    /// Waits until `senders` senders watch from the current version; false on timeout.
-    pub(super) fn all_watch(&self, senders: usize, timeout: Duration) -> bool {
+    /// Waits until `senders` senders watch from the current version, that is, have applied all changes so far and requested the
+    /// next one; false on timeout.
+    pub(super) fn wait_for_watchers(&self, senders: usize, timeout: Duration) -> bool {
         self.wait(timeout, |state| (state.watching() >= senders).then_some(()))
             .is_some()
     }
@@ -242,7 +243,7 @@
             Answer::Changes(body) | Answer::NoChange(body) => response(body),
         };
         if had_changes {
-            // Counted before the write, since a sender that has read the answer may cause a reading of the counter at once.
+            // Counted before the write: as soon as the sender has read the answer, the counter may be read.
             lock(shared).change_bytes += text.len() as u64;
         }
         stream.write_all(text.as_bytes())?;
--- a/crates/fleet-harness/src/sweep/error.rs
+++ b/crates/fleet-harness/src/sweep/error.rs
@@ -21,7 +21,7 @@
     Failed {
         /// Name of the sweep.
         sweep: &'static str,
-        /// The size that was measured.
+        /// The size at which the measurement failed.
         size: u64,
         /// Why it failed.
         source: MeasurementError,
@@ -34,8 +34,8 @@
         /// Why the fit failed.
         source: FitError,
     },
-    /// A measured quantity is not in the catalog.
-    #[error("quantity '{0}' is measured and missing from the catalog")]
+    /// A sweep adds a sample of a quantity that the catalog does not contain.
+    #[error("quantity '{0}' is not in the catalog")]
     UnknownQuantity(&'static str),
 }
 
@@ -66,7 +66,7 @@
     /// A sender did not apply a change of the endpoint list in time.
     #[error("a change of the endpoint list was not applied in time")]
     ChangeNotApplied,
-    /// A sender did not apply several changes at once in time.
+    /// A sender did not apply several simultaneous changes in time.
     #[error("{changes} simultaneous changes of the endpoint list were not applied in time")]
     ChangesNotApplied {
         /// Number of changes.
--- a/crates/fleet-harness/src/sweep/members.rs
+++ b/crates/fleet-harness/src/sweep/members.rs
@@ -10,11 +10,11 @@
 use super::samples::SweepSamples;
 use crate::simulated::{self, Disturbance, SimulatedFleetFigures, SimulatedFleetPlan, Transport};
 
-/// One in this many members crashes at once.
+/// One in this many members crashes, all of them simultaneously.
 const CRASHED_ONE_IN: u32 = 10;
 /// Number of zones, of which one fails.
 const ZONES: u32 = 6;
-/// One in this many members is restarted at once, which is thirty of 490.
+/// One in this many members is restarted, all of them simultaneously: 30 of 490.
 const RESTARTED_ONE_IN: u64 = 16;
 
 /// One run of a fleet: the state that is measured, its disturbance, and the measured duration.
@@ -168,7 +168,7 @@
                 Some(after) => samples.add("members.halves.agreed", size, after.as_secs_f64())?,
                 None => samples.remark(
                     "members.halves",
-                    format!("{size}: the views did not agree again in the play"),
+                    format!("{size}: the views did not agree again before the end of the run"),
                 ),
             }
             samples.add("members.halves.missing", size, missing)?;
--- a/crates/fleet-harness/src/sweep/reducer.rs
+++ b/crates/fleet-harness/src/sweep/reducer.rs
@@ -76,9 +76,12 @@
 }
 
 impl SteppedReducer {
-    /// A reducer that may hold `max_held` events, with an endpoint list of this many destinations.
-    pub(super) fn new(max_held: u64, destinations: u64) -> Result<SteppedReducer, InvalidSettings> {
-        let settings = parse_settings(settings(max_held))?;
+    /// A reducer with a limit of `max_pending` pending events, and an endpoint list of this many destinations.
+    pub(super) fn new(
+        max_pending: u64,
+        destinations: u64,
+    ) -> Result<SteppedReducer, InvalidSettings> {
+        let settings = parse_settings(settings(max_pending))?;
         let core = Core::new(settings, 1, START).map_err(InvalidSettings::new)?;
         let mut reducer = SteppedReducer { core, now: START };
         reducer.list(destinations);
@@ -105,7 +108,7 @@
         thread_cpu() - cpu_before
     }
 
-    /// Runs one turn, with a journal that persists all records at once.
+    /// Advances the clock by one tick and runs the due timers. All journal records count as persisted immediately.
     pub(super) fn turn(&mut self) -> Turn {
         self.now = self.now + TICK;
         let cpu_before = thread_cpu();
--- a/crates/fleet-harness/src/sweep/samples.rs
+++ b/crates/fleet-harness/src/sweep/samples.rs
@@ -6,7 +6,7 @@
 
 /// Samples of several quantities, collected in ascending order of size.
 pub(super) struct SweepSamples {
-    /// Times are not kept, as they depend on the machine.
+    /// Whether samples of times are ignored, since they depend on the machine.
     pub(super) quick: bool,
     by_quantity: Vec<(&'static Quantity, Vec<Sample>)>,
     /// Remarks, each with the prefix of the quantity ids that it applies to.
@@ -82,8 +82,7 @@
     }
 }
 
-/// The figure of a limit that was found by a search: `holds` is the largest size that works, `fails` the smallest that does not,
-/// if there is one.
+/// The figure of a limit found by a search: `holds` is the largest size that passed, `fails` the smallest that failed, if any did.
 pub(super) fn limit_figure(
     id: &'static str,
     mut samples: Vec<Sample>,
--- a/crates/fleet-harness/src/sweep/sender.rs
+++ b/crates/fleet-harness/src/sweep/sender.rs
@@ -15,24 +15,24 @@
 const USAGE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// A sender that used no processor time for this long counts as idle.
 const IDLE_TIME: Duration = Duration::from_millis(200);
-/// Deadline of the events of a sweep after their acceptance. None may expire while it is measured.
+/// Time from an event's acceptance to its deadline; long enough that no event expires during a measurement.
 pub(super) const EVENT_DURATION: Duration = Duration::from_secs(3600);
 /// Disk limit of a sender in MB: far more than any sweep writes.
 const DISK_MB: f64 = 20_000.0;
 
-/// The configuration of a sender.
+/// The values of a sender's configuration that differ between sweeps.
 #[derive(Clone, Debug)]
 pub(super) struct SenderOptions {
     /// Address at which the directory listens.
     pub directory: SocketAddr,
     /// The endpoint list in the configuration, as JSON.
     pub endpoint_list: String,
-    /// Largest number of events that the sender may hold.
-    pub max_held: u64,
+    /// Limit of the sender's pending events.
+    pub max_pending: u64,
 }
 
-/// The settings object of a sender or reducer in a sweep, with a bound on held events.
-pub(super) fn settings(max_held: u64) -> Value {
+/// The settings object of a sender or reducer in a sweep, with a limit of pending events.
+pub(super) fn settings(max_pending: u64) -> Value {
     let nanos = EVENT_DURATION.as_nanos() as u64;
     let zones: Vec<String> = (0..6).map(|n| format!("zone-{n}")).collect();
     json!({
@@ -43,7 +43,7 @@
         "models": ["station"],
         "nInstances": 1,
         "policyLimits": {"attemptsCap": 6, "connIdle": 15_000_000_000u64, "connectTimeout": 1_500_000_000u64,
-            "maxRetryAfter": 2_000_000_000u64, "mostHeld": max_held, "probes": false, "retryAfter": true},
+            "maxRetryAfter": 2_000_000_000u64, "mostHeld": max_pending, "probes": false, "retryAfter": true},
         "rules": {"cold": 9_100_000_000u64, "coldFrom": 0.23, "fall": 3_000_000_000u64, "fallMultiple": 1.5,
             "graceToAnswer": 20_000_000},
         "tenants": [{"name": "tenant", "quotaRps": 1e9}],
@@ -61,7 +61,7 @@
             r#"{{"name":"n0","seed":"1f","listen":"127.0.0.1:0","discovery":"{}","limits":{limits},"known":{},"settings":{}}}"#,
             self.directory,
             self.endpoint_list,
-            settings(self.max_held)
+            settings(self.max_pending)
         )
     }
 }
@@ -94,7 +94,7 @@
     /// The process did not listen for clients in time.
     #[error("the sender did not listen for clients within {timeout:?}")]
     NotReady {
-        /// The time limit.
+        /// Longest time allowed from the start of the process.
         timeout: Duration,
     },
 }
--- a/crates/fleet-harness/src/sweep/watchers.rs
+++ b/crates/fleet-harness/src/sweep/watchers.rs
@@ -1,4 +1,5 @@
-//! Sweeps the number of real senders that watch one directory, and measures how changes of the endpoint list reach them.
+//! Measures, for several numbers of real senders that watch one directory, the time until all have applied a change of the endpoint
+//! list, and the bytes that the directory exchanges for it.
 
 use std::time::{Duration, Instant};
 
@@ -14,13 +15,13 @@
 const SWEEP: &str = "changes";
 /// Number of destinations in the endpoint list.
 const DESTINATIONS: u64 = 100;
-/// Largest number of events that a sender may hold.
-const MAX_HELD_EVENTS: u64 = 1000;
-/// All senders must be ready within this.
+/// Configured limit of a sender's pending events.
+const MAX_PENDING_EVENTS: u64 = 1000;
+/// Longest time until a sender is ready, and then until all senders watch the directory.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// All senders must apply a change within this.
+/// Longest time from a change of the endpoint list until all senders have applied it.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Number of changes that are made at once.
+/// Number of changes that the directory makes without waiting in between.
 const CHANGES_AT_ONCE: u64 = 10;
 
 /// Runs the sweep; `progress` is called with a short text before each measurement.
@@ -43,7 +44,7 @@
     let options = SenderOptions {
         directory: directory.address,
         endpoint_list,
-        max_held: MAX_HELD_EVENTS,
+        max_pending: MAX_PENDING_EVENTS,
     };
     let mut senders = Vec::new();
     for _ in 0..size {
@@ -51,13 +52,13 @@
         let started = Sender::start(&args.program, folder.path(), &options, READY_TIMEOUT);
         senders.push((started.map_err(|e| failed(e.into()))?, folder));
     }
-    if !directory.all_watch(senders.len(), READY_TIMEOUT) {
+    if !directory.wait_for_watchers(senders.len(), READY_TIMEOUT) {
         return Err(failed(MeasurementError::NotAllWatching));
     }
     let time_to_apply = |rows: Vec<String>| -> Result<Duration, SweepError> {
         let started = Instant::now();
         rows.into_iter().for_each(|row| directory.change(vec![row]));
-        if !directory.all_watch(senders.len(), CHANGE_TIMEOUT) {
+        if !directory.wait_for_watchers(senders.len(), CHANGE_TIMEOUT) {
             return Err(failed(MeasurementError::ChangeNotApplied));
         }
         Ok(started.elapsed())
--- a/crates/fleet-harness/src/timeline.rs
+++ b/crates/fleet-harness/src/timeline.rs
@@ -14,9 +14,9 @@
 pub struct StateChange {
     /// Time since the run began.
     pub at: Duration,
-    /// The member whose view changed.
+    /// Number of the viewer, the member whose view changed.
     pub by: usize,
-    /// The member whose state changed in that view.
+    /// Number of the member whose state changed in that view.
     pub of: usize,
     /// The new state, by its name in the log: `alive`, `suspect`, `down` or `left`.
     pub state: String,
@@ -33,7 +33,7 @@
     pub absences: BTreeMap<usize, Vec<(Duration, Option<Duration>)>>,
     /// Members that were killed, and when.
     pub killed: Vec<(usize, Duration)>,
-    /// Changes of the number of senders that limits are divided by: time, member, the new number.
+    /// Changes of members' quota divisors: time, member, the new divisor.
     pub senders: Vec<(Duration, usize, u64)>,
     /// Time and member of each rejoin with a new incarnation of a process that kept running.
     pub rejoined: Vec<(Duration, usize)>,
@@ -102,9 +102,9 @@
         for observation in &simulated.observations {
             self.add_observation(simulated.began, observation);
         }
-        self.state_changes.sort_by_key(|s| s.at);
-        self.senders.sort_by_key(|s| s.0);
-        self.killed.sort_by_key(|k| k.1);
+        self.state_changes.sort_by_key(|change| change.at);
+        self.senders.sort_by_key(|change| change.0);
+        self.killed.sort_by_key(|kill| kill.1);
     }
 
     fn add_observation(&mut self, began: Time, observation: &Observation) {
@@ -191,7 +191,7 @@
             .collect();
         let present = ran.iter().filter(|ran| **ran).count();
         let mut alive = vec![false; count * count];
-        // Pairs in which one does not see the other alive. Updated with each change and not counted again, since a large fleet
+        // Number of pairs of a viewer and a member that it does not consider alive. Updated with each change and not counted again, since a large fleet
         // has as many changes as pairs.
         let mut missing = present * present.saturating_sub(1);
         let mut since = None;
--- a/crates/fleet-harness/src/zones.rs
+++ b/crates/fleet-harness/src/zones.rs
@@ -32,9 +32,9 @@
 pub struct Outage {
     /// Name of the zone.
     pub zone: String,
-    /// When the zone failed.
+    /// Start of the outage.
     pub from: Duration,
-    /// When the outage ended.
+    /// End of the outage.
     pub until: Duration,
     /// Milliseconds from the failure until a sender logged that it had evacuated the zone.
     pub left: Histogram<u64>,
@@ -57,7 +57,7 @@
 /// The outages that affect at least four fifths of a zone's endpoints; none with fewer than two zones.
 pub(crate) fn outages(
     scenario: &Scenario,
-    lines: &[AuditRecord],
+    records: &[AuditRecord],
     timeline: &Timeline,
 ) -> Vec<Outage> {
     if scenario.zones.len() < 2 {
@@ -67,7 +67,7 @@
     for zone in 0..scenario.zones.len() {
         for span in outage_spans(scenario, zone) {
             let mut outage = OutageCalls::new(scenario, zone, span);
-            lines.iter().for_each(|line| outage.add(line));
+            records.iter().for_each(|record| outage.add(record));
             found.push(outage.finish(timeline));
         }
     }
--- a/crates/fleet-harness/tests/simulated_members.rs
+++ b/crates/fleet-harness/tests/simulated_members.rs
@@ -137,36 +137,48 @@
     }
 }
 
-/// A member does not count as seen if it is alive in an earlier incarnation or suspected.
+/// A view that considers a member alive in an earlier incarnation, or suspects it, must not count as agreement.
 #[test]
 fn views_of_an_earlier_incarnation_do_not_agree() {
     let mut observer = pair();
     observe(&mut observer, 2, 1, MemberEvent::Incarnation(2));
-    assert_eq!((observer.agrees(), observer.missing()), (false, 1));
+    assert_eq!(
+        (observer.agrees(), observer.missing_live_members()),
+        (false, 1)
+    );
     observe(&mut observer, 3, 0, sees(1, 2, Seen::Alive));
     assert!(observer.agrees());
     observe(&mut observer, 4, 0, sees(1, 2, Seen::Suspect));
-    assert_eq!((observer.agrees(), observer.missing()), (false, 1));
+    assert_eq!(
+        (observer.agrees(), observer.missing_live_members()),
+        (false, 1)
+    );
     // A late report of the earlier incarnation does not restore agreement.
     observe(&mut observer, 5, 0, sees(1, 1, Seen::Alive));
     assert!(!observer.agrees());
 }
 
-/// A crash that a view does not show is undetected, a running member that is held to be down is a false down, and the share of
-/// a limit is summed over the running members.
+/// A crash is undetected while a view does not show it, a view that considers a running member down is a false down, and shares
+/// of a limit are summed over the running members only.
 #[test]
 fn observer_counts_detections_false_downs_and_shares() {
     let mut observer = pair();
     observe(&mut observer, 2, 0, sees(1, 1, Seen::Down));
-    assert_eq!((observer.false_downs(), observer.missing()), (1, 1));
+    assert_eq!(
+        (observer.false_downs(), observer.missing_live_members()),
+        (1, 1)
+    );
     observe(&mut observer, 3, 0, sees(1, 1, Seen::Alive));
     observe(&mut observer, 10, 1, MemberEvent::Crashed);
-    assert_eq!((observer.agrees(), observer.undetected()), (false, 1));
+    assert_eq!(
+        (observer.agrees(), observer.undetected_crashes()),
+        (false, 1)
+    );
     observe(&mut observer, 17, 0, sees(1, 1, Seen::Down));
     assert_eq!(
         (
             observer.agrees(),
-            observer.undetected(),
+            observer.undetected_crashes(),
             observer.detections()
         ),
         (true, 0, vec![7.0])
@@ -195,7 +207,7 @@
     );
     assert_eq!(
         figures.detection, None,
-        "the members restart before a suspicion ends, so no view holds them to be down"
+        "the members restart before a suspicion ends, so no view considers them down"
     );
 }
 
