--- a/crates/scenario-runner/src/lib.rs
+++ b/crates/scenario-runner/src/lib.rs
@@ -31,7 +31,7 @@
 pub use resource_usage::ResourceUsage;
 pub use runner::{play, play_through};
 
-/// The configuration file, as JSON, with which to start a sender by hand before it is tested with [`Plan::against`].
+/// The configuration file, as JSON, of a sender that is started by hand and then tested with [`Plan::against`].
 ///
 /// The sender requests its endpoint list from `directory`; the configuration itself contains no endpoints.
 pub fn node_config(plan: &Plan, directory: SocketAddr) -> String {
--- a/crates/scenario-runner/src/measure.rs
+++ b/crates/scenario-runner/src/measure.rs
@@ -35,7 +35,7 @@
 /// Number of bisections between the highest rate that was sustained and the lowest that was not.
 const SEARCH_STEPS: u32 = 4;
 
-/// The load of a measurement.
+/// The load of a measurement, and the senders that share it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MeasureOptions {
     /// Number of endpoints of all destinations together. Each destination has two.
--- a/crates/scenario-runner/src/outcome.rs
+++ b/crates/scenario-runner/src/outcome.rs
@@ -14,7 +14,8 @@
     pub verdicts: Vec<(Rule, Verdict)>,
     /// All recorded events, in the order in which they were noticed.
     pub lines: Vec<AuditRecord>,
-    /// Priority weight of the delivered messages, and of all submitted messages. A message that is submitted again counts once.
+    /// Total weight of the delivered messages, and number of all messages. A message delivered within its latency objective has weight
+    /// 1, a later one less. A message that is submitted again counts once.
     pub worth: (f64, f64),
     /// The same pair for each second of the run, by the time of a message's first submission.
     pub worth_over_time: Vec<(f64, f64)>,
@@ -24,7 +25,7 @@
     pub runner_cpu: Duration,
     /// Number of submissions, including repeated ones.
     pub submitted: u64,
-    /// Number of successful deliveries that destinations replied.
+    /// Number of messages for which a destination replied that they were executed.
     pub delivered: u64,
     /// Indices of the senders whose process exited although the scenario did not end it.
     pub crashed: Vec<usize>,
@@ -65,7 +66,7 @@
             .map(|(rule, _)| *rule)
     }
 
-    /// Delivered priority weight as a share of the submitted one, 0 to 1; 1 if nothing was submitted.
+    /// Weight of the delivered messages as a share of all messages ([`worth`](Outcome::worth)), 0 to 1; 1 without any message.
     pub(crate) fn service(&self) -> f64 {
         let (delivered, submitted) = self.worth;
         if submitted > 0.0 {
--- a/crates/scenario-runner/src/plan.rs
+++ b/crates/scenario-runner/src/plan.rs
@@ -40,7 +40,7 @@
     pub sockets: usize,
     /// Disk space of the journal in MB.
     pub disk_mb: f64,
-    /// Calls in flight at once; `None` derives the number from the scenario's load.
+    /// Largest number of calls in flight; `None` derives it from the scenario's load.
     pub calls_out: Option<usize>,
 }
 
--- a/crates/scenario-runner/src/report.rs
+++ b/crates/scenario-runner/src/report.rs
@@ -4,9 +4,9 @@
 
 use crate::outcome::Outcome;
 
-/// Violations shown for each rule, and reasons shown for a void run.
+/// Largest number of violations shown for each rule, and of reasons shown for a void run.
 const MAX_SHOWN_VIOLATIONS: usize = 3;
-/// Warnings shown from the senders' logs.
+/// Largest number of warnings shown from the senders' logs.
 const MAX_SHOWN_WARNINGS: usize = 5;
 
 /// The results of one run as lines of text; `name` is the scenario's name.
--- a/crates/scenario-runner/src/runner/clients.rs
+++ b/crates/scenario-runner/src/runner/clients.rs
@@ -19,7 +19,7 @@
 /// Minimum time to live of a Web Push post in seconds; its TTL header is in whole seconds.
 const MIN_POST_TTL_S: u64 = 1;
 
-/// The request that submits a message, and the event to record for it.
+/// The request that submits a message, and the audit event to record for it.
 struct ClientRequest {
     bytes: Vec<u8>,
     /// How long the client waits for the answer.
@@ -274,14 +274,13 @@
         self.senders[sender].idle.of(protocol).push(id);
     }
 
-    /// Handles the end of a client's connection that a sender has closed. `any_read` is true if bytes of an answer
-    /// arrived with it.
+    /// Handles a client's connection that its sender has closed. `any_read` is true if bytes of an answer arrived before the end.
     pub(super) fn on_client_closed(&mut self, sender: usize, client: ClientRole, any_read: bool) {
         let Some(message) = client.in_flight else {
             return;
         };
-        // A sender may close a connection between two requests. It has not read the new one then, so the client sends it again on a
-        // new connection.
+        // A sender may close an idle connection while the client sends the next request. The sender has not read this request, so
+        // the client sends it again on a new connection.
         if client.has_received_answer && !any_read {
             return self.submit(message);
         }
@@ -319,7 +318,7 @@
         self.client_unanswered(id);
     }
 
-    /// Tells the client model that a submission will not be answered, so that it submits the message again.
+    /// Informs the client model that a submission remains without an answer, after which it submits the message again.
     pub(super) fn client_unanswered(&mut self, id: &str) {
         let now = self.now();
         self.clients.answered(now, id, ClientAnswer::Nothing);
--- a/crates/scenario-runner/src/runner/connection.rs
+++ b/crates/scenario-runner/src/runner/connection.rs
@@ -10,7 +10,7 @@
 
 use crate::wire::{Framed, Request, WireError, parse_request};
 
-/// Token of the waker with which the threads that read the senders' logs interrupt a poll.
+/// Token of the waker, by which the threads that read the senders' logs interrupt the event loop's poll.
 pub(super) const WAKE: Token = Token(usize::MAX);
 /// Size of the buffer for one read from a socket, in bytes.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
@@ -26,7 +26,8 @@
     pub owner: ListenerOwner,
 }
 
-/// The simulated server of a listener. Each sender has listeners of its own, so the listener identifies the sender of a connection.
+/// The simulated server of a listener, and the only sender that connects to it. Every sender has separate listeners, because a
+/// connection does not identify its sender otherwise.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ListenerOwner {
     Endpoint { sender: usize, endpoint: usize },
@@ -37,13 +38,14 @@
 #[derive(Debug)]
 pub(super) struct Connection {
     pub stream: TcpStream,
+    /// Index of the sender.
     pub sender: usize,
     pub role: Role,
     /// Bytes that were read and not parsed yet.
     pub input: Vec<u8>,
     /// Bytes that the socket has not accepted yet.
     pub output: Vec<u8>,
-    /// When it was opened, or a complete call or its reply last passed on it.
+    /// When it was opened, or when the latest complete request or reply was transferred; since the start of the scenario.
     pub last_used: Duration,
 }
 
@@ -51,7 +53,10 @@
 #[derive(Debug)]
 pub(super) enum Role {
     Destination(DestinationRole),
-    Directory { watch: Option<PendingWatch> },
+    /// A connection to the directory, with the watch that is not answered yet.
+    Directory {
+        watch: Option<PendingWatch>,
+    },
     Client(ClientRole),
 }
 
@@ -61,12 +66,12 @@
     /// Index into [`Runner::endpoints`](super::state::Runner::endpoints).
     pub endpoint: usize,
     pub audit_numbers: AuditNumbers,
-    /// Whether bytes of a call have arrived that is not complete yet.
+    /// Whether an incomplete call has arrived: some of its bytes, but not all.
     pub request_started: bool,
     pub in_flight: Option<Call>,
 }
 
-/// The auditor's numbers for a connection and its endpoint.
+/// The numbers by which audit events refer to a connection, its endpoint and its destination.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AuditNumbers {
     pub connection: u64,
@@ -79,6 +84,7 @@
 pub(super) struct Call {
     /// Ids of its messages.
     pub ids: Vec<String>,
+    /// Whether the call is a batch, whose reply lists the state of each message.
     pub batch: bool,
     /// Number of the call; unique in the run.
     pub serial: u64,
@@ -89,8 +95,9 @@
 pub(super) struct PendingWatch {
     /// Version of the list that the sender has.
     pub known_version: u64,
+    /// Since the start of the scenario.
     pub received_at: Duration,
-    /// How long after `received_at` the watch is answered without a change.
+    /// Time after `received_at` at which the watch is answered even if the list has not changed.
     pub max_hold: Duration,
 }
 
@@ -100,7 +107,7 @@
     pub protocol: ClientProtocol,
     /// The message that has no answer yet.
     pub in_flight: Option<Submission>,
-    /// Whether an answer has arrived on this connection.
+    /// Whether an answer has arrived on this connection. The sender may then have closed it as idle.
     pub has_received_answer: bool,
 }
 
@@ -120,7 +127,7 @@
     Reset,
 }
 
-/// Open client connections to one sender without a request in flight, by protocol. Some may be closed already.
+/// Client connections to one sender without a request in flight, by protocol. Some may have been closed since they were added.
 #[derive(Debug, Default)]
 pub(super) struct IdleConnections {
     resp: Vec<ConnectionId>,
@@ -138,7 +145,7 @@
 }
 
 impl Connection {
-    /// The destination's state, if this is a connection to an endpoint.
+    /// The role, if this is a connection to an endpoint of a destination.
     pub(super) fn destination(&self) -> Option<&DestinationRole> {
         match &self.role {
             Role::Destination(role) => Some(role),
@@ -154,7 +161,7 @@
         }
     }
 
-    /// The client's state, if this is a connection of a client.
+    /// The role, if this is a connection of a client.
     pub(super) fn client(&self) -> Option<&ClientRole> {
         match &self.role {
             Role::Client(role) => Some(role),
@@ -188,7 +195,7 @@
         Ok(Some(value))
     }
 
-    /// Reads all bytes that have arrived into the input; true if the peer has closed or reset the connection.
+    /// Reads all bytes that have arrived into `input`; true if the peer has closed the connection, or the read failed.
     pub(super) fn read_available(&mut self) -> bool {
         let mut chunk = [0u8; READ_CHUNK_BYTES];
         loop {
@@ -210,7 +217,7 @@
                 Ok(0) => return,
                 Ok(n) => drop(self.output.drain(..n)),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // Not established yet, full or failed; a failure is detected by the next read.
+                // Not connected yet, send buffer full, or failed. The next read detects a failure.
                 Err(_) => return,
             }
         }
@@ -218,7 +225,7 @@
 }
 
 impl AuditNumbers {
-    /// The event of an accepted connection.
+    /// The audit event for an accepted connection.
     pub(super) fn opened(self) -> AuditEvent {
         AuditEvent::Opened {
             connection: self.connection,
@@ -227,7 +234,7 @@
         }
     }
 
-    /// The event of the first byte of a call.
+    /// The audit event for the first byte of a call.
     pub(super) fn started(self) -> AuditEvent {
         AuditEvent::Begun {
             connection: self.connection,
@@ -236,7 +243,7 @@
         }
     }
 
-    /// The event of a complete call with these messages.
+    /// The audit event for the arrival of a complete call with these messages.
     pub(super) fn called(self, ids: Vec<String>) -> AuditEvent {
         AuditEvent::Called {
             connection: self.connection,
@@ -246,7 +253,8 @@
         }
     }
 
-    /// The event of a connection that the destination ends without a valid reply to the call with these messages, if any.
+    /// The audit event for a connection that the destination closes without a valid reply. `ids` are the messages of the call in
+    /// flight, none without a call; `executed` is whether the destination executed them.
     pub(super) fn broke(self, ids: Vec<String>, executed: bool) -> AuditEvent {
         AuditEvent::Broke {
             connection: self.connection,
@@ -257,7 +265,7 @@
         }
     }
 
-    /// The event of a closed connection.
+    /// The audit event for a connection that either side has closed.
     pub(super) fn closed(self) -> AuditEvent {
         AuditEvent::Closed {
             connection: self.connection,
--- a/crates/scenario-runner/src/runner/connections.rs
+++ b/crates/scenario-runner/src/runner/connections.rs
@@ -45,9 +45,9 @@
         );
         let now = self.now();
         let connect = self.destinations[destination].connect(now, number);
-        self.next_serial += 1;
+        self.last_serial += 1;
         let audit_numbers = AuditNumbers {
-            connection: self.next_serial,
+            connection: self.last_serial,
             endpoint: audit_number,
             destination: destination as u64,
         };
--- a/crates/scenario-runner/src/runner/destinations.rs
+++ b/crates/scenario-runner/src/runner/destinations.rs
@@ -96,8 +96,8 @@
         );
         self.record(Some(sender), audit_numbers.called(ids.clone()), &line);
         let reply = self.call_destination(endpoint, ids.len());
-        self.next_serial += 1;
-        let serial = self.next_serial;
+        self.last_serial += 1;
+        let serial = self.last_serial;
         if let Some(role) = self
             .connections
             .get_mut(&id)
--- a/crates/scenario-runner/src/runner/directory.rs
+++ b/crates/scenario-runner/src/runner/directory.rs
@@ -17,7 +17,7 @@
 /// Minimum time between two checks of a pending watch.
 const MIN_WATCH_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The state of one endpoint in a list that a sender receives; `endpoint` is the auditor's number.
+/// The state of one endpoint in a list that a sender receives. `endpoint` is its audit number.
 struct NotifiedState {
     endpoint: usize,
     destination: u64,
@@ -171,7 +171,7 @@
         if list.full {
             let listed_endpoints: BTreeSet<usize> =
                 states.iter().map(|state| state.endpoint).collect();
-            let notified_endpoints = self.senders[sender].notified.keys();
+            let notified_endpoints = self.senders[sender].listed_states.keys();
             let removed =
                 notified_endpoints.filter(|endpoint| !listed_endpoints.contains(endpoint));
             states.extend(removed.map(|&endpoint| NotifiedState {
@@ -186,7 +186,7 @@
             listed,
         } in states
         {
-            if self.senders[sender].notified.insert(endpoint, listed) == Some(listed) {
+            if self.senders[sender].listed_states.insert(endpoint, listed) == Some(listed) {
                 continue;
             }
             let notified = AuditEvent::Notified {
@@ -201,7 +201,7 @@
 
     fn notified_state(&self, row: &Row) -> NotifiedState {
         let endpoint_entry = &self.endpoints[row.endpoint];
-        // A row with another id belongs to the original endpoint, which has been replaced since. Its auditor's number equals its index.
+        // A row with another id belongs to the original endpoint, which has been replaced since. Its audit number is its index.
         let endpoint = if endpoint_entry.id == row.id {
             endpoint_entry.audit_number
         } else {
--- a/crates/scenario-runner/src/runner/processes.rs
+++ b/crates/scenario-runner/src/runner/processes.rs
@@ -188,7 +188,7 @@
         let now = self.now();
         self.senders[sender].routed = false;
         self.record(Some(sender), AuditEvent::ProcessExited, "process exited");
-        self.senders[sender].notified.clear();
+        self.senders[sender].listed_states.clear();
         let Restart { after, folder } = self.senders[sender].restart;
         if folder == Folder::Wiped {
             self.senders[sender].process.remove_state();
--- a/crates/scenario-runner/src/runner/readiness.rs
+++ b/crates/scenario-runner/src/runner/readiness.rs
@@ -40,7 +40,7 @@
 
     /// Whether all senders listen for clients. One that the runner did not start must also have requested its endpoint list.
     fn all_ready(&self) -> bool {
-        let has_list = self.plan.against.is_none() || !self.senders[0].notified.is_empty();
+        let has_list = self.plan.against.is_none() || !self.senders[0].listed_states.is_empty();
         has_list && self.senders.iter().all(|sender| sender.process.is_ready())
     }
 
--- a/crates/scenario-runner/src/runner/setup.rs
+++ b/crates/scenario-runner/src/runner/setup.rs
@@ -31,10 +31,10 @@
 /// Last byte of the address at which a sender's directory listens: 127.0.N.2.
 const DIRECTORY_HOST: u8 = 2;
 
-/// Stream of the clients' random generator. Each user of random numbers has a stream of its own, so that its draws do not change those
-/// of the others. Destinations have the streams from 0 on.
+/// Number of the random stream of the clients. Clients, destinations and journal damage have separate streams of the plan's seed, so
+/// that the draws of one do not change those of another. Destinations have the streams from 0 on.
 const CLIENT_STREAM: u64 = 1 << 32;
-/// Stream of the random generator that draws where journals are damaged.
+/// Number of the random stream that determines where journals are damaged.
 const DAMAGE_STREAM: u64 = 1 << 33;
 
 impl<'a> Runner<'a> {
@@ -87,7 +87,7 @@
             listeners: destinations.listeners,
             connections: HashMap::new(),
             next_connection: ConnectionId(0),
-            next_serial: 0,
+            last_serial: 0,
             next_audit_number: destinations.endpoints.len(),
             endpoints: destinations.endpoints,
             destinations: destinations.models,
--- a/crates/scenario-runner/src/runner/state.rs
+++ b/crates/scenario-runner/src/runner/state.rs
@@ -23,7 +23,7 @@
 
 /// How long after its end a sender is restarted, unless the scenario specifies another delay.
 const RESTART_DELAY: Duration = Duration::from_millis(600);
-/// Upper bound on the reasons that are kept for a void run.
+/// Upper bound on the reasons kept in [`Outcome::void`].
 const MAX_VOID_REASONS: usize = 50;
 
 /// The event loop of a run, with the simulated servers, the clients and the senders under test.
@@ -33,17 +33,17 @@
     pub(super) poll: Poll,
     /// Start of the scenario; until then, the time at which the runner was created.
     pub(super) started: Instant,
-    /// The same as time since the Unix epoch (1970).
+    /// `started` as time since the Unix epoch (1970).
     pub(super) started_unix: Duration,
     /// All listeners. The token of a listener is its index, from 0; connections have the tokens that follow.
     pub(super) listeners: Vec<Listener>,
     pub(super) connections: HashMap<ConnectionId, Connection>,
     pub(super) next_connection: ConnectionId,
-    /// The last number that was given to a call or, for the auditor, to a connection.
-    pub(super) next_serial: u64,
+    /// Serial number of the latest call or connection to an endpoint. Both are numbered from this one counter, from 1.
+    pub(super) last_serial: u64,
     /// The endpoints of all destinations.
     pub(super) endpoints: Vec<Endpoint>,
-    /// The auditor's number for the next endpoint that replaces another.
+    /// The audit number of the next replacement endpoint. The original endpoints have their indices as audit numbers.
     pub(super) next_audit_number: usize,
     pub(super) destinations: Vec<SimulatedDestination>,
     /// Replies of destinations that are not due yet, by the serial number of their call.
@@ -52,10 +52,10 @@
     pub(super) clients: Clients,
     /// The time for which the timer of the next submission is set, if one is set.
     pub(super) next_arrival: Option<Duration>,
-    /// Messages that were accepted, or posted over Web Push, and are not completed: id, and index of the sender that has the message.
+    /// Messages that were accepted, or submitted over Web Push, and are not completed, by id: index of their sender.
     pub(super) pending: BTreeMap<String, usize>,
     pub(super) senders: Vec<Sender>,
-    /// Index of the sender with which the load balancer's next choice begins.
+    /// Index of the sender that the load balancer considers first in its next choice.
     pub(super) next_sender: usize,
     pub(super) event_sink: EventSink,
     pub(super) process_events: Receiver<ProcessEvent>,
@@ -71,13 +71,13 @@
 pub(super) struct Endpoint {
     /// Index into [`Runner::destinations`].
     pub(super) destination: usize,
-    /// Its number among the endpoints of its destination.
+    /// Index among the endpoints of its destination.
     pub(super) number: usize,
     /// Its id in the directory's list. Changes when another endpoint replaces it.
     pub(super) id: String,
-    /// The auditor's number for it. Changes when another endpoint replaces it.
+    /// Number by which audit events refer to it. Changes when another endpoint replaces it.
     pub(super) audit_number: usize,
-    /// By sender: the address at which it reaches the endpoint.
+    /// By sender: the address at which this sender reaches the endpoint.
     pub(super) addresses: Vec<SocketAddr>,
 }
 
@@ -87,13 +87,14 @@
     pub(super) process: Process,
     /// Whether the load balancer sends messages to it.
     pub(super) routed: bool,
-    /// Whether the scenario has ended its process, or its crash has been recorded already.
+    /// Whether the end of its current process must not be recorded as a crash: the scenario ends the process, or its crash is
+    /// already recorded.
     pub(super) end_expected: bool,
     pub(super) restart: Restart,
     /// Connections of clients to it without a request in flight.
     pub(super) idle: IdleConnections,
-    /// By the auditor's number of an endpoint: its latest state in the lists that the sender has received.
-    pub(super) notified: BTreeMap<usize, Listed>,
+    /// By audit number of an endpoint: its state in the latest endpoint list or change that the sender has received.
+    pub(super) listed_states: BTreeMap<usize, Listed>,
 }
 
 /// What the runner does after the end of a sender's process.
@@ -101,7 +102,7 @@
 pub(super) struct Restart {
     /// Delay until the sender is started again; `None` for never.
     pub(super) after: Option<Duration>,
-    /// What the runner does with its state folder.
+    /// Whether its state folder is kept, deleted or truncated before that.
     pub(super) folder: Folder,
 }
 
@@ -122,7 +123,7 @@
             end_expected: false,
             restart: Restart::DEFAULT,
             idle: IdleConnections::default(),
-            notified: BTreeMap::new(),
+            listed_states: BTreeMap::new(),
         }
     }
 }
@@ -133,21 +134,21 @@
         self.started.elapsed()
     }
 
-    /// Records an event that is noticed now; `wire` is the text that proves it.
+    /// Records an event at the current time; `wire` is its evidence: bytes from the wire, or a sentence.
     pub(super) fn record(&mut self, sender: Option<usize>, event: AuditEvent, wire: &str) {
         let now = self.now();
         self.log.record(now, sender, event, wire);
     }
 
-    /// Makes the run void, for the reason `why`.
-    pub(super) fn void(&mut self, why: String) {
+    /// Makes the run void, so that it can't be judged; `reason` goes into [`Outcome::void`].
+    pub(super) fn void(&mut self, reason: String) {
         if self.outcome.void.len() < MAX_VOID_REASONS {
-            self.outcome.void.push(why);
+            self.outcome.void.push(reason);
         }
     }
 }
 
-/// The id in the directory's list of the endpoint with this auditor's number.
+/// The id of the endpoint with this audit number in the directory's list.
 pub(super) fn endpoint_id(audit_number: usize) -> String {
     format!("s-{audit_number:08x}")
 }
--- a/crates/scenario-runner/src/runner/timers.rs
+++ b/crates/scenario-runner/src/runner/timers.rs
@@ -12,7 +12,7 @@
 pub(super) enum Timer {
     /// Messages are due to be submitted at `at`. The timer is ignored if an earlier one has replaced it.
     Arrival { at: Duration },
-    /// A client gives up waiting for the answer to the message `id`.
+    /// A client's wait for the answer to the message `id` times out.
     ClientTimeout {
         connection: ConnectionId,
         id: String,
--- a/crates/scenario-runner/src/runner/verdicts.rs
+++ b/crates/scenario-runner/src/runner/verdicts.rs
@@ -1,6 +1,6 @@
 //! The end of a run: kills the senders and audits the recorded events.
 
-use cranehill_simulation::audit::{Auditor, Class, Figures};
+use cranehill_simulation::audit::{Auditor, Class, RuleLimits};
 use cranehill_simulation::scenario::Effect;
 
 use super::state::Runner;
@@ -26,11 +26,11 @@
             .iter()
             .map(|class| audited_class(class.effect))
             .collect();
-        let mut auditor = Auditor::new(Figures::default(), classes);
+        let mut auditor = Auditor::new(RuleLimits::default(), classes);
         self.log
             .records
             .iter()
-            .for_each(|record| auditor.hear(record));
+            .for_each(|record| auditor.observe(record));
         let lateness = self.log.lateness();
         Outcome {
             verdicts: auditor.verdicts(end, lateness.p99),
--- a/crates/scenario-runner/src/senders/events.rs
+++ b/crates/scenario-runner/src/senders/events.rs
@@ -1,4 +1,4 @@
-//! Events of senders' processes, read from their logs (standard error).
+//! Events of senders' processes, parsed from their logs (standard error).
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use mio::Waker;
 
-/// A log line that contains one of these is a warning.
+/// A log line that contains one of these becomes a [`ProcessEventKind::Warning`].
 const WARNING_MARKERS: [&str; 3] = ["WARN", "ERROR", "panicked"];
 
 /// One event of a sender's process.
@@ -21,7 +21,7 @@
     pub kind: ProcessEventKind,
 }
 
-/// What the log of a process has shown.
+/// A kind of event in the log of a process.
 #[derive(Clone, Debug)]
 pub(crate) enum ProcessEventKind {
     /// It listens for RESP2 clients at this address.
@@ -39,8 +39,8 @@
 }
 
 impl ProcessEventKind {
-    /// Whether the event is void once another process has replaced the one that wrote the log. Log lines are not: they belong to the
-    /// sender, whichever of its processes wrote them.
+    /// Whether the event must be ignored once another process of the same sender has replaced the one that wrote the log. Warnings and
+    /// log lines are always recorded.
     pub(crate) fn is_process_specific(&self) -> bool {
         match self {
             ProcessEventKind::ClientListener(_)
@@ -51,7 +51,8 @@
         }
     }
 
-    /// The event that a log line shows; `None` for most lines.
+    /// The listener or warning that a log line reports; `None` for all other lines. Listeners are recognized by the text of the
+    /// sender's log messages.
     fn parse(line: &str) -> Option<ProcessEventKind> {
         if let Some(address) = address_after(line, "listening for clients at ") {
             return Some(ProcessEventKind::ClientListener(address));
@@ -69,6 +70,7 @@
     }
 }
 
+/// The socket address that follows `text` in a line; `None` if the line has no such text or no valid address after it.
 fn address_after(line: &str, text: &str) -> Option<SocketAddr> {
     let (_, rest) = line.split_once(text)?;
     let end = rest
@@ -77,7 +79,7 @@
     rest[..end].parse().ok()
 }
 
-/// Sends events from the threads that read logs to the event loop.
+/// Channel for events to the event loop, from the threads that read the senders' logs.
 #[derive(Clone, Debug)]
 pub(crate) struct EventSink {
     channel: Channel<ProcessEvent>,
@@ -85,36 +87,37 @@
 }
 
 impl EventSink {
-    /// Sends events to `channel`; `waker` interrupts the poll of the event loop, which reads the channel.
+    /// `channel` must be read by the event loop whose poll `waker` interrupts.
     pub(crate) fn new(channel: Channel<ProcessEvent>, waker: Arc<Waker>) -> EventSink {
         EventSink { channel, waker }
     }
 
-    /// Sends an event; false once the event loop has ended.
+    /// Sends an event; false if the event loop has ended.
     fn send(&self, event: ProcessEvent) -> bool {
         self.channel.send(event).is_ok()
     }
 
-    /// Interrupts the event loop's poll; false once the loop has ended.
+    /// Interrupts the event loop's poll; false if the waker failed.
     fn wake(&self) -> bool {
         self.waker.wake().is_ok()
     }
 }
 
-/// Reads the log of one process to its end, on a thread of its own.
+/// Reads the log of one process to its end, on a separate thread.
 #[derive(Debug)]
 pub(super) struct LogReader {
     /// Index of the sender.
     pub sender: usize,
     /// The incarnation of the process.
     pub incarnation: u32,
-    /// Every line becomes a [`ProcessEventKind::LogLine`].
+    /// Whether every line is sent as a [`ProcessEventKind::LogLine`], in addition to the event that it reports.
     pub keep_lines: bool,
     /// Receives the events.
     pub sink: EventSink,
 }
 
 impl LogReader {
+    /// Sends the events of `log` until it ends or the event loop has ended.
     pub(super) fn run(self, log: impl Read) {
         for line in BufReader::new(log).lines().map_while(Result::ok) {
             let parsed = ProcessEventKind::parse(&line);
--- a/crates/scenario-runner/src/senders/process.rs
+++ b/crates/scenario-runner/src/senders/process.rs
@@ -28,15 +28,15 @@
     pub has_operator_address: bool,
     /// Number of starts and kills so far; identifies the current process, see [`Process::is_current`].
     incarnation: u32,
-    /// Whether it accepts Web Push.
+    /// Whether it is configured to accept Web Push.
     has_web_push: bool,
     /// Whether it is a member of a fleet; if so, its log is JSON and all lines are kept.
     has_fleet: bool,
-    /// Address at which it listens for RESP2 clients, once its log has shown it.
+    /// Address at which it listens for RESP2 clients; `None` until its log reports it.
     pub client_address: Option<SocketAddr>,
-    /// Address at which it listens for Web Push, once its log has shown it.
+    /// Address at which it listens for Web Push; `None` until its log reports it.
     pub web_push_address: Option<SocketAddr>,
-    /// Address at which it serves its view of the fleet's members, once its log has shown it.
+    /// Address at which it serves its view of the fleet's members; `None` until its log reports it.
     pub status_address: Option<SocketAddr>,
 }
 
--- a/crates/scenario-runner/src/wire/http.rs
+++ b/crates/scenario-runner/src/wire/http.rs
@@ -3,9 +3,9 @@
 use super::error::WireError;
 use super::framed::Framed;
 
-/// A sender under test sends no longer request line and headers.
+/// Upper bound on the request line and headers of a request from a sender under test.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// A sender under test sends no longer request body.
+/// Upper bound on the body of a request from a sender under test.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// Number of headers that a request may have.
 const MAX_HEADERS: usize = 64;
--- a/crates/simulation/src/audit/auditor.rs
+++ b/crates/simulation/src/audit/auditor.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::findings::{Findings, Verdict};
-use super::limits::{Class, Figures};
+use super::limits::{Class, RuleLimits};
 use super::messages::MessageLog;
 use super::observation::{Observation, RuleAuditor, RunEnd};
 use super::record::AuditRecord;
@@ -13,7 +13,7 @@
 /// Checks the records of a run against all rules.
 #[derive(Debug)]
 pub struct Auditor {
-    limits: Figures,
+    limits: RuleLimits,
     messages: MessageLog,
     rules: Vec<Box<dyn RuleAuditor>>,
     findings: Findings,
@@ -21,9 +21,9 @@
 
 impl Auditor {
     /// Creates an auditor with the bounds of the rules and the classes of messages; records refer to a class by its index.
-    pub fn new(figures: Figures, classes: Vec<Class>) -> Auditor {
+    pub fn new(limits: RuleLimits, classes: Vec<Class>) -> Auditor {
         Auditor {
-            limits: figures,
+            limits,
             messages: MessageLog::default(),
             rules: rules::all(classes),
             findings: Findings::default(),
@@ -31,7 +31,7 @@
     }
 
     /// Processes the next record. Records must be in the order of time.
-    pub fn hear(&mut self, record: &AuditRecord) {
+    pub fn observe(&mut self, record: &AuditRecord) {
         let observed = Observation {
             record,
             limits: &self.limits,
--- a/crates/simulation/src/audit/limits.rs
+++ b/crates/simulation/src/audit/limits.rs
@@ -1,10 +1,10 @@
-//! The bounds of the operators' rules, and the repeats that each class of messages allows.
+//! The bounds that the rules check, and the repeats that each class of messages allows.
 
 use std::time::Duration;
 
-/// The bounds that the operators set for the rules. [`Default`] has the operators' values.
+/// The bounds that the rules check. [`Default`] has the values that the operators require.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figures {
+pub struct RuleLimits {
     /// Largest number of attempts of a message.
     pub max_attempts: u32,
     /// How long new calls to an endpoint may begin after the sender was notified that it drains or is removed.
@@ -33,10 +33,10 @@
     pub chance_margin: f64,
 }
 
-impl Default for Figures {
-    fn default() -> Figures {
+impl Default for RuleLimits {
+    fn default() -> RuleLimits {
         let ms = Duration::from_millis;
-        Figures {
+        RuleLimits {
             max_attempts: 6,
             drain_grace: ms(500),
             retry_after_grace: ms(100),
--- a/crates/simulation/src/audit/messages.rs
+++ b/crates/simulation/src/audit/messages.rs
@@ -1,19 +1,20 @@
-//! The recorded state of each message: submission, answer, delivery and final report.
+//! The state of each message according to the records: submission, answer, delivery and final report.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::limits::Figures;
+use super::limits::RuleLimits;
 use super::record::{Answer, AuditEvent, AuditRecord, DeliveryOutcome, FinalReport};
 
 /// The first final report of a message; later ones are resent copies.
 #[derive(Debug)]
 pub(super) struct FirstReport {
     pub(super) final_report: FinalReport,
+    /// Evidence of the report.
     pub(super) wire: String,
 }
 
-/// A contradiction between the answer to a Web Push post and what the push service did.
+/// An answer to a Web Push post that contradicts the push service's reply.
 #[derive(Debug)]
 pub(super) enum FalseAnswer<'a> {
     /// The answer states a delivery, but no push service accepted the message.
@@ -22,29 +23,35 @@
     Delivered { delivery_wire: &'a str },
 }
 
-/// The recorded state of a message.
+/// The state of a message according to the records so far.
 #[derive(Debug, Default)]
 pub(super) struct TrackedMessage {
+    /// Number of the sender to which it was submitted.
     pub(super) sender: Option<usize>,
+    /// Time of its submission, since the start of the scenario.
     pub(super) submitted: Duration,
-    /// The longest time by which the submission may have preceded `submitted`.
+    /// Recording delay of the submission: the longest time by which it may have preceded `submitted`.
     pub(super) submission_delay: Duration,
+    /// Evidence of the submission.
     pub(super) submission_wire: String,
+    /// From its submission.
     time_to_live: Duration,
+    /// When the sender answered that it accepted the message; for a post, when it was submitted.
     pub(super) accepted: Option<Duration>,
-    /// Submitted over Web Push, where the answer is the end of the message.
+    /// Whether it was submitted over Web Push, where the answer states how the message ended.
     pub(super) posted: bool,
+    /// Whether the client has its answer or expects none any more.
     pub(super) answered: bool,
-    /// Evidence of the first 200 (201 for Web Push) that a destination wrote for it.
+    /// Evidence of the first successful delivery: a destination's reply with status 200, or 201 for Web Push.
     pub(super) delivery_wire: Option<String>,
     pub(super) final_report: Option<FirstReport>,
-    /// The message was lost with the state of its sender.
+    /// Whether it was lost with its sender's state folder, so that its end is no longer judged.
     pub(super) lost: bool,
 }
 
 impl TrackedMessage {
-    /// The latest time at which the message must have ended.
-    pub(super) fn due(&self, limits: &Figures) -> Duration {
+    /// The time by which the message must have ended: the end of its time to live and of the grace period.
+    pub(super) fn due(&self, limits: &RuleLimits) -> Duration {
         self.submitted + self.time_to_live + limits.end_grace
     }
 
@@ -53,7 +60,7 @@
         vec![self.submission_wire.clone(), record.wire.clone()]
     }
 
-    /// The contradiction between this answer to a post and what the push service wrote, if there is one.
+    /// Whether and how this answer to a post contradicts the push service's reply.
     pub(super) fn false_answer(&self, answer: &Answer) -> Option<FalseAnswer<'_>> {
         match (answer, &self.delivery_wire) {
             (Answer::Delivered | Answer::Accepted, None) => Some(FalseAnswer::NotDelivered),
@@ -65,7 +72,7 @@
     }
 }
 
-/// A period in which a sender is down or restarts. Nothing that falls due in it counts as overdue.
+/// A period in which a sender is down or restarts. A message whose end or answer is due in it is not overdue before the period ends.
 #[derive(Debug)]
 struct Downtime {
     from: Duration,
@@ -91,7 +98,7 @@
         self.messages.iter()
     }
 
-    /// Whether one downtime of the sender covers everything from `due` to `at`.
+    /// Whether a delay from `due` to `at` is excused, because one downtime of the sender covers all of it.
     pub(super) fn is_excused(&self, sender: Option<usize>, due: Duration, at: Duration) -> bool {
         let downtimes = sender.and_then(|sender| self.downtimes.get(&sender));
         let covers = |downtime: &Downtime| {
@@ -101,7 +108,7 @@
     }
 
     /// Updates the messages and downtimes from a record.
-    pub(super) fn observe(&mut self, record: &AuditRecord, limits: &Figures) {
+    pub(super) fn observe(&mut self, record: &AuditRecord, limits: &RuleLimits) {
         match &record.event {
             AuditEvent::Submitted {
                 id, time_to_live, ..
@@ -113,6 +120,7 @@
             } => {
                 let message = self.submitted(id, *time_to_live, record);
                 message.posted = true;
+                // A post is answered only at its end, so its sender is responsible for it from the submission on.
                 message.accepted = Some(record.at);
             }
             AuditEvent::Answered { id, answer } => self.answered(id, answer, record.at),
@@ -151,7 +159,7 @@
         }
     }
 
-    /// A closed connection ends a post: its client expects no answer any more.
+    /// The sender closed the client's connection. For a post this counts as an answer, because none can follow on another connection.
     fn dropped(&mut self, id: &str) {
         if let Some(message) = self.messages.get_mut(id) {
             message.answered |= message.posted;
@@ -173,6 +181,7 @@
 
     fn reported(&mut self, id: &str, final_report: FinalReport, record: &AuditRecord) {
         if let Some(message) = self.messages.get_mut(id) {
+            // A final report proves that the sender had the message, so it counts as an answer.
             message.answered = true;
             message.final_report.get_or_insert_with(|| FirstReport {
                 final_report,
@@ -192,7 +201,7 @@
         }
     }
 
-    fn sender_ready(&mut self, record: &AuditRecord, limits: &Figures) {
+    fn sender_ready(&mut self, record: &AuditRecord, limits: &RuleLimits) {
         let downtimes = record
             .sender
             .and_then(|sender| self.downtimes.get_mut(&sender));
@@ -201,6 +210,7 @@
         }
     }
 
+    /// Marks messages as lost: those in `only`, or without it all messages of the sender.
     fn lost(&mut self, sender: Option<usize>, only: Option<&[String]>) {
         if let Some(ids) = only {
             for id in ids {
--- a/crates/simulation/src/audit/mod.rs
+++ b/crates/simulation/src/audit/mod.rs
@@ -16,6 +16,6 @@
 
 pub use auditor::Auditor;
 pub use findings::{Verdict, Violation};
-pub use limits::{Class, Figures};
+pub use limits::{Class, RuleLimits};
 pub use record::{Answer, AuditEvent, AuditRecord, DeliveryOutcome, FinalReport, Listed};
 pub use rule::Rule;
--- a/crates/simulation/src/audit/observation.rs
+++ b/crates/simulation/src/audit/observation.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::findings::Findings;
-use super::limits::Figures;
+use super::limits::RuleLimits;
 use super::messages::MessageLog;
 use super::record::AuditRecord;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Observation<'a> {
     pub(super) record: &'a AuditRecord,
-    pub(super) limits: &'a Figures,
+    pub(super) limits: &'a RuleLimits,
     /// The state of all messages before this record.
     pub(super) messages: &'a MessageLog,
 }
@@ -24,7 +24,7 @@
     pub(super) at: Duration,
     /// The largest delay of a record.
     pub(super) recording_delay: Duration,
-    pub(super) limits: &'a Figures,
+    pub(super) limits: &'a RuleLimits,
     pub(super) messages: &'a MessageLog,
 }
 
--- a/crates/simulation/src/audit/rule.rs
+++ b/crates/simulation/src/audit/rule.rs
@@ -13,7 +13,7 @@
     SecondCopy,
     /// No possibly executed message is repeated if its class forbids that.
     Repeats,
-    /// A message has at most [`Figures::max_attempts`](super::Figures::max_attempts) attempts.
+    /// A message has at most [`RuleLimits::max_attempts`](super::RuleLimits::max_attempts) attempts.
     Attempts,
     /// A draining or removed endpoint receives no new calls after a grace period.
     Drains,
--- a/crates/simulation/src/audit/rules/ordering.rs
+++ b/crates/simulation/src/audit/rules/ordering.rs
@@ -13,26 +13,30 @@
 struct Message {
     sender: usize,
     key: String,
-    /// Sequence number of its submission, over all messages.
+    /// Position of its submission among those of all messages with an ordering key.
     position: u64,
-    /// The sender's answer shows that it has the message. Only accepted messages block later ones.
+    /// Whether the sender has answered that it accepted the message. Only accepted messages block later ones.
     accepted: bool,
-    /// The message is delivered, rejected or reported.
+    /// Whether it is delivered, rejected or stated in a final report. It blocks no others then.
     completed: bool,
     in_flight: bool,
 }
 
-/// An attempt whose connection closed before the reply, so that it is possibly still being executed.
+/// An attempt whose connection broke or closed before the reply, so that the destination may still be executing it.
 #[derive(Debug)]
 struct BrokenAttempt {
+    /// When the connection broke.
     at: Duration,
+    /// Id of the message.
     id: String,
 }
 
 /// Checks [`Rule::Order`].
 #[derive(Debug, Default)]
 pub(super) struct Ordering {
+    /// Number of submissions with an ordering key.
     submissions: u64,
+    /// Messages with an ordering key, by id.
     messages: BTreeMap<String, Message>,
     /// Ids of the messages of the call in flight, by connection.
     in_flight: BTreeMap<u64, Vec<String>>,
@@ -50,7 +54,7 @@
                 ..
             } => self.submitted(id, key, record),
             AuditEvent::Answered { id, answer } => self.answered(id, answer),
-            // Whether the sender has the message is unknown, so it neither blocks other messages nor is blocked.
+            // Without an answer it is unknown whether the sender accepted the message, so its order is not judged.
             AuditEvent::Dropped { id } | AuditEvent::Abandoned { id } => {
                 self.messages.remove(id);
             }
@@ -92,6 +96,7 @@
 impl Ordering {
     fn submitted(&mut self, id: &str, key: &str, record: &AuditRecord) {
         let Some(sender) = record.sender else { return };
+        // Completed messages block no others, so they are not kept.
         self.messages
             .retain(|_, message| !message.completed || message.in_flight);
         self.submissions += 1;
@@ -130,12 +135,14 @@
         }
     }
 
+    /// Removes lost messages: those in `only`, or without it all messages of the sender.
     fn lost(&mut self, sender: Option<usize>, only: Option<&[String]>) {
         self.messages.retain(|id, message| {
             Some(message.sender) != sender || only.is_some_and(|only| !only.contains(id))
         });
     }
 
+    /// Judges a call with the message `id`.
     fn called(
         &mut self,
         id: &str,
@@ -159,8 +166,9 @@
             let why = format!("message {other} of the same ordering key {key} is in flight");
             findings.broken(violation(why));
         } else if let Some(other) = self.earlier_pending(message) {
-            let why =
-                format!("message {other} of the same ordering key {key} was submitted before it");
+            let why = format!(
+                "message {other} of the same ordering key {key} was submitted earlier and is not completed"
+            );
             findings.broken(violation(why));
         } else {
             self.judge_pause(id, message, observed, findings, violation);
@@ -170,6 +178,7 @@
         }
     }
 
+    /// The other messages of the same sender and ordering key.
     fn others_of_key(&self, message: &Message) -> impl Iterator<Item = (&String, &Message)> {
         self.messages.iter().filter(|(_, other)| {
             other.sender == message.sender
@@ -191,8 +200,8 @@
         others.find(|(_, other)| blocks(other)).map(|(id, _)| id)
     }
 
-    /// After a broken attempt of one message, other messages of its ordering key must wait for
-    /// [`Figures::ordering_key_pause`](crate::audit::limits::Figures::ordering_key_pause).
+    /// After the connection of an attempt broke, other messages of its ordering key must not be called for
+    /// [`RuleLimits::ordering_key_pause`](crate::audit::limits::RuleLimits::ordering_key_pause).
     fn judge_pause(
         &self,
         id: &str,
@@ -208,15 +217,18 @@
         };
         let limits = observed.limits;
         let elapsed = observed.record.at.saturating_sub(broken.at);
-        let missing = excess(limits.ordering_key_pause, elapsed + limits.socket_slack);
+        let missing_pause = excess(limits.ordering_key_pause, elapsed + limits.socket_slack);
         let why = format!(
-            "only {} ms after a broken attempt of another message of its ordering key",
-            elapsed.as_millis()
+            "called {} ms after the connection of an attempt of message {} of the same ordering key {} broke; expected {} ms or more",
+            elapsed.as_millis(),
+            broken.id,
+            message.key,
+            limits.ordering_key_pause.as_millis()
         );
         let violation = || violation(why);
         findings.judge(
             Rule::Order,
-            missing,
+            missing_pause,
             observed.record.recording_delay,
             violation,
         );
--- a/crates/simulation/src/audit/rules/slow_start.rs
+++ b/crates/simulation/src/audit/rules/slow_start.rs
@@ -193,7 +193,7 @@
     }
 
     /// An overload violates the rule if senders that saw the outage sent more than
-    /// [`Figures::informed_share`](crate::audit::limits::Figures::informed_share) of it.
+    /// [`RuleLimits::informed_share`](crate::audit::limits::RuleLimits::informed_share) of it.
     fn judge_overload(
         &mut self,
         destination: u64,
--- a/crates/simulation/src/clients/population.rs
+++ b/crates/simulation/src/clients/population.rs
@@ -17,6 +17,7 @@
 /// A submission whose outcome the client does not know yet.
 #[derive(Clone, Debug)]
 struct OpenSubmission {
+    /// Index of the message in [`Clients::origins`].
     origin: usize,
     accepted: bool,
     /// Time of a delivery that preceded the answer to the submission.
@@ -34,12 +35,13 @@
     /// All messages drawn so far, in the order of their first submission.
     pub origins: Vec<Origin>,
     open: BTreeMap<String, OpenSubmission>,
-    /// Submissions that wait for the answer to an earlier one of their ordering key, by key with an unanswered submission.
+    /// By ordering key with an unanswered submission: the later submissions of this key, which wait for the answer.
     waiting_by_key: BTreeMap<String, VecDeque<Attempt>>,
 }
 
 impl Clients {
-    /// Creates clients with this load. They have a generator of their own, so that their draws do not depend on other models.
+    /// Creates clients with this load. `rng` must not be shared with other models, so that their draws do not change those of the
+    /// clients.
     pub fn new(load: Load, rng: ChaCha8Rng) -> Clients {
         let mut sampler = LoadSampler::new(load, rng);
         let next_single = sampler.next_single(Duration::ZERO);
--- a/crates/simulation/src/destination/reply.rs
+++ b/crates/simulation/src/destination/reply.rs
@@ -7,7 +7,7 @@
 pub enum Connect {
     /// The connection is established.
     Up,
-    /// The connection is refused (reset) at once.
+    /// The connection is refused, with a RST.
     Refused,
     /// The attempt to connect is never answered.
     Nothing,
--- a/crates/simulation/src/destination/simulated.rs
+++ b/crates/simulation/src/destination/simulated.rs
@@ -41,8 +41,8 @@
 }
 
 impl SimulatedDestination {
-    /// Creates a destination; `faults` are listed by endpoint. It has a generator of its own, so that its draws do not depend
-    /// on other models.
+    /// Creates a destination; `faults` are listed by endpoint. `rng` must not be shared with other models, so that their draws
+    /// do not change those of this one.
     pub fn new(spec: Spec, faults: Vec<Vec<Fault>>, rng: ChaCha8Rng) -> SimulatedDestination {
         let count = spec.endpoints.max(1);
         // Little's law: an endpoint's share of the capacity times the mean service time is the mean number of busy workers.
@@ -260,7 +260,7 @@
         }
     }
 
-    /// The load report of an endpoint, computed again once it is as old as `refresh`.
+    /// The load report of an endpoint, which is computed at most once in each interval `refresh`.
     fn load_report(&mut self, now: Duration, endpoint: usize, refresh: Duration) -> (f64, f64) {
         let limiter = self.limiter_index(endpoint);
         if let Some(cached) = self.reports.get(&limiter)
--- a/crates/simulation/src/directory.rs
+++ b/crates/simulation/src/directory.rs
@@ -42,7 +42,7 @@
 /// The response to a watch, a request for changes that discovery holds until there are some.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Watch {
-    /// Discovery answers at once with this list.
+    /// Discovery answers with this list without holding the watch.
     Now(List),
     /// Discovery holds the watch.
     Hold {
--- a/crates/simulation/src/return_guard.rs
+++ b/crates/simulation/src/return_guard.rs
@@ -59,7 +59,7 @@
 /// Measures the load on a destination that warms up, and detects the overload that makes it fail.
 #[derive(Clone, Debug, Default)]
 pub struct OverloadGuard {
-    /// The end of the outage whose slow start is being measured.
+    /// End of the outage after which the load is being measured.
     recovered_at: Option<Duration>,
     /// Calls within the current window.
     calls: VecDeque<WeightedCall>,
--- a/crates/simulation/src/scenario/bounds.rs
+++ b/crates/simulation/src/scenario/bounds.rs
@@ -4,7 +4,7 @@
 
 /// Longest duration of a scenario, which is played in real time. Longer runs belong in the simulator.
 pub(super) const MAX_DURATION: Duration = Duration::from_secs(3600);
-/// Largest number of senders. Each has an address of its own in 127.0.0.0/8 for each simulated server.
+/// Largest number of senders. The number of a sender is part of the loopback addresses (127.0.0.0/8) that it uses.
 pub(super) const MAX_SENDERS: usize = 250;
 /// Largest number of senders and simulated members together.
 pub(super) const MAX_MEMBERS: usize = 2_000;
--- a/crates/simulation/src/scenario/file.rs
+++ b/crates/simulation/src/scenario/file.rs
@@ -14,7 +14,9 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct File {
+    /// Name of the scenario, for reports.
     pub(super) name: String,
+    /// Time for which new messages arrive.
     #[serde(default = "default_duration", rename = "lasts")]
     pub(super) duration: Spanned<Span>,
     #[serde(default = "one_sender")]
@@ -46,15 +48,21 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct LoadFile {
+    /// Messages over all tenants, clumps included.
     pub(super) rate: Spanned<Rate>,
+    /// Share of the messages that arrive in clumps (bursts for one destination).
     #[serde(default)]
     pub(super) clumps: Option<Spanned<f64>>,
+    /// Smallest and largest size of a clump, as time at the rate that its destination admits.
     #[serde(default)]
     pub(super) clump: Option<(Span, Span)>,
+    /// Exponent of Zipf's law for the weights of a tenant's destinations.
     #[serde(default)]
     pub(super) zipf: Option<f64>,
+    /// Largest number of resubmissions of a message.
     #[serde(default)]
     pub(super) retries: Option<u32>,
+    /// Smallest and largest size of a body, in bytes.
     #[serde(default)]
     pub(super) body: Option<(usize, usize)>,
 }
@@ -64,6 +72,7 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct Tenant {
     pub(super) name: Spanned<String>,
+    /// Weight among all tenants when a message is drawn.
     pub(super) share: f64,
 }
 
@@ -72,8 +81,10 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct ClassFile {
     pub(super) name: String,
+    /// `safe`, `keyed` or `unsafe`: the effect of a repeated delivery.
     #[serde(default = "effect_keyed")]
     pub(super) effect: Spanned<String>,
+    /// For `keyed`: how long destinations drop duplicates; the time to live if omitted.
     #[serde(default)]
     pub(super) window: Option<Span>,
     /// Latency objective.
@@ -81,8 +92,10 @@
     /// Time to live.
     #[serde(rename = "lasts")]
     pub(super) duration: Spanned<Span>,
+    /// Weight among all classes when a message is drawn.
     #[serde(default = "whole_share")]
     pub(super) share: f64,
+    /// Smallest weight in the results of a message that is delivered after its latency objective.
     #[serde(default)]
     pub(super) late_share: Option<f64>,
     /// Number of ordering keys over which its messages are distributed.
@@ -90,13 +103,15 @@
     pub(super) order_keys: u32,
 }
 
-/// `[[partner]]`: a destination, or several similar ones.
+/// `[[partner]]`: a destination, or several similar ones. Keys without a comment are fields of [`Spec`](crate::destination::Spec).
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DestinationFile {
     pub(super) name: Spanned<String>,
+    /// Name of its tenant; if omitted, tenants are assigned in rotation.
     #[serde(default, rename = "station")]
     pub(super) tenant: Option<Spanned<String>>,
+    /// Kind by which discovery and settings group destinations; `station` if omitted, or `push` for a push service.
     #[serde(default)]
     pub(super) kind: Option<Spanned<String>>,
     /// Number of destinations with these properties. A number is appended to the name of each, from `-0` on.
@@ -130,6 +145,7 @@
     pub(super) item_cost: Option<f64>,
     #[serde(default)]
     pub(super) reports: Option<Span>,
+    /// Weight among the destinations of its tenant when a message is drawn; by Zipf's law if omitted.
     #[serde(default)]
     pub(super) weight: Option<f64>,
     /// Zones to which the endpoints are assigned in rotation.
@@ -144,7 +160,9 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FaultFile {
+    /// Kind of the fault, such as `vanish`.
     pub(super) kind: Spanned<String>,
+    /// Start of the fault.
     pub(super) at: Spanned<Span>,
     #[serde(rename = "lasts")]
     pub(super) duration: Span,
@@ -182,6 +200,7 @@
     pub(super) duration: Span,
     #[serde(rename = "partners")]
     pub(super) destinations: Vec<Spanned<String>>,
+    /// Share of all messages that is drawn for them.
     pub(super) share: Spanned<f64>,
 }
 
@@ -192,6 +211,7 @@
     pub(super) at: Spanned<Span>,
     /// Name of the destination and index of the endpoint, such as `onda-1/0`.
     pub(super) endpoint: Spanned<String>,
+    /// `up`, `draining`, `removed` or `replaced`: state of the endpoint after the change.
     pub(super) to: Spanned<String>,
 }
 
@@ -199,6 +219,7 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DirectoryFile {
+    /// Delay between a change and its visibility, by sender; the last delay also applies to all further senders.
     #[serde(default)]
     pub(super) delays: Vec<Span>,
     #[serde(default)]
@@ -219,8 +240,10 @@
 #[serde(deny_unknown_fields)]
 pub(super) struct SignalFile {
     pub(super) at: Spanned<Span>,
+    /// Number of the sender; the first one if omitted.
     #[serde(default)]
     pub(super) sender: Option<Spanned<usize>>,
+    /// `TERM`, `KILL` or `HUP`.
     pub(super) send: Spanned<String>,
 }
 
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,7 +1,7 @@
 //! Scenario files (TOML): the load, destinations and faults of a test run. A file is checked completely before the run
 //! starts, and an error names its line.
 //!
-//! Start at [`parse`], which reads a [`Scenario`] from the text of a file. Each part of a file has a module of its own.
+//! [`parse`] reads a [`Scenario`] from the text of a file. The submodules each read one part of it.
 
 mod bounds;
 mod classes;
--- a/crates/simulation/src/scenario/types.rs
+++ b/crates/simulation/src/scenario/types.rs
@@ -136,8 +136,8 @@
 pub enum Signal {
     /// SIGTERM: terminate gracefully.
     Term,
-    /// SIGKILL: terminate at once.
+    /// SIGKILL: terminate without a shutdown.
     Kill,
-    /// SIGHUP.
+    /// SIGHUP: reload the configuration.
     Hup,
 }
--- a/crates/simulation/src/scenario/units.rs
+++ b/crates/simulation/src/scenario/units.rs
@@ -6,7 +6,7 @@
 
 use crate::limit::Limit;
 
-/// The reason why a string is not a valid quantity.
+/// Why a string is not a valid quantity.
 #[derive(Debug, thiserror::Error)]
 enum UnitError {
     #[error("'{text}' has no unit: expected ms, s or min")]
@@ -15,30 +15,32 @@
     TimeUnit { unit: String },
     #[error("'{text}' is not a duration such as \"6.5 s\"")]
     Time { text: String },
-    #[error("'{text}' is too long for a duration")]
+    #[error("'{text}' is too long for a duration: expected less than 2^64 s")]
     TooLong { text: String },
     #[error("'{text}' is not a rate such as \"26/s\"")]
     Rate { text: String },
     #[error("'{unit}' is not the unit of a rate: expected s or min")]
     RateUnit { unit: String },
-    #[error("'{text}' is not a number of calls")]
+    #[error("'{text}' is not a number of calls such as 5")]
     Count { text: String },
-    #[error("'{text}' admits no calls")]
+    #[error("'{text}' admits no calls: expected a rate or window above 0, and at least 1 call")]
     AdmitsNothing { text: String },
 }
 
-/// A duration, such as `400 ms`, `6.5 s` or `2 min`.
+/// A duration such as `400 ms`, `6.5 s` or `2 min`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Span(pub(super) Duration);
 
-/// A rate, such as `26/s` or `90/min`, converted to a number per second.
+/// A rate such as `26/s` or `90/min`, converted to events per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Rate(pub(super) f64);
 
-/// A limit: `none`, `4/s`, `4/s burst 2` or `5 in 1 s`.
+/// A limit on calls: `none`; a token bucket, such as `4/s` (a burst of 1 call) or `4/s burst 2`; or a count in fixed windows, such
+/// as `5 in 1 s`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct LimitText(pub(super) Limit);
 
+/// Implements `Deserialize` for a wrapper from a string, with the function that parses it.
 macro_rules! from_text {
     ($name:ident, $parse:ident) => {
         impl<'de> Deserialize<'de> for $name {
@@ -54,7 +56,7 @@
 from_text!(Rate, rate);
 from_text!(LimitText, limit);
 
-/// Parses a finite number that is not negative.
+/// Parses a finite number of at least 0; `None` for any other text.
 fn number(text: &str) -> Option<f64> {
     let number = text.trim().parse::<f64>().ok();
     number.filter(|n| n.is_finite() && *n >= 0.0)
@@ -108,6 +110,7 @@
     }
 }
 
+/// Parses the parts of a count, `calls` in a window of `length`; `text` is the whole limit.
 fn count_limit(text: &str, calls: &str, length: &str) -> Result<Limit, UnitError> {
     let calls = calls.trim().parse().map_err(|_| UnitError::Count {
         text: calls.to_owned(),
@@ -120,6 +123,7 @@
     Ok(Limit::Count { calls, span })
 }
 
+/// Parses a token bucket: a rate, and optionally a burst, which may have a fraction.
 fn rate_limit(text: &str) -> Result<Limit, UnitError> {
     let (per_second, burst) = match text.split_once(" burst ") {
         None => (rate(text)?, 1.0),
--- a/crates/simulation/tests/audit.rs
+++ b/crates/simulation/tests/audit.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use cranehill_simulation::audit::{
-    Answer, AuditEvent, AuditRecord, Auditor, Class, DeliveryOutcome, Figures, FinalReport, Listed,
-    Rule, Verdict,
+    Answer, AuditEvent, AuditRecord, Auditor, Class, DeliveryOutcome, FinalReport, Listed, Rule,
+    RuleLimits, Verdict,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -121,8 +121,8 @@
             Class::Keyed { window: ms(20_000) },
             Class::Unsafe,
         ];
-        let mut auditor = Auditor::new(Figures::default(), classes);
-        self.0.iter().for_each(|record| auditor.hear(record));
+        let mut auditor = Auditor::new(RuleLimits::default(), classes);
+        self.0.iter().for_each(|record| auditor.observe(record));
         let verdicts = auditor.verdicts(ms(end), Duration::ZERO);
         verdicts
             .into_iter()
