--- a/crates/cranehill/src/crash_test/client.rs
+++ b/crates/cranehill/src/crash_test/client.rs
@@ -25,7 +25,7 @@
 pub(super) struct Client {
     pub(super) sender: SocketAddr,
     pub(super) delivery_log: SharedDeliveryLog,
-    /// Set once the sender has been killed.
+    /// Set when the sender is killed; the client submits nothing after it.
     pub(super) stop: Arc<AtomicBool>,
     /// Seed of its random choices.
     pub(super) seed: u64,
--- a/crates/cranehill/src/crash_test/outcome.rs
+++ b/crates/cranehill/src/crash_test/outcome.rs
@@ -90,7 +90,7 @@
             if is_unsafe && record.repeated {
                 self.repeated.push(id.clone());
             }
-            // `returned` tells the platform that the message was not executed.
+            // A report `returned` states that the message was not executed.
             let returned_after_execution =
                 is_unsafe && record.executions > 0 && record.reports.contains("returned");
             if record.reports.len() > 1 || returned_after_execution {
--- a/crates/cranehill/src/crash_test/player.rs
+++ b/crates/cranehill/src/crash_test/player.rs
@@ -36,7 +36,7 @@
 /// The parameters of a crash test.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The program to kill.
+    /// Path of the sender's executable, which is started and killed.
     pub program: PathBuf,
     /// Number of kills.
     pub kills: u32,
--- a/crates/cranehill/src/crash_test/sender_process.rs
+++ b/crates/cranehill/src/crash_test/sender_process.rs
@@ -14,7 +14,7 @@
 /// A running `cranehill serve`.
 pub(super) struct SenderProcess {
     child: Child,
-    /// Where it listens for clients.
+    /// Address at which it listens for clients.
     pub(super) clients: SocketAddr,
     /// Reads the log to its end and returns the number of lines about damage.
     log: JoinHandle<u32>,
--- a/crates/cranehill/src/measure.rs
+++ b/crates/cranehill/src/measure.rs
@@ -85,7 +85,7 @@
 
 fn print_step(step: &Step) {
     println!("{}", step.line());
-    // If the runner itself was late, what it found says nothing about the sender.
+    // A runner that was late itself may have caused these problems, so they are no evidence against the senders.
     if step.clear() {
         step.wrong.iter().for_each(|wrong| println!("    {wrong}"));
     }
--- a/crates/cranehill/src/nginx/error.rs
+++ b/crates/cranehill/src/nginx/error.rs
@@ -8,7 +8,7 @@
     /// A quoted string has no closing quotation mark.
     #[error("line {line}: unterminated quoted string")]
     OpenQuote {
-        /// Where the string begins.
+        /// Line on which the string begins.
         line: usize,
     },
     /// A closing brace outside of any block.
@@ -54,7 +54,7 @@
     DuplicateUpstream {
         /// Line of the second one.
         line: usize,
-        /// Their name.
+        /// The name that both have.
         name: String,
     },
     /// A location without a block.
--- a/crates/cranehill/src/progress.rs
+++ b/crates/cranehill/src/progress.rs
@@ -6,7 +6,8 @@
 
 const REDRAW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A bar with a label and the elapsed time. It is redrawn periodically, so that the time advances without progress.
+/// A progress bar with a label and the elapsed time. It is redrawn at [`REDRAW_INTERVAL`], so that the time is current even without
+/// progress.
 pub(crate) fn named_bar(name: &str) -> ProgressBar {
     let bar = ProgressBar::new(1);
     set_template(&bar, "{elapsed_precise} {wide_bar} {msg}");
@@ -15,8 +16,8 @@
     bar
 }
 
-/// A bar that counts up to `total` of `unit`. It is hidden if `total` is at most `threshold`: it would disappear
-/// before anyone could read it.
+/// A progress bar that counts up to `total`; `unit` is the plural of what it counts. It is hidden if `total` is at most `threshold`,
+/// as it would disappear before it could be read.
 pub(crate) fn counting_bar(total: u64, threshold: u64, unit: &str) -> ProgressBar {
     if total <= threshold {
         return ProgressBar::hidden();
--- a/crates/cranehill/src/push_script/player.rs
+++ b/crates/cranehill/src/push_script/player.rs
@@ -25,7 +25,7 @@
 const SENDER_SEED: u64 = 1;
 const UPSTREAM_NAME: &str = "stand-in";
 
-/// The result of a script.
+/// The results of all expectations of a script.
 #[derive(Debug, Default)]
 pub struct Report {
     /// A line for each expectation, with its line number in the script.
--- a/crates/cranehill/src/push_script/script.rs
+++ b/crates/cranehill/src/push_script/script.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// A reply that the service is to give.
+/// A reply that the script prescribes for the simulated push service.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct ServiceReply {
     /// The push that it is a reply to; `None` for any push.
--- a/crates/cranehill/src/push_script/service.rs
+++ b/crates/cranehill/src/push_script/service.rs
@@ -8,7 +8,7 @@
 use super::script::ServiceReply;
 use crate::simulated_server::Reply;
 
-/// The replies that remain, and the requests that arrived in spite of a `Retry-After` of this service.
+/// The scripted replies that are not used yet, and a count of the requests that violated a `Retry-After`.
 #[derive(Default)]
 pub(super) struct PushService {
     replies: VecDeque<ServiceReply>,
--- a/crates/cranehill/src/rehearse/queue.rs
+++ b/crates/cranehill/src/rehearse/queue.rs
@@ -36,7 +36,7 @@
             let (queue, outcome_sender) = (&queue, outcome_sender.clone());
             scope.spawn(move || queue.play_until_empty(&outcome_sender));
         }
-        // Only the workers keep senders, so the receiving loop ends when the last worker does.
+        // Only the workers hold senders of the channel now, so the loop below ends when the last worker does.
         drop(outcome_sender);
         let mut waiting = BTreeMap::new();
         let mut next_in_order = 0;
@@ -62,17 +62,17 @@
     })
 }
 
-/// The plans, which workers take one after the other.
+/// The plans to run, from which each worker fetches the next one when it has finished the last.
 struct PlanQueue<'plans> {
     plans: &'plans [Plan],
     next: AtomicUsize,
-    /// One plan at a time: the bar shows the plan's progress. With several in parallel it shows how many are done.
+    /// Whether one plan runs at a time. The progress bar then shows the time within the plan; otherwise, the number of finished plans.
     is_single: bool,
     progress_bar: ProgressBar,
 }
 
 impl PlanQueue<'_> {
-    /// Lets no further plan begin.
+    /// Prevents the workers from beginning further plans.
     fn stop(&self) {
         self.next.store(self.plans.len(), Ordering::Relaxed);
     }
