--- a/crates/cranehill/src/nginx/parser.rs
+++ b/crates/cranehill/src/nginx/parser.rs
@@ -6,7 +6,7 @@
 
 use super::error::NginxError;
 
-/// Maximum nesting depth of blocks. Parsing recurses once per level, so the file must not determine the stack depth.
+/// Maximum nesting depth of blocks. Parsing recurses once per level, so a file with deeper nesting could overflow the stack.
 const MAX_BLOCK_DEPTH: usize = 32;
 
 /// A directive with its arguments and, if it has a block, the directives inside.
--- a/crates/scenario-runner/src/runner/event_log.rs
+++ b/crates/scenario-runner/src/runner/event_log.rs
@@ -10,10 +10,11 @@
 /// All events in the order in which they were noticed, for the auditor.
 #[derive(Debug, Default)]
 pub(super) struct EventLog {
+    /// The recorded events.
     pub records: Vec<AuditRecord>,
     /// Upper bound on the delay with which the event that is being handled was noticed.
     pub current_lateness: Duration,
-    /// All measured delays.
+    /// Delays with which events were noticed so far, in no particular order.
     lateness_samples: Vec<Duration>,
 }
 
@@ -26,7 +27,8 @@
 }
 
 impl EventLog {
-    /// Records an event that is noticed at `now`. `wire` is the text that proves it; control characters are removed.
+    /// Records an event that is noticed at `now`. `wire` is its evidence: bytes from the wire, or a sentence. Control
+    /// characters are removed from it.
     pub(super) fn record(
         &mut self,
         now: Duration,
@@ -48,13 +50,13 @@
         });
     }
 
-    /// Sets and counts the delay of the event that is handled next.
+    /// Sets the delay of the event that is handled next, and adds it to those that [`lateness`](EventLog::lateness) evaluates.
     pub(super) fn set_current_lateness(&mut self, lateness: Duration) {
         self.current_lateness = lateness;
         self.add_lateness(lateness);
     }
 
-    /// Counts a measured delay.
+    /// Adds a delay to those that [`lateness`](EventLog::lateness) evaluates.
     pub(super) fn add_lateness(&mut self, lateness: Duration) {
         self.lateness_samples.push(lateness);
     }
--- a/crates/scenario-runner/src/runner/event_loop.rs
+++ b/crates/scenario-runner/src/runner/event_loop.rs
@@ -65,7 +65,7 @@
             other => other?,
         }
         let after = self.now();
-        // An event that happened before this poll may have happened at any time since the end of the last poll.
+        // A poll that returns immediately found an event from before its start: from any time since the end of the last poll.
         let last_poll = self.outcome.lasted;
         let max_delay = if after - before <= IMMEDIATE_POLL {
             before.saturating_sub(last_poll)
--- a/crates/scenario-runner/src/runner/state.rs
+++ b/crates/scenario-runner/src/runner/state.rs
@@ -102,7 +102,7 @@
 pub(super) struct Restart {
     /// Delay until the sender is started again; `None` for never.
     pub(super) after: Option<Duration>,
-    /// Whether its state folder is kept, deleted or truncated before that.
+    /// Whether its state folder is kept or deleted, or its journal damaged, before the restart.
     pub(super) folder: Folder,
 }
 
--- a/crates/simulation/src/audit/record.rs
+++ b/crates/simulation/src/audit/record.rs
@@ -184,7 +184,7 @@
     ProcessExited,
     /// The sender's state folder is lost, or the sender is never started again: its messages are no longer judged.
     Lost {
-        /// Ids of the lost messages if the journal was truncated; `None` if all of the sender's messages are lost.
+        /// Ids of the lost messages if the journal was damaged; `None` if all of the sender's messages are lost.
         only: Option<Vec<String>>,
     },
     /// The sender is ready after a start.
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -107,7 +107,8 @@
     Kept,
     /// The folder's contents are deleted.
     Wiped,
-    /// One of the journal's segments is truncated at an offset drawn from the seed.
+    /// The journal is damaged at an offset drawn from the seed: an older segment is truncated there, or an incomplete frame is
+    /// appended to the newest one.
     Cut,
 }
 
--- a/crates/simulation/src/scenario/fleet_tables.rs
+++ b/crates/simulation/src/scenario/fleet_tables.rs
@@ -14,12 +14,18 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FleetFile {
+    /// Protocol period of membership (SWIM).
     period: Option<Span>,
+    /// Upper bound that membership assumes for a round trip between members.
     round_trip: Option<Span>,
+    /// How long a silent member is suspected before it counts as down.
     suspicion: Option<Span>,
+    /// Eviction delay of members that are down.
     hold: Option<Span>,
+    /// Whether senders recover in phases after a restart.
     #[serde(default)]
     recovery: bool,
+    /// Whether senders evacuate zones, and return to them, together.
     #[serde(default)]
     zones: bool,
 }
@@ -49,11 +55,14 @@
     pub(super) at: Spanned<Span>,
     #[serde(rename = "lasts")]
     duration: Option<Span>,
+    /// Senders on one side of the paths, or whose processes are acted on; all members if omitted.
     #[serde(alias = "senders")]
     pub(super) from: Option<Spanned<SenderSelection>>,
+    /// The other side of the paths.
     pub(super) to: Option<Spanned<SenderSelection>>,
     /// With `to = "partners"`: affects only endpoints in this zone.
     pub(super) zone: Option<Spanned<String>>,
+    /// Affects only traffic from `from` to `to`; otherwise both directions.
     #[serde(default)]
     pub(super) one_way: bool,
     /// For `drop`: share of the packets that are lost.
@@ -62,8 +71,10 @@
     pub(super) by: Option<Span>,
     /// For `kill` and `term`: time until the sender is started again.
     pub(super) back: Option<Spanned<Restart>>,
+    /// For `kill` and `term`: the state folder is deleted before the restart.
     #[serde(default)]
     pub(super) wipe: bool,
+    /// For `kill` and `term`: the journal is damaged before the restart.
     #[serde(default)]
     pub(super) cut_journal: bool,
     /// For `upgrade`: which process is killed.
