--- a/crates/cranehill/tests/capacity.rs
+++ b/crates/cranehill/tests/capacity.rs
@@ -18,7 +18,7 @@
 }
 
 fn path(path: &Path) -> &str {
-    path.to_str().expect("a path")
+    path.to_str().expect("path is valid UTF-8")
 }
 
 #[test]
--- a/crates/cranehill/tests/cli.rs
+++ b/crates/cranehill/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: output and exit codes.
+//! The command line: standard output, standard error and exit codes.
 
 mod common;
 
@@ -6,6 +6,7 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
+/// Runs the program to its end, without a configuration file in its environment.
 fn run(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cranehill"));
     command
@@ -13,17 +14,19 @@
         .env_remove("NODE_CONFIG")
         .env("RUST_LOG", "error")
         .output()
-        .expect("the program runs")
+        .expect("cranehill program started")
 }
 
+/// A temporary file with this text.
 fn file(text: &str) -> tempfile::NamedTempFile {
-    let mut file = tempfile::NamedTempFile::new().expect("a file");
-    file.write_all(text.as_bytes()).expect("written");
+    let mut file = tempfile::NamedTempFile::new().expect("temporary file created");
+    file.write_all(text.as_bytes())
+        .expect("temporary file written");
     file
 }
 
 fn path(file: &tempfile::NamedTempFile) -> &str {
-    file.path().to_str().expect("a path")
+    file.path().to_str().expect("path is valid UTF-8")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -36,21 +39,29 @@
     let out = run(&[
         "check",
         "--webpush",
-        root.join("deploy/webpush.toml").to_str().expect("a path"),
+        root.join("deploy/webpush.toml")
+            .to_str()
+            .expect("path is valid UTF-8"),
     ]);
     assert!(out.status.success(), "{}", text(&out.stderr));
     let out = run(&[
         "rehearse",
         root.join("rehearsals/hard-cases.txt")
             .to_str()
-            .expect("a path"),
+            .expect("path is valid UTF-8"),
     ]);
     assert!(out.status.success(), "{}", text(&out.stdout));
-    assert_eq!(text(&out.stdout).lines().count(), 6);
+    assert_eq!(
+        text(&out.stdout).lines().count(),
+        6,
+        "one line for each `expect` of the script: {}",
+        text(&out.stdout)
+    );
 }
 
 #[test]
 fn missed_expectation_exits_with_1_and_invalid_script_with_2() {
+    // Expects the removal of a's subscription (`gone`), while the simulated push service accepts every push.
     let out = run(&["rehearse", path(&file("push a\nexpect a gone\n"))]);
     assert_eq!(out.status.code(), Some(1));
     assert!(
@@ -58,6 +69,7 @@
         "{}",
         text(&out.stdout)
     );
+    // `hope` is not a command of push scripts.
     let out = run(&["rehearse", path(&file("push a\nhope\n"))]);
     assert_eq!(out.status.code(), Some(2));
     assert!(text(&out.stderr).contains("line 2:"));
@@ -81,7 +93,7 @@
 }
 
 #[test]
-fn bad_input_is_one_line_and_exit_code_2() {
+fn missing_or_invalid_configuration_is_one_error_line_and_exit_code_2() {
     for args in [
         &["serve"] as &[&str],
         &["check"],
@@ -101,22 +113,23 @@
     assert!(text(&run(&["version"]).stdout).starts_with("cranehill "));
 }
 
-/// Each sender uses its part of the fleet's limits: of 0 senders the part would be undefined, of billions it would be
-/// nothing.
+/// Guards the division of the fleet's limits by the number of senders: 0 would be a division by zero, and billions would
+/// leave each sender a quota too small to use.
 #[test]
 fn invalid_sender_count_is_an_error_with_its_key() {
-    let state = tempfile::tempdir().expect("a temporary folder");
-    let good = common::config_text(&common::list(1, &[]));
-    for (senders, expected_error) in [
+    let state = tempfile::tempdir().expect("temporary folder created");
+    let valid_config = common::config_text(&common::list(1, &[]));
+    for (sender_count, expected_error) in [
         (r#""nInstances":0"#, "settings.nInstances: 0 senders"),
         (
             r#""nInstances":4000000000"#,
             "settings.nInstances: 4000000000 senders",
         ),
         (r#""nInstances":-1"#, "invalid value"),
+        // Any other key in place of `nInstances`.
         (r#""others":1"#, "missing field `nInstances`"),
     ] {
-        let config = file(&good.replace(r#""nInstances":1"#, senders));
+        let config = file(&valid_config.replace(r#""nInstances":1"#, sender_count));
         let out = Command::new(env!("CARGO_BIN_EXE_cranehill"))
             .arg("serve")
             .env("NODE_CONFIG", config.path())
@@ -124,18 +137,18 @@
             .env("NODE_DISCOVERY", "127.0.0.1:1")
             .env("NODE_STATE", state.path())
             .output()
-            .expect("the program runs");
-        let printed = text(&out.stderr);
+            .expect("cranehill program started");
+        let stderr = text(&out.stderr);
         assert_eq!(
-            (out.status.code(), printed.lines().count()),
+            (out.status.code(), stderr.lines().count()),
             (Some(2), 1),
-            "{senders}: {printed}"
+            "{sender_count}: {stderr}"
         );
-        assert!(printed.contains(expected_error), "{senders}: {printed}");
+        assert!(stderr.contains(expected_error), "{sender_count}: {stderr}");
     }
 }
 
-/// Names used up to version 0.2 remain aliases of the present ones.
+/// Names used up to version 0.2 remain aliases of the current ones.
 #[test]
 fn renamed_commands_and_options_accept_their_old_names() {
     let renamed: [(&[&str], &[&str], i32, &str); 5] = [
@@ -172,12 +185,12 @@
             "invalid value 'x' for '--cut-duration",
         ),
     ];
-    for (present, old, code, expected) in renamed {
-        for arguments in [present, old] {
+    for (current, old, code, expected) in renamed {
+        for arguments in [current, old] {
             let out = run(arguments);
-            let printed = text(&out.stdout) + &text(&out.stderr);
-            assert_eq!(out.status.code(), Some(code), "{arguments:?}: {printed}");
-            assert!(printed.contains(expected), "{arguments:?}: {printed}");
+            let output = text(&out.stdout) + &text(&out.stderr);
+            assert_eq!(out.status.code(), Some(code), "{arguments:?}: {output}");
+            assert!(output.contains(expected), "{arguments:?}: {output}");
         }
     }
 }
--- a/crates/cranehill/tests/simulated_members.rs
+++ b/crates/cranehill/tests/simulated_members.rs
@@ -12,8 +12,8 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
 
-/// Members 0 and 1 are real senders, 2 to 21 simulated. The cut leaves one real sender and some simulated members on each side
-/// and lasts longer than the suspicion timeout.
+/// Members 0 and 1 are real senders, members 2 to 21 are simulated. The network partition (`cut`) leaves one real sender and
+/// some simulated members on each side, and lasts longer than the suspicion timeout.
 const SCENARIO: &str = r#"name = "two senders and twenty simulated members"
 lasts = "32 s"
 senders = 2
@@ -54,12 +54,12 @@
 const KILLED_REAL: usize = 1;
 const KILLED_SIMULATED: usize = 7;
 
-/// Guards a mixed fleet: both kinds of member join through their seeds, a cut works in all four directions between the kinds, and
-/// each kind detects a killed member of the other. Expects an order of events, not times.
+/// Guards fleets of real senders and simulated members: both join through their seeds, a partition separates members of either
+/// kind, and each kind detects a killed member of the other. Checks the order of state changes, not their times.
 #[test]
 fn real_senders_and_simulated_members_form_one_fleet() {
     let scenario =
-        scenario::parse_with_simulated(SCENARIO, 1, None, SIMULATED).expect("a valid scenario");
+        scenario::parse_with_simulated(SCENARIO, 1, None, SIMULATED).expect("scenario is valid");
     let plan = Plan {
         scenario,
         seed: 1,
@@ -68,7 +68,7 @@
         mutation: None,
         against: None,
     };
-    let (outcome, traffic) = play(&plan, |_, _| {}).expect("the run completes");
+    let (outcome, traffic) = play(&plan, |_, _| {}).expect("fleet run completed");
     let fleet_report = Report::of(&plan, &outcome, &traffic);
     let summary = table(&plan, &outcome, &fleet_report).join("\n");
     assert!(
@@ -78,18 +78,19 @@
     let simulated = traffic
         .simulated
         .as_ref()
-        .expect("there are simulated members");
+        .expect("traffic of the simulated members");
     let mut timeline = Timeline::read(&outcome.logs, &outcome.lines, outcome.began);
     timeline.add_simulated(simulated);
-    let states = |by: usize, of: usize| -> Vec<&str> {
-        let about = timeline
+    // The states of member `subject` that member `observer` has recorded, in order of time.
+    let recorded_states = |observer: usize, subject: usize| -> Vec<&str> {
+        let changes = timeline
             .state_changes
             .iter()
-            .filter(|observed| observed.by == by && observed.of == of);
-        about.map(|observed| observed.state.as_str()).collect()
+            .filter(|change| change.by == observer && change.of == subject);
+        changes.map(|change| change.state.as_str()).collect()
     };
-    check_views(&states, &summary);
-    check_partition(&states, &summary);
+    check_views(&recorded_states, &summary);
+    check_partition(&recorded_states, &summary);
     assert!(fleet_report.largest_share <= 1.0, "{summary}");
     assert!(
         simulated.bytes_sent > 0 && simulated.bytes_received > 0 && simulated.lost > 0,
@@ -100,51 +101,52 @@
             && fleet_report
                 .simulated
                 .as_ref()
-                .is_some_and(|h| h.members == SIMULATED),
+                .is_some_and(|report| report.members == SIMULATED),
         "{summary}"
     );
 }
 
-/// Checks that every live member has seen each other member alive, and finally only the killed ones as down.
-fn check_views<'log>(states: &impl Fn(usize, usize) -> Vec<&'log str>, summary: &str) {
+/// Checks that every live member has recorded each other member as alive, and that the last state it has recorded is `down` for
+/// the killed members and `alive` for all others.
+fn check_views<'log>(recorded_states: &impl Fn(usize, usize) -> Vec<&'log str>, summary: &str) {
     let killed = [KILLED_REAL, KILLED_SIMULATED];
-    for by in (0..SENDERS + SIMULATED).filter(|by| !killed.contains(by)) {
-        for of in (0..SENDERS + SIMULATED).filter(|of| *of != by) {
-            let last = if killed.contains(&of) {
+    for observer in (0..SENDERS + SIMULATED).filter(|observer| !killed.contains(observer)) {
+        for subject in (0..SENDERS + SIMULATED).filter(|subject| *subject != observer) {
+            let expected_last_state = if killed.contains(&subject) {
                 "down"
             } else {
                 "alive"
             };
-            let observed = states(by, of);
+            let states = recorded_states(observer, subject);
             assert!(
-                observed.contains(&"alive"),
-                "{by} never saw {of}: {observed:?}\n{summary}"
+                states.contains(&"alive"),
+                "member {observer} has not recorded member {subject} as alive: {states:?}\n{summary}"
             );
             assert_eq!(
-                observed.last(),
-                Some(&last),
-                "{of} as {by} sees it: {observed:?}\n{summary}"
+                states.last(),
+                Some(&expected_last_state),
+                "last state of member {subject} at member {observer}: {states:?}\n{summary}"
             );
         }
     }
 }
 
-/// Checks that a member across the cut is seen down and then alive again: real by simulated, simulated by real, and both
-/// simulated.
-fn check_partition<'log>(states: &impl Fn(usize, usize) -> Vec<&'log str>, summary: &str) {
-    for (by, of) in [(0, 10), (10, 0), (2, 10), (10, 2)] {
-        let observed = states(by, of);
-        let down = observed.iter().position(|state| *state == "down");
+/// Checks that members on opposite sides of the partition have recorded each other as down and later as alive: a simulated
+/// member at a real sender, a real sender at a simulated member, and simulated members at each other.
+fn check_partition<'log>(recorded_states: &impl Fn(usize, usize) -> Vec<&'log str>, summary: &str) {
+    for (observer, subject) in [(0, 10), (10, 0), (2, 10), (10, 2)] {
+        let states = recorded_states(observer, subject);
+        let first_down = states.iter().position(|state| *state == "down");
         assert!(
-            down.is_some_and(|down| observed[down..].contains(&"alive")),
-            "{by} of {of}: {observed:?}\n{summary}"
+            first_down.is_some_and(|first_down| states[first_down..].contains(&"alive")),
+            "expected member {subject} down and then alive at member {observer}: {states:?}\n{summary}"
         );
     }
 }
 
-/// Guards the sockets, threads and timers of simulated members, which runs in virtual time leave out.
+/// Guards the UDP sockets, threads and timers of simulated members, which simulations in virtual time do not use.
 #[test]
-fn simulated_members_agree_over_sockets() {
+fn simulated_members_agree_on_membership_over_udp() {
     let timing = Timing {
         period: Duration::from_millis(400),
         round_trip: Duration::from_millis(150),
@@ -160,7 +162,7 @@
         timing,
         ..SimulatedFleetPlan::default()
     };
-    let figures = play_simulated(&plan).expect("the run completes");
+    let figures = play_simulated(&plan).expect("fleet run completed");
     assert!(
         figures.agreed_at_start.is_some() && figures.agreed_after.is_some(),
         "{figures:?}"
@@ -179,9 +181,9 @@
     );
 }
 
-/// An invalid plan is one line and exit code 2, before anything starts.
+/// Invalid arguments are reported in one line with exit code 2, before any member starts.
 #[test]
-fn invalid_simulated_fleets_are_one_line_and_exit_code_2() {
+fn invalid_simulated_fleet_is_one_error_line_and_exit_code_2() {
     let cases: [(&[&str], &str); 10] = [
         (
             &["rack", "--nodes", "0"],
@@ -226,12 +228,12 @@
             .arg("rig")
             .args(arguments)
             .output()
-            .expect("the program runs");
-        let observed = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {observed}");
+            .expect("cranehill program started");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {stderr}");
         assert!(
-            observed.lines().count() == 1 && observed.contains(expected_error),
-            "{arguments:?}: {observed}"
+            stderr.lines().count() == 1 && stderr.contains(expected_error),
+            "{arguments:?}: {stderr}"
         );
     }
 }
