--- a/crates/cranehill/tests/capacity.rs
+++ b/crates/cranehill/tests/capacity.rs
@@ -10,7 +10,7 @@
         .args(args)
         .env_remove("NODE_CONFIG")
         .output()
-        .expect("the program runs")
+        .expect("cranehill program started")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn invalid_sizes_are_one_line_with_the_place_and_exit_code_2() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+fn invalid_sizes_are_one_error_line_with_file_and_line_and_exit_code_2() {
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let file = folder.path().join("sizes.toml");
     for (sizes, expected) in [
         (
@@ -37,7 +37,7 @@
         ("destinations = []\n", "destinations: no sizes"),
         ("destinations = [ten]\n", "line 1: "),
     ] {
-        std::fs::write(&file, sizes).expect("written");
+        std::fs::write(&file, sizes).expect("file written");
         let out = run(&["--sizes", path(&file)]);
         let line = text(&out.stderr);
         assert_eq!(
@@ -62,13 +62,13 @@
 
 #[test]
 fn run_writes_figures_and_fails_if_the_page_states_better_ones() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let [sizes, page, out_dir] =
         ["sizes.toml", "page.md", "out"].map(|name| folder.path().join(name));
-    std::fs::write(&sizes, "changes = [1, 2, 3]\n").expect("written");
+    std::fs::write(&sizes, "changes = [1, 2, 3]\n").expect("file written");
     let empty_page = "<!-- figures of the full run -->\n<!-- end of the full run -->\n\
                  <!-- figures of the quick run -->\n<!-- end of the quick run -->\n";
-    std::fs::write(&page, empty_page).expect("written");
+    std::fs::write(&page, empty_page).expect("file written");
     let common_args = ["--quick", "--sweep", "changes", "--sizes", path(&sizes)];
     let run_with = |more: &[&str]| run(&[&common_args[..], more].concat());
 
@@ -77,16 +77,20 @@
     for name in ["figures.md", "figures.json", "changes.svg"] {
         assert!(out_dir.join(name).is_file(), "{name}");
     }
-    let stated = std::fs::read_to_string(&page).expect("the page");
+    let stated = std::fs::read_to_string(&page).expect("page read");
     let row = stated
         .lines()
         .find(|l| l.contains("`changes.discovery-bytes`"))
         .expect("a row for changes.discovery-bytes");
-    let planned = row.split('|').nth(7).expect("a cell").to_owned();
+    let planned = row
+        .split('|')
+        .nth(7)
+        .expect("cell with the figure for the planned size")
+        .to_owned();
 
     let again = run_with(&["--page", path(&page)]);
     assert_eq!(again.status.code(), Some(0), "{}", text(&again.stdout));
-    std::fs::write(&page, stated.replace(&planned, " 1,000 B ")).expect("written");
+    std::fs::write(&page, stated.replace(&planned, " 1,000 B ")).expect("file written");
     let missed = run_with(&["--page", path(&page)]);
     assert_eq!(missed.status.code(), Some(1), "{}", text(&missed.stdout));
     assert!(text(&missed.stdout).contains("MISSED: changes.discovery-bytes"));
@@ -94,7 +98,7 @@
         &page,
         stated.replace("changes.discovery-bytes", "changes.hope"),
     )
-    .expect("written");
+    .expect("file written");
     let unknown = run_with(&["--page", path(&page)]);
     assert_eq!(unknown.status.code(), Some(2));
     assert!(
--- a/crates/cranehill/tests/clients.rs
+++ b/crates/cranehill/tests/clients.rs
@@ -23,13 +23,13 @@
     let stream = thread::spawn(move || {
         let mut client = Client::new(address);
         let mut writer = client.writer();
-        let writing = thread::spawn(move || {
+        let writer_thread = thread::spawn(move || {
             let bytes = request.repeat(100);
             (0..REQUESTS / 100)
-                .for_each(|_| std::io::Write::write_all(&mut writer, &bytes).expect("written"));
+                .for_each(|_| std::io::Write::write_all(&mut writer, &bytes).expect("bytes sent"));
         });
         let answered = (0..REQUESTS).filter(|_| client.line() == "+OK").count();
-        writing.join().expect("written");
+        writer_thread.join().expect("requests written");
         answered
     });
     let mut other = Client::new(address);
@@ -37,7 +37,7 @@
         other.send(b"*1\r\n$4\r\nPING\r\n");
         assert_eq!(other.line(), "+PONG");
     }
-    assert_eq!(stream.join().expect("answered"), REQUESTS);
+    assert_eq!(stream.join().expect("client thread completed"), REQUESTS);
     assert!(destination.wait_for(1, TIMEOUT));
     assert_eq!(destination.seen().len(), 1, "one message, one attempt");
 }
@@ -50,7 +50,7 @@
     let mut writer = client.writer();
     writer
         .set_write_timeout(Some(std::time::Duration::from_millis(300)))
-        .expect("read timeout set");
+        .expect("write timeout set");
     let pings = b"*1\r\n$4\r\nPING\r\n".repeat(1000);
     // The sender stops reading once its unread answers fill the buffers.
     let batches_written = (0..5_000)
@@ -147,7 +147,7 @@
 }
 
 /// Guards clients that connect all at once, as when another sender restarts, while idle clients that were answered before
-/// hold every place. The new connections evicted each other before their requests were read (incident r84ba72).
+/// use all connections. The new connections evicted each other before their requests were read (incident r84ba72).
 #[test]
 fn new_connections_replace_answered_idle_ones() {
     let platform = platform();
@@ -214,7 +214,7 @@
     assert_eq!(bodies, [b"y"], "requests after the close were delivered");
 }
 
-/// Guards connection places against clients that never close a connection that the sender has shut down.
+/// Guards the limit on connections against clients that never close a connection that the sender has shut down.
 #[test]
 fn client_that_does_not_close_times_out() {
     let platform = platform();
--- a/crates/cranehill/tests/crash_test.rs
+++ b/crates/cranehill/tests/crash_test.rs
@@ -16,7 +16,7 @@
 /// After 100 kills no accepted message is lost or ends twice, and no `unsafe` message is sent again.
 #[test]
 fn hundred_kills_lose_nothing_and_repeat_no_unsafe_message() {
-    let outcome = play(&plan(100, 3, 0), |_| {}).expect("the run completes");
+    let outcome = play(&plan(100, 3, 0), |_| {}).expect("scenario run completed");
     assert!(
         outcome.holds() && outcome.lost.is_empty(),
         "seed 3: {outcome:#?}"
@@ -28,7 +28,7 @@
 /// forbidden repeats.
 #[test]
 fn flipped_bytes_lose_only_the_records_they_hit() {
-    let outcome = play(&plan(30, 4, 3), |_| {}).expect("the run completes");
+    let outcome = play(&plan(30, 4, 3), |_| {}).expect("scenario run completed");
     assert_eq!(outcome.flips, 10);
     assert!(outcome.holds(), "seed 4: {outcome:#?}");
 }
--- a/crates/cranehill/tests/descriptors.rs
+++ b/crates/cranehill/tests/descriptors.rs
@@ -39,7 +39,8 @@
     }
 }
 
-fn names(destination: u64) -> String {
+/// Metadata argument of `MSG.PUT`: class, remaining time in milliseconds, idempotency key and destination.
+fn metadata(destination: u64) -> String {
     format!("c=episode-notice,d=20000,k=5c0f,dest={destination}")
 }
 
@@ -54,7 +55,7 @@
         let body = format!("{round}-{destination}");
         let mut client = Client::new(sender.clients);
         assert_eq!(
-            client.put(&body, &names(destination), body.as_bytes()),
+            client.put(&body, &metadata(destination), body.as_bytes()),
             "+OK",
             "{:?}",
             sender.log()
@@ -85,7 +86,7 @@
 
 #[test]
 fn discovery_and_delivery_continue_while_idle_clients_hold_all_descriptors() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let endpoint = SimulatedServer::new(|_, _| Reply::status(200)).expect("endpoints");
     let names: Vec<String> = (0..=DESTINATIONS).map(|d| format!("e{d}")).collect();
     let row = |d: u64| (names[d as usize].as_str(), endpoint.address, d, "station");
--- a/crates/cranehill/tests/endings.rs
+++ b/crates/cranehill/tests/endings.rs
@@ -13,7 +13,8 @@
 };
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
-const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
+/// Metadata argument of `MSG.PUT`: class, remaining time in milliseconds, idempotency key and destination.
+const METADATA: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
 fn seen_bodies(destination: &SimulatedServer) -> Vec<String> {
     destination
@@ -35,7 +36,7 @@
     let prepared = prepare(known, platform, |_| {});
     let mut clients = [Client::new(prepared.clients), Client::new(prepared.clients)];
     for (n, client) in clients.iter_mut().enumerate() {
-        client.send(&put(&format!("m{}", n + 1), NAMES, b"x"));
+        client.send(&put(&format!("m{}", n + 1), METADATA, b"x"));
     }
     let sender = prepared.run();
     assert!(clients.iter_mut().all(|c| c.line() == "+OK"));
@@ -67,23 +68,23 @@
         let platform = platform();
         let known = list(1, &[("a", destination.address, 7, "bulk-directory")]);
         let _running = start_with_two_pending(&known, &platform);
-        let both = |bodies: &[String]| {
+        let contain_both = |bodies: &[String]| {
             ["m1", "m2"]
                 .iter()
                 .all(|id| bodies.iter().any(|b| b.contains(id)))
         };
         assert!(destination.wait_for(1, TIMEOUT));
         assert!(
-            both(&seen_bodies(&destination)[..1]),
+            contain_both(&seen_bodies(&destination)[..1]),
             "m1 and m2 share a call: {:?}",
             seen_bodies(&destination)
         );
         let resent = |ids: &[&str]| {
-            let after = destination.seen()[1..].to_vec();
+            let later_requests = destination.seen()[1..].to_vec();
             ids.iter().all(|id| {
-                after.iter().any(|s| {
-                    let one = s.request.headers.iter().any(|h| h.1 == id.as_bytes());
-                    one || String::from_utf8_lossy(&s.request.body).contains(id)
+                later_requests.iter().any(|s| {
+                    let is_single_call = s.request.headers.iter().any(|h| h.1 == id.as_bytes());
+                    is_single_call || String::from_utf8_lossy(&s.request.body).contains(id)
                 })
             })
         };
@@ -111,7 +112,7 @@
     let resent = &destination.seen()[1].request;
     assert!(resent.headers.iter().any(|h| h.1 == b"m2"), "{resent:?}");
     // The next call is for a new message: nothing else was retried.
-    assert_eq!(clients[0].put("m4", NAMES, b"y"), "+OK");
+    assert_eq!(clients[0].put("m4", METADATA, b"y"), "+OK");
     assert!(destination.wait_for(3, TIMEOUT));
     assert!(
         destination.seen()[2]
@@ -134,16 +135,16 @@
         |_| {},
     );
     let mut incomplete = Client::new(prepared.clients);
-    let request = put("half", NAMES, b"half of it");
+    let request = put("half", METADATA, b"half of it");
     incomplete.send(&request[..request.len() - 1]);
     drop(incomplete);
     let mut complete = Client::new(prepared.clients);
-    complete.send(&put("whole", NAMES, b"whole"));
+    complete.send(&put("whole", METADATA, b"whole"));
     drop(complete);
     let sender = prepared.run();
     assert!(destination.wait_for(1, TIMEOUT));
     let mut other = Client::new(sender.clients);
-    assert_eq!(other.put("m1", NAMES, b"after"), "+OK");
+    assert_eq!(other.put("m1", METADATA, b"after"), "+OK");
     assert!(destination.wait_for(2, TIMEOUT));
     assert_eq!(seen_bodies(&destination), ["whole", "after"]);
 }
@@ -160,7 +161,7 @@
     );
     let mut client = Client::new(sender.clients);
     for id in ["m1", "m2"] {
-        assert_eq!(client.put(id, NAMES, b"x"), "+OK");
+        assert_eq!(client.put(id, METADATA, b"x"), "+OK");
         assert!(destination.wait_for(if id == "m1" { 1 } else { 2 }, TIMEOUT));
     }
     publish_list.store(true, Ordering::Relaxed);
@@ -170,7 +171,7 @@
             .iter()
             .any(|s| s.request.path.contains("from=2&"))
     });
-    assert_eq!(client.put("m3", NAMES, b"x"), "+OK");
+    assert_eq!(client.put("m3", METADATA, b"x"), "+OK");
     assert!(destination.wait_for(3, TIMEOUT));
     let connections: Vec<usize> = destination.seen().iter().map(|s| s.connection).collect();
     assert!(
@@ -205,7 +206,7 @@
         old.expect("destination server"),
         new.expect("destination server"),
     );
-    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("listener bound");
     let address = listener.local_addr().expect("an address");
     let known = list(4, &[("a", old.address, 7, "station")]);
     let platform = platform();
@@ -234,13 +235,13 @@
     let _ = first.write_all(&answer(9, ("a", old.address, 7, "station")));
     second
         .write_all(&answer(5, ("b", new.address, 7, "station")))
-        .expect("written");
+        .expect("bytes written");
     assert!(
         read_request(&mut second).contains("from=5&"),
         "the watch continues from the second response"
     );
     let mut client = Client::new(sender.clients);
-    assert_eq!(client.put("m1", NAMES, b"x"), "+OK");
+    assert_eq!(client.put("m1", METADATA, b"x"), "+OK");
     assert!(new.wait_for(1, TIMEOUT));
     assert!(old.seen().is_empty());
 }
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -58,7 +58,7 @@
 "#;
 
 fn plan() -> Plan {
-    let scenario = scenario::parse(SCENARIO, 1).expect("a valid scenario");
+    let scenario = scenario::parse(SCENARIO, 1).expect("scenario is valid");
     Plan {
         scenario,
         seed: 1,
@@ -69,12 +69,12 @@
     }
 }
 
-/// Guards failure detection end to end: sockets, membership state machine, votes. Expects an order of events, not times; the
-/// scenario is long enough for each by a wide margin.
+/// Guards failure detection end to end: sockets, membership state machine, votes. Checks the order of state changes, not
+/// their times; the scenario is much longer than all of them take.
 #[test]
 fn crashes_pauses_and_partitions_are_detected_without_exceeding_limits() {
     let plan = plan();
-    let (outcome, traffic) = play(&plan, |_, _| {}).expect("the run completes");
+    let (outcome, traffic) = play(&plan, |_, _| {}).expect("scenario run completed");
     let fleet_report = Report::of(&plan, &outcome, &traffic);
     let summary = table(&plan, &outcome, &fleet_report).join("\n");
     assert!(
@@ -82,42 +82,43 @@
         "{summary}"
     );
     let timeline = Timeline::read(&outcome.logs, &outcome.lines, outcome.began);
-    let states = |by: usize, of: usize| -> Vec<(&str, u64)> {
-        let about = timeline
+    // The states and incarnations of member `subject` that member `observer` has recorded, in order of time.
+    let states_at = |observer: usize, subject: usize| -> Vec<(&str, u64)> {
+        let changes = timeline
             .state_changes
             .iter()
-            .filter(|s| s.by == by && s.of == of);
-        about.map(|s| (s.state.as_str(), s.incarnation)).collect()
+            .filter(|change| change.by == observer && change.of == subject);
+        changes.map(|c| (c.state.as_str(), c.incarnation)).collect()
     };
-    // The killed sender ends as down at all live senders.
-    for by in 0..4 {
+    // The last state of the killed sender is `down` at all live senders.
+    for observer in 0..4 {
         assert_eq!(
-            states(by, 4).last().map(|s| s.0),
+            states_at(observer, 4).last().map(|s| s.0),
             Some("down"),
-            "sender 4 as seen by {by}: {summary}"
+            "last state of sender 4 at sender {observer}: {summary}"
         );
     }
     // The paused sender is suspected, then down, then alive with a higher incarnation.
-    let observed = states(0, 3);
+    let paused_states = states_at(0, 3);
     let first = |state: &str| {
-        observed
+        paused_states
             .iter()
             .position(|s| s.0 == state)
-            .unwrap_or_else(|| panic!("{observed:?}: {summary}"))
+            .unwrap_or_else(|| panic!("not {state}: {paused_states:?}: {summary}"))
     };
     let (suspect, down) = (first("suspect"), first("down"));
     assert!(
         suspect < down
-            && observed[down + 1].0 == "alive"
-            && observed[down + 1].1 > observed[down].1,
-        "{observed:?}"
+            && paused_states[down + 1].0 == "alive"
+            && paused_states[down + 1].1 > paused_states[down].1,
+        "{paused_states:?}"
     );
-    // Senders across the partition hold each other to be down, and alive again after it.
-    assert!(states(0, 2).iter().any(|s| s.0 == "down"), "{summary}");
-    for by in 0..4 {
-        let view = outcome.views[by]
+    // A sender on the other side of the partition is detected as down; the final views below have it alive again.
+    assert!(states_at(0, 2).iter().any(|s| s.0 == "down"), "{summary}");
+    for observer in 0..4 {
+        let view = outcome.views[observer]
             .as_ref()
-            .unwrap_or_else(|| panic!("sender {by} reported no status: {summary}"));
+            .unwrap_or_else(|| panic!("sender {observer} reported no status: {summary}"));
         let alive: BTreeSet<&str> = view["members"]
             .as_array()
             .into_iter()
@@ -141,9 +142,9 @@
 /// A `serve --fleet` command with these files in `folder`.
 fn serve_command(folder: &std::path::Path, fleet: &str, key: &str) -> Command {
     let config = node_config(&plan(), SocketAddr::from(([127, 0, 0, 1], 9)));
-    fs::write(folder.join("config.json"), config).expect("written");
-    fs::write(folder.join("fleet.toml"), fleet).expect("written");
-    fs::write(folder.join("fleet.key"), key).expect("written");
+    fs::write(folder.join("config.json"), config).expect("file written");
+    fs::write(folder.join("fleet.toml"), fleet).expect("file written");
+    fs::write(folder.join("fleet.key"), key).expect("file written");
     let mut command = Command::new(PROGRAM);
     command
         .args(["serve", "--fleet"])
@@ -154,14 +155,15 @@
     command
 }
 
-fn status(at: SocketAddr, request: &str) -> String {
-    let mut stream = TcpStream::connect(at).expect("connected to the status address");
+/// Sends a request to the status address `address` and returns the whole response.
+fn status(address: SocketAddr, request: &str) -> String {
+    let mut stream = TcpStream::connect(address).expect("connected to the status address");
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
         .expect("socket option set");
-    stream.write_all(request.as_bytes()).expect("written");
+    stream.write_all(request.as_bytes()).expect("bytes written");
     let mut text = String::new();
-    stream.read_to_string(&mut text).expect("read");
+    stream.read_to_string(&mut text).expect("response read");
     text
 }
 
@@ -182,7 +184,7 @@
 /// get an error response.
 #[test]
 fn foreign_packets_are_dropped_and_counted() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let (listen, view) = (free_address(2), free_address(3));
     let fleet = format!("listen = \"{listen}\"\nkey = \"fleet.key\"\nstatus = \"{view}\"\n");
     let mut child = serve_command(folder.path(), &fleet, &"5e".repeat(32))
@@ -240,81 +242,81 @@
     child.wait().expect("ended");
 }
 
-/// A fleet file, its key and the error on them.
-type BadFleet = (String, &'static str, &'static str);
+/// The text of a fleet file, the text of its key file and the expected error.
+type InvalidFleet = (String, &'static str, &'static str);
 
 const FLEET_KEY: &str = "5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e";
 
-fn bad_fleets() -> [BadFleet; 11] {
-    let good = "listen = \"127.0.9.4:7946\"\nkey = \"fleet.key\"\n";
+fn invalid_fleets() -> [InvalidFleet; 11] {
+    let valid = "listen = \"127.0.9.4:7946\"\nkey = \"fleet.key\"\n";
     [
         (
-            good.to_owned() + "periodd = \"1 s\"\n",
+            valid.to_owned() + "periodd = \"1 s\"\n",
             FLEET_KEY,
             "fleet.toml: line 3: ",
         ),
         (
-            good.to_owned() + "period = \"1\"\n",
+            valid.to_owned() + "period = \"1\"\n",
             FLEET_KEY,
             "fleet.toml: line 3: '1' is not a span",
         ),
         (
-            good.to_owned() + "period = \"1 ms\"\n",
+            valid.to_owned() + "period = \"1 ms\"\n",
             FLEET_KEY,
             "fleet.toml: period: ",
         ),
         (
-            good.to_owned() + "round_trip = \"2 s\"\n",
+            valid.to_owned() + "round_trip = \"2 s\"\n",
             FLEET_KEY,
             "fleet.toml: round_trip: ",
         ),
         (
-            good.to_owned() + "suspicion = \"10 ms\"\n",
+            valid.to_owned() + "suspicion = \"10 ms\"\n",
             FLEET_KEY,
             "fleet.toml: suspicion: ",
         ),
         (
-            good.to_owned() + "hold = \"soon\"\n",
+            valid.to_owned() + "hold = \"soon\"\n",
             FLEET_KEY,
             "fleet.toml: hold: 'soon'",
         ),
         (
-            good.to_owned() + "hold = \"1 s\"\n",
+            valid.to_owned() + "hold = \"1 s\"\n",
             FLEET_KEY,
             "fleet.toml: hold: ",
         ),
         (
-            good.to_owned() + "late = \"1 ms\"\n",
+            valid.to_owned() + "late = \"1 ms\"\n",
             FLEET_KEY,
             "fleet.toml: late: ",
         ),
         (
-            good.replace("127.0.9.4:7946", "0.0.0.0:7946"),
+            valid.replace("127.0.9.4:7946", "0.0.0.0:7946"),
             FLEET_KEY,
             "fleet.toml: advertise: ",
         ),
-        (good.to_owned(), "5e5e", "fleet.key: line 1: not a key"),
+        (valid.to_owned(), "5e5e", "fleet.key: line 1: not a key"),
         (
-            good.replace("fleet.key", "other.key"),
+            valid.replace("fleet.key", "other.key"),
             FLEET_KEY,
             "other.key: ",
         ),
     ]
 }
 
-/// An invalid fleet file or key is one line with its place, and exit code 2.
+/// An invalid fleet file or key is reported in one line that names the file and the line or key, with exit code 2.
 #[test]
-fn invalid_fleet_file_is_one_line_and_exit_code_2() {
-    for (fleet, key, expected_error) in bad_fleets() {
-        let folder = tempfile::tempdir().expect("a temporary folder");
+fn invalid_fleet_file_is_one_error_line_and_exit_code_2() {
+    for (fleet, key, expected_error) in invalid_fleets() {
+        let folder = tempfile::tempdir().expect("temporary folder created");
         let output = serve_command(folder.path(), &fleet, key)
             .output()
-            .expect("the program runs");
-        let observed = String::from_utf8_lossy(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{fleet}: {observed}");
+            .expect("cranehill program started");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{fleet}: {stderr}");
         assert!(
-            observed.lines().count() == 1 && observed.contains(expected_error),
-            "{fleet}: {observed}"
+            stderr.lines().count() == 1 && stderr.contains(expected_error),
+            "{fleet}: {stderr}"
         );
     }
 }
@@ -356,30 +358,33 @@
         KILLED_MAJORITY
     );
     let plan = Plan {
-        scenario: scenario::parse(&text, 2).expect("a valid scenario"),
+        scenario: scenario::parse(&text, 2).expect("scenario is valid"),
         ..plan()
     };
-    let (outcome, traffic) = play(&plan, |_, _| {}).expect("the run completes");
+    let (outcome, traffic) = play(&plan, |_, _| {}).expect("scenario run completed");
     let fleet_report = Report::of(&plan, &outcome, &traffic);
     let summary = table(&plan, &outcome, &fleet_report).join("\n");
     assert!(
         outcome.holds() && report::broken(&outcome).is_empty(),
         "{summary}"
     );
-    let log = |sender: usize, what: &str| {
+    let count_log_lines = |sender: usize, text: &str| {
         outcome
             .logs
             .iter()
-            .filter(|(by, line)| *by == sender && line.contains(what))
+            .filter(|(logger, line)| *logger == sender && line.contains(text))
             .count()
     };
     for sender in 0..5 {
         let processes = if sender < 3 { 2 } else { 1 };
-        let recoveries = log(sender, "\"event\":\"recovery-complete\"");
+        let recoveries = count_log_lines(sender, "\"event\":\"recovery-complete\"");
         assert_eq!(
-            (log(sender, "\"event\":\"recovery-started\""), recoveries),
+            (
+                count_log_lines(sender, "\"event\":\"recovery-started\""),
+                recoveries
+            ),
             (processes, processes),
-            "{sender}: {summary}"
+            "recoveries of sender {sender}: {summary}"
         );
         let view = outcome.views[sender]
             .as_ref()
@@ -387,8 +392,10 @@
         assert_eq!(view["recovery"]["state"], "full", "{view}");
     }
     // Only a second process with its state folder restores learned state.
-    let completed: Vec<usize> = (0..3).map(|s| log(s, "routes restored")).collect();
-    assert_eq!(completed, [1, 1, 0], "{summary}");
+    let restorations: Vec<usize> = (0..3)
+        .map(|s| count_log_lines(s, "routes restored"))
+        .collect();
+    assert_eq!(restorations, [1, 1, 0], "{summary}");
 }
 
 /// Guards recovery from journals truncated at different places: readable messages end in time, none is repeated against its
@@ -415,18 +422,19 @@
 "#
     );
     let plan = Plan {
-        scenario: scenario::parse(&text, 4).expect("a valid scenario"),
+        scenario: scenario::parse(&text, 4).expect("scenario is valid"),
         ..plan()
     };
-    let (outcome, traffic) = play(&plan, |_, _| {}).expect("the run completes");
+    let (outcome, traffic) = play(&plan, |_, _| {}).expect("scenario run completed");
     let summary = table(&plan, &outcome, &Report::of(&plan, &outcome, &traffic)).join("\n");
     assert!(
         outcome.holds() && report::broken(&outcome).is_empty(),
         "{summary}"
     );
     let truncations = |sender| {
-        let of = outcome.lines.iter().filter(|l| l.sender == Some(sender));
-        of.filter(|l| matches!(&l.event, AuditEvent::Lost { only: Some(_) }))
+        let records = outcome.lines.iter().filter(|l| l.sender == Some(sender));
+        records
+            .filter(|l| matches!(&l.event, AuditEvent::Lost { only: Some(_) }))
             .count()
     };
     assert_eq!(
@@ -443,7 +451,7 @@
         // A sender that is killed during recovery need not have completed it.
         assert!(
             recoveries + 1 >= processes && recoveries >= 1,
-            "{sender}: {recoveries} completed recoveries in {processes} processes: {summary}"
+            "sender {sender}: {recoveries} completed recoveries in {processes} processes: {summary}"
         );
     }
 }
@@ -496,14 +504,15 @@
 "#;
 
 /// Guards zone evacuation end to end: evidence, votes, quorum, limits and probes. One sender cut off from a zone causes no
-/// evacuation; all senders leave and re-enter a zone that fails, messages end in time, returning destinations aren't overloaded.
+/// evacuation; all senders leave and re-enter a zone that fails, messages end in time and recovered destinations are not
+/// overloaded.
 #[test]
 fn zone_is_evacuated_only_if_all_senders_see_it_fail() {
     let plan = Plan {
-        scenario: scenario::parse(ZONE_SCENARIO, 3).expect("a valid scenario"),
+        scenario: scenario::parse(ZONE_SCENARIO, 3).expect("scenario is valid"),
         ..plan()
     };
-    let (outcome, traffic) = play(&plan, |_, _| {}).expect("the run completes");
+    let (outcome, traffic) = play(&plan, |_, _| {}).expect("scenario run completed");
     let fleet_report = Report::of(&plan, &outcome, &traffic);
     let timeline = Timeline::read(&outcome.logs, &outcome.lines, outcome.began);
     let summary = format!(
@@ -524,15 +533,15 @@
         "{summary}"
     );
     for sender in 0..4 {
-        let observed: Vec<&str> = timeline
+        let zone_states: Vec<&str> = timeline
             .zones
             .iter()
             .filter(|z| z.1 == sender)
             .map(|z| z.3.as_str())
             .collect();
         assert!(
-            observed.starts_with(&["evacuated", "recovery-ramp"]),
-            "{sender}: {observed:?}: {summary}"
+            zone_states.starts_with(&["evacuated", "recovery-ramp"]),
+            "zone states at sender {sender}: {zone_states:?}: {summary}"
         );
         let view = outcome.views[sender]
             .as_ref()
@@ -542,6 +551,6 @@
             "{view}"
         );
     }
-    let zone = &fleet_report.outages[0];
-    assert!(zone.stayed == 0 && zone.left.len() == 4, "{summary}");
+    let outage = &fleet_report.outages[0];
+    assert!(outage.stayed == 0 && outage.left.len() == 4, "{summary}");
 }
--- a/crates/cranehill/tests/handover.rs
+++ b/crates/cranehill/tests/handover.rs
@@ -57,15 +57,19 @@
         let finished = |row: &Row| row.kind == "back" && row.id.as_deref() == Some(id);
         rows.iter().any(finished).then_some(())
     };
-    let until = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     while is_finished().is_none() {
-        assert!(Instant::now() < until, "no outcome of {id} in the journal");
+        assert!(
+            Instant::now() < deadline,
+            "no outcome of {id} in the journal"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-const SEVEN: &str = "c=episode-notice,t=onda-central,d=15000,dest=7";
-const EIGHT: &str = "c=episode-notice,t=onda-central,d=15000,dest=8";
+/// Metadata of messages for destinations 7 and 8: class, tenant, remaining time in milliseconds and destination.
+const TO_DESTINATION_7: &str = "c=episode-notice,t=onda-central,d=15000,dest=7";
+const TO_DESTINATION_8: &str = "c=episode-notice,t=onda-central,d=15000,dest=8";
 
 /// Guards a complete hand-over: the listener, a connection with half a request, a pending message and a Retry-After wait pass to
 /// the new process, and no client connection is closed.
@@ -84,22 +88,31 @@
             ("b", limited.address, 8, "station"),
         ],
     );
-    let (platform, folder) = (platform(), tempfile::tempdir().expect("a temporary folder"));
+    let (platform, folder) = (
+        platform(),
+        tempfile::tempdir().expect("temporary folder created"),
+    );
     let old = start_with_state(&known, &platform, folder.path());
     let mut client = Client::new(old.clients);
-    assert_eq!(client.put("00000000000000a7", SEVEN, b"first"), "+OK");
+    assert_eq!(
+        client.put("00000000000000a7", TO_DESTINATION_7, b"first"),
+        "+OK"
+    );
     assert_eq!(
         calls.recv_timeout(TIMEOUT).expect("a call in time").0,
         "00000000000000a7"
     );
     assert_eq!(
-        client.put("00000000000000a8", EIGHT, b"told to wait"),
+        client.put("00000000000000a8", TO_DESTINATION_8, b"told to wait"),
         "+OK"
     );
     let (_, first) = limited_calls.recv_timeout(TIMEOUT).expect("a call in time");
     wait_for_finished_attempt(folder.path(), "00000000000000a8");
-    assert_eq!(client.put("00000000000000b8", EIGHT, b"waits"), "+OK");
-    let request = put("00000000000000b7", SEVEN, b"in two pieces");
+    assert_eq!(
+        client.put("00000000000000b8", TO_DESTINATION_8, b"waits"),
+        "+OK"
+    );
+    let request = put("00000000000000b7", TO_DESTINATION_7, b"in two pieces");
     client.send(&request[..30]);
     let new = start_with_state(&known, &platform, folder.path());
     assert_eq!(new.clients, old.clients, "one listener");
@@ -120,7 +133,7 @@
         resumed - first
     );
     assert_eq!(
-        Client::new(new.clients).put("00000000000000c7", SEVEN, b"new"),
+        Client::new(new.clients).put("00000000000000c7", TO_DESTINATION_7, b"new"),
         "+OK"
     );
 }
@@ -130,11 +143,15 @@
 fn disconnected_handover_request_changes_nothing() {
     let (plain, calls) = endpoint(|_| Reply::status(200));
     let known = list(1, &[("a", plain.address, 7, "station")]);
-    let (platform, folder) = (platform(), tempfile::tempdir().expect("a temporary folder"));
+    let (platform, folder) = (
+        platform(),
+        tempfile::tempdir().expect("temporary folder created"),
+    );
     let old = start_with_state(&known, &platform, folder.path());
     let connect_and_send = |bytes: &[u8]| {
-        let mut stream = UnixStream::connect(folder.path().join("handover")).expect("the socket");
-        stream.write_all(bytes).expect("written");
+        let mut stream =
+            UnixStream::connect(folder.path().join("handover")).expect("hand-over socket");
+        stream.write_all(bytes).expect("bytes written");
         stream
     };
     for round in 0..3 {
@@ -143,7 +160,10 @@
         let abandoned = connect_and_send(b"hand-o1\n");
         drop((silent, noise, abandoned));
         let id = format!("{round:016x}");
-        assert_eq!(Client::new(old.clients).put(&id, SEVEN, b"x"), "+OK");
+        assert_eq!(
+            Client::new(old.clients).put(&id, TO_DESTINATION_7, b"x"),
+            "+OK"
+        );
         assert_eq!(calls.recv_timeout(TIMEOUT).expect("a call in time").0, id);
     }
 }
@@ -154,21 +174,24 @@
 fn folder_of_a_dead_process_is_free_for_the_next() {
     let (silent, calls) = endpoint(|_| Reply::Silent);
     let known = list(1, &[("a", silent.address, 7, "station")]);
-    let (platform, folder) = (platform(), tempfile::tempdir().expect("a temporary folder"));
+    let (platform, folder) = (
+        platform(),
+        tempfile::tempdir().expect("temporary folder created"),
+    );
     let old = start_with_state(&known, &platform, folder.path());
     assert_eq!(
-        Client::new(old.clients).put("00000000000000a7", SEVEN, b"owed"),
+        Client::new(old.clients).put("00000000000000a7", TO_DESTINATION_7, b"owed"),
         "+OK"
     );
     assert_eq!(
         calls.recv_timeout(TIMEOUT).expect("a call in time").0,
         "00000000000000a7"
     );
-    std::fs::remove_file(folder.path().join("handover")).expect("the socket");
+    std::fs::remove_file(folder.path().join("handover")).expect("hand-over socket");
     let new = std::thread::scope(|scope| {
         let starting = scope.spawn(|| start_with_state(&known, &platform, folder.path()));
         assert_eq!(
-            Client::new(old.clients).put("00000000000000b7", SEVEN, b"still served"),
+            Client::new(old.clients).put("00000000000000b7", TO_DESTINATION_7, b"still served"),
             "+OK"
         );
         drop(old);
@@ -181,7 +204,7 @@
     delivered.dedup();
     assert_eq!(delivered, ["00000000000000a7", "00000000000000b7"]);
     assert_eq!(
-        Client::new(new.clients).put("00000000000000c7", SEVEN, b"new"),
+        Client::new(new.clients).put("00000000000000c7", TO_DESTINATION_7, b"new"),
         "+OK"
     );
 }
@@ -192,14 +215,14 @@
 fn upgrades_under_load_lose_nothing_even_if_a_process_is_killed() {
     let text = include_str!("../../../rehearsals/days/upgrade.toml").replace("120/s", "40/s");
     let plan = Plan {
-        scenario: scenario::parse(&text, 3).expect("a valid scenario"),
+        scenario: scenario::parse(&text, 3).expect("scenario is valid"),
         seed: 3,
         program: env!("CARGO_BIN_EXE_cranehill").into(),
         limits: Limits::default(),
         mutation: None,
         against: None,
     };
-    let outcome = play(&plan, |_, _| {}).expect("the run completes");
+    let outcome = play(&plan, |_, _| {}).expect("scenario run completed");
     let broken = report::broken(&outcome);
     assert!(
         outcome.holds() && broken.is_empty(),
@@ -208,10 +231,10 @@
         outcome.warnings
     );
     for sender in 0..2 {
-        let ready = |l: &&cranehill_simulation::audit::AuditRecord| {
-            l.sender == Some(sender) && l.event == AuditEvent::Ready
+        let is_ready = |record: &&cranehill_simulation::audit::AuditRecord| {
+            record.sender == Some(sender) && record.event == AuditEvent::Ready
         };
-        let processes = outcome.lines.iter().filter(ready).count();
+        let processes = outcome.lines.iter().filter(is_ready).count();
         assert!(
             processes >= 5,
             "sender {sender} was ready {processes} times, expected 5 or more: at start and after each of four upgrades"
--- a/crates/cranehill/tests/journal.rs
+++ b/crates/cranehill/tests/journal.rs
@@ -10,7 +10,9 @@
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use parquet::record::RowAccessor;
 
+/// The time of all records, in milliseconds since the Unix epoch.
 const NOW: u64 = 1_764_590_000_000;
+/// Limit of the journal folder, in bytes.
 const DISK: u64 = 400_000;
 
 fn open_journal(dir: &Path) -> Journal<Folder> {
@@ -43,6 +45,7 @@
     }
 }
 
+/// The records of message `n`: accepted, sent and, for even `n`, completed.
 fn message_records(n: u32) -> Vec<Record> {
     let id = format!("{n:016x}");
     let sent = Record::AttemptStarted {
@@ -65,7 +68,7 @@
     Command::new(env!("CARGO_BIN_EXE_cranehill"))
         .args(args)
         .output()
-        .expect("the program runs")
+        .expect("cranehill program started")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -74,8 +77,8 @@
 
 #[test]
 fn damage_is_reported_by_segment_and_offset_without_changing_the_folder() {
-    let dir = tempfile::tempdir().expect("a temporary folder");
-    let path = dir.path().to_str().expect("a path");
+    let dir = tempfile::tempdir().expect("temporary folder created");
+    let path = dir.path().to_str().expect("path is valid UTF-8");
     let mut journal = open_journal(dir.path());
     for n in 0..200 {
         journal
@@ -85,7 +88,7 @@
     let files = || {
         Folder::existing(dir.path(), DISK)
             .and_then(|mut f| f.list())
-            .expect("a list")
+            .expect("journal folder listed")
     };
     let before = files();
     let intact = run(&["journal", "verify", path]);
@@ -102,16 +105,16 @@
         .clone();
     let mut bytes = std::fs::read(dir.path().join(&name)).expect("a segment");
     bytes[1000] ^= 4;
-    std::fs::write(dir.path().join(&name), bytes).expect("written");
+    std::fs::write(dir.path().join(&name), bytes).expect("file written");
     let damaged = run(&["journal", "verify", path]);
-    let printed = text(&damaged.stdout);
+    let report = text(&damaged.stdout);
     assert_eq!(damaged.status.code(), Some(1));
     assert!(
-        printed
+        report
             .lines()
             .next()
             .is_some_and(|l| l.starts_with(&format!("{name} at "))),
-        "{printed}"
+        "{report}"
     );
     assert_eq!(files(), before, "verify changed the folder");
     let stats = text(&run(&["journal", "stats", path]).stdout);
@@ -126,20 +129,20 @@
         (vec!["export", path, "--format", "parquet"], "--out"),
     ] {
         let out = run(&[&["journal"], &args[..]].concat());
-        let printed = text(&out.stderr);
+        let stderr = text(&out.stderr);
         assert!(
             out.status.code() == Some(2)
-                && printed.lines().count() == 1
-                && printed.contains(expected_error),
-            "{printed}"
+                && stderr.lines().count() == 1
+                && stderr.contains(expected_error),
+            "{stderr}"
         );
     }
 }
 
 #[test]
-fn exports_hold_every_record_in_both_formats() {
-    let dir = tempfile::tempdir().expect("a temporary folder");
-    let path = dir.path().to_str().expect("a path");
+fn exports_contain_every_record_in_both_formats() {
+    let dir = tempfile::tempdir().expect("temporary folder created");
+    let path = dir.path().to_str().expect("path is valid UTF-8");
     let mut journal = open_journal(dir.path());
     for n in 0..100 {
         journal
@@ -157,8 +160,8 @@
         (count_of("taken"), count_of("sent"), count_of("over")),
         (100, 100, 50)
     );
-    let elsewhere = tempfile::tempdir().expect("a temporary folder");
-    let table = elsewhere.path().join("facts.parquet");
+    let out_dir = tempfile::tempdir().expect("temporary folder created");
+    let parquet_file = out_dir.path().join("facts.parquet");
     let out = run(&[
         "journal",
         "export",
@@ -166,11 +169,12 @@
         "--format",
         "parquet",
         "--out",
-        table.to_str().expect("a path"),
+        parquet_file.to_str().expect("path is valid UTF-8"),
     ]);
     assert!(out.status.success(), "{}", text(&out.stderr));
     let reader =
-        SerializedFileReader::new(std::fs::File::open(&table).expect("a table")).expect("parquet");
+        SerializedFileReader::new(std::fs::File::open(&parquet_file).expect("Parquet file opened"))
+            .expect("parquet");
     let mut seen = 0;
     for (row, json) in reader.get_row_iter(None).expect("rows").zip(&rows) {
         let row = row.expect("a row");
@@ -200,9 +204,9 @@
 
 /// Guards `verify` on the folder of a running sender: concurrent writes and compaction must not be reported as damage.
 #[test]
-fn live_folder_is_read_as_sound() {
-    let dir = tempfile::tempdir().expect("a temporary folder");
-    let path = dir.path().to_str().expect("a path");
+fn verify_of_a_live_folder_reports_no_damage() {
+    let dir = tempfile::tempdir().expect("temporary folder created");
+    let path = dir.path().to_str().expect("path is valid UTF-8");
     let mut journal = open_journal(dir.path());
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
@@ -228,32 +232,32 @@
     });
     for _ in 0..20 {
         let out = run(&["journal", "verify", path]);
-        let busy = text(&out.stderr).contains("changed");
+        let folder_changed = text(&out.stderr).contains("changed");
         assert!(
-            busy || out.status.code() == Some(0),
+            folder_changed || out.status.code() == Some(0),
             "{}{}",
             text(&out.stdout),
             text(&out.stderr)
         );
     }
     stop.store(true, Ordering::Relaxed);
-    assert!(writer.join().expect("the writer") > 100);
+    assert!(writer.join().expect("writer thread completed") > 100);
 }
 
 #[test]
 fn newer_journal_format_fails_start_and_json_logs_are_objects() {
-    let dir = tempfile::tempdir().expect("a temporary folder");
+    let dir = tempfile::tempdir().expect("temporary folder created");
     let state = dir.path().join("state");
     drop(open_journal(&state));
     let settings = common::config_text(&common::list(1, &[]));
     let config = dir.path().join("config.json");
-    std::fs::write(&config, settings).expect("written");
+    std::fs::write(&config, settings).expect("file written");
     let manifest = state.join("manifest");
     let intact = std::fs::read(&manifest).expect("a manifest");
     let mut newer = intact.clone();
     newer[8] = 2;
     newer[20] ^= 1;
-    std::fs::write(&manifest, &newer).expect("written");
+    std::fs::write(&manifest, &newer).expect("file written");
     let serve = || {
         Command::new(env!("CARGO_BIN_EXE_cranehill"))
             .args(["--log-format", "json", "serve"])
@@ -264,22 +268,20 @@
             .env("RUST_LOG", "info")
             .stderr(std::process::Stdio::piped())
             .spawn()
-            .expect("the program runs")
+            .expect("cranehill program started")
     };
     let out = serve().wait_with_output().expect("process ends");
-    let printed = text(&out.stderr);
+    let stderr = text(&out.stderr);
     assert!(
-        out.status.code() == Some(2)
-            && printed.lines().count() == 1
-            && printed.contains("format 2"),
-        "{printed}"
+        out.status.code() == Some(2) && stderr.lines().count() == 1 && stderr.contains("format 2"),
+        "{stderr}"
     );
     assert_eq!(
         std::fs::read(&manifest).expect("a manifest"),
         newer,
         "the manifest was changed"
     );
-    std::fs::write(&manifest, intact).expect("written");
+    std::fs::write(&manifest, intact).expect("file written");
     let mut child = serve();
     std::io::BufRead::lines(std::io::BufReader::new(
         child.stderr.take().expect("a piped log"),
--- a/crates/cranehill/tests/late_connections.rs
+++ b/crates/cranehill/tests/late_connections.rs
@@ -13,16 +13,17 @@
 };
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
-const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
+/// Metadata argument of `MSG.PUT`: class, remaining time in milliseconds, idempotency key and destination.
+const METADATA: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
-/// Accepts connections at `late` and returns all bytes received there, until `over` returns true or `id` has arrived.
-fn written(late: &TcpListener, id: &str, over: impl Fn() -> bool) -> String {
+/// Accepts connections at `late` and returns all bytes received there, until `is_over` returns true or `id` has arrived.
+fn received_bytes(late: &TcpListener, id: &str, is_over: impl Fn() -> bool) -> String {
     late.set_nonblocking(true).expect("socket option set");
-    let end = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     let (mut streams, mut bytes) = (Vec::new(), Vec::new());
     loop {
         // Checked before reading, so that everything written by then is read.
-        let last = over();
+        let is_last_round = is_over();
         while let Ok((stream, _)) = late.accept() {
             stream.set_nonblocking(true).expect("socket option set");
             streams.push(stream);
@@ -31,11 +32,11 @@
             let _ = stream.read_to_end(&mut bytes);
         }
         let text = String::from_utf8_lossy(&bytes).into_owned();
-        if last || text.contains(id) {
+        if is_last_round || text.contains(id) {
             return text;
         }
         assert!(
-            Instant::now() < end,
+            Instant::now() < deadline,
             "neither the end condition nor the message arrived in time"
         );
         std::thread::sleep(Duration::from_millis(5));
@@ -67,7 +68,7 @@
         (class.window, class.latency_objective) = (window, Duration::from_secs(20));
     });
     let mut client = Client::new(sender.clients);
-    assert_eq!(client.put("m1", NAMES, b"x"), "+OK");
+    assert_eq!(client.put("m1", METADATA, b"x"), "+OK");
     assert!(first.wait_for(1, TIMEOUT));
     let first_attempt = first.seen()[0].at;
     publish_list.store(true, Ordering::Relaxed);
@@ -87,7 +88,7 @@
             .iter()
             .any(|r| r.contains(r#""id":"m1","state":"failed""#))
     };
-    assert_eq!(written(&late, "m1", failed), "");
+    assert_eq!(received_bytes(&late, "m1", failed), "");
     assert_eq!(first.seen().len(), 1);
 }
 
@@ -109,7 +110,7 @@
         updating_platform(listed.replacen(r#""state":"up""#, r#""state":"draining""#, 1));
     let sender = start(&list(1, &[("b", late_address, 7, "station")]), &platform);
     let mut client = Client::new(sender.clients);
-    assert_eq!(client.put("m1", NAMES, b"x"), "+OK");
+    assert_eq!(client.put("m1", METADATA, b"x"), "+OK");
     publish_list.store(true, Ordering::Relaxed);
     // The watch that continues from the new list shows that the list has been applied.
     assert!(platform.wait_for(2, TIMEOUT), "the watch that continues");
@@ -118,7 +119,7 @@
     // on it.
     let settled = Instant::now() + Duration::from_millis(1200);
     assert_eq!(
-        written(&late, "m1", || Instant::now() > settled
+        received_bytes(&late, "m1", || Instant::now() > settled
             && !other.seen().is_empty()),
         ""
     );
--- a/crates/cranehill/tests/operator.rs
+++ b/crates/cranehill/tests/operator.rs
@@ -12,7 +12,12 @@
 use cranehill_daemon::http;
 use cranehill_daemon::reactor::State;
 
-fn start_operated(known: &str, platform: &SimulatedServer, state: Option<&Path>) -> RunningSender {
+/// Starts a sender with an operators' address and, if given, the state folder `state`.
+fn start_with_operator(
+    known: &str,
+    platform: &SimulatedServer,
+    state: Option<&Path>,
+) -> RunningSender {
     start_with(known, platform, |options| {
         options.operator = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
         options.state = state.map(|dir| State {
@@ -23,6 +28,7 @@
     })
 }
 
+/// Sends these bytes to the operators' address and returns the whole response.
 fn send_request(sender: &RunningSender, bytes: &[u8]) -> String {
     let mut stream =
         TcpStream::connect(sender.operator.expect("an operators' address")).expect("connect");
@@ -37,6 +43,7 @@
     text
 }
 
+/// Sends an operator request and returns the status of its response.
 fn call(sender: &RunningSender, method: &str, path: &str) -> u16 {
     let text = send_request(
         sender,
@@ -63,7 +70,8 @@
     (endpoint('a'), endpoint('b'), calls)
 }
 
-fn rows(a: &SimulatedServer, b: &SimulatedServer) -> String {
+/// The endpoint list of both endpoints; the id of the first has characters that must be escaped in a path.
+fn known_list(a: &SimulatedServer, b: &SimulatedServer) -> String {
     list(
         1,
         &[
@@ -73,13 +81,14 @@
     )
 }
 
-const NAMES: &str = "c=episode-notice,t=onda-central,d=15000,dest=7";
+/// Metadata argument of `MSG.PUT`: class, tenant, remaining time in milliseconds and destination.
+const METADATA: &str = "c=episode-notice,t=onda-central,d=15000,dest=7";
 
 #[test]
 fn each_operator_request_is_accepted_and_rejected_as_specified() {
     let (a, b, _calls) = destination();
     let platform = platform();
-    let sender = start_operated(&rows(&a, &b), &platform, None);
+    let sender = start_with_operator(&known_list(&a, &b), &platform, None);
     let mut transcript = String::new();
     for bytes in [
         "GET /_ready HTTP/1.1\r\n\r\n",
@@ -120,12 +129,12 @@
 #[test]
 fn detached_endpoint_receives_nothing_until_reattached() {
     let (a, b, calls) = destination();
-    let (known, platform) = (rows(&a, &b), platform());
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let (known, platform) = (known_list(&a, &b), platform());
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let put =
-        |sender: &RunningSender, id: &str| Client::new(sender.clients).put(id, NAMES, b"body");
+        |sender: &RunningSender, id: &str| Client::new(sender.clients).put(id, METADATA, b"body");
     {
-        let sender = start_operated(&known, &platform, Some(folder.path()));
+        let sender = start_with_operator(&known, &platform, Some(folder.path()));
         for path in [
             "detach/a%2F1%20%25",
             "detach/b",
@@ -140,19 +149,19 @@
         assert!((0..6).all(|_| calls.recv_timeout(TIMEOUT).is_ok_and(|call| call.0 == 'a')));
     }
     // The next process reads the full list from its configuration and the detached endpoints from the state folder.
-    let sender = start_operated(&known, &platform, Some(folder.path()));
+    let sender = start_with_operator(&known, &platform, Some(folder.path()));
     assert_eq!(call(&sender, "PUT", "/_endpoints/detach/a%2F1%20%25"), 200);
     // Messages pending at the restart may be sent to `a` again before it is detached.
     let pending_id = "00000000000000ff";
     assert_eq!(put(&sender, pending_id), "+OK");
     let is_pending_message = |call: &(char, String)| call.1 == pending_id;
     let wait = std::time::Duration::from_millis(700);
-    let early: Vec<_> = std::iter::from_fn(|| calls.recv_timeout(wait).ok())
+    let calls_while_detached: Vec<_> = std::iter::from_fn(|| calls.recv_timeout(wait).ok())
         .filter(is_pending_message)
         .collect();
     assert!(
-        early.is_empty(),
-        "both endpoints are detached, but called with {early:?}"
+        calls_while_detached.is_empty(),
+        "both endpoints are detached, but called with {calls_while_detached:?}"
     );
     assert_eq!(call(&sender, "PUT", "/_endpoints/attach/b"), 200);
     let first = std::iter::from_fn(|| calls.recv_timeout(TIMEOUT).ok()).find(is_pending_message);
@@ -169,9 +178,9 @@
 fn draining_sender_answers_pending_requests_and_closes_connections() {
     let (a, b, _calls) = destination();
     let platform = platform();
-    let sender = start_operated(&rows(&a, &b), &platform, None);
+    let sender = start_with_operator(&known_list(&a, &b), &platform, None);
     let (mut idle, mut busy) = (Client::new(sender.clients), Client::new(sender.clients));
-    assert_eq!(idle.put("00000000000000a0", NAMES, b"x"), "+OK");
+    assert_eq!(idle.put("00000000000000a0", METADATA, b"x"), "+OK");
     assert_eq!(call(&sender, "PUT", "/_lameduck/on"), 200);
     let mut pings = Client::new(sender.clients);
     pings.send(b"*1\r\n$4\r\nPING\r\n");
@@ -179,26 +188,26 @@
         (pings.line(), pings.line()),
         ("-ERR emptying, for operators".into(), "<end>".into())
     );
-    // A begun request is awaited; its connection closes after the last answer.
-    let request = put("00000000000000b0", NAMES, b"slow");
+    // The sender waits for the rest of an incomplete request, and closes its connection after the last answer.
+    let request = put("00000000000000b0", METADATA, b"slow");
     busy.send(&request[..20]);
     assert_eq!(idle.line(), "<end>");
     // A second request in the same write is answered too.
-    busy.send(&[&request[20..], &put("00000000000000b1", NAMES, b"next")].concat());
+    busy.send(&[&request[20..], &put("00000000000000b1", METADATA, b"next")].concat());
     assert_eq!(
         (busy.line(), busy.line(), busy.line()),
         ("+OK".into(), "+OK".into(), "<end>".into())
     );
     // A load balancer may still route new connections here.
     assert_eq!(
-        Client::new(sender.clients).put("00000000000000c0", NAMES, b"late"),
+        Client::new(sender.clients).put("00000000000000c0", METADATA, b"late"),
         "+OK"
     );
     assert_eq!(call(&sender, "PUT", "/_lameduck/off"), 200);
     let mut again = Client::new(sender.clients);
     again.send(b"*1\r\n$4\r\nPING\r\n");
     assert_eq!(again.line(), "+PONG");
-    assert_eq!(again.put("00000000000000d0", NAMES, b"x"), "+OK");
+    assert_eq!(again.put("00000000000000d0", METADATA, b"x"), "+OK");
 }
 
 /// Guards the address against connections without a request: they do not block others, and are closed.
@@ -206,10 +215,10 @@
 fn silent_operator_connections_do_not_block_others() {
     let (a, b, _calls) = destination();
     let platform = platform();
-    let sender = start_operated(&rows(&a, &b), &platform, None);
-    let at = sender.operator.expect("an address");
+    let sender = start_with_operator(&known_list(&a, &b), &platform, None);
+    let address = sender.operator.expect("an address");
     let mut silent: Vec<TcpStream> = (0..40)
-        .map(|_| TcpStream::connect(at).expect("connect"))
+        .map(|_| TcpStream::connect(address).expect("connect"))
         .collect();
     assert_eq!(call(&sender, "GET", "/_ready"), 200);
     for stream in &mut silent {
--- a/crates/cranehill/tests/order.rs
+++ b/crates/cranehill/tests/order.rs
@@ -1,5 +1,5 @@
-//! Ordered classes over sockets: the messages of an ordering key are sent one at a time in the order of submission, however the
-//! one before ends.
+//! Ordered classes over sockets: the messages of an ordering key are sent one at a time in the order of submission, whatever
+//! the outcome of the one before.
 
 mod common;
 
@@ -17,13 +17,14 @@
 use cranehill_daemon::reactor::{ReactorOptions, State};
 use cranehill_scheduler::api::Effect;
 
-const NAMES: &str = "c=episode-notice,t=onda-central,d=20000,dest=7";
+/// Metadata argument of `MSG.PUT`: class, tenant, remaining time in milliseconds and destination.
+const METADATA: &str = "c=episode-notice,t=onda-central,d=20000,dest=7";
 /// The pause of an ordering key after a possibly executed attempt (`keyQuiet`).
 const ORDERING_KEY_PAUSE: Duration = Duration::from_millis(100);
 
 /// A `MSG.PUT` request with this ordering key.
-fn in_order(key: &str, id: &str) -> Vec<u8> {
-    common::put(id, NAMES, b"x").replace_key(key)
+fn put_with_key(key: &str, id: &str) -> Vec<u8> {
+    common::put(id, METADATA, b"x").replace_key(key)
 }
 
 trait WithKey {
@@ -44,7 +45,7 @@
 }
 
 /// Makes the only class ordered and its messages `unsafe`: they must not take effect twice.
-fn keep_order(options: &mut ReactorOptions) {
+fn use_ordered_class(options: &mut ReactorOptions) {
     let settings = &mut options.platform_settings.settings;
     (settings.classes[0].in_order, settings.classes[0].effect) = (true, Effect::Unsafe);
     settings.rules.key_quiet = ORDERING_KEY_PAUSE;
@@ -74,7 +75,7 @@
     let released = Arc::new(AtomicBool::new(false));
     let release_flag = released.clone();
     let server = SimulatedServer::new(move |request, _| {
-        if txn(request) == delayed_id && !released.load(Ordering::Relaxed) {
+        if message_id(request) == delayed_id && !released.load(Ordering::Relaxed) {
             wait_for(&released);
             return reply();
         }
@@ -84,7 +85,7 @@
 }
 
 /// The message id of a call.
-fn txn(request: &http::Request) -> &str {
+fn message_id(request: &http::Request) -> &str {
     http::header(&request.headers, "X-Txn").unwrap_or_default()
 }
 
@@ -93,15 +94,15 @@
     destination
         .seen()
         .iter()
-        .map(|s| txn(&s.request).to_owned())
+        .map(|s| message_id(&s.request).to_owned())
         .collect()
 }
 
 fn arrival_time(destination: &SimulatedServer, id: &str) -> Instant {
     let seen = destination.seen();
     seen.iter()
-        .find(|s| txn(&s.request) == id)
-        .expect("the message arrived")
+        .find(|s| message_id(&s.request) == id)
+        .expect("a call for the message")
         .at
 }
 
@@ -111,7 +112,7 @@
 
 fn submit(to: SocketAddr, key: &str, id: &str) {
     let mut client = Client::new(to);
-    client.send(&in_order(key, id));
+    client.send(&put_with_key(key, id));
     assert_eq!(client.line(), "+OK", "{id}");
 }
 
@@ -119,7 +120,7 @@
 fn messages_of_one_ordering_key_are_sent_one_at_a_time() {
     let (destination, release) = destination("a1", || Reply::status(200));
     let platform = platform();
-    let sender = start_with(&known(&destination), &platform, keep_order);
+    let sender = start_with(&known(&destination), &platform, use_ordered_class);
     submit(sender.clients, "aa01", "a1");
     assert!(destination.wait_for(1, TIMEOUT));
     submit(sender.clients, "aa01", "a2");
@@ -141,18 +142,18 @@
 fn next_message_of_a_key_waits_for_the_acknowledged_final_report() {
     let (destination, release) = destination("a1", || Reply::Close);
     let accept_reports = Arc::new(AtomicBool::new(false));
-    let answered = accept_reports.clone();
+    let reports_accepted = accept_reports.clone();
     let platform = SimulatedServer::new(move |request, _| match request.method.as_str() {
         "GET" => Reply::Silent,
-        _ if answered.load(Ordering::Relaxed) => Reply::status(204),
+        _ if reports_accepted.load(Ordering::Relaxed) => Reply::status(204),
         _ => Reply::status(500),
     })
     .expect("platform");
-    let sender = start_with(&known(&destination), &platform, keep_order);
+    let sender = start_with(&known(&destination), &platform, use_ordered_class);
     submit(sender.clients, "aa01", "a1");
     assert!(destination.wait_for(1, TIMEOUT));
     submit(sender.clients, "aa01", "a2");
-    let reset = Instant::now();
+    let reset_at = Instant::now();
     release.store(true, Ordering::Relaxed);
     wait_until("a1 is reported", || {
         reports(&platform)
@@ -168,7 +169,7 @@
     assert!(destination.wait_for(3, TIMEOUT));
     assert_eq!(arrived_ids(&destination)[2], "a2");
     assert!(
-        arrival_time(&destination, "a2") - reset >= ORDERING_KEY_PAUSE,
+        arrival_time(&destination, "a2") - reset_at >= ORDERING_KEY_PAUSE,
         "the key pauses after a connection reset"
     );
 }
@@ -177,7 +178,10 @@
 /// answer is written. Then starts a second process and waits for a3.
 fn kill_before_recording_answer(effect: &str) -> (SimulatedServer, SimulatedServer) {
     let (destination, release) = destination("a1", || Reply::status(200));
-    let (platform, folder) = (platform(), tempfile::tempdir().expect("a temporary folder"));
+    let (platform, folder) = (
+        platform(),
+        tempfile::tempdir().expect("temporary folder created"),
+    );
     let config = config_file(folder.path(), &known(&destination), effect);
     let mut first = Process::start(&config, platform.address, 256);
     submit(first.clients, "aa01", "a1");
@@ -203,7 +207,7 @@
     let status = std::process::Command::new("kill")
         .args([name, &id])
         .status()
-        .expect("kill");
+        .expect("kill command started");
     assert!(status.success());
 }
 
@@ -214,7 +218,7 @@
     let reported = reports(&platform).concat();
     assert!(
         reported.contains(r#""id":"a1","state":"failed""#),
-        "it may have run: {reported}"
+        "the attempt is possibly executed, so a1 must be reported: {reported}"
     );
     // A repeatable message is repeated before the next of its key.
     let (destination, _) = kill_before_recording_answer("keyed");
@@ -226,10 +230,13 @@
 /// arrival and the platform.
 fn run_handover(answered: bool) -> (Vec<String>, SimulatedServer) {
     let (destination, release) = destination("a1", || Reply::status(200));
-    let (platform, folder) = (platform(), tempfile::tempdir().expect("a temporary folder"));
+    let (platform, folder) = (
+        platform(),
+        tempfile::tempdir().expect("temporary folder created"),
+    );
     let start_with_state = || {
         start_with(&known(&destination), &platform, |options| {
-            keep_order(options);
+            use_ordered_class(options);
             options.operator = Some(SocketAddr::from(([127, 0, 0, 1], 0)));
             options.state = Some(State {
                 dir: folder.path().to_owned(),
@@ -267,7 +274,7 @@
         reports(&platform)
             .concat()
             .contains(r#""id":"a1","state":"failed""#),
-        "it was cut off"
+        "the attempt was cut off by the hand-over, so a1 must be reported"
     );
 }
 
@@ -276,10 +283,10 @@
     let (destination, release) = destination("none", || Reply::status(200));
     release.store(true, Ordering::Relaxed);
     let platform = platform();
-    let sender = start_with(&known(&destination), &platform, keep_order);
+    let sender = start_with(&known(&destination), &platform, use_ordered_class);
     let mut client = Client::new(sender.clients);
     for key in ["", "with a space", "k\u{e9}y", &"k".repeat(65)] {
-        client.send(&in_order(key, "bad"));
+        client.send(&put_with_key(key, "bad"));
         assert!(
             client
                 .line()
@@ -287,7 +294,7 @@
             "{key:?}"
         );
     }
-    client.send(&in_order(&"k".repeat(64), "good"));
+    client.send(&put_with_key(&"k".repeat(64), "good"));
     assert_eq!(client.line(), "+OK");
     assert!(destination.wait_for(1, TIMEOUT));
     assert_eq!(arrived_ids(&destination), ["good"]);
--- a/crates/cranehill/tests/ready.rs
+++ b/crates/cranehill/tests/ready.rs
@@ -84,7 +84,7 @@
 }
 
 /// The number of messages that a restarted sender has restored from its journal, by its log.
-fn restored(sender: &Process) -> usize {
+fn restored_messages(sender: &Process) -> usize {
     let started = sender
         .log()
         .into_iter()
@@ -96,7 +96,7 @@
     rest.split(' ')
         .next()
         .and_then(|number| number.parse().ok())
-        .expect("a number")
+        .expect("a number of restored messages")
 }
 
 /// Starts a process; returns the time until it answers a `PING` and the number of restored messages.
@@ -106,14 +106,15 @@
     let mut client = Client::new(sender.clients);
     client.send(b"*1\r\n$4\r\nPING\r\n");
     assert_eq!(client.line(), "+PONG");
-    (started.elapsed(), restored(&sender))
+    (started.elapsed(), restored_messages(&sender))
 }
 
+/// Copies the state folder of the folder `from` to the folder `to`.
 fn copy_state(from: &Path, to: &Path) {
-    std::fs::create_dir(to.join("state")).expect("the state folder");
-    for file in std::fs::read_dir(from.join("state")).expect("the state") {
-        let file = file.expect("a file");
-        std::fs::copy(file.path(), to.join("state").join(file.file_name())).expect("copied");
+    std::fs::create_dir(to.join("state")).expect("state folder created");
+    for file in std::fs::read_dir(from.join("state")).expect("state folder read") {
+        let file = file.expect("folder entry read");
+        std::fs::copy(file.path(), to.join("state").join(file.file_name())).expect("file copied");
     }
 }
 
@@ -123,10 +124,10 @@
         .replace("\"mostHeld\":64", &format!("\"mostHeld\":{MAX_MESSAGES}"))
         .replace("\"deadline\":20000000000", "\"deadline\":600000000000")
         .replace("\"disk_mb\":3", "\"disk_mb\":16");
-    let (up, down) = (discovery(), SocketAddr::from(([127, 0, 0, 1], 1)));
+    let (reachable, unreachable) = (discovery(), SocketAddr::from(([127, 0, 0, 1], 1)));
     let mut times = Vec::new();
-    for discovery in [up.address, down] {
-        let folder = tempfile::tempdir().expect("a temporary folder");
+    for discovery in [reachable.address, unreachable] {
+        let folder = tempfile::tempdir().expect("temporary folder created");
         let config = folder.path().join("config.json");
         std::fs::write(&config, &text).expect("configuration");
         let mut sender = Process::start(&config, discovery, 1024);
@@ -134,7 +135,7 @@
         sender.kill();
         for _ in 0..RESTARTS {
             // Each restart uses a copy of the folder as the kill left it.
-            let copy = tempfile::tempdir().expect("a temporary folder");
+            let copy = tempfile::tempdir().expect("temporary folder created");
             copy_state(folder.path(), copy.path());
             let config = copy.path().join("config.json");
             std::fs::write(&config, &text).expect("configuration");
--- a/crates/cranehill/tests/rehearse.rs
+++ b/crates/cranehill/tests/rehearse.rs
@@ -15,7 +15,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_cranehill");
 
 fn plan(text: &str, seed: u64) -> Plan {
-    let scenario = scenario::parse(text, seed).expect("a valid scenario");
+    let scenario = scenario::parse(text, seed).expect("scenario is valid");
     Plan {
         scenario,
         seed,
@@ -53,8 +53,8 @@
                 let path = Path::new(env!("CARGO_MANIFEST_DIR"))
                     .join("../../rehearsals/days")
                     .join(format!("{name}.toml"));
-                let plan = plan(&fs::read_to_string(path).expect("a file"), 1);
-                let outcome = play(&plan, |_, _| {}).expect("the run completes");
+                let plan = plan(&fs::read_to_string(path).expect("scenario file read"), 1);
+                let outcome = play(&plan, |_, _| {}).expect("scenario run completed");
                 let table = report::table(name, 1, &outcome).join("\n");
                 assert!(outcome.holds(), "{table}");
                 assert!(
@@ -84,26 +84,26 @@
 
 /// The report agrees with the outcome, and the Parquet file has every event once.
 #[test]
-fn report_holds_every_event() {
-    let dir = tempfile::tempdir().expect("a temporary folder");
+fn report_contains_every_event() {
+    let dir = tempfile::tempdir().expect("temporary folder created");
     let plan = plan(ONE_SECOND_SCENARIO, 3);
-    let outcome = play(&plan, |_, _| {}).expect("the run completes");
-    report_files::write(dir.path(), &plan, &outcome).expect("written");
-    let text = fs::read_to_string(dir.path().join("report.json")).expect("a report");
-    let json: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+    let outcome = play(&plan, |_, _| {}).expect("scenario run completed");
+    report_files::write(dir.path(), &plan, &outcome).expect("report files written");
+    let text = fs::read_to_string(dir.path().join("report.json")).expect("report.json read");
+    let json: serde_json::Value = serde_json::from_str(&text).expect("valid JSON");
     assert_eq!(json["handed"], outcome.submitted);
     assert_eq!(
         json["rules"].as_array().map(Vec::len),
         Some(Rule::ALL.len())
     );
-    let events = fs::File::open(dir.path().join("events.parquet")).expect("events");
+    let events = fs::File::open(dir.path().join("events.parquet")).expect("events.parquet opened");
     let rows = SerializedFileReader::new(events)
-        .expect("Parquet")
+        .expect("valid Parquet file")
         .metadata()
         .file_metadata()
         .num_rows();
     assert_eq!(rows as usize, outcome.lines.len());
-    let page = fs::read_to_string(dir.path().join("report.html")).expect("a page");
+    let page = fs::read_to_string(dir.path().join("report.html")).expect("report.html read");
     assert!(page.contains("<svg") && page.contains("one second") && page.contains("onda"));
     assert!(
         !page.contains("http://") || !page.contains("src="),
@@ -111,35 +111,39 @@
     );
 }
 
+/// Runs the program; returns its exit code, and its standard error followed by its standard output.
 fn cranehill(args: &[&str]) -> (Option<i32>, String) {
     let output = Command::new(PROGRAM)
         .args(args)
         .output()
-        .expect("the program runs");
-    let printed = String::from_utf8_lossy(&output.stderr).into_owned();
+        .expect("cranehill program started");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     (
         output.status.code(),
-        printed + &String::from_utf8_lossy(&output.stdout),
+        stderr + &String::from_utf8_lossy(&output.stdout),
     )
 }
 
 /// An invalid scenario file is an error with its line and exit code 2, before any sender starts.
 #[test]
 fn invalid_scenario_is_an_error_before_anything_starts() {
-    let dir = tempfile::tempdir().expect("a temporary folder");
-    let bad = dir.path().join("bad.toml");
-    fs::write(&bad, ONE_SECOND_SCENARIO.replace("30/s", "30")).expect("written");
-    let bad = bad.to_str().expect("UTF-8");
-    let (code, printed) = cranehill(&["rehearse", bad]);
-    assert_eq!(code, Some(2), "{printed}");
+    let dir = tempfile::tempdir().expect("temporary folder created");
+    let invalid_file = dir.path().join("bad.toml");
+    fs::write(&invalid_file, ONE_SECOND_SCENARIO.replace("30/s", "30")).expect("file written");
+    let invalid_file = invalid_file.to_str().expect("path is valid UTF-8");
+    let (code, output) = cranehill(&["rehearse", invalid_file]);
+    assert_eq!(code, Some(2), "{output}");
     assert!(
-        printed.contains("bad.toml: line 4: ") && printed.contains("not a rate"),
-        "{printed}"
+        output.contains("bad.toml: line 4: ") && output.contains("not a rate"),
+        "{output}"
     );
-    let empty = tempfile::tempdir().expect("a temporary folder");
+    let empty = tempfile::tempdir().expect("temporary folder created");
     for args in [
         vec!["rehearse", "no-such-day.toml"],
-        vec!["rehearse", empty.path().to_str().expect("UTF-8")],
+        vec![
+            "rehearse",
+            empty.path().to_str().expect("path is valid UTF-8"),
+        ],
         vec!["rehearse", "--against", "127.0.0.1:1"],
         vec![
             "rehearse",
@@ -153,8 +157,8 @@
         vec!["rig", "no-such-scenario"],
         vec!["rig", "membership", "--nodes", "251"],
     ] {
-        let (code, printed) = cranehill(&args);
-        assert_eq!(code, Some(2), "{args:?}: {printed}");
+        let (code, output) = cranehill(&args);
+        assert_eq!(code, Some(2), "{args:?}: {output}");
     }
 }
 
@@ -165,7 +169,7 @@
         mutation: Some("two-copies".into()),
         ..plan(ONE_SECOND_SCENARIO, 1)
     };
-    let error = play(&plan, |_, _| {}).expect_err("a sender that does not start");
+    let error = play(&plan, |_, _| {}).expect_err("the sender must not start");
     assert!(error.to_string().contains("did not start"), "{error}");
 }
 
@@ -173,6 +177,6 @@
 #[test]
 fn each_mutation_has_a_scenario() {
     let known: Vec<&str> = Mutation::ALL.iter().map(|(name, _)| *name).collect();
-    let played: Vec<&str> = CASES.iter().map(|case| case.name).collect();
-    assert_eq!(known, played);
+    let with_scenario: Vec<&str> = CASES.iter().map(|case| case.name).collect();
+    assert_eq!(known, with_scenario);
 }
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -53,7 +53,7 @@
         sockets: 1024,
         memory: 192_000_000,
         read_config: Some(Box::new(move || {
-            let mut config_results = config_results.lock().expect("answers lock");
+            let mut config_results = config_results.lock().expect("configuration results lock");
             config_results
                 .pop_front()
                 .unwrap_or(Err("no configuration".into()))
@@ -94,8 +94,11 @@
         first.wait_for(2, TIMEOUT),
         "the watch and the report of the message that the destination rejects"
     );
-    let reload = |answers: Vec<Result<SocketAddr, String>>, client: &mut Client| {
-        config_results.lock().expect("answers lock").extend(answers);
+    let reload = |results: Vec<Result<SocketAddr, String>>, client: &mut Client| {
+        config_results
+            .lock()
+            .expect("configuration results lock")
+            .extend(results);
         reload_flag.store(true, Ordering::Relaxed);
         // Wakes the event loop, as the signal does.
         client.send(b"*1\r\n$4\r\nPING\r\n");
@@ -138,7 +141,7 @@
 
 #[test]
 fn reload_prefers_the_file_over_the_variable() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let path = folder.path().join("config.json");
     let var = |name: &str| match name {
         "NODE_CONFIG" => Some(path.display().to_string()),
@@ -148,7 +151,7 @@
         _ => None,
     };
     let text = config_text(&list(1, &[])).replacen('{', r#"{"discovery":"127.0.0.1:2","#, 1);
-    std::fs::write(&path, &text).expect("written");
+    std::fs::write(&path, &text).expect("file written");
     assert_eq!(
         config::load(var).expect("configuration").discovery.port(),
         1
@@ -159,7 +162,7 @@
             .port(),
         2
     );
-    std::fs::write(&path, &text[..text.len() - 2]).expect("written");
+    std::fs::write(&path, &text[..text.len() - 2]).expect("file written");
     assert!(
         config::current_discovery_address(var).is_err(),
         "an incomplete file gives no address"
--- a/crates/cranehill/tests/restart.rs
+++ b/crates/cranehill/tests/restart.rs
@@ -34,7 +34,7 @@
         let status = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status()
-            .expect("kill");
+            .expect("kill command started");
         assert!(status.success());
     }
 }
@@ -53,7 +53,7 @@
         .env("RUST_LOG", "info")
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts");
+        .expect("cranehill program started");
     let mut log = BufReader::new(child.stderr.take().expect("a piped log")).lines();
     let clients = loop {
         let line = log
@@ -90,7 +90,8 @@
     )
 }
 
-const NAMES: &str = "c=episode-notice,t=onda-central,d=20000,k=5c0f,dest=7";
+/// Metadata argument of `MSG.PUT`: class, tenant, remaining time in milliseconds, idempotency key and destination.
+const METADATA: &str = "c=episode-notice,t=onda-central,d=20000,k=5c0f,dest=7";
 
 fn bodies(destination: &SimulatedServer) -> Vec<Vec<u8>> {
     destination
@@ -102,18 +103,18 @@
 
 #[test]
 fn an_accepted_message_is_delivered_after_sigkill() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let folder = folder.path();
     let (destination, open) = destination();
     let platform = platform();
     let known = list(1, &[("a", destination.address, 7, "station")]);
     let mut first = spawn(folder, &known, &platform);
     assert_eq!(
-        Client::new(first.clients).put("m1", NAMES, b"one\r\n\0two"),
+        Client::new(first.clients).put("m1", METADATA, b"one\r\n\0two"),
         "+OK"
     );
     assert!(destination.wait_for(1, TIMEOUT));
-    first.child.kill().expect("killed");
+    first.child.kill().expect("SIGKILL sent");
     first.child.wait().expect("process exits");
     open.store(true, Ordering::Relaxed);
     let _second = spawn(folder, &known, &platform);
@@ -126,13 +127,13 @@
 
 #[test]
 fn final_report_is_resent_after_sigkill_until_acknowledged() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let folder = folder.path();
     // The platform acknowledges the report at the second attempt only.
-    let tries = AtomicUsize::new(0);
+    let report_attempts = AtomicUsize::new(0);
     let platform = SimulatedServer::new(move |request, _| match request.method.as_str() {
         "GET" => Reply::Silent,
-        _ if tries.fetch_add(1, Ordering::Relaxed) == 0 => Reply::status(500),
+        _ if report_attempts.fetch_add(1, Ordering::Relaxed) == 0 => Reply::status(500),
         _ => Reply::status(204),
     })
     .expect("platform");
@@ -148,7 +149,7 @@
     let mut first = spawn(folder, &known, &platform);
     let names = "c=episode-notice,d=700,k=5c0f,dest=7";
     assert_eq!(Client::new(first.clients).put("m1", names, b"x"), "+OK");
-    first.child.kill().expect("killed");
+    first.child.kill().expect("SIGKILL sent");
     first.child.wait().expect("process exits");
     let _second = spawn(folder, &known, &platform);
     wait_until("the report is resent", || reports(&platform).len() >= 2);
@@ -166,20 +167,20 @@
 
 #[test]
 fn sigterm_drains_and_exits_with_the_rest_in_the_journal() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let folder = folder.path();
     let (destination, open) = destination();
     let platform = platform();
     let known = list(1, &[("a", destination.address, 7, "station")]);
     let mut first = spawn(folder, &known, &platform);
     let mut client = Client::new(first.clients);
-    assert_eq!(client.put("m1", NAMES, b"one"), "+OK");
+    assert_eq!(client.put("m1", METADATA, b"one"), "+OK");
     // A request that began before the signal is answered.
     let mut late = Client::new(first.clients);
-    let request = put("m2", NAMES, b"two");
+    let request = put("m2", METADATA, b"two");
     late.send(&request[..40]);
     assert_eq!(
-        client.put("m1", NAMES, b"one"),
+        client.put("m1", METADATA, b"one"),
         "+OK",
         "a repeated submission is accepted"
     );
@@ -201,7 +202,7 @@
 
 #[test]
 fn every_accepted_message_ends_despite_repeated_sigkill() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let folder = folder.path();
     // Slow enough that each kill finds attempts in flight and messages pending; some answers are errors or rejections.
     let destination = SimulatedServer::new(|_, number| {
@@ -221,28 +222,33 @@
         let mut client = Client::new(process.clients);
         for n in 0..12 {
             let id = format!("life{run_number}-{n}");
-            if client.put(&id, NAMES, id.as_bytes()) == "+OK" {
+            if client.put(&id, METADATA, id.as_bytes()) == "+OK" {
                 accepted.push(id);
             }
         }
-        process.child.kill().expect("killed");
+        process.child.kill().expect("SIGKILL sent");
         process.child.wait().expect("process exits");
     }
     assert!(accepted.len() >= 24, "{accepted:?}");
     let mut last = spawn(folder, &known, &platform);
-    let ended = || {
+    let all_delivered = || {
         let seen: std::collections::BTreeSet<Vec<u8>> = bodies(&destination).into_iter().collect();
         accepted.iter().all(|id| seen.contains(id.as_bytes()))
     };
-    let until = Instant::now() + TIMEOUT * 2;
-    while !ended() && Instant::now() < until {
+    let deadline = Instant::now() + TIMEOUT * 2;
+    while !all_delivered() && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(ended());
+    assert!(all_delivered());
     // On shutdown the sender finishes pending work and logs what remains.
     last.signal("-TERM");
     assert!(last.child.wait().expect("process ends").success());
-    let log = last.log.take().expect("a log").join().expect("read");
+    let log = last
+        .log
+        .take()
+        .expect("a log")
+        .join()
+        .expect("log thread completed");
     let stopped = log
         .iter()
         .find(|l| l.contains("stopped:"))
@@ -259,25 +265,28 @@
 
 #[test]
 fn torn_last_record_is_dropped_and_the_rest_kept() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let folder = folder.path();
     let (destination, open) = destination();
     let platform = platform();
     let known = list(1, &[("a", destination.address, 7, "station")]);
     let mut first = spawn(folder, &known, &platform);
-    assert_eq!(Client::new(first.clients).put("m1", NAMES, b"one"), "+OK");
-    first.child.kill().expect("killed");
+    assert_eq!(
+        Client::new(first.clients).put("m1", METADATA, b"one"),
+        "+OK"
+    );
+    first.child.kill().expect("SIGKILL sent");
     first.child.wait().expect("process exits");
     // The first bytes of a frame, as a kill during a write leaves them.
     let mut files: Vec<_> = std::fs::read_dir(folder.join("state"))
         .expect("the state folder")
-        .map(|f| f.expect("a file").path())
+        .map(|f| f.expect("folder entry read").path())
         .collect();
     files.retain(|f| f.extension().is_some_and(|e| e == "seg"));
     let head = files.iter().max().expect("a segment");
     let mut bytes = std::fs::read(head).expect("a segment");
     bytes.extend_from_slice(&[90, 0, 0]);
-    std::fs::write(head, bytes).expect("written");
+    std::fs::write(head, bytes).expect("file written");
     open.store(true, Ordering::Relaxed);
     let before = destination.seen().len();
     let _second = spawn(folder, &known, &platform);
@@ -285,8 +294,8 @@
 }
 
 #[test]
-fn bad_configuration_is_one_line_and_exit_code_2() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+fn invalid_configuration_is_one_error_line_and_exit_code_2() {
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let folder = folder.path();
     let config = folder.join("config.json");
     for text in [
@@ -296,7 +305,7 @@
         r#"{"settings":{}}"#,
         &config_text("{\"version\":1}"),
     ] {
-        std::fs::write(&config, text).expect("written");
+        std::fs::write(&config, text).expect("file written");
         let out = Command::new(env!("CARGO_BIN_EXE_cranehill"))
             .arg("serve")
             .env("NODE_CONFIG", &config)
@@ -304,30 +313,34 @@
             .env("NODE_DISCOVERY", "127.0.0.1:1")
             .env("NODE_STATE", folder.join("state"))
             .output()
-            .expect("the program runs");
-        let err = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert_eq!(out.status.code(), Some(2), "{err}");
-        assert_eq!(err.lines().count(), 1, "{err}");
+            .expect("cranehill program started");
+        let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
+        assert_eq!(out.status.code(), Some(2), "{stderr}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
     }
 }
 
 #[test]
 fn push_only_sender_answers_waiting_clients_on_shutdown() {
     let service = SimulatedServer::new(|_, _| Reply::Silent).expect("service");
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let file = folder.path().join("webpush.toml");
     let text = format!(
         "listen = \"127.0.0.1:0\"\n[[upstream]]\nname = \"s\"\n[[upstream.server]]\naddress = \"{}\"\n[[location]]\npath = \"/push/\"\nupstream = \"s\"\n",
         service.address
     );
-    std::fs::write(&file, text).expect("written");
+    std::fs::write(&file, text).expect("file written");
     let mut child = Command::new(env!("CARGO_BIN_EXE_cranehill"))
-        .args(["serve", "--webpush", file.to_str().expect("a path")])
+        .args([
+            "serve",
+            "--webpush",
+            file.to_str().expect("path is valid UTF-8"),
+        ])
         .env_remove("NODE_CONFIG")
         .env("RUST_LOG", "info")
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts");
+        .expect("cranehill program started");
     let mut log = BufReader::new(child.stderr.take().expect("a piped log")).lines();
     let address: SocketAddr = log
         .find_map(|l| {
@@ -356,7 +369,7 @@
 
 #[test]
 fn sighup_with_an_invalid_file_does_not_end_the_process() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let folder = folder.path();
     let (destination, open) = destination();
     open.store(true, Ordering::Relaxed);
@@ -365,18 +378,24 @@
     let mut first = spawn(folder, &known, &platform);
     let other = self::platform();
     let config = folder.join("config.json");
-    std::fs::write(&config, "{").expect("written");
+    std::fs::write(&config, "{").expect("file written");
     first.signal("-HUP");
-    assert_eq!(Client::new(first.clients).put("m1", NAMES, b"one"), "+OK");
+    assert_eq!(
+        Client::new(first.clients).put("m1", METADATA, b"one"),
+        "+OK"
+    );
     let text =
         config_text(&known).replacen('{', &format!(r#"{{"discovery":"{}","#, other.address), 1);
-    std::fs::write(&config, text).expect("written");
+    std::fs::write(&config, text).expect("file written");
     first.signal("-HUP");
     assert!(
         other.wait_for(1, TIMEOUT),
         "the file takes precedence over the environment variable"
     );
-    assert_eq!(Client::new(first.clients).put("m2", NAMES, b"two"), "+OK");
+    assert_eq!(
+        Client::new(first.clients).put("m2", METADATA, b"two"),
+        "+OK"
+    );
     assert!(destination.wait_for(2, TIMEOUT));
     first.signal("-TERM");
     assert!(first.child.wait().expect("process ends").success());
@@ -389,7 +408,7 @@
     platform: &SimulatedServer,
     answer: &[u8],
 ) -> (Process, TcpListener) {
-    let destination = TcpListener::bind("127.0.0.1:0").expect("bound");
+    let destination = TcpListener::bind("127.0.0.1:0").expect("listener bound");
     let known = list(
         1,
         &[(
@@ -414,7 +433,7 @@
     while Instant::now() < call_timeout_end {
         std::thread::sleep(Duration::from_millis(5));
     }
-    call.write_all(answer).expect("written");
+    call.write_all(answer).expect("bytes written");
     process.signal("-CONT");
     wait_until("m1 is reported", || {
         reports(platform).iter().any(|r| r.contains(r#""id":"m1""#))
@@ -422,11 +441,11 @@
     (process, destination)
 }
 
-/// Guards an answer that arrives as its call times out: the destination, which knows the timeout from the request, had dropped
+/// Guards an answer that arrives as its call times out: the destination, which knows the timeout from the request, had discarded
 /// the call, but the sender recorded a delivery and sent no final report (one message lost; narrow scenario, seed 205).
 #[test]
 fn response_after_the_timeout_is_ignored() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     answer_after_timeout(
         folder.path(),
         &platform(),
@@ -437,7 +456,7 @@
 /// Guards the Retry-After of an answer that arrives after its call timed out: it still applies.
 #[test]
 fn retry_after_in_a_late_response_is_respected() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let platform = platform();
     let answer = b"HTTP/1.1 429 No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n";
     let (process, destination) = answer_after_timeout(folder.path(), &platform, answer);
@@ -461,7 +480,7 @@
 /// report: the process exits by itself, and the next one delivers the pending message and the report.
 #[test]
 fn repeated_signals_during_shutdown_change_nothing() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let folder = folder.path();
     let (destination, open) = destination();
     let rejects = SimulatedServer::new(|_, _| Reply::status(400)).expect("destination server");
@@ -475,9 +494,9 @@
     );
     let mut first = spawn(folder, &known, &silent);
     let mut client = Client::new(first.clients);
-    assert_eq!(client.put("m1", NAMES, b"one"), "+OK");
+    assert_eq!(client.put("m1", METADATA, b"one"), "+OK");
     assert_eq!(
-        client.put("m2", &NAMES.replace("dest=7", "dest=8"), b"two"),
+        client.put("m2", &METADATA.replace("dest=7", "dest=8"), b"two"),
         "+OK"
     );
     wait_until("a report is sent", || !reports(&silent).is_empty());
@@ -485,7 +504,12 @@
         first.signal(signal);
     }
     assert!(first.child.wait().expect("process ends").success());
-    let log = first.log.take().expect("a log").join().expect("read");
+    let log = first
+        .log
+        .take()
+        .expect("a log")
+        .join()
+        .expect("log thread completed");
     let stopped = log
         .iter()
         .find(|l| l.contains("stopped:"))
--- a/crates/cranehill/tests/retry_after.rs
+++ b/crates/cranehill/tests/retry_after.rs
@@ -52,9 +52,9 @@
     // Now the connection can be established: the kernel retries after one second. Nothing may arrive on it.
     drop(queued_connections);
     second.set_nonblocking(true).expect("socket option set");
-    let until = Instant::now() + Duration::from_millis(2200);
+    let deadline = Instant::now() + Duration::from_millis(2200);
     let (mut streams, mut bytes) = (Vec::new(), Vec::new());
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         if let Ok((stream, _)) = second.accept() {
             stream.set_nonblocking(true).expect("socket option set");
             streams.push(stream);
--- a/crates/cranehill/tests/short_window.rs
+++ b/crates/cranehill/tests/short_window.rs
@@ -20,8 +20,8 @@
 fn run_scenario(recovery_in_steps: bool) -> Outcome {
     let path =
         Path::new(env!("CARGO_MANIFEST_DIR")).join("../../rehearsals/days/short-window.toml");
-    let text = std::fs::read_to_string(path).expect("a file");
-    let mut scenario = scenario::parse(&text, SEED).expect("a valid scenario");
+    let text = std::fs::read_to_string(path).expect("scenario file read");
+    let mut scenario = scenario::parse(&text, SEED).expect("scenario is valid");
     if recovery_in_steps {
         let period = Duration::from_millis(500);
         let (round_trip, hold) = (Duration::from_millis(150), Duration::from_secs(10));
@@ -43,7 +43,7 @@
         mutation: None,
         against: None,
     };
-    play(&plan, |_, _| {}).expect("the run completes")
+    play(&plan, |_, _| {}).expect("scenario run completed")
 }
 
 /// Accepted messages that were reported with time left although an attempt was allowed: those that may be repeated at any time,
--- a/crates/cranehill/tests/spoilt.rs
+++ b/crates/cranehill/tests/spoilt.rs
@@ -7,7 +7,8 @@
 use common::{Client, TIMEOUT, list, platform, start, start_with};
 use cranehill::simulated_server::{Reply, SimulatedServer};
 
-const NAMES: &str = "c=episode-notice,d=20000,k=aa,dest=7";
+/// Metadata argument of `MSG.PUT`: class, remaining time in milliseconds, idempotency key and destination.
+const METADATA: &str = "c=episode-notice,d=20000,k=aa,dest=7";
 
 /// Submits `messages` to a destination that gives `answers` to its first requests and 200 to the rest, and waits for `requests`
 /// requests. Returns the connection of each request and its time after the first.
@@ -29,7 +30,7 @@
     });
     let mut client = Client::new(sender.clients);
     for n in 0..messages {
-        assert_eq!(client.put(&format!("m{n}"), NAMES, b"x"), "+OK");
+        assert_eq!(client.put(&format!("m{n}"), METADATA, b"x"), "+OK");
         assert!(destination.wait_for((n + 1).min(requests), TIMEOUT));
     }
     assert!(
@@ -106,7 +107,7 @@
     );
     let mut client = Client::new(sender.clients);
     for (n, requests) in [1, 3, 4].into_iter().enumerate() {
-        assert_eq!(client.put(&format!("m{n}"), NAMES, b"x"), "+OK");
+        assert_eq!(client.put(&format!("m{n}"), METADATA, b"x"), "+OK");
         assert!(destination.wait_for(requests, TIMEOUT));
         std::thread::sleep(Duration::from_millis(400));
     }
--- a/crates/cranehill/tests/webpush.rs
+++ b/crates/cranehill/tests/webpush.rs
@@ -69,6 +69,7 @@
     }
 }
 
+/// A server that gives every request this reply.
 fn always(reply: Reply) -> SimulatedServer {
     SimulatedServer::new(move |_, _| reply.clone()).expect("push service")
 }
@@ -170,8 +171,8 @@
         // Another message for the same service, while the wait lasts.
         thread::sleep(Duration::from_millis(100));
         let other = s.spawn(|| post(&front, "two", &[("TTL", "15")], b"y"));
-        assert_eq!(other.join().expect("answered").status, 201);
-        forwarded.join().expect("answered")
+        assert_eq!(other.join().expect("push thread completed").status, 201);
+        forwarded.join().expect("push thread completed")
     });
     assert_eq!(first.status, 201);
     let seen = service.seen();
@@ -292,7 +293,7 @@
     assert_eq!(answer.status, 503);
     let after: u64 = header(&answer.headers, "Retry-After")
         .and_then(|t| t.parse().ok())
-        .expect("a time");
+        .expect("a number of seconds");
     assert!(after >= 1);
     assert_eq!(service.seen().len(), 1, "a TTL of zero is one attempt");
 }
@@ -366,9 +367,9 @@
     let signature = Signature::from_slice(&URL_SAFE_NO_PAD.decode(signature).expect("base64url"))
         .expect("64 bytes");
     VerifyingKey::from_sec1_bytes(&key)
-        .expect("a point")
+        .expect("valid public key")
         .verify(signed.as_bytes(), &signature)
-        .expect("valid");
+        .expect("valid signature");
     let claims = signed
         .split_once('.')
         .map(|p| URL_SAFE_NO_PAD.decode(p.1).expect("base64url"))
@@ -378,9 +379,9 @@
     assert_eq!(claims["sub"], "mailto:oncall@example.org");
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
-        .expect("a clock")
+        .expect("system time after 1970")
         .as_secs();
-    let expires = claims["exp"].as_u64().expect("a time");
+    let expires = claims["exp"].as_u64().expect("a number of seconds");
     assert!(expires > now && expires <= now + 24 * 3600);
 }
 
