--- a/crates/cranehill/tests/common/mod.rs
+++ b/crates/cranehill/tests/common/mod.rs
@@ -196,21 +196,21 @@
         String::from_utf8_lossy(&line).trim_end().to_owned()
     }
 
-    /// Submits one message and returns the answer line. `names`: the metadata argument of `MSG.PUT`.
-    pub(crate) fn put(&mut self, id: &str, names: &str, body: &[u8]) -> String {
-        self.send(&put(id, names, body));
+    /// Submits one message and returns the answer line. `metadata`: the comma-separated `name=value` pairs of `MSG.PUT`.
+    pub(crate) fn put(&mut self, id: &str, metadata: &str, body: &[u8]) -> String {
+        self.send(&put(id, metadata, body));
         self.line()
     }
 }
 
 /// A `MSG.PUT` request in RESP, without an ordering key (all zeros).
-pub(crate) fn put(id: &str, names: &str, body: &[u8]) -> Vec<u8> {
+pub(crate) fn put(id: &str, metadata: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = b"*5\r\n".to_vec();
     for argument in [
         b"MSG.PUT" as &[u8],
         b"0000000000000000",
         id.as_bytes(),
-        names.as_bytes(),
+        metadata.as_bytes(),
         body,
     ] {
         bytes.extend_from_slice(format!("${}\r\n", argument.len()).as_bytes());
--- a/crates/cranehill/tests/common/process.rs
+++ b/crates/cranehill/tests/common/process.rs
@@ -38,7 +38,7 @@
             .env("RUST_LOG", "info")
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the program starts");
+            .expect("cranehill program started");
         let mut lines = BufReader::new(child.stderr.take().expect("a piped log")).lines();
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
         let clients = loop {
@@ -51,12 +51,12 @@
                 break address.parse().expect("an address");
             }
         };
-        let kept = log.clone();
+        let collected_lines = log.clone();
         // Keeps reading: the process would block on a full pipe.
         std::thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .for_each(|line| kept.lock().expect("log lock").push(line));
+                .for_each(|line| collected_lines.lock().expect("log lock").push(line));
         });
         Process {
             child,
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -32,10 +32,11 @@
 const KEY_FILE: &str = "0707070707070707070707070707070707070707070707070707070707070707\n";
 const KEY: [u8; 32] = [7; 32];
 
-/// Unix time in milliseconds.
+/// The time of all records, in milliseconds since the Unix epoch.
 const NOW: u64 = 1_764_590_000_000;
 const NANOS_PER_MS: u64 = 1_000_000;
 
+/// The path of this file in `tests/golden`.
 fn golden(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
@@ -43,9 +44,10 @@
 }
 
 fn path_text(path: &Path) -> &str {
-    path.to_str().expect("a path in UTF-8")
+    path.to_str().expect("path is valid UTF-8")
 }
 
+/// The program with these arguments and without settings in its environment.
 fn program(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cranehill"));
     command.args(args);
@@ -87,9 +89,9 @@
 /// The fleet settings that a fleet file gives for a sender with the default test configuration.
 fn fleet_of(text: &str) -> Fleet {
     let config = common::config("null", address("127.0.0.1:1"));
-    let file = fleet::parse(text).expect("a fleet file");
+    let file = fleet::parse(text).expect("valid fleet file");
     file.fleet(KEY, &config.name, &config.platform_settings.settings)
-        .expect("a fleet")
+        .expect("fleet settings are valid")
 }
 
 /// Variants of the text with one key or table name misspelt, each with the number of that line.
@@ -114,7 +116,7 @@
 #[test]
 fn every_key_of_a_fleet_file_reads_as_before() {
     assert_eq!(
-        fleet::parse(FLEET_EVERY_KEY).expect("a fleet file").key,
+        fleet::parse(FLEET_EVERY_KEY).expect("valid fleet file").key,
         Path::new("keys/fleet.key")
     );
     // Complete patterns, so that the compiler asks for each new field here.
@@ -175,7 +177,7 @@
 #[test]
 fn the_deployed_fleet_file_reads_as_before() {
     assert_eq!(
-        fleet::parse(FLEET).expect("a fleet file").key,
+        fleet::parse(FLEET).expect("valid fleet file").key,
         Path::new("fleet.key")
     );
     let Fleet {
@@ -258,17 +260,17 @@
 
 #[test]
 fn check_accepts_the_deployed_files_and_names_a_misspelt_key() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let config = folder.path().join("config.json");
-    std::fs::write(&config, WRITTEN_CONFIG).expect("written");
-    std::fs::write(folder.path().join("fleet.key"), KEY_FILE).expect("written");
+    std::fs::write(&config, WRITTEN_CONFIG).expect("file written");
+    std::fs::write(folder.path().join("fleet.key"), KEY_FILE).expect("file written");
     let (fleet, web_push) = (
         folder.path().join("fleet.toml"),
         folder.path().join("webpush.toml"),
     );
     let check = |fleet_text: &str, web_push_text: &str| {
-        std::fs::write(&fleet, fleet_text).expect("written");
-        std::fs::write(&web_push, web_push_text).expect("written");
+        std::fs::write(&fleet, fleet_text).expect("file written");
+        std::fs::write(&web_push, web_push_text).expect("file written");
         program(&[
             "check",
             "--webpush",
@@ -279,7 +281,7 @@
         .env("NODE_CONFIG", &config)
         .env("NODE_STATE", folder.path())
         .output()
-        .expect("the program runs")
+        .expect("cranehill program started")
     };
     let accepted = printed(&check(FLEET, WEB_PUSH));
     assert_eq!(accepted.lines().count(), 3, "{accepted}");
@@ -328,7 +330,7 @@
         ],
     };
     assert_eq!(
-        webpush::parse_file(WEB_PUSH_EVERY_KEY).expect("a Web Push file"),
+        webpush::parse_file(WEB_PUSH_EVERY_KEY).expect("valid Web Push file"),
         expected
     );
 }
@@ -353,7 +355,7 @@
         }],
     };
     assert_eq!(
-        webpush::parse_file(WEB_PUSH).expect("a Web Push file"),
+        webpush::parse_file(WEB_PUSH).expect("valid Web Push file"),
         expected
     );
 }
@@ -385,9 +387,9 @@
 fn an_imported_web_push_file_is_written_and_read_as_before() {
     let output = program(&["import-nginx", path_text(&golden("nginx.conf"))])
         .output()
-        .expect("the program runs");
+        .expect("cranehill program started");
     assert_eq!(printed(&output), IMPORTED);
-    let file = webpush::parse_file(IMPORTED).expect("a Web Push file");
+    let file = webpush::parse_file(IMPORTED).expect("valid Web Push file");
     assert_eq!(file.upstream[0].server.len(), 2);
     assert!(file.upstream[0].server[1].draining);
     assert_eq!(file.location[0].to.as_deref(), Some("/wpush/v2/"));
@@ -397,14 +399,14 @@
 fn hard_cases_script_plays_as_before() {
     let output = program(&["rehearse", path_text(&golden("hard-cases.txt"))])
         .output()
-        .expect("the program runs");
+        .expect("cranehill program started");
     assert_eq!(printed(&output).lines().count(), 6);
 }
 
 #[test]
 fn every_keyword_of_a_push_script_reads_as_before() {
-    let script = push_script::parse(EVERY_WORD).expect("a script");
-    let report = push_script::play(&script).expect("the script runs");
+    let script = push_script::parse(EVERY_WORD).expect("valid push script");
+    let report = push_script::play(&script).expect("push script run completed");
     let missed: Vec<&String> = report
         .lines
         .iter()
@@ -420,8 +422,9 @@
         "{missed:?}"
     );
     // An omitted argument has the same meaning as its default.
-    let push =
-        |arguments: &str| push_script::parse(&format!("push one{arguments}")).expect("a script");
+    let push = |arguments: &str| {
+        push_script::parse(&format!("push one{arguments}")).expect("valid push script")
+    };
     assert_eq!(push(""), push(" ttl=20 body=one"));
     assert_ne!(push(""), push(" body=two"));
     assert_ne!(push(""), push(" urgency=high"));
@@ -490,7 +493,7 @@
 
 #[test]
 fn the_configuration_for_a_scenario_is_written_as_before() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     let written = folder.path().join("config.json");
     let output = program(&[
         "rehearse",
@@ -500,10 +503,10 @@
     ])
     .args(["--write-config", path_text(&written)])
     .output()
-    .expect("the program runs");
+    .expect("cranehill program started");
     printed(&output);
     assert_eq!(
-        std::fs::read_to_string(&written).expect("written"),
+        std::fs::read_to_string(&written).expect("written configuration read"),
         WRITTEN_CONFIG
     );
 }
@@ -517,11 +520,11 @@
         segment: Some(4096),
     };
     let open = Journal::open(
-        Folder::new(folder, options.disk).expect("the journal folder"),
+        Folder::new(folder, options.disk).expect("journal folder created"),
         &options,
         NOW,
     );
-    let mut journal = open.expect("the journal opens").0;
+    let mut journal = open.expect("journal opened").0;
     journal
         .append(NOW, &journal_records())
         .expect("records appended");
@@ -587,11 +590,11 @@
 
 #[test]
 fn an_exported_journal_is_written_as_before() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
     write_journal(folder.path());
     let output = program(&["journal", "export", path_text(folder.path())])
         .output()
-        .expect("the program runs");
+        .expect("cranehill program started");
     let exported: String = printed(&output).lines().map(without_location).collect();
     assert_eq!(exported, EXPORTED);
 }
@@ -613,8 +616,8 @@
 
 #[test]
 fn the_columns_of_an_exported_table_are_as_before() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
-    let output_folder = tempfile::tempdir().expect("a temporary folder");
+    let folder = tempfile::tempdir().expect("temporary folder created");
+    let output_folder = tempfile::tempdir().expect("temporary folder created");
     let table = output_folder.path().join("records.parquet");
     write_journal(folder.path());
     let output = program(&[
@@ -626,7 +629,7 @@
     ])
     .args(["--out", path_text(&table)])
     .output()
-    .expect("the program runs");
+    .expect("cranehill program started");
     printed(&output);
     let expected = "segment offset bytes lsn kind id born attempt never_ran endpoint at class station partner key deadline \
                     after_ms until before body_bytes body order_key";
@@ -637,7 +640,8 @@
 }
 
 fn columns(table: &Path) -> Vec<String> {
-    let reader = SerializedFileReader::new(File::open(table).expect("a table")).expect("Parquet");
+    let reader = SerializedFileReader::new(File::open(table).expect("Parquet file opened"))
+        .expect("valid Parquet file");
     let schema = reader.metadata().file_metadata().schema_descr();
     schema
         .columns()
@@ -665,7 +669,7 @@
 
 #[test]
 fn a_report_has_the_same_keys_and_columns_as_before() {
-    let out = tempfile::tempdir().expect("a temporary folder");
+    let out = tempfile::tempdir().expect("temporary folder created");
     let output = program(&[
         "rehearse",
         path_text(&golden("short.toml")),
@@ -673,10 +677,10 @@
         path_text(out.path()),
     ])
     .output()
-    .expect("the program runs");
+    .expect("cranehill program started");
     let report = std::fs::read_to_string(out.path().join("report.json"));
     let report = report.unwrap_or_else(|e| panic!("{e}: {output:?}"));
-    let report: Value = serde_json::from_str(&report).expect("JSON");
+    let report: Value = serde_json::from_str(&report).expect("valid JSON");
     assert_eq!(report["day"], "A short scenario, for its report");
     let mut found = BTreeSet::new();
     key_paths(&report, "", &mut found);
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -18,7 +18,7 @@
         b"*1\r\n$4\r\nping\r\n".to_vec(),
     ];
     let (first, used) = client_protocol::parse(&bytes.concat())
-        .expect("valid")
+        .expect("valid request")
         .expect("a complete message");
     assert_eq!(used, bytes[0].len());
     assert!(
@@ -54,35 +54,40 @@
         assert!(client_protocol::parse(bad.as_bytes()).is_err(), "{bad:?}");
     }
     // A body of 64 KiB is accepted, one byte more is not.
-    let of = |len: usize| common::put("m", "c=episode-notice,dest=7", &vec![b'x'; len]);
-    assert!(matches!(client_protocol::parse(&of(65536)), Ok(Some(_))));
-    assert!(client_protocol::parse(&of(65537)).is_err());
+    let request_with_body =
+        |len: usize| common::put("m", "c=episode-notice,dest=7", &vec![b'x'; len]);
+    assert!(matches!(
+        client_protocol::parse(&request_with_body(65536)),
+        Ok(Some(_))
+    ));
+    assert!(client_protocol::parse(&request_with_body(65537)).is_err());
 }
 
 #[test]
-fn names_in_a_message_are_validated() {
+fn message_metadata_is_validated() {
     let platform_settings = common::config(
         &common::list(1, &[]),
         "127.0.0.1:1".parse().expect("an address"),
     )
     .platform_settings;
-    let read = |names: &str| {
+    let parse_metadata = |metadata: &str| {
         client_protocol::message(
             &platform_settings,
             1,
             b"0000",
             "m".into(),
-            names,
+            metadata,
             Vec::new(),
         )
     };
     let message =
-        read("c=episode-notice,t=onda-central,d=8000,k=5c0f,dest=7,r=1,new=thing").expect("valid");
+        parse_metadata("c=episode-notice,t=onda-central,d=8000,k=5c0f,dest=7,r=1,new=thing")
+            .expect("valid metadata");
     assert_eq!(
         (message.destination, message.left, message.key.as_deref()),
         (7, Duration::from_secs(8), Some("5c0f"))
     );
-    for bad in [
+    for invalid in [
         "",
         "c=episode-notice",
         "dest=7",
@@ -93,13 +98,13 @@
         "c=episode-notice,dest=7,k=a\r\nX: y",
         "c=episode-notice,dest",
     ] {
-        assert!(read(bad).is_err(), "{bad:?}");
+        assert!(parse_metadata(invalid).is_err(), "{invalid:?}");
     }
 }
 
 fn response(text: &str) -> Response {
     http::response(text.as_bytes(), true)
-        .expect("valid")
+        .expect("valid response")
         .expect("a complete message")
         .0
 }
@@ -345,8 +350,8 @@
 
 #[test]
 fn nginx_import_round_trips_and_lists_the_rest_by_line() {
-    let imported = nginx::import(NGINX).expect("valid");
-    let text = toml::to_string(&imported.file).expect("a file");
+    let imported = nginx::import(NGINX).expect("valid nginx configuration");
+    let text = toml::to_string(&imported.file).expect("Web Push file serialized");
     assert_eq!(
         webpush::parse_file(&text).expect("the written file parses"),
         imported.file
@@ -427,7 +432,8 @@
 #[test]
 fn push_script_report_counts_missed_expectations() {
     let run_script = |text: &str| {
-        push_script::play(&push_script::parse(text).expect("a script")).expect("the script runs")
+        push_script::play(&push_script::parse(text).expect("valid push script"))
+            .expect("push script run completed")
     };
     let good = run_script(
         "service answers 410 to=left\npush left\npush here\nexpect left gone\nexpect here delivered attempts 1",
