--- a/crates/core/src/detached_endpoints.rs
+++ b/crates/core/src/detached_endpoints.rs
@@ -140,9 +140,9 @@
         self.attached_at.retain(|id, since| {
             let is_warming_up = now - *since < warm_up;
             if is_warming_up {
-                scheduler.admit_endpoint(now, id, *since);
+                scheduler.refill_endpoint_gate(now, id, *since);
             } else {
-                scheduler.unbar_endpoint(id);
+                scheduler.open_endpoint_gate(id);
             }
             is_warming_up
         });
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -18,13 +18,13 @@
     /// Number of the attempt, from 0.
     pub number: u32,
     /// Idempotency key, by which the destination recognizes a repeated attempt.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Body of the message.
     pub body: Arc<[u8]>,
     /// Path, headers and expiry that the client ingress passed with the message; `None` for other ingresses.
     pub envelope: Option<Arc<Envelope>>,
     /// When the attempt times out: the same time for all attempts of a call.
-    pub until: Time,
+    pub times_out_at: Time,
     /// Set for a repeated attempt: unless the request is written completely by this time, it must not be sent. An
     /// earlier attempt may have been executed, and the destination no longer recognizes a repeat after the idempotency
     /// window.
@@ -88,12 +88,12 @@
     /// Persist the detachments, then answer the operator's request ([`crate::Input::Detach`]).
     Detached {
         /// Number of the operator's connection.
-        by: usize,
+        connection: usize,
         /// False if the endpoint is neither listed nor detached, or if the limits on detached endpoints allow no
         /// further one.
         known: bool,
         /// All detachments after the request.
-        now: Detachments,
+        detachments: Detachments,
     },
     /// An effect of the membership protocol.
     Fleet(membership::Effect),
@@ -113,13 +113,13 @@
         /// Id of its destination.
         destination: u64,
         /// Idempotency key, if the client gave one.
-        key: Option<String>,
+        idempotency_key: Option<String>,
         /// Messages with the same ordering key are sent one at a time, in order.
         ordering_key: Option<String>,
         /// When the message expires.
         deadline: u64,
         /// When the message was accepted.
-        at: u64,
+        accepted_at: u64,
         /// Body of the message.
         body: Arc<[u8]>,
     },
@@ -132,7 +132,7 @@
         /// Id of the endpoint that is called.
         endpoint: String,
         /// When the attempt was started.
-        at: u64,
+        started_at: u64,
     },
     /// An attempt has finished without ending the message.
     AttemptFinished {
@@ -157,7 +157,7 @@
         /// Id of the message.
         id: String,
         /// Until when the id is kept, to recognize a repeated submission.
-        until: u64,
+        remembered_until: u64,
     },
 }
 
@@ -175,7 +175,7 @@
 
     /// Whether the record is about an event that has already happened. Unlike a new message or attempt, such a record
     /// can't be refused when the journal is full, only written later.
-    pub fn is_end(&self) -> bool {
+    pub fn is_end_record(&self) -> bool {
         matches!(
             self,
             Record::AttemptFinished { .. }
--- a/crates/core/src/endpoint_list.rs
+++ b/crates/core/src/endpoint_list.rs
@@ -84,7 +84,7 @@
     }
 
     /// Whether the destination has an endpoint, or lost its last one less than ten minutes ago.
-    pub fn knows(&self, destination: DestinationId) -> bool {
+    pub fn is_known_destination(&self, destination: DestinationId) -> bool {
         self.has_endpoints(destination) || self.unlisted.contains_key(&destination)
     }
 
--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -120,7 +120,7 @@
         if known && listed && was_detached == attach {
             if attach {
                 self.detached.start_warm_up(now, &id);
-                scheduler.bar_endpoint(&id);
+                scheduler.close_endpoint_gate(&id);
             } else {
                 self.detached.stop_warm_up(&id);
                 effects.push(Effect::CancelUnwritten {
@@ -132,9 +132,9 @@
             entry = self.entry(now, &id);
         }
         effects.push(Effect::Detached {
-            by: connection,
+            connection: connection,
             known,
-            now: self.detached.snapshot(),
+            detachments: self.detached.snapshot(),
         });
         DetachResult { effects, entry }
     }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -81,14 +81,14 @@
         let mut effects = Vec::new();
         for effect in members.step(now, input) {
             match effect {
-                membership::Effect::LearnedRequested { by: member } => {
+                membership::Effect::LearnedStateRequested { by: member } => {
                     effects.extend(self.send_learned_state(now, member, scheduler, events));
                 }
-                membership::Effect::LearnedReceived { by: member, piece } => {
+                membership::Effect::LearnedStateReceived { by: member, piece } => {
                     effects.extend(self.recovery.on_peer_reply(now, member, &piece));
                 }
-                membership::Effect::ShareDivisor(senders) => {
-                    events.push(Event::SenderCount(senders));
+                membership::Effect::QuotaDivisorChanged(senders) => {
+                    events.push(Event::QuotaDivisor(senders));
                     effects.push(Effect::Fleet(effect));
                 }
                 other => effects.push(Effect::Fleet(other)),
@@ -113,8 +113,8 @@
         events: &mut Vec<Event>,
     ) -> Vec<Effect> {
         let learned_state = scheduler.learned_state();
-        let chunks = recovery::encode(&learned_state, membership::MAX_LEARNED_PIECE);
-        let input = membership::Input::SendLearned { to, chunks };
+        let chunks = recovery::encode_chunks(&learned_state, membership::MAX_LEARNED_PIECE_BYTES);
+        let input = membership::Input::SendLearnedState { to, chunks };
         self.step(now, input, scheduler, events)
     }
 
@@ -129,7 +129,12 @@
         let (Some(members), Some(zones)) = (&self.members, &mut self.zones) else {
             return Vec::new();
         };
-        let update = zones.update(now, members.me().at, members.payloads(), scheduler);
+        let update = zones.update(
+            now,
+            members.identity().address,
+            members.payloads(),
+            scheduler,
+        );
         let input = membership::Input::SetPayload(update.payload);
         let mut effects = self.step(now, input, scheduler, events);
         effects.extend(update.changes.into_iter().map(Effect::Zone));
@@ -147,11 +152,16 @@
         let has_peers = self.members.as_ref().is_some_and(|members| {
             members
                 .views()
-                .any(|view| view.state == membership::State::Alive)
+                .any(|view| view.state == membership::MemberState::Alive)
         });
         if !self.recovery.should_ask_peers(now, has_peers) {
             return Vec::new();
         }
-        self.step(now, membership::Input::RequestLearned, scheduler, events)
+        self.step(
+            now,
+            membership::Input::RequestLearnedState,
+            scheduler,
+            events,
+        )
     }
 }
--- a/crates/core/src/input.rs
+++ b/crates/core/src/input.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cranehill_membership as membership;
-use cranehill_scheduler::api::{EndpointId, Event, MessageId, Outcome, Report, Status};
+use cranehill_scheduler::api::{EndpointId, Event, LoadReport, MessageId, Outcome, Status};
 
 use crate::effect::{Attempt, Record};
 use crate::message::{Listing, Message};
@@ -18,13 +18,13 @@
     /// Result of the attempt.
     pub status: Status,
     /// True if the message needs no further attempt, whatever the status, as its destination has answered so.
-    pub over: bool,
+    pub is_final: bool,
     /// Time from the start of the attempt to its end.
-    pub took: Duration,
+    pub duration: Duration,
     /// Retry-after time of the answer: no call to the destination for this long.
     pub retry_after: Option<Duration>,
     /// Load report of the destination, if the answer has one.
-    pub report: Option<Report>,
+    pub load_report: Option<LoadReport>,
 }
 
 impl AttemptOutcome {
@@ -34,10 +34,10 @@
             id: attempt.id,
             attempt: attempt.number,
             status: Status::NotSent,
-            over: false,
-            took: Duration::ZERO,
+            is_final: false,
+            duration: Duration::ZERO,
             retry_after: None,
-            report: None,
+            load_report: None,
         }
     }
 
@@ -48,9 +48,9 @@
             attempt: self.attempt,
             status: self.status,
             completed,
-            took: self.took,
-            wait: self.retry_after,
-            report: self.report,
+            elapsed: self.duration,
+            retry_after: self.retry_after,
+            report: self.load_report,
         })
     }
 }
@@ -99,11 +99,11 @@
     /// An operator detaches an endpoint, or attaches it again. Answered with [`crate::Effect::Detached`].
     Detach {
         /// Number of the operator's connection.
-        by: usize,
+        connection: usize,
         /// Id of the endpoint.
         endpoint: String,
         /// True to attach the endpoint, false to detach it.
-        back: bool,
+        attach: bool,
     },
     /// An input for the membership protocol; ignored before [`crate::Core::join`].
     Fleet(membership::Input),
@@ -114,7 +114,7 @@
 pub enum Persisted {
     /// All records.
     All,
-    /// Only the records for which [`Record::is_end`] is true: the journal had no space for new messages and attempts.
+    /// Only the records for which [`Record::is_end_record`] is true: the journal had no space for new messages and attempts.
     EndsOnly,
     /// No record.
     Nothing,
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -29,19 +29,19 @@
     /// Id of its destination.
     pub destination: u64,
     /// Idempotency key, by which the destination recognizes a repeated attempt.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Messages with the same ordering key are sent one at a time, in the order of submission.
     pub ordering_key: Option<String>,
     /// Body of the message.
     pub body: Arc<[u8]>,
     /// Time from the submission to its deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Attempts made by earlier processes of the sender; they count towards the limit on attempts.
-    pub spent: u32,
+    pub attempts_used: u32,
     /// Data that the client ingress passes with the message.
     pub envelope: Option<Arc<Envelope>>,
     /// Who receives the answer.
-    pub from: Origin,
+    pub origin: Origin,
 }
 
 /// Who receives the answer about a message. A client is identified by the number of its connection.
@@ -65,7 +65,7 @@
     /// The message was not executed: the client can safely submit it again.
     Rejected {
         /// How long to wait before submitting it again, if known.
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// The message was not delivered, and either was possibly executed or can't be executed.
     Failed,
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -101,7 +101,7 @@
     pub(crate) fn forget_pending(&self, now: Time) -> Effect {
         let completed = self.pending.ids().map(|id| Record::Completed {
             id: id.0.clone(),
-            until: now.0,
+            remembered_until: now.0,
         });
         Effect::Persist(completed.collect())
     }
@@ -115,11 +115,11 @@
     /// new. A completed message is not sent again, even if another client submits a different message under its id.
     pub(crate) fn answer_to_repeat(&self, id: &MessageId, origin: Origin) -> Option<Answer> {
         if let Some(pending) = self.pending.get(id) {
-            let after = Some(REPEAT_RETRY_AFTER);
+            let retry_after = Some(REPEAT_RETRY_AFTER);
             return Some(if pending.accepted {
                 Answer::Accepted
             } else {
-                Answer::Rejected { after }
+                Answer::Rejected { retry_after }
             });
         }
         let is_repeat = self.completed.contains(id) && matches!(origin, Origin::Client(_));
@@ -129,7 +129,7 @@
     /// Adds a submitted message. Returns the messages to be handed over to the scheduler.
     pub(crate) fn submit(&mut self, now: Time, message: Message) -> Vec<AcceptedMessage> {
         let id = MessageId(message.id.clone());
-        let deadline = now + message.left;
+        let deadline = now + message.time_left;
         self.pending.submit(message, deadline);
         self.pending.hand_over(now, &id)
     }
@@ -176,7 +176,7 @@
         let finished = FinishedAttempt {
             in_flight: pending.finish_attempt(outcome.attempt, outcome.status),
             destination: pending.destination(),
-            completed: outcome.over || outcome.status == Status::Served,
+            completed: outcome.is_final || outcome.status == Status::Served,
         };
         if finished.completed {
             self.complete(now, id, outcome.status, outbox);
@@ -204,12 +204,15 @@
         } else {
             Answer::Failed
         };
-        outbox.defer_answer(pending.message.from, id, answer);
+        outbox.defer_answer(pending.message.origin, id, answer);
     }
 
     fn record_completed(&mut self, now: Time, id: MessageId, outbox: &mut Outbox) {
-        let until = self.completed.remember(now, &id).0;
-        outbox.record(Record::Completed { id: id.0, until });
+        let remembered_until = self.completed.remember(now, &id).0;
+        outbox.record(Record::Completed {
+            id: id.0,
+            remembered_until,
+        });
     }
 
     /// Ends a message that the scheduler has rejected or failed. Returns `None` if it is no longer pending.
@@ -234,7 +237,7 @@
             outbox.defer(Effect::WakeAt(now));
         }
         let answer = pending.final_answer(verdict, now, self.tick);
-        outbox.defer_answer(pending.message.from, id, answer);
+        outbox.defer_answer(pending.message.origin, id, answer);
         Some(EndedMessage {
             destination,
             released_key,
--- a/crates/core/src/mutation.rs
+++ b/crates/core/src/mutation.rs
@@ -67,7 +67,7 @@
     ];
 
     /// Looks up a mutation by its name in [`Mutation::ALL`].
-    pub fn named(name: &str) -> Option<Mutation> {
+    pub fn from_name(name: &str) -> Option<Mutation> {
         Mutation::ALL
             .iter()
             .find(|(known, _)| *known == name)
@@ -80,7 +80,7 @@
 
 /// Enables a mutation for the rest of the process. Returns false if this build has no mutations, or if one is enabled
 /// already.
-pub fn choose(mutation: Mutation) -> bool {
+pub fn enable(mutation: Mutation) -> bool {
     #[cfg(feature = "mutations")]
     return ENABLED_MUTATION.set(mutation).is_ok();
     #[cfg(not(feature = "mutations"))]
@@ -91,7 +91,7 @@
 }
 
 /// Whether this mutation is enabled.
-pub fn is(mutation: Mutation) -> bool {
+pub fn is_enabled(mutation: Mutation) -> bool {
     #[cfg(feature = "mutations")]
     return ENABLED_MUTATION.get() == Some(&mutation);
     #[cfg(not(feature = "mutations"))]
@@ -103,7 +103,7 @@
 
 /// Returns true for the first of every `calls` invocations, counted over the whole process. For mutations that act on
 /// only some of the occasions.
-pub fn one_in(calls: u64) -> bool {
+pub fn is_every_nth_call(calls: u64) -> bool {
     static CALLS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
     CALLS
         .fetch_add(1, std::sync::atomic::Ordering::Relaxed)
@@ -112,27 +112,27 @@
 
 /// Applies the enabled mutation to the settings.
 pub(crate) fn apply_to_settings(settings: &mut Settings) {
-    if is(Mutation::RepeatsUnsafe) {
+    if is_enabled(Mutation::RepeatsUnsafe) {
         for class in &mut settings.classes {
             class.effect = Effect::Safe;
         }
     }
-    if is(Mutation::SeventhAttempt) {
-        settings.attempts_cap = TOO_MANY_ATTEMPTS;
+    if is_enabled(Mutation::SeventhAttempt) {
+        settings.max_attempts = TOO_MANY_ATTEMPTS;
     }
 }
 
 /// Applies the enabled mutation to the outcome of an attempt before the scheduler receives it.
 pub(crate) fn apply_to_outcome(outcome: &mut AttemptOutcome) {
-    if is(Mutation::IgnoresWaits) {
+    if is_enabled(Mutation::IgnoresWaits) {
         outcome.retry_after = None;
     }
     let failed = matches!(
         outcome.status,
         Status::NoConnection | Status::TimedOut | Status::Overloaded | Status::Reset
     );
-    let hides_failure = is(Mutation::FloodsCold) && failed;
-    let hides_error = is(Mutation::SeventhAttempt) && outcome.status == Status::Error;
+    let hides_failure = is_enabled(Mutation::FloodsCold) && failed;
+    let hides_error = is_enabled(Mutation::SeventhAttempt) && outcome.status == Status::Error;
     if hides_failure || hides_error {
         outcome.status = Status::NotSent;
     }
@@ -143,12 +143,12 @@
 /// since the scheduler would remove the endpoints that are left out.
 pub(crate) fn apply_to_endpoint_list(whole: bool, list: &mut Vec<Listing>) -> bool {
     // A rate of 0 means that it is unknown: the scheduler then derives no limit from it.
-    if is(Mutation::FloodsCold) {
+    if is_enabled(Mutation::FloodsCold) {
         for listing in list.iter_mut() {
             listing.entry.rate = 0.0;
         }
     }
-    if is(Mutation::SendsToDrained) {
+    if is_enabled(Mutation::SendsToDrained) {
         list.retain(|listing| listing.entry.condition == Condition::Ready);
         return false;
     }
--- a/crates/core/src/outbox.rs
+++ b/crates/core/src/outbox.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     records: Vec<Record>,
-    /// Records of the last [`Effect::Persist`] for which [`Record::is_end`] is true. If the journal has no space for
+    /// Records of the last [`Effect::Persist`] for which [`Record::is_end_record`] is true. If the journal has no space for
     /// them, they are written with the next tick.
     unpersisted: Vec<Record>,
     /// Effects that wait until the journal has the records.
@@ -55,7 +55,11 @@
         }
         self.deferred = effects;
         let records = std::mem::take(&mut self.records);
-        self.unpersisted = records.iter().filter(|r| r.is_end()).cloned().collect();
+        self.unpersisted = records
+            .iter()
+            .filter(|r| r.is_end_record())
+            .cloned()
+            .collect();
         vec![Effect::Persist(records)]
     }
 
--- a/crates/core/src/outgoing_calls.rs
+++ b/crates/core/src/outgoing_calls.rs
@@ -33,11 +33,11 @@
     fn add(&mut self, attempt: Attempt) {
         let attempts = self.attempts.iter();
         let until = attempts
-            .map(|attempt| attempt.until)
-            .fold(attempt.until, Time::min);
+            .map(|attempt| attempt.times_out_at)
+            .fold(attempt.times_out_at, Time::min);
         self.attempts.push(attempt);
         for attempt in &mut self.attempts {
-            attempt.until = until;
+            attempt.times_out_at = until;
         }
     }
 
@@ -52,7 +52,7 @@
 
 /// Estimated bytes of an attempt in a call, where bodies are encoded in base 64.
 fn encoded_bytes(attempt: &Attempt) -> usize {
-    let key = attempt.key.as_ref().map_or(0, String::len);
+    let key = attempt.idempotency_key.as_ref().map_or(0, String::len);
     attempt.body.len() * 4 / 3 + key + ATTEMPT_OVERHEAD_BYTES
 }
 
@@ -76,7 +76,7 @@
             id: attempt.id.clone(),
             attempt: attempt.number,
             endpoint: request.endpoint.0.clone(),
-            at: now.0,
+            started_at: now.0,
         });
         let call = self
             .calls
@@ -103,7 +103,7 @@
         let mut effects = Vec::new();
         for call in self.calls {
             let effect = call.into_effect();
-            if mutation::is(Mutation::TwoCopies) {
+            if mutation::is_enabled(Mutation::TwoCopies) {
                 effects.push(effect.clone());
             }
             effects.push(effect);
--- a/crates/core/src/pending.rs
+++ b/crates/core/src/pending.rs
@@ -151,13 +151,13 @@
         let mut accepted = Vec::new();
         for Unacknowledged { id, .. } in std::mem::take(&mut self.unacknowledged) {
             if let Some(pending) = self.messages.get_mut(&id)
-                && let Origin::Client(_) = pending.message.from
+                && let Origin::Client(_) = pending.message.origin
             {
                 pending.accepted = true;
                 accepted.push(Acceptance {
                     record: pending.accepted_record(now),
                     answer: Effect::Answer {
-                        to: pending.message.from,
+                        to: pending.message.origin,
                         id: id.0,
                         answer: Answer::Accepted,
                     },
--- a/crates/core/src/pending_message.rs
+++ b/crates/core/src/pending_message.rs
@@ -37,7 +37,7 @@
     pub(crate) endpoint: EndpointId,
     /// Number of the call; attempts with the same number share a call.
     pub(crate) call: u64,
-    /// See [`Attempt::until`].
+    /// See [`Attempt::times_out_at`].
     pub(crate) until: Time,
     /// See [`Attempt::write_by`].
     pub(crate) write_by: Option<Time>,
@@ -97,10 +97,10 @@
             sequence,
             deadline,
             hand_over_by,
-            attempts: message.spent,
+            attempts: message.attempts_used,
             in_flight: None,
             possibly_executed,
-            accepted: message.from == Origin::Restored,
+            accepted: message.origin == Origin::Restored,
             recipient_removed: false,
             message,
         }
@@ -129,10 +129,10 @@
             class: message.class,
             tenant: message.tenant,
             destination: message.destination,
-            key: message.key.clone(),
+            idempotency_key: message.idempotency_key.clone(),
             ordering_key: message.ordering_key.clone(),
             deadline: self.deadline.0,
-            at: now.0,
+            accepted_at: now.0,
             body: message.body.clone(),
         }
     }
@@ -141,8 +141,8 @@
     pub(crate) fn to_scheduler(&self, now: Time) -> AcceptedMessage {
         let message = &self.message;
         let prior = PriorAttempts {
-            attempts: message.spent,
-            restored: message.from == Origin::Restored,
+            attempts: message.attempts_used,
+            restored: message.origin == Origin::Restored,
             possibly_executed: self
                 .possibly_executed
                 .as_ref()
@@ -150,7 +150,7 @@
         };
         let ordering_key = self
             .ordering_key()
-            .filter(|_| !mutation::is(Mutation::IgnoresOrder));
+            .filter(|_| !mutation::is_enabled(Mutation::IgnoresOrder));
         AcceptedMessage {
             id: MessageId(message.id.clone()),
             class: message.class,
@@ -179,10 +179,10 @@
         Attempt {
             id: self.message.id.clone(),
             number,
-            key: self.message.key.clone(),
+            idempotency_key: self.message.idempotency_key.clone(),
             body: self.message.body.clone(),
             envelope: self.message.envelope.clone(),
-            until: request.until.min(self.deadline),
+            times_out_at: request.until.min(self.deadline),
             write_by: request.write_by,
         }
     }
@@ -209,7 +209,9 @@
             Verdict::Rejected { .. } if self.deadline <= now + tick * EXPIRY_TICKS => {
                 Answer::Expired
             }
-            Verdict::Rejected { retry_after } => Answer::Rejected { after: retry_after },
+            Verdict::Rejected { retry_after } => Answer::Rejected {
+                retry_after: retry_after,
+            },
             Verdict::Failed => Answer::Failed,
         }
     }
--- a/crates/core/src/recovered.rs
+++ b/crates/core/src/recovered.rs
@@ -27,7 +27,7 @@
             .get(self.message.class)
             .filter(|class| class.effect == ClassEffect::Idempotent);
         match (class, &self.possibly_executed) {
-            (Some(class), Some(first)) => self.deadline.min(first.at + class.window),
+            (Some(class), Some(first)) => self.deadline.min(first.at + class.dedup_window),
             _ => self.deadline,
         }
     }
@@ -83,12 +83,13 @@
                 id,
                 attempt,
                 endpoint,
-                at,
+                started_at,
             } => {
                 if let Some(recovered) = open.get_mut(&MessageId(id)) {
-                    recovered.message.spent = recovered.message.spent.max(attempt + 1);
+                    recovered.message.attempts_used =
+                        recovered.message.attempts_used.max(attempt + 1);
                     let started = PossibleExecution {
-                        at: Time(at),
+                        at: Time(started_at),
                         endpoint: EndpointId(endpoint),
                         attempt,
                     };
@@ -120,11 +121,14 @@
                 };
                 final_reports.insert(id, report);
             }
-            Record::Completed { id, until } => {
+            Record::Completed {
+                id,
+                remembered_until,
+            } => {
                 let id = MessageId(id);
                 open.remove(&id);
                 final_reports.remove(&id);
-                completed.restore(now, &id, Time(until));
+                completed.restore(now, &id, Time(remembered_until));
             }
         }
     }
@@ -138,10 +142,10 @@
         class,
         tenant,
         destination,
-        key,
+        idempotency_key,
         ordering_key,
         deadline,
-        at: _,
+        accepted_at: _,
         body,
     } = record
     else {
@@ -153,13 +157,13 @@
         class,
         tenant,
         destination,
-        key,
-        ordering_key: ordering_key.filter(|_| !mutation::is(Mutation::ForgetsOrder)),
+        idempotency_key,
+        ordering_key: ordering_key.filter(|_| !mutation::is_enabled(Mutation::ForgetsOrder)),
         body,
-        left: deadline - now,
-        spent: 0,
+        time_left: deadline - now,
+        attempts_used: 0,
         envelope: None,
-        from: Origin::Restored,
+        origin: Origin::Restored,
     };
     Some(RecoveredMessage {
         message,
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -43,7 +43,7 @@
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        match recovery::unpack(bytes) {
+        match recovery::decode_state_file(bytes) {
             Ok(learned_state) => {
                 let routes = learned_state.len();
                 log::info!(routes; "recovery: learned state of {routes} routes restored");
@@ -56,7 +56,7 @@
     /// Handles the learned state that the previous process sent in a hand-over. State that can't be decoded is logged
     /// and ignored.
     pub(crate) fn on_inherited(&mut self, bytes: &[u8]) {
-        match recovery::unpack(bytes) {
+        match recovery::decode_state_file(bytes) {
             Ok(learned_state) => self.inherited = learned_state,
             Err(error) => log::error!("hand-over: the inherited learned state is ignored: {error}"),
         }
@@ -71,7 +71,7 @@
         piece: &[u8],
     ) -> Option<Effect> {
         let recovery = self.recovery.as_mut()?;
-        match recovery::decode(piece) {
+        match recovery::decode_chunk(piece) {
             Ok(learned_state) => {
                 let routes = learned_state.len();
                 log::info!(event = "learned-state-received", member:%, routes;
@@ -143,7 +143,8 @@
         if !self.inherited.is_empty() {
             let (list_events, remaining) = split_list_events(events);
             let actions = scheduler.handle(now, list_events);
-            self.inherited = scheduler.inherit(now, std::mem::take(&mut self.inherited));
+            self.inherited =
+                scheduler.restore_handed_over(now, std::mem::take(&mut self.inherited));
             return RestoredTick { actions, remaining };
         }
         let Some(recovery) = &mut self.recovery else {
@@ -181,7 +182,9 @@
         let mut effects = Vec::new();
         let learned_state = scheduler.learned_state();
         if recovery.should_persist(now, &learned_state) {
-            effects.push(Effect::PersistLearnedState(recovery::pack(&learned_state)));
+            effects.push(Effect::PersistLearnedState(recovery::encode_state_file(
+                &learned_state,
+            )));
         }
         effects.extend(recovery.check_complete(now).map(Effect::RecoveryComplete));
         let next_tick = if has_handed_over {
@@ -204,5 +207,5 @@
 fn split_list_events(events: Vec<Event>) -> (Vec<Event>, Vec<Event>) {
     events
         .into_iter()
-        .partition(|e| matches!(e, Event::List { .. } | Event::SenderCount(_)))
+        .partition(|e| matches!(e, Event::EndpointList { .. } | Event::QuotaDivisor(_)))
 }
--- a/crates/core/src/reducer.rs
+++ b/crates/core/src/reducer.rs
@@ -50,13 +50,13 @@
     pub fn new(mut settings: Settings, seed: u64, now: Time) -> Result<Core, SettingsError> {
         mutation::apply_to_settings(&mut settings);
         let mut scheduler = Scheduler::new(settings.clone(), seed, now)?;
-        scheduler.confirm_reports();
+        scheduler.require_report_acknowledgements();
         Ok(Core {
             now,
             scheduler,
             events: Vec::new(),
             messages: Messages::new(&settings),
-            endpoints: Endpoints::new(settings.rules.cold),
+            endpoints: Endpoints::new(settings.rules.warm_up),
             fleet: Fleet::default(),
             outbox: Outbox::default(),
             stopping: false,
@@ -80,12 +80,12 @@
 
     /// Starts the recovery after a restart: learned state is restored, and first calls and recovered messages are
     /// spread over time.
-    pub fn recover(&mut self, settings: recovery::Settings) {
+    pub fn start_recovery(&mut self, settings: recovery::Settings) {
         self.fleet.recovery.enable(self.now, settings);
     }
 
     /// Restores the detachments of an earlier process, from the state file.
-    pub fn detached_before(&mut self, before: Detachments) {
+    pub fn restore_detachments(&mut self, before: Detachments) {
         for entry in self.endpoints.restore_detachments(self.now, before) {
             self.push_entry(entry);
         }
@@ -101,35 +101,37 @@
         self.fleet.zone_states()
     }
 
-    /// The phase of the recovery; `None` before [`Core::recover`].
-    pub fn phase(&self) -> Option<Phase> {
+    /// The phase of the recovery; `None` before [`Core::start_recovery`].
+    pub fn recovery_phase(&self) -> Option<Phase> {
         self.fleet.recovery.phase()
     }
 
     /// The learned state of this sender in the format of the state file, for the new process in a hand-over.
     pub fn learned_state(&self) -> Vec<u8> {
-        recovery::pack(&self.scheduler.learned_state())
+        recovery::encode_state_file(&self.scheduler.learned_state())
     }
 
     /// Whether the destination has a listed endpoint, or lost its last one less than ten minutes ago: all of its
     /// endpoints may be being replaced.
-    pub fn knows(&self, destination: u64) -> bool {
-        self.endpoints.list().knows(DestinationId(destination))
+    pub fn is_known_destination(&self, destination: u64) -> bool {
+        self.endpoints
+            .list()
+            .is_known_destination(DestinationId(destination))
     }
 
     /// Number of endpoints in the endpoint list or in the scheduler, whichever is larger.
-    pub fn endpoints(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         let listed = self.endpoints.list().len();
-        listed.max(self.scheduler.endpoint_count())
+        listed.max(self.scheduler.endpoint_table_len())
     }
 
     /// Number of attempts in flight.
-    pub fn attempts_out(&self) -> usize {
+    pub fn in_flight_count(&self) -> usize {
         self.messages.in_flight_count()
     }
 
     /// Number of pending messages, and number of final reports that the platform has not acknowledged.
-    pub fn outstanding(&self) -> (usize, usize) {
+    pub fn pending_and_report_counts(&self) -> (usize, usize) {
         (self.messages.pending_count(), self.messages.report_count())
     }
 
@@ -147,7 +149,7 @@
             Input::HealthChecked { endpoint, status } => {
                 self.events.push(Event::HealthChecked { endpoint, status });
             }
-            Input::TimerFired => self.events.push(Event::Wake),
+            Input::TimerFired => self.events.push(Event::TimerFired),
             Input::TickEnded => return self.on_tick_ended(),
             Input::Persisted(persisted) => return self.on_persisted(persisted),
             Input::FinalReportsAcknowledged(ids) => self.on_final_reports_acknowledged(ids),
@@ -156,11 +158,15 @@
             Input::LearnedStateInherited(bytes) => self.fleet.recovery.on_inherited(&bytes),
             Input::Fleet(input) => return self.on_fleet(input),
             Input::Quiesced(quiesced) => self.on_quiesced(quiesced),
-            Input::Detach { by, endpoint, back } => {
+            Input::Detach {
+                connection,
+                endpoint,
+                attach,
+            } => {
                 return self.on_detach(DetachRequest {
-                    connection: by,
+                    connection,
                     endpoint: EndpointId(endpoint),
-                    attach: back,
+                    attach,
                 });
             }
             Input::Stopping => return self.on_stopping(),
@@ -170,9 +176,9 @@
 
     fn on_submitted(&mut self, message: Message) -> Vec<Effect> {
         let id = MessageId(message.id.clone());
-        if let Some(answer) = self.messages.answer_to_repeat(&id, message.from) {
+        if let Some(answer) = self.messages.answer_to_repeat(&id, message.origin) {
             return vec![Effect::Answer {
-                to: message.from,
+                to: message.origin,
                 id: message.id,
                 answer,
             }];
@@ -188,11 +194,14 @@
         }
     }
 
-    fn on_endpoints_changed(&mut self, whole: bool, mut list: Vec<Listing>) -> Vec<Effect> {
-        let whole = mutation::apply_to_endpoint_list(whole, &mut list);
-        let update = self.endpoints.update(self.now, whole, list);
+    fn on_endpoints_changed(&mut self, replaces_all: bool, mut list: Vec<Listing>) -> Vec<Effect> {
+        let replaces_all = mutation::apply_to_endpoint_list(replaces_all, &mut list);
+        let update = self.endpoints.update(self.now, replaces_all, list);
         let entries = update.entries;
-        self.events.push(Event::List { whole, entries });
+        self.events.push(Event::EndpointList {
+            replaces_all,
+            entries,
+        });
         self.update_zone_endpoint_counts();
         self.fleet.recovery.on_endpoints_changed();
         update.effects
@@ -249,7 +258,7 @@
         };
         self.fleet.recovery.on_sent_or_ended(ended.destination, id);
         if let Some(key) = ended.released_key {
-            self.scheduler.report_answered(&key);
+            self.scheduler.report_acknowledged(&key);
         }
     }
 
@@ -259,7 +268,7 @@
                 .messages
                 .acknowledge_report(self.now, id, &mut self.outbox);
             if let Some(key) = released_key {
-                self.scheduler.report_answered(&key);
+                self.scheduler.report_acknowledged(&key);
             }
         }
     }
@@ -272,7 +281,7 @@
     fn on_quiesced(&mut self, quiesced: bool) {
         self.quiesced = quiesced;
         if !quiesced {
-            self.scheduler.unbar_all();
+            self.scheduler.open_all_gates();
         }
     }
 
@@ -288,14 +297,14 @@
 
     /// Adds an event for the scheduler about one changed endpoint.
     fn push_entry(&mut self, entry: Entry) {
-        self.events.push(Event::List {
-            whole: false,
+        self.events.push(Event::EndpointList {
+            replaces_all: false,
             entries: vec![entry],
         });
     }
 
     fn on_stopping(&mut self) -> Vec<Effect> {
-        if mutation::is(Mutation::LeaksAtStop) {
+        if mutation::is_enabled(Mutation::LeaksAtStop) {
             return vec![self.messages.forget_pending(self.now)];
         }
         self.stopping = true;
@@ -311,12 +320,12 @@
         if !records.is_empty() {
             // Attempts that were in flight when the earlier process ended may still be executed: ordering keys stay
             // blocked for a while before a next attempt.
-            self.scheduler.rest_keys(self.now);
+            self.scheduler.pause_ordering_keys(self.now);
         }
         let classes = &self.settings.classes;
         let restored = self.messages.restore(self.now, records, classes);
         for key in self.messages.blocked_ordering_keys() {
-            self.scheduler.await_report(key);
+            self.scheduler.block_until_report_acknowledged(key);
         }
         for message in restored {
             self.queue_restored_message(message);
@@ -382,13 +391,13 @@
 
     fn run_scheduler(&mut self, events: Vec<Event>) -> Vec<Action> {
         if self.quiesced {
-            self.scheduler.bar_all();
+            self.scheduler.close_all_gates();
         }
         let recovery = &mut self.fleet.recovery;
         let restored = recovery.restore(self.now, &mut self.scheduler, events);
         let mut actions = restored.actions;
         actions.extend(self.scheduler.handle(self.now, restored.remaining));
-        let active_routes = self.scheduler.active_routes();
+        let active_routes = self.scheduler.active_route_count();
         log::trace!(active_routes; "tick: {active_routes} active routes");
         actions
     }
@@ -404,19 +413,19 @@
                     endpoint,
                     timeout,
                     call,
-                    write_within,
+                    write_timeout,
                 } => {
                     let request = SendRequest {
                         id,
                         endpoint,
                         call,
                         until: now + timeout,
-                        write_by: write_within.map(|within| now + within),
+                        write_by: write_timeout.map(|within| now + within),
                     };
                     self.start_attempt(request, &mut calls);
                 }
-                Action::Reject { id, after } => {
-                    self.end_undelivered(&id, Verdict::Rejected { retry_after: after });
+                Action::Reject { id, retry_after } => {
+                    self.end_undelivered(&id, Verdict::Rejected { retry_after });
                 }
                 Action::Fail(id) => self.end_undelivered(&id, Verdict::Failed),
                 Action::Timer(after) => self.outbox.defer(Effect::WakeAt(now + after)),
@@ -426,7 +435,7 @@
                     self.outbox.defer_all(check);
                 }
                 // Discovery is watched continuously, for all destinations.
-                Action::Subscribe => {}
+                Action::PollEndpointList => {}
             }
         }
         calls
@@ -506,7 +515,7 @@
                 self.messages.cancel(&id);
                 self.events.push(Event::Cancelled(id.clone()));
                 let answer = Answer::Rejected {
-                    after: Some(self.settings.max_retry_after),
+                    retry_after: Some(self.settings.max_retry_after),
                 };
                 Some(Effect::Answer {
                     to,
--- a/crates/core/src/zones.rs
+++ b/crates/core/src/zones.rs
@@ -59,8 +59,8 @@
             | Status::Overloaded
             | Status::RecipientRemoved
             | Status::PermanentError
-            | Status::Spoilt => true,
-            Status::Dropped | Status::Cancelled | Status::NotSent => return,
+            | Status::Malformed => true,
+            Status::IdleConnectionBroken | Status::Cancelled | Status::NotSent => return,
         };
         self.zones.record_attempt(now, zone, &endpoint.0, answered);
     }
@@ -111,10 +111,15 @@
 
 fn apply_change(now: Time, change: &Change, scheduler: &mut Scheduler) {
     match change {
-        Change::Evacuate { zone, .. } | Change::ProbeOver { zone } => scheduler.bar(*zone),
-        Change::Probe { zone, pick } => scheduler.probe(now, *zone, *pick),
-        Change::Return { zone, .. } => scheduler.return_to(*zone, false),
-        Change::InService { zone } => scheduler.unbar(*zone),
+        Change::Evacuate { zone, .. } | Change::ProbeOver { zone } => {
+            scheduler.evacuate_zone(*zone)
+        }
+        Change::Probe {
+            zone,
+            endpoint_selector,
+        } => scheduler.admit_probe_call(now, *zone, *endpoint_selector),
+        Change::Return { zone, .. } => scheduler.start_recovery_ramp(*zone, false),
+        Change::InService { zone } => scheduler.open_zone_gates(*zone),
     }
 }
 
@@ -123,10 +128,10 @@
 fn apply_state(now: Time, zone: u32, state: State, scheduler: &mut Scheduler) {
     match state {
         State::InService => {}
-        State::Evacuated(_) => scheduler.bar_new(zone),
+        State::Evacuated(_) => scheduler.evacuate_new_endpoints(zone),
         State::Returning(since) => {
-            scheduler.return_to(zone, true);
-            scheduler.admit_returning(now, zone, since);
+            scheduler.start_recovery_ramp(zone, true);
+            scheduler.refill_zone_gates(now, zone, since);
         }
     }
 }
--- a/crates/core/tests/backlog.rs
+++ b/crates/core/tests/backlog.rs
@@ -62,10 +62,10 @@
         class: SAFE,
         tenant: 0,
         destination: DESTINATION,
-        key: None,
+        idempotency_key: None,
         ordering_key: None,
         deadline: at(deadline).0,
-        at: at(0).0,
+        accepted_at: at(0).0,
         body: Arc::from(&b"body"[..]),
     }
 }
@@ -82,16 +82,16 @@
     let (ended, status) = if serves {
         (now + SERVED_AFTER_MS, Status::Served)
     } else {
-        (ms(attempt.until).max(now + 1), Status::TimedOut)
+        (ms(attempt.times_out_at).max(now + 1), Status::TimedOut)
     };
     let outcome = AttemptOutcome {
         id: attempt.id,
         attempt: attempt.number,
         status,
-        over: serves,
-        took: Duration::from_millis(ended - now),
+        is_final: serves,
+        duration: Duration::from_millis(ended - now),
         retry_after: None,
-        report: None,
+        load_report: None,
     };
     (ended, outcome)
 }
@@ -102,11 +102,11 @@
     let mut answers: BTreeMap<u64, Vec<AttemptOutcome>> = BTreeMap::new();
     let (mut now, mut wakeups) = (1, BTreeSet::new());
     let mut effects = core.step(at(now), Input::Recovered(records));
-    while core.outstanding() != (0, 0) {
+    while core.pending_and_report_counts() != (0, 0) {
         assert!(
             now < 700_000,
             "still outstanding (messages, reports): {:?}",
-            core.outstanding()
+            core.pending_and_report_counts()
         );
         while let Some(due) = answers.first_entry().filter(|due| *due.key() <= now) {
             effects.extend(core.step(at(now), Input::AttemptsFinished(due.remove())));
--- a/crates/core/tests/golden.rs
+++ b/crates/core/tests/golden.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cranehill_core::{Core, Detachments, Effect, Input, Listing};
-use cranehill_recovery::{Bounds, Settings};
+use cranehill_recovery::{MaxAges, Settings};
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry};
 use cranehill_scheduler::profile::Profile;
@@ -47,19 +47,21 @@
     core
 }
 
-fn detach(core: &mut Core, now: Time, endpoint: &str, back: bool) -> Detachments {
+fn detach(core: &mut Core, now: Time, endpoint: &str, attach: bool) -> Detachments {
     let effects = core.step(
         now,
         Input::Detach {
-            by: 1,
+            connection: 1,
             endpoint: endpoint.into(),
-            back,
+            attach,
         },
     );
     let detached = effects.into_iter().find_map(|effect| match effect {
         Effect::Detached {
-            known: true, now, ..
-        } => Some(now),
+            known: true,
+            detachments,
+            ..
+        } => Some(detachments),
         _ => None,
     });
     detached.expect("the endpoint is known")
@@ -91,7 +93,7 @@
     assert_eq!(detached, expected_detachments());
     let mut core = core_with_endpoints();
     core.step(START + Duration::from_secs(3), Input::TimerFired);
-    core.detached_before(detached);
+    core.restore_detachments(detached);
     // Detaching a detached endpoint changes nothing; the answer lists the restored detachments.
     let restored = detach(&mut core, START + Duration::from_secs(3), "ü", false);
     assert_eq!(restored, expected_detachments());
@@ -100,19 +102,19 @@
 #[test]
 fn learned_state_is_restored_and_written_unchanged() {
     let mut core = core_with_endpoints();
-    let bounds = Bounds {
+    let bounds = MaxAges {
         window: Duration::from_secs(60),
         limit: Duration::from_secs(60),
         state: Duration::from_secs(60),
-        ahead: Duration::from_secs(5),
+        max_clock_difference: Duration::from_secs(5),
     };
     let settings = Settings {
         bounds,
-        ask: Duration::from_millis(500),
-        alone: Duration::from_secs(2),
-        remember: Duration::from_secs(1),
+        request_interval: Duration::from_millis(500),
+        peer_timeout: Duration::from_secs(2),
+        persist_interval: Duration::from_secs(1),
     };
-    core.recover(settings);
+    core.start_recovery(settings);
     core.step(
         START,
         Input::LearnedStateRestored(golden_file::read(LEARNED_STATE)),
@@ -124,7 +126,7 @@
     });
     let written = written.expect("learned state is persisted in the first tick");
     golden_file::assert_unchanged(LEARNED_STATE_RESTORED, &written);
-    let restored = cranehill_recovery::unpack(&written).expect("readable");
+    let restored = cranehill_recovery::decode_state_file(&written).expect("readable");
     let blocked_routes: Vec<_> = restored
         .iter()
         .map(|learned| (learned.destination, learned.blocked_until))
--- a/crates/core/tests/list.rs
+++ b/crates/core/tests/list.rs
@@ -83,7 +83,12 @@
     for destination in (0..DESTINATIONS).map(DestinationId) {
         let known =
             destinations.contains(&destination) || model.unlisted.contains_key(&destination);
-        prop_assert_eq!(list.knows(destination), known, "{:?}", destination);
+        prop_assert_eq!(
+            list.is_known_destination(destination),
+            known,
+            "{:?}",
+            destination
+        );
         let of: Vec<&EndpointId> = list.of_destination(destination).collect();
         let expected = model
             .listed
--- a/crates/core/tests/order.rs
+++ b/crates/core/tests/order.rs
@@ -76,17 +76,17 @@
 
 fn recovery_settings() -> cranehill_recovery::Settings {
     let ms = Duration::from_millis;
-    let bounds = cranehill_recovery::Bounds {
+    let bounds = cranehill_recovery::MaxAges {
         window: ms(9000),
         limit: ms(9000),
         state: ms(9000),
-        ahead: ms(500),
+        max_clock_difference: ms(500),
     };
     cranehill_recovery::Settings {
         bounds,
-        ask: ms(100),
-        alone: ms(200),
-        remember: ms(1000),
+        request_interval: ms(100),
+        peer_timeout: ms(200),
+        persist_interval: ms(1000),
     }
 }
 
@@ -238,13 +238,13 @@
             class,
             tenant: 0,
             destination: 7,
-            key: None,
+            idempotency_key: None,
             ordering_key: key,
             body: Arc::from(&b"body"[..]),
-            left: Duration::from_millis(deadline_ms),
-            spent: 0,
+            time_left: Duration::from_millis(deadline_ms),
+            attempts_used: 0,
             envelope: None,
-            from: Origin::Client(1),
+            origin: Origin::Client(1),
         }));
         id
     }
@@ -262,10 +262,10 @@
             id,
             attempt,
             status,
-            over,
-            took,
+            is_final: over,
+            duration: took,
             retry_after: None,
-            report: None,
+            load_report: None,
         }]));
     }
 
@@ -289,7 +289,7 @@
         self.core =
             Core::new(settings(), self.seed, Time(START + self.ms * 1_000_000)).expect("settings");
         if self.with_recovery {
-            self.core.recover(recovery_settings());
+            self.core.start_recovery(recovery_settings());
         }
         self.send_endpoint_list();
         let effects = self.step(Input::Recovered(self.journal.clone()));
@@ -359,7 +359,7 @@
             self.tick()?;
         }
         prop_assert_eq!(
-            self.core.outstanding(),
+            self.core.pending_and_report_counts(),
             (0, 0),
             "messages or reports remain outstanding"
         );
@@ -439,11 +439,11 @@
             class: 1,
             tenant: 0,
             destination: 7,
-            key: None,
+            idempotency_key: None,
             ordering_key: key,
             // Later messages have earlier deadlines.
             deadline: START + (9000 - 50 * position) * 1_000_000,
-            at: START,
+            accepted_at: START,
             body: Arc::from(&b"body"[..]),
         });
     }
--- a/crates/core/tests/reducer.rs
+++ b/crates/core/tests/reducer.rs
@@ -47,13 +47,13 @@
         class: 0,
         tenant: 0,
         destination: 7,
-        key: None,
+        idempotency_key: None,
         ordering_key: None,
         body: Arc::from(&b"body"[..]),
-        left: Duration::from_millis(deadline_ms),
-        spent: 0,
+        time_left: Duration::from_millis(deadline_ms),
+        attempts_used: 0,
         envelope: None,
-        from: Origin::Client(1),
+        origin: Origin::Client(1),
     }
 }
 
@@ -64,10 +64,10 @@
         id: id.into(),
         attempt,
         status,
-        over,
-        took,
+        is_final: over,
+        duration: took,
         retry_after: None,
-        report: None,
+        load_report: None,
     }
 }
 
@@ -173,7 +173,7 @@
         "{records:?}"
     );
     assert!(answers(&effects).is_empty() && reports(&effects).is_empty());
-    assert_eq!(sender.core.outstanding(), (0, 0));
+    assert_eq!(sender.core.pending_and_report_counts(), (0, 0));
 }
 
 #[test]
@@ -183,12 +183,14 @@
     sender.ms = 5;
     let (_, effects) = sender.end_tick_with(Persisted::EndsOnly);
     assert!(
-        matches!(&answers(&effects)[..], [(id, Answer::Rejected { after: Some(_) })] if id == "m")
+        matches!(&answers(&effects)[..], [(id, Answer::Rejected { retry_after: Some(_) })] if id == "m")
     );
     assert!(calls(&effects).is_empty());
     let (records, effects) = sender.end_tick(500);
     assert!(
-        records.is_empty() && calls(&effects).is_empty() && sender.core.outstanding() == (0, 0)
+        records.is_empty()
+            && calls(&effects).is_empty()
+            && sender.core.pending_and_report_counts() == (0, 0)
     );
 }
 
@@ -260,7 +262,14 @@
     let (records, effects) = sender.end_tick(5);
     let rejected = answers(&effects)
         .iter()
-        .filter(|a| matches!(a.1, Answer::Rejected { after: Some(_) }))
+        .filter(|a| {
+            matches!(
+                a.1,
+                Answer::Rejected {
+                    retry_after: Some(_)
+                }
+            )
+        })
         .count();
     let accepted_count = answers(&effects)
         .iter()
@@ -375,10 +384,10 @@
         1,
         "expected one report before the deadline, got {reported:?}"
     );
-    assert_eq!(sender.core.outstanding(), (0, 1));
+    assert_eq!(sender.core.pending_and_report_counts(), (0, 1));
     sender.step(Input::FinalReportsAcknowledged(vec!["m".into()]));
     assert!(matches!(&sender.end_tick(1100).0[..], [Record::Completed { id, .. }] if id == "m"));
-    assert_eq!(sender.core.outstanding(), (0, 0));
+    assert_eq!(sender.core.pending_and_report_counts(), (0, 0));
 }
 
 fn accepted(id: &str, deadline_ms: u64) -> Record {
@@ -387,10 +396,10 @@
         class: 0,
         tenant: 0,
         destination: 7,
-        key: Some("k".into()),
+        idempotency_key: Some("k".into()),
         ordering_key: None,
         deadline: START + deadline_ms * 1_000_000,
-        at: START,
+        accepted_at: START,
         body: Arc::from(&b"body"[..]),
     }
 }
@@ -400,7 +409,7 @@
         id: id.into(),
         attempt,
         endpoint: "a".into(),
-        at: START,
+        started_at: START,
     }
 }
 
@@ -427,7 +436,7 @@
         not_executed("fresh", 0),
         Record::Completed {
             id: "over".into(),
-            until: START + 9_000_000_000,
+            remembered_until: START + 9_000_000_000,
         },
     ]);
     records.push(Record::FinalReportDue {
@@ -483,17 +492,17 @@
                 class: 0,
                 tenant: 0,
                 destination: 7,
-                key: Some("k".into()),
+                idempotency_key: Some("k".into()),
                 ordering_key: None,
                 deadline: START + 35_000 * 1_000_000,
-                at: START,
+                accepted_at: START,
                 body: Arc::from(&b"body"[..]),
             },
             Record::AttemptStarted {
                 id: "m".into(),
                 attempt: 0,
                 endpoint: "a".into(),
-                at: START + (30_000 - ago_ms) * 1_000_000,
+                started_at: START + (30_000 - ago_ms) * 1_000_000,
             },
         ];
         sender.step(Input::Recovered(records));
@@ -529,7 +538,7 @@
 fn a_message_cancelled_while_in_flight_is_not_sent_again() {
     let mut sender = TestCore::new(1);
     sender.step(Input::Submitted(Message {
-        from: Origin::Waiting(3),
+        origin: Origin::Waiting(3),
         ..message("m", 8000)
     }));
     let (records, effects) = sender.end_tick(5);
@@ -564,13 +573,13 @@
     // A message of another client with the same id and another destination.
     let other = Message {
         destination: 8,
-        from: Origin::Client(2),
+        origin: Origin::Client(2),
         ..message("m", 8000)
     };
     let effects = sender.step(Input::Submitted(other));
     assert_eq!(answers(&effects), [("m".to_owned(), Answer::Accepted)]);
     assert!(calls(&sender.end_tick(15).1).is_empty());
-    assert_eq!(sender.core.outstanding(), (0, 0));
+    assert_eq!(sender.core.pending_and_report_counts(), (0, 0));
     sender.ms = 40_000;
     sender.step(Input::Submitted(message("n", 8000)));
     sender.end_tick(40_005);
@@ -587,7 +596,7 @@
 #[test]
 fn a_destination_stays_known_while_its_endpoints_are_replaced() {
     let mut sender = TestCore::new(1);
-    assert!(sender.core.knows(7) && !sender.core.knows(8));
+    assert!(sender.core.is_known_destination(7) && !sender.core.is_known_destination(8));
     let effects = sender.step(Input::EndpointsChanged {
         whole: false,
         list: vec![listing("a", Condition::Removed, 1)],
@@ -595,7 +604,7 @@
     let closed = |e: &Effect| matches!(e, Effect::CloseIdle(e) if e.0 == "a");
     assert!(effects.iter().any(closed), "{effects:?}");
     sender.end_tick(5);
-    assert!(sender.core.knows(7));
+    assert!(sender.core.is_known_destination(7));
     sender.step(Input::Submitted(message("m", 8000)));
     assert!(calls(&sender.end_tick(10).1).is_empty());
     sender.step(Input::EndpointsChanged {
@@ -617,7 +626,11 @@
         });
         sender.end_tick(21 + 2 * n);
     }
-    assert!(sender.core.endpoints() < 10, "{}", sender.core.endpoints());
+    assert!(
+        sender.core.endpoint_count() < 10,
+        "{}",
+        sender.core.endpoint_count()
+    );
 }
 
 /// Guards against a call that continues after one of its messages has timed out: see shared_calls.rs of the scheduler's
@@ -636,7 +649,10 @@
         {
             shared = attempts.len();
             let until = Time(START + 1500 * 1_000_000);
-            assert!(attempts.iter().all(|a| a.until == until), "{attempts:?}");
+            assert!(
+                attempts.iter().all(|a| a.times_out_at == until),
+                "{attempts:?}"
+            );
         }
     }
     assert!(shared > 1, "{effects:?}");
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -45,13 +45,13 @@
         class,
         tenant: n % 3,
         destination: 7,
-        key: Some("k".into()),
+        idempotency_key: Some("k".into()),
         ordering_key: None,
         body: Arc::from(&b"body"[..]),
-        left: Duration::from_millis(deadline_ms),
-        spent: 0,
+        time_left: Duration::from_millis(deadline_ms),
+        attempts_used: 0,
         envelope: None,
-        from: Origin::Client(n),
+        origin: Origin::Client(n),
     }
 }
 
@@ -74,10 +74,10 @@
         id,
         attempt,
         status,
-        over: status == Status::Served,
-        took: Duration::from_millis(50),
+        is_final: status == Status::Served,
+        duration: Duration::from_millis(50),
         retry_after: (status == Status::Overloaded).then_some(Duration::from_millis(120)),
-        report: None,
+        load_report: None,
     }
 }
 
--- a/crates/core/tests/short_window.rs
+++ b/crates/core/tests/short_window.rs
@@ -46,17 +46,17 @@
         Core::new(profile.into_settings().expect("settings"), now, at(now)).expect("settings");
     if gradual {
         let span = Duration::from_secs;
-        let bounds = cranehill_recovery::Bounds {
+        let bounds = cranehill_recovery::MaxAges {
             window: span(10),
             limit: span(10),
             state: span(10),
-            ahead: Duration::from_millis(500),
+            max_clock_difference: Duration::from_millis(500),
         };
-        core.recover(cranehill_recovery::Settings {
+        core.start_recovery(cranehill_recovery::Settings {
             bounds,
-            ask: span(1),
-            alone: span(2),
-            remember: span(1),
+            request_interval: span(1),
+            peer_timeout: span(2),
+            persist_interval: span(1),
         });
     }
     let entry = Entry {
@@ -86,10 +86,10 @@
         class,
         tenant: 0,
         destination: DESTINATION,
-        key: None,
+        idempotency_key: None,
         ordering_key: None,
         deadline: at(deadline).0,
-        at: at(ACCEPTED_MS).0,
+        accepted_at: at(ACCEPTED_MS).0,
         body: Arc::from(&b"body"[..]),
     }
 }
@@ -99,7 +99,7 @@
         id: id.into(),
         attempt: 0,
         endpoint: "a".into(),
-        at: at(SENT_MS).0,
+        started_at: at(SENT_MS).0,
     }
 }
 
@@ -152,10 +152,10 @@
                             id: a.id,
                             attempt: a.number,
                             status: Status::Served,
-                            over: true,
-                            took: Duration::from_millis(SERVED_AFTER_MS),
+                            is_final: true,
+                            duration: Duration::from_millis(SERVED_AFTER_MS),
                             retry_after: None,
-                            report: None,
+                            load_report: None,
                         }
                     });
                     answers
@@ -166,13 +166,16 @@
                 _ => {}
             }
         }
-        if core.outstanding() == (0, 0) {
+        if core.pending_and_report_counts() == (0, 0) {
             return ends;
         }
         let due = answers.first_key_value().map_or(u64::MAX, |(due, _)| *due);
         now = wake.max(now + 1).min(due.max(now + 1));
     }
-    panic!("messages, reports left: {:?}", core.outstanding());
+    panic!(
+        "messages, reports left: {:?}",
+        core.pending_and_report_counts()
+    );
 }
 
 /// Restarts 0 to 1.5 s after a possibly executed attempt, with and without gradual recovery, with a backlog of untried
--- a/crates/core/tests/virtual_fleet/mod.rs
+++ b/crates/core/tests/virtual_fleet/mod.rs
@@ -8,7 +8,7 @@
     Attempt, AttemptOutcome, Core, Effect, Input, Listing, Message, Origin, Persisted, Record,
 };
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, Report, Status};
+use cranehill_scheduler::api::{Condition, DestinationId, EndpointId, Entry, LoadReport, Status};
 use cranehill_scheduler::profile::Profile;
 use cranehill_simulation::destination::{
     Asked, Connect, DeliveryOutcome, Reply, SimulatedDestination, Spec,
@@ -238,7 +238,7 @@
             + 100 * u64::from(self.sender_states[sender].process);
         let mut core = Core::new(settings, seed, self.clock()).expect("settings");
         if self.scenario.gradual_recovery {
-            core.recover(recovery_settings());
+            core.start_recovery(recovery_settings());
         }
         self.sender_states[sender].core = Some(core);
         let list = (0..self.scenario.endpoints)
@@ -283,13 +283,13 @@
             class: 0,
             tenant: 0,
             destination: DESTINATION,
-            key: None,
+            idempotency_key: None,
             ordering_key: None,
             body: Arc::from(&b"body"[..]),
-            left: self.scenario.deadline,
-            spent: 0,
+            time_left: self.scenario.deadline,
+            attempts_used: 0,
             envelope: None,
-            from: Origin::Client(0),
+            origin: Origin::Client(0),
         };
         self.step(sender, Input::Submitted(message));
         self.end_tick(sender);
@@ -357,7 +357,12 @@
 
     fn call(&mut self, sender: usize, endpoint: &EndpointId, attempts: Vec<Attempt>) {
         let number: usize = endpoint.0.parse().expect("an endpoint's number");
-        let until = attempts.iter().map(|a| a.until).min().unwrap_or(START) - START;
+        let until = attempts
+            .iter()
+            .map(|a| a.times_out_at)
+            .min()
+            .unwrap_or(START)
+            - START;
         let connect = self.destination.connect(self.now, number);
         let failed = |status| (status, None, None);
         let (at, (status, wait, report)) = match connect {
@@ -395,10 +400,10 @@
             id: a.id,
             attempt: a.number,
             status,
-            over: status == Status::Served,
-            took,
+            is_final: status == Status::Served,
+            duration: took,
             retry_after: wait,
-            report,
+            load_report: report,
         };
         let outcomes = attempts.into_iter().map(to_outcome).collect();
         let (process, connected) = (self.sender_states[sender].process, connect == Connect::Up);
@@ -420,7 +425,7 @@
         endpoint: usize,
         reply: Reply,
         until: Duration,
-    ) -> (Duration, (Status, Option<Duration>, Option<Report>)) {
+    ) -> (Duration, (Status, Option<Duration>, Option<LoadReport>)) {
         let timed_out = (until, (Status::TimedOut, None, None));
         match reply {
             Reply::Answer {
@@ -446,11 +451,14 @@
                     (
                         status,
                         wait,
-                        report.map(|(left, limit)| Report { left, limit }),
+                        report.map(|(remaining_share, limit)| LoadReport {
+                            remaining_share,
+                            limit,
+                        }),
                     ),
                 )
             }
-            Reply::Spoilt { at, .. } => (at.min(until), (Status::Spoilt, None, None)),
+            Reply::Spoilt { at, .. } => (at.min(until), (Status::Malformed, None, None)),
             Reply::Reset { .. } => (self.now + IMMEDIATE, (Status::Reset, None, None)),
             Reply::Nothing => timed_out,
         }
@@ -486,17 +494,17 @@
 
 fn recovery_settings() -> cranehill_recovery::Settings {
     let ms = Duration::from_millis;
-    let bounds = cranehill_recovery::Bounds {
+    let bounds = cranehill_recovery::MaxAges {
         window: ms(10_000),
         limit: ms(10_000),
         state: ms(10_000),
-        ahead: ms(500),
+        max_clock_difference: ms(500),
     };
     cranehill_recovery::Settings {
         bounds,
-        ask: ms(500),
-        alone: ms(2000),
-        remember: ms(1000),
+        request_interval: ms(500),
+        peer_timeout: ms(2000),
+        persist_interval: ms(1000),
     }
 }
 
--- a/crates/cranehill/src/check.rs
+++ b/crates/cranehill/src/check.rs
@@ -52,7 +52,7 @@
         println!(
             "fleet: {} at {}, {} seeds",
             fleet.settings.name,
-            fleet.settings.at,
+            fleet.settings.address,
             fleet.settings.seeds.len()
         );
     }
--- a/crates/cranehill/src/input.rs
+++ b/crates/cranehill/src/input.rs
@@ -20,7 +20,7 @@
         source: io::Error,
     },
     /// A key file does not contain exactly 64 hexadecimal digits.
-    #[error("{path}: line 1: expected a key of 64 hexadecimal digits")]
+    #[error("{path}: line 1: not a key of 64 hexadecimal digits")]
     InvalidKey {
         /// The key file.
         path: PathBuf,
--- a/crates/cranehill/src/serve.rs
+++ b/crates/cranehill/src/serve.rs
@@ -118,10 +118,10 @@
     let Some(name) = variable(MUTATION_VARIABLE) else {
         return Ok(());
     };
-    let Some(mutation) = Mutation::named(&name) else {
+    let Some(mutation) = Mutation::from_name(&name) else {
         return Err(ServeError::UnknownMutation(name));
     };
-    if !mutation::choose(mutation) {
+    if !mutation::enable(mutation) {
         return Err(ServeError::BuiltWithoutMutations);
     }
     log::warn!(mutation = name.as_str(); "mutation active: {name}; this sender deliberately violates a rule");
@@ -158,12 +158,12 @@
         listen: Some(config.listen),
         discovery: Some(config.discovery),
         known_version: config.known_version,
-        known: config.known,
-        push,
+        initial_endpoints: config.known,
+        web_push: push,
         fleet: None,
         operator: config.operator,
-        sockets: limits.sockets.min(MAX_SOCKETS),
-        memory: (limits.memory_mb * BYTES_PER_MEGABYTE) as usize,
+        max_descriptors: limits.sockets.min(MAX_SOCKETS),
+        memory_bytes: (limits.memory_mb * BYTES_PER_MEGABYTE) as usize,
         read_config: Some(Box::new(|| {
             config::current_discovery_address(variable).map_err(Into::into)
         })),
@@ -179,12 +179,12 @@
         listen: None,
         discovery: None,
         known_version: 0,
-        known: Vec::new(),
-        push: Some(push),
+        initial_endpoints: Vec::new(),
+        web_push: Some(push),
         fleet: None,
         operator: None,
-        sockets: MAX_SOCKETS,
-        memory: PUSH_ONLY_MEMORY,
+        max_descriptors: MAX_SOCKETS,
+        memory_bytes: PUSH_ONLY_MEMORY,
         read_config: None,
     }
 }
--- a/crates/cranehill/tests/common/mod.rs
+++ b/crates/cranehill/tests/common/mod.rs
@@ -95,7 +95,7 @@
     platform: &SimulatedServer,
     sockets: usize,
 ) -> RunningSender {
-    start_with(known, platform, |options| options.sockets = sockets)
+    start_with(known, platform, |options| options.max_descriptors = sockets)
 }
 
 /// A sender that listens but does not run yet. It finds everything that peers send before [`PreparedSender::run`] in its
@@ -119,12 +119,12 @@
         listen: Some(config.listen),
         discovery: Some(config.discovery),
         known_version: config.known_version,
-        known: config.known,
+        initial_endpoints: config.known,
         fleet: None,
         operator: None,
-        push: None,
-        sockets: 1024,
-        memory: 192_000_000,
+        web_push: None,
+        max_descriptors: 1024,
+        memory_bytes: 192_000_000,
         read_config: None,
     };
     change(&mut options);
--- a/crates/cranehill/tests/fleet.rs
+++ b/crates/cranehill/tests/fleet.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use cranehill_fleet_harness::{Report, Timeline, play, table};
-use cranehill_membership::seal::{Kind, seal};
+use cranehill_membership::seal::{MessageKind, seal};
 use cranehill_scenario_runner::{Limits, Plan, node_config, report};
 use cranehill_simulation::audit::AuditEvent;
 use cranehill_simulation::scenario;
@@ -197,7 +197,7 @@
         thread::sleep(Duration::from_millis(20));
     }
     let foreign_socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
-    let sealed = seal(&[1; 32], 0, 0, Kind::Swim, b"something");
+    let sealed = seal(&[1; 32], 0, 0, MessageKind::Swim, b"something");
     for packet in [
         b"GET / HTTP/1.1\r\nHost: fleet.example\r\n\r\n".as_slice(),
         b"CM",
--- a/crates/cranehill/tests/golden_files.rs
+++ b/crates/cranehill/tests/golden_files.rs
@@ -130,12 +130,12 @@
 
     let cranehill_membership::Settings {
         name,
-        at,
+        address: at,
         seeds,
         key,
-        period,
-        round_trip,
-        suspicion,
+        probe_period: period,
+        probe_timeout: round_trip,
+        suspicion_timeout: suspicion,
         eviction_delay,
         max_packet_age,
         configured_members,
@@ -158,18 +158,18 @@
     assert_eq!(recovery.bounds.window, secs(11));
     assert_eq!(recovery.bounds.limit, secs(12));
     assert_eq!(recovery.bounds.state, secs(13));
-    assert_eq!(recovery.bounds.ahead, secs(6));
-    assert_eq!(recovery.ask, ms(600));
-    assert_eq!(recovery.alone, secs(3));
-    assert_eq!(recovery.remember, ms(1500));
+    assert_eq!(recovery.bounds.max_clock_difference, secs(6));
+    assert_eq!(recovery.request_interval, ms(600));
+    assert_eq!(recovery.peer_timeout, secs(3));
+    assert_eq!(recovery.persist_interval, ms(1500));
 
     let zones = zones.expect("a [zones] table");
     assert_eq!(zones.window, ms(2500));
-    assert_eq!(zones.settle, ms(350));
-    assert_eq!(zones.probes, 5.5);
-    assert_eq!(zones.out, [secs(3), secs(70)]);
-    assert_eq!(zones.warm, ms(9100));
-    assert_eq!(zones.calm, secs(40));
+    assert_eq!(zones.failure_confirmation, ms(350));
+    assert_eq!(zones.probes_per_second, 5.5);
+    assert_eq!(zones.evacuation_bounds, [secs(3), secs(70)]);
+    assert_eq!(zones.ramp_duration, ms(9100));
+    assert_eq!(zones.repeat_failure_period, secs(40));
 }
 
 #[test]
@@ -187,14 +187,14 @@
     } = fleet_of(FLEET);
     assert_eq!(listen, address("127.0.0.1:7946"));
     assert_eq!(status, Some(address("127.0.0.1:7947")));
-    assert_eq!(settings.at, listen);
+    assert_eq!(settings.address, listen);
     assert_eq!(
         settings.seeds,
         [address("127.0.0.1:7946"), address("127.0.0.2:7946")]
     );
-    assert_eq!(settings.period, secs(1));
-    assert_eq!(settings.round_trip, ms(300));
-    assert_eq!(settings.suspicion, None);
+    assert_eq!(settings.probe_period, secs(1));
+    assert_eq!(settings.probe_timeout, ms(300));
+    assert_eq!(settings.suspicion_timeout, None);
     assert_eq!(settings.eviction_delay, Some(secs(30)));
     assert_eq!(settings.max_packet_age, secs(5));
     assert!(recovery.is_none());
@@ -214,7 +214,11 @@
     assert_eq!(status, None);
     assert!(settings.seeds.is_empty());
     assert_eq!(
-        (settings.period, settings.round_trip, settings.suspicion),
+        (
+            settings.probe_period,
+            settings.probe_timeout,
+            settings.suspicion_timeout
+        ),
         (secs(1), ms(300), None)
     );
     assert_eq!(
@@ -228,15 +232,26 @@
         (secs(10), secs(10), secs(10))
     );
     assert_eq!(
-        (recovery.ask, recovery.alone, recovery.remember),
+        (
+            recovery.request_interval,
+            recovery.peer_timeout,
+            recovery.persist_interval
+        ),
         (ms(500), secs(2), secs(1))
     );
     let zones = zones.expect("a [zones] table");
     assert_eq!(
-        (zones.window, zones.settle, zones.probes),
+        (
+            zones.window,
+            zones.failure_confirmation,
+            zones.probes_per_second
+        ),
         (secs(2), ms(300), 4.0)
     );
-    assert_eq!((zones.out, zones.calm), ([secs(2), secs(60)], secs(30)));
+    assert_eq!(
+        (zones.evacuation_bounds, zones.repeat_failure_period),
+        ([secs(2), secs(60)], secs(30))
+    );
     let never = fleet_of(&format!("{minimal}hold = \"never\"\n"));
     assert_eq!(never.settings.eviction_delay, None);
 }
@@ -511,13 +526,13 @@
 /// A journal with each kind of record that a sender appends.
 fn write_journal(folder: &Path) {
     let options = Options {
-        disk: 400_000,
-        key: None,
+        disk_bytes: 400_000,
+        operator_key: None,
         fresh_key: KEY,
-        segment: Some(4096),
+        segment_bytes: Some(4096),
     };
     let open = Journal::open(
-        Folder::new(folder, options.disk).expect("the journal folder"),
+        Folder::new(folder, options.disk_bytes).expect("the journal folder"),
         &options,
         NOW,
     );
@@ -533,10 +548,10 @@
         class: 2,
         tenant: 1,
         destination: 7,
-        key: key.map(str::to_owned),
+        idempotency_key: key.map(str::to_owned),
         ordering_key: ordering_key.map(str::to_owned),
         deadline: (NOW + 20_000) * NANOS_PER_MS,
-        at: NOW * NANOS_PER_MS,
+        accepted_at: NOW * NANOS_PER_MS,
         body: Arc::from(&b"a body"[..]),
     }
 }
@@ -546,7 +561,7 @@
         id: id.into(),
         attempt: 3,
         endpoint: "s-1".into(),
-        at: (NOW + 5) * NANOS_PER_MS,
+        started_at: (NOW + 5) * NANOS_PER_MS,
     }
 }
 
@@ -570,7 +585,7 @@
         attempt_finished(second, true),
         Record::Completed {
             id: first.into(),
-            until: (NOW + 40_000) * NANOS_PER_MS,
+            remembered_until: (NOW + 40_000) * NANOS_PER_MS,
         },
         Record::FinalReportDue {
             id: second.into(),
--- a/crates/cranehill/tests/journal.rs
+++ b/crates/cranehill/tests/journal.rs
@@ -15,10 +15,10 @@
 
 fn open_journal(dir: &Path) -> Journal<Folder> {
     let options = Options {
-        disk: DISK,
-        key: None,
+        disk_bytes: DISK,
+        operator_key: None,
         fresh_key: [7; 32],
-        segment: Some(4096),
+        segment_bytes: Some(4096),
     };
     Journal::open(
         Folder::new(dir, DISK).expect("the journal folder"),
@@ -35,10 +35,10 @@
         class: 0,
         tenant: 1,
         destination: 7,
-        key: None,
+        idempotency_key: None,
         ordering_key: Some(format!("account-{}", &id[id.len() - 1..])),
         deadline: (NOW + 20_000) * 1_000_000,
-        at: NOW * 1_000_000,
+        accepted_at: NOW * 1_000_000,
         body: Arc::from(id.repeat(6).as_bytes()),
     }
 }
@@ -49,13 +49,13 @@
         id: id.clone(),
         attempt: 0,
         endpoint: "s-1".into(),
-        at: NOW * 1_000_000,
+        started_at: NOW * 1_000_000,
     };
     let mut records = vec![accepted_record(&id), sent];
     if n.is_multiple_of(2) {
         records.push(Record::Completed {
             id,
-            until: (NOW + 1) * 1_000_000,
+            remembered_until: (NOW + 1) * 1_000_000,
         });
     }
     records
@@ -215,7 +215,7 @@
             if n >= 40 {
                 records.push(Record::Completed {
                     id: format!("{:016x}", n - 40),
-                    until: (NOW + 1) * 1_000_000,
+                    remembered_until: (NOW + 1) * 1_000_000,
                 });
             }
             journal
--- a/crates/cranehill/tests/late_connections.rs
+++ b/crates/cranehill/tests/late_connections.rs
@@ -64,7 +64,7 @@
     let sender = start_with(&list(1, &[a]), &platform, |options| {
         let class = &mut options.platform_settings.settings.classes[0];
         // The call timeout is at least a quarter of the latency objective: 5 s, longer than the connection takes.
-        (class.window, class.latency_objective) = (window, Duration::from_secs(20));
+        (class.dedup_window, class.latency_objective) = (window, Duration::from_secs(20));
     });
     let mut client = Client::new(sender.clients);
     assert_eq!(client.put("m1", NAMES, b"x"), "+OK");
--- a/crates/cranehill/tests/notified_in_time.rs
+++ b/crates/cranehill/tests/notified_in_time.rs
@@ -72,7 +72,7 @@
     let config = config(&list(4, &[]), first);
     let mut platform_settings = config.platform_settings;
     (
-        platform_settings.settings.ask_for_list,
+        platform_settings.settings.poll_endpoint_list,
         platform_settings.settings.instances,
     ) = (polled, 300);
     let new_address = failing.address;
@@ -83,12 +83,12 @@
         listen: Some(config.listen),
         discovery: Some(first),
         known_version: config.known_version,
-        known: config.known,
+        initial_endpoints: config.known,
         fleet: None,
         operator: None,
-        push: None,
-        sockets: 1024,
-        memory: 192_000_000,
+        web_push: None,
+        max_descriptors: 1024,
+        memory_bytes: 192_000_000,
         read_config: Some(Box::new(move || Ok(new_address))),
     })
     .expect("the sender starts");
--- a/crates/cranehill/tests/order.rs
+++ b/crates/cranehill/tests/order.rs
@@ -47,7 +47,7 @@
 fn keep_order(options: &mut ReactorOptions) {
     let settings = &mut options.platform_settings.settings;
     (settings.classes[0].in_order, settings.classes[0].effect) = (true, Effect::Unsafe);
-    settings.rules.key_quiet = ORDERING_KEY_PAUSE;
+    settings.rules.ordering_pause = ORDERING_KEY_PAUSE;
 }
 
 /// Writes a configuration file with an ordered class of this effect, for a sender process.
--- a/crates/cranehill/tests/parsers.rs
+++ b/crates/cranehill/tests/parsers.rs
@@ -79,7 +79,11 @@
     let message =
         read("c=episode-notice,t=onda-central,d=8000,k=5c0f,dest=7,r=1,new=thing").expect("valid");
     assert_eq!(
-        (message.destination, message.left, message.key.as_deref()),
+        (
+            message.destination,
+            message.time_left,
+            message.idempotency_key.as_deref()
+        ),
         (7, Duration::from_secs(8), Some("5c0f"))
     );
     for bad in [
@@ -181,7 +185,7 @@
         let outcome =
             destination_protocol::read_response(&response(&text(bad)), &["a"], Duration::ZERO);
         assert_eq!(
-            (outcome.verdicts[0].status, outcome.wait),
+            (outcome.verdicts[0].status, outcome.retry_after),
             (Status::Overloaded, Some(Duration::from_secs(2))),
             "{bad:?}"
         );
@@ -201,7 +205,7 @@
         destination_protocol::read_response(&response(batch), &["a", "b"], Duration::ZERO);
     assert_eq!(
         outcome.verdicts,
-        [Verdict::of(Status::Spoilt); 2],
+        [Verdict::of(Status::Malformed); 2],
         "after a malformed batch response each message is possibly executed"
     );
 }
@@ -217,7 +221,7 @@
         one("HTTP/1.1 200 OK\r\n\r\n"),
         Verdict {
             status: Status::Served,
-            over: true
+            completed: true
         }
     );
     assert_eq!(one("HTTP/1.1 500 E\r\n\r\n").status, Status::Error);
@@ -230,14 +234,14 @@
         one("HTTP/1.1 504 U\r\n\r\n"),
         Verdict {
             status: Status::NotSent,
-            over: false
+            completed: false
         }
     );
     assert_eq!(
         one("HTTP/1.1 410 G\r\n\r\n"),
         Verdict {
             status: Status::NotSent,
-            over: true
+            completed: true
         }
     );
 }
@@ -252,12 +256,12 @@
         full.verdicts,
         [Verdict {
             status: Status::Overloaded,
-            over: false
+            completed: false
         }; 2]
     );
-    assert_eq!(full.wait, Some(Duration::from_millis(750)));
+    assert_eq!(full.retry_after, Some(Duration::from_millis(750)));
     let limit = full.report.expect("a load report");
-    assert_eq!((limit.left, limit.limit), (0.4, 25.0));
+    assert_eq!((limit.remaining_share, limit.limit), (0.4, 25.0));
 }
 
 #[test]
@@ -267,7 +271,11 @@
         &format!("HTTP/1.1 200 OK\r\nRetry-After: 1\r\n\r\n{states}"),
         &["a", "b", "c", "d", "e", "f"],
     );
-    let statuses: Vec<(Status, bool)> = mixed.verdicts.iter().map(|v| (v.status, v.over)).collect();
+    let statuses: Vec<(Status, bool)> = mixed
+        .verdicts
+        .iter()
+        .map(|v| (v.status, v.completed))
+        .collect();
     assert_eq!(
         statuses,
         [
@@ -280,14 +288,14 @@
             (Status::Error, false),
         ]
     );
-    assert_eq!(mixed.wait, Some(Duration::from_secs(1)));
+    assert_eq!(mixed.retry_after, Some(Duration::from_secs(1)));
 }
 
 #[test]
 fn an_unreadable_retry_after_is_ignored() {
     for nonsense in ["", "-1", "inf", "nan", "soon"] {
         let text = format!("HTTP/1.1 429 F\r\nRetry-After: {nonsense}\r\n\r\n");
-        assert_eq!(destination_answer(&text, &["a"]).wait, None);
+        assert_eq!(destination_answer(&text, &["a"]).retry_after, None);
     }
 }
 
--- a/crates/cranehill/tests/reload.rs
+++ b/crates/cranehill/tests/reload.rs
@@ -46,12 +46,12 @@
         listen: Some(config.listen),
         discovery: Some(config.discovery),
         known_version: config.known_version,
-        known: config.known,
+        initial_endpoints: config.known,
         fleet: None,
         operator: None,
-        push: None,
-        sockets: 1024,
-        memory: 192_000_000,
+        web_push: None,
+        max_descriptors: 1024,
+        memory_bytes: 192_000_000,
         read_config: Some(Box::new(move || {
             let mut config_results = config_results.lock().expect("answers lock");
             config_results
--- a/crates/cranehill/tests/webpush.rs
+++ b/crates/cranehill/tests/webpush.rs
@@ -405,7 +405,7 @@
         listen: Some(config.listen),
         discovery: Some(config.discovery),
         known_version: config.known_version,
-        known: config.known,
+        initial_endpoints: config.known,
         ..push_setup(service.address, None)
     })
     .expect("the sender starts");
--- a/crates/daemon/src/client_ingress.rs
+++ b/crates/daemon/src/client_ingress.rs
@@ -179,10 +179,10 @@
     closing: bool,
     now: Time,
 ) {
-    if mutation::is(Mutation::HoldsAnswers) {
+    if mutation::is_enabled(Mutation::HoldsAnswers) {
         return;
     }
-    if mutation::is(Mutation::ClosesClients) && mutation::one_in(3) {
+    if mutation::is_enabled(Mutation::ClosesClients) && mutation::is_every_nth_call(3) {
         connections.close(id);
         return;
     }
--- a/crates/daemon/src/client_ingress/resp.rs
+++ b/crates/daemon/src/client_ingress/resp.rs
@@ -108,7 +108,7 @@
         let parsed = client_protocol::message(settings, id, &key, message_id, &names, body);
         // A message to an unknown destination could never be delivered and would only expire.
         let known = parsed.and_then(|message| {
-            let is_known = admission.core.knows(message.destination);
+            let is_known = admission.core.is_known_destination(message.destination);
             is_known
                 .then_some(message)
                 .ok_or(MessageError::UnknownDestination)
@@ -118,7 +118,7 @@
                 log::trace!(
                     "message {}: submitted on connection {id}, {:?} remaining",
                     message.id,
-                    message.left
+                    message.time_left
                 );
                 if let Some(connection) = connections.get_mut(id) {
                     connection.kind = ConnectionKind::Client { busy: true };
@@ -148,7 +148,7 @@
             log::warn!(refused, room; "journal: full, {room} bytes free; {refused} messages rejected");
         }
         let answer = client_protocol::write_answer(Answer::Rejected {
-            after: Some(retry_after.min(max_retry_after)),
+            retry_after: Some(retry_after.min(max_retry_after)),
         });
         connections.send(id, &answer, now);
     }
--- a/crates/daemon/src/client_protocol.rs
+++ b/crates/daemon/src/client_protocol.rs
@@ -252,13 +252,14 @@
         class,
         tenant: tenant.unwrap_or(0),
         destination: destination.ok_or(MessageError::DestinationMissing)?,
-        key,
+        idempotency_key: key,
         ordering_key,
         body: Arc::from(body),
-        left: Duration::from_millis(remaining_ms.ok_or(MessageError::TimeMissing)?).min(longest),
-        spent: 0,
+        time_left: Duration::from_millis(remaining_ms.ok_or(MessageError::TimeMissing)?)
+            .min(longest),
+        attempts_used: 0,
         envelope: None,
-        from: Origin::Client(from),
+        origin: Origin::Client(from),
     })
 }
 
@@ -266,10 +267,10 @@
 pub fn write_answer(answer: Answer) -> Vec<u8> {
     match answer {
         Answer::Accepted | Answer::Delivered => b"+OK\r\n".to_vec(),
-        Answer::Rejected { after: Some(after) } => {
-            format!("-BUSY {}\r\n", after.as_millis()).into_bytes()
-        }
-        Answer::Rejected { after: None } => b"-BUSY\r\n".to_vec(),
+        Answer::Rejected {
+            retry_after: Some(after),
+        } => format!("-BUSY {}\r\n", after.as_millis()).into_bytes(),
+        Answer::Rejected { retry_after: None } => b"-BUSY\r\n".to_vec(),
         Answer::Failed | Answer::RecipientRemoved | Answer::Expired => b"-ERR failed\r\n".to_vec(),
     }
 }
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -43,7 +43,7 @@
 
     /// When the call times out: the earliest end of its attempts.
     pub(crate) fn deadline(&self) -> Option<Time> {
-        self.attempts.iter().map(|a| a.until).min()
+        self.attempts.iter().map(|a| a.times_out_at).min()
     }
 
     pub(crate) fn is_web_push(&self) -> bool {
--- a/crates/daemon/src/destination_protocol.rs
+++ b/crates/daemon/src/destination_protocol.rs
@@ -6,7 +6,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use cranehill_scheduler::Time;
-use cranehill_scheduler::api::{Report, Status};
+use cranehill_scheduler::api::{LoadReport, Status};
 use serde::{Deserialize, Serialize};
 
 use crate::http::{self, Response, header};
@@ -18,7 +18,7 @@
     /// Status of the attempt.
     pub status: Status,
     /// The message is completed: no further attempt is made.
-    pub over: bool,
+    pub completed: bool,
 }
 
 impl Verdict {
@@ -26,7 +26,7 @@
     pub const fn of(status: Status) -> Verdict {
         Verdict {
             status,
-            over: false,
+            completed: false,
         }
     }
 }
@@ -37,9 +37,9 @@
     /// One verdict for each message of the call, or a single one for all of them.
     pub verdicts: Vec<Verdict>,
     /// The wait stated by `Retry-After`, from when the response was read.
-    pub wait: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// The destination's load report, if the response carries a valid one.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 impl DestinationResponse {
@@ -47,7 +47,7 @@
     pub fn all(verdict: Verdict) -> DestinationResponse {
         DestinationResponse {
             verdicts: vec![verdict],
-            wait: None,
+            retry_after: None,
             report: None,
         }
     }
@@ -73,19 +73,23 @@
 pub fn write_call(host: &str, attempts: &[Attempt], now: Time) -> Vec<u8> {
     let longest = attempts
         .iter()
-        .map(|a| a.until - now)
+        .map(|a| a.times_out_at - now)
         .max()
         .unwrap_or_default();
     let remaining = ("X-Remaining", format!("{}m", longest.as_millis().max(1)));
     if let [one] = attempts {
         let mut headers = vec![("X-Txn", one.id.clone())];
-        headers.extend(one.key.iter().map(|k| ("Idempotency-Key", k.clone())));
+        headers.extend(
+            one.idempotency_key
+                .iter()
+                .map(|k| ("Idempotency-Key", k.clone())),
+        );
         headers.push(remaining);
         return http::write_request("POST", "/hook", host, &headers, &one.body);
     }
     let item = |a: &Attempt| BatchItem {
         id: a.id.clone(),
-        key: a.key.clone(),
+        key: a.idempotency_key.clone(),
         body: STANDARD.encode(&a.body),
     };
     let items: Vec<BatchItem> = attempts.iter().map(item).collect();
@@ -95,20 +99,25 @@
 }
 
 /// The load report in the response's headers; `None` if it is absent or not valid.
-fn load_report(response: &Response) -> Option<Report> {
+fn load_report(response: &Response) -> Option<LoadReport> {
     let text = header(&response.headers, http::LOAD_REPORT_HEADER)?;
-    let (mut left, mut limit) = (None, None);
+    let (mut remaining_share, mut limit) = (None, None);
     for (name, value) in text.split(',').filter_map(|p| p.split_once('=')) {
         let value: Option<f64> = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
         match name.trim() {
-            "x0" => left = value,
+            "x0" => remaining_share = value,
             "x1" => limit = value,
             _ => {}
         }
     }
-    // `left` is a fraction and `limit` a rate; values out of these ranges are corrupt.
-    let (left, limit) = (left?, limit?);
-    ((0.0..=10.0).contains(&left) && (0.0..=1e6).contains(&limit)).then_some(Report { left, limit })
+    // `remaining_share` is a fraction and `limit` a rate; values out of these ranges are corrupt.
+    let (remaining_share, limit) = (remaining_share?, limit?);
+    ((0.0..=10.0).contains(&remaining_share) && (0.0..=1e6).contains(&limit)).then_some(
+        LoadReport {
+            remaining_share,
+            limit,
+        },
+    )
 }
 
 /// Decodes the response to a call with the messages `ids`. `unix_now` is the time since 1970, for `Retry-After` dates.
@@ -119,7 +128,7 @@
         200 if ids.len() > 1 => return read_batch_response(response, ids, wait),
         200 => Verdict {
             status: Status::Served,
-            over: true,
+            completed: true,
         },
         429 => Verdict::of(Status::Overloaded),
         503 if not_sent => Verdict::of(Status::NotSent),
@@ -127,7 +136,7 @@
         504 => Verdict::of(Status::NotSent),
         410 => Verdict {
             status: Status::NotSent,
-            over: true,
+            completed: true,
         },
         // The destination could not parse the request; a retry would fail in the same way.
         400 | 413 => Verdict::of(Status::PermanentError),
@@ -136,7 +145,7 @@
     };
     DestinationResponse {
         verdicts: vec![all; ids.len()],
-        wait,
+        retry_after: wait,
         report: load_report(response),
     }
 }
@@ -155,8 +164,8 @@
                 ids.len()
             );
             return DestinationResponse {
-                verdicts: vec![Verdict::of(Status::Spoilt); ids.len()],
-                wait,
+                verdicts: vec![Verdict::of(Status::Malformed); ids.len()],
+                retry_after: wait,
                 report: None,
             };
         }
@@ -168,12 +177,12 @@
     {
         Some("done") => Verdict {
             status: Status::Served,
-            over: true,
+            completed: true,
         },
         Some("busy") => Verdict::of(Status::Overloaded),
         Some("void") => Verdict {
             status: Status::NotSent,
-            over: true,
+            completed: true,
         },
         Some("used_up") => Verdict::of(Status::NotSent),
         // `failed`, or not listed: the message is possibly executed.
@@ -181,7 +190,7 @@
     };
     DestinationResponse {
         verdicts: ids.iter().map(verdict).collect(),
-        wait,
+        retry_after: wait,
         report: load_report(response),
     }
 }
--- a/crates/daemon/src/discovery_client.rs
+++ b/crates/daemon/src/discovery_client.rs
@@ -16,9 +16,9 @@
 
 /// An update of the endpoint list.
 pub(crate) struct ListChange {
-    /// `list` contains every endpoint; otherwise only new and changed ones.
-    pub(crate) whole: bool,
-    pub(crate) list: Vec<Listing>,
+    /// `listings` contains every endpoint; otherwise only new and changed ones.
+    pub(crate) full: bool,
+    pub(crate) listings: Vec<Listing>,
 }
 
 /// The watch, and the address of discovery.
@@ -114,23 +114,23 @@
         log_skipped_entries(&parsed);
         let ParsedList {
             version,
-            whole,
-            list,
-            unread,
+            full,
+            listings,
+            invalid_entries,
             ..
         } = parsed;
         self.watch.on_list(now, version);
-        if !whole && !unread.is_empty() {
+        if !full && !invalid_entries.is_empty() {
             self.watch.on_unreadable_entry();
         }
-        if !list.is_empty() || whole {
+        if !listings.is_empty() || full {
             log::info!(
                 "discovery: version {version}, {} endpoints{}",
-                list.len(),
-                if whole { " (full list)" } else { " changed" }
+                listings.len(),
+                if full { " (full list)" } else { " changed" }
             );
         }
-        Some(ListChange { whole, list })
+        Some(ListChange { full, listings })
     }
 
     /// Uses another address of discovery from now on. The last list is kept until the full list from the new address arrives, since
@@ -142,9 +142,9 @@
 }
 
 fn log_skipped_entries(parsed: &ParsedList) {
-    let (unread, excess) = (&parsed.unread, parsed.excess);
-    if let Some(first) = unread.first() {
-        log::error!(entries = unread.len(); "discovery: {} invalid entries skipped, first one: {first}", unread.len());
+    let (invalid_entries, excess) = (&parsed.invalid_entries, parsed.excess);
+    if let Some(first) = invalid_entries.first() {
+        log::error!(entries = invalid_entries.len(); "discovery: {} invalid entries skipped, first one: {first}", invalid_entries.len());
     }
     if excess > 0 {
         log::error!(entries = excess; "discovery: {excess} entries beyond the limit of {MAX_ENTRIES} skipped");
--- a/crates/daemon/src/discovery_protocol.rs
+++ b/crates/daemon/src/discovery_protocol.rs
@@ -111,11 +111,11 @@
     /// The list's version.
     pub version: u64,
     /// The list contains every endpoint; otherwise only changed ones.
-    pub whole: bool,
+    pub full: bool,
     /// The valid entries.
-    pub list: Vec<Listing>,
+    pub listings: Vec<Listing>,
     /// The error of each invalid entry.
-    pub unread: Vec<EntryError>,
+    pub invalid_entries: Vec<EntryError>,
     /// Number of entries beyond [`MAX_ENTRIES`], which were skipped.
     pub excess: usize,
 }
@@ -184,7 +184,7 @@
     http::write_request("GET", &path, host, &[], b"")
 }
 
-/// Parses the list in a response. Invalid entries are skipped and reported in [`ParsedList::unread`].
+/// Parses the list in a response. Invalid entries are skipped and reported in [`ParsedList::invalid_entries`].
 ///
 /// # Errors
 /// The response is not a list, or it has entries and none of them is valid: a full list without endpoints would remove all of
@@ -198,21 +198,21 @@
     }
     let raw: RawList = serde_json::from_slice(&response.body)?;
     let excess = raw.servers.len().saturating_sub(MAX_ENTRIES);
-    let (mut list, mut unread) = (Vec::new(), Vec::new());
+    let (mut listings, mut invalid_entries) = (Vec::new(), Vec::new());
     for (position, entry) in raw.servers.into_iter().take(MAX_ENTRIES).enumerate() {
         match read_entry(entry, platform_settings) {
-            Ok(listing) => list.push(listing),
-            Err(source) => unread.push(EntryError { position, source }),
+            Ok(listing) => listings.push(listing),
+            Err(source) => invalid_entries.push(EntryError { position, source }),
         }
     }
-    if list.is_empty() && !unread.is_empty() {
-        return Err(ListError::NoReadableEntry(unread.swap_remove(0)));
+    if listings.is_empty() && !invalid_entries.is_empty() {
+        return Err(ListError::NoReadableEntry(invalid_entries.swap_remove(0)));
     }
     Ok(ParsedList {
         version: raw.version,
-        whole: raw.full,
-        list,
-        unread,
+        full: raw.full,
+        listings,
+        invalid_entries,
         excess,
     })
 }
--- a/crates/daemon/src/finished_call.rs
+++ b/crates/daemon/src/finished_call.rs
@@ -40,9 +40,9 @@
                 .get(position.unwrap_or(0))
                 .or(verdicts.first())
                 .copied();
-            let Verdict { status, over } = verdict.unwrap_or(Verdict::of(Status::Error));
+            let Verdict { status, completed } = verdict.unwrap_or(Verdict::of(Status::Error));
             log::trace!(
-                "message {}: attempt {} finished: {status:?}, completed: {over}",
+                "message {}: attempt {} finished: {status:?}, completed: {completed}",
                 attempt.id,
                 attempt.number
             );
@@ -50,10 +50,10 @@
                 id: attempt.id,
                 attempt: attempt.number,
                 status,
-                over,
-                took: now - call.started,
-                retry_after: response.wait,
-                report: response.report,
+                is_final: completed,
+                duration: now - call.started,
+                retry_after: response.retry_after,
+                load_report: response.report,
             });
         }
         outcomes
@@ -84,7 +84,7 @@
     response: &Response,
     parsed: &DestinationResponse,
 ) {
-    if let Some(wait) = parsed.wait {
+    if let Some(wait) = parsed.retry_after {
         log::debug!(
             "endpoint {endpoint}: Retry-After is {} ms",
             wait.as_millis()
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -137,21 +137,23 @@
     fn settings(&self, warm_up: Duration) -> Result<zones::Settings, FleetFileError> {
         let settings = zones::Settings {
             window: TimeSpan::or_millis(self.window, 2000),
-            settle: TimeSpan::or_millis(self.settle, 300),
-            probes: self.probes.unwrap_or(4.0),
-            out: [
+            failure_confirmation: TimeSpan::or_millis(self.settle, 300),
+            probes_per_second: self.probes.unwrap_or(4.0),
+            evacuation_bounds: [
                 TimeSpan::or_millis(self.out, 2000),
                 TimeSpan::or_millis(self.out_most, 60_000),
             ],
-            warm: warm_up,
-            calm: TimeSpan::or_millis(self.calm, 30_000),
+            ramp_duration: warm_up,
+            repeat_failure_period: TimeSpan::or_millis(self.calm, 30_000),
         };
-        if !(0.1..=100.0).contains(&settings.probes) {
+        if !(0.1..=100.0).contains(&settings.probes_per_second) {
             return Err(FleetFileError::ZoneProbeRate {
-                rate: settings.probes,
+                rate: settings.probes_per_second,
             });
         }
-        if settings.window.is_zero() || settings.out[0] > settings.out[1] {
+        if settings.window.is_zero()
+            || settings.evacuation_bounds[0] > settings.evacuation_bounds[1]
+        {
             return Err(FleetFileError::ZoneSpans);
         }
         Ok(settings)
@@ -179,19 +181,21 @@
 impl Recovery {
     /// The reasons for the defaults are in docs/recovery.md.
     fn settings(&self, max_packet_age: Duration) -> Result<recovery::Settings, FleetFileError> {
-        let bounds = recovery::Bounds {
+        let bounds = recovery::MaxAges {
             window: TimeSpan::or_millis(self.window, 10_000),
             limit: TimeSpan::or_millis(self.limit, 10_000),
             state: TimeSpan::or_millis(self.state, 10_000),
-            ahead: max_packet_age,
+            max_clock_difference: max_packet_age,
         };
         let settings = recovery::Settings {
             bounds,
-            ask: TimeSpan::or_millis(self.ask, 500),
-            alone: TimeSpan::or_millis(self.alone, 2000),
-            remember: TimeSpan::or_millis(self.remember, 1000),
+            request_interval: TimeSpan::or_millis(self.ask, 500),
+            peer_timeout: TimeSpan::or_millis(self.alone, 2000),
+            persist_interval: TimeSpan::or_millis(self.remember, 1000),
         };
-        if settings.ask < MIN_RECOVERY_INTERVAL || settings.remember < MIN_RECOVERY_INTERVAL {
+        if settings.request_interval < MIN_RECOVERY_INTERVAL
+            || settings.persist_interval < MIN_RECOVERY_INTERVAL
+        {
             return Err(FleetFileError::RecoveryInterval);
         }
         Ok(settings)
@@ -246,17 +250,17 @@
         let max_packet_age = self.checked_max_packet_age(period)?;
         let members = Settings {
             name: name.to_owned(),
-            at: self.checked_address()?,
+            address: self.checked_address()?,
             seeds: self.seeds.clone(),
             key,
-            period,
-            round_trip,
-            suspicion,
+            probe_period: period,
+            probe_timeout: round_trip,
+            suspicion_timeout: suspicion,
             eviction_delay: self.checked_eviction_delay()?,
             max_packet_age,
             configured_members: settings.instances,
         };
-        let suspicion = members.suspicion();
+        let suspicion = members.suspicion_timeout();
         if members
             .eviction_delay
             .is_some_and(|delay| delay < suspicion)
@@ -270,7 +274,9 @@
             status: self.status,
             settings: members,
             recovery: recovery.map(|r| r.settings(max_packet_age)).transpose()?,
-            zones: zones.map(|z| z.settings(settings.rules.cold)).transpose()?,
+            zones: zones
+                .map(|z| z.settings(settings.rules.warm_up))
+                .transpose()?,
         })
     }
 
--- a/crates/daemon/src/fleet_endpoint.rs
+++ b/crates/daemon/src/fleet_endpoint.rs
@@ -112,9 +112,12 @@
                 }
             }
             Effect::WakeAt(at) => self.due = Some(at),
-            Effect::Changed { view, before } => fleet_log::log_member(&view, before),
+            Effect::MemberChanged {
+                view,
+                previous_state,
+            } => fleet_log::log_member(&view, previous_state),
             // The core handles these itself.
-            Effect::LearnedRequested { .. } | Effect::LearnedReceived { .. } => {}
+            Effect::LearnedStateRequested { .. } | Effect::LearnedStateReceived { .. } => {}
             Effect::Rejoined { incarnation } => {
                 log::warn!(event = "rejoined", incarnation; "fleet: peers considered this process down; rejoined as incarnation {incarnation}");
             }
@@ -123,7 +126,7 @@
                     "fleet: this process was paused for {pause:?}; membership timers are postponed by that time");
             }
             Effect::Dropped(reason) => self.on_dropped(reason, now),
-            Effect::ShareDivisor(senders) => {
+            Effect::QuotaDivisorChanged(senders) => {
                 log::info!(event = "quota-divisor", senders; "fleet: quota divisor is {senders}");
                 return true;
             }
--- a/crates/daemon/src/fleet_status.rs
+++ b/crates/daemon/src/fleet_status.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cranehill_core::Core;
-use cranehill_membership::View;
+use cranehill_membership::MemberView;
 use cranehill_recovery::Phase;
 use cranehill_scheduler::Time;
 use cranehill_zone_failover::State as ZoneState;
@@ -22,18 +22,18 @@
     let Some(members) = core.members() else {
         return http::write_response(404, "Not Found", &[], "");
     };
-    let me = members.me();
+    let me = members.identity();
     let views: Vec<Value> = members.views().map(|view| member_json(view, now)).collect();
     let dropped: BTreeMap<&str, u64> = members
-        .dropped()
+        .dropped_packets()
         .map(|(reason, packets)| (reason.label(), packets))
         .collect();
-    let (pending, reports) = core.outstanding();
+    let (pending, reports) = core.pending_and_report_counts();
     let zones = core.zone_states();
-    let body = json!({"name": me.name, "at": me.at.to_string(), "life": me.incarnation, "senders": members.share_divisor(),
+    let body = json!({"name": me.name, "at": me.address.to_string(), "life": me.incarnation, "senders": members.quota_divisor(),
         "members": views, "refused": dropped, "held": pending, "reports": reports,
         "zones": zones.map(|states| zones_json(&states, platform_settings, now)),
-        "recovery": core.phase().map(|phase| phase_json(phase, now))});
+        "recovery": core.recovery_phase().map(|phase| phase_json(phase, now))});
     let headers = [
         ("Content-Type", "application/json".to_owned()),
         ("Connection", "close".to_owned()),
@@ -45,14 +45,14 @@
     span.as_millis() as u64
 }
 
-fn member_json(view: &View, now: Time) -> Value {
-    let View {
+fn member_json(view: &MemberView, now: Time) -> Value {
+    let MemberView {
         member,
         swim_incarnation,
         state,
         since,
     } = view;
-    json!({"name": member.name, "at": member.at.to_string(), "life": member.incarnation, "incarnation": swim_incarnation,
+    json!({"name": member.name, "at": member.address.to_string(), "life": member.incarnation, "incarnation": swim_incarnation,
         "state": state.label(), "age_ms": millis(now - *since)})
 }
 
@@ -78,8 +78,11 @@
         Phase::Recovering { since } => {
             json!({"state": "recovering", "for_ms": millis(now - since)})
         }
-        Phase::Full { took, since } => {
-            json!({"state": "full", "took_ms": millis(took), "for_ms": millis(now - since)})
+        Phase::Full {
+            recovery_duration,
+            since,
+        } => {
+            json!({"state": "full", "took_ms": millis(recovery_duration), "for_ms": millis(now - since)})
         }
     }
 }
--- a/crates/daemon/src/handover/message.rs
+++ b/crates/daemon/src/handover/message.rs
@@ -28,7 +28,7 @@
     /// A client connection, the bytes read of its next request, and whether it has sent a complete request before. With a
     /// descriptor.
     Client { input: Vec<u8>, asked: bool },
-    /// Learned state, encoded by `cranehill_recovery::pack`.
+    /// Learned state, encoded by `cranehill_recovery::encode_state_file`.
     #[serde(rename = "Learnt")]
     LearnedState(Vec<u8>),
     /// The last message. The new process confirms that it has received everything.
--- a/crates/daemon/src/journal_writer.rs
+++ b/crates/daemon/src/journal_writer.rs
@@ -67,10 +67,10 @@
     let mut fresh_key = Key::default();
     getrandom::fill(&mut fresh_key)?;
     let options = Options {
-        disk,
-        key,
+        disk_bytes: disk,
+        operator_key: key,
         fresh_key,
-        segment: None,
+        segment_bytes: None,
     };
     Journal::open(folder, &options, unix_millis(now)).map_err(|source| JournalOpenError::Journal {
         dir: dir.to_owned(),
@@ -106,11 +106,11 @@
 
     /// Appends the records of a tick; returns which of them are persisted.
     pub(crate) fn append(&mut self, records: Vec<Record>, now: Time) -> Persisted {
-        if mutation::is(Mutation::AnswersFirst) {
+        if mutation::is_enabled(Mutation::AnswersFirst) {
             self.unwritten.extend(records);
             return Persisted::All;
         }
-        if mutation::is(Mutation::ForgetsJournal) {
+        if mutation::is_enabled(Mutation::ForgetsJournal) {
             return Persisted::All;
         }
         let Some(journal) = &mut self.journal else {
@@ -138,7 +138,7 @@
     }
 
     pub(crate) fn free_bytes(&mut self) -> u64 {
-        self.journal.as_mut().map_or(0, |j| j.stats().room)
+        self.journal.as_mut().map_or(0, |j| j.stats().free_bytes)
     }
 
     /// When the next step of compaction is due; `None` if there is nothing to compact.
@@ -154,16 +154,16 @@
         let Some(journal) = &mut self.journal else {
             return;
         };
-        if !journal.compact(unix_millis(now)).stuck {
+        if !journal.compact(unix_millis(now)).incomplete {
             self.next_compaction = now + self.tick;
             return;
         }
         self.next_compaction = now + BLOCKED_PAUSE;
         if self.blocked.record(now).is_some() {
             let stats = journal.stats();
-            log::warn!(room = stats.room, bytes = stats.bytes, live = stats.live;
+            log::warn!(room = stats.free_bytes, bytes = stats.bytes, live = stats.live_bytes;
                 "journal: compaction can't proceed, {} bytes free, {} of {} bytes live; retrying",
-                stats.room, stats.live, stats.bytes);
+                stats.free_bytes, stats.live_bytes, stats.bytes);
         }
     }
 }
@@ -175,19 +175,19 @@
     log::info!(open, final_report, completed, latest_ms = recovered.latest_ms;
         "journal: recovered {open} pending messages, {final_report} final reports due, {completed} ids of completed messages");
     log_damage(recovered);
-    for file in &recovered.foreign {
+    for file in &recovered.foreign_files {
         if !state_file::is_state_file(file) && !handover::FILE_NAMES.contains(&file.as_str()) {
             log::warn!(file = file.as_str(); "journal: unknown file {file} in the state folder; it is ignored but uses disk space");
         }
     }
-    if recovered.migrated > 0 {
-        log::info!(records = recovered.migrated;
-            "journal: {} records migrated from the old ledger", recovered.migrated);
+    if recovered.migrated_records > 0 {
+        log::info!(records = recovered.migrated_records;
+            "journal: {} records migrated from the old ledger", recovered.migrated_records);
     }
 }
 
 fn log_damage(recovered: &Recovered) {
-    if let Some(TornWrite { file, bytes }) = &recovered.torn {
+    if let Some(TornWrite { file, bytes }) = &recovered.torn_write {
         log::warn!(segment = file.as_str(), bytes = *bytes;
             "journal: torn write of {bytes} bytes at the end of {file} discarded; nothing in it was acknowledged");
     }
@@ -196,7 +196,7 @@
             "journal: damage ({:?}) in {} at offset {}, {} bytes; at most {} accepted messages are lost",
             d.cause, d.file, d.offset, d.len, d.max_messages);
     }
-    for lost in &recovered.lost {
+    for lost in &recovered.lost_messages {
         log::error!(id = lost.id.as_str(), segment = lost.file.as_str(), offset = lost.offset;
             "journal: the record of message {} is lost, but {} has an attempt of it at offset {}; reported as failed",
             lost.id, lost.file, lost.offset);
--- a/crates/daemon/src/reactor.rs
+++ b/crates/daemon/src/reactor.rs
@@ -125,7 +125,7 @@
     /// Starts the shutdown, as on SIGTERM.
     pub fn stop(&mut self) {
         if self.shutdown.begin(self.clock.now()) {
-            let (pending, reports) = self.core.outstanding();
+            let (pending, reports) = self.core.pending_and_report_counts();
             log::info!("shutting down: {pending} messages pending, {reports} final reports due");
             self.step_fleet(membership::Input::Leave);
         }
@@ -149,7 +149,7 @@
                 return Ok(());
             }
             if self.run_once(&mut events)? {
-                let (pending, reports) = self.core.outstanding();
+                let (pending, reports) = self.core.pending_and_report_counts();
                 let violations = self.core.violations;
                 log::info!(
                     "stopped: {pending} messages and {reports} final reports remain in the journal; violations: {violations:?}"
--- a/crates/daemon/src/reactor/clients.rs
+++ b/crates/daemon/src/reactor/clients.rs
@@ -105,7 +105,7 @@
             Progress::Answered => return true,
             Progress::Submitted(message) => {
                 // A Web Push client has one request at a time.
-                let may_pipeline = matches!(message.from, Origin::Client(_));
+                let may_pipeline = matches!(message.origin, Origin::Client(_));
                 self.step(Input::Submitted(message));
                 if may_pipeline {
                     client_ingress::refill(&mut self.connections, id);
--- a/crates/daemon/src/reactor/effects.rs
+++ b/crates/daemon/src/reactor/effects.rs
@@ -37,7 +37,7 @@
                 address,
                 attempts,
             } => self.call(&endpoint, &address, attempts),
-            Effect::SendFinalReport { .. } if mutation::is(Mutation::DropsReports) => {}
+            Effect::SendFinalReport { .. } if mutation::is_enabled(Mutation::DropsReports) => {}
             Effect::SendFinalReport { id, final_report } => {
                 self.final_reports.add(id, final_report);
             }
@@ -51,12 +51,16 @@
             }
             Effect::Fleet(effect) => self.carry_out_for_fleet(effect),
             Effect::Zone(change) => fleet_log::log_zone(&change, &self.platform_settings),
-            Effect::Detached { by, known, now } => self.on_detached(by, known, &now),
+            Effect::Detached {
+                connection,
+                known,
+                detachments,
+            } => self.on_detached(connection, known, &detachments),
             Effect::PersistLearnedState(bytes) => {
                 self.state_store
                     .write_learned_state(&bytes, self.clock.now());
             }
-            Effect::RecoveryComplete(took) => log_recovery_complete(took),
+            Effect::RecoveryComplete(recovery_duration) => log_recovery_complete(recovery_duration),
         }
     }
 
@@ -83,7 +87,7 @@
     }
 }
 
-fn log_recovery_complete(took: Duration) {
-    log::info!(event = "recovery-complete", took_ms = took.as_millis() as u64;
-        "recovery: completed {took:?} after the start");
+fn log_recovery_complete(recovery_duration: Duration) {
+    log::info!(event = "recovery-complete", took_ms = recovery_duration.as_millis() as u64;
+        "recovery: completed {recovery_duration:?} after the start");
 }
--- a/crates/daemon/src/reactor/handover.rs
+++ b/crates/daemon/src/reactor/handover.rs
@@ -18,10 +18,13 @@
         let Some(handover) = &mut self.handover else {
             return false;
         };
-        match handover.next_step(now, self.core.attempts_out()) {
+        match handover.next_step(now, self.core.in_flight_count()) {
             HandoverStep::None => {}
             HandoverStep::Quiesce => {
-                let (pending, out) = (self.core.outstanding().0, self.core.attempts_out());
+                let (pending, out) = (
+                    self.core.pending_and_report_counts().0,
+                    self.core.in_flight_count(),
+                );
                 log::info!(event = "handover-requested", pending, out; "hand-over: requested, {pending} messages pending, {out} attempts in flight");
                 self.step(Input::Quiesced(true));
             }
@@ -61,7 +64,7 @@
             &mut self.connections,
             clients,
         )?;
-        let (pending, reports) = self.core.outstanding();
+        let (pending, reports) = self.core.pending_and_report_counts();
         log::info!(event = "handover-complete", clients = handed_over, pending, reports;
             "hand-over: completed, {handed_over} client connections handed over; {pending} messages and {reports} final reports remain in the journal");
         self.reject_waiting_clients();
--- a/crates/daemon/src/reactor/options.rs
+++ b/crates/daemon/src/reactor/options.rs
@@ -29,17 +29,17 @@
     /// Version of the initial endpoint list; 0 without one.
     pub known_version: u64,
     /// The initial endpoint list, used until discovery answers.
-    pub known: Vec<Listing>,
+    pub initial_endpoints: Vec<Listing>,
     /// The Web Push file; without it the sender serves no Web Push.
-    pub push: Option<webpush::File>,
+    pub web_push: Option<webpush::File>,
     /// The fleet file; without it the sender is not in a fleet.
     pub fleet: Option<Fleet>,
     /// The address of the operators' HTTP interface. Without one, no hand-over is possible.
     pub operator: Option<SocketAddr>,
     /// Maximum number of file descriptors of the process.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Memory that the process may use, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Reads the configuration at a reload.
     pub read_config: Option<ConfigReader>,
 }
--- a/crates/daemon/src/reactor/platform.rs
+++ b/crates/daemon/src/reactor/platform.rs
@@ -52,13 +52,13 @@
             .discovery
             .on_response(response, &self.platform_settings, now);
         if let Some(mut change) = change {
-            if change.whole {
+            if change.full {
                 let listings = self.web_push.iter().flat_map(WebPushGateway::listings);
-                change.list.extend(listings);
+                change.listings.extend(listings);
             }
             self.step(Input::EndpointsChanged {
-                whole: change.whole,
-                list: change.list,
+                whole: change.full,
+                list: change.listings,
             });
         }
         if !reuse {
--- a/crates/daemon/src/reactor/shutdown.rs
+++ b/crates/daemon/src/reactor/shutdown.rs
@@ -46,9 +46,9 @@
 
     /// Whether no work is left that can still be done before the end of the process.
     fn is_finished(&self) -> bool {
-        let (pending, reports) = self.core.outstanding();
+        let (pending, reports) = self.core.pending_and_report_counts();
         let nothing_pending =
-            pending == 0 || self.shutdown.is_sending_stopped() && self.core.attempts_out() == 0;
+            pending == 0 || self.shutdown.is_sending_stopped() && self.core.in_flight_count() == 0;
         let mut connections = self.connections.values();
         nothing_pending && reports == 0 && !connections.any(Connection::delays_shutdown)
     }
@@ -66,7 +66,7 @@
             )
         };
         let answer = Answer::Rejected {
-            after: Some(RETRY_AFTER_SHUTDOWN),
+            retry_after: Some(RETRY_AFTER_SHUTDOWN),
         };
         let response = webpush::write_answer(answer, "");
         let now = self.clock.now();
--- a/crates/daemon/src/reactor/start.rs
+++ b/crates/daemon/src/reactor/start.rs
@@ -54,7 +54,7 @@
     /// third of the descriptors, and as many again may be connected without sending anything.
     fn new(options: &ReactorOptions) -> ConnectionLimits {
         let operators = options.operator.map_or(0, |_| MAX_OPERATOR_CONNECTIONS + 1);
-        let sockets = options.sockets.saturating_sub(operators);
+        let sockets = options.max_descriptors.saturating_sub(operators);
         let calls = options.platform_settings.settings.slots as usize;
         let free = sockets.saturating_sub(RESERVED_SOCKETS);
         let clients = free
@@ -91,9 +91,12 @@
         let addresses = ListenAddresses {
             clients: options.listen,
             operators: options.operator,
-            web_push: options.push.as_ref().and_then(webpush::File::listen),
+            web_push: options.web_push.as_ref().and_then(webpush::File::listen),
         };
-        let (known, fleet) = (mem::take(&mut options.known), options.fleet.take());
+        let (known, fleet) = (
+            mem::take(&mut options.initial_endpoints),
+            options.fleet.take(),
+        );
         let seed = options.seed;
         let limits = ConnectionLimits::new(&options);
         let mut reactor = Reactor::assemble(options, clock, journal, &limits)?;
@@ -114,7 +117,7 @@
     ) -> Result<Reactor, StartError> {
         let now = clock.now();
         let mut platform_settings = options.platform_settings;
-        let web_push = match options.push {
+        let web_push = match options.web_push {
             Some(file) => Some(WebPushGateway::new(file, &mut platform_settings)?),
             None => None,
         };
@@ -123,11 +126,11 @@
         let watch = Watch::new(
             options.known_version,
             settings.instances,
-            settings.rules.must_ask_in,
+            settings.rules.max_poll_interval,
             options.seed,
             now,
         );
-        let (memory, connect_timeout) = (options.memory, settings.connect_timeout);
+        let (memory, connect_timeout) = (options.memory_bytes, settings.connect_timeout);
         Ok(Reactor {
             clock,
             core,
@@ -175,7 +178,7 @@
                 let out = &detachments.out;
                 log::info!(event = "detached", endpoints = out.len(); "operator: endpoints still detached: {out:?}");
             }
-            self.core.detached_before(detachments);
+            self.core.restore_detachments(detachments);
         }
         journal_writer::log_recovered(&recovered);
         let records = mem::take(&mut recovered.records);
@@ -192,18 +195,18 @@
             self.core.manage_zones(settings);
         }
         if let Some(settings) = fleet.recovery {
-            self.core.recover(settings);
+            self.core.start_recovery(settings);
             if let Some(bytes) = self.state_store.read_learned_state() {
                 self.core.step(now, Input::LearnedStateRestored(bytes));
             }
-            let (pending, _) = self.core.outstanding();
+            let (pending, _) = self.core.pending_and_report_counts();
             log::info!(event = "recovery-started", pending; "recovery: started");
         }
         Ok(())
     }
 
     fn log_started(&self, records: usize, limits: &ConnectionLimits) {
-        let (pending, reports) = self.core.outstanding();
+        let (pending, reports) = self.core.pending_and_report_counts();
         log::info!(records, pending, reports;
             "started: {records} records in the journal, {pending} messages pending, {reports} final reports due");
         log::info!(
--- a/crates/daemon/src/upstream.rs
+++ b/crates/daemon/src/upstream.rs
@@ -54,7 +54,7 @@
 
 impl UpstreamPool {
     pub(crate) fn new(max_connections: usize, settings: &Settings) -> UpstreamPool {
-        let closed_after = settings.conn_idle;
+        let closed_after = settings.idle_timeout;
         UpstreamPool {
             max_connections,
             connect_timeout: settings.connect_timeout,
@@ -335,7 +335,8 @@
         };
         let call = call.take()?;
         let parsed = finished_call::parse_response(endpoint, &call, response, now);
-        let trailing = connection.input.len() > used && !mutation::is(Mutation::ReusesSpoilt);
+        let trailing =
+            connection.input.len() > used && !mutation::is_enabled(Mutation::ReusesSpoilt);
         if response.close || ended || !written || trailing {
             connections.close(id);
         } else {
@@ -389,10 +390,10 @@
             .and_then(|(response, _)| http::retry_after(&response.headers, since_unix_epoch(now)));
         let verdict = Verdict {
             status,
-            over: delivered,
+            completed: delivered,
         };
         let response = DestinationResponse {
-            wait,
+            retry_after: wait,
             ..DestinationResponse::all(verdict)
         };
         Some(FinishedCall::new(call, response))
@@ -415,12 +416,12 @@
     match interruption {
         Interruption::OutOfTime => Status::TimedOut,
         // The call was received. A response that is incomplete shows, like a malformed one, that the destination is reachable.
-        Interruption::Spoilt => Status::Spoilt,
-        Interruption::Ended { .. } if begun => Status::Spoilt,
+        Interruption::Spoilt => Status::Malformed,
+        Interruption::Ended { .. } if begun => Status::Malformed,
         // A reused connection that ends at its next call shows nothing about the destination, which may have closed it while idle.
         Interruption::Ended { written } => match (reused, written) {
             (true, false) => Status::NotSent,
-            (true, true) => Status::Dropped,
+            (true, true) => Status::IdleConnectionBroken,
             (false, false) => Status::NoConnection,
             (false, true) => Status::Reset,
         },
--- a/crates/daemon/src/webpush/gateway.rs
+++ b/crates/daemon/src/webpush/gateway.rs
@@ -6,7 +6,7 @@
 use cranehill_core::{Attempt, Envelope, Listing, Message, Origin};
 use cranehill_scheduler::Time;
 use cranehill_scheduler::api::{
-    Class, Condition, DedupScope, DestinationId, Effect, EndpointId, Entry, Kind,
+    Class, Condition, DedupScope, DestinationId, DestinationKind, Effect, EndpointId, Entry,
 };
 
 use super::file::{File, Location};
@@ -82,9 +82,9 @@
             ..without_topic.clone()
         };
         settings.classes.extend([without_topic, with_topic]);
-        settings.kinds.push(Kind {
-            per_call: 1,
-            apart: false,
+        settings.kinds.push(DestinationKind {
+            max_messages_per_call: 1,
+            separate_routes: false,
         });
         let vapid = file.vapid.as_ref().map(Vapid::new).transpose()?;
         Ok(WebPushGateway {
@@ -157,17 +157,17 @@
             // Web Push messages belong to no tenant, so no quota applies.
             tenant: usize::MAX,
             destination,
-            key: None,
+            idempotency_key: None,
             ordering_key: None,
             body: Arc::from(request.body),
-            left: time_to_live.min(settings.classes[class].deadline),
-            spent: if ttl_seconds == 0 {
-                settings.attempts_cap - 1
+            time_left: time_to_live.min(settings.classes[class].deadline),
+            attempts_used: if ttl_seconds == 0 {
+                settings.max_attempts - 1
             } else {
                 0
             },
             envelope: Some(Arc::new(envelope)),
-            from: Origin::Waiting(connection),
+            origin: Origin::Waiting(connection),
         })
     }
 
@@ -254,9 +254,9 @@
         deadline: Duration::from_secs(20),
         effect: Effect::Unsafe,
         dedup: DedupScope::All,
-        window: Duration::from_secs(20),
+        dedup_window: Duration::from_secs(20),
         in_order: false,
         priority_weight: 1.0,
-        late_share: 0.4,
+        min_weight_share: 0.4,
     }
 }
--- a/crates/daemon/src/webpush/responses.rs
+++ b/crates/daemon/src/webpush/responses.rs
@@ -13,7 +13,7 @@
     let verdict = match response.status {
         200..300 => Verdict {
             status: Status::Served,
-            over: true,
+            completed: true,
         },
         429 | 503 => Verdict::of(Status::Overloaded),
         404 | 410 => Verdict::of(Status::RecipientRemoved),
@@ -25,7 +25,7 @@
     let wait = http::retry_after(&response.headers, unix_now).filter(|_| overloaded);
     DestinationResponse {
         verdicts: vec![verdict],
-        wait,
+        retry_after: wait,
         report: None,
     }
 }
@@ -37,9 +37,13 @@
             let headers = [("Location", format!("/message/{id}"))];
             http::write_response(201, "Created", &headers, "")
         }
-        Answer::Rejected { after } => {
+        Answer::Rejected { retry_after } => {
             // Rounded up to whole seconds, so that clients don't retry too early.
-            let seconds = after.unwrap_or_default().as_millis().div_ceil(1000).max(1);
+            let seconds = retry_after
+                .unwrap_or_default()
+                .as_millis()
+                .div_ceil(1000)
+                .max(1);
             let headers = [("Retry-After", seconds.to_string())];
             let body = "refused; come again later\n";
             http::write_response(503, "Service Unavailable", &headers, body)
--- a/crates/daemon/tests/discovery_protocol.rs
+++ b/crates/daemon/tests/discovery_protocol.rs
@@ -40,20 +40,22 @@
     ] {
         let parsed = parsed(&format!("{invalid_entry},{VALID_ENTRY}")).expect("a list");
         assert_eq!(
-            (parsed.list.len(), parsed.unread.len()),
+            (parsed.listings.len(), parsed.invalid_entries.len()),
             (1, 1),
             "{invalid_entry}"
         );
         assert!(
-            parsed.unread[0].to_string().starts_with("entry 0: "),
+            parsed.invalid_entries[0]
+                .to_string()
+                .starts_with("entry 0: "),
             "{:?}",
-            parsed.unread
+            parsed.invalid_entries
         );
-        assert_eq!(parsed.list[0].entry.endpoint.0, "a");
+        assert_eq!(parsed.listings[0].entry.endpoint.0, "a");
     }
     // A list with only invalid entries must not count as a full list without endpoints, whereas an empty list is valid.
     assert!(parsed("7,8").is_err());
-    assert!(parsed("").expect("a list").list.is_empty());
+    assert!(parsed("").expect("a list").listings.is_empty());
 }
 
 #[test]
@@ -68,7 +70,7 @@
     ] {
         let row = VALID_ENTRY.replace("2.5", weight);
         assert_eq!(
-            parsed(&row).expect("a list").list[0].entry.rate,
+            parsed(&row).expect("a list").listings[0].entry.rate,
             rate,
             "{weight}"
         );
@@ -100,10 +102,14 @@
     assert_eq!(used, bytes.len());
     let parsed = read_response(&response, &platform_settings()).expect("a list");
     assert_eq!(
-        (parsed.list.len(), parsed.unread.len(), parsed.excess),
+        (
+            parsed.listings.len(),
+            parsed.invalid_entries.len(),
+            parsed.excess
+        ),
         (57_000, 0, 0)
     );
-    assert_eq!(parsed.list[56_999].entry.endpoint.0, "s-0000dea7");
+    assert_eq!(parsed.listings[56_999].entry.endpoint.0, "s-0000dea7");
     // A chunked body is read as well, and the limit applies to both.
     let chunks = format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n",
@@ -134,7 +140,7 @@
         close: false,
     };
     let parsed = read_response(&response, &platform_settings()).expect("a list");
-    assert_eq!((parsed.list.len(), parsed.excess), (MAX_ENTRIES, 3));
+    assert_eq!((parsed.listings.len(), parsed.excess), (MAX_ENTRIES, 3));
 }
 
 #[test]
--- a/crates/daemon/tests/golden.rs
+++ b/crates/daemon/tests/golden.rs
@@ -19,7 +19,7 @@
 use cranehill_daemon::fleet::Fleet;
 use cranehill_daemon::reactor::{Reactor, ReactorOptions, State, StopHandle};
 use cranehill_daemon::webpush;
-use cranehill_recovery::{Bounds, pack, unpack};
+use cranehill_recovery::{MaxAges, decode_state_file, encode_state_file};
 use cranehill_scheduler::{LearnedState, Time};
 use rustix::fs::{FlockOperation, flock};
 use rustix::net::{
@@ -101,12 +101,12 @@
         listen: Some(LOCALHOST),
         discovery: None,
         known_version: config.known_version,
-        known: config.known,
-        push: None,
+        initial_endpoints: config.known,
+        web_push: None,
         fleet: None,
         operator: Some(LOCALHOST),
-        sockets: 1024,
-        memory: 192_000_000,
+        max_descriptors: 1024,
+        memory_bytes: 192_000_000,
         read_config: None,
     }
 }
@@ -131,7 +131,7 @@
         }],
     };
     ReactorOptions {
-        push: Some(file),
+        web_push: Some(file),
         ..options(dir)
     }
 }
@@ -315,7 +315,7 @@
         .position(|bytes| bytes == b"CRL\x01")
         .expect("learned state");
     let (head, learned_state) = message.split_at(start);
-    let mut learned = unpack(learned_state).expect("valid learned state");
+    let mut learned = decode_state_file(learned_state).expect("valid learned state");
     let [record] = &mut learned[..] else {
         panic!("expected one record: {learned:?}")
     };
@@ -328,7 +328,7 @@
         "{record:?} was not written in this run"
     );
     record.at = Time(COMMITTED_TIME);
-    [head, &pack(&learned)].concat()
+    [head, &encode_state_file(&learned)].concat()
 }
 
 /// Guards against changes of the messages that the old process sends in a hand-over.
@@ -498,26 +498,26 @@
         status: None,
         settings: cranehill_membership::Settings {
             name: "n0".into(),
-            at: SocketAddr::from(([127, 0, 0, 1], 1)),
+            address: SocketAddr::from(([127, 0, 0, 1], 1)),
             seeds: Vec::new(),
             key: [7; 32],
-            period: Duration::from_secs(1),
-            round_trip: Duration::from_millis(300),
-            suspicion: None,
+            probe_period: Duration::from_secs(1),
+            probe_timeout: Duration::from_millis(300),
+            suspicion_timeout: None,
             eviction_delay: None,
             max_packet_age: Duration::from_secs(5),
             configured_members: 1,
         },
         recovery: Some(cranehill_recovery::Settings {
-            bounds: Bounds {
+            bounds: MaxAges {
                 window: age,
                 limit: age,
                 state: age,
-                ahead: Duration::from_secs(5),
+                max_clock_difference: Duration::from_secs(5),
             },
-            ask: Duration::from_millis(500),
-            alone: Duration::from_secs(2),
-            remember: Duration::from_secs(1),
+            request_interval: Duration::from_millis(500),
+            peer_timeout: Duration::from_secs(2),
+            persist_interval: Duration::from_secs(1),
         }),
         zones: None,
     };
@@ -569,11 +569,11 @@
         blocked_until: Some(now + Duration::from_secs(3600)),
         state: None,
     };
-    let original = pack(std::slice::from_ref(&blocked));
+    let original = encode_state_file(std::slice::from_ref(&blocked));
     std::fs::write(folder.path("learnt"), &original).expect("written");
     let _sender = RunningSender::start(options_with_recovery(&folder.0));
     let mut written =
-        unpack(&learned_state_after(&folder, Some(&original))).expect("learned state");
+        decode_state_file(&learned_state_after(&folder, Some(&original))).expect("learned state");
     written.iter_mut().for_each(|learned| learned.at = now);
     assert_eq!(written, [blocked]);
 }
--- a/crates/fleet-harness/src/simulated/member.rs
+++ b/crates/fleet-harness/src/simulated/member.rs
@@ -101,12 +101,12 @@
     fn membership(&self) -> membership::Settings {
         membership::Settings {
             name: format!("n{}", self.index),
-            at: self.address,
+            address: self.address,
             seeds: self.seeds.clone(),
             key: KEY,
-            period: self.timing.period,
-            round_trip: self.timing.round_trip,
-            suspicion: self.timing.suspicion,
+            probe_period: self.timing.period,
+            probe_timeout: self.timing.round_trip,
+            suspicion_timeout: self.timing.suspicion,
             eviction_delay: self.timing.eviction_delay,
             max_packet_age: self.timing.max_packet_age,
             configured_members: self.fleet_size as u32,
@@ -224,7 +224,7 @@
             let mut persisted = false;
             for effect in effects.drain(..) {
                 match effect {
-                    Effect::Fleet(membership::Effect::ShareDivisor(senders)) => {
+                    Effect::Fleet(membership::Effect::QuotaDivisorChanged(senders)) => {
                         divisor_changed = true;
                         output.reports.push(Report::Senders(senders));
                     }
@@ -249,8 +249,8 @@
         match effect {
             membership::Effect::Send { to, bytes } => output.packets.push(Packet { to, bytes }),
             membership::Effect::WakeAt(at) => self.membership_due = Some(at),
-            membership::Effect::Changed { view, .. } => output.reports.push(Report::Sees {
-                address: view.member.at,
+            membership::Effect::MemberChanged { view, .. } => output.reports.push(Report::Sees {
+                address: view.member.address,
                 incarnation: view.member.incarnation,
                 seen: seen(view.state),
             }),
@@ -265,7 +265,7 @@
         let incarnation = self
             .core
             .members()
-            .map_or(0, |members| members.me().incarnation);
+            .map_or(0, |members| members.identity().incarnation);
         if incarnation != self.incarnation {
             self.incarnation = incarnation;
             output.reports.push(Report::Incarnation(incarnation));
@@ -273,11 +273,11 @@
     }
 }
 
-fn seen(state: membership::State) -> Seen {
+fn seen(state: membership::MemberState) -> Seen {
     match state {
-        membership::State::Alive => Seen::Alive,
-        membership::State::Suspect => Seen::Suspect,
-        membership::State::Down => Seen::Down,
-        membership::State::Left => Seen::Left,
+        membership::MemberState::Alive => Seen::Alive,
+        membership::MemberState::Suspect => Seen::Suspect,
+        membership::MemberState::Down => Seen::Down,
+        membership::MemberState::Left => Seen::Left,
     }
 }
--- a/crates/fleet-harness/src/sweep/backlog.rs
+++ b/crates/fleet-harness/src/sweep/backlog.rs
@@ -115,10 +115,10 @@
 fn write_folder(dir: &Path, size: u64) -> Result<u64, SweepError> {
     let folder = Folder::new(dir, DISK_BYTES)?;
     let options = Options {
-        disk: DISK_BYTES,
-        key: None,
+        disk_bytes: DISK_BYTES,
+        operator_key: None,
         fresh_key: [7; 32],
-        segment: None,
+        segment_bytes: None,
     };
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/fleet-harness/src/sweep/reducer.rs
+++ b/crates/fleet-harness/src/sweep/reducer.rs
@@ -50,10 +50,10 @@
         class: 0,
         tenant: 0,
         destination: number % destinations,
-        key: Some(format!("{:016x}", mixed(!number))),
+        idempotency_key: Some(format!("{:016x}", mixed(!number))),
         ordering_key: None,
         deadline: now + duration / 2 + mixed(number ^ 0x5eed) % (duration / 2),
-        at: now,
+        accepted_at: now,
         body: body.clone(),
     }
 }
@@ -144,10 +144,10 @@
             id,
             attempt,
             status: Status::Served,
-            over: true,
-            took: TICK,
+            is_final: true,
+            duration: TICK,
             retry_after: None,
-            report: None,
+            load_report: None,
         };
         self.core.step(
             self.now,
--- a/crates/journal-tools/src/verdict.rs
+++ b/crates/journal-tools/src/verdict.rs
@@ -101,10 +101,10 @@
     let counts = recovered.counts;
     Ok(Verdict {
         damage: recovered.damage,
-        lost: recovered.lost,
+        lost: recovered.lost_messages,
         possibly_executed: recovered.possibly_executed,
-        torn: recovered.torn,
-        foreign: recovered.foreign,
+        torn: recovered.torn_write,
+        foreign: recovered.foreign_files,
         open: counts.open,
         final_report: counts.final_report_due,
         completed: counts.completed,
--- a/crates/journal/benches/journal/baselines.rs
+++ b/crates/journal/benches/journal/baselines.rs
@@ -14,7 +14,7 @@
             class,
             tenant,
             destination,
-            key,
+            idempotency_key: key,
             deadline,
             body,
             ..
@@ -31,7 +31,7 @@
             id,
             attempt,
             endpoint,
-            at,
+            started_at: at,
         } => LegacyRecord::AttemptStarted {
             id,
             attempt,
@@ -71,7 +71,12 @@
 /// The value stored in redb for a record: about as many bytes as the journal's record without its frame.
 fn value(record: &Record) -> Vec<u8> {
     match record {
-        Record::Accepted { id, key, body, .. } => [
+        Record::Accepted {
+            id,
+            idempotency_key: key,
+            body,
+            ..
+        } => [
             id.as_bytes(),
             &[0; 12],
             key.as_deref().unwrap_or_default().as_bytes(),
--- a/crates/journal/benches/journal/compaction.rs
+++ b/crates/journal/benches/journal/compaction.rs
@@ -37,7 +37,7 @@
                 let due = ends.filter(|(older, soon)| (older % 7 == 0) == (*soon == 0));
                 records.extend(due.map(|(older, _)| Record::Completed {
                     id: id(older),
-                    until,
+                    remembered_until: until,
                 }));
             }
             rejected += u64::from(journal.append(now, &records).is_err());
@@ -59,10 +59,10 @@
         let written = journal.storage().written;
         println!(
             "  {pending} pending: {:.2} ({} of {} bytes, {} segments removed, {rejected} batches rejected); old {:.2} ({rewrites} rewrites)",
-            written as f64 / stats.appended as f64,
+            written as f64 / stats.appended_bytes as f64,
             written,
-            stats.appended,
-            stats.removed,
+            stats.appended_bytes,
+            stats.removed_segments,
             ledger.written as f64 / appended as f64
         );
     }
@@ -107,7 +107,7 @@
             records.push(attempt_started(new, 0));
             records.push(Record::Completed {
                 id: id((n * 8 + k) * 2 % OPEN),
-                until: (now + 20_000) * MS,
+                remembered_until: (now + 20_000) * MS,
             });
         }
         let started = Instant::now();
@@ -131,9 +131,9 @@
     let stats = journal.stats();
     println!(
         "\nlongest step with {} pending messages, {} batches of 24 records, {} segments removed",
-        stats.open,
+        stats.pending,
         steps.len(),
-        stats.removed
+        stats.removed_segments
     );
     println!(
         "  append: {:?}, 99.9% {:?}; compaction: {:?}, 99.9% {:?}",
--- a/crates/journal/benches/journal/fixtures.rs
+++ b/crates/journal/benches/journal/fixtures.rs
@@ -16,10 +16,10 @@
 
 pub(crate) fn options(disk: u64) -> Options {
     Options {
-        disk,
-        key: None,
+        disk_bytes: disk,
+        operator_key: None,
         fresh_key: [5; 32],
-        segment: None,
+        segment_bytes: None,
     }
 }
 
@@ -58,10 +58,10 @@
         class: 0,
         tenant: 1,
         destination: n % 22,
-        key: Some(id(n ^ 7)),
+        idempotency_key: Some(id(n ^ 7)),
         ordering_key: None,
         deadline,
-        at: NOW * MS,
+        accepted_at: NOW * MS,
         body,
     }
 }
@@ -71,7 +71,7 @@
         id: id(n),
         attempt,
         endpoint: format!("s-{:08x}", n % 29),
-        at: (NOW + 3) * MS,
+        started_at: (NOW + 3) * MS,
     }
 }
 
@@ -90,7 +90,7 @@
         let over = if n >= 10 { older } else { new };
         records.push(Record::Completed {
             id: id(over),
-            until: (NOW + 20_000) * MS,
+            remembered_until: (NOW + 20_000) * MS,
         });
     }
     records
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -13,7 +13,7 @@
         "journal: {file} is of format {version}, this program knows up to {known}: start the newer release again, \
          or empty the folder once its messages are with others"
     )]
-    Newer {
+    NewerFormat {
         /// Name of the file in the later format.
         file: String,
         /// The file's format version.
--- a/crates/journal/src/folder.rs
+++ b/crates/journal/src/folder.rs
@@ -92,7 +92,7 @@
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let before = self.sizes.get(name).copied().unwrap_or(0);
         let after = before + bytes.len() as u64;
-        if disk_usage(after) - disk_usage(before) > self.room() {
+        if disk_usage(after) - disk_usage(before) > self.free_bytes() {
             return Err(io::Error::new(
                 ErrorKind::StorageFull,
                 "the folder's disk budget is exhausted",
@@ -159,7 +159,7 @@
         Ok(files)
     }
 
-    fn room(&mut self) -> u64 {
+    fn free_bytes(&mut self) -> u64 {
         self.disk.saturating_sub(self.used)
     }
 }
--- a/crates/journal/src/fuzzing.rs
+++ b/crates/journal/src/fuzzing.rs
@@ -79,10 +79,10 @@
 /// compacts it, appends a message and opens it again. No pending message, attempt or possible execution may be lost.
 pub fn recover(data: &[u8]) {
     let options = Options {
-        disk: DISK_BYTES,
-        key: None,
+        disk_bytes: DISK_BYTES,
+        operator_key: None,
         fresh_key: KEY,
-        segment: Some(SEGMENT_BYTES),
+        segment_bytes: Some(SEGMENT_BYTES),
     };
     let Ok((mut journal, found)) = Journal::open(folder(data), &options, NOW_MS) else {
         return;
@@ -116,10 +116,10 @@
         class: 0,
         tenant: 0,
         destination: 1,
-        key: None,
+        idempotency_key: None,
         ordering_key: None,
         deadline: DEADLINE_MS * NANOS_PER_MS,
-        at: NOW_MS * NANOS_PER_MS,
+        accepted_at: NOW_MS * NANOS_PER_MS,
         body: Arc::from(&b"new"[..]),
     }
 }
--- a/crates/journal/src/journal/admission.rs
+++ b/crates/journal/src/journal/admission.rs
@@ -21,7 +21,7 @@
     pub fn admit(&mut self, bytes: usize) -> Result<(), Duration> {
         let needed = bytes as u64 + MESSAGE_OVERHEAD_BYTES;
         let reserve = self.compaction_reserve() * 2 + self.index.reserved_bytes();
-        if self.storage.room() >= self.admitted_bytes + needed + reserve {
+        if self.storage.free_bytes() >= self.admitted_bytes + needed + reserve {
             self.admitted_bytes += needed;
             return Ok(());
         }
--- a/crates/journal/src/journal/append.rs
+++ b/crates/journal/src/journal/append.rs
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     /// If a file operation fails or the disk budget is exhausted. [`AppendError::persisted`] says whether the records
-    /// that end a message ([`Record::is_end`]) are persisted, or none of the batch.
+    /// that end a message ([`Record::is_end_record`]) are persisted, or none of the batch.
     pub fn append(&mut self, now: u64, records: &[Record]) -> Result<(), AppendError> {
         self.admitted_bytes = 0;
         let mut all = std::mem::take(&mut self.recovery_records);
@@ -33,8 +33,8 @@
         all.truncate(recovery_count);
         self.recovery_records = all;
         self.counters.rejected_batches += 1;
-        let has_ends = records.iter().any(Record::is_end);
-        let persisted = if has_ends && self.write(now, records, Record::is_end).is_err() {
+        let has_ends = records.iter().any(Record::is_end_record);
+        let persisted = if has_ends && self.write(now, records, Record::is_end_record).is_err() {
             Persisted::Nothing
         } else {
             Persisted::EndsOnly
@@ -73,7 +73,7 @@
         // Without accepted messages the write is attempted whatever the room: the records of ends may fit into the rest
         // of the head's last block.
         let accepts = selected().any(|record| matches!(record, Record::Accepted { .. }));
-        if accepts && self.storage.room() < max_bytes + self.compaction_reserve() {
+        if accepts && self.storage.free_bytes() < max_bytes + self.compaction_reserve() {
             return Err(io::Error::new(
                 io::ErrorKind::StorageFull,
                 "the journal's disk budget is exhausted",
--- a/crates/journal/src/journal/batch.rs
+++ b/crates/journal/src/journal/batch.rs
@@ -127,7 +127,9 @@
             accepted_lsn,
             kind: kind_of(record),
             remember_until_ms: match record {
-                Record::Completed { until, .. } => millis(*until),
+                Record::Completed {
+                    remembered_until, ..
+                } => millis(*remembered_until),
                 _ => 0,
             },
             len: (buffer.len() - start) as u32,
--- a/crates/journal/src/journal/compaction.rs
+++ b/crates/journal/src/journal/compaction.rs
@@ -46,7 +46,7 @@
             return step;
         };
         // With little room left, freeing room takes precedence over short steps.
-        let slice_bytes = if self.storage.room() < self.disk / MIN_SEALED_USAGE_DIVISOR {
+        let slice_bytes = if self.storage.free_bytes() < self.disk / MIN_SEALED_USAGE_DIVISOR {
             SLICE_BYTES * 2
         } else {
             SLICE_BYTES
@@ -102,7 +102,7 @@
         let written = self
             .write_manifest(ManifestChange::SegmentRemoved(sequence))
             .is_ok();
-        step.stuck |= !written;
+        step.incomplete |= !written;
         written
     }
 
@@ -121,7 +121,7 @@
     fn remove_obsolete(&mut self, step: &mut CompactionStep) {
         for obsolete in std::mem::take(&mut self.obsolete) {
             if self.storage.remove(&obsolete.name).is_err() {
-                step.stuck = true;
+                step.incomplete = true;
                 self.obsolete.push(obsolete);
                 continue;
             }
--- a/crates/journal/src/journal/migration.rs
+++ b/crates/journal/src/journal/migration.rs
@@ -26,8 +26,11 @@
         // lifetime of a message, counted from now.
         let remember_until = nanos(now_ms).saturating_add(LEGACY_LIFETIME_NANOS);
         for record in &mut ledger.records {
-            if let Record::Completed { until, .. } = record {
-                *until = remember_until;
+            if let Record::Completed {
+                remembered_until, ..
+            } = record
+            {
+                *remembered_until = remember_until;
             }
         }
         for batch in ledger.records.chunks(RECORDS_PER_BATCH) {
@@ -47,8 +50,10 @@
         let before_migration = std::mem::replace(recovered, after_migration);
         recovered.damage = before_migration.damage;
         recovered.damage.extend(ledger.damage);
-        recovered.lost.extend(before_migration.lost);
-        recovered.migrated = ledger.records.len();
+        recovered
+            .lost_messages
+            .extend(before_migration.lost_messages);
+        recovered.migrated_records = ledger.records.len();
         Ok(())
     }
 }
--- a/crates/journal/src/journal/open.rs
+++ b/crates/journal/src/journal/open.rs
@@ -33,14 +33,18 @@
             index,
             possible_executions,
             mut recovered,
-        } = read_folder(&mut storage, options.key, &options.fresh_key)?;
+        } = read_folder(&mut storage, options.operator_key, &options.fresh_key)?;
         let ledger = legacy_ledger::read(&mut storage, &scan.files)?;
         // The folder has been read completely; files are changed only after this point.
         let key = prepare_files(&mut storage, &scan, &options.fresh_key)?;
         let mut journal = Journal::new(storage, options, key, index);
         journal.add_scanned_segments(&scan);
         journal.add_possible_executions(possible_executions, &recovered.records, now);
-        journal.recovery_records = recovered.lost.iter().map(failed_final_report).collect();
+        journal.recovery_records = recovered
+            .lost_messages
+            .iter()
+            .map(failed_final_report)
+            .collect();
         let manifest_unusable = scan
             .damage
             .iter()
@@ -52,7 +56,7 @@
         }
         // An expired completion is on disk only because other records of its message are.
         recovered.records.retain(
-            |record| !matches!(record, Record::Completed { until, .. } if millis(*until) <= now),
+            |record| !matches!(record, Record::Completed { remembered_until, .. } if millis(*remembered_until) <= now),
         );
         recovered.counts = journal.index.counts();
         Ok((journal, recovered))
--- a/crates/journal/src/journal/relocation.rs
+++ b/crates/journal/src/journal/relocation.rs
@@ -59,7 +59,7 @@
 }
 
 impl<S: Storage> Journal<S> {
-    /// Relocates the live frames of the next slice; true once the whole segment is done. On failure `step.stuck` is set
+    /// Relocates the live frames of the next slice; true once the whole segment is done. On failure `step.incomplete` is set
     /// and the same slice is tried again in the next step.
     pub(super) fn relocate_slice(
         &mut self,
@@ -78,7 +78,7 @@
             Err(e) => {
                 log::warn!(segment = self.segment_name(relocation), offset = relocation.offset;
                     "journal: can't read a segment to compact it: {e}");
-                step.stuck = true;
+                step.incomplete = true;
                 return false;
             }
         };
@@ -90,8 +90,8 @@
         }
         let mut slice = self.parse_slice(relocation, salt, &bytes, slice_bytes, unread);
         if !slice.live.is_empty() {
-            if self.storage.room() < slice.max_bytes + MIN_ROOM_BYTES {
-                step.stuck = true;
+            if self.storage.free_bytes() < slice.max_bytes + MIN_ROOM_BYTES {
+                step.incomplete = true;
                 return false;
             }
             match self.copy_to_head(now_ms, relocation, &bytes, &slice) {
@@ -99,7 +99,7 @@
                 Err(e) => {
                     log::debug!(segment = self.segment_name(relocation);
                         "journal: live records can't be relocated: {e}");
-                    step.stuck = true;
+                    step.incomplete = true;
                     return false;
                 }
             }
--- a/crates/journal/src/journal/state.rs
+++ b/crates/journal/src/journal/state.rs
@@ -71,7 +71,7 @@
         Journal {
             storage,
             key,
-            disk: options.disk,
+            disk: options.disk_bytes,
             segment_bytes: options.segment_bytes(),
             epoch: 0,
             next_sequence: 1,
--- a/crates/journal/src/journal/stats.rs
+++ b/crates/journal/src/journal/stats.rs
@@ -11,23 +11,23 @@
     /// Bytes of all segments, headers included.
     pub bytes: u64,
     /// Bytes of live frames.
-    pub live: u64,
+    pub live_bytes: u64,
     /// Number of pending messages.
-    pub open: u64,
+    pub pending: u64,
     /// Number of messages whose final report is due.
-    pub final_report: u64,
+    pub final_reports_due: u64,
     /// Number of completed messages whose ids are retained.
     pub completed: u64,
     /// Bytes of the disk budget that are free.
-    pub room: u64,
+    pub free_bytes: u64,
     /// Total bytes appended in batches.
-    pub appended: u64,
+    pub appended_bytes: u64,
     /// Total bytes relocated by compaction.
-    pub relocated: u64,
+    pub relocated_bytes: u64,
     /// Total segments removed by compaction.
-    pub removed: u64,
+    pub removed_segments: u64,
     /// Total batches that were not persisted, or only in part.
-    pub rejected: u64,
+    pub failed_batches: u64,
 }
 
 /// The work done by one step of compaction.
@@ -40,7 +40,7 @@
     /// Segments whose files were removed.
     pub removed: u32,
     /// Whether the step stopped early, for lack of room or because a file operation failed. The next step retries.
-    pub stuck: bool,
+    pub incomplete: bool,
 }
 
 impl<S: Storage> Journal<S> {
@@ -58,15 +58,15 @@
         Stats {
             segments,
             bytes,
-            live,
-            open: counts.open,
-            final_report: counts.final_report_due,
+            live_bytes: live,
+            pending: counts.open,
+            final_reports_due: counts.final_report_due,
             completed: counts.completed,
-            room: self.storage.room(),
-            appended: self.counters.appended_bytes,
-            relocated: self.counters.relocated_bytes,
-            removed: self.counters.removed_segments,
-            rejected: self.counters.rejected_batches,
+            free_bytes: self.storage.free_bytes(),
+            appended_bytes: self.counters.appended_bytes,
+            relocated_bytes: self.counters.relocated_bytes,
+            removed_segments: self.counters.removed_segments,
+            failed_batches: self.counters.rejected_batches,
         }
     }
 }
--- a/crates/journal/src/legacy_ledger.rs
+++ b/crates/journal/src/legacy_ledger.rs
@@ -137,11 +137,13 @@
     let attempts: Vec<Record> = records
         .iter()
         .filter_map(|record| match record {
-            Record::Accepted { id, at, .. } => Some(Record::AttemptStarted {
+            Record::Accepted {
+                id, accepted_at, ..
+            } => Some(Record::AttemptStarted {
                 id: id.clone(),
                 attempt: MAX_ATTEMPTS - 1,
                 endpoint: String::new(),
-                at: *at,
+                started_at: *accepted_at,
             }),
             _ => None,
         })
@@ -182,11 +184,11 @@
                 class,
                 tenant,
                 destination,
-                key,
+                idempotency_key: key,
                 ordering_key: None,
                 deadline,
                 // The ledger has no acceptance times; this is the earliest possible one.
-                at: deadline.saturating_sub(LEGACY_LIFETIME_NANOS),
+                accepted_at: deadline.saturating_sub(LEGACY_LIFETIME_NANOS),
                 body: Arc::from(body),
             },
             LegacyRecord::AttemptStarted {
@@ -198,7 +200,7 @@
                 id,
                 attempt,
                 endpoint,
-                at,
+                started_at: at,
             },
             LegacyRecord::AttemptFinished {
                 id,
@@ -220,7 +222,7 @@
             // The ledger has no completion times; migration replaces `until`.
             LegacyRecord::Completed { id } => Record::Completed {
                 id,
-                until: LEGACY_LIFETIME_NANOS,
+                remembered_until: LEGACY_LIFETIME_NANOS,
             },
         }
     }
--- a/crates/journal/src/memory.rs
+++ b/crates/journal/src/memory.rs
@@ -213,7 +213,7 @@
             .collect())
     }
 
-    fn room(&mut self) -> u64 {
+    fn free_bytes(&mut self) -> u64 {
         self.disk.saturating_sub(self.used())
     }
 }
--- a/crates/journal/src/options.rs
+++ b/crates/journal/src/options.rs
@@ -12,21 +12,21 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Bytes that the folder may use.
-    pub disk: u64,
+    pub disk_bytes: u64,
     /// The operator's key; without one, the folder's own key is used.
-    pub key: Option<Key>,
+    pub operator_key: Option<Key>,
     /// Fresh random bytes; they become the folder's own key if it has no key yet.
     pub fresh_key: Key,
     /// Bytes after which a segment is sealed; `None` derives them from `disk`. Tests set a small size, so that segments
     /// are sealed often.
-    pub segment: Option<u64>,
+    pub segment_bytes: Option<u64>,
 }
 
 impl Options {
     /// Bytes after which a segment is sealed.
     pub(crate) fn segment_bytes(&self) -> u64 {
-        self.segment.unwrap_or_else(|| {
-            (self.disk / SEGMENTS_PER_DISK).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES)
+        self.segment_bytes.unwrap_or_else(|| {
+            (self.disk_bytes / SEGMENTS_PER_DISK).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES)
         })
     }
 }
--- a/crates/journal/src/record_conversion.rs
+++ b/crates/journal/src/record_conversion.rs
@@ -29,11 +29,11 @@
     let text_len = |text: &Option<String>| text.as_ref().map_or(0, String::len);
     let variable = match record {
         Record::Accepted {
-            key,
+            idempotency_key,
             ordering_key,
             body,
             ..
-        } => text_len(key) + text_len(ordering_key) + body.len(),
+        } => text_len(idempotency_key) + text_len(ordering_key) + body.len(),
         Record::FinalReportDue { ordering_key, .. } => text_len(ordering_key),
         Record::AttemptStarted { endpoint, .. } => endpoint.len(),
         Record::AttemptFinished { .. } | Record::Completed { .. } => 0,
@@ -65,14 +65,14 @@
         Record::AttemptStarted {
             attempt,
             endpoint,
-            at,
+            started_at,
             ..
         } => JournalRecord::AttemptStarted {
             id,
             accepted_lsn,
             attempt: *attempt,
             endpoint,
-            started_ms: millis(*at),
+            started_ms: millis(*started_at),
         },
         Record::AttemptFinished {
             attempt,
@@ -84,10 +84,12 @@
             attempt: *attempt,
             not_executed: *not_executed,
         },
-        Record::Completed { until, .. } => JournalRecord::Completed {
+        Record::Completed {
+            remembered_until, ..
+        } => JournalRecord::Completed {
             id,
             accepted_lsn,
-            remember_until_ms: millis(*until),
+            remember_until_ms: millis(*remembered_until),
         },
     };
     record::encode(lsn, &journal_record, buffer);
@@ -104,17 +106,17 @@
         class,
         tenant,
         destination,
-        key,
+        idempotency_key,
         ordering_key,
         deadline,
-        at,
+        accepted_at,
         body,
         ..
     } = record
     else {
         return;
     };
-    let key = key.as_deref().map(PackedId::new);
+    let idempotency_key = idempotency_key.as_deref().map(PackedId::new);
     let ordering_key = ordering_key.as_deref().map(PackedId::new);
     let body = body::compress(body);
     let message = AcceptedMessage {
@@ -123,16 +125,19 @@
         class: *class as u32,
         tenant: *tenant as u32,
         destination: *destination,
-        key: key.as_ref().map(|key| Bytes::new(key.as_bytes())),
+        key: idempotency_key
+            .as_ref()
+            .map(|key| Bytes::new(key.as_bytes())),
         deadline_ms: millis(*deadline),
-        lifetime_ms: u32::try_from(millis(deadline.saturating_sub(*at))).unwrap_or(u32::MAX),
+        lifetime_ms: u32::try_from(millis(deadline.saturating_sub(*accepted_at)))
+            .unwrap_or(u32::MAX),
         uncompressed_len: body.uncompressed_len,
         body: Bytes::new(&body.bytes),
     };
     let record = match &ordering_key {
-        Some(key) => JournalRecord::AcceptedInOrder {
+        Some(ordering_key) => JournalRecord::AcceptedInOrder {
             message,
-            ordering_key: Bytes::new(key.as_bytes()),
+            ordering_key: Bytes::new(ordering_key.as_bytes()),
         },
         None => JournalRecord::Accepted(message),
     };
@@ -182,7 +187,7 @@
             id,
             attempt,
             endpoint: endpoint.to_owned(),
-            at: nanos(started_ms),
+            started_at: nanos(started_ms),
         },
         JournalRecord::AttemptFinished {
             attempt,
@@ -205,7 +210,7 @@
             remember_until_ms, ..
         } => Record::Completed {
             id,
-            until: nanos(remember_until_ms),
+            remembered_until: nanos(remember_until_ms),
         },
         JournalRecord::PossiblyExecuted { .. } => return None,
     })
@@ -224,10 +229,10 @@
         class: message.class as usize,
         tenant: message.tenant as usize,
         destination: message.destination,
-        key: message.key.and_then(text_of),
+        idempotency_key: message.key.and_then(text_of),
         ordering_key,
         deadline: nanos(message.deadline_ms),
-        at: nanos(accepted_ms),
+        accepted_at: nanos(accepted_ms),
         body: Arc::from(&*body::decompress(message.uncompressed_len, message.body)?),
     })
 }
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -48,8 +48,8 @@
     live.sort();
     let mut recovered = Recovered {
         damage: scan.damage.clone(),
-        torn: scan.torn.clone(),
-        foreign: scan.foreign.clone(),
+        torn_write: scan.torn.clone(),
+        foreign_files: scan.foreign.clone(),
         latest_ms: scan.latest_ms,
         counts: index.counts(),
         ..Recovered::default()
--- a/crates/journal/src/recovery/conclude.rs
+++ b/crates/journal/src/recovery/conclude.rs
@@ -11,7 +11,7 @@
 /// Upper bound on the attempts that are added to a message: more than any class allows.
 const MAX_ATTEMPTS: u32 = 64;
 
-/// Fills in `recovered.records`, `recovered.lost` and `recovered.possibly_executed`. `live` must be sorted.
+/// Fills in `recovered.records`, `recovered.lost_messages` and `recovered.possibly_executed`. `live` must be sorted.
 pub(super) fn conclude(
     live: LiveRecords,
     scan: &Scan,
@@ -95,7 +95,7 @@
         final_report: FinalReport::Failed,
         ordering_key: None,
     });
-    recovered.lost.push(LostMessage {
+    recovered.lost_messages.push(LostMessage {
         id,
         file: scan.file_name(origin.location.sequence),
         offset: origin.location.offset,
@@ -104,16 +104,19 @@
 
 /// Adds the records of a pending message, and of its possible attempts without a record. Leaves `message` empty.
 fn add_pending_message(message: &mut Vec<Record>, unrecorded: u32, recovered: &mut Recovered) {
-    let Some(Record::Accepted { id, at, .. }) = message.first() else {
+    let Some(Record::Accepted {
+        id, accepted_at, ..
+    }) = message.first()
+    else {
         return;
     };
-    let (id, at) = (id.clone(), *at);
+    let (id, accepted_at) = (id.clone(), *accepted_at);
     // An attempt of which only the number is known.
     let started = |attempt| Record::AttemptStarted {
         id: id.clone(),
         attempt,
         endpoint: String::new(),
-        at,
+        started_at: accepted_at,
     };
     let possible = possible_attempts(message, unrecorded);
     let mut records = message.drain(..);
--- a/crates/journal/src/recovery/live_records.rs
+++ b/crates/journal/src/recovery/live_records.rs
@@ -99,7 +99,9 @@
     /// records of pending messages, both in the order of acceptance.
     pub(super) fn sort(&mut self) {
         let sort_key = |(record, origin): (&Record, &RecordOrigin)| match record {
-            Record::Completed { until, .. } => (0u8, *until, u64::from(origin.slot)),
+            Record::Completed {
+                remembered_until, ..
+            } => (0u8, *remembered_until, u64::from(origin.slot)),
             Record::FinalReportDue { .. } => (1, origin.accepted_lsn, 0),
             _ => (2, origin.accepted_lsn, origin.rank),
         };
--- a/crates/journal/src/recovery/recovered.rs
+++ b/crates/journal/src/recovery/recovered.rs
@@ -26,21 +26,21 @@
     /// Ranges that can't be read or are missing.
     pub damage: Vec<DamagedRange>,
     /// Messages whose record of acceptance is lost.
-    pub lost: Vec<LostMessage>,
+    pub lost_messages: Vec<LostMessage>,
     /// Number of pending messages that count as possibly executed because of damage.
     pub possibly_executed: usize,
     /// A torn write at the end of the head.
-    pub torn: Option<TornWrite>,
+    pub torn_write: Option<TornWrite>,
     /// Names of files that are not segments of this folder, for example signed under another key. They are left
     /// unchanged.
-    pub foreign: Vec<String>,
+    pub foreign_files: Vec<String>,
     /// The latest Unix time in milliseconds that an earlier process recorded. The new process's clock must not start
     /// earlier.
     pub latest_ms: u64,
     /// Number of messages in each state.
     pub counts: MessageCounts,
     /// Number of records migrated from the ledger of a release before 0.2.
-    pub migrated: usize,
+    pub migrated_records: usize,
 }
 
 /// The contents of a folder, which was read without changing it.
--- a/crates/journal/src/scan/segments.rs
+++ b/crates/journal/src/scan/segments.rs
@@ -57,7 +57,7 @@
 }
 
 fn newer(file: &str, version: u16) -> OpenError {
-    OpenError::Newer {
+    OpenError::NewerFormat {
         file: file.to_owned(),
         version,
         known: VERSION,
--- a/crates/journal/src/storage.rs
+++ b/crates/journal/src/storage.rs
@@ -27,5 +27,5 @@
     /// All files by name, with their sizes in bytes.
     fn list(&mut self) -> io::Result<BTreeMap<String, u64>>;
     /// Bytes of the disk budget that are free, with files rounded up to whole blocks.
-    fn room(&mut self) -> u64;
+    fn free_bytes(&mut self) -> u64;
 }
--- a/crates/journal/tests/common/messages.rs
+++ b/crates/journal/tests/common/messages.rs
@@ -13,10 +13,10 @@
         class: 0,
         tenant: 1,
         destination: 7,
-        key: Some("k".into()),
+        idempotency_key: Some("k".into()),
         ordering_key: None,
         deadline: (START_MS + LIFETIME_MS) * NANOS_PER_MS,
-        at: START_MS * NANOS_PER_MS,
+        accepted_at: START_MS * NANOS_PER_MS,
         body: Arc::from(vec![7; size]),
     }
 }
@@ -26,7 +26,7 @@
         id: id.into(),
         attempt,
         endpoint: "e".into(),
-        at: (START_MS + 5) * NANOS_PER_MS,
+        started_at: (START_MS + 5) * NANOS_PER_MS,
     }
 }
 
@@ -41,7 +41,7 @@
 pub(crate) fn completed(id: &str) -> Record {
     Record::Completed {
         id: id.into(),
-        until: (START_MS + LIFETIME_MS) * NANOS_PER_MS,
+        remembered_until: (START_MS + LIFETIME_MS) * NANOS_PER_MS,
     }
 }
 
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -31,10 +31,10 @@
 
 pub(crate) fn options(disk: u64) -> Options {
     Options {
-        disk,
-        key: None,
+        disk_bytes: disk,
+        operator_key: None,
         fresh_key: KEY,
-        segment: Some(SEGMENT_BYTES),
+        segment_bytes: Some(SEGMENT_BYTES),
     }
 }
 
--- a/crates/journal/tests/common/model.rs
+++ b/crates/journal/tests/common/model.rs
@@ -90,7 +90,9 @@
                     message.finished.insert(*attempt, *not_executed);
                 }
                 Record::FinalReportDue { .. } => message.final_report = Some(record.clone()),
-                Record::Completed { until, .. } => message.completed_until = Some(*until),
+                Record::Completed {
+                    remembered_until, ..
+                } => message.completed_until = Some(*remembered_until),
             }
         }
     }
--- a/crates/journal/tests/common/scenario.rs
+++ b/crates/journal/tests/common/scenario.rs
@@ -96,7 +96,10 @@
 
     fn completed(&self, id: String) -> Record {
         let until = (self.now + LIFETIME_MS) * NANOS_PER_MS;
-        Record::Completed { id, until }
+        Record::Completed {
+            id,
+            remembered_until: until,
+        }
     }
 
     fn acknowledge_final_reports(&mut self, records: &mut Vec<Record>) {
@@ -146,7 +149,7 @@
             id: message.id.clone(),
             attempt: message.attempts,
             endpoint: format!("s-{:04x}", self.rng.random_range(0..9u32)),
-            at: self.now * NANOS_PER_MS,
+            started_at: self.now * NANOS_PER_MS,
         });
         self.open.push(OpenMessage {
             attempts: message.attempts + 1,
@@ -166,13 +169,13 @@
             class: 0,
             tenant: self.rng.random_range(0..3),
             destination: self.rng.random_range(0..30),
-            key: self
+            idempotency_key: self
                 .rng
                 .random_bool(0.5)
                 .then(|| format!("k-{}", self.accepted)),
             ordering_key: ordering_key(&id),
             deadline: (self.now + LIFETIME_MS) * NANOS_PER_MS,
-            at: self.now * NANOS_PER_MS,
+            accepted_at: self.now * NANOS_PER_MS,
             body: Arc::from(body),
         };
         self.open.push(OpenMessage {
--- a/crates/journal/tests/common/shared_storage.rs
+++ b/crates/journal/tests/common/shared_storage.rs
@@ -36,7 +36,7 @@
     fn list(&mut self) -> io::Result<BTreeMap<String, u64>> {
         self.0.borrow_mut().list()
     }
-    fn room(&mut self) -> u64 {
-        self.0.borrow_mut().room()
+    fn free_bytes(&mut self) -> u64 {
+        self.0.borrow_mut().free_bytes()
     }
 }
--- a/crates/journal/tests/crash.rs
+++ b/crates/journal/tests/crash.rs
@@ -97,7 +97,7 @@
 
 /// Checks that a recovery found the acknowledged records, and any prefix of the batch being written.
 fn check(killed: &Killed, found: &Recovered) -> Result<(), RecoveryFault> {
-    if !found.damage.is_empty() || found.possibly_executed > 0 || !found.lost.is_empty() {
+    if !found.damage.is_empty() || found.possibly_executed > 0 || !found.lost_messages.is_empty() {
         return Err(RecoveryFault::Damage(found.damage.clone()));
     }
     let mut last = Ok(());
--- a/crates/journal/tests/damage.rs
+++ b/crates/journal/tests/damage.rs
@@ -24,7 +24,7 @@
             (found.damage[0].file.as_str(), found.damage[0].cause),
             (middle.as_str(), DamageCause::Damaged)
         );
-        let known = open_ids(&found.records).len() + found.lost.len();
+        let known = open_ids(&found.records).len() + found.lost_messages.len();
         assert!(known >= 59, "byte {at}: {known} of 60");
         // Messages accepted after the damaged record are not affected.
         assert!(
@@ -32,7 +32,7 @@
             "byte {at}: {} possibly executed",
             found.possibly_executed
         );
-        for lost in &found.lost {
+        for lost in &found.lost_messages {
             let end = Record::FinalReportDue {
                 id: lost.id.clone(),
                 final_report: FinalReport::Failed,
@@ -73,7 +73,7 @@
     let (journal, found) = open(damaged, START_MS + 10);
     let first: Vec<&Record> = found.records.iter().filter(|r| r.id() == "a").collect();
     assert!(
-        matches!(first[..], [Record::Accepted { .. }, Record::AttemptStarted { attempt: 0, at, .. }] if *at == START_MS * NANOS_PER_MS),
+        matches!(first[..], [Record::Accepted { .. }, Record::AttemptStarted { attempt: 0, started_at: at, .. }] if *at == START_MS * NANOS_PER_MS),
         "{first:?}"
     );
     assert_eq!(
@@ -112,7 +112,7 @@
     let ends: Vec<Record> = (1..30)
         .map(|i| Record::Completed {
             id: format!("m{i:03}"),
-            until,
+            remembered_until: until,
         })
         .collect();
     journal.append(later + 20, &ends).expect("room");
@@ -233,7 +233,7 @@
         .insert("0000ffff.seg".into(), files.files[&all[1]].clone());
     let (_, found) = open(copied, START_MS + 100);
     assert_eq!(
-        (found.records, found.foreign),
+        (found.records, found.foreign_files),
         (expected, vec!["0000ffff.seg".to_owned()])
     );
 }
@@ -298,7 +298,7 @@
         foreign_files.files[&segments(&foreign_files)[0]].clone(),
     );
     let (_, found) = open(mixed, START_MS + 100);
-    assert_eq!(found.foreign, ["0000fffe.seg"]);
+    assert_eq!(found.foreign_files, ["0000fffe.seg"]);
     assert!(open_ids(&found.records).is_empty());
 }
 
@@ -338,7 +338,7 @@
             .map(|_| ())
             .expect_err("rejected");
         assert!(
-            matches!(&error, OpenError::Newer { file, version: 2, .. } if file == name),
+            matches!(&error, OpenError::NewerFormat { file, version: 2, .. } if file == name),
             "{error}"
         );
         assert_eq!(error.to_string().lines().count(), 1);
@@ -350,7 +350,7 @@
 fn a_wrong_or_damaged_key_is_rejected_and_an_operators_key_replaces_the_folders_own() {
     let files = filled(10).storage().without_faults();
     let own = Options {
-        key: Some([8; 32]),
+        operator_key: Some([8; 32]),
         ..options(files.disk)
     };
     // Both the folder's own key and the operator's are tried; new files are signed under the operator's.
--- a/crates/journal/tests/disk_budget.rs
+++ b/crates/journal/tests/disk_budget.rs
@@ -48,7 +48,7 @@
             .expect("reserved room");
         journal.compact(START_MS);
     }
-    assert!(journal.admit(500).is_err() || journal.stats().room > 20_000);
+    assert!(journal.admit(500).is_err() || journal.stats().free_bytes > 20_000);
     journal
         .append(
             START_MS,
@@ -58,7 +58,10 @@
     compact(&mut journal, 200, START_MS + LIFETIME_MS);
     assert!(journal.admit(500).is_ok(), "{:?}", journal.stats());
     let stats = journal.stats();
-    assert_eq!((stats.open, stats.final_report, stats.completed), (0, 0, 0));
+    assert_eq!(
+        (stats.pending, stats.final_reports_due, stats.completed),
+        (0, 0, 0)
+    );
 }
 
 #[test]
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -84,10 +84,10 @@
         class: 1,
         tenant: 2,
         destination: 300,
-        key: idempotency_key.map(Into::into),
+        idempotency_key: idempotency_key.map(Into::into),
         ordering_key: ordering_key.map(Into::into),
         deadline: nanos(accepted_ms + MESSAGE_LIFETIME_MS),
-        at: nanos(accepted_ms),
+        accepted_at: nanos(accepted_ms),
         body: Arc::from(body),
     }
 }
@@ -97,7 +97,7 @@
         id: id.into(),
         attempt,
         endpoint: endpoint.into(),
-        at: nanos(START_MS + after_ms),
+        started_at: nanos(START_MS + after_ms),
     }
 }
 
@@ -120,7 +120,7 @@
 fn completed(id: &str, until_after_ms: u64) -> Record {
     Record::Completed {
         id: id.into(),
-        until: nanos(START_MS + until_after_ms),
+        remembered_until: nanos(START_MS + until_after_ms),
     }
 }
 
@@ -228,10 +228,10 @@
     let mut storage = Memory::new(DISK_BYTES);
     storage.files = files;
     let options = Options {
-        disk: DISK_BYTES,
-        key: None,
+        disk_bytes: DISK_BYTES,
+        operator_key: None,
         fresh_key,
-        segment: Some(SEGMENT_BYTES),
+        segment_bytes: Some(SEGMENT_BYTES),
     };
     Journal::open(storage, &options, now_ms).expect("the folder opens")
 }
@@ -353,13 +353,13 @@
     }
     assert_eq!(recovered.records.len(), expected.records.len());
     assert_eq!(recovered.damage, expected.damage);
-    assert_eq!(recovered.lost, expected.lost);
+    assert_eq!(recovered.lost_messages, expected.lost);
     assert_eq!(recovered.possibly_executed, expected.possibly_executed);
     assert_eq!(recovered.counts, expected.counts);
     assert_eq!(recovered.latest_ms, expected.latest_ms);
-    assert_eq!(recovered.torn, None);
-    assert_eq!(recovered.foreign, Vec::<String>::new());
-    assert_eq!(recovered.migrated, 0);
+    assert_eq!(recovered.torn_write, None);
+    assert_eq!(recovered.foreign_files, Vec::<String>::new());
+    assert_eq!(recovered.migrated_records, 0);
 }
 
 /// The expected result of recovery.
--- a/crates/journal/tests/lifecycle.rs
+++ b/crates/journal/tests/lifecycle.rs
@@ -45,7 +45,7 @@
         id: "a".into(),
         attempt: 0,
         endpoint: "e".into(),
-        at: (START_MS + 900) * NANOS_PER_MS,
+        started_at: (START_MS + 900) * NANOS_PER_MS,
     };
     journal.append(START_MS + 900, &[late]).expect("room");
     let (_, found) = open(journal.storage().without_faults(), START_MS - 3_600_000);
--- a/crates/journal/tests/migration.rs
+++ b/crates/journal/tests/migration.rs
@@ -47,7 +47,7 @@
     files.files.insert("ledger.new".into(), b"half".to_vec());
     let (journal, found) = open(files, START_MS + 10);
     assert_eq!(
-        (found.migrated, open_ids(&found.records)),
+        (found.migrated_records, open_ids(&found.records)),
         (8, vec!["a", "d"])
     );
     assert!(found.records.contains(&Record::FinalReportDue {
@@ -64,7 +64,7 @@
     let remaining = journal.storage().without_faults();
     assert!(!remaining.files.contains_key("ledger") && !remaining.files.contains_key("ledger.new"));
     let (_, again) = open(remaining, START_MS + 20);
-    assert_eq!((again.migrated, again.records), (0, found.records));
+    assert_eq!((again.migrated_records, again.records), (0, found.records));
 }
 
 #[test]
--- a/crates/journal/tests/property/guarantees.rs
+++ b/crates/journal/tests/property/guarantees.rs
@@ -104,7 +104,7 @@
             ..
         })
     );
-    let concluded = damaged && failed && found.lost.iter().any(|lost| lost.id == id);
+    let concluded = damaged && failed && found.lost_messages.iter().any(|lost| lost.id == id);
     if expected.is_open() && !concluded {
         return Err(BrokenGuarantee::Ended { id });
     }
--- a/crates/journal/tests/property/main.rs
+++ b/crates/journal/tests/property/main.rs
@@ -97,7 +97,7 @@
                 }
                 Err(e) => {
                     let (ends, rest): (Vec<Record>, Vec<Record>) =
-                        remaining.into_iter().partition(Record::is_end);
+                        remaining.into_iter().partition(Record::is_end_record);
                     if e.persisted == Persisted::EndsOnly {
                         self.model.append(&ends);
                     }
@@ -215,12 +215,16 @@
         let (journal, found) = open(self.journal.storage().without_faults(), self.scenario.now);
         self.journal = journal;
         prop_assert!(
-            found.damage.is_empty() && found.lost.is_empty(),
+            found.damage.is_empty() && found.lost_messages.is_empty(),
             "{:?}",
             found.damage
         );
         let writing = std::mem::take(&mut self.writing);
-        let ends: Vec<Record> = writing.iter().filter(|r| r.is_end()).cloned().collect();
+        let ends: Vec<Record> = writing
+            .iter()
+            .filter(|r| r.is_end_record())
+            .cloned()
+            .collect();
         let parts = |records: &[Record]| {
             (0..=records.len())
                 .map(|n| records[..n].to_vec())
--- a/crates/membership/examples/membership_figures.rs
+++ b/crates/membership/examples/membership_figures.rs
@@ -14,7 +14,7 @@
 
 use common::traffic::{Content, IP_UDP_HEADERS, Traffic};
 use common::{Network, secs};
-use cranehill_membership::State;
+use cranehill_membership::MemberState;
 use cranehill_scheduler::Time;
 
 const SCENARIOS: [&str; 7] = [
@@ -173,7 +173,7 @@
                 let until = *crashed_at + self.network.period * 24;
                 let counts =
                     change.time >= *crashed_at && (change.time <= until || self.crashes.len() == 1);
-                if counts && change.state == State::Down && removed.contains(&change.of) {
+                if counts && change.state == MemberState::Down && removed.contains(&change.of) {
                     times.push((change.time - *crashed_at).as_millis() as u64);
                 }
             }
@@ -223,7 +223,7 @@
         let false_downs = network
             .changes
             .iter()
-            .filter(|change| change.state == State::Down && !removed.contains(&change.of))
+            .filter(|change| change.state == MemberState::Down && !removed.contains(&change.of))
             .count();
         format!(
             "{scenario:8} {n:4} | {both:7.0} {with_headers:7.0} {:7.0} | {:6.0} {:6.0} {:6.0} {:6.0} {:6.0} | {:5.1} {:7.2} | \
--- a/crates/membership/src/anti_entropy/local_state.rs
+++ b/crates/membership/src/anti_entropy/local_state.rs
@@ -35,7 +35,7 @@
     ) -> LocalState<'a> {
         LocalState {
             now,
-            own_bucket: bucket_of(own_entry.member.at),
+            own_bucket: bucket_of(own_entry.member.address),
             own_entry,
             table,
             votes,
@@ -113,7 +113,7 @@
         let their_members: BTreeMap<SocketAddr, &MemberEntry> = theirs
             .members
             .iter()
-            .map(|entry| (entry.member.at, entry))
+            .map(|entry| (entry.member.address, entry))
             .collect();
         let their_votes: BTreeMap<ShortHash, u32> = theirs
             .votes
@@ -121,7 +121,7 @@
             .map(|entry| (entry.voter, entry.number))
             .collect();
         let is_newer_member = |ours: &MemberEntry| {
-            let theirs = their_members.get(&ours.member.at);
+            let theirs = their_members.get(&ours.member.address);
             theirs.is_none_or(|theirs| theirs.rank() < ours.rank())
         };
         let is_newer_vote = |(voter, ours): &(ShortHash, &Vote)| {
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -43,7 +43,7 @@
 
 /// The hash of a member's address and incarnation, which identifies that incarnation in votes, sets of down members and digests.
 pub fn identity_hash(member: &Identity) -> ShortHash {
-    let address = address_bytes(member.at);
+    let address = address_bytes(member.address);
     ShortHash::of(&[&address, &member.incarnation.to_le_bytes()])
 }
 
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -6,7 +6,7 @@
 use cranehill_scheduler::Time;
 
 use crate::seal::DropReason;
-use crate::view::{State, View};
+use crate::view::{MemberState, MemberView};
 
 /// An input of [`crate::Members::step`].
 #[derive(Clone, Debug)]
@@ -21,12 +21,12 @@
     /// one is ignored.
     SetPayload(Vec<u8>),
     /// Request the learned state of destinations from up to three live members, chosen at random.
-    RequestLearned,
-    /// Send learned state to a member, in answer to [`Effect::LearnedRequested`].
-    SendLearned {
+    RequestLearnedState,
+    /// Send learned state to a member, in answer to [`Effect::LearnedStateRequested`].
+    SendLearnedState {
         /// The UDP address of the member that requested it.
         to: SocketAddr,
-        /// The learned state in pieces of at most [`crate::MAX_LEARNED_PIECE`] bytes, one packet each. Lost packets aren't sent
+        /// The learned state in pieces of at most [`crate::MAX_LEARNED_PIECE_BYTES`] bytes, one packet each. Lost packets aren't sent
         /// again.
         chunks: Vec<Vec<u8>>,
     },
@@ -45,11 +45,11 @@
     /// Pass [`Input::TimerFired`] to [`crate::Members::step`] at this time. Replaces an earlier request.
     WakeAt(Time),
     /// A member is new, has a new incarnation, or has changed its state.
-    Changed {
+    MemberChanged {
         /// The member in its new state.
-        view: View,
+        view: MemberView,
         /// Its previous state; `None` if the member was unknown.
-        before: Option<State>,
+        previous_state: Option<MemberState>,
     },
     /// This member has taken a new incarnation, because others had declared it down or knew a later incarnation of it.
     Rejoined {
@@ -58,20 +58,20 @@
     },
     /// This process was paused for this long; all timers were postponed by the same time.
     ProcessPaused(Duration),
-    /// A member requests this one's learned state; answer with [`Input::SendLearned`].
-    LearnedRequested {
+    /// A member requests this one's learned state; answer with [`Input::SendLearnedState`].
+    LearnedStateRequested {
         /// The UDP address of the requesting member.
         by: SocketAddr,
     },
     /// A member sent a piece of its learned state.
-    LearnedReceived {
+    LearnedStateReceived {
         /// The UDP address of the member that sent it.
         by: SocketAddr,
-        /// The piece, as passed to [`Input::SendLearned`].
+        /// The piece, as passed to [`Input::SendLearnedState`].
         piece: Vec<u8>,
     },
     /// A received packet was dropped, for this reason.
     Dropped(DropReason),
     /// The quota divisor has changed: divide shared limits by this number of senders, this one included.
-    ShareDivisor(u32),
+    QuotaDivisorChanged(u32),
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -12,7 +12,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The UDP address at which the member receives packets.
-    pub at: SocketAddr,
+    #[serde(rename = "at")]
+    pub address: SocketAddr,
     /// The member's start time in milliseconds since 1970, plus one for each time that it rejoined.
     pub incarnation: u64,
     /// The configured name, for logs and the status page only; it identifies nothing.
@@ -21,9 +22,9 @@
 
 impl Identity {
     /// The identity of a member whose address alone is known, used as the destination of an announcement.
-    pub fn unknown(at: SocketAddr) -> Identity {
+    pub fn unknown(address: SocketAddr) -> Identity {
         Identity {
-            at,
+            address,
             incarnation: UNKNOWN_INCARNATION,
             name: String::new(),
         }
@@ -41,7 +42,7 @@
     }
 
     fn addr(&self) -> SocketAddr {
-        self.at
+        self.address
     }
 
     fn win_addr_conflict(&self, other: &Identity) -> bool {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -32,7 +32,7 @@
 
 pub use event::{Effect, Input};
 pub use identity::Identity;
-pub use members::{MAX_LEARNED_PIECE, Members};
+pub use members::{MAX_LEARNED_PIECE_BYTES, Members};
 pub use seal::{DropReason, Key};
 pub use settings::Settings;
-pub use view::{State, View};
+pub use view::{MemberState, MemberView};
--- a/crates/membership/src/member_entry.rs
+++ b/crates/membership/src/member_entry.rs
@@ -6,7 +6,7 @@
 
 use crate::digest::{ShortHash, identity_hash};
 use crate::identity::Identity;
-use crate::view::{State, View};
+use crate::view::{MemberState, MemberView};
 
 const ALIVE: u8 = 0;
 const SUSPECT: u8 = 1;
@@ -36,11 +36,11 @@
 }
 
 impl MemberEntry {
-    pub(crate) fn of(view: &View, down_for: Duration) -> MemberEntry {
+    pub(crate) fn of(view: &MemberView, down_for: Duration) -> MemberEntry {
         let state = match view.state {
-            State::Alive => ALIVE,
-            State::Suspect => SUSPECT,
-            State::Down | State::Left => DOWN,
+            MemberState::Alive => ALIVE,
+            MemberState::Suspect => SUSPECT,
+            MemberState::Down | MemberState::Left => DOWN,
         };
         MemberEntry {
             member: view.member.clone(),
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -8,7 +8,7 @@
 
 use crate::digest::{BucketSet, Digest, ShortHash, bucket_of, identity_hash};
 use crate::member_entry::MemberEntry;
-use crate::view::View;
+use crate::view::MemberView;
 
 /// The maximum number of members in the table, down ones included. Bounds memory if a faulty member announces members that don't
 /// exist; eight times the 490 members that the protocol is designed for.
@@ -22,7 +22,7 @@
 
 #[derive(Clone, Debug)]
 struct Row {
-    view: View,
+    view: MemberView,
     hash: ShortHash,
     bucket: usize,
     /// The hash of the row's entry, if it is in the digest; `None` if the member isn't announced to others.
@@ -56,28 +56,28 @@
 
 impl MemberTable {
     /// All other members, in the order of their addresses.
-    pub fn iter(&self) -> impl Iterator<Item = &View> {
+    pub fn iter(&self) -> impl Iterator<Item = &MemberView> {
         self.rows.values().map(|row| &row.view)
     }
 
-    fn iter_with_hashes(&self) -> impl Iterator<Item = (ShortHash, &View)> {
+    fn iter_with_hashes(&self) -> impl Iterator<Item = (ShortHash, &MemberView)> {
         self.rows.values().map(|row| (row.hash, &row.view))
     }
 
     /// The members that are alive or suspect, each with its [`identity_hash`].
-    pub fn active(&self) -> impl Iterator<Item = (ShortHash, &View)> {
+    pub fn active(&self) -> impl Iterator<Item = (ShortHash, &MemberView)> {
         self.iter_with_hashes()
             .filter(|(_, view)| view.state.is_active())
     }
 
     /// The members that are down or have left, each with its [`identity_hash`].
-    pub fn down(&self) -> impl Iterator<Item = (ShortHash, &View)> {
+    pub fn down(&self) -> impl Iterator<Item = (ShortHash, &MemberView)> {
         self.iter_with_hashes()
             .filter(|(_, view)| !view.state.is_active())
     }
 
     /// The view of the member at an address; `None` if the member is unknown.
-    pub fn get(&self, address: &SocketAddr) -> Option<&View> {
+    pub fn get(&self, address: &SocketAddr) -> Option<&MemberView> {
         self.rows.get(address).map(|row| &row.view)
     }
 
@@ -109,8 +109,8 @@
 
     /// Inserts a member's view or replaces the previous one. `down_for` is how long the member has been down, according to the
     /// entry that changed the view; zero if it went down just now.
-    pub fn update(&mut self, now: Time, view: View, down_for: Duration) {
-        let address = view.member.at;
+    pub fn update(&mut self, now: Time, view: MemberView, down_for: Duration) {
+        let address = view.member.address;
         let hash = identity_hash(&view.member);
         let previous = self.rows.remove(&address);
         if let Some(previous) = &previous {
