--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -21,17 +21,17 @@
 use crate::event::{Effect, Input};
 use crate::identity::Identity;
 use crate::replay::ReplayFilter;
-use crate::seal::{self, DropReason, Kind, MAX_PACKET_BYTES};
+use crate::seal::{self, DropReason, MAX_PACKET_BYTES, MessageKind};
 use crate::settings::{GOSSIP_ROUNDS_PER_PERIOD, Settings};
 use crate::token_bucket::TrafficClass;
-use crate::view::View;
+use crate::view::MemberView;
 use crate::vote::MAX_PAYLOAD_BYTES;
 use anti_entropy::{AntiEntropy, compare_with, compare_with_random_peers};
 use context::Timer;
 use replica::Replica;
 
 /// The maximum size in bytes of a piece of learned state, so that it fits into a packet with its sender and receiver.
-pub const MAX_LEARNED_PIECE: usize = 1024;
+pub const MAX_LEARNED_PIECE_BYTES: usize = 1024;
 
 /// One member of the fleet, with its view of the others: a state machine without I/O. [`Members::step`] handles one input at a
 /// time.
@@ -47,7 +47,7 @@
 impl fmt::Debug for Members {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Members")
-            .field("me", self.me())
+            .field("me", self.identity())
             .field("table", self.replica.swim.table())
             .finish_non_exhaustive()
     }
@@ -57,7 +57,7 @@
     /// Creates a member that starts with the first [`Input::TimerFired`], which the caller must pass in at once. `seed` seeds its
     /// random numbers. `now` must be wall-clock time: it becomes the incarnation and the time of sending in packets.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Members {
-        let period = settings.period;
+        let period = settings.probe_period;
         let mut replica = Replica::new(settings, seed, now);
         let timers = &mut replica.context.timers;
         timers.schedule(now, Timer::ContactAbsent);
@@ -73,12 +73,12 @@
     }
 
     /// This member's identity, with its current incarnation.
-    pub fn me(&self) -> &Identity {
+    pub fn identity(&self) -> &Identity {
         self.replica.identity()
     }
 
     /// The views of all other known members, including those that are down or have left, in the order of their addresses.
-    pub fn views(&self) -> impl Iterator<Item = &View> {
+    pub fn views(&self) -> impl Iterator<Item = &MemberView> {
         self.replica.swim.table().iter()
     }
 
@@ -90,7 +90,7 @@
             .swim
             .table()
             .active()
-            .map(|(hash, view)| (view.member.at, payload_of(hash).unwrap_or_default()))
+            .map(|(hash, view)| (view.member.address, payload_of(hash).unwrap_or_default()))
             .collect()
     }
 
@@ -101,12 +101,12 @@
     }
 
     /// The quota divisor: the number of senders to divide shared limits by, this one included.
-    pub fn share_divisor(&self) -> u32 {
+    pub fn quota_divisor(&self) -> u32 {
         self.replica.quorum.divisor()
     }
 
     /// The number of received packets dropped since the start, by reason.
-    pub fn dropped(&self) -> impl Iterator<Item = (DropReason, u64)> {
+    pub fn dropped_packets(&self) -> impl Iterator<Item = (DropReason, u64)> {
         self.dropped.iter().map(|(&reason, &count)| (reason, count))
     }
 
@@ -136,10 +136,10 @@
             }
             Input::Leave => self.leave(),
             Input::SetPayload(payload) => self.set_payload(payload),
-            Input::RequestLearned => self.replica.request_learned(),
-            Input::SendLearned { to, chunks } => {
+            Input::RequestLearnedState => self.replica.request_learned(),
+            Input::SendLearnedState { to, chunks } => {
                 for piece in chunks {
-                    self.replica.send(Kind::LearnedReply, to, &piece);
+                    self.replica.send(MessageKind::LearnedReply, to, &piece);
                 }
             }
         }
@@ -155,22 +155,22 @@
         let opened = seal::open(&settings.key, context.now_ms(), max_age_ms, bytes)?;
         let (number, message) = (opened.number, opened.message);
         match opened.kind {
-            Kind::Swim => self.receive_swim(number, message),
-            Kind::LearnedRequest => {
+            MessageKind::Swim => self.receive_swim(number, message),
+            MessageKind::LearnedRequest => {
                 let (from, _) = self.accept_addressed(number, message)?;
-                let event = Effect::LearnedRequested { by: from.at };
+                let event = Effect::LearnedStateRequested { by: from.address };
                 self.replica.context.report(event);
                 Ok(())
             }
-            Kind::LearnedReply => {
+            MessageKind::LearnedReply => {
                 let (from, piece) = self.accept_addressed(number, message)?;
-                self.replica.context.report(Effect::LearnedReceived {
-                    by: from.at,
+                self.replica.context.report(Effect::LearnedStateReceived {
+                    by: from.address,
                     piece: piece.to_vec(),
                 });
                 Ok(())
             }
-            Kind::AntiEntropy => {
+            MessageKind::AntiEntropy => {
                 let (from, body) = self.accept_addressed(number, message)?;
                 self.anti_entropy.receive(&mut self.replica, &from, body)
             }
@@ -188,7 +188,7 @@
         let handled = swim.handle_message(&header, rest, message);
         // An anti-entropy comparison sends our current incarnation to a sender that doesn't know it yet.
         if is_for_earlier_incarnation && self.replica.may_send(TrafficClass::Bulk) {
-            compare_with(&mut self.replica, header.src.at);
+            compare_with(&mut self.replica, header.src.address);
         }
         handled
     }
@@ -202,7 +202,7 @@
         let ((from, to), body) = postcard::take_from_bytes::<(Identity, SocketAddr)>(message)
             .map_err(|_| DropReason::Malformed)?;
         self.replay_filter.accept(&from, number)?;
-        if to != self.me().at || from.at == to {
+        if to != self.identity().address || from.address == to {
             return Err(DropReason::Malformed);
         }
         let now = self.replica.context.now;
@@ -237,7 +237,7 @@
             return;
         };
         let pause = context.now - first_at;
-        if pause > context.settings.period {
+        if pause > context.settings.probe_period {
             context.timers.postpone_all(pause);
             context.report(Effect::ProcessPaused(pause));
         }
--- a/crates/membership/src/members/accusations.rs
+++ b/crates/membership/src/members/accusations.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use crate::member_table::MemberTable;
-use crate::view::{State, View};
+use crate::view::{MemberState, MemberView};
 
 /// The members that this member's own probes made suspect, with the SWIM incarnations that are suspected.
 #[derive(Debug, Default)]
@@ -22,19 +22,19 @@
     }
 
     /// Returns the accused members that are still suspect in the accused SWIM incarnation, and removes the other accusations.
-    pub(super) fn retain_pending(&mut self, table: &MemberTable) -> Vec<View> {
-        let pending: Vec<View> = self
+    pub(super) fn retain_pending(&mut self, table: &MemberTable) -> Vec<MemberView> {
+        let pending: Vec<MemberView> = self
             .suspected
             .iter()
             .filter_map(|(address, swim_incarnation)| {
                 let view = table.get(address)?;
-                let is_pending =
-                    view.state == State::Suspect && view.swim_incarnation == *swim_incarnation;
+                let is_pending = view.state == MemberState::Suspect
+                    && view.swim_incarnation == *swim_incarnation;
                 is_pending.then(|| view.clone())
             })
             .collect();
         self.suspected
-            .retain(|address, _| pending.iter().any(|view| view.member.at == *address));
+            .retain(|address, _| pending.iter().any(|view| view.member.address == *address));
         pending
     }
 }
--- a/crates/membership/src/members/anti_entropy.rs
+++ b/crates/membership/src/members/anti_entropy.rs
@@ -51,7 +51,7 @@
 
     /// Starts a comparison with a random member, and schedules the next one.
     pub(super) fn on_timer(&mut self, replica: &mut Replica) {
-        let period = replica.context.settings.period;
+        let period = replica.context.settings.probe_period;
         if replica.context.now >= self.next_maintenance {
             self.next_maintenance = replica.context.now + period;
             self.maintain(replica);
@@ -97,7 +97,7 @@
         if !replica.swim.accept_peer(from) {
             return Ok(());
         }
-        let peer = from.at;
+        let peer = from.address;
         match message {
             Message::Compare { members, votes } => {
                 self.on_compare(replica, peer, members, votes);
--- a/crates/membership/src/members/context.rs
+++ b/crates/membership/src/members/context.rs
@@ -11,7 +11,7 @@
 use crate::anti_entropy::Message;
 use crate::event::Effect;
 use crate::identity::Identity;
-use crate::seal::{Kind, MAX_MESSAGE_BYTES, seal};
+use crate::seal::{MAX_MESSAGE_BYTES, MessageKind, seal};
 use crate::settings::Settings;
 use crate::timers::Timers;
 use crate::token_bucket::{TokenBucket, TrafficClass};
@@ -83,7 +83,7 @@
     }
 
     /// Seals and sends a message that already begins with the identity of its sender and the address of its receiver.
-    pub(super) fn send(&mut self, kind: Kind, to: SocketAddr, message: &[u8]) {
+    pub(super) fn send(&mut self, kind: MessageKind, to: SocketAddr, message: &[u8]) {
         let (key, now_ms) = (&self.settings.key, to_ms(self.now));
         let bytes = seal(key, now_ms, self.packet_number, kind, message);
         self.packet_number += 1;
@@ -95,7 +95,7 @@
     pub(super) fn send_addressed(
         &mut self,
         from: &Identity,
-        kind: Kind,
+        kind: MessageKind,
         to: SocketAddr,
         body: &[u8],
     ) {
@@ -108,7 +108,7 @@
 
     pub(super) fn send_anti_entropy(&mut self, from: &Identity, to: SocketAddr, message: &Message) {
         if let Some(body) = encode(message) {
-            self.send_addressed(from, Kind::AntiEntropy, to, &body);
+            self.send_addressed(from, MessageKind::AntiEntropy, to, &body);
         }
     }
 
@@ -128,7 +128,7 @@
 /// The maximum size in bytes of the body that `from` can send with [`Context::send_addressed`], so that the message fits into a
 /// packet. The receiver's address is assumed to be encoded in as many bytes as that of `from`.
 pub(super) fn max_body(from: &Identity) -> usize {
-    let prefix_bytes = encode(&(from, from.at)).map_or(0, |bytes| bytes.len());
+    let prefix_bytes = encode(&(from, from.address)).map_or(0, |bytes| bytes.len());
     MAX_MESSAGE_BYTES.saturating_sub(prefix_bytes)
 }
 
--- a/crates/membership/src/members/fleet_view.rs
+++ b/crates/membership/src/members/fleet_view.rs
@@ -16,7 +16,7 @@
 use crate::identity::Identity;
 use crate::member_entry::MemberEntry;
 use crate::member_table::{MAX_MEMBERS, MemberTable};
-use crate::view::{State, View};
+use crate::view::{MemberState, MemberView};
 use crate::vote::Votes;
 
 /// The average number of members that notify a suspect when they learn of its suspicion.
@@ -78,11 +78,11 @@
         me: &Identity,
         known_members: &mut usize,
     ) -> bool {
-        if entry.member.at == me.at {
+        if entry.member.address == me.address {
             // `foca` must learn that others consider this incarnation suspect or down: it refutes that, or rejoins.
             return entry.member.incarnation == me.incarnation && !entry.is_alive();
         }
-        if let Some(view) = self.table.get(&entry.member.at) {
+        if let Some(view) = self.table.get(&entry.member.address) {
             return MemberEntry::of(view, Duration::ZERO).rank() < entry.rank();
         }
         *known_members += 1;
@@ -100,7 +100,7 @@
         let reported_down = std::mem::take(&mut self.down_for);
         let changes: Vec<ViewChange> = members
             .iter()
-            .filter(|member| member.id().at != me.at)
+            .filter(|member| member.id().address != me.address)
             .filter_map(|member| changed_view(context.now, &self.table, votes, member))
             .collect();
         // `foca` removes a member some time after it went down.
@@ -114,7 +114,7 @@
             if is_state_change {
                 self.report_change(context, me, &view);
             }
-            let down_for = reported_down.get(&view.member.at).copied();
+            let down_for = reported_down.get(&view.member.address).copied();
             self.table
                 .update(context.now, view, down_for.unwrap_or_default());
         }
@@ -124,19 +124,19 @@
         has_changed
     }
 
-    fn report_change(&mut self, context: &mut Context, me: &Identity, view: &View) {
-        let previous = self.table.get(&view.member.at);
+    fn report_change(&mut self, context: &mut Context, me: &Identity, view: &MemberView) {
+        let previous = self.table.get(&view.member.address);
         let is_same = previous.is_some_and(|previous| {
             previous.member.incarnation == view.member.incarnation
                 && previous.state.is_active() == view.state.is_active()
         });
         self.active_changes += u64::from(!is_same);
-        context.report(Effect::Changed {
+        context.report(Effect::MemberChanged {
             view: view.clone(),
-            before: previous.map(|previous| previous.state),
+            previous_state: previous.map(|previous| previous.state),
         });
-        if view.state != State::Suspect {
-            self.accusations.remove(&view.member.at);
+        if view.state != MemberState::Suspect {
+            self.accusations.remove(&view.member.address);
             return;
         }
         let probability = SUSPECT_NOTIFIERS / (self.table.member_count().max(1) as f64);
@@ -147,11 +147,12 @@
 
     /// Removes the members from the table that are not among `foca`'s `members`.
     fn remove_members_not_in(&mut self, members: &[&Member<Identity>]) {
-        let stored: BTreeSet<SocketAddr> = members.iter().map(|member| member.id().at).collect();
+        let stored: BTreeSet<SocketAddr> =
+            members.iter().map(|member| member.id().address).collect();
         let removed: Vec<SocketAddr> = self
             .table
             .iter()
-            .map(|view| view.member.at)
+            .map(|view| view.member.address)
             .filter(|address| !stored.contains(address))
             .collect();
         for address in &removed {
@@ -168,10 +169,10 @@
 }
 
 /// Sends a suspect its own entry, so that it can refute the suspicion.
-fn notify_suspect(context: &mut Context, me: &Identity, view: &View) {
+fn notify_suspect(context: &mut Context, me: &Identity, view: &MemberView) {
     let entries = Entries {
         members: vec![MemberEntry::of(view, Duration::ZERO)],
         ..Entries::default()
     };
-    context.send_anti_entropy(me, view.member.at, &Message::Entries(entries));
+    context.send_anti_entropy(me, view.member.address, &Message::Entries(entries));
 }
--- a/crates/membership/src/members/packet_checks.rs
+++ b/crates/membership/src/members/packet_checks.rs
@@ -6,7 +6,7 @@
 use crate::identity::Identity;
 use crate::member_table::{MAX_MEMBERS, MemberTable};
 use crate::seal::DropReason;
-use crate::view::State;
+use crate::view::MemberState;
 
 /// More updates than fit into a packet. While the table has room for this many members, no packet needs to be checked.
 const MAX_UPDATES_PER_PACKET: usize = 1000;
@@ -20,8 +20,8 @@
 ) -> bool {
     let update_count = rest.first_chunk::<2>();
     let has_updates = update_count.is_some_and(|count| *count != [0, 0]);
-    let is_known = table.get(&header.src.at).is_some_and(|view| {
-        view.state == State::Alive
+    let is_known = table.get(&header.src.address).is_some_and(|view| {
+        view.state == MemberState::Alive
             && view.member == header.src
             && view.swim_incarnation >= header.src_incarnation
     });
@@ -41,7 +41,7 @@
     let Some((update_count, mut rest)) = rest.split_first_chunk::<2>() else {
         return Ok(());
     };
-    let is_unknown = |member: &Identity| table.get(&member.at).is_none();
+    let is_unknown = |member: &Identity| table.get(&member.address).is_none();
     let mut unknown = usize::from(is_unknown(source));
     for _ in 0..u16::from_be_bytes(*update_count) {
         let (update, after) = postcard::take_from_bytes::<Member<Identity>>(rest)
--- a/crates/membership/src/members/quorum.rs
+++ b/crates/membership/src/members/quorum.rs
@@ -45,7 +45,7 @@
         Quorum {
             votes: SharedVotes::default(),
             sets: DownSets::default(),
-            voting: Voting::new(settings.period, settings.configured_members),
+            voting: Voting::new(settings.probe_period, settings.configured_members),
             vote_number: 0,
             decide_at: None,
             payload: Vec::new(),
@@ -138,7 +138,7 @@
                 true
             }
             VoteDecision::WaitUntil(time) => {
-                let period = context.settings.period;
+                let period = context.settings.probe_period;
                 let earliest = context.now + period / MAX_DECISIONS_PER_PERIOD;
                 let latest = context.now + period / MIN_DECISIONS_PER_PERIOD;
                 self.schedule_decision_at(context, time.min(latest).max(earliest));
@@ -197,7 +197,7 @@
         drop(votes);
         if divisor != self.divisor {
             self.divisor = divisor;
-            context.report(Effect::ShareDivisor(divisor));
+            context.report(Effect::QuotaDivisorChanged(divisor));
         }
     }
 }
--- a/crates/membership/src/members/replica.rs
+++ b/crates/membership/src/members/replica.rs
@@ -14,10 +14,10 @@
 use crate::digest::{ShortHash, identity_hash};
 use crate::identity::Identity;
 use crate::member_entry::MemberEntry;
-use crate::seal::Kind;
+use crate::seal::MessageKind;
 use crate::settings::{FANOUT, Settings};
 use crate::token_bucket::TrafficClass;
-use crate::view::State;
+use crate::view::MemberState;
 
 /// The member table (in `swim`) and the votes (in `quorum`). The parts don't depend on each other; operations that need several
 /// of them are methods here.
@@ -53,7 +53,7 @@
         self.context.may_send(class)
     }
 
-    pub(super) fn send(&mut self, kind: Kind, to: SocketAddr, body: &[u8]) {
+    pub(super) fn send(&mut self, kind: MessageKind, to: SocketAddr, body: &[u8]) {
         let from = self.swim.identity();
         self.context.send_addressed(from, kind, to, body);
     }
@@ -133,13 +133,13 @@
     pub(super) fn request_learned(&mut self) {
         let table = self.swim.table().iter();
         let mut alive: Vec<SocketAddr> = table
-            .filter(|view| view.state == State::Alive)
-            .map(|view| view.member.at)
+            .filter(|view| view.state == MemberState::Alive)
+            .map(|view| view.member.address)
             .collect();
         for _ in 0..FANOUT.get().min(alive.len()) {
             let index = self.context.rng.random_range(0..alive.len());
             let peer = alive.swap_remove(index);
-            self.send(Kind::LearnedRequest, peer, &[]);
+            self.send(MessageKind::LearnedRequest, peer, &[]);
         }
     }
 }
--- a/crates/membership/src/members/set_requests.rs
+++ b/crates/membership/src/members/set_requests.rs
@@ -108,7 +108,7 @@
         .table()
         .active()
         .filter(|(hash, _)| votes_for_set(*hash))
-        .map(|(_, view)| view.member.at)
+        .map(|(_, view)| view.member.address)
         .collect();
     drop(votes);
     let candidates = voters.len() + NON_VOTER_WEIGHT;
--- a/crates/membership/src/members/swim.rs
+++ b/crates/membership/src/members/swim.rs
@@ -16,7 +16,7 @@
 use crate::identity::{Identity, UNKNOWN_INCARNATION};
 use crate::member_entry::MemberEntry;
 use crate::member_table::{MAX_ANNOUNCED_DOWN_TIME, MAX_MEMBERS, MemberTable};
-use crate::seal::{DropReason, Kind};
+use crate::seal::{DropReason, MessageKind};
 use crate::settings::{FANOUT, GOSSIP_ROUNDS_PER_PERIOD};
 use crate::token_bucket::TrafficClass;
 use crate::vote::Votes;
@@ -45,7 +45,7 @@
     pub(super) fn new(context: &Context, rng: ChaCha8Rng, votes: SharedVotes) -> Swim {
         let settings = &context.settings;
         let identity = Identity {
-            at: settings.at,
+            address: settings.address,
             incarnation: context.now_ms(),
             name: settings.name.clone(),
         };
@@ -89,7 +89,7 @@
         }
         let index = rng.random_range(0..members);
         let member = self.foca.iter_members().nth(index);
-        member.map(|member| member.id().at)
+        member.map(|member| member.id().address)
     }
 
     /// Records that a valid packet of another member arrived.
@@ -104,7 +104,7 @@
         context: &mut Context,
         destination: &Identity,
     ) -> bool {
-        if destination.at != self.identity().at {
+        if destination.address != self.identity().address {
             return false;
         }
         if destination.incarnation > self.identity().incarnation {
@@ -159,7 +159,7 @@
     /// Whether to handle a member's anti-entropy messages: not if it is down or of an earlier incarnation, or if the table is full.
     /// A new member or incarnation is added as alive.
     pub(super) fn accept_peer(&mut self, from: &Identity) -> bool {
-        match self.table().get(&from.at) {
+        match self.table().get(&from.address) {
             Some(view) if view.member.incarnation > from.incarnation => return false,
             Some(view) if view.member.incarnation == from.incarnation => {
                 return view.state.is_active();
@@ -181,7 +181,7 @@
         let mut updates = Vec::new();
         let mut known = self.table().member_count();
         for entry in entries {
-            if entry.member.at == me.at && entry.member.incarnation > me.incarnation {
+            if entry.member.address == me.address && entry.member.incarnation > me.incarnation {
                 self.adopt_incarnation_above(context, entry.member.incarnation);
                 continue;
             }
@@ -191,7 +191,7 @@
                 continue;
             }
             self.fleet_view
-                .record_down_for(entry.member.at, entry.down_for());
+                .record_down_for(entry.member.address, entry.down_for());
             updates.push(entry.to_foca());
         }
         if updates.is_empty() {
@@ -211,7 +211,7 @@
             return;
         }
         if matches!(timer, Timer::ChangeSuspectToDown { .. }) && self.may_be_isolated(context) {
-            let retry_at = context.now + context.settings.period;
+            let retry_at = context.now + context.settings.probe_period;
             context
                 .timers
                 .schedule(retry_at, context::Timer::Swim(timer));
@@ -248,8 +248,8 @@
     fn may_be_isolated(&self, context: &Context) -> bool {
         let silence = context.now - self.last_received;
         let settings = &context.settings;
-        silence > settings.period * MAX_SILENCE_PERIODS
-            && silence < settings.suspicion() * MAX_ISOLATION_SUSPICION_TIMEOUTS
+        silence > settings.probe_period * MAX_SILENCE_PERIODS
+            && silence < settings.suspicion_timeout() * MAX_ISOLATION_SUSPICION_TIMEOUTS
     }
 
     /// Sends a round of gossip if there are updates, and schedules the next one.
@@ -259,7 +259,7 @@
             self.gossip();
             self.drain(context);
         }
-        let next = context.now + context.settings.period / GOSSIP_ROUNDS_PER_PERIOD;
+        let next = context.now + context.settings.probe_period / GOSSIP_ROUNDS_PER_PERIOD;
         context.timers.schedule(next, context::Timer::Gossip);
     }
 
@@ -292,12 +292,12 @@
             let _ = self.foca.announce(member, &mut self.runtime);
         }
         // Without jitter, all members would contact the seeds at the same time after a mass restart.
-        let delay = context.settings.period * periods;
+        let delay = context.settings.probe_period * periods;
         context.schedule_with_jitter(delay, context::Timer::ContactAbsent);
     }
 
     fn absent_members(&self, context: &Context) -> Vec<Identity> {
-        let own_address = self.identity().at;
+        let own_address = self.identity().address;
         let down = self.table().down().map(|(_, view)| view.member.clone());
         let unknown_seeds = context
             .settings
@@ -306,7 +306,7 @@
             .filter(|seed| self.table().get(seed).is_none())
             .map(|seed| Identity::unknown(*seed));
         down.chain(unknown_seeds)
-            .filter(|member| member.at != own_address)
+            .filter(|member| member.address != own_address)
             .collect()
     }
 
@@ -330,7 +330,7 @@
             // anti-entropy.
             let is_list = header.message == Message::Feed;
             if !is_list || context.may_send(TrafficClass::Bulk) {
-                context.send(Kind::Swim, to.at, &message);
+                context.send(MessageKind::Swim, to.address, &message);
             }
         }
         while let Some((delay, timer)) = self.runtime.to_schedule() {
@@ -340,7 +340,7 @@
                 ..
             } = &timer
             {
-                self.fleet_view.accuse(member_id.at, *incarnation);
+                self.fleet_view.accuse(member_id.address, *incarnation);
             }
             let at = context.now + delay;
             context.timers.schedule(at, context::Timer::Swim(timer));
--- a/crates/membership/src/members/view_changes.rs
+++ b/crates/membership/src/members/view_changes.rs
@@ -5,13 +5,13 @@
 use crate::digest::identity_hash;
 use crate::identity::Identity;
 use crate::member_table::MemberTable;
-use crate::view::{State, View};
+use crate::view::{MemberState, MemberView};
 use crate::vote::Votes;
 
 /// A member's new view, which differs from the one in the member table.
 #[derive(Clone, Debug)]
 pub(super) struct ViewChange {
-    pub(super) view: View,
+    pub(super) view: MemberView,
     /// Whether the state or the incarnation differs; false if only the SWIM incarnation or the name does.
     pub(super) is_state_change: bool,
 }
@@ -25,21 +25,21 @@
 ) -> Option<ViewChange> {
     let identity = member.id();
     let previous = table
-        .get(&identity.at)
+        .get(&identity.address)
         .filter(|view| view.member.incarnation == identity.incarnation);
     let has_left = || {
         let vote = votes.get(identity_hash(identity));
-        previous.is_some_and(|view| view.state == State::Left)
+        previous.is_some_and(|view| view.state == MemberState::Left)
             || vote.is_some_and(|vote| vote.leaves)
     };
     let state = match member.state() {
-        foca::State::Alive => State::Alive,
-        foca::State::Suspect => State::Suspect,
-        foca::State::Down if has_left() => State::Left,
-        foca::State::Down => State::Down,
+        foca::State::Alive => MemberState::Alive,
+        foca::State::Suspect => MemberState::Suspect,
+        foca::State::Down if has_left() => MemberState::Left,
+        foca::State::Down => MemberState::Down,
     };
     let same_state = previous.filter(|view| view.state == state);
-    let view = View {
+    let view = MemberView {
         member: identity.clone(),
         swim_incarnation: member.incarnation(),
         state,
--- a/crates/membership/src/quota.rs
+++ b/crates/membership/src/quota.rs
@@ -14,7 +14,7 @@
 use crate::digest::ShortHash;
 use crate::down_sets::DownSets;
 use crate::member_table::{MAX_MEMBERS, MemberTable};
-use crate::view::{State, View};
+use crate::view::{MemberState, MemberView};
 use crate::vote::Votes;
 
 /// The maximum eviction delay of a member that announced that it leaves. Its process ends within 3.4 s after SIGTERM; half a
@@ -70,7 +70,7 @@
         self.configured.saturating_sub(evicted).max(present)
     }
 
-    fn track(&mut self, view: &View) {
+    fn track(&mut self, view: &MemberView) {
         let is_active = view.state.is_active();
         let incarnation = view.member.incarnation;
         let is_full = self.tracked.len() >= MAX_MEMBERS;
@@ -79,7 +79,7 @@
             majority_since: None,
             evicted: false,
         };
-        match self.tracked.get_mut(&view.member.at) {
+        match self.tracked.get_mut(&view.member.address) {
             Some(tracked) if is_active || tracked.incarnation != incarnation => {
                 *tracked = unevicted;
             }
@@ -87,15 +87,15 @@
             // A member that was down when first seen is not tracked: only the configured number includes its quota.
             None if !is_active || is_full => {}
             None => {
-                self.tracked.insert(view.member.at, unevicted);
+                self.tracked.insert(view.member.address, unevicted);
             }
         }
     }
 
     /// Evicts the members that a majority has voted down for the whole eviction delay.
     fn evict(&mut self, now: Time, table: &MemberTable, votes: &Votes, sets: &DownSets) {
-        let is_undecided = |view: &View| {
-            let tracked = self.tracked.get(&view.member.at);
+        let is_undecided = |view: &MemberView| {
+            let tracked = self.tracked.get(&view.member.address);
             tracked.is_some_and(|tracked| !tracked.evicted)
         };
         if !table.down().any(|(_, view)| is_undecided(view)) {
@@ -105,7 +105,7 @@
         let electorate = self.electorate();
         for (hash, view) in table.down() {
             let delay = self.eviction_delay_of(view.state);
-            let Some(tracked) = self.tracked.get_mut(&view.member.at) else {
+            let Some(tracked) = self.tracked.get_mut(&view.member.address) else {
                 continue;
             };
             if tracked.evicted {
@@ -121,13 +121,13 @@
         }
     }
 
-    fn eviction_delay_of(&self, state: State) -> Option<Duration> {
+    fn eviction_delay_of(&self, state: MemberState) -> Option<Duration> {
         match state {
-            State::Left => {
+            MemberState::Left => {
                 let delay = self.eviction_delay.unwrap_or(MAX_LEAVE_EVICTION_DELAY);
                 Some(delay.min(MAX_LEAVE_EVICTION_DELAY))
             }
-            State::Alive | State::Suspect | State::Down => self.eviction_delay,
+            MemberState::Alive | MemberState::Suspect | MemberState::Down => self.eviction_delay,
         }
     }
 
--- a/crates/membership/src/replay.rs
+++ b/crates/membership/src/replay.rs
@@ -59,13 +59,13 @@
     /// Accepts a packet number once. Fails with [`DropReason::Replayed`] if it was accepted before or is below the window, and with
     /// [`DropReason::EarlierIncarnation`] if a later incarnation of the sender has sent a packet.
     pub(crate) fn accept(&mut self, sender: &Identity, number: u64) -> Result<(), DropReason> {
-        if !self.windows.contains_key(&sender.at) && self.windows.len() >= MAX_SENDERS {
+        if !self.windows.contains_key(&sender.address) && self.windows.len() >= MAX_SENDERS {
             self.windows.pop_first();
         }
         let incarnation = sender.incarnation;
         let window = self
             .windows
-            .entry(sender.at)
+            .entry(sender.address)
             .or_insert_with(|| ReplayWindow::new(incarnation, number));
         if incarnation < window.incarnation {
             return Err(DropReason::EarlierIncarnation);
--- a/crates/membership/src/seal.rs
+++ b/crates/membership/src/seal.rs
@@ -86,7 +86,7 @@
 
 /// The kind of a packet's message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// A SWIM message, encoded by `foca`.
     Swim = 0,
     /// A request for the receiver's learned state of destinations.
@@ -97,13 +97,13 @@
     AntiEntropy = 3,
 }
 
-impl Kind {
-    fn from_byte(byte: u8) -> Option<Kind> {
+impl MessageKind {
+    fn from_byte(byte: u8) -> Option<MessageKind> {
         match byte {
-            0 => Some(Kind::Swim),
-            1 => Some(Kind::LearnedRequest),
-            2 => Some(Kind::LearnedReply),
-            3 => Some(Kind::AntiEntropy),
+            0 => Some(MessageKind::Swim),
+            1 => Some(MessageKind::LearnedRequest),
+            2 => Some(MessageKind::LearnedReply),
+            3 => Some(MessageKind::AntiEntropy),
             _ => None,
         }
     }
@@ -115,7 +115,7 @@
     /// The sender's packet number, for replay protection.
     pub number: u64,
     /// How the message is encoded and handled.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// The message, still encoded.
     pub message: &'a [u8],
 }
@@ -127,7 +127,7 @@
 
 /// Encodes and authenticates a packet. `sent_ms` is the time of sending in milliseconds since 1970; `number` is the sender's
 /// packet number.
-pub fn seal(key: &Key, sent_ms: u64, number: u64, kind: Kind, message: &[u8]) -> Vec<u8> {
+pub fn seal(key: &Key, sent_ms: u64, number: u64, kind: MessageKind, message: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(message.len() + OVERHEAD_BYTES);
     bytes.extend_from_slice(&MAGIC);
     bytes.extend_from_slice(&sent_ms.to_le_bytes());
@@ -163,7 +163,7 @@
     if read_u64(signed, SENT_AT_OFFSET).abs_diff(now_ms) > max_age_ms {
         return Err(DropReason::TimeOutOfRange);
     }
-    let kind = Kind::from_byte(signed[KIND_OFFSET]).ok_or(DropReason::Malformed)?;
+    let kind = MessageKind::from_byte(signed[KIND_OFFSET]).ok_or(DropReason::Malformed)?;
     Ok(OpenedPacket {
         number: read_u64(signed, NUMBER_OFFSET),
         kind,
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -30,17 +30,17 @@
     /// This member's name, for logs and the status page.
     pub name: String,
     /// The UDP address at which other members reach this one.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// UDP addresses of members to contact in order to join the fleet. This member's own address may be among them.
     pub seeds: Vec<SocketAddr>,
     /// The key that authenticates all packets of the fleet.
     pub key: Key,
     /// The probe period: one other member is probed in each.
-    pub period: Duration,
+    pub probe_period: Duration,
     /// How long to wait for the answer to a direct probe before probing through other members. Must be less than the period.
-    pub round_trip: Duration,
-    /// How long a suspected member has to refute the suspicion; `None` for the default in [`Settings::suspicion`].
-    pub suspicion: Option<Duration>,
+    pub probe_timeout: Duration,
+    /// How long a suspected member has to refute the suspicion; `None` for the default in [`Settings::suspicion_timeout`].
+    pub suspicion_timeout: Option<Duration>,
     /// How long a majority must vote a member down, without interruption, before the member is evicted and its quota is
     /// released. `None`: members that are down are never evicted, only those that announced that they leave.
     pub eviction_delay: Option<Duration>,
@@ -52,10 +52,10 @@
 
 impl Settings {
     /// The suspicion timeout: the one set, or 4 log10(n) periods as in HashiCorp's memberlist, and at least four periods.
-    pub fn suspicion(&self) -> Duration {
+    pub fn suspicion_timeout(&self) -> Duration {
         let scale = f64::from(self.configured_members.max(1)).log10().max(1.0);
-        self.suspicion
-            .unwrap_or_else(|| (self.period * SUSPICION_PERIODS).mul_f64(scale))
+        self.suspicion_timeout
+            .unwrap_or_else(|| (self.probe_period * SUSPICION_PERIODS).mul_f64(scale))
     }
 
     fn transmissions(&self) -> NonZeroU8 {
@@ -66,11 +66,11 @@
 
     pub(crate) fn foca_config(&self) -> foca::Config {
         foca::Config {
-            probe_period: self.period,
-            probe_rtt: self.round_trip,
+            probe_period: self.probe_period,
+            probe_rtt: self.probe_timeout,
             num_indirect_probes: FANOUT,
             max_transmissions: self.transmissions(),
-            suspect_to_down_after: self.suspicion(),
+            suspect_to_down_after: self.suspicion_timeout(),
             remove_down_after: Some(DOWN_RETENTION),
             max_packet_size: NonZeroUsize::new(MAX_MESSAGE_BYTES).unwrap_or(NonZeroUsize::MAX),
             notify_down_members: true,
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use cranehill_membership::{DropReason, Effect, Input, Key, Members, Settings, State};
+use cranehill_membership::{DropReason, Effect, Input, Key, MemberState, Members, Settings};
 use cranehill_scheduler::Time;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -36,7 +36,7 @@
     pub(crate) time: Time,
     pub(crate) by: usize,
     pub(crate) of: usize,
-    pub(crate) state: State,
+    pub(crate) state: MemberState,
 }
 
 /// Simulated members, numbered from 0, and the network between them. A member that has crashed is `None`.
@@ -109,12 +109,12 @@
     pub(crate) fn start(&mut self, i: usize, clock: Time, key: Key) {
         let settings = Settings {
             name: format!("n{i}"),
-            at: address(i),
+            address: address(i),
             seeds: vec![address(0), address(1)],
             key,
-            period: self.period,
-            round_trip: self.period.mul_f64(0.3),
-            suspicion: None,
+            probe_period: self.period,
+            probe_timeout: self.period.mul_f64(0.3),
+            suspicion_timeout: None,
             eviction_delay: self.eviction_delay,
             max_packet_age: self.period * 5,
             configured_members: self.members.len() as u32,
@@ -145,8 +145,8 @@
             match effect {
                 Effect::Send { to, bytes } => self.send(i, member_at(to), bytes),
                 Effect::WakeAt(at) => self.set_wakeup(i, Some(at)),
-                Effect::Changed { view, .. } => {
-                    let of = member_at(view.member.at);
+                Effect::MemberChanged { view, .. } => {
+                    let of = member_at(view.member.address);
                     self.changes.push(Change {
                         time: self.now,
                         by: i,
@@ -155,9 +155,11 @@
                     });
                 }
                 Effect::Dropped(reason) => self.dropped.push((i, reason)),
-                Effect::LearnedRequested { by } => self.learned.push((i, by, Vec::new())),
-                Effect::LearnedReceived { by, piece } => self.learned.push((i, by, piece)),
-                Effect::Rejoined { .. } | Effect::ProcessPaused(_) | Effect::ShareDivisor(_) => {}
+                Effect::LearnedStateRequested { by } => self.learned.push((i, by, Vec::new())),
+                Effect::LearnedStateReceived { by, piece } => self.learned.push((i, by, piece)),
+                Effect::Rejoined { .. }
+                | Effect::ProcessPaused(_)
+                | Effect::QuotaDivisorChanged(_) => {}
             }
         }
     }
@@ -247,16 +249,16 @@
         }
     }
 
-    pub(crate) fn state(&self, of: usize, by: usize) -> Option<State> {
+    pub(crate) fn state(&self, of: usize, by: usize) -> Option<MemberState> {
         let member = self.members[by].as_ref()?;
         member
             .views()
-            .find(|view| view.member.at == address(of))
+            .find(|view| view.member.address == address(of))
             .map(|view| view.state)
     }
 
     pub(crate) fn share_divisor(&self, i: usize) -> u32 {
-        self.members[i].as_ref().map_or(0, Members::share_divisor)
+        self.members[i].as_ref().map_or(0, Members::quota_divisor)
     }
 
     pub(crate) fn running(&self) -> Vec<usize> {
@@ -271,7 +273,7 @@
         let alive = |by: &usize| {
             let views = self.members[*by].iter().flat_map(Members::views);
             let seen = views.filter(|view| {
-                view.state == State::Alive && self.is_running(member_at(view.member.at))
+                view.state == MemberState::Alive && self.is_running(member_at(view.member.address))
             });
             seen.count()
         };
@@ -290,7 +292,7 @@
     pub(crate) fn down_changes(&self) -> usize {
         self.changes
             .iter()
-            .filter(|change| change.state == State::Down)
+            .filter(|change| change.state == MemberState::Down)
             .count()
     }
 }
--- a/crates/membership/tests/common/traffic.rs
+++ b/crates/membership/tests/common/traffic.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use cranehill_membership::Identity;
-use cranehill_membership::seal::{self, Kind};
+use cranehill_membership::seal::{self, MessageKind};
 use cranehill_scheduler::Time;
 use foca::{Header, Member, Message};
 
@@ -87,7 +87,7 @@
     let Ok(opened) = seal::open(&KEY, 0, u64::MAX, bytes) else {
         return Vec::new();
     };
-    if opened.kind != Kind::Swim {
+    if opened.kind != MessageKind::Swim {
         return vec![(Content::AntiEntropy, bytes.len())];
     }
     let Ok((header, rest)) = postcard::take_from_bytes::<Header<Identity>>(opened.message) else {
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 
 use common::{KEY, Network, START, address, secs};
-use cranehill_membership::seal::{Kind, seal};
-use cranehill_membership::{DropReason, Input, MAX_LEARNED_PIECE, State};
+use cranehill_membership::seal::{MessageKind, seal};
+use cranehill_membership::{DropReason, Input, MAX_LEARNED_PIECE_BYTES, MemberState};
 use cranehill_scheduler::Time;
 
 /// Guards against a crash that some member doesn't detect: 15 s suffice for a probe, the suspicion timeout and gossip.
@@ -19,7 +19,7 @@
     network.members[3] = None;
     network.run(secs(15.0));
     for by in (0..10).filter(|&by| by != 3) {
-        assert_eq!(network.state(3, by), Some(State::Down), "by {by}");
+        assert_eq!(network.state(3, by), Some(MemberState::Down), "by {by}");
     }
     assert_eq!(network.down_changes(), 9, "nobody else is declared down");
 }
@@ -32,17 +32,20 @@
     let incarnation = network.members[4]
         .as_ref()
         .expect("the member is running")
-        .me()
+        .identity()
         .incarnation;
     network.paused.insert(4);
     network.run(secs(14.0));
-    let states: Vec<State> = network
+    let states: Vec<MemberState> = network
         .changes
         .iter()
         .filter(|change| change.of == 4 && change.by == 0)
         .map(|change| change.state)
         .collect();
-    assert_eq!(states, [State::Alive, State::Suspect, State::Down]);
+    assert_eq!(
+        states,
+        [MemberState::Alive, MemberState::Suspect, MemberState::Down]
+    );
     network.resume(4);
     network.run(secs(12.0));
     assert!(network.has_converged(), "{:?}", network.changes);
@@ -50,7 +53,7 @@
         network.members[4]
             .as_ref()
             .expect("the member is running")
-            .me()
+            .identity()
             .incarnation
             > incarnation,
         "rejoined with a higher incarnation"
@@ -59,7 +62,7 @@
         network
             .changes
             .iter()
-            .all(|change| change.state != State::Down || change.of == 4),
+            .all(|change| change.state != MemberState::Down || change.of == 4),
         "{:?}",
         network.changes
     );
@@ -77,7 +80,7 @@
                 .members
                 .iter()
                 .flatten()
-                .map(|member| member.me().incarnation)
+                .map(|member| member.identity().incarnation)
                 .collect()
         };
         let before = incarnations(&network);
@@ -109,7 +112,7 @@
         (0..5).map(|i| network.share_divisor(i)).collect::<Vec<_>>(),
         [5; 5]
     );
-    assert!((2..5).all(|by| network.state(0, by) == Some(State::Down)));
+    assert!((2..5).all(|by| network.state(0, by) == Some(MemberState::Down)));
     network.run(secs(40.0));
     assert_eq!(
         (0..5).map(|i| network.share_divisor(i)).collect::<Vec<_>>(),
@@ -160,7 +163,7 @@
         network
             .changes
             .iter()
-            .all(|change| change.state != State::Down || change.of == 4),
+            .all(|change| change.state != MemberState::Down || change.of == 4),
         "{:?}",
         network.changes
     );
@@ -170,7 +173,7 @@
     // The only running member must still detect that the others have crashed.
     (0..4).for_each(|i| network.members[i] = None);
     network.run(secs(45.0));
-    assert!((0..4).all(|of| network.state(of, 4) == Some(State::Down)));
+    assert!((0..4).all(|of| network.state(of, 4) == Some(MemberState::Down)));
 }
 
 #[test]
@@ -183,7 +186,7 @@
     for by in [0, 1, 3, 4] {
         assert_eq!(
             (network.state(2, by), network.share_divisor(by)),
-            (Some(State::Left), 5),
+            (Some(MemberState::Left), 5),
             "by {by}"
         );
     }
@@ -217,7 +220,7 @@
     network.run(secs(5.0));
     network.members[1] = None;
     network.run(secs(15.0));
-    network.step(0, Input::RequestLearned);
+    network.step(0, Input::RequestLearnedState);
     network.run(secs(0.1));
     let requested: BTreeSet<usize> = network.learned.iter().map(|learned| learned.0).collect();
     assert_eq!(
@@ -229,9 +232,9 @@
     network.learned.clear();
     network.step(
         3,
-        Input::SendLearned {
+        Input::SendLearnedState {
             to: address(0),
-            chunks: vec![vec![1; MAX_LEARNED_PIECE], vec![2; 3]],
+            chunks: vec![vec![1; MAX_LEARNED_PIECE_BYTES], vec![2; 3]],
         },
     );
     network.run(secs(0.1));
@@ -241,7 +244,7 @@
         received,
         [
             (0, address(3), vec![2; 3]),
-            (0, address(3), vec![1; MAX_LEARNED_PIECE])
+            (0, address(3), vec![1; MAX_LEARNED_PIECE_BYTES])
         ]
     );
 }
@@ -309,7 +312,7 @@
     network.run(secs(20.0));
     assert_eq!(
         (network.state(2, 0), network.state(0, 2)),
-        (Some(State::Down), None)
+        (Some(MemberState::Down), None)
     );
     assert!(network.dropped.contains(&(2, DropReason::WrongKey)));
 }
@@ -325,7 +328,7 @@
         let mut packet_body = sent[20..sent.len().min(20 + valid_len)].to_vec();
         packet_body.extend(message);
         let now = network.now.0 / 1_000_000;
-        let kind = [Kind::Swim, Kind::LearnedRequest, Kind::LearnedReply, Kind::AntiEntropy][kind];
+        let kind = [MessageKind::Swim, MessageKind::LearnedRequest, MessageKind::LearnedReply, MessageKind::AntiEntropy][kind];
         let bytes = if signed { seal(&KEY, now, number, kind, &packet_body) } else { packet_body };
         network.step(0, Input::PacketReceived(bytes));
         network.step(1, Input::PacketReceived(sent));
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -28,7 +28,7 @@
 use cranehill_membership::member_table::MemberTable;
 use cranehill_membership::vote::{Vote, Votes};
 use cranehill_membership::{
-    DropReason, Identity, Input, Key, Members, State, View, anti_entropy, seal,
+    DropReason, Identity, Input, Key, MemberState, MemberView, Members, anti_entropy, seal,
 };
 use cranehill_scheduler::Time;
 use fixture::{Entry, assert_matches_file, assert_matches_text, bytes_of, load};
@@ -155,12 +155,12 @@
 fn digests() -> [(&'static str, Digest); 2] {
     let (mut table, mut votes) = (MemberTable::default(), Votes::default());
     let members = [
-        (identity(1), State::Alive),
-        (identity(2), State::Suspect),
-        (identity_v6(), State::Down),
+        (identity(1), MemberState::Alive),
+        (identity(2), MemberState::Suspect),
+        (identity_v6(), MemberState::Down),
     ];
     for (index, (member, state)) in members.into_iter().enumerate() {
-        let view = View {
+        let view = MemberView {
             member,
             swim_incarnation: index as u16,
             state,
--- a/crates/membership/tests/golden/message.rs
+++ b/crates/membership/tests/golden/message.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use cranehill_membership::digest::ShortHash;
-use cranehill_membership::seal::Kind;
+use cranehill_membership::seal::MessageKind;
 use cranehill_membership::{Identity, anti_entropy};
 use foca::{Header, Member, Message};
 use serde::de::DeserializeOwned;
@@ -66,12 +66,12 @@
 }
 
 impl Content {
-    pub(crate) fn kind(&self) -> Kind {
+    pub(crate) fn kind(&self) -> MessageKind {
         match self {
-            Content::Swim { .. } => Kind::Swim,
-            Content::LearnedRequest { .. } => Kind::LearnedRequest,
-            Content::LearnedReply { .. } => Kind::LearnedReply,
-            Content::AntiEntropy { .. } => Kind::AntiEntropy,
+            Content::Swim { .. } => MessageKind::Swim,
+            Content::LearnedRequest { .. } => MessageKind::LearnedRequest,
+            Content::LearnedReply { .. } => MessageKind::LearnedReply,
+            Content::AntiEntropy { .. } => MessageKind::AntiEntropy,
         }
     }
 
@@ -102,14 +102,14 @@
         }
     }
 
-    pub(crate) fn decode(kind: Kind, bytes: &[u8]) -> Content {
-        if kind == Kind::Swim {
+    pub(crate) fn decode(kind: MessageKind, bytes: &[u8]) -> Content {
+        if kind == MessageKind::Swim {
             return decode_swim(bytes);
         }
         let ((from, to), body) = from_postcard::<(Identity, SocketAddr)>(bytes);
         match kind {
-            Kind::LearnedRequest => Content::LearnedRequest { from, to },
-            Kind::LearnedReply => Content::LearnedReply {
+            MessageKind::LearnedRequest => Content::LearnedRequest { from, to },
+            MessageKind::LearnedReply => Content::LearnedReply {
                 from,
                 to,
                 piece: body.to_vec(),
--- a/crates/membership/tests/golden/samples.rs
+++ b/crates/membership/tests/golden/samples.rs
@@ -31,7 +31,7 @@
 
 pub(crate) fn identity(member: usize) -> Identity {
     Identity {
-        at: address(member),
+        address: address(member),
         incarnation: INCARNATION,
         name: format!("n{member}"),
     }
@@ -41,7 +41,7 @@
 pub(crate) fn identity_v6() -> Identity {
     let at = "[2001:db8::7]:65535".parse().expect("an address");
     Identity {
-        at,
+        address: at,
         incarnation: u64::MAX,
         name: "Kranichhügel".to_owned(),
     }
--- a/crates/membership/tests/golden/trace.rs
+++ b/crates/membership/tests/golden/trace.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use cranehill_membership::{Effect, Input, Members, Settings, State, seal};
+use cranehill_membership::{Effect, Input, MemberState, Members, Settings, seal};
 use cranehill_scheduler::Time;
 
 use super::fixture::Entry;
@@ -20,12 +20,12 @@
 pub(crate) fn settings(member: usize) -> Settings {
     Settings {
         name: format!("n{member}"),
-        at: address(member),
+        address: address(member),
         seeds: vec![address(0), address(1)],
         key: KEY,
-        period: PERIOD,
-        round_trip: PERIOD.mul_f64(0.3),
-        suspicion: Some(PERIOD),
+        probe_period: PERIOD,
+        probe_timeout: PERIOD.mul_f64(0.3),
+        suspicion_timeout: Some(PERIOD),
         eviction_delay: Some(PERIOD * 2),
         max_packet_age: PERIOD * 5,
         configured_members: MEMBERS as u32,
@@ -38,12 +38,12 @@
     Content::decode(opened.kind, opened.message)
 }
 
-pub(crate) fn state_name(state: State) -> &'static str {
+pub(crate) fn state_name(state: MemberState) -> &'static str {
     match state {
-        State::Alive => "alive",
-        State::Suspect => "suspect",
-        State::Down => "down",
-        State::Left => "left",
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Down => "down",
+        MemberState::Left => "left",
     }
 }
 
@@ -54,10 +54,13 @@
         Effect::Send { to, bytes } => {
             format!("sends {} to n{}", content_of(bytes).name(), member_at(*to))
         }
-        Effect::Changed { view, before } => {
-            let before = before.map_or("unknown", state_name);
+        Effect::MemberChanged {
+            view,
+            previous_state,
+        } => {
+            let previous_state = previous_state.map_or("unknown", state_name);
             format!(
-                "{} {} incarnation {} was {before}",
+                "{} {} incarnation {} was {previous_state}",
                 view.member.name,
                 state_name(view.state),
                 view.swim_incarnation
@@ -65,10 +68,10 @@
         }
         Effect::Rejoined { incarnation } => format!("rejoined as {incarnation}"),
         Effect::ProcessPaused(pause) => format!("paused for {} ms", pause.as_millis()),
-        Effect::LearnedRequested { by } => {
+        Effect::LearnedStateRequested { by } => {
             format!("learned state requested by n{}", member_at(*by))
         }
-        Effect::LearnedReceived { by, piece } => {
+        Effect::LearnedStateReceived { by, piece } => {
             format!(
                 "learned state from n{}: {}",
                 member_at(*by),
@@ -76,7 +79,7 @@
             )
         }
         Effect::Dropped(_) => "dropped a packet".to_owned(),
-        Effect::ShareDivisor(divisor) => format!("share divisor {divisor}"),
+        Effect::QuotaDivisorChanged(divisor) => format!("share divisor {divisor}"),
     })
 }
 
@@ -144,12 +147,12 @@
             "{:05}ms n{member} {description}",
             self.elapsed_ms()
         ));
-        if let Effect::LearnedRequested { by } = effect {
+        if let Effect::LearnedStateRequested { by } = effect {
             let chunks = vec![
                 format!("first of n{member}").into_bytes(),
                 b"second".to_vec(),
             ];
-            self.step(member, Input::SendLearned { to: *by, chunks });
+            self.step(member, Input::SendLearnedState { to: *by, chunks });
         }
     }
 
@@ -199,7 +202,7 @@
     let mut fleet = Fleet::new();
     fleet.run(PERIOD * 3);
     fleet.step(1, Input::SetPayload(b"payload of n1".to_vec()));
-    fleet.step(2, Input::RequestLearned);
+    fleet.step(2, Input::RequestLearnedState);
     fleet.run(PERIOD);
     fleet.block_both_ways(0, 1);
     fleet.run(PERIOD * 3);
@@ -218,9 +221,9 @@
 /// A member's views and payloads of the others, as lines of text.
 pub(crate) fn views_of(member: &Members) -> Vec<String> {
     let payloads: BTreeMap<_, _> = member.payloads().into_iter().collect();
-    let line = |view: &cranehill_membership::View| {
+    let line = |view: &cranehill_membership::MemberView| {
         let payload = payloads
-            .get(&view.member.at)
+            .get(&view.member.address)
             .map(|payload| String::from_utf8_lossy(payload))
             .unwrap_or_default();
         let identity = &view.member;
@@ -228,7 +231,7 @@
         let state = state_name(view.state);
         format!(
             "{} {} {incarnation} {state} {} [{payload}]",
-            identity.name, identity.at, view.swim_incarnation
+            identity.name, identity.address, view.swim_incarnation
         )
     };
     member.views().map(line).collect()
--- a/crates/membership/tests/scale.rs
+++ b/crates/membership/tests/scale.rs
@@ -4,7 +4,7 @@
 
 use common::traffic::Traffic;
 use common::{KEY, Network, address, secs};
-use cranehill_membership::{DropReason, Input, State};
+use cranehill_membership::{DropReason, Input, MemberState};
 
 /// The limit on a member's traffic, sent and received together, by the operators' requirement.
 const BYTES_PER_SECOND: f64 = 13_000.0;
@@ -98,7 +98,7 @@
     let side = |odd| (0..120).filter(|i| i % 2 == odd).collect::<Vec<_>>();
     network.split(&side(0), &side(1));
     network.run(secs(25.0));
-    assert_eq!(network.state(1, 0), Some(State::Down));
+    assert_eq!(network.state(1, 0), Some(MemberState::Down));
     for _ in 0..12 {
         network.run(secs(5.0));
         assert_eq!(divisors(&network), [120]);
@@ -130,7 +130,7 @@
     let other_version = |i: usize| {
         let member = network.members[i].as_ref().expect("the member is running");
         member
-            .dropped()
+            .dropped_packets()
             .find(|(reason, _)| *reason == DropReason::UnsupportedFormat)
             .map(|(_, packets)| packets)
     };
@@ -176,7 +176,7 @@
     assert!(evicted.is_some(), "{:?}", divisors(&network));
     network.crash(222..300);
     network.run(secs(45.0));
-    assert_eq!(network.state(250, 200), Some(State::Down));
+    assert_eq!(network.state(250, 200), Some(MemberState::Down));
     assert_eq!(
         divisors(&network),
         [155],
--- a/crates/membership/tests/votes.rs
+++ b/crates/membership/tests/votes.rs
@@ -12,7 +12,7 @@
 use cranehill_membership::quota::QuotaDivisor;
 use cranehill_membership::vote::{Vote, Votes};
 use cranehill_membership::voting::{VoteDecision, Voting};
-use cranehill_membership::{Identity, State, View};
+use cranehill_membership::{Identity, MemberState, MemberView};
 use proptest::prelude::*;
 
 const EVICTION_DELAY: Duration = Duration::from_secs(30);
@@ -20,7 +20,7 @@
 
 fn member(n: usize) -> Identity {
     Identity {
-        at: address(n),
+        address: address(n),
         incarnation: 1,
         name: format!("n{n}"),
     }
@@ -30,8 +30,8 @@
     identity_hash(&member(n))
 }
 
-fn set_state(table: &mut MemberTable, n: usize, state: State) {
-    let view = View {
+fn set_state(table: &mut MemberTable, n: usize, state: MemberState) {
+    let view = MemberView {
         member: member(n),
         swim_incarnation: 0,
         state,
@@ -56,7 +56,7 @@
 impl Fleet {
     fn new(members: usize, down: usize) -> Fleet {
         let (mut table, down) = (MemberTable::default(), (0..down).collect::<Vec<_>>());
-        (0..members - 1).for_each(|n| set_state(&mut table, n, State::Alive));
+        (0..members - 1).for_each(|n| set_state(&mut table, n, MemberState::Alive));
         Fleet {
             table,
             votes: Votes::default(),
@@ -68,7 +68,7 @@
     fn crash(&mut self) {
         self.down
             .iter()
-            .for_each(|n| set_state(&mut self.table, *n, State::Down));
+            .for_each(|n| set_state(&mut self.table, *n, MemberState::Down));
     }
 
     fn vote(&mut self, voter: usize, number: u32, proposed: &[usize]) {
@@ -189,7 +189,7 @@
         proposed in prop::collection::vec(prop::collection::btree_set(0usize..12, 1..8), 0..6),
     ) {
         let mut fleet = Fleet::new(13, 0);
-        down.iter().for_each(|n| set_state(&mut fleet.table, *n, State::Down));
+        down.iter().for_each(|n| set_state(&mut fleet.table, *n, MemberState::Down));
         for (voter, set) in proposed.iter().enumerate() {
             fleet.vote(voter, 1, &set.iter().copied().collect::<Vec<_>>());
         }
@@ -236,13 +236,13 @@
     let mut fleet = Fleet::new(6, 2);
     fleet.crash();
     fleet.vote(3, 1, &[0, 1]);
-    let returned = View {
+    let returned = MemberView {
         member: Identity {
             incarnation: 2,
             ..member(1)
         },
         swim_incarnation: 0,
-        state: State::Alive,
+        state: MemberState::Alive,
         since: START,
     };
     fleet.table.update(START, returned, Duration::ZERO);
--- a/crates/recovery/src/encoding.rs
+++ b/crates/recovery/src/encoding.rs
@@ -35,7 +35,7 @@
 
 /// Encodes learned state in chunks of at most `max_bytes` bytes, each of which can be decoded separately. An entry that
 /// does not fit into a chunk by itself, as its route id is longer than a packet, is left out.
-pub fn encode(learned_state: &[LearnedState], max_bytes: usize) -> Vec<Vec<u8>> {
+pub fn encode_chunks(learned_state: &[LearnedState], max_bytes: usize) -> Vec<Vec<u8>> {
     let mut chunks = Vec::new();
     let mut remaining = learned_state;
     while !remaining.is_empty() {
@@ -58,19 +58,19 @@
     (bytes.len() <= max_bytes).then_some(bytes)
 }
 
-/// Decodes one chunk, as written by [`encode`].
+/// Decodes one chunk, as written by [`encode_chunks`].
 ///
 /// # Errors
 ///
 /// [`DecodeError::Content`] if the bytes are not an encoded chunk.
-pub fn decode(chunk: &[u8]) -> Result<Vec<LearnedState>, DecodeError> {
+pub fn decode_chunk(chunk: &[u8]) -> Result<Vec<LearnedState>, DecodeError> {
     Ok(postcard::from_bytes(chunk)?)
 }
 
 /// Returns the content of a state file, with as many entries as fit into [`MAX_LEARNED_STATE_BYTES`].
-pub fn pack(learned_state: &[LearnedState]) -> Vec<u8> {
+pub fn encode_state_file(learned_state: &[LearnedState]) -> Vec<u8> {
     let max_bytes = MAX_LEARNED_STATE_BYTES - FILE_HEADER.len() - CHECKSUM_BYTES;
-    let first_chunk = encode(learned_state, max_bytes).into_iter().next();
+    let first_chunk = encode_chunks(learned_state, max_bytes).into_iter().next();
     let mut bytes = FILE_HEADER.to_vec();
     bytes.extend(first_chunk.unwrap_or_else(encode_empty_list));
     let checksum = checksum(&bytes);
@@ -83,12 +83,12 @@
     vec![0]
 }
 
-/// Decodes the content of a state file, as written by [`pack`].
+/// Decodes the content of a state file, as written by [`encode_state_file`].
 ///
 /// # Errors
 ///
 /// The file is truncated, damaged or of another version.
-pub fn unpack(bytes: &[u8]) -> Result<Vec<LearnedState>, DecodeError> {
+pub fn decode_state_file(bytes: &[u8]) -> Result<Vec<LearnedState>, DecodeError> {
     let length = bytes.len();
     let (body, expected) = bytes
         .split_last_chunk::<CHECKSUM_BYTES>()
@@ -99,7 +99,7 @@
     if checksum(body) != *expected {
         return Err(DecodeError::ChecksumMismatch);
     }
-    decode(content)
+    decode_chunk(content)
 }
 
 fn checksum(bytes: &[u8]) -> [u8; CHECKSUM_BYTES] {
--- a/crates/recovery/src/learned_state_cache.rs
+++ b/crates/recovery/src/learned_state_cache.rs
@@ -14,7 +14,7 @@
 
 /// Maximum ages at which the parts of learned state are used, and the tolerated clock difference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct MaxAges {
     /// Maximum age of a route's window (the number of calls that may be in flight).
     pub window: Duration,
     /// Maximum age of a rate limit.
@@ -22,7 +22,7 @@
     /// Maximum age of a route's health (up, down or warming up).
     pub state: Duration,
     /// Tolerated clock difference between members: state whose time is further in the future is ignored.
-    pub ahead: Duration,
+    pub max_clock_difference: Duration,
 }
 
 /// Identifies a route.
@@ -46,13 +46,13 @@
 /// The latest learned state of each route.
 #[derive(Clone, Debug)]
 pub struct LearnedStateCache {
-    bounds: Bounds,
+    bounds: MaxAges,
     routes: BTreeMap<RouteKey, LearnedState>,
 }
 
 impl LearnedStateCache {
     /// Creates an empty cache.
-    pub fn new(bounds: Bounds) -> LearnedStateCache {
+    pub fn new(bounds: MaxAges) -> LearnedStateCache {
         LearnedStateCache {
             bounds,
             routes: BTreeMap::new(),
@@ -60,11 +60,11 @@
     }
 
     /// Adds learned state. The cache keeps the latest state of each route, and of its retry-after times the one that
-    /// ends last. Ignored are state that is further in the future than [`Bounds::ahead`], windows and limits that are
+    /// ends last. Ignored are state that is further in the future than [`MaxAges::max_clock_difference`], windows and limits that are
     /// not positive, and retry-after times of more than a day.
     pub fn merge(&mut self, now: Time, learned_state: Vec<LearnedState>) {
         for mut learned in learned_state {
-            if learned.at > now + self.bounds.ahead {
+            if learned.at > now + self.bounds.max_clock_difference {
                 continue;
             }
             learned.window = learned.window.filter(is_positive);
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -3,7 +3,7 @@
 //! I/O and reads no clock.
 //!
 //! The main types are [`Recovery`] (the phases), [`LearnedStateCache`] (learned state and its age) and [`WorkQueue`]
-//! (the order of messages). [`encode`] and [`decode`] are for packets between members, [`pack`] and [`unpack`] for the
+//! (the order of messages). [`encode_chunks`] and [`decode_chunk`] are for packets between members, [`encode_state_file`] and [`decode_state_file`] for the
 //! state file.
 
 mod encoding;
@@ -11,7 +11,10 @@
 mod recovery;
 mod work_queue;
 
-pub use encoding::{DecodeError, MAX_LEARNED_STATE_BYTES, decode, encode, pack, unpack};
-pub use learned_state_cache::{Bounds, LearnedStateCache};
+pub use encoding::{
+    DecodeError, MAX_LEARNED_STATE_BYTES, decode_chunk, decode_state_file, encode_chunks,
+    encode_state_file,
+};
+pub use learned_state_cache::{LearnedStateCache, MaxAges};
 pub use recovery::{Phase, Recovery, Settings};
 pub use work_queue::WorkQueue;
--- a/crates/recovery/src/recovery.rs
+++ b/crates/recovery/src/recovery.rs
@@ -4,7 +4,7 @@
 
 use cranehill_scheduler::{LearnedState, Time};
 
-use crate::learned_state_cache::{Bounds, LearnedStateCache, RouteKey};
+use crate::learned_state_cache::{LearnedStateCache, MaxAges, RouteKey};
 use crate::work_queue::WorkQueue;
 
 /// Minimum time between two wake-ups of the sender while it is recovering.
@@ -14,13 +14,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Maximum ages at which learned state is used.
-    pub bounds: Bounds,
+    pub bounds: MaxAges,
     /// Interval at which learned state is requested from other members until one replies.
-    pub ask: Duration,
+    pub request_interval: Duration,
     /// Time from the start after which the recovery continues without a reply from other members.
-    pub alone: Duration,
+    pub peer_timeout: Duration,
     /// Interval at which learned state is persisted.
-    pub remember: Duration,
+    pub persist_interval: Duration,
 }
 
 /// The phase of a recovery.
@@ -34,7 +34,7 @@
     /// The sender is in full service.
     Full {
         /// How long the recovery took.
-        took: Duration,
+        recovery_duration: Duration,
         /// When the recovery was complete.
         since: Time,
     },
@@ -139,16 +139,16 @@
     }
 
     /// Whether to request learned state from other members now; `has_peers` is whether there are live ones. If true,
-    /// the next request is due after [`Settings::ask`].
+    /// the next request is due after [`Settings::request_interval`].
     pub fn should_ask_peers(&mut self, now: Time, has_peers: bool) -> bool {
         let Some(since) = self.recovering_since() else {
             return false;
         };
-        let has_timed_out = now - since >= self.settings.alone;
+        let has_timed_out = now - since >= self.settings.peer_timeout;
         if self.peer_replied || !has_peers || now < self.next_request || has_timed_out {
             return false;
         }
-        self.next_request = now + self.settings.ask;
+        self.next_request = now + self.settings.request_interval;
         true
     }
 
@@ -156,8 +156,9 @@
     /// and in all later calls.
     pub fn check_complete(&mut self, now: Time) -> Option<Duration> {
         let since = self.recovering_since()?;
-        let took = now - since;
-        let is_waiting_for_peers = !self.peer_replied && took < self.settings.alone;
+        let recovery_duration = now - since;
+        let is_waiting_for_peers =
+            !self.peer_replied && recovery_duration < self.settings.peer_timeout;
         if is_waiting_for_peers
             || self.restore_pending
             || now < self.first_calls_until
@@ -165,14 +166,17 @@
         {
             return None;
         }
-        self.phase = Phase::Full { took, since: now };
-        Some(took)
+        self.phase = Phase::Full {
+            recovery_duration,
+            since: now,
+        };
+        Some(recovery_duration)
     }
 
     /// When the next step of the recovery is due; `None` in full service.
     pub fn next_wakeup(&self, now: Time) -> Option<Time> {
         let since = self.recovering_since()?;
-        let peers_timeout_at = since + self.settings.alone;
+        let peers_timeout_at = since + self.settings.peer_timeout;
         let next_step = if self.peer_replied || now >= peers_timeout_at {
             self.first_calls_until
         } else {
@@ -192,7 +196,7 @@
         if !has_new_block && now < self.next_persist {
             return false;
         }
-        self.next_persist = now + self.settings.remember;
+        self.next_persist = now + self.settings.persist_interval;
         self.persisted_blocks = blocks;
         true
     }
--- a/crates/recovery/tests/golden.rs
+++ b/crates/recovery/tests/golden.rs
@@ -4,7 +4,7 @@
 #[path = "common/golden_file.rs"]
 mod golden_file;
 
-use cranehill_recovery::{decode, encode, pack, unpack};
+use cranehill_recovery::{decode_chunk, decode_state_file, encode_chunks, encode_state_file};
 use cranehill_scheduler::{LearnedState, ObservedHealth, Time};
 
 const STATE_FILE: &str = "learned-state.bin";
@@ -60,25 +60,31 @@
 
 #[test]
 fn learned_state_file_is_unchanged() {
-    golden_file::assert_unchanged(STATE_FILE, &pack(&learned_state()));
-    assert_eq!(unpack(&golden_file::read(STATE_FILE)), Ok(learned_state()));
+    golden_file::assert_unchanged(STATE_FILE, &encode_state_file(&learned_state()));
+    assert_eq!(
+        decode_state_file(&golden_file::read(STATE_FILE)),
+        Ok(learned_state())
+    );
 }
 
 #[test]
 fn empty_learned_state_file_is_unchanged() {
-    golden_file::assert_unchanged(EMPTY_STATE_FILE, &pack(&[]));
-    assert_eq!(unpack(&golden_file::read(EMPTY_STATE_FILE)), Ok(Vec::new()));
+    golden_file::assert_unchanged(EMPTY_STATE_FILE, &encode_state_file(&[]));
+    assert_eq!(
+        decode_state_file(&golden_file::read(EMPTY_STATE_FILE)),
+        Ok(Vec::new())
+    );
 }
 
 #[test]
 fn learned_state_packets_are_unchanged() {
-    let packets = encode(&learned_state(), PACKET_LIMIT);
+    let packets = encode_chunks(&learned_state(), PACKET_LIMIT);
     assert_eq!(packets.len(), PACKETS.len());
     for (name, packet) in PACKETS.iter().zip(&packets) {
         golden_file::assert_unchanged(name, packet);
     }
     let read = PACKETS
         .iter()
-        .flat_map(|name| decode(&golden_file::read(name)).expect("a readable packet"));
+        .flat_map(|name| decode_chunk(&golden_file::read(name)).expect("a readable packet"));
     assert_eq!(read.collect::<Vec<_>>(), learned_state());
 }
--- a/crates/recovery/tests/recovery.rs
+++ b/crates/recovery/tests/recovery.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use cranehill_recovery::{
-    Bounds, LearnedStateCache, Phase, Recovery, Settings, WorkQueue, decode, encode, pack, unpack,
+    LearnedStateCache, MaxAges, Phase, Recovery, Settings, WorkQueue, decode_chunk,
+    decode_state_file, encode_chunks, encode_state_file,
 };
 use cranehill_scheduler::api::{DestinationId, MessageId};
 use cranehill_scheduler::{LearnedState, ObservedHealth, Time};
@@ -25,18 +26,18 @@
     names.iter().map(|name| id(name)).collect()
 }
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: MaxAges = MaxAges {
     window: Duration::from_secs(10),
     limit: Duration::from_secs(10),
     state: Duration::from_secs(5),
-    ahead: Duration::from_secs(5),
+    max_clock_difference: Duration::from_secs(5),
 };
 
 const SETTINGS: Settings = Settings {
     bounds: BOUNDS,
-    ask: Duration::from_millis(500),
-    alone: Duration::from_secs(2),
-    remember: Duration::from_secs(1),
+    request_interval: Duration::from_millis(500),
+    peer_timeout: Duration::from_secs(2),
+    persist_interval: Duration::from_secs(1),
 };
 
 fn learned_state_of(destination: u64, at: Time) -> LearnedState {
@@ -183,7 +184,9 @@
     );
     assert!(!alone.should_ask_peers(s(0.1), false) && alone.check_complete(s(1.9)).is_none());
     assert_eq!(alone.check_complete(s(2.0)), Some(secs(2)));
-    assert!(matches!(alone.phase(), Phase::Full { took, .. } if took == secs(2)));
+    assert!(
+        matches!(alone.phase(), Phase::Full { recovery_duration: took, .. } if took == secs(2))
+    );
     let mut peer_replied = start();
     peer_replied.take_state_to_restore(s(0.0));
     assert!(
@@ -255,10 +258,10 @@
     /// bounds.
     #[test]
     fn chunks_round_trip(learned_state in proptest::collection::vec(any_learned_state(), 0..80)) {
-        let chunks = encode(&learned_state, 1024);
+        let chunks = encode_chunks(&learned_state, 1024);
         prop_assert!(chunks.iter().all(|p| p.len() <= 1024));
-        let back: Vec<LearnedState> = chunks.iter().flat_map(|p| decode(p).expect("an encoded chunk")).collect();
-        let long = learned_state.iter().filter(|l| encode(&[(*l).clone()], 1024).is_empty()).count();
+        let back: Vec<LearnedState> = chunks.iter().flat_map(|p| decode_chunk(p).expect("an encoded chunk")).collect();
+        let long = learned_state.iter().filter(|l| encode_chunks(&[(*l).clone()], 1024).is_empty()).count();
         prop_assert_eq!(back.len() + long, learned_state.len());
         let mut cache = LearnedStateCache::new(BOUNDS);
         cache.merge(s(0.0), back);
@@ -298,13 +301,13 @@
     #[test]
     fn a_damaged_state_file_is_rejected(learned_state in proptest::collection::vec(any_learned_state(), 0..20), at: prop::sample::Index,
         flip in 1..=255u8, noise: Vec<u8>) {
-        let bytes = pack(&learned_state);
-        prop_assert!(unpack(&bytes).is_ok());
+        let bytes = encode_state_file(&learned_state);
+        prop_assert!(decode_state_file(&bytes).is_ok());
         let mut changed = bytes.clone();
         changed[at.index(bytes.len())] ^= flip;
-        prop_assert!(unpack(&changed).is_err());
-        prop_assert!(unpack(&bytes[..at.index(bytes.len())]).is_err());
-        prop_assert!(unpack(&noise).is_err());
-        let _ = decode(&noise);
+        prop_assert!(decode_state_file(&changed).is_err());
+        prop_assert!(decode_state_file(&bytes[..at.index(bytes.len())]).is_err());
+        prop_assert!(decode_state_file(&noise).is_err());
+        let _ = decode_chunk(&noise);
     }
 }
--- a/crates/scenario-runner/src/journal_damage/tests.rs
+++ b/crates/scenario-runner/src/journal_damage/tests.rs
@@ -17,10 +17,10 @@
         class: 0,
         tenant: 0,
         destination: 1,
-        key: None,
+        idempotency_key: None,
         ordering_key: None,
         deadline,
-        at,
+        accepted_at: at,
         body: body.into(),
     }
 }
@@ -34,10 +34,10 @@
     for seed in 0..40 {
         let folder = tempfile::tempdir().expect("a folder");
         let options = Options {
-            disk: 1 << 20,
-            key: None,
+            disk_bytes: 1 << 20,
+            operator_key: None,
             fresh_key: Default::default(),
-            segment: None,
+            segment_bytes: None,
         };
         let open = || {
             Journal::open(
@@ -74,7 +74,7 @@
             assert!(
                 damaged.lost.is_empty()
                     && recovered.possibly_executed == 0
-                    && recovered.torn.is_some(),
+                    && recovered.torn_write.is_some(),
                 "seed {seed}: {damaged:?}"
             );
         } else {
--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -84,7 +84,7 @@
     fn has_slot_for(&self, route: &Route, endpoint: &Endpoint) -> bool {
         let free_slots = (self.settings.slots as usize).saturating_sub(self.calls.len());
         // As in Nagle's algorithm (RFC 896): with a call in flight, a partly filled one is sent only while slots are plentiful.
-        let fills_call = route.backlog >= route.kind.per_call as usize;
+        let fills_call = route.backlog >= route.kind.max_messages_per_call as usize;
         let worth_slot = fills_call || endpoint.in_flight == 0 || free_slots > self.calls.len();
         // A slow destination would occupy all slots and starve the others. The limit on its calls decreases with the free
         // slots (dynamic threshold, as for shared buffers in switches).
@@ -99,7 +99,7 @@
             HealthState::Down { next_probe, .. } => self.now >= next_probe && route.in_flight == 0,
             HealthState::Up | HealthState::WarmingUp { .. } => {
                 route.window.has_room(route.in_flight)
-                    && (route.call_drawn || route.window.chance().is_none())
+                    && (route.call_drawn || route.window.call_probability().is_none())
                     && route.token_bucket.has_token()
             }
         }
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -9,9 +9,9 @@
 
 pub use actions::Action;
 pub use endpoint_list::{Condition, Entry};
-pub use events::{AcceptedMessage, Event, Outcome, PriorAttempts, Report, Status};
+pub use events::{AcceptedMessage, Event, LoadReport, Outcome, PriorAttempts, Status};
 pub use identifiers::{DestinationId, EndpointId, MessageId, OrderingKey};
 pub use settings::{
-    Class, Decay, DedupScope, Effect, Kind, Rules, Settings, SettingsError, Tenant,
+    Class, Decay, DedupScope, DestinationKind, Effect, Rules, Settings, SettingsError, Tenant,
 };
 pub use time::Time;
--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -20,23 +20,23 @@
         call: u64,
         /// Set if the message may have been executed before and a repeat is harmless only within this time. If the request
         /// cannot be written in full by then (because its connection opens late, for example), it must not be sent.
-        write_within: Option<Duration>,
+        write_timeout: Option<Duration>,
     },
     /// Give the client the final answer that the message is rejected; a retry by the client is harmless.
     Reject {
         /// The rejected message.
         id: MessageId,
         /// Time after which the client is advised to retry (Retry-After).
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// Give the client the final answer that the message failed. It may or may not have been executed.
     Fail(MessageId),
-    /// Pass an [`Event::Wake`](super::Event::Wake) to the scheduler after this time.
+    /// Pass an [`Event::TimerFired`](super::Event::TimerFired) to the scheduler after this time.
     Timer(Duration),
     /// Close this sender's idle connections to an endpoint.
     CloseIdle(EndpointId),
     /// Send a health check.
     CheckHealth(EndpointId),
     /// Poll the endpoint list, and subscribe to its changes.
-    Subscribe,
+    PollEndpointList,
 }
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -14,7 +14,7 @@
     Error,
     /// The destination's answer is malformed or incomplete; the message is possibly executed. No health signal: the answer was
     /// damaged in transit.
-    Spoilt,
+    Malformed,
     /// Rejected because of overload; not executed.
     Overloaded,
     /// No answer before the time-out; possibly executed.
@@ -25,7 +25,7 @@
     Reset,
     /// A reused connection broke during its next call, without an answer; possibly executed. No health signal, since
     /// connections break unnoticed while idle.
-    Dropped,
+    IdleConnectionBroken,
     /// The attempt was cancelled; possibly executed.
     Cancelled,
     /// Nothing was sent; not executed.
@@ -49,9 +49,9 @@
 
 /// A destination's report on its rate limit. Reports are delayed and noisy.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Report {
+pub struct LoadReport {
     /// Fraction of the limit that is unused.
-    pub left: f64,
+    pub remaining_share: f64,
     /// Calls a second that the destination allows all senders together; 0 for no limit.
     pub limit: f64,
 }
@@ -98,25 +98,25 @@
     /// Whether the message is completed by it.
     pub completed: bool,
     /// Time since the attempt was sent.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// For [`Status::Overloaded`]: the Retry-After time in the answer, if any.
-    pub wait: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// The destination's report on its rate limit, if any.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// An input to the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The endpoint list has changed.
-    List {
+    EndpointList {
         /// Whether `entries` replace the whole list; else they are changes to it.
-        whole: bool,
+        replaces_all: bool,
         /// Entries of the new list, or changed entries.
         entries: Vec<Entry>,
     },
     /// Polling the endpoint list failed, or the subscription broke.
-    ListFailed,
+    EndpointListFailed,
     /// A message was accepted. The scheduler gives it exactly one final answer.
     Accept(AcceptedMessage),
     /// An attempt finished.
@@ -132,7 +132,7 @@
     },
     /// The quota divisor has changed to this number of senders, this one included. It replaces
     /// [`Settings::instances`](super::Settings::instances); 0 counts as 1.
-    SenderCount(u32),
+    QuotaDivisor(u32),
     /// The timer started by [`Action::Timer`](super::Action::Timer) has fired.
-    Wake,
+    TimerFired,
 }
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -7,7 +7,7 @@
 pub enum Effect {
     /// A repeat is harmless at any time.
     Safe,
-    /// A repeat within [`Class::window`] is dropped by the destination.
+    /// A repeat within [`Class::dedup_window`] is dropped by the destination.
     Idempotent,
     /// A repeat is harmful; a possibly executed message is never sent again.
     Unsafe,
@@ -27,9 +27,9 @@
 /// How the priority weight decreases after the latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decay {
-    /// Linearly, down to [`Class::late_share`] at the deadline.
+    /// Linearly, down to [`Class::min_weight_share`] at the deadline.
     Linear,
-    /// Halved with each further latency objective, down to [`Class::late_share`].
+    /// Halved with each further latency objective, down to [`Class::min_weight_share`].
     Halving,
 }
 
@@ -45,41 +45,41 @@
     /// For idempotent classes: which endpoints drop repeats.
     pub dedup: DedupScope,
     /// For idempotent classes: how long repeats are dropped, counted from when the first possibly executed attempt was sent.
-    pub window: Duration,
+    pub dedup_window: Duration,
     /// Whether messages with the same ordering key are sent one at a time, in the order accepted.
     pub in_order: bool,
     /// Priority weight of a message answered within the latency objective.
     pub priority_weight: f64,
     /// Fraction of the priority weight that remains until the deadline, 0 to 1.
-    pub late_share: f64,
+    pub min_weight_share: f64,
 }
 
 /// A destination kind.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct DestinationKind {
     /// Maximum number of messages in one call.
-    pub per_call: u32,
+    pub max_messages_per_call: u32,
     /// Whether each endpoint is a separate route with its own limit, rate and outages.
-    pub apart: bool,
+    pub separate_routes: bool,
 }
 
 /// What the scheduler assumes of destinations, and the timing limits it must keep.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules {
     /// Fraction of its capacity that a destination has at least when an outage ends, 0 to 1.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// Time after the end of an outage until the destination has its full capacity. In between, capacity grows linearly.
-    pub cold: Duration,
+    pub warm_up: Duration,
     /// Load, as a multiple of its present capacity, at which a destination fails when it lasts for [`Rules::fall`].
-    pub fall_multiple: f64,
-    /// How long a load of [`Rules::fall_multiple`] must last for a destination to fail.
-    pub fall: Duration,
+    pub overload_multiple: f64,
+    /// How long a load of [`Rules::overload_multiple`] must last for a destination to fail.
+    pub overload_duration: Duration,
     /// How long an ordering key is paused after an attempt that may still be executed.
-    pub key_quiet: Duration,
-    /// With [`Settings::ask_for_list`]: the maximum time between polls of the endpoint list.
-    pub must_ask_in: Duration,
+    pub ordering_pause: Duration,
+    /// With [`Settings::poll_endpoint_list`]: the maximum time between polls of the endpoint list.
+    pub max_poll_interval: Duration,
     /// Time past the deadline within which a final answer still counts. The scheduler does not use it.
-    pub grace_to_answer: Duration,
+    pub answer_grace: Duration,
 }
 
 /// A tenant's quota.
@@ -96,11 +96,11 @@
     /// Message classes; at least one.
     pub classes: Vec<Class>,
     /// Destination kinds. An endpoint with an unlisted kind has one message in each call and shares its route.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<DestinationKind>,
     /// Tenants; may be empty. An unlisted tenant has no quota.
     pub tenants: Vec<Tenant>,
     /// Factor of the priority weight of messages over their tenant's quota, 0 to 1.
-    pub over_share_worth: f64,
+    pub over_quota_factor: f64,
     /// How the priority weight decreases after the latency objective.
     pub decay: Decay,
     /// Maximum number of calls in flight; above zero.
@@ -108,21 +108,21 @@
     /// Maximum number of pending messages, including those in flight; above zero.
     pub max_pending: usize,
     /// Maximum number of attempts for one message; above zero.
-    pub attempts_cap: u32,
+    pub max_attempts: u32,
     /// Maximum time for a connection to open. Used by the caller, not by the scheduler.
     pub connect_timeout: Duration,
     /// How long an idle connection stays open.
-    pub conn_idle: Duration,
+    pub idle_timeout: Duration,
     /// Number of senders that share quotas and limits, this one included; above zero.
     pub instances: u32,
     /// The zone of this sender.
     pub zone: u32,
     /// Whether the endpoint list must be polled; otherwise changes are pushed.
-    pub ask_for_list: bool,
+    pub poll_endpoint_list: bool,
     /// Whether [`Entry::rate`](super::Entry::rate) is used.
     pub rates_listed: bool,
     /// Whether endpoints may be sent health checks. The scheduler does not use it.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Whether rejected clients are advised when to retry.
     pub retry_after: bool,
     /// The longest retry advice that clients follow.
--- a/crates/scheduler/src/calls.rs
+++ b/crates/scheduler/src/calls.rs
@@ -45,7 +45,7 @@
     /// call would be ambiguous for it.
     pub(crate) fn can_add(&self, route: &Route, wait: &CallWait) -> bool {
         let timeout_at = self.timeout_at.min(wait.timeout_at);
-        self.messages < route.kind.per_call
+        self.messages < route.kind.max_messages_per_call
             && self.min_timeout_at.max(wait.min_timeout_at) <= timeout_at
     }
 
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -76,11 +76,11 @@
     }
 
     /// Mean time between calls at this sender's share of the rate that a route accepts when a slow start begins. At most
-    /// `rules.cold`, divided by this route's share of the destination's messages.
+    /// `rules.warm_up`, divided by this route's share of the destination's messages.
     pub(crate) fn slow_start_gap(&self, now: Time, rules: &Rules) -> Duration {
-        let rate = rules.fall_multiple * rules.cold_from * self.rate(now);
+        let rate = rules.overload_multiple * rules.initial_capacity * self.rate(now);
         let gap = 1.0 / rate.max(MIN_PAUSE_RATE);
-        Duration::from_secs_f64(gap.min(rules.cold.as_secs_f64() / self.route_share))
+        Duration::from_secs_f64(gap.min(rules.warm_up.as_secs_f64() / self.route_share))
     }
 
     /// The limit in the endpoint list, in calls a second; infinite if there is none.
--- a/crates/scheduler/src/discovery_polls.rs
+++ b/crates/scheduler/src/discovery_polls.rs
@@ -8,7 +8,7 @@
 const BASE_BACKOFF: Duration = Duration::from_millis(300);
 /// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// The backoff is at most the maximum time between polls, [`Rules::must_ask_in`](crate::api::Rules::must_ask_in), divided by
+/// The backoff is at most the maximum time between polls, [`Rules::max_poll_interval`](crate::api::Rules::max_poll_interval), divided by
 /// this, so that a retry is sent within that time.
 const MAX_BACKOFF_DIVISOR: u32 = 2;
 
@@ -23,7 +23,7 @@
     /// Schedules the first poll for `now`.
     pub(crate) fn new(settings: &Settings, now: Time) -> DiscoveryPolls {
         DiscoveryPolls {
-            next_poll: settings.ask_for_list.then_some(now),
+            next_poll: settings.poll_endpoint_list.then_some(now),
             consecutive_failures: 0,
         }
     }
@@ -49,8 +49,8 @@
         self.consecutive_failures += 1;
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         let backoff = (BASE_BACKOFF * (1 << doublings))
-            .min(settings.rules.must_ask_in / MAX_BACKOFF_DIVISOR)
+            .min(settings.rules.max_poll_interval / MAX_BACKOFF_DIVISOR)
             .mul_f64(jitter);
-        self.next_poll = settings.ask_for_list.then_some(now + backoff);
+        self.next_poll = settings.poll_endpoint_list.then_some(now + backoff);
     }
 }
--- a/crates/scheduler/src/dispatch.rs
+++ b/crates/scheduler/src/dispatch.rs
@@ -100,7 +100,9 @@
         };
         let usual = route.call_times(message.class, &self.settings).usual;
         // Messages that share a call also share its slot time.
-        let messages_per_call = route.backlog.clamp(1, route.kind.per_call.max(1) as usize);
+        let messages_per_call = route
+            .backlog
+            .clamp(1, route.kind.max_messages_per_call.max(1) as usize);
         let service_rate = route.demand.rate(self.now).max(MIN_SERVICE_RATE);
         let wait = (route.backlog as f64 / service_rate).clamp(MIN_BACKLOG_WAIT, MAX_BACKLOG_WAIT);
         let answered_now = self.now + Duration::from_secs_f64(usual);
@@ -181,7 +183,7 @@
         let class = message.class;
         let route = &self.routes[self.endpoints[endpoint_index].route];
         let wait = CallWait::new(message, route, &self.settings, self.now);
-        let write_within = message
+        let write_timeout = message
             .repeatable_until(&self.settings)
             .map(|until| until - self.now);
         let shared_call = open_calls
@@ -212,7 +214,7 @@
             endpoint: self.endpoints[endpoint_index].id.clone(),
             timeout: wait.timeout,
             call: call_number.0,
-            write_within,
+            write_timeout,
         });
     }
 
--- a/crates/scheduler/src/endpoint_list.rs
+++ b/crates/scheduler/src/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::api::{Condition, Entry, Kind};
+use crate::api::{Condition, DestinationKind, Entry};
 use crate::demand::DemandEstimator;
 use crate::endpoints::Endpoint;
 use crate::indices::{EndpointIndex, RouteIndex};
@@ -10,16 +10,16 @@
 use crate::state::SchedulerState;
 
 /// Used for an endpoint whose kind is not in the settings.
-const UNKNOWN_KIND: Kind = Kind {
-    per_call: 1,
-    apart: false,
+const UNKNOWN_KIND: DestinationKind = DestinationKind {
+    max_messages_per_call: 1,
+    separate_routes: false,
 };
 
 impl SchedulerState {
-    /// Applies a new endpoint list if `whole` is set, else changes to the present one.
-    pub(crate) fn on_endpoint_list(&mut self, whole: bool, entries: Vec<Entry>) {
+    /// Applies a new endpoint list if `replaces_all` is set, else changes to the present one.
+    pub(crate) fn on_endpoint_list(&mut self, replaces_all: bool, entries: Vec<Entry>) {
         self.discovery_polls.record_success();
-        if whole {
+        if replaces_all {
             self.endpoints.mark_all_removed();
         }
         for entry in entries {
@@ -50,7 +50,7 @@
         let kind = kinds.get(entry.kind).copied().unwrap_or(UNKNOWN_KIND);
         let sibling = self.routes.of_destination(entry.destination).first();
         let demand = match sibling {
-            Some(&sibling) if !kind.apart => return sibling,
+            Some(&sibling) if !kind.separate_routes => return sibling,
             Some(&sibling) => self.routes[sibling].demand.clone(),
             None => DemandEstimator::new(self.now),
         };
--- a/crates/scheduler/src/expiry.rs
+++ b/crates/scheduler/src/expiry.rs
@@ -70,20 +70,20 @@
             return;
         };
         let class = message.class(&self.settings);
-        let after = (self.settings.retry_after && message.permanent_result.is_none())
+        let retry_after = (self.settings.retry_after && message.permanent_result.is_none())
             .then_some(self.settings.max_retry_after / RETRY_AFTER_DIVISOR);
         // The client's retry comes after the advised time and may reach any endpoint.
         let harmless_anywhere = message.possibly_executed.is_none()
             || class.effect == Effect::Safe
             || class.dedup == DedupScope::All;
-        let retry_at = self.now + after.unwrap_or_default();
+        let retry_at = self.now + retry_after.unwrap_or_default();
         let retry_is_harmless =
             harmless_anywhere && message.repeat_is_harmless(&self.settings, retry_at);
         let rejected =
             retry_is_harmless && message.permanent_result != Some(Status::PermanentError);
         let id = message.id.clone();
         self.actions.push(if rejected {
-            Action::Reject { id, after }
+            Action::Reject { id, retry_after }
         } else {
             Action::Fail(id)
         });
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -22,7 +22,7 @@
 /// The longest time for which a rate limit can cause rejections. Rejections and Retry-After waits that last longer indicate an
 /// outage.
 pub(crate) fn longest_limit_span(rules: &Rules) -> Duration {
-    rules.fall.max(MIN_LIMIT_SPAN)
+    rules.overload_duration.max(MIN_LIMIT_SPAN)
 }
 
 /// The pause after a number of consecutive failures. Not bounded by [`MAX_PROBE_PAUSE`].
--- a/crates/scheduler/src/idle_connections.rs
+++ b/crates/scheduler/src/idle_connections.rs
@@ -31,7 +31,7 @@
     /// Statistics without any call.
     pub(crate) fn new(settings: &Settings, now: Time) -> IdleConnections {
         IdleConnections {
-            idle_limit: settings.conn_idle,
+            idle_limit: settings.idle_timeout,
             loss_share: 0.0,
             shortage_until: vec![now; settings.kinds.len()],
         }
@@ -55,10 +55,10 @@
     /// time to endpoints without preceding failures, exceeds [`MAX_LOSS_SHARE`]. Outages alone rarely reach that fraction.
     pub(crate) fn record_call(&mut self, endpoint: &Endpoint, status: Status) -> bool {
         let lost = match status {
-            Status::TimedOut | Status::Reset | Status::Dropped => true,
+            Status::TimedOut | Status::Reset | Status::IdleConnectionBroken => true,
             Status::Served
             | Status::Error
-            | Status::Spoilt
+            | Status::Malformed
             | Status::RecipientRemoved
             | Status::PermanentError => false,
             Status::Overloaded | Status::NoConnection | Status::Cancelled | Status::NotSent => {
@@ -87,7 +87,7 @@
         settings: &Settings,
         now: Time,
     ) -> bool {
-        let listed_for = now - endpoint.listed_at + settings.conn_idle;
+        let listed_for = now - endpoint.listed_at + settings.idle_timeout;
         let mean_gap = listed_for / endpoint.calls_sent.max(1);
         let shortage = self
             .shortage_until
--- a/crates/scheduler/src/learned_state.rs
+++ b/crates/scheduler/src/learned_state.rs
@@ -2,7 +2,7 @@
 //! restarted processes restore it.
 //!
 //! Restored state never makes a sender send more than one that starts without learned state, until the destination answers.
-//! State handed over by another process of the same sender ([`SchedulerState::inherit`]) may also enlarge the window.
+//! State handed over by another process of the same sender ([`SchedulerState::restore_handed_over`]) may also enlarge the window.
 
 use std::collections::BTreeMap;
 
@@ -181,8 +181,8 @@
     }
 
     /// Restores the state handed over by another process of this sender: see
-    /// [`Scheduler::inherit`](crate::Scheduler::inherit).
-    pub(crate) fn inherit(
+    /// [`Scheduler::restore_handed_over`](crate::Scheduler::restore_handed_over).
+    pub(crate) fn restore_handed_over(
         &mut self,
         now: Time,
         learned_state: Vec<LearnedState>,
@@ -224,7 +224,10 @@
     /// Id of the endpoint of a separate route; `None` for a route that endpoints share.
     fn route_id(&self, route_index: RouteIndex) -> Option<String> {
         let route = &self.routes[route_index];
-        let endpoint = route.endpoints.first().filter(|_| route.kind.apart)?;
+        let endpoint = route
+            .endpoints
+            .first()
+            .filter(|_| route.kind.separate_routes)?;
         Some(self.endpoints[*endpoint].id.0.clone())
     }
 }
@@ -245,7 +248,7 @@
             Some(ObservedHealth::Down) => {
                 self.health.mark_down(now + MIN_PROBE_PAUSE.mul_f64(jitter));
             }
-            Some(ObservedHealth::WarmingUp(since)) if now - since < rules.cold => {
+            Some(ObservedHealth::WarmingUp(since)) if now - since < rules.warm_up => {
                 self.health.mark_warming_up(since);
             }
             Some(ObservedHealth::WarmingUp(_) | ObservedHealth::Up) | None => {}
--- a/crates/scheduler/src/messages.rs
+++ b/crates/scheduler/src/messages.rs
@@ -63,7 +63,7 @@
 
     /// Whether a further attempt is allowed at all, to any endpoint.
     pub(crate) fn may_repeat(&self, settings: &Settings, now: Time) -> bool {
-        self.attempts < settings.attempts_cap
+        self.attempts < settings.max_attempts
             && self.permanent_result.is_none()
             && self.repeat_is_harmless(settings, now)
     }
@@ -74,7 +74,7 @@
         let class = self.class(settings);
         match class.effect {
             Effect::Safe => None,
-            Effect::Idempotent => Some(first_sent + class.window),
+            Effect::Idempotent => Some(first_sent + class.dedup_window),
             Effect::Unsafe => Some(first_sent),
         }
     }
@@ -104,7 +104,7 @@
             Decay::Linear => {
                 let span = class.deadline.saturating_sub(class.latency_objective);
                 let span = span.as_secs_f64().max(MIN_SPAN_SECONDS);
-                1.0 - (1.0 - class.late_share) * (late / span)
+                1.0 - (1.0 - class.min_weight_share) * (late / span)
             }
             Decay::Halving => {
                 let objective = class.latency_objective.as_secs_f64();
@@ -112,11 +112,11 @@
             }
         };
         let quota_factor = if self.over_quota {
-            settings.over_share_worth
+            settings.over_quota_factor
         } else {
             1.0
         };
-        class.priority_weight * quota_factor * share.clamp(class.late_share.min(1.0), 1.0)
+        class.priority_weight * quota_factor * share.clamp(class.min_weight_share.min(1.0), 1.0)
     }
 }
 
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -38,7 +38,7 @@
         // A time-out before the call was overdue is caused by a near deadline, and is no health signal.
         let overdue = self.routes[route].call_times(class, &self.settings).overdue;
         let limited_by_deadline =
-            outcome.status == Status::TimedOut && outcome.took.as_secs_f64() < overdue;
+            outcome.status == Status::TimedOut && outcome.elapsed.as_secs_f64() < overdue;
         if first_of_call && !limited_by_deadline {
             self.record_call_outcome(&attempt, class, outcome);
             self.record_idle_loss(attempt.endpoint, outcome.status);
@@ -88,13 +88,13 @@
 
     /// Records the Retry-After time and the reported limit in an answer, if any.
     fn record_stated_limits(&mut self, route: RouteIndex, outcome: &Outcome) {
-        if let Some(wait) = outcome.wait {
+        if let Some(wait) = outcome.retry_after {
             let until = self.now + wait + self.settings.tick;
             self.routes[route].block_until(until);
         }
         if let Some(report) = outcome.report
             && report.limit >= 0.0
-            && report.left.is_finite()
+            && report.remaining_share.is_finite()
         {
             self.routes[route]
                 .demand
@@ -108,11 +108,11 @@
         match outcome.status {
             Status::Served
             | Status::Error
-            | Status::Spoilt
+            | Status::Malformed
             | Status::RecipientRemoved
             | Status::PermanentError => {
                 self.routes[endpoint.route].round_trips[class]
-                    .record_sample(outcome.took.as_secs_f64());
+                    .record_sample(outcome.elapsed.as_secs_f64());
                 endpoint.last_answer_at = self.now;
             }
             Status::NoConnection => {
@@ -130,7 +130,7 @@
                 let resume_at = route.blocked_until.max(self.now);
                 route.token_bucket.pause(resume_at, self.rng.f64());
             }
-            Status::Reset | Status::Dropped | Status::Cancelled | Status::NotSent => {}
+            Status::Reset | Status::IdleConnectionBroken | Status::Cancelled | Status::NotSent => {}
         }
     }
 
@@ -151,22 +151,22 @@
         // No call is sent in a Retry-After wait. A call served during one was sent before, and does not end the outage.
         let sent_before_wait = now < route.blocked_until && route.health.is_down();
         let signal = match status {
-            Status::Served if sent_before_wait => return route.window.answered(),
+            Status::Served if sent_before_wait => return route.window.record_answer(),
             Status::Served => HealthSignal::Success,
             Status::Overloaded => HealthSignal::Overload,
             Status::Error | Status::TimedOut | Status::NoConnection | Status::Reset => {
                 HealthSignal::Failure
             }
             // Answers that concern one message only, or were damaged in transit, are no health signal.
-            Status::RecipientRemoved | Status::PermanentError | Status::Spoilt => {
-                return route.window.answered();
+            Status::RecipientRemoved | Status::PermanentError | Status::Malformed => {
+                return route.window.record_answer();
             }
-            Status::Cancelled | Status::Dropped | Status::NotSent => return,
+            Status::Cancelled | Status::IdleConnectionBroken | Status::NotSent => return,
         };
         if matches!(status, Status::Served | Status::Error) {
-            route.window.answered();
+            route.window.record_answer();
         } else {
-            route.window.cut();
+            route.window.record_overload();
             route.window_reduced_at = now;
         }
         match signal {
@@ -195,7 +195,7 @@
     fn detect_outage_by_wait(&mut self, route: RouteIndex, outcome: &Outcome, jitter: f64) {
         let rules = &self.settings.rules;
         if outcome
-            .wait
+            .retry_after
             .is_some_and(|wait| wait > longest_limit_span(rules))
         {
             let route = &mut self.routes[route];
@@ -222,10 +222,10 @@
         }
         let may_still_run = matches!(
             status,
-            Status::TimedOut | Status::Reset | Status::Dropped | Status::Cancelled
+            Status::TimedOut | Status::Reset | Status::IdleConnectionBroken | Status::Cancelled
         );
         if may_still_run && let Some(key) = &message.ordering_key {
-            let until = self.now + self.settings.rules.key_quiet;
+            let until = self.now + self.settings.rules.ordering_pause;
             self.ordering.pause(key, number, until);
         }
         if outcome.completed || message.completed || status == Status::Served {
@@ -235,7 +235,7 @@
             message.permanent_result = Some(status);
         }
         let backoff = match status {
-            Status::Error | Status::Spoilt | Status::Reset | Status::NotSent => {
+            Status::Error | Status::Malformed | Status::Reset | Status::NotSent => {
                 let doublings = message.attempts.min(MAX_RETRY_DOUBLINGS);
                 BASE_RETRY_SECONDS * f64::from(1u32 << doublings)
             }
--- a/crates/scheduler/src/profile.rs
+++ b/crates/scheduler/src/profile.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use crate::api::{Class, Decay, DedupScope, Effect, Kind, Rules, Settings, Tenant};
+use crate::api::{Class, Decay, DedupScope, DestinationKind, Effect, Rules, Settings, Tenant};
 
 /// Maximum number of senders. With this many, each may send one call in 100 s under a shared limit of 1000 calls a second. That
 /// is far longer than the deadline of any message, so more senders could not use their quotas.
@@ -43,7 +43,7 @@
     /// How changes of the endpoint list arrive: "ask" if the sender must poll, pushed with any other value.
     membership_mode: String,
     n_instances: u32,
-    /// See [`Settings::over_share_worth`].
+    /// See [`Settings::over_quota_factor`].
     #[serde(default)]
     over_share_worth: f64,
     policy_limits: PolicyLimits,
@@ -202,18 +202,18 @@
             classes,
             kinds: self.family_info.kinds(),
             tenants,
-            over_share_worth: self.over_share_worth,
+            over_quota_factor: self.over_share_worth,
             decay: self.family_info.decay(),
             slots: self.family_info.slots,
             max_pending: limits.max_pending,
-            attempts_cap: limits.attempts_cap,
+            max_attempts: limits.attempts_cap,
             connect_timeout: duration(limits.connect_timeout),
-            conn_idle: duration(limits.conn_idle),
+            idle_timeout: duration(limits.conn_idle),
             instances: self.n_instances,
             zone: self.zone,
-            ask_for_list: self.membership_mode == "ask",
+            poll_endpoint_list: self.membership_mode == "ask",
             rates_listed: matches!(self.listed_rate_kind.as_str(), "nominal" | "rough"),
-            probes: limits.probes,
+            health_checks: limits.probes,
             retry_after: limits.retry_after,
             max_retry_after: duration(limits.max_retry_after),
             tick: duration(self.tick),
@@ -225,12 +225,12 @@
 impl FamilyInfo {
     /// The destination kinds, as many as the longer of `perCall` and `kindApart` has. Values missing from the shorter one
     /// default to 1 message in a call and to a shared route.
-    fn kinds(&self) -> Vec<Kind> {
+    fn kinds(&self) -> Vec<DestinationKind> {
         let count = self.per_call.len().max(self.separate_routes.len());
         (0..count)
-            .map(|index| Kind {
-                per_call: self.per_call.get(index).copied().unwrap_or(1),
-                apart: self.separate_routes.get(index).copied().unwrap_or(false),
+            .map(|index| DestinationKind {
+                max_messages_per_call: self.per_call.get(index).copied().unwrap_or(1),
+                separate_routes: self.separate_routes.get(index).copied().unwrap_or(false),
             })
             .collect()
     }
@@ -255,13 +255,13 @@
 impl WireRules {
     fn into_rules(self) -> Rules {
         Rules {
-            cold_from: self.cold_from,
-            cold: duration(self.cold),
-            fall_multiple: self.fall_multiple,
-            fall: duration(self.fall),
-            key_quiet: duration(self.key_quiet),
-            must_ask_in: duration(self.must_ask_in),
-            grace_to_answer: duration(self.grace_to_answer),
+            initial_capacity: self.cold_from,
+            warm_up: duration(self.cold),
+            overload_multiple: self.fall_multiple,
+            overload_duration: duration(self.fall),
+            ordering_pause: duration(self.key_quiet),
+            max_poll_interval: duration(self.must_ask_in),
+            answer_grace: duration(self.grace_to_answer),
         }
     }
 }
@@ -291,10 +291,10 @@
             deadline: duration(self.deadline),
             effect,
             dedup,
-            window: duration(self.window),
+            dedup_window: duration(self.window),
             in_order: self.by_arrival,
             priority_weight: self.priority_weight,
-            late_share: self.late_share,
+            min_weight_share: self.late_share,
         })
     }
 }
--- a/crates/scheduler/src/routes.rs
+++ b/crates/scheduler/src/routes.rs
@@ -7,7 +7,7 @@
 use std::ops::{Index, IndexMut};
 use std::time::Duration;
 
-use crate::api::{DestinationId, Kind, Rules, Settings, Time};
+use crate::api::{DestinationId, DestinationKind, Rules, Settings, Time};
 use crate::demand::DemandEstimator;
 use crate::health::{Health, HealthState};
 use crate::indices::{EndpointIndex, RouteIndex};
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) struct Route {
     pub(crate) destination: DestinationId,
-    pub(crate) kind: Kind,
+    pub(crate) kind: DestinationKind,
     pub(crate) endpoints: Vec<EndpointIndex>,
     pub(crate) window: Window,
     /// The window when a call was last served outside an outage or slow start. Restored after an outage.
@@ -70,7 +70,7 @@
     /// A new route, without endpoints.
     pub(crate) fn new(
         destination: DestinationId,
-        kind: Kind,
+        kind: DestinationKind,
         demand: DemandEstimator,
         now: Time,
         settings: &Settings,
@@ -143,10 +143,10 @@
     /// Updates health, token bucket and draw at a tick, after the backlog was counted.
     pub(crate) fn update(&mut self, now: Time, settings: &Settings, rng: &mut fastrand::Rng) {
         let rules = &settings.rules;
-        self.health.end_slow_start(now, rules.cold);
+        self.health.end_slow_start(now, rules.warm_up);
         let rate = self.allowed_rate(now, rules, settings.instances);
         self.token_bucket.refill(now, rate);
-        match self.window.chance() {
+        match self.window.call_probability() {
             None => self.call_drawn = true,
             Some(probability) => self.draw_call(now, probability, rules, rng),
         }
@@ -162,7 +162,7 @@
         // The probability grows with the time since the window was reduced. Otherwise a sender with few calls would need
         // minutes until enough answers have enlarged the window to one call.
         let aged_probability =
-            (now - self.window_reduced_at).as_secs_f64() / rules.cold.as_secs_f64().max(1.0);
+            (now - self.window_reduced_at).as_secs_f64() / rules.warm_up.as_secs_f64().max(1.0);
         self.call_drawn = rng.f64() < probability.max(aged_probability);
         // The paper draws once for each arriving call, as each accepted message does here (`SchedulerState::on_accept`).
         // Further draws at the mean time between arrivals at most double the number of draws, independent of the number of
@@ -213,7 +213,7 @@
     ) {
         let route = &mut self[route_index];
         route.endpoints.retain(|&index| index != endpoint_index);
-        if !route.endpoints.is_empty() || !route.kind.apart {
+        if !route.endpoints.is_empty() || !route.kind.separate_routes {
             return;
         }
         let destination = route.destination;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -15,7 +15,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if [`Settings::instances`], `slots`, `attempts_cap` or `max_pending` is zero, or `classes` is empty.
+    /// Fails if [`Settings::instances`], `slots`, `max_attempts` or `max_pending` is zero, or `classes` is empty.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Scheduler, SettingsError> {
         let state = SchedulerState::new(settings, seed, now)?;
         Ok(Scheduler { state })
@@ -32,7 +32,7 @@
             state.on_event(event);
         }
         if state.discovery_polls.take_due(state.now) {
-            state.actions.push(Action::Subscribe);
+            state.actions.push(Action::PollEndpointList);
         }
         state.expire_unreachable();
         state.dispatch();
@@ -48,12 +48,12 @@
     }
 
     /// Length of the endpoint table or the route table, whichever is longer, including slots free for reuse.
-    pub fn endpoint_count(&self) -> usize {
+    pub fn endpoint_table_len(&self) -> usize {
         self.state.endpoints.len().max(self.state.routes.len())
     }
 
     /// Number of routes that the next tick updates. The cost of a tick grows with it and with the pending messages.
-    pub fn active_routes(&self) -> usize {
+    pub fn active_route_count(&self) -> usize {
         self.state.routes.active_count()
     }
 }
@@ -61,8 +61,11 @@
 impl SchedulerState {
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::List { whole, entries } => self.on_endpoint_list(whole, entries),
-            Event::ListFailed => {
+            Event::EndpointList {
+                replaces_all,
+                entries,
+            } => self.on_endpoint_list(replaces_all, entries),
+            Event::EndpointListFailed => {
                 let jitter = self.jitter();
                 self.discovery_polls
                     .record_failure(&self.settings, self.now, jitter);
@@ -79,8 +82,8 @@
                     self.record_health_signal(index, status);
                 }
             }
-            Event::SenderCount(senders) => self.settings.instances = senders.max(1),
-            Event::Wake => self.on_timer(),
+            Event::QuotaDivisor(senders) => self.settings.instances = senders.max(1),
+            Event::TimerFired => self.on_timer(),
         }
     }
 }
@@ -88,32 +91,32 @@
 /// Methods for ordering keys.
 impl Scheduler {
     /// From now on, after a message expires, no message with its ordering key is sent until its final report is acknowledged
-    /// ([`Scheduler::report_answered`]). For callers that send final reports asynchronously.
-    pub fn confirm_reports(&mut self) {
+    /// ([`Scheduler::report_acknowledged`]). For callers that send final reports asynchronously.
+    pub fn require_report_acknowledgements(&mut self) {
         self.state.ordering.confirm_reports();
     }
 
-    /// Blocks an ordering key until [`Scheduler::report_answered`] is called: an earlier process of this sender has started a
+    /// Blocks an ordering key until [`Scheduler::report_acknowledged`] is called: an earlier process of this sender has started a
     /// final report of a message with this key.
-    pub fn await_report(&mut self, ordering_key: &OrderingKey) {
+    pub fn block_until_report_acknowledged(&mut self, ordering_key: &OrderingKey) {
         self.state.ordering.await_report(ordering_key);
     }
 
     /// Records that a final report of a message with this key was acknowledged, or that the client got the final answer
     /// directly.
-    pub fn report_answered(&mut self, ordering_key: &OrderingKey) {
+    pub fn report_acknowledged(&mut self, ordering_key: &OrderingKey) {
         self.state.ordering.report_answered(ordering_key);
     }
 
-    /// Pauses all ordering keys for [`Rules::key_quiet`](crate::api::Rules::key_quiet), since attempts of an earlier process may
+    /// Pauses all ordering keys for [`Rules::ordering_pause`](crate::api::Rules::ordering_pause), since attempts of an earlier process may
     /// still be executed.
-    pub fn rest_keys(&mut self, now: Time) {
-        let until = now + self.state.settings.rules.key_quiet;
+    pub fn pause_ordering_keys(&mut self, now: Time) {
+        let until = now + self.state.settings.rules.ordering_pause;
         self.state.ordering.pause_all(until);
     }
 
     /// Number of ordering keys with queued messages, an unfinished pause or unacknowledged final reports.
-    pub fn ordered_queues(&self) -> usize {
+    pub fn ordering_key_count(&self) -> usize {
         self.state.ordering.len()
     }
 }
@@ -135,8 +138,12 @@
     /// Restores the state handed over by another process of this sender that has just stopped. The state is current and only
     /// this sender restarts, so first calls are not spread. Returns the Retry-After waits of destinations that are not listed
     /// yet; the caller must keep them.
-    pub fn inherit(&mut self, now: Time, learned_state: Vec<LearnedState>) -> Vec<LearnedState> {
-        self.state.inherit(now, learned_state)
+    pub fn restore_handed_over(
+        &mut self,
+        now: Time,
+        learned_state: Vec<LearnedState>,
+    ) -> Vec<LearnedState> {
+        self.state.restore_handed_over(now, learned_state)
     }
 }
 
@@ -144,62 +151,62 @@
 impl Scheduler {
     /// Evacuates a zone: closes the gates of its endpoints, so that no call is sent to them. Revokes a probe call that was
     /// admitted but not sent.
-    pub fn bar(&mut self, zone: u32) {
+    pub fn evacuate_zone(&mut self, zone: u32) {
         self.state.endpoints.close_zone(zone);
     }
 
-    /// Closes the gates of the endpoints of an evacuated zone that were listed after [`Scheduler::bar`].
-    pub fn bar_new(&mut self, zone: u32) {
+    /// Closes the gates of the endpoints of an evacuated zone that were listed after [`Scheduler::evacuate_zone`].
+    pub fn evacuate_new_endpoints(&mut self, zone: u32) {
         self.state.endpoints.close_new_in_zone(zone);
     }
 
     /// Starts the recovery ramp of a zone: for all of its endpoints, or with `only_new` for those without a gate, which were
     /// listed after the ramp began. Each gate starts with a random fraction of a token, so that senders that refill at the same
     /// rate do not call at the same moment.
-    pub fn return_to(&mut self, zone: u32, only_new: bool) {
+    pub fn start_recovery_ramp(&mut self, zone: u32, only_new: bool) {
         self.state.start_recovery_ramp(zone, only_new);
     }
 
     /// Admits one probe call to one endpoint of an evacuated zone, preferably one that a pending message can be sent to. `pick`,
     /// modulo the number of candidates, selects the endpoint.
-    pub fn probe(&mut self, now: Time, zone: u32, pick: u64) {
+    pub fn admit_probe_call(&mut self, now: Time, zone: u32, pick: u64) {
         self.state.admit_probe(now, zone, pick);
     }
 
     /// Refills the gates of a zone during its recovery ramp, which began at `since`: adds this sender's quota for the time
     /// since the last batch.
-    pub fn admit_returning(&mut self, now: Time, zone: u32, since: Time) {
+    pub fn refill_zone_gates(&mut self, now: Time, zone: u32, since: Time) {
         self.state.refill_zone(now, zone, since);
     }
 
-    /// As [`Scheduler::admit_returning`], for one endpoint that operators reattached at `since`.
-    pub fn admit_endpoint(&mut self, now: Time, id: &EndpointId, since: Time) {
+    /// As [`Scheduler::refill_zone_gates`], for one endpoint that operators reattached at `since`.
+    pub fn refill_endpoint_gate(&mut self, now: Time, id: &EndpointId, since: Time) {
         self.state.refill_endpoint(now, id, since);
     }
 
     /// Closes the gate of an endpoint that operators reattach; a random part of the senders may send one call immediately.
-    /// [`Scheduler::admit_endpoint`] then refills the gate.
-    pub fn bar_endpoint(&mut self, id: &EndpointId) {
+    /// [`Scheduler::refill_endpoint_gate`] then refills the gate.
+    pub fn close_endpoint_gate(&mut self, id: &EndpointId) {
         self.state.close_endpoint(id);
     }
 
     /// Closes the gates of all endpoints.
-    pub fn bar_all(&mut self) {
+    pub fn close_all_gates(&mut self) {
         self.state.endpoints.close_all();
     }
 
     /// Removes all gates.
-    pub fn unbar_all(&mut self) {
+    pub fn open_all_gates(&mut self) {
         self.state.endpoints.open_all();
     }
 
     /// Removes the gate of an endpoint.
-    pub fn unbar_endpoint(&mut self, id: &EndpointId) {
+    pub fn open_endpoint_gate(&mut self, id: &EndpointId) {
         self.state.endpoints.open_endpoint(id);
     }
 
     /// Removes the gates of a zone that is in service again.
-    pub fn unbar(&mut self, zone: u32) {
+    pub fn open_zone_gates(&mut self, zone: u32) {
         self.state.endpoints.open_zone(zone);
     }
 }
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -53,10 +53,10 @@
         seed: u64,
         now: Time,
     ) -> Result<SchedulerState, SettingsError> {
-        let counts = [settings.instances, settings.slots, settings.attempts_cap];
+        let counts = [settings.instances, settings.slots, settings.max_attempts];
         if counts.contains(&0) || settings.max_pending == 0 || settings.classes.is_empty() {
             return Err(SettingsError(
-                "expected instances, slots, attempts_cap and max_pending above zero, and at least one class",
+                "expected instances, slots, max_attempts and max_pending above zero, and at least one class",
             ));
         }
         Ok(SchedulerState {
--- a/crates/scheduler/src/window.rs
+++ b/crates/scheduler/src/window.rs
@@ -41,7 +41,7 @@
     }
 
     /// Records a call that was answered with a success or an error other than overload; every second one enlarges the window.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         self.answers += 1;
         if self.answers >= ANSWERS_PER_STEP {
             self.answers = 0;
@@ -50,7 +50,7 @@
     }
 
     /// Records a call that was rejected because of overload, timed out, failed to connect or was reset, and reduces the window.
-    pub fn cut(&mut self) {
+    pub fn record_overload(&mut self) {
         self.answers = 0;
         self.size = (self.size - REDUCTION_STEP).max(MIN_WINDOW);
     }
@@ -63,7 +63,7 @@
     }
 
     /// If the window is below one, the probability of a call while none is in flight; else `None`.
-    pub fn chance(&self) -> Option<f64> {
+    pub fn call_probability(&self) -> Option<f64> {
         (self.size < 1.0).then_some(self.size)
     }
 
--- a/crates/scheduler/src/zones.rs
+++ b/crates/scheduler/src/zones.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Admits one probe call to one endpoint of a zone: see [`Scheduler::probe`](crate::Scheduler::probe).
+    /// Admits one probe call to one endpoint of a zone: see [`Scheduler::admit_probe_call`](crate::Scheduler::admit_probe_call).
     pub(crate) fn admit_probe(&mut self, now: Time, zone: u32, pick: u64) {
         self.endpoints.close_zone(zone);
         let candidates = self.probe_candidates(zone);
@@ -171,8 +171,9 @@
             .filter(|quota| quota.is_finite())
             .unwrap_or_else(|| route.demand.rate(now));
         // In addition to the capacity, all senders together may send the tolerated calls in each period of `Rules::fall`.
-        let tolerated =
-            TOLERATED_CALLS / rules.fall.as_secs_f64().max(MIN_SPAN_SECONDS) / instances;
+        let tolerated = TOLERATED_CALLS
+            / rules.overload_duration.as_secs_f64().max(MIN_SPAN_SECONDS)
+            / instances;
         slow_start_rate(rules, elapsed, quota) + tolerated
     }
 
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -12,10 +12,10 @@
         deadline: Duration::from_secs(10),
         effect,
         dedup: DedupScope::All,
-        window: Duration::from_secs(5),
+        dedup_window: Duration::from_secs(5),
         in_order: false,
         priority_weight: 1.0,
-        late_share: 0.2,
+        min_weight_share: 0.2,
     }
 }
 
@@ -32,43 +32,43 @@
             class(Effect::Unsafe),
         ],
         kinds: vec![
-            Kind {
-                per_call: 1,
-                apart: false,
+            DestinationKind {
+                max_messages_per_call: 1,
+                separate_routes: false,
             },
-            Kind {
-                per_call: 5,
-                apart: false,
+            DestinationKind {
+                max_messages_per_call: 5,
+                separate_routes: false,
             },
-            Kind {
-                per_call: 1,
-                apart: true,
+            DestinationKind {
+                max_messages_per_call: 1,
+                separate_routes: true,
             },
         ],
         tenants: vec![],
-        over_share_worth: 0.1,
+        over_quota_factor: 0.1,
         decay: Decay::Linear,
         slots: 8,
         max_pending: 64,
-        attempts_cap: 4,
+        max_attempts: 4,
         connect_timeout: Duration::from_secs(1),
-        conn_idle: Duration::from_secs(10),
+        idle_timeout: Duration::from_secs(10),
         instances: 2,
         zone: 0,
-        ask_for_list: false,
+        poll_endpoint_list: false,
         rates_listed: false,
-        probes: true,
+        health_checks: true,
         retry_after: true,
         max_retry_after: Duration::from_secs(2),
         tick: Duration::from_millis(5),
         rules: Rules {
-            cold_from: 0.2,
-            cold: Duration::from_secs(12),
-            fall_multiple: 2.0,
-            fall: Duration::from_secs(2),
-            key_quiet: Duration::from_millis(300),
-            must_ask_in: Duration::from_secs(10),
-            grace_to_answer: Duration::from_millis(20),
+            initial_capacity: 0.2,
+            warm_up: Duration::from_secs(12),
+            overload_multiple: 2.0,
+            overload_duration: Duration::from_secs(2),
+            ordering_pause: Duration::from_millis(300),
+            max_poll_interval: Duration::from_secs(10),
+            answer_grace: Duration::from_millis(20),
         },
     }
 }
@@ -102,8 +102,8 @@
         let mut scheduler = Scheduler::new(settings, seed, Time(0)).expect("settings");
         scheduler.handle(
             Time(0),
-            vec![Event::List {
-                whole: true,
+            vec![Event::EndpointList {
+                replaces_all: true,
                 entries,
             }],
         );
@@ -140,8 +140,8 @@
         attempt,
         status,
         completed: status == Status::Served,
-        took: Duration::from_millis(took_ms),
-        wait: None,
+        elapsed: Duration::from_millis(took_ms),
+        retry_after: None,
         report: None,
     })
 }
@@ -150,7 +150,7 @@
 pub(crate) fn rejected_with_retry_after(id: &str, attempt: u32, wait_ms: u64) -> Event {
     match outcome(id, attempt, Status::Overloaded, 10) {
         Event::Outcome(rejected) => Event::Outcome(Outcome {
-            wait: Some(Duration::from_millis(wait_ms)),
+            retry_after: Some(Duration::from_millis(wait_ms)),
             ..rejected
         }),
         other => other,
--- a/crates/scheduler/tests/failures.rs
+++ b/crates/scheduler/tests/failures.rs
@@ -26,7 +26,7 @@
     assert!(
         (2300..3200)
             .step_by(5)
-            .any(|ms| !sent_messages(&sender.handle_at(ms, vec![Event::Wake])).is_empty())
+            .any(|ms| !sent_messages(&sender.handle_at(ms, vec![Event::TimerFired])).is_empty())
     );
 }
 
@@ -216,8 +216,8 @@
         ];
         sender.handle_at(
             i * 100,
-            vec![Event::List {
-                whole: false,
+            vec![Event::EndpointList {
+                replaces_all: false,
                 entries,
             }],
         );
@@ -232,9 +232,9 @@
         );
     }
     assert!(
-        sender.scheduler.endpoint_count() < 10,
+        sender.scheduler.endpoint_table_len() < 10,
         "{}",
-        sender.scheduler.endpoint_count()
+        sender.scheduler.endpoint_table_len()
     );
 }
 
@@ -259,8 +259,8 @@
     ];
     let actions = sender.handle_at(
         2100,
-        vec![Event::List {
-            whole: false,
+        vec![Event::EndpointList {
+            replaces_all: false,
             entries,
         }],
     );
@@ -276,8 +276,8 @@
         let mut scheduler = Scheduler::new(settings(), 1, start).expect("settings");
         scheduler.handle(
             start,
-            vec![Event::List {
-                whole: true,
+            vec![Event::EndpointList {
+                replaces_all: true,
                 entries: vec![entry("a", 1, Condition::Ready, 0)],
             }],
         );
@@ -309,7 +309,7 @@
                 };
                 outcome(&id, *attempt - 1, status, 10)
             });
-            let outcomes: Vec<Event> = outcomes.chain([Event::Wake]).collect();
+            let outcomes: Vec<Event> = outcomes.chain([Event::TimerFired]).collect();
             in_flight = sent_messages(&sender.handle_at(ms, outcomes));
             sent += in_flight.len();
         }
@@ -345,7 +345,7 @@
     sender.handle_at(300, vec![accept("m", 0, None, 9000)]);
     let probe = (305..2000)
         .step_by(5)
-        .find_map(|ms| sent_messages(&sender.handle_at(ms, vec![Event::Wake])).pop());
+        .find_map(|ms| sent_messages(&sender.handle_at(ms, vec![Event::TimerFired])).pop());
     assert_eq!(probe, Some(("m".to_owned(), endpoints[1].clone())));
 }
 
@@ -354,8 +354,8 @@
 #[test]
 fn connections_broken_while_idle_mean_no_outage() {
     for (status, stays_up) in [
-        (Status::Dropped, true),
-        (Status::Spoilt, true),
+        (Status::IdleConnectionBroken, true),
+        (Status::Malformed, true),
         (Status::Reset, false),
     ] {
         let mut sender = TestSender::new(settings(), vec![entry("a", 1, Condition::Ready, 0)]);
--- a/crates/scheduler/tests/fleet.rs
+++ b/crates/scheduler/tests/fleet.rs
@@ -24,8 +24,8 @@
             let entries = vec![entry("a", 1, Condition::Ready, 0)];
             sender.handle(
                 Time(0),
-                vec![Event::List {
-                    whole: true,
+                vec![Event::EndpointList {
+                    replaces_all: true,
                     entries,
                 }],
             );
@@ -49,7 +49,7 @@
             if (ms + 50 * i as u64).is_multiple_of(10_000) {
                 events.push(accept(&format!("{i}-{ms}"), 0, None, 9_900));
             }
-            events.push(Event::Wake);
+            events.push(Event::TimerFired);
             for (id, _) in sent_messages(&sender.handle(Time(ms * 1_000_000), events)) {
                 let attempt = attempts.entry(id.clone()).or_default();
                 in_flight_by_sender[i].push((id, *attempt));
@@ -147,7 +147,7 @@
         } else {
             Status::Served
         };
-        let mut events: Vec<Event> = vec![Event::Wake];
+        let mut events: Vec<Event> = vec![Event::TimerFired];
         for id in in_flight.drain(..) {
             let attempt = attempts.entry(id.clone()).or_default();
             events.push(outcome(&id, *attempt, status, 50));
@@ -186,8 +186,8 @@
         let entries = ["a", "b", "c"]
             .map(|e| entry(e, 1, Condition::Ready, 0))
             .to_vec();
-        let list = Event::List {
-            whole: true,
+        let list = Event::EndpointList {
+            replaces_all: true,
             entries,
         };
         let first = sent_messages(&sender.handle(Time(0), vec![list, accept("m", 0, None, 9000)]));
--- a/crates/scheduler/tests/golden_settings.rs
+++ b/crates/scheduler/tests/golden_settings.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use cranehill_scheduler::api::{Class, Decay, DedupScope, Effect, Kind, Rules, Settings, Tenant};
+use cranehill_scheduler::api::{
+    Class, Decay, DedupScope, DestinationKind, Effect, Rules, Settings, Tenant,
+};
 use cranehill_scheduler::profile::{Names, Profile};
 use serde_json::{Value, json};
 
@@ -64,18 +66,18 @@
         classes,
         kinds,
         tenants,
-        over_share_worth,
+        over_quota_factor: over_share_worth,
         decay,
         slots,
         max_pending,
-        attempts_cap,
+        max_attempts: attempts_cap,
         connect_timeout,
-        conn_idle,
+        idle_timeout: conn_idle,
         instances,
         zone,
-        ask_for_list,
+        poll_endpoint_list: ask_for_list,
         rates_listed,
-        probes,
+        health_checks: probes,
         retry_after,
         max_retry_after,
         tick,
@@ -114,10 +116,10 @@
         deadline,
         effect,
         dedup,
-        window,
+        dedup_window: window,
         in_order,
         priority_weight,
-        late_share,
+        min_weight_share: late_share,
     } = class;
     assert_eq!(*latency_objective, ms(600));
     assert_eq!(*deadline, ms(1600));
@@ -129,23 +131,28 @@
     assert_eq!(*late_share, 0.25);
 }
 
-fn check_kinds(kinds: &[Kind]) {
+fn check_kinds(kinds: &[DestinationKind]) {
     let kinds: Vec<(u32, bool)> = kinds
         .iter()
-        .map(|Kind { per_call, apart }| (*per_call, *apart))
+        .map(
+            |DestinationKind {
+                 max_messages_per_call: per_call,
+                 separate_routes: apart,
+             }| (*per_call, *apart),
+        )
         .collect();
     assert_eq!(kinds, [(3, true), (2, false)]);
 }
 
 fn check_rules(rules: &Rules) {
     let Rules {
-        cold_from,
-        cold,
-        fall_multiple,
-        fall,
-        key_quiet,
-        must_ask_in,
-        grace_to_answer,
+        initial_capacity: cold_from,
+        warm_up: cold,
+        overload_multiple: fall_multiple,
+        overload_duration: fall,
+        ordering_pause: key_quiet,
+        max_poll_interval: must_ask_in,
+        answer_grace: grace_to_answer,
     } = rules;
     assert_eq!(*cold_from, 0.2);
     assert_eq!(*cold, ms(8000));
@@ -198,7 +205,7 @@
     }
     for (word, polled) in [("ask", true), ("odd", false)] {
         let settings = with("/membershipMode", json!(word)).expect("settings");
-        assert_eq!(settings.ask_for_list, polled, "{word}");
+        assert_eq!(settings.poll_endpoint_list, polled, "{word}");
     }
     for (word, listed) in [("nominal", true), ("rough", true), ("odd", false)] {
         let settings = with("/weightKind", json!(word)).expect("settings");
--- a/crates/scheduler/tests/learned_state.rs
+++ b/crates/scheduler/tests/learned_state.rs
@@ -32,8 +32,8 @@
     let mut sender = Scheduler::new(fleet_settings, seed, ms(0)).expect("settings");
     sender.handle(
         ms(0),
-        vec![Event::List {
-            whole: true,
+        vec![Event::EndpointList {
+            replaces_all: true,
             entries: vec![entry("a", 1, Condition::Ready, 0)],
         }],
     );
@@ -56,7 +56,7 @@
     let mut seconds = vec![0; 7];
     for step in 0..7000 / 50 {
         for (index, sender) in senders.iter_mut().enumerate() {
-            let mut events = vec![Event::Wake];
+            let mut events = vec![Event::TimerFired];
             if step == 0 {
                 events.push(accept(&index.to_string(), 0, None, 9_900));
             }
@@ -98,7 +98,7 @@
     );
     let mut sent = None;
     for step in 0..80 {
-        let mut events = vec![Event::Wake];
+        let mut events = vec![Event::TimerFired];
         if step == 0 {
             events.push(accept("m", 0, None, 9_900));
         }
@@ -167,7 +167,7 @@
     );
     let mut sent = 0;
     for step in 0..40 {
-        let mut events = vec![Event::Wake];
+        let mut events = vec![Event::TimerFired];
         if step == 0 {
             events.extend((0..6).map(|k| accept(&format!("m{k}"), 0, None, 9_900)));
         }
@@ -189,9 +189,9 @@
     sender.handle(ms(0), vec![accept("a", 0, None, 9_900)]);
     let rejected = match outcome("a", 0, Status::Overloaded, 50) {
         Event::Outcome(outcome) => Event::Outcome(Outcome {
-            wait: Some(Duration::from_secs(1)),
-            report: Some(Report {
-                left: 0.0,
+            retry_after: Some(Duration::from_secs(1)),
+            report: Some(LoadReport {
+                remaining_share: 0.0,
                 limit: 12.0,
             }),
             ..outcome
--- a/crates/scheduler/tests/random.rs
+++ b/crates/scheduler/tests/random.rs
@@ -121,7 +121,7 @@
         ];
         Model {
             sender: TestSender::new(settings(), entries),
-            attempts_cap: settings().attempts_cap,
+            attempts_cap: settings().max_attempts,
             pending: BTreeMap::new(),
             ordered: Vec::new(),
             blocked_until: 0,
@@ -145,7 +145,7 @@
                         .map(|attempt| (id.clone(), attempt))
                 })
                 .collect();
-            let mut events = vec![Event::Wake];
+            let mut events = vec![Event::TimerFired];
             for (id, attempt) in &overdue {
                 events.push(Event::Cancelled(MessageId(id.clone())));
                 events.push(outcome(id, *attempt, Status::TimedOut, 10));
@@ -217,8 +217,8 @@
             ("b", "a")
         };
         self.draining = Some(draining);
-        Event::List {
-            whole: false,
+        Event::EndpointList {
+            replaces_all: false,
             entries: vec![
                 entry(draining, 1, Condition::Draining, 0),
                 entry(ready, 1, Condition::Ready, 0),
@@ -233,7 +233,7 @@
     for (i, &(pass_ms, kind, random_number)) in steps.iter().enumerate() {
         let now = model.sender.now_ms + pass_ms;
         model.pass_until(now)?;
-        let (mut events, mut ended) = (vec![Event::Wake], vec![]);
+        let (mut events, mut ended) = (vec![Event::TimerFired], vec![]);
         match kind {
             0..=3 => events.push(model.accept(now, i, random_number)),
             4..=8 => events.extend(model.end_attempt(now, random_number, &mut ended)),
--- a/crates/scheduler/tests/repeats.rs
+++ b/crates/scheduler/tests/repeats.rs
@@ -38,7 +38,7 @@
     assert!(
         (200..3000)
             .step_by(5)
-            .any(|ms| !sent_messages(&sender.handle_at(ms, vec![Event::Wake])).is_empty())
+            .any(|ms| !sent_messages(&sender.handle_at(ms, vec![Event::TimerFired])).is_empty())
     );
 }
 
@@ -85,7 +85,7 @@
             ms,
             vec![
                 outcome("m", attempts - 1, Status::NoConnection, 10),
-                Event::Wake,
+                Event::TimerFired,
             ],
         );
         attempts += sent_messages(&actions).len() as u32;
@@ -109,15 +109,15 @@
         sent_messages(&sender.handle_at(0, vec![accept("m", 1, None, 9000)]))[0].1,
         "near"
     );
-    let removed = Event::List {
-        whole: false,
+    let removed = Event::EndpointList {
+        replaces_all: false,
         entries: vec![entry("near", 1, Condition::Removed, 0)],
     };
     let mut sent =
         sent_messages(&sender.handle_at(50, vec![removed, outcome("m", 0, Status::Error, 50)]));
     let mut answers = vec![];
     for ms in (55..5100).step_by(5) {
-        let actions = sender.handle_at(ms, vec![Event::Wake]);
+        let actions = sender.handle_at(ms, vec![Event::TimerFired]);
         sent.extend(sent_messages(&actions));
         answers.extend(final_answers(&actions));
     }
@@ -182,7 +182,13 @@
         assert_eq!(
             actions
                 .iter()
-                .filter(|action| matches!(action, Action::Reject { after: None, .. }))
+                .filter(|action| matches!(
+                    action,
+                    Action::Reject {
+                        retry_after: None,
+                        ..
+                    }
+                ))
                 .count(),
             1
         );
@@ -209,17 +215,17 @@
 #[test]
 fn a_repeat_must_be_written_within_its_window() {
     let mut custom_settings = settings();
-    custom_settings.classes[1].window = Duration::from_millis(2000);
+    custom_settings.classes[1].dedup_window = Duration::from_millis(2000);
     let write_limits = |settings: &Settings, class: usize, status: Status| {
         let mut sender =
             TestSender::new(settings.clone(), vec![entry("a", 1, Condition::Ready, 0)]);
         sender.handle_at(0, vec![accept("m", class, None, 9000)]);
         let mut actions = sender.handle_at(700, vec![outcome("m", 0, status, 700)]);
         for ms in (750..1950).step_by(50) {
-            actions.extend(sender.handle_at(ms, vec![Event::Wake]));
+            actions.extend(sender.handle_at(ms, vec![Event::TimerFired]));
         }
         let times = actions.iter().filter_map(|action| match action {
-            Action::Send { write_within, .. } => Some(*write_within),
+            Action::Send { write_timeout, .. } => Some(*write_timeout),
             _ => None,
         });
         times.collect::<Vec<_>>()
--- a/crates/scheduler/tests/returns.rs
+++ b/crates/scheduler/tests/returns.rs
@@ -21,13 +21,13 @@
         condition: Condition::Draining,
         ..ready.clone()
     };
-    let change = |entry: &Entry| Event::List {
-        whole: false,
+    let change = |entry: &Entry| Event::EndpointList {
+        replaces_all: false,
         entries: vec![entry.clone()],
     };
     let mut sender = TestSender::with_seed(custom_settings, vec![ready.clone()], seed);
     sender.handle_at(10, vec![change(&draining)]);
-    sender.scheduler.bar_endpoint(&ready.endpoint);
+    sender.scheduler.close_endpoint_gate(&ready.endpoint);
     sender.handle_at(20, vec![change(&ready)]);
     sender
 }
@@ -39,15 +39,15 @@
         .map(|seed| sender_with_reattached_endpoint(senders, limit, seed.into()))
         .collect();
     let mut sent: Vec<u64> = Vec::new();
-    for ms in (25..settings().rules.cold.as_millis() as u64).step_by(25) {
+    for ms in (25..settings().rules.warm_up.as_millis() as u64).step_by(25) {
         for (index, sender) in senders_by_index.iter_mut().enumerate() {
-            sender.scheduler.admit_endpoint(
+            sender.scheduler.refill_endpoint_gate(
                 Time(ms * 1_000_000),
                 &EndpointId("a".into()),
                 Time(20_000_000),
             );
             let gap = (u64::from(senders) * 1000 * 2 / (limit as u64 * 3)).max(25) / 25;
-            let mut events = vec![Event::Wake];
+            let mut events = vec![Event::TimerFired];
             if (ms / 25 + index as u64).is_multiple_of(gap) {
                 events.push(accept(&format!("m{index}-{ms}"), 0, None, 9000));
             }
@@ -66,7 +66,7 @@
 #[test]
 fn senders_together_do_not_overload_a_reattached_endpoint() {
     let rules = settings().rules;
-    let fall = rules.fall.as_millis() as u64;
+    let fall = rules.overload_duration.as_millis() as u64;
     for (senders, limit) in [(2u32, 60.0), (300, 60.0)] {
         let sent = calls_after_reattaching(senders, limit);
         for &from in &sent {
@@ -74,10 +74,12 @@
                 .iter()
                 .filter(|&&ms| ms >= from && ms < from + fall)
                 .count() as f64;
-            let warm = ((from + fall) as f64 / rules.cold.as_millis() as f64).min(1.0);
-            let present_capacity = rules.cold_from + (1.0 - rules.cold_from) * warm;
-            let max_calls =
-                rules.fall_multiple * present_capacity * limit * rules.fall.as_secs_f64();
+            let warm = ((from + fall) as f64 / rules.warm_up.as_millis() as f64).min(1.0);
+            let present_capacity = rules.initial_capacity + (1.0 - rules.initial_capacity) * warm;
+            let max_calls = rules.overload_multiple
+                * present_capacity
+                * limit
+                * rules.overload_duration.as_secs_f64();
             assert!(
                 calls <= max_calls + 3.0 * max_calls.sqrt() + 3.0,
                 "{senders} senders: {calls} calls from {from} ms on, expected at most {max_calls}"
@@ -89,7 +91,7 @@
             sent.first()
         );
         assert!(
-            sent.len() as f64 > 0.2 * limit * rules.cold.as_secs_f64(),
+            sent.len() as f64 > 0.2 * limit * rules.warm_up.as_secs_f64(),
             "{senders} senders: only {} calls",
             sent.len()
         );
@@ -112,9 +114,9 @@
             ..settings()
         };
         let mut sender = TestSender::with_seed(custom_settings, vec![ready.clone()], seed.into());
-        sender.scheduler.bar(0);
+        sender.scheduler.evacuate_zone(0);
         sender.handle_at(10, vec![accept("pending", 0, None, 9900)]);
-        sender.scheduler.return_to(0, false);
+        sender.scheduler.start_recovery_ramp(0, false);
         sender
     };
     let mut senders_by_index: Vec<TestSender> = (0..senders).map(start).collect();
@@ -123,8 +125,8 @@
         for sender in &mut senders_by_index {
             sender
                 .scheduler
-                .admit_returning(Time(ms * 1_000_000), 0, Time(10_000_000));
-            let actions = sender.handle_at(ms, vec![Event::Wake]);
+                .refill_zone_gates(Time(ms * 1_000_000), 0, Time(10_000_000));
+            let actions = sender.handle_at(ms, vec![Event::TimerFired]);
             calls_per_second[(ms / 1000) as usize] += sent_messages(&actions).len() as u32;
         }
     }
@@ -149,7 +151,7 @@
         ..settings()
     };
     let mut sender = TestSender::new(custom_settings, vec![entry("a", 1, Condition::Ready, 0)]);
-    let wait = settings().rules.cold.as_millis() as u64 + 2000;
+    let wait = settings().rules.warm_up.as_millis() as u64 + 2000;
     sender.handle_at(
         0,
         vec![
@@ -164,13 +166,13 @@
         .collect();
     assert!(sent_messages(&sender.handle_at(30, pending)).is_empty());
     let first_calls = (wait..wait + 10_000).step_by(20).find_map(|ms| {
-        let sent = sent_messages(&sender.handle_at(ms, vec![Event::Wake]));
+        let sent = sent_messages(&sender.handle_at(ms, vec![Event::TimerFired]));
         (!sent.is_empty()).then_some((ms, sent.len()))
     });
     let (ms, sent) = first_calls.expect("a probe call");
     assert_eq!(sent, 1, "one probe call at {ms} ms");
     assert!(
-        sent_messages(&sender.handle_at(ms + 20, vec![Event::Wake])).is_empty(),
+        sent_messages(&sender.handle_at(ms + 20, vec![Event::TimerFired])).is_empty(),
         "no call beside the probe call"
     );
 }
--- a/crates/scheduler/tests/routes.rs
+++ b/crates/scheduler/tests/routes.rs
@@ -18,7 +18,7 @@
 }
 
 /// The simulated answer to a call: status, Retry-After time in ms (0 for none) and report on the limit.
-type Answer = (Status, u64, Option<Report>);
+type Answer = (Status, u64, Option<LoadReport>);
 
 /// Simulates a fleet of senders with two slots for `until` ms. Each accepts one message every `interval` ms, at staggered
 /// times. `answer(ms, endpoint)` gives the answer to each call, which arrives 50 ms later. Returns all calls as (ms, endpoint,
@@ -46,7 +46,7 @@
         instances: senders as u32,
         slots: 2,
         max_pending: 16,
-        attempts_cap: 12,
+        max_attempts: 12,
         ..custom_settings
     };
     let mut senders_by_index: Vec<Scheduler> = (0..senders)
@@ -54,8 +54,8 @@
             let mut sender = Scheduler::new(custom_settings.clone(), i, Time(0)).expect("settings");
             sender.handle(
                 Time(0),
-                vec![Event::List {
-                    whole: true,
+                vec![Event::EndpointList {
+                    replaces_all: true,
                     entries: entries.to_vec(),
                 }],
             );
@@ -75,8 +75,8 @@
                         attempt,
                         status,
                         completed: status == Status::Served,
-                        took: Duration::from_millis(50),
-                        wait: (wait > 0).then(|| Duration::from_millis(wait)),
+                        elapsed: Duration::from_millis(50),
+                        retry_after: (wait > 0).then(|| Duration::from_millis(wait)),
                         report,
                     })
                 })
@@ -84,7 +84,7 @@
             if (ms + i as u64 * interval / senders / 50 * 50).is_multiple_of(interval) {
                 events.push(accept(&format!("{i}-{ms}"), 0, None, 9_900));
             }
-            events.push(Event::Wake);
+            events.push(Event::TimerFired);
             for (id, endpoint) in sent_messages(&sender.handle(Time(ms * 1_000_000), events)) {
                 let attempt = attempts.entry(id.clone()).or_default();
                 let answer = answer(ms, &endpoint);
@@ -104,7 +104,7 @@
     let mut sender = TestSender::new(
         Settings {
             slots: 2,
-            attempts_cap: 99,
+            max_attempts: 99,
             ..settings()
         },
         routes(),
@@ -134,7 +134,7 @@
             n += 1;
             events.push(accept(&format!("m{n}"), 0, None, 9000));
         }
-        events.push(Event::Wake);
+        events.push(Event::TimerFired);
         for (id, endpoint) in sent_messages(&sender.handle_at(ms, events)) {
             let attempt = attempts.entry(id.clone()).or_default();
             if ms > 15_000 {
@@ -183,8 +183,8 @@
             );
             updated_at = ms;
             debt = f64::min(debt + 1.0, 2.0 * limit);
-            let report = Some(Report {
-                left: (1.0 - debt / limit).clamp(0.0, 1.0),
+            let report = Some(LoadReport {
+                remaining_share: (1.0 - debt / limit).clamp(0.0, 1.0),
                 limit,
             });
             (
@@ -225,8 +225,8 @@
                 limit / 2.0,
             );
             updated_at = ms;
-            let report = Some(Report {
-                left: f64::max(left, 0.0) / (limit / 2.0),
+            let report = Some(LoadReport {
+                remaining_share: f64::max(left, 0.0) / (limit / 2.0),
                 limit,
             });
             left = f64::max(left - 1.0, -limit / 2.0);
@@ -303,11 +303,14 @@
         );
         let mut event = outcome("m", 0, Status::Overloaded, 10);
         if let Event::Outcome(outcome) = &mut event {
-            outcome.report = Some(Report { left, limit });
+            outcome.report = Some(LoadReport {
+                remaining_share: left,
+                limit,
+            });
         }
         sender.handle_at(10, vec![event]);
         let sent: usize = (1..1200)
-            .map(|i| sent_messages(&sender.handle_at(10 + i * 5, vec![Event::Wake])).len())
+            .map(|i| sent_messages(&sender.handle_at(10 + i * 5, vec![Event::TimerFired])).len())
             .sum();
         assert!(sent >= 1, "{rate} {left} {limit}");
     }
@@ -317,7 +320,7 @@
 fn limited_destination(
     limit: f64,
     outage: std::ops::Range<u64>,
-) -> impl FnMut(u64, &str) -> (Status, u64, Option<Report>) {
+) -> impl FnMut(u64, &str) -> (Status, u64, Option<LoadReport>) {
     let (mut left, mut updated_at) = (limit / 2.0, 0);
     move |ms, _| {
         if outage.contains(&ms) {
@@ -328,8 +331,8 @@
             limit / 2.0,
         );
         updated_at = ms;
-        let report = Some(Report {
-            left: left / (limit / 2.0),
+        let report = Some(LoadReport {
+            remaining_share: left / (limit / 2.0),
             limit,
         });
         if left < 1.0 {
@@ -341,16 +344,16 @@
 }
 
 /// Guards against 300 senders that together overload a destination after an outage of 5 s, while its capacity is reduced. In
-/// no period of `Rules::fall` may it get more than `Rules::fall_multiple` times its capacity in that period.
+/// no period of `Rules::overload_duration` may it get more than `Rules::overload_multiple` times its capacity in that period.
 #[test]
 fn three_hundred_senders_do_not_overload_a_cold_destination() {
     // The values in the operators' settings.
     let (cold_from, cold, fall_multiple) = (0.23, Duration::from_millis(9_100), 1.5);
     let rules = Rules {
-        cold_from,
-        cold,
-        fall_multiple,
-        fall: Duration::from_secs(3),
+        initial_capacity: cold_from,
+        warm_up: cold,
+        overload_multiple: fall_multiple,
+        overload_duration: Duration::from_secs(3),
         ..settings().rules
     };
     let custom_settings = Settings {
@@ -367,20 +370,21 @@
         40_000,
         limited_destination(limit, outage_start..outage_end),
     );
-    let span = rules.fall.as_millis() as u64;
-    for from in (outage_end..outage_end + rules.cold.as_millis() as u64).step_by(50) {
+    let span = rules.overload_duration.as_millis() as u64;
+    for from in (outage_end..outage_end + rules.warm_up.as_millis() as u64).step_by(50) {
         let sent = calls
             .iter()
             .filter(|call| (from..from + span).contains(&call.0))
             .count();
         let present_capacity: f64 = (from..from + span)
             .map(|ms| {
-                let warm = ((ms - outage_end) as f64 / 1000.0 / rules.cold.as_secs_f64()).min(1.0);
-                capacity * (rules.cold_from + (1.0 - rules.cold_from) * warm) / 1000.0
+                let warm =
+                    ((ms - outage_end) as f64 / 1000.0 / rules.warm_up.as_secs_f64()).min(1.0);
+                capacity * (rules.initial_capacity + (1.0 - rules.initial_capacity) * warm) / 1000.0
             })
             .sum();
         assert!(
-            (sent as f64) <= rules.fall_multiple * present_capacity,
+            (sent as f64) <= rules.overload_multiple * present_capacity,
             "{sent} calls from {from} ms on, capacity {present_capacity:.0}"
         );
     }
--- a/crates/scheduler/tests/routes_in_use.rs
+++ b/crates/scheduler/tests/routes_in_use.rs
@@ -9,7 +9,7 @@
     let endpoint_of =
         |destination: u64| entry(&format!("e{destination}"), destination, Condition::Ready, 0);
     let mut sender = TestSender::new(settings(), (1..=destinations).map(endpoint_of).collect());
-    sender.handle_at(5, vec![Event::Wake]);
+    sender.handle_at(5, vec![Event::TimerFired]);
     sender
 }
 
@@ -17,25 +17,25 @@
 fn active_routes(sender: &mut TestSender) -> Vec<usize> {
     let change = |endpoint: &str, condition| {
         let entries = vec![entry(endpoint, 2, condition, 0)];
-        Event::List {
-            whole: false,
+        Event::EndpointList {
+            replaces_all: false,
             entries,
         }
     };
     let events = [
-        Event::Wake,
+        Event::TimerFired,
         change("e2", Condition::Draining),
         change("e2", Condition::Ready),
         change("new", Condition::Ready),
         change("new", Condition::Removed),
         accept("m", 0, None, 5000),
         outcome("m", 0, Status::Served, 10),
-        Event::Wake,
+        Event::TimerFired,
     ];
     let mut active = Vec::new();
     for (ms, event) in events.into_iter().enumerate() {
         sender.handle_at(10 + 5 * ms as u64, vec![event]);
-        active.push(sender.scheduler.active_routes());
+        active.push(sender.scheduler.active_route_count());
     }
     active
 }
@@ -64,8 +64,8 @@
     let Event::Outcome(served) = outcome("first", 0, Status::Served, 10) else {
         return;
     };
-    let report = Some(Report {
-        left: 1.0,
+    let report = Some(LoadReport {
+        remaining_share: 1.0,
         limit: 20.0,
     });
     sender.handle_at(10, vec![accept("first", 0, None, 5000)]);
@@ -75,13 +75,13 @@
         status,
     };
     sender.handle_at(1000, (0..3).map(|_| health_check(Status::Error)).collect());
-    sender.handle_at(6000, vec![Event::Wake]);
+    sender.handle_at(6000, vec![Event::TimerFired]);
     assert_eq!(
-        sender.scheduler.active_routes(),
+        sender.scheduler.active_route_count(),
         0,
         "inactive, in an outage"
     );
-    sender.handle_at(30_000, vec![Event::Wake]);
+    sender.handle_at(30_000, vec![Event::TimerFired]);
     let message = |n: u64| accept(&format!("m{n}"), 0, None, 5000);
     let actions = sender.handle_at(
         30_005,
@@ -97,7 +97,7 @@
     );
     // The failing load is twice a fifth of 10/s, so 4/s; the slow start aims at four fifths of it.
     assert_eq!(
-        sent_messages(&sender.handle_at(30_400, vec![Event::Wake])).len(),
+        sent_messages(&sender.handle_at(30_400, vec![Event::TimerFired])).len(),
         1
     );
 }
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -17,7 +17,7 @@
     assert!(final_answers(&actions).is_empty());
     let mut answered_at = None;
     for ms in (5..1100).step_by(5) {
-        if !final_answers(&sender.handle_at(ms, vec![Event::Wake])).is_empty() {
+        if !final_answers(&sender.handle_at(ms, vec![Event::TimerFired])).is_empty() {
             answered_at = Some(ms);
             break;
         }
@@ -38,7 +38,7 @@
             break;
         };
         now += after.as_nanos() as u64 - 999;
-        actions = sender.scheduler.handle(Time(now), vec![Event::Wake]);
+        actions = sender.scheduler.handle(Time(now), vec![Event::TimerFired]);
         if !final_answers(&actions).is_empty() {
             assert!(now < 777_000_000);
             return;
@@ -66,16 +66,16 @@
 fn no_new_call_is_sent_to_a_draining_or_removed_endpoint() {
     for condition in [Condition::Draining, Condition::Removed] {
         let mut sender = TestSender::new(settings(), vec![entry("a", 1, Condition::Ready, 0)]);
-        let change = Event::List {
-            whole: false,
+        let change = Event::EndpointList {
+            replaces_all: false,
             entries: vec![entry("a", 1, condition, 0)],
         };
         assert_eq!(
             sent_messages(&sender.handle_at(10, vec![change, accept("m", 0, None, 9000)])),
             []
         );
-        let change = Event::List {
-            whole: false,
+        let change = Event::EndpointList {
+            replaces_all: false,
             entries: vec![entry("b", 1, Condition::Ready, 0)],
         };
         assert_eq!(
@@ -88,8 +88,8 @@
 #[test]
 fn a_whole_list_removes_endpoints_that_it_does_not_contain() {
     let mut sender = sender_with_one_endpoint();
-    let change = Event::List {
-        whole: true,
+    let change = Event::EndpointList {
+        replaces_all: true,
         entries: vec![entry("b", 1, Condition::Ready, 0)],
     };
     assert_eq!(
@@ -120,7 +120,7 @@
     );
     for ms in (15..510).step_by(5) {
         assert_eq!(
-            sent_messages(&sender.handle_at(ms, vec![Event::Wake])),
+            sent_messages(&sender.handle_at(ms, vec![Event::TimerFired])),
             [],
             "at {ms}"
         );
@@ -128,7 +128,7 @@
     assert!(
         (510..3000)
             .step_by(5)
-            .any(|ms| !sent_messages(&sender.handle_at(ms, vec![Event::Wake])).is_empty())
+            .any(|ms| !sent_messages(&sender.handle_at(ms, vec![Event::TimerFired])).is_empty())
     );
 }
 
@@ -166,7 +166,7 @@
     );
     for ms in (1005..1300).step_by(5) {
         assert_eq!(
-            sent_messages(&sender.handle_at(ms, vec![Event::Wake])),
+            sent_messages(&sender.handle_at(ms, vec![Event::TimerFired])),
             [],
             "at {ms}"
         );
@@ -174,7 +174,7 @@
     assert!(
         (1300..3000)
             .step_by(5)
-            .any(|ms| !sent_messages(&sender.handle_at(ms, vec![Event::Wake])).is_empty())
+            .any(|ms| !sent_messages(&sender.handle_at(ms, vec![Event::TimerFired])).is_empty())
     );
 }
 
@@ -263,11 +263,13 @@
             .collect(),
     );
     assert_eq!(final_answers(&actions).len(), 4);
-    assert!(
-        actions
-            .iter()
-            .all(|action| !matches!(action, Action::Reject { after: None, .. }))
-    );
+    assert!(actions.iter().all(|action| !matches!(
+        action,
+        Action::Reject {
+            retry_after: None,
+            ..
+        }
+    )));
 }
 
 #[test]
@@ -286,23 +288,27 @@
 fn the_list_is_polled_at_start_and_after_a_failure() {
     let mut sender = Scheduler::new(
         Settings {
-            ask_for_list: true,
+            poll_endpoint_list: true,
             ..settings()
         },
         1,
         Time(0),
     )
     .expect("settings");
-    assert!(sender.handle(Time(0), vec![]).contains(&Action::Subscribe));
+    assert!(
+        sender
+            .handle(Time(0), vec![])
+            .contains(&Action::PollEndpointList)
+    );
     assert!(
         !sender
-            .handle(Time(5_000_000), vec![Event::ListFailed])
-            .contains(&Action::Subscribe)
+            .handle(Time(5_000_000), vec![Event::EndpointListFailed])
+            .contains(&Action::PollEndpointList)
     );
     let next_poll = (1..1000u64).find(|i| {
         sender
-            .handle(Time(5_000_000 + i * 5_000_000), vec![Event::Wake])
-            .contains(&Action::Subscribe)
+            .handle(Time(5_000_000 + i * 5_000_000), vec![Event::TimerFired])
+            .contains(&Action::PollEndpointList)
     });
     assert!(next_poll.is_some_and(|i| i < 400));
 }
@@ -384,7 +390,9 @@
         ],
     ));
     for ms in (15..2010).step_by(5) {
-        actions.extend(sent_messages(&sender.handle_at(ms, vec![Event::Wake])));
+        actions.extend(sent_messages(
+            &sender.handle_at(ms, vec![Event::TimerFired]),
+        ));
     }
     assert_eq!(actions, []);
 }
--- a/crates/scheduler/tests/window.rs
+++ b/crates/scheduler/tests/window.rs
@@ -10,31 +10,31 @@
 #[test]
 fn two_answers_enlarge_the_window_by_a_tenth() {
     let mut window = Window::new(10);
-    window.answered();
+    window.record_answer();
     assert_eq!(window.size(), 5.0);
-    window.answered();
+    window.record_answer();
     assert!((window.size() - 5.1).abs() < 1e-9);
 }
 
 #[test]
 fn a_reduction_takes_half_a_call_and_resets_the_answer_count() {
     let mut window = Window::new(10);
-    window.answered();
-    window.cut();
+    window.record_answer();
+    window.record_overload();
     assert_eq!(window.size(), 4.5);
-    window.answered();
+    window.record_answer();
     assert_eq!(window.size(), 4.5);
-    window.answered();
+    window.record_answer();
     assert!((window.size() - 4.6).abs() < 1e-9);
 }
 
 #[test]
 fn size_stays_between_the_minimum_and_three_quarters_of_the_slots() {
     let mut window = Window::new(10);
-    (0..50).for_each(|_| window.cut());
+    (0..50).for_each(|_| window.record_overload());
     assert_eq!(window.size(), 0.5);
-    assert_eq!(window.chance(), Some(0.5));
-    (0..1000).for_each(|_| window.answered());
+    assert_eq!(window.call_probability(), Some(0.5));
+    (0..1000).for_each(|_| window.record_answer());
     assert_eq!(window.size(), 7.5);
     assert!(window.has_room(6));
     assert!(
@@ -48,5 +48,5 @@
     let window = Window::new(8);
     assert!(window.has_room(3));
     assert!(!window.has_room(4));
-    assert_eq!(window.chance(), None);
+    assert_eq!(window.call_probability(), None);
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -84,7 +84,7 @@
             Request::AttemptFinished(attempt) => SenderEvent::from(attempt),
             Request::Cancelled(cancelled) => SenderEvent::from(cancelled),
             Request::CheckResult(result) => SenderEvent::from(result),
-            Request::Wake(request) => SenderEvent::new(request.sender, Event::Wake),
+            Request::Wake(request) => SenderEvent::new(request.sender, Event::TimerFired),
             Request::ConnectionOpened(request) | Request::PeerMessage(request) => SenderEvent {
                 sender: request.sender,
                 event: None,
@@ -140,14 +140,14 @@
     /// The event for a change of a sender's endpoint list.
     fn list_event(&self, change: ListChanged) -> Result<SenderEvent, AdapterError> {
         if change.has_failed() {
-            return Ok(SenderEvent::new(change.sender, Event::ListFailed));
+            return Ok(SenderEvent::new(change.sender, Event::EndpointListFailed));
         }
         let entries = self
             .endpoint_lists
             .get(&change.list)
             .ok_or(AdapterError::UnknownList(change.list))?;
-        let event = Event::List {
-            whole: change.is_whole(),
+        let event = Event::EndpointList {
+            replaces_all: change.is_whole(),
             entries: entries.clone(),
         };
         Ok(SenderEvent::new(change.sender, event))
--- a/crates/simulator-adapter/src/wire/replies.rs
+++ b/crates/simulator-adapter/src/wire/replies.rs
@@ -78,9 +78,9 @@
                 endpoint: endpoint.0,
                 timeout: nanoseconds(timeout),
             },
-            Action::Reject { id, after } => WireAction::SayNo {
+            Action::Reject { id, retry_after } => WireAction::SayNo {
                 msg_id: id.0,
-                retry_after: after.map(nanoseconds),
+                retry_after: retry_after.map(nanoseconds),
             },
             Action::Fail(id) => WireAction::FinishError { msg_id: id.0 },
             Action::Timer(after) => WireAction::Timer {
@@ -93,7 +93,7 @@
             Action::CheckHealth(endpoint) => WireAction::AskLoad {
                 endpoint: endpoint.0,
             },
-            Action::Subscribe => WireAction::Subscribe { on: true },
+            Action::PollEndpointList => WireAction::Subscribe { on: true },
         }
     }
 }
--- a/crates/simulator-adapter/src/wire/requests.rs
+++ b/crates/simulator-adapter/src/wire/requests.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use cranehill_scheduler::api::{
-    AcceptedMessage, Condition, DestinationId, EndpointId, Entry, Event, MessageId, OrderingKey,
-    Outcome, PriorAttempts, Report, Status,
+    AcceptedMessage, Condition, DestinationId, EndpointId, Entry, Event, LoadReport, MessageId,
+    OrderingKey, Outcome, PriorAttempts, Status,
 };
 use cranehill_scheduler::profile::Profile;
 use serde::Deserialize;
@@ -227,8 +227,8 @@
             attempt: attempt.attempt,
             status,
             completed: attempt.completed,
-            took: Duration::from_nanos(attempt.took),
-            wait: has_retry_after.then(|| Duration::from_millis(attempt.detail)),
+            elapsed: Duration::from_nanos(attempt.took),
+            retry_after: has_retry_after.then(|| Duration::from_millis(attempt.detail)),
             report: attempt.server_stats.and_then(ServerStats::into_report),
         };
         SenderEvent::new(attempt.sender, Event::Outcome(outcome))
@@ -248,9 +248,9 @@
 
 impl ServerStats {
     /// The report, or `None` if a value is missing.
-    fn into_report(self) -> Option<Report> {
-        Some(Report {
-            left: self.left?,
+    fn into_report(self) -> Option<LoadReport> {
+        Some(LoadReport {
+            remaining_share: self.left?,
             limit: self.limit?,
         })
     }
--- a/crates/zone-failover/src/settings.rs
+++ b/crates/zone-failover/src/settings.rs
@@ -9,13 +9,13 @@
     pub window: Duration,
     /// Time for which a quorum must continuously see a zone fail before it is evacuated: members that see it serve have
     /// this time to announce it.
-    pub settle: Duration,
+    pub failure_confirmation: Duration,
     /// Probe calls per second into an evacuated zone, by the whole fleet.
-    pub probes: f64,
+    pub probes_per_second: f64,
     /// Lower and upper bound of the minimum duration of an evacuation.
-    pub out: [Duration; 2],
+    pub evacuation_bounds: [Duration; 2],
     /// Duration of a return (the recovery ramp): the time in which a destination warms up.
-    pub warm: Duration,
+    pub ramp_duration: Duration,
     /// If a zone fails again within this time after it is back in service, the next evacuation lasts twice as long.
-    pub calm: Duration,
+    pub repeat_failure_period: Duration,
 }
--- a/crates/zone-failover/src/zone.rs
+++ b/crates/zone-failover/src/zone.rs
@@ -23,18 +23,18 @@
         /// Number of the zone.
         zone: u32,
         /// Members that see the zone fail, for the log.
-        fails: usize,
+        failing_members: usize,
         /// Members that see the zone serve, for the log.
-        serves: usize,
+        serving_members: usize,
         /// Minimum duration of the evacuation.
-        out: Duration,
+        min_duration: Duration,
     },
     /// This member may send one probe call to the zone, until the zone's next change.
     Probe {
         /// Number of the zone.
         zone: u32,
         /// Selects the endpoint: its index is this number modulo the number of endpoints.
-        pick: u64,
+        endpoint_selector: u64,
     },
     /// This member may no longer send the probe call.
     ProbeOver {
@@ -153,7 +153,7 @@
         let mut has_failed = false;
         if tally.is_failing() {
             let failing_since = *self.failing_since.get_or_insert(*now);
-            has_failed = *now - failing_since >= settings.settle;
+            has_failed = *now - failing_since >= settings.failure_confirmation;
         } else {
             self.failing_since = None;
         }
@@ -162,13 +162,13 @@
             self.evacuate(*now, settings);
             return Some(Change::Evacuate {
                 zone: self.number,
-                fails: tally.failing,
-                serves: tally.serving,
-                out: self.evacuation,
+                failing_members: tally.failing,
+                serving_members: tally.serving,
+                min_duration: self.evacuation,
             });
         }
         if let State::Returning(since) = self.state
-            && *now - since >= settings.warm
+            && *now - since >= settings.ramp_duration
         {
             self.state = State::InService;
             self.in_service_since = Some(*now);
@@ -200,10 +200,10 @@
 
     /// Starts an evacuation. If the zone fails again during a return or soon after it, the minimum duration is doubled.
     fn evacuate(&mut self, now: Time, settings: &Settings) {
-        let [shortest, longest] = settings.out;
+        let [shortest, longest] = settings.evacuation_bounds;
         let has_returned_recently = self
             .in_service_since
-            .is_some_and(|since| now - since < settings.calm);
+            .is_some_and(|since| now - since < settings.repeat_failure_period);
         self.evacuation = if has_returned_recently || matches!(self.state, State::Returning(_)) {
             (self.evacuation * 2).clamp(shortest, longest)
         } else {
@@ -225,7 +225,7 @@
     /// one: the member with the highest value of a hash that all members compute alike.
     fn evaluate_probe(&mut self, evaluation: &Evaluation<'_>) -> Vec<Change> {
         let zone = self.number;
-        let slot = (evaluation.now.0 as f64 / 1e9 * evaluation.settings.probes) as u64;
+        let slot = (evaluation.now.0 as f64 / 1e9 * evaluation.settings.probes_per_second) as u64;
         if self.probe_slot == Some(slot) {
             return Vec::new();
         }
@@ -240,7 +240,7 @@
             self.probe_slot = Some(slot);
             changes.push(Change::Probe {
                 zone,
-                pick: own_rank,
+                endpoint_selector: own_rank,
             });
         }
         changes
--- a/crates/zone-failover/tests/zone_failover.rs
+++ b/crates/zone-failover/tests/zone_failover.rs
@@ -13,11 +13,11 @@
 
 const SETTINGS: Settings = Settings {
     window: Duration::from_secs(2),
-    settle: Duration::from_millis(300),
-    probes: 4.0,
-    out: [Duration::from_secs(2), Duration::from_secs(60)],
-    warm: Duration::from_secs(9),
-    calm: Duration::from_secs(30),
+    failure_confirmation: Duration::from_millis(300),
+    probes_per_second: 4.0,
+    evacuation_bounds: [Duration::from_secs(2), Duration::from_secs(60)],
+    ramp_duration: Duration::from_secs(9),
+    repeat_failure_period: Duration::from_secs(30),
 };
 const ZONE: u32 = 1;
 const STEP: u64 = 50;
@@ -183,7 +183,10 @@
         .iter()
         .filter(|c| c.1 == 0)
         .filter_map(|c| {
-            if let Change::Evacuate { out, .. } = c.2 {
+            if let Change::Evacuate {
+                min_duration: out, ..
+            } = c.2
+            {
                 Some(out.as_secs())
             } else {
                 None
