--- a/crates/core/src/endpoints.rs
+++ b/crates/core/src/endpoints.rs
@@ -132,7 +132,7 @@
             entry = self.entry(now, &id);
         }
         effects.push(Effect::Detached {
-            connection: connection,
+            connection,
             known,
             detachments: self.detached.snapshot(),
         });
--- a/crates/core/src/input.rs
+++ b/crates/core/src/input.rs
@@ -114,7 +114,8 @@
 pub enum Persisted {
     /// All records.
     All,
-    /// Only the records for which [`Record::is_end_record`] is true: the journal had no space for new messages and attempts.
+    /// Only the records for which [`Record::is_end_record`] is true: the journal had no space for new messages and
+    /// attempts.
     EndsOnly,
     /// No record.
     Nothing,
--- a/crates/core/src/outbox.rs
+++ b/crates/core/src/outbox.rs
@@ -10,8 +10,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     records: Vec<Record>,
-    /// Records of the last [`Effect::Persist`] for which [`Record::is_end_record`] is true. If the journal has no space for
-    /// them, they are written with the next tick.
+    /// Records of the last [`Effect::Persist`] for which [`Record::is_end_record`] is true. If the journal has no
+    /// space for them, they are written with the next tick.
     unpersisted: Vec<Record>,
     /// Effects that wait until the journal has the records.
     deferred: Vec<Effect>,
--- a/crates/core/src/pending_message.rs
+++ b/crates/core/src/pending_message.rs
@@ -209,9 +209,7 @@
             Verdict::Rejected { .. } if self.deadline <= now + tick * EXPIRY_TICKS => {
                 Answer::Expired
             }
-            Verdict::Rejected { retry_after } => Answer::Rejected {
-                retry_after: retry_after,
-            },
+            Verdict::Rejected { retry_after } => Answer::Rejected { retry_after },
             Verdict::Failed => Answer::Failed,
         }
     }
--- a/crates/core/src/recovered.rs
+++ b/crates/core/src/recovered.rs
@@ -85,15 +85,14 @@
                 endpoint,
                 started_at,
             } => {
-                if let Some(recovered) = open.get_mut(&MessageId(id)) {
-                    recovered.message.attempts_used =
-                        recovered.message.attempts_used.max(attempt + 1);
+                if let Some(pending) = open.get_mut(&MessageId(id)) {
+                    pending.message.attempts_used = pending.message.attempts_used.max(attempt + 1);
                     let started = PossibleExecution {
                         at: Time(started_at),
                         endpoint: EndpointId(endpoint),
                         attempt,
                     };
-                    recovered.possibly_executed.get_or_insert(started);
+                    pending.possibly_executed.get_or_insert(started);
                 }
             }
             Record::AttemptFinished {
@@ -101,10 +100,9 @@
                 attempt,
                 not_executed,
             } => {
-                if let Some(recovered) = open.get_mut(&MessageId(id)) {
-                    recovered
-                        .possibly_executed
-                        .take_if(|first| not_executed && first.attempt == attempt);
+                if let Some(pending) = open.get_mut(&MessageId(id)) {
+                    let possibly_executed = &mut pending.possibly_executed;
+                    possibly_executed.take_if(|first| not_executed && first.attempt == attempt);
                 }
             }
             Record::FinalReportDue {
--- a/crates/core/src/zones.rs
+++ b/crates/core/src/zones.rs
@@ -112,7 +112,7 @@
 fn apply_change(now: Time, change: &Change, scheduler: &mut Scheduler) {
     match change {
         Change::Evacuate { zone, .. } | Change::ProbeOver { zone } => {
-            scheduler.evacuate_zone(*zone)
+            scheduler.evacuate_zone(*zone);
         }
         Change::Probe {
             zone,
--- a/crates/core/tests/short_window.rs
+++ b/crates/core/tests/short_window.rs
@@ -172,10 +172,8 @@
         let due = answers.first_key_value().map_or(u64::MAX, |(due, _)| *due);
         now = wake.max(now + 1).min(due.max(now + 1));
     }
-    panic!(
-        "messages, reports left: {:?}",
-        core.pending_and_report_counts()
-    );
+    let outstanding = core.pending_and_report_counts();
+    panic!("messages, reports left: {outstanding:?}");
 }
 
 /// Restarts 0 to 1.5 s after a possibly executed attempt, with and without gradual recovery, with a backlog of untried
--- a/crates/core/tests/virtual_fleet/mod.rs
+++ b/crates/core/tests/virtual_fleet/mod.rs
@@ -357,12 +357,8 @@
 
     fn call(&mut self, sender: usize, endpoint: &EndpointId, attempts: Vec<Attempt>) {
         let number: usize = endpoint.0.parse().expect("an endpoint's number");
-        let until = attempts
-            .iter()
-            .map(|a| a.times_out_at)
-            .min()
-            .unwrap_or(START)
-            - START;
+        let timeouts = attempts.iter().map(|a| a.times_out_at);
+        let until = timeouts.min().unwrap_or(START) - START;
         let connect = self.destination.connect(self.now, number);
         let failed = |status| (status, None, None);
         let (at, (status, wait, report)) = match connect {
--- a/crates/daemon/src/fleet_log.rs
+++ b/crates/daemon/src/fleet_log.rs
@@ -24,8 +24,10 @@
             min_duration,
         } => {
             let zone = platform_settings.zone_name(*zone);
-            log::warn!(event = "zone", zone, state = "evacuated", fails = *failing_members, serves = *serving_members, out_ms = min_duration.as_millis() as u64;
-                "zones: {zone} evacuated for at least {min_duration:?}: failing for {failing_members} members, serving {serving_members}");
+            log::warn!(event = "zone", zone, state = "evacuated", fails = failing_members, serves = serving_members,
+                out_ms = min_duration.as_millis() as u64;
+                "zones: {zone} evacuated for at least {min_duration:?}: failing for {failing_members} members, \
+                serving {serving_members}");
         }
         Change::Return { zone, .. } => {
             let zone = platform_settings.zone_name(*zone);
--- a/crates/daemon/src/reactor/operators.rs
+++ b/crates/daemon/src/reactor/operators.rs
@@ -102,9 +102,9 @@
     /// Detaches an endpoint, or attaches it, by a command on `connection`.
     fn detach(&mut self, connection: usize, endpoint: String, attach: bool) {
         self.step(Input::Detach {
-            connection: connection,
+            connection,
             endpoint,
-            attach: attach,
+            attach,
         });
     }
 
--- a/crates/journal/src/journal/relocation.rs
+++ b/crates/journal/src/journal/relocation.rs
@@ -59,8 +59,8 @@
 }
 
 impl<S: Storage> Journal<S> {
-    /// Relocates the live frames of the next slice; true once the whole segment is done. On failure `step.incomplete` is set
-    /// and the same slice is tried again in the next step.
+    /// Relocates the live frames of the next slice; true once the whole segment is done. On failure `step.incomplete`
+    /// is set and the same slice is tried again in the next step.
     pub(super) fn relocate_slice(
         &mut self,
         now_ms: u64,
--- a/crates/journal/src/options.rs
+++ b/crates/journal/src/options.rs
@@ -17,8 +17,8 @@
     pub operator_key: Option<Key>,
     /// Fresh random bytes; they become the folder's own key if it has no key yet.
     pub fresh_key: Key,
-    /// Bytes after which a segment is sealed; `None` derives them from `disk`. Tests set a small size, so that segments
-    /// are sealed often.
+    /// Bytes after which a segment is sealed; `None` derives them from `disk_bytes`. Tests set a small size, so that
+    /// segments are sealed often.
     pub segment_bytes: Option<u64>,
 }
 
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -26,8 +26,8 @@
     SendLearnedState {
         /// The UDP address of the member that requested it.
         to: SocketAddr,
-        /// The learned state in pieces of at most [`crate::MAX_LEARNED_PIECE_BYTES`] bytes, one packet each. Lost packets aren't sent
-        /// again.
+        /// The learned state in pieces of at most [`crate::MAX_LEARNED_PIECE_BYTES`] bytes, one packet each. Lost packets aren't
+        /// sent again.
         chunks: Vec<Vec<u8>>,
     },
 }
--- a/crates/membership/src/member_entry.rs
+++ b/crates/membership/src/member_entry.rs
@@ -17,7 +17,7 @@
 pub struct MemberEntry {
     /// The member's identity, with the incarnation that the entry is about.
     pub member: Identity,
-    /// The incarnation number of the SWIM paper; see [`View::swim_incarnation`].
+    /// The incarnation number of the SWIM paper; see [`MemberView::swim_incarnation`].
     pub swim_incarnation: u16,
     /// 0: alive, 1: suspect, 2: down or left. Other values are invalid.
     pub state: u8,
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -257,7 +257,7 @@
             .map(|view| view.state)
     }
 
-    pub(crate) fn share_divisor(&self, i: usize) -> u32 {
+    pub(crate) fn quota_divisor(&self, i: usize) -> u32 {
         self.members[i].as_ref().map_or(0, Members::quota_divisor)
     }
 
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -109,20 +109,20 @@
     network.split(&[0, 1], &[2, 3, 4]);
     network.run(secs(20.0));
     assert_eq!(
-        (0..5).map(|i| network.share_divisor(i)).collect::<Vec<_>>(),
+        (0..5).map(|i| network.quota_divisor(i)).collect::<Vec<_>>(),
         [5; 5]
     );
     assert!((2..5).all(|by| network.state(0, by) == Some(MemberState::Down)));
     network.run(secs(40.0));
     assert_eq!(
-        (0..5).map(|i| network.share_divisor(i)).collect::<Vec<_>>(),
+        (0..5).map(|i| network.quota_divisor(i)).collect::<Vec<_>>(),
         [5, 5, 3, 3, 3]
     );
     network.blocked.clear();
     network.run(secs(15.0));
     assert!(network.has_converged(), "{:?}", network.changes);
     assert_eq!(
-        (0..5).map(|i| network.share_divisor(i)).collect::<Vec<_>>(),
+        (0..5).map(|i| network.quota_divisor(i)).collect::<Vec<_>>(),
         [5; 5],
         "the evicted members count again once they are back"
     );
@@ -139,7 +139,7 @@
     network.run(secs(2.0));
     network.start(1, network.now, KEY);
     network.run(secs(90.0));
-    assert_eq!((network.share_divisor(0), network.share_divisor(1)), (5, 5));
+    assert_eq!((network.quota_divisor(0), network.quota_divisor(1)), (5, 5));
 }
 
 /// Guards against a member declared down because one other can't reach it: indirect probes still succeed.
@@ -185,7 +185,7 @@
     network.members[2] = None;
     for by in [0, 1, 3, 4] {
         assert_eq!(
-            (network.state(2, by), network.share_divisor(by)),
+            (network.state(2, by), network.quota_divisor(by)),
             (Some(MemberState::Left), 5),
             "by {by}"
         );
@@ -194,11 +194,11 @@
     assert!(
         [0, 1, 3, 4]
             .iter()
-            .all(|&by| network.share_divisor(by) == 4)
+            .all(|&by| network.quota_divisor(by) == 4)
     );
     network.start(2, network.now, KEY);
     network.run(secs(8.0));
-    assert!(network.has_converged() && (0..5).all(|i| network.share_divisor(i) == 5));
+    assert!(network.has_converged() && (0..5).all(|i| network.quota_divisor(i) == 5));
 }
 
 /// Guards against a restarted member whose packets are ignored because its incarnation is lower than before: its state folder was
--- a/crates/membership/tests/scale.rs
+++ b/crates/membership/tests/scale.rs
@@ -28,7 +28,7 @@
     let mut all: Vec<u32> = network
         .running()
         .into_iter()
-        .map(|i| network.share_divisor(i))
+        .map(|i| network.quota_divisor(i))
         .collect();
     all.sort_unstable();
     all.dedup();
--- a/crates/recovery/src/learned_state_cache.rs
+++ b/crates/recovery/src/learned_state_cache.rs
@@ -60,8 +60,8 @@
     }
 
     /// Adds learned state. The cache keeps the latest state of each route, and of its retry-after times the one that
-    /// ends last. Ignored are state that is further in the future than [`MaxAges::max_clock_difference`], windows and limits that are
-    /// not positive, and retry-after times of more than a day.
+    /// ends last. Ignored are state that is further in the future than [`MaxAges::max_clock_difference`], windows and
+    /// limits that are not positive, and retry-after times of more than a day.
     pub fn merge(&mut self, now: Time, learned_state: Vec<LearnedState>) {
         for mut learned in learned_state {
             if learned.at > now + self.bounds.max_clock_difference {
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -3,8 +3,8 @@
 //! I/O and reads no clock.
 //!
 //! The main types are [`Recovery`] (the phases), [`LearnedStateCache`] (learned state and its age) and [`WorkQueue`]
-//! (the order of messages). [`encode_chunks`] and [`decode_chunk`] are for packets between members, [`encode_state_file`] and [`decode_state_file`] for the
-//! state file.
+//! (the order of messages). [`encode_chunks`] and [`decode_chunk`] are for packets between members,
+//! [`encode_state_file`] and [`decode_state_file`] for the state file.
 
 mod encoding;
 mod learned_state_cache;
--- a/crates/scheduler/src/discovery_polls.rs
+++ b/crates/scheduler/src/discovery_polls.rs
@@ -8,8 +8,8 @@
 const BASE_BACKOFF: Duration = Duration::from_millis(300);
 /// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// The backoff is at most the maximum time between polls, [`Rules::max_poll_interval`](crate::api::Rules::max_poll_interval), divided by
-/// this, so that a retry is sent within that time.
+/// The backoff is at most the maximum time between polls, [`Rules::max_poll_interval`](crate::api::Rules::max_poll_interval),
+/// divided by this, so that a retry is sent within that time.
 const MAX_BACKOFF_DIVISOR: u32 = 2;
 
 /// The time of the next poll, and the failed polls since the last success.
--- a/crates/scheduler/src/learned_state.rs
+++ b/crates/scheduler/src/learned_state.rs
@@ -2,7 +2,8 @@
 //! restarted processes restore it.
 //!
 //! Restored state never makes a sender send more than one that starts without learned state, until the destination answers.
-//! State handed over by another process of the same sender ([`SchedulerState::restore_handed_over`]) may also enlarge the window.
+//! State handed over by another process of the same sender ([`SchedulerState::restore_handed_over`]) may also enlarge the
+//! window.
 
 use std::collections::BTreeMap;
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -96,8 +96,8 @@
         self.state.ordering.confirm_reports();
     }
 
-    /// Blocks an ordering key until [`Scheduler::report_acknowledged`] is called: an earlier process of this sender has started a
-    /// final report of a message with this key.
+    /// Blocks an ordering key until [`Scheduler::report_acknowledged`] is called: an earlier process of this sender has started
+    /// a final report of a message with this key.
     pub fn block_until_report_acknowledged(&mut self, ordering_key: &OrderingKey) {
         self.state.ordering.await_report(ordering_key);
     }
@@ -108,8 +108,8 @@
         self.state.ordering.report_answered(ordering_key);
     }
 
-    /// Pauses all ordering keys for [`Rules::ordering_pause`](crate::api::Rules::ordering_pause), since attempts of an earlier process may
-    /// still be executed.
+    /// Pauses all ordering keys for [`Rules::ordering_pause`](crate::api::Rules::ordering_pause), since attempts of an earlier
+    /// process may still be executed.
     pub fn pause_ordering_keys(&mut self, now: Time) {
         let until = now + self.state.settings.rules.ordering_pause;
         self.state.ordering.pause_all(until);
--- a/crates/scheduler/src/zones.rs
+++ b/crates/scheduler/src/zones.rs
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Admits one probe call to one endpoint of a zone: see [`Scheduler::admit_probe_call`](crate::Scheduler::admit_probe_call).
+    /// Admits one probe call to one endpoint of a zone: see
+    /// [`Scheduler::admit_probe_call`](crate::Scheduler::admit_probe_call).
     pub(crate) fn admit_probe(&mut self, now: Time, zone: u32, pick: u64) {
         self.endpoints.close_zone(zone);
         let candidates = self.probe_candidates(zone);
--- a/crates/simulation/src/clients/weight.rs
+++ b/crates/simulation/src/clients/weight.rs
@@ -4,7 +4,7 @@
 use super::submission::Origin;
 
 /// The weight of a message, 0 to 1. It is 1 if the message was delivered within its latency objective, halves with each
-/// further such time down to [`Class::min_weight_share`], and is 0 if the message was undelivered or later than its time to live.
+/// further such time down to [`Class::late_share`], and is 0 if the message was undelivered or later than its time to live.
 pub(super) fn delivered_weight(class: &Class, origin: &Origin) -> f64 {
     let Some(delivered) = origin.delivered else {
         return 0.0;
