--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -70,7 +70,8 @@
     pub initial_capacity: f64,
     /// Time after the end of an outage until the destination has its full capacity. In between, capacity grows linearly.
     pub warm_up: Duration,
-    /// Load, as a multiple of its present capacity, at which a destination fails when it lasts for [`Rules::fall`].
+    /// Load, as a multiple of its present capacity, at which a destination fails when it lasts for
+    /// [`Rules::overload_duration`].
     pub overload_multiple: f64,
     /// How long a load of [`Rules::overload_multiple`] must last for a destination to fail.
     pub overload_duration: Duration,
--- a/crates/scheduler/src/zones.rs
+++ b/crates/scheduler/src/zones.rs
@@ -18,7 +18,7 @@
 /// Depth of a gate, in tokens.
 const GATE_DEPTH: f64 = 1.0;
 /// Calls in excess of the allowed load that a destination in its slow start tolerates within
-/// [`Rules::fall`](crate::api::Rules::fall), over all senders.
+/// [`Rules::overload_duration`](crate::api::Rules::overload_duration), over all senders.
 const TOLERATED_CALLS: f64 = 3.0;
 
 impl EndpointTable {
@@ -171,7 +171,7 @@
         let quota = Some(limit / instances)
             .filter(|quota| quota.is_finite())
             .unwrap_or_else(|| route.demand.rate(now));
-        // In addition to the capacity, all senders together may send the tolerated calls in each period of `Rules::fall`.
+        // In addition to the capacity, all senders together may send the tolerated calls in each period of `Rules::overload_duration`.
         let tolerated = TOLERATED_CALLS
             / rules.overload_duration.as_secs_f64().max(MIN_SPAN_SECONDS)
             / instances;
