--- a/crates/scheduler/src/zones.rs
+++ b/crates/scheduler/src/zones.rs
@@ -18,7 +18,7 @@
 /// Depth of a gate, in tokens.
 const GATE_DEPTH: f64 = 1.0;
 /// Calls in excess of the allowed load that a destination in its slow start tolerates within
-/// [`Rules::fall`](crate::api::Rules::fall), over all senders.
+/// [`Rules::overload_duration`](crate::api::Rules::overload_duration), over all senders.
 const TOLERATED_CALLS: f64 = 3.0;
 
 impl EndpointTable {
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Admits one probe call to one endpoint of a zone: see [`Scheduler::probe`](crate::Scheduler::probe).
+    /// Admits one probe call to one endpoint of a zone: see
+    /// [`Scheduler::admit_probe_call`](crate::Scheduler::admit_probe_call).
     pub(crate) fn admit_probe(&mut self, now: Time, zone: u32, pick: u64) {
         self.endpoints.close_zone(zone);
         let candidates = self.probe_candidates(zone);
@@ -170,9 +171,10 @@
         let quota = Some(limit / instances)
             .filter(|quota| quota.is_finite())
             .unwrap_or_else(|| route.demand.rate(now));
-        // In addition to the capacity, all senders together may send the tolerated calls in each period of `Rules::fall`.
-        let tolerated =
-            TOLERATED_CALLS / rules.fall.as_secs_f64().max(MIN_SPAN_SECONDS) / instances;
+        // In addition to the capacity, all senders together may send the tolerated calls in each period of `Rules::overload_duration`.
+        let tolerated = TOLERATED_CALLS
+            / rules.overload_duration.as_secs_f64().max(MIN_SPAN_SECONDS)
+            / instances;
         slow_start_rate(rules, elapsed, quota) + tolerated
     }
 
